--- /dev/null
+++ b/crates/cluster/tests/stored_forms.rs
@@ -0,0 +1,79 @@
+//! What members store and agree on has the form that the version before wrote, and is read from it.
+use cluster::machine::{Command, Machine, Member, Proposal, Reason, Rules, WhenCutOff};
+use cluster::node::found;
+
+const RECORDED: &str = include_str!("fixtures/stored_forms.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn rules(when_cut_off: WhenCutOff) -> Rules {
+    Rules {
+        lease: 15_000_000,
+        short: 3_000_000,
+        drift: 20_000,
+        deadline: 60_000_000,
+        when_cut_off,
+        voters: 3,
+    }
+}
+
+fn member(id: u64) -> Member {
+    Member { id, address: format!("127.0.0.1:{id}"), zone: "east".into(), drawn: id * 7 }
+}
+
+fn proposal(id: &str, base: u64) -> Proposal {
+    Proposal { id: id.into(), base, payload: "{\"x\":1}".into() }
+}
+
+fn commands() -> Vec<Command> {
+    let why = vec![Reason { by: "b".into(), why: "no listener".into() }];
+    vec![
+        Command::Join { name: "b".into(), member: member(2) },
+        Command::Join { name: "c".into(), member: member(3) },
+        Command::Propose(proposal("c1", 4)),
+        Command::Close { change: "c1".into() },
+        Command::Open { change: "c1".into() },
+        Command::Propose(proposal("c2", 5)),
+        Command::GiveUp { change: "c2".into(), why },
+        Command::Note(proposal("n1", 5)),
+        Command::Propose(proposal("c3", 1)),
+        Command::Leave { name: "c".into(), id: 3 },
+        Command::Propose(proposal("c4", 6)),
+    ]
+}
+
+fn machine() -> Machine {
+    Machine::found("00ff".into(), rules(WhenCutOff::Refuse), "a".into(), member(1), 9, 4)
+}
+
+#[test]
+fn commands_states_and_snapshots_are_the_recorded_ones() {
+    let mut written = String::new();
+    let mut machine = machine();
+    for command in commands() {
+        let text = serde_json::to_string(&command).unwrap();
+        assert_eq!(serde_json::from_str::<Command>(&text).unwrap(), command);
+        machine.apply(&command);
+        written += &format!("command {text}\n");
+    }
+    written += &format!("state {}\n", serde_json::to_string(&machine).unwrap());
+    written += &format!("rules {}\n", serde_json::to_string(&rules(WhenCutOff::Serve)).unwrap());
+    let saved = found(&machine, "the service's state".into(), 1);
+    written += &format!("snapshot {}\n", hex(&saved.snapshot.unwrap()));
+    written += &format!("hard {}\n", hex(&saved.hard.unwrap()));
+    assert_eq!(written, RECORDED, "stored forms differ; they are now:\n{written}");
+}
+
+#[test]
+fn recorded_commands_come_to_the_recorded_state() {
+    let mut machine = machine();
+    let of = |kind: &str| RECORDED.lines().filter_map(|l| l.strip_prefix(kind)).collect::<Vec<_>>();
+    for text in of("command ") {
+        machine.apply(&serde_json::from_str(text).unwrap());
+    }
+    assert_eq!(of("command ").len(), commands().len());
+    let recorded: Machine = serde_json::from_str(of("state ")[0]).unwrap();
+    assert_eq!(machine, recorded);
+}
