--- a/crates/admin/src/access.rs
+++ b/crates/admin/src/access.rs
@@ -110,7 +110,11 @@
             Needs::Oversee => "it needs a token for all tenants",
             _ => "a read-only token changes nothing",
         };
-        if may { Ok(()) } else { Err(Problem::forbidden(why)) }
+        if may {
+            Ok(())
+        } else {
+            Err(Problem::forbidden(why))
+        }
     }
 }
 
@@ -150,7 +154,10 @@
 /// The system has no random numbers.
 pub fn new_secret(id: &str) -> Result<(String, Secret), Problem> {
     let secret = draw::<SECRET>()?;
-    let stored = Secret { hash: hash(&secret), until_ms: None };
+    let stored = Secret {
+        hash: hash(&secret),
+        until_ms: None,
+    };
     Ok((format!("{PREFIX}{id}_{secret}"), stored))
 }
 
@@ -160,7 +167,10 @@
     pub fn rotate(&mut self, secret: Secret, until_ms: u64) {
         let old = self.secrets.drain(..).next();
         self.secrets.push(secret);
-        self.secrets.extend(old.map(|old| Secret { until_ms: Some(until_ms), ..old }));
+        self.secrets.extend(old.map(|old| Secret {
+            until_ms: Some(until_ms),
+            ..old
+        }));
     }
 
     /// Until when a former secret is good, if there is one.
@@ -184,17 +194,32 @@
 /// # Errors
 /// It is no good token; which part of it is wrong is not told.
 pub fn who(
-    tokens: &BTreeMap<String, Token>, authorization: Option<&str>, now_ms: u64,
+    tokens: &BTreeMap<String, Token>,
+    authorization: Option<&str>,
+    now_ms: u64,
 ) -> Result<Who, Problem> {
     let none = || Problem::unauthorized("send Authorization: Bearer with a valid token");
-    let (scheme, token) = authorization.and_then(|a| a.split_once(' ')).ok_or_else(none)?;
+    let (scheme, token) = authorization
+        .and_then(|a| a.split_once(' '))
+        .ok_or_else(none)?;
     let token = token.trim();
-    let (id, secret) = token.strip_prefix(PREFIX).and_then(|t| t.split_once('_')).ok_or_else(none)?;
+    let (id, secret) = token
+        .strip_prefix(PREFIX)
+        .and_then(|t| t.split_once('_'))
+        .ok_or_else(none)?;
     if !scheme.eq_ignore_ascii_case("bearer") {
         return Err(none());
     }
-    let stored = tokens.get(id).filter(|t| t.is_good(secret, now_ms)).ok_or_else(none)?;
-    Ok(Who { id: id.to_owned(), name: stored.name.clone(), role: stored.role, tenant: stored.tenant.clone() })
+    let stored = tokens
+        .get(id)
+        .filter(|t| t.is_good(secret, now_ms))
+        .ok_or_else(none)?;
+    Ok(Who {
+        id: id.to_owned(),
+        name: stored.name.clone(),
+        role: stored.role,
+        tenant: stored.tenant.clone(),
+    })
 }
 
 #[cfg(test)]
--- a/crates/admin/src/answers.rs
+++ b/crates/admin/src/answers.rs
@@ -94,7 +94,10 @@
 
 impl From<&store::Author> for By {
     fn from(author: &store::Author) -> Self {
-        By { id: author.id.clone(), name: author.name.clone() }
+        By {
+            id: author.id.clone(),
+            name: author.name.clone(),
+        }
     }
 }
 
--- a/crates/admin/src/backup.rs
+++ b/crates/admin/src/backup.rs
@@ -25,14 +25,24 @@
 }
 
 fn sum(state: &str) -> String {
-    Sha256::digest(state.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
+    Sha256::digest(state.as_bytes())
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 impl Backup {
     /// A backup of a state.
     pub fn of(cluster: &str, version: u64, at_ms: u64, state: String) -> Self {
         let (cluster, sha256) = (cluster.to_owned(), sum(&state));
-        Backup { canvascart_backup: FORM, cluster, version, at_ms, sha256, state }
+        Backup {
+            canvascart_backup: FORM,
+            cluster,
+            version,
+            at_ms,
+            sha256,
+            state,
+        }
     }
 
     /// A backup from its text, if it is whole.
@@ -40,7 +50,8 @@
     /// # Errors
     /// What is wrong with it, and where.
     pub fn read(text: &str) -> Result<Self, String> {
-        let backup: Backup = serde_json::from_str(text).map_err(|e| format!("it is no whole backup: {e}"))?;
+        let backup: Backup =
+            serde_json::from_str(text).map_err(|e| format!("it is no whole backup: {e}"))?;
         if backup.canvascart_backup != FORM {
             return Err(format!(
                 "canvascart-backup: its form is {}, and this program knows {FORM}",
@@ -63,11 +74,15 @@
         let backup = Backup::of("c", 7, 1, "{\"a\":1}\n".into());
         let text = serde_json::to_string(&backup).expect("it can be written");
         assert_eq!(Backup::read(&text), Ok(backup));
-        assert!((0..text.len()).all(|n| Backup::read(&text[..n]).is_err()), "cut off");
+        assert!(
+            (0..text.len()).all(|n| Backup::read(&text[..n]).is_err()),
+            "cut off"
+        );
         let damaged = text.replace("\\\"a\\\"", "\\\"b\\\"");
         assert!(damaged != text && Backup::read(&damaged).is_err_and(|e| e.contains("sum")));
         assert!(
-            Backup::read(&text.replace("backup\":1", "backup\":9")).is_err_and(|e| e.contains("form is 9"))
+            Backup::read(&text.replace("backup\":1", "backup\":9"))
+                .is_err_and(|e| e.contains("form is 9"))
         );
     }
 }
--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -84,7 +84,12 @@
     /// An answer without an entity tag.
     pub fn of(body: impl Serialize) -> Self {
         let body = serde_json::to_value(body).unwrap_or_default();
-        Reply { status: 200, etag: None, location: None, body }
+        Reply {
+            status: 200,
+            etag: None,
+            location: None,
+            body,
+        }
     }
 }
 
@@ -119,7 +124,9 @@
     /// # Errors
     /// It is none, so that nothing is there.
     pub fn number(&self, key: &str) -> Result<u64, Problem> {
-        self.name(key).parse().map_err(|_| Problem::not_found(format!("{key} is a number")))
+        self.name(key)
+            .parse()
+            .map_err(|_| Problem::not_found(format!("{key} is a number")))
     }
 
     /// A number in the query.
@@ -128,7 +135,8 @@
     /// It is none.
     pub fn query_number(&self, key: &str) -> Result<Option<u64>, Problem> {
         let number = |text: &String| {
-            text.parse().map_err(|_| Problem::malformed(format!("the query's {key} is no number")))
+            text.parse()
+                .map_err(|_| Problem::malformed(format!("the query's {key} is no number")))
         };
         self.query.get(key).map(number).transpose()
     }
@@ -141,7 +149,9 @@
         match self.query_number("limit")? {
             None => Ok(USUAL),
             Some(n) if (1..=PAGE as u64).contains(&n) => Ok(n as usize),
-            Some(_) => Err(Problem::malformed(format!("the query's limit is from 1 to {PAGE}"))),
+            Some(_) => Err(Problem::malformed(format!(
+                "the query's limit is from 1 to {PAGE}"
+            ))),
         }
     }
 
@@ -162,7 +172,9 @@
     /// # Errors
     /// As [`Call::limit`].
     pub fn page<T>(
-        &self, members: impl Iterator<Item = (String, T)>, limit: usize,
+        &self,
+        members: impl Iterator<Item = (String, T)>,
+        limit: usize,
     ) -> Result<Page<T>, Problem> {
         let after = self.query.get("after").map_or("", String::as_str);
         let mut all: Vec<(String, T)> = members.filter(|(name, _)| name.as_str() > after).collect();
@@ -170,7 +182,10 @@
         let more = all.len() > limit;
         all.truncate(limit);
         let next = all.last().filter(|_| more).map(|(name, _)| name.clone());
-        Ok(Page { items: all.into_iter().map(|(_, m)| m).collect(), next })
+        Ok(Page {
+            items: all.into_iter().map(|(_, m)| m).collect(),
+            next,
+        })
     }
 
     /// The body.
--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -61,7 +61,9 @@
 /// What the form of [`Agreed`] is numbered by. A program that does not know the number can't take the change.
 fn form() -> u64 {
     // What a program says that is newer than this one.
-    fail::fail_point!("agreed-form", |said| said.and_then(|n| n.parse().ok()).unwrap_or(2));
+    fail::fail_point!("agreed-form", |said| said
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(2));
     1
 }
 
@@ -77,11 +79,19 @@
     /// It is of a program that this one does not know.
     pub fn read(text: &str) -> Result<Self, String> {
         let program = env!("CARGO_PKG_VERSION");
-        let unknown =
-            |what: String| format!("this program ({program}) can't read the change: {}", short(&what));
+        let unknown = |what: String| {
+            format!(
+                "this program ({program}) can't read the change: {}",
+                short(&what)
+            )
+        };
         let value: Value = serde_json::from_str(text).map_err(|e| unknown(e.to_string()))?;
         if value["format"] != form() {
-            return Err(unknown(format!("its form is {}, and it knows {}", value["format"], form())));
+            return Err(unknown(format!(
+                "its form is {}, and it knows {}",
+                value["format"],
+                form()
+            )));
         }
         serde_json::from_value(value["change"].clone()).map_err(|e| unknown(e.to_string()))
     }
@@ -122,13 +132,23 @@
 impl Frame {
     /// The body is a part of the document.
     pub fn part(part: String) -> Self {
-        Frame { part, above: String::new() }
+        Frame {
+            part,
+            above: String::new(),
+        }
     }
 
     /// Faults of a document as faults of the body.
     fn outside(&self, faults: Vec<Fault>) -> Vec<Fault> {
-        let pointer = |p: &str| format!("{}{}", self.above, p.strip_prefix(&self.part).unwrap_or(p));
-        faults.into_iter().map(|f| Fault { pointer: pointer(&f.pointer), what: f.what }).collect()
+        let pointer =
+            |p: &str| format!("{}{}", self.above, p.strip_prefix(&self.part).unwrap_or(p));
+        faults
+            .into_iter()
+            .map(|f| Fault {
+                pointer: pointer(&f.pointer),
+                what: f.what,
+            })
+            .collect()
     }
 }
 
@@ -147,7 +167,12 @@
 
 /// Faults in one text, those beyond the first counted.
 fn all_of(faults: &[String], between: &str) -> String {
-    let mut text = faults.iter().take(FAULTS).map(|f| short(f)).collect::<Vec<_>>().join(between);
+    let mut text = faults
+        .iter()
+        .take(FAULTS)
+        .map(|f| short(f))
+        .collect::<Vec<_>>()
+        .join(between);
     if faults.len() > FAULTS {
         text.push_str(&format!("{between}and {} more", faults.len() - FAULTS));
     }
@@ -162,7 +187,10 @@
 /// An entity tag: the revision, and a sum of the document, so that a name that is used again has other tags.
 pub fn etag(rev: u64, document: &Value) -> String {
     let sum = Sha256::digest(document.to_string().as_bytes());
-    format!("\"{rev}-{:02x}{:02x}{:02x}{:02x}\"", sum[0], sum[1], sum[2], sum[3])
+    format!(
+        "\"{rev}-{:02x}{:02x}{:02x}{:02x}\"",
+        sum[0], sum[1], sum[2], sum[3]
+    )
 }
 
 /// Documents that are read one by one, packed as they come.
@@ -176,10 +204,15 @@
 impl Loaded {
     /// What a reader tells, and what it returns.
     fn of<T>(
-        parts: Parts, read: impl FnOnce(Each<'_>) -> Result<T, StoreError>,
+        parts: Parts,
+        read: impl FnOnce(Each<'_>) -> Result<T, StoreError>,
     ) -> Result<(T, Self), StoreError> {
         let form = Form::of::<Tenant>().map_err(StoreError::Database)?;
-        let mut loaded = Loaded { catalog: Catalog::new(&Service::default()), parts, faults: Vec::new() };
+        let mut loaded = Loaded {
+            catalog: Catalog::new(&Service::default()),
+            parts,
+            faults: Vec::new(),
+        };
         let done = read(&mut |scope, rev, document| loaded.take(&form, scope, rev, &document))?;
         Ok((done, loaded))
     }
@@ -188,14 +221,17 @@
         let tenant = match form.read::<Tenant>(document) {
             Ok(tenant) => tenant,
             Err(faults) => {
-                let all = faults.iter().map(|f| format!("{scope}: {}: {}", f.key(), f.what));
+                let all = faults
+                    .iter()
+                    .map(|f| format!("{scope}: {}: {}", f.key(), f.what));
                 return self.faults.extend(all);
             }
         };
         let i = self.catalog.len();
         let edit = [(tenant.name.clone(), Some(tenant))];
         for (_, fault) in check::edits(&self.catalog, &edit) {
-            self.faults.push(no_fit(&format!("tenant.{i}.{}", fault.key()), &fault.what));
+            self.faults
+                .push(no_fit(&format!("tenant.{i}.{}", fault.key()), &fault.what));
         }
         if let [(_, Some(tenant))] = &edit {
             self.catalog.put(&mut self.parts, tenant, rev);
@@ -223,7 +259,8 @@
                 damaged = Some(e.tenant);
                 what
             })?;
-            let document = serde_json::to_value(&tenant).map_err(|e| StoreError::Database(e.to_string()))?;
+            let document =
+                serde_json::to_value(&tenant).map_err(|e| StoreError::Database(e.to_string()))?;
             Ok((scope(&tenant.name), rev, document))
         });
         let written = snapshot::write(&self.directory, &self.state, documents);
@@ -254,7 +291,10 @@
     pub fn open(file: &Service, read_only: bool, now_ms: u64) -> Result<Self, String> {
         let durable = file.state.as_ref().ok_or("state: it is missing")?;
         let directory = PathBuf::from(&durable.directory);
-        let keep = Keep { versions: durable.keep_versions, ..Keep::default() };
+        let keep = Keep {
+            versions: durable.keep_versions,
+            ..Keep::default()
+        };
         let opened = Store::open(&directory, keep).and_then(|(store, state)| {
             let ((), loaded) = Loaded::of(Parts::default(), |each| store.documents(each))?;
             Ok((loaded, store, state))
@@ -269,8 +309,8 @@
             }
             Err(e) => return Err(format!("{}: {e}", directory.display())),
         };
-        let read_only =
-            read_only.then(|| why.unwrap_or_else(|| "it was started with --read-only-state".into()));
+        let read_only = read_only
+            .then(|| why.unwrap_or_else(|| "it was started with --read-only-state".into()));
         Desk::over(file, store, (state, loaded), read_only, directory, now_ms)
     }
 
@@ -279,7 +319,11 @@
     /// # Errors
     /// As [`Desk::open`].
     pub fn with(
-        file: &Service, store: Option<Store>, state: State, read_only: Option<String>, directory: PathBuf,
+        file: &Service,
+        store: Option<Store>,
+        state: State,
+        read_only: Option<String>,
+        directory: PathBuf,
         now_ms: u64,
     ) -> Result<Self, String> {
         let stored = |each: Each<'_>| store.as_ref().map_or(Ok(()), |s| s.documents(each));
@@ -288,8 +332,12 @@
     }
 
     fn over(
-        file: &Service, store: Option<Store>, (state, loaded): (State, Loaded), read_only: Option<String>,
-        directory: PathBuf, now_ms: u64,
+        file: &Service,
+        store: Option<Store>,
+        (state, loaded): (State, Loaded),
+        read_only: Option<String>,
+        directory: PathBuf,
+        now_ms: u64,
     ) -> Result<Self, String> {
         let mut desk = Desk {
             agrees: file.cluster.is_some(),
@@ -326,11 +374,21 @@
     /// The present documents in what a file says of process and listeners. Before anything is stored, nothing is served.
     fn framed(&self, file: &Service) -> Result<Catalog, String> {
         if self.agrees && self.entry == 0 {
-            return Ok(Catalog::new(&Service { listeners: Vec::new(), ..file.clone() }));
+            return Ok(Catalog::new(&Service {
+                listeners: Vec::new(),
+                ..file.clone()
+            }));
         }
         let faults = check::around(file, |name| self.catalog.name(name).is_some());
-        let all = faults.iter().map(|f| no_fit(&f.key(), &f.what)).collect::<Vec<_>>();
-        if all.is_empty() { Ok(self.catalog.in_frame(file)) } else { Err(all_of(&all, "\n")) }
+        let all = faults
+            .iter()
+            .map(|f| no_fit(&f.key(), &f.what))
+            .collect::<Vec<_>>();
+        if all.is_empty() {
+            Ok(self.catalog.in_frame(file))
+        } else {
+            Err(all_of(&all, "\n"))
+        }
     }
 
     /// The first version of a cluster that is founded here, unless there are some; what there is then, as text.
@@ -373,7 +431,8 @@
     fn load(&mut self, file: &Service) -> Result<(), String> {
         let store = self.store.as_ref().ok_or("the state is read-only")?;
         let parts = std::mem::take(&mut self.parts);
-        let ((), loaded) = Loaded::of(parts, |each| store.documents(each)).map_err(|e| e.to_string())?;
+        let ((), loaded) =
+            Loaded::of(parts, |each| store.documents(each)).map_err(|e| e.to_string())?;
         self.go_over(file, loaded)
     }
 
@@ -383,7 +442,12 @@
     /// # Errors
     /// Something can't be read or stored, or does not fit.
     pub fn salvage(
-        &mut self, file: &Service, payloads: &[String], version: u64, detail: String, now_ms: u64,
+        &mut self,
+        file: &Service,
+        payloads: &[String],
+        version: u64,
+        detail: String,
+        now_ms: u64,
     ) -> Result<(u64, u64, String), String> {
         for payload in payloads {
             self.take(&Agreed::read(payload)?).map_err(|p| p.detail)?;
@@ -391,7 +455,10 @@
         let write = Write {
             base: self.entry,
             at_ms: now_ms,
-            by: Author { id: "restore".into(), name: "canvascart cluster restore".into() },
+            by: Author {
+                id: "restore".into(),
+                name: "canvascart cluster restore".into(),
+            },
             action: "cluster.restore".into(),
             subject: None,
             detail: Some(detail),
@@ -414,23 +481,37 @@
     fn edits(&self, write: &Write) -> Result<Vec<(String, Option<Tenant>)>, String> {
         let mut edits = Vec::new();
         for (scope, document) in &write.edits {
-            let Some(name) = tenant_of(scope) else { continue };
+            let Some(name) = tenant_of(scope) else {
+                continue;
+            };
             let faults = |f: Vec<Fault>| {
-                let all: Vec<_> = f.iter().map(|f| format!("{name}: {}: {}", f.key(), f.what)).collect();
+                let all: Vec<_> = f
+                    .iter()
+                    .map(|f| format!("{name}: {}: {}", f.key(), f.what))
+                    .collect();
                 all_of(&all, "; ")
             };
-            let read = document.as_ref().map(|d| self.form.read::<Tenant>(d).map_err(faults)).transpose()?;
+            let read = document
+                .as_ref()
+                .map(|d| self.form.read::<Tenant>(d).map_err(faults))
+                .transpose()?;
             edits.push((name, read));
         }
         Ok(edits)
     }
 
     /// The documents as they would be after a change, and the revisions that it gives.
-    fn after(&mut self, edits: &[(String, Option<Tenant>)]) -> Result<(Catalog, Vec<u64>), StoreError> {
+    fn after(
+        &mut self,
+        edits: &[(String, Option<Tenant>)],
+    ) -> Result<(Catalog, Vec<u64>), StoreError> {
         let mut next = self.catalog.clone();
         let mut revs = Vec::with_capacity(edits.len());
         for (name, tenant) in edits {
-            let rev = self.store.as_ref().map_or(Ok(0), |s| s.next_rev(&scope(name)))?;
+            let rev = self
+                .store
+                .as_ref()
+                .map_or(Ok(0), |s| s.next_rev(&scope(name)))?;
             match tenant {
                 Some(tenant) => next.put(&mut self.parts, tenant, rev),
                 None => next.remove(name),
@@ -444,12 +525,18 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn can_take(&mut self, agreed: &Agreed) -> Result<BTreeMap<String, BTreeSet<String>>, String> {
+    pub fn can_take(
+        &mut self,
+        agreed: &Agreed,
+    ) -> Result<BTreeMap<String, BTreeSet<String>>, String> {
         if let Some(why) = &self.read_only {
             return Err(format!("nothing can be stored here: {why}"));
         }
         if agreed.write.base != self.entry {
-            return Err(format!("it was made on entry {}, and here is {}", agreed.write.base, self.entry));
+            return Err(format!(
+                "it was made on entry {}, and here is {}",
+                agreed.write.base, self.entry
+            ));
         }
         let edits = self.edits(&agreed.write)?;
         let all: Vec<String> = check::edits(&self.catalog, &edits)
@@ -476,7 +563,10 @@
     pub fn take(&mut self, agreed: &Agreed) -> Result<Stored, Problem> {
         let write = &agreed.write;
         if write.base < self.entry {
-            return Ok(Stored { prepared: None, happened: None });
+            return Ok(Stored {
+                prepared: None,
+                happened: None,
+            });
         }
         let prepared = match write.edits.is_empty() {
             true => None,
@@ -502,26 +592,45 @@
                 None => drop(self.tokens.remove(id)),
             }
         }
-        let Some(prepared) = prepared else { return Ok(Stored { prepared: None, happened: None }) };
+        let Some(prepared) = prepared else {
+            return Ok(Stored {
+                prepared: None,
+                happened: None,
+            });
+        };
         self.catalog = prepared.next.clone();
         let happened = Happened {
             version: self.version,
             at_ms: write.at_ms,
-            by: By { id: write.by.id.clone(), name: write.by.name.clone() },
+            by: By {
+                id: write.by.id.clone(),
+                name: write.by.name.clone(),
+            },
             action: write.action.clone(),
             tenants: agreed.tenants.clone(),
         };
-        Ok(Stored { prepared: Some(prepared), happened: Some(happened) })
+        Ok(Stored {
+            prepared: Some(prepared),
+            happened: Some(happened),
+        })
     }
 
     /// The first version: the file's tenants, and an operator's token, whose secret goes into a file.
     fn begin(&mut self, file: &Service, now_ms: u64) -> Result<(), String> {
-        let program = || Author { id: "start".into(), name: "the first start".into() };
+        let program = || Author {
+            id: "start".into(),
+            name: "the first start".into(),
+        };
         let (id, whole, token) = operator("first operator", now_ms).map_err(|p| p.detail)?;
         // The token's file first: a crash before the store knows it leaves a file that the next start writes anew.
-        write_secret(&self.directory.join(OPERATOR), &whole).map_err(|e| format!("{OPERATOR}: {e}"))?;
-        let edit =
-            |t: &Tenant| Ok((scope(&t.name), Some(serde_json::to_value(t).map_err(|e| e.to_string())?)));
+        write_secret(&self.directory.join(OPERATOR), &whole)
+            .map_err(|e| format!("{OPERATOR}: {e}"))?;
+        let edit = |t: &Tenant| {
+            Ok((
+                scope(&t.name),
+                Some(serde_json::to_value(t).map_err(|e| e.to_string())?),
+            ))
+        };
         let write = Write {
             base: 0,
             at_ms: now_ms,
@@ -529,7 +638,11 @@
             action: "start".into(),
             subject: None,
             detail: None,
-            edits: file.tenants.iter().map(edit).collect::<Result<_, String>>()?,
+            edits: file
+                .tenants
+                .iter()
+                .map(edit)
+                .collect::<Result<_, String>>()?,
             tokens: vec![(id, Some(token))],
             reply: None,
             skip_to: None,
@@ -589,7 +702,8 @@
     /// What a new snapshot holds, if the last one lags behind.
     pub fn snapshot(&mut self) -> Option<Snapshot> {
         let lags = std::mem::take(&mut self.stale) && self.store.is_some();
-        let token = |(id, t): (&String, &Token)| (id.clone(), serde_json::to_value(t).unwrap_or_default());
+        let token =
+            |(id, t): (&String, &Token)| (id.clone(), serde_json::to_value(t).unwrap_or_default());
         lags.then(|| Snapshot {
             directory: self.directory.clone(),
             state: State {
@@ -625,7 +739,9 @@
     /// # Errors
     /// The store can't be read.
     pub fn since(&self, who: &Who, id: u64, most: usize) -> Result<Vec<(u64, Value)>, Problem> {
-        let Ok(store) = self.store() else { return Ok(Vec::new()) };
+        let Ok(store) = self.store() else {
+            return Ok(Vec::new());
+        };
         let mut told = Vec::new();
         for (_, entry) in store.versions(u64::MAX, most)? {
             let event = Happened::of(&entry, tenant_of).and_then(|h| h.told_to(who));
@@ -679,9 +795,13 @@
                 found
             }
         };
-        let lost = |why: &str| Problem::internal(format!("tenant \"{name}\" can't be read anew: {why}"));
+        let lost =
+            |why: &str| Problem::internal(format!("tenant \"{name}\" can't be read anew: {why}"));
         let (rev, document) = stored.ok_or_else(|| lost("it is not stored"))?;
-        let tenant = self.form.read(&document).map_err(|_| lost("what is stored has another form"))?;
+        let tenant = self
+            .form
+            .read(&document)
+            .map_err(|_| lost("what is stored has another form"))?;
         self.catalog.put(&mut self.parts, &tenant, rev);
         Ok(())
     }
@@ -691,7 +811,11 @@
     /// # Errors
     /// There is none, or none that the caller may see; which of both is not told.
     pub fn document(&mut self, who: &Who, tenant: &str) -> Result<(u64, Value), Problem> {
-        let found = if who.sees(tenant) { self.tenant(tenant)? } else { None };
+        let found = if who.sees(tenant) {
+            self.tenant(tenant)?
+        } else {
+            None
+        };
         let (rev, tenant) = found.ok_or_else(|| no_tenant(tenant))?;
         Ok((rev, written_out(&tenant)?))
     }
@@ -735,7 +859,9 @@
             )),
             (None, _) => Ok(()),
             (Some(tags), Some(tag)) if tags.trim() == "*" || lists(tags, tag) => Ok(()),
-            (Some(_), Some(tag)) => Err(Problem::lost_update(format!("If-Match: it is at {tag} now"))),
+            (Some(_), Some(tag)) => Err(Problem::lost_update(format!(
+                "If-Match: it is at {tag} now"
+            ))),
             (Some(_), None) => Err(Problem::lost_update("If-Match: it is not there")),
         }
     }
@@ -745,10 +871,16 @@
     /// # Errors
     /// The key was used for another call.
     pub fn repeated(&self, call: &Call) -> Result<Option<Reply>, Problem> {
-        let Some(key) = reply_key(call)? else { return Ok(None) };
-        let Some(kept) = self.store()?.reply(&key)? else { return Ok(None) };
+        let Some(key) = reply_key(call)? else {
+            return Ok(None);
+        };
+        let Some(kept) = self.store()?.reply(&key)? else {
+            return Ok(None);
+        };
         if kept["fingerprint"] != fingerprint(call) {
-            return Err(Problem::invalid("Idempotency-Key: it was used for another call"));
+            return Err(Problem::invalid(
+                "Idempotency-Key: it was used for another call",
+            ));
         }
         let text = |key: &str| kept[key].as_str().map(str::to_owned);
         Ok(Some(Reply {
@@ -773,7 +905,10 @@
         let mut before: Vec<Option<Value>> = Vec::new();
         let mut differences = Vec::new();
         for (name, document, frame) in &draft.edits {
-            let now = self.tenant(name)?.map(|(_, tenant)| written_out(&tenant)).transpose()?;
+            let now = self
+                .tenant(name)?
+                .map(|(_, tenant)| written_out(&tenant))
+                .transpose()?;
             let read = match document {
                 Some(d) => {
                     let faults = |f| Problem::faults(frame.outside(f));
@@ -788,7 +923,11 @@
             }
             if differences.len() < difference::MOST {
                 let now = now.as_ref();
-                differences.extend(difference::between(&format!("/{name}"), now, document.as_ref()));
+                differences.extend(difference::between(
+                    &format!("/{name}"),
+                    now,
+                    document.as_ref(),
+                ));
             }
             edits.push((name.clone(), document));
             tenants.push((name.clone(), read));
@@ -800,37 +939,70 @@
         differences.truncate(difference::MOST);
         if edits.is_empty() {
             let (etag, body) = self.written(call, Vec::new(), differences, dry_run, &edits);
-            return Ok(Reply { status: 200, etag, location: None, body }.into());
+            return Ok(Reply {
+                status: 200,
+                etag,
+                location: None,
+                body,
+            }
+            .into());
         }
         let (next, revs) = self.after(&tenants)?;
         let prepared = Prepared::between(&self.catalog, next);
         let changed = changed(&edits, &revs, &prepared);
         let (etag, body) = self.written(call, changed.clone(), differences, dry_run, &edits);
-        let status = if draft.location.is_some() && !dry_run { 201 } else { 200 };
-        let reply = Reply { status, etag, location: draft.location.filter(|_| !dry_run), body };
+        let status = if draft.location.is_some() && !dry_run {
+            201
+        } else {
+            200
+        };
+        let reply = Reply {
+            status,
+            etag,
+            location: draft.location.filter(|_| !dry_run),
+            body,
+        };
         if dry_run {
-            return Ok(Reply { etag: None, ..reply }.into());
+            return Ok(Reply {
+                etag: None,
+                ..reply
+            }
+            .into());
         }
         let write = Write {
             base: self.entry,
             at_ms: call.now_ms,
-            by: Author { id: call.who.id.clone(), name: call.who.name.clone() },
+            by: Author {
+                id: call.who.id.clone(),
+                name: call.who.name.clone(),
+            },
             action: draft.action.into(),
             subject: draft.subject,
             detail: draft.detail,
-            tokens: self.ending(&edits).into_iter().map(|id| (id, None)).collect(),
-            edits: edits.into_iter().map(|(name, d)| (scope(&name), d)).collect(),
+            tokens: self
+                .ending(&edits)
+                .into_iter()
+                .map(|id| (id, None))
+                .collect(),
+            edits: edits
+                .into_iter()
+                .map(|(name, d)| (scope(&name), d))
+                .collect(),
             reply: kept(call, &reply)?,
             skip_to: None,
         };
-        let agreed = Agreed { write, tenants: changed };
+        let agreed = Agreed {
+            write,
+            tenants: changed,
+        };
         if self.agrees {
             return Ok(Outcome::Agree(Box::new((agreed, reply))));
         }
         match self.put(&agreed, Some(prepared))? {
-            Stored { prepared: Some(prepared), happened: Some(happened) } => {
-                Ok(Outcome::Change(Box::new((prepared, reply, happened))))
-            }
+            Stored {
+                prepared: Some(prepared),
+                happened: Some(happened),
+            } => Ok(Outcome::Change(Box::new((prepared, reply, happened)))),
             _ => Ok(reply.into()),
         }
     }
@@ -840,19 +1012,32 @@
     /// # Errors
     /// It can't be stored; nothing has changed then.
     pub fn change_tokens(
-        &mut self, call: &Call, action: &str, subject: Option<String>, id: &str, token: Option<Token>,
+        &mut self,
+        call: &Call,
+        action: &str,
+        subject: Option<String>,
+        id: &str,
+        token: Option<Token>,
         mut reply: Reply,
     ) -> Result<Outcome, Problem> {
         if let Some(why) = &self.read_only {
             return Err(Problem::read_only(why.clone()));
         }
-        let stored = token.as_ref().map(|t| serde_json::to_value(t).unwrap_or_default());
+        let stored = token
+            .as_ref()
+            .map(|t| serde_json::to_value(t).unwrap_or_default());
         // A secret is told once and kept nowhere: who repeats the call is not told it again.
-        let secret = reply.body.as_object_mut().and_then(|body| body.remove("token"));
+        let secret = reply
+            .body
+            .as_object_mut()
+            .and_then(|body| body.remove("token"));
         let write = Write {
             base: self.entry,
             at_ms: call.now_ms,
-            by: Author { id: call.who.id.clone(), name: call.who.name.clone() },
+            by: Author {
+                id: call.who.id.clone(),
+                name: call.who.name.clone(),
+            },
             action: action.into(),
             subject,
             detail: Some(format!("token {id}")),
@@ -861,7 +1046,10 @@
             reply: kept(call, &reply)?,
             skip_to: None,
         };
-        let agreed = Agreed { write, tenants: Vec::new() };
+        let agreed = Agreed {
+            write,
+            tenants: Vec::new(),
+        };
         if !self.agrees {
             self.put(&agreed, None)?;
         }
@@ -876,15 +1064,24 @@
 
     /// The tokens of tenants that go. They must not open a later tenant of the same name.
     fn ending(&self, edits: &[(String, Option<Value>)]) -> Vec<String> {
-        let gone: BTreeSet<&String> = edits.iter().filter(|(_, d)| d.is_none()).map(|(n, _)| n).collect();
+        let gone: BTreeSet<&String> = edits
+            .iter()
+            .filter(|(_, d)| d.is_none())
+            .map(|(n, _)| n)
+            .collect();
         let goes = |name: &String| gone.contains(name);
-        let ending = self.tokens.iter().filter(|(_, t)| t.tenant.as_ref().is_some_and(goes));
+        let ending = self
+            .tokens
+            .iter()
+            .filter(|(_, t)| t.tenant.as_ref().is_some_and(goes));
         ending.map(|(id, _)| id.clone()).collect()
     }
 
     fn commit(&mut self, write: &Write) -> Result<(), StoreError> {
-        let store =
-            self.store.as_mut().ok_or_else(|| StoreError::Database("the state is read-only".into()))?;
+        let store = self
+            .store
+            .as_mut()
+            .ok_or_else(|| StoreError::Database("the state is read-only".into()))?;
         let entry = store.commit(write)?;
         (self.entry, self.version) = (write.base + 1, entry.version.unwrap_or(self.version));
         self.stale = true;
@@ -898,7 +1095,11 @@
             return Ok(());
         }
         // Faults of a tenant that changes are faults of the body; others are of what does not fit it any more.
-        let frames: BTreeMap<&str, &Frame> = draft.edits.iter().map(|(n, _, f)| (n.as_str(), f)).collect();
+        let frames: BTreeMap<&str, &Frame> = draft
+            .edits
+            .iter()
+            .map(|(n, _, f)| (n.as_str(), f))
+            .collect();
         let mut own = Vec::new();
         let mut others = Vec::new();
         for (edit, fault) in faults {
@@ -907,24 +1108,41 @@
                 None => others.push(format!("{}: {}", fault.key(), fault.what)),
             }
         }
-        if own.is_empty() { Err(Problem::conflict(all_of(&others, "; "))) } else { Err(Problem::faults(own)) }
+        if own.is_empty() {
+            Err(Problem::conflict(all_of(&others, "; ")))
+        } else {
+            Err(Problem::faults(own))
+        }
     }
 
     /// The tag and the body of an answer to a change.
     fn written(
-        &mut self, call: &Call, tenants: Vec<Changed>, differences: Vec<Difference>, dry_run: bool,
+        &mut self,
+        call: &Call,
+        tenants: Vec<Changed>,
+        differences: Vec<Difference>,
+        dry_run: bool,
         edits: &[(String, Option<Value>)],
     ) -> (Option<String>, Value) {
         let changed = !tenants.is_empty();
         let version = self.version + u64::from(changed && !dry_run);
         let etag = match (call.path.get("tenant"), edits) {
             (Some(_), [(_, Some(document))]) => tenants.first().map(|t| etag(t.rev, document)),
-            (Some(name), []) => self.document(&call.who, name).ok().map(|(rev, d)| etag(rev, &d)),
+            (Some(name), []) => self
+                .document(&call.who, name)
+                .ok()
+                .map(|(rev, d)| etag(rev, &d)),
             (None, _) if call.who.oversees() => Some(format!("\"v{version}\"")),
             _ => None,
         };
         let version = call.who.oversees().then_some(version);
-        let written = Written { changed, dry_run, version, tenants, differences };
+        let written = Written {
+            changed,
+            dry_run,
+            version,
+            tenants,
+            differences,
+        };
         (etag, serde_json::to_value(written).unwrap_or_default())
     }
 }
@@ -956,14 +1174,22 @@
 fn write_secret(path: &Path, secret: &str) -> std::io::Result<()> {
     use std::io::Write as _;
     use std::os::unix::fs::OpenOptionsExt as _;
-    let mut file =
-        std::fs::OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(path)?;
+    let mut file = std::fs::OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .mode(0o600)
+        .open(path)?;
     writeln!(file, "{secret}")?;
     file.sync_all()
 }
 
 /// What only operators may set: what a tenant may have of what all share, and the hosts that lead to it.
-fn allowed(who: &Who, edits: &[(String, Option<Value>)], before: &[Option<Value>]) -> Result<(), Problem> {
+fn allowed(
+    who: &Who,
+    edits: &[(String, Option<Value>)],
+    before: &[Option<Value>],
+) -> Result<(), Problem> {
     if who.operates() {
         return Ok(());
     }
@@ -979,11 +1205,18 @@
         let caps = |document: &Value| -> BTreeMap<String, Value> {
             let servers = document["server"].as_array().into_iter().flatten();
             let capped = servers.filter(|s| !s["connections"].is_null());
-            capped.map(|s| (s["address"].to_string(), s["connections"].clone())).collect()
+            capped
+                .map(|s| (s["address"].to_string(), s["connections"].clone()))
+                .collect()
         };
         let before = caps(now);
-        if caps(next).iter().any(|(address, cap)| before.get(address) != Some(cap)) {
-            return Err(Problem::forbidden("only operators set connections of servers"));
+        if caps(next)
+            .iter()
+            .any(|(address, cap)| before.get(address) != Some(cap))
+        {
+            return Err(Problem::forbidden(
+                "only operators set connections of servers",
+            ));
         }
     }
     Ok(())
@@ -1013,22 +1246,34 @@
 
 fn reply_key(call: &Call) -> Result<Option<String>, Problem> {
     // A call that is passed on to another instance may come again by itself.
-    let Some(key) = &call.idempotency_key else { return Ok(call.id.as_ref().map(|id| format!("call {id}"))) };
+    let Some(key) = &call.idempotency_key else {
+        return Ok(call.id.as_ref().map(|id| format!("call {id}")));
+    };
     if key.is_empty() || key.len() > KEY {
-        return Err(Problem::malformed(format!("Idempotency-Key: it has 1 to {KEY} letters")));
+        return Err(Problem::malformed(format!(
+            "Idempotency-Key: it has 1 to {KEY} letters"
+        )));
     }
     Ok(Some(format!("{} {key}", call.who.id)))
 }
 
 fn fingerprint(call: &Call) -> String {
-    let text = format!("{}\n{:?}\n{:?}\n{}", call.target, call.if_match, call.if_none_match, call.body);
-    let sum: String = Sha256::digest(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
+    let text = format!(
+        "{}\n{:?}\n{:?}\n{}",
+        call.target, call.if_match, call.if_none_match, call.body
+    );
+    let sum: String = Sha256::digest(text.as_bytes())
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect();
     sum
 }
 
 /// The reply to a write as it is kept for repetitions.
 fn kept(call: &Call, reply: &Reply) -> Result<Option<(String, Value)>, Problem> {
-    let Some(key) = reply_key(call)? else { return Ok(None) };
+    let Some(key) = reply_key(call)? else {
+        return Ok(None);
+    };
     let kept = json!({
         "fingerprint": fingerprint(call),
         "status": reply.status,
--- a/crates/admin/src/difference.rs
+++ b/crates/admin/src/difference.rs
@@ -50,7 +50,11 @@
                 walk(format!("{path}/{name}"), from, to, all);
             }
         }
-        (from, to) => all.push(Difference { path, from: from.cloned(), to: to.cloned() }),
+        (from, to) => all.push(Difference {
+            path,
+            from: from.cloned(),
+            to: to.cloned(),
+        }),
     }
 }
 
--- a/crates/admin/src/events.rs
+++ b/crates/admin/src/events.rs
@@ -49,7 +49,8 @@
     pub fn told_to(&self, who: &Who) -> Option<(u64, Value)> {
         let seen: Vec<&Changed> = self.tenants.iter().filter(|t| who.sees(&t.name)).collect();
         let first = seen.first()?;
-        let mut data = json!({ "at-ms": self.at_ms, "by": self.by, "action": self.action, "tenants": seen });
+        let mut data =
+            json!({ "at-ms": self.at_ms, "by": self.by, "action": self.action, "tenants": seen });
         if who.oversees() {
             data["version"] = self.version.into();
             return Some((self.version, data));
--- a/crates/admin/src/http.rs
+++ b/crates/admin/src/http.rs
@@ -60,7 +60,9 @@
 
 /// How long no snapshot is written after one of so many bytes.
 pub fn snapshot_rest(bytes: u64) -> Duration {
-    SNAPSHOT.max(Duration::from_millis(bytes.saturating_mul(1000) / SNAPSHOT_RATE))
+    SNAPSHOT.max(Duration::from_millis(
+        bytes.saturating_mul(1000) / SNAPSHOT_RATE,
+    ))
 }
 
 /// Tenants that one status tells of; one tenant's own is told in any case.
@@ -112,14 +114,19 @@
             Order::Among(me, instances) => plane.among(me, instances),
             Order::Take => plane.take_requests(),
             Order::Serve(catalog, done) => {
-                let served =
-                    if plane.catalog() == catalog { Ok(()) } else { plane.go_over(catalog).map(drop) };
+                let served = if plane.catalog() == catalog {
+                    Ok(())
+                } else {
+                    plane.go_over(catalog).map(drop)
+                };
                 let _ = done.send(served);
             }
             Order::Gate(tell) => _ = tell.send(plane.gate_counts()),
             Order::Residency(tell) => _ = tell.send(plane.residency()),
             Order::Status(None, tell) => _ = tell.send(plane.status(MOST_TOLD)),
-            Order::Status(Some(name), tell) => _ = tell.send(plane.status_of(&name).into_iter().collect()),
+            Order::Status(Some(name), tell) => {
+                _ = tell.send(plane.status_of(&name).into_iter().collect())
+            }
         }
     }
 }
@@ -137,7 +144,10 @@
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl Api {
@@ -147,7 +157,10 @@
     }
 
     /// The same, as one of many instances.
-    pub fn among(desk: Desk, together: Option<Together>) -> (Arc<Self>, mpsc::UnboundedReceiver<Order>) {
+    pub fn among(
+        desk: Desk,
+        together: Option<Together>,
+    ) -> (Arc<Self>, mpsc::UnboundedReceiver<Order>) {
         let (orders, told) = mpsc::unbounded_channel();
         let api = Api {
             desk: Mutex::new(desk),
@@ -176,7 +189,9 @@
         tokio::spawn(self.clone().keep_snapshots());
         let room = Arc::new(Semaphore::new(CONNECTIONS));
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return Ok(()) };
+            let Ok(place) = room.clone().acquire_owned().await else {
+                return Ok(());
+            };
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
@@ -253,7 +268,8 @@
     async fn status(&self, tenant: Option<String>) -> Result<Vec<TenantStatus>, Problem> {
         let (tell, told) = oneshot::channel();
         let _ = self.orders.send(Order::Status(tenant, tell)); // a plane that has ended is seen below
-        told.await.map_err(|_| Problem::internal("the service is ending"))
+        told.await
+            .map_err(|_| Problem::internal("the service is ending"))
     }
 
     /// Decides a call, and carries out what it changes.
@@ -291,19 +307,34 @@
     async fn tell_of(&self, ask: Ask) -> Result<Reply, Problem> {
         match ask {
             Ask::Pool(name) => {
-                let status = self.status(Some(name.clone())).await?.pop().ok_or_else(|| no_tenant(&name))?;
+                let status = self
+                    .status(Some(name.clone()))
+                    .await?
+                    .pop()
+                    .ok_or_else(|| no_tenant(&name))?;
                 Ok(Reply::of(status))
             }
-            Ask::Service { version, read_only, own } => {
+            Ask::Service {
+                version,
+                read_only,
+                own,
+            } => {
                 let mut tenants = self.status(own).await?;
                 tenants.truncate(TOLD);
-                Ok(Reply::of(ServiceStatus { version, read_only, tenants }))
+                Ok(Reply::of(ServiceStatus {
+                    version,
+                    read_only,
+                    tenants,
+                }))
             }
         }
     }
 
     async fn handle(
-        self: &Arc<Self>, operation: &Operation, path: BTreeMap<String, String>, request: Request,
+        self: &Arc<Self>,
+        operation: &Operation,
+        path: BTreeMap<String, String>,
+        request: Request,
     ) -> Result<Response<Body>, Problem> {
         let (head, body) = request.into_parts();
         let header = |name: &HeaderName| one(&head.headers, name);
@@ -325,7 +356,9 @@
         let query = queries(head.uri.query().unwrap_or(""))?;
         let known = |key: &&String| operation.query.contains(&key.as_str());
         if let Some(unknown) = query.keys().find(|key| !known(key)) {
-            return Err(Problem::malformed(format!("the query's {unknown} is not known here")));
+            return Err(Problem::malformed(format!(
+                "the query's {unknown} is not known here"
+            )));
         }
         if let Act::Figures = operation.act {
             return self.figures().await;
@@ -343,12 +376,19 @@
             Ok(Err(_)) => return Err(too_large()),
             Err(_) => return Err(Problem::malformed("the body did not come in time")),
         };
-        let json = header(&CONTENT_TYPE)?
-            .is_some_and(|t| t.split(';').next().is_some_and(|t| t.trim() == "application/json"));
+        let json = header(&CONTENT_TYPE)?.is_some_and(|t| {
+            t.split(';')
+                .next()
+                .is_some_and(|t| t.trim() == "application/json")
+        });
         let body = match (operation.body, body.is_empty()) {
             (Some((_, false)), true) => Value::Null,
-            (Some(_), _) if !json => return Err(Problem::not_json("say Content-Type: application/json")),
-            (Some(_), _) => serde_json::from_slice(&body).map_err(|e| Problem::malformed(e.to_string()))?,
+            (Some(_), _) if !json => {
+                return Err(Problem::not_json("say Content-Type: application/json"));
+            }
+            (Some(_), _) => {
+                serde_json::from_slice(&body).map_err(|e| Problem::malformed(e.to_string()))?
+            }
             (None, true) => Value::Null,
             (None, false) => return Err(Problem::malformed("this takes no body")),
         };
@@ -367,7 +407,10 @@
         match (&self.together, operation.act) {
             (None, Act::Together(_)) => return Err(no_cluster()),
             (Some(_), Act::Together(Joint::Status)) => {
-                return self.cluster_status(&passed).await.map(|reply| answer(&reply));
+                return self
+                    .cluster_status(&passed)
+                    .await
+                    .map(|reply| answer(&reply));
             }
             (Some(_), Act::Together(Joint::Recovery)) => {
                 return self.recovery(&passed).await.map(|reply| answer(&reply));
@@ -385,7 +428,16 @@
             (None, _) => {}
         }
         let who = who.ok_or_else(|| Problem::internal("nobody calls"))?;
-        let Passed { path, query, if_match, if_none_match, idempotency_key, target, body, .. } = passed;
+        let Passed {
+            path,
+            query,
+            if_match,
+            if_none_match,
+            idempotency_key,
+            target,
+            body,
+            ..
+        } = passed;
         let call = Call {
             id: None,
             who,
@@ -411,7 +463,9 @@
         tenants.truncate(TOLD);
         let (tell, told) = oneshot::channel();
         self.give(Order::Residency(tell));
-        let resident = told.await.map_err(|_| Problem::internal("the service is ending"))?;
+        let resident = told
+            .await
+            .map_err(|_| Problem::internal("the service is ending"))?;
         let text = match &self.together {
             None => figures::text(None, &resident, &tenants),
             Some(together) => {
@@ -426,21 +480,28 @@
         let response = Response::builder()
             .header(CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8")
             .header(CACHE_CONTROL, "no-store");
-        response.body(Body::from(text)).map_err(|e| Problem::internal(e.to_string()))
+        response
+            .body(Body::from(text))
+            .map_err(|e| Problem::internal(e.to_string()))
     }
 
     fn stream(self: &Arc<Self>, who: Who, last: Option<String>) -> Result<Response<Body>, Problem> {
         let place = self.streams.clone().try_acquire_owned();
-        let place = place.map_err(|_| Problem::busy(format!("{STREAMS} streams of events are open")))?;
-        let last =
-            last.map(|id| id.trim().parse().map_err(|_| Problem::malformed("Last-Event-ID is no number")));
+        let place =
+            place.map_err(|_| Problem::busy(format!("{STREAMS} streams of events are open")))?;
+        let last = last.map(|id| {
+            id.trim()
+                .parse()
+                .map_err(|_| Problem::malformed("Last-Event-ID is no number"))
+        });
         // Listens before it looks back, so that nothing falls between; what comes twice is left out.
         let told = self.events.subscribe();
         let missed = match last.transpose()? {
             Some(id) => self.desk().since(&who, id, MISSED)?,
             None => Vec::new(),
         };
-        let (lines, body) = mpsc::channel::<Result<hyper::body::Frame<axum::body::Bytes>, Infallible>>(16);
+        let (lines, body) =
+            mpsc::channel::<Result<hyper::body::Frame<axum::body::Bytes>, Infallible>>(16);
         let api = self.clone();
         tokio::spawn(async move {
             // A reader that has left, or an end of the service, ends it.
@@ -448,9 +509,12 @@
             drop(place);
         });
         let body = Body::new(http_body_util::StreamBody::new(Frames(body)));
-        let response =
-            Response::builder().header(CONTENT_TYPE, "text/event-stream").header(CACHE_CONTROL, "no-store");
-        response.body(body).map_err(|e| Problem::internal(e.to_string()))
+        let response = Response::builder()
+            .header(CONTENT_TYPE, "text/event-stream")
+            .header(CACHE_CONTROL, "no-store");
+        response
+            .body(body)
+            .map_err(|e| Problem::internal(e.to_string()))
     }
 }
 
@@ -463,7 +527,8 @@
     type Item = Line;
 
     fn poll_next(
-        mut self: std::pin::Pin<&mut Self>, cx: &mut std::task::Context<'_>,
+        mut self: std::pin::Pin<&mut Self>,
+        cx: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<Line>> {
         self.0.poll_recv(cx)
     }
@@ -472,14 +537,25 @@
 /// Why a stream of events ends: its reader has left, or may not read on.
 struct Left;
 
-async fn send(lines: &mpsc::Sender<Line>, id: Option<u64>, event: &str, data: &Value) -> Result<(), Left> {
+async fn send(
+    lines: &mpsc::Sender<Line>,
+    id: Option<u64>,
+    event: &str,
+    data: &Value,
+) -> Result<(), Left> {
     let id = id.map_or(String::new(), |id| format!("id: {id}\n"));
     let text = format!("{id}event: {event}\ndata: {data}\n\n");
-    lines.send(Ok(hyper::body::Frame::data(text.into()))).await.map_err(|_| Left)
+    lines
+        .send(Ok(hyper::body::Frame::data(text.into())))
+        .await
+        .map_err(|_| Left)
 }
 
 async fn tell(
-    api: &Api, who: &Who, mut told: broadcast::Receiver<Arc<Happened>>, missed: Vec<(u64, Value)>,
+    api: &Api,
+    who: &Who,
+    mut told: broadcast::Receiver<Arc<Happened>>,
+    missed: Vec<(u64, Value)>,
     lines: &mpsc::Sender<Line>,
 ) -> Result<(), Left> {
     let mut last = 0;
@@ -525,16 +601,25 @@
 
 /// A token that is revoked or has ended opens nothing, also not what it opened before.
 fn may_read_on(api: &Api, who: &Who) -> Result<(), Left> {
-    if api.desk().still_knows(who, now_ms()) { Ok(()) } else { Err(Left) }
+    if api.desk().still_knows(who, now_ms()) {
+        Ok(())
+    } else {
+        Err(Left)
+    }
 }
 
 /// A header that may stand once.
 fn one(headers: &HeaderMap, name: &HeaderName) -> Result<Option<String>, Problem> {
     let mut values = headers.get_all(name).iter();
-    let value = values.next().map(|v| v.to_str().map(str::to_owned)).transpose();
+    let value = values
+        .next()
+        .map(|v| v.to_str().map(str::to_owned))
+        .transpose();
     match (value, values.next()) {
         (Ok(value), None) => Ok(value),
-        _ => Err(Problem::malformed(format!("{name} can't be read, or stands twice"))),
+        _ => Err(Problem::malformed(format!(
+            "{name} can't be read, or stands twice"
+        ))),
     }
 }
 
@@ -542,8 +627,13 @@
 fn queries(query: &str) -> Result<BTreeMap<String, String>, Problem> {
     let mut all = BTreeMap::new();
     for (key, value) in form_urlencoded::parse(query.as_bytes()) {
-        if all.insert(key.clone().into_owned(), value.into_owned()).is_some() {
-            return Err(Problem::malformed(format!("the query's {key} stands twice")));
+        if all
+            .insert(key.clone().into_owned(), value.into_owned())
+            .is_some()
+        {
+            return Err(Problem::malformed(format!(
+                "the query's {key} stands twice"
+            )));
         }
     }
     Ok(all)
@@ -561,7 +651,9 @@
     if let Some(location) = &reply.location {
         response = response.header(LOCATION, location);
     }
-    response.body(Body::from(reply.body.to_string())).unwrap_or_else(|_| failed())
+    response
+        .body(Body::from(reply.body.to_string()))
+        .unwrap_or_else(|_| failed())
 }
 
 fn failed() -> Response<Body> {
@@ -578,7 +670,9 @@
     if problem.status == 401 {
         response = response.header(WWW_AUTHENTICATE, "Bearer");
     }
-    response.body(Body::from(problem.body(instance).to_string())).unwrap_or_else(|_| failed())
+    response
+        .body(Body::from(problem.body(instance).to_string()))
+        .unwrap_or_else(|_| failed())
 }
 
 /// The routes, as the table of operations has them.
@@ -586,13 +680,21 @@
     let mut paths: BTreeMap<&str, (MethodRouter<Arc<Api>>, Vec<&str>)> = BTreeMap::new();
     for operation in OPERATIONS {
         let method = Method::from_bytes(operation.method.as_bytes());
-        let Some(filter) = method.ok().and_then(|m| MethodFilter::try_from(m).ok()) else { continue };
-        let handler =
-            async move |State(api): State<Arc<Api>>, parameters: RawPathParams, request: Request| {
-                let instance = request.uri().path().to_owned();
-                let path = parameters.iter().map(|(k, v)| (k.to_owned(), v.to_owned())).collect();
-                api.handle(operation, path, request).await.unwrap_or_else(|p| turned_down(&p, &instance))
-            };
+        let Some(filter) = method.ok().and_then(|m| MethodFilter::try_from(m).ok()) else {
+            continue;
+        };
+        let handler = async move |State(api): State<Arc<Api>>,
+                                  parameters: RawPathParams,
+                                  request: Request| {
+            let instance = request.uri().path().to_owned();
+            let path = parameters
+                .iter()
+                .map(|(k, v)| (k.to_owned(), v.to_owned()))
+                .collect();
+            api.handle(operation, path, request)
+                .await
+                .unwrap_or_else(|p| turned_down(&p, &instance))
+        };
         let (methods, names) = paths.remove(operation.path).unwrap_or_default();
         let mut names = names;
         names.push(operation.method);
@@ -612,7 +714,10 @@
         router = router.route(path, methods.fallback(wrong));
     }
     let nowhere = async |request: Request| {
-        turned_down(&Problem::not_found("there is no such resource"), request.uri().path())
+        turned_down(
+            &Problem::not_found("there is no such resource"),
+            request.uri().path(),
+        )
     };
     router.fallback(nowhere).with_state(api)
 }
--- a/crates/admin/src/operations.rs
+++ b/crates/admin/src/operations.rs
@@ -11,8 +11,8 @@
 
 use crate::access::Needs;
 use crate::answers::{
-    Apply, Back, Compared, Line, Listed, NewToken, Rotate, ServiceStatus, StepDown, TokenView, Version,
-    Written,
+    Apply, Back, Compared, Line, Listed, NewToken, Rotate, ServiceStatus, StepDown, TokenView,
+    Version, Written,
 };
 use crate::call::{Call, Outcome, Page};
 use crate::desk::Desk;
@@ -86,7 +86,11 @@
         let Act::Desk(act) = self.act else {
             return Err(Problem::internal("it is no operation of the desk"));
         };
-        let repeated = if self.writes() && !call.dry_run()? { desk.repeated(call)? } else { None };
+        let repeated = if self.writes() && !call.dry_run()? {
+            desk.repeated(call)?
+        } else {
+            None
+        };
         match repeated {
             Some(reply) => Ok(Outcome::Reply(reply)),
             None => act(desk, call),
@@ -101,11 +105,19 @@
 
 /// What parameters of the query mean.
 const QUERY: &[(&str, &str, &str)] = &[
-    ("limit", "integer", "Members of a page, from 1 to 1,000; 100 without it."),
+    (
+        "limit",
+        "integer",
+        "Members of a page, from 1 to 1,000; 100 without it.",
+    ),
     ("after", "string", "What `next` of the page before said."),
     ("dry-run", "boolean", "Only tells what would change."),
     ("from", "integer", "The older version."),
-    ("to", "integer", "The newer version; the present one without it."),
+    (
+        "to",
+        "integer",
+        "The newer version; the present one without it.",
+    ),
     ("tenant", "string", "Only what concerns this tenant."),
 ];
 
@@ -261,7 +273,8 @@
 
 /// The OpenAPI document.
 pub fn openapi() -> Value {
-    let settings = SchemaSettings::draft2020_12().with(|s| s.definitions_path = "/components/schemas".into());
+    let settings =
+        SchemaSettings::draft2020_12().with(|s| s.definitions_path = "/components/schemas".into());
     let mut generator = settings.into_generator();
     let mut paths: Map<String, Value> = Map::new();
     for operation in OPERATIONS {
@@ -288,13 +301,16 @@
 
 /// The parameters that a path holds.
 fn names(path: &str) -> impl Iterator<Item = &str> {
-    path.split('/').filter_map(|part| part.strip_prefix('{')?.strip_suffix('}'))
+    path.split('/')
+        .filter_map(|part| part.strip_prefix('{')?.strip_suffix('}'))
 }
 
 fn described(operation: &Operation, generator: &mut SchemaGenerator) -> Value {
     let in_path = names(operation.path)
         .map(|name| json!({ "name": name, "in": "path", "required": true, "schema": { "type": "string" } }));
-    let asked = QUERY.iter().filter(|(name, ..)| operation.query.contains(name));
+    let asked = QUERY
+        .iter()
+        .filter(|(name, ..)| operation.query.contains(name));
     let in_query = asked.map(|(name, kind, what)| {
         let required = *name == "from";
         json!({ "name": name, "in": "query", "required": required, "description": what, "schema": { "type": kind } })
@@ -302,8 +318,14 @@
     let mut parameters: Vec<Value> = in_path.chain(in_query).collect();
     if operation.writes() {
         for (name, what) in [
-            ("If-Match", "The tag of the revision that the call is meant for, or *."),
-            ("Idempotency-Key", "A repetition with the same key changes nothing and gets the first answer."),
+            (
+                "If-Match",
+                "The tag of the revision that the call is meant for, or *.",
+            ),
+            (
+                "Idempotency-Key",
+                "A repetition with the same key changes nothing and gets the first answer.",
+            ),
         ] {
             parameters.push(
                 json!({ "name": name, "in": "header", "description": what, "schema": { "type": "string" } }),
@@ -332,14 +354,16 @@
         described["security"] = json!([]);
     }
     if let Some((body, required)) = operation.body {
-        described["requestBody"] =
-            json!({ "required": required, "content": { "application/json": { "schema": body(generator) } } });
+        described["requestBody"] = json!({ "required": required, "content": { "application/json": { "schema": body(generator) } } });
     }
     described
 }
 
 fn problem() -> Value {
-    let kinds: Vec<String> = Problem::KINDS.iter().map(|(_, kind, _)| format!("/problems/{kind}")).collect();
+    let kinds: Vec<String> = Problem::KINDS
+        .iter()
+        .map(|(_, kind, _)| format!("/problems/{kind}"))
+        .collect();
     json!({
         "type": "object",
         "description": "A problem document (RFC 9457).",
--- a/crates/admin/src/place.rs
+++ b/crates/admin/src/place.rs
@@ -46,7 +46,11 @@
                     let list = map.entry(*key).or_insert_with(|| Value::Array(Vec::new()));
                     if let Some(list) = list.as_array_mut() {
                         at = position(list, name).unwrap_or(list.len());
-                        if at == list.len() { list.push(part) } else { list[at] = part }
+                        if at == list.len() {
+                            list.push(part)
+                        } else {
+                            list[at] = part
+                        }
                     }
                 }
                 (document, format!("/{key}/{at}"))
@@ -73,7 +77,9 @@
     /// # Errors
     /// It has another.
     pub fn name(&self, part: &mut Value) -> Result<(), String> {
-        let Place::Member(_, name) = self else { return Ok(()) };
+        let Place::Member(_, name) = self else {
+            return Ok(());
+        };
         named(part, name)
     }
 }
@@ -83,9 +89,15 @@
 /// # Errors
 /// It has another.
 pub fn named(part: &mut Value, name: &str) -> Result<(), String> {
-    let Some(map): Option<&mut Map<String, Value>> = part.as_object_mut() else { return Ok(()) };
+    let Some(map): Option<&mut Map<String, Value>> = part.as_object_mut() else {
+        return Ok(());
+    };
     let has = map.entry("name").or_insert_with(|| name.into());
-    if *has == name { Ok(()) } else { Err(format!("the path says \"{name}\"")) }
+    if *has == name {
+        Ok(())
+    } else {
+        Err(format!("the path says \"{name}\""))
+    }
 }
 
 #[cfg(test)]
@@ -98,15 +110,27 @@
     fn members_are_found_put_and_taken_by_name() {
         let document = json!({ "name": "t", "server": [{ "name": "a", "size": 1 }] });
         let (a, b) = (Place::Member("server", "a"), Place::Member("server", "b"));
-        assert_eq!((a.get(&document).unwrap()["size"].clone(), b.get(&document)), (json!(1), None));
+        assert_eq!(
+            (a.get(&document).unwrap()["size"].clone(), b.get(&document)),
+            (json!(1), None)
+        );
         let (next, at) = b.put(document.clone(), json!({ "name": "b" }));
-        assert_eq!((next["server"].as_array().unwrap().len(), at.as_str()), (2, "/server/1"));
+        assert_eq!(
+            (next["server"].as_array().unwrap().len(), at.as_str()),
+            (2, "/server/1")
+        );
         let (next, at) = a.put(next, json!({ "name": "a", "size": 2 }));
-        assert_eq!((&next["server"][0]["size"], at.as_str()), (&json!(2), "/server/0"));
+        assert_eq!(
+            (&next["server"][0]["size"], at.as_str()),
+            (&json!(2), "/server/0")
+        );
         assert_eq!(a.take(next).unwrap()["server"], json!([{ "name": "b" }]));
         assert_eq!(b.take(document.clone()), None);
         let class = Place::Member("class", "x");
-        assert_eq!(class.put(document, json!({ "name": "x" })).0["class"], json!([{ "name": "x" }]));
+        assert_eq!(
+            class.put(document, json!({ "name": "x" })).0["class"],
+            json!([{ "name": "x" }])
+        );
         let mut part = json!({});
         assert!(a.name(&mut part).is_ok() && part["name"] == "a" && b.name(&mut part).is_err());
     }
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -103,12 +103,20 @@
             [one] => format!("{}: {}", one.pointer, one.what),
             many => format!("{} fields are wrong", many.len()),
         };
-        Problem { faults, ..Problem::invalid(detail) }
+        Problem {
+            faults,
+            ..Problem::invalid(detail)
+        }
     }
 
     /// The document, as application/problem+json.
     pub fn body(&self, instance: &str) -> Value {
-        let field = |f: &'_ Fault| json!(Field { pointer: &short(&f.pointer), detail: &short(&f.what) });
+        let field = |f: &'_ Fault| {
+            json!(Field {
+                pointer: &short(&f.pointer),
+                detail: &short(&f.what)
+            })
+        };
         let mut body = json!({
             "type": format!("/problems/{}", self.kind),
             "title": self.title,
--- a/crates/admin/src/start.rs
+++ b/crates/admin/src/start.rs
@@ -27,12 +27,18 @@
     pub fn new(began: Instant, terms: Terms) -> Self {
         let mut start = Start::new(0, terms);
         start.stored(micros(began));
-        Starting { began, start: Mutex::new(start) }
+        Starting {
+            began,
+            start: Mutex::new(start),
+        }
     }
 
     fn with<T>(&self, look: impl FnOnce(&mut Start, u64) -> T) -> T {
         let now = micros(self.began);
-        look(&mut self.start.lock().unwrap_or_else(PoisonError::into_inner), now)
+        look(
+            &mut self.start.lock().unwrap_or_else(PoisonError::into_inner),
+            now,
+        )
     }
 }
 
@@ -43,13 +49,19 @@
 impl Api {
     /// Lets requests in once they may be taken.
     pub async fn begin(self: Arc<Self>) {
-        let Some(together) = self.together() else { return };
+        let Some(together) = self.together() else {
+            return;
+        };
         let mut last = Phase::Store;
         loop {
             let (tell, told) = oneshot::channel();
             self.give(Order::Known(tell));
-            let Ok((open, tenants, unknown)) = told.await else { return };
-            let Some(status) = together.status().await else { return };
+            let Ok((open, tenants, unknown)) = told.await else {
+                return;
+            };
+            let Some(status) = together.status().await else {
+                return;
+            };
             let facts = Facts {
                 joined: status.id != 0,
                 led: status.leader.is_some(),
@@ -57,8 +69,9 @@
                 tenants,
                 unknown,
             };
-            let (verdict, report) =
-                together.start.with(|start, now| (start.look(now, facts), start.report(now)));
+            let (verdict, report) = together
+                .start
+                .with(|start, now| (start.look(now, facts), start.report(now)));
             if report.phase != last {
                 last = report.phase;
                 let waits_for = report.waits_for.as_str();
@@ -89,6 +102,8 @@
         let report = together.start.with(|start, now| start.report(now));
         let status = together.status().await;
         let (name, fenced) = status.map(|s| (s.name, s.fenced)).unwrap_or_default();
-        Ok(Reply::of(json!({ "name": name, "fenced": fenced, "start": report })))
+        Ok(Reply::of(
+            json!({ "name": name, "fenced": fenced, "start": report }),
+        ))
     }
 }
--- a/crates/admin/src/tenants.rs
+++ b/crates/admin/src/tenants.rs
@@ -25,32 +25,54 @@
 pub fn list(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.limit()?;
     let after = call.query.get("after").map_or("", String::as_str);
-    let seen = desk.catalog().names_after(after).filter(|name| call.who.sees(name));
+    let seen = desk
+        .catalog()
+        .names_after(after)
+        .filter(|name| call.who.sees(name));
     let mut names: Vec<Name> = seen.take(limit + 1).cloned().collect();
     let more = names.len() > limit;
     names.truncate(limit);
     let next = names.last().filter(|_| more).map(|name| name.to_string());
     let mut items = Vec::new();
     for name in names {
-        let Some((rev, tenant)) = desk.tenant(&name)? else { continue };
+        let Some((rev, tenant)) = desk.tenant(&name)? else {
+            continue;
+        };
         let (classes, servers) = (tenant.classes.len(), tenant.servers.len());
-        items.push(Listed { name: tenant.name, rev, classes, servers });
+        items.push(Listed {
+            name: tenant.name,
+            rev,
+            classes,
+            servers,
+        });
     }
     let page = Page { items, next };
     let etag = call.who.oversees().then(|| desk.service_tag());
-    Ok(Reply { etag, ..Reply::of(page) }.into())
+    Ok(Reply {
+        etag,
+        ..Reply::of(page)
+    }
+    .into())
 }
 
 /// A document, or a part of it.
 pub fn get(desk: &mut Desk, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
     let (rev, document) = desk.document(&call.who, call.name("tenant"))?;
-    let found = place(call, part).get(&document).ok_or_else(|| no_part(call, part))?;
-    Ok(Reply { etag: Some(etag(rev, &document)), ..Reply::of(found) }.into())
+    let found = place(call, part)
+        .get(&document)
+        .ok_or_else(|| no_part(call, part))?;
+    Ok(Reply {
+        etag: Some(etag(rev, &document)),
+        ..Reply::of(found)
+    }
+    .into())
 }
 
 fn no_part(call: &Call, part: &str) -> Problem {
     match part {
-        "class" | "server" => Problem::not_found(format!("there is no {part} \"{}\"", call.name(part))),
+        "class" | "server" => {
+            Problem::not_found(format!("there is no {part} \"{}\"", call.name(part)))
+        }
         part => Problem::not_found(format!("there are no {part}")),
     }
 }
@@ -62,14 +84,20 @@
     let members = document[list].as_array().into_iter().flatten();
     let members = members.map(|m| (m["name"].as_str().unwrap_or_default().to_owned(), m.clone()));
     let page = call.page(members, limit)?;
-    Ok(Reply { etag: Some(etag(rev, &document)), ..Reply::of(page) }.into())
+    Ok(Reply {
+        etag: Some(etag(rev, &document)),
+        ..Reply::of(page)
+    }
+    .into())
 }
 
 /// A new tenant.
 pub fn add(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let name = call.body["name"].as_str().unwrap_or_default().to_owned();
     if desk.has(&name) {
-        return Err(Problem::conflict(format!("there is a tenant \"{name}\" already")));
+        return Err(Problem::conflict(format!(
+            "there is a tenant \"{name}\" already"
+        )));
     }
     desk.change(
         call,
@@ -88,12 +116,19 @@
     let (name, place) = (call.name("tenant").to_owned(), place(call, part));
     let now = desk.document(&call.who, &name);
     let mut body = call.body.clone();
-    let differs = |what| Problem::faults(vec![documents::Fault { pointer: "/name".into(), what }]);
+    let differs = |what| {
+        Problem::faults(vec![documents::Fault {
+            pointer: "/name".into(),
+            what,
+        }])
+    };
     place.name(&mut body).map_err(differs)?;
     let (base, tag, there) = match &now {
-        Ok((rev, document)) => {
-            (Some(document.clone()), Some(etag(*rev, document)), place.get(document).is_some())
-        }
+        Ok((rev, document)) => (
+            Some(document.clone()),
+            Some(etag(*rev, document)),
+            place.get(document).is_some(),
+        ),
         Err(_) if part.is_empty() => (None, None, false),
         Err(problem) => return Err(problem.clone()),
     };
@@ -105,7 +140,11 @@
         }
     }
     // What replaces the whole must say what it replaces; a part stands for itself.
-    let now = if place == Place::Whole || there || call.if_match.is_some() { tag.as_deref() } else { None };
+    let now = if place == Place::Whole || there || call.if_match.is_some() {
+        tag.as_deref()
+    } else {
+        None
+    };
     Desk::matches(call, now, part.is_empty())?;
     let (document, at) = place.put(base.unwrap_or(Value::Null), body);
     let (action, detail) = match part {
@@ -118,9 +157,24 @@
         _ => ("server.put", Some(format!("server {}", call.name(part)))),
     };
     let new = !there && matches!(part, "" | "class" | "server");
-    let location = new.then(|| call.target.split([' ', '?']).nth(1).unwrap_or_default().to_owned());
+    let location = new.then(|| {
+        call.target
+            .split([' ', '?'])
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned()
+    });
     let edits = vec![(name.clone(), Some(document), Frame::part(at))];
-    desk.change(call, Draft { action, subject: Some(name), detail, location, edits })
+    desk.change(
+        call,
+        Draft {
+            action,
+            subject: Some(name),
+            detail,
+            location,
+            edits,
+        },
+    )
 }
 
 /// Takes a tenant away, or a member of a list.
@@ -138,7 +192,16 @@
         _ => ("server.remove", Some(format!("server {}", call.name(part)))),
     };
     let edits = vec![(name.clone(), next, Frame::default())];
-    desk.change(call, Draft { action, subject: Some(name), detail, location: None, edits })
+    desk.change(
+        call,
+        Draft {
+            action,
+            subject: Some(name),
+            detail,
+            location: None,
+            edits,
+        },
+    )
 }
 
 /// Tells a server to end what it has, or to take new work again.
@@ -146,13 +209,29 @@
     let (name, place) = (call.name("tenant").to_owned(), place(call, "server"));
     let (rev, document) = desk.document(&call.who, &name)?;
     Desk::matches(call, Some(&etag(rev, &document)), false)?;
-    let mut server = place.get(&document).ok_or_else(|| no_part(call, "server"))?.clone();
+    let mut server = place
+        .get(&document)
+        .ok_or_else(|| no_part(call, "server"))?
+        .clone();
     server["state"] = json!(state);
     let (next, at) = place.put(document, server);
-    let action = if state == "up" { "server.resume" } else { "server.drain" };
+    let action = if state == "up" {
+        "server.resume"
+    } else {
+        "server.drain"
+    };
     let detail = Some(format!("server {}", call.name("server")));
     let edits = vec![(name.clone(), Some(next), Frame::part(at))];
-    desk.change(call, Draft { action, subject: Some(name), detail, location: None, edits })
+    desk.change(
+        call,
+        Draft {
+            action,
+            subject: Some(name),
+            detail,
+            location: None,
+            edits,
+        },
+    )
 }
 
 /// Several tenants at once, as one version.
@@ -161,7 +240,10 @@
     // Who sees one tenant alone has its tag, and knows no other.
     let tag = match &call.who.tenant {
         None => Some(desk.service_tag()),
-        Some(own) => desk.document(&call.who, own).ok().map(|(rev, d)| etag(rev, &d)),
+        Some(own) => desk
+            .document(&call.who, own)
+            .ok()
+            .map(|(rev, d)| etag(rev, &d)),
     };
     Desk::matches(call, tag.as_deref(), false)?;
     let mut edits = Vec::new();
@@ -178,7 +260,10 @@
             }]));
         }
         let document = written_out(tenant)?;
-        let frame = Frame { above: format!("/tenant/{i}"), ..Frame::default() };
+        let frame = Frame {
+            above: format!("/tenant/{i}"),
+            ..Frame::default()
+        };
         edits.push((tenant.name.clone(), Some(document), frame));
     }
     if apply.prune {
@@ -190,7 +275,16 @@
         [(one, ..)] => Some(one.clone()),
         _ => None,
     };
-    desk.change(call, Draft { action: "apply", subject, detail: None, location: None, edits })
+    desk.change(
+        call,
+        Draft {
+            action: "apply",
+            subject,
+            detail: None,
+            location: None,
+            edits,
+        },
+    )
 }
 
 /// How a tenant's pool fares.
@@ -204,5 +298,9 @@
 pub fn status(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let version = call.who.oversees().then(|| desk.version());
     let read_only = desk.read_only().map(str::to_owned);
-    Ok(Outcome::Ask(Ask::Service { version, read_only, own: call.who.tenant.clone() }))
+    Ok(Outcome::Ask(Ask::Service {
+        version,
+        read_only,
+        own: call.who.tenant.clone(),
+    }))
 }
--- a/crates/admin/src/together.rs
+++ b/crates/admin/src/together.rs
@@ -82,14 +82,22 @@
 #[serde(rename_all = "kebab-case")]
 enum Given {
     Reply(Reply),
-    Problem { kind: String, detail: String, faults: Vec<(String, String)> },
+    Problem {
+        kind: String,
+        detail: String,
+        faults: Vec<(String, String)>,
+    },
     Ask(Ask),
 }
 
 impl From<Problem> for Given {
     fn from(p: Problem) -> Self {
         let faults = p.faults.into_iter().map(|f| (f.pointer, f.what)).collect();
-        Given::Problem { kind: p.kind.into(), detail: p.detail, faults }
+        Given::Problem {
+            kind: p.kind.into(),
+            detail: p.detail,
+            faults,
+        }
     }
 }
 
@@ -110,7 +118,10 @@
 
     /// The file was read anew, and its listeners are in effect.
     pub fn reloaded(&self, file: Service) {
-        self.file.lock().unwrap_or_else(PoisonError::into_inner).listeners = file.listeners;
+        self.file
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .listeners = file.listeners;
     }
 
     fn say(&self, said: Said) {
@@ -128,7 +139,10 @@
     async fn confirm(&self) -> bool {
         let number = self.next_read.fetch_add(1, Ordering::Relaxed);
         let (tell, told) = oneshot::channel();
-        self.reads.lock().unwrap_or_else(PoisonError::into_inner).insert(number, tell);
+        self.reads
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(number, tell);
         self.say(Said::Confirm(number));
         told.await.unwrap_or(false)
     }
@@ -140,7 +154,9 @@
         let id = new_id()?;
         let given = timeout(patience, self.ask(|tell| Said::Call(id, text, tell))).await;
         let lost = || {
-            Problem::no_leader("no instance leads, or none that can be reached; it may have been done or not")
+            Problem::no_leader(
+                "no instance leads, or none that can be reached; it may have been done or not",
+            )
         };
         let text = match given {
             Ok(Some(Ok(text))) => text,
@@ -151,13 +167,26 @@
         match serde_json::from_str(&text).map_err(|e| Problem::internal(e.to_string()))? {
             Given::Reply(reply) => Ok(Ok(reply)),
             Given::Ask(ask) => Ok(Err(ask)),
-            Given::Problem { kind, detail, faults } => {
+            Given::Problem {
+                kind,
+                detail,
+                faults,
+            } => {
                 let known = Problem::KINDS.iter().find(|(_, k, _)| *k == kind);
                 let Some((status, kind, title)) = known.copied() else {
                     return Err(Problem::internal(format!("{kind}: {detail}")));
                 };
-                let faults = faults.into_iter().map(|(pointer, what)| Fault { pointer, what }).collect();
-                Err(Problem { status, kind, title, detail, faults })
+                let faults = faults
+                    .into_iter()
+                    .map(|(pointer, what)| Fault { pointer, what })
+                    .collect();
+                Err(Problem {
+                    status,
+                    kind,
+                    title,
+                    detail,
+                    faults,
+                })
             }
         }
     }
@@ -171,7 +200,9 @@
 impl Api {
     /// Does what the member tells, in its order, for as long as there is one.
     pub async fn follow(self: Arc<Self>, mut told: mpsc::UnboundedReceiver<Told>) {
-        let Some(together) = self.together() else { return };
+        let Some(together) = self.together() else {
+            return;
+        };
         while let Some(told) = told.recv().await {
             match told {
                 Told::Check(proposal) => self.check(together, proposal),
@@ -195,28 +226,33 @@
                     together.say(Said::Opened(version));
                 }
                 Told::Note(proposal) => {
-                    let taken = Agreed::read(&proposal.payload).map(|a| self.desk().take(&a).map(drop));
+                    let taken =
+                        Agreed::read(&proposal.payload).map(|a| self.desk().take(&a).map(drop));
                     if let Err(e) | Ok(Err(Problem { detail: e, .. })) = taken {
                         tracing::error!(error = e, "what is agreed on can't be stored here");
                     }
                     self.stored();
                 }
-                Told::Restore(machine, state) => match self.restore(together, machine.entry, &state).await {
-                    Ok(()) => {
-                        let version = machine.version;
-                        self.order(|done| Order::OpenAt(version, done)).await;
-                        let change = machine.change.map(|c| (c.proposal, c.phase));
-                        if let Some((_, Phase::Closing)) = change {
-                            self.order(Order::Close).await;
+                Told::Restore(machine, state) => {
+                    match self.restore(together, machine.entry, &state).await {
+                        Ok(()) => {
+                            let version = machine.version;
+                            self.order(|done| Order::OpenAt(version, done)).await;
+                            let change = machine.change.map(|c| (c.proposal, c.phase));
+                            if let Some((_, Phase::Closing)) = change {
+                                self.order(Order::Close).await;
+                            }
+                            let told = change.as_ref().map(|(p, phase)| (p.id.clone(), *phase));
+                            together.say(Said::Restored(version, told));
+                            if let Some((proposal, Phase::Checking)) = change {
+                                self.check(together, proposal);
+                            }
                         }
-                        let told = change.as_ref().map(|(p, phase)| (p.id.clone(), *phase));
-                        together.say(Said::Restored(version, told));
-                        if let Some((proposal, Phase::Checking)) = change {
-                            self.check(together, proposal);
+                        Err(e) => {
+                            tracing::error!(error = e, "the cluster's state can't be served here")
                         }
                     }
-                    Err(e) => tracing::error!(error = e, "the cluster's state can't be served here"),
-                },
+                }
                 Told::Save => {
                     let exported = self.desk().export();
                     match exported {
@@ -225,7 +261,11 @@
                     }
                 }
                 Told::Read(number, good) => {
-                    let waits = together.reads.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
+                    let waits = together
+                        .reads
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .remove(&number);
                     let _ = waits.map(|w| w.send(good)); // who asked may have left
                 }
                 Told::Call(id, text) => {
@@ -283,7 +323,8 @@
         if let Some(prepared) = stored.prepared {
             let (done, told) = oneshot::channel();
             self.give(Order::CarryOut(Box::new(prepared), done));
-            told.await.map_err(|_| "the service is ending".to_owned())??;
+            told.await
+                .map_err(|_| "the service is ending".to_owned())??;
         }
         self.give(Order::HoldOff(BTreeMap::new()));
         if !self.order(|done| Order::OpenAt(version, done)).await {
@@ -300,7 +341,10 @@
         let catalog = {
             let mut desk = self.desk();
             if desk.entry() < entry {
-                desk.replace(&together.file.lock().unwrap_or_else(PoisonError::into_inner), state)?;
+                desk.replace(
+                    &together.file.lock().unwrap_or_else(PoisonError::into_inner),
+                    state,
+                )?;
             }
             desk.catalog().clone()
         };
@@ -339,7 +383,9 @@
                 Ok(Outcome::Agree(agreed)) => *agreed,
                 Ok(Outcome::Reply(reply)) => return Some(Given::Reply(reply)),
                 Ok(Outcome::Ask(ask)) => return Some(Given::Ask(ask)),
-                Ok(Outcome::Change(_)) => return Some(Problem::internal("it was not agreed on").into()),
+                Ok(Outcome::Change(_)) => {
+                    return Some(Problem::internal("it was not agreed on").into());
+                }
                 Err(problem) => return Some(problem.into()),
             };
             let note = agreed.write.edits.is_empty();
@@ -348,7 +394,10 @@
                 base: agreed.write.base,
                 payload: agreed.write_down(),
             };
-            match together.ask(|tell| Said::Propose(proposal, note, tell)).await? {
+            match together
+                .ask(|tell| Said::Propose(proposal, note, tell))
+                .await?
+            {
                 Ok(Ended::InEffect(_) | Ended::Stored) => return Some(Given::Reply(reply)),
                 Ok(Ended::GivenUp(why)) => return Some(given_up(&why).into()),
                 Ok(Ended::Overtaken) => {}
@@ -358,7 +407,12 @@
         Some(Problem::busy("others change the service all the time").into())
     }
 
-    fn decided(&self, operation: &Operation, id: &str, passed: &Passed) -> Result<Outcome, Problem> {
+    fn decided(
+        &self,
+        operation: &Operation,
+        id: &str,
+        passed: &Passed,
+    ) -> Result<Outcome, Problem> {
         let mut desk = self.desk();
         let who = desk.who(passed.authorization.as_deref(), passed.now_ms)?;
         who.may(operation.needs)?;
@@ -379,11 +433,16 @@
 
     /// What concerns the cluster itself.
     async fn joint(
-        &self, together: &Together, operation: &Operation, joint: Joint, passed: &Passed,
+        &self,
+        together: &Together,
+        operation: &Operation,
+        joint: Joint,
+        passed: &Passed,
     ) -> Option<Given> {
         let may = {
             let desk = self.desk();
-            desk.who(passed.authorization.as_deref(), passed.now_ms).and_then(|who| who.may(operation.needs))
+            desk.who(passed.authorization.as_deref(), passed.now_ms)
+                .and_then(|who| who.may(operation.needs))
         };
         if let Err(problem) = may {
             return Some(problem.into());
@@ -422,15 +481,27 @@
             }
             Joint::Remove => {
                 let name = passed.path.get("member").cloned().unwrap_or_default();
-                let known = together.status().await?.members.iter().any(|m| m.name == name);
+                let known = together
+                    .status()
+                    .await?
+                    .members
+                    .iter()
+                    .any(|m| m.name == name);
                 if !known {
-                    return Some(Problem::not_found(format!("there is no member \"{name}\"")).into());
+                    return Some(
+                        Problem::not_found(format!("there is no member \"{name}\"")).into(),
+                    );
                 }
                 // It may decide for as long as its lease runs, and stays a member until then.
                 let end = tokio::time::Instant::now() + together.patience;
                 while tokio::time::Instant::now() < end {
-                    match together.ask(|tell| Said::Remove(name.clone(), tell)).await? {
-                        Ok(true) => return Some(Given::Reply(Reply::of(json!({ "removed": name })))),
+                    match together
+                        .ask(|tell| Said::Remove(name.clone(), tell))
+                        .await?
+                    {
+                        Ok(true) => {
+                            return Some(Given::Reply(Reply::of(json!({ "removed": name }))));
+                        }
                         Ok(false) => {}
                         Err(Refusal::Wait(why)) if why != "another member comes or goes" => {
                             return Some(Problem::conflict(why).into());
@@ -448,9 +519,14 @@
     /// How the cluster looks from here, and from the one that leads.
     pub(crate) async fn cluster_status(&self, passed: &Passed) -> Result<Reply, Problem> {
         let together = self.together().ok_or_else(no_cluster)?;
-        let here = together.status().await.ok_or_else(|| Problem::no_leader("this instance is ending"))?;
+        let here = together
+            .status()
+            .await
+            .ok_or_else(|| Problem::no_leader("this instance is ending"))?;
         // Where nobody leads, what is known here is told all the same.
-        let who = self.desk().who(passed.authorization.as_deref(), passed.now_ms)?;
+        let who = self
+            .desk()
+            .who(passed.authorization.as_deref(), passed.now_ms)?;
         who.may(crate::access::Needs::Oversee)?;
         let leader = match timeout(STATUS, together.pass(passed, false)).await {
             Ok(Ok(Ok(reply))) => reply.body,
--- a/crates/admin/src/tokens.rs
+++ b/crates/admin/src/tokens.rs
@@ -29,13 +29,18 @@
 
 fn find<'d>(desk: &'d Desk, call: &Call) -> Result<(&'d String, &'d Token), Problem> {
     let found = desk.tokens().get_key_value(call.name("token"));
-    found.filter(|(_, t)| sees(&call.who, t)).ok_or_else(|| Problem::not_found("there is no such token"))
+    found
+        .filter(|(_, t)| sees(&call.who, t))
+        .ok_or_else(|| Problem::not_found("there is no such token"))
 }
 
 /// All tokens that the caller may know of.
 pub fn list(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let seen = desk.tokens().iter().filter(|(_, t)| sees(&call.who, t));
-    let page = call.page(seen.map(|(id, t)| (id.clone(), view(id, t, None))), call.limit()?)?;
+    let page = call.page(
+        seen.map(|(id, t)| (id.clone(), view(id, t, None))),
+        call.limit()?,
+    )?;
     Ok(Reply::of(page).into())
 }
 
@@ -48,16 +53,25 @@
 /// Whether a caller may make a token like this.
 fn may_make(who: &Who, new: &NewToken) -> Result<(), Problem> {
     match (new.role, &new.tenant) {
-        (Role::Operator, Some(_)) => Err(fault("/tenant", "an operator's token is for all tenants")),
-        (Role::TenantAdmin, None) => Err(fault("/tenant", "a tenant admin's token names its tenant")),
+        (Role::Operator, Some(_)) => {
+            Err(fault("/tenant", "an operator's token is for all tenants"))
+        }
+        (Role::TenantAdmin, None) => {
+            Err(fault("/tenant", "a tenant admin's token names its tenant"))
+        }
         (_, tenant) if who.operates() || (tenant.is_some() && *tenant == who.tenant) => Ok(()),
         (_, Some(tenant)) if !who.sees(tenant) => Err(no_tenant(tenant)),
-        _ => Err(Problem::forbidden("only operators make tokens for all tenants")),
+        _ => Err(Problem::forbidden(
+            "only operators make tokens for all tenants",
+        )),
     }
 }
 
 fn fault(pointer: &str, what: &str) -> Problem {
-    Problem::faults(vec![documents::Fault { pointer: pointer.into(), what: what.into() }])
+    Problem::faults(vec![documents::Fault {
+        pointer: pointer.into(),
+        what: what.into(),
+    }])
 }
 
 /// A new token, told whole this once.
@@ -75,7 +89,9 @@
         .map(|(id, _)| id.clone())
         .collect();
     if desk.tokens().len() - ended.len() >= MOST {
-        return Err(Problem::busy(format!("there are {MOST} tokens already; revoke some")));
+        return Err(Problem::busy(format!(
+            "there are {MOST} tokens already; revoke some"
+        )));
     }
     let id = new_id()?;
     let (whole, secret) = new_secret(&id)?;
@@ -84,7 +100,9 @@
         role: new.role,
         tenant: new.tenant.clone(),
         created_ms: call.now_ms,
-        expires_ms: new.expires_in_s.map(|s| call.now_ms.saturating_add(s.saturating_mul(1000))),
+        expires_ms: new
+            .expires_in_s
+            .map(|s| call.now_ms.saturating_add(s.saturating_mul(1000))),
         secrets: vec![secret],
     };
     let reply = Reply {
@@ -99,17 +117,26 @@
 fn owned(desk: &Desk, call: &Call) -> Result<(String, Token), Problem> {
     let (id, token) = find(desk, call)?;
     if !call.who.operates() && token.tenant != call.who.tenant {
-        return Err(Problem::forbidden("only operators change tokens for all tenants"));
+        return Err(Problem::forbidden(
+            "only operators change tokens for all tenants",
+        ));
     }
     Ok((id.clone(), token.clone()))
 }
 
 /// Gives a token another secret; the former one stays good for a while.
 pub fn rotate(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let Rotate { overlap_s } = if call.body.is_null() { Rotate::default() } else { call.read()? };
+    let Rotate { overlap_s } = if call.body.is_null() {
+        Rotate::default()
+    } else {
+        call.read()?
+    };
     let (id, mut token) = owned(desk, call)?;
     let (whole, secret) = new_secret(&id)?;
-    token.rotate(secret, call.now_ms.saturating_add(overlap_s.saturating_mul(1000)));
+    token.rotate(
+        secret,
+        call.now_ms.saturating_add(overlap_s.saturating_mul(1000)),
+    );
     let reply = Reply::of(view(&id, &token, Some(whole)));
     let subject = token.tenant.clone();
     desk.change_tokens(call, "token.rotate", subject, &id, Some(token), reply)
@@ -118,9 +145,15 @@
 /// Ends a token at once.
 pub fn revoke(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let (id, token) = owned(desk, call)?;
-    let operators = desk.tokens().values().filter(|t| t.role == Role::Operator).count();
+    let operators = desk
+        .tokens()
+        .values()
+        .filter(|t| t.role == Role::Operator)
+        .count();
     if token.role == Role::Operator && operators == 1 {
-        return Err(Problem::conflict("it is the last operator's token; make another first"));
+        return Err(Problem::conflict(
+            "it is the last operator's token; make another first",
+        ));
     }
     let reply = Reply::of(view(&id, &token, None));
     desk.change_tokens(call, "token.revoke", token.tenant, &id, None, reply)
--- a/crates/admin/src/versions.rs
+++ b/crates/admin/src/versions.rs
@@ -21,7 +21,10 @@
 fn page<T>(mut items: Vec<T>, limit: usize, number: impl Fn(&T) -> u64) -> Page<T> {
     let more = items.len() > limit;
     items.truncate(limit);
-    let next = items.last().filter(|_| more).map(|last| number(last).to_string());
+    let next = items
+        .last()
+        .filter(|_| more)
+        .map(|last| number(last).to_string());
     Page { items, next }
 }
 
@@ -41,10 +44,19 @@
 pub fn all(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.limit()?;
     let one = |(number, entry): (u64, Entry)| {
-        let tenants = entry.edits.iter().filter_map(|e| tenant_of(&e.scope)).collect();
+        let tenants = entry
+            .edits
+            .iter()
+            .filter_map(|e| tenant_of(&e.scope))
+            .collect();
         version(number, entry, tenants, false)
     };
-    let items = desk.store()?.versions(below(call)?, limit + 1)?.into_iter().map(one).collect();
+    let items = desk
+        .store()?
+        .versions(below(call)?, limit + 1)?
+        .into_iter()
+        .map(one)
+        .collect();
     Ok(Reply::of(page(items, limit, |v: &Version| v.number)).into())
 }
 
@@ -61,7 +73,10 @@
         // A log that was cut short leaves revisions whose makers are not known any more.
         let unknown = || Entry {
             at_ms: 0,
-            by: store::Author { id: String::new(), name: "not kept".into() },
+            by: store::Author {
+                id: String::new(),
+                name: "not kept".into(),
+            },
             action: "not kept".into(),
             subject: None,
             detail: None,
@@ -78,7 +93,11 @@
 /// The tenant that a path names, if the caller may know of it.
 fn seen(call: &Call) -> Result<&str, Problem> {
     let name = call.name("tenant");
-    if call.who.sees(name) { Ok(name) } else { Err(no_tenant(name)) }
+    if call.who.sees(name) {
+        Ok(name)
+    } else {
+        Err(no_tenant(name))
+    }
 }
 
 fn revision(desk: &Desk, tenant: &str, rev: u64) -> Result<Row, Problem> {
@@ -86,7 +105,9 @@
     let newer = rev >= desk.store()?.next_rev(&scope(tenant))?;
     found.ok_or_else(|| match newer {
         true => Problem::not_found(format!("there is no revision {rev} of \"{tenant}\"")),
-        false => Problem::gone(format!("revision {rev} of \"{tenant}\" is not kept any more")),
+        false => Problem::gone(format!(
+            "revision {rev} of \"{tenant}\" is not kept any more"
+        )),
     })
 }
 
@@ -94,9 +115,14 @@
 pub fn one_of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let (name, rev) = (seen(call)?, call.number("rev")?);
     let row = revision(desk, name, rev)?;
-    let document =
-        row.document.ok_or_else(|| Problem::not_found("the tenant was gone with this revision"))?;
-    Ok(Reply { etag: Some(etag(rev, &document)), ..Reply::of(document) }.into())
+    let document = row
+        .document
+        .ok_or_else(|| Problem::not_found("the tenant was gone with this revision"))?;
+    Ok(Reply {
+        etag: Some(etag(rev, &document)),
+        ..Reply::of(document)
+    }
+    .into())
 }
 
 /// All tenants' documents as they were, as one document that `apply` takes.
@@ -107,16 +133,24 @@
 }
 
 fn at(desk: &Desk, version: u64) -> Result<Vec<(String, Value)>, Problem> {
-    let documents = desk.store()?.at(version)?.ok_or_else(|| match version > desk.version() {
-        true => Problem::not_found(format!("there is no version {version}")),
-        false => Problem::gone(format!("version {version} is not kept any more")),
-    })?;
-    Ok(documents.into_iter().filter_map(|(s, d)| Some((tenant_of(&s)?, d))).collect())
+    let documents = desk
+        .store()?
+        .at(version)?
+        .ok_or_else(|| match version > desk.version() {
+            true => Problem::not_found(format!("there is no version {version}")),
+            false => Problem::gone(format!("version {version} is not kept any more")),
+        })?;
+    Ok(documents
+        .into_iter()
+        .filter_map(|(s, d)| Some((tenant_of(&s)?, d)))
+        .collect())
 }
 
 /// The two numbers that a query compares: `from`, and `to` or the present one.
 fn two(call: &Call, now: u64) -> Result<(u64, u64), Problem> {
-    let from = call.query_number("from")?.ok_or_else(|| Problem::malformed("the query lacks from"))?;
+    let from = call
+        .query_number("from")?
+        .ok_or_else(|| Problem::malformed("the query lacks from"))?;
     Ok((from, call.query_number("to")?.unwrap_or(now)))
 }
 
@@ -125,7 +159,12 @@
     let (from, to) = two(call, desk.version())?;
     let object = |all: Vec<(String, Value)>| Value::Object(all.into_iter().collect());
     let (a, b) = (object(at(desk, from)?), object(at(desk, to)?));
-    Ok(Reply::of(Compared { from, to, differences: difference::between("", Some(&a), Some(&b)) }).into())
+    Ok(Reply::of(Compared {
+        from,
+        to,
+        differences: difference::between("", Some(&a), Some(&b)),
+    })
+    .into())
 }
 
 /// What differs between two revisions of a tenant.
@@ -133,15 +172,26 @@
     let name = seen(call)?;
     let now = desk.store()?.next_rev(&scope(name))? - 1;
     let (from, to) = two(call, now)?;
-    let (a, b) = (revision(desk, name, from)?.document, revision(desk, name, to)?.document);
-    Ok(Reply::of(Compared { from, to, differences: difference::between("", a.as_ref(), b.as_ref()) }).into())
+    let (a, b) = (
+        revision(desk, name, from)?.document,
+        revision(desk, name, to)?.document,
+    );
+    Ok(Reply::of(Compared {
+        from,
+        to,
+        differences: difference::between("", a.as_ref(), b.as_ref()),
+    })
+    .into())
 }
 
 /// Makes a tenant what it was. That is a new revision; nothing that came between is lost.
 pub fn back_of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let name = seen(call)?.to_owned();
     let Back { to } = call.read()?;
-    let now = desk.document(&call.who, &name).ok().map(|(rev, d)| etag(rev, &d));
+    let now = desk
+        .document(&call.who, &name)
+        .ok()
+        .map(|(rev, d)| etag(rev, &d));
     if now.is_none() {
         call.who.may(Needs::Operate).map_err(|_| no_tenant(&name))?;
     }
@@ -149,7 +199,16 @@
     let document = revision(desk, &name, to)?.document;
     let edits = vec![(name.clone(), document, Frame::default())];
     let detail = Some(format!("to revision {to}"));
-    desk.change(call, Draft { action: "tenant.rollback", subject: Some(name), detail, location: None, edits })
+    desk.change(
+        call,
+        Draft {
+            action: "tenant.rollback",
+            subject: Some(name),
+            detail,
+            location: None,
+            edits,
+        },
+    )
 }
 
 /// Makes all tenants what they were.
@@ -159,10 +218,24 @@
     let was = at(desk, to)?;
     let there: BTreeSet<&str> = was.iter().map(|(name, _)| name.as_str()).collect();
     let gone = desk.names().filter(|name| !there.contains(&***name));
-    let mut edits: Vec<_> = gone.map(|name| (name.to_string(), None, Frame::default())).collect();
-    edits.extend(was.into_iter().map(|(name, d)| (name, Some(d), Frame::default())));
+    let mut edits: Vec<_> = gone
+        .map(|name| (name.to_string(), None, Frame::default()))
+        .collect();
+    edits.extend(
+        was.into_iter()
+            .map(|(name, d)| (name, Some(d), Frame::default())),
+    );
     let detail = Some(format!("to version {to}"));
-    desk.change(call, Draft { action: "rollback", subject: None, detail, location: None, edits })
+    desk.change(
+        call,
+        Draft {
+            action: "rollback",
+            subject: None,
+            detail,
+            location: None,
+            edits,
+        },
+    )
 }
 
 /// The audit log, the newest first.
@@ -175,6 +248,9 @@
         (None, asked) => asked,
     };
     let lines = desk.store()?.audit(subject, below(call)?, limit + 1)?;
-    let items = lines.into_iter().map(|(n, entry)| Line::of(n, entry, &call.who)).collect();
+    let items = lines
+        .into_iter()
+        .map(|(n, entry)| Line::of(n, entry, &call.who))
+        .collect();
     Ok(Reply::of(page(items, limit, |l: &Line| l.number)).into())
 }
--- a/crates/admin/tests/held.rs
+++ b/crates/admin/tests/held.rs
@@ -18,13 +18,24 @@
 
 /// A desk over what was exported.
 fn of_export(file: &Service, text: &str, directory: &Directory) -> Desk {
-    let keep = Keep { versions: KEEP, ..Keep::default() };
+    let keep = Keep {
+        versions: KEEP,
+        ..Keep::default()
+    };
     let path = directory.path().join("exported");
     let (mut store, _) = Store::open(&path, keep).unwrap();
     store::import(&mut store, text.as_bytes()).unwrap();
     drop(store);
     let (store, state) = Store::open(&path, keep).unwrap();
-    Desk::with(file, Some(store), state, None, directory.path().to_owned(), NOW).unwrap()
+    Desk::with(
+        file,
+        Some(store),
+        state,
+        None,
+        directory.path().to_owned(),
+        NOW,
+    )
+    .unwrap()
 }
 
 fn name(i: usize) -> String {
@@ -34,9 +45,21 @@
 /// So many tenants, in an export as a store would write it.
 fn many(count: usize) -> String {
     let text = Caller::new(&["model"]).export();
-    let row = text.lines().find(|l| l.starts_with("{\"row\"")).unwrap().to_owned();
-    let head = text.lines().find(|l| l.starts_with("{\"head\"")).unwrap().to_owned();
-    let all = |line: &str| -> String { (0..count).map(|i| line.replace("model", &name(i)) + "\n").collect() };
+    let row = text
+        .lines()
+        .find(|l| l.starts_with("{\"row\""))
+        .unwrap()
+        .to_owned();
+    let head = text
+        .lines()
+        .find(|l| l.starts_with("{\"head\""))
+        .unwrap()
+        .to_owned();
+    let all = |line: &str| -> String {
+        (0..count)
+            .map(|i| line.replace("model", &name(i)) + "\n")
+            .collect()
+    };
     let edited = |i| json!({ "scope": format!("tenant/{}", name(i)), "rev": 1 });
     let edits: Vec<Value> = (0..count).map(edited).collect();
     let audit = json!({ "audit": {
@@ -61,11 +84,24 @@
 #[test]
 fn five_thousand_documents_are_streamed_in_and_listed_by_pages() {
     let mut it = caller_of(5000);
-    assert_eq!((it.desk.catalog().len(), it.desk.packed(), it.version()), (5000, 5000, 1));
+    assert_eq!(
+        (it.desk.catalog().len(), it.desk.packed(), it.version()),
+        (5000, 5000, 1)
+    );
     let (mut after, mut seen) = (String::new(), Vec::new());
     loop {
-        let page = it.ok("GET", &format!("/v1/tenants?limit=700&after={after}"), Value::Null).body;
-        let names = page["items"].as_array().unwrap().iter().map(|t| t["name"].as_str().unwrap().to_owned());
+        let page = it
+            .ok(
+                "GET",
+                &format!("/v1/tenants?limit=700&after={after}"),
+                Value::Null,
+            )
+            .body;
+        let names = page["items"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|t| t["name"].as_str().unwrap().to_owned());
         seen.extend(names);
         match page["next"].as_str() {
             Some(next) => next.clone_into(&mut after),
@@ -83,14 +119,24 @@
     let packed = it.desk.packed();
     // Whoever looked at another than the one that changes would find it damaged, and read it anew.
     let mut spoilt = before.clone();
-    (0..20_000).filter(|i| *i != 777).for_each(|i| spoilt.spoil(&name(i)));
+    (0..20_000)
+        .filter(|i| *i != 777)
+        .for_each(|i| spoilt.spoil(&name(i)));
     it.desk.reloaded(spoilt.clone());
     it.ok("PUT", "/v1/tenants/t00777/limits", json!({ "weight": 4.0 }));
-    it.with_tag("*").ok("DELETE", "/v1/tenants/t00777", Value::Null);
+    it.with_tag("*")
+        .ok("DELETE", "/v1/tenants/t00777", Value::Null);
     it.ok("POST", "/v1/tenants", tenant("t00777"));
     let hosts = it.fails("PUT", "/v1/tenants/t00777/hosts", json!(["t00042.example"]));
-    assert_eq!((hosts.status, hosts.faults[0].pointer.as_str()), (422, "/0"));
-    assert_eq!(it.desk.packed() - packed, 2, "one for each document that was stored");
+    assert_eq!(
+        (hosts.status, hosts.faults[0].pointer.as_str()),
+        (422, "/0")
+    );
+    assert_eq!(
+        it.desk.packed() - packed,
+        2,
+        "one for each document that was stored"
+    );
     let changed = Catalog::differences(&spoilt, it.desk.catalog());
     let changed: Vec<String> = changed
         .map(|d| match d {
@@ -105,7 +151,11 @@
     let mut it = Caller::new(&["model"]);
     it.desk = of_export(&file(&[]), EXPORT, &it.directory);
     // As the program of 2b8906c answered.
-    for (tenant, tag) in [("north", "\"2-08c95901\""), ("south", "\"1-e4a4be80\""), ("rich", RICH)] {
+    for (tenant, tag) in [
+        ("north", "\"2-08c95901\""),
+        ("south", "\"1-e4a4be80\""),
+        ("rich", RICH),
+    ] {
         let got = it.ok("GET", &format!("/v1/tenants/{tenant}"), Value::Null);
         assert_eq!(got.etag.as_deref(), Some(tag), "{tenant}");
     }
@@ -119,10 +169,16 @@
     let mut it = Caller::new(&["north"]);
     let made = it.ok("PUT", "/v1/tenants/rich", rich());
     let read = it.ok("GET", "/v1/tenants/rich", Value::Null);
-    assert_eq!((made.etag.as_deref(), read.etag.as_deref()), (Some(RICH), Some(RICH)));
+    assert_eq!(
+        (made.etag.as_deref(), read.etag.as_deref()),
+        (Some(RICH), Some(RICH))
+    );
     // What is packed is what is stored.
     let stored = it.ok("GET", "/v1/tenants/rich/versions/1", Value::Null);
-    assert_eq!((stored.etag.as_deref(), stored.body), (Some(RICH), read.body));
+    assert_eq!(
+        (stored.etag.as_deref(), stored.body),
+        (Some(RICH), read.body)
+    );
 }
 
 #[test]
@@ -136,19 +192,33 @@
     service.state = Some(serde_json::from_value(durable).unwrap());
     assert!(Desk::open(&service, false, NOW).is_err());
     let mut desk = Desk::open(&service, true, NOW).unwrap();
-    assert_eq!((desk.version(), desk.entry(), desk.catalog().len()), (3, 3, 3));
+    assert_eq!(
+        (desk.version(), desk.entry(), desk.catalog().len()),
+        (3, 3, 3)
+    );
     assert!(desk.read_only().is_some() && desk.snapshot().is_none());
     // Damage is mended from there, too.
     let good = desk.catalog().clone();
     let mut spoilt = good.clone();
     spoilt.spoil("rich");
     desk.reloaded(spoilt);
-    assert_eq!(desk.tenant("rich").unwrap(), good.get("rich").transpose().unwrap());
+    assert_eq!(
+        desk.tenant("rich").unwrap(),
+        good.get("rich").transpose().unwrap()
+    );
     // The same state is the same snapshot, byte for byte.
     let mut desk = of_export(&file(&[]), EXPORT, &it.directory);
-    let bytes = desk.snapshot().unwrap().write().map_err(|(e, _)| e).unwrap();
+    let bytes = desk
+        .snapshot()
+        .unwrap()
+        .write()
+        .map_err(|(e, _)| e)
+        .unwrap();
     let written = std::fs::read(path.join(store::snapshot::FILE)).unwrap();
-    assert_eq!((written.as_slice(), bytes), (SNAPSHOT, SNAPSHOT.len() as u64));
+    assert_eq!(
+        (written.as_slice(), bytes),
+        (SNAPSHOT, SNAPSHOT.len() as u64)
+    );
     assert!(desk.snapshot().is_none(), "nothing has changed since");
 }
 
@@ -170,16 +240,28 @@
     assert_eq!(it.desk.catalog().get("north"), good.get("north"));
     spoil(&mut it);
     let listed = it.ok("GET", "/v1/tenants", Value::Null).body;
-    assert_eq!(listed["items"][0], json!({ "name": "north", "rev": 2, "classes": 1, "servers": 1 }));
+    assert_eq!(
+        listed["items"][0],
+        json!({ "name": "north", "rev": 2, "classes": 1, "servers": 1 })
+    );
     spoil(&mut it);
     // A snapshot holds nothing that is damaged.
     let (_, damaged) = it.desk.snapshot().unwrap().write().unwrap_err();
     assert_eq!(damaged.as_deref(), Some("north"));
-    it.ok("PUT", "/v1/tenants/north/servers/a", json!({ "address": "127.0.0.1:9009", "zone": "z1" }));
+    it.ok(
+        "PUT",
+        "/v1/tenants/north/servers/a",
+        json!({ "address": "127.0.0.1:9009", "zone": "z1" }),
+    );
     let now = it.desk.catalog().get("north").unwrap().unwrap();
-    assert_eq!((now.0, now.1.limits.weight), (3, 3.0), "what was not changed is as it was stored");
+    assert_eq!(
+        (now.0, now.1.limits.weight),
+        (3, 3.0),
+        "what was not changed is as it was stored"
+    );
     spoil(&mut it);
-    it.with_tag("*").ok("DELETE", "/v1/tenants/north", Value::Null);
+    it.with_tag("*")
+        .ok("DELETE", "/v1/tenants/north", Value::Null);
     assert!(it.desk.catalog().host("north.example").is_none());
     it.ok("PUT", "/v1/tenants/south/hosts", json!(["north.example"]));
 }
@@ -187,17 +269,40 @@
 #[test]
 fn a_problem_never_repeats_a_long_body() {
     let long = "x".repeat(50_000);
-    let many = (0..5000).map(|i| Fault { pointer: format!("/{i}"), what: long.clone() }).collect();
+    let many = (0..5000)
+        .map(|i| Fault {
+            pointer: format!("/{i}"),
+            what: long.clone(),
+        })
+        .collect();
     for problem in [Problem::conflict(long.clone()), Problem::faults(many)] {
         let body = problem.body("/v1/apply");
         assert!(body["detail"].as_str().unwrap().len() <= 1024);
-        assert!(body.to_string().len() < 200_000, "{}", body.to_string().len());
+        assert!(
+            body.to_string().len() < 200_000,
+            "{}",
+            body.to_string().len()
+        );
     }
     let body = Problem::conflict(long).body("/");
-    assert!(body["detail"].as_str().unwrap().ends_with("(cut: it has 50000 bytes)"));
-    let fault = Problem::faults(vec![Fault { pointer: "/hosts/3".into(), what: "ü".repeat(9000) }]).body("/");
+    assert!(
+        body["detail"]
+            .as_str()
+            .unwrap()
+            .ends_with("(cut: it has 50000 bytes)")
+    );
+    let fault = Problem::faults(vec![Fault {
+        pointer: "/hosts/3".into(),
+        what: "ü".repeat(9000),
+    }])
+    .body("/");
     assert!(fault["detail"].as_str().unwrap().starts_with("/hosts/3: ü"));
-    assert!(fault["errors"][0]["detail"].as_str().unwrap().contains("18000 bytes"));
+    assert!(
+        fault["errors"][0]["detail"]
+            .as_str()
+            .unwrap()
+            .contains("18000 bytes")
+    );
 }
 
 #[test]
@@ -212,12 +317,26 @@
     let mut it = Caller::new(&[]);
     let all: Vec<Value> = (0..33_000).map(|i| tenant(&name(i))).collect();
     for batch in all.chunks(1000) {
-        let reply = it.ok("POST", "/v1/apply", json!({ "tenant": batch, "prune": false }));
+        let reply = it.ok(
+            "POST",
+            "/v1/apply",
+            json!({ "tenant": batch, "prune": false }),
+        );
         assert_eq!(reply.body["tenants"].as_array().unwrap().len(), 1000);
     }
-    assert_eq!((it.desk.catalog().len(), it.desk.packed(), it.version()), (33_000, 33_000, 33));
-    let again = it.ok("POST", "/v1/apply", json!({ "tenant": all[..1000], "prune": false }));
-    assert_eq!((again.body["changed"].clone(), it.desk.packed()), (json!(false), 33_000));
+    assert_eq!(
+        (it.desk.catalog().len(), it.desk.packed(), it.version()),
+        (33_000, 33_000, 33)
+    );
+    let again = it.ok(
+        "POST",
+        "/v1/apply",
+        json!({ "tenant": all[..1000], "prune": false }),
+    );
+    assert_eq!(
+        (again.body["changed"].clone(), it.desk.packed()),
+        (json!(false), 33_000)
+    );
 }
 
 /// A tenant with figures of many kinds.
--- a/crates/admin/tests/http.rs
+++ b/crates/admin/tests/http.rs
@@ -29,7 +29,10 @@
 
 impl Got {
     fn header(&self, name: &str) -> &str {
-        self.headers.iter().find(|(n, _)| n == name).map_or("", |(_, v)| v)
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map_or("", |(_, v)| v)
     }
 }
 
@@ -37,16 +40,25 @@
     /// An API whose orders are obeyed by a plane that says yes to all.
     fn new(names: &[&str]) -> Self {
         let mut caller = Caller::keeping(names, 1000);
-        let made = caller.ok("POST", "/v1/tokens", json!({ "name": "test", "role": "operator" }));
+        let made = caller.ok(
+            "POST",
+            "/v1/tokens",
+            json!({ "name": "test", "role": "operator" }),
+        );
         let token = made.body["token"].as_str().unwrap().to_owned();
-        let Caller { desk, directory, .. } = caller;
+        let Caller {
+            desk, directory, ..
+        } = caller;
         let (api, mut orders) = Api::new(desk);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
         let served = api.clone();
         thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .unwrap();
             runtime.block_on(served.serve(listener))
         });
         thread::spawn(move || {
@@ -77,12 +89,19 @@
                 }
             }
         });
-        Served { address, token, api, _directory: directory }
+        Served {
+            address,
+            token,
+            api,
+            _directory: directory,
+        }
     }
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(30)))
+            .unwrap();
         stream
     }
 
@@ -94,8 +113,16 @@
     }
 
     fn call(&self, method: &str, target: &str, more: &str, body: &Value) -> Got {
-        let body = if body.is_null() { String::new() } else { body.to_string() };
-        let json = if body.is_empty() { "" } else { "Content-Type: application/json\r\n" };
+        let body = if body.is_null() {
+            String::new()
+        } else {
+            body.to_string()
+        };
+        let json = if body.is_empty() {
+            ""
+        } else {
+            "Content-Type: application/json\r\n"
+        };
         let head = format!(
             "{method} {target} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n{json}{more}Content-Length: {}\r\n\r\n",
             self.token,
@@ -119,10 +146,17 @@
             }
         }
     }
-    let length = headers.iter().find(|(n, _)| n == "content-length").map(|(_, v)| v.parse().unwrap());
+    let length = headers
+        .iter()
+        .find(|(n, _)| n == "content-length")
+        .map(|(_, v)| v.parse().unwrap());
     let mut body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut body).unwrap();
-    Got { status, headers, body: serde_json::from_slice(&body).unwrap_or(Value::Null) }
+    Got {
+        status,
+        headers,
+        body: serde_json::from_slice(&body).unwrap_or(Value::Null),
+    }
 }
 
 /// A schema of the document, able to follow its references.
@@ -133,8 +167,13 @@
 
 #[test]
 fn the_document_in_the_repository_is_the_one_that_is_served() {
-    let kept: Value = serde_json::from_str(include_str!("../../../docs/admin-api.openapi.json")).unwrap();
-    assert_eq!(kept, openapi(), "docs/admin-api.openapi.json is what `canvascart config openapi` prints");
+    let kept: Value =
+        serde_json::from_str(include_str!("../../../docs/admin-api.openapi.json")).unwrap();
+    assert_eq!(
+        kept,
+        openapi(),
+        "docs/admin-api.openapi.json is what `canvascart config openapi` prints"
+    );
     let served = Served::new(&["north"]);
     let got = served.raw("GET /v1/openapi.json HTTP/1.1\r\nHost: x\r\n\r\n", "");
     assert_eq!((got.status, got.body), (200, kept));
@@ -145,18 +184,36 @@
 fn each_operation_answers_as_the_document_says() {
     let served = Served::new(&["north", "south"]);
     let document = openapi();
-    let made = served.call("POST", "/v1/tokens", "", &json!({ "name": "x", "role": "read-only" }));
+    let made = served.call(
+        "POST",
+        "/v1/tokens",
+        "",
+        &json!({ "name": "x", "role": "read-only" }),
+    );
     let id = made.body["id"].as_str().unwrap().to_owned();
     let class = &tenant("north")["class"][0];
     let mut called = 0;
     // What takes things away comes last.
-    let mut all: Vec<_> = OPERATIONS.iter().filter(|o| o.id != "events" && o.id != "openapi").collect();
+    let mut all: Vec<_> = OPERATIONS
+        .iter()
+        .filter(|o| o.id != "events" && o.id != "openapi")
+        .collect();
     all.sort_by_key(|o| (o.method == "DELETE", std::cmp::Reverse(o.path.len())));
     for operation in all {
-        let target = operation.path.replace("{tenant}", "north").replace("{token}", &id);
-        let target = target.replace("{server}", "a").replace("{class}", "lookup").replace("{rev}", "1");
+        let target = operation
+            .path
+            .replace("{tenant}", "north")
+            .replace("{token}", &id);
+        let target = target
+            .replace("{server}", "a")
+            .replace("{class}", "lookup")
+            .replace("{rev}", "1");
         let target = target.replace("{version}", "1");
-        let query = if operation.id.starts_with("diff") { "?from=1" } else { "" };
+        let query = if operation.id.starts_with("diff") {
+            "?from=1"
+        } else {
+            ""
+        };
         let body = match operation.id {
             "addTenant" => tenant("east"),
             "putTenant" => tenant("north"),
@@ -177,11 +234,19 @@
             two["name"] = json!("second");
             served.call("PUT", "/v1/tenants/north/classes/second", "", &two);
         }
-        let got = served.call(operation.method, &format!("{target}{query}"), "If-Match: *\r\n", &body);
+        let got = served.call(
+            operation.method,
+            &format!("{target}{query}"),
+            "If-Match: *\r\n",
+            &body,
+        );
         called += 1;
         // What concerns a cluster is played with one (canvascart's tests); here there is none.
         if operation.path.starts_with("/v1/cluster") {
-            assert_eq!((got.status, got.body["type"].as_str()), (404, Some("/problems/not-found")));
+            assert_eq!(
+                (got.status, got.body["type"].as_str()),
+                (404, Some("/problems/not-found"))
+            );
             continue;
         }
         if operation.id == "figures" {
@@ -194,9 +259,20 @@
         let described = &document["paths"][operation.path][operation.method.to_lowercase()];
         let response = &described["responses"][got.status.to_string()];
         assert!(response.is_object(), "{}: {got:?}", operation.id);
-        let validator = schema(&document, &response["content"]["application/json"]["schema"]);
-        let wrong: Vec<String> = validator.iter_errors(&got.body).map(|e| e.to_string()).collect();
-        assert!(wrong.is_empty(), "{}: {wrong:?} in {}", operation.id, got.body);
+        let validator = schema(
+            &document,
+            &response["content"]["application/json"]["schema"],
+        );
+        let wrong: Vec<String> = validator
+            .iter_errors(&got.body)
+            .map(|e| e.to_string())
+            .collect();
+        assert!(
+            wrong.is_empty(),
+            "{}: {wrong:?} in {}",
+            operation.id,
+            got.body
+        );
         assert_eq!(got.header("content-type"), "application/json");
         if !body.is_null() {
             let shape = &described["requestBody"]["content"]["application/json"]["schema"];
@@ -229,29 +305,72 @@
             }
         }
     }
-    check(&served.call("GET", "/v1/elsewhere", "", &Value::Null), 404, "not-found");
-    check(&served.call("GET", "/v1/tenants?limt=3", "", &Value::Null), 400, "malformed");
-    check(&served.call("GET", "/v1/tenants?limit=0", "", &Value::Null), 400, "malformed");
-    check(&served.call("GET", "/v1/tenants?limit=1&limit=2", "", &Value::Null), 400, "malformed");
     check(
-        &served.call("GET", "/v1/tenants", "If-Match: a\r\nIf-Match: b\r\n", &Value::Null),
+        &served.call("GET", "/v1/elsewhere", "", &Value::Null),
+        404,
+        "not-found",
+    );
+    check(
+        &served.call("GET", "/v1/tenants?limt=3", "", &Value::Null),
+        400,
+        "malformed",
+    );
+    check(
+        &served.call("GET", "/v1/tenants?limit=0", "", &Value::Null),
+        400,
+        "malformed",
+    );
+    check(
+        &served.call("GET", "/v1/tenants?limit=1&limit=2", "", &Value::Null),
+        400,
+        "malformed",
+    );
+    check(
+        &served.call(
+            "GET",
+            "/v1/tenants",
+            "If-Match: a\r\nIf-Match: b\r\n",
+            &Value::Null,
+        ),
+        400,
+        "malformed",
+    );
+    check(
+        &served.call("GET", "/v1/tenants", "", &json!({})),
         400,
         "malformed",
     );
-    check(&served.call("GET", "/v1/tenants", "", &json!({})), 400, "malformed");
     let none = served.raw("GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n", "");
     check(&none, 401, "unauthorized");
     assert_eq!(none.header("www-authenticate"), "Bearer");
-    let head = format!("POST /v1/apply HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n", served.token);
-    check(&served.raw(&format!("{head}Content-Length: 2\r\n\r\n"), "{}"), 415, "not-json");
+    let head = format!(
+        "POST /v1/apply HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n",
+        served.token
+    );
+    check(
+        &served.raw(&format!("{head}Content-Length: 2\r\n\r\n"), "{}"),
+        415,
+        "not-json",
+    );
     let json = format!("{head}Content-Type: application/json\r\n");
-    check(&served.raw(&format!("{json}Content-Length: 1\r\n\r\n"), "{"), 400, "malformed");
-    check(&served.raw(&format!("{json}Content-Length: 99999999\r\n\r\n"), ""), 413, "too-large");
+    check(
+        &served.raw(&format!("{json}Content-Length: 1\r\n\r\n"), "{"),
+        400,
+        "malformed",
+    );
+    check(
+        &served.raw(&format!("{json}Content-Length: 99999999\r\n\r\n"), ""),
+        413,
+        "too-large",
+    );
     // A stranger's body is not waited for.
     let stranger = "POST /v1/apply HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n";
     check(&served.raw(stranger, ""), 401, "unauthorized");
     let nested = "[".repeat(100_000);
-    let deep = served.raw(&format!("{json}Content-Length: {}\r\n\r\n", nested.len()), &nested);
+    let deep = served.raw(
+        &format!("{json}Content-Length: {}\r\n\r\n", nested.len()),
+        &nested,
+    );
     check(&deep, 400, "malformed");
 }
 
@@ -267,8 +386,9 @@
     let norths = made.body["token"].as_str().unwrap().to_owned();
     let open = |token: &str, last: &str| {
         let mut stream = served.connect();
-        let head =
-            format!("GET /v1/events HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n{last}\r\n");
+        let head = format!(
+            "GET /v1/events HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n{last}\r\n"
+        );
         stream.write_all(head.as_bytes()).unwrap();
         let mut reader = BufReader::new(stream);
         assert_eq!(got(&mut reader).status, 200);
@@ -290,7 +410,12 @@
     let (mut all, mut north) = (open(&served.token, ""), open(&norths, ""));
     let weigh = |tenant: &str, weight: f64| {
         let path = format!("/v1/tenants/{tenant}/limits");
-        assert_eq!(served.call("PUT", &path, "", &json!({ "weight": weight })).status, 200);
+        assert_eq!(
+            served
+                .call("PUT", &path, "", &json!({ "weight": weight }))
+                .status,
+            200
+        );
     };
     weigh("south", 2.0);
     weigh("north", 3.0);
@@ -300,9 +425,15 @@
         ("2", &json!("south"), &json!(2))
     );
     let (id, data) = next(&mut all);
-    assert_eq!((id.as_str(), &data["tenants"][0]["name"]), ("3", &json!("north")));
+    assert_eq!(
+        (id.as_str(), &data["tenants"][0]["name"]),
+        ("3", &json!("north"))
+    );
     let (id, data) = next(&mut north);
-    assert_eq!((id.as_str(), &data["tenants"][0]["rev"], &data["version"]), ("2", &json!(2), &Value::Null));
+    assert_eq!(
+        (id.as_str(), &data["tenants"][0]["rev"], &data["version"]),
+        ("2", &json!(2), &Value::Null)
+    );
     drop((all, north));
     weigh("south", 4.0);
     weigh("north", 5.0);
@@ -313,8 +444,10 @@
     let mut streams: Vec<_> = (0..64).map(|_| served.connect()).collect();
     let mut statuses = Vec::new();
     for stream in &mut streams {
-        let head =
-            format!("GET /v1/events HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n\r\n", served.token);
+        let head = format!(
+            "GET /v1/events HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n\r\n",
+            served.token
+        );
         stream.write_all(head.as_bytes()).unwrap();
         statuses.push(got(&mut BufReader::new(stream)).status);
     }
@@ -330,8 +463,16 @@
 #[test]
 fn a_stream_ends_with_its_token() {
     let served = Served::new(&["north"]);
-    let made = served.call("POST", "/v1/tokens", "", &json!({ "name": "n", "role": "read-only" }));
-    let (id, token) = (made.body["id"].as_str().unwrap(), made.body["token"].as_str().unwrap());
+    let made = served.call(
+        "POST",
+        "/v1/tokens",
+        "",
+        &json!({ "name": "n", "role": "read-only" }),
+    );
+    let (id, token) = (
+        made.body["id"].as_str().unwrap(),
+        made.body["token"].as_str().unwrap(),
+    );
     let mut stream = served.connect();
     let head = format!(
         "GET /v1/events HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {token}\r\n\r\n"
@@ -339,8 +480,18 @@
     stream.write_all(head.as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
     assert_eq!(got(&mut reader).status, 200);
-    assert_eq!(served.call("DELETE", &format!("/v1/tokens/{id}"), "", &Value::Null).status, 200);
-    served.call("PUT", "/v1/tenants/north/limits", "", &json!({ "weight": 2.0 }));
+    assert_eq!(
+        served
+            .call("DELETE", &format!("/v1/tokens/{id}"), "", &Value::Null)
+            .status,
+        200
+    );
+    served.call(
+        "PUT",
+        "/v1/tenants/north/limits",
+        "",
+        &json!({ "weight": 2.0 }),
+    );
     // Signs of life come every 2 s for as long as it goes on.
     let (mut rest, end) = (String::new(), Instant::now() + Duration::from_secs(20));
     while reader.read_line(&mut rest).unwrap() > 0 {
@@ -354,9 +505,14 @@
     let served = Served::new(&["north"]);
     let mut held: Vec<TcpStream> = (0..200).map(|_| served.connect()).collect();
     for stream in &mut held {
-        stream.write_all(b"GET /v1/status HTTP/1.1\r\nHost:").unwrap();
+        stream
+            .write_all(b"GET /v1/status HTTP/1.1\r\nHost:")
+            .unwrap();
     }
-    assert_eq!(served.call("GET", "/v1/status", "", &Value::Null).status, 200);
+    assert_eq!(
+        served.call("GET", "/v1/status", "", &Value::Null).status,
+        200
+    );
     // Each is ended in the end.
     let mut rest = Vec::new();
     let mut first = held.swap_remove(0);
--- a/crates/admin/tests/service/mod.rs
+++ b/crates/admin/tests/service/mod.rs
@@ -25,7 +25,8 @@
 
 pub fn file(names: &[&str]) -> Service {
     let own = names.contains(&"south");
-    let mut listeners = vec![json!({ "name": "public", "address": "127.0.0.1:1", "tenant-by": "host" })];
+    let mut listeners =
+        vec![json!({ "name": "public", "address": "127.0.0.1:1", "tenant-by": "host" })];
     if own {
         let souths = json!({
             "name": "souths", "address": "127.0.0.1:2", "tenant-by": "listener", "tenant": "south",
@@ -57,21 +58,46 @@
     pub fn keeping(names: &[&str], versions: u64) -> Self {
         static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let directory = std::env::temp_dir().join(format!("canvascart-desk-{}-{n}", std::process::id()));
+        let directory =
+            std::env::temp_dir().join(format!("canvascart-desk-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&directory).unwrap();
         let memory = || Ok(Database::builder().create_with_backend(InMemoryBackend::new())?);
-        let keep = Keep { versions, ..Keep::default() };
+        let keep = Keep {
+            versions,
+            ..Keep::default()
+        };
         let (store, state) = Store::with(Box::new(memory), keep).unwrap();
-        let desk = Desk::with(&file(names), Some(store), state, None, directory.clone(), NOW).unwrap();
+        let desk = Desk::with(
+            &file(names),
+            Some(store),
+            state,
+            None,
+            directory.clone(),
+            NOW,
+        )
+        .unwrap();
         let token = std::fs::read_to_string(directory.join(admin::OPERATOR)).unwrap();
-        let who = desk.who(Some(&format!("Bearer {}", token.trim())), NOW).unwrap();
+        let who = desk
+            .who(Some(&format!("Bearer {}", token.trim())), NOW)
+            .unwrap();
         assert_eq!(who.role, Role::Operator);
-        Caller { desk, who, tag: None, key: None, directory: Directory(directory) }
+        Caller {
+            desk,
+            who,
+            tag: None,
+            key: None,
+            directory: Directory(directory),
+        }
     }
 
     /// Makes a token and calls with it from here on.
     pub fn become_someone(&mut self, role: &str, tenant: Option<&str>) {
-        let operator = Who { id: "test".into(), name: "test".into(), role: Role::Operator, tenant: None };
+        let operator = Who {
+            id: "test".into(),
+            name: "test".into(),
+            role: Role::Operator,
+            tenant: None,
+        };
         self.who = operator;
         let mut body = json!({ "name": role, "role": role });
         if let Some(tenant) = tenant {
@@ -104,7 +130,9 @@
             id: None,
             who: self.who.clone(),
             path: named.map(|(k, v)| (k.to_owned(), v.to_owned())).collect(),
-            query: pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect::<BTreeMap<_, _>>(),
+            query: pairs
+                .map(|(k, v)| (k.to_owned(), v.to_owned()))
+                .collect::<BTreeMap<_, _>>(),
             if_match: self.tag.take(),
             if_none_match: None,
             idempotency_key: self.key.take(),
@@ -124,7 +152,9 @@
         {
             return Ok(reply);
         }
-        let Act::Desk(act) = operation.act else { panic!("{path} is not the desk's") };
+        let Act::Desk(act) = operation.act else {
+            panic!("{path} is not the desk's")
+        };
         Ok(match act(&mut self.desk, call)? {
             Outcome::Reply(reply) => reply,
             Outcome::Change(change) => change.1,
@@ -139,7 +169,8 @@
     }
 
     pub fn ok(&mut self, method: &str, target: &str, body: Value) -> Reply {
-        self.call(method, target, body).unwrap_or_else(|p| panic!("{method} {target}: {p:?}"))
+        self.call(method, target, body)
+            .unwrap_or_else(|p| panic!("{method} {target}: {p:?}"))
     }
 
     pub fn fails(&mut self, method: &str, target: &str, body: Value) -> Problem {
@@ -178,8 +209,11 @@
         let (a, b): (Vec<_>, Vec<_>) = (template.split('/').collect(), path.split('/').collect());
         a.len() == b.len() && a.iter().zip(&b).all(|(t, p)| t.starts_with('{') || t == p)
     };
-    let all = OPERATIONS.iter().filter(|o| o.method == method && fits(o.path));
-    all.min_by_key(|o| o.path.matches('{').count()).unwrap_or_else(|| panic!("{method} {path}"))
+    let all = OPERATIONS
+        .iter()
+        .filter(|o| o.method == method && fits(o.path));
+    all.min_by_key(|o| o.path.matches('{').count())
+        .unwrap_or_else(|| panic!("{method} {path}"))
 }
 
 /// Puts something else in the place of a part of a value, counted in its order.
--- a/crates/admin/tests/unit/access.rs
+++ b/crates/admin/tests/unit/access.rs
@@ -16,7 +16,12 @@
     };
     let (second, stored) = new_secret(&id).unwrap();
     let ask = |token: &Token, text: &str, now| {
-        who(&BTreeMap::from([(id.clone(), token.clone())]), Some(&format!("Bearer {text}")), now).is_ok()
+        who(
+            &BTreeMap::from([(id.clone(), token.clone())]),
+            Some(&format!("Bearer {text}")),
+            now,
+        )
+        .is_ok()
     };
     assert!(ask(&token, &first, 999) && !ask(&token, &first, 1000) && !ask(&token, &second, 0));
     token.rotate(stored, 500);
@@ -26,7 +31,13 @@
     token.rotate(stored, 700);
     assert!(!ask(&token, &first, 100) && ask(&token, &second, 699) && ask(&token, &third, 699));
     let cut = &third[..third.len() - 1];
-    for text in ["", "x", cut, &third.replace("cct_", "ccx_"), &format!("{third}x")] {
+    for text in [
+        "",
+        "x",
+        cut,
+        &third.replace("cct_", "ccx_"),
+        &format!("{third}x"),
+    ] {
         assert!(!ask(&token, text, 0), "{text}");
     }
     // All behind the id: a secret may have a "_" in it, and what is behind that may stand anywhere by chance.
--- a/crates/admin/tests/unit/figures.rs
+++ b/crates/admin/tests/unit/figures.rs
@@ -11,7 +11,11 @@
         decides: Some(7),
         changes: [3, 1],
         messages: [5, 600, 0, 2],
-        sent: [("report".to_owned(), [4, 500]), ("append answer".to_owned(), [1, 100])].into(),
+        sent: [
+            ("report".to_owned(), [4, 500]),
+            ("append answer".to_owned(), [1, 100]),
+        ]
+        .into(),
         ..Status::default()
     };
     let tenant = TenantStatus {
@@ -27,8 +31,13 @@
         loop_ms: 0.0,
         refused: [1, 2, 3, 4, 5],
     };
-    let resident =
-        Residency { tenants: 33_000, resident: 12, evictions: 3, refused: 4, ..Residency::default() };
+    let resident = Residency {
+        tenants: 33_000,
+        resident: 12,
+        evictions: 3,
+        refused: 4,
+        ..Residency::default()
+    };
     let text = text(Some((&status, [8, 9])), &resident, &[tenant]);
     for wanted in [
         "canvascart_cluster_version 7",
@@ -47,5 +56,9 @@
     ] {
         assert!(text.lines().any(|l| l == wanted), "{wanted} in\n{text}");
     }
-    assert!(super::text(None, &Residency::default(), &[]).lines().all(|l| !l.contains("cluster")));
+    assert!(
+        super::text(None, &Residency::default(), &[])
+            .lines()
+            .all(|l| !l.contains("cluster"))
+    );
 }
--- a/crates/canvascart/src/admin/arguments.rs
+++ b/crates/canvascart/src/admin/arguments.rs
@@ -14,7 +14,12 @@
 #[command(after_help = CODES)]
 pub struct Arguments {
     /// Where the API is.
-    #[arg(long, global = true, value_name = "URL", default_value = "http://127.0.0.1:7070")]
+    #[arg(
+        long,
+        global = true,
+        value_name = "URL",
+        default_value = "http://127.0.0.1:7070"
+    )]
     pub url: String,
     /// A file with the token.
     #[arg(long, global = true, value_name = "FILE")]
@@ -228,5 +233,8 @@
 
 fn setting(text: &str) -> Result<(String, Option<String>), String> {
     let (key, value) = text.split_once('=').ok_or("it is KEY=VALUE")?;
-    Ok((key.to_owned(), (!value.is_empty()).then(|| value.to_owned())))
+    Ok((
+        key.to_owned(),
+        (!value.is_empty()).then(|| value.to_owned()),
+    ))
 }
--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -80,7 +80,9 @@
 /// The token of a file, or of the environment.
 pub(crate) fn token(file: Option<&std::path::Path>) -> Result<String, String> {
     let token = match file {
-        Some(file) => std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?,
+        Some(file) => {
+            std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?
+        }
         None => std::env::var("CANVASCART_TOKEN")
             .map_err(|_| "no token: give --token-file, or CANVASCART_TOKEN".to_owned())?,
     };
@@ -102,7 +104,11 @@
 pub(crate) fn words(problem: &Value) -> String {
     let mut text = format!("{}: {}", cell(&problem["title"]), cell(&problem["detail"]));
     for error in problem["errors"].as_array().into_iter().flatten() {
-        text += &format!("\n  {}: {}", cell(&error["pointer"]), cell(&error["detail"]));
+        text += &format!(
+            "\n  {}: {}",
+            cell(&error["pointer"]),
+            cell(&error["detail"])
+        );
     }
     text
 }
@@ -127,9 +133,17 @@
 
     /// Calls; an answer that turns the call down ends the command.
     async fn call(
-        &self, method: &str, target: &str, headers: &[(&str, &str)], body: Option<&Value>,
+        &self,
+        method: &str,
+        target: &str,
+        headers: &[(&str, &str)],
+        body: Option<&Value>,
     ) -> Result<Answer, Ended> {
-        let answer = self.wire.call(method, target, headers, body).await.map_err(|e| Ended(UNREACHED, e))?;
+        let answer = self
+            .wire
+            .call(method, target, headers, body)
+            .await
+            .map_err(|e| Ended(UNREACHED, e))?;
         if answer.status >= 400 {
             return Err(Ended(code_of(answer.status), words(&answer.body)));
         }
@@ -147,7 +161,9 @@
         while all.len() < most {
             let limit = (most - all.len()).min(1000);
             let join = if target.contains('?') { '&' } else { '?' };
-            let page = self.get(&format!("{target}{join}limit={limit}{after}")).await?;
+            let page = self
+                .get(&format!("{target}{join}limit={limit}{after}"))
+                .await?;
             all.extend(page["items"].as_array().cloned().unwrap_or_default());
             match page["next"].as_str() {
                 Some(next) => after = format!("&after={}", part(next)),
@@ -163,14 +179,20 @@
             return print(&pretty(&json!(all)));
         }
         let head: Vec<&str> = columns.iter().map(|(name, _)| *name).collect();
-        let rows: Vec<Vec<String>> =
-            all.iter().map(|m| columns.iter().map(|(_, of)| of(m)).collect()).collect();
+        let rows: Vec<Vec<String>> = all
+            .iter()
+            .map(|m| columns.iter().map(|(_, of)| of(m)).collect())
+            .collect();
         print(&table(&head, &rows))
     }
 
     /// Carries a change out. `current` is where the tag of what it replaces is to be had.
     async fn change(
-        &self, method: &str, target: &str, body: Option<&Value>, current: Option<&str>,
+        &self,
+        method: &str,
+        target: &str,
+        body: Option<&Value>,
+        current: Option<&str>,
     ) -> Outcome {
         let mut tag = self.if_match.clone();
         if let (None, Some(current)) = (&tag, current) {
@@ -185,7 +207,11 @@
     }
 
     async fn write(
-        &self, method: &str, target: &str, body: Option<&Value>, tag: Option<String>,
+        &self,
+        method: &str,
+        target: &str,
+        body: Option<&Value>,
+        tag: Option<String>,
     ) -> Result<Answer, Ended> {
         let mut headers: Vec<(&str, &str)> = Vec::new();
         if let Some(tag) = &tag {
@@ -194,7 +220,11 @@
         if let Some(key) = &self.idempotency_key {
             headers.push(("idempotency-key", key));
         }
-        let target = if self.dry_run { format!("{target}?dry-run=true") } else { target.to_owned() };
+        let target = if self.dry_run {
+            format!("{target}?dry-run=true")
+        } else {
+            target.to_owned()
+        };
         self.call(method, &target, &headers, body).await
     }
 
@@ -214,7 +244,12 @@
                     flag("limits", " limits"),
                 ];
                 let would = if self.dry_run { "would be at" } else { "at" };
-                print(&format!("{} {would} revision {}:{}", cell(&t["name"]), t["rev"], effect.concat()))?;
+                print(&format!(
+                    "{} {would} revision {}:{}",
+                    cell(&t["name"]),
+                    t["rev"],
+                    effect.concat()
+                ))?;
             }
         } else {
             print("nothing changes")?;
@@ -239,10 +274,14 @@
             &[
                 ("TENANT", &|t| cell(&t["name"])),
                 ("READY", &|t| cell(&t["ready"])),
-                ("SERVERS", &|t| format!("{}/{}", t["servers"][0], t["servers"][1])),
+                ("SERVERS", &|t| {
+                    format!("{}/{}", t["servers"][0], t["servers"][1])
+                }),
                 ("SOCKETS", &|t| cell(&t["sockets"])),
                 ("IN-FLIGHT", &|t| cell(&t["in-flight"])),
-                ("LOOP-MS", &|t| format!("{:.0}", t["loop-ms"].as_f64().unwrap_or(0.0))),
+                ("LOOP-MS", &|t| {
+                    format!("{:.0}", t["loop-ms"].as_f64().unwrap_or(0.0))
+                }),
                 ("REFUSED", &|t| cell(&t["refused"])),
             ],
         )
@@ -266,11 +305,18 @@
             Tenant::Show { name } => print(&pretty(&self.get(&path(&name)).await?)),
             Tenant::Put { name, file } => {
                 let text = text_of(&file)?;
-                let body = serde_json::from_str(&text).map_err(|e| format!("{}:{e}", file.display()))?;
-                self.change("PUT", &path(&name), Some(&body), Some(&path(&name))).await
+                let body =
+                    serde_json::from_str(&text).map_err(|e| format!("{}:{e}", file.display()))?;
+                self.change("PUT", &path(&name), Some(&body), Some(&path(&name)))
+                    .await
+            }
+            Tenant::Remove { name } => {
+                self.change("DELETE", &path(&name), None, Some(&path(&name)))
+                    .await
+            }
+            Tenant::Pool { name } => {
+                print(&pretty(&self.get(&format!("{}/pool", path(&name))).await?))
             }
-            Tenant::Remove { name } => self.change("DELETE", &path(&name), None, Some(&path(&name))).await,
-            Tenant::Pool { name } => print(&pretty(&self.get(&format!("{}/pool", path(&name))).await?)),
         }
     }
 
@@ -293,7 +339,16 @@
                     ],
                 )
             }
-            Server::Put { tenant, name, address, size, zone, kind, connections, warm } => {
+            Server::Put {
+                tenant,
+                name,
+                address,
+                size,
+                zone,
+                kind,
+                connections,
+                warm,
+            } => {
                 let mut body = json!({ "address": address, "size": size });
                 let more = [
                     ("zone", zone.map(Value::from)),
@@ -306,15 +361,31 @@
                         body[key] = value;
                     }
                 }
-                self.change("PUT", &path(&tenant, &name), Some(&body), None).await
+                self.change("PUT", &path(&tenant, &name), Some(&body), None)
+                    .await
             }
             Server::Drain { tenant, name } => {
-                self.change("POST", &format!("{}/drain", path(&tenant, &name)), None, None).await
+                self.change(
+                    "POST",
+                    &format!("{}/drain", path(&tenant, &name)),
+                    None,
+                    None,
+                )
+                .await
             }
             Server::Resume { tenant, name } => {
-                self.change("POST", &format!("{}/resume", path(&tenant, &name)), None, None).await
+                self.change(
+                    "POST",
+                    &format!("{}/resume", path(&tenant, &name)),
+                    None,
+                    None,
+                )
+                .await
+            }
+            Server::Remove { tenant, name } => {
+                self.change("DELETE", &path(&tenant, &name), None, None)
+                    .await
             }
-            Server::Remove { tenant, name } => self.change("DELETE", &path(&tenant, &name), None, None).await,
         }
     }
 
@@ -336,7 +407,15 @@
                     ],
                 )
             }
-            Class::Put { tenant, name, effect, aim, deadline, worth, late_worth } => {
+            Class::Put {
+                tenant,
+                name,
+                effect,
+                aim,
+                deadline,
+                worth,
+                late_worth,
+            } => {
                 let effect = match effect {
                     Effect::Safe => "safe",
                     Effect::Unsafe => "unsafe",
@@ -344,9 +423,13 @@
                 let body = json!({
                     "effect": effect, "aim": aim, "deadline": deadline, "worth": worth, "late-worth": late_worth,
                 });
-                self.change("PUT", &path(&tenant, &name), Some(&body), None).await
+                self.change("PUT", &path(&tenant, &name), Some(&body), None)
+                    .await
+            }
+            Class::Remove { tenant, name } => {
+                self.change("DELETE", &path(&tenant, &name), None, None)
+                    .await
             }
-            Class::Remove { tenant, name } => self.change("DELETE", &path(&tenant, &name), None, None).await,
         }
     }
 
@@ -358,10 +441,15 @@
         }
         let mut body = now.body;
         for (key, value) in set {
-            let Some(map) = body.as_object_mut() else { break };
+            let Some(map) = body.as_object_mut() else {
+                break;
+            };
             match value {
                 // A number is one, and all else is a quantity with its unit.
-                Some(text) => map.insert(key, serde_json::from_str(&text).unwrap_or(Value::String(text))),
+                Some(text) => map.insert(
+                    key,
+                    serde_json::from_str(&text).unwrap_or(Value::String(text)),
+                ),
                 None => map.remove(&key),
             };
         }
@@ -382,16 +470,29 @@
         if let Some(key) = &self.idempotency_key {
             headers.push(("idempotency-key", key));
         }
-        let target = if self.dry_run { "/v1/apply?dry-run=true" } else { "/v1/apply" };
+        let target = if self.dry_run {
+            "/v1/apply?dry-run=true"
+        } else {
+            "/v1/apply"
+        };
         let answer = self.wire.call("POST", target, &headers, Some(&body)).await;
         let answer = answer.map_err(|e| Ended(UNREACHED, e))?;
-        let errors = answer.body["errors"].as_array().filter(|_| answer.status >= 400);
+        let errors = answer.body["errors"]
+            .as_array()
+            .filter(|_| answer.status >= 400);
         if let (Some(errors), Some(places)) = (errors, places) {
             // The service names places in the body; people have the file.
             let one = |e: &Value| {
-                let fault = Fault { pointer: cell(&e["pointer"]), what: cell(&e["detail"]) };
+                let fault = Fault {
+                    pointer: cell(&e["pointer"]),
+                    what: cell(&e["detail"]),
+                };
                 let key = fault.key();
-                Problem { line: places.line_of(&key), key, what: fault.what }
+                Problem {
+                    line: places.line_of(&key),
+                    key,
+                    what: fault.what,
+                }
             };
             let error: DocumentError = places.problems(errors.iter().map(one).collect());
             return Err(Ended(code_of(answer.status), error.to_string()));
@@ -403,7 +504,9 @@
     }
 
     async fn versions(&self, tenant: Option<String>, most: usize) -> Outcome {
-        let target = tenant.map_or("/v1/versions".into(), |t| format!("/v1/tenants/{}/versions", part(&t)));
+        let target = tenant.map_or("/v1/versions".into(), |t| {
+            format!("/v1/tenants/{}/versions", part(&t))
+        });
         let all = self.list(&target, most).await?;
         self.print_list(
             &all,
@@ -419,10 +522,14 @@
     }
 
     async fn diff(&self, tenant: Option<String>, from: u64, to: Option<u64>) -> Outcome {
-        let base = tenant.map_or("/v1/diff".into(), |t| format!("/v1/tenants/{}/diff", part(&t)));
+        let base = tenant.map_or("/v1/diff".into(), |t| {
+            format!("/v1/tenants/{}/diff", part(&t))
+        });
         let to = to.map_or(String::new(), |to| format!("&to={to}"));
         let compared = self.get(&format!("{base}?from={from}{to}")).await?;
-        let differs = compared["differences"].as_array().is_some_and(|d| !d.is_empty());
+        let differs = compared["differences"]
+            .as_array()
+            .is_some_and(|d| !d.is_empty());
         if self.json {
             print(&pretty(&compared))?;
         } else if differs {
@@ -436,14 +543,30 @@
         match tenant {
             Some(tenant) => {
                 let path = format!("/v1/tenants/{}", part(&tenant));
-                self.change("POST", &format!("{path}/rollback"), Some(&body), Some(&path)).await
+                self.change(
+                    "POST",
+                    &format!("{path}/rollback"),
+                    Some(&body),
+                    Some(&path),
+                )
+                .await
+            }
+            None => {
+                self.change(
+                    "POST",
+                    "/v1/rollback",
+                    Some(&body),
+                    Some("/v1/tenants?limit=1"),
+                )
+                .await
             }
-            None => self.change("POST", "/v1/rollback", Some(&body), Some("/v1/tenants?limit=1")).await,
         }
     }
 
     async fn audit(&self, tenant: Option<String>, most: usize) -> Outcome {
-        let target = tenant.map_or("/v1/audit".into(), |t| format!("/v1/audit?tenant={}", part(&t)));
+        let target = tenant.map_or("/v1/audit".into(), |t| {
+            format!("/v1/audit?tenant={}", part(&t))
+        });
         let all = self.list(&target, most).await?;
         self.print_list(
             &all,
@@ -477,7 +600,12 @@
                     ],
                 );
             }
-            Token::Add { name, role, tenant, expires_in } => {
+            Token::Add {
+                name,
+                role,
+                tenant,
+                expires_in,
+            } => {
                 let role = match role {
                     Role::Operator => "operator",
                     Role::TenantAdmin => "tenant-admin",
@@ -494,7 +622,8 @@
             }
             Token::Rotate { id, overlap } => {
                 let body = json!({ "overlap-s": overlap });
-                self.token_write("POST", &format!("{}/rotate", path(&id)), Some(&body)).await?
+                self.token_write("POST", &format!("{}/rotate", path(&id)), Some(&body))
+                    .await?
             }
             Token::Revoke { id } => self.token_write("DELETE", &path(&id), None).await?,
         };
@@ -505,7 +634,12 @@
         }
     }
 
-    async fn token_write(&self, method: &str, target: &str, body: Option<&Value>) -> Result<Value, Ended> {
+    async fn token_write(
+        &self,
+        method: &str,
+        target: &str,
+        body: Option<&Value>,
+    ) -> Result<Value, Ended> {
         if self.dry_run {
             return Err(Ended(crate::USAGE, "tokens have no --dry-run".into()));
         }
@@ -517,7 +651,10 @@
         let (mut last, mut left) = (None::<String>, most.unwrap_or(usize::MAX));
         let mut reached = false;
         while left > 0 {
-            let headers: Vec<(&str, &str)> = last.iter().map(|id| ("last-event-id", id.as_str())).collect();
+            let headers: Vec<(&str, &str)> = last
+                .iter()
+                .map(|id| ("last-event-id", id.as_str()))
+                .collect();
             let response = match self.wire.send("GET", "/v1/events", &headers, None).await {
                 Ok(response) => response,
                 Err(e) if !reached => return Err(Ended(UNREACHED, e)),
@@ -528,14 +665,21 @@
             };
             if response.status() != 200 {
                 let status = response.status().as_u16();
-                let body = response.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
+                let body = response
+                    .into_body()
+                    .collect()
+                    .await
+                    .map(|b| b.to_bytes())
+                    .unwrap_or_default();
                 let problem = serde_json::from_slice(&body).unwrap_or_default();
                 return Err(Ended(code_of(status), words(&problem)));
             }
             reached = true;
             let (mut body, mut text) = (response.into_body(), String::new());
             while let Some(Ok(frame)) = body.frame().await {
-                let Ok(data) = frame.into_data() else { continue };
+                let Ok(data) = frame.into_data() else {
+                    continue;
+                };
                 text += &String::from_utf8_lossy(&data);
                 while let Some(end) = text.find("\n\n") {
                     let event: String = text.drain(..end + 2).collect();
@@ -553,8 +697,14 @@
 
     /// Prints an event, unless it is only a sign of life; tells whether it did.
     fn print_event(&self, event: &str, last: &mut Option<String>) -> Result<bool, Ended> {
-        let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "));
-        let (Some(kind), Some(data)) = (field("event"), field("data")) else { return Ok(false) };
+        let field = |name: &str| {
+            event
+                .lines()
+                .find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
+        };
+        let (Some(kind), Some(data)) = (field("event"), field("data")) else {
+            return Ok(false);
+        };
         if let Some(id) = field("id") {
             *last = Some(id.to_owned());
         }
@@ -600,7 +750,9 @@
 fn print(text: &str) -> Outcome {
     // Who reads may have had enough, as head has.
     let written = writeln!(std::io::stdout(), "{text}");
-    written.map(|()| 0).map_err(|e| Ended(crate::USAGE, e.to_string()))
+    written
+        .map(|()| 0)
+        .map_err(|e| Ended(crate::USAGE, e.to_string()))
 }
 
 fn text_of(file: &Path) -> Result<String, Ended> {
--- a/crates/canvascart/src/admin/table.rs
+++ b/crates/canvascart/src/admin/table.rs
@@ -19,12 +19,18 @@
 /// Rows below a head, in columns.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let width = |i: usize| {
-        let cells = rows.iter().filter_map(|r| r.get(i)).map(|c| c.chars().count());
+        let cells = rows
+            .iter()
+            .filter_map(|r| r.get(i))
+            .map(|c| c.chars().count());
         cells.chain([head[i].len()]).max().unwrap_or(0)
     };
     let widths: Vec<usize> = (0..head.len()).map(width).collect();
     let line = |cells: &mut dyn Iterator<Item = &str>| {
-        let padded: Vec<String> = cells.zip(&widths).map(|(c, w)| format!("{c:<w$}")).collect();
+        let padded: Vec<String> = cells
+            .zip(&widths)
+            .map(|(c, w)| format!("{c:<w$}"))
+            .collect();
         padded.join("  ").trim_end().to_owned()
     };
     let mut lines = vec![line(&mut head.iter().copied())];
@@ -34,7 +40,9 @@
 
 /// A time in Unix ms as UTC.
 pub fn time(ms: &Value) -> String {
-    let Some(ms) = ms.as_u64().filter(|ms| *ms > 0) else { return "-".into() };
+    let Some(ms) = ms.as_u64().filter(|ms| *ms > 0) else {
+        return "-".into();
+    };
     let (days, seconds) = (ms / 86_400_000, ms / 1000 % 86_400);
     // Days since 1970 to a date (Howard Hinnant, chrono-compatible low-level date algorithms).
     let z = days + 719_468;
@@ -42,7 +50,10 @@
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
     let of_year = day - (365 * year + year / 4 - year / 100);
     let month = (5 * of_year + 2) / 153;
-    let (d, m) = (of_year - (153 * month + 2) / 5 + 1, if month < 10 { month + 3 } else { month - 9 });
+    let (d, m) = (
+        of_year - (153 * month + 2) / 5 + 1,
+        if month < 10 { month + 3 } else { month - 9 },
+    );
     let y = year + era * 400 + u64::from(m <= 2);
     let (hours, minutes, seconds) = (seconds / 3600, seconds / 60 % 60, seconds % 60);
     format!("{y:04}-{m:02}-{d:02} {hours:02}:{minutes:02}:{seconds:02}Z")
@@ -55,7 +66,12 @@
         (Some(from), None) => format!("- {}  {from}", cell(&d["path"])),
         _ => format!("~ {}  {} -> {}", cell(&d["path"]), d["from"], d["to"]),
     };
-    all.as_array().into_iter().flatten().map(one).collect::<Vec<_>>().join("\n")
+    all.as_array()
+        .into_iter()
+        .flatten()
+        .map(one)
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 #[cfg(test)]
@@ -73,7 +89,13 @@
 
     #[test]
     fn columns_are_as_wide_as_their_cells() {
-        let rows = [vec!["north".into(), "3".into()], vec!["x".into(), "12".into()]];
-        assert_eq!(table(&["TENANT", "REV"], &rows), "TENANT  REV\nnorth   3\nx       12");
+        let rows = [
+            vec!["north".into(), "3".into()],
+            vec!["x".into(), "12".into()],
+        ];
+        assert_eq!(
+            table(&["TENANT", "REV"], &rows),
+            "TENANT  REV\nnorth   3\nx       12"
+        );
     }
 }
--- a/crates/canvascart/src/admin/wire.rs
+++ b/crates/canvascart/src/admin/wire.rs
@@ -36,18 +36,29 @@
         let uri: Uri = url.parse().map_err(|e| format!("--url {url}: {e}"))?;
         let plain = uri.scheme_str() == Some("http") && matches!(uri.path(), "" | "/");
         let authority = uri.authority().filter(|a| plain && a.port().is_some());
-        let authority = authority.ok_or_else(|| format!("--url {url}: it is like http://127.0.0.1:7070"))?;
-        Ok(Wire { authority: authority.to_string(), token })
+        let authority =
+            authority.ok_or_else(|| format!("--url {url}: it is like http://127.0.0.1:7070"))?;
+        Ok(Wire {
+            authority: authority.to_string(),
+            token,
+        })
     }
 
     /// Sends a request, and waits for the answer's head.
     pub async fn send(
-        &self, method: &str, target: &str, headers: &[(&str, &str)], body: Option<&Value>,
+        &self,
+        method: &str,
+        target: &str,
+        headers: &[(&str, &str)],
+        body: Option<&Value>,
     ) -> Result<Response<Incoming>, String> {
         let at = |e: &dyn std::fmt::Display| format!("{}: {e}", self.authority);
-        let stream = TcpStream::connect(&self.authority).await.map_err(|e| at(&e))?;
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| at(&e))?;
+        let stream = TcpStream::connect(&self.authority)
+            .await
+            .map_err(|e| at(&e))?;
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(|e| at(&e))?;
         tokio::spawn(connection);
         let mut request = Request::builder()
             .method(method)
@@ -67,18 +78,31 @@
 
     /// Calls, and reads the whole answer.
     pub async fn call(
-        &self, method: &str, target: &str, headers: &[(&str, &str)], body: Option<&Value>,
+        &self,
+        method: &str,
+        target: &str,
+        headers: &[(&str, &str)],
+        body: Option<&Value>,
     ) -> Result<Answer, String> {
         let call = async {
             let response = self.send(method, target, headers, body).await?;
             let status = response.status().as_u16();
-            let etag = response.headers().get("etag").and_then(|t| t.to_str().ok()).map(str::to_owned);
+            let etag = response
+                .headers()
+                .get("etag")
+                .and_then(|t| t.to_str().ok())
+                .map(str::to_owned);
             let body = Limited::new(response.into_body(), MOST).collect().await;
-            let body = body.map_err(|e| format!("{}: {e}", self.authority))?.to_bytes();
-            let body = serde_json::from_slice(&body).map_err(|e| format!("{}: {e}", self.authority))?;
+            let body = body
+                .map_err(|e| format!("{}: {e}", self.authority))?
+                .to_bytes();
+            let body =
+                serde_json::from_slice(&body).map_err(|e| format!("{}: {e}", self.authority))?;
             Ok(Answer { status, etag, body })
         };
-        timeout(PATIENCE, call).await.unwrap_or_else(|_| Err(format!("{}: no answer", self.authority)))
+        timeout(PATIENCE, call)
+            .await
+            .unwrap_or_else(|_| Err(format!("{}: no answer", self.authority)))
     }
 }
 
@@ -87,7 +111,13 @@
     let plain = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~');
     // A name of dots alone would be a step in the path.
     let dots = name.bytes().all(|b| b == b'.');
-    let one = |b: u8| if plain(&b) && !dots { (b as char).to_string() } else { format!("%{b:02X}") };
+    let one = |b: u8| {
+        if plain(&b) && !dots {
+            (b as char).to_string()
+        } else {
+            format!("%{b:02X}")
+        }
+    };
     name.bytes().map(one).collect()
 }
 
--- a/crates/canvascart/src/capture.rs
+++ b/crates/canvascart/src/capture.rs
@@ -80,7 +80,11 @@
             let line = unstamped(line.trim_end_matches(['\n', '\r']));
             match Line::parse(line).is_some_and(|parsed| contents.take(number, parsed)) {
                 true => {}
-                false if !line.is_empty() && Line::looks_alike(line) && input.fill_buf()?.is_empty() => {
+                false
+                    if !line.is_empty()
+                        && Line::looks_alike(line)
+                        && input.fill_buf()?.is_empty() =>
+                {
                     contents.truncated = true;
                 }
                 false => contents.foreign += 1,
@@ -94,27 +98,48 @@
         if let Line::Head(head) = line {
             let same = |s: &Start| s.head.seed == head.seed && s.head.start == head.start;
             if !self.starts.last().is_some_and(same) {
-                let first = Change { news: None, servers: Vec::new(), records: Vec::new() };
-                self.starts.push(Start { head, settings: None, changes: vec![first] });
+                let first = Change {
+                    news: None,
+                    servers: Vec::new(),
+                    records: Vec::new(),
+                };
+                self.starts.push(Start {
+                    head,
+                    settings: None,
+                    changes: vec![first],
+                });
             }
             return true;
         }
-        let Some(start) = self.starts.last_mut() else { return false };
+        let Some(start) = self.starts.last_mut() else {
+            return false;
+        };
         match line {
             Line::Head(_) => {}
             Line::Settings(text) => start.settings = Some(text),
             Line::News(news) => {
-                start.changes.push(Change { news: Some(news), servers: Vec::new(), records: Vec::new() });
+                start.changes.push(Change {
+                    news: Some(news),
+                    servers: Vec::new(),
+                    records: Vec::new(),
+                });
             }
             Line::Server(server) => {
-                let wanted = |c: &&mut Change| c.news.as_ref().is_some_and(|n| c.servers.len() < n.hosts);
-                let Some(change) = start.changes.last_mut().filter(wanted) else { return false };
+                let wanted =
+                    |c: &&mut Change| c.news.as_ref().is_some_and(|n| c.servers.len() < n.hosts);
+                let Some(change) = start.changes.last_mut().filter(wanted) else {
+                    return false;
+                };
                 change.servers.push(server);
             }
             // It ended after news that came while it was under way: it is decided before them.
             Line::Record(record) => {
                 let seq = |c: &Change| c.news.as_ref().is_some_and(|n| n.seq == record.seq);
-                let met = start.changes.iter().rposition(seq).unwrap_or(start.changes.len() - 1);
+                let met = start
+                    .changes
+                    .iter()
+                    .rposition(seq)
+                    .unwrap_or(start.changes.len() - 1);
                 start.changes[met].records.push((number, record));
             }
         }
@@ -125,7 +150,9 @@
 /// A line without the time that a log's keeper has put before it in brackets.
 fn unstamped(line: &str) -> &str {
     let stamp = line.strip_prefix('[').and_then(|l| l.split_once("] "));
-    stamp.filter(|(stamp, _)| stamp.len() <= STAMP && !stamp.contains(' ')).map_or(line, |(_, rest)| rest)
+    stamp
+        .filter(|(stamp, _)| stamp.len() <= STAMP && !stamp.contains(' '))
+        .map_or(line, |(_, rest)| rest)
 }
 
 /// Replays a file; returns how many decisions differ.
--- a/crates/canvascart/src/client.rs
+++ b/crates/canvascart/src/client.rs
@@ -47,7 +47,9 @@
     let mut settings = arguments.properties.read()?.client;
     settings.target = arguments.target.or(settings.target);
     if settings.target.is_none() {
-        return Err("no proxy is named: give --target, or client.target in the file of --properties".into());
+        return Err(
+            "no proxy is named: give --target, or client.target in the file of --properties".into(),
+        );
     }
     let ask = Ask {
         class: match arguments.class {
@@ -68,7 +70,9 @@
     }
     if let Some(answer) = &outcome.answer {
         let mut out = std::io::stdout();
-        out.write_all(&answer.body).and_then(|()| out.flush()).map_err(|e| format!("the answer: {e}"))?;
+        out.write_all(&answer.body)
+            .and_then(|()| out.flush())
+            .map_err(|e| format!("the answer: {e}"))?;
     }
     Ok(code(&outcome))
 }
--- a/crates/canvascart/src/cluster/command.rs
+++ b/crates/canvascart/src/cluster/command.rs
@@ -26,7 +26,12 @@
 #[command(after_help = CODES)]
 pub struct Arguments {
     /// Where an instance's administration API is.
-    #[arg(long, global = true, value_name = "URL", default_value = "http://127.0.0.1:7070")]
+    #[arg(
+        long,
+        global = true,
+        value_name = "URL",
+        default_value = "http://127.0.0.1:7070"
+    )]
     url: String,
     /// A file with an operator's token.
     #[arg(long, global = true, value_name = "FILE")]
@@ -101,14 +106,27 @@
     let done = async {
         match &arguments.command {
             Command::Status { watch } => look(&wire, CLUSTER, arguments.json, *watch, status).await,
-            Command::Members { watch } => look(&wire, CLUSTER, arguments.json, *watch, members).await,
+            Command::Members { watch } => {
+                look(&wire, CLUSTER, arguments.json, *watch, members).await
+            }
             Command::Recovery { watch } => {
-                look(&wire, "/v1/cluster/recovery", arguments.json, *watch, recovery).await
+                look(
+                    &wire,
+                    "/v1/cluster/recovery",
+                    arguments.json,
+                    *watch,
+                    recovery,
+                )
+                .await
             }
             Command::Remove { name } => {
                 let target = format!("/v1/cluster/members/{}", part(name));
                 let body = call(&wire, "DELETE", &target, None).await?;
-                tell(arguments.json, &body, &format!("{name} is no member any more"));
+                tell(
+                    arguments.json,
+                    &body,
+                    &format!("{name} is no member any more"),
+                );
                 Ok(())
             }
             Command::Backup { output } => {
@@ -147,15 +165,37 @@
 type Ended = (u8, String);
 
 fn tell(json: bool, body: &Value, words: &str) {
-    if json { println!("{body}") } else { println!("{words}") }
+    if json {
+        println!("{body}")
+    } else {
+        println!("{words}")
+    }
 }
 
-async fn call(wire: &Wire, method: &str, target: &str, body: Option<&Value>) -> Result<Value, Ended> {
-    let answer = wire.call(method, target, &[], body).await.map_err(|e| (UNREACHED, e))?;
-    if answer.status >= 400 { Err((code_of(answer.status), words(&answer.body))) } else { Ok(answer.body) }
+async fn call(
+    wire: &Wire,
+    method: &str,
+    target: &str,
+    body: Option<&Value>,
+) -> Result<Value, Ended> {
+    let answer = wire
+        .call(method, target, &[], body)
+        .await
+        .map_err(|e| (UNREACHED, e))?;
+    if answer.status >= 400 {
+        Err((code_of(answer.status), words(&answer.body)))
+    } else {
+        Ok(answer.body)
+    }
 }
 
-async fn look(wire: &Wire, target: &str, json: bool, watch: bool, show: fn(&Value)) -> Result<(), Ended> {
+async fn look(
+    wire: &Wire,
+    target: &str,
+    json: bool,
+    watch: bool,
+    show: fn(&Value),
+) -> Result<(), Ended> {
     loop {
         let body = call(wire, "GET", target, None).await?;
         if json {
@@ -172,7 +212,11 @@
 
 fn status(body: &Value) {
     let here = &body["here"];
-    let known = if body["leader"].is_null() { here } else { &body["leader"] };
+    let known = if body["leader"].is_null() {
+        here
+    } else {
+        &body["leader"]
+    };
     println!("cluster   {}", cell(&known["cluster"]));
     match known["leader"].as_str() {
         Some(name) => println!("leader    {name}, term {}", cell(&known["term"])),
@@ -180,8 +224,16 @@
     }
     println!("version   {}", cell(&known["version"]));
     match &here["decides"] {
-        Value::Null => println!("{:<9} fenced: {}", cell(&here["name"]), cell(&here["fenced"])),
-        version => println!("{:<9} decides under version {}", cell(&here["name"]), cell(version)),
+        Value::Null => println!(
+            "{:<9} fenced: {}",
+            cell(&here["name"]),
+            cell(&here["fenced"])
+        ),
+        version => println!(
+            "{:<9} decides under version {}",
+            cell(&here["name"]),
+            cell(version)
+        ),
     }
     if here["unproven"] == true {
         println!("          votes for nobody: it does not know yet whether its disk is its newest");
@@ -190,9 +242,22 @@
         println!("          its disk was put back from a copy: it has joined anew");
     }
     if let Some(change) = known["change"].as_object() {
-        let waits: Vec<String> = change["waits-for"].as_array().into_iter().flatten().map(cell).collect();
-        let waits = if waits.is_empty() { "nobody".into() } else { waits.join(", ") };
-        println!("change    {}: {}, waits for {waits}", cell(&change["id"]), cell(&change["phase"]));
+        let waits: Vec<String> = change["waits-for"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(cell)
+            .collect();
+        let waits = if waits.is_empty() {
+            "nobody".into()
+        } else {
+            waits.join(", ")
+        };
+        println!(
+            "change    {}: {}, waits for {waits}",
+            cell(&change["id"]),
+            cell(&change["phase"])
+        );
     }
     members(body);
 }
@@ -200,16 +265,41 @@
 fn recovery(body: &Value) {
     let start = &body["start"];
     let now = start["phase"].as_str().unwrap_or_default();
-    let row = |t: &Value| vec![cell(&t["phase"]), format!("{} ms", cell(&t["ms"])), "-".into()];
-    let mut rows: Vec<Vec<String>> = start["took"].as_array().into_iter().flatten().map(row).collect();
+    let row = |t: &Value| {
+        vec![
+            cell(&t["phase"]),
+            format!("{} ms", cell(&t["ms"])),
+            "-".into(),
+        ]
+    };
+    let mut rows: Vec<Vec<String>> = start["took"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(row)
+        .collect();
     let most = start["at-most-ms"].as_u64().zip(start["then"].as_str());
-    let most = most.map_or(String::new(), |(ms, then)| format!(", for {ms} ms at most; then {then}"));
+    let most = most.map_or(String::new(), |(ms, then)| {
+        format!(", for {ms} ms at most; then {then}")
+    });
     let for_ms = format!("{} ms so far", cell(&start["for-ms"]));
-    rows.push(vec![now.into(), for_ms, format!("{}{most}", cell(&start["waits-for"]))]);
+    rows.push(vec![
+        now.into(),
+        for_ms,
+        format!("{}{most}", cell(&start["waits-for"])),
+    ]);
     println!("{}", table(&["PHASE", "TOOK", "WAITS FOR"], &rows));
-    let unsure: Vec<String> = start["unsure"].as_array().into_iter().flatten().map(cell).collect();
+    let unsure: Vec<String> = start["unsure"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(cell)
+        .collect();
     if !unsure.is_empty() {
-        println!("lists that were not known when it began to take requests: {}", unsure.join(", "));
+        println!(
+            "lists that were not known when it began to take requests: {}",
+            unsure.join(", ")
+        );
     }
     if let (Some(why), "serving") = (body["fenced"].as_str(), now) {
         println!("fenced since: {why}");
@@ -217,7 +307,11 @@
 }
 
 fn members(body: &Value) {
-    let known = if body["leader"].is_null() { &body["here"] } else { &body["leader"] };
+    let known = if body["leader"].is_null() {
+        &body["here"]
+    } else {
+        &body["leader"]
+    };
     let leader = known["leader"].as_str();
     let row = |m: &Value| {
         let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{ms} ms ago"));
@@ -243,6 +337,25 @@
             holds,
         ]
     };
-    let rows: Vec<Vec<String>> = known["members"].as_array().into_iter().flatten().map(row).collect();
-    println!("{}", table(&["MEMBER", "ID", "ZONE", "ROLE", "VERSION", "HEARD", "DECIDES FOR"], &rows));
+    let rows: Vec<Vec<String>> = known["members"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(row)
+        .collect();
+    println!(
+        "{}",
+        table(
+            &[
+                "MEMBER",
+                "ID",
+                "ZONE",
+                "ROLE",
+                "VERSION",
+                "HEARD",
+                "DECIDES FOR"
+            ],
+            &rows
+        )
+    );
 }
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -32,7 +32,11 @@
         stamps: cluster.stamps,
         seed: fastrand::u64(..),
     };
-    Gate::new(Box::new(move |version| right.may_decide(version)), changed, terms)
+    Gate::new(
+        Box::new(move |version| right.may_decide(version)),
+        changed,
+        terms,
+    )
 }
 
 /// What an instance's start goes by.
@@ -55,7 +59,10 @@
     let key = std::fs::read_to_string(&cluster.key_file).map_err(|e| at(e.to_string()))?;
     let key = key.trim().as_bytes().to_vec();
     if key.len() < KEY {
-        return Err(at(format!("a key has {KEY} bytes at least, and this one {}", key.len())));
+        return Err(at(format!(
+            "a key has {KEY} bytes at least, and this one {}",
+            key.len()
+        )));
     }
     let rules = Rules {
         lease: micros(cluster.lease.0),
@@ -86,7 +93,10 @@
 /// # Errors
 /// Its log, its key or its address can't be had.
 pub fn join(
-    file: &Service, api: &Arc<Api>, hears: UnboundedReceiver<Said>, right: Arc<Right>,
+    file: &Service,
+    api: &Arc<Api>,
+    hears: UnboundedReceiver<Said>,
+    right: Arc<Right>,
 ) -> Result<UnboundedReceiver<Told>, String> {
     let (Some(cluster), Some(state)) = (&file.cluster, &file.state) else {
         return Err("cluster: it needs [state]".into());
@@ -97,7 +107,10 @@
     let begin = Box::new(move || founder.desk().found(&founded, unix_ms()));
     let (opened, waits) = std::sync::mpsc::channel();
     let run = move || {
-        let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        let runtime = match tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+        {
             Ok(runtime) => runtime,
             Err(e) => return drop(opened.send(Err(e.to_string()))),
         };
@@ -111,7 +124,13 @@
             }
         });
     };
-    std::thread::Builder::new().name("cluster".into()).spawn(run).map_err(|e| e.to_string())?;
-    waits.recv().map_err(|e| e.to_string())?.map_err(|e| format!("cluster: {e}"))?;
+    std::thread::Builder::new()
+        .name("cluster".into())
+        .spawn(run)
+        .map_err(|e| e.to_string())?;
+    waits
+        .recv()
+        .map_err(|e| e.to_string())?
+        .map_err(|e| format!("cluster: {e}"))?;
     Ok(told)
 }
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -35,9 +35,16 @@
     let at = |e: std::io::Error| format!("{}: {e}", output.display());
     let aside = output.with_extension("new");
     let file = std::fs::File::create(&aside).map_err(at)?;
-    std::io::Write::write_all(&mut &file, text.as_bytes()).and_then(|()| file.sync_all()).map_err(at)?;
+    std::io::Write::write_all(&mut &file, text.as_bytes())
+        .and_then(|()| file.sync_all())
+        .map_err(at)?;
     std::fs::rename(&aside, output).map_err(at)?;
-    Ok(format!("{}: version {} of the cluster {}", output.display(), backup.version, backup.cluster))
+    Ok(format!(
+        "{}: version {} of the cluster {}",
+        output.display(),
+        backup.version,
+        backup.cluster
+    ))
 }
 
 /// Begins a cluster anew; tells what is known to be missing.
@@ -48,21 +55,43 @@
 pub fn restore(arguments: &Restore) -> Result<(), String> {
     let file = read(&arguments.config)?;
     let at = |what: &str| format!("{}: {what}", arguments.config.display());
-    let cluster = file.cluster.clone().ok_or_else(|| at("cluster: it is missing"))?;
-    let directory = file.state.clone().ok_or_else(|| at("state: it is missing"))?.directory;
+    let cluster = file
+        .cluster
+        .clone()
+        .ok_or_else(|| at("cluster: it is missing"))?;
+    let directory = file
+        .state
+        .clone()
+        .ok_or_else(|| at("state: it is missing"))?
+        .directory;
     match &arguments.backup {
-        Some(backup) => from_backup(&file, &cluster, Path::new(&directory), backup, arguments.yes),
+        Some(backup) => from_backup(
+            &file,
+            &cluster,
+            Path::new(&directory),
+            backup,
+            arguments.yes,
+        ),
         None => from_survivor(&file, &cluster, Path::new(&directory), arguments.yes),
     }
 }
 
-fn from_survivor(file: &Service, cluster: &Cluster, directory: &Path, yes: bool) -> Result<(), String> {
+fn from_survivor(
+    file: &Service,
+    cluster: &Cluster,
+    directory: &Path,
+    yes: bool,
+) -> Result<(), String> {
     let named = |e: String| format!("{}: {e}", directory.display());
     if !directory.join(store::log::LOG_FILE).exists() {
-        return Err(named("it is no member's directory; to begin from a backup give --backup FILE".into()));
+        return Err(named(
+            "it is no member's directory; to begin from a backup give --backup FILE".into(),
+        ));
     }
     let mut kept = Kept::open(directory).map_err(named)?;
-    let (old, name) = kept.identity().ok_or_else(|| named("its member has never joined".into()))?;
+    let (old, name) = kept
+        .identity()
+        .ok_or_else(|| named("its member has never joined".into()))?;
     let (old, name) = (old.to_owned(), name.to_owned());
     if name != cluster.instance {
         return Err(named(format!(
@@ -74,13 +103,40 @@
     let before = &salvage.machine;
     let version = next_era(before.version);
     println!("survivor        {name}, of the cluster {old}");
-    println!("version         {} before, {version} afterwards", before.version);
-    println!("log             up to entry {}, term {}", salvage.position.1, salvage.position.0);
+    println!(
+        "version         {} before, {version} afterwards",
+        before.version
+    );
+    println!(
+        "log             up to entry {}, term {}",
+        salvage.position.1, salvage.position.0
+    );
     println!("known agreed    up to entry {}", salvage.agreed);
-    println!("taken besides   {} entries that may have been acknowledged", salvage.unsure);
-    println!("given up        {}", salvage.under_way.as_deref().unwrap_or("no change was under way"));
-    let others: Vec<&str> = before.members.keys().map(String::as_str).filter(|m| *m != name).collect();
-    println!("members no more {}", if others.is_empty() { "none".into() } else { others.join(", ") });
+    println!(
+        "taken besides   {} entries that may have been acknowledged",
+        salvage.unsure
+    );
+    println!(
+        "given up        {}",
+        salvage
+            .under_way
+            .as_deref()
+            .unwrap_or("no change was under way")
+    );
+    let others: Vec<&str> = before
+        .members
+        .keys()
+        .map(String::as_str)
+        .filter(|m| *m != name)
+        .collect();
+    println!(
+        "members no more {}",
+        if others.is_empty() {
+            "none".into()
+        } else {
+            others.join(", ")
+        }
+    );
     println!(
         "may be missing  whatever was acknowledged after entry {} without this member",
         salvage.position.1
@@ -94,7 +150,8 @@
         desk.replace(file, &salvage.state.0)?;
     }
     let detail = format!("the cluster {old} up to entry {}", salvage.position.1);
-    let (version, entry, state) = desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
+    let (version, entry, state) =
+        desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
     let member = member(cluster, before.next_id);
     let machine = before.anew(new_cluster(), name.clone(), member, version, entry);
     kept.begin_anew(&machine, &name, state).map_err(named)?;
@@ -103,14 +160,24 @@
 }
 
 fn from_backup(
-    file: &Service, cluster: &Cluster, directory: &Path, backup: &Path, yes: bool,
+    file: &Service,
+    cluster: &Cluster,
+    directory: &Path,
+    backup: &Path,
+    yes: bool,
 ) -> Result<(), String> {
     let at = |e: String| format!("{}: {e}", backup.display());
     let text = std::fs::read_to_string(backup).map_err(|e| at(e.to_string()))?;
     let backup = Backup::read(&text).map_err(at)?;
     let version = next_era(backup.version);
-    println!("backup          of the cluster {}, made at {} (Unix time, ms)", backup.cluster, backup.at_ms);
-    println!("version         {} before, {version} afterwards", backup.version);
+    println!(
+        "backup          of the cluster {}, made at {} (Unix time, ms)",
+        backup.cluster, backup.at_ms
+    );
+    println!(
+        "version         {} before, {version} afterwards",
+        backup.version
+    );
     println!("may be missing  whatever was acknowledged after the backup was made");
     if !yes {
         println!("nothing was changed: say --yes to do it");
@@ -119,28 +186,52 @@
     let named = |e: String| format!("{}: {e}", directory.display());
     let mut kept = Kept::open(directory).map_err(named)?;
     if kept.identity().is_some() {
-        return Err(named("it is a member's: begin from a backup in an empty directory".into()));
+        return Err(named(
+            "it is a member's: begin from a backup in an empty directory".into(),
+        ));
     }
     let mut desk = Desk::open(file, false, unix_ms())?;
     if desk.entry() > 0 {
-        return Err(named("it holds a state: begin from a backup in an empty directory".into()));
+        return Err(named(
+            "it holds a state: begin from a backup in an empty directory".into(),
+        ));
     }
     desk.replace(file, &backup.state)?;
-    let detail = format!("a backup of the cluster {} at version {}", backup.cluster, backup.version);
+    let detail = format!(
+        "a backup of the cluster {} at version {}",
+        backup.cluster, backup.version
+    );
     let (version, entry, state) = desk.salvage(file, &[], version, detail, unix_ms())?;
     let rules = super::settings(cluster, &directory.display().to_string())?.rules;
     let name = cluster.instance.clone();
-    let machine = Machine::found(new_cluster(), rules, name.clone(), member(cluster, 1), version, entry);
+    let machine = Machine::found(
+        new_cluster(),
+        rules,
+        name.clone(),
+        member(cluster, 1),
+        version,
+        entry,
+    );
     kept.begin_anew(&machine, &name, state).map_err(named)?;
     done(&machine);
     Ok(())
 }
 
 fn member(cluster: &Cluster, id: u64) -> Member {
-    Member { id, address: cluster.address.clone(), zone: cluster.zone.clone(), drawn: 0 }
+    Member {
+        id,
+        address: cluster.address.clone(),
+        zone: cluster.zone.clone(),
+        drawn: 0,
+    }
 }
 
 fn done(machine: &Machine) {
-    println!("done            the cluster is {} from here on; start this instance", machine.cluster);
-    println!("others          join it with empty state directories; with those of before they are refused");
+    println!(
+        "done            the cluster is {} from here on; start this instance",
+        machine.cluster
+    );
+    println!(
+        "others          join it with empty state directories; with those of before they are refused"
+    );
 }
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -53,8 +53,13 @@
             })
         };
         let classes = scenario.classes.iter().map(class).collect();
-        let directory = std::env::temp_dir().join(format!("canvascart-demo-{}", std::process::id()));
-        Ok(Demo { members, classes, directory })
+        let directory =
+            std::env::temp_dir().join(format!("canvascart-demo-{}", std::process::id()));
+        Ok(Demo {
+            members,
+            classes,
+            directory,
+        })
     }
 
     /// The service: the fleet's servers are dealt to the tenants in turn, and the last one is shared.
@@ -74,8 +79,10 @@
         let (shared, own) = self.members.split_last().ok_or("the fleet is empty")?;
         let tenant = |(n, (name, weight)): (usize, &(&str, f64))| {
             let mine = own.iter().skip(n).step_by(TENANTS.len());
-            let servers: Vec<Value> =
-                mine.map(|m| server(m, None)).chain([server(shared, Some(16))]).collect();
+            let servers: Vec<Value> = mine
+                .map(|m| server(m, None))
+                .chain([server(shared, Some(16))])
+                .collect();
             json!({
                 "name": name, "hosts": [format!("{name}.example")], "limits": { "weight": weight },
                 "class": self.classes, "server": servers,
@@ -90,20 +97,35 @@
         });
         let service: Service = serde_json::from_value(document).map_err(|e| e.to_string())?;
         let faults = check::faults(&service);
-        let all: Vec<String> = faults.iter().map(|f| format!("{}: {}", f.key(), f.what)).collect();
-        if all.is_empty() { Ok(service) } else { Err(all.join("\n")) }
+        let all: Vec<String> = faults
+            .iter()
+            .map(|f| format!("{}: {}", f.key(), f.what))
+            .collect();
+        if all.is_empty() {
+            Ok(service)
+        } else {
+            Err(all.join("\n"))
+        }
     }
 
     /// Tells where everything is.
     pub fn tell(&self, plane: &Plane, admin: Option<SocketAddr>) {
-        println!("Two tenants on an emulated fleet of {} servers, until Ctrl-C:", self.members.len());
+        println!(
+            "Two tenants on an emulated fleet of {} servers, until Ctrl-C:",
+            self.members.len()
+        );
         for (name, address) in plane.addresses() {
-            println!("  {name:<6} http://{address}/lookup/1     (POST http://{address}/checkout/1)");
+            println!(
+                "  {name:<6} http://{address}/lookup/1     (POST http://{address}/checkout/1)"
+            );
         }
         let Some(admin) = admin else { return };
         let token = self.directory.join(::admin::OPERATOR);
         println!("Administration:");
-        println!("  canvascart admin --url http://{admin} --token-file {} status", token.display());
+        println!(
+            "  canvascart admin --url http://{admin} --token-file {} status",
+            token.display()
+        );
         println!("  the API's document: http://{admin}/v1/openapi.json");
     }
 }
@@ -115,10 +137,17 @@
 pub fn among(count: usize) -> Result<u8, String> {
     let text = |e: io::Error| format!("--demo: {e}");
     let demo = Demo::new().map_err(text)?;
-    let tenants =
-        toml::to_string(&json!({ "tenant": demo.service()?.tenants })).map_err(|e| e.to_string())?;
-    let terms = Terms { cluster: CLUSTER.into(), tenants, zones: 3 };
-    let command = [std::env::current_exe().map_err(text)?.to_string_lossy().into_owned()];
+    let tenants = toml::to_string(&json!({ "tenant": demo.service()?.tenants }))
+        .map_err(|e| e.to_string())?;
+    let terms = Terms {
+        cluster: CLUSTER.into(),
+        tenants,
+        zones: 3,
+    };
+    let command = [std::env::current_exe()
+        .map_err(text)?
+        .to_string_lossy()
+        .into_owned()];
     let mut fleet = Fleet::new(&command, count, &terms, &demo.directory).map_err(text)?;
     for i in 0..count {
         fleet.start(i).map_err(text)?;
@@ -138,8 +167,13 @@
             at(fleet.admin(i))
         );
     }
-    let admin = fleet.admin(0).map_or(String::new(), |a| format!("--url http://{a}"));
-    let token = format!("--token-file {}", fleet.state(0).join(::admin::OPERATOR).display());
+    let admin = fleet
+        .admin(0)
+        .map_or(String::new(), |a| format!("--url http://{a}"));
+    let token = format!(
+        "--token-file {}",
+        fleet.state(0).join(::admin::OPERATOR).display()
+    );
     println!("Ask for something:        curl -H 'X-Tenant-Id: north' ADDRESS/lookup/1");
     println!("Look:                     canvascart cluster {admin} {token} status");
     println!("Change something:         canvascart admin {admin} {token} limits north weight=3");
--- a/crates/canvascart/src/drill.rs
+++ b/crates/canvascart/src/drill.rs
@@ -17,7 +17,8 @@
 const NO_ANSWER: u8 = 3;
 /// Longest wait for it.
 const WAIT: Duration = Duration::from_secs(5);
-const CODES: &str = "Exit codes: 0 done, 1 the proxy refuses, 2 wrong usage or settings, 3 no answer.";
+const CODES: &str =
+    "Exit codes: 0 done, 1 the proxy refuses, 2 wrong usage or settings, 3 no answer.";
 
 #[derive(clap::Subcommand)]
 pub enum Command {
@@ -82,15 +83,25 @@
         }
         let port = settings.port.filter(|port| *port > 0);
         let port = port.ok_or("give --at, or a file with a drills.port in --properties")?;
-        let listen = std::env::var("NODE_LISTEN").map_err(|_| "NODE_LISTEN is not set: give --at")?;
-        let host = listen.rsplit_once(':').map(|(host, _)| host).ok_or("NODE_LISTEN is not HOST:PORT")?;
+        let listen =
+            std::env::var("NODE_LISTEN").map_err(|_| "NODE_LISTEN is not set: give --at")?;
+        let host = listen
+            .rsplit_once(':')
+            .map(|(host, _)| host)
+            .ok_or("NODE_LISTEN is not HOST:PORT")?;
         host_and_port(&format!("{host}:{port}"))
     }
 }
 
 pub fn run(command: Command) -> Result<u8, String> {
     let (port, method, body) = match &command {
-        Command::Start { port, class, deed, share, span } => {
+        Command::Start {
+            port,
+            class,
+            deed,
+            share,
+            span,
+        } => {
             let (delay, abort) = (&deed.delay, deed.abort);
             let body = json!({"class": class, "share": share, "for": span, "delay": delay, "abort": abort});
             (port, Method::POST, body)
@@ -115,7 +126,9 @@
             let text = String::from_utf8_lossy(&answer.body);
             if answer.status == 200 {
                 let said = writeln!(std::io::stdout(), "{}", text.trim_end());
-                return said.map(|()| 0).map_err(|e| format!("standard output: {e}"));
+                return said
+                    .map(|()| 0)
+                    .map_err(|e| format!("standard output: {e}"));
             }
             eprintln!("canvascart: {address} refuses: {}", text.trim_end());
             Ok(REFUSED)
--- a/crates/canvascart/src/failpoints.rs
+++ b/crates/canvascart/src/failpoints.rs
@@ -12,7 +12,9 @@
 
 /// Follows the file, if one is named. What it says at the start is in effect when this returns.
 pub fn follow() {
-    let Some(file) = std::env::var_os("CANVASCART_FAILPOINTS").map(PathBuf::from) else { return };
+    let Some(file) = std::env::var_os("CANVASCART_FAILPOINTS").map(PathBuf::from) else {
+        return;
+    };
     let (mut said, mut set) = (String::new(), BTreeSet::new());
     look(&file, &mut said, &mut set);
     thread::spawn(move || {
