--- a/crates/canvascart/src/fleet.rs
+++ b/crates/canvascart/src/fleet.rs
@@ -27,7 +27,12 @@
 #[command(after_help = CODES)]
 pub struct Arguments {
     /// A member of etcd; several may be named.
-    #[arg(long = "etcd", global = true, value_name = "URL", default_value = "http://127.0.0.1:2379")]
+    #[arg(
+        long = "etcd",
+        global = true,
+        value_name = "URL",
+        default_value = "http://127.0.0.1:2379"
+    )]
     endpoints: Vec<String>,
     /// What the keys begin with.
     #[arg(long, global = true, default_value = "/canvascart/v1")]
@@ -104,12 +109,17 @@
 pub fn run(arguments: Arguments) -> Result<u8, String> {
     let user = match std::env::var("CANVASCART_ETCD_USER") {
         Ok(text) => {
-            let (name, password) = text.split_once(':').ok_or("CANVASCART_ETCD_USER: it is NAME:PASSWORD")?;
+            let (name, password) = text
+                .split_once(':')
+                .ok_or("CANVASCART_ETCD_USER: it is NAME:PASSWORD")?;
             Some((name.to_owned(), password.to_owned()))
         }
         Err(_) => None,
     };
-    let settings = Settings { user, ..Settings::new(arguments.endpoints) };
+    let settings = Settings {
+        user,
+        ..Settings::new(arguments.endpoints)
+    };
     let keys = Keys::new(&arguments.prefix, &arguments.pool);
     let done = crate::block_on(act(arguments.command, settings, keys, arguments.pool))?;
     Ok(done.map_or_else(
@@ -132,9 +142,25 @@
     }
     let mut registry = Registry::connect(Plain, settings, keys).await?;
     match command {
-        Command::Register { name, address, size, zone, kind, ttl } => {
-            let born_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-            let entry = Entry { size, zone, kind, born_ms: Some(born_ms), ..Entry::at(address) };
+        Command::Register {
+            name,
+            address,
+            size,
+            zone,
+            kind,
+            ttl,
+        } => {
+            let born_ms = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default()
+                .as_millis() as u64;
+            let entry = Entry {
+                size,
+                zone,
+                kind,
+                born_ms: Some(born_ms),
+                ..Entry::at(address)
+            };
             register(&mut registry, &name, &entry, Duration::from_secs(ttl)).await
         }
         Command::Drain { name } => registry.set_state(&name, State::Draining).await,
@@ -151,7 +177,10 @@
 
 /// Keeps a server registered until the command is told to end; then the server leaves.
 async fn register(
-    registry: &mut Registry<Plain>, name: &str, entry: &Entry, ttl: Duration,
+    registry: &mut Registry<Plain>,
+    name: &str,
+    entry: &Entry,
+    ttl: Duration,
 ) -> Result<(), Failed> {
     let on = |kind| signal(kind).map_err(|e| Failed::Refused(format!("signals: {e}")));
     let (mut term, mut int) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
@@ -209,7 +238,9 @@
                     entry.address, entry.size
                 );
             }
-            Err(why) if as_json => println!("{}", json!({ "name": name, "lease": lease, "wrong": why })),
+            Err(why) if as_json => {
+                println!("{}", json!({ "name": name, "lease": lease, "wrong": why }))
+            }
             Err(why) => println!("{name}  its value is of no use: {why}"),
         }
     }
@@ -218,13 +249,24 @@
 async fn watch(settings: Settings, keys: Keys, pool: String, most: Option<usize>) {
     let (to, mut updates) = mpsc::unbounded_channel();
     let seed = fastrand::u64(..);
-    tokio::spawn(etcd::follow(Plain, settings, pool, keys, Limits::default(), seed, to));
+    tokio::spawn(etcd::follow(
+        Plain,
+        settings,
+        pool,
+        keys,
+        Limits::default(),
+        seed,
+        to,
+    ));
     let mut left = most.unwrap_or(usize::MAX);
     while let (true, Some(update)) = (left > 0, updates.recv().await) {
         match update {
             Update::Told(Told::Whole(all)) => println!("{}", json!({ "whole": all.len() })),
             Update::Told(Told::Is(s)) => {
-                println!("{}", json!({ "is": s.name, "born-ms": s.born_ms, "entry": s.entry }));
+                println!(
+                    "{}",
+                    json!({ "is": s.name, "born-ms": s.born_ms, "entry": s.entry })
+                );
             }
             Update::Told(Told::Gone(name)) => println!("{}", json!({ "gone": name })),
             Update::Status(status) => {
--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -300,7 +300,10 @@
 /// Finds what a name stands for.
 fn named<T: Copy>(all: &[(&str, T)], name: &str) -> Result<T, String> {
     let names = || all.iter().map(|(n, _)| *n).collect::<Vec<_>>().join(", ");
-    all.iter().find(|(n, _)| *n == name).map(|(_, t)| *t).ok_or_else(|| format!("one of {}", names()))
+    all.iter()
+        .find(|(n, _)| *n == name)
+        .map(|(_, t)| *t)
+        .ok_or_else(|| format!("one of {}", names()))
 }
 
 fn flood_kind(name: &str) -> Result<floods::Kind, String> {
@@ -325,7 +328,9 @@
                 format!("{}: {e}; the shipped scenarios are {names}", self.scenario)
             })?,
         };
-        experiment::with_settings(&self.scenario, &text, &sets).map(Arc::new).map_err(|e| e.to_string())
+        experiment::with_settings(&self.scenario, &text, &sets)
+            .map(Arc::new)
+            .map_err(|e| e.to_string())
     }
 }
 
@@ -334,28 +339,44 @@
 }
 
 fn settings(text: &str) -> Vec<String> {
-    if text == "-" { Vec::new() } else { text.split(',').map(str::to_owned).collect() }
+    if text == "-" {
+        Vec::new()
+    } else {
+        text.split(',').map(str::to_owned).collect()
+    }
 }
 
 /// Tells what came of runs; returns the exit code.
 fn tell(runs: &[Run], json: bool, out: Option<&Path>) -> Result<u8, String> {
     let mut to = std::io::stdout().lock();
     for run in runs {
-        let said =
-            if json { format!("{}\n", report::json(run)) } else { format!("{}\n", report::table(run)) };
+        let said = if json {
+            format!("{}\n", report::json(run))
+        } else {
+            format!("{}\n", report::table(run))
+        };
         to.write_all(said.as_bytes()).map_err(|e| e.to_string())?;
         if let Some(out) = out {
-            let dir = if runs.len() > 1 { out.join(format!("seed-{}", run.seed)) } else { out.to_owned() };
+            let dir = if runs.len() > 1 {
+                out.join(format!("seed-{}", run.seed))
+            } else {
+                out.to_owned()
+            };
             if let Err(e) = report::write(&dir, run) {
                 tracing::error!(dir = %dir.display(), error = %e, "the report could not be written");
                 return Ok(NOT_RUN);
             }
             if !json {
-                writeln!(to, "report: {}", dir.join("report.html").display()).map_err(|e| e.to_string())?;
+                writeln!(to, "report: {}", dir.join("report.html").display())
+                    .map_err(|e| e.to_string())?;
             }
         }
     }
-    Ok(if runs.iter().all(|r| r.broken.is_empty()) { 0 } else { BROKEN })
+    Ok(if runs.iter().all(|r| r.broken.is_empty()) {
+        0
+    } else {
+        BROKEN
+    })
 }
 
 pub fn run(command: Command) -> Result<u8, String> {
@@ -377,24 +398,54 @@
             );
             Ok(0)
         }
-        Command::Sim { which, how, sabotage } => {
+        Command::Sim {
+            which,
+            how,
+            sabotage,
+        } => {
             let scenario = which.read(&[])?;
-            let play = |n| experiment::simulate(&scenario, &which.scenario, how.seed + n as u64, sabotage);
+            let play =
+                |n| experiment::simulate(&scenario, &which.scenario, how.seed + n as u64, sabotage);
             let runs = experiment::on_threads(how.repeat as usize, threads(), play);
             tell(&runs, how.json, how.out.as_deref())
         }
         Command::Run { which, how, proxy } => run_real(&which, &how, proxy.as_deref()),
-        Command::Compare { a, b, which, repeat, json } => compare(&which, &a, &b, repeat, json),
-        Command::Price { servers, connections, seconds, repeat, proxy } => {
-            prices(&servers, connections, Duration::from_secs(seconds), repeat, proxy.as_deref())
-        }
+        Command::Compare {
+            a,
+            b,
+            which,
+            repeat,
+            json,
+        } => compare(&which, &a, &b, repeat, json),
+        Command::Price {
+            servers,
+            connections,
+            seconds,
+            repeat,
+            proxy,
+        } => prices(
+            &servers,
+            connections,
+            Duration::from_secs(seconds),
+            repeat,
+            proxy.as_deref(),
+        ),
         Command::Report { dirs } => Ok(tell_again(&dirs)),
         Command::Peer(peer) => run_peer(peer),
         Command::Hollow => hollow::host(),
         Command::Members(arguments) => hollow::run(&arguments),
-        Command::Floods { kind, seconds, repeat, apart, changing, service } => {
-            let kinds =
-                floods::Kind::ALL.iter().map(|(_, k)| *k).filter(|k| kind.is_none_or(|only| only == *k));
+        Command::Floods {
+            kind,
+            seconds,
+            repeat,
+            apart,
+            changing,
+            service,
+        } => {
+            let kinds = floods::Kind::ALL
+                .iter()
+                .map(|(_, k)| *k)
+                .filter(|k| kind.is_none_or(|only| only == *k));
             flood(
                 &kinds.collect::<Vec<_>>(),
                 Duration::from_secs(seconds),
@@ -404,47 +455,97 @@
             )
         }
         Command::Kills { kills, seed } => hosted::kills(kills, seed),
-        Command::Changes { changes, pace: Some(sizes), in_virtual_time, .. } => {
-            together::pace(&sizes, in_virtual_time, changes)
-        }
-        Command::Recover { instances, killed, seeds } => together::recover(instances, killed, seeds),
+        Command::Changes {
+            changes,
+            pace: Some(sizes),
+            in_virtual_time,
+            ..
+        } => together::pace(&sizes, in_virtual_time, changes),
+        Command::Recover {
+            instances,
+            killed,
+            seeds,
+        } => together::recover(instances, killed, seeds),
         Command::Changes { cost: true, .. } => together::cost(),
-        Command::Changes { instances, changes, seeds, from, at_once, when_cut_off, pace: None, .. } => {
-            together::changes(instances, changes, (from, seeds), at_once, &when_cut_off)
-        }
-        Command::Tenants { count, changes, idle } => {
-            hosted::tenants(count, Duration::from_secs(idle), changes)
-        }
+        Command::Changes {
+            instances,
+            changes,
+            seeds,
+            from,
+            at_once,
+            when_cut_off,
+            pace: None,
+            ..
+        } => together::changes(instances, changes, (from, seeds), at_once, &when_cut_off),
+        Command::Tenants {
+            count,
+            changes,
+            idle,
+        } => hosted::tenants(count, Duration::from_secs(idle), changes),
         Command::Capacity(arguments) => capacity::run(&arguments),
-        Command::Followers { servers, removals, no_stampede } => {
-            Ok(hosted::followers(&servers, removals, !no_stampede, &hosted::own()?).unwrap_or_else(|e| {
-                tracing::error!(error = %e, "it could not be measured");
-                NOT_RUN
-            }))
-        }
+        Command::Followers {
+            servers,
+            removals,
+            no_stampede,
+        } => Ok(
+            hosted::followers(&servers, removals, !no_stampede, &hosted::own()?).unwrap_or_else(
+                |e| {
+                    tracing::error!(error = %e, "it could not be measured");
+                    NOT_RUN
+                },
+            ),
+        ),
         Command::Shares { repeat, json } => {
-            tell_shares("event loop's time", &shares::TIME_COLUMNS, &shares::time(repeat), json);
-            tell_shares("stock", &shares::STOCK_COLUMNS, &shares::stock(repeat), json);
+            tell_shares(
+                "event loop's time",
+                &shares::TIME_COLUMNS,
+                &shares::time(repeat),
+                json,
+            );
+            tell_shares(
+                "stock",
+                &shares::STOCK_COLUMNS,
+                &shares::stock(repeat),
+                json,
+            );
             Ok(0)
         }
         Command::Rogue { wrong } => {
-            let config = std::env::var_os("NODE_CONFIG").ok_or("NODE_CONFIG names no configuration")?;
-            rogue::run(wrong, Path::new(&config)).map(|()| 0).map_err(|e| e.to_string())
+            let config =
+                std::env::var_os("NODE_CONFIG").ok_or("NODE_CONFIG names no configuration")?;
+            rogue::run(wrong, Path::new(&config))
+                .map(|()| 0)
+                .map_err(|e| e.to_string())
         }
-        Command::Sweep { which, key, values, repeat, alone, json, out } => {
+        Command::Sweep {
+            which,
+            key,
+            values,
+            repeat,
+            alone,
+            json,
+            out,
+        } => {
             let runs = sweep(&which, &key, &values, repeat, alone)?;
             tell_sweep(&key, &values, &runs, json);
             if let Some(out) = out {
-                for (value, run) in runs.iter().flat_map(|(value, runs)| runs.iter().map(move |r| (value, r)))
+                for (value, run) in runs
+                    .iter()
+                    .flat_map(|(value, runs)| runs.iter().map(move |r| (value, r)))
                 {
-                    let dir = out.join(file_name(value)).join(format!("seed-{}", run.seed));
+                    let dir = out
+                        .join(file_name(value))
+                        .join(format!("seed-{}", run.seed));
                     if let Err(e) = report::write(&dir, run) {
                         tracing::error!(dir = %dir.display(), error = %e, "the report could not be written");
                         return Ok(NOT_RUN);
                     }
                 }
             }
-            let kept = runs.iter().flat_map(|(_, runs)| runs).all(|r| r.broken.is_empty());
+            let kept = runs
+                .iter()
+                .flat_map(|(_, runs)| runs)
+                .all(|r| r.broken.is_empty());
             Ok(if kept { 0 } else { BROKEN })
         }
     }
@@ -464,10 +565,26 @@
     }
     println!(
         "{:<18} {:>5} {:<8} {:>8} {:>8} {:>7} {:>8} {:>9} {:>9} {:>7}  folder",
-        "scenario", "seed", "clock", "asked", "served", "share", "refused", "p50 ms", "p99 ms", "broken"
+        "scenario",
+        "seed",
+        "clock",
+        "asked",
+        "served",
+        "share",
+        "refused",
+        "p50 ms",
+        "p99 ms",
+        "broken"
     );
     for run in &runs {
-        let (whole, clock) = (&run.service.whole, if run.virtual_time { "virtual" } else { "sockets" });
+        let (whole, clock) = (
+            &run.service.whole,
+            if run.virtual_time {
+                "virtual"
+            } else {
+                "sockets"
+            },
+        );
         let mark = match (&run.void, run.partial) {
             (Some(_), _) => " VOID",
             (None, true) => " PARTIAL",
@@ -487,10 +604,19 @@
             run.dir.display()
         );
         for broken in run.broken.iter().take(3) {
-            println!("  {} at {:.3} s: {}", broken.rule, broken.at_ms / 1000.0, broken.evidence);
+            println!(
+                "  {} at {:.3} s: {}",
+                broken.rule,
+                broken.at_ms / 1000.0,
+                broken.evidence
+            );
         }
     }
-    if runs.iter().all(|r| r.broken.is_empty()) { 0 } else { BROKEN }
+    if runs.iter().all(|r| r.broken.is_empty()) {
+        0
+    } else {
+        BROKEN
+    }
 }
 
 /// What starts a proxy: a command of the caller's, or this program itself.
@@ -528,15 +654,21 @@
     let command = proxy_command(proxy)?;
     let mut worst = 0;
     for seed in how.seed..how.seed + how.repeat.max(1) {
-        let plain = Path::new(&which.scenario).file_stem().and_then(|s| s.to_str()).unwrap_or("run");
+        let plain = Path::new(&which.scenario)
+            .file_stem()
+            .and_then(|s| s.to_str())
+            .unwrap_or("run");
         let dir = match &how.out {
             Some(out) if how.repeat > 1 => out.join(format!("seed-{seed}")),
             Some(out) => out.clone(),
-            None => std::env::temp_dir().join("canvascart-lab").join(format!("{plain}-{seed}")),
+            None => std::env::temp_dir()
+                .join("canvascart-lab")
+                .join(format!("{plain}-{seed}")),
         };
         let tick = progress(&scenario.title, how.json);
         let played = real::play(&scenario, &which.scenario, seed, &command, &dir, tick);
-        let written = played.and_then(|(run, measured)| report::write(&dir, &run).map(|()| (run, measured)));
+        let written =
+            played.and_then(|(run, measured)| report::write(&dir, &run).map(|()| (run, measured)));
         let (run, measured) = match written {
             Ok(played) => played,
             Err(e) => {
@@ -576,7 +708,9 @@
         }
         Peer::PassThrough => {
             let mut line = String::new();
-            std::io::stdin().read_line(&mut line).map_err(|e| e.to_string())?;
+            std::io::stdin()
+                .read_line(&mut line)
+                .map_err(|e| e.to_string())?;
             let addresses = serde_json::from_str(&line).map_err(|e| e.to_string())?;
             price::pass_through(addresses, |address| say(&[address]))
         }
@@ -585,12 +719,21 @@
 }
 
 fn prices(
-    servers: &[usize], connections: usize, span: Duration, repeat: usize, proxy: Option<&str>,
+    servers: &[usize],
+    connections: usize,
+    span: Duration,
+    repeat: usize,
+    proxy: Option<&str>,
 ) -> Result<u8, String> {
     let own = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
     let command = proxy_command(proxy)?;
-    let dir = std::env::temp_dir().join("canvascart-lab").join(format!("price-{}", std::process::id()));
-    println!("{} cores; {connections} busy connections; mean of {repeat} rounds, least to most", threads());
+    let dir = std::env::temp_dir()
+        .join("canvascart-lab")
+        .join(format!("price-{}", std::process::id()));
+    println!(
+        "{} cores; {connections} busy connections; mean of {repeat} rounds, least to most",
+        threads()
+    );
     println!(
         "{:>7} {:<13} {:>9} {:>22} {:>9} {:>9} {:>10} {:>5}",
         "servers", "target", "req/s", "CPU us a request", "p50 us", "p99 us", "memory MB", "bad"
@@ -608,7 +751,8 @@
         }
         for target in 0..rounds[0].len() {
             let all: Vec<&Price> = rounds.iter().map(|r| &r[target]).collect();
-            let mean = |of: fn(&Price) -> f64| all.iter().map(|p| of(p)).sum::<f64>() / all.len() as f64;
+            let mean =
+                |of: fn(&Price) -> f64| all.iter().map(|p| of(p)).sum::<f64>() / all.len() as f64;
             let cpu = all.iter().map(|p| p.cpu_us);
             let (least, most) = cpu.fold((f64::INFINITY, 0.0f64), |(a, b), x| (a.min(x), b.max(x)));
             println!(
@@ -636,9 +780,10 @@
     /// Reads `key=value,...`, `-`, or `proxy:COMMAND`.
     fn read(text: &str, which: &Which) -> Result<Self, String> {
         match text.strip_prefix("proxy:") {
-            Some(command) => {
-                Ok(Side::Proxy(which.read(&[])?, proxy_command((command != "-").then_some(command))?))
-            }
+            Some(command) => Ok(Side::Proxy(
+                which.read(&[])?,
+                proxy_command((command != "-").then_some(command))?,
+            )),
             None => Ok(Side::Settings(which.read(&settings(text))?)),
         }
     }
@@ -646,22 +791,30 @@
     fn play(&self, name: &str, seed: u64, dir: &Path) -> Result<Run, String> {
         match self {
             Side::Settings(scenario) => Ok(experiment::simulate(scenario, name, seed, None)),
-            Side::Proxy(scenario, command) => real::play(scenario, name, seed, command, dir, |_| ())
-                .map(|(run, _)| run)
-                .map_err(|e| format!("{}: {e}", command.join(" "))),
+            Side::Proxy(scenario, command) => {
+                real::play(scenario, name, seed, command, dir, |_| ())
+                    .map(|(run, _)| run)
+                    .map_err(|e| format!("{}: {e}", command.join(" ")))
+            }
         }
     }
 }
 
 fn compare(which: &Which, a: &str, b: &str, repeat: u64, json: bool) -> Result<u8, String> {
     let sides = [Side::read(a, which)?, Side::read(b, which)?];
-    let dir = std::env::temp_dir().join("canvascart-lab").join(format!("compare-{}", std::process::id()));
+    let dir = std::env::temp_dir()
+        .join("canvascart-lab")
+        .join(format!("compare-{}", std::process::id()));
     // Side by side under each seed, so that what disturbs the machine disturbs both; real runs one at a time.
     let virtual_time = sides.iter().all(|s| matches!(s, Side::Settings(_)));
-    let play = |n: usize| sides[n % 2].play(&which.scenario, 1 + n as u64 / 2, &dir.join(n.to_string()));
+    let play =
+        |n: usize| sides[n % 2].play(&which.scenario, 1 + n as u64 / 2, &dir.join(n.to_string()));
     let threads = if virtual_time { threads() } else { 1 };
     let (mut first, mut second) = (Vec::new(), Vec::new());
-    for (n, run) in experiment::on_threads(2 * repeat as usize, threads, play).into_iter().enumerate() {
+    for (n, run) in experiment::on_threads(2 * repeat as usize, threads, play)
+        .into_iter()
+        .enumerate()
+    {
         let run = match run {
             Ok(run) => run,
             Err(e) => {
@@ -675,23 +828,40 @@
         }
         // A broken rule needs its evidence: another play may keep it.
         for broken in run.broken.iter().take(SHOWN) {
-            tracing::error!(side = if n % 2 == 0 { a } else { b }, seed = run.seed, "rule broken: {broken}");
+            tracing::error!(
+                side = if n % 2 == 0 { a } else { b },
+                seed = run.seed,
+                "rule broken: {broken}"
+            );
+        }
+        if n % 2 == 0 {
+            first.push(run)
+        } else {
+            second.push(run)
         }
-        if n % 2 == 0 { first.push(run) } else { second.push(run) }
     }
     let broken = |runs: &[Run]| runs.iter().map(|r| r.broken.len()).sum::<usize>();
     let (broken_a, broken_b) = (broken(&first), broken(&second));
     let differences = experiment::compare(&first, &second);
     if json {
-        println!("{}", serde_json::to_string(&differences).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string(&differences).map_err(|e| e.to_string())?
+        );
     } else {
         println!("A: {a}\nB: {b}\n{repeat} seeds; B less A with its 95 % interval\n");
-        println!("{:<16} {:>10} {:>10} {:>10}   {:<24}", "", "A", "B", "B - A", "95 %");
+        println!(
+            "{:<16} {:>10} {:>10} {:>10}   {:<24}",
+            "", "A", "B", "B - A", "95 %"
+        );
         for d in &differences {
             let e = d.difference;
             let clear = if e.holds_zero() { "" } else { "  differs" };
             let between = format!("{:+.4} to {:+.4}", e.low, e.high);
-            println!("{:<16} {:>10.4} {:>10.4} {:>+10.4}   {between:<24}{clear}", d.figure, d.a, d.b, e.mean);
+            println!(
+                "{:<16} {:>10.4} {:>10.4} {:>+10.4}   {between:<24}{clear}",
+                d.figure, d.a, d.b, e.mean
+            );
         }
         println!("{:<16} {broken_a:>10} {broken_b:>10}", "broken rules");
     }
@@ -700,7 +870,16 @@
 
 /// A value as the name of a folder.
 fn file_name(value: &str) -> String {
-    value.chars().map(|c| if c.is_ascii_alphanumeric() || matches!(c, '.' | '-') { c } else { '_' }).collect()
+    value
+        .chars()
+        .map(|c| {
+            if c.is_ascii_alphanumeric() || matches!(c, '.' | '-') {
+                c
+            } else {
+                '_'
+            }
+        })
+        .collect()
 }
 
 /// Plays a scenario under each value of a setting, the same seeds each time.
@@ -709,14 +888,20 @@
 
 /// Floods a service in each way and prints how the quiet tenant fared, run by run.
 fn flood(
-    kinds: &[floods::Kind], span: Duration, repeat: u64, how: [bool; 2], service: Option<&str>,
+    kinds: &[floods::Kind],
+    span: Duration,
+    repeat: u64,
+    how: [bool; 2],
+    service: Option<&str>,
 ) -> Result<u8, String> {
     let own = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
     let command: Vec<String> = match service {
         Some(text) => text.split_whitespace().map(str::to_owned).collect(),
         None => vec![own.to_string_lossy().into_owned()],
     };
-    let dir = std::env::temp_dir().join("canvascart-lab").join(format!("floods-{}", std::process::id()));
+    let dir = std::env::temp_dir()
+        .join("canvascart-lab")
+        .join(format!("floods-{}", std::process::id()));
     println!(
         "{} cores; each half {} s; the quiet tenant before the flood > during it",
         threads(),
@@ -739,16 +924,27 @@
             println!(
                 "{:<13} {:>20} {:>18} {:>18} {:>12.0} {:>14.0} {:>8.2}{}",
                 f.name(),
-                format!("{:.2} > {:.2}", 100.0 * before.served, 100.0 * during.served),
+                format!(
+                    "{:.2} > {:.2}",
+                    100.0 * before.served,
+                    100.0 * during.served
+                ),
                 format!("{:.1} > {:.1}", before.latency_ms[0], during.latency_ms[0]),
                 format!("{:.1} > {:.1}", before.latency_ms[1], during.latency_ms[1]),
                 f.sent_per_s,
                 f.served_per_s,
                 f.late_ms,
-                if f.late_ms > FLOOD_LATE { "  void: sent late" } else { "" },
+                if f.late_ms > FLOOD_LATE {
+                    "  void: sent late"
+                } else {
+                    ""
+                },
             );
             if f.changes > 0 {
-                println!("{:<13} {} changes of the quiet tenant meanwhile", "", f.changes);
+                println!(
+                    "{:<13} {} changes of the quiet tenant meanwhile",
+                    "", f.changes
+                );
             }
         }
     }
@@ -765,28 +961,52 @@
     for row in rows {
         if json {
             let figures = columns.iter().zip(&row.figures);
-            let figures: serde_json::Map<String, serde_json::Value> =
-                figures.map(|(c, f)| ((*c).to_owned(), serde_json::json!(f))).collect();
-            println!("{}", serde_json::json!({ "shared": what, "way": row.way, "mean_least_most": figures }));
+            let figures: serde_json::Map<String, serde_json::Value> = figures
+                .map(|(c, f)| ((*c).to_owned(), serde_json::json!(f)))
+                .collect();
+            println!(
+                "{}",
+                serde_json::json!({ "shared": what, "way": row.way, "mean_least_most": figures })
+            );
             continue;
         }
         let cell = |[mean, least, most]: &[f64; 3]| format!("{mean:.2} ({least:.2}..{most:.2})");
-        let cells: String = row.figures.iter().map(|f| format!(" {:>25}", cell(f))).collect();
+        let cells: String = row
+            .figures
+            .iter()
+            .map(|f| format!(" {:>25}", cell(f)))
+            .collect();
         println!("{:<24}{cells}", row.way);
     }
 }
 
 fn sweep<'v>(
-    which: &Which, key: &str, values: &'v [String], repeat: u64, alone: bool,
+    which: &Which,
+    key: &str,
+    values: &'v [String],
+    repeat: u64,
+    alone: bool,
 ) -> Result<Vec<(&'v str, Vec<Run>)>, String> {
-    let sides =
-        values.iter().map(|v| which.read(&[format!("{key}={v}")])).collect::<Result<Vec<_>, String>>()?;
+    let sides = values
+        .iter()
+        .map(|v| which.read(&[format!("{key}={v}")]))
+        .collect::<Result<Vec<_>, String>>()?;
     let many = repeat.max(1) as usize;
-    let play =
-        |n: usize| experiment::simulate(&sides[n / many], &which.scenario, 1 + (n % many) as u64, None);
+    let play = |n: usize| {
+        experiment::simulate(
+            &sides[n / many],
+            &which.scenario,
+            1 + (n % many) as u64,
+            None,
+        )
+    };
     let mut runs =
-        experiment::on_threads(sides.len() * many, if alone { 1 } else { threads() }, play).into_iter();
-    Ok(values.iter().map(|v| (v.as_str(), runs.by_ref().take(many).collect())).collect())
+        experiment::on_threads(sides.len() * many, if alone { 1 } else { threads() }, play)
+            .into_iter();
+    Ok(values
+        .iter()
+        .map(|v| (v.as_str(), runs.by_ref().take(many).collect()))
+        .collect())
 }
 
 /// What a sweep prints of a value: a column's name, its width and decimals in the table, and its mean over the seeds.
@@ -799,21 +1019,31 @@
     ("p50 ms", 9, 1, |r| r.score.whole.latency_ms[0]),
     ("p99 ms", 9, 1, |r| r.score.whole.latency_ms[2]),
     ("module us", 10, 1, |r| r.module_us),
-    ("conns/server", 12, 1, |r| r.counts.connections as f64 / r.scenario.fleet.servers as f64),
+    ("conns/server", 12, 1, |r| {
+        r.counts.connections as f64 / r.scenario.fleet.servers as f64
+    }),
 ];
 
 fn tell_sweep(key: &str, values: &[String], runs: &[(&str, Vec<Run>)], json: bool) {
-    let wide = values.iter().chain([&key.to_owned()]).map(String::len).max().unwrap_or(0).max(18);
+    let wide = values
+        .iter()
+        .chain([&key.to_owned()])
+        .map(String::len)
+        .max()
+        .unwrap_or(0)
+        .max(18);
     if !json {
-        let heads: String = COLUMNS.iter().map(|(name, width, ..)| format!(" {name:>width$}")).collect();
+        let heads: String = COLUMNS
+            .iter()
+            .map(|(name, width, ..)| format!(" {name:>width$}"))
+            .collect();
         println!("{key:<wide$}{heads} {:>8}", "broken");
     }
     for (value, runs) in runs {
         let mean = |of: fn(&Run) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
         let broken: usize = runs.iter().map(|r| r.broken.len()).sum();
         if json {
-            let mut line =
-                serde_json::json!({ "key": key, "value": value, "seeds": runs.len(), "broken": broken });
+            let mut line = serde_json::json!({ "key": key, "value": value, "seeds": runs.len(), "broken": broken });
             for (name, _, _, of) in COLUMNS {
                 line[name.replace(' ', "_").replace('/', "_per_")] = mean(of).into();
             }
--- a/crates/canvascart/src/lab/capacity.rs
+++ b/crates/canvascart/src/lab/capacity.rs
@@ -4,7 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use ::lab::capacity::{Machine, Needs, Setting, Stop, Sweep, members, module, restarts, servers, tenants};
+use ::lab::capacity::{
+    Machine, Needs, Setting, Stop, Sweep, members, module, restarts, servers, tenants,
+};
 use clap::builder::RangedU64ValueParser;
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
@@ -84,7 +86,9 @@
 
 impl How {
     fn sizes(&self, small: [usize; SIZES], full: [usize; SIZES]) -> Vec<usize> {
-        self.sizes.clone().unwrap_or_else(|| if self.small { small } else { full }.to_vec())
+        self.sizes
+            .clone()
+            .unwrap_or_else(|| if self.small { small } else { full }.to_vec())
     }
 
     /// Sweeps over tenants of one shape, or of both.
@@ -93,39 +97,70 @@
         let shapes = tenants::Shape::ALL.iter().map(|(_, shape)| *shape);
         let of = |shape| sizes.iter().map(|n| tenants::Size::of(shape, *n)).collect();
         let shapes = shapes.filter(|shape| only.is_none_or(|only| only == *shape));
-        shapes.map(|shape| self.tenants_by(tenants::By::Tenants, of(shape))).collect()
+        shapes
+            .map(|shape| self.tenants_by(tenants::By::Tenants, of(shape)))
+            .collect()
     }
 
     /// Sweeps over routes, and over services, with as many tenants at each size.
     fn apart(&self, by: tenants::By) -> Vec<Plan> {
         let (sizes, tenants) = match by {
             tenants::By::Tenants => return self.tenants(Some(tenants::Shape::Shared)),
-            tenants::By::Routes => (self.sizes([50, 100, 200, 400], [700, 1400, 2800, 5300]), [400, 5300]),
-            tenants::By::Services => (self.sizes([5, 10, 20, 40], [85, 170, 340, 680]), [400, 5300]),
+            tenants::By::Routes => (
+                self.sizes([50, 100, 200, 400], [700, 1400, 2800, 5300]),
+                [400, 5300],
+            ),
+            tenants::By::Services => (
+                self.sizes([5, 10, 20, 40], [85, 170, 340, 680]),
+                [400, 5300],
+            ),
         };
         // Each route and each service has a tenant at least.
         let most = sizes.iter().copied().max().unwrap_or(1);
         let tenants = tenants[usize::from(!self.small)].max(most);
-        vec![self.tenants_by(by, sizes.iter().map(|n| tenants::Size::apart(by, *n, tenants)).collect())]
+        vec![
+            self.tenants_by(
+                by,
+                sizes
+                    .iter()
+                    .map(|n| tenants::Size::apart(by, *n, tenants))
+                    .collect(),
+            ),
+        ]
     }
 
     fn tenants_by(&self, by: tenants::By, sizes: Vec<tenants::Size>) -> Plan {
-        let care = if self.small { tenants::Care::SMALL } else { tenants::Care::FULL };
+        let care = if self.small {
+            tenants::Care::SMALL
+        } else {
+            tenants::Care::FULL
+        };
         Plan {
-            needs: sizes.iter().map(tenants::Size::needs).fold(Needs::default(), Needs::or),
-            play: Box::new(move |setting, command| tenants::sweep(by, &sizes, &care, command, setting)),
+            needs: sizes
+                .iter()
+                .map(tenants::Size::needs)
+                .fold(Needs::default(), Needs::or),
+            play: Box::new(move |setting, command| {
+                tenants::sweep(by, &sizes, &care, command, setting)
+            }),
         }
     }
 
     fn servers(&self) -> Vec<Plan> {
         let sizes = self.sizes([100, 200, 400, 800], [1000, 2000, 4000, 12_000]);
-        let care = if self.small { servers::Care::SMALL } else { servers::Care::FULL };
+        let care = if self.small {
+            servers::Care::SMALL
+        } else {
+            servers::Care::FULL
+        };
         let real = |of| {
             let needs = |n: &usize| servers::Size::of(of, *n).needs();
             let sizes = sizes.clone();
             Plan {
                 needs: sizes.iter().map(needs).fold(Needs::default(), Needs::or),
-                play: Box::new(move |setting, command| servers::sweep(of, &sizes, &care, command, setting)),
+                play: Box::new(move |setting, command| {
+                    servers::sweep(of, &sizes, &care, command, setting)
+                }),
             }
         };
         let alone = |dealt| {
@@ -175,7 +210,9 @@
             },
             Plan {
                 needs: Needs::default(),
-                play: Box::new(move |setting, _| members::sweep(&play, &sizes, setting.stop.flag(), |_| ())),
+                play: Box::new(move |setting, _| {
+                    members::sweep(&play, &sizes, setting.stop.flag(), |_| ())
+                }),
             },
         ]
     }
@@ -184,7 +221,9 @@
         let (play, sizes) = self.of_members();
         vec![Plan {
             needs: Needs::default(),
-            play: Box::new(move |setting, _| restarts::sweep(&play, &sizes, setting.stop.flag(), |_| ())),
+            play: Box::new(move |setting, _| {
+                restarts::sweep(&play, &sizes, setting.stop.flag(), |_| ())
+            }),
         }]
     }
 
@@ -199,8 +238,18 @@
                 // Among the small ones the target's shape stands for both, so that all end within five minutes.
                 let shape = self.small.then_some(tenants::Shape::Shared);
                 let apart = [tenants::By::Routes, tenants::By::Services].map(|by| self.apart(by));
-                let apart = apart.into_iter().flatten().filter(|_| !self.small).collect();
-                let all = [self.tenants(shape), apart, self.servers(), self.members(), self.restarts()];
+                let apart = apart
+                    .into_iter()
+                    .flatten()
+                    .filter(|_| !self.small)
+                    .collect();
+                let all = [
+                    self.tenants(shape),
+                    apart,
+                    self.servers(),
+                    self.members(),
+                    self.restarts(),
+                ];
                 all.into_iter().flatten().collect()
             }
         }
@@ -211,18 +260,25 @@
         if let Some(sizes) = &self.sizes {
             if which == Which::All {
                 return Some(
-                    "--sizes: name one sweep, such as tenants: their sizes are not each other's".into(),
+                    "--sizes: name one sweep, such as tenants: their sizes are not each other's"
+                        .into(),
                 );
             }
             let mut different = sizes.clone();
             different.sort_unstable();
             different.dedup();
             if different.len() < SIZES || different != *sizes {
-                return Some(format!("--sizes: {SIZES} at least, each more than the one before it"));
+                return Some(format!(
+                    "--sizes: {SIZES} at least, each more than the one before it"
+                ));
             }
         }
         if let Some(file) = &self.json {
-            if file.is_dir() || !file.parent().is_none_or(|d| d == Path::new("") || d.is_dir()) {
+            if file.is_dir()
+                || !file
+                    .parent()
+                    .is_none_or(|d| d == Path::new("") || d.is_dir())
+            {
                 return Some(format!("--json: {} can't be written", file.display()));
             }
         }
@@ -237,35 +293,52 @@
                 return Some(format!("--sizes: {e}"));
             }
         }
-        let needs = plans.iter().map(|p| p.needs).fold(Needs::default(), Needs::or);
+        let needs = plans
+            .iter()
+            .map(|p| p.needs)
+            .fold(Needs::default(), Needs::or);
         needs.beyond(machine).map(|what| format!("--sizes: {what}"))
     }
 }
 
 /// Stops the sweeps at SIGINT and SIGTERM.
 fn watch_signals(stop: &Stop) -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let (mut interrupt, mut terminate) = {
         let _inside = runtime.enter();
-        (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?)
+        (
+            signal(SignalKind::interrupt())?,
+            signal(SignalKind::terminate())?,
+        )
     };
     let stop = stop.clone();
-    std::thread::Builder::new().name("signals".into()).spawn(move || {
-        runtime.block_on(async {
-            tokio::select! { _ = interrupt.recv() => {} _ = terminate.recv() => {} }
-        });
-        stop.stop();
-    })?;
+    std::thread::Builder::new()
+        .name("signals".into())
+        .spawn(move || {
+            runtime.block_on(async {
+                tokio::select! { _ = interrupt.recv() => {} _ = terminate.recv() => {} }
+            });
+            stop.stop();
+        })?;
     Ok(())
 }
 
 /// Plays the sweeps and tells what came of them.
 pub fn run(arguments: &Arguments) -> Result<u8, String> {
     let (which, how) = (arguments.which.unwrap_or(Which::All), &arguments.how);
-    let words = |text: &str| text.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
+    let words = |text: &str| {
+        text.split_whitespace()
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
+    };
     let setting = Setting {
         own: std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?,
-        service: how.service.as_deref().map_or_else(own, |text| Ok(words(text)))?,
+        service: how
+            .service
+            .as_deref()
+            .map_or_else(own, |text| Ok(words(text)))?,
         beside: how.beside.as_deref().map(words),
         dir: place_for("capacity"),
         stop: Stop::default(),
--- a/crates/canvascart/src/lab/hollow.rs
+++ b/crates/canvascart/src/lab/hollow.rs
@@ -63,7 +63,9 @@
 
 /// Runs hollow members until nothing more comes on standard input.
 pub fn host() -> Result<u8, String> {
-    hollow::host(io::stdin(), io::stdout()).map(|()| 0).map_err(|e| e.to_string())
+    hollow::host(io::stdin(), io::stdout())
+        .map(|()| 0)
+        .map_err(|e| e.to_string())
 }
 
 /// Set once the process is asked to end.
@@ -72,16 +74,20 @@
     let set = stop.clone();
     let wait = move || {
         crate::block_on(async {
-            let (Ok(mut interrupt), Ok(mut terminate)) =
-                (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
-            else {
+            let (Ok(mut interrupt), Ok(mut terminate)) = (
+                signal(SignalKind::interrupt()),
+                signal(SignalKind::terminate()),
+            ) else {
                 return;
             };
             tokio::select! { _ = interrupt.recv() => {}, _ = terminate.recv() => {} }
             set.store(true, Ordering::Relaxed);
         })
     };
-    std::thread::Builder::new().name("signals".into()).spawn(wait).map_err(|e| e.to_string())?;
+    std::thread::Builder::new()
+        .name("signals".into())
+        .spawn(wait)
+        .map_err(|e| e.to_string())?;
     Ok(stop)
 }
 
@@ -98,12 +104,19 @@
         peak: Duration::from_secs(arguments.peak),
         hurt: !arguments.whole,
         side_by_side: false,
-        dir: arguments.dir.clone().unwrap_or_else(|| std::env::temp_dir().join("canvascart-lab")),
+        dir: arguments
+            .dir
+            .clone()
+            .unwrap_or_else(|| std::env::temp_dir().join("canvascart-lab")),
     };
     let stop = stop()?;
     let write = |sweep: &Sweep| {
         let text = serde_json::to_string_pretty(sweep).unwrap_or_default();
-        if let Some(Err(e)) = arguments.out.as_ref().map(|file| std::fs::write(file, text)) {
+        if let Some(Err(e)) = arguments
+            .out
+            .as_ref()
+            .map(|file| std::fs::write(file, text))
+        {
             tracing::error!(error = %e, "the sweep could not be written");
         }
     };
--- a/crates/canvascart/src/lab/hosted.rs
+++ b/crates/canvascart/src/lab/hosted.rs
@@ -15,7 +15,9 @@
 
 /// A directory for a measurement's files.
 pub fn place_for(what: &str) -> PathBuf {
-    std::env::temp_dir().join("canvascart-lab").join(format!("{what}-{}", std::process::id()))
+    std::env::temp_dir()
+        .join("canvascart-lab")
+        .join(format!("{what}-{}", std::process::id()))
 }
 
 /// Kills the hosted service, and tells what was left of it.
@@ -31,13 +33,24 @@
         }
     };
     told.restarts_ms.sort_by(f64::total_cmp);
-    let at = |q: f64| told.restarts_ms.get((q * (told.restarts_ms.len() as f64 - 1.0)) as usize).copied();
+    let at = |q: f64| {
+        told.restarts_ms
+            .get((q * (told.restarts_ms.len() as f64 - 1.0)) as usize)
+            .copied()
+    };
     let [came, there] = told.under_way;
-    println!("{} kills, {} changes acknowledged", told.kills, told.acknowledged);
+    println!(
+        "{} kills, {} changes acknowledged",
+        told.kills, told.acknowledged
+    );
     println!(
         "{came} kills came while a change was under way; {there} of these changes were there afterwards"
     );
-    println!("restart p50 {:.0} ms, p99 {:.0} ms", at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
+    println!(
+        "restart p50 {:.0} ms, p99 {:.0} ms",
+        at(0.5).unwrap_or(0.0),
+        at(0.99).unwrap_or(0.0)
+    );
     println!("mixed or lost versions: {}", told.broken.len());
     told.broken.iter().for_each(|what| println!("  {what}"));
     if told.broken.is_empty() {
@@ -68,15 +81,27 @@
 
 /// Measures the following of lists.
 pub fn followers(
-    sizes: &[usize], removals: usize, stampede: bool, command: &[String],
+    sizes: &[usize],
+    removals: usize,
+    stampede: bool,
+    command: &[String],
 ) -> std::io::Result<u8> {
-    let all = sizes.iter().map(|n| ::lab::followers::size(*n)).collect::<Result<Vec<_>, _>>()?;
+    let all = sizes
+        .iter()
+        .map(|n| ::lab::followers::size(*n))
+        .collect::<Result<Vec<_>, _>>()?;
     print!("{}", ::lab::followers::table(&all));
     if stampede {
         for jitter in [false, true] {
             let (most, came) = ::lab::followers::stampede(jitter)?;
-            let how = if jitter { "with chance" } else { "without chance" };
-            println!("100 followers, waits {how}: at most {most} connections in 100 ms, {came} in 5 s");
+            let how = if jitter {
+                "with chance"
+            } else {
+                "without chance"
+            };
+            println!(
+                "100 followers, waits {how}: at most {most} connections in 100 ms, {came} in 5 s"
+            );
         }
     }
     let dir = place_for("followers");
--- a/crates/canvascart/src/lab/together.rs
+++ b/crates/canvascart/src/lab/together.rs
@@ -33,10 +33,16 @@
 
 /// Changes under faults by chance, each seed in a fleet of its own; tells what came of them.
 pub fn changes(
-    instances: usize, changes: u64, seeds: (u64, u64), at_once: usize, when_cut_off: &str,
+    instances: usize,
+    changes: u64,
+    seeds: (u64, u64),
+    at_once: usize,
+    when_cut_off: &str,
 ) -> Result<u8, String> {
     if !matches!(when_cut_off, "refuse" | "serve") {
-        return Err(format!("--when-cut-off {when_cut_off}: it is refuse or serve"));
+        return Err(format!(
+            "--when-cut-off {when_cut_off}: it is refuse or serve"
+        ));
     }
     let (command, dir) = (own()?, place_for("changes"));
     let cluster = format!("{SHORT}\nwhen-cut-off = \"{when_cut_off}\"");
@@ -66,7 +72,8 @@
                 return failed.store(NOT_RUN, Ordering::Relaxed);
             }
         };
-        let count = |of: fn(&Known) -> bool| played.changes.values().flatten().filter(|k| of(k)).count();
+        let count =
+            |of: fn(&Known) -> bool| played.changes.values().flatten().filter(|k| of(k)).count();
         println!(
             "seed {seed}: {} done, {} given up, {} not known; {} faults, {} decisions, {} broken",
             count(|k| matches!(k, Known::Done(_))),
@@ -83,7 +90,9 @@
             println!("the state is kept in {}", dir.display());
             failed.store(BROKEN, Ordering::Relaxed);
         }
-        all.lock().unwrap_or_else(PoisonError::into_inner).push(played);
+        all.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(played);
     };
     thread::scope(|threads| (0..at_once.clamp(1, 16)).for_each(|_| _ = threads.spawn(one)));
     if failed.load(Ordering::Relaxed) != 0 {
@@ -99,24 +108,45 @@
         })
         .collect();
     ms.sort_by(f64::total_cmp);
-    let at = |q: f64| ms.get((q * ms.len().saturating_sub(1) as f64) as usize).copied().unwrap_or(f64::NAN);
+    let at = |q: f64| {
+        ms.get((q * ms.len().saturating_sub(1) as f64) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
+    };
     let seen = all.iter().flat_map(|p| &p.seen);
-    let sums = seen.fold([0, 0, 0], |[s, r, u], c| [s + c.served, r + c.refused, u + c.unanswered]);
+    let sums = seen.fold([0, 0, 0], |[s, r, u], c| {
+        [s + c.served, r + c.refused, u + c.unanswered]
+    });
     let count = |of: fn(&Known) -> bool| known.clone().filter(|k| of(k)).count();
-    let (given_up, unknown) = (count(|k| *k == Known::GivenUp), count(|k| *k == Known::Unknown));
-    let (faults, decisions) =
-        (all.iter().map(|p| p.faults).sum::<u64>(), all.iter().map(|p| p.decisions).sum::<usize>());
+    let (given_up, unknown) = (
+        count(|k| *k == Known::GivenUp),
+        count(|k| *k == Known::Unknown),
+    );
+    let (faults, decisions) = (
+        all.iter().map(|p| p.faults).sum::<u64>(),
+        all.iter().map(|p| p.decisions).sum::<usize>(),
+    );
     println!(
         "{seeds} seeds: {faults} faults, {decisions} decisions, {given_up} changes given up, {unknown} not known"
     );
-    println!("{} acknowledged, p50 {:.0} ms, p99 {:.0} ms", ms.len(), at(0.5), at(0.99));
-    println!("requests: {} served, {} refused, {} without an answer", sums[0], sums[1], sums[2]);
+    println!(
+        "{} acknowledged, p50 {:.0} ms, p99 {:.0} ms",
+        ms.len(),
+        at(0.5),
+        at(0.99)
+    );
+    println!(
+        "requests: {} served, {} refused, {} without an answer",
+        sums[0], sums[1], sums[2]
+    );
     let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
     Ok(0)
 }
 
 fn tell(row: &Row) {
-    let idle = row.idle.map_or("-".into(), |[l, b]| format!("{l:.1} / {b:.0}"));
+    let idle = row
+        .idle
+        .map_or("-".into(), |[l, b]| format!("{l:.1} / {b:.0}"));
     println!(
         "| {} | {} | {:.1} | {:.1} | {:.1} | {} | {} | {idle} |",
         row.what,
@@ -179,7 +209,9 @@
 /// What a request costs.
 pub fn cost() -> Result<u8, String> {
     let (command, dir) = (own()?, place_for("cost"));
-    println!("| what | requests | p50 us | p99 us | CPU us a request (standard deviation of rounds) |");
+    println!(
+        "| what | requests | p50 us | p99 us | CPU us a request (standard deviation of rounds) |"
+    );
     println!("| --- | --- | --- | --- | --- |");
     match ::lab::service::cost::cost(&command, ROUNDS, &dir) {
         Ok(costs) => {
@@ -230,7 +262,8 @@
             }
         };
         let full = r.full_s.map_or("never".into(), |s| format!("{s:.1}"));
-        let phase = |(name, (middle, most)): (&String, &(u64, u64))| format!("{name} {middle} / {most}");
+        let phase =
+            |(name, (middle, most)): (&String, &(u64, u64))| format!("{name} {middle} / {most}");
         let phases: Vec<String> = r.phases.iter().map(phase).collect();
         println!(
             "| {seed} | {:.0} | {full} | {:.2} | {:.0} / {:.0} | {} / {} | {} | {} | {} |",
--- a/crates/canvascart/src/log.rs
+++ b/crates/canvascart/src/log.rs
@@ -28,10 +28,17 @@
 impl Arguments {
     /// From here on what is logged is written.
     pub fn start(&self) -> Result<(), String> {
-        let usual = if stderr().is_terminal() { "warn" } else { "info" };
+        let usual = if stderr().is_terminal() {
+            "warn"
+        } else {
+            "info"
+        };
         let filter = self.log.as_deref().unwrap_or(usual);
         let filter = EnvFilter::try_new(filter).map_err(|e| format!("--log {filter}: {e}"))?;
-        let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(stderr).with_ansi(false);
+        let lines = tracing_subscriber::fmt()
+            .with_env_filter(filter)
+            .with_writer(stderr)
+            .with_ansi(false);
         match self.log_format {
             Format::Human => lines.init(),
             Format::Json => lines.json().flatten_event(true).init(),
--- a/crates/canvascart/src/main.rs
+++ b/crates/canvascart/src/main.rs
@@ -78,15 +78,19 @@
 impl Properties {
     fn read(&self) -> Result<Features, String> {
         let read = |file: &Path| Features::read(file).map_err(|e| e.to_string());
-        self.properties.as_deref().map_or_else(|| Ok(Features::default()), read)
+        self.properties
+            .as_deref()
+            .map_or_else(|| Ok(Features::default()), read)
     }
 }
 
 /// Runs a future to its end on a runtime of its own. What it leaves behind, such as the look-up of a name, does
 /// not outlast it.
 fn block_on<F: Future>(future: F) -> Result<F::Output, String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     let output = runtime.block_on(future);
     runtime.shutdown_background();
     Ok(output)
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -6,8 +6,8 @@
 use ::capture::{Head, News, Record, Server, Tried};
 use settings::{Names, index_of, number_of};
 use wharfhitch::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Millis, Outcome, RequestId,
-    TenantId, ZoneId,
+    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Millis, Outcome,
+    RequestId, TenantId, ZoneId,
 };
 
 /// Between two requests: they come alone, so that none waits for another.
@@ -45,7 +45,8 @@
 impl Replay {
     pub fn new(head: &Head, given: Option<&str>) -> Result<Self, String> {
         let given = given.ok_or("the capture's settings are missing")?;
-        let given = serde_json::from_str(given).map_err(|e| format!("the capture's settings: {e}"))?;
+        let given =
+            serde_json::from_str(given).map_err(|e| format!("the capture's settings: {e}"))?;
         let (settings, names) = settings::parse(&given);
         if settings.me >= settings.proxies {
             return Err("the capture's settings: the proxy's number is off".into());
@@ -65,7 +66,13 @@
     pub fn news(&mut self, news: &News, servers: &[Server]) {
         self.pass(news.at, &mut Course::default());
         let entries = servers.iter().map(|s| self.backend(s)).collect();
-        self.handle(Event::List { scope: news.scope, entries }, &mut Course::default());
+        self.handle(
+            Event::List {
+                scope: news.scope,
+                entries,
+            },
+            &mut Course::default(),
+        );
     }
 
     fn backend(&mut self, server: &Server) -> Backend {
@@ -76,8 +83,14 @@
         let born = server.born.is_finite() && server.born > 0.0;
         Backend {
             id,
-            zone: server.site.as_ref().map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32)),
-            kind: server.class.as_ref().map(|k| KindId(index_of(&mut self.names.kinds, k) as u32)),
+            zone: server
+                .site
+                .as_ref()
+                .map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32)),
+            kind: server
+                .class
+                .as_ref()
+                .map(|k| KindId(index_of(&mut self.names.kinds, k) as u32)),
             cell: server.block.map(CellId),
             state: server.state,
             rating: server.share.unwrap_or(1.0),
@@ -89,7 +102,10 @@
     pub fn decide<'a>(&mut self, then: &'a Record, tried: &[Tried]) -> Result<Record<'a>, String> {
         let class = self.names.classes.iter().position(|c| *c == then.class);
         let class = class.ok_or_else(|| format!("the settings know no class '{}'", then.class))?;
-        let tenant = then.tenant.as_ref().and_then(|t| self.names.tenants.iter().position(|n| n == t));
+        let tenant = then
+            .tenant
+            .as_ref()
+            .and_then(|t| self.names.tenants.iter().position(|n| n == t));
         self.pass(self.now + STEP, &mut Course::default());
         self.requests += 1;
         let id = RequestId(self.requests);
@@ -111,14 +127,31 @@
         if course.tried.last().is_some_and(|t| t.end.is_none()) {
             let attempt = (course.tried.len() - 1) as u32;
             let (outcome, latency) = (Outcome::TimedOut, budget);
-            let late = Event::Ended { request: id, attempt, latency, outcome, closed: true };
+            let late = Event::Ended {
+                request: id,
+                attempt,
+                latency,
+                outcome,
+                closed: true,
+            };
             self.handle(late, &mut Course::default());
         }
-        Ok(Record { code, tried: Some(course.tried), ..then.clone() })
+        Ok(Record {
+            code,
+            tried: Some(course.tried),
+            ..then.clone()
+        })
     }
 
     /// Lets the request's attempts end until it has its answer.
-    fn run(&mut self, id: RequestId, end: Millis, then: &Record, tried: &[Tried], course: &mut Course) {
+    fn run(
+        &mut self,
+        id: RequestId,
+        end: Millis,
+        then: &Record,
+        tried: &[Tried],
+        course: &mut Course,
+    ) {
         let latency = LATENCY.min(LATENCY_PART * (end - self.now));
         while course.code.is_none() {
             let out = course.tried.last().is_some_and(|t| t.end.is_none());
@@ -135,7 +168,13 @@
                 let closed = outcome == Outcome::Served;
                 course.code = closed.then_some(SERVED);
                 let request = id;
-                let ended = Event::Ended { request, attempt: attempt as u32, latency, outcome, closed };
+                let ended = Event::Ended {
+                    request,
+                    attempt: attempt as u32,
+                    latency,
+                    outcome,
+                    closed,
+                };
                 self.handle(ended, course);
             } else if left {
                 course.code = Some(GONE);
@@ -157,7 +196,9 @@
     /// Lets time pass, with the timers that fall due.
     fn pass(&mut self, until: Millis, course: &mut Course) {
         while let Some(at) = self.next().filter(|at| *at <= until) {
-            let Some(Reverse((_, token))) = self.due.pop() else { break };
+            let Some(Reverse((_, token))) = self.due.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.handle(Event::Timer(token), course);
         }
@@ -170,13 +211,21 @@
         for action in actions {
             match action {
                 Action::Send { backend, .. } => {
-                    let name =
-                        self.servers.iter().find(|(id, _)| *id == backend).map(|(_, name)| name.clone());
-                    course.tried.push(Tried { server: name.unwrap_or_default().into(), end: None });
+                    let name = self
+                        .servers
+                        .iter()
+                        .find(|(id, _)| *id == backend)
+                        .map(|(_, name)| name.clone());
+                    course.tried.push(Tried {
+                        server: name.unwrap_or_default().into(),
+                        end: None,
+                    });
                 }
                 Action::Refuse { .. } => course.code = course.code.or(Some(REFUSED)),
                 Action::Fail(_) => course.code = course.code.or(Some(FAILED)),
-                Action::Timer { token, at } => self.due.push(Reverse(((at * 1000.0).ceil() as u64, token))),
+                Action::Timer { token, at } => {
+                    self.due.push(Reverse(((at * 1000.0).ceil() as u64, token)))
+                }
                 Action::Broadcast(_) | Action::Subscribe | Action::FetchList => {} // nobody is there
             }
         }
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -71,7 +71,10 @@
         Config::Schema => check::form()?.schema().clone(),
         Config::Openapi => ::admin::operations::openapi(),
     };
-    println!("{}", serde_json::to_string_pretty(&document).map_err(|e| e.to_string())?);
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&document).map_err(|e| e.to_string())?
+    );
     Ok(0)
 }
 
@@ -83,22 +86,37 @@
     if let Some(instances) = arguments.instances {
         return demo::among(usize::from(instances));
     }
-    let demo = if arguments.demo { Some(Demo::new().map_err(|e| format!("--demo: {e}"))?) } else { None };
+    let demo = if arguments.demo {
+        Some(Demo::new().map_err(|e| format!("--demo: {e}"))?)
+    } else {
+        None
+    };
     let service = match (&demo, &arguments.config) {
         (Some(demo), _) => demo.service()?,
         (None, Some(file)) => read(file)?,
         (None, None) => return Err("give --config FILE, or --demo".into()),
     };
     if let (true, Some(file)) = (arguments.check, &arguments.config) {
-        let (tenants, servers) =
-            (service.tenants.len(), service.tenants.iter().map(|t| t.servers.len()).sum::<usize>());
+        let (tenants, servers) = (
+            service.tenants.len(),
+            service
+                .tenants
+                .iter()
+                .map(|t| t.servers.len())
+                .sum::<usize>(),
+        );
         let listeners = service.listeners.len();
-        println!("{}: good: {listeners} listeners, {tenants} tenants, {servers} servers", file.display());
+        println!(
+            "{}: good: {listeners} listeners, {tenants} tenants, {servers} servers",
+            file.display()
+        );
         return Ok(0);
     }
     engine::service::log_as("canvascart");
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     let outcome = LocalSet::new().block_on(&runtime, serve(service, arguments, demo.as_ref()));
     runtime.shutdown_background();
     Ok(outcome.unwrap_or_else(|e| {
@@ -142,10 +160,19 @@
         hup: on(SignalKind::hangup())?,
     };
     let right = service.cluster.as_ref().map(|_| Arc::new(Right::default()));
-    let gate = service.cluster.as_ref().zip(right.clone()).map(|(c, right)| cluster::gate(c, right));
+    let gate = service
+        .cluster
+        .as_ref()
+        .zip(right.clone())
+        .map(|(c, right)| cluster::gate(c, right));
     let plane = Plane::behind(&service.process, lists(), gate);
     let mut administration = match &service.state {
-        Some(_) => Some(administer(&plane, &service, arguments.read_only_state, right)?),
+        Some(_) => Some(administer(
+            &plane,
+            &service,
+            arguments.read_only_state,
+            right,
+        )?),
         None => {
             plane.apply(&service)?;
             None
@@ -172,7 +199,13 @@
         }
     }
     tracing::info!("ends: what was taken is answered");
-    if let Some(Administration { api, mut orders, member, .. }) = administration {
+    if let Some(Administration {
+        api,
+        mut orders,
+        member,
+        ..
+    }) = administration
+    {
         if let Some(member) = member {
             end_among(&plane, &mut orders, &member).await;
         }
@@ -185,7 +218,13 @@
     plane.drain().await;
     let residency = plane.residency();
     let (wakes, rests, refused) = (residency.wakes, residency.rests, residency.refused);
-    tracing::info!(tenants = residency.tenants, wakes, rests, refused, "residency at the end");
+    tracing::info!(
+        tenants = residency.tenants,
+        wakes,
+        rests,
+        refused,
+        "residency at the end"
+    );
     for tenant in plane.status(MOST_TOLD) {
         let (name, ms, refused) = (&tenant.name, tenant.loop_ms.round(), tenant.refused);
         tracing::info!(tenant = name, loop_ms = ms, ?refused, "ended");
@@ -198,7 +237,11 @@
 
 /// Ends an instance of a cluster: what was taken is answered, under whatever version takes hold meanwhile; then it holds
 /// nothing that a change would wait for.
-async fn end_among(plane: &Plane, orders: &mut UnboundedReceiver<Order>, member: &UnboundedSender<Said>) {
+async fn end_among(
+    plane: &Plane,
+    orders: &mut UnboundedReceiver<Order>,
+    member: &UnboundedSender<Said>,
+) {
     let drained = plane.drain();
     tokio::pin!(drained);
     loop {
@@ -228,9 +271,24 @@
                 None
             }
         });
-        let etcd = etcd::Settings { user, ..etcd::Settings::new(settings.etcd.clone()) };
-        let follow = etcd::follow(etcd::Plain, etcd, tenant.name.clone(), keys, limits, seed, to);
-        match thread.get_or_init(|| lists_thread().map_err(|e| tracing::error!(error = %e, "lists")).ok()) {
+        let etcd = etcd::Settings {
+            user,
+            ..etcd::Settings::new(settings.etcd.clone())
+        };
+        let follow = etcd::follow(
+            etcd::Plain,
+            etcd,
+            tenant.name.clone(),
+            keys,
+            limits,
+            seed,
+            to,
+        );
+        match thread.get_or_init(|| {
+            lists_thread()
+                .map_err(|e| tracing::error!(error = %e, "lists"))
+                .ok()
+        }) {
             Some(handle) => drop(handle.spawn(follow)),
             None => tracing::error!(tenant = tenant.name, "its list can't be followed"),
         }
@@ -240,21 +298,31 @@
 
 fn lists_thread() -> std::io::Result<Handle> {
     let (tell, told) = std::sync::mpsc::channel();
-    std::thread::Builder::new().name("lists".into()).spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let _ = tell.send(
-            runtime.as_ref().map(|r| r.handle().clone()).map_err(|e| std::io::Error::other(e.to_string())),
-        );
-        if let Ok(runtime) = runtime {
-            runtime.block_on(std::future::pending::<()>());
-        }
-    })?;
+    std::thread::Builder::new()
+        .name("lists".into())
+        .spawn(move || {
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
+            let _ = tell.send(
+                runtime
+                    .as_ref()
+                    .map(|r| r.handle().clone())
+                    .map_err(|e| std::io::Error::other(e.to_string())),
+            );
+            if let Ok(runtime) = runtime {
+                runtime.block_on(std::future::pending::<()>());
+            }
+        })?;
     told.recv().map_err(std::io::Error::other)?
 }
 
 /// Opens the state, serves what it says, and starts the administration API on a thread of its own; in a cluster, the member too.
 fn administer(
-    plane: &Rc<Plane>, file: &Service, read_only: bool, right: Option<Arc<Right>>,
+    plane: &Rc<Plane>,
+    file: &Service,
+    read_only: bool,
+    right: Option<Arc<Right>>,
 ) -> Result<Administration, String> {
     let (began, now_ms) = (Instant::now(), unix_ms());
     let desk = Desk::open(file, read_only, now_ms)?;
@@ -269,8 +337,14 @@
     tracing::info!(version, tenants, "the state is in effect");
     let (said, hears) = unbounded_channel();
     let member = right.as_ref().map(|_| said.clone());
-    let start = file.cluster.as_ref().map(|c| Starting::new(began, cluster::start(c)));
-    let together = member.clone().zip(start).map(|(said, start)| Together::new(said, file.clone(), start));
+    let start = file
+        .cluster
+        .as_ref()
+        .map(|c| Starting::new(began, cluster::start(c)));
+    let together = member
+        .clone()
+        .zip(start)
+        .map(|(said, start)| Together::new(said, file.clone(), start));
     let (api, orders) = Api::among(desk, together);
     let told = match (&file.cluster, right) {
         (Some(_), Some(right)) => Some(cluster::join(file, &api, hears, right)?),
@@ -292,7 +366,9 @@
     if listener.is_some() || told.is_some() {
         let served = api.clone();
         let run = move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
             runtime.block_on(async {
                 let follows = told.map(|told| {
                     tokio::spawn(served.clone().begin());
@@ -310,14 +386,25 @@
                 tracing::error!(error = %e, "the administration API has ended");
             }
         };
-        std::thread::Builder::new().name("admin".into()).spawn(run).map_err(|e| e.to_string())?;
+        std::thread::Builder::new()
+            .name("admin".into())
+            .spawn(run)
+            .map_err(|e| e.to_string())?;
     }
-    Ok(Administration { api, orders, address: listens, member })
+    Ok(Administration {
+        api,
+        orders,
+        address: listens,
+        member,
+    })
 }
 
 /// Unix time.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// Reads the file anew and goes over to what it says; where there is durable state, to its listeners alone.
@@ -326,7 +413,10 @@
         Ok(next) => next,
         Err(e) => {
             for line in e.lines() {
-                tracing::error!(error = line, "the new configuration is of no use, and nothing has changed");
+                tracing::error!(
+                    error = line,
+                    "the new configuration is of no use, and nothing has changed"
+                );
             }
             return;
         }
@@ -361,7 +451,10 @@
     match done {
         Ok(plan) if plan.is_empty() => tracing::info!("the configuration is the same"),
         Ok(plan) => tell(&plan),
-        Err(e) => tracing::error!(error = e, "the new configuration can't be had, and nothing has changed"),
+        Err(e) => tracing::error!(
+            error = e,
+            "the new configuration can't be had, and nothing has changed"
+        ),
     }
 }
 
@@ -377,5 +470,10 @@
         tracing::info!(tenant = name, pool, servers, limits, "tenant changed");
     }
     let (opened, closed) = (plan.opened.len(), plan.closed.len());
-    tracing::info!(opened, closed, routes = plan.routes, "the new configuration is in effect");
+    tracing::info!(
+        opened,
+        closed,
+        routes = plan.routes,
+        "the new configuration is in effect"
+    );
 }
--- a/crates/canvascart/src/state.rs
+++ b/crates/canvascart/src/state.rs
@@ -10,8 +10,7 @@
 /// The store is not there, damaged, open elsewhere, or another program's.
 const OF_NO_USE: u8 = 3;
 
-const CODES: &str =
-    "Exit codes: 0 done, 2 wrong usage, 3 the store is of no use: the message says why and what to do.";
+const CODES: &str = "Exit codes: 0 done, 2 wrong usage, 3 the store is of no use: the message says why and what to do.";
 
 #[derive(clap::Subcommand)]
 #[command(after_help = CODES)]
@@ -110,13 +109,19 @@
 
 fn token(directory: &Path) -> Result<(), StoreError> {
     let (mut store, state) = Store::open_existing(directory, Keep::default())?;
-    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let (id, whole, token) =
-        ::admin::operator("canvascart store token", now_ms).map_err(|p| StoreError::Database(p.detail))?;
+    let now_ms = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64;
+    let (id, whole, token) = ::admin::operator("canvascart store token", now_ms)
+        .map_err(|p| StoreError::Database(p.detail))?;
     store.commit(&Write {
         base: state.entry,
         at_ms: now_ms,
-        by: Author { id: "store".into(), name: "canvascart store".into() },
+        by: Author {
+            id: "store".into(),
+            name: "canvascart store".into(),
+        },
         action: "token.add".into(),
         subject: None,
         detail: Some(format!("token {id}")),
--- a/crates/canvascart/tests/client.rs
+++ b/crates/canvascart/tests/client.rs
@@ -11,7 +11,10 @@
 
 /// A stub that gives these answers in turn, the last one for ever.
 fn stub(answers: &[&str]) -> Backend {
-    let answers: Vec<Deed> = answers.iter().map(|a| Deed::Write((*a).to_owned())).collect();
+    let answers: Vec<Deed> = answers
+        .iter()
+        .map(|a| Deed::Write((*a).to_owned()))
+        .collect();
     with(answers)
 }
 
@@ -24,7 +27,11 @@
     let file = config_file(properties);
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart"));
     command.arg("client").arg("--properties").arg(&file);
-    let run = command.args(["--tenant", "biblio-estrie", "--sid", "7f3a"]).args(arguments).output().unwrap();
+    let run = command
+        .args(["--tenant", "biblio-estrie", "--sid", "7f3a"])
+        .args(arguments)
+        .output()
+        .unwrap();
     let _ = std::fs::remove_file(&file);
     run
 }
@@ -45,28 +52,64 @@
     let began = Instant::now();
     let run = client(&target(stub.address), &["checkout", "--body", "a book"]);
     let took = began.elapsed();
-    assert_eq!((run.status.code(), text(&run.stdout)), (Some(0), "borrowed".into()), "{}", text(&run.stderr));
-    assert!(took >= Duration::from_millis(500), "the wait is honoured: {took:?}");
+    assert_eq!(
+        (run.status.code(), text(&run.stdout)),
+        (Some(0), "borrowed".into()),
+        "{}",
+        text(&run.stderr)
+    );
+    assert!(
+        took >= Duration::from_millis(500),
+        "the wait is honoured: {took:?}"
+    );
     let seen = stub.seen();
-    let [first, second] = &seen[..] else { panic!("{} tries", seen.len()) };
+    let [first, second] = &seen[..] else {
+        panic!("{} tries", seen.len())
+    };
     for message in [first, second] {
         assert_eq!(message.first, "POST /checkout?sid=7f3a HTTP/1.1");
         assert_eq!(
             (message.header("x-tenant-id"), message.text().as_str()),
             (Some("biblio-estrie"), "a book")
         );
-        assert_eq!(message.header("host"), Some(stub.address.to_string().as_str()));
+        assert_eq!(
+            message.header("host"),
+            Some(stub.address.to_string().as_str())
+        );
     }
     assert_ne!(first.id(), second.id());
-    assert_eq!((first.header("x-retried"), second.header("x-retried")), (None, Some("1")));
+    assert_eq!(
+        (first.header("x-retried"), second.header("x-retried")),
+        (None, Some("1"))
+    );
     let left = |m: &Message| m.header("x-timeout").unwrap().parse::<f64>().unwrap();
     assert!(left(first) <= 2.0 && left(first) > 1.0, "{}", left(first));
-    assert!(left(second) <= left(first) - 0.5, "{} after {}", left(second), left(first));
-    let decimals = first.header("x-timeout").unwrap().split_once('.').map(|(_, d)| d.len());
+    assert!(
+        left(second) <= left(first) - 0.5,
+        "{} after {}",
+        left(second),
+        left(first)
+    );
+    let decimals = first
+        .header("x-timeout")
+        .unwrap()
+        .split_once('.')
+        .map(|(_, d)| d.len());
     assert_eq!(decimals, Some(3));
-    let mut names: Vec<String> = second.headers.iter().map(|(n, _)| n.to_lowercase()).collect();
+    let mut names: Vec<String> = second
+        .headers
+        .iter()
+        .map(|(n, _)| n.to_lowercase())
+        .collect();
     names.sort();
-    let wanted = ["content-length", "host", "x-request-id", "x-retried", "x-tenant-id", "x-timeout"];
+    let wanted = [
+        "content-length",
+        "host",
+        "x-request-id",
+        "x-retried",
+        "x-tenant-id",
+        "x-timeout",
+    ];
     assert_eq!(names, wanted, "a checkout has no further header");
 }
 
@@ -83,9 +126,17 @@
     ] {
         let stub = with(vec![deed, Deed::Write(ok("twice"))]);
         let run = client(&target(stub.address), &["checkout"]);
-        assert_eq!((run.status.code(), stub.seen().len()), (Some(1), 1), "{}", text(&run.stderr));
+        assert_eq!(
+            (run.status.code(), stub.seen().len()),
+            (Some(1), 1),
+            "{}",
+            text(&run.stderr)
+        );
     }
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let run = client(&target(nobody), &["checkout"]);
     let log = text(&run.stderr);
     assert_eq!(run.status.code(), Some(1), "{log}");
@@ -99,33 +150,59 @@
         Deed::Write(empty("502 Bad")),
         Deed::Write(ok(&"x".repeat(64 << 10))),
     ]);
-    let run = client(&(target(stub.address) + "client.mark_retries = false"), &["lookup"]);
+    let run = client(
+        &(target(stub.address) + "client.mark_retries = false"),
+        &["lookup"],
+    );
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
     assert_eq!(run.stdout.len(), 64 << 10);
     let seen = stub.seen();
     assert_eq!(seen.len(), 3);
     assert!(
-        seen.iter().all(|m| m.first == "GET /lookup?sid=7f3a HTTP/1.1" && m.header("x-retried").is_none())
+        seen.iter()
+            .all(|m| m.first == "GET /lookup?sid=7f3a HTTP/1.1" && m.header("x-retried").is_none())
     );
 }
 
 #[test]
 fn tries_and_the_deadline_bound_a_call() {
     let refused = stub(&[&empty("429 Slow")]);
-    let run = client(&(target(refused.address) + "client.max_tries = 2"), &["checkout"]);
-    assert_eq!((run.status.code(), refused.seen().len()), (Some(3), 2), "{}", text(&run.stderr));
+    let run = client(
+        &(target(refused.address) + "client.max_tries = 2"),
+        &["checkout"],
+    );
+    assert_eq!(
+        (run.status.code(), refused.seen().len()),
+        (Some(3), 2),
+        "{}",
+        text(&run.stderr)
+    );
     // A wait past the deadline is not waited for.
     let later = stub(&["HTTP/1.1 503 Busy\r\nRetry-After: 20\r\nContent-Length: 0\r\n\r\n"]);
     let began = Instant::now();
-    let run = client(&(target(later.address) + "client.deadline.checkout = 15000"), &["checkout"]);
-    assert_eq!((run.status.code(), later.seen().len()), (Some(3), 1), "{}", text(&run.stderr));
-    assert!(began.elapsed() < Duration::from_secs(14), "it gave up at once");
+    let run = client(
+        &(target(later.address) + "client.deadline.checkout = 15000"),
+        &["checkout"],
+    );
+    assert_eq!(
+        (run.status.code(), later.seen().len()),
+        (Some(3), 1),
+        "{}",
+        text(&run.stderr)
+    );
+    assert!(
+        began.elapsed() < Duration::from_secs(14),
+        "it gave up at once"
+    );
     // Silence ends with the deadline, and so does a connection that never comes up.
     let gate = Gate::default();
     let silent = with(vec![Deed::Hold(gate.clone(), ok("late"))]);
     let (full, _fill) = full_listener();
     for address in [silent.address, full.local_addr().unwrap()] {
-        let run = client(&(target(address) + "client.deadline.lookup = 200 ms"), &["lookup"]);
+        let run = client(
+            &(target(address) + "client.deadline.lookup = 200 ms"),
+            &["lookup"],
+        );
         assert_eq!(run.status.code(), Some(4), "{}", text(&run.stderr));
     }
     gate.open();
@@ -137,25 +214,52 @@
     let good = target(stub.address);
     for (properties, arguments, word) in [
         ("", &["lookup"][..], "--target"),
-        ("client.max_trys = 3", &["lookup"], ":1: client.max_trys: no such key"),
+        (
+            "client.max_trys = 3",
+            &["lookup"],
+            ":1: client.max_trys: no such key",
+        ),
         (&good, &["renewal"], "renewal"),
         (&good, &["lookup", "--body", "x"], "a lookup has no body"),
         (&good, &["lookup", "--target", "nowhere"], "HOST:PORT"),
     ] {
         let run = client(properties, arguments);
         let log = text(&run.stderr);
-        assert!(run.status.code() == Some(2) && log.contains(word), "{word}: {log}");
+        assert!(
+            run.status.code() == Some(2) && log.contains(word),
+            "{word}: {log}"
+        );
     }
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
-        .args(["client", "lookup", "--target", &stub.address.to_string(), "--tenant", "a", "--sid", "a b"])
+        .args([
+            "client",
+            "lookup",
+            "--target",
+            &stub.address.to_string(),
+            "--tenant",
+            "a",
+            "--sid",
+            "a b",
+        ])
         .output()
         .unwrap();
-    assert!(run.status.code() == Some(2) && text(&run.stderr).contains("sid"), "{}", text(&run.stderr));
+    assert!(
+        run.status.code() == Some(2) && text(&run.stderr).contains("sid"),
+        "{}",
+        text(&run.stderr)
+    );
     assert!(stub.seen().is_empty());
 }
 
 #[test]
 fn help_names_the_exit_codes() {
-    let run = Command::new(env!("CARGO_BIN_EXE_canvascart")).args(["client", "--help"]).output().unwrap();
-    assert!(run.status.success() && text(&run.stdout).contains("3 refused"), "{}", text(&run.stdout));
+    let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
+        .args(["client", "--help"])
+        .output()
+        .unwrap();
+    assert!(
+        run.status.success() && text(&run.stdout).contains("3 refused"),
+        "{}",
+        text(&run.stdout)
+    );
 }
--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -19,17 +19,32 @@
     for (i, n) in (0..5).zip(2001..) {
         let (status, body) = set(&fleet, i, n, "");
         assert_eq!(status, 200, "{body}");
-        assert!((0..5).all(|other| limit(&fleet, other) == n), "after change at {i}");
+        assert!(
+            (0..5).all(|other| limit(&fleet, other) == n),
+            "after change at {i}"
+        );
     }
-    let (first, again) =
-        (set(&fleet, 1, 3000, "Idempotency-Key: k\r\n"), set(&fleet, 2, 3000, "Idempotency-Key: k\r\n"));
-    assert_eq!(first, again, "the same call at another instance is the same call");
+    let (first, again) = (
+        set(&fleet, 1, 3000, "Idempotency-Key: k\r\n"),
+        set(&fleet, 2, 3000, "Idempotency-Key: k\r\n"),
+    );
+    assert_eq!(
+        first, again,
+        "the same call at another instance is the same call"
+    );
     let status = fleet.status(3).unwrap();
     let members = status["leader"]["members"].as_array().unwrap();
     assert_eq!(members.len(), 5);
     // One of another zone gets its vote before the one that it replaces loses it.
-    fleet.wait("three that vote", |f| voters(f).len() == 3).unwrap();
-    assert!(members.iter().all(|m| m["version"] == status["leader"]["version"]), "{status}");
+    fleet
+        .wait("three that vote", |f| voters(f).len() == 3)
+        .unwrap();
+    assert!(
+        members
+            .iter()
+            .all(|m| m["version"] == status["leader"]["version"]),
+        "{status}"
+    );
 }
 
 #[test]
@@ -42,8 +57,16 @@
     let began = Instant::now();
     let (status, body) = set(&fleet, leader, 2001, "");
     assert_eq!(status, 200, "{body}");
-    assert!(began.elapsed() > Duration::from_millis(500), "its lease ran: {:?}", began.elapsed());
-    assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() > Duration::from_millis(500),
+        "its lease ran: {:?}",
+        began.elapsed()
+    );
+    assert!(
+        began.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        began.elapsed()
+    );
     fleet.link(leader, still, Mode::Hold);
     fleet.pause(still, false);
     assert!(!fleet.is_up(still), "its lease has run out");
@@ -59,14 +82,27 @@
     let old = Ledger::default();
     let (first, second) = (server(&old).unwrap(), server(&Ledger::default()).unwrap());
     for (name, at) in [("old", first), ("new", second)] {
-        let body = json!({ "name": name, "address": at.to_string(), "size": 8, "warm": true }).to_string();
+        let body =
+            json!({ "name": name, "address": at.to_string(), "size": 8, "warm": true }).to_string();
         let target = format!("/v1/tenants/a/servers/{name}");
-        let (status, said) = fleet.line(0).unwrap().call("PUT", &target, "If-Match: *\r\n", &body).unwrap();
+        let (status, said) = fleet
+            .line(0)
+            .unwrap()
+            .call("PUT", &target, "If-Match: *\r\n", &body)
+            .unwrap();
         let (status, said) = match status {
-            412 => fleet.line(0).unwrap().call("PUT", &target, "", &body).unwrap(),
+            412 => fleet
+                .line(0)
+                .unwrap()
+                .call("PUT", &target, "", &body)
+                .unwrap(),
             _ => (status, said),
         };
-        assert!((200..300).contains(&status), "{status}: {}", String::from_utf8_lossy(&said));
+        assert!(
+            (200..300).contains(&status),
+            "{status}: {}",
+            String::from_utf8_lossy(&said)
+        );
     }
     let leader = fleet.leader().unwrap();
     let still = (0..5).find(|i| *i != leader).unwrap();
@@ -82,16 +118,30 @@
     let mut line = fleet.line(leader).unwrap();
     let (asked, told) = (now(), std::time::Instant::now());
     let drains = std::thread::spawn(move || {
-        let called = line.call("POST", "/v1/tenants/a/servers/old/drain", "If-Match: *\r\n", "").unwrap();
+        let called = line
+            .call(
+                "POST",
+                "/v1/tenants/a/servers/old/drain",
+                "If-Match: *\r\n",
+                "",
+            )
+            .unwrap();
         (called, told.elapsed())
     });
     std::thread::sleep(Duration::from_millis(250));
     asks(&fleet);
-    let late: Vec<_> = old.sorted().into_iter().filter(|d| d.at > asked + 250_000).collect();
+    let late: Vec<_> = old
+        .sorted()
+        .into_iter()
+        .filter(|d| d.at > asked + 250_000)
+        .collect();
     assert!(late.is_empty(), "{late:?}");
     let ((status, said), took) = drains.join().unwrap();
     assert_eq!(status, 200, "{}", String::from_utf8_lossy(&said));
-    assert!(took > Duration::from_millis(500), "the change waited for a lease: {took:?}");
+    assert!(
+        took > Duration::from_millis(500),
+        "the change waited for a lease: {took:?}"
+    );
     fleet.pause(still, false);
 }
 
@@ -106,7 +156,13 @@
     let mut line = fleet.line(others[1]).unwrap();
     let asked = std::thread::spawn(move || {
         let body = json!({ "in-flight": 2001 }).to_string();
-        line.call("PUT", "/v1/tenants/a/limits", "If-Match: *\r\nIdempotency-Key: once\r\n", &body).unwrap()
+        line.call(
+            "PUT",
+            "/v1/tenants/a/limits",
+            "If-Match: *\r\nIdempotency-Key: once\r\n",
+            &body,
+        )
+        .unwrap()
     });
     std::thread::sleep(Duration::from_millis(300));
     fleet.kill(leader);
@@ -115,17 +171,28 @@
     assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
     assert!(others.iter().all(|i| limit(&fleet, *i) == 2001));
     let (status, again) = set(&fleet, others[2], 2001, "Idempotency-Key: once\r\n");
-    assert_eq!((status, serde_json::from_slice::<Value>(&body).unwrap()), (200, again));
+    assert_eq!(
+        (status, serde_json::from_slice::<Value>(&body).unwrap()),
+        (200, again)
+    );
     fleet.start(leader).unwrap();
     fleet.ready().unwrap();
-    let versions = fleet.line(leader).unwrap().json("GET", "/v1/versions", "", &Value::Null).unwrap();
+    let versions = fleet
+        .line(leader)
+        .unwrap()
+        .json("GET", "/v1/versions", "", &Value::Null)
+        .unwrap();
     assert_eq!(versions["items"].as_array().unwrap().len(), 2, "{versions}");
 }
 
 #[test]
 fn a_call_waits_for_a_change_that_a_former_leader_began() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, &SOON.replace("2 s", "4 s").replace("8 s", "16 s"));
+    let mut fleet = fleet(
+        &directory,
+        5,
+        &SOON.replace("2 s", "4 s").replace("8 s", "16 s"),
+    );
     let leader = fleet.leader().unwrap();
     let votes = voters(&fleet);
     let mut others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
@@ -133,14 +200,30 @@
     fleet.isolate(others[0], Mode::Hold);
     let mut line = fleet.line(others[1]).unwrap();
     let first = std::thread::spawn(move || {
-        line.call("PUT", "/v1/tenants/a/limits", "If-Match: *\r\n", "{ \"in-flight\": 2001 }").unwrap().0
+        line.call(
+            "PUT",
+            "/v1/tenants/a/limits",
+            "If-Match: *\r\n",
+            "{ \"in-flight\": 2001 }",
+        )
+        .unwrap()
+        .0
     });
-    let under_way = |f: &Fleet| f.status(others[2]).is_ok_and(|s| !s["leader"]["change"].is_null());
+    let under_way = |f: &Fleet| {
+        f.status(others[2])
+            .is_ok_and(|s| !s["leader"]["change"].is_null())
+    };
     fleet.wait("the change", under_way).unwrap();
     fleet.kill(leader);
     let led = |f: &Fleet| f.status(others[2]).unwrap()["leader"]["name"].is_string();
-    fleet.wait("another leads", |f| led(f) && under_way(f)).unwrap();
-    assert_eq!(set(&fleet, others[2], 2002, "").0, 200, "it was not turned down for the other");
+    fleet
+        .wait("another leads", |f| led(f) && under_way(f))
+        .unwrap();
+    assert_eq!(
+        set(&fleet, others[2], 2002, "").0,
+        200,
+        "it was not turned down for the other"
+    );
     assert_eq!(first.join().unwrap(), 200);
     assert!(others[1..].iter().all(|i| limit(&fleet, *i) == 2002));
     fleet.isolate(others[0], Mode::Pass);
@@ -157,21 +240,38 @@
     fleet.isolate(first, Mode::Cut);
     let mut line = fleet.line(first).unwrap();
     let asked = std::thread::spawn(move || {
-        line.call("PUT", "/v1/tenants/a/limits", "If-Match: *\r\n", "{ \"in-flight\": 2001 }").unwrap()
+        line.call(
+            "PUT",
+            "/v1/tenants/a/limits",
+            "If-Match: *\r\n",
+            "{ \"in-flight\": 2001 }",
+        )
+        .unwrap()
     });
     fleet
         .wait("another leads", |f| {
-            let leads = f.status(other).ok().and_then(|s| s["leader"]["name"].as_str().map(str::to_owned));
+            let leads = f
+                .status(other)
+                .ok()
+                .and_then(|s| s["leader"]["name"].as_str().map(str::to_owned));
             leads.is_some_and(|name| name != f.name(first))
         })
         .unwrap();
     fleet.isolate(first, Mode::Pass);
     let (status, said) = asked.join().unwrap();
-    assert_eq!(status, 200, "the call was passed on: {}", String::from_utf8_lossy(&said));
+    assert_eq!(
+        status,
+        200,
+        "the call was passed on: {}",
+        String::from_utf8_lossy(&said)
+    );
     let body = json!({ "to": fleet.name(first) }).to_string();
     fleet
         .wait("it leads again", |f| {
-            let _ = f.line(other).unwrap().call("POST", "/v1/cluster/step-down", "", &body); // until it has caught up
+            let _ = f
+                .line(other)
+                .unwrap()
+                .call("POST", "/v1/cluster/step-down", "", &body); // until it has caught up
             f.leader() == Some(first)
         })
         .unwrap();
@@ -186,7 +286,8 @@
     let leader = fleet.leader().unwrap();
     let votes = voters(&fleet);
     // The one that leads stands alone with those that have no vote.
-    let (few, most): (Vec<usize>, Vec<usize>) = (0..5).partition(|i| *i == leader || !votes.contains(i));
+    let (few, most): (Vec<usize>, Vec<usize>) =
+        (0..5).partition(|i| *i == leader || !votes.contains(i));
     let links = |mode| {
         for (a, b) in few.iter().flat_map(|a| most.iter().map(move |b| (*a, *b))) {
             fleet.link(a, b, mode);
@@ -196,16 +297,40 @@
     links(Mode::Cut);
     let mut line = fleet.line(leader).unwrap();
     let asked = std::thread::spawn(move || {
-        line.call("PUT", "/v1/tenants/a/limits", "If-Match: *\r\n", "{ \"in-flight\": 2001 }").unwrap()
+        line.call(
+            "PUT",
+            "/v1/tenants/a/limits",
+            "If-Match: *\r\n",
+            "{ \"in-flight\": 2001 }",
+        )
+        .unwrap()
     });
-    assert_eq!(set(&fleet, most[0], 2002, "").0, 200, "most of those who vote go on");
-    fleet.wait("leases' ends", |f| few.iter().all(|i| !f.is_up(*i))).unwrap();
+    assert_eq!(
+        set(&fleet, most[0], 2002, "").0,
+        200,
+        "most of those who vote go on"
+    );
+    fleet
+        .wait("leases' ends", |f| few.iter().all(|i| !f.is_up(*i)))
+        .unwrap();
     links(Mode::Pass);
     fleet.ready().unwrap();
     let (status, said) = asked.join().unwrap();
-    assert_eq!(status, 200, "it was asked for again at the other: {}", String::from_utf8_lossy(&said));
-    assert!((0..5).all(|i| limit(&fleet, i) == 2001), "and so came after");
-    let versions = fleet.line(few[0]).unwrap().json("GET", "/v1/versions", "", &Value::Null).unwrap();
+    assert_eq!(
+        status,
+        200,
+        "it was asked for again at the other: {}",
+        String::from_utf8_lossy(&said)
+    );
+    assert!(
+        (0..5).all(|i| limit(&fleet, i) == 2001),
+        "and so came after"
+    );
+    let versions = fleet
+        .line(few[0])
+        .unwrap()
+        .json("GET", "/v1/versions", "", &Value::Null)
+        .unwrap();
     assert_eq!(versions["items"].as_array().unwrap().len(), 3, "{versions}");
 }
 
@@ -217,13 +342,27 @@
     let lags = (0..5).find(|i| *i != leader).unwrap();
     fleet.isolate(lags, Mode::Cut);
     // Its own listeners change meanwhile.
-    let (text, before) = (std::fs::read_to_string(fleet.config(lags)).unwrap(), fleet.public(lags));
+    let (text, before) = (
+        std::fs::read_to_string(fleet.config(lags)).unwrap(),
+        fleet.public(lags),
+    );
     let more = "[[listener]]\nname = \"more\"\naddress = \"127.0.0.1:0\"\ntenant-by = \"header\"\n";
-    std::fs::write(fleet.config(lags), text.replacen("[[listener]]", &format!("{more}[[listener]]"), 1))
-        .unwrap();
+    std::fs::write(
+        fleet.config(lags),
+        text.replacen("[[listener]]", &format!("{more}[[listener]]"), 1),
+    )
+    .unwrap();
     let id = fleet.id(lags).unwrap().to_string();
-    assert!(Command::new("kill").args(["-s", "HUP", &id]).status().unwrap().success());
-    fleet.wait("the other listener", |f| f.public(lags) != before).unwrap();
+    assert!(
+        Command::new("kill")
+            .args(["-s", "HUP", &id])
+            .status()
+            .unwrap()
+            .success()
+    );
+    fleet
+        .wait("the other listener", |f| f.public(lags) != before)
+        .unwrap();
     for n in 2001..2041 {
         assert_eq!(set(&fleet, leader, n, "").0, 200);
     }
@@ -232,7 +371,11 @@
     assert_eq!(limit(&fleet, lags), 2040);
     let log = fleet.log(lags);
     assert!(log.contains("goes on from a snapshot of the log"), "{log}");
-    let figures = fleet.line(lags).unwrap().call("GET", "/v1/figures", "", "").unwrap();
+    let figures = fleet
+        .line(lags)
+        .unwrap()
+        .call("GET", "/v1/figures", "", "")
+        .unwrap();
     let figures = String::from_utf8(figures.1).unwrap();
     assert!(
         figures.contains("canvascart_cluster_decides 1") && figures.contains("tenant=\"a\""),
@@ -270,9 +413,15 @@
     let leader = fleet.leader().unwrap();
     fleet.fail(leader, "agreed-form=return(2)").unwrap();
     let (status, body) = set(&fleet, leader, 2001, "");
-    assert_eq!((status, body["type"].as_str()), (409, Some("/problems/given-up")), "{body}");
+    assert_eq!(
+        (status, body["type"].as_str()),
+        (409, Some("/problems/given-up")),
+        "{body}"
+    );
     let detail = body["detail"].as_str().unwrap();
-    let older = (0..5).find(|i| *i != leader && detail.contains(fleet.name(*i))).unwrap();
+    let older = (0..5)
+        .find(|i| *i != leader && detail.contains(fleet.name(*i)))
+        .unwrap();
     assert!(
         detail.contains("its form is 2, and it knows 1") && !detail.contains(fleet.name(leader)),
         "{detail}"
@@ -331,7 +480,12 @@
 fn the_judge_sees_an_instance_that_ignores_its_lease_or_tells_too_early_that_it_has_closed() {
     // It gives its right back with the first report after its lease, and that is a part of looking at it.
     assert!(judged("lease-ignored=return\nright-kept=return", true) > 0);
-    assert!(judged("closed-too-early=return\nclosed-late=sleep(400)\nright-kept=return", false) > 0);
+    assert!(
+        judged(
+            "closed-too-early=return\nclosed-late=sleep(400)\nright-kept=return",
+            false
+        ) > 0
+    );
     assert_eq!((judged("", true), judged("", false)), (0, 0));
 }
 
@@ -343,8 +497,15 @@
     let cut = (0..5).find(|i| *i != leader).unwrap();
     fleet.isolate(cut, Mode::Cut);
     let (status, body) = set(&fleet, leader, 2001, "");
-    assert_eq!((status, body["type"].as_str()), (409, Some("/problems/given-up")), "{body}");
-    assert!(body["detail"].as_str().unwrap().contains(fleet.name(cut)), "{body}");
+    assert_eq!(
+        (status, body["type"].as_str()),
+        (409, Some("/problems/given-up")),
+        "{body}"
+    );
+    assert!(
+        body["detail"].as_str().unwrap().contains(fleet.name(cut)),
+        "{body}"
+    );
     assert!(fleet.is_up(cut), "it serves on");
     fleet.isolate(cut, Mode::Pass);
     let (status, body) = set(&fleet, cut, 2001, "");
@@ -361,7 +522,10 @@
     let id = |fleet: &Fleet| {
         let status = fleet.status(leader).unwrap();
         let members = status["leader"]["members"].as_array().unwrap().clone();
-        members.iter().find(|m| m["name"] == fleet.name(lost)).and_then(|m| m["id"].as_u64())
+        members
+            .iter()
+            .find(|m| m["name"] == fleet.name(lost))
+            .and_then(|m| m["id"].as_u64())
     };
     let before = id(&fleet).unwrap();
     fleet.kill(lost);
@@ -369,11 +533,18 @@
     fleet.start(lost).unwrap();
     fleet.ready().unwrap();
     assert_eq!(limit(&fleet, lost), 2001);
-    assert!(id(&fleet).unwrap() > before, "it never votes with a forgotten vote");
+    assert!(
+        id(&fleet).unwrap() > before,
+        "it never votes with a forgotten vote"
+    );
 
     let target = format!("/v1/cluster/members/{}", fleet.name(lost));
     fleet.isolate(lost, Mode::Cut);
-    let (status, _) = fleet.line(leader).unwrap().call("DELETE", &target, "", "").unwrap();
+    let (status, _) = fleet
+        .line(leader)
+        .unwrap()
+        .call("DELETE", &target, "", "")
+        .unwrap();
     assert_eq!(status, 200);
     assert_eq!(id(&fleet), None);
     fleet.isolate(lost, Mode::Pass);
@@ -409,7 +580,11 @@
     };
     let played = play(&terms, |_| ()).unwrap();
     assert_eq!(played.broken, Vec::<String>::new());
-    let done = played.changes.values().filter(|k| matches!(k, Some(Known::Done(_)))).count();
+    let done = played
+        .changes
+        .values()
+        .filter(|k| matches!(k, Some(Known::Done(_))))
+        .count();
     assert!(
         done >= 4 && played.decisions > 1000,
         "{done} of {:?}, {} decisions",
@@ -419,7 +594,10 @@
     terms.changes = 3;
     terms.planted = Planted::LateDecisions;
     let played = play(&terms, |_| ()).unwrap();
-    assert!(played.broken.iter().any(|b| b.contains("after")), "{played:?}");
+    assert!(
+        played.broken.iter().any(|b| b.contains("after")),
+        "{played:?}"
+    );
     assert!(judge(&[]).is_empty());
 }
 
@@ -429,38 +607,68 @@
     let directory = Directory::new();
     let fleet = fleet(&directory, 1, SOON);
     let own = fleet.status(0).unwrap();
-    let links = own["leader"]["members"][0]["address"].as_str().unwrap().to_owned();
-    for bytes in [vec![b'x'; 200], b"GET / HTTP/1.1\r\n\r\n".repeat(9), vec![0; 64]] {
+    let links = own["leader"]["members"][0]["address"]
+        .as_str()
+        .unwrap()
+        .to_owned();
+    for bytes in [
+        vec![b'x'; 200],
+        b"GET / HTTP/1.1\r\n\r\n".repeat(9),
+        vec![0; 64],
+    ] {
         let mut peer = std::net::TcpStream::connect(&links).unwrap();
         peer.write_all(&bytes).unwrap();
-        peer.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        peer.set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         let mut answer = Vec::new();
         let _ = peer.read_to_end(&mut answer); // a reset is an end as well
         assert!(answer.is_empty());
     }
-    fleet.wait("the counts", |f| f.status(0).unwrap()["here"]["messages"][3] == 3).unwrap();
+    fleet
+        .wait("the counts", |f| {
+            f.status(0).unwrap()["here"]["messages"][3] == 3
+        })
+        .unwrap();
 
     let text = std::fs::read_to_string(fleet.config(0)).unwrap();
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     for (bad, says) in [
-        (text.replace("lease = \"2 s\"", "lease = \"9 s\""), "cluster.deadline"),
-        (text.replace("change-lease = \"1500 ms\"", "change-lease = \"3 s\""), "cluster.change-lease"),
+        (
+            text.replace("lease = \"2 s\"", "lease = \"9 s\""),
+            "cluster.deadline",
+        ),
+        (
+            text.replace("change-lease = \"1500 ms\"", "change-lease = \"3 s\""),
+            "cluster.change-lease",
+        ),
         (text.replace("zone = \"z0\"", "zone = 4"), "cluster.zone"),
         (text.replace("[state]\n", "[state]\nnothing = 1\n"), "state"),
-        (text.replace("instance = \"i00\"", "instance = \"I\""), "cluster.instance"),
+        (
+            text.replace("instance = \"i00\"", "instance = \"I\""),
+            "cluster.instance",
+        ),
     ] {
         let file = directory.0.join("bad.toml");
         std::fs::write(&file, bad).unwrap();
-        let ran =
-            Command::new(&command()[0]).args(["serve", "--check", "--config"]).arg(&file).output().unwrap();
+        let ran = Command::new(&command()[0])
+            .args(["serve", "--check", "--config"])
+            .arg(&file)
+            .output()
+            .unwrap();
         let said = String::from_utf8_lossy(&ran.stderr).into_owned();
         assert_eq!(ran.status.code(), Some(2), "{said}");
-        assert!(said.contains(says) && said.contains("bad.toml:"), "{says}: {said}");
+        assert!(
+            said.contains(says) && said.contains("bad.toml:"),
+            "{says}: {said}"
+        );
     }
     let short = directory.0.join("short.key");
     std::fs::write(&short, "short").unwrap();
     let key = text.lines().find(|l| l.starts_with("key-file")).unwrap();
-    let links = text.replace(key, &format!("key-file = {:?}", short.display().to_string()));
+    let links = text.replace(
+        key,
+        &format!("key-file = {:?}", short.display().to_string()),
+    );
     let port = text.replacen(
         "address = \"127.0.0.1:0\"\nzone",
         &format!("address = \"{}\"\nzone", taken.local_addr().unwrap()),
@@ -471,7 +679,11 @@
         let file = directory.0.join("bad.toml");
         let own = format!("{:?}", fleet.state(0).display().to_string());
         std::fs::write(&file, bad.replace(&own, &state)).unwrap();
-        let ran = Command::new(&command()[0]).args(["serve", "--config"]).arg(&file).output().unwrap();
+        let ran = Command::new(&command()[0])
+            .args(["serve", "--config"])
+            .arg(&file)
+            .output()
+            .unwrap();
         let said = String::from_utf8_lossy(&ran.stderr).into_owned();
         assert_eq!(ran.status.code(), Some(3), "{said}");
         assert!(said.contains(says), "{says}: {said}");
--- a/crates/canvascart/tests/compatibility.rs
+++ b/crates/canvascart/tests/compatibility.rs
@@ -21,7 +21,9 @@
 const KEY: &str = "0123456789abcdef";
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/compatibility")
+        .join(name)
 }
 
 fn read(name: &str) -> String {
@@ -29,7 +31,10 @@
 }
 
 fn canvascart(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_canvascart")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_canvascart"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn stdout(arguments: &[&str]) -> String {
@@ -44,7 +49,8 @@
 
 impl Directory {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("canvascart-before-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("canvascart-before-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Directory(path)
     }
@@ -54,7 +60,11 @@
         let directory = Directory::new(name);
         for (stored, file) in files {
             let bytes = std::fs::read(fixture(stored)).unwrap();
-            let bytes = if stored.ends_with(".sparse") { expanded(&bytes) } else { bytes };
+            let bytes = if stored.ends_with(".sparse") {
+                expanded(&bytes)
+            } else {
+                bytes
+            };
             std::fs::write(directory.0.join(file), bytes).unwrap();
         }
         directory
@@ -85,8 +95,10 @@
     file
 }
 
-const STORE: [(&str, &str); 2] =
-    [("store-state.sparse", "state.redb"), ("store-last-good.snapshot", "last-good.snapshot")];
+const STORE: [(&str, &str); 2] = [
+    ("store-state.sparse", "state.redb"),
+    ("store-last-good.snapshot", "last-good.snapshot"),
+];
 const MEMBER: [(&str, &str); 4] = [
     ("member-state.sparse", "state.redb"),
     ("member-log.sparse", "cluster.redb"),
@@ -95,12 +107,17 @@
 ];
 
 fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// FNV-1a over 64 bits.
 fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 #[test]
@@ -108,12 +125,23 @@
     let mut played = String::new();
     for scenario in SCENARIOS {
         for seed in SEEDS {
-            let run = canvascart(&["lab", "sim", scenario, "--seed", &seed.to_string(), "--json"]);
+            let run = canvascart(&[
+                "lab",
+                "sim",
+                scenario,
+                "--seed",
+                &seed.to_string(),
+                "--json",
+            ]);
             let code = run.status.code().unwrap();
             played += &format!("{scenario} {seed} {code} {:016x}\n", hash(&run.stdout));
         }
     }
-    assert_eq!(played, read("lab-sim.txt"), "simulated runs differ; these were played:\n{played}");
+    assert_eq!(
+        played,
+        read("lab-sim.txt"),
+        "simulated runs differ; these were played:\n{played}"
+    );
 }
 
 /// Whatever a help page says, its commands and options without their descriptions.
@@ -134,8 +162,15 @@
             options.insert(named.to_owned());
         }
     }
-    let usage = help.lines().find(|line| line.starts_with("Usage:")).unwrap_or("");
-    found.push(format!("{} | {usage} | {}", path.join(" "), Vec::from_iter(options).join(", ")));
+    let usage = help
+        .lines()
+        .find(|line| line.starts_with("Usage:"))
+        .unwrap_or("");
+    found.push(format!(
+        "{} | {usage} | {}",
+        path.join(" "),
+        Vec::from_iter(options).join(", ")
+    ));
     for command in commands.iter().filter(|c| *c != "help") {
         surface(&[path, &[command.as_str()]].concat(), found);
     }
@@ -146,7 +181,11 @@
     let mut found = Vec::new();
     surface(&[], &mut found);
     let found = found.join("\n") + "\n";
-    assert_eq!(found, read("command-line.txt"), "the command line differs; it is now:\n{found}");
+    assert_eq!(
+        found,
+        read("command-line.txt"),
+        "the command line differs; it is now:\n{found}"
+    );
 }
 
 /// A document without what it tells people.
@@ -155,8 +194,11 @@
         Value::Object(map) => {
             let told = |key: &str| matches!(key, "description" | "summary");
             // A property may be called `description` itself: then it holds an object.
-            let kept = map.iter().filter(|(key, value)| !(told(key) && value.is_string()));
-            kept.map(|(key, value)| (key.clone(), without_descriptions(value))).collect()
+            let kept = map
+                .iter()
+                .filter(|(key, value)| !(told(key) && value.is_string()));
+            kept.map(|(key, value)| (key.clone(), without_descriptions(value)))
+                .collect()
         }
         Value::Array(all) => all.iter().map(without_descriptions).collect(),
         other => other.clone(),
@@ -168,7 +210,11 @@
     for (name, command) in [("openapi.json", "openapi"), ("serve.schema.json", "schema")] {
         let before: Value = serde_json::from_str(&read(name)).unwrap();
         let now: Value = serde_json::from_str(&stdout(&["config", command])).unwrap();
-        assert_eq!(without_descriptions(&now), without_descriptions(&before), "{name}");
+        assert_eq!(
+            without_descriptions(&now),
+            without_descriptions(&before),
+            "{name}"
+        );
         let properties = read(name).matches('"').count();
         assert!(properties > 500, "{name} holds next to nothing");
     }
@@ -176,7 +222,14 @@
 
 fn exported(directory: &Directory) -> String {
     let file = directory.0.join("export.jsonl");
-    stdout(&["store", "export", "--state", directory.path(), "-o", file.to_str().unwrap()]);
+    stdout(&[
+        "store",
+        "export",
+        "--state",
+        directory.path(),
+        "-o",
+        file.to_str().unwrap(),
+    ]);
     std::fs::read_to_string(file).unwrap()
 }
 
@@ -184,10 +237,22 @@
 fn a_store_of_the_version_before_is_checked_and_exported_as_by_it() {
     let directory = Directory::state("store", &STORE);
     let told = stdout(&["store", "check", "--state", directory.path()]);
-    assert_eq!(told, format!("{}: good: version 3, 1 documents, 2 tokens\n", directory.path()));
+    assert_eq!(
+        told,
+        format!(
+            "{}: good: version 3, 1 documents, 2 tokens\n",
+            directory.path()
+        )
+    );
     assert_eq!(exported(&directory), read("store.export.jsonl"));
     let copy = Directory::new("copy");
-    stdout(&["store", "import", "--state", copy.path(), fixture("store.export.jsonl").to_str().unwrap()]);
+    stdout(&[
+        "store",
+        "import",
+        "--state",
+        copy.path(),
+        fixture("store.export.jsonl").to_str().unwrap(),
+    ]);
     assert_eq!(exported(&copy), read("store.export.jsonl"));
 }
 
@@ -204,7 +269,10 @@
     let run = canvascart(&["store", "check", "--state", directory.path()]);
     let told = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
     assert_eq!(run.status.code(), Some(3), "{told}");
-    assert!(told.contains("the store is damaged") && told.contains("canvascart store import"), "{told}");
+    assert!(
+        told.contains("the store is damaged") && told.contains("canvascart store import"),
+        "{told}"
+    );
     let missing = canvascart(&["store", "check", "--state", "/no/such/directory"]);
     assert_eq!(missing.status.code(), Some(3));
 }
@@ -221,7 +289,11 @@
         let key = Directory::new(&format!("{name}-key"));
         let file = key.0.join("cluster.key");
         std::fs::write(&file, KEY).unwrap();
-        Command::new("chmod").arg("600").arg(&file).status().unwrap();
+        Command::new("chmod")
+            .arg("600")
+            .arg(&file)
+            .status()
+            .unwrap();
         let (admin, public, links) = (free_address(), free_address(), free_address());
         let text = format!(
             "[state]\ndirectory = {:?}\n[admin]\naddress = \"{admin}\"\n\
@@ -242,13 +314,21 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let member = Member { child, admin, _key: key };
-        wait_for("the version in effect", || member.get("/v1/tenants/north/limits").0 == 200);
+        let member = Member {
+            child,
+            admin,
+            _key: key,
+        };
+        wait_for("the version in effect", || {
+            member.get("/v1/tenants/north/limits").0 == 200
+        });
         member
     }
 
     fn get(&self, path: &str) -> (u16, String) {
-        let Ok(mut stream) = TcpStream::connect(self.admin) else { return (0, String::new()) };
+        let Ok(mut stream) = TcpStream::connect(self.admin) else {
+            return (0, String::new());
+        };
         let token = read("operator.token");
         let head = format!(
             "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\n\r\n",
@@ -256,10 +336,17 @@
         );
         let mut answer = String::new();
         let asked = stream.write_all(head.as_bytes());
-        if asked.and_then(|()| stream.read_to_string(&mut answer)).is_err() {
+        if asked
+            .and_then(|()| stream.read_to_string(&mut answer))
+            .is_err()
+        {
             return (0, String::new());
         }
-        let status = answer.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0);
+        let status = answer
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .unwrap_or(0);
         let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         (status, body.to_owned())
     }
@@ -277,8 +364,10 @@
     let name = |line: &str| {
         let (name, _) = line.rsplit_once(' ')?;
         let (name, labels) = name.split_once('{').unwrap_or((name, ""));
-        let labels: Vec<&str> =
-            labels.split(',').filter_map(|l| l.split_once('=').map(|(key, _)| key)).collect();
+        let labels: Vec<&str> = labels
+            .split(',')
+            .filter_map(|l| l.split_once('=').map(|(key, _)| key))
+            .collect();
         Some(format!("{name}{{{}}}", labels.join(",")))
     };
     let lines = figures.lines().filter(|line| !line.starts_with('#'));
@@ -293,13 +382,26 @@
     let limits: Value = serde_json::from_str(&member.get("/v1/tenants/north/limits").1).unwrap();
     assert_eq!(limits["in-flight"], 600, "{limits}");
     let servers = member.get("/v1/tenants/north/servers").1;
-    assert!(servers.contains("\"n1\"") && servers.contains("draining"), "{servers}");
+    assert!(
+        servers.contains("\"n1\"") && servers.contains("draining"),
+        "{servers}"
+    );
     let versions = member.get("/v1/versions").1;
-    assert!(versions.contains("server.drain") && versions.contains("the first start"), "{versions}");
+    assert!(
+        versions.contains("server.drain") && versions.contains("the first start"),
+        "{versions}"
+    );
     let status = member.get("/v1/cluster").1;
-    assert!(status.contains("5201b60ab4fcffcb7df9c238d1f3e875"), "{status}");
+    assert!(
+        status.contains("5201b60ab4fcffcb7df9c238d1f3e875"),
+        "{status}"
+    );
     let figures = names(&member.get("/v1/figures").1);
-    assert_eq!(figures, read("figures.txt"), "names of figures differ; they are now:\n{figures}");
+    assert_eq!(
+        figures,
+        read("figures.txt"),
+        "names of figures differ; they are now:\n{figures}"
+    );
 }
 
 #[test]
@@ -307,8 +409,20 @@
     let directory = Directory::new("restored");
     let (config, _, _key) = Member::configuration(&directory, "restored");
     let backup = fixture("member.backup");
-    stdout(&["cluster", "restore", "--config", &config, "--backup", backup.to_str().unwrap(), "--yes"]);
-    std::fs::copy(fixture("operator.token"), directory.0.join("operator.token")).unwrap();
+    stdout(&[
+        "cluster",
+        "restore",
+        "--config",
+        &config,
+        "--backup",
+        backup.to_str().unwrap(),
+        "--yes",
+    ]);
+    std::fs::copy(
+        fixture("operator.token"),
+        directory.0.join("operator.token"),
+    )
+    .unwrap();
     let member = Member::start(&directory, "restored-member");
     let limits: Value = serde_json::from_str(&member.get("/v1/tenants/north/limits").1).unwrap();
     assert_eq!(limits["in-flight"], 600, "{limits}");
@@ -316,7 +430,19 @@
 
 #[test]
 fn a_capture_of_the_version_before_is_replayed() {
-    let run = canvascart(&["capture", "replay", fixture("capture.log").to_str().unwrap()]);
-    assert_eq!(run.status.code(), Some(0), "{}", String::from_utf8_lossy(&run.stderr));
-    assert_eq!(String::from_utf8_lossy(&run.stdout), read("capture.replayed.txt"));
+    let run = canvascart(&[
+        "capture",
+        "replay",
+        fixture("capture.log").to_str().unwrap(),
+    ]);
+    assert_eq!(
+        run.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&run.stderr)
+    );
+    assert_eq!(
+        String::from_utf8_lossy(&run.stdout),
+        read("capture.replayed.txt")
+    );
 }
--- a/crates/canvascart/tests/drills.rs
+++ b/crates/canvascart/tests/drills.rs
@@ -12,7 +12,10 @@
 const ON: &str = "drills.secret = opensesame\ndrills.port = 0\n";
 
 fn setup(properties: &str) -> Setup {
-    Setup { properties: Some(properties.into()), ..Setup::default() }
+    Setup {
+        properties: Some(properties.into()),
+        ..Setup::default()
+    }
 }
 
 /// A proxy with these settings and one backend, up.
@@ -28,7 +31,9 @@
     let mut address = None;
     wait_for("the side port", || {
         let log = proxy.log.lock().unwrap();
-        address = log.lines().find_map(|l| l.strip_prefix("sandgap: drills on ")?.parse().ok());
+        address = log
+            .lines()
+            .find_map(|l| l.strip_prefix("sandgap: drills on ")?.parse().ok());
         address.is_some()
     });
     address.expect("just seen")
@@ -36,7 +41,12 @@
 
 fn drill(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart"));
-    command.arg("drill").args(arguments).env_remove("NODE_LISTEN").output().unwrap()
+    command
+        .arg("drill")
+        .args(arguments)
+        .env_remove("NODE_LISTEN")
+        .output()
+        .unwrap()
 }
 
 /// Starts or stops a drill at a proxy; returns the exit code and what was said.
@@ -45,7 +55,10 @@
     let (verb, rest) = arguments.split_first().expect("a verb");
     let run = drill(&[&[*verb, "--secret", secret, "--at", &port], rest].concat());
     let said = [run.stdout, run.stderr].concat();
-    (run.status.code(), String::from_utf8_lossy(&said).into_owned())
+    (
+        run.status.code(),
+        String::from_utf8_lossy(&said).into_owned(),
+    )
 }
 
 fn count(log: &str, word: &str) -> usize {
@@ -56,33 +69,60 @@
 fn a_share_of_one_class_is_aborted_and_the_module_sees_every_request() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, ON);
-    let start = ["start", "--class", "page", "--abort", "--share", "10%", "--for", "120s"];
+    let start = [
+        "start", "--class", "page", "--abort", "--share", "10%", "--for", "120s",
+    ];
     let said = at(&proxy, "opensesame", &start);
-    assert_eq!(said, (Some(0), "drill=page-abort on 10% for 120 s\n".into()));
+    assert_eq!(
+        said,
+        (Some(0), "drill=page-abort on 10% for 120 s\n".into())
+    );
     let mut client = Client::new(&proxy);
     let mut codes = Vec::new();
     for n in 0..1000 {
-        codes.push(client.ask(&page(&format!("r-{n}"))).expect("an answer").status());
+        codes.push(
+            client
+                .ask(&page(&format!("r-{n}")))
+                .expect("an answer")
+                .status(),
+        );
         if n % 10 == 0 {
             let other = client.ask(&submit(&format!("r-other-{n}"), "5", "x"));
-            assert_eq!(other.expect("an answer").status(), 200, "the other class is left alone");
+            assert_eq!(
+                other.expect("an answer").status(),
+                200,
+                "the other class is left alone"
+            );
         }
     }
     assert_eq!(codes.iter().filter(|c| **c == 500).count(), 100);
     assert_eq!(codes.iter().filter(|c| **c == 200).count(), 900);
     assert_eq!(backend.seen().len(), 1100, "each request was sent once");
-    wait_for("a line for each", || count(&proxy.log.lock().unwrap(), "drill=page-abort id=r-") == 100);
+    wait_for("a line for each", || {
+        count(&proxy.log.lock().unwrap(), "drill=page-abort id=r-") == 100
+    });
     let affected = codes.iter().position(|c| *c == 500).expect("a hundred");
-    assert!(proxy.log.lock().unwrap().contains(&format!("sandgap: drill=page-abort id=r-{affected}\n")));
+    assert!(
+        proxy
+            .log
+            .lock()
+            .unwrap()
+            .contains(&format!("sandgap: drill=page-abort id=r-{affected}\n"))
+    );
 }
 
 #[test]
 fn a_share_is_delayed_until_the_drill_is_stopped() {
     let backend = Backend::new(Deed::Write(ok("whole")));
     let (_discovery, proxy) = proxy(&backend, ON);
-    let start = ["start", "--class", "page", "--delay", "20ms", "--share", "20%", "--for", "120s"];
+    let start = [
+        "start", "--class", "page", "--delay", "20ms", "--share", "20%", "--for", "120s",
+    ];
     let said = at(&proxy, "opensesame", &start);
-    assert_eq!(said, (Some(0), "drill=page-delay-20ms on 20% for 120 s\n".into()));
+    assert_eq!(
+        said,
+        (Some(0), "drill=page-delay-20ms on 20% for 120 s\n".into())
+    );
     let mut client = Client::new(&proxy);
     let mut took = Vec::new();
     for n in 0..1000 {
@@ -91,18 +131,36 @@
         assert_eq!((answer.status(), answer.text().as_str()), (200, "whole"));
         took.push(began.elapsed());
     }
-    wait_for("a line for each", || count(&proxy.log.lock().unwrap(), "drill=page-delay-20ms id=r-") == 200);
+    wait_for("a line for each", || {
+        count(&proxy.log.lock().unwrap(), "drill=page-delay-20ms id=r-") == 200
+    });
     let log = proxy.log.lock().unwrap().clone();
-    for line in log.lines().filter_map(|l| l.strip_prefix("sandgap: drill=page-delay-20ms id=r-")) {
+    for line in log
+        .lines()
+        .filter_map(|l| l.strip_prefix("sandgap: drill=page-delay-20ms id=r-"))
+    {
         let n: usize = line.parse().expect("a number");
-        assert!(took[n] >= Duration::from_millis(20), "request {n}: {:?}", took[n]);
+        assert!(
+            took[n] >= Duration::from_millis(20),
+            "request {n}: {:?}",
+            took[n]
+        );
     }
     let said = at(&proxy, "opensesame", &["stop", "--class", "page"]);
     assert_eq!(said, (Some(0), "drill=page-delay-20ms stopped\n".into()));
     for n in 0..50 {
-        assert_eq!(client.ask(&page(&format!("r-after-{n}"))).expect("an answer").status(), 200);
+        assert_eq!(
+            client
+                .ask(&page(&format!("r-after-{n}")))
+                .expect("an answer")
+                .status(),
+            200
+        );
     }
-    assert_eq!(at(&proxy, "opensesame", &["stop"]), (Some(0), "no drill runs\n".into()));
+    assert_eq!(
+        at(&proxy, "opensesame", &["stop"]),
+        (Some(0), "no drill runs\n".into())
+    );
     assert_eq!(count(&proxy.log.lock().unwrap(), "id=r-after"), 0);
 }
 
@@ -110,37 +168,74 @@
 fn a_span_over_the_limit_is_cut_to_it_and_the_drill_ends_by_itself() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, &format!("{ON}drills.max_seconds = 1\n"));
-    let start = ["start", "--class", "page", "--abort", "--share", "100%", "--for", "1h"];
+    let start = [
+        "start", "--class", "page", "--abort", "--share", "100%", "--for", "1h",
+    ];
     let began = Instant::now();
     let said = at(&proxy, "opensesame", &start);
-    assert_eq!(said, (Some(0), "drill=page-abort on 100% for 1 s, cut to the limit\n".into()));
+    assert_eq!(
+        said,
+        (
+            Some(0),
+            "drill=page-abort on 100% for 1 s, cut to the limit\n".into()
+        )
+    );
     let mut client = Client::new(&proxy);
     let mut n = 0;
     wait_for("its end", || {
         n += 1;
-        client.ask(&page(&format!("r-{n}"))).expect("an answer").status() == 200
+        client
+            .ask(&page(&format!("r-{n}")))
+            .expect("an answer")
+            .status()
+            == 200
     });
     assert!(began.elapsed() >= Duration::from_secs(1));
-    wait_for("a word", || proxy.log.lock().unwrap().contains("drill=page-abort has ended"));
+    wait_for("a word", || {
+        proxy
+            .log
+            .lock()
+            .unwrap()
+            .contains("drill=page-abort has ended")
+    });
 }
 
 #[test]
 fn a_wrong_secret_and_bad_values_are_refused_and_logged_without_the_secret() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, mut proxy) = proxy(&backend, ON);
-    let start = ["start", "--class", "page", "--abort", "--share", "100%", "--for", "1h"];
+    let start = [
+        "start", "--class", "page", "--abort", "--share", "100%", "--for", "1h",
+    ];
     let (code, said) = at(&proxy, "opensesamy", &start);
-    assert!(code == Some(1) && said.contains("the secret is wrong"), "{said}");
-    wait_for("a line", || proxy.log.lock().unwrap().contains("drills: a wrong secret from 127.0.0.1:"));
-    for (n, value, word) in
-        [(2, "renewal", "no class 'renewal'"), (5, "200%", "'share'"), (7, "ever", "'for'")]
-    {
+    assert!(
+        code == Some(1) && said.contains("the secret is wrong"),
+        "{said}"
+    );
+    wait_for("a line", || {
+        proxy
+            .log
+            .lock()
+            .unwrap()
+            .contains("drills: a wrong secret from 127.0.0.1:")
+    });
+    for (n, value, word) in [
+        (2, "renewal", "no class 'renewal'"),
+        (5, "200%", "'share'"),
+        (7, "ever", "'for'"),
+    ] {
         let mut bad = start;
         bad[n] = value;
         let (code, said) = at(&proxy, "opensesame", &bad);
         assert!(code == Some(1) && said.contains(word), "{word}: {said}");
     }
-    assert_eq!(Client::new(&proxy).ask(&page("r-1")).expect("an answer").status(), 200);
+    assert_eq!(
+        Client::new(&proxy)
+            .ask(&page("r-1"))
+            .expect("an answer")
+            .status(),
+        200
+    );
     assert!(proxy.runs());
     let log = proxy.log.lock().unwrap().clone();
     assert!(!log.contains("opensesam"), "{log}");
@@ -150,29 +245,54 @@
 fn a_restart_ends_every_drill_and_lets_held_answers_go() {
     let backend = Backend::new(Deed::Write(ok("held")));
     let (discovery, mut first) = proxy(&backend, ON);
-    let start = ["start", "--class", "page", "--delay", "60s", "--share", "100%", "--for", "120s"];
+    let start = [
+        "start", "--class", "page", "--delay", "60s", "--share", "100%", "--for", "120s",
+    ];
     assert_eq!(at(&first, "opensesame", &start).0, Some(0));
     let mut client = Client::new(&first);
     let began = Instant::now();
     client.send(&page("r-1"));
-    wait_for("the drill", || first.log.lock().unwrap().contains("drill=page-delay-60000ms id=r-1"));
+    wait_for("the drill", || {
+        first
+            .log
+            .lock()
+            .unwrap()
+            .contains("drill=page-delay-60000ms id=r-1")
+    });
     first.terminate();
     assert_eq!(client.answer().expect("an answer").text(), "held");
     assert!(first.wait().success());
     let second = Proxy::up(&discovery, &setup(ON));
-    assert_eq!(Client::new(&second).ask(&page("r-2")).expect("an answer").text(), "held");
+    assert_eq!(
+        Client::new(&second)
+            .ask(&page("r-2"))
+            .expect("an answer")
+            .text(),
+        "held"
+    );
     assert!(began.elapsed() < Duration::from_secs(60));
-    assert_eq!(at(&second, "opensesame", &["stop"]), (Some(0), "no drill runs\n".into()));
+    assert_eq!(
+        at(&second, "opensesame", &["stop"]),
+        (Some(0), "no drill runs\n".into())
+    );
 }
 
 #[test]
 fn the_side_port_opens_only_with_both_secret_and_port() {
     let backend = Backend::new(Deed::Write(ok("")));
-    for properties in ["", "drills.secret = opensesame\n", "drills.port = 0\n", "drills.max_seconds = 9\n"] {
+    for properties in [
+        "",
+        "drills.secret = opensesame\n",
+        "drills.port = 0\n",
+        "drills.max_seconds = 9\n",
+    ] {
         let (_discovery, mut proxy) = proxy(&backend, properties);
         proxy.terminate();
         assert!(proxy.wait().success());
-        assert!(!proxy.log.lock().unwrap().contains("drills on"), "{properties}");
+        assert!(
+            !proxy.log.lock().unwrap().contains("drills on"),
+            "{properties}"
+        );
     }
 }
 
@@ -192,8 +312,7 @@
         String::from_utf8_lossy(&bytes).into_owned()
     };
     let mut large = open();
-    let head =
-        "POST /drill HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer opensesame\r\nContent-Length: 4097\r\n\r\n";
+    let head = "POST /drill HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer opensesame\r\nContent-Length: 4097\r\n\r\n";
     large.write_all(head.as_bytes()).unwrap();
     let _ = large.write_all(&[b' '; 4097]); // it may close meanwhile
     let answer = said(large);
@@ -204,16 +323,33 @@
         let answer = said(stream);
         assert!(!answer.contains(" 200 "), "{answer}");
     }
-    assert_eq!(at(&proxy, "opensesame", &["stop"]), (Some(0), "no drill runs\n".into()));
+    assert_eq!(
+        at(&proxy, "opensesame", &["stop"]),
+        (Some(0), "no drill runs\n".into())
+    );
 }
 
 #[test]
 fn the_command_finds_the_port_and_says_what_is_wrong() {
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let file = config_file(&format!("drills.port = {}\n", nobody.port()));
-    let found = ["stop", "--secret", "s", "--properties", file.to_str().unwrap()];
+    let found = [
+        "stop",
+        "--secret",
+        "s",
+        "--properties",
+        file.to_str().unwrap(),
+    ];
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart"));
-    let run = command.arg("drill").args(found).env("NODE_LISTEN", "127.0.0.1:9000").output().unwrap();
+    let run = command
+        .arg("drill")
+        .args(found)
+        .env("NODE_LISTEN", "127.0.0.1:9000")
+        .output()
+        .unwrap();
     let said = String::from_utf8_lossy(&run.stderr).into_owned();
     assert!(
         run.status.code() == Some(3) && said.contains(&format!("127.0.0.1:{}: ", nobody.port())),
@@ -222,12 +358,23 @@
     for (arguments, word) in [
         (&found[..], "NODE_LISTEN"),
         (&["stop", "--secret", "s"], "--at"),
-        (&["stop", "--secret", "two words", "--at", "127.0.0.1:1"], "secret"),
-        (&["start", "--secret", "s", "--class", "page", "--share", "1%", "--for", "1s"], "--delay"),
+        (
+            &["stop", "--secret", "two words", "--at", "127.0.0.1:1"],
+            "secret",
+        ),
+        (
+            &[
+                "start", "--secret", "s", "--class", "page", "--share", "1%", "--for", "1s",
+            ],
+            "--delay",
+        ),
     ] {
         let run = drill(arguments);
         let said = String::from_utf8_lossy(&run.stderr).into_owned();
-        assert!(run.status.code() == Some(2) && said.contains(word), "{word}: {said}");
+        assert!(
+            run.status.code() == Some(2) && said.contains(word),
+            "{word}: {said}"
+        );
     }
     let _ = std::fs::remove_file(&file);
 }
--- a/crates/canvascart/tests/fleet.rs
+++ b/crates/canvascart/tests/fleet.rs
@@ -19,29 +19,53 @@
 
 impl Etcd {
     fn new() -> Self {
-        let runtime =
-            tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()
+            .unwrap();
         let standin = runtime.block_on(Standin::start(3)).unwrap();
         Etcd { runtime, standin }
     }
 
     fn put(&self, pool: &str, name: &str, server: &Backend, state: State) {
-        let entry = Entry { size: 8.0, state, born_ms: Some(1), ..Entry::at(server.address) };
+        let entry = Entry {
+            size: 8.0,
+            state,
+            born_ms: Some(1),
+            ..Entry::at(server.address)
+        };
         let key = Keys::new("/canvascart/v1", pool).of(name).into_bytes();
         let _on = self.runtime.enter();
         self.standin.store(|s| {
-            s.put(0, &PutRequest { key, value: entry.text().into_bytes(), ..PutRequest::default() }).unwrap();
+            s.put(
+                0,
+                &PutRequest {
+                    key,
+                    value: entry.text().into_bytes(),
+                    ..PutRequest::default()
+                },
+            )
+            .unwrap();
         });
     }
 
     fn delete(&self, pool: &str, name: &str) {
         let key = Keys::new("/canvascart/v1", pool).of(name).into_bytes();
-        let request = etcd::api::DeleteRangeRequest { key, ..Default::default() };
+        let request = etcd::api::DeleteRangeRequest {
+            key,
+            ..Default::default()
+        };
         self.standin.store(|s| s.delete(0, &request));
     }
 
     fn table(&self) -> String {
-        let all: Vec<String> = self.standin.endpoints().iter().map(|e| format!("{e:?}")).collect();
+        let all: Vec<String> = self
+            .standin
+            .endpoints()
+            .iter()
+            .map(|e| format!("{e:?}"))
+            .collect();
         format!("fleet = {{ etcd = [{}] }}", all.join(", "))
     }
 }
@@ -55,9 +79,15 @@
     let config = [public, tenant("north", &etcd.table(), &[])].concat();
     let service = Running::start("etcd", &config);
     let at = service.addresses()["public"];
-    wait_for("the first list", || Client::new(at).get("north.example", "").status() == 200);
+    wait_for("the first list", || {
+        Client::new(at).get("north.example", "").status() == 200
+    });
     for n in 0..4 {
-        let (name, server, old) = if n % 2 == 0 { ("b", &b, "a") } else { ("a", &a, "b") };
+        let (name, server, old) = if n % 2 == 0 {
+            ("b", &b, "a")
+        } else {
+            ("a", &a, "b")
+        };
         etcd.put("north", name, server, State::Up);
         if n % 3 == 0 {
             // Cut off while it goes, and compacted, so that the removal itself is never told.
@@ -77,30 +107,52 @@
             }
             assert!(matches!(answer.status(), 200 | 503), "{}", answer.status());
         };
-        let seen = (0..20).filter(|_| Client::new(at).get("north.example", "").status() == 200).count();
-        assert!(seen > 0 && other.seen().len() == last, "new work went to a server that was gone for 1 s");
+        let seen = (0..20)
+            .filter(|_| Client::new(at).get("north.example", "").status() == 200)
+            .count();
+        assert!(
+            seen > 0 && other.seen().len() == last,
+            "new work went to a server that was gone for 1 s"
+        );
     }
     // Etcd goes quiet, and a server dies: its healthy neighbour goes on.
     etcd.put("north", "b", &b, State::Up);
-    let status =
-        |service: &Running| service.logged("the list's state").last().map(|l| l["phase"].to_string());
+    let status = |service: &Running| {
+        service
+            .logged("the list's state")
+            .last()
+            .map(|l| l["phase"].to_string())
+    };
     etcd.standin.net_all(Net::Stalled);
-    wait_for("it is stale", || status(&service).is_some_and(|s| s.contains("stale")));
-    assert!(service.logged("the list is stale: etcd says nothing; servers stay as they are").len() == 1);
+    wait_for("it is stale", || {
+        status(&service).is_some_and(|s| s.contains("stale"))
+    });
+    assert!(
+        service
+            .logged("the list is stale: etcd says nothing; servers stay as they are")
+            .len()
+            == 1
+    );
     assert_eq!(Client::new(at).get("north.example", "").status(), 200);
     etcd.standin.net_all(Net::Up);
-    wait_for("it watches again", || status(&service).is_some_and(|s| s.contains("watching")));
+    wait_for("it watches again", || {
+        status(&service).is_some_and(|s| s.contains("watching"))
+    });
 }
 
 #[test]
 fn a_request_at_a_server_that_drains_or_goes_gets_its_answer() {
     let etcd = Etcd::new();
     let gate = Gate::default();
-    let (held, fresh) = (Backend::new(Deed::Hold(gate.clone(), ok("held"))), says("fresh"));
+    let (held, fresh) = (
+        Backend::new(Deed::Hold(gate.clone(), ok("held"))),
+        says("fresh"),
+    );
     etcd.put("north", "held", &held, State::Up);
     // A checkout is waited for until its deadline only where a late answer is worth something; else until its aim, which a lookup
     // that is held at the server before the drain is told takes as well.
-    let late = tenant("north", &etcd.table(), &[]).replace("\"unsafe\"", "\"unsafe\"\nlate-worth = \"50 %\"");
+    let late = tenant("north", &etcd.table(), &[])
+        .replace("\"unsafe\"", "\"unsafe\"\nlate-worth = \"50 %\"");
     let config = [listener("public", "127.0.0.1:0", "host", ""), late].concat();
     let service = Running::start("etcd-drain", &config);
     let at = service.addresses()["public"];
@@ -108,14 +160,21 @@
     wait_for("a request at the server", || {
         if held.seen().is_empty() {
             waiting = Client::new(at);
-            waiting.send("POST", "/checkout/1", "north.example", "Content-Length: 0\r\n");
+            waiting.send(
+                "POST",
+                "/checkout/1",
+                "north.example",
+                "Content-Length: 0\r\n",
+            );
             std::thread::sleep(Duration::from_millis(100));
         }
         !held.seen().is_empty()
     });
     etcd.put("north", "fresh", &fresh, State::Up);
     etcd.put("north", "held", &held, State::Draining);
-    wait_for("work goes elsewhere", || Client::new(at).get("north.example", "").text() == "fresh");
+    wait_for("work goes elsewhere", || {
+        Client::new(at).get("north.example", "").text() == "fresh"
+    });
     // One may have gone there before the drain was told; none does afterwards.
     let before = held.seen().len();
     for _ in 0..20 {
@@ -146,35 +205,74 @@
             .args(arguments)
             .output()
             .unwrap();
-        (ran.status.code().unwrap(), String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap())
+        (
+            ran.status.code().unwrap(),
+            String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap(),
+        )
     };
     assert_eq!(fleet(&["list"]), (0, String::new()));
     let mut server = Server(
         Command::new(env!("CARGO_BIN_EXE_canvascart"))
-            .args(["fleet", "--etcd", &endpoint, "--pool", "north", "register", "n1"])
-            .args(["--address", "127.0.0.1:9001", "--zone", "east", "--ttl", "2"])
+            .args([
+                "fleet", "--etcd", &endpoint, "--pool", "north", "register", "n1",
+            ])
+            .args([
+                "--address",
+                "127.0.0.1:9001",
+                "--zone",
+                "east",
+                "--ttl",
+                "2",
+            ])
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
             .unwrap(),
     );
-    wait_for("the registration", || fleet(&["list"]).1.contains("n1  127.0.0.1:9001  up  size 1  zone east"));
-    assert_eq!(fleet(&["register", "n1", "--address", "127.0.0.1:9002"]).0, 4, "the name is taken");
+    wait_for("the registration", || {
+        fleet(&["list"])
+            .1
+            .contains("n1  127.0.0.1:9001  up  size 1  zone east")
+    });
+    assert_eq!(
+        fleet(&["register", "n1", "--address", "127.0.0.1:9002"]).0,
+        4,
+        "the name is taken"
+    );
     assert_eq!(fleet(&["drain", "n1"]).0, 0);
-    assert!(fleet(&["list", "--json"]).1.contains("\"state\":\"draining\""));
+    assert!(
+        fleet(&["list", "--json"])
+            .1
+            .contains("\"state\":\"draining\"")
+    );
     assert_eq!(fleet(&["resume", "n1"]).0, 0);
     assert_eq!(fleet(&["drain", "n2"]).0, 4);
     // Renewed again and again, it outlasts its lease; killed, it does not.
     std::thread::sleep(Duration::from_millis(2500));
     assert!(fleet(&["list"]).1.contains("n1"));
     let watched = fleet(&["watch", "--most", "3"]).1;
-    let lines: Vec<BTreeMap<String, serde_json::Value>> =
-        watched.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-    assert!(lines.iter().any(|l| l.get("whole").is_some_and(|n| n == 1)), "{watched}");
+    let lines: Vec<BTreeMap<String, serde_json::Value>> = watched
+        .lines()
+        .filter_map(|l| serde_json::from_str(l).ok())
+        .collect();
+    assert!(
+        lines.iter().any(|l| l.get("whole").is_some_and(|n| n == 1)),
+        "{watched}"
+    );
     let id = server.0.id().to_string();
-    assert!(Command::new("kill").args(["-s", "TERM", &id]).status().unwrap().success());
+    assert!(
+        Command::new("kill")
+            .args(["-s", "TERM", &id])
+            .status()
+            .unwrap()
+            .success()
+    );
     assert!(server.0.wait().unwrap().success());
-    assert_eq!(fleet(&["list"]), (0, String::new()), "it has left on purpose");
+    assert_eq!(
+        fleet(&["list"]),
+        (0, String::new()),
+        "it has left on purpose"
+    );
     assert_eq!(fleet(&["release"]).0, 0);
     etcd.standin.net_all(Net::Down);
     assert_eq!(fleet(&["list"]).0, 3);
@@ -183,10 +281,23 @@
 #[test]
 fn following_is_measured_and_keeps_the_rule_on_removals() {
     let ran = Command::new(env!("CARGO_BIN_EXE_canvascart"))
-        .args(["lab", "followers", "--servers", "50", "--removals", "3", "--no-stampede"])
+        .args([
+            "lab",
+            "followers",
+            "--servers",
+            "50",
+            "--removals",
+            "3",
+            "--no-stampede",
+        ])
         .output()
         .unwrap();
     let said = String::from_utf8(ran.stdout).unwrap();
-    assert_eq!(ran.status.code(), Some(0), "{said}{}", String::from_utf8_lossy(&ran.stderr));
+    assert_eq!(
+        ran.status.code(),
+        Some(0),
+        "{said}{}",
+        String::from_utf8_lossy(&ran.stderr)
+    );
     assert!(said.contains("last request"), "{said}");
 }
--- a/crates/canvascart/tests/hollow.rs
+++ b/crates/canvascart/tests/hollow.rs
@@ -33,12 +33,21 @@
     play(&how, 12, &mut hollow, &AtomicBool::new(false)).unwrap();
     let played = in_virtual_time(12, &how.rules, how.changes, 1).unwrap();
     for (figure, r) in &real.figures {
-        let v = played.figures.get(figure).map_or("-".into(), |v| format!("{v:.1}"));
-        println!("{figure}: real {r:.1}, hollow {:.1}, in virtual time {v}", hollow.figures[figure]);
+        let v = played
+            .figures
+            .get(figure)
+            .map_or("-".into(), |v| format!("{v:.1}"));
+        println!(
+            "{figure}: real {r:.1}, hollow {:.1}, in virtual time {v}",
+            hollow.figures[figure]
+        );
     }
     let near = |figure: &str, part: f64| {
         let (r, h) = (real.figures[figure], hollow.figures[figure]);
-        assert!((h - r).abs() <= part * r, "{figure}: real {r:.1}, hollow {h:.1}");
+        assert!(
+            (h - r).abs() <= part * r,
+            "{figure}: real {r:.1}, hollow {h:.1}"
+        );
     };
     for figure in [
         "messages out /s member",
@@ -62,14 +71,20 @@
     for point in [&real, &hollow] {
         let of = |figure: &str| point.figures[figure];
         let others = 11.0;
-        for (asked, answered) in
-            [("change append", "change append answer"), ("change confirmation", "change confirmation answer")]
-        {
-            assert!((of(asked) - of(answered)).abs() <= 0.02 * of(asked), "{asked}: {point:?}");
+        for (asked, answered) in [
+            ("change append", "change append answer"),
+            ("change confirmation", "change confirmation answer"),
+        ] {
+            assert!(
+                (of(asked) - of(answered)).abs() <= 0.02 * of(asked),
+                "{asked}: {point:?}"
+            );
         }
         // The leader reports to itself without a message.
-        let (reports, confirmations) =
-            (of("change report") * 12.0 / others, of("change confirmation") / others);
+        let (reports, confirmations) = (
+            of("change report") * 12.0 / others,
+            of("change confirmation") / others,
+        );
         assert!((1.0..=reports * 1.1).contains(&confirmations), "{point:?}");
         assert!(of("change grant") <= of("change report"), "{point:?}");
     }
--- a/crates/canvascart/tests/hosted/mod.rs
+++ b/crates/canvascart/tests/hosted/mod.rs
@@ -33,11 +33,15 @@
         format!("[[tenant.server]]\nname = \"{n}\"\naddress = \"{a}\"\nsize = 8\nwarm = true\n")
     };
     let servers: String = servers.iter().map(server).collect();
-    format!("[[tenant]]\nname = \"{name}\"\nhosts = [\"{name}.example\"]\n{more}\n{CLASSES}\n{servers}\n")
+    format!(
+        "[[tenant]]\nname = \"{name}\"\nhosts = [\"{name}.example\"]\n{more}\n{CLASSES}\n{servers}\n"
+    )
 }
 
 pub fn listener(name: &str, address: &str, by: &str, more: &str) -> String {
-    format!("[[listener]]\nname = \"{name}\"\naddress = \"{address}\"\ntenant-by = \"{by}\"\n{more}\n")
+    format!(
+        "[[listener]]\nname = \"{name}\"\naddress = \"{address}\"\ntenant-by = \"{by}\"\n{more}\n"
+    )
 }
 
 pub struct Running {
@@ -57,17 +61,31 @@
 
     /// Starts a service, with more arguments, and waits for nothing.
     pub fn begin(name: &str, config: &str, more: &[&str]) -> Self {
-        let file = std::env::temp_dir().join(format!("canvascart-serve-{}-{name}.toml", std::process::id()));
+        let file = std::env::temp_dir().join(format!(
+            "canvascart-serve-{}-{name}.toml",
+            std::process::id()
+        ));
         std::fs::write(&file, config).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_canvascart"))
-            .args(["--log-format", "json", "--log", "info", "serve", "--config", file.to_str().unwrap()])
+            .args([
+                "--log-format",
+                "json",
+                "--log",
+                "info",
+                "serve",
+                "--config",
+                file.to_str().unwrap(),
+            ])
             .args(more)
             .stderr(Stdio::piped())
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
         let log: Arc<Mutex<Vec<serde_json::Value>>> = Arc::default();
-        let (lines, to) = (BufReader::new(child.stderr.take().unwrap()).lines(), log.clone());
+        let (lines, to) = (
+            BufReader::new(child.stderr.take().unwrap()).lines(),
+            log.clone(),
+        );
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 let value = serde_json::from_str(&line).unwrap_or(serde_json::Value::String(line));
@@ -78,12 +96,21 @@
     }
 
     pub fn logged(&self, message: &str) -> Vec<serde_json::Value> {
-        self.log.lock().unwrap().iter().filter(|l| l["message"] == message).cloned().collect()
+        self.log
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|l| l["message"] == message)
+            .cloned()
+            .collect()
     }
 
     pub fn addresses(&self) -> BTreeMap<String, SocketAddr> {
         let one = |l: serde_json::Value| {
-            Some((l["listener"].as_str()?.to_owned(), l["address"].as_str()?.parse().ok()?))
+            Some((
+                l["listener"].as_str()?.to_owned(),
+                l["address"].as_str()?.parse().ok()?,
+            ))
         };
         self.logged("listens").into_iter().filter_map(one).collect()
     }
@@ -98,7 +125,13 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args(["-s", name, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     pub fn wait(&mut self) -> ExitStatus {
--- a/crates/canvascart/tests/lost_state.rs
+++ b/crates/canvascart/tests/lost_state.rs
@@ -18,11 +18,19 @@
 fn number(fleet: &Fleet, asked: usize, of: usize) -> u64 {
     let status = fleet.status(asked).unwrap();
     let members = status["leader"]["members"].as_array().unwrap().clone();
-    members.iter().find(|m| m["name"] == fleet.name(of)).unwrap()["id"].as_u64().unwrap()
+    members
+        .iter()
+        .find(|m| m["name"] == fleet.name(of))
+        .unwrap()["id"]
+        .as_u64()
+        .unwrap()
 }
 
 fn canvascart(arguments: &[&str]) -> Output {
-    Command::new(&command()[0]).args(arguments).output().unwrap()
+    Command::new(&command()[0])
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn words(output: &Output) -> String {
@@ -47,7 +55,11 @@
     copy(fleet.state(old), &yesterday);
     fleet.start(old).unwrap();
     fleet.ready().unwrap();
-    assert_eq!(number(&fleet, leader, old), before, "its own disk is its own");
+    assert_eq!(
+        number(&fleet, leader, old),
+        before,
+        "its own disk is its own"
+    );
     assert_eq!(set(&fleet, leader, 2002, "").0, 200);
     fleet.kill(old);
     std::fs::remove_dir_all(fleet.state(old)).unwrap();
@@ -57,9 +69,18 @@
     assert!(!fleet.is_up(old), "it serves no old policy");
     fleet.ready().unwrap();
     assert_eq!(limit(&fleet, old), 2002);
-    assert!(number(&fleet, leader, old) > before, "it never votes under its old number");
+    assert!(
+        number(&fleet, leader, old) > before,
+        "it never votes under its old number"
+    );
     assert_eq!(fleet.status(old).unwrap()["here"]["put-back"], true);
-    assert!(fleet.log(old).contains("older than what this member has acknowledged"), "{}", fleet.log(old));
+    assert!(
+        fleet
+            .log(old)
+            .contains("older than what this member has acknowledged"),
+        "{}",
+        fleet.log(old)
+    );
     assert_eq!(set(&fleet, old, 2003, "").0, 200);
 }
 
@@ -74,30 +95,53 @@
     for n in 2001..2004 {
         assert_eq!(set(&fleet, leader, n, "").0, 200);
     }
-    fleet.wait("the survivor's version", |f| f.status(survivor).unwrap()["here"]["decides"] == 4).unwrap();
+    fleet
+        .wait("the survivor's version", |f| {
+            f.status(survivor).unwrap()["here"]["decides"] == 4
+        })
+        .unwrap();
     let busy = begin_anew(&fleet, survivor, &["--yes"]);
     assert_eq!(busy.status.code(), Some(5), "it runs: {}", words(&busy));
     (0..5).for_each(|i| fleet.kill(i));
-    votes.iter().for_each(|i| std::fs::remove_dir_all(fleet.state(*i)).unwrap());
+    votes
+        .iter()
+        .for_each(|i| std::fs::remove_dir_all(fleet.state(*i)).unwrap());
     let told = begin_anew(&fleet, survivor, &[]);
     assert!(
         words(&told).contains("4 before, 1000000 afterwards") && words(&told).contains("--yes"),
         "{told:?}"
     );
-    assert_eq!(begin_anew(&fleet, survivor, &["--yes"]).status.code(), Some(0));
+    assert_eq!(
+        begin_anew(&fleet, survivor, &["--yes"]).status.code(),
+        Some(0)
+    );
     fleet.start(survivor).unwrap();
     fleet.ready().unwrap();
-    assert_eq!(limit(&fleet, survivor), 2003, "nothing that it knew is lost");
+    assert_eq!(
+        limit(&fleet, survivor),
+        2003,
+        "nothing that it knew is lost"
+    );
     votes.iter().for_each(|i| fleet.start(*i).unwrap());
     fleet.ready().unwrap();
     assert_eq!(set(&fleet, votes[0], 2004, "").0, 200);
     assert!(votes.iter().all(|i| limit(&fleet, *i) == 2004));
     let status = fleet.status(survivor).unwrap();
-    assert_eq!(status["here"]["version"], 1_000_001, "no version of before is used again: {status}");
+    assert_eq!(
+        status["here"]["version"], 1_000_001,
+        "no version of before is used again: {status}"
+    );
     // One with its old directory belongs to a cluster that is no more.
     fleet.start(late).unwrap();
-    let told = |f: &Fleet| f.status(late).unwrap()["here"]["fenced"].as_str().unwrap_or_default().to_owned();
-    fleet.wait("its word", |f| told(f).contains("as after a restore")).unwrap();
+    let told = |f: &Fleet| {
+        f.status(late).unwrap()["here"]["fenced"]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned()
+    };
+    fleet
+        .wait("its word", |f| told(f).contains("as after a restore"))
+        .unwrap();
     assert!(!fleet.is_up(late));
     fleet.kill(late);
     std::fs::remove_dir_all(fleet.state(late)).unwrap();
@@ -115,18 +159,37 @@
     std::fs::write(&token, fleet.token().unwrap()).unwrap();
     let (file, token) = (file.display().to_string(), token.display().to_string());
     let url = format!("http://{}", fleet.admin(2).unwrap());
-    let kept = canvascart(&["cluster", "backup", "--url", &url, "--token-file", &token, "-o", &file]);
+    let kept = canvascart(&[
+        "cluster",
+        "backup",
+        "--url",
+        &url,
+        "--token-file",
+        &token,
+        "-o",
+        &file,
+    ]);
     assert_eq!(kept.status.code(), Some(0), "{}", words(&kept));
     assert_eq!(set(&fleet, 1, 2002, "").0, 200);
     (0..5).for_each(|i| fleet.kill(i));
     let used = begin_anew(&fleet, 0, &["--backup", &file, "--yes"]);
-    assert!(used.status.code() == Some(5) && words(&used).contains("empty directory"), "{}", words(&used));
+    assert!(
+        used.status.code() == Some(5) && words(&used).contains("empty directory"),
+        "{}",
+        words(&used)
+    );
     (0..5).for_each(|i| std::fs::remove_dir_all(fleet.state(i)).unwrap());
     let text = std::fs::read_to_string(&file).unwrap();
     for (bad, says) in [
         (text[..text.len() / 2].to_owned(), "no whole backup"),
-        (text.replacen("in-flight", "in-fligth", 1), "sum does not fit"),
-        (text.replacen("\"canvascart-backup\":1", "\"canvascart-backup\":9", 1), "form is 9"),
+        (
+            text.replacen("in-flight", "in-fligth", 1),
+            "sum does not fit",
+        ),
+        (
+            text.replacen("\"canvascart-backup\":1", "\"canvascart-backup\":9", 1),
+            "form is 9",
+        ),
     ] {
         let spoilt = directory.0.join("spoilt.json").display().to_string();
         std::fs::write(&spoilt, bad).unwrap();
@@ -142,7 +205,10 @@
     assert_eq!(done.status.code(), Some(0), "{}", words(&done));
     (0..5).for_each(|i| fleet.start(i).unwrap());
     fleet.ready().unwrap();
-    assert!((0..5).all(|i| limit(&fleet, i) == 2001), "what came after the backup is lost, as it said");
+    assert!(
+        (0..5).all(|i| limit(&fleet, i) == 2001),
+        "what came after the backup is lost, as it said"
+    );
     assert_eq!(set(&fleet, 3, 2005, "").0, 200);
     assert_eq!(fleet.status(0).unwrap()["here"]["version"], 1_000_001);
 }
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -16,20 +16,30 @@
 /// Five instances with a tenant whose servers stand in the policy, and one whose list is followed in etcd.
 fn start(directory: &Directory, etcd: &Standin, cluster: &str) -> Fleet {
     let at = server(&Ledger::default()).unwrap();
-    let class =
-        "[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 ms\"\ndeadline = \"2 s\"\n";
+    let class = "[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 ms\"\ndeadline = \"2 s\"\n";
     let members: Vec<String> = etcd.endpoints().iter().map(|e| format!("{e:?}")).collect();
     let tenants = format!(
         "[[tenant]]\nname = \"a\"\n{class}[[tenant.server]]\nname = \"s\"\naddress = \"{at}\"\nsize = 64\nwarm = true\n\
          [[tenant]]\nname = \"b\"\nfleet = {{ etcd = [{}] }}\n{class}",
         members.join(", ")
     );
-    let terms = Terms { cluster: format!("{SOON}\n{cluster}"), tenants, zones: 3 };
+    let terms = Terms {
+        cluster: format!("{SOON}\n{cluster}"),
+        tenants,
+        zones: 3,
+    };
     let mut fleet = Fleet::new(&command(), 5, &terms, &directory.0).unwrap();
     (0..5).for_each(|i| fleet.start(i).unwrap());
     let key = Keys::new("/canvascart/v1", "b").of("s").into_bytes();
     etcd.store(|s| {
-        s.put(0, &PutRequest { key, value: Entry::at(at).text().into_bytes(), ..PutRequest::default() })
+        s.put(
+            0,
+            &PutRequest {
+                key,
+                value: Entry::at(at).text().into_bytes(),
+                ..PutRequest::default()
+            },
+        )
     })
     .unwrap();
     fleet.wait("the founding", |f| f.token().is_ok()).unwrap();
@@ -37,23 +47,37 @@
 }
 
 fn standin() -> (tokio::runtime::Runtime, Standin) {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .unwrap();
     let standin = runtime.block_on(Standin::start(1)).unwrap();
     (runtime, standin)
 }
 
 fn told(fleet: &Fleet, i: usize) -> Value {
-    fleet.line(i).unwrap().json("GET", "/v1/cluster/recovery", "", &Value::Null).unwrap()["start"].clone()
+    fleet
+        .line(i)
+        .unwrap()
+        .json("GET", "/v1/cluster/recovery", "", &Value::Null)
+        .unwrap()["start"]
+        .clone()
 }
 
 /// Whether an instance is in a phase, as it says; one that does not know the token yet says nothing.
 fn is_at(fleet: &Fleet, i: usize, phase: &str) -> bool {
-    let told = fleet.line(i).and_then(|mut l| l.json("GET", "/v1/cluster/recovery", "", &Value::Null));
+    let told = fleet
+        .line(i)
+        .and_then(|mut l| l.json("GET", "/v1/cluster/recovery", "", &Value::Null));
     told.is_ok_and(|t| t["start"]["phase"] == phase)
 }
 
 fn asks(fleet: &Fleet, i: usize, tenant: &str) -> u16 {
-    let mut line = Line::new(fleet.public(i).unwrap(), &format!("X-Tenant-Id: {tenant}\r\n"));
+    let mut line = Line::new(
+        fleet.public(i).unwrap(),
+        &format!("X-Tenant-Id: {tenant}\r\n"),
+    );
     line.call("GET", "/lookup/1", "", "").unwrap().0
 }
 
@@ -68,11 +92,24 @@
     let waits = told(&fleet, 0);
     assert_eq!(waits["waits-for"], "the lists of b", "{waits}");
     assert_eq!(waits["at-most-ms"], 6000);
-    assert!(!fleet.is_up(0) && asks(&fleet, 0, "a") == 503, "it takes nothing yet");
+    assert!(
+        !fleet.is_up(0) && asks(&fleet, 0, "a") == 503,
+        "it takes nothing yet"
+    );
     fleet.ready().unwrap();
     let done = told(&fleet, 0);
-    assert_eq!((done["phase"].as_str(), done["unsure"][0].as_str()), (Some("serving"), Some("b")), "{done}");
-    let list = done["took"].as_array().unwrap().iter().find(|t| t["phase"] == "list").unwrap().clone();
+    assert_eq!(
+        (done["phase"].as_str(), done["unsure"][0].as_str()),
+        (Some("serving"), Some("b")),
+        "{done}"
+    );
+    let list = done["took"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .find(|t| t["phase"] == "list")
+        .unwrap()
+        .clone();
     assert!(list["ms"].as_u64().unwrap() >= 6000, "{done}");
     assert_eq!((asks(&fleet, 0, "a"), asks(&fleet, 0, "b")), (200, 503));
     // With the list there again a start waits for nothing, and both are served.
@@ -83,8 +120,14 @@
     fleet.kill(again);
     fleet.start(again).unwrap();
     fleet.ready().unwrap();
-    assert_eq!((asks(&fleet, again, "a"), asks(&fleet, again, "b")), (200, 200));
-    assert_eq!(told(&fleet, again)["unsure"].as_array().map(Vec::len), Some(0));
+    assert_eq!(
+        (asks(&fleet, again, "a"), asks(&fleet, again, "b")),
+        (200, 200)
+    );
+    assert_eq!(
+        told(&fleet, again)["unsure"].as_array().map(Vec::len),
+        Some(0)
+    );
 }
 
 #[test]
@@ -92,8 +135,14 @@
     let directory = Directory::new();
     let (_runtime, etcd) = standin();
     etcd.net_all(Net::Stalled);
-    let fleet = start(&directory, &etcd, "list-wait = \"500 ms\"\nwhen-list-unknown = \"refuse\"");
-    fleet.wait("the lists", |f| (0..5).all(|i| is_at(f, i, "list"))).unwrap();
+    let fleet = start(
+        &directory,
+        &etcd,
+        "list-wait = \"500 ms\"\nwhen-list-unknown = \"refuse\"",
+    );
+    fleet
+        .wait("the lists", |f| (0..5).all(|i| is_at(f, i, "list")))
+        .unwrap();
     let end = Instant::now() + Duration::from_millis(1500);
     while Instant::now() < end {
         assert!((0..5).all(|i| !fleet.is_up(i)));
@@ -115,13 +164,23 @@
     fleet.kill(alone);
     fleet.isolate(alone, Mode::Cut);
     fleet.start(alone).unwrap();
-    fleet.wait("its word", |f| told(f, alone)["waits-for"] == "an instance that leads").unwrap();
+    fleet
+        .wait("its word", |f| {
+            told(f, alone)["waits-for"] == "an instance that leads"
+        })
+        .unwrap();
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(told(&fleet, alone)["phase"], "members");
     assert!(!fleet.is_up(alone) && asks(&fleet, alone, "a") == 503);
     fleet.isolate(alone, Mode::Pass);
     fleet.ready().unwrap();
     let took = told(&fleet, alone)["took"].clone();
-    let members = took.as_array().unwrap().iter().find(|t| t["phase"] == "members").unwrap()["ms"].as_u64();
+    let members = took
+        .as_array()
+        .unwrap()
+        .iter()
+        .find(|t| t["phase"] == "members")
+        .unwrap()["ms"]
+        .as_u64();
     assert!(members.unwrap() >= 1000, "{took}");
 }
--- a/crates/canvascart/tests/together/mod.rs
+++ b/crates/canvascart/tests/together/mod.rs
@@ -22,7 +22,9 @@
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        Directory(std::env::temp_dir().join(format!("canvascart-cluster-{}-{n}", std::process::id())))
+        Directory(
+            std::env::temp_dir().join(format!("canvascart-cluster-{}-{n}", std::process::id())),
+        )
     }
 }
 
@@ -51,12 +53,20 @@
 pub fn set(fleet: &Fleet, i: usize, n: u64, more: &str) -> (u16, Value) {
     let body = json!({ "in-flight": n }).to_string();
     let more = format!("If-Match: *\r\n{more}");
-    let (status, body) = fleet.line(i).unwrap().call("PUT", "/v1/tenants/a/limits", &more, &body).unwrap();
+    let (status, body) = fleet
+        .line(i)
+        .unwrap()
+        .call("PUT", "/v1/tenants/a/limits", &more, &body)
+        .unwrap();
     (status, serde_json::from_slice(&body).unwrap())
 }
 
 pub fn limit(fleet: &Fleet, i: usize) -> u64 {
-    let limits = fleet.line(i).unwrap().json("GET", "/v1/tenants/a/limits", "", &Value::Null).unwrap();
+    let limits = fleet
+        .line(i)
+        .unwrap()
+        .json("GET", "/v1/tenants/a/limits", "", &Value::Null)
+        .unwrap();
     limits["in-flight"].as_u64().unwrap()
 }
 
@@ -64,7 +74,12 @@
 pub fn voters(fleet: &Fleet) -> Vec<usize> {
     let status = fleet.status(0).unwrap();
     let members = status["leader"]["members"].as_array().unwrap().clone();
-    let votes: BTreeSet<&str> =
-        members.iter().filter(|m| m["votes"] == true).filter_map(|m| m["name"].as_str()).collect();
-    (0..fleet.count()).filter(|i| votes.contains(fleet.name(*i))).collect()
+    let votes: BTreeSet<&str> = members
+        .iter()
+        .filter(|m| m["votes"] == true)
+        .filter_map(|m| m["name"].as_str())
+        .collect();
+    (0..fleet.count())
+        .filter(|i| votes.contains(fleet.name(*i)))
+        .collect()
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -124,16 +124,29 @@
 ];
 const OUT: &str = "out";
 const FRONT: &str = "(front)";
-const SCOPES: [(Scope, &str); 3] =
-    [(Scope::Full, "whole"), (Scope::Delta, "changes"), (Scope::Cached, "known")];
-const STATES: [(State, &str); 3] = [(State::Up, "up"), (State::Draining, "draining"), (State::Gone, "gone")];
+const SCOPES: [(Scope, &str); 3] = [
+    (Scope::Full, "whole"),
+    (Scope::Delta, "changes"),
+    (Scope::Cached, "known"),
+];
+const STATES: [(State, &str); 3] = [
+    (State::Up, "up"),
+    (State::Draining, "draining"),
+    (State::Gone, "gone"),
+];
 
 fn word<T: PartialEq>(table: &[(T, &'static str)], value: &T) -> Option<&'static str> {
-    table.iter().find(|(v, _)| v == value).map(|(_, word)| *word)
+    table
+        .iter()
+        .find(|(v, _)| v == value)
+        .map(|(_, word)| *word)
 }
 
 fn meant<T: Copy>(table: &[(T, &'static str)], word: &str) -> Option<T> {
-    table.iter().find(|(_, w)| *w == word).map(|(value, _)| *value)
+    table
+        .iter()
+        .find(|(_, w)| *w == word)
+        .map(|(value, _)| *value)
 }
 
 /// A field from outside, escaped; `None` is written as `-`.
@@ -142,7 +155,9 @@
 
 impl fmt::Display for Field<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Some(text) = self.0 else { return f.write_char('-') };
+        let Some(text) = self.0 else {
+            return f.write_char('-');
+        };
         match text {
             "" => return f.write_char('%'),
             "-" => return f.write_str("%2D"),
@@ -155,7 +170,11 @@
                 write!(f, "%{byte:02X}")?;
             }
         }
-        if text.len() > FIELD { f.write_str(CUT) } else { Ok(()) }
+        if text.len() > FIELD {
+            f.write_str(CUT)
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -175,7 +194,11 @@
             bytes.push(byte);
             continue;
         }
-        let mut digit = || rest.next().and_then(|b| char::from(b).to_digit(16)).map(|d| d as u8);
+        let mut digit = || {
+            rest.next()
+                .and_then(|b| char::from(b).to_digit(16))
+                .map(|d| d as u8)
+        };
         bytes.push((digit()? << 4) | digit()?);
     }
     Some(Some(String::from_utf8_lossy(&bytes).into_owned()))
@@ -194,29 +217,51 @@
 }
 
 fn figure<T: std::str::FromStr>(text: &str) -> Option<Option<T>> {
-    if text == "-" { Some(None) } else { text.parse().ok().map(Some) }
+    if text == "-" {
+        Some(None)
+    } else {
+        text.parse().ok().map(Some)
+    }
 }
 
 impl fmt::Display for Head {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (node, start) = (Field(Some(&self.node)), self.start);
-        write!(f, "h 1 seed={:016x} node={node} start={start} segment={}", self.seed, self.segment)
+        write!(
+            f,
+            "h 1 seed={:016x} node={node} start={start} segment={}",
+            self.seed, self.segment
+        )
     }
 }
 
 impl fmt::Display for News {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let scope = word(&SCOPES, &self.scope).unwrap_or("changes");
-        write!(f, "l seq={} at={:.3} {scope} hosts={}", Figure(self.seq), self.at, self.hosts)
+        write!(
+            f,
+            "l seq={} at={:.3} {scope} hosts={}",
+            Figure(self.seq),
+            self.at,
+            self.hosts
+        )
     }
 }
 
 impl fmt::Display for Server {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (name, site) = (Field(Some(&self.name)), Field(self.site.as_deref()));
-        let (class, block, share) = (Field(self.class.as_deref()), Figure(self.block), Figure(self.share));
+        let (class, block, share) = (
+            Field(self.class.as_deref()),
+            Figure(self.block),
+            Figure(self.share),
+        );
         let state = word(&STATES, &self.state).unwrap_or("gone");
-        write!(f, "b {name} site={site} class={class} block={block} share={share} born={} {state}", self.born)
+        write!(
+            f,
+            "b {name} site={site} class={class} block={block} share={share} born={} {state}",
+            self.born
+        )
     }
 }
 
@@ -224,7 +269,12 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (id, class) = (Field(Some(&self.id)), Field(Some(&self.class)));
         let (tenant, sid) = (Field(self.tenant.as_deref()), Field(self.sid.as_deref()));
-        write!(f, "r {id} {class} {tenant} sid={sid} dl={}ms seq={} -> ", self.deadline, Figure(self.seq))?;
+        write!(
+            f,
+            "r {id} {class} {tenant} sid={sid} dl={}ms seq={} -> ",
+            self.deadline,
+            Figure(self.seq)
+        )?;
         write!(f, "{}", Decision(self))
     }
 }
@@ -239,7 +289,12 @@
             Some([]) => f.write_char('-')?,
             Some(tried) => {
                 for (n, t) in tried.iter().enumerate() {
-                    write!(f, "{}{}", if n > 0 { "," } else { "" }, Field(Some(&t.server)))?;
+                    write!(
+                        f,
+                        "{}{}",
+                        if n > 0 { "," } else { "" },
+                        Field(Some(&t.server))
+                    )?;
                     match t.end {
                         Some(Outcome::Served) => {}
                         Some(end) => write!(f, ":{}", word(&ENDS, &end).unwrap_or(OUT))?,
@@ -257,7 +312,8 @@
     pub fn parse(line: &str) -> Option<Line> {
         let (kind, rest) = line.split_once(' ')?;
         if kind == "s" {
-            return (rest.starts_with('{') && rest.ends_with('}')).then(|| Line::Settings(rest.to_owned()));
+            return (rest.starts_with('{') && rest.ends_with('}'))
+                .then(|| Line::Settings(rest.to_owned()));
         }
         let mut words = Words(rest.split(' '));
         let line = match kind {
@@ -351,7 +407,10 @@
         Some((server, OUT)) => (server, None),
         Some((server, end)) => (server, Some(meant(&ENDS, end)?)),
     };
-    Some(Tried { server: field(server)??.into(), end })
+    Some(Tried {
+        server: field(server)??.into(),
+        end,
+    })
 }
 
 #[cfg(test)]
@@ -375,8 +434,13 @@
     fn each_line_is_read_as_it_was_written() {
         let line = "r 9b1f03aa5c7e2d41 checkout biblio-estrie sid=7f3a9c21e0b4d655 dl=2000ms seq=41 \
             -> s-5be2a07c 200";
-        let Line::Record(record) = same(line) else { panic!("a record") };
-        assert_eq!((record.deadline, record.seq, record.code), (2000, Some(41), 200));
+        let Line::Record(record) = same(line) else {
+            panic!("a record")
+        };
+        assert_eq!(
+            (record.deadline, record.seq, record.code),
+            (2000, Some(41), 200)
+        );
         assert_eq!(record.tried.unwrap()[0].end, Some(Outcome::Served));
         same("r a lookup - sid=- dl=0ms seq=- -> - 503");
         same("r a lookup t sid=% dl=1ms seq=1 -> (front) 503");
@@ -397,7 +461,10 @@
             sid: Some(evil.into()),
             deadline: 1,
             seq: None,
-            tried: Some(vec![Tried { server: evil.into(), end: None }]),
+            tried: Some(vec![Tried {
+                server: evil.into(),
+                end: None,
+            }]),
             code: 502,
         };
         let line = record.to_string();
@@ -428,8 +495,16 @@
                 assert_eq!(Line::parse(&line[..cut]), None, "{}", &line[..cut]);
             }
         }
-        for foreign in ["sandgap: n0 listens on 127.0.0.1:1", "canvascart.requests:1|c", "rr x", "r2 d2"] {
-            assert!(Line::parse(foreign).is_none() && !Line::looks_alike(foreign), "{foreign}");
+        for foreign in [
+            "sandgap: n0 listens on 127.0.0.1:1",
+            "canvascart.requests:1|c",
+            "rr x",
+            "r2 d2",
+        ] {
+            assert!(
+                Line::parse(foreign).is_none() && !Line::looks_alike(foreign),
+                "{foreign}"
+            );
         }
     }
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -101,8 +101,14 @@
     /// may share one.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, String> {
         let target = settings.target.clone().ok_or("client.target is not set")?;
-        let host = HeaderValue::from_str(&target).map_err(|_| format!("'{target}' is no address"))?;
-        Ok(Client { settings, target, host, chance: fastrand::Rng::with_seed(seed) })
+        let host =
+            HeaderValue::from_str(&target).map_err(|_| format!("'{target}' is no address"))?;
+        Ok(Client {
+            settings,
+            target,
+            host,
+            chance: fastrand::Rng::with_seed(seed),
+        })
     }
 
     /// Makes a call, with as many tries as its rules allow. An error says what is wrong with `ask`; nothing
@@ -115,7 +121,11 @@
         let mut answer = None;
         loop {
             let Some(next) = call.begin(start.elapsed()) else {
-                return Ok(Outcome { answer, tries, stop: Stop::Deadline });
+                return Ok(Outcome {
+                    answer,
+                    tries,
+                    stop: Stop::Deadline,
+                });
             };
             let id = format!("{:016x}", self.chance.u64(..));
             let request = self.request(ask, &id, next)?;
@@ -124,7 +134,13 @@
                 Ok(Ok((whole, retry_after))) => {
                     let status = whole.status;
                     answer = Some(whole);
-                    (Ended::Answered { status, retry_after }, Ok(status))
+                    (
+                        Ended::Answered {
+                            status,
+                            retry_after,
+                        },
+                        Ok(status),
+                    )
                 }
                 Ok(Err(why)) => (Ended::Broken, Err(why)),
                 Err(_) => (Ended::Broken, Err("no answer before the deadline".into())),
@@ -137,12 +153,18 @@
                     sleep(wait).await;
                     continue;
                 }
-                Next::Stop(_) if ended == Ended::Broken && now >= self.settings.deadline(ask.class) => {
+                Next::Stop(_)
+                    if ended == Ended::Broken && now >= self.settings.deadline(ask.class) =>
+                {
                     Stop::Deadline
                 }
                 Next::Stop(stop) => stop,
             };
-            return Ok(Outcome { answer, tries, stop });
+            return Ok(Outcome {
+                answer,
+                tries,
+                stop,
+            });
         }
     }
 
@@ -151,12 +173,16 @@
         if ask.sid.is_empty() || ask.sid.len() > SID || !ask.sid.bytes().all(plain) {
             return Err(format!("the sid wants 1 to {SID} letters, digits or -._~"));
         }
-        let tenant = HeaderValue::from_str(&ask.tenant).ok().filter(|t| !t.is_empty());
+        let tenant = HeaderValue::from_str(&ask.tenant)
+            .ok()
+            .filter(|t| !t.is_empty());
         let tenant = tenant.ok_or("the tenant is empty or can't stand in a header")?;
         let (method, body) = match ask.class {
             Class::Lookup if !ask.body.is_empty() => return Err("a lookup has no body".into()),
             Class::Lookup => (Method::GET, Bytes::new()),
-            Class::Checkout if ask.body.len() > BODY => return Err(format!("the body is over {BODY} bytes")),
+            Class::Checkout if ask.body.len() > BODY => {
+                return Err(format!("the body is over {BODY} bytes"));
+            }
             Class::Checkout => (Method::POST, ask.body.clone()),
         };
         let target = format!("/{}?sid={}", ask.class.name(), ask.sid);
@@ -177,18 +203,40 @@
 
 /// One request on a connection of its own, and its whole answer with the wait that it names.
 pub async fn exchange(
-    target: &str, request: Request<Full<Bytes>>,
+    target: &str,
+    request: Request<Full<Bytes>>,
 ) -> Result<(Answer, Option<Duration>), String> {
-    let stream = TcpStream::connect(target).await.map_err(|e| format!("no connection: {e}"))?;
-    stream.set_nodelay(true).map_err(|e| format!("no connection: {e}"))?;
-    let (mut sender, connection) =
-        http1::handshake(TokioIo::new(stream)).await.map_err(|e| format!("no connection: {e}"))?;
+    let stream = TcpStream::connect(target)
+        .await
+        .map_err(|e| format!("no connection: {e}"))?;
+    stream
+        .set_nodelay(true)
+        .map_err(|e| format!("no connection: {e}"))?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| format!("no connection: {e}"))?;
     let asked = async {
-        let answer = sender.send_request(request).await.map_err(|e| format!("no answer: {e}"))?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(|e| format!("no answer: {e}"))?;
         let (head, body) = answer.into_parts();
-        let body = Limited::new(body, BODY).collect().await.map_err(|e| format!("a broken answer: {e}"))?;
-        let wait = head.headers.get(RETRY_AFTER).and_then(|v| v.to_str().ok()).and_then(retry_after);
-        Ok((Answer { status: head.status.as_u16(), body: body.to_bytes() }, wait))
+        let body = Limited::new(body, BODY)
+            .collect()
+            .await
+            .map_err(|e| format!("a broken answer: {e}"))?;
+        let wait = head
+            .headers
+            .get(RETRY_AFTER)
+            .and_then(|v| v.to_str().ok())
+            .and_then(retry_after);
+        Ok((
+            Answer {
+                status: head.status.as_u16(),
+                body: body.to_bytes(),
+            },
+            wait,
+        ))
     };
     tokio::pin!(asked, connection);
     tokio::select! {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -149,15 +149,24 @@
 
     /// Begins the next try; `None` when no time is left for one.
     pub fn begin(&mut self, now: Duration) -> Option<Try> {
-        let left = self.deadline.checked_sub(now).filter(|left| *left >= LEAST)?;
+        let left = self
+            .deadline
+            .checked_sub(now)
+            .filter(|left| *left >= LEAST)?;
         self.tries += 1;
-        Some(Try { left, retried: self.mark_retries && self.tries > 1 })
+        Some(Try {
+            left,
+            retried: self.mark_retries && self.tries > 1,
+        })
     }
 
     /// What follows a try that has ended; `chance`, from 0 to 1, spreads the back-off.
     pub fn after(&self, now: Duration, ended: &Ended, chance: f64) -> Next {
         let (again, named) = match ended {
-            Ended::Answered { status, retry_after } => (self.may_repeat(*status), *retry_after),
+            Ended::Answered {
+                status,
+                retry_after,
+            } => (self.may_repeat(*status), *retry_after),
             // It may have run, or may yet.
             Ended::Broken => (self.class == Class::Lookup, None),
         };
@@ -168,7 +177,10 @@
             return Next::Stop(Stop::Tries);
         }
         let wait = named.unwrap_or_else(|| self.backoff(chance));
-        match now.checked_add(wait).and_then(|then| then.checked_add(LEAST)) {
+        match now
+            .checked_add(wait)
+            .and_then(|then| then.checked_add(LEAST))
+        {
             Some(then) if then <= self.deadline => Next::Wait(wait),
             _ => Next::Stop(Stop::Deadline),
         }
@@ -181,7 +193,9 @@
     /// Half of it is chance, so that clients refused together don't come back together.
     fn backoff(&self, chance: f64) -> Duration {
         let doubled = BACKOFF * 2u32.saturating_pow(self.tries.saturating_sub(1).min(8));
-        doubled.min(BACKOFF_MOST).mul_f64(0.5 + 0.5 * chance.clamp(0.0, 1.0))
+        doubled
+            .min(BACKOFF_MOST)
+            .mul_f64(0.5 + 0.5 * chance.clamp(0.0, 1.0))
     }
 }
 
@@ -206,7 +220,10 @@
     }
 
     fn answered(status: u16, after: Option<u64>) -> Ended {
-        Ended::Answered { status, retry_after: after.map(ms) }
+        Ended::Answered {
+            status,
+            retry_after: after.map(ms),
+        }
     }
 
     /// What follows a first try that took 100 ms.
@@ -222,53 +239,109 @@
             let next = after_one(Class::Checkout, &answered(status, Some(1)));
             assert_eq!(next, Next::Stop(Stop::Final), "{status}");
         }
-        assert_eq!(after_one(Class::Checkout, &Ended::Broken), Next::Stop(Stop::Final));
+        assert_eq!(
+            after_one(Class::Checkout, &Ended::Broken),
+            Next::Stop(Stop::Final)
+        );
         for status in [429, 503] {
-            assert_eq!(after_one(Class::Checkout, &answered(status, Some(7))), Next::Wait(ms(7)));
+            assert_eq!(
+                after_one(Class::Checkout, &answered(status, Some(7))),
+                Next::Wait(ms(7))
+            );
         }
     }
 
     #[test]
     fn a_lookup_goes_again_after_broken_connections_and_5xx_too() {
         for status in [429, 500, 502, 503, 504, 599] {
-            assert_eq!(after_one(Class::Lookup, &answered(status, None)), Next::Wait(BACKOFF), "{status}");
+            assert_eq!(
+                after_one(Class::Lookup, &answered(status, None)),
+                Next::Wait(BACKOFF),
+                "{status}"
+            );
         }
-        assert_eq!(after_one(Class::Lookup, &Ended::Broken), Next::Wait(BACKOFF));
+        assert_eq!(
+            after_one(Class::Lookup, &Ended::Broken),
+            Next::Wait(BACKOFF)
+        );
         for status in [200, 204, 302, 400, 404, 408, 413] {
-            assert_eq!(after_one(Class::Lookup, &answered(status, None)), Next::Stop(Stop::Final));
+            assert_eq!(
+                after_one(Class::Lookup, &answered(status, None)),
+                Next::Stop(Stop::Final)
+            );
         }
     }
 
     #[test]
     fn one_deadline_spans_tries_and_waits() {
         let mut call = Call::new(Class::Checkout, &Settings::default());
-        assert_eq!(call.begin(ms(0)), Some(Try { left: ms(2000), retried: false }));
-        assert_eq!(call.after(ms(100), &answered(503, Some(1899)), 0.0), Next::Wait(ms(1899)));
-        assert_eq!(call.after(ms(100), &answered(503, Some(1900)), 0.0), Next::Stop(Stop::Deadline));
-        let endless = Ended::Answered { status: 503, retry_after: Some(Duration::MAX) };
-        assert_eq!(call.after(ms(100), &endless, 0.0), Next::Stop(Stop::Deadline));
-        assert_eq!(call.begin(ms(260)), Some(Try { left: ms(1740), retried: true }));
+        assert_eq!(
+            call.begin(ms(0)),
+            Some(Try {
+                left: ms(2000),
+                retried: false
+            })
+        );
+        assert_eq!(
+            call.after(ms(100), &answered(503, Some(1899)), 0.0),
+            Next::Wait(ms(1899))
+        );
+        assert_eq!(
+            call.after(ms(100), &answered(503, Some(1900)), 0.0),
+            Next::Stop(Stop::Deadline)
+        );
+        let endless = Ended::Answered {
+            status: 503,
+            retry_after: Some(Duration::MAX),
+        };
+        assert_eq!(
+            call.after(ms(100), &endless, 0.0),
+            Next::Stop(Stop::Deadline)
+        );
+        assert_eq!(
+            call.begin(ms(260)),
+            Some(Try {
+                left: ms(1740),
+                retried: true
+            })
+        );
         assert_eq!(call.begin(ms(2000)), None);
         assert_eq!(call.begin(ms(2001)), None);
     }
 
     #[test]
     fn tries_are_counted_and_marked_only_where_wanted() {
-        let settings = Settings { max_tries: 2, mark_retries: false, ..Settings::default() };
+        let settings = Settings {
+            max_tries: 2,
+            mark_retries: false,
+            ..Settings::default()
+        };
         let mut call = Call::new(Class::Lookup, &settings);
         call.begin(ms(0)).expect("time is left");
-        assert!(matches!(call.after(ms(1), &Ended::Broken, 0.5), Next::Wait(_)));
+        assert!(matches!(
+            call.after(ms(1), &Ended::Broken, 0.5),
+            Next::Wait(_)
+        ));
         assert!(!call.begin(ms(2)).expect("time is left").retried);
-        assert_eq!(call.after(ms(3), &Ended::Broken, 0.5), Next::Stop(Stop::Tries));
+        assert_eq!(
+            call.after(ms(3), &Ended::Broken, 0.5),
+            Next::Stop(Stop::Tries)
+        );
     }
 
     #[test]
     fn the_back_off_doubles_up_to_a_bound_and_is_half_chance() {
-        let settings = Settings { max_tries: 100, ..Settings::default() };
+        let settings = Settings {
+            max_tries: 100,
+            ..Settings::default()
+        };
         let mut call = Call::new(Class::Lookup, &settings);
         for most in [50, 100, 200, 400, 400] {
             call.begin(ms(0)).expect("time is left");
-            assert_eq!(call.after(ms(0), &Ended::Broken, 0.0), Next::Wait(ms(most / 2)));
+            assert_eq!(
+                call.after(ms(0), &Ended::Broken, 0.0),
+                Next::Wait(ms(most / 2))
+            );
             assert_eq!(call.after(ms(0), &Ended::Broken, 1.0), Next::Wait(ms(most)));
         }
     }
--- a/crates/cluster/src/fence.rs
+++ b/crates/cluster/src/fence.rs
@@ -174,7 +174,9 @@
         if grant.seq < self.floor || self.version != Some(grant.version) || self.closed.is_some() {
             return false;
         }
-        let Some((_, at)) = self.sent.iter().find(|(seq, _)| *seq == grant.seq) else { return false };
+        let Some((_, at)) = self.sent.iter().find(|(seq, _)| *seq == grant.seq) else {
+            return false;
+        };
         let until = match grant.span {
             Span::Short => Until::Before(at + self.short),
             Span::Lease => Until::Before(at + self.lease),
@@ -217,5 +219,8 @@
 
 /// Why a change can't be taken, as an instance reports it.
 pub fn reason(by: &str, why: &str) -> Reason {
-    Reason { by: by.to_owned(), why: why.to_owned() }
+    Reason {
+        by: by.to_owned(),
+        why: why.to_owned(),
+    }
 }
--- a/crates/cluster/src/log.rs
+++ b/crates/cluster/src/log.rs
@@ -19,7 +19,12 @@
 impl Log {
     /// A log as it was saved.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>, hard: HardState) -> Self {
-        Log { snapshot, entries, hard, wanted: Cell::new(false) }
+        Log {
+            snapshot,
+            entries,
+            hard,
+            wanted: Cell::new(false),
+        }
     }
 
     /// The number of the first entry that is held.
@@ -39,15 +44,20 @@
 
     /// Entries replace all from the first of them on.
     pub fn append(&mut self, entries: &[Entry]) {
-        let Some(from) = entries.first().map(|e| e.index) else { return };
-        self.entries.truncate(from.saturating_sub(self.first()) as usize);
+        let Some(from) = entries.first().map(|e| e.index) else {
+            return;
+        };
+        self.entries
+            .truncate(from.saturating_sub(self.first()) as usize);
         self.entries.extend_from_slice(entries);
     }
 
     /// A newer snapshot of this instance's takes the place of the entries up to it.
     pub fn replace(&mut self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
-        let gone = (index + 1).saturating_sub(self.first()).min(self.entries.len() as u64);
+        let gone = (index + 1)
+            .saturating_sub(self.first())
+            .min(self.entries.len() as u64);
         self.entries.drain(..gone as usize);
         self.snapshot = snapshot;
     }
@@ -55,18 +65,30 @@
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.snapshot.get_metadata().get_conf_state().clone()))
+        Ok(RaftState::new(
+            self.hard.clone(),
+            self.snapshot.get_metadata().get_conf_state().clone(),
+        ))
     }
 
     fn entries(
-        &self, low: u64, high: u64, most: impl Into<Option<u64>>, _: GetEntriesContext,
+        &self,
+        low: u64,
+        high: u64,
+        most: impl Into<Option<u64>>,
+        _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
         if low < self.first() {
             return Err(raft::Error::Store(raft::StorageError::Compacted));
         }
-        let (from, to) = ((low - self.first()) as usize, (high - self.first()) as usize);
+        let (from, to) = (
+            (low - self.first()) as usize,
+            (high - self.first()) as usize,
+        );
         let slice = self.entries.get(from..to);
-        let mut slice = slice.ok_or(raft::Error::Store(raft::StorageError::Unavailable))?.to_vec();
+        let mut slice = slice
+            .ok_or(raft::Error::Store(raft::StorageError::Unavailable))?
+            .to_vec();
         raft::util::limit_size(&mut slice, most.into());
         Ok(slice)
     }
@@ -80,7 +102,9 @@
             return Err(raft::Error::Store(raft::StorageError::Compacted));
         }
         let entry = self.entries.get((index - self.first()) as usize);
-        entry.map(|e| e.term).ok_or(raft::Error::Store(raft::StorageError::Unavailable))
+        entry
+            .map(|e| e.term)
+            .ok_or(raft::Error::Store(raft::StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -98,7 +122,9 @@
         let knows = conf.voters.contains(&to) || conf.learners.contains(&to);
         if meta.index < asked || !knows {
             self.wanted.set(true);
-            return Err(raft::Error::Store(raft::StorageError::SnapshotTemporarilyUnavailable));
+            return Err(raft::Error::Store(
+                raft::StorageError::SnapshotTemporarilyUnavailable,
+            ));
         }
         Ok(self.snapshot.clone())
     }
--- a/crates/cluster/src/machine.rs
+++ b/crates/cluster/src/machine.rs
@@ -48,8 +48,10 @@
     /// How long a leader waits by its own clock until a span has surely passed by another: if the other clock runs slow by the
     /// drift and its own fast, both still meet. A microsecond more for what rounding takes.
     pub fn surely(&self, span: Micros) -> Micros {
-        let (more, less) =
-            (1_000_000 + u64::from(self.drift), 1_000_000 - u64::from(self.drift.min(999_999)));
+        let (more, less) = (
+            1_000_000 + u64::from(self.drift),
+            1_000_000 - u64::from(self.drift.min(999_999)),
+        );
         (u128::from(span) * u128::from(more) / u128::from(less)) as Micros + 1
     }
 }
@@ -204,7 +206,12 @@
 impl Machine {
     /// A cluster with its first member, which brings so much.
     pub fn found(
-        cluster: String, rules: Rules, name: String, member: Member, version: Version, entry: u64,
+        cluster: String,
+        rules: Rules,
+        name: String,
+        member: Member,
+        version: Version,
+        entry: u64,
     ) -> Self {
         let next_id = member.id + 1;
         Machine {
@@ -240,7 +247,10 @@
                 if self.change.is_some() || proposal.base != self.entry {
                     return self.end(&proposal.id, Outcome::Overtaken);
                 }
-                self.change = Some(Change { proposal: proposal.clone(), phase: Phase::Checking });
+                self.change = Some(Change {
+                    proposal: proposal.clone(),
+                    phase: Phase::Checking,
+                });
                 vec![Effect::Check(proposal.clone())]
             }
             Command::Close { change } => match &mut self.change {
@@ -251,7 +261,9 @@
                 _ => Vec::new(),
             },
             Command::Open { change } => {
-                let Some(c) = self.take(change, Phase::Closing) else { return Vec::new() };
+                let Some(c) = self.take(change, Phase::Closing) else {
+                    return Vec::new();
+                };
                 self.version += 1;
                 self.entry += 1;
                 let mut effects = vec![Effect::Open(self.version, c.proposal)];
@@ -282,7 +294,8 @@
 
     /// Takes a change that is so far.
     fn take(&mut self, change: &str, phase: Phase) -> Option<Change> {
-        self.change.take_if(|c| c.proposal.id == *change && c.phase == phase)
+        self.change
+            .take_if(|c| c.proposal.id == *change && c.phase == phase)
     }
 
     fn end(&mut self, id: &str, outcome: Outcome) -> Vec<Effect> {
@@ -295,7 +308,11 @@
 
     /// What became of a change.
     pub fn outcome(&self, id: &str) -> Option<&Outcome> {
-        self.outcomes.iter().rev().find(|(known, _)| known == id).map(|(_, outcome)| outcome)
+        self.outcomes
+            .iter()
+            .rev()
+            .find(|(known, _)| known == id)
+            .map(|(_, outcome)| outcome)
     }
 
     /// Whether this change is under way.
@@ -305,6 +322,9 @@
 
     /// The name of a member.
     pub fn name_of(&self, id: u64) -> Option<&str> {
-        self.members.iter().find(|(_, m)| m.id == id).map(|(name, _)| name.as_str())
+        self.members
+            .iter()
+            .find(|(_, m)| m.id == id)
+            .map(|(name, _)| name.as_str())
     }
 }
