--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use raft::eraftpb::{
-    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, MessageType,
-    Snapshot,
+    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState,
+    MessageType, Snapshot,
 };
 use raft::{Config, RawNode, StateRole};
 use serde::{Deserialize, Serialize};
@@ -115,7 +115,9 @@
 impl Message {
     /// What it is about. Of the log's own only the few that are small and common are read whole.
     pub fn kind(&self) -> Kind {
-        use MessageType::{MsgAppend, MsgAppendResponse, MsgHeartbeat, MsgHeartbeatResponse, MsgSnapshot};
+        use MessageType::{
+            MsgAppend, MsgAppendResponse, MsgHeartbeat, MsgHeartbeatResponse, MsgSnapshot,
+        };
         let log = match self {
             Message::Log(log) => log,
             Message::Report(_) => return Kind::Report,
@@ -286,7 +288,11 @@
     let mut hard = HardState::default();
     (hard.term, hard.commit) = (1, 1);
     let snapshot = image(machine, state, 1, 1, conf);
-    Saved { snapshot: Some(bytes(&snapshot)), hard: Some(bytes(&hard)), ..Saved::default() }
+    Saved {
+        snapshot: Some(bytes(&snapshot)),
+        hard: Some(bytes(&hard)),
+        ..Saved::default()
+    }
 }
 
 fn image(machine: &Machine, state: String, index: u64, term: u64, conf: ConfState) -> Snapshot {
@@ -294,7 +300,10 @@
     let meta = snapshot.mut_metadata();
     (meta.index, meta.term) = (index, term);
     meta.set_conf_state(conf);
-    let image = Image { machine: machine.clone(), state };
+    let image = Image {
+        machine: machine.clone(),
+        state,
+    };
     snapshot.set_data(serde_json::to_vec(&image).unwrap_or_default().into());
     snapshot
 }
@@ -314,7 +323,12 @@
     /// # Errors
     /// What was saved can't be read.
     pub fn new(
-        id: u64, saved: &Saved, start: u32, proven: bool, seed: u64, now: Micros,
+        id: u64,
+        saved: &Saved,
+        start: u32,
+        proven: bool,
+        seed: u64,
+        now: Micros,
     ) -> Result<Self, Refusal> {
         let snapshot: Snapshot = match &saved.snapshot {
             Some(bytes) => read(bytes)?,
@@ -325,10 +339,16 @@
             None => HardState::default(),
         };
         let acknowledged = match &saved.acknowledged {
-            Some(bytes) => serde_json::from_slice(bytes).map_err(|e| Refusal::Spoilt(e.to_string()))?,
+            Some(bytes) => {
+                serde_json::from_slice(bytes).map_err(|e| Refusal::Spoilt(e.to_string()))?
+            }
             None => BTreeMap::new(),
         };
-        let entries = saved.entries.iter().map(|e| read(e)).collect::<Result<Vec<Entry>, _>>()?;
+        let entries = saved
+            .entries
+            .iter()
+            .map(|e| read(e))
+            .collect::<Result<Vec<Entry>, _>>()?;
         let (applied, applied_term) = (snapshot.get_metadata().index, snapshot.get_metadata().term);
         let log = Log::new(snapshot, entries, hard);
         let image: Option<Image> = match saved.snapshot {
@@ -354,7 +374,8 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log, &logger).map_err(|e| Refusal::Spoilt(e.to_string()))?;
+        let raw =
+            RawNode::new(&config, log, &logger).map_err(|e| Refusal::Spoilt(e.to_string()))?;
         let mut node = Node {
             id,
             raw,
@@ -472,7 +493,11 @@
             return;
         }
         if now >= self.last_tick + TICK {
-            self.last_tick = if now >= self.last_tick + 3 * TICK { now } else { self.last_tick + TICK };
+            self.last_tick = if now >= self.last_tick + 3 * TICK {
+                now
+            } else {
+                self.last_tick + TICK
+            };
             if self.is_proven() {
                 self.raw.tick(); // else it would ask for votes, its own among them
             }
@@ -502,8 +527,10 @@
         match message {
             Message::Log(bytes) => {
                 // From a member that was removed nothing is taken; one that is not known yet may know more than this one.
-                let removed =
-                    self.machine.as_ref().is_some_and(|m| from < m.next_id && m.name_of(from).is_none());
+                let removed = self
+                    .machine
+                    .as_ref()
+                    .is_some_and(|m| from < m.next_id && m.name_of(from).is_none());
                 if let Ok(message) = read::<raft::eraftpb::Message>(&bytes)
                     && message.from == from
                     && message.to == self.id
@@ -518,8 +545,13 @@
             Message::Hello => {
                 let led = self.raw.raft.prs().get(from).map_or(0, |p| p.matched);
                 let acknowledged = self.acknowledged.get(&from).copied().unwrap_or(0).max(led);
-                let welcome = Welcome { acknowledged, term: self.raw.raft.term, voters: self.voters() };
-                self.outputs.push(Output::Send(from, Message::Welcome(welcome)));
+                let welcome = Welcome {
+                    acknowledged,
+                    term: self.raw.raft.term,
+                    voters: self.voters(),
+                };
+                self.outputs
+                    .push(Output::Send(from, Message::Welcome(welcome)));
             }
             Message::Welcome(welcome) => self.welcomed(from, &welcome),
             Message::Report(report) => self.reported(now, from, &report),
@@ -578,7 +610,10 @@
         }
         self.voted = self.voted.max(welcome.term);
         self.vouched.insert(from);
-        self.proven = self.voters().iter().all(|id| *id == self.id || self.vouched.contains(id));
+        self.proven = self
+            .voters()
+            .iter()
+            .all(|id| *id == self.id || self.vouched.contains(id));
     }
 
     fn forget(&mut self, acknowledged: u64) {
@@ -617,7 +652,8 @@
         if leader == self.id {
             self.reported(now, leader, &report);
         } else {
-            self.outputs.push(Output::Send(leader, Message::Report(report)));
+            self.outputs
+                .push(Output::Send(leader, Message::Report(report)));
         }
     }
 
@@ -631,7 +667,11 @@
 
     /// A change was checked here: it can be taken, or why not.
     pub fn checked(&mut self, now: Micros, change: &str, fault: Option<String>) {
-        if self.machine.as_ref().is_some_and(|m| m.is_under_way(change)) {
+        if self
+            .machine
+            .as_ref()
+            .is_some_and(|m| m.is_under_way(change))
+        {
             self.fence.checked(now, change, fault);
             self.tell_right();
             self.report(now);
@@ -641,7 +681,11 @@
 
     /// Nothing is decided here any more under the present version, as this change takes hold.
     pub fn closed(&mut self, now: Micros, change: &str) {
-        if self.machine.as_ref().is_some_and(|m| m.is_under_way(change)) {
+        if self
+            .machine
+            .as_ref()
+            .is_some_and(|m| m.is_under_way(change))
+        {
             self.fence.close(change);
             self.tell_right();
             self.report(now);
@@ -690,7 +734,11 @@
         if machine.change.is_some() {
             return Err(Refusal::Wait("another change is under way"));
         }
-        let command = if note { Command::Note(proposal) } else { Command::Propose(proposal) };
+        let command = if note {
+            Command::Note(proposal)
+        } else {
+            Command::Propose(proposal)
+        };
         self.put(&command)?;
         self.work(now);
         Ok(())
@@ -716,7 +764,12 @@
     /// # Errors
     /// This instance does not lead, or something else has to end first.
     pub fn join(
-        &mut self, now: Micros, name: &str, address: &str, zone: &str, drawn: u64,
+        &mut self,
+        now: Micros,
+        name: &str,
+        address: &str,
+        zone: &str,
+        drawn: u64,
     ) -> Result<Option<u64>, Refusal> {
         let (warden, machine) = self.lead()?;
         let mut changes = Vec::new();
@@ -725,14 +778,27 @@
                 return Ok(Some(member.id)); // it joined before, and has not heard so
             }
             if member.id == self.id || !warden.is_silent(now, member.id) {
-                return Err(Refusal::Wait("an instance of this name is heard, or was a short while ago"));
+                return Err(Refusal::Wait(
+                    "an instance of this name is heard, or was a short while ago",
+                ));
             }
             changes.push(single(ConfChangeType::RemoveNode, member.id));
         }
         let id = machine.next_id;
         changes.push(single(ConfChangeType::AddLearnerNode, id));
-        let member = Member { id, address: address.to_owned(), zone: zone.to_owned(), drawn };
-        self.put_members(&changes, Some(&Command::Join { name: name.to_owned(), member }))?;
+        let member = Member {
+            id,
+            address: address.to_owned(),
+            zone: zone.to_owned(),
+            drawn,
+        };
+        self.put_members(
+            &changes,
+            Some(&Command::Join {
+                name: name.to_owned(),
+                member,
+            }),
+        )?;
         self.work(now);
         Ok(None)
     }
@@ -744,12 +810,17 @@
     /// This instance does not lead, or it is the one that is to leave.
     pub fn leave(&mut self, now: Micros, name: &str) -> Result<bool, Refusal> {
         let (_, machine) = self.lead()?;
-        let Some(id) = machine.members.get(name).map(|m| m.id) else { return Ok(true) };
+        let Some(id) = machine.members.get(name).map(|m| m.id) else {
+            return Ok(true);
+        };
         if id == self.id {
             return Err(Refusal::Wait("it leads: let it step down first"));
         }
         if self.warden.as_mut().is_some_and(|w| w.leave(now, id)) {
-            let command = Command::Leave { name: name.to_owned(), id };
+            let command = Command::Leave {
+                name: name.to_owned(),
+                id,
+            };
             self.put_members(&[single(ConfChangeType::RemoveNode, id)], Some(&command))?;
         }
         self.work(now);
@@ -762,9 +833,19 @@
     /// This instance does not lead, or no other has a vote.
     pub fn step_down(&mut self, now: Micros, to: Option<u64>) -> Result<(), Refusal> {
         self.lead()?;
-        let others: Vec<u64> = self.voters().into_iter().filter(|id| *id != self.id).collect();
+        let others: Vec<u64> = self
+            .voters()
+            .into_iter()
+            .filter(|id| *id != self.id)
+            .collect();
         let to = to.filter(|id| others.contains(id)).or_else(|| {
-            let active = |id: &&u64| self.raw.raft.prs().get(**id).is_some_and(|p| p.recent_active);
+            let active = |id: &&u64| {
+                self.raw
+                    .raft
+                    .prs()
+                    .get(**id)
+                    .is_some_and(|p| p.recent_active)
+            };
             others.iter().find(active).copied()
         });
         let to = to.ok_or(Refusal::Wait("no other member with a vote is heard"))?;
@@ -775,12 +856,17 @@
 
     /// The log may be shortened: this is the instance's state as it was after all that came before [`Output::Long`].
     pub fn shorten(&mut self, now: Micros, state: String) {
-        let Some((machine, index, term, conf)) = self.long.take() else { return };
+        let Some((machine, index, term, conf)) = self.long.take() else {
+            return;
+        };
         if index <= self.raw.store().snapshot.get_metadata().index {
             return; // another instance's has come meanwhile
         }
         let snapshot = image(&machine, state, index, term, conf);
-        let persist = Persist { snapshot: Some((index, bytes(&snapshot))), ..Persist::default() };
+        let persist = Persist {
+            snapshot: Some((index, bytes(&snapshot))),
+            ..Persist::default()
+        };
         self.raw.mut_store().replace(snapshot);
         self.outputs.push(Output::Persist(persist));
         self.work(now);
@@ -793,13 +879,17 @@
     }
 
     fn put_members(
-        &mut self, changes: &[ConfChangeSingle], command: Option<&Command>,
+        &mut self,
+        changes: &[ConfChangeSingle],
+        command: Option<&Command>,
     ) -> Result<(), Refusal> {
         if self.raw.raft.has_pending_conf() {
             return Err(Refusal::Wait("another member comes or goes"));
         }
         let context = match command {
-            Some(command) => serde_json::to_vec(command).map_err(|e| Refusal::Spoilt(e.to_string()))?,
+            Some(command) => {
+                serde_json::to_vec(command).map_err(|e| Refusal::Spoilt(e.to_string()))?
+            }
             None => Vec::new(),
         };
         let mut change = ConfChangeV2::default();
@@ -848,7 +938,9 @@
     }
 
     fn drive_change(&mut self, now: Micros) {
-        let (Some(warden), Some(machine)) = (&mut self.warden, &self.machine) else { return };
+        let (Some(warden), Some(machine)) = (&mut self.warden, &self.machine) else {
+            return;
+        };
         if let Some(command) = warden.step(now, machine)
             && self.put(&command).is_err()
             && let Some(warden) = &mut self.warden
@@ -858,19 +950,28 @@
     }
 
     fn begin_confirmation(&mut self) {
-        let Some(warden) = &mut self.warden else { return };
+        let Some(warden) = &mut self.warden else {
+            return;
+        };
         if self.confirming.is_some() || (!warden.is_asked() && self.reads.is_empty()) {
             return;
         }
         self.confirmations += 1;
         let number = self.confirmations;
         let (reports, reads) = (warden.ask(), std::mem::take(&mut self.reads));
-        self.confirming = Some(Confirming { number, reports, reads, index: None });
+        self.confirming = Some(Confirming {
+            number,
+            reports,
+            reads,
+            index: None,
+        });
         self.raw.read_index(number.to_be_bytes().to_vec());
     }
 
     fn end_confirmation(&mut self, now: Micros) {
-        let done = self.confirming.take_if(|c| c.index.is_some_and(|index| index <= self.applied));
+        let done = self
+            .confirming
+            .take_if(|c| c.index.is_some_and(|index| index <= self.applied));
         let Some(done) = done else { return };
         if let (Some(warden), Some(machine)) = (&mut self.warden, &self.machine) {
             for (to, grant) in warden.confirmed(now, &done.reports, machine) {
@@ -888,7 +989,8 @@
 
     fn send(&mut self, messages: Vec<raft::eraftpb::Message>) {
         for message in messages {
-            self.outputs.push(Output::Send(message.to, Message::Log(bytes(&message))));
+            self.outputs
+                .push(Output::Send(message.to, Message::Log(bytes(&message))));
         }
     }
 
@@ -909,7 +1011,11 @@
             persist.whole = true;
             self.restore(snapshot);
         }
-        persist.entries = ready.entries().iter().map(|e| (e.index, bytes(e))).collect();
+        persist.entries = ready
+            .entries()
+            .iter()
+            .map(|e| (e.index, bytes(e)))
+            .collect();
         self.raw.mut_store().append(ready.entries());
         if let Some(hard) = ready.hs() {
             persist.hard = Some(bytes(hard));
@@ -998,7 +1104,9 @@
     }
 
     fn obey(&mut self, command: &Command) {
-        let Some(machine) = &mut self.machine else { return };
+        let Some(machine) = &mut self.machine else {
+            return;
+        };
         let fresh = machine.next_id;
         let effects = machine.apply(command);
         if let Some(warden) = &mut self.warden {
@@ -1028,7 +1136,9 @@
             return;
         }
         self.voters_due = now + TICK;
-        let Some(changes) = self.next_voters(now) else { return };
+        let Some(changes) = self.next_voters(now) else {
+            return;
+        };
         let _ = self.put_members(&changes, None); // it is tried again
     }
 
@@ -1042,12 +1152,22 @@
         let progress = self.raw.raft.prs();
         let last = self.raw.raft.raft_log.last_index();
         let up_to_date = |id: u64| {
-            let close = |p: &raft::Progress| p.recent_active && p.matched > 0 && p.matched + 64 >= last;
+            let close =
+                |p: &raft::Progress| p.recent_active && p.matched > 0 && p.matched + 64 >= last;
             progress.get(id).is_some_and(close)
         };
-        let zones: BTreeMap<u64, &str> = machine.members.values().map(|m| (m.id, m.zone.as_str())).collect();
+        let zones: BTreeMap<u64, &str> = machine
+            .members
+            .values()
+            .map(|m| (m.id, m.zone.as_str()))
+            .collect();
         let zone = |id: u64| zones.get(&id).copied();
-        let in_zone = |z: Option<&str>| voters.iter().filter(|v| !gone(**v) && zone(**v) == z).count();
+        let in_zone = |z: Option<&str>| {
+            voters
+                .iter()
+                .filter(|v| !gone(**v) && zone(**v) == z)
+                .count()
+        };
         let mut candidates: Vec<(usize, u64)> = machine
             .members
             .values()
@@ -1068,9 +1188,10 @@
             return Some(vec![single(ConfChangeType::AddLearnerNode, spare)]);
         }
         // The new one first, so that at no time fewer are heard than before.
-        let better =
-            candidates.first().is_some_and(|(others, _)| *others == 0) && voters.iter().any(|v| crowded(&v));
-        next.filter(|_| lost.is_some() || better).map(|id| vec![single(ConfChangeType::AddNode, id)])
+        let better = candidates.first().is_some_and(|(others, _)| *others == 0)
+            && voters.iter().any(|v| crowded(&v));
+        next.filter(|_| lost.is_some() || better)
+            .map(|id| vec![single(ConfChangeType::AddNode, id)])
     }
 }
 
--- a/crates/cluster/src/salvage.rs
+++ b/crates/cluster/src/salvage.rs
@@ -33,7 +33,8 @@
 /// # Errors
 /// It can't be read, or its member has never heard of the cluster's state.
 pub fn salvage(saved: &Saved) -> Result<Salvage, Refusal> {
-    let nothing = || Refusal::Spoilt("this member has joined and has not got the cluster's state yet".into());
+    let nothing =
+        || Refusal::Spoilt("this member has joined and has not got the cluster's state yet".into());
     let snapshot: Snapshot = read(saved.snapshot.as_deref().ok_or_else(nothing)?)?;
     let hard: HardState = read(saved.hard.as_deref().unwrap_or_default())?;
     let image: Image =
@@ -46,7 +47,9 @@
         last = entry.index;
         let command: Option<Command> = match entry.get_entry_type() {
             EntryType::EntryNormal => serde_json::from_slice(&entry.data).ok(),
-            _ => read::<ConfChangeV2>(&entry.data).ok().and(serde_json::from_slice(&entry.context).ok()),
+            _ => read::<ConfChangeV2>(&entry.data)
+                .ok()
+                .and(serde_json::from_slice(&entry.context).ok()),
         };
         for effect in command.map(|c| machine.apply(&c)).unwrap_or_default() {
             if let Effect::Open(_, proposal) | Effect::Note(proposal) = effect {
@@ -74,7 +77,14 @@
 
 impl Machine {
     /// A cluster of its own that goes on from this one, with one member: those of before belong to it no more.
-    pub fn anew(&self, cluster: String, name: String, member: Member, version: Version, entry: u64) -> Self {
+    pub fn anew(
+        &self,
+        cluster: String,
+        name: String,
+        member: Member,
+        version: Version,
+        entry: u64,
+    ) -> Self {
         let mut machine = Machine::found(cluster, self.rules.clone(), name, member, version, entry);
         machine.next_id = machine.next_id.max(self.next_id);
         machine
--- a/crates/cluster/src/sim.rs
+++ b/crates/cluster/src/sim.rs
@@ -40,13 +40,24 @@
 
 impl Default for World {
     fn default() -> Self {
-        World { delay: 500, jitter: 500, lost: 0, drift: 10_000, check: 5_000, sync: 1_000 }
+        World {
+            delay: 500,
+            jitter: 500,
+            lost: 0,
+            drift: 10_000,
+            check: 5_000,
+            sync: 1_000,
+        }
     }
 }
 
 enum Event {
     Clock(usize, u32),
-    Deliver { to: usize, from: u64, message: Message },
+    Deliver {
+        to: usize,
+        from: u64,
+        message: Message,
+    },
     Checked(usize, u32, String),
     Look,
 }
@@ -179,7 +190,11 @@
             saved: Saved::default(),
             after: 0,
             start: 0,
-            rate: if drift == 0 { 0 } else { chance.i64(-drift..=drift) },
+            rate: if drift == 0 {
+                0
+            } else {
+                chance.i64(-drift..=drift)
+            },
             paused: false,
             put_back: false,
             held: Vec::new(),
@@ -208,8 +223,20 @@
             forgotten: 0,
         };
         let first = &mut sim.instances[0];
-        let member = Member { id: 1, address: first.name.clone(), zone: first.zone.clone(), drawn: 0 };
-        let machine = Machine::found(format!("{seed:x}"), rules.clone(), first.name.clone(), member, 0, 0);
+        let member = Member {
+            id: 1,
+            address: first.name.clone(),
+            zone: first.zone.clone(),
+            drawn: 0,
+        };
+        let machine = Machine::found(
+            format!("{seed:x}"),
+            rules.clone(),
+            first.name.clone(),
+            member,
+            0,
+            0,
+        );
         (first.id, first.saved, first.after) = (1, found(&machine, String::new(), 1), 1);
         sim.start(0);
         sim.push(sim.now + LOOK, Event::Look);
@@ -235,7 +262,10 @@
     /// It can't within a virtual minute.
     pub fn join(&mut self, i: usize) {
         let end = self.now + 60_000_000;
-        let (name, zone) = (self.instances[i].name.clone(), self.instances[i].zone.clone());
+        let (name, zone) = (
+            self.instances[i].name.clone(),
+            self.instances[i].zone.clone(),
+        );
         let drawn = self.chance.u64(1..);
         loop {
             assert!(self.now < end, "{name} can't join");
@@ -284,13 +314,18 @@
     /// A copy of what an instance's disk holds.
     pub fn copy(&self, i: usize) -> Copy {
         let one = &self.instances[i];
-        Copy { id: one.id, saved: one.saved.clone(), after: one.after }
+        Copy {
+            id: one.id,
+            saved: one.saved.clone(),
+            after: one.after,
+        }
     }
 
     /// An instance that does not run has its disk put back from a copy.
     pub fn put_back(&mut self, i: usize, copy: &Copy) {
         let one = &mut self.instances[i];
-        (one.id, one.saved, one.after, one.put_back) = (copy.id, copy.saved.clone(), copy.after, true);
+        (one.id, one.saved, one.after, one.put_back) =
+            (copy.id, copy.saved.clone(), copy.after, true);
     }
 
     /// The process of an instance dies.
@@ -370,11 +405,21 @@
         let leader = self.leader().ok_or(Refusal::NotLeading(None))?;
         let clock = self.clock(leader);
         let now = self.now;
-        let Some(node) = &mut self.instances[leader].node else { return Err(Refusal::NotLeading(None)) };
+        let Some(node) = &mut self.instances[leader].node else {
+            return Err(Refusal::NotLeading(None));
+        };
         let base = node.machine().map_or(0, |m| m.entry);
-        let proposal = Proposal { id: id.to_owned(), base, payload: String::new() };
+        let proposal = Proposal {
+            id: id.to_owned(),
+            base,
+            payload: String::new(),
+        };
         node.propose(clock, proposal, false)?;
-        self.played.entry(id.to_owned()).or_insert(Played { asked: now, ended: None, everywhere: None });
+        self.played.entry(id.to_owned()).or_insert(Played {
+            asked: now,
+            ended: None,
+            everywhere: None,
+        });
         self.carry_out(leader);
         Ok(())
     }
@@ -386,7 +431,9 @@
     pub fn remove(&mut self, i: usize) -> Result<bool, Refusal> {
         let leader = self.leader().ok_or(Refusal::NotLeading(None))?;
         let (clock, name) = (self.clock(leader), self.instances[i].name.clone());
-        let Some(node) = &mut self.instances[leader].node else { return Err(Refusal::NotLeading(None)) };
+        let Some(node) = &mut self.instances[leader].node else {
+            return Err(Refusal::NotLeading(None));
+        };
         let gone = node.leave(clock, &name);
         self.carry_out(leader);
         gone
@@ -403,7 +450,9 @@
             if *at > end {
                 break;
             }
-            let Some(Reverse(Timed(at, _, event))) = self.events.pop() else { break };
+            let Some(Reverse(Timed(at, _, event))) = self.events.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             let looked = matches!(event, Event::Look);
             self.play(event);
@@ -435,7 +484,9 @@
             }
             Event::Deliver { to, from, message } => {
                 if self.instances[to].paused {
-                    self.instances[to].held.push(Event::Deliver { to, from, message });
+                    self.instances[to]
+                        .held
+                        .push(Event::Deliver { to, from, message });
                     return;
                 }
                 let clock = self.clock(to);
@@ -464,7 +515,9 @@
     /// Does what an instance has to do.
     fn carry_out(&mut self, i: usize) {
         loop {
-            let Some(node) = &mut self.instances[i].node else { return };
+            let Some(node) = &mut self.instances[i].node else {
+                return;
+            };
             let outputs = node.outputs();
             if outputs.is_empty() {
                 break;
@@ -490,7 +543,9 @@
                 let start = self.instances[i].start;
                 self.push(at, Event::Checked(i, start, proposal.id));
             }
-            Output::Effect(Effect::Close(proposal)) => self.told(i, |n| n.closed(clock, &proposal.id)),
+            Output::Effect(Effect::Close(proposal)) => {
+                self.told(i, |n| n.closed(clock, &proposal.id))
+            }
             Output::Effect(Effect::Open(version, _)) => self.told(i, |n| n.carried(clock, version)),
             Output::Restore(machine, _) => {
                 self.told(i, |n| n.carried(clock, machine.version));
@@ -527,15 +582,28 @@
     fn persist(&mut self, i: usize, persist: Persist) {
         let instance = &mut self.instances[i];
         if let Some((index, bytes)) = persist.snapshot {
-            let gone = if persist.whole { usize::MAX } else { index.saturating_sub(instance.after) as usize };
-            instance.saved.entries.drain(..gone.min(instance.saved.entries.len()));
+            let gone = if persist.whole {
+                usize::MAX
+            } else {
+                index.saturating_sub(instance.after) as usize
+            };
+            instance
+                .saved
+                .entries
+                .drain(..gone.min(instance.saved.entries.len()));
             instance.saved.snapshot = Some(bytes);
             instance.after = index;
         }
         if let Some((first, _)) = persist.entries.first() {
-            instance.saved.entries.truncate((first - 1 - instance.after) as usize);
+            instance
+                .saved
+                .entries
+                .truncate((first - 1 - instance.after) as usize);
         }
-        instance.saved.entries.extend(persist.entries.into_iter().map(|(_, e)| e));
+        instance
+            .saved
+            .entries
+            .extend(persist.entries.into_iter().map(|(_, e)| e));
         if let Some(hard) = persist.hard {
             instance.saved.hard = Some(hard);
         }
@@ -552,7 +620,9 @@
         };
         self.sent = (self.sent.0 + 1, self.sent.1 + size as u64);
         self.kinds[message.kind() as usize] += 1;
-        let Some(to) = self.instances.iter().position(|i| i.id == to) else { return };
+        let Some(to) = self.instances.iter().position(|i| i.id == to) else {
+            return;
+        };
         if self.cuts.contains(&(from, to)) || self.chance.u32(..1000) < self.world.lost {
             return;
         }
@@ -560,7 +630,14 @@
         let begin = self.instances[from].busy_until.max(self.now);
         let at = begin + self.world.delay + more + self.chance.u64(..=self.world.jitter);
         let id = self.instances[from].id;
-        self.push(at, Event::Deliver { to, from: id, message });
+        self.push(
+            at,
+            Event::Deliver {
+                to,
+                from: id,
+                message,
+            },
+        );
     }
 
     /// Whether an instance could decide now, and under what.
@@ -581,7 +658,12 @@
         let Some(version) = decides else { return };
         if version < self.newest && self.broken.len() < 16 {
             let name = self.instances[i].name.clone();
-            self.broken.push(Broken { at: self.now, name, version, newest: self.newest });
+            self.broken.push(Broken {
+                at: self.now,
+                name,
+                version,
+                newest: self.newest,
+            });
         }
         self.newest = self.newest.max(version);
     }
@@ -592,7 +674,10 @@
             if played.everywhere.is_none()
                 && let Some((_, Outcome::InEffect(version))) = &played.ended
                 && (0..self.instances.len()).all(|i| {
-                    let node = self.instances[i].node.as_ref().filter(|_| !self.instances[i].paused);
+                    let node = self.instances[i]
+                        .node
+                        .as_ref()
+                        .filter(|_| !self.instances[i].paused);
                     let right = node.and_then(|n| n.fence().right());
                     right.is_none_or(|(v, until)| v >= *version || until < Until::Before(now))
                 })
--- a/crates/cluster/src/warden.rs
+++ b/crates/cluster/src/warden.rs
@@ -67,10 +67,15 @@
     /// and that majority had not voted yet. So leases that it granted end within a lease of then. Grants without an end are no
     /// more once a change closes, as each member said before that it could take it.
     fn worst(&self, machine: &Machine) -> Option<Until> {
-        let closing = machine.change.as_ref().is_some_and(|c| c.phase == Phase::Closing);
+        let closing = machine
+            .change
+            .as_ref()
+            .is_some_and(|c| c.phase == Phase::Closing);
         match self.rules.when_cut_off {
             WhenCutOff::Serve if !closing => Some(Until::Forever),
-            _ => Some(Until::Before(self.since + self.rules.surely(self.rules.lease))),
+            _ => Some(Until::Before(
+                self.since + self.rules.surely(self.rules.lease),
+            )),
         }
     }
 
@@ -103,7 +108,9 @@
     /// A member reports.
     pub fn report(&mut self, now: Micros, id: u64, report: &Report, machine: &Machine) {
         let short = self.rules.surely(self.rules.short);
-        let Some(book) = self.books.get_mut(&id) else { return };
+        let Some(book) = self.books.get_mut(&id) else {
+            return;
+        };
         if report.seq <= book.newest {
             return; // it has said something newer since
         }
@@ -135,9 +142,15 @@
 
     /// It was confirmed, after these reports had come, that this leader leads.
     pub fn confirmed(
-        &mut self, now: Micros, asked: &BTreeMap<u64, u64>, machine: &Machine,
+        &mut self,
+        now: Micros,
+        asked: &BTreeMap<u64, u64>,
+        machine: &Machine,
     ) -> Vec<(u64, Grant)> {
-        let closing = machine.change.as_ref().is_some_and(|c| c.phase == Phase::Closing);
+        let closing = machine
+            .change
+            .as_ref()
+            .is_some_and(|c| c.phase == Phase::Closing);
         if closing || matches!(self.proposed, Some(Command::Close { .. })) {
             return Vec::new();
         }
@@ -148,11 +161,16 @@
         let rules = &self.rules;
         let mut grants = Vec::new();
         for (id, seq) in asked {
-            let Some(book) = self.books.get_mut(id) else { continue };
+            let Some(book) = self.books.get_mut(id) else {
+                continue;
+            };
             if book.leaving || book.version != Some(machine.version) {
                 continue;
             }
-            let ready = machine.change.as_ref().is_some_and(|change| is_ready(book, change));
+            let ready = machine
+                .change
+                .as_ref()
+                .is_some_and(|change| is_ready(book, change));
             let span = if ready { Span::Short } else { long };
             let until = match span {
                 Span::Short => Until::Before(now + rules.surely(rules.short)),
@@ -160,7 +178,14 @@
                 Span::Forever => Until::Forever,
             };
             book.bound = Some(book.bound.map_or(until, |b| b.max(until)));
-            grants.push((*id, Grant { seq: *seq, version: machine.version, span }));
+            grants.push((
+                *id,
+                Grant {
+                    seq: *seq,
+                    version: machine.version,
+                    span,
+                },
+            ));
         }
         grants
     }
@@ -172,7 +197,9 @@
 
     /// The members that a change waits for now.
     pub fn waits(&self, now: Micros, machine: &Machine) -> Vec<Wait> {
-        let Some(change) = &machine.change else { return Vec::new() };
+        let Some(change) = &machine.change else {
+            return Vec::new();
+        };
         let waits = |(name, id): (&String, u64)| {
             let book = self.books.get(&id)?;
             let done = match change.phase {
@@ -180,9 +207,18 @@
                 Phase::Closing => book.closed.as_ref() == Some(&change.proposal.id),
             };
             let waits = !done && !Self::is_over(book, now);
-            waits.then(|| Wait { name: name.clone(), heard: book.heard, bound: book.bound })
+            waits.then(|| Wait {
+                name: name.clone(),
+                heard: book.heard,
+                bound: book.bound,
+            })
         };
-        machine.members.iter().map(|(name, m)| (name, m.id)).filter_map(waits).collect()
+        machine
+            .members
+            .iter()
+            .map(|(name, m)| (name, m.id))
+            .filter_map(waits)
+            .collect()
     }
 
     /// What is to be agreed on next, if something is. Each answer is given once: it comes back by the log, or
@@ -216,7 +252,10 @@
         }
         let faults = self.faults(now, machine, change);
         if !faults.is_empty() {
-            return Some(Command::GiveUp { change: id, why: faults });
+            return Some(Command::GiveUp {
+                change: id,
+                why: faults,
+            });
         }
         let ready = self.books.values().any(|b| is_ready(b, change));
         if waits.is_empty() && ready {
@@ -229,7 +268,10 @@
         let silent = |w: &Wait| reason(&w.name, "it has not said in time whether it can take it");
         let mut why: Vec<Reason> = waits.iter().map(silent).collect();
         if why.is_empty() {
-            why.push(reason("", "no instance has said in time that it can take it"));
+            why.push(reason(
+                "",
+                "no instance has said in time that it can take it",
+            ));
         }
         Some(Command::GiveUp { change: id, why })
     }
@@ -241,7 +283,12 @@
             Some((of, Some(why))) if *of == change.proposal.id => Some(reason(name, why)),
             _ => None,
         };
-        machine.members.iter().map(|(name, m)| (name, m.id)).filter_map(fault).collect()
+        machine
+            .members
+            .iter()
+            .map(|(name, m)| (name, m.id))
+            .filter_map(fault)
+            .collect()
     }
 
     /// The log did not take what [`Warden::step`] said; it will be said again.
@@ -252,7 +299,9 @@
     /// A member is to leave: it gets no grants from here on. Returns whether it surely decides nothing any more, so that it may.
     /// Where an instance that is cut off serves on, its leaving is an operator's word that it has ended.
     pub fn leave(&mut self, now: Micros, id: u64) -> bool {
-        let Some(book) = self.books.get_mut(&id) else { return true };
+        let Some(book) = self.books.get_mut(&id) else {
+            return true;
+        };
         book.leaving = true;
         Self::is_over(book, now) || book.bound == Some(Until::Forever)
     }
@@ -260,7 +309,9 @@
     /// Whether a member has not been heard for so long that a lease which it had has surely run out.
     pub fn is_silent(&self, now: Micros, id: u64) -> bool {
         let wait = self.rules.surely(self.rules.lease);
-        self.books.get(&id).is_none_or(|b| b.heard.unwrap_or(self.since) + wait <= now)
+        self.books
+            .get(&id)
+            .is_none_or(|b| b.heard.unwrap_or(self.since) + wait <= now)
     }
 
     /// When a member was last heard, and until when it may decide at most.
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -1,7 +1,9 @@
 //! Model checking of fence, lease, change and recovery: every order of reports, grants, losses, elections, crashes and clocks
 //! within a bound, and planted faults that must be found.
 use cluster::fence::{Fence, Grant, Report, Span};
-use cluster::machine::{Command, Effect, Machine, Member, Micros, Proposal, Rules, Version, WhenCutOff};
+use cluster::machine::{
+    Command, Effect, Machine, Member, Micros, Proposal, Rules, Version, WhenCutOff,
+};
 use cluster::warden::Warden;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -59,8 +61,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Report { from: usize, seq: u64 },
-    Grant { to: usize, seq: u64, version: Version, span: Span },
+    Report {
+        from: usize,
+        seq: u64,
+    },
+    Grant {
+        to: usize,
+        seq: u64,
+        version: Version,
+        span: Span,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -128,7 +138,10 @@
     fn warden_rules(&self) -> Rules {
         match self.fault {
             // As long as the slow clock's lease by the fast one, which is too short by the drift.
-            Fault::NoDrift => Rules { drift: 0, ..self.rules() },
+            Fault::NoDrift => Rules {
+                drift: 0,
+                ..self.rules()
+            },
             _ => self.rules(),
         }
     }
@@ -143,7 +156,11 @@
         if self.fault == Fault::Trusting {
             machine.members.values().for_each(|m| warden.came(m.id));
         }
-        Leader { warden, applied: world.log.len(), confirmed: BTreeMap::new() }
+        Leader {
+            warden,
+            applied: world.log.len(),
+            confirmed: BTreeMap::new(),
+        }
     }
 
     /// A leader with what it knows of the log. One that is elected has applied all of it.
@@ -171,16 +188,23 @@
 
     /// These report to the one that leads, which answers.
     fn reported(&self, world: &mut World, who: &[usize], leader: usize) {
-        who.iter().for_each(|i| _ = self.act(world, &Act::Report(*i)));
+        who.iter()
+            .for_each(|i| _ = self.act(world, &Act::Report(*i)));
         let reports: Vec<Message> = world.mail.iter().cloned().collect();
-        reports.into_iter().for_each(|l| _ = self.act(world, &Act::Deliver(l, leader)));
-        [Act::Confirm(leader), Act::Grant(leader)].iter().for_each(|a| _ = self.act(world, a));
+        reports
+            .into_iter()
+            .for_each(|l| _ = self.act(world, &Act::Deliver(l, leader)));
+        [Act::Confirm(leader), Act::Grant(leader)]
+            .iter()
+            .for_each(|a| _ = self.act(world, a));
     }
 
     /// All grants that are on their way come.
     fn granted(&self, world: &mut World) {
         let grants: Vec<Message> = world.mail.iter().cloned().collect();
-        grants.into_iter().for_each(|l| _ = self.act(world, &Act::Deliver(l, 0)));
+        grants
+            .into_iter()
+            .for_each(|l| _ = self.act(world, &Act::Deliver(l, 0)));
     }
 
     fn act(&self, world: &mut World, act: &Act) -> Option<()> {
@@ -206,11 +230,22 @@
                         let (from, report) = world.reports.remove(seq)?;
                         let clock = Self::clock(*to, now);
                         let (leader, machine) = Self::leader(world, *to)?;
-                        leader.warden.report(clock, from as u64 + 1, &report, &machine);
+                        leader
+                            .warden
+                            .report(clock, from as u64 + 1, &report, &machine);
                     }
-                    Message::Grant { to, seq, version, span } => {
+                    Message::Grant {
+                        to,
+                        seq,
+                        version,
+                        span,
+                    } => {
                         let fence = &mut world.instances[*to].fence;
-                        let mut grant = Grant { seq: *seq, version: *version, span: *span };
+                        let mut grant = Grant {
+                            seq: *seq,
+                            version: *version,
+                            span: *span,
+                        };
                         if self.fault == Fault::AnyGrant {
                             // As if it answered the newest report.
                             let report = fence.clone().report(Self::clock(*to, now));
@@ -254,7 +289,12 @@
                 let asked = std::mem::take(&mut leader.confirmed);
                 for (to, g) in leader.warden.confirmed(clock, &asked, &machine) {
                     let (to, seq, version, span) = (to as usize - 1, g.seq, g.version, g.span);
-                    world.mail.insert(Message::Grant { to, seq, version, span });
+                    world.mail.insert(Message::Grant {
+                        to,
+                        seq,
+                        version,
+                        span,
+                    });
                 }
             }
             Act::Say(i) => {
@@ -275,7 +315,11 @@
                 }
                 let id = format!("c{}", world.budget.changes);
                 let base = machine.entry;
-                world.log.push(Command::Propose(Proposal { id, base, payload: String::new() }));
+                world.log.push(Command::Propose(Proposal {
+                    id,
+                    base,
+                    payload: String::new(),
+                }));
             }
             Act::Elect(i) => {
                 world.budget.elections = world.budget.elections.checked_sub(1)?;
@@ -331,9 +375,17 @@
         when_cut_off: WhenCutOff::Refuse,
         voters: 1,
     };
-    let member = |id| Member { id, address: String::new(), zone: String::new(), drawn: 0 };
+    let member = |id| Member {
+        id,
+        address: String::new(),
+        zone: String::new(),
+        drawn: 0,
+    };
     let mut machine = Machine::found("m".into(), rules, NAMES[0].into(), member(1), 0, 0);
-    machine.apply(&Command::Join { name: NAMES[1].into(), member: member(2) });
+    machine.apply(&Command::Join {
+        name: NAMES[1].into(),
+        member: member(2),
+    });
     machine
 }
 
@@ -352,7 +404,11 @@
         let instance = || {
             let mut fence = Fence::new(self.rules().lease, self.rules().short, 1);
             fence.carried(0);
-            Instance { fence, applied: 0, start: 1 }
+            Instance {
+                fence,
+                applied: 0,
+                start: 1,
+            }
         };
         let mut world = World {
             now: 0,
@@ -362,7 +418,10 @@
             leaders: [None, None],
             mail: BTreeSet::new(),
             reports: BTreeMap::new(),
-            budget: Budget { reports: [1; 2], ..self.budget },
+            budget: Budget {
+                reports: [1; 2],
+                ..self.budget
+            },
             newest: 0,
             broken: false,
             done: false,
@@ -370,12 +429,20 @@
         let first = usize::from(self.begin == Begin::Deposed);
         world.elected = first;
         let mut leader = self.lead(&world, first);
-        start().members.values().for_each(|m| leader.warden.came(m.id));
+        start()
+            .members
+            .values()
+            .for_each(|m| leader.warden.came(m.id));
         world.leaders[first] = Some(leader);
         // Both have a lease to begin with.
         self.reported(&mut world, &[0, 1], first);
         self.granted(&mut world);
-        assert!(world.instances.iter().all(|i| i.fence.may_decide(0).is_ok()));
+        assert!(
+            world
+                .instances
+                .iter()
+                .all(|i| i.fence.may_decide(0).is_ok())
+        );
         match self.begin {
             Begin::Proposed => {}
             Begin::Deposed => {
@@ -387,7 +454,10 @@
                 self.reported(&mut world, &[1], first);
             }
         }
-        world.budget = Budget { changes: 1, ..self.budget };
+        world.budget = Budget {
+            changes: 1,
+            ..self.budget
+        };
         let _ = self.act(&mut world, &Act::Change);
         world.budget = self.budget;
         vec![world]
@@ -426,38 +496,87 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody decides under a former version", |_, w: &World| !w.broken),
+            Property::always("nobody decides under a former version", |_, w: &World| {
+                !w.broken
+            }),
             Property::sometimes("a change takes hold", |_, w: &World| w.done),
         ]
     }
 }
 
-fn check(name: &str, mode: WhenCutOff, fault: Fault, budget: Budget, begin: Begin) -> (usize, bool, bool) {
-    let model = Cluster { mode, fault, budget, begin };
+fn check(
+    name: &str,
+    mode: WhenCutOff,
+    fault: Fault,
+    budget: Budget,
+    begin: Begin,
+) -> (usize, bool, bool) {
+    let model = Cluster {
+        mode,
+        fault,
+        budget,
+        begin,
+    };
     let cores = std::thread::available_parallelism().map_or(2, usize::from);
-    let checker = model.checker().threads(cores).target_state_count(MOST).spawn_bfs().join();
-    let broken = checker.discovery("nobody decides under a former version").is_some();
+    let checker = model
+        .checker()
+        .threads(cores)
+        .target_state_count(MOST)
+        .spawn_bfs()
+        .join();
+    let broken = checker
+        .discovery("nobody decides under a former version")
+        .is_some();
     let done = checker.discovery("a change takes hold").is_some();
     let (states, unique) = (checker.state_count(), checker.unique_state_count());
-    assert!(states < MOST, "{name}: the play is too large to be looked at whole");
+    assert!(
+        states < MOST,
+        "{name}: the play is too large to be looked at whole"
+    );
     println!("{name}, {mode:?}: {states} states, {unique} unique, broken: {broken}");
     (unique, broken, done)
 }
 
-const LAPSES: Budget = Budget { ticks: 3, reports: [1, 1], elections: 0, crashes: 0, changes: 0 };
+const LAPSES: Budget = Budget {
+    ticks: 3,
+    reports: [1, 1],
+    elections: 0,
+    crashes: 0,
+    changes: 0,
+};
 
 #[test]
 fn nobody_decides_under_a_former_version() {
-    let whole = Budget { ticks: 1, reports: [2, 2], ..LAPSES };
-    let elections = Budget { reports: [2, 0], elections: 1, ..LAPSES };
-    let crashes = Budget { ticks: 2, reports: [2, 0], crashes: 1, ..LAPSES };
+    let whole = Budget {
+        ticks: 1,
+        reports: [2, 2],
+        ..LAPSES
+    };
+    let elections = Budget {
+        reports: [2, 0],
+        elections: 1,
+        ..LAPSES
+    };
+    let crashes = Budget {
+        ticks: 2,
+        reports: [2, 0],
+        crashes: 1,
+        ..LAPSES
+    };
     for mode in [WhenCutOff::Refuse, WhenCutOff::Serve] {
-        let plays = [("all are heard", whole), ("elections", elections), ("crashes", crashes)];
+        let plays = [
+            ("all are heard", whole),
+            ("elections", elections),
+            ("crashes", crashes),
+        ];
         for (name, budget) in plays {
             let (states, broken, done) = check(name, mode, Fault::None, budget, Begin::Proposed);
             assert!(!broken && states > 1_000, "{name}, {mode:?}");
             // Without the other's word a change takes hold only where its lease runs out.
-            assert!(done || name != "all are heard", "{name}, {mode:?}: no change can take hold");
+            assert!(
+                done || name != "all are heard",
+                "{name}, {mode:?}: no change can take hold"
+            );
         }
     }
 }
@@ -465,23 +584,70 @@
 /// Each planted fault is found, and without it the same play breaks nothing.
 #[test]
 fn planted_faults_are_found() {
-    let lapses = Budget { reports: [2, 0], ..LAPSES };
-    let whole = Budget { ticks: 0, reports: [2, 2], ..LAPSES };
-    let led = Budget { ticks: 3, reports: [2, 1], changes: 0, ..LAPSES };
-    let late = Budget { ticks: 2, reports: [2, 1], changes: 0, ..LAPSES };
-    let elected = Budget { elections: 1, reports: [0, 2], ..whole };
+    let lapses = Budget {
+        reports: [2, 0],
+        ..LAPSES
+    };
+    let whole = Budget {
+        ticks: 0,
+        reports: [2, 2],
+        ..LAPSES
+    };
+    let led = Budget {
+        ticks: 3,
+        reports: [2, 1],
+        changes: 0,
+        ..LAPSES
+    };
+    let late = Budget {
+        ticks: 2,
+        reports: [2, 1],
+        changes: 0,
+        ..LAPSES
+    };
+    let elected = Budget {
+        elections: 1,
+        reports: [0, 2],
+        ..whole
+    };
     for (mode, fault, budget, begin) in [
-        (WhenCutOff::Refuse, Fault::LeaseIgnored, lapses, Begin::Proposed),
+        (
+            WhenCutOff::Refuse,
+            Fault::LeaseIgnored,
+            lapses,
+            Begin::Proposed,
+        ),
         (WhenCutOff::Refuse, Fault::NoDrift, lapses, Begin::Proposed),
-        (WhenCutOff::Refuse, Fault::OpenedAtOnce, whole, Begin::Proposed),
-        (WhenCutOff::Refuse, Fault::Trusting, elected, Begin::Proposed),
+        (
+            WhenCutOff::Refuse,
+            Fault::OpenedAtOnce,
+            whole,
+            Begin::Proposed,
+        ),
+        (
+            WhenCutOff::Refuse,
+            Fault::Trusting,
+            elected,
+            Begin::Proposed,
+        ),
         (WhenCutOff::Refuse, Fault::Unconfirmed, led, Begin::Deposed),
-        (WhenCutOff::Serve, Fault::AnyGrant, late, Begin::GrantOnItsWay),
+        (
+            WhenCutOff::Serve,
+            Fault::AnyGrant,
+            late,
+            Begin::GrantOnItsWay,
+        ),
     ] {
         let (_, broken, _) = check(&format!("{fault:?}"), mode, fault, budget, begin);
         assert!(broken, "{fault:?} was not found");
         if begin != Begin::Proposed {
-            let (_, broken, _) = check(&format!("without {fault:?}"), mode, Fault::None, budget, begin);
+            let (_, broken, _) = check(
+                &format!("without {fault:?}"),
+                mode,
+                Fault::None,
+                budget,
+                begin,
+            );
             assert!(!broken, "the play of {fault:?} without it");
         }
     }
--- a/crates/cluster/tests/sim.rs
+++ b/crates/cluster/tests/sim.rs
@@ -6,7 +6,14 @@
 const S: Micros = 1_000_000;
 
 fn rules(when_cut_off: WhenCutOff) -> Rules {
-    Rules { lease: 5 * S, short: 3 * S, drift: 20_000, deadline: 15 * S, when_cut_off, voters: 3 }
+    Rules {
+        lease: 5 * S,
+        short: 3 * S,
+        drift: 20_000,
+        deadline: 15 * S,
+        when_cut_off,
+        voters: 3,
+    }
 }
 
 fn ready(sim: &mut Sim) {
@@ -18,8 +25,11 @@
 fn fleet(count: usize, mode: WhenCutOff, seed: u64) -> Sim {
     let mut sim = Sim::new(count, 3, &rules(mode), World::default(), seed);
     ready(&mut sim);
-    let voters =
-        |s: &Sim| s.leader().and_then(|l| s.node(l)).is_some_and(|n| n.voters().len() == 3.min(s.count()));
+    let voters = |s: &Sim| {
+        s.leader()
+            .and_then(|l| s.node(l))
+            .is_some_and(|n| n.voters().len() == 3.min(s.count()))
+    };
     let end = sim.now + 60 * S;
     assert!(sim.until(end, voters), "no three voters");
     sim
@@ -65,10 +75,19 @@
     let mut sim = fleet(5, WhenCutOff::Refuse, 2);
     sim.fault(4, Some("its listener's port is taken"));
     let (outcome, _) = change(&mut sim, "one", 10 * S);
-    let Outcome::GivenUp(why) = outcome else { panic!("{outcome:?}") };
-    assert_eq!((why[0].by.as_str(), why[0].why.as_str()), ("i4", "its listener's port is taken"));
+    let Outcome::GivenUp(why) = outcome else {
+        panic!("{outcome:?}")
+    };
+    assert_eq!(
+        (why[0].by.as_str(), why[0].why.as_str()),
+        ("i4", "its listener's port is taken")
+    );
     sim.fault(4, None);
-    assert_eq!(change(&mut sim, "two", 10 * S).0, Outcome::InEffect(1), "its number was not used up");
+    assert_eq!(
+        change(&mut sim, "two", 10 * S).0,
+        Outcome::InEffect(1),
+        "its number was not used up"
+    );
     assert_eq!(sim.broken, []);
 }
 
@@ -104,7 +123,9 @@
     let one = (0..5).find(|i| Some(*i) != sim.leader()).unwrap();
     sim.isolate(one, true);
     let (outcome, took) = change(&mut sim, "one", 40 * S);
-    let Outcome::GivenUp(why) = outcome else { panic!("{outcome:?}") };
+    let Outcome::GivenUp(why) = outcome else {
+        panic!("{outcome:?}")
+    };
     assert_eq!((why.len(), why[0].by.clone()), (1, format!("i{one}")));
     assert!(took >= 15 * S, "{took}");
     assert_eq!(sim.decides(one), Some(0), "it serves on");
@@ -124,14 +145,22 @@
         let mut sim = fleet(6, mode, 30);
         let leader = sim.node(sim.leader().unwrap()).unwrap();
         let voters = leader.voters();
-        let gone: Vec<usize> =
-            (0..6).filter(|i| voters.contains(&sim.node(*i).unwrap().id())).take(2).collect();
+        let gone: Vec<usize> = (0..6)
+            .filter(|i| voters.contains(&sim.node(*i).unwrap().id()))
+            .take(2)
+            .collect();
         gone.iter().for_each(|i| sim.kill(*i));
         sim.run(3 * S);
         let left: Vec<usize> = (0..6).filter(|i| !gone.contains(i)).collect();
-        assert!(left.iter().all(|i| sim.decides(*i) == Some(0)), "a lease less a report goes on");
+        assert!(
+            left.iter().all(|i| sim.decides(*i) == Some(0)),
+            "a lease less a report goes on"
+        );
         sim.run(3 * S);
-        assert!(left.iter().all(|i| sim.decides(*i).is_some() == serves), "{mode:?}");
+        assert!(
+            left.iter().all(|i| sim.decides(*i).is_some() == serves),
+            "{mode:?}"
+        );
         gone.iter().for_each(|i| sim.start(*i));
         ready(&mut sim);
         assert_eq!(change(&mut sim, "one", 30 * S).0, Outcome::InEffect(1));
@@ -145,7 +174,10 @@
     let one = (0..5).find(|i| Some(*i) != sim.leader()).unwrap();
     sim.isolate(one, true);
     for n in 0..400 {
-        assert!(matches!(change(&mut sim, &format!("c{n}"), 30 * S).0, Outcome::InEffect(_)));
+        assert!(matches!(
+            change(&mut sim, &format!("c{n}"), 30 * S).0,
+            Outcome::InEffect(_)
+        ));
     }
     sim.isolate(one, false);
     ready(&mut sim);
@@ -166,7 +198,8 @@
     let voters = sim.node(leader).unwrap().voters();
     let votes = |sim: &Sim, i: usize| voters.contains(&sim.node(i).unwrap().id());
     // The one that leads stands alone with those that have no vote.
-    let (few, most): (Vec<usize>, Vec<usize>) = (0..6).partition(|i| *i == leader || !votes(&sim, *i));
+    let (few, most): (Vec<usize>, Vec<usize>) =
+        (0..6).partition(|i| *i == leader || !votes(&sim, *i));
     let cut = |sim: &mut Sim, on| {
         for (a, b) in few.iter().flat_map(|a| most.iter().map(move |b| (*a, *b))) {
             sim.cut(a, b, on);
@@ -179,12 +212,22 @@
     let (outcome, _) = change(&mut sim, "most", 30 * S);
     assert_eq!(outcome, Outcome::InEffect(1));
     sim.run(S);
-    assert!(few.iter().all(|i| sim.decides(*i).is_none()), "their leases are over");
+    assert!(
+        few.iter().all(|i| sim.decides(*i).is_none()),
+        "their leases are over"
+    );
     cut(&mut sim, false);
     ready(&mut sim);
     sim.run(S);
     assert!((0..6).all(|i| sim.decides(i) == Some(1)));
-    assert!((0..6).all(|i| sim.node(i).unwrap().machine().unwrap().outcome("few").is_none()));
+    assert!((0..6).all(|i| {
+        sim.node(i)
+            .unwrap()
+            .machine()
+            .unwrap()
+            .outcome("few")
+            .is_none()
+    }));
     assert_eq!(sim.broken, []);
 }
 
@@ -193,11 +236,16 @@
     let mut sim = fleet(5, WhenCutOff::Refuse, 60);
     let leader = sim.leader().unwrap();
     let voters = sim.node(leader).unwrap().voters();
-    let voter = (0..5).find(|i| *i != leader && voters.contains(&sim.node(*i).unwrap().id())).unwrap();
+    let voter = (0..5)
+        .find(|i| *i != leader && voters.contains(&sim.node(*i).unwrap().id()))
+        .unwrap();
     sim.slow_disk(voter, 2 * S);
     for n in 0..5 {
         let (outcome, took) = change(&mut sim, &format!("c{n}"), 30 * S);
-        assert!(matches!(outcome, Outcome::InEffect(_)) && took < 8 * S, "{outcome:?} after {took}");
+        assert!(
+            matches!(outcome, Outcome::InEffect(_)) && took < 8 * S,
+            "{outcome:?} after {took}"
+        );
     }
     sim.slow_disk(voter, 1000);
     sim.run(5 * S);
@@ -213,13 +261,19 @@
     sim.run(20 * S);
     assert_eq!(sim.node(sim.leader().unwrap()).unwrap().position().0, term);
     assert_eq!(sim.decides(gone), None);
-    assert!(matches!(change(&mut sim, "last", 30 * S).0, Outcome::InEffect(_)));
+    assert!(matches!(
+        change(&mut sim, "last", 30 * S).0,
+        Outcome::InEffect(_)
+    ));
     assert_eq!(sim.broken, []);
 }
 
 /// Faults by chance while one change follows another.
 fn storm(mode: WhenCutOff, seed: u64, ignored: bool) -> Sim {
-    let world = World { lost: 10, ..World::default() };
+    let world = World {
+        lost: 10,
+        ..World::default()
+    };
     let mut sim = Sim::new(7, 3, &rules(mode), world, seed);
     ready(&mut sim);
     sim.lease_ignored = ignored;
@@ -260,8 +314,14 @@
             ready(&mut sim);
             sim.run(30 * S);
             // All know the same of each change, and none is half taken.
-            let machines: Vec<_> = (0..7).map(|i| sim.node(i).unwrap().machine().unwrap()).collect();
-            assert!(machines.iter().all(|m| m.version == machines[0].version && m.change.is_none()));
+            let machines: Vec<_> = (0..7)
+                .map(|i| sim.node(i).unwrap().machine().unwrap())
+                .collect();
+            assert!(
+                machines
+                    .iter()
+                    .all(|m| m.version == machines[0].version && m.change.is_none())
+            );
             for (id, played) in &sim.played {
                 let told: Vec<_> = machines.iter().map(|m| m.outcome(id)).collect();
                 assert!(told.iter().all(|o| *o == told[0]), "{id}: {told:?}");
@@ -276,7 +336,9 @@
 
 #[test]
 fn the_judge_sees_a_lease_that_is_ignored() {
-    let broken = (0..6).filter(|seed| !storm(WhenCutOff::Refuse, *seed, true).broken.is_empty()).count();
+    let broken = (0..6)
+        .filter(|seed| !storm(WhenCutOff::Refuse, *seed, true).broken.is_empty())
+        .count();
     assert!(broken > 0);
 }
 
@@ -291,7 +353,10 @@
     let copy = sim.copy(old);
     sim.kill(lags);
     // Acknowledged by the one that leads and by the one whose disk is put back.
-    assert_eq!(change(&mut sim, "acknowledged", 30 * S).0, Outcome::InEffect(2));
+    assert_eq!(
+        change(&mut sim, "acknowledged", 30 * S).0,
+        Outcome::InEffect(2)
+    );
     sim.run(S);
     [leader, old].iter().for_each(|i| sim.kill(*i));
     sim.put_back(old, &copy);
@@ -299,7 +364,11 @@
     [old, lags].iter().for_each(|i| sim.start(*i));
     sim.run(30 * S);
     if !all_vote {
-        assert_eq!((sim.leader(), sim.forgotten), (None, 0), "two that know nothing of it choose nobody");
+        assert_eq!(
+            (sim.leader(), sim.forgotten),
+            (None, 0),
+            "two that know nothing of it choose nobody"
+        );
         assert!((0..3).all(|i| sim.decides(i).is_none()));
     }
     sim.start(leader);
@@ -317,7 +386,11 @@
         sim.join(old);
         ready(&mut sim);
         assert!((0..3).all(|i| sim.decides(i) == Some(2)), "nothing is lost");
-        assert_ne!(sim.copy(old).id(), before.id(), "it has joined under another number");
+        assert_ne!(
+            sim.copy(old).id(),
+            before.id(),
+            "it has joined under another number"
+        );
         assert_eq!(change(&mut sim, "after", 30 * S).0, Outcome::InEffect(3));
         assert_eq!(sim.broken, []);
     }
@@ -364,7 +437,9 @@
     let mut sim = fleet(5, WhenCutOff::Refuse, 90);
     let leader = sim.leader().unwrap();
     let voters = sim.node(leader).unwrap().voters();
-    let lost = (0..5).find(|i| !voters.contains(&sim.copy(*i).id())).unwrap();
+    let lost = (0..5)
+        .find(|i| !voters.contains(&sim.copy(*i).id()))
+        .unwrap();
     let before = sim.copy(lost).id();
     sim.kill(lost);
     sim.kill(leader);
@@ -388,8 +463,10 @@
         sim.kill(leader);
         sim.isolate(leader, false);
         let end = sim.now + 30 * S;
-        let led =
-            |s: &Sim| s.leader().is_some_and(|l| s.node(l).unwrap().machine().unwrap().change.is_none());
+        let led = |s: &Sim| {
+            s.leader()
+                .is_some_and(|l| s.node(l).unwrap().machine().unwrap().change.is_none())
+        };
         assert!(sim.until(end, led), "after {step} steps it has no end");
         let next = sim.node(sim.leader().unwrap()).unwrap().machine().unwrap();
         let (outcome, version) = (next.outcome("one").cloned(), next.version);
@@ -398,18 +475,31 @@
             None => ends[0] += 1, // it was lost with the one that led, and took hold nowhere
             other => panic!("{other:?}"),
         }
-        assert_eq!(change(&mut sim, "two", 30 * S).0, Outcome::InEffect(version + 1));
+        assert_eq!(
+            change(&mut sim, "two", 30 * S).0,
+            Outcome::InEffect(version + 1)
+        );
         sim.start(leader);
         ready(&mut sim);
         sim.run(S);
-        let told = |i: usize| sim.node(i).unwrap().machine().unwrap().outcome("one").cloned();
+        let told = |i: usize| {
+            sim.node(i)
+                .unwrap()
+                .machine()
+                .unwrap()
+                .outcome("one")
+                .cloned()
+        };
         assert!(
             (0..5).all(|i| told(i) == outcome && sim.decides(i) == Some(version + 1)),
             "after {step} steps"
         );
         assert_eq!(sim.broken, [], "after {step} steps");
     }
-    assert!(ends.iter().all(|n| *n > 0), "{ends:?}: steps before and after it was agreed on");
+    assert!(
+        ends.iter().all(|n| *n > 0),
+        "{ends:?}: steps before and after it was agreed on"
+    );
 }
 
 #[test]
--- a/crates/cluster/tests/stored_forms.rs
+++ b/crates/cluster/tests/stored_forms.rs
@@ -20,32 +20,67 @@
 }
 
 fn member(id: u64) -> Member {
-    Member { id, address: format!("127.0.0.1:{id}"), zone: "east".into(), drawn: id * 7 }
+    Member {
+        id,
+        address: format!("127.0.0.1:{id}"),
+        zone: "east".into(),
+        drawn: id * 7,
+    }
 }
 
 fn proposal(id: &str, base: u64) -> Proposal {
-    Proposal { id: id.into(), base, payload: "{\"x\":1}".into() }
+    Proposal {
+        id: id.into(),
+        base,
+        payload: "{\"x\":1}".into(),
+    }
 }
 
 fn commands() -> Vec<Command> {
-    let why = vec![Reason { by: "b".into(), why: "no listener".into() }];
+    let why = vec![Reason {
+        by: "b".into(),
+        why: "no listener".into(),
+    }];
     vec![
-        Command::Join { name: "b".into(), member: member(2) },
-        Command::Join { name: "c".into(), member: member(3) },
+        Command::Join {
+            name: "b".into(),
+            member: member(2),
+        },
+        Command::Join {
+            name: "c".into(),
+            member: member(3),
+        },
         Command::Propose(proposal("c1", 4)),
-        Command::Close { change: "c1".into() },
-        Command::Open { change: "c1".into() },
+        Command::Close {
+            change: "c1".into(),
+        },
+        Command::Open {
+            change: "c1".into(),
+        },
         Command::Propose(proposal("c2", 5)),
-        Command::GiveUp { change: "c2".into(), why },
+        Command::GiveUp {
+            change: "c2".into(),
+            why,
+        },
         Command::Note(proposal("n1", 5)),
         Command::Propose(proposal("c3", 1)),
-        Command::Leave { name: "c".into(), id: 3 },
+        Command::Leave {
+            name: "c".into(),
+            id: 3,
+        },
         Command::Propose(proposal("c4", 6)),
     ]
 }
 
 fn machine() -> Machine {
-    Machine::found("00ff".into(), rules(WhenCutOff::Refuse), "a".into(), member(1), 9, 4)
+    Machine::found(
+        "00ff".into(),
+        rules(WhenCutOff::Refuse),
+        "a".into(),
+        member(1),
+        9,
+        4,
+    )
 }
 
 #[test]
@@ -59,17 +94,28 @@
         written += &format!("command {text}\n");
     }
     written += &format!("state {}\n", serde_json::to_string(&machine).unwrap());
-    written += &format!("rules {}\n", serde_json::to_string(&rules(WhenCutOff::Serve)).unwrap());
+    written += &format!(
+        "rules {}\n",
+        serde_json::to_string(&rules(WhenCutOff::Serve)).unwrap()
+    );
     let saved = found(&machine, "the service's state".into(), 1);
     written += &format!("snapshot {}\n", hex(&saved.snapshot.unwrap()));
     written += &format!("hard {}\n", hex(&saved.hard.unwrap()));
-    assert_eq!(written, RECORDED, "stored forms differ; they are now:\n{written}");
+    assert_eq!(
+        written, RECORDED,
+        "stored forms differ; they are now:\n{written}"
+    );
 }
 
 #[test]
 fn recorded_commands_come_to_the_recorded_state() {
     let mut machine = machine();
-    let of = |kind: &str| RECORDED.lines().filter_map(|l| l.strip_prefix(kind)).collect::<Vec<_>>();
+    let of = |kind: &str| {
+        RECORDED
+            .lines()
+            .filter_map(|l| l.strip_prefix(kind))
+            .collect::<Vec<_>>()
+    };
     for text in of("command ") {
         machine.apply(&serde_json::from_str(text).unwrap());
     }
--- a/crates/documents/src/form.rs
+++ b/crates/documents/src/form.rs
@@ -23,7 +23,12 @@
     /// Where, with dots, as errors about a file name it.
     pub fn key(&self) -> String {
         let part = |p: &str| p.replace("~1", "/").replace("~0", "~");
-        self.pointer.split('/').skip(1).map(part).collect::<Vec<_>>().join(".")
+        self.pointer
+            .split('/')
+            .skip(1)
+            .map(part)
+            .collect::<Vec<_>>()
+            .join(".")
     }
 }
 
@@ -53,8 +58,14 @@
     /// the rest. None of them is longer than 1 KB, whatever the value is.
     pub fn faults(&self, value: &Value) -> Vec<Fault> {
         let (found, more) = self.first_faults(value);
-        let bounded = |f: Fault| Fault { pointer: text::cut(&f.pointer, text::MOST_OF_PLACE), what: f.what };
-        let rest = (more > 0).then(|| Fault { pointer: String::new(), what: text::rest(more) });
+        let bounded = |f: Fault| Fault {
+            pointer: text::cut(&f.pointer, text::MOST_OF_PLACE),
+            what: f.what,
+        };
+        let rest = (more > 0).then(|| Fault {
+            pointer: String::new(),
+            what: text::rest(more),
+        });
         found.into_iter().map(bounded).chain(rest).collect()
     }
 
@@ -66,17 +77,24 @@
             let below = |key: &str| format!("{at}/{}", key.replace('~', "~0").replace('/', "~1"));
             let mut put = |pointer: &dyn Fn() -> String, what: &dyn Fn() -> String| {
                 if faults.len() < MOST_LISTED {
-                    faults.push(Fault { pointer: pointer(), what: text::cut(&what(), text::MOST_OF_WHAT) });
+                    faults.push(Fault {
+                        pointer: pointer(),
+                        what: text::cut(&what(), text::MOST_OF_WHAT),
+                    });
                 } else {
                     more += 1;
                 }
             };
             match error.kind() {
                 ValidationErrorKind::AdditionalProperties { unexpected } => {
-                    unexpected.iter().for_each(|key| put(&|| below(key), &|| "there is no such key".into()));
+                    unexpected
+                        .iter()
+                        .for_each(|key| put(&|| below(key), &|| "there is no such key".into()));
                 }
                 ValidationErrorKind::Required { property } => {
-                    put(&|| below(property.as_str().unwrap_or_default()), &|| "it is missing".into());
+                    put(&|| below(property.as_str().unwrap_or_default()), &|| {
+                        "it is missing".into()
+                    });
                 }
                 _ => put(&|| at.to_owned(), &|| words(&error)),
             }
@@ -90,7 +108,11 @@
     /// What is wrong with it, as [`Form::faults`] lists it.
     pub fn read<T: DeserializeOwned>(&self, value: &Value) -> Result<T, Vec<Fault>> {
         let faults = self.faults(value);
-        if faults.is_empty() { deserialized(value).map_err(|fault| vec![fault]) } else { Err(faults) }
+        if faults.is_empty() {
+            deserialized(value).map_err(|fault| vec![fault])
+        } else {
+            Err(faults)
+        }
     }
 
     /// Reads a text in TOML, whose file is named so in errors; also where its keys stand.
@@ -98,7 +120,9 @@
     /// # Errors
     /// It is not TOML, or what is wrong with it, bounded as [`Places::problems`] says.
     pub fn read_toml<T: DeserializeOwned>(
-        &self, file: &str, text: &str,
+        &self,
+        file: &str,
+        text: &str,
     ) -> Result<(T, Places), DocumentError> {
         let (value, places) = toml(file, text)?;
         let (mut faults, more) = self.first_faults(&value);
@@ -110,7 +134,11 @@
         }
         let problem = |f: Fault| {
             let key = f.key();
-            Problem { line: places.line_of(&key), key, what: f.what }
+            Problem {
+                line: places.line_of(&key),
+                key,
+                what: f.what,
+            }
         };
         Err(places.problems_and_more(faults.into_iter().map(problem).collect(), more))
     }
@@ -128,7 +156,10 @@
 
 /// Reads a value whose form is right.
 fn deserialized<T: DeserializeOwned>(value: &Value) -> Result<T, Fault> {
-    T::deserialize(value).map_err(|e| Fault { pointer: String::new(), what: text::shortened(&e.to_string()) })
+    T::deserialize(value).map_err(|e| Fault {
+        pointer: String::new(),
+        what: text::shortened(&e.to_string()),
+    })
 }
 
 /// What an error says. Of the value there is a short quotation at most: it may be as long as the document.
@@ -142,11 +173,17 @@
     };
     let most = |unit: &str, limit: &u64| {
         let are = if *limit == 1 { "is" } else { "are" };
-        format!("it has {}, and at most {limit} {are} allowed", text::counted(length, unit))
+        format!(
+            "it has {}, and at most {limit} {are} allowed",
+            text::counted(length, unit)
+        )
     };
     let least = |unit: &str, limit: &u64| {
         let are = if *limit == 1 { "is" } else { "are" };
-        format!("it has {}, and at least {limit} {are} needed", text::counted(length, unit))
+        format!(
+            "it has {}, and at least {limit} {are} needed",
+            text::counted(length, unit)
+        )
     };
     let otherwise = || error.masked_with(text::quoted(value)).to_string();
     match error.kind() {
@@ -161,7 +198,9 @@
             options(context).map_or_else(otherwise, |options| format!("it is one of {options}"))
         }
         ValidationErrorKind::Pattern { pattern } => units::meaning(pattern)
-            .map_or_else(otherwise, |meaning| format!("{} is not {meaning}", text::quoted(value))),
+            .map_or_else(otherwise, |meaning| {
+                format!("{} is not {meaning}", text::quoted(value))
+            }),
         // The value that it speaks of is a key, and the inner error's.
         ValidationErrorKind::PropertyNames { error } => words(error),
         _ => otherwise(),
@@ -174,6 +213,9 @@
         ValidationErrorKind::Constant { expected_value } => Some(expected_value.to_string()),
         _ => None,
     };
-    let all = context.iter().map(constant).collect::<Option<Vec<String>>>()?;
+    let all = context
+        .iter()
+        .map(constant)
+        .collect::<Option<Vec<String>>>()?;
     (!all.is_empty()).then(|| all.join(", "))
 }
--- a/crates/documents/src/place.rs
+++ b/crates/documents/src/place.rs
@@ -31,8 +31,19 @@
 impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (i, p) in self.problems.iter().enumerate() {
-            let key = if p.key.is_empty() { String::new() } else { format!(" {}:", p.key) };
-            write!(f, "{}{}:{}:{key} {}", if i > 0 { "\n" } else { "" }, self.file, p.line, p.what)?;
+            let key = if p.key.is_empty() {
+                String::new()
+            } else {
+                format!(" {}:", p.key)
+            };
+            write!(
+                f,
+                "{}{}:{}:{key} {}",
+                if i > 0 { "\n" } else { "" },
+                self.file,
+                p.line,
+                p.what
+            )?;
         }
         Ok(())
     }
@@ -54,8 +65,14 @@
     /// # Errors
     /// The text is not TOML.
     pub fn new(file: &str, text: &str) -> Result<Self, DocumentError> {
-        let lines = std::iter::once(0).chain(text.match_indices('\n').map(|(i, _)| i + 1)).collect();
-        let mut places = Places { file: file.to_owned(), keys: Vec::new(), lines };
+        let lines = std::iter::once(0)
+            .chain(text.match_indices('\n').map(|(i, _)| i + 1))
+            .collect();
+        let mut places = Places {
+            file: file.to_owned(),
+            keys: Vec::new(),
+            lines,
+        };
         let table = DeTable::parse(text).map_err(|e| places.error(&e))?;
         places.table("", table.get_ref());
         Ok(places)
@@ -64,14 +81,21 @@
     fn table(&mut self, above: &str, table: &DeTable) {
         for (key, value) in table {
             let name = key.get_ref();
-            let path = if above.is_empty() { name.to_string() } else { format!("{above}.{name}") };
+            let path = if above.is_empty() {
+                name.to_string()
+            } else {
+                format!("{above}.{name}")
+            };
             self.value(path, Some(key.span().start), value);
         }
     }
 
     fn value(&mut self, path: String, key: Option<usize>, value: &Spanned<DeValue>) {
         let span = value.span();
-        self.keys.push((path.clone(), key.unwrap_or(span.start)..span.end.max(span.start)));
+        self.keys.push((
+            path.clone(),
+            key.unwrap_or(span.start)..span.end.max(span.start),
+        ));
         match value.get_ref() {
             DeValue::Table(table) => self.table(&path, table),
             DeValue::Array(items) => {
@@ -105,7 +129,11 @@
     pub fn error(&self, e: &toml::de::Error) -> DocumentError {
         let at = e.span().map_or(0, |s| s.start);
         let holds = |span: &Range<usize>| span.start <= at && at < span.end.max(span.start + 1);
-        let inner = self.keys.iter().filter(|(_, span)| holds(span)).min_by_key(|(_, span)| span.len());
+        let inner = self
+            .keys
+            .iter()
+            .filter(|(_, span)| holds(span))
+            .min_by_key(|(_, span)| span.len());
         let key = inner.map_or(String::new(), |(path, _)| path.clone());
         self.problems(vec![Problem {
             line: self.line_at(at),
@@ -121,7 +149,11 @@
     }
 
     /// As [`Places::problems`], with so many more that were counted and not kept.
-    pub(crate) fn problems_and_more(&self, mut problems: Vec<Problem>, more: usize) -> DocumentError {
+    pub(crate) fn problems_and_more(
+        &self,
+        mut problems: Vec<Problem>,
+        more: usize,
+    ) -> DocumentError {
         problems.sort_by_key(|p| p.line);
         let more = more + problems.len().saturating_sub(MOST_LISTED);
         problems.truncate(MOST_LISTED);
@@ -131,8 +163,15 @@
         }
         if more > 0 {
             let line = problems.last().map_or(1, |p| p.line);
-            problems.push(Problem { line, key: String::new(), what: text::rest(more) });
+            problems.push(Problem {
+                line,
+                key: String::new(),
+                what: text::rest(more),
+            });
+        }
+        DocumentError {
+            file: self.file.clone(),
+            problems,
         }
-        DocumentError { file: self.file.clone(), problems }
     }
 }
--- a/crates/documents/src/text.rs
+++ b/crates/documents/src/text.rs
@@ -19,7 +19,10 @@
 
 /// So many of something, which ends in `s` when there are several.
 pub(crate) fn counted(n: usize, unit: &str) -> String {
-    match unit.strip_suffix('y').filter(|stem| n != 1 && !stem.ends_with('e')) {
+    match unit
+        .strip_suffix('y')
+        .filter(|stem| n != 1 && !stem.ends_with('e'))
+    {
         Some(stem) => format!("{n} {stem}ies"),
         None => format!("{n} {unit}{}", if n == 1 { "" } else { "s" }),
     }
@@ -50,9 +53,10 @@
     let end = words.char_indices().nth(MOST_QUOTED);
     let start = words.char_indices().rev().nth(MOST_QUOTED - 1);
     match (end, start) {
-        (Some((end, _)), Some((start, _))) if start > end + 2 * MOST_QUOTED => {
-            cut(&format!("{}\u{2026}{}", &words[..end], &words[start..]), MOST_OF_WHAT)
-        }
+        (Some((end, _)), Some((start, _))) if start > end + 2 * MOST_QUOTED => cut(
+            &format!("{}\u{2026}{}", &words[..end], &words[start..]),
+            MOST_OF_WHAT,
+        ),
         _ => cut(words, MOST_OF_WHAT),
     }
 }
--- a/crates/documents/src/units.rs
+++ b/crates/documents/src/units.rs
@@ -28,19 +28,29 @@
 /// A number and the unit behind it.
 fn split(text: &str) -> Option<(f64, &str)> {
     let text = text.trim();
-    let end =
-        text.find(|c: char| !(c.is_ascii_digit() || matches!(c, '.' | '-' | '+'))).unwrap_or(text.len());
+    let end = text
+        .find(|c: char| !(c.is_ascii_digit() || matches!(c, '.' | '-' | '+')))
+        .unwrap_or(text.len());
     let number: f64 = text[..end].parse().ok()?;
     Some((number, text[end..].trim()))
 }
 
 /// Reads a number with one of the units; each unit has the factor that its numbers are multiplied by.
 fn read(text: &str, what: &str, units: &[(&str, f64)]) -> Result<f64, String> {
-    let names = || units.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
+    let names = || {
+        units
+            .iter()
+            .map(|(name, _)| *name)
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     let (number, unit) =
         split(text).ok_or_else(|| format!("{what} is a number and its unit ({})", names()))?;
     if unit.is_empty() {
-        return Err(format!("the unit is missing: {what} has one of {}", names()));
+        return Err(format!(
+            "the unit is missing: {what} has one of {}",
+            names()
+        ));
     }
     let (_, factor) = units
         .iter()
@@ -112,7 +122,13 @@
     r"^ *[0-9]+(\.[0-9]+)? *(us|ms|s|min) *$",
     [("us", 0.001), ("ms", 1.0), ("s", 1000.0), ("min", 60_000.0)]
 );
-quantity!(Share, "a share", "\"81 %\"", r"^ *[0-9]+(\.[0-9]+)? *% *$", [("%", 0.01)]);
+quantity!(
+    Share,
+    "a share",
+    "\"81 %\"",
+    r"^ *[0-9]+(\.[0-9]+)? *% *$",
+    [("%", 0.01)]
+);
 quantity!(
     Rate,
     "a rate",
@@ -125,7 +141,12 @@
     "an amount of memory",
     "\"64 KiB\"",
     r"^ *[0-9]+(\.[0-9]+)? *(B|KiB|MiB|GiB) *$",
-    [("B", 1.0), ("KiB", KIB), ("MiB", KIB * KIB), ("GiB", KIB * KIB * KIB)]
+    [
+        ("B", 1.0),
+        ("KiB", KIB),
+        ("MiB", KIB * KIB),
+        ("GiB", KIB * KIB * KIB)
+    ]
 );
 
 const KIB: f64 = 1024.0;
@@ -133,12 +154,26 @@
 /// What a quantity's pattern in a schema means, in words.
 pub fn meaning(pattern: &str) -> Option<&'static str> {
     let all = [
-        ("us|ms", "a span with its unit in a string, such as \"250 ms\""),
-        ("% *$", "a share with its unit in a string, such as \"81 %\""),
-        ("/(s|min)", "a rate with its unit in a string, such as \"390 /s\""),
-        ("KiB", "an amount of memory with its unit in a string, such as \"64 KiB\""),
+        (
+            "us|ms",
+            "a span with its unit in a string, such as \"250 ms\"",
+        ),
+        (
+            "% *$",
+            "a share with its unit in a string, such as \"81 %\"",
+        ),
+        (
+            "/(s|min)",
+            "a rate with its unit in a string, such as \"390 /s\"",
+        ),
+        (
+            "KiB",
+            "an amount of memory with its unit in a string, such as \"64 KiB\"",
+        ),
     ];
-    all.iter().find(|(part, _)| pattern.contains(part)).map(|(_, words)| *words)
+    all.iter()
+        .find(|(part, _)| pattern.contains(part))
+        .map(|(_, words)| *words)
 }
 
 impl fmt::Display for Rate {
@@ -160,7 +195,11 @@
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        if self.0 >= 1000.0 { write!(f, "{} s", self.0 / 1000.0) } else { write!(f, "{} ms", self.0) }
+        if self.0 >= 1000.0 {
+            write!(f, "{} s", self.0 / 1000.0)
+        } else {
+            write!(f, "{} ms", self.0)
+        }
     }
 }
 
@@ -181,9 +220,12 @@
         assert_eq!("500 us".parse(), Ok(Span(0.5)));
         assert_eq!("81 %".parse(), Ok(Share(0.81)));
         assert_eq!("390 /s".parse(), Ok(Rate(390.0)));
-        for (text, word) in
-            [("5", "unit is missing"), ("5 h", "no unit"), ("-5 s", "negative"), ("x", "number")]
-        {
+        for (text, word) in [
+            ("5", "unit is missing"),
+            ("5 h", "no unit"),
+            ("-5 s", "negative"),
+            ("x", "number"),
+        ] {
             let error = text.parse::<Span>().expect_err(text);
             assert!(error.contains(word), "{text}: {error}");
         }
@@ -194,10 +236,16 @@
     #[test]
     fn what_is_written_reads_the_same_again() {
         for text in ["250 ms", "2 s", "0.5 ms"] {
-            assert_eq!(text.parse::<Span>().unwrap().to_string().parse(), text.parse::<Span>());
+            assert_eq!(
+                text.parse::<Span>().unwrap().to_string().parse(),
+                text.parse::<Span>()
+            );
         }
         for text in ["64 KiB", "3 MiB", "17 B", "2 GiB"] {
-            assert_eq!(text.parse::<Bytes>().unwrap().to_string().parse(), text.parse::<Bytes>());
+            assert_eq!(
+                text.parse::<Bytes>().unwrap().to_string().parse(),
+                text.parse::<Bytes>()
+            );
         }
         assert_eq!("6.25 %".parse::<Share>().unwrap().to_string(), "6.25 %");
         assert_eq!("390 /s".parse::<Rate>().unwrap().to_string(), "390 /s");
--- a/crates/engine/src/account.rs
+++ b/crates/engine/src/account.rs
@@ -49,7 +49,14 @@
 
 /// Waits until a tenant's next connection may be taken up.
 pub async fn turn(account: &Rc<dyn Account>) {
-    poll_fn(|cx| if account.may_accept(cx.waker()) { Poll::Ready(()) } else { Poll::Pending }).await;
+    poll_fn(|cx| {
+        if account.may_accept(cx.waker()) {
+            Poll::Ready(())
+        } else {
+            Poll::Pending
+        }
+    })
+    .await;
 }
 
 /// Runs a future and tells an account of each turn of it.
--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -18,7 +18,10 @@
 impl Backoff {
     /// One that has not failed yet. `seed` is the only source of chance.
     pub fn new(seed: u64) -> Self {
-        Backoff { span: SPANS.0, chance: fastrand::Rng::with_seed(seed) }
+        Backoff {
+            span: SPANS.0,
+            chance: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// A call has brought something.
--- a/crates/engine/src/capture.rs
+++ b/crates/engine/src/capture.rs
@@ -62,14 +62,35 @@
 impl Capture {
     /// Takes all its memory now; `given` is the settings object in one line of JSON.
     pub fn new(
-        settings: &Settings, node: &str, seed: u64, given: &str, names: Names, clock: Clock,
+        settings: &Settings,
+        node: &str,
+        seed: u64,
+        given: &str,
+        names: Names,
+        clock: Clock,
     ) -> Result<Self, String> {
-        let outlet = log::behind_thread().map_err(|e| format!("the thread of standard error: {e}"))?.clone();
-        let head = Head { seed, node: node.to_owned(), start: clock.unix_start(), segment: 0 };
-        let files = settings.dir.as_deref().map(|dir| Files::start(dir, &head)).transpose()?;
+        let outlet = log::behind_thread()
+            .map_err(|e| format!("the thread of standard error: {e}"))?
+            .clone();
+        let head = Head {
+            seed,
+            node: node.to_owned(),
+            start: clock.unix_start(),
+            segment: 0,
+        };
+        let files = settings
+            .dir
+            .as_deref()
+            .map(|dir| Files::start(dir, &head))
+            .transpose()?;
         let ring = RefCell::new(Ring::new(head, given, files)?);
         let names = RefCell::new(Rc::new(names));
-        Ok(Capture { names, clock, outlet, ring })
+        Ok(Capture {
+            names,
+            clock,
+            outlet,
+            ring,
+        })
     }
 
     /// The settings have changed, and with them the names.
@@ -80,22 +101,40 @@
     /// A request has come in.
     pub fn begin(&self, class: ClassId, tenant: Option<TenantId>, patience: Duration) -> Pending {
         let (seq, tried) = (self.ring.borrow().seq, Vec::new());
-        Pending { class, tenant, deadline: patience.as_millis() as u64, seq, tried }
+        Pending {
+            class,
+            tenant,
+            deadline: patience.as_millis() as u64,
+            seq,
+            tried,
+        }
     }
 
     /// An attempt goes out.
     pub fn sent(&self, pending: &mut Pending, backend: BackendId) {
         let ring = self.ring.borrow();
         // What is sent to is on the list, or has just left it.
-        let name = ring.list.get(&backend).map_or_else(|| Rc::from(""), |(name, _)| name.clone());
+        let name = ring
+            .list
+            .get(&backend)
+            .map_or_else(|| Rc::from(""), |(name, _)| name.clone());
         pending.tried.push((name, None));
     }
 
     /// A request has ended.
     pub fn end(&self, pending: &Pending, message: &Outgoing, code: u16) {
-        let tried = pending.tried.iter().map(|(name, end)| Tried { server: Cow::from(&**name), end: *end });
+        let tried = pending.tried.iter().map(|(name, end)| Tried {
+            server: Cow::from(&**name),
+            end: *end,
+        });
         let names = self.names.borrow().clone();
-        self.put(&record(&names, pending, message, Some(tried.collect()), code));
+        self.put(&record(
+            &names,
+            pending,
+            message,
+            Some(tried.collect()),
+            code,
+        ));
     }
 
     /// The front end has turned a request away that the module never saw.
@@ -119,7 +158,15 @@
     /// The list has changed.
     pub fn news(&self, scope: Scope, seq: Option<u64>, hosts: &[Host]) {
         let mut ring = self.ring.borrow_mut();
-        let lines = ring.news(&News { seq, at: self.clock.now(), scope, hosts: hosts.len() }, hosts);
+        let lines = ring.news(
+            &News {
+                seq,
+                at: self.clock.now(),
+                scope,
+                hosts: hosts.len(),
+            },
+            hosts,
+        );
         if ring.told {
             self.outlet.put(CAPTURE, lines.as_bytes());
             self.outlet.wake();
@@ -152,13 +199,28 @@
 }
 
 fn record<'a>(
-    names: &'a Names, pending: &'a Pending, message: &'a Outgoing, tried: Option<Vec<Tried<'a>>>, code: u16,
+    names: &'a Names,
+    pending: &'a Pending,
+    message: &'a Outgoing,
+    tried: Option<Vec<Tried<'a>>>,
+    code: u16,
 ) -> Record<'a> {
-    let id = message.headers.get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or_default();
+    let id = message
+        .headers
+        .get("x-request-id")
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
     Record {
         id: id.into(),
-        class: names.classes.get(pending.class.0).map_or("", String::as_str).into(),
-        tenant: pending.tenant.and_then(|t| names.tenants.get(t.0)).map(|t| t.as_str().into()),
+        class: names
+            .classes
+            .get(pending.class.0)
+            .map_or("", String::as_str)
+            .into(),
+        tenant: pending
+            .tenant
+            .and_then(|t| names.tenants.get(t.0))
+            .map(|t| t.as_str().into()),
         sid: message.sid().map(Cow::from),
         deadline: pending.deadline,
         seq: pending.seq,
@@ -205,19 +267,34 @@
         };
         let segments = (0..SEGMENTS).map(|_| touched()).collect();
         let list = BTreeMap::new();
-        let mut ring = Ring { head, settings, segments, list, seq: None, told: false, files };
+        let mut ring = Ring {
+            head,
+            settings,
+            segments,
+            list,
+            seq: None,
+            told: false,
+            files,
+        };
         ring.open(0.0);
         Ok(ring)
     }
 
     /// Writes the opening of the newest segment.
     fn open(&mut self, now: Millis) {
-        let Some(segment) = self.segments.back_mut() else { return };
+        let Some(segment) = self.segments.back_mut() else {
+            return;
+        };
         segment.extend_from_slice(format!("{}\n{}", self.head, self.settings).as_bytes());
         if self.list.is_empty() {
             return;
         }
-        let news = News { seq: self.seq, at: now, scope: Scope::Full, hosts: self.list.len() };
+        let news = News {
+            seq: self.seq,
+            at: now,
+            scope: Scope::Full,
+            hosts: self.list.len(),
+        };
         segment.extend_from_slice(format!("{news}\n").as_bytes());
         for (_, line) in self.list.values() {
             if segment.len() + line.len() > OPENING {
@@ -239,7 +316,11 @@
 
     /// Adds a line; into the next segment if it does not fit into this one.
     fn put(&mut self, now: Millis, line: &[u8]) {
-        if self.segments.back().is_some_and(|s| s.len() + line.len() > SEGMENT) {
+        if self
+            .segments
+            .back()
+            .is_some_and(|s| s.len() + line.len() > SEGMENT)
+        {
             self.wrap(now);
         }
         if let Some(segment) = self.segments.back_mut() {
@@ -255,14 +336,23 @@
         }
         let mut lines = format!("{news}\n");
         for host in hosts {
-            let (id, line) = (BackendId(number_of(&host.host)), format!("{}\n", server(host)));
+            let (id, line) = (
+                BackendId(number_of(&host.host)),
+                format!("{}\n", server(host)),
+            );
             lines.push_str(&line);
             match host.state() {
                 State::Gone => self.list.remove(&id),
-                State::Up | State::Draining => self.list.insert(id, (host.host.as_str().into(), line)),
+                State::Up | State::Draining => {
+                    self.list.insert(id, (host.host.as_str().into(), line))
+                }
             };
         }
-        if self.segments.back().is_some_and(|s| s.len() + lines.len() > SEGMENT) {
+        if self
+            .segments
+            .back()
+            .is_some_and(|s| s.len() + lines.len() > SEGMENT)
+        {
             self.wrap(news.at); // its opening holds the new list
         } else {
             self.put(news.at, lines.as_bytes());
@@ -280,7 +370,9 @@
     /// All segments. Where there are files they go on, else their memory goes too.
     fn take(&mut self) -> impl Iterator<Item = Vec<u8>> {
         let keep = self.files.is_some();
-        self.segments.iter_mut().map(move |s| if keep { s.clone() } else { std::mem::take(s) })
+        self.segments
+            .iter_mut()
+            .map(move |s| if keep { s.clone() } else { std::mem::take(s) })
     }
 }
 
@@ -295,19 +387,25 @@
         // One waits while one is written; whatever comes faster than that is lost.
         let (segments, given) = sync_channel::<(u64, Vec<u8>)>(2);
         let (end, ended) = sync_channel(1);
-        let (dir, prefix) = (dir.to_owned(), format!("canvascart-{}-", Field(Some(&head.node))));
+        let (dir, prefix) = (
+            dir.to_owned(),
+            format!("canvascart-{}-", Field(Some(&head.node))),
+        );
         let start = format!("{:015}", head.start.max(0.0) as u64);
         let write = move || {
             for (number, segment) in given {
                 let name = format!("{prefix}{start}-{number:06}.capture");
-                let written = std::fs::write(dir.join(&name), segment).and_then(|()| prune(&dir, &prefix));
+                let written =
+                    std::fs::write(dir.join(&name), segment).and_then(|()| prune(&dir, &prefix));
                 if let Err(e) = written {
                     note!("capture: {}: {e}", dir.join(&name).display());
                 }
             }
             let _ = end.send(()); // nobody may wait any more
         };
-        let thread = std::thread::Builder::new().name("capture".into()).spawn(write);
+        let thread = std::thread::Builder::new()
+            .name("capture".into())
+            .spawn(write);
         thread.map_err(|e| format!("the thread of capture.dir: {e}"))?;
         Ok(Files { segments, ended })
     }
@@ -331,7 +429,10 @@
     let mut own: Vec<PathBuf> = Vec::new();
     for entry in std::fs::read_dir(dir)? {
         let path = entry?.path();
-        let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default();
+        let name = path
+            .file_name()
+            .and_then(|n| n.to_str())
+            .unwrap_or_default();
         if name.starts_with(prefix) && name.ends_with(".capture") {
             own.push(path);
         }
@@ -348,7 +449,12 @@
     use super::*;
 
     fn ring() -> Ring {
-        let head = Head { seed: 255, node: "n0".into(), start: 17.0, segment: 0 };
+        let head = Head {
+            seed: 255,
+            node: "n0".into(),
+            start: 17.0,
+            segment: 0,
+        };
         Ring::new(head, "{}", None).expect("short settings")
     }
 
@@ -366,12 +472,22 @@
     }
 
     fn news(ring: &mut Ring, seq: u64, scope: Scope, hosts: &[Host]) {
-        ring.news(&News { seq: Some(seq), at: 0.0, scope, hosts: hosts.len() }, hosts);
+        ring.news(
+            &News {
+                seq: Some(seq),
+                at: 0.0,
+                scope,
+                hosts: hosts.len(),
+            },
+            hosts,
+        );
     }
 
     fn lines(segment: &[u8]) -> Vec<Line> {
         let text = std::str::from_utf8(segment).expect("text");
-        text.lines().map(|l| Line::parse(l).unwrap_or_else(|| panic!("{l}"))).collect()
+        text.lines()
+            .map(|l| Line::parse(l).unwrap_or_else(|| panic!("{l}")))
+            .collect()
     }
 
     #[test]
@@ -380,7 +496,10 @@
         let before: Vec<usize> = ring.segments.iter().map(Vec::capacity).collect();
         assert_eq!(before.iter().sum::<usize>(), RING);
         for n in 0..30_000 {
-            ring.put(0.0, format!("r {n:016} lookup t sid=- dl=1ms seq=- -> - 503\n").as_bytes());
+            ring.put(
+                0.0,
+                format!("r {n:016} lookup t sid=- dl=1ms seq=- -> - 503\n").as_bytes(),
+            );
         }
         assert!(ring.head.segment > SEGMENTS as u64, "it has wrapped");
         let after: Vec<usize> = ring.segments.iter().map(Vec::capacity).collect();
@@ -390,23 +509,45 @@
     #[test]
     fn a_ring_that_wraps_keeps_the_newest_and_each_segment_stands_alone() {
         let mut ring = ring();
-        news(&mut ring, 1, Scope::Full, &[host("s-0", "up"), host("s-1", "up")]);
-        news(&mut ring, 2, Scope::Delta, &[host("s-1", "removed"), host("s-2", "draining")]);
+        news(
+            &mut ring,
+            1,
+            Scope::Full,
+            &[host("s-0", "up"), host("s-1", "up")],
+        );
+        news(
+            &mut ring,
+            2,
+            Scope::Delta,
+            &[host("s-1", "removed"), host("s-2", "draining")],
+        );
         let mut count = 0;
         while ring.head.segment < 6 {
             count += 1;
-            ring.put(0.0, format!("r {count} lookup t sid=- dl=1ms seq=2 -> - 503\n").as_bytes());
+            ring.put(
+                0.0,
+                format!("r {count} lookup t sid=- dl=1ms seq=2 -> - 503\n").as_bytes(),
+            );
         }
         let all: Vec<Vec<Line>> = ring.segments.iter().map(|s| lines(s)).collect();
         assert_eq!(all.len(), SEGMENTS);
         let mut ids = Vec::new();
         for (n, segment) in all.iter().enumerate() {
-            let Line::Head(head) = &segment[0] else { panic!("a head") };
+            let Line::Head(head) = &segment[0] else {
+                panic!("a head")
+            };
             assert_eq!((head.seed, head.segment), (255, n as u64 + 3));
             assert_eq!(segment[1], Line::Settings("{}".into()));
-            let Line::News(news) = &segment[2] else { panic!("the list") };
-            assert_eq!((news.seq, news.scope, news.hosts), (Some(2), Scope::Full, 2));
-            let Line::Server(last) = &segment[4] else { panic!("a server") };
+            let Line::News(news) = &segment[2] else {
+                panic!("the list")
+            };
+            assert_eq!(
+                (news.seq, news.scope, news.hosts),
+                (Some(2), Scope::Full, 2)
+            );
+            let Line::Server(last) = &segment[4] else {
+                panic!("a server")
+            };
             assert_eq!((last.name.as_str(), last.state), ("s-2", State::Draining));
             ids.extend(segment[5..].iter().map(|l| match l {
                 Line::Record(r) => r.id.parse::<u64>().expect("a number"),
@@ -414,7 +555,10 @@
             }));
         }
         assert_eq!(ids.last(), Some(&count), "the newest is there");
-        assert!(ids.windows(2).all(|w| w[1] == w[0] + 1), "none is missing in between");
+        assert!(
+            ids.windows(2).all(|w| w[1] == w[0] + 1),
+            "none is missing in between"
+        );
     }
 
     #[test]
@@ -422,8 +566,14 @@
         let mut ring = ring();
         let many: Vec<Host> = (0..10_000).map(|n| host(&format!("s-{n}"), "up")).collect();
         news(&mut ring, 1, Scope::Full, &many);
-        assert!(ring.segments.iter().all(|s| s.len() <= OPENING), "the rest is left out");
+        assert!(
+            ring.segments.iter().all(|s| s.len() <= OPENING),
+            "the rest is left out"
+        );
         ring.put(0.0, b"r a lookup t sid=- dl=1ms seq=1 -> - 503\n");
-        assert!(matches!(lines(ring.segments.back().expect("one")).last(), Some(Line::Record(_))));
+        assert!(matches!(
+            lines(ring.segments.back().expect("one")).last(),
+            Some(Line::Record(_))
+        ));
     }
 }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -16,8 +16,13 @@
 impl Default for Clock {
     /// A clock that begins now.
     fn default() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_start: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix_start: unix.as_secs_f64() * 1000.0,
+        }
     }
 }
 
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -91,15 +91,26 @@
         return Err("the file is empty".into());
     }
     let whole: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    if let Some(key) = started.keys.iter().find(|key| whole.get(key.as_str()).is_none()) {
+    if let Some(key) = started
+        .keys
+        .iter()
+        .find(|key| whole.get(key.as_str()).is_none())
+    {
         return Err(format!("{key}: the key is missing"));
     }
     let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
     let terms = now.followed_by(&file.settings).map_err(|e| e.to_string())?;
     if terms.settings.me >= terms.settings.proxies {
-        return Err(format!("settings.myNumber: {} of {}", terms.settings.me, terms.settings.proxies));
+        return Err(format!(
+            "settings.myNumber: {} of {}",
+            terms.settings.me, terms.settings.proxies
+        ));
     }
-    Ok(Change { discovery: file.discovery, connections: settings::connections(&file.settings), terms })
+    Ok(Change {
+        discovery: file.discovery,
+        connections: settings::connections(&file.settings),
+        terms,
+    })
 }
 
 /// What the file had that the process started with. One that follows it must have that, too.
@@ -114,7 +125,11 @@
 fn parse(text: &str) -> Result<Config, String> {
     let whole: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
-    let keys = whole.as_object().into_iter().flatten().map(|(key, _)| key.clone());
+    let keys = whole
+        .as_object()
+        .into_iter()
+        .flatten()
+        .map(|(key, _)| key.clone());
     let keys = keys.filter(|key| !SPARED.contains(&key.as_str())).collect();
     if !file.settings.is_object() {
         return Err("'settings' is no object".into());
@@ -127,12 +142,17 @@
     }
     // A wrong number would make this proxy claim another's part of the servers.
     if settings.me >= settings.proxies {
-        return Err(format!("'settings': proxy number {} of {}", settings.me, settings.proxies));
+        return Err(format!(
+            "'settings': proxy number {} of {}",
+            settings.me, settings.proxies
+        ));
     }
     let peers = match (file.peer_listen, file.peers_all) {
-        (Some(listen), Some(all)) if settings.may_tell => {
-            Some(PeerAddresses { listen, peers: file.peers, all })
-        }
+        (Some(listen), Some(all)) if settings.may_tell => Some(PeerAddresses {
+            listen,
+            peers: file.peers,
+            all,
+        }),
         _ => None,
     };
     Ok(Config {
@@ -143,7 +163,12 @@
         inherited: None,
         seed: seed(&file.seed).ok_or("'seed' is neither text nor a whole number")?,
         sockets: file.limits.sockets.unwrap_or(1024).max(64),
-        memory: (file.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(MEMORY_MB) * 1e6) as usize,
+        memory: (file
+            .limits
+            .memory_mb
+            .filter(|mb| *mb > 0.0)
+            .unwrap_or(MEMORY_MB)
+            * 1e6) as usize,
         peers,
         known: file.known,
         connections,
@@ -155,7 +180,9 @@
 /// Hexadecimal as a rule; other text still gives the same number each time.
 fn seed(value: &Value) -> Option<u64> {
     match value {
-        Value::String(text) => Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| number_of(text))),
+        Value::String(text) => {
+            Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| number_of(text)))
+        }
         other => other.as_u64(),
     }
 }
@@ -173,34 +200,78 @@
     fn a_good_file_is_read_whole() {
         let config = parse(GOOD).expect("good");
         assert_eq!((config.seed, config.sockets), (0x8c1f, 512));
-        assert_eq!(config.connections, Connections { dial_timeout: 120.0, idle_close: 30_000.0 });
+        assert_eq!(
+            config.connections,
+            Connections {
+                dial_timeout: 120.0,
+                idle_close: 30_000.0
+            }
+        );
         assert_eq!(config.terms.names.classes, ["page"]);
         assert_eq!(config.peers.expect("peers are allowed").peers.len(), 1);
     }
 
     #[test]
     fn peers_are_left_alone_where_the_settings_forbid_them() {
-        assert!(parse(&GOOD.replace("\"mayTell\":true", "\"mayTell\":false")).expect("good").peers.is_none());
+        assert!(
+            parse(&GOOD.replace("\"mayTell\":true", "\"mayTell\":false"))
+                .expect("good")
+                .peers
+                .is_none()
+        );
     }
 
     #[test]
     fn a_file_that_follows_is_good_as_a_whole_or_counts_for_nothing() {
         let first = parse(GOOD).expect("good");
-        let said = |text: &str| change(text, &first.started, &first.terms).err().unwrap_or_default();
-        let moved = GOOD.replace(":8500", ":8600").replace("\"deadline\":900", "\"deadline\":700");
+        let said = |text: &str| {
+            change(text, &first.started, &first.terms)
+                .err()
+                .unwrap_or_default()
+        };
+        let moved = GOOD
+            .replace(":8500", ":8600")
+            .replace("\"deadline\":900", "\"deadline\":700");
         let taken = change(&moved, &first.started, &first.terms).expect("good");
-        assert_eq!((taken.discovery.port(), taken.terms.settings.classes[0].deadline), (8600, 700.0));
-        assert_eq!(said(&GOOD.replace("\"known\":null,", "")), "", "it may go without");
+        assert_eq!(
+            (
+                taken.discovery.port(),
+                taken.terms.settings.classes[0].deadline
+            ),
+            (8600, 700.0)
+        );
+        assert_eq!(
+            said(&GOOD.replace("\"known\":null,", "")),
+            "",
+            "it may go without"
+        );
         for (text, word) in [
             (String::new(), "empty"),
             ("  \n".into(), "empty"),
             (moved[..moved.len() / 2].into(), "line"),
-            (moved.replace("\"limits\":{\"sockets\":512},", ""), "limits: the key is missing"),
-            (moved.replace("\"discovery\"", "\"discoverer\""), "discovery: the key is missing"),
+            (
+                moved.replace("\"limits\":{\"sockets\":512},", ""),
+                "limits: the key is missing",
+            ),
+            (
+                moved.replace("\"discovery\"", "\"discoverer\""),
+                "discovery: the key is missing",
+            ),
             (moved.replace("127.0.0.1:8600", "nowhere"), "socket address"),
-            (moved.replace("\"deadline\":700", "\"deadline\":0"), "settings.classes[0].deadline: 0 is not"),
-            (moved.replace("\"myNumber\":0", "\"myNumber\":1"), "settings.myNumber: 1 of 1"),
-            (moved.replace("\"settings\":{", "\"settings\":[{").replace("}}}", "}}]}"), "settings: a list"),
+            (
+                moved.replace("\"deadline\":700", "\"deadline\":0"),
+                "settings.classes[0].deadline: 0 is not",
+            ),
+            (
+                moved.replace("\"myNumber\":0", "\"myNumber\":1"),
+                "settings.myNumber: 1 of 1",
+            ),
+            (
+                moved
+                    .replace("\"settings\":{", "\"settings\":[{")
+                    .replace("}}}", "}}]}"),
+                "settings: a list",
+            ),
             ("[]".into(), "the key is missing"),
         ] {
             assert!(said(&text).contains(word), "{word}: {}", said(&text));
--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -92,7 +92,11 @@
 
     /// When a request that began then has to be whole, whatever time its body's length takes left out.
     pub fn whole_by(&self, begun: Instant) -> Instant {
-        let first = if self.used.get() { begun + HEAD } else { self.since.get() + FIRST_HEAD };
+        let first = if self.used.get() {
+            begun + HEAD
+        } else {
+            self.since.get() + FIRST_HEAD
+        };
         first.min(begun + HEAD)
     }
 
@@ -164,7 +168,11 @@
 }
 
 impl AsyncRead for Gated {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         // The rest of a request that has been let in is read whatever the account says: it holds what the account lacks.
         let let_in = self.client.busy.get() && !self.client.turning_away.get();
         let waits = |account: &Rc<dyn Account>| !let_in && !account.may_read(cx.waker());
@@ -183,7 +191,10 @@
         } else {
             let now = kept.len().min(buf.remaining());
             buf.put_slice(&kept[..now]);
-            self.client.ahead.borrow_mut().extend_from_slice(&kept[now..]);
+            self.client
+                .ahead
+                .borrow_mut()
+                .extend_from_slice(&kept[now..]);
             Poll::Ready(Ok(()))
         };
         if buf.filled().len() > before {
@@ -199,12 +210,15 @@
                         .borrow_mut()
                         .splice(..0, buf.filled()[before + taken..].iter().copied());
                     buf.set_filled(before + taken);
-                    self.client.ended.set(self.client.ended.get() + u64::from(ended));
+                    self.client
+                        .ended
+                        .set(self.client.ended.get() + u64::from(ended));
                 }
             }
             let now = Instant::now();
             self.client.moved.set(now);
-            if !self.client.busy.get() && self.client.begun.get().is_none() && self.guard.in_head() {
+            if !self.client.busy.get() && self.client.begun.get().is_none() && self.guard.in_head()
+            {
                 self.client.begun.set(Some(now));
             }
         }
@@ -224,7 +238,9 @@
                     let mut ahead = self.client.ahead.borrow_mut();
                     let room = AHEAD.saturating_sub(ahead.len()).min(buf.filled().len());
                     ahead.extend_from_slice(&buf.filled()[..room]);
-                    self.client.overrun.set(self.client.overrun.get() || room < buf.filled().len());
+                    self.client
+                        .overrun
+                        .set(self.client.overrun.get() || room < buf.filled().len());
                 }
                 Poll::Pending => {
                     self.client.reader.replace(Some(cx.waker().clone()));
@@ -254,7 +270,9 @@
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, cx: &mut Context, parts: &[IoSlice],
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        parts: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, parts);
         self.client.wrote(&written);
--- a/crates/engine/src/discovery.rs
+++ b/crates/engine/src/discovery.rs
@@ -52,7 +52,10 @@
 
 impl Place {
     pub fn new(address: SocketAddr) -> Rc<Self> {
-        Rc::new(Place { address: Cell::new(address), moved: Notify::new() })
+        Rc::new(Place {
+            address: Cell::new(address),
+            moved: Notify::new(),
+        })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -85,7 +88,15 @@
     /// `seed` spreads the calls of proxies that fail at the same time.
     pub fn new(place: Rc<Place>, inbox: Inbox, seed: u64) -> Self {
         let backoff = Backoff::new(seed);
-        Discovery { place, inbox, seq: None, fresh: true, pushed: true, spoke: false, backoff }
+        Discovery {
+            place,
+            inbox,
+            seq: None,
+            fresh: true,
+            pushed: true,
+            spoke: false,
+            backoff,
+        }
     }
 
     /// Keeps a watch open for ever, and takes it up again where it broke off.
@@ -134,7 +145,10 @@
     /// Watches until it ends; returns why it ended.
     async fn watch(&mut self) -> String {
         // A new address may count its versions anew: what it has is asked for whole.
-        let after = self.seq.filter(|_| !self.fresh).map_or(String::new(), |seq| format!("&after={seq}"));
+        let after = self
+            .seq
+            .filter(|_| !self.fresh)
+            .map_or(String::new(), |seq| format!("&after={seq}"));
         let mut stream = match self.call(&format!("watch=1{after}")).await {
             Ok(stream) => stream,
             Err(e) => return e,
@@ -186,9 +200,14 @@
     }
 
     fn take(&mut self, object: &[u8]) -> Result<(), String> {
-        let list: List = serde_json::from_slice(object).map_err(|e| format!("a broken list: {e}"))?;
+        let list: List =
+            serde_json::from_slice(object).map_err(|e| format!("a broken list: {e}"))?;
         let anew = std::mem::take(&mut self.fresh) && list.whole;
-        if !anew && self.seq.is_some_and(|seq| list.seq < seq || list.seq == seq && !list.whole) {
+        if !anew
+            && self
+                .seq
+                .is_some_and(|seq| list.seq < seq || list.seq == seq && !list.whole)
+        {
             note!("discovery: news of {} is stale", list.seq); // what it says is older than what is known
             return Ok(());
         }
@@ -196,8 +215,16 @@
             return Err("changes without a list".into());
         }
         self.seq = Some(list.seq);
-        let scope = if list.whole { Scope::Full } else { Scope::Delta };
-        self.inbox.put(Input::List { scope, seq: Some(list.seq), hosts: list.entries() });
+        let scope = if list.whole {
+            Scope::Full
+        } else {
+            Scope::Delta
+        };
+        self.inbox.put(Input::List {
+            scope,
+            seq: Some(list.seq),
+            hosts: list.entries(),
+        });
         Ok(())
     }
 }
@@ -210,7 +237,11 @@
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         Ok(list) => {
-            inbox.put(Input::List { scope: Scope::Full, seq: Some(list.seq), hosts: list.entries() });
+            inbox.put(Input::List {
+                scope: Scope::Full,
+                seq: Some(list.seq),
+                hosts: list.entries(),
+            });
         }
         Err(e) => {
             note!("discovery: {e}");
@@ -235,7 +266,9 @@
             if let Some(part) = self.objects.part()? {
                 return Ok(Some(part));
             }
-            let Some(data) = more(&mut self.body).await? else { return Ok(None) };
+            let Some(data) = more(&mut self.body).await? else {
+                return Ok(None);
+            };
             if self.objects.held() + data.len() > MOST {
                 return Err("a list over the size".into());
             }
@@ -257,14 +290,25 @@
 
 /// The next bytes of a body; `None` at its end.
 async fn more(body: &mut hyper::body::Incoming) -> Result<Option<Bytes>, String> {
-    let Some(frame) = body.frame().await else { return Ok(None) };
-    Ok(Some(frame.map_err(|e| e.to_string())?.into_data().unwrap_or_default()))
+    let Some(frame) = body.frame().await else {
+        return Ok(None);
+    };
+    Ok(Some(
+        frame
+            .map_err(|e| e.to_string())?
+            .into_data()
+            .unwrap_or_default(),
+    ))
 }
 
 async fn get(address: SocketAddr, query: String) -> Result<Stream, String> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.map_err(|_| "no connection")?;
+    let stream = timeout(CONNECT, TcpStream::connect(address))
+        .await
+        .map_err(|_| "no connection")?;
     let stream = stream.map_err(|e| e.to_string())?;
-    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| e.to_string())?;
     let mut task = JoinSet::new();
     task.spawn_local(async move {
         let _ = connection.await; // its end shows in the body
@@ -274,9 +318,17 @@
         .header("host", address.to_string())
         .body(Empty::new())
         .map_err(|e| e.to_string())?;
-    let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
+    let answer = sender
+        .send_request(request)
+        .await
+        .map_err(|e| e.to_string())?;
     if answer.status() != StatusCode::OK {
         return Err(format!("status {}", answer.status()));
     }
-    Ok(Stream { body: answer.into_body(), objects: Objects::default(), _connection: task, _sender: sender })
+    Ok(Stream {
+        body: answer.into_body(),
+        objects: Objects::default(),
+        _connection: task,
+        _sender: sender,
+    })
 }
--- a/crates/engine/src/drills.rs
+++ b/crates/engine/src/drills.rs
@@ -56,7 +56,11 @@
 
 impl Share {
     fn new(part: u32) -> Self {
-        Share { part, need: 0, left: 0 }
+        Share {
+            part,
+            need: 0,
+            left: 0,
+        }
     }
 
     /// Whether the next request is of the share.
@@ -156,7 +160,10 @@
             return None;
         }
         let hit = drill.share.draw(&mut self.chance.borrow_mut());
-        hit.then(|| Hit { deed: drill.deed, name: drill.name.clone() })
+        hit.then(|| Hit {
+            deed: drill.deed,
+            name: drill.name.clone(),
+        })
     }
 
     /// Lets a drill act on an answer.
@@ -177,7 +184,10 @@
     /// Ends all drills for good, and lets go of the answers that they hold back.
     pub fn end(&self) {
         self.ended.set(true);
-        self.running.borrow_mut().iter_mut().for_each(|drill| *drill = None);
+        self.running
+            .borrow_mut()
+            .iter_mut()
+            .for_each(|drill| *drill = None);
         self.end.notify_waiters();
     }
 
@@ -189,7 +199,9 @@
     fn start(&self, asked: &Start) -> Result<String, Refusal> {
         let class = self.class(&asked.class)?;
         let span = |what: &str, text: &str| {
-            let span = humantime::parse_duration(text).ok().filter(|s| !s.is_zero());
+            let span = humantime::parse_duration(text)
+                .ok()
+                .filter(|s| !s.is_zero());
             span.ok_or_else(|| bad(format!("'{what}' is no span such as 400ms or 120s")))
         };
         let deed = match (&asked.delay, asked.abort) {
@@ -197,26 +209,52 @@
             (None, true) => Deed::Abort,
             _ => return Err(bad("one of a delay and an abort is wanted")),
         };
-        if matches!(deed, Deed::Delay(delay) if delay < Duration::from_millis(1) || delay > DELAY_MOST) {
-            return Err(bad(format!("'delay' is not from 1ms to {}s", DELAY_MOST.as_secs())));
+        if matches!(deed, Deed::Delay(delay) if delay < Duration::from_millis(1) || delay > DELAY_MOST)
+        {
+            return Err(bad(format!(
+                "'delay' is not from 1ms to {}s",
+                DELAY_MOST.as_secs()
+            )));
         }
-        let share = asked.share.strip_suffix('%').and_then(|s| s.trim().parse::<f64>().ok());
-        let part =
-            share.map(|s| s / 100.0 * f64::from(BLOCK)).filter(|s| *s >= 0.5 && *s <= f64::from(BLOCK));
-        let part = part.ok_or_else(|| bad("'share' is not from 0.1% to 100%"))?.round() as u32;
+        let share = asked
+            .share
+            .strip_suffix('%')
+            .and_then(|s| s.trim().parse::<f64>().ok());
+        let part = share
+            .map(|s| s / 100.0 * f64::from(BLOCK))
+            .filter(|s| *s >= 0.5 && *s <= f64::from(BLOCK));
+        let part = part
+            .ok_or_else(|| bad("'share' is not from 0.1% to 100%"))?
+            .round() as u32;
         let asked_for = span("for", &asked.span)?;
         let lasts = asked_for.min(self.most);
         if self.ended.get() {
-            return Err((StatusCode::SERVICE_UNAVAILABLE, "the proxy is about to stop".into()));
+            return Err((
+                StatusCode::SERVICE_UNAVAILABLE,
+                "the proxy is about to stop".into(),
+            ));
         }
         let name = match deed {
             Deed::Delay(delay) => format!("{}-delay-{}ms", asked.class, delay.as_millis()),
             Deed::Abort => format!("{}-abort", asked.class),
         };
-        let cut = if lasts < asked_for { ", cut to the limit" } else { "" };
-        let told = format!("drill={name} on {}% for {} s{cut}", part as f64 / 10.0, lasts.as_secs_f64());
+        let cut = if lasts < asked_for {
+            ", cut to the limit"
+        } else {
+            ""
+        };
+        let told = format!(
+            "drill={name} on {}% for {} s{cut}",
+            part as f64 / 10.0,
+            lasts.as_secs_f64()
+        );
         let until = Instant::now() + lasts;
-        let drill = Drill { deed, share: Share::new(part), until, name: name.into() };
+        let drill = Drill {
+            deed,
+            share: Share::new(part),
+            until,
+            name: name.into(),
+        };
         if let Some(slot) = self.running.borrow_mut().get_mut(class) {
             *slot = Some(drill);
         }
@@ -224,7 +262,11 @@
     }
 
     fn stop(&self, asked: &Stop) -> Result<String, Refusal> {
-        let only = asked.class.as_deref().map(|name| self.class(name)).transpose()?;
+        let only = asked
+            .class
+            .as_deref()
+            .map(|name| self.class(name))
+            .transpose()?;
         let mut names = Vec::new();
         for (class, slot) in self.running.borrow_mut().iter_mut().enumerate() {
             if only.is_none_or(|only| only == class)
@@ -233,7 +275,11 @@
                 names.push(format!("drill={}", drill.name));
             }
         }
-        Ok(if names.is_empty() { "no drill runs".into() } else { format!("{} stopped", names.join(" ")) })
+        Ok(if names.is_empty() {
+            "no drill runs".into()
+        } else {
+            format!("{} stopped", names.join(" "))
+        })
     }
 
     /// Serves the side port for as long as the process runs.
@@ -253,8 +299,13 @@
             }
             let (drills, places) = (self.clone(), places.clone());
             tokio::task::spawn_local(async move {
-                let Ok(_place) = places.try_acquire() else { return };
-                if timeout(WHOLE, drills.connection(stream, from)).await.is_err() {
+                let Ok(_place) = places.try_acquire() else {
+                    return;
+                };
+                if timeout(WHOLE, drills.connection(stream, from))
+                    .await
+                    .is_err()
+                {
                     note!("drills: {from} took too long");
                 }
             });
@@ -286,7 +337,11 @@
         let _ = connection.await; // malformed HTTP has been answered by hyper
     }
 
-    async fn respond(&self, request: Request<Incoming>, from: SocketAddr) -> Result<String, Refusal> {
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        from: SocketAddr,
+    ) -> Result<String, Refusal> {
         let (head, body) = request.into_parts();
         if !self.knows(&head.headers) {
             note!("drills: a wrong secret from {from}");
@@ -295,18 +350,30 @@
         if head.uri.path() != "/drill" {
             return Err((StatusCode::NOT_FOUND, "there is only /drill".into()));
         }
-        let body = Limited::new(body, BODY).collect().await.map_err(|_| bad("the body can't be read"))?;
+        let body = Limited::new(body, BODY)
+            .collect()
+            .await
+            .map_err(|_| bad("the body can't be read"))?;
         let body = body.to_bytes();
         match head.method {
-            Method::POST => self.start(&serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?),
-            Method::DELETE => self.stop(&serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?),
-            _ => Err((StatusCode::METHOD_NOT_ALLOWED, "POST starts a drill, DELETE stops it".into())),
+            Method::POST => {
+                self.start(&serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?)
+            }
+            Method::DELETE => {
+                self.stop(&serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?)
+            }
+            _ => Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                "POST starts a drill, DELETE stops it".into(),
+            )),
         }
     }
 
     /// Whether the sender knows the secret; how long this takes tells nothing but its length.
     fn knows(&self, headers: &HeaderMap) -> bool {
-        let given = headers.get(AUTHORIZATION).and_then(|v| v.as_bytes().strip_prefix(b"Bearer "));
+        let given = headers
+            .get(AUTHORIZATION)
+            .and_then(|v| v.as_bytes().strip_prefix(b"Bearer "));
         given.is_some_and(|given| given.ct_eq(self.secret.bytes()).into())
     }
 }
@@ -317,25 +384,41 @@
 
     fn drills(most: u64) -> Rc<Drills> {
         let secret = Secret::new("opensesame").expect("a secret");
-        Drills::new(secret, Duration::from_secs(most), vec!["lookup".into(), "checkout".into()], 7)
+        Drills::new(
+            secret,
+            Duration::from_secs(most),
+            vec!["lookup".into(), "checkout".into()],
+            7,
+        )
     }
 
     fn ask(delay: Option<&str>, abort: bool, share: &str, span: &str) -> Start {
         let (share, span, delay) = (share.into(), span.into(), delay.map(str::to_owned));
-        Start { class: "lookup".into(), share, span, delay, abort }
+        Start {
+            class: "lookup".into(),
+            share,
+            span,
+            delay,
+            abort,
+        }
     }
 
     #[test]
     fn shares_come_out_exactly_over_a_thousand_requests_and_at_random_places() {
         for (share, wanted) in [("10%", 100), ("0.1%", 1), ("33.3%", 333), ("100%", 1000)] {
             let drills = drills(300);
-            drills.start(&ask(Some("400ms"), false, share, "120s")).expect(share);
+            drills
+                .start(&ask(Some("400ms"), false, share, "120s"))
+                .expect(share);
             let hits: Vec<bool> = (0..1000).map(|_| drills.draw(0).is_some()).collect();
             assert_eq!(hits.iter().filter(|hit| **hit).count(), wanted, "{share}");
             assert!(drills.draw(1).is_none(), "the other class is left alone");
             if wanted == 100 {
                 let places: Vec<usize> = (0..1000).filter(|n| hits[*n]).collect();
-                assert!(places.windows(3).any(|w| w[1] - w[0] != w[2] - w[1]), "no fixed beat");
+                assert!(
+                    places.windows(3).any(|w| w[1] - w[0] != w[2] - w[1]),
+                    "no fixed beat"
+                );
             }
         }
     }
@@ -343,11 +426,20 @@
     #[test]
     fn a_drill_is_named_and_cut_to_the_limit() {
         let drills = drills(300);
-        let told = drills.start(&ask(Some("400ms"), false, "10%", "120s")).expect("good");
+        let told = drills
+            .start(&ask(Some("400ms"), false, "10%", "120s"))
+            .expect("good");
         assert_eq!(told, "drill=lookup-delay-400ms on 10% for 120 s");
         let told = drills.start(&ask(None, true, "50%", "1h")).expect("good");
-        assert_eq!(told, "drill=lookup-abort on 50% for 300 s, cut to the limit");
-        let stop = |class: Option<&str>| drills.stop(&Stop { class: class.map(str::to_owned) });
+        assert_eq!(
+            told,
+            "drill=lookup-abort on 50% for 300 s, cut to the limit"
+        );
+        let stop = |class: Option<&str>| {
+            drills.stop(&Stop {
+                class: class.map(str::to_owned),
+            })
+        };
         assert_eq!(stop(Some("checkout")), Ok("no drill runs".into()));
         assert_eq!(stop(None), Ok("drill=lookup-abort stopped".into()));
         assert!(drills.draw(0).is_none());
@@ -359,7 +451,10 @@
         let drills = drills(300);
         for (asked, word) in [
             (ask(None, false, "10%", "1s"), "one of a delay and an abort"),
-            (ask(Some("1s"), true, "10%", "1s"), "one of a delay and an abort"),
+            (
+                ask(Some("1s"), true, "10%", "1s"),
+                "one of a delay and an abort",
+            ),
             (ask(Some("soon"), false, "10%", "1s"), "'delay' is no span"),
             (ask(Some("61s"), false, "10%", "1s"), "'delay' is not from"),
             (ask(Some("10us"), false, "10%", "1s"), "'delay' is not from"),
@@ -368,10 +463,19 @@
             (ask(None, true, "101%", "1s"), "'share'"),
             (ask(None, true, "NaN%", "1s"), "'share'"),
             (ask(None, true, "10%", "0s"), "'for' is no span"),
-            (Start { class: "odd".into(), ..ask(None, true, "10%", "1s") }, "no class 'odd'"),
+            (
+                Start {
+                    class: "odd".into(),
+                    ..ask(None, true, "10%", "1s")
+                },
+                "no class 'odd'",
+            ),
         ] {
             let (status, text) = drills.start(&asked).expect_err(word);
-            assert!(status == StatusCode::BAD_REQUEST && text.contains(word), "{word}: {text}");
+            assert!(
+                status == StatusCode::BAD_REQUEST && text.contains(word),
+                "{word}: {text}"
+            );
         }
     }
 
@@ -384,7 +488,13 @@
             drills.knows(&headers)
         };
         assert!(knows("Bearer opensesame"));
-        for wrong in ["Bearer opensesam", "Bearer opensesame1", "Bearer ", "opensesame", "Basic opensesame"] {
+        for wrong in [
+            "Bearer opensesam",
+            "Bearer opensesame1",
+            "Bearer ",
+            "opensesame",
+            "Basic opensesame",
+        ] {
             assert!(!knows(wrong), "{wrong}");
         }
         assert!(!drills.knows(&HeaderMap::new()));
--- a/crates/engine/src/driver.rs
+++ b/crates/engine/src/driver.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 use wharfhitch::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, KindId, Millis, Outcome, RequestId, Scope,
-    Standing, State, ZoneId,
+    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, KindId, Millis, Outcome,
+    RequestId, Scope, Standing, State, ZoneId,
 };
 
 use crate::account::{self, Account};
@@ -94,7 +94,10 @@
 
 impl Known {
     pub fn new(balancer: Balancer) -> Rc<Self> {
-        Rc::new(Known { still: Cell::new(true), balancer: RefCell::new(balancer) })
+        Rc::new(Known {
+            still: Cell::new(true),
+            balancer: RefCell::new(balancer),
+        })
     }
 
     /// Whether it holds no request and has no attempt out.
@@ -155,13 +158,18 @@
         let mut busy = Instant::now();
         loop {
             if self.parts.rests && self.may_rest(&mut busy) {
-                let Some(input) = inputs.recv().await else { return };
+                let Some(input) = inputs.recv().await else {
+                    return;
+                };
                 self.wake();
                 self.take(input);
                 self.known.still.set(self.live.is_empty());
                 (busy, fired) = (Instant::now(), true);
             }
-            let next = self.due.peek().map_or(sweep, |Reverse((at, _))| (*at).min(sweep));
+            let next = self
+                .due
+                .peek()
+                .map_or(sweep, |Reverse((at, _))| (*at).min(sweep));
             if std::mem::take(&mut fired) || next < alarm.deadline() {
                 alarm.as_mut().reset(next);
             }
@@ -175,7 +183,9 @@
             }
             let now = Instant::now();
             while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-                let Some(Reverse((_, due))) = self.due.pop() else { break };
+                let Some(Reverse((_, due))) = self.due.pop() else {
+                    break;
+                };
                 match due {
                     Due::Module(token) => self.handle(Event::Timer(token)),
                     Due::LastResort(id) => self.last_resort(id),
@@ -221,11 +231,21 @@
                     self.handle(Event::Abandoned(id));
                 }
             }
-            Input::Ended { request, attempt, latency, outcome, reply } => {
+            Input::Ended {
+                request,
+                attempt,
+                latency,
+                outcome,
+                reply,
+            } => {
                 self.ended(request, attempt, latency, outcome, reply);
             }
             Input::Whole(id) => self.whole(id),
-            Input::Began { request, attempt, reply } => self.began(request, attempt, reply),
+            Input::Began {
+                request,
+                attempt,
+                reply,
+            } => self.began(request, attempt, reply),
             Input::List { scope, seq, hosts } => self.list(scope, seq, hosts),
             Input::Datagram { from, bytes } => self.handle(Event::Message { from, bytes }),
             Input::Proxies { me, proxies } => self.handle(Event::Proxies { me, proxies }),
@@ -255,8 +275,18 @@
     }
 
     fn request(&mut self, arrival: Arrival) {
-        let Arrival { id, class, tenant, key, hint, patience, deadline, mut message, answer, decided } =
-            arrival;
+        let Arrival {
+            id,
+            class,
+            tenant,
+            key,
+            hint,
+            patience,
+            deadline,
+            mut message,
+            answer,
+            decided,
+        } = arrival;
         if let Some(gate) = &self.parts.gate {
             let Some(now) = gate.decide() else {
                 let _ = answer.send(Answer::Again(Box::new(message))); // its client may have left
@@ -281,22 +311,37 @@
                 attempts: 0,
                 out: 0,
                 passing: false,
-                pending: self.parts.capture.as_ref().map(|c| c.begin(class, tenant, patience)),
+                pending: self
+                    .parts
+                    .capture
+                    .as_ref()
+                    .map(|c| c.begin(class, tenant, patience)),
             },
         );
         self.parts.counts.took(class.0);
         self.due.push(Reverse((last, Due::LastResort(id))));
-        self.handle(Event::Request { id, class, tenant, key, budget, hint, whole });
+        self.handle(Event::Request {
+            id,
+            class,
+            tenant,
+            key,
+            budget,
+            hint,
+            whole,
+        });
     }
 
     /// Answers a request that nobody else has answered in time. It may have run, so it has failed.
     fn last_resort(&mut self, id: RequestId) {
-        let coming = |l: &Live| l.message.body.upload().is_some_and(|u| u.is_touched() && !u.is_passed());
-        if self
-            .live
-            .get(&id)
-            .is_some_and(|l| coming(l) && l.out > 0 || l.deadline > Instant::now() + 2 * LAST_RESORT)
-        {
+        let coming = |l: &Live| {
+            l.message
+                .body
+                .upload()
+                .is_some_and(|u| u.is_touched() && !u.is_passed())
+        };
+        if self.live.get(&id).is_some_and(|l| {
+            coming(l) && l.out > 0 || l.deadline > Instant::now() + 2 * LAST_RESORT
+        }) {
             return; // its time has not begun, or has begun anew
         }
         if let Some(answer) = self.close(id, FAILED) {
@@ -307,8 +352,12 @@
 
     /// A request that was still coming in has gone out whole: its time begins.
     fn whole(&mut self, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let Some(upload) = live.message.body.upload() else { return };
+        let Some(live) = self.live.get_mut(&id) else {
+            return;
+        };
+        let Some(upload) = live.message.body.upload() else {
+            return;
+        };
         live.deadline = Instant::now() + upload.patience;
         let last = live.deadline - LAST_RESORT;
         let budget = last.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
@@ -318,18 +367,33 @@
 
     /// The client owns an answer that has begun: it is neither cut at the deadline nor made anew.
     fn began(&mut self, request: RequestId, attempt: u32, reply: Reply) {
-        let Some(live) = self.live.get_mut(&request) else { return };
-        let Some(answer) = live.answer.take() else { return }; // who reads the answer's body sees that nobody wants it
+        let Some(live) = self.live.get_mut(&request) else {
+            return;
+        };
+        let Some(answer) = live.answer.take() else {
+            return;
+        }; // who reads the answer's body sees that nobody wants it
         live.wanted.end();
         live.passing = true;
         let _ = answer.send(Answer::Served(reply)); // likewise, if the client has just left
-        self.handle(Event::Started { request, attempt, worked: true });
+        self.handle(Event::Started {
+            request,
+            attempt,
+            worked: true,
+        });
     }
 
     fn ended(
-        &mut self, request: RequestId, attempt: u32, latency: Millis, outcome: Outcome, reply: Option<Reply>,
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        latency: Millis,
+        outcome: Outcome,
+        reply: Option<Reply>,
     ) {
-        let Some(live) = self.live.get_mut(&request) else { return };
+        let Some(live) = self.live.get_mut(&request) else {
+            return;
+        };
         live.out -= 1;
         if let Some(pending) = &mut live.pending {
             pending.ended(attempt, outcome);
@@ -340,7 +404,11 @@
             self.handle(Event::Spent(request));
         }
         if let Some(load) = reply.as_ref().and_then(|r| load::told(&r.headers)) {
-            self.handle(Event::Load { request, attempt, load });
+            self.handle(Event::Load {
+                request,
+                attempt,
+                load,
+            });
         }
         if upload.is_some_and(|u| u.is_lost()) && self.close(request, GONE).is_some() {
             self.handle(Event::Abandoned(request));
@@ -352,7 +420,13 @@
                 _ => FAILED,
             };
             self.close(request, code);
-            return self.handle(Event::Ended { request, attempt, latency, outcome, closed: true });
+            return self.handle(Event::Ended {
+                request,
+                attempt,
+                latency,
+                outcome,
+                closed: true,
+            });
         }
         if let (Outcome::Served, Some(reply)) = (outcome, reply)
             && let Some(answer) = self.close(request, SERVED)
@@ -361,7 +435,13 @@
         }
         let closed = !was_open || outcome == Outcome::Served;
         self.forget(request);
-        self.handle(Event::Ended { request, attempt, latency, outcome, closed });
+        self.handle(Event::Ended {
+            request,
+            attempt,
+            latency,
+            outcome,
+            closed,
+        });
     }
 
     /// Takes the right to answer a request, with this code; from here on nothing more begins for it.
@@ -389,13 +469,24 @@
     /// What is held now.
     fn held(&self) -> Held {
         let (listed, avoided) = self.known.balancer.borrow().fleet(self.parts.clock.now());
-        let current =
-            self.live.values().filter(|l| l.class.is_some() && (l.answer.is_some() || l.passing)).count();
-        Held { current, listed, avoided }
+        let current = self
+            .live
+            .values()
+            .filter(|l| l.class.is_some() && (l.answer.is_some() || l.passing))
+            .count();
+        Held {
+            current,
+            listed,
+            avoided,
+        }
     }
 
     fn forget(&mut self, id: RequestId) {
-        if self.live.get(&id).is_some_and(|l| l.answer.is_none() && !l.passing && l.out == 0) {
+        if self
+            .live
+            .get(&id)
+            .is_some_and(|l| l.answer.is_none() && !l.passing && l.out == 0)
+        {
             self.live.remove(&id);
         }
     }
@@ -406,7 +497,12 @@
             return;
         }
         self.listed |= scope == Scope::Full;
-        if let Some(capture) = self.parts.capture.as_ref().filter(|_| scope != Scope::Failed) {
+        if let Some(capture) = self
+            .parts
+            .capture
+            .as_ref()
+            .filter(|_| scope != Scope::Failed)
+        {
             capture.news(scope, seq, &hosts);
         }
         let whole = matches!(scope, Scope::Full | Scope::Cached);
@@ -445,8 +541,12 @@
         }
         Backend {
             id,
-            zone: host.site.map(|z| ZoneId(index_of(&mut self.names.zones, &z) as u32)),
-            kind: host.class.map(|k| KindId(index_of(&mut self.names.kinds, &k) as u32)),
+            zone: host
+                .site
+                .map(|z| ZoneId(index_of(&mut self.names.zones, &z) as u32)),
+            kind: host
+                .class
+                .map(|k| KindId(index_of(&mut self.names.kinds, &k) as u32)),
             cell: host.block.map(CellId),
             state,
             rating: host.share.unwrap_or(1.0),
@@ -457,7 +557,10 @@
     fn handle(&mut self, event: Event) {
         let now = self.parts.clock.now();
         let mut actions = std::mem::take(&mut self.actions);
-        self.known.balancer.borrow_mut().handle(now, event, &mut actions);
+        self.known
+            .balancer
+            .borrow_mut()
+            .handle(now, event, &mut actions);
         for action in actions.drain(..) {
             self.perform(action);
         }
@@ -466,10 +569,18 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { request, backend, timeout, begin_by } => {
+            Action::Send {
+                request,
+                backend,
+                timeout,
+                begin_by,
+            } => {
                 self.send(request, backend, timeout, begin_by);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 if let Some(answer) = self.close(request, REFUSED) {
                     let _ = answer.send(Answer::Refused(retry_after));
                 }
@@ -480,7 +591,8 @@
                 }
             }
             Action::Timer { token, at } => {
-                self.due.push(Reverse((self.parts.clock.instant(at), Due::Module(token))));
+                self.due
+                    .push(Reverse((self.parts.clock.instant(at), Due::Module(token))));
             }
             Action::Broadcast(bytes) => {
                 if let Some(peers) = &self.parts.peers {
@@ -490,14 +602,21 @@
             Action::Subscribe => self.parts.watch.notify_one(),
             Action::FetchList => {
                 if let Some(place) = &self.parts.discovery {
-                    tokio::task::spawn_local(discovery::fetch(place.address(), self.parts.inbox.clone()));
+                    tokio::task::spawn_local(discovery::fetch(
+                        place.address(),
+                        self.parts.inbox.clone(),
+                    ));
                 }
             }
         }
     }
 
     fn send(
-        &mut self, request: RequestId, backend: BackendId, timeout: Option<Millis>, begin_by: Option<Millis>,
+        &mut self,
+        request: RequestId,
+        backend: BackendId,
+        timeout: Option<Millis>,
+        begin_by: Option<Millis>,
     ) {
         let Some(live) = self.live.get_mut(&request) else {
             return note!("a send for a request that is not held");
@@ -514,17 +633,27 @@
         if let (Some(capture), Some(pending)) = (&self.parts.capture, &mut live.pending) {
             capture.sent(pending, backend);
         }
-        let Some(endpoint) = self.endpoints.get(&backend).filter(|e| live.wanted.holds() && e.is_open())
+        let Some(endpoint) = self
+            .endpoints
+            .get(&backend)
+            .filter(|e| live.wanted.holds() && e.is_open())
         else {
             return report.tell(Outcome::Moot, None);
         };
         let until = timeout.map_or(live.deadline, |t| {
-            live.deadline.min(report.sent + Duration::from_secs_f64(t.clamp(0.0, 1e9) / 1000.0))
+            live.deadline
+                .min(report.sent + Duration::from_secs_f64(t.clamp(0.0, 1e9) / 1000.0))
         });
         let upstreams = self.parts.upstreams.clone();
         let (wanted, message) = (live.wanted.clone(), live.message.clone());
         let before = begin_by.map(|at| self.parts.clock.instant(at));
-        let attempt = Attempt { endpoint: endpoint.clone(), wanted, message, until, before };
+        let attempt = Attempt {
+            endpoint: endpoint.clone(),
+            wanted,
+            message,
+            until,
+            before,
+        };
         let Some(account) = &self.parts.account else {
             tokio::task::spawn_local(async move {
                 upstreams.attempt(attempt, |news| report.pass(news)).await;
@@ -556,7 +685,10 @@
 impl Visit {
     fn begin(account: &Rc<dyn Account>, address: SocketAddr) -> Option<Self> {
         let server = server_number(address);
-        account.visit(server).then(|| Visit { account: account.clone(), server })
+        account.visit(server).then(|| Visit {
+            account: account.clone(),
+            server,
+        })
     }
 }
 
@@ -588,7 +720,11 @@
                 self.sent = Instant::now();
                 self.inbox.put(Input::Whole(request));
             }
-            News::Began(reply) => self.inbox.put(Input::Began { request, attempt, reply }),
+            News::Began(reply) => self.inbox.put(Input::Began {
+                request,
+                attempt,
+                reply,
+            }),
             News::Ended(outcome, reply) => self.tell(outcome, reply),
         }
     }
@@ -597,7 +733,13 @@
         self.told = true;
         let latency = self.sent.elapsed().as_secs_f64() * 1000.0;
         let (request, attempt) = (self.request, self.attempt);
-        self.inbox.put(Input::Ended { request, attempt, latency, outcome, reply });
+        self.inbox.put(Input::Ended {
+            request,
+            attempt,
+            latency,
+            outcome,
+            reply,
+        });
     }
 }
 
--- a/crates/engine/src/figures.rs
+++ b/crates/engine/src/figures.rs
@@ -76,10 +76,16 @@
         let most = [MOST / targets.max(1)];
         let mut outlets = Vec::new();
         if let Some(file) = &settings.file {
-            outlets.push((Outlet::start("figures.file", &most, FILE_BATCH, to_file(file.clone()))?, 0));
+            outlets.push((
+                Outlet::start("figures.file", &most, FILE_BATCH, to_file(file.clone()))?,
+                0,
+            ));
         }
         if let Some(to) = settings.udp {
-            outlets.push((Outlet::start("figures.udp", &most, settings.batch_bytes, to_udp(to)?)?, 0));
+            outlets.push((
+                Outlet::start("figures.udp", &most, settings.batch_bytes, to_udp(to)?)?,
+                0,
+            ));
         }
         if outlets.is_empty() {
             outlets.push((log::behind_thread()?.clone(), FIGURES));
@@ -108,12 +114,23 @@
             return None;
         }
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let tenant = request.headers().get("x-tenant-id").and_then(|v| v.to_str().ok());
-        let who =
-            (place(&names.classes, class_of(uri)), tenant.and_then(|tenant| place(&names.tenants, tenant)));
+        let tenant = request
+            .headers()
+            .get("x-tenant-id")
+            .and_then(|v| v.to_str().ok());
+        let who = (
+            place(&names.classes, class_of(uri)),
+            tenant.and_then(|tenant| place(&names.tenants, tenant)),
+        );
         *self.state.borrow_mut().inflight.entry(who).or_default() += 1;
         let (drill, ended) = (RefCell::default(), Cell::new(false));
-        Some(Flight { figures: self.clone(), who, began: Instant::now(), drill, ended })
+        Some(Flight {
+            figures: self.clone(),
+            who,
+            began: Instant::now(),
+            drill,
+            ended,
+        })
     }
 
     fn end(&self, series: Series, took: Duration) {
@@ -123,7 +140,13 @@
         }
         let tags = self.tags(series.who, Some(&series));
         let ms = took.as_secs_f64() * 1000.0;
-        self.put(&mut state, "canvascart.latency_ms", format_args!("{ms:.3}"), Kind::Timer, &tags);
+        self.put(
+            &mut state,
+            "canvascart.latency_ms",
+            format_args!("{ms:.3}"),
+            Kind::Timer,
+            &tags,
+        );
         *state.requests.entry(series).or_default() += 1;
         if state.unwoken >= EARLY {
             self.wake(&mut state);
@@ -135,16 +158,38 @@
         let mut state = self.state.borrow_mut();
         for (series, count) in std::mem::take(&mut state.requests) {
             let tags = self.tags(series.who, Some(&series));
-            self.put(&mut state, "canvascart.requests", format_args!("{count}"), Kind::Counter, &tags);
+            self.put(
+                &mut state,
+                "canvascart.requests",
+                format_args!("{count}"),
+                Kind::Counter,
+                &tags,
+            );
         }
         let gauges: Vec<(Who, u64)> = state.inflight.iter().map(|(who, n)| (*who, *n)).collect();
         for (who, count) in gauges {
             let tags = self.tags(who, None);
-            self.put(&mut state, "canvascart.inflight", format_args!("{count}"), Kind::Gauge, &tags);
+            self.put(
+                &mut state,
+                "canvascart.inflight",
+                format_args!("{count}"),
+                Kind::Gauge,
+                &tags,
+            );
         }
-        let dropped: u64 = self.outlets.iter().map(|(outlet, lane)| outlet.take_dropped(*lane)).sum();
+        let dropped: u64 = self
+            .outlets
+            .iter()
+            .map(|(outlet, lane)| outlet.take_dropped(*lane))
+            .sum();
         if dropped > 0 {
-            self.put(&mut state, "canvascart.figures_dropped", format_args!("{dropped}"), Kind::Counter, "");
+            self.put(
+                &mut state,
+                "canvascart.figures_dropped",
+                format_args!("{dropped}"),
+                Kind::Counter,
+                "",
+            );
         }
         self.wake(&mut state);
     }
@@ -176,7 +221,10 @@
     /// The tags as the format writes them, without what separates them from the figure.
     fn tags(&self, who: Who, series: Option<&Series>) -> String {
         let name = |names: &'_ [String], place: Option<usize>| -> String {
-            place.and_then(|p| names.get(p)).map_or(OTHER, String::as_str).to_owned()
+            place
+                .and_then(|p| names.get(p))
+                .map_or(OTHER, String::as_str)
+                .to_owned()
         };
         let class = name(&self.classes.borrow(), who.0);
         let tenant = name(&self.tenants.borrow(), who.1);
@@ -198,12 +246,19 @@
     fn put(&self, state: &mut State, name: &str, value: fmt::Arguments, kind: Kind, tags: &str) {
         let line = match self.format {
             Format::Statsd => {
-                let tags = if tags.is_empty() { String::new() } else { format!("|#{tags}") };
+                let tags = if tags.is_empty() {
+                    String::new()
+                } else {
+                    format!("|#{tags}")
+                };
                 format!("{name}:{value}|{}{tags}\n", kind.letter())
             }
             Format::Influx => {
                 let comma = if tags.is_empty() { "" } else { "," };
-                let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
+                let unix = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default()
+                    .as_nanos();
                 state.stamp = unix.max(state.stamp + 1);
                 let whole = if matches!(kind, Kind::Timer) { "" } else { "i" };
                 format!("{name}{comma}{tags} value={value}{whole} {}\n", state.stamp)
@@ -251,7 +306,11 @@
     /// It has this answer.
     pub fn end(&self, code: u16) {
         self.ended.set(true);
-        let series = Series { who: self.who, code, drill: self.drill.take() };
+        let series = Series {
+            who: self.who,
+            code,
+            drill: self.drill.take(),
+        };
         self.figures.end(series, self.began.elapsed());
     }
 }
@@ -348,13 +407,18 @@
         let write = move |bytes: &[u8]| {
             let _ = out.send(String::from_utf8(bytes.to_vec()).expect("text"));
         };
-        let (figures, names) =
-            figures_by(format, Outlet::start("test", &[MOST], 1, write).expect("a thread"));
+        let (figures, names) = figures_by(
+            format,
+            Outlet::start("test", &[MOST], 1, write).expect("a thread"),
+        );
         (figures, lines, names)
     }
 
     fn begin(figures: &Rc<Figures>, names: &Names, path: &str, tenant: &str) -> Option<Flight> {
-        let request = Request::get(path).header("x-tenant-id", tenant).body(()).expect("a request");
+        let request = Request::get(path)
+            .header("x-tenant-id", tenant)
+            .body(())
+            .expect("a request");
         figures.begin(&request, names)
     }
 
@@ -367,7 +431,9 @@
     fn statsd_lines_sum_requests_and_read_what_is_in_flight() {
         let (figures, lines, names) = figures(Format::Statsd);
         for _ in 0..3 {
-            begin(&figures, &names, "/lookup?sid=1", "biblio-estrie").expect("a request").end(200);
+            begin(&figures, &names, "/lookup?sid=1", "biblio-estrie")
+                .expect("a request")
+                .end(200);
         }
         let open = begin(&figures, &names, "/lookup?sid=1", "biblio-estrie");
         let drilled = begin(&figures, &names, "/evil,code:1|c", "nobody").expect("a request");
@@ -392,9 +458,18 @@
         assert_eq!(said.len(), 8, "{said:?}");
         drop(open); // the client leaves
         let said = all(&figures, &lines);
-        assert!(said.contains(&format!("canvascart.requests:1|c|#{tags},code:499")), "{said:?}");
-        assert!(said.contains(&format!("canvascart.inflight:0|g|#{tags}")), "{said:?}");
-        assert!(!said.iter().any(|l| l.contains("code:200")), "counters begin anew: {said:?}");
+        assert!(
+            said.contains(&format!("canvascart.requests:1|c|#{tags},code:499")),
+            "{said:?}"
+        );
+        assert!(
+            said.contains(&format!("canvascart.inflight:0|g|#{tags}")),
+            "{said:?}"
+        );
+        assert!(
+            !said.iter().any(|l| l.contains("code:200")),
+            "counters begin anew: {said:?}"
+        );
     }
 
     #[test]
@@ -404,15 +479,35 @@
             let request = begin(&figures, &names, "/lookup", "biblio-estrie");
             request.expect("a request").end(200);
         }
-        figures.end(Series { who: (Some(1), None), code: 503, drill: None }, Duration::from_millis(2));
+        figures.end(
+            Series {
+                who: (Some(1), None),
+                code: 503,
+                drill: None,
+            },
+            Duration::from_millis(2),
+        );
         let said = all(&figures, &lines);
-        let of = |start: &str| said.iter().filter(|l| l.starts_with(start)).collect::<Vec<_>>();
-        assert_eq!(of("canvascart.latency_ms,class=lookup,tenant=biblio-estrie,code=200 value=").len(), 2);
-        assert_eq!(of("canvascart.requests,class=lookup,tenant=biblio-estrie,code=200 value=2i ").len(), 1);
+        let of = |start: &str| {
+            said.iter()
+                .filter(|l| l.starts_with(start))
+                .collect::<Vec<_>>()
+        };
+        assert_eq!(
+            of("canvascart.latency_ms,class=lookup,tenant=biblio-estrie,code=200 value=").len(),
+            2
+        );
+        assert_eq!(
+            of("canvascart.requests,class=lookup,tenant=biblio-estrie,code=200 value=2i ").len(),
+            1
+        );
         let slow = "canvascart.latency_ms,class=check\\ out\\,x,tenant=other,code=503 value=2.000 ";
         assert_eq!(of(slow).len(), 1, "{said:?}");
-        let stamps: std::collections::BTreeSet<&str> =
-            said.iter().filter_map(|l| l.rsplit_once(' ')).map(|(_, stamp)| stamp).collect();
+        let stamps: std::collections::BTreeSet<&str> = said
+            .iter()
+            .filter_map(|l| l.rsplit_once(' '))
+            .map(|(_, stamp)| stamp)
+            .collect();
         assert_eq!(stamps.len(), said.len());
     }
 
@@ -427,7 +522,11 @@
         };
         let outlet = Outlet::start("test", &[700], 1, write).expect("a thread");
         let (figures, names) = figures_by(Format::Statsd, outlet.clone());
-        let end = |code| begin(&figures, &names, "/lookup", "nobody").expect("a request").end(code);
+        let end = |code| {
+            begin(&figures, &names, "/lookup", "nobody")
+                .expect("a request")
+                .end(code)
+        };
         end(200);
         outlet.wake();
         let first = lines.recv_timeout(LONG).expect("the first line");
@@ -438,12 +537,20 @@
         assert!(outlet.finish(LONG));
         let said: Vec<String> = lines.try_iter().collect();
         let (last, kept) = said.split_last().expect("lines");
-        let dropped = last.strip_prefix("canvascart.figures_dropped:").and_then(|l| l.strip_suffix("|c\n"));
-        let dropped: u64 = dropped.unwrap_or_else(|| panic!("{said:?}")).parse().expect("a number");
+        let dropped = last
+            .strip_prefix("canvascart.figures_dropped:")
+            .and_then(|l| l.strip_suffix("|c\n"));
+        let dropped: u64 = dropped
+            .unwrap_or_else(|| panic!("{said:?}"))
+            .parse()
+            .expect("a number");
         // A hundred timers, counters for those and the first, a gauge.
         let lost = dropped + outlet.take_dropped(0);
         assert_eq!(lost + kept.len() as u64, 100 + 101 + 1);
-        assert!(kept.iter().any(|l| l.starts_with("canvascart.requests:1|c|") && l.contains("code:399")));
+        assert!(
+            kept.iter()
+                .any(|l| l.starts_with("canvascart.requests:1|c|") && l.contains("code:399"))
+        );
     }
 
     #[test]
--- a/crates/engine/src/frontend.rs
+++ b/crates/engine/src/frontend.rs
@@ -158,7 +158,14 @@
 
 impl<R: Router> Frontend<R> {
     pub fn new(router: R, most: usize, next: Rc<Cell<u64>>, life: Rc<Life>) -> Rc<Self> {
-        Rc::new(Frontend { router, most, next, life, clients: RefCell::default(), left: Notify::new() })
+        Rc::new(Frontend {
+            router,
+            most,
+            next,
+            life,
+            clients: RefCell::default(),
+            left: Notify::new(),
+        })
     }
 
     /// Accepts and serves until `stop`, then finishes what has been taken.
@@ -182,7 +189,9 @@
         // What waits in a queue that others share is theirs; one's own is emptied.
         if !self.life.ask(|life, _| life.is_shared()) {
             let end = Instant::now() + LINGER;
-            while Instant::now() < end && timeout(QUIET, self.clone().accept(&listener)).await.is_ok() {}
+            while Instant::now() < end
+                && timeout(QUIET, self.clone().accept(&listener)).await.is_ok()
+            {}
         }
         drop(listener);
         let end = came + LINGER + self.router.longest() + FINISH;
@@ -207,7 +216,10 @@
     }
 
     fn idle(&self, client: &Client) -> Idle {
-        Idle { since: self.life.time(client.since.get()), used: client.used.get() }
+        Idle {
+            since: self.life.time(client.since.get()),
+            used: client.used.get(),
+        }
     }
 
     /// Closes connections that are no longer kept, for as long as the listener is served.
@@ -284,10 +296,13 @@
     /// has had no request yet is spared for a while: to close it would lose the request on its way.
     fn close_idle(&self, most: usize, spare: Duration) {
         let clients = self.clients.borrow();
-        let idle = |c: &&Rc<Client>| !c.busy.get() && (c.used.get() || c.since.get().elapsed() >= spare);
+        let idle =
+            |c: &&Rc<Client>| !c.busy.get() && (c.used.get() || c.since.get().elapsed() >= spare);
         let mut idle: Vec<&Rc<Client>> = clients.values().filter(idle).collect();
         idle.sort_by_key(|c| c.since.get());
-        idle.into_iter().take(most).for_each(|c| c.close.notify_one());
+        idle.into_iter()
+            .take(most)
+            .for_each(|c| c.close.notify_one());
     }
 
     async fn connection(self: &Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
@@ -299,19 +314,31 @@
                 client.busy.set(true);
                 let by = client.whole_by(client.begun.take().unwrap_or_else(Instant::now));
                 let (pool, closed) = front.find(&request).await;
-                let figures = pool.as_ref().ok().and_then(|p| p.features.figures.as_ref().map(|f| (f, p)));
-                let flight = figures.and_then(|(f, pool)| f.begin(&request, &pool.terms.borrow().names));
+                let figures = pool
+                    .as_ref()
+                    .ok()
+                    .and_then(|p| p.features.figures.as_ref().map(|f| (f, p)));
+                let flight =
+                    figures.and_then(|(f, pool)| f.begin(&request, &pool.terms.borrow().names));
                 let mut response = match &pool {
                     _ if request.uri().path() == "/up" && !over => front.up().map(Inbound::from),
-                    Ok(pool) if closed.is_some() => front.refused(pool, closed.unwrap_or_default()).await,
+                    Ok(pool) if closed.is_some() => {
+                        front.refused(pool, closed.unwrap_or_default()).await
+                    }
                     Err(_) if closed.is_some() => finished(Ok(Answer::Refused(closed))),
                     Err(missing) => missing.answer(),
                     Ok(pool) if over => turn_away(pool, request).map(Inbound::from),
-                    Ok(pool) => front.respond(pool, request, &client, by, flight.as_ref()).await,
+                    Ok(pool) => {
+                        front
+                            .respond(pool, request, &client, by, flight.as_ref())
+                            .await
+                    }
                 };
                 let closes = over || client.is_overrun() || !front.life.ask(|life, _| life.keeps());
                 if closes {
-                    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                    response
+                        .headers_mut()
+                        .insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
                 client.used.set(true);
                 client.since.set(Instant::now());
@@ -334,10 +361,16 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        let connection = http1::Builder::new().max_buf_size(HEAD_SIZE).serve_connection(
-            TokioIo::new(Gated { stream: stream.clone(), client: client.clone(), guard: Guard::default() }),
-            service,
-        );
+        let connection = http1::Builder::new()
+            .max_buf_size(HEAD_SIZE)
+            .serve_connection(
+                TokioIo::new(Gated {
+                    stream: stream.clone(),
+                    client: client.clone(),
+                    guard: Guard::default(),
+                }),
+                service,
+            );
         // What it holds is let go of before the last bytes are read out: a client that left has left at once.
         let answered = {
             tokio::pin!(connection);
@@ -376,7 +409,8 @@
                 // tenant's account holds it back: then the connection is looked at again after a while, and not kept for
                 // ever.
                 let now = Instant::now();
-                if client.is_caught_up() && is_quiet(&stream.borrow()) || client.due() + IDLE <= now {
+                if client.is_caught_up() && is_quiet(&stream.borrow()) || client.due() + IDLE <= now
+                {
                     connection.as_mut().graceful_shutdown();
                     cut = Some(now + CUT);
                 } else {
@@ -409,11 +443,22 @@
 
     fn up(&self) -> Response<Full<Bytes>> {
         let up = self.router.is_up() && self.life.is_up();
-        plain(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
+        plain(
+            if up {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            },
+            "",
+        )
     }
 
     async fn respond(
-        &self, pool: &Rc<Pool>, request: Request<Incoming>, client: &Client, by: Instant,
+        &self,
+        pool: &Rc<Pool>,
+        request: Request<Incoming>,
+        client: &Client,
+        by: Instant,
         flight: Option<&Flight>,
     ) -> Response<Inbound> {
         let (head, body) = request.into_parts();
@@ -439,16 +484,30 @@
             return self.refused(pool, FULL).await;
         }
         // What its pool is found by, where that may have to be done anew.
-        let way = self.router.gate().map(|_| (head.method.clone(), head.uri.clone(), head.headers.clone()));
+        let way = self
+            .router
+            .gate()
+            .map(|_| (head.method.clone(), head.uri.clone(), head.headers.clone()));
         let mut headers = head.headers;
         strip(&mut headers);
-        let named = pool.features.drills.as_ref().and_then(|_| headers.get("x-request-id").cloned());
-        let mut message = Outgoing { method: head.method, uri: target(&head.uri), headers, body };
+        let named = pool
+            .features
+            .drills
+            .as_ref()
+            .and_then(|_| headers.get("x-request-id").cloned());
+        let mut message = Outgoing {
+            method: head.method,
+            uri: target(&head.uri),
+            headers,
+            body,
+        };
         let mut asked = asked;
         // A request's time counts from its last byte. One that comes late in a process that leaves has its answer before
         // the process is killed.
         let longest = self.router.longest();
-        asked.patience = self.life.ask(|life, now| life.patience(now, asked.patience, longest));
+        asked.patience = self
+            .life
+            .ask(|life, now| life.patience(now, asked.patience, longest));
         let deadline = Instant::now() + asked.patience;
         let decided = way.as_ref().map(|_| Rc::new(Cell::new(None)));
         let mut pool = pool.clone();
@@ -456,7 +515,13 @@
         let answer = loop {
             let id = RequestId(self.next.replace(self.next.get() + 1));
             let (answer, answered) = oneshot::channel();
-            let Asked { class, tenant, key, hint, patience } = asked;
+            let Asked {
+                class,
+                tenant,
+                key,
+                hint,
+                patience,
+            } = asked;
             pool.inbox.put(Input::Request(Box::new(Arrival {
                 id,
                 class,
@@ -470,7 +535,11 @@
                 decided: decided.clone(),
             })));
             // Hyper drops this future when the client leaves.
-            let mut leaves = Leaves { inbox: &pool.inbox, id, waits: true };
+            let mut leaves = Leaves {
+                inbox: &pool.inbox,
+                id,
+                waits: true,
+            };
             let answer = answered.await;
             leaves.waits = false;
             drop(leaves);
@@ -495,8 +564,12 @@
         {
             stamp(response.headers_mut(), decided);
         }
-        let Some(drills) = &pool.features.drills else { return response };
-        let Some(hit) = drills.meet(class.0, named.as_ref()) else { return response };
+        let Some(drills) = &pool.features.drills else {
+            return response;
+        };
+        let Some(hit) = drills.meet(class.0, named.as_ref()) else {
+            return response;
+        };
         if let Some(flight) = flight {
             flight.drilled(&hit.name);
         }
@@ -505,7 +578,9 @@
 
     /// Finds the pool of a request anew that was not decided yet when a change took hold.
     async fn ask_anew(
-        &self, before: &Rc<Pool>, (method, uri, headers): &(Method, Uri, HeaderMap),
+        &self,
+        before: &Rc<Pool>,
+        (method, uri, headers): &(Method, Uri, HeaderMap),
     ) -> Result<(Rc<Pool>, Asked), Response<Inbound>> {
         if let Some(gate) = self.router.gate()
             && let Err(wait) = gate.pass().await
@@ -513,29 +588,53 @@
             return Err(self.refused(before, wait).await);
         }
         let error = |(status, text)| plain(status, text).map(Inbound::from);
-        let pool = self.router.pool(uri, headers, true).map_err(Missing::answer)?;
+        let pool = self
+            .router
+            .pool(uri, headers, true)
+            .map_err(Missing::answer)?;
         let asked = pool.read(method, uri, headers).map_err(error)?;
         let same = match (&pool.account, &before.account) {
             (Some(now), Some(then)) => Rc::ptr_eq(now, then),
             _ => true,
         };
         // It stands on another tenant's account by now: that one may have no room.
-        if same { Ok((pool, asked)) } else { Err(self.refused(&pool, FULL).await) }
+        if same {
+            Ok((pool, asked))
+        } else {
+            Err(self.refused(&pool, FULL).await)
+        }
     }
 
     /// Puts a request on its tenant's account, in a process of many; the span in ms to wait where there is no room.
     fn admit(
-        &self, pool: &Rc<Pool>, client: &Client, headers: &HeaderMap, body: &Incoming,
+        &self,
+        pool: &Rc<Pool>,
+        client: &Client,
+        headers: &HeaderMap,
+        body: &Incoming,
     ) -> Result<Option<Stay>, f64> {
-        let Some(account) = &pool.account else { return Ok(None) };
+        let Some(account) = &pool.account else {
+            return Ok(None);
+        };
         client.turning_away.set(true);
         client.belongs_to(account)?;
-        let head: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
-        let body = body.size_hint().exact().unwrap_or(KEPT as u64).min(KEPT as u64);
+        let head: usize = headers
+            .iter()
+            .map(|(name, value)| name.as_str().len() + value.len())
+            .sum();
+        let body = body
+            .size_hint()
+            .exact()
+            .unwrap_or(KEPT as u64)
+            .min(KEPT as u64);
         let bytes = head as u64 + body;
         account.begin(bytes)?;
         client.turning_away.set(false);
-        Ok(Some(Stay { account: account.clone(), bytes, since: Instant::now() }))
+        Ok(Some(Stay {
+            account: account.clone(),
+            bytes,
+            since: Instant::now(),
+        }))
     }
 
     /// The module's own refusal of a request that there is no room for. Its body is not read, so that hyper closes the
@@ -570,7 +669,10 @@
 /// Reads a body, or as much of it as is kept; the rest passes through. It has to be whole by then, and by as much later
 /// as so much of it takes.
 async fn receive(
-    mut body: Incoming, patience: Duration, by: Instant, room: &Room,
+    mut body: Incoming,
+    patience: Duration,
+    by: Instant,
+    room: &Room,
 ) -> Result<(Payload, Share), (StatusCode, &'static str)> {
     let too_large = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     let length = body.size_hint().exact();
@@ -584,7 +686,9 @@
     loop {
         match timeout_at(by + stream::span(size), body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                let Ok(data) = frame.into_data() else { continue }; // trailers go no further
+                let Ok(data) = frame.into_data() else {
+                    continue;
+                }; // trailers go no further
                 size += data.len();
                 kept.add(data, length);
                 // One that comes slowly would hold a server's slot for as long: it is waited for while there is memory.
@@ -603,7 +707,9 @@
 /// Reads what is left of a body whose request has its answer: a client that still writes would miss the answer if the
 /// connection closed under it.
 fn drain(upload: Rc<Upload>) {
-    let Some(mut rest) = upload.abandon() else { return };
+    let Some(mut rest) = upload.abandon() else {
+        return;
+    };
     spawn_local(async move {
         let all = async { while let Some(Ok(_)) = rest.frame().await {} };
         let _ = timeout(DRAIN, all).await;
@@ -621,7 +727,16 @@
     if let (Some(capture), Some(asked)) = (&pool.features.capture, asked) {
         let pending = capture.begin(asked.class, asked.tenant, asked.patience);
         let (method, uri, headers, body) = (head.method, head.uri, head.headers, Payload::empty());
-        capture.turned_away(&pending, &Outgoing { method, uri, headers, body }, REFUSED);
+        capture.turned_away(
+            &pending,
+            &Outgoing {
+                method,
+                uri,
+                headers,
+                body,
+            },
+            REFUSED,
+        );
     }
     plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
 }
@@ -644,7 +759,8 @@
 
 impl Drop for Stay {
     fn drop(&mut self) {
-        self.account.end(self.bytes, self.since.elapsed().as_secs_f64() * 1000.0);
+        self.account
+            .end(self.bytes, self.since.elapsed().as_secs_f64() * 1000.0);
     }
 }
 
@@ -690,7 +806,11 @@
 
 /// Listens on the one address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?; // a restart finds old connections in TIME_WAIT
     socket.bind(address)?;
     socket.listen(BACKLOG)
--- a/crates/engine/src/gate.rs
+++ b/crates/engine/src/gate.rs
@@ -70,7 +70,8 @@
 
     /// Nothing is decided from here on, as a change is about to take hold.
     pub fn close(&self) {
-        self.closing.set(self.closing.get().or(Some(Instant::now())));
+        self.closing
+            .set(self.closing.get().or(Some(Instant::now())));
     }
 
     /// This version is served from here on.
@@ -83,7 +84,10 @@
 
     /// The decision that may be made now.
     pub fn decide(&self) -> Option<Decided> {
-        let version = self.version.get().filter(|_| self.closing.get().is_none())?;
+        let version = self
+            .version
+            .get()
+            .filter(|_| self.closing.get().is_none())?;
         let at = (self.right)(version)?;
         Some(Decided { version, at })
     }
@@ -150,7 +154,10 @@
 
 impl Ticket {
     pub(crate) fn new(gate: Rc<Gate>) -> Rc<Self> {
-        Rc::new(Ticket { gate, current: Cell::new(true) })
+        Rc::new(Ticket {
+            gate,
+            current: Cell::new(true),
+        })
     }
 
     pub(crate) fn end(&self) {
@@ -158,7 +165,11 @@
     }
 
     pub(crate) fn decide(&self) -> Option<Decided> {
-        if self.current.get() { self.gate.decide() } else { None }
+        if self.current.get() {
+            self.gate.decide()
+        } else {
+            None
+        }
     }
 
     pub(crate) fn stamps(&self) -> bool {
@@ -177,13 +188,22 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms { hold: Duration::from_millis(100), retry: 1000.0, stamps: false, seed: 1 };
+    const TERMS: Terms = Terms {
+        hold: Duration::from_millis(100),
+        retry: 1000.0,
+        stamps: false,
+        seed: 1,
+    };
 
     #[tokio::test(start_paused = true)]
     async fn requests_wait_for_a_change_for_a_moment_and_are_then_refused_at_once() {
         let held = Rc::new(Cell::new(true));
         let right = held.clone();
-        let gate = Gate::new(Box::new(move |_| right.get().then_some(7)), Arc::default(), TERMS);
+        let gate = Gate::new(
+            Box::new(move |_| right.get().then_some(7)),
+            Arc::default(),
+            TERMS,
+        );
         assert!(gate.pass().await.is_err(), "it has no version yet");
         gate.open(3);
         assert_eq!(gate.decide(), Some(Decided { version: 3, at: 7 }));
@@ -200,10 +220,16 @@
         let wait = gate.pass().await.expect_err("it is refused");
         assert!((750.0..=1250.0).contains(&wait) && begun.elapsed() <= Duration::from_millis(2));
         let begun = Instant::now();
-        assert!(gate.pass().await.is_err() && begun.elapsed().is_zero(), "later ones are refused at once");
+        assert!(
+            gate.pass().await.is_err() && begun.elapsed().is_zero(),
+            "later ones are refused at once"
+        );
         gate.open(5);
         held.set(false);
-        assert!(gate.pass().await.is_err() && !gate.is_open(), "without the right nothing is decided");
+        assert!(
+            gate.pass().await.is_err() && !gate.is_open(),
+            "without the right nothing is decided"
+        );
     }
 
     #[test]
--- a/crates/engine/src/guard.rs
+++ b/crates/engine/src/guard.rs
@@ -55,7 +55,9 @@
         let mut bytes = all;
         while let Some((&byte, rest)) = bytes.split_first() {
             if let Place::Body(left) | Place::Chunk(left) = &mut self.place {
-                let skip = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
+                let skip = usize::try_from(*left)
+                    .unwrap_or(usize::MAX)
+                    .min(bytes.len());
                 *left -= skip as u64;
                 bytes = &bytes[skip..];
                 match self.place {
@@ -70,7 +72,11 @@
             }
             bytes = rest;
             if self.returned != (byte == b'\n') {
-                return Err(if self.returned { "a carriage return alone" } else { "a line feed alone" });
+                return Err(if self.returned {
+                    "a carriage return alone"
+                } else {
+                    "a line feed alone"
+                });
             }
             match byte {
                 b'\r' => self.returned = true,
@@ -124,12 +130,22 @@
             // Empty lines before a request are passed over.
             Place::Head => Ok(false),
             Place::Size => {
-                let end = self.line.iter().position(|b| matches!(b, b';' | b' ' | b'\t'));
+                let end = self
+                    .line
+                    .iter()
+                    .position(|b| matches!(b, b';' | b' ' | b'\t'));
                 let digits = &self.line[..end.unwrap_or(self.line.len())];
-                let good = (1..=DIGITS).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
+                let good = (1..=DIGITS).contains(&digits.len())
+                    && digits.iter().all(u8::is_ascii_hexdigit);
                 let text = std::str::from_utf8(digits).ok().filter(|_| good);
-                let size = text.and_then(|t| u64::from_str_radix(t, 16).ok()).ok_or("no size of a chunk")?;
-                self.place = if size == 0 { Place::Trailer } else { Place::Chunk(size + 2) };
+                let size = text
+                    .and_then(|t| u64::from_str_radix(t, 16).ok())
+                    .ok_or("no size of a chunk")?;
+                self.place = if size == 0 {
+                    Place::Trailer
+                } else {
+                    Place::Chunk(size + 2)
+                };
                 Ok(false)
             }
             Place::Trailer => {
@@ -143,7 +159,9 @@
     }
 
     fn field(&mut self) -> Result<(), &'static str> {
-        let Some(colon) = self.line.iter().position(|b| *b == b':') else { return Ok(()) }; // the library says no
+        let Some(colon) = self.line.iter().position(|b| *b == b':') else {
+            return Ok(());
+        }; // the library says no
         let (name, value) = (&self.line[..colon], self.line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
             let good = (1..=DIGITS).contains(&value.len()) && value.iter().all(u8::is_ascii_digit);
@@ -153,7 +171,8 @@
                 return Err("two lengths");
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding")
-            && (std::mem::replace(&mut self.chunked, true) || !value.eq_ignore_ascii_case(b"chunked"))
+            && (std::mem::replace(&mut self.chunked, true)
+                || !value.eq_ignore_ascii_case(b"chunked"))
         {
             return Err("a coding that is not chunked alone");
         }
--- a/crates/engine/src/inbox.rs
+++ b/crates/engine/src/inbox.rs
@@ -25,17 +25,35 @@
     /// A whole request has been read.
     Request(Box<Arrival>),
     /// A request whose tenant is over its share, so that it is not read further. There may be room after so many ms.
-    Unadmitted { id: RequestId, wait: Millis, answer: oneshot::Sender<Answer> },
+    Unadmitted {
+        id: RequestId,
+        wait: Millis,
+        answer: oneshot::Sender<Answer>,
+    },
     /// Its client has left.
     Gone(RequestId),
     /// The last byte of a request that was still coming in has gone out.
     Whole(RequestId),
     /// An answer too large to be kept has begun.
-    Began { request: RequestId, attempt: u32, reply: Reply },
+    Began {
+        request: RequestId,
+        attempt: u32,
+        reply: Reply,
+    },
     /// An attempt has ended.
-    Ended { request: RequestId, attempt: u32, latency: Millis, outcome: Outcome, reply: Option<Reply> },
+    Ended {
+        request: RequestId,
+        attempt: u32,
+        latency: Millis,
+        outcome: Outcome,
+        reply: Option<Reply>,
+    },
     /// News of the list, with discovery's version of it.
-    List { scope: Scope, seq: Option<u64>, hosts: Vec<Host> },
+    List {
+        scope: Scope,
+        seq: Option<u64>,
+        hosts: Vec<Host>,
+    },
     /// Another proxy's message.
     Datagram { from: u32, bytes: Vec<u8> },
     /// The settings have changed.
@@ -53,7 +71,11 @@
 impl Input {
     /// A list that was asked for and did not come.
     pub fn no_list() -> Self {
-        Input::List { scope: Scope::Failed, seq: None, hosts: Vec::new() }
+        Input::List {
+            scope: Scope::Failed,
+            seq: None,
+            hosts: Vec::new(),
+        }
     }
 }
 
--- a/crates/engine/src/inherited.rs
+++ b/crates/engine/src/inherited.rs
@@ -34,10 +34,21 @@
 fn own(descriptor: RawFd) -> io::Result<OwnedFd> {
     let (from, to) = UnixStream::pair()?;
     let sent = [ControlMessage::ScmRights(&[descriptor])];
-    sendmsg::<()>(from.as_raw_fd(), &[IoSlice::new(&[0])], &sent, MsgFlags::empty(), None)?;
+    sendmsg::<()>(
+        from.as_raw_fd(),
+        &[IoSlice::new(&[0])],
+        &sent,
+        MsgFlags::empty(),
+        None,
+    )?;
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut space = RecvAncillaryBuffer::new(&mut space);
-    recvmsg(&to, &mut [IoSliceMut::new(&mut [0])], &mut space, RecvFlags::CMSG_CLOEXEC)?;
+    recvmsg(
+        &to,
+        &mut [IoSliceMut::new(&mut [0])],
+        &mut space,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     let own = space.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
@@ -67,7 +78,8 @@
     fn what_is_no_listener_is_named() {
         let udp = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let listening = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let stream = TcpStream::connect(listening.local_addr().expect("an address")).expect("a stream");
+        let stream =
+            TcpStream::connect(listening.local_addr().expect("an address")).expect("a stream");
         let (pair, _other) = UnixStream::pair().expect("a pair");
         let file = std::fs::File::open("/dev/null").expect("a file");
         for (descriptor, word) in [
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -62,7 +62,12 @@
 impl Lifecycle {
     /// A process that has just started.
     pub fn new(shared: bool) -> Self {
-        Lifecycle { shared, listed: false, lame: None, left: None }
+        Lifecycle {
+            shared,
+            listed: false,
+            lame: None,
+            left: None,
+        }
     }
 
     /// It has a list of servers to send to.
@@ -122,14 +127,18 @@
     /// How long a request that has come now is waited for, whose client would wait so long, where the longest deadline is this
     /// one.
     pub fn patience(&self, now: Millis, wanted: Duration, longest: Duration) -> Duration {
-        let Some(left) = self.left.filter(|left| now - left > LATE) else { return wanted };
+        let Some(left) = self.left.filter(|left| now - left > LATE) else {
+            return wanted;
+        };
         let end = left + KILL - SPARE + (longest.as_secs_f64() * 1000.0).min(LONGEST);
         wanted.min(Duration::from_secs_f64((end - now).max(0.0) / 1000.0))
     }
 
     /// Whether an idle connection closes now.
     pub fn may_close(&self, now: Millis, idle: Idle) -> bool {
-        let Some(turned) = self.left.into_iter().chain(self.lame).reduce(f64::min) else { return false };
+        let Some(turned) = self.left.into_iter().chain(self.lame).reduce(f64::min) else {
+            return false;
+        };
         if self.left.is_some_and(|left| now - left >= LAST_CALL) {
             return true;
         }
@@ -147,7 +156,11 @@
 impl Life {
     /// The lifecycle of a process that has just started.
     pub fn new(clock: Clock, shared: bool) -> Self {
-        Life { clock, state: RefCell::new(Lifecycle::new(shared)), changed: Notify::new() }
+        Life {
+            clock,
+            state: RefCell::new(Lifecycle::new(shared)),
+            changed: Notify::new(),
+        }
     }
 
     /// The state as it is now, and the time.
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -20,6 +20,9 @@
 pub fn told(headers: &HeaderMap) -> Option<Load> {
     let told: Told = serde_json::from_slice(headers.get(NAME)?.as_bytes()).ok()?;
     let count = |n: Option<f64>| n.filter(|n| n.is_finite() && *n >= 0.0);
-    let load = Load { in_hand: count(told.inflight), waiting: count(told.queue) };
+    let load = Load {
+        in_hand: count(told.inflight),
+        waiting: count(told.queue),
+    };
     (load != Load::default()).then_some(load)
 }
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -72,7 +72,10 @@
     };
     let dropped = outlet.take_dropped(LOG);
     if dropped > 0 {
-        outlet.put(LOG, format!("{}: {dropped} lines lost\n", name()).as_bytes());
+        outlet.put(
+            LOG,
+            format!("{}: {dropped} lines lost\n", name()).as_bytes(),
+        );
     }
     outlet.put(LOG, format!("{}: {text}\n", name()).as_bytes());
     outlet.wake();
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -31,7 +31,10 @@
 
 /// The query parameter `sid`, as it came.
 pub fn sid(uri: &Uri) -> Option<&str> {
-    uri.query().unwrap_or_default().split('&').find_map(|p| p.strip_prefix("sid="))
+    uri.query()
+        .unwrap_or_default()
+        .split('&')
+        .find_map(|p| p.strip_prefix("sid="))
 }
 
 /// Takes out the headers that concern one connection alone, and the length, which is set anew.
@@ -65,7 +68,12 @@
     /// What stands for a message that is not read.
     pub fn nothing() -> Self {
         let (method, uri) = (Method::GET, Uri::default());
-        Outgoing { method, uri, headers: HeaderMap::new(), body: Payload::empty() }
+        Outgoing {
+            method,
+            uri,
+            headers: HeaderMap::new(),
+            body: Payload::empty(),
+        }
     }
 
     /// What the request is about, where it says so.
@@ -79,7 +87,9 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
+        let left = until
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64();
         let left = HeaderValue::from_str(&format!("{left:.3}")).ok()?;
         request.headers_mut().insert("x-timeout", left);
         Some(request)
@@ -88,12 +98,17 @@
 
 /// The name of a request's class.
 pub fn class_of(uri: &Uri) -> &str {
-    uri.path().trim_start_matches('/').split('/').next().unwrap_or_default()
+    uri.path()
+        .trim_start_matches('/')
+        .split('/')
+        .next()
+        .unwrap_or_default()
 }
 
 /// Path and query alone, as they came, also of a request in absolute form.
 pub fn target(uri: &Uri) -> Uri {
-    uri.path_and_query().map_or_else(Uri::default, |p| Uri::from(p.clone()))
+    uri.path_and_query()
+        .map_or_else(Uri::default, |p| Uri::from(p.clone()))
 }
 
 /// An answer of the proxy's own.
@@ -110,9 +125,12 @@
     #[test]
     fn headers_of_one_connection_go_no_further() {
         let mut headers = HeaderMap::new();
-        for (name, value) in
-            [("connection", "x-own, close"), ("x-own", "1"), ("x-kept", "2"), ("te", "trailers")]
-        {
+        for (name, value) in [
+            ("connection", "x-own, close"),
+            ("x-own", "1"),
+            ("x-kept", "2"),
+            ("te", "trailers"),
+        ] {
             headers.insert(name, HeaderValue::from_static(value));
         }
         strip(&mut headers);
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -93,7 +93,10 @@
             _ => return plain(StatusCode::NOT_FOUND, "no such call\n"),
         };
         if head.method != wanted {
-            let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "not the method of this call\n");
+            let mut response = plain(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "not the method of this call\n",
+            );
             let allow = HeaderValue::from_static(if wanted == Method::GET { "GET" } else { "PUT" });
             response.headers_mut().insert(header::ALLOW, allow);
             return response;
@@ -116,8 +119,14 @@
     fn ready(&self) -> Response<Full<Bytes>> {
         let (code, text) = match self.life.ask(|life, _| life.phase()) {
             Phase::Serving => (StatusCode::OK, "serving\n"),
-            Phase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting: no list of servers yet\n"),
-            Phase::LameDuck => (StatusCode::SERVICE_UNAVAILABLE, "lame duck: clients are sent away\n"),
+            Phase::Starting => (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "starting: no list of servers yet\n",
+            ),
+            Phase::LameDuck => (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "lame duck: clients are sent away\n",
+            ),
             Phase::Leaving => (StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
         };
         plain(code, text)
@@ -125,7 +134,10 @@
 
     fn lame_duck(&self, on: bool) -> Response<Full<Bytes>> {
         if !self.life.tell(|life, now| life.lame_duck(now, on)) {
-            return plain(StatusCode::CONFLICT, "the process leaves: it takes no clients any more\n");
+            return plain(
+                StatusCode::CONFLICT,
+                "the process leaves: it takes no clients any more\n",
+            );
         }
         note!("lame duck {}", if on { "on" } else { "off" });
         plain(StatusCode::OK, if on { "on\n" } else { "off\n" })
--- a/crates/engine/src/outlet.rs
+++ b/crates/engine/src/outlet.rs
@@ -22,7 +22,9 @@
     /// Takes lines out, oldest first, until the rest fits.
     fn cut(&mut self) {
         while self.bytes > self.most {
-            let Some(oldest) = self.pieces.pop_front() else { break };
+            let Some(oldest) = self.pieces.pop_front() else {
+                break;
+            };
             self.bytes -= oldest.len();
             self.dropped += oldest.iter().filter(|b| **b == b'\n').count() as u64;
         }
@@ -57,17 +59,35 @@
     /// Starts a thread that gives `write` whole lines, those of the first lane first. `most` bounds each lane's
     /// bytes, `batch` those of a write, where one line is no longer than that.
     pub fn start(
-        name: &str, most: &[usize], batch: usize, mut write: impl FnMut(&[u8]) + Send + 'static,
+        name: &str,
+        most: &[usize],
+        batch: usize,
+        mut write: impl FnMut(&[u8]) + Send + 'static,
     ) -> io::Result<Self> {
-        let lane = |most: &usize| Lane { pieces: VecDeque::new(), bytes: 0, most: *most, dropped: 0 };
-        let state = Mutex::new(State { lanes: most.iter().map(lane).collect(), busy: false });
-        let shared = Arc::new(Shared { state, batch, more: Condvar::new(), idle: Condvar::new() });
+        let lane = |most: &usize| Lane {
+            pieces: VecDeque::new(),
+            bytes: 0,
+            most: *most,
+            dropped: 0,
+        };
+        let state = Mutex::new(State {
+            lanes: most.iter().map(lane).collect(),
+            busy: false,
+        });
+        let shared = Arc::new(Shared {
+            state,
+            batch,
+            more: Condvar::new(),
+            idle: Condvar::new(),
+        });
         let outlet = Outlet(shared.clone());
-        std::thread::Builder::new().name(name.into()).spawn(move || {
-            loop {
-                write(&shared.next());
-            }
-        })?;
+        std::thread::Builder::new()
+            .name(name.into())
+            .spawn(move || {
+                loop {
+                    write(&shared.next());
+                }
+            })?;
         Ok(outlet)
     }
 
@@ -76,7 +96,11 @@
         let mut state = self.0.lock();
         let lane = &mut state.lanes[lane];
         lane.bytes += lines.len();
-        match lane.pieces.back_mut().filter(|last| last.len() + lines.len() <= self.0.batch) {
+        match lane
+            .pieces
+            .back_mut()
+            .filter(|last| last.len() + lines.len() <= self.0.batch)
+        {
             Some(last) => last.extend_from_slice(lines),
             None => {
                 let mut piece = Vec::with_capacity(lines.len().max(self.0.batch));
@@ -135,7 +159,10 @@
                 return piece;
             }
             self.idle.notify_all();
-            state = self.more.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .more
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
@@ -178,11 +205,21 @@
             outlet.put(1, line.as_bytes());
         }
         outlet.put(0, b"log\n");
-        assert_eq!((outlet.take_dropped(1), outlet.take_dropped(1), outlet.take_dropped(0)), (2, 0, 0));
+        assert_eq!(
+            (
+                outlet.take_dropped(1),
+                outlet.take_dropped(1),
+                outlet.take_dropped(0)
+            ),
+            (2, 0, 0)
+        );
         assert!(!outlet.finish(Duration::from_millis(1)), "it is held");
         drop(gate);
         assert!(outlet.finish(LONG));
-        assert_eq!(written.recv_timeout(LONG).expect("the first lane"), b"log\n");
+        assert_eq!(
+            written.recv_timeout(LONG).expect("the first lane"),
+            b"log\n"
+        );
         let rest: Vec<Vec<u8>> = written.try_iter().collect();
         assert_eq!(rest, [&b"cc\n"[..], b"d\ne\n"]);
     }
@@ -198,7 +235,10 @@
         outlet.put_piece(0, b"1234567890\n".to_vec());
         assert!(outlet.finish(LONG));
         let all: Vec<Vec<u8>> = written.try_iter().collect();
-        assert_eq!(all, [&b"12\n345\n"[..], b"6\n", b"789012\n", b"1234567890\n"]);
+        assert_eq!(
+            all,
+            [&b"12\n345\n"[..], b"6\n", b"789012\n", b"1234567890\n"]
+        );
     }
 
     /// Takes a byte at a time and says now and then that it is full.
