--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -20,7 +20,10 @@
 impl Peers {
     /// Binds the socket.
     pub async fn bind(addresses: PeerAddresses) -> io::Result<Rc<Self>> {
-        Ok(Rc::new(Peers { socket: UdpSocket::bind(addresses.listen).await?, addresses }))
+        Ok(Rc::new(Peers {
+            socket: UdpSocket::bind(addresses.listen).await?,
+            addresses,
+        }))
     }
 
     /// Tells every other proxy. What the socket can't take at once is lost, as on the way.
@@ -39,7 +42,10 @@
             match self.socket.recv_from(&mut buffer).await {
                 Ok((size, from)) => match self.addresses.peers.iter().position(|p| *p == from) {
                     Some(number) if size <= MOST => {
-                        inbox.put(Input::Datagram { from: number as u32, bytes: buffer[..size].to_vec() });
+                        inbox.put(Input::Datagram {
+                            from: number as u32,
+                            bytes: buffer[..size].to_vec(),
+                        });
                     }
                     _ => note!("a datagram of {size} bytes or more from {from} is dropped"),
                 },
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -69,21 +69,46 @@
     /// The longest wait that a client is ready for.
     pub(crate) fn longest(&self) -> Duration {
         let terms = self.terms.borrow();
-        let longest = terms.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+        let longest = terms
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .fold(0.0, f64::max);
         Duration::from_secs_f64(longest.min(1e6) / 1000.0)
     }
 
     /// Reads what the module has to know; what can't be right goes no further.
     pub(crate) fn read(
-        &self, method: &Method, uri: &Uri, headers: &HeaderMap,
+        &self,
+        method: &Method,
+        uri: &Uri,
+        headers: &HeaderMap,
     ) -> Result<Asked, (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
-        let Terms { settings, names, open, known, .. } = &**self.terms.borrow();
-        let class = names.classes.iter().position(|c| c == class_of(uri)).filter(|c| open[*c]);
+        let Terms {
+            settings,
+            names,
+            open,
+            known,
+            ..
+        } = &**self.terms.borrow();
+        let class = names
+            .classes
+            .iter()
+            .position(|c| c == class_of(uri))
+            .filter(|c| open[*c]);
         let class = class.ok_or((StatusCode::NOT_FOUND, "no such class"))?;
-        let wanted = if settings.classes[class].effect == Effect::Safe { Method::GET } else { Method::POST };
+        let wanted = if settings.classes[class].effect == Effect::Safe {
+            Method::GET
+        } else {
+            Method::POST
+        };
         if *method != wanted {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
+            return Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                "not the method of this class",
+            ));
         }
         let keyed = matches!(settings.classes[class].effect, Effect::Keyed { .. });
         if keyed != one(headers, "idempotency-key")?.is_some() && *method == Method::POST {
@@ -95,14 +120,24 @@
         let tenant = match one(headers, "x-tenant-id")? {
             _ if names.tenants.is_empty() => None,
             Some(name) => {
-                let tenant = names.tenants.iter().position(|t| t == name).filter(|t| known[*t]);
+                let tenant = names
+                    .tenants
+                    .iter()
+                    .position(|t| t == name)
+                    .filter(|t| known[*t]);
                 Some(TenantId(tenant.ok_or(bad("no such tenant"))?))
             }
             None => return Err(bad("X-Tenant-Id is missing")),
         };
         let number = |name: &'static str| -> Result<Option<f64>, _> {
-            let Some(text) = one(headers, name)? else { return Ok(None) };
-            let number = text.trim().parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
+            let Some(text) = one(headers, name)? else {
+                return Ok(None);
+            };
+            let number = text
+                .trim()
+                .parse::<f64>()
+                .ok()
+                .filter(|x| x.is_finite() && *x >= 0.0);
             number.map(Some).ok_or(bad("a header is no number"))
         };
         let most = settings.classes[class].deadline / 1000.0;
@@ -114,7 +149,13 @@
         let patience = Duration::from_secs_f64(patience);
         let hint = number("x-cost")?.map(|us| us / 1000.0);
         let key = sid(uri).map(|s| Key(number_of(s)));
-        Ok(Asked { class: ClassId(class), tenant, key, hint, patience })
+        Ok(Asked {
+            class: ClassId(class),
+            tenant,
+            key,
+            hint,
+            patience,
+        })
     }
 }
 
@@ -128,11 +169,17 @@
 }
 
 /// A header that may stand once.
-fn one<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, (StatusCode, &'static str)> {
+fn one<'a>(
+    headers: &'a HeaderMap,
+    name: &str,
+) -> Result<Option<&'a str>, (StatusCode, &'static str)> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().map(|v| v.to_str()).transpose();
     match (value, values.next()) {
         (Ok(value), None) => Ok(value),
-        _ => Err((StatusCode::BAD_REQUEST, "a header is malformed or stands twice")),
+        _ => Err((
+            StatusCode::BAD_REQUEST,
+            "a header is malformed or stands twice",
+        )),
     }
 }
--- a/crates/engine/src/process.rs
+++ b/crates/engine/src/process.rs
@@ -46,10 +46,13 @@
 
 /// The drills and their side port, if the settings have both a secret and a port.
 fn drills(
-    config: &Config, features: &properties::Features,
+    config: &Config,
+    features: &properties::Features,
 ) -> io::Result<(Option<Rc<Drills>>, Option<TcpListener>)> {
     let settings = &features.drills;
-    let (Some(secret), Some(port)) = (&settings.secret, settings.port) else { return Ok((None, None)) };
+    let (Some(secret), Some(port)) = (&settings.secret, settings.port) else {
+        return Ok((None, None));
+    };
     log::behind_thread()?; // each affected request has a line
     let side_port = frontend::listen((config.listen.ip(), port).into())?;
     let classes = config.terms.names.classes.clone();
@@ -84,11 +87,15 @@
             return;
         }
         // The module hears of it before the first request that comes under it.
-        pool.inbox.put(Input::Settings(Box::new(change.terms.settings.clone())));
+        pool.inbox
+            .put(Input::Settings(Box::new(change.terms.settings.clone())));
         pool.counts.name(&change.terms.names.classes);
         pool.features.rename(&change.terms.names);
         let classes = change.terms.names.classes.iter().zip(&change.terms.open);
-        let open: Vec<&str> = classes.filter(|(_, open)| **open).map(|(name, _)| name.as_str()).collect();
+        let open: Vec<&str> = classes
+            .filter(|(_, open)| **open)
+            .map(|(name, _)| name.as_str())
+            .collect();
         note!("new settings are in service; classes: {}", open.join(", "));
         pool.terms.replace(Rc::new(change.terms));
     }
@@ -123,7 +130,11 @@
     let counts = Rc::new(Counts::default());
     counts.name(&config.terms.names.classes);
     let capture = if features.capture.enabled {
-        let (node, given, names) = (&config.name, config.terms.given.to_string(), config.terms.names.clone());
+        let (node, given, names) = (
+            &config.name,
+            config.terms.given.to_string(),
+            config.terms.names.clone(),
+        );
         let capture = Capture::new(&features.capture, node, config.seed, &given, names, clock)?;
         Some(Rc::new(capture))
     } else {
@@ -143,12 +154,19 @@
     let own = RESERVE + if door.is_some() { ops::CALLERS + 1 } else { 0 };
     // Where the system allows fewer descriptors than the file says, its word holds.
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    let allowed = allowed.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX);
+    let allowed = allowed
+        .and_then(|n| usize::try_from(n).ok())
+        .unwrap_or(usize::MAX);
     let budget = config.sockets.min(allowed).saturating_sub(own).max(LEAST);
     let sockets = Arc::new(Semaphore::new(budget / 4));
     let room = Room::new(config.memory);
-    let upstreams =
-        Rc::new(upstream::Upstreams::new(&config.connections, sockets, None, counts.clone(), room.clone()));
+    let upstreams = Rc::new(upstream::Upstreams::new(
+        &config.connections,
+        sockets,
+        None,
+        counts.clone(),
+        room.clone(),
+    ));
     let watch = Rc::new(Notify::new());
     let place = discovery::Place::new(config.discovery);
     let parts = Parts {
@@ -169,14 +187,22 @@
     let balancer = Balancer::new(config.terms.settings.clone(), config.seed);
     let driver = spawn_local(Driver::new(balancer, config.terms.names.clone(), parts).run(inputs));
     // The module's time begins with its first event.
-    inbox.put(Input::List { scope: Scope::Cached, seq: None, hosts: Vec::new() });
+    inbox.put(Input::List {
+        scope: Scope::Cached,
+        seq: None,
+        hosts: Vec::new(),
+    });
     if let Some((seq, hosts)) = hosts::remembered(&config.known) {
         let inbox = inbox.clone();
         spawn_local(async move {
             for _ in 0..PATIENCE.0 {
                 tokio::time::sleep(PATIENCE.1).await;
             }
-            inbox.put(Input::List { scope: Scope::Cached, seq: Some(seq), hosts });
+            inbox.put(Input::List {
+                scope: Scope::Cached,
+                seq: Some(seq),
+                hosts,
+            });
         });
     }
     let list = discovery::Discovery::new(place.clone(), inbox.clone(), config.seed.rotate_left(32));
@@ -189,7 +215,8 @@
     // of the budget is theirs. Beyond `most` an eighth more are let in, only to be refused.
     let most = budget * 5 / 8;
     let figures = if features.figures.enabled {
-        let figures = Figures::new(&features.figures, &config.terms.names).map_err(at("the figures"))?;
+        let figures =
+            Figures::new(&features.figures, &config.terms.names).map_err(at("the figures"))?;
         spawn_local(figures.clone().follow());
         Some(figures)
     } else {
@@ -198,10 +225,18 @@
     if let Some(listener) = door {
         let address = listener.local_addr().map_err(at("the operators' door"))?;
         note!("operators' door on {address}");
-        let door = Door { life: life.clone(), counts: counts.clone(), inbox: inbox.clone() };
+        let door = Door {
+            life: life.clone(),
+            counts: counts.clone(),
+            inbox: inbox.clone(),
+        };
         spawn_local(Rc::new(door).serve(listener));
     }
-    let features = Features { capture: capture.clone(), drills: drills.clone(), figures: figures.clone() };
+    let features = Features {
+        capture: capture.clone(),
+        drills: drills.clone(),
+        figures: figures.clone(),
+    };
     let terms = RefCell::new(Rc::new(config.terms));
     let pool = Rc::new(Pool {
         inbox,
@@ -213,8 +248,13 @@
         account: None,
         strict: true,
     });
-    let reload =
-        Reload { path, started: config.started, place, pool: pool.clone(), upstreams: upstreams.clone() };
+    let reload = Reload {
+        path,
+        started: config.started,
+        place,
+        pool: pool.clone(),
+        upstreams: upstreams.clone(),
+    };
     spawn_local(async move {
         while hup.recv().await.is_some() {
             reload.read(); // signals that came in a burst are one, and the file is the newest
@@ -281,15 +321,18 @@
 /// Reads the command line: nothing, the file with the features' settings, or a wish for help.
 fn asked(mut arguments: impl Iterator<Item = OsString>) -> Result<Asked, String> {
     let usage = "usage: sandgap [--properties FILE]; --help says more";
-    let Some(flag) = arguments.next() else { return Ok(Asked::Proxy(Box::default())) };
+    let Some(flag) = arguments.next() else {
+        return Ok(Asked::Proxy(Box::default()));
+    };
     match (flag.to_str(), arguments.next(), arguments.next()) {
         (Some("--properties"), Some(file), None) => properties::Features::read(Path::new(&file))
             .map(|f| Asked::Proxy(f.into()))
             .map_err(|e| e.to_string()),
         (Some("--help" | "-h"), None, None) => Ok(Asked::Text(HELP.into())),
-        (Some("--version" | "-V"), None, None) => {
-            Ok(Asked::Text(format!("sandgap {}\n", env!("CARGO_PKG_VERSION"))))
-        }
+        (Some("--version" | "-V"), None, None) => Ok(Asked::Text(format!(
+            "sandgap {}\n",
+            env!("CARGO_PKG_VERSION")
+        ))),
         _ => Err(usage.into()),
     }
 }
@@ -300,19 +343,24 @@
         // Whoever asked and does not read on needs no more of it.
         Asked::Text(text) => return io::stdout().write_all(text.as_bytes()).or(Ok(())),
     };
-    let unset = "NODE_CONFIG is not set: it names the configuration, such as deploy/sandgap.example.json";
+    let unset =
+        "NODE_CONFIG is not set: it names the configuration, such as deploy/sandgap.example.json";
     let path = PathBuf::from(std::env::var_os("NODE_CONFIG").ok_or(unset)?);
     let mut config = config::read(&path)?;
-    let variable = |name: &str| std::env::var_os(name).map(|value| value.to_string_lossy().into_owned());
+    let variable =
+        |name: &str| std::env::var_os(name).map(|value| value.to_string_lossy().into_owned());
     if let (None, Some(at)) = (config.ops, variable("NODE_OPS")) {
         config.ops = Some(at.parse().map_err(|e| format!("NODE_OPS: {at}: {e}"))?);
     }
     if let Some(number) = variable("NODE_SOCKET_FD") {
         let descriptor = number.parse().ok().filter(|d| *d >= 0);
-        config.inherited = Some(descriptor.ok_or(format!("NODE_SOCKET_FD: '{number}' is no descriptor"))?);
+        config.inherited =
+            Some(descriptor.ok_or(format!("NODE_SOCKET_FD: '{number}' is no descriptor"))?);
     }
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     let outcome = LocalSet::new().block_on(&runtime, run(config, path, features));
     runtime.shutdown_background();
     outcome
--- a/crates/engine/src/service.rs
+++ b/crates/engine/src/service.rs
@@ -103,12 +103,20 @@
 impl Feed {
     /// The whole list: what it lacks has left.
     pub fn whole(&self, hosts: Vec<Host>) {
-        self.inbox.put(Input::List { scope: Scope::Full, seq: None, hosts });
+        self.inbox.put(Input::List {
+            scope: Scope::Full,
+            seq: None,
+            hosts,
+        });
     }
 
     /// Lines that have changed; all others stand.
     pub fn changed(&self, hosts: Vec<Host>) {
-        self.inbox.put(Input::List { scope: Scope::Delta, seq: None, hosts });
+        self.inbox.put(Input::List {
+            scope: Scope::Delta,
+            seq: None,
+            hosts,
+        });
     }
 
     /// What another module knew of the servers of the list that was told before.
@@ -131,7 +139,13 @@
     /// A process that holds at most so many connections to servers.
     pub fn new(sockets: usize) -> Self {
         let sockets = Arc::new(Semaphore::new(sockets.min(Semaphore::MAX_PERMITS)));
-        Process { clock: Clock::default(), sockets, next: Rc::default(), room: Room::new(MEMORY), gate: None }
+        Process {
+            clock: Clock::default(),
+            sockets,
+            next: Rc::default(),
+            room: Room::new(MEMORY),
+            gate: None,
+        }
     }
 
     /// All that its pools decide passes this gate.
@@ -159,15 +173,22 @@
     /// Starts a pool; it must be told a list before it is ready. `ended` is called when its driver has: without an error
     /// once it was retired and all was answered.
     pub fn start(
-        &self, terms: Terms, account: Option<Rc<dyn Account>>,
+        &self,
+        terms: Terms,
+        account: Option<Rc<dyn Account>>,
         ended: impl FnOnce(Result<(), JoinError>) + 'static,
     ) -> Running {
         let (inbox, inputs) = Inbox::new();
         let counts = Rc::new(Counts::default());
         counts.name(&terms.names.classes);
         let sockets = self.sockets.clone();
-        let upstreams =
-            Upstreams::new(&terms.connections, sockets, account.clone(), counts.clone(), self.room.clone());
+        let upstreams = Upstreams::new(
+            &terms.connections,
+            sockets,
+            account.clone(),
+            counts.clone(),
+            self.room.clone(),
+        );
         let upstreams = Rc::new(upstreams);
         let life = Rc::new(Life::new(self.clock, false));
         let gate = self.gate.clone().map(Ticket::new);
@@ -213,16 +234,29 @@
             strict: false,
         };
         let feed = Feed { inbox, alive };
-        Running { pool: Rc::new(pool), feed, upstreams, gate, known, clock: self.clock }
+        Running {
+            pool: Rc::new(pool),
+            feed,
+            upstreams,
+            gate,
+            known,
+            clock: self.clock,
+        }
     }
 
     /// Serves a listener with at most so many connections until `stop`, and then until all that was taken is answered.
     pub async fn serve<R: Router>(
-        &self, listener: TcpListener, router: R, most: usize, stop: impl Future<Output = ()>,
+        &self,
+        listener: TcpListener,
+        router: R,
+        most: usize,
+        stop: impl Future<Output = ()>,
     ) {
         let life = Rc::new(Life::new(self.clock, false));
         life.tell(|life, _| life.listed()); // its pools have lists, or answer for themselves
-        Frontend::new(router, most, self.next.clone(), life).serve(listener, stop).await;
+        Frontend::new(router, most, self.next.clone(), life)
+            .serve(listener, stop)
+            .await;
     }
 }
 
--- a/crates/engine/src/stream.rs
+++ b/crates/engine/src/stream.rs
@@ -57,7 +57,10 @@
     /// the rest for all else.
     pub fn new(memory: usize) -> Rc<Self> {
         let part = |bytes: usize, of: usize| Arc::new(Semaphore::new((bytes / of).max(8)));
-        Rc::new(Room { places: part(memory / 4, PLACE), steps: part(memory / 8, STEP) })
+        Rc::new(Room {
+            places: part(memory / 4, PLACE),
+            steps: part(memory / 8, STEP),
+        })
     }
 
     /// A place to pass through, if there is one now.
@@ -77,7 +80,9 @@
         if size > SPOOL {
             return false;
         }
-        let Ok(more) = self.steps.clone().try_acquire_many_owned(more as u32) else { return false };
+        let Ok(more) = self.steps.clone().try_acquire_many_owned(more as u32) else {
+            return false;
+        };
         match share {
             Some(share) => share.merge(more),
             None => *share = Some(more),
@@ -101,7 +106,10 @@
             return;
         }
         if self.all.is_empty() {
-            let most = length.and_then(|n| usize::try_from(n).ok()).unwrap_or(0).min(SPOOL);
+            let most = length
+                .and_then(|n| usize::try_from(n).ok())
+                .unwrap_or(0)
+                .min(SPOOL);
             self.all.reserve(most.max(self.first.len() + data.len()));
             self.all.extend_from_slice(&std::mem::take(&mut self.first));
         }
@@ -110,7 +118,11 @@
 
     /// All of it.
     pub fn whole(self) -> Bytes {
-        if self.all.is_empty() { self.first } else { self.all.freeze() }
+        if self.all.is_empty() {
+            self.first
+        } else {
+            self.all.freeze()
+        }
     }
 }
 
@@ -208,7 +220,9 @@
                     return Poll::Ready(None);
                 }
                 Some(Ok(frame)) => {
-                    let Ok(data) = frame.into_data() else { continue }; // trailers go no further
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    }; // trailers go no further
                     self.touched.set(true);
                     self.received.set(self.received.get() + data.len() as u64);
                     if self.received.get() > MOST {
@@ -250,7 +264,10 @@
             Payload::Whole(body) => Outbound::Whole(Full::new(body.clone())),
             Payload::Stream(upload) => {
                 upload.begin();
-                Outbound::Stream { kept: Some(upload.kept.clone()), upload: upload.clone() }
+                Outbound::Stream {
+                    kept: Some(upload.kept.clone()),
+                    upload: upload.clone(),
+                }
             }
         }
     }
@@ -266,16 +283,24 @@
 /// What goes out to a server.
 pub enum Outbound {
     Whole(Full<Bytes>),
-    Stream { kept: Option<Bytes>, upload: Rc<Upload> },
+    Stream {
+        kept: Option<Bytes>,
+        upload: Rc<Upload>,
+    },
 }
 
 impl Body for Outbound {
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Outbound::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Outbound::Whole(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
             Outbound::Stream { kept, upload } => match kept.take() {
                 Some(kept) => Poll::Ready(Some(Ok(Frame::data(kept)))),
                 None => upload.poll(cx),
@@ -293,9 +318,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Outbound::Whole(body) => body.size_hint(),
-            Outbound::Stream { upload, .. } => {
-                upload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
-            }
+            Outbound::Stream { upload, .. } => upload
+                .length
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -318,7 +343,14 @@
     /// One piece at a time is on its way: a client that does not read holds up nothing but its own answer.
     pub fn new(length: Option<u64>) -> (mpsc::Sender<Piece>, Self) {
         let (sender, pieces) = mpsc::channel(1);
-        (sender, Passing { length, pieces, ended: false })
+        (
+            sender,
+            Passing {
+                length,
+                pieces,
+                ended: false,
+            },
+        )
     }
 }
 
@@ -357,18 +389,25 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Inbound::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Inbound::Whole(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
             Inbound::Stream(passing, _) if passing.ended => Poll::Ready(None),
-            Inbound::Stream(passing, _) => Poll::Ready(match ready!(passing.pieces.poll_recv(cx)) {
-                Some(Piece::Data(data)) => Some(Ok(Frame::data(data))),
-                Some(Piece::End) => {
-                    passing.ended = true;
-                    None
-                }
-                None => Some(Err(broken("the server has cut its answer"))),
-            }),
+            Inbound::Stream(passing, _) => {
+                Poll::Ready(match ready!(passing.pieces.poll_recv(cx)) {
+                    Some(Piece::Data(data)) => Some(Ok(Frame::data(data))),
+                    Some(Piece::End) => {
+                        passing.ended = true;
+                        None
+                    }
+                    None => Some(Err(broken("the server has cut its answer"))),
+                })
+            }
         }
     }
 
@@ -382,9 +421,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Inbound::Whole(body) => body.size_hint(),
-            Inbound::Stream(passing, _) => {
-                passing.length.map_or_else(SizeHint::default, SizeHint::with_exact)
-            }
+            Inbound::Stream(passing, _) => passing
+                .length
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -52,7 +52,12 @@
 
 impl Endpoint {
     pub fn new(address: SocketAddr, born_ms: f64) -> Rc<Self> {
-        Rc::new(Endpoint { address, born_ms, closed: Cell::new(false), idle: RefCell::default() })
+        Rc::new(Endpoint {
+            address,
+            born_ms,
+            closed: Cell::new(false),
+            idle: RefCell::default(),
+        })
     }
 
     /// Whether something new may go there. Closing also drops the idle connections.
@@ -71,14 +76,20 @@
     /// likely to have been closed; else the one that has rested longest.
     fn rested(&self) -> Option<Idle> {
         let mut idle = self.idle.borrow_mut();
-        let settled = idle.iter().rposition(|i| i.since.elapsed() >= SETTLE).unwrap_or(0);
+        let settled = idle
+            .iter()
+            .rposition(|i| i.since.elapsed() >= SETTLE)
+            .unwrap_or(0);
         (!idle.is_empty()).then(|| idle.remove(settled))
     }
 
     /// Puts a clean connection by for the next request.
     fn keep(&self, connection: Connection) {
         if self.is_open() {
-            self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
+            self.idle.borrow_mut().push(Idle {
+                connection,
+                since: Instant::now(),
+            });
         }
     }
 }
@@ -147,7 +158,9 @@
 
 impl Gate {
     fn is_open(&self) -> bool {
-        self.endpoint.is_open() && self.wanted.holds() && self.before.is_none_or(|b| Instant::now() < b)
+        self.endpoint.is_open()
+            && self.wanted.holds()
+            && self.before.is_none_or(|b| Instant::now() < b)
     }
 }
 
@@ -207,10 +220,16 @@
     fn follow(&self, bytes: &[u8]) {
         let mut rest = bytes;
         while self.blank.get() < BLANK.len() {
-            let Some((&byte, after)) = rest.split_first() else { return };
+            let Some((&byte, after)) = rest.split_first() else {
+                return;
+            };
             rest = after;
             let seen = self.blank.get();
-            self.blank.set(if byte == BLANK[seen] { seen + 1 } else { usize::from(byte == b'\r') });
+            self.blank.set(if byte == BLANK[seen] {
+                seen + 1
+            } else {
+                usize::from(byte == b'\r')
+            });
         }
         self.left.set(self.left.get().saturating_sub(rest.len()));
     }
@@ -232,7 +251,11 @@
 
 impl AsyncRead for Metered {
     // The stream's own way: after a short read it waits for news and does not ask the system once more.
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf)
     }
 }
@@ -275,8 +298,11 @@
 impl Upstreams {
     /// `sockets` is the budget of connections, which pools of one process share.
     pub fn new(
-        connections: &settings::Connections, sockets: Arc<Semaphore>, account: Option<Rc<dyn Account>>,
-        counts: Rc<Counts>, room: Rc<Room>,
+        connections: &settings::Connections,
+        sockets: Arc<Semaphore>,
+        account: Option<Rc<dyn Account>>,
+        counts: Rc<Counts>,
+        room: Rc<Room>,
     ) -> Self {
         let upstreams = Upstreams {
             dial_timeout: Cell::default(),
@@ -295,7 +321,8 @@
     pub fn set(&self, connections: &settings::Connections) {
         let span = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3.6e6) / 1000.0);
         self.dial_timeout.set(span(connections.dial_timeout));
-        self.idle_limit.set(span(connections.idle_close * IDLE_PART));
+        self.idle_limit
+            .set(span(connections.idle_close * IDLE_PART));
     }
 
     /// Adds a backend's process to those whose idle connections are looked after.
@@ -315,40 +342,69 @@
 
     /// Whether connections stand idle, which have to be looked after.
     pub fn has_idle(&self) -> bool {
-        self.endpoints.borrow().iter().any(|e| !e.idle.borrow().is_empty())
+        self.endpoints
+            .borrow()
+            .iter()
+            .any(|e| !e.idle.borrow().is_empty())
     }
 
     /// Closes the connection that has stood idle longest, whosever it is.
     pub fn close_idle(&self) {
         let endpoints = self.endpoints.borrow();
         let oldest = |e: &Rc<Endpoint>| e.idle.borrow().first().map(|i| i.since);
-        if let Some(e) = endpoints.iter().filter(|e| oldest(e).is_some()).min_by_key(|e| oldest(e)) {
+        if let Some(e) = endpoints
+            .iter()
+            .filter(|e| oldest(e).is_some())
+            .min_by_key(|e| oldest(e))
+        {
             e.idle.borrow_mut().remove(0);
         }
     }
 
     /// A connection to use. What fails before `dialled` is set says nothing of the server.
-    async fn connection(&self, endpoint: &Rc<Endpoint>, dialled: &Cell<bool>) -> io::Result<Connection> {
+    async fn connection(
+        &self,
+        endpoint: &Rc<Endpoint>,
+        dialled: &Cell<bool>,
+    ) -> io::Result<Connection> {
         loop {
             let Some(idle) = endpoint.rested() else { break };
             if idle.since.elapsed() < self.idle_limit.get() && idle.connection.is_alive() {
                 return Ok(idle.connection);
             }
         }
-        timeout(self.dial_timeout.get(), self.open(endpoint.address, dialled)).await?
+        timeout(
+            self.dial_timeout.get(),
+            self.open(endpoint.address, dialled),
+        )
+        .await?
     }
 
     async fn open(&self, address: SocketAddr, dialled: &Cell<bool>) -> io::Result<Connection> {
         if self.sockets.available_permits() == 0 {
             self.close_idle();
         }
-        let permit = self.sockets.clone().acquire_owned().await.map_err(io::Error::other)?;
+        let permit = self
+            .sockets
+            .clone()
+            .acquire_owned()
+            .await
+            .map_err(io::Error::other)?;
         dialled.set(true);
-        let stream = TcpStream::connect(address).await.inspect_err(|e| dialled.set(!is_short(e)))?;
+        let stream = TcpStream::connect(address)
+            .await
+            .inspect_err(|e| dialled.set(!is_short(e)))?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(RefCell::new(stream));
-        let meter = Rc::new(Meter { counts: self.counts.clone(), ..Meter::default() });
-        let io = Metered { stream: stream.clone(), meter: meter.clone(), _permit: permit };
+        let meter = Rc::new(Meter {
+            counts: self.counts.clone(),
+            ..Meter::default()
+        });
+        let io = Metered {
+            stream: stream.clone(),
+            meter: meter.clone(),
+            _permit: permit,
+        };
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER)
             .handshake(TokioIo::new(io))
@@ -361,13 +417,24 @@
             None => tokio::task::spawn_local(work),
             Some(account) => tokio::task::spawn_local(account::on(account.clone(), work)),
         };
-        Ok(Connection { sender, meter, stream, driver })
+        Ok(Connection {
+            sender,
+            meter,
+            stream,
+            driver,
+        })
     }
 
     /// Makes one attempt and tells how it goes, its end last and exactly once; `report` gets that before the connection
     /// is pooled.
     pub async fn attempt(&self, attempt: Attempt, mut report: impl FnMut(News)) {
-        let Attempt { endpoint, wanted, message, until, before } = attempt;
+        let Attempt {
+            endpoint,
+            wanted,
+            message,
+            until,
+            before,
+        } = attempt;
         // Whatever goes wrong before the request's last byte is written proves that it never ran.
         let dialled = Cell::new(false);
         let mut connection = {
@@ -391,7 +458,11 @@
                 }
             }
         };
-        let gate = Gate { endpoint: endpoint.clone(), wanted, before };
+        let gate = Gate {
+            endpoint: endpoint.clone(),
+            wanted,
+            before,
+        };
         if !gate.is_open() {
             report(News::Ended(Outcome::Moot, None));
             return endpoint.keep(connection);
@@ -400,8 +471,11 @@
             return report(News::Ended(Outcome::Moot, None));
         };
         let (meter, upload) = (connection.meter.clone(), message.body.upload().cloned());
-        let left =
-            if upload.is_some() { 0 } else { request.body().size_hint().exact().unwrap_or(0) as usize };
+        let left = if upload.is_some() {
+            0
+        } else {
+            request.body().size_hint().exact().unwrap_or(0) as usize
+        };
         meter.start(gate, left, upload.clone());
         let until = Cell::new(until);
         let answer = {
@@ -437,8 +511,12 @@
             }
             Some(Ok(Got::Large(large))) => {
                 let (sender, passing) = Passing::new(large.length);
-                report(News::Began(Reply { headers: large.headers, body: Content::Stream(passing) }));
-                let outcome = pass_on(large.first, large.rest, large.length, &self.room, sender).await;
+                report(News::Began(Reply {
+                    headers: large.headers,
+                    body: Content::Stream(passing),
+                }));
+                let outcome =
+                    pass_on(large.first, large.rest, large.length, &self.room, sender).await;
                 report(News::Ended(outcome, None));
                 outcome == Outcome::Served && meter.complete()
             }
@@ -463,8 +541,16 @@
 /// Whether a connection could not even be tried, as this process or its machine has run short of something.
 fn is_short(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
-    short.iter().any(|e| error.raw_os_error() == Some(e.raw_os_error()))
+    let short = [
+        Errno::MFILE,
+        Errno::NFILE,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+        Errno::ADDRNOTAVAIL,
+    ];
+    short
+        .iter()
+        .any(|e| error.raw_os_error() == Some(e.raw_os_error()))
 }
 
 /// What one attempt is to do.
@@ -504,17 +590,26 @@
 }
 
 /// Sends a request and reads the whole answer, or as much of it as is kept.
-async fn exchange(sender: &mut SendRequest<Outbound>, request: Request<Outbound>) -> Result<Got, String> {
-    let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
+async fn exchange(
+    sender: &mut SendRequest<Outbound>,
+    request: Request<Outbound>,
+) -> Result<Got, String> {
+    let answer = sender
+        .send_request(request)
+        .await
+        .map_err(|e| e.to_string())?;
     let (head, mut body) = answer.into_parts();
     // The connection's end delimits a body where the head says that it closes, and a server that dies resets it. Without
     // that word a body may be cut short and nobody could tell.
     let length = body.size_hint().exact();
     let named = |value: &HeaderValue| {
-        value.to_str().is_ok_and(|v| v.split(',').any(|part| part.trim().eq_ignore_ascii_case("close")))
+        value.to_str().is_ok_and(|v| {
+            v.split(',')
+                .any(|part| part.trim().eq_ignore_ascii_case("close"))
+        })
     };
-    let closes =
-        head.version == Version::HTTP_10 || head.headers.get_all(header::CONNECTION).iter().any(named);
+    let closes = head.version == Version::HTTP_10
+        || head.headers.get_all(header::CONNECTION).iter().any(named);
     let told = length.is_some() || head.headers.contains_key(header::TRANSFER_ENCODING);
     let delimited = told || closes;
     let (mut parts, mut size) = (Vec::new(), 0);
@@ -522,34 +617,63 @@
         if size > KEPT || length.is_some_and(|n| n > KEPT as u64) {
             break true;
         }
-        let Some(frame) = body.frame().await else { break false };
+        let Some(frame) = body.frame().await else {
+            break false;
+        };
         if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
             size += data.len();
             parts.push(data);
         }
     };
-    let unseen = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
+    let unseen = head
+        .headers
+        .get("x-not-processed")
+        .is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
     let mut headers = head.headers;
     Ok(match head.status {
         StatusCode::OK if !delimited => return Err("the answer's length is not told".into()),
         StatusCode::OK => {
             strip(&mut headers);
             if large {
-                return Ok(Got::Large(Large { headers, length, first: parts, rest: body }));
+                return Ok(Got::Large(Large {
+                    headers,
+                    length,
+                    first: parts,
+                    rest: body,
+                }));
             }
-            let body = if parts.len() == 1 { parts.remove(0) } else { parts.concat().into() };
-            Got::Whole(Outcome::Served, Some(Reply { headers, body: Content::Whole(body) }), told)
+            let body = if parts.len() == 1 {
+                parts.remove(0)
+            } else {
+                parts.concat().into()
+            };
+            Got::Whole(
+                Outcome::Served,
+                Some(Reply {
+                    headers,
+                    body: Content::Whole(body),
+                }),
+                told,
+            )
         }
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => {
             Got::Whole(Outcome::Full, None, !large)
         }
-        status => Got::Whole(Outcome::Error, None, !large && status != StatusCode::SWITCHING_PROTOCOLS),
+        status => Got::Whole(
+            Outcome::Error,
+            None,
+            !large && status != StatusCode::SWITCHING_PROTOCOLS,
+        ),
     })
 }
 
 /// Passes a large answer on as it comes, no faster than its client reads.
 async fn pass_on(
-    first: Vec<Bytes>, mut rest: Incoming, length: Option<u64>, room: &Room, to: mpsc::Sender<Piece>,
+    first: Vec<Bytes>,
+    mut rest: Incoming,
+    length: Option<u64>,
+    room: &Room,
+    to: mpsc::Sender<Piece>,
 ) -> Outcome {
     let _place = room.wait().await;
     let mut passed = 0;
@@ -579,7 +703,11 @@
         }
     }
     // One that was told its length needs no word of the end.
-    if to.send(Piece::End).await.is_ok() || whole(passed) { Outcome::Served } else { Outcome::Cancelled }
+    if to.send(Piece::End).await.is_ok() || whole(passed) {
+        Outcome::Served
+    } else {
+        Outcome::Cancelled
+    }
 }
 
 #[cfg(test)]
--- a/crates/engine/src/vars.rs
+++ b/crates/engine/src/vars.rs
@@ -48,7 +48,10 @@
     pub fn name(&self, classes: &[String]) {
         let mut groups = self.groups.borrow_mut();
         for name in &classes[groups.len().min(classes.len())..] {
-            groups.push(Group { name: name.clone(), ..Group::default() });
+            groups.push(Group {
+                name: name.clone(),
+                ..Group::default()
+            });
         }
     }
 
@@ -84,7 +87,12 @@
         let mut labelled = |name: &str, value: &dyn Fn(&Group) -> u64| {
             let _ = writeln!(text, "# TYPE {name} counter");
             for group in groups.iter() {
-                let _ = writeln!(text, "{name}{{group=\"{}\"}} {}", escaped(&group.name), value(group));
+                let _ = writeln!(
+                    text,
+                    "{name}{{group=\"{}\"}} {}",
+                    escaped(&group.name),
+                    value(group)
+                );
             }
         };
         labelled("node_answered", &|g| g.ended[End::Answered as usize]);
@@ -108,7 +116,10 @@
 
 /// A label's value, as the format writes it.
 fn escaped(value: &str) -> String {
-    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+    value
+        .replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
 }
 
 #[cfg(test)]
@@ -126,7 +137,11 @@
         counts.read(false);
         counts.name(&["lookup".into(), "a \"b\"\\\n".into(), "renewal".into()]);
         counts.took(7); // of no class
-        let text = counts.text(Held { current: 3, listed: 9, avoided: 1 });
+        let text = counts.text(Held {
+            current: 3,
+            listed: 9,
+            avoided: 1,
+        });
         for line in [
             "# TYPE node_answered counter",
             "node_answered{group=\"lookup\"} 0",
@@ -143,6 +158,10 @@
         ] {
             assert!(text.lines().any(|l| l == line), "{line} in {text}");
         }
-        assert!(text.lines().all(|l| l.starts_with("# TYPE node_") || l.starts_with("node_")), "{text}");
+        assert!(
+            text.lines()
+                .all(|l| l.starts_with("# TYPE node_") || l.starts_with("node_")),
+            "{text}"
+        );
     }
 }
--- a/crates/engine/tests/backoff.rs
+++ b/crates/engine/tests/backoff.rs
@@ -17,7 +17,10 @@
 #[test]
 fn callers_that_are_turned_away_together_come_back_apart_and_seldom() {
     let all: Vec<Vec<Duration>> = (0..48).map(|n| calls(n * 0x9e37_79b9)).collect();
-    assert!(all.iter().all(|c| (14..=28).contains(&c.len())), "seldom, and not for ever");
+    assert!(
+        all.iter().all(|c| (14..=28).contains(&c.len())),
+        "seldom, and not for ever"
+    );
     // Without chance all 48 would call in the same 25 ms. From the sixth call on it is a quarter at most.
     let mut slots = BTreeMap::<u128, usize>::new();
     for call in all.iter().flat_map(|c| &c[5..]) {
--- a/crates/engine/tests/layers.rs
+++ b/crates/engine/tests/layers.rs
@@ -39,12 +39,22 @@
 fn used(text: &str) -> Vec<String> {
     let mut names = Vec::new();
     for rest in text.split("crate::").skip(1) {
-        let list = rest.strip_prefix('{').and_then(|r| r.split_once('}')).map_or(rest, |(list, _)| list);
+        let list = rest
+            .strip_prefix('{')
+            .and_then(|r| r.split_once('}'))
+            .map_or(rest, |(list, _)| list);
         let several = list.len() != rest.len();
         let name = |part: &str| {
-            part.trim().split(|c: char| !c.is_alphanumeric() && c != '_').next().map(str::to_owned)
+            part.trim()
+                .split(|c: char| !c.is_alphanumeric() && c != '_')
+                .next()
+                .map(str::to_owned)
         };
-        names.extend(list.split(',').take(if several { usize::MAX } else { 1 }).filter_map(name));
+        names.extend(
+            list.split(',')
+                .take(if several { usize::MAX } else { 1 })
+                .filter_map(name),
+        );
     }
     names
 }
@@ -59,12 +69,17 @@
         if name == "lib" {
             continue;
         }
-        let own = LAYERS.iter().position(|l| *l == name).unwrap_or_else(|| panic!("{name} has no layer"));
+        let own = LAYERS
+            .iter()
+            .position(|l| *l == name)
+            .unwrap_or_else(|| panic!("{name} has no layer"));
         for other in used(&std::fs::read_to_string(&file).unwrap()) {
             // The macro that logs a line is the log's, and stands at the root.
             let other = if other == "note" { "log" } else { &other };
-            let place =
-                LAYERS.iter().position(|l| *l == other).unwrap_or_else(|| panic!("{other} in {name}"));
+            let place = LAYERS
+                .iter()
+                .position(|l| *l == other)
+                .unwrap_or_else(|| panic!("{other} in {name}"));
             assert!(place <= own, "{name} uses {other}, which stands above it");
             seen += 1;
         }
@@ -74,5 +89,8 @@
 
 #[test]
 fn uses_are_found() {
-    assert_eq!(used("use crate::log;\nuse crate::{a, b};\ncrate::c::d(x, y)"), ["log", "a", "b", "c"]);
+    assert_eq!(
+        used("use crate::log;\nuse crate::{a, b};\ncrate::c::d(x, y)"),
+        ["log", "a", "b", "c"]
+    );
 }
--- a/crates/engine/tests/lifecycle.rs
+++ b/crates/engine/tests/lifecycle.rs
@@ -22,7 +22,10 @@
     assert!(life.is_up() && life.keeps() && !life.may_close(1e9, used(0.0)));
     assert!(life.lame_duck(10.0, true));
     assert_eq!(life.phase(), Phase::LameDuck);
-    assert!(!life.is_up() && !life.keeps() && life.accepts(1e9), "the front still asks");
+    assert!(
+        !life.is_up() && !life.keeps() && life.accepts(1e9),
+        "the front still asks"
+    );
     assert!(life.lame_duck(500.0, true), "said again");
     assert!(life.may_close(311.0, used(0.0)), "the first call counts");
     assert!(life.lame_duck(900.0, false));
@@ -35,10 +38,16 @@
 fn idle_connections_close_within_a_second_and_those_in_use_do_not_cross() {
     let mut life = serving(false);
     life.lame_duck(1000.0, true);
-    assert!(!life.may_close(1200.0, used(0.0)), "its client may be about to use it");
+    assert!(
+        !life.may_close(1200.0, used(0.0)),
+        "its client may be about to use it"
+    );
     assert!(life.may_close(1300.0, used(0.0)));
     assert!(!life.may_close(1400.0, used(1200.0)));
-    let fresh = Idle { since: 1100.0, used: false };
+    let fresh = Idle {
+        since: 1100.0,
+        used: false,
+    };
     assert!(!life.may_close(2000.0, fresh) && life.may_close(2100.0, fresh));
 }
 
@@ -49,7 +58,10 @@
     life.leave(100.0);
     life.leave(5000.0);
     assert_eq!(life.phase(), Phase::Leaving);
-    assert!(life.accepts(599.0) && !life.accepts(600.0), "from the first signal");
+    assert!(
+        life.accepts(599.0) && !life.accepts(600.0),
+        "from the first signal"
+    );
     assert!(life.may_close(300.0, used(0.0)), "from the drain");
     assert!(life.lame_duck(200.0, true), "that it does");
     assert!(!life.lame_duck(200.0, false), "it can't be called back");
@@ -81,15 +93,27 @@
     let mut life = serving(false);
     life.leave(1000.0);
     for since in [900.0, 1400.0, 1600.0] {
-        assert!(life.may_close(1650.0, used(since)) && life.may_close(1650.0, Idle { since, used: false }));
+        assert!(
+            life.may_close(1650.0, used(since))
+                && life.may_close(1650.0, Idle { since, used: false })
+        );
     }
     assert!(
-        !life.may_close(1640.0, Idle { since: 1400.0, used: false }),
+        !life.may_close(
+            1640.0,
+            Idle {
+                since: 1400.0,
+                used: false
+            }
+        ),
         "its first request may be on the way"
     );
     let mut lame = serving(false);
     lame.lame_duck(1000.0, true);
-    assert!(!lame.may_close(1650.0, used(1400.0)), "nobody kills a drained process");
+    assert!(
+        !lame.may_close(1650.0, used(1400.0)),
+        "nobody kills a drained process"
+    );
 }
 
 #[test]
@@ -98,7 +122,11 @@
     let mut life = serving(false);
     assert_eq!(life.patience(1e6, ms(2000), ms(2000)), ms(2000));
     life.leave(1000.0);
-    assert_eq!(life.patience(1550.0, ms(2000), ms(2000)), ms(2000), "it is not lost by the rule");
+    assert_eq!(
+        life.patience(1550.0, ms(2000), ms(2000)),
+        ms(2000),
+        "it is not lost by the rule"
+    );
     // A deadline of 300 ms: SIGKILL at 1,000 ms after SIGTERM, or later.
     assert_eq!(life.patience(1600.0, ms(300), ms(300)), ms(250));
     assert_eq!(life.patience(1900.0, ms(300), ms(300)), Duration::ZERO);
--- a/crates/engine/tests/objects.rs
+++ b/crates/engine/tests/objects.rs
@@ -36,7 +36,11 @@
         let (one, two) = STREAM.as_bytes().split_at(cut);
         assert_eq!(parts([one, two]).as_ref(), Ok(&whole), "cut at {cut}");
     }
-    assert_eq!(parts(STREAM.as_bytes().chunks(1)).as_ref(), Ok(&whole), "byte by byte");
+    assert_eq!(
+        parts(STREAM.as_bytes().chunks(1)).as_ref(),
+        Ok(&whole),
+        "byte by byte"
+    );
 }
 
 #[test]
@@ -49,5 +53,9 @@
     assert_eq!(objects.part(), Ok(Some(Part::Object(b"{}".to_vec()))));
     assert_eq!((objects.part(), objects.held()), (Ok(None), 5));
     objects.feed(b"[1,2");
-    assert_eq!((objects.part(), objects.held()), (Ok(None), 9), "a cut object is not given out");
+    assert_eq!(
+        (objects.part(), objects.held()),
+        (Ok(None), 9),
+        "a cut object is not given out"
+    );
 }
--- a/crates/engine/tests/rest.rs
+++ b/crates/engine/tests/rest.rs
@@ -71,8 +71,19 @@
             max_attempts: 3,
         },
     };
-    let names = Names { classes: vec!["lookup".into()], ..Names::default() };
-    Terms { settings, names, connections: Connections { dial_timeout: 250.0, idle_close: 1000.0 }, seed: 1 }
+    let names = Names {
+        classes: vec!["lookup".into()],
+        ..Names::default()
+    };
+    Terms {
+        settings,
+        names,
+        connections: Connections {
+            dial_timeout: 250.0,
+            idle_close: 1000.0,
+        },
+        seed: 1,
+    }
 }
 
 fn server() -> Host {
@@ -95,11 +106,17 @@
         let ended = Rc::new(Cell::new(false));
         let tell = ended.clone();
         let process = Process::new(16);
-        let running = process.start(terms(), Some(turns.clone()), move |end| tell.set(end.is_ok()));
+        let running = process.start(terms(), Some(turns.clone()), move |end| {
+            tell.set(end.is_ok())
+        });
         running.feed.whole(vec![server()]);
         sleep(Duration::from_secs(5)).await;
         assert!(running.pool.is_ready());
-        assert!(turns.0.get() > 100, "the module's tick runs at first: {}", turns.0.get());
+        assert!(
+            turns.0.get() > 100,
+            "the module's tick runs at first: {}",
+            turns.0.get()
+        );
         sleep(Duration::from_secs(10)).await;
         for _ in 0..3 {
             let rested = turns.0.get();
@@ -107,8 +124,15 @@
             assert_eq!(turns.0.get(), rested, "an idle hour took turns");
             running.feed.whole(vec![server()]);
             sleep(Duration::from_secs(5)).await;
-            assert!(turns.0.get() > rested + 100, "it has woken: its tick runs again");
-            assert!(turns.0.get() < rested + 2 * 5000 / 20 + 20, "and only one: {}", turns.0.get() - rested);
+            assert!(
+                turns.0.get() > rested + 100,
+                "it has woken: its tick runs again"
+            );
+            assert!(
+                turns.0.get() < rested + 2 * 5000 / 20 + 20,
+                "and only one: {}",
+                turns.0.get() - rested
+            );
             sleep(Duration::from_secs(10)).await;
         }
         drop(running);
--- a/crates/engine/tests/sockets/mod.rs
+++ b/crates/engine/tests/sockets/mod.rs
@@ -32,11 +32,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 
     pub fn id(&self) -> &str {
@@ -63,10 +70,14 @@
             break;
         } else {
             let (name, value) = line.split_once(':')?;
-            message.headers.push((name.to_owned(), value.trim().to_owned()));
+            message
+                .headers
+                .push((name.to_owned(), value.trim().to_owned()));
         }
     }
-    let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
+    let length = message
+        .header("content-length")
+        .map_or(0, |v| v.parse().expect("a length"));
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -102,7 +113,10 @@
 }
 
 pub fn ok(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Own: kept\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Own: kept\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 pub fn empty(status: &str) -> String {
@@ -129,8 +143,17 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (seen, came, ended) = (Seen::default(), Arc::default(), Arc::default());
-        let backend = Backend { address, seen, came, ended };
-        let (seen, came, ended) = (backend.seen.clone(), backend.came.clone(), backend.ended.clone());
+        let backend = Backend {
+            address,
+            seen,
+            came,
+            ended,
+        };
+        let (seen, came, ended) = (
+            backend.seen.clone(),
+            backend.came.clone(),
+            backend.ended.clone(),
+        );
         let deed = Arc::new(deed);
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -202,10 +225,18 @@
             for stream in listener.incoming() {
                 let (told, heard, stopped) = (told.clone(), heard.clone(), stopped.clone());
                 let wait = Duration::from_millis(wait.load(Ordering::SeqCst) as u64);
-                thread::spawn(move || watch(stream.expect("a connection"), wait, &told, &heard, &stopped));
+                thread::spawn(move || {
+                    watch(stream.expect("a connection"), wait, &told, &heard, &stopped)
+                });
             }
         });
-        Discovery { address, lines, asked, turn, _stop: stop }
+        Discovery {
+            address,
+            lines,
+            asked,
+            turn,
+            _stop: stop,
+        }
     }
 
     pub fn say(&self, line: &str) {
@@ -214,15 +245,24 @@
 }
 
 fn watch(
-    mut stream: TcpStream, turn: Duration, lines: &Mutex<Vec<String>>, asked: &Seen,
+    mut stream: TcpStream,
+    turn: Duration,
+    lines: &Mutex<Vec<String>>,
+    asked: &Seen,
     stop: &Mutex<Receiver<()>>,
 ) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-    let Some(request) = read_message(&mut reader) else { return };
+    let Some(request) = read_message(&mut reader) else {
+        return;
+    };
     // A watch that resumes gets only what is said from now on.
     let resumes = request.first.contains("after=");
     asked.lock().expect("no panic").push(request);
-    let mut sent = if resumes { lines.lock().expect("no panic").len() } else { 0 };
+    let mut sent = if resumes {
+        lines.lock().expect("no panic").len()
+    } else {
+        0
+    };
     thread::sleep(turn);
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let mut silence = 0;
@@ -253,19 +293,25 @@
 }
 
 pub fn list(seq: u64, whole: bool, hosts: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
+    format!(
+        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
+        hosts.join(",")
+    )
 }
 
 /// A listening socket that all processes inherit, as the platform holds it.
 pub fn held_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    socket2::SockRef::from(&listener).set_cloexec(false).expect("a flag");
+    socket2::SockRef::from(&listener)
+        .set_cloexec(false)
+        .expect("a flag");
     listener
 }
 
 /// A listener whose accept queue is full: connections to it don't come up until `accept` has made room.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("a port");
     socket.listen(0).expect("a queue");
@@ -282,7 +328,11 @@
 /// All backends up, the first version of the list.
 pub fn all_up(backends: &[&Backend]) -> String {
     let line = |(i, b): (usize, &&Backend)| host(&format!("s-{i}"), b.address, "up", 0);
-    list(1, true, &backends.iter().enumerate().map(line).collect::<Vec<_>>())
+    list(
+        1,
+        true,
+        &backends.iter().enumerate().map(line).collect::<Vec<_>>(),
+    )
 }
 
 /// What a test may set otherwise.
@@ -338,7 +388,11 @@
     let peers = setup.may_tell.map_or(String::new(), |(own, other)| {
         format!(r#""peer_listen":"{own}","peers":["{own}","{other}"],"peers_all":"{other}","#)
     });
-    let door = if setup.door { r#""ops":"127.0.0.1:0","# } else { "" };
+    let door = if setup.door {
+        r#""ops":"127.0.0.1:0","#
+    } else {
+        ""
+    };
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0",{door}"discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},{peers}"known":{},
@@ -362,8 +416,11 @@
 /// A proxy before servers at these addresses, all up.
 pub fn proxy_before(servers: &[SocketAddr], setup: &Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    let lines: Vec<String> =
-        servers.iter().enumerate().map(|(i, s)| host(&format!("s-{i}"), *s, "up", 0)).collect();
+    let lines: Vec<String> = servers
+        .iter()
+        .enumerate()
+        .map(|(i, s)| host(&format!("s-{i}"), *s, "up", 0))
+        .collect();
     discovery.say(&list(1, true, &lines));
     let proxy = Proxy::up(&discovery, setup);
     (discovery, proxy)
@@ -406,16 +463,22 @@
         let file = config_file(text);
         let properties = setup.properties.as_deref().map(config_file);
         // Whichever program of the package under test runs a proxy.
-        let (program, verb) =
-            match (option_env!("CARGO_BIN_EXE_sandgap"), option_env!("CARGO_BIN_EXE_canvascart")) {
-                (Some(program), _) => (program, None),
-                (None, Some(program)) => (program, Some("proxy")),
-                (None, None) => panic!("the package under test has no program that runs a proxy"),
-            };
+        let (program, verb) = match (
+            option_env!("CARGO_BIN_EXE_sandgap"),
+            option_env!("CARGO_BIN_EXE_canvascart"),
+        ) {
+            (Some(program), _) => (program, None),
+            (None, Some(program)) => (program, Some("proxy")),
+            (None, None) => panic!("the package under test has no program that runs a proxy"),
+        };
         let mut command = match setup.descriptors {
             Some(limit) => {
                 let mut shell = Command::new("sh");
-                shell.args(["-c", &format!("ulimit -n {limit}; exec \"$0\" \"$@\""), program]);
+                shell.args([
+                    "-c",
+                    &format!("ulimit -n {limit}; exec \"$0\" \"$@\""),
+                    program,
+                ]);
                 shell
             }
             None => Command::new(program),
@@ -427,8 +490,11 @@
         if let Some(file) = &properties {
             command.arg("--properties").arg(file);
         }
-        let mut child =
-            command.env("NODE_CONFIG", &file).stderr(Stdio::piped()).spawn().expect("the proxy starts");
+        let mut child = command
+            .env("NODE_CONFIG", &file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the proxy starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log = Arc::new(Mutex::new(String::new()));
         let mut door = None;
@@ -436,7 +502,8 @@
             if let Some((_, address)) = line.split_once("operators' door on ") {
                 door = address.parse().ok();
             }
-            line.split_once("listens on ").map(|(_, address)| address.parse().expect("an address"))
+            line.split_once("listens on ")
+                .map(|(_, address)| address.parse().expect("an address"))
         });
         let mut unread = Some(lines);
         if let Some(lines) = unread.take_if(|_| !setup.unread) {
@@ -448,7 +515,15 @@
                 }
             });
         }
-        Proxy { child, address: address.expect("the proxy listens"), door, log, file, properties, unread }
+        Proxy {
+            child,
+            address: address.expect("the proxy listens"),
+            door,
+            log,
+            file,
+            properties,
+            unread,
+        }
     }
 
     /// Starts a proxy and waits until it is up.
@@ -459,13 +534,18 @@
     }
 
     pub fn is_up(&self) -> bool {
-        Client::new(self).ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").is_some_and(|m| m.status() == 200)
+        Client::new(self)
+            .ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+            .is_some_and(|m| m.status() == 200)
     }
 
     /// Reads what has been left unread, up to the end.
     pub fn read_at_last(&mut self) -> String {
         let lines = self.unread.take().expect("nobody else reads");
-        lines.map_while(Result::ok).map(|line| line + "\n").collect()
+        lines
+            .map_while(Result::ok)
+            .map(|line| line + "\n")
+            .collect()
     }
 
     /// A call at the operators' door.
@@ -481,27 +561,52 @@
     /// A figure as it is reported, by its name with labels.
     pub fn var(&self, name: &str) -> f64 {
         let text = self.call("GET /_vars").expect("the figures").text();
-        let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ').map(str::to_owned));
-        line.unwrap_or_else(|| panic!("{name} in {text}")).parse().expect("a number")
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix(' ').map(str::to_owned));
+        line.unwrap_or_else(|| panic!("{name} in {text}"))
+            .parse()
+            .expect("a number")
     }
 
     /// The processor time that it has taken, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
-        let fields = stat.rsplit_once(") ").expect("its name").1.split(' ').skip(11).take(2);
-        fields.map(|f| f.parse::<f64>().expect("a number")).sum::<f64>() / 100.0
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
+        let fields = stat
+            .rsplit_once(") ")
+            .expect("its name")
+            .1
+            .split(' ')
+            .skip(11)
+            .take(2);
+        fields
+            .map(|f| f.parse::<f64>().expect("a number"))
+            .sum::<f64>()
+            / 100.0
     }
 
     /// The descriptors that it has open.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("it runs")
+            .count()
     }
 
     /// The most memory that it has had, in MB.
     pub fn memory_peak_mb(&self) -> f64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
-        line.trim().trim_end_matches(" kB").trim().parse::<f64>().expect("a number") / 1000.0
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .expect("its peak");
+        line.trim()
+            .trim_end_matches(" kB")
+            .trim()
+            .parse::<f64>()
+            .expect("a number")
+            / 1000.0
     }
 
     pub fn terminate(&self) {
@@ -516,7 +621,13 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args([name, &pid])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 
     pub fn wait(&mut self) -> ExitStatus {
@@ -581,7 +692,10 @@
 
     /// Ends the sending, as a client that leaves does.
     pub fn leave(&self) {
-        self.0.get_ref().shutdown(Shutdown::Write).expect("a connection");
+        self.0
+            .get_ref()
+            .shutdown(Shutdown::Write)
+            .expect("a connection");
     }
 
     /// Whether the proxy closes the connection with nothing more on it.
--- a/crates/engine/tests/unit/frontend.rs
+++ b/crates/engine/tests/unit/frontend.rs
@@ -53,7 +53,10 @@
 
 #[test]
 fn bytes_that_an_account_holds_back_cost_no_turns_and_do_not_keep_a_connection() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -63,11 +66,19 @@
         spawn_local(front.serve(listener, std::future::pending()));
         let client = TcpStream::connect(address).await.expect("it accepts");
         client.writable().await.expect("it is up");
-        client.try_write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("it is sent");
+        client
+            .try_write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+            .expect("it is sent");
         // A reset is an end, too: what it sent was never read.
-        timeout(Duration::from_secs(20), client.readable()).await.expect("its end").expect("a socket");
+        timeout(Duration::from_secs(20), client.readable())
+            .await
+            .expect("its end")
+            .expect("a socket");
         let read = client.try_read(&mut [0; 1]);
-        assert!(matches!(read, Ok(0)) || read.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionReset));
+        assert!(
+            matches!(read, Ok(0))
+                || read.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionReset)
+        );
         // A look each 25 ms from its idle time on, and not one after the other.
         assert!(account.0.get() < 1000, "{} turns", account.0.get());
     });
--- a/crates/engine/tests/unit/upstream.rs
+++ b/crates/engine/tests/unit/upstream.rs
@@ -5,7 +5,15 @@
     let endpoint = Endpoint::new("127.0.0.1:1".parse().expect("an address"), 0.0);
     let wanted = Rc::new(Wanted::default());
     let meter = Meter::default();
-    meter.start(Gate { endpoint: endpoint.clone(), wanted: wanted.clone(), before: None }, body, None);
+    meter.start(
+        Gate {
+            endpoint: endpoint.clone(),
+            wanted: wanted.clone(),
+            before: None,
+        },
+        body,
+        None,
+    );
     (meter, endpoint, wanted)
 }
 
@@ -34,5 +42,8 @@
     meter.wrote(b"G");
     endpoint.set_open(false); // what has begun is finished
     assert!(meter.admit());
-    assert!(!Meter::default().admit(), "nothing is written between requests");
+    assert!(
+        !Meter::default().admit(),
+        "nothing is written between requests"
+    );
 }
--- a/crates/etcd-standin/src/gate.rs
+++ b/crates/etcd-standin/src/gate.rs
@@ -49,7 +49,10 @@
     pub async fn open(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        let shared = Arc::new(Shared { net: watch::channel((Net::Up, 0)).0, came: AtomicU64::new(0) });
+        let shared = Arc::new(Shared {
+            net: watch::channel((Net::Up, 0)).0,
+            came: AtomicU64::new(0),
+        });
         let inner = shared.clone();
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -61,7 +64,11 @@
                 }
             }
         });
-        Ok(Gate { address, shared, task })
+        Ok(Gate {
+            address,
+            shared,
+            task,
+        })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -94,7 +101,9 @@
         if began == Net::HalfOpen {
             return std::future::pending().await;
         }
-        let Ok(server) = TcpStream::connect(to).await else { return };
+        let Ok(server) = TcpStream::connect(to).await else {
+            return;
+        };
         let _ = (client.set_nodelay(true), server.set_nodelay(true)); // slower without, no worse
         let (from_client, to_client) = client.into_split();
         let (from_server, to_server) = server.into_split();
@@ -110,7 +119,9 @@
 }
 
 async fn copy(
-    mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, mut net: watch::Receiver<(Net, u64)>,
+    mut from: impl AsyncRead + Unpin,
+    mut to: impl AsyncWrite + Unpin,
+    mut net: watch::Receiver<(Net, u64)>,
 ) {
     let mut bytes = vec![0; 16 << 10];
     while let Ok(n) = from.read(&mut bytes).await {
--- a/crates/etcd-standin/src/lib.rs
+++ b/crates/etcd-standin/src/lib.rs
@@ -84,7 +84,10 @@
         for number in 0..members {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
             let inner = listener.local_addr()?;
-            let member = Member { shared: shared.clone(), number };
+            let member = Member {
+                shared: shared.clone(),
+                number,
+            };
             let server = Server::builder()
                 .add_service(
                     KvServer::new(member.clone())
@@ -95,7 +98,9 @@
                 .add_service(LeaseServer::new(member.clone()))
                 .add_service(AuthServer::new(member));
             tasks.push(tokio::spawn(async move {
-                let _ = server.serve_with_incoming(TcpListenerStream::new(listener)).await; // until it is aborted
+                let _ = server
+                    .serve_with_incoming(TcpListenerStream::new(listener))
+                    .await; // until it is aborted
             }));
             gates.push(Gate::open(inner).await?);
         }
@@ -108,12 +113,19 @@
                 }
             }
         }));
-        Ok(Standin { shared, gates, tasks })
+        Ok(Standin {
+            shared,
+            gates,
+            tasks,
+        })
     }
 
     /// Where the members are.
     pub fn endpoints(&self) -> Vec<String> {
-        self.gates.iter().map(|g| format!("http://{}", g.address())).collect()
+        self.gates
+            .iter()
+            .map(|g| format!("http://{}", g.address()))
+            .collect()
     }
 
     /// A member's address.
@@ -172,6 +184,10 @@
 
     /// How long each page of a list takes from here on.
     pub fn slow_lists(&self, each: Duration) {
-        *self.shared.slow.lock().unwrap_or_else(PoisonError::into_inner) = each;
+        *self
+            .shared
+            .slow
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = each;
     }
 }
--- a/crates/etcd-standin/src/service.rs
+++ b/crates/etcd-standin/src/service.rs
@@ -6,11 +6,12 @@
 
 use etcd::api::watch_request::RequestUnion;
 use etcd::api::{
-    AuthenticateRequest, AuthenticateResponse, CompactionRequest, CompactionResponse, DeleteRangeRequest,
-    DeleteRangeResponse, Event, LeaseGrantRequest, LeaseGrantResponse, LeaseKeepAliveRequest,
-    LeaseKeepAliveResponse, LeaseRevokeRequest, LeaseRevokeResponse, PutRequest, PutResponse, RangeRequest,
-    RangeResponse, TxnRequest, TxnResponse, WatchCreateRequest, WatchRequest, WatchResponse, auth_server,
-    event, kv_server, lease_server, watch_create_request, watch_server,
+    AuthenticateRequest, AuthenticateResponse, CompactionRequest, CompactionResponse,
+    DeleteRangeRequest, DeleteRangeResponse, Event, LeaseGrantRequest, LeaseGrantResponse,
+    LeaseKeepAliveRequest, LeaseKeepAliveResponse, LeaseRevokeRequest, LeaseRevokeResponse,
+    PutRequest, PutResponse, RangeRequest, RangeResponse, TxnRequest, TxnResponse,
+    WatchCreateRequest, WatchRequest, WatchResponse, auth_server, event, kv_server, lease_server,
+    watch_create_request, watch_server,
 };
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -36,10 +37,19 @@
 
 impl Member {
     /// Does something with the store, if the call has a token where one is asked for.
-    fn act<T, R>(&self, request: &Request<R>, act: impl FnOnce(&mut Store, usize) -> Answer<T>) -> Reply<T> {
-        let token = request.metadata().get("authorization").and_then(|t| t.to_str().ok());
+    fn act<T, R>(
+        &self,
+        request: &Request<R>,
+        act: impl FnOnce(&mut Store, usize) -> Answer<T>,
+    ) -> Reply<T> {
+        let token = request
+            .metadata()
+            .get("authorization")
+            .and_then(|t| t.to_str().ok());
         let mut store = self.shared.store();
-        let done = store.check_token(token).and_then(|()| act(&mut store, self.number));
+        let done = store
+            .check_token(token)
+            .and_then(|()| act(&mut store, self.number));
         drop(store);
         self.shared.touched();
         done.map(Response::new).map_err(|s| *s)
@@ -49,29 +59,46 @@
 #[tonic::async_trait]
 impl kv_server::Kv for Member {
     async fn range(&self, request: Request<RangeRequest>) -> Reply<RangeResponse> {
-        let slow = *self.shared.slow.lock().unwrap_or_else(PoisonError::into_inner);
+        let slow = *self
+            .shared
+            .slow
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if !slow.is_zero() {
             sleep(slow).await;
         }
-        self.act(&request, |store, member| store.range(member, request.get_ref()))
+        self.act(&request, |store, member| {
+            store.range(member, request.get_ref())
+        })
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Reply<PutResponse> {
-        self.act(&request, |store, member| store.put(member, request.get_ref()))
+        self.act(&request, |store, member| {
+            store.put(member, request.get_ref())
+        })
     }
 
-    async fn delete_range(&self, request: Request<DeleteRangeRequest>) -> Reply<DeleteRangeResponse> {
-        self.act(&request, |store, member| Ok(store.delete(member, request.get_ref())))
+    async fn delete_range(
+        &self,
+        request: Request<DeleteRangeRequest>,
+    ) -> Reply<DeleteRangeResponse> {
+        self.act(&request, |store, member| {
+            Ok(store.delete(member, request.get_ref()))
+        })
     }
 
     async fn txn(&self, request: Request<TxnRequest>) -> Reply<TxnResponse> {
-        self.act(&request, |store, member| store.txn(member, request.get_ref()))
+        self.act(&request, |store, member| {
+            store.txn(member, request.get_ref())
+        })
     }
 
     async fn compact(&self, request: Request<CompactionRequest>) -> Reply<CompactionResponse> {
         self.act(&request, |store, member| {
             store.compact(request.get_ref().revision)?;
-            Ok(CompactionResponse { header: Some(store.header(member)) })
+            Ok(CompactionResponse {
+                header: Some(store.header(member)),
+            })
         })
     }
 }
@@ -82,23 +109,36 @@
         self.act(&request, |store, member| {
             let ttl = request.get_ref().ttl.max(1);
             let id = store.grant(Duration::from_secs(ttl as u64), request.get_ref().id);
-            Ok(LeaseGrantResponse { header: Some(store.header(member)), id, ttl, error: String::new() })
+            Ok(LeaseGrantResponse {
+                header: Some(store.header(member)),
+                id,
+                ttl,
+                error: String::new(),
+            })
         })
     }
 
-    async fn lease_revoke(&self, request: Request<LeaseRevokeRequest>) -> Reply<LeaseRevokeResponse> {
+    async fn lease_revoke(
+        &self,
+        request: Request<LeaseRevokeRequest>,
+    ) -> Reply<LeaseRevokeResponse> {
         self.act(&request, |store, member| {
             if store.revoke(request.get_ref().id) {
-                return Ok(LeaseRevokeResponse { header: Some(store.header(member)) });
+                return Ok(LeaseRevokeResponse {
+                    header: Some(store.header(member)),
+                });
             }
-            Err(Box::new(Status::not_found("etcdserver: requested lease not found")))
+            Err(Box::new(Status::not_found(
+                "etcdserver: requested lease not found",
+            )))
         })
     }
 
     type LeaseKeepAliveStream = ReceiverStream<Result<LeaseKeepAliveResponse, Status>>;
 
     async fn lease_keep_alive(
-        &self, request: Request<Streaming<LeaseKeepAliveRequest>>,
+        &self,
+        request: Request<Streaming<LeaseKeepAliveRequest>>,
     ) -> Reply<Self::LeaseKeepAliveStream> {
         self.act(&request, |_, _| Ok(()))?;
         let (answers, stream) = mpsc::channel(4);
@@ -107,8 +147,14 @@
             while let Some(Ok(request)) = requests.next().await {
                 let answer = {
                     let mut store = member.shared.store();
-                    let ttl = store.renew(request.id).map_or(0, |ttl| ttl.as_secs() as i64);
-                    LeaseKeepAliveResponse { header: Some(store.header(member.number)), id: request.id, ttl }
+                    let ttl = store
+                        .renew(request.id)
+                        .map_or(0, |ttl| ttl.as_secs() as i64);
+                    LeaseKeepAliveResponse {
+                        header: Some(store.header(member.number)),
+                        id: request.id,
+                        ttl,
+                    }
                 };
                 if answers.send(Ok(answer)).await.is_err() {
                     return;
@@ -121,11 +167,19 @@
 
 #[tonic::async_trait]
 impl auth_server::Auth for Member {
-    async fn authenticate(&self, request: Request<AuthenticateRequest>) -> Reply<AuthenticateResponse> {
+    async fn authenticate(
+        &self,
+        request: Request<AuthenticateRequest>,
+    ) -> Reply<AuthenticateResponse> {
         let asked = request.get_ref();
         let mut store = self.shared.store();
-        let token = store.authenticate(&asked.name, &asked.password).map_err(|s| *s)?;
-        Ok(Response::new(AuthenticateResponse { header: Some(store.header(self.number)), token }))
+        let token = store
+            .authenticate(&asked.name, &asked.password)
+            .map_err(|s| *s)?;
+        Ok(Response::new(AuthenticateResponse {
+            header: Some(store.header(self.number)),
+            token,
+        }))
     }
 }
 
@@ -190,17 +244,35 @@
 
 /// Takes a request of the stream.
 async fn take(
-    member: &Member, watchers: &mut BTreeMap<i64, Watcher>, request: WatchRequest, answers: &Answers,
+    member: &Member,
+    watchers: &mut BTreeMap<i64, Watcher>,
+    request: WatchRequest,
+    answers: &Answers,
 ) -> Result<(), ()> {
     let header = Some(member.shared.store().header(member.number));
     match request.request_union {
         Some(RequestUnion::CreateRequest(create)) => {
-            let free = (0..).find(|id| !watchers.contains_key(id)).unwrap_or_default();
-            let watch_id = if create.watch_id != 0 { create.watch_id } else { free };
+            let free = (0..)
+                .find(|id| !watchers.contains_key(id))
+                .unwrap_or_default();
+            let watch_id = if create.watch_id != 0 {
+                create.watch_id
+            } else {
+                free
+            };
             let now = member.shared.store().revision();
-            let next = if create.start_revision > 0 { create.start_revision } else { now + 1 };
+            let next = if create.start_revision > 0 {
+                create.start_revision
+            } else {
+                now + 1
+            };
             watchers.insert(watch_id, Watcher { create, next });
-            let answer = WatchResponse { header, watch_id, created: true, ..WatchResponse::default() };
+            let answer = WatchResponse {
+                header,
+                watch_id,
+                created: true,
+                ..WatchResponse::default()
+            };
             answers.send(Ok(answer)).await.map_err(drop)?;
             news(member, watchers, answers).await
         }
@@ -217,7 +289,11 @@
         Some(RequestUnion::ProgressRequest(_)) => {
             news(member, watchers, answers).await?;
             // For the whole stream, once all that is known has been told.
-            let answer = WatchResponse { header, watch_id: -1, ..WatchResponse::default() };
+            let answer = WatchResponse {
+                header,
+                watch_id: -1,
+                ..WatchResponse::default()
+            };
             answers.send(Ok(answer)).await.map_err(drop)
         }
         None => Ok(()),
@@ -225,7 +301,11 @@
 }
 
 /// Tells each watch what has come since.
-async fn news(member: &Member, watchers: &mut BTreeMap<i64, Watcher>, answers: &Answers) -> Result<(), ()> {
+async fn news(
+    member: &Member,
+    watchers: &mut BTreeMap<i64, Watcher>,
+    answers: &Answers,
+) -> Result<(), ()> {
     let mut all = Vec::new();
     {
         let store = member.shared.store();
@@ -254,13 +334,23 @@
                 let key = e.kv.as_ref().map_or(&[][..], |kv| &kv.key);
                 !filtered && within(key, &w.create.key, &w.create.range_end)
             };
-            let events = store.events(w.next, applied).filter(|(_, e)| wanted(e)).map(|(_, e)| {
-                let prev_kv = e.prev_kv.clone().filter(|_| w.create.prev_kv);
-                Event { prev_kv, ..e.clone() }
-            });
+            let events = store
+                .events(w.next, applied)
+                .filter(|(_, e)| wanted(e))
+                .map(|(_, e)| {
+                    let prev_kv = e.prev_kv.clone().filter(|_| w.create.prev_kv);
+                    Event {
+                        prev_kv,
+                        ..e.clone()
+                    }
+                });
             let events: Vec<Event> = events.collect();
             w.next = w.next.max(applied + 1);
-            let size = if w.create.fragment { FRAGMENT } else { usize::MAX };
+            let size = if w.create.fragment {
+                FRAGMENT
+            } else {
+                usize::MAX
+            };
             let parts = events.len().div_ceil(size.min(events.len().max(1)));
             for (i, part) in events.chunks(size.min(events.len().max(1))).enumerate() {
                 all.push(WatchResponse {
--- a/crates/etcd-standin/src/store.rs
+++ b/crates/etcd-standin/src/store.rs
@@ -7,8 +7,8 @@
 use etcd::api::request_op::Request;
 use etcd::api::response_op::Response;
 use etcd::api::{
-    Compare, DeleteRangeRequest, DeleteRangeResponse, Event, KeyValue, PutRequest, PutResponse, RangeRequest,
-    RangeResponse, ResponseHeader, ResponseOp, TxnRequest, TxnResponse, event,
+    Compare, DeleteRangeRequest, DeleteRangeResponse, Event, KeyValue, PutRequest, PutResponse,
+    RangeRequest, RangeResponse, ResponseHeader, ResponseOp, TxnRequest, TxnResponse, event,
 };
 use tonic::Status;
 
@@ -49,7 +49,9 @@
 pub type Answer<T> = Result<T, Box<Status>>;
 
 fn compacted() -> Box<Status> {
-    Box::new(Status::out_of_range("etcdserver: mvcc: required revision has been compacted"))
+    Box::new(Status::out_of_range(
+        "etcdserver: mvcc: required revision has been compacted",
+    ))
 }
 
 /// Whether a key is in a range as requests write it: one key, a range, or all from one on.
@@ -87,7 +89,11 @@
 
     /// The revision up to which a member knows everything.
     pub fn applied(&self, member: usize) -> i64 {
-        self.lagging.get(member).copied().flatten().map_or(self.revision, |at| at.min(self.revision))
+        self.lagging
+            .get(member)
+            .copied()
+            .flatten()
+            .map_or(self.revision, |at| at.min(self.revision))
     }
 
     /// A member stands still, or catches up.
@@ -120,7 +126,11 @@
     /// The revision is not kept, or not there yet.
     pub fn range(&self, member: usize, request: &RangeRequest) -> Answer<RangeResponse> {
         let now = self.applied(member);
-        let at = if request.revision > 0 { request.revision } else { now };
+        let at = if request.revision > 0 {
+            request.revision
+        } else {
+            now
+        };
         if at < self.compacted {
             return Err(compacted());
         }
@@ -142,17 +152,31 @@
         if request.count_only {
             kvs.clear();
         }
-        Ok(RangeResponse { header: Some(self.header(member)), kvs, more, count })
+        Ok(RangeResponse {
+            header: Some(self.header(member)),
+            kvs,
+            more,
+            count,
+        })
     }
 
-    fn write(&mut self, revision: i64, key: &[u8], value: Option<(Vec<u8>, i64)>) -> Option<KeyValue> {
+    fn write(
+        &mut self,
+        revision: i64,
+        key: &[u8],
+        value: Option<(Vec<u8>, i64)>,
+    ) -> Option<KeyValue> {
         let old = self.value(key, revision).cloned();
         if let Some(lease) = old.as_ref().and_then(|old| self.leases.get_mut(&old.lease)) {
             lease.keys.remove(key);
         }
         let deleted = value.is_none();
         let kv = match value {
-            None => KeyValue { key: key.to_vec(), mod_revision: revision, ..KeyValue::default() },
+            None => KeyValue {
+                key: key.to_vec(),
+                mod_revision: revision,
+                ..KeyValue::default()
+            },
             Some((value, lease)) => {
                 if let Some(lease) = self.leases.get_mut(&lease) {
                     lease.keys.insert(key.to_vec());
@@ -167,10 +191,24 @@
                 }
             }
         };
-        let kind = if deleted { event::EventType::Delete } else { event::EventType::Put };
+        let kind = if deleted {
+            event::EventType::Delete
+        } else {
+            event::EventType::Put
+        };
         let stored = (!deleted).then(|| kv.clone());
-        self.keys.entry(key.to_vec()).or_default().insert(revision, stored);
-        self.log.push((revision, Event { r#type: kind as i32, kv: Some(kv), prev_kv: old.clone() }));
+        self.keys
+            .entry(key.to_vec())
+            .or_default()
+            .insert(revision, stored);
+        self.log.push((
+            revision,
+            Event {
+                r#type: kind as i32,
+                kv: Some(kv),
+                prev_kv: old.clone(),
+            },
+        ));
         old
     }
 
@@ -182,22 +220,39 @@
         self.check_lease(request)?;
         self.revision += 1;
         let prev_kv = self.put_at(self.revision, request);
-        Ok(PutResponse { header: Some(self.header(member)), prev_kv })
+        Ok(PutResponse {
+            header: Some(self.header(member)),
+            prev_kv,
+        })
     }
 
     fn check_lease(&self, request: &PutRequest) -> Answer<()> {
         if request.lease != 0 && !self.leases.contains_key(&request.lease) {
-            return Err(Box::new(Status::not_found("etcdserver: requested lease not found")));
+            return Err(Box::new(Status::not_found(
+                "etcdserver: requested lease not found",
+            )));
         }
         Ok(())
     }
 
     fn put_at(&mut self, revision: i64, request: &PutRequest) -> Option<KeyValue> {
         let old = self.value(&request.key, revision);
-        let value = if request.ignore_value { old.map(|o| o.value.clone()) } else { None };
-        let lease = if request.ignore_lease { old.map(|o| o.lease) } else { None };
-        let value = (value.unwrap_or_else(|| request.value.clone()), lease.unwrap_or(request.lease));
-        self.write(revision, &request.key, Some(value)).filter(|_| request.prev_kv)
+        let value = if request.ignore_value {
+            old.map(|o| o.value.clone())
+        } else {
+            None
+        };
+        let lease = if request.ignore_lease {
+            old.map(|o| o.lease)
+        } else {
+            None
+        };
+        let value = (
+            value.unwrap_or_else(|| request.value.clone()),
+            lease.unwrap_or(request.lease),
+        );
+        self.write(revision, &request.key, Some(value))
+            .filter(|_| request.prev_kv)
     }
 
     /// Deletes a range.
@@ -208,7 +263,11 @@
         }
         let deleted = gone.len() as i64;
         let prev_kvs = if request.prev_kv { gone } else { Vec::new() };
-        DeleteRangeResponse { header: Some(self.header(member)), deleted, prev_kvs }
+        DeleteRangeResponse {
+            header: Some(self.header(member)),
+            deleted,
+            prev_kvs,
+        }
     }
 
     fn delete_at(&mut self, revision: i64, request: &DeleteRangeRequest) -> Vec<KeyValue> {
@@ -219,18 +278,27 @@
             .filter(|key| within(key, &request.key, &request.range_end))
             .filter(|key| self.value(key, revision).is_some())
             .collect();
-        keys.iter().filter_map(|key| self.write(revision, key, None)).collect()
+        keys.iter()
+            .filter_map(|key| self.write(revision, key, None))
+            .collect()
     }
 
     fn holds(&self, compare: &Compare) -> bool {
         let now = self.value(&compare.key, self.revision);
         let number = |f: fn(&KeyValue) -> i64| now.map_or(0, f);
-        let order = match (&compare.target_union, CompareTarget::try_from(compare.target)) {
-            (Some(TargetUnion::Version(n)), Ok(CompareTarget::Version)) => number(|k| k.version).cmp(n),
+        let order = match (
+            &compare.target_union,
+            CompareTarget::try_from(compare.target),
+        ) {
+            (Some(TargetUnion::Version(n)), Ok(CompareTarget::Version)) => {
+                number(|k| k.version).cmp(n)
+            }
             (Some(TargetUnion::CreateRevision(n)), Ok(CompareTarget::Create)) => {
                 number(|k| k.create_revision).cmp(n)
             }
-            (Some(TargetUnion::ModRevision(n)), Ok(CompareTarget::Mod)) => number(|k| k.mod_revision).cmp(n),
+            (Some(TargetUnion::ModRevision(n)), Ok(CompareTarget::Mod)) => {
+                number(|k| k.mod_revision).cmp(n)
+            }
             (Some(TargetUnion::Lease(n)), Ok(CompareTarget::Lease)) => number(|k| k.lease).cmp(n),
             (Some(TargetUnion::Value(v)), Ok(CompareTarget::Value)) => {
                 let Some(now) = now else { return false };
@@ -253,7 +321,11 @@
     /// A lease is not there; nothing is written then.
     pub fn txn(&mut self, member: usize, request: &TxnRequest) -> Answer<TxnResponse> {
         let succeeded = request.compare.iter().all(|c| self.holds(c));
-        let ops = if succeeded { &request.success } else { &request.failure };
+        let ops = if succeeded {
+            &request.success
+        } else {
+            &request.failure
+        };
         for op in ops {
             if let Some(Request::RequestPut(put)) = &op.request {
                 self.check_lease(put)?;
@@ -263,10 +335,13 @@
         let mut responses = Vec::new();
         for op in ops {
             let response = match &op.request {
-                Some(Request::RequestRange(range)) => Response::ResponseRange(self.range(member, range)?),
-                Some(Request::RequestPut(put)) => {
-                    Response::ResponsePut(PutResponse { header: None, prev_kv: self.put_at(revision, put) })
+                Some(Request::RequestRange(range)) => {
+                    Response::ResponseRange(self.range(member, range)?)
                 }
+                Some(Request::RequestPut(put)) => Response::ResponsePut(PutResponse {
+                    header: None,
+                    prev_kv: self.put_at(revision, put),
+                }),
                 Some(Request::RequestDeleteRange(delete)) => {
                     let gone = self.delete_at(revision, delete);
                     Response::ResponseDeleteRange(DeleteRangeResponse {
@@ -277,12 +352,18 @@
                 }
                 None => continue,
             };
-            responses.push(ResponseOp { response: Some(response) });
+            responses.push(ResponseOp {
+                response: Some(response),
+            });
         }
         if self.log.len() > before {
             self.revision = revision;
         }
-        Ok(TxnResponse { header: Some(self.header(member)), succeeded, responses })
+        Ok(TxnResponse {
+            header: Some(self.header(member)),
+            succeeded,
+            responses,
+        })
     }
 
     /// Forgets what was before a revision, but for what still holds then.
@@ -300,7 +381,10 @@
         self.compacted = revision;
         self.log.retain(|(at, _)| *at >= revision);
         self.keys.retain(|_, versions| {
-            let last = versions.range(..=revision).next_back().map(|(at, kv)| (*at, kv.is_some()));
+            let last = versions
+                .range(..=revision)
+                .next_back()
+                .map(|(at, kv)| (*at, kv.is_some()));
             versions.retain(|at, _| *at > revision || last == Some((*at, true)));
             !versions.is_empty()
         });
@@ -310,20 +394,34 @@
     /// Events from one revision up to another.
     pub fn events(&self, from: i64, to: i64) -> impl Iterator<Item = &(i64, Event)> {
         let begin = self.log.partition_point(|(at, _)| *at < from);
-        self.log[begin..].iter().take_while(move |(at, _)| *at <= to)
+        self.log[begin..]
+            .iter()
+            .take_while(move |(at, _)| *at <= to)
     }
 
     /// Goes back to what a backup holds; who is asked for a password is as it was.
     pub fn restore(&mut self, backup: Store) {
         let (user, tokens) = (self.user.take(), std::mem::take(&mut self.tokens));
-        *self = Store { user, tokens, lagging: vec![None; self.lagging.len()], ..backup };
+        *self = Store {
+            user,
+            tokens,
+            lagging: vec![None; self.lagging.len()],
+            ..backup
+        };
     }
 
     /// Grants a lease; returns its id.
     pub fn grant(&mut self, ttl: Duration, id: i64) -> i64 {
         self.next_lease += 1;
         let id = if id == 0 { self.next_lease } else { id };
-        self.leases.insert(id, Lease { ttl, ends: Instant::now() + ttl, keys: BTreeSet::new() });
+        self.leases.insert(
+            id,
+            Lease {
+                ttl,
+                ends: Instant::now() + ttl,
+                keys: BTreeSet::new(),
+            },
+        );
         id
     }
 
@@ -336,7 +434,9 @@
 
     /// Ends a lease, and with it its keys, in one revision.
     pub fn revoke(&mut self, id: i64) -> bool {
-        let Some(lease) = self.leases.remove(&id) else { return false };
+        let Some(lease) = self.leases.remove(&id) else {
+            return false;
+        };
         if !lease.keys.is_empty() {
             self.revision += 1;
             for key in lease.keys {
@@ -349,7 +449,12 @@
     /// Ends leases whose time is over; tells whether any did.
     pub fn expire(&mut self) -> bool {
         let now = Instant::now();
-        let over: Vec<i64> = self.leases.iter().filter(|(_, l)| l.ends <= now).map(|(id, _)| *id).collect();
+        let over: Vec<i64> = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.ends <= now)
+            .map(|(id, _)| *id)
+            .collect();
         over.iter().for_each(|id| _ = self.revoke(*id));
         !over.is_empty()
     }
@@ -365,13 +470,17 @@
     /// # Errors
     /// Name or password are wrong.
     pub fn authenticate(&mut self, name: &str, password: &str) -> Answer<String> {
-        let known = self.user.as_ref().is_some_and(|(n, p)| n == name && p == password);
+        let known = self
+            .user
+            .as_ref()
+            .is_some_and(|(n, p)| n == name && p == password);
         if !known {
             let text = "etcdserver: authentication failed, invalid user ID or password";
             return Err(Box::new(Status::invalid_argument(text)));
         }
         let token = format!("{:016x}.{}", fastrand::u64(..), self.revision);
-        self.tokens.insert(token.clone(), Instant::now() + self.token_span);
+        self.tokens
+            .insert(token.clone(), Instant::now() + self.token_span);
         Ok(token)
     }
 
@@ -380,12 +489,20 @@
     /// # Errors
     /// It may not.
     pub fn check_token(&self, token: Option<&str>) -> Answer<()> {
-        let good = |t: &str| self.tokens.get(t).is_some_and(|ends| Instant::now() < *ends);
+        let good = |t: &str| {
+            self.tokens
+                .get(t)
+                .is_some_and(|ends| Instant::now() < *ends)
+        };
         match (&self.user, token) {
             (None, _) => Ok(()),
             (Some(_), Some(token)) if good(token) => Ok(()),
-            (Some(_), Some(_)) => Err(Box::new(Status::unauthenticated("etcdserver: invalid auth token"))),
-            (Some(_), None) => Err(Box::new(Status::invalid_argument("etcdserver: user name is empty"))),
+            (Some(_), Some(_)) => Err(Box::new(Status::unauthenticated(
+                "etcdserver: invalid auth token",
+            ))),
+            (Some(_), None) => Err(Box::new(Status::invalid_argument(
+                "etcdserver: user name is empty",
+            ))),
         }
     }
 }
--- a/crates/etcd-standin/tests/follow.rs
+++ b/crates/etcd-standin/tests/follow.rs
@@ -14,13 +14,16 @@
         put(&standin, "a", 1);
         put(&standin, "b", 1);
         let mut play = Play::follow(&standin, quick()).await;
-        play.until("the first list", |p| p.names() == ["a", "b"]).await;
+        play.until("the first list", |p| p.names() == ["a", "b"])
+            .await;
         put(&standin, "c", 1);
         delete(&standin, "a");
-        play.until("both changes", |p| p.names() == ["b", "c"]).await;
+        play.until("both changes", |p| p.names() == ["b", "c"])
+            .await;
         // Cut off, changes are made and compacted away.
         standin.net_all(Net::Down);
-        play.until("it is behind", |p| p.phase() != Phase::Watching).await;
+        play.until("it is behind", |p| p.phase() != Phase::Watching)
+            .await;
         delete(&standin, "b");
         put(&standin, "d", 1);
         let now = standin.store(|s| s.revision());
@@ -28,8 +31,10 @@
         standin.store(|s| s.compact(now + 1).unwrap());
         assert_eq!(play.names(), ["b", "c"], "silence drops nobody");
         standin.net_all(Net::Up);
-        play.until("what was missed", |p| p.names() == ["c", "d", "e"]).await;
-        play.until("it watches", |p| p.phase() == Phase::Watching).await;
+        play.until("what was missed", |p| p.names() == ["c", "d", "e"])
+            .await;
+        play.until("it watches", |p| p.phase() == Phase::Watching)
+            .await;
     });
 }
 
@@ -39,12 +44,14 @@
         let standin = Standin::start(3).await.unwrap();
         put(&standin, "a", 1);
         let mut play = Play::follow(&standin, quick()).await;
-        play.until("it watches", |p| p.phase() == Phase::Watching).await;
+        play.until("it watches", |p| p.phase() == Phase::Watching)
+            .await;
         for (made, net) in [(1, Net::Stalled), (2, Net::HalfOpen)] {
             // All but one, wherever it is connected now.
             (0..2).for_each(|m| standin.net(m, net));
             put(&standin, "b", made);
-            play.until("news by the third", |p| p.names() == ["a", "b"]).await;
+            play.until("news by the third", |p| p.names() == ["a", "b"])
+                .await;
             standin.net_all(Net::Up);
             delete(&standin, "b");
             play.until("the removal", |p| p.names() == ["a"]).await;
@@ -58,9 +65,13 @@
         let standin = Standin::start(2).await.unwrap();
         put(&standin, "a", 1);
         put(&standin, "b", 1);
-        let limits = Limits { turned_back: 1500, ..quick() };
+        let limits = Limits {
+            turned_back: 1500,
+            ..quick()
+        };
         let mut play = Play::follow(&standin, limits).await;
-        play.until("it watches", |p| p.phase() == Phase::Watching).await;
+        play.until("it watches", |p| p.phase() == Phase::Watching)
+            .await;
         let backup = standin.backup();
         // Both members stand still in turn; one always knows of the removal.
         standin.lag(1, true);
@@ -75,7 +86,8 @@
             assert_eq!(play.names(), ["b", "c"]);
         }
         standin.lag(1, false);
-        play.until("it watches again", |p| p.phase() == Phase::Watching).await;
+        play.until("it watches again", |p| p.phase() == Phase::Watching)
+            .await;
         // Another cluster behind the same addresses is not believed, however long it is there.
         let own = standin.store(|s| std::mem::replace(&mut s.cluster, 1));
         standin.store(|s| s.compact(s.revision()).err());
@@ -83,13 +95,16 @@
         play.wait(600).await;
         assert_eq!(play.names(), ["b", "c"]);
         standin.store(|s| s.cluster = own);
-        play.until("the own one again", |p| p.phase() == Phase::Watching).await;
+        play.until("the own one again", |p| p.phase() == Phase::Watching)
+            .await;
         // A backup of before: it is taken after a while, without the dead and without who came later.
         standin.restore(backup);
-        play.until("the backup's list", |p| p.names() == ["b"]).await;
+        play.until("the backup's list", |p| p.names() == ["b"])
+            .await;
         delete(&standin, "a");
         put(&standin, "a", 9);
-        play.until("a server made anew", |p| p.names() == ["a", "b"]).await;
+        play.until("a server made anew", |p| p.names() == ["a", "b"])
+            .await;
     });
 }
 
@@ -101,20 +116,40 @@
             put(&standin, &format!("s{n:05}"), 1);
         }
         standin.slow_lists(Duration::from_millis(20));
-        let mut play = Play::follow(&standin, Limits { silence: 2000, ..quick() }).await;
+        let mut play = Play::follow(
+            &standin,
+            Limits {
+                silence: 2000,
+                ..quick()
+            },
+        )
+        .await;
         play.until("all pages", |p| p.names().len() == 3000).await;
         standin.store(|s| {
             for n in 0..1000 {
                 s.delete(0, &play::delete_request(&format!("s{n:05}")));
             }
         });
-        play.until("a thousand removals", |p| p.names().len() == 2000).await;
+        play.until("a thousand removals", |p| p.names().len() == 2000)
+            .await;
         // One event that is larger than what gRPC takes without a word about it.
-        let big = format!(r#"{{"address":"127.0.0.1:9","note":"{}"}}"#, "x".repeat(6 << 20));
-        standin.store(|s| s.put(0, &play::put_request("s02999", big.into_bytes())).unwrap());
+        let big = format!(
+            r#"{{"address":"127.0.0.1:9","note":"{}"}}"#,
+            "x".repeat(6 << 20)
+        );
+        standin.store(|s| {
+            s.put(0, &play::put_request("s02999", big.into_bytes()))
+                .unwrap()
+        });
         put(&standin, "last", 1);
-        play.until("the change behind it", |p| p.names().iter().any(|n| n == "last")).await;
-        assert!(play.names().iter().any(|n| n == "s02999"), "its last good value stays");
+        play.until("the change behind it", |p| {
+            p.names().iter().any(|n| n == "last")
+        })
+        .await;
+        assert!(
+            play.names().iter().any(|n| n == "s02999"),
+            "its last good value stays"
+        );
     });
 }
 
@@ -133,7 +168,8 @@
             play.wait(400).await;
             standin.change_leader();
             put(&standin, &format!("b{n}"), 1);
-            play.until("news with a new token", |p| p.names().len() == n + 2).await;
+            play.until("news with a new token", |p| p.names().len() == n + 2)
+                .await;
         }
         let mut wrong = Play::follow_as(&standin, quick(), Some(("proxy", "wrong"))).await;
         wrong.wait(300).await;
@@ -152,7 +188,8 @@
             all.push(Play::follow(&standin, Limits { backoff, ..quick() }).await);
         }
         for play in &mut all {
-            play.until("it watches", |p| p.phase() == Phase::Watching).await;
+            play.until("it watches", |p| p.phase() == Phase::Watching)
+                .await;
         }
         let before = standin.came();
         standin.cut(0);
@@ -164,7 +201,8 @@
             parts.push(standin.came() - now);
         }
         for play in &mut all {
-            play.until("it watches", |p| p.phase() == Phase::Watching).await;
+            play.until("it watches", |p| p.phase() == Phase::Watching)
+                .await;
         }
         let most = parts.iter().max().copied().unwrap_or(0);
         assert!(standin.came() - before >= 50 && most <= 25, "{parts:?}");
@@ -183,7 +221,9 @@
                 slowest = slowest.max(script.await.unwrap());
             }
         }
-        println!("200 scripts; the slowest removal took {slowest:?} from the store's word to the list");
+        println!(
+            "200 scripts; the slowest removal took {slowest:?} from the store's word to the list"
+        );
     });
 }
 
@@ -192,7 +232,10 @@
     let standin = Standin::start(3).await.unwrap();
     let names: Vec<String> = (0..6).map(|n| format!("s{n}")).collect();
     let mut made = 1;
-    for name in ["keep0", "keep1"].into_iter().chain(names.iter().map(String::as_str)) {
+    for name in ["keep0", "keep1"]
+        .into_iter()
+        .chain(names.iter().map(String::as_str))
+    {
         put(&standin, name, made);
     }
     let mut play = Play::follow(&standin, quick()).await;
@@ -206,7 +249,10 @@
                 put(&standin, name, made);
             }
             6 => standin.cut(member),
-            7 => standin.net(member, [Net::Down, Net::Stalled, Net::HalfOpen][rng.usize(..3)]),
+            7 => standin.net(
+                member,
+                [Net::Down, Net::Stalled, Net::HalfOpen][rng.usize(..3)],
+            ),
             8 => standin.net_all(Net::Up),
             9 => standin.lag(member, rng.bool()),
             10 => _ = standin.store(|s| s.compact(s.revision())),
@@ -227,12 +273,18 @@
     gone.iter().for_each(|name| delete(&standin, name));
     let mut expected: Vec<String> = ["keep0", "keep1"].map(str::to_owned).to_vec();
     expected.extend(names[3..].iter().cloned());
-    play.until(&format!("script {seed} to end in what the store has"), |p| p.names() == expected).await;
-    play.until("it watches", |p| p.phase() == Phase::Watching).await;
+    play.until(
+        &format!("script {seed} to end in what the store has"),
+        |p| p.names() == expected,
+    )
+    .await;
+    play.until("it watches", |p| p.phase() == Phase::Watching)
+        .await;
     // In step, a removal is there at once.
     let began = std::time::Instant::now();
     delete(&standin, &names[3]);
-    play.until("the last removal", |p| !p.names().contains(&names[3])).await;
+    play.until("the last removal", |p| !p.names().contains(&names[3]))
+        .await;
     let took = began.elapsed();
     assert!(took < Duration::from_secs(1), "script {seed}: {took:?}");
     assert!(play.ever_missing(&["keep0", "keep1"]).is_empty());
--- a/crates/etcd-standin/tests/foreign.rs
+++ b/crates/etcd-standin/tests/foreign.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use etcd_client::{
-    Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions, Txn, TxnOp,
-    WatchOptions,
+    Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
+    Txn, TxnOp, WatchOptions,
 };
 use etcd_standin::Standin;
 use play::run;
@@ -18,22 +18,40 @@
         let put = client.put("/a/1", "one", None).await.unwrap();
         let first = put.header().unwrap().revision();
         client.put("/a/2", "two", None).await.unwrap();
-        let got = client.put("/a/1", "uno", Some(PutOptions::new().with_prev_key())).await.unwrap();
+        let got = client
+            .put("/a/1", "uno", Some(PutOptions::new().with_prev_key()))
+            .await
+            .unwrap();
         assert_eq!(got.prev_key().unwrap().value_str().unwrap(), "one");
-        let all = client.get("/a/", Some(GetOptions::new().with_prefix())).await.unwrap();
+        let all = client
+            .get("/a/", Some(GetOptions::new().with_prefix()))
+            .await
+            .unwrap();
         assert_eq!((all.count(), all.more()), (2, false));
         let kv = &all.kvs()[0];
-        assert_eq!((kv.version(), kv.create_revision(), kv.mod_revision()), (2, first, first + 2));
-        let page = client.get("/a/", Some(GetOptions::new().with_prefix().with_limit(1))).await.unwrap();
+        assert_eq!(
+            (kv.version(), kv.create_revision(), kv.mod_revision()),
+            (2, first, first + 2)
+        );
+        let page = client
+            .get("/a/", Some(GetOptions::new().with_prefix().with_limit(1)))
+            .await
+            .unwrap();
         assert_eq!((page.kvs().len(), page.more(), page.count()), (1, true, 2));
-        let then = client.get("/a/1", Some(GetOptions::new().with_revision(first))).await.unwrap();
+        let then = client
+            .get("/a/1", Some(GetOptions::new().with_revision(first)))
+            .await
+            .unwrap();
         assert_eq!(then.kvs()[0].value_str().unwrap(), "one");
 
         // A transaction writes in one revision, or takes its other way.
         let txn = |expected: &str| {
             Txn::new()
                 .when([Compare::value("/a/1", CompareOp::Equal, expected)])
-                .and_then([TxnOp::put("/a/3", "three", None), TxnOp::delete("/a/2", None)])
+                .and_then([
+                    TxnOp::put("/a/3", "three", None),
+                    TxnOp::delete("/a/2", None),
+                ])
                 .or_else([TxnOp::get("/a/1", None)])
         };
         assert!(!client.txn(txn("one")).await.unwrap().succeeded());
@@ -42,14 +60,21 @@
         let revision = done.header().unwrap().revision();
 
         // A watch from the past tells all of it in order; filters and cancelling work.
-        let options = WatchOptions::new().with_prefix().with_start_revision(first).with_prev_key();
+        let options = WatchOptions::new()
+            .with_prefix()
+            .with_start_revision(first)
+            .with_prev_key();
         let (mut watcher, mut stream) = client.watch("/a/", Some(options)).await.unwrap();
         let mut events = Vec::new();
         while events.len() < 5 {
             let answer = stream.message().await.unwrap().unwrap();
             for event in answer.events() {
                 let kv = event.kv().unwrap();
-                events.push((event.event_type(), kv.key_str().unwrap().to_owned(), kv.mod_revision()));
+                events.push((
+                    event.event_type(),
+                    kv.key_str().unwrap().to_owned(),
+                    kv.mod_revision(),
+                ));
             }
         }
         let expected = [
@@ -68,7 +93,10 @@
 
         // A lease takes its keys with it.
         let lease = client.lease_grant(1, None).await.unwrap().id();
-        client.put("/a/leased", "x", Some(PutOptions::new().with_lease(lease))).await.unwrap();
+        client
+            .put("/a/leased", "x", Some(PutOptions::new().with_lease(lease)))
+            .await
+            .unwrap();
         let (mut keeper, mut kept) = client.lease_keep_alive(lease).await.unwrap();
         for _ in 0..3 {
             tokio::time::sleep(Duration::from_millis(600)).await;
@@ -78,19 +106,39 @@
         assert_eq!(client.get("/a/leased", None).await.unwrap().count(), 1);
         client.lease_revoke(lease).await.unwrap();
         assert_eq!(client.get("/a/leased", None).await.unwrap().count(), 0);
-        let gone = client.put("/x", "x", Some(PutOptions::new().with_lease(lease))).await;
-        assert!(gone.unwrap_err().to_string().contains("requested lease not found"));
+        let gone = client
+            .put("/x", "x", Some(PutOptions::new().with_lease(lease)))
+            .await;
+        assert!(
+            gone.unwrap_err()
+                .to_string()
+                .contains("requested lease not found")
+        );
 
         // What is compacted can't be read, and a watch of it is told so.
-        let now = client.put("/a/9", "nine", None).await.unwrap().header().unwrap().revision();
+        let now = client
+            .put("/a/9", "nine", None)
+            .await
+            .unwrap()
+            .header()
+            .unwrap()
+            .revision();
         client.compact(now, None).await.unwrap();
-        let old = client.get("/a/1", Some(GetOptions::new().with_revision(first))).await;
+        let old = client
+            .get("/a/1", Some(GetOptions::new().with_revision(first)))
+            .await;
         assert!(old.unwrap_err().to_string().contains("has been compacted"));
         let options = WatchOptions::new().with_prefix().with_start_revision(first);
         let (_watcher, mut stream) = client.watch("/a/", Some(options)).await.unwrap();
         let told = stream.message().await.unwrap().unwrap();
-        assert!(told.canceled() && told.compact_revision() == now, "{told:?}");
-        let deleted = client.delete("/a/", Some(DeleteOptions::new().with_prefix())).await.unwrap();
+        assert!(
+            told.canceled() && told.compact_revision() == now,
+            "{told:?}"
+        );
+        let deleted = client
+            .delete("/a/", Some(DeleteOptions::new().with_prefix()))
+            .await
+            .unwrap();
         assert_eq!(deleted.deleted(), 3);
     });
 }
@@ -101,10 +149,16 @@
         let standin = Standin::start(1).await.unwrap();
         standin.store(|s| s.user = Some(("me".into(), "secret".into())));
         let right = ConnectOptions::new().with_user("me", "secret");
-        let mut client = Client::connect(standin.endpoints(), Some(right)).await.unwrap();
+        let mut client = Client::connect(standin.endpoints(), Some(right))
+            .await
+            .unwrap();
         client.put("a", "b", None).await.unwrap();
         let wrong = ConnectOptions::new().with_user("me", "wrong");
-        assert!(Client::connect(standin.endpoints(), Some(wrong)).await.is_err());
+        assert!(
+            Client::connect(standin.endpoints(), Some(wrong))
+                .await
+                .is_err()
+        );
         let mut none = Client::connect(standin.endpoints(), None).await.unwrap();
         assert!(none.get("a", None).await.is_err());
     });
--- a/crates/etcd-standin/tests/play/mod.rs
+++ b/crates/etcd-standin/tests/play/mod.rs
@@ -23,11 +23,18 @@
 }
 
 pub fn put_request(name: &str, value: Vec<u8>) -> PutRequest {
-    PutRequest { key: keys().of(name).into_bytes(), value, ..PutRequest::default() }
+    PutRequest {
+        key: keys().of(name).into_bytes(),
+        value,
+        ..PutRequest::default()
+    }
 }
 
 pub fn delete_request(name: &str) -> DeleteRangeRequest {
-    DeleteRangeRequest { key: keys().of(name).into_bytes(), ..DeleteRangeRequest::default() }
+    DeleteRangeRequest {
+        key: keys().of(name).into_bytes(),
+        ..DeleteRangeRequest::default()
+    }
 }
 
 pub fn put(standin: &Standin, name: &str, made: u64) {
@@ -46,13 +53,19 @@
         stale: 400,
         backoff: (20, 200),
         turned_back: 60_000,
-        rules: Rules { flaps: usize::MAX, ..Rules::default() },
+        rules: Rules {
+            flaps: usize::MAX,
+            ..Rules::default()
+        },
         ..Limits::default()
     }
 }
 
 pub fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -73,10 +86,22 @@
 
     pub async fn follow_as(standin: &Standin, limits: Limits, user: Option<(&str, &str)>) -> Self {
         let user = user.map(|(name, password)| (name.to_owned(), password.to_owned()));
-        let settings = Settings { endpoints: standin.endpoints(), user, page: 500 };
+        let settings = Settings {
+            endpoints: standin.endpoints(),
+            user,
+            page: 500,
+        };
         let (to, updates) = mpsc::unbounded_channel();
         let seed = fastrand::u64(..);
-        tokio::spawn(etcd::follow(Plain, settings, "pool".into(), keys(), limits, seed, to));
+        tokio::spawn(etcd::follow(
+            Plain,
+            settings,
+            "pool".into(),
+            keys(),
+            limits,
+            seed,
+            to,
+        ));
         Play {
             updates,
             up: BTreeMap::new(),
@@ -96,7 +121,11 @@
             Update::Told(Told::Is(server)) => {
                 let made = server.born_ms;
                 if let Some(gone) = self.gone.get(&server.name) {
-                    assert!(made > *gone, "{} came back as it was: {made} after {gone}", server.name);
+                    assert!(
+                        made > *gone,
+                        "{} came back as it was: {made} after {gone}",
+                        server.name
+                    );
                 }
                 self.up.insert(server.name.clone(), server);
             }
@@ -143,6 +172,10 @@
     }
 
     pub fn ever_missing(&self, names: &[&str]) -> Vec<String> {
-        names.iter().filter(|n| self.missing.contains(**n)).map(|n| (*n).to_owned()).collect()
+        names
+            .iter()
+            .filter(|n| self.missing.contains(**n))
+            .map(|n| (*n).to_owned())
+            .collect()
     }
 }
--- a/crates/etcd-standin/tests/registry.rs
+++ b/crates/etcd-standin/tests/registry.rs
@@ -9,7 +9,9 @@
 use play::{Play, keys, quick, run};
 
 async fn registry(standin: &Standin) -> Registry<Plain> {
-    Registry::connect(Plain, Settings::new(standin.endpoints()), keys()).await.unwrap()
+    Registry::connect(Plain, Settings::new(standin.endpoints()), keys())
+        .await
+        .unwrap()
 }
 
 fn entry(port: u16) -> Entry {
@@ -22,16 +24,27 @@
         let standin = Standin::start(3).await.unwrap();
         let registry = registry(&standin).await;
         let mut play = Play::follow(&standin, quick()).await;
-        let registration = registry.register("n1", &entry(9001), Duration::from_secs(5)).await.unwrap();
+        let registration = registry
+            .register("n1", &entry(9001), Duration::from_secs(5))
+            .await
+            .unwrap();
         play.until("it joins", |p| p.names() == ["n1"]).await;
-        let taken = registry.register("n1", &entry(9002), Duration::from_secs(5)).await;
+        let taken = registry
+            .register("n1", &entry(9002), Duration::from_secs(5))
+            .await;
         assert_eq!(taken, Err(Failed::Taken("n1".into())));
         // Somebody else's field is there after a drain.
         let text = r#"{"v":1,"address":"127.0.0.1:9001","rack":"r7"}"#;
-        let put = etcd::api::PutRequest { lease: registration.lease, ..play::put_request("n1", text.into()) };
+        let put = etcd::api::PutRequest {
+            lease: registration.lease,
+            ..play::put_request("n1", text.into())
+        };
         standin.store(|s| s.put(0, &put).unwrap());
         registry.set_state("n1", State::Draining).await.unwrap();
-        let draining = |p: &Play| p.server("n1").is_some_and(|s| s.entry.state == State::Draining);
+        let draining = |p: &Play| {
+            p.server("n1")
+                .is_some_and(|s| s.entry.state == State::Draining)
+        };
         play.until("it drains", draining).await;
         let listed = registry.list().await.unwrap();
         assert_eq!(listed[0].entry.as_ref().unwrap().rest["rack"], "r7");
@@ -39,8 +52,14 @@
         registry.deregister("n1").await.unwrap();
         play.until("it leaves", |p| p.names().is_empty()).await;
         assert!(registry.list().await.unwrap().is_empty());
-        assert_eq!(registry.deregister("n1").await, Err(Failed::NotThere("n1".into())));
-        assert_eq!(registry.set_state("n1", State::Up).await, Err(Failed::NotThere("n1".into())));
+        assert_eq!(
+            registry.deregister("n1").await,
+            Err(Failed::NotThere("n1".into()))
+        );
+        assert_eq!(
+            registry.set_state("n1", State::Up).await,
+            Err(Failed::NotThere("n1".into()))
+        );
     });
 }
 
@@ -55,11 +74,15 @@
         let mut play = Play::follow(&standin, quick()).await;
         play.until("both", |p| p.names().len() == 2).await;
         let keeping = tokio::task::spawn_local(async move { kept.keep(registration).await });
-        play.until("one lease ends", |p| p.names() == ["kept"]).await;
+        play.until("one lease ends", |p| p.names() == ["kept"])
+            .await;
         play.wait(1500).await;
         assert_eq!(play.names(), ["kept"]);
         standin.net_all(Net::Down);
-        assert!(matches!(keeping.await.unwrap(), Failed::Unreached(_) | Failed::Refused(_)));
+        assert!(matches!(
+            keeping.await.unwrap(),
+            Failed::Unreached(_) | Failed::Refused(_)
+        ));
     });
 }
 
@@ -69,7 +92,10 @@
         let standin = Standin::start(1).await.unwrap();
         let registry = registry(&standin).await;
         for n in 0..8 {
-            registry.register(&format!("s{n}"), &entry(9000 + n), Duration::from_secs(60)).await.unwrap();
+            registry
+                .register(&format!("s{n}"), &entry(9000 + n), Duration::from_secs(60))
+                .await
+                .unwrap();
         }
         let mut play = Play::follow(&standin, quick()).await;
         play.until("all", |p| p.names().len() == 8).await;
@@ -79,10 +105,16 @@
         play.until("they are held", |p| p.held >= 4).await;
         assert!(play.names().len() >= 4, "{:?}", play.names());
         // One registers again and is a server like any other; the word to let go concerns those that did not.
-        registry.register("s7", &entry(9007), Duration::from_secs(60)).await.unwrap();
+        registry
+            .register("s7", &entry(9007), Duration::from_secs(60))
+            .await
+            .unwrap();
         play.until("it is back", |p| p.server("s7").is_some()).await;
         registry.release().await.unwrap();
-        play.until("the others are let go", |p| p.names() == ["s7"] && p.held == 0).await;
+        play.until("the others are let go", |p| {
+            p.names() == ["s7"] && p.held == 0
+        })
+        .await;
         // Without the guard they are gone at once.
         let mut limits: Limits = quick();
         limits.rules.guard = 1.0;
--- a/crates/etcd/build.rs
+++ b/crates/etcd/build.rs
@@ -2,7 +2,9 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = protox::compile(["proto/etcd.proto"], ["proto"])?;
-    tonic_prost_build::configure().build_transport(false).compile_fds(files)?;
+    tonic_prost_build::configure()
+        .build_transport(false)
+        .compile_fds(files)?;
     println!("cargo:rerun-if-changed=proto/etcd.proto");
     Ok(())
 }
--- a/crates/etcd/src/connect.rs
+++ b/crates/etcd/src/connect.rs
@@ -30,7 +30,11 @@
 impl Settings {
     /// Members without authentication.
     pub fn new(endpoints: Vec<String>) -> Self {
-        Settings { endpoints, user: None, page: 1000 }
+        Settings {
+            endpoints,
+            user: None,
+            page: 1000,
+        }
     }
 }
 
@@ -38,7 +42,8 @@
 pub trait Connect: Clone + Send + Sync + 'static {
     /// Connects to an endpoint.
     fn connect(
-        &self, endpoint: &str,
+        &self,
+        endpoint: &str,
     ) -> impl Future<Output = Result<Channel, tonic::transport::Error>> + Send;
 }
 
@@ -72,7 +77,11 @@
     /// # Errors
     /// etcd does not know the user.
     pub async fn new(channel: Channel, user: Option<(String, String)>) -> Result<Self, Status> {
-        let mut member = Member { channel, user, token: None };
+        let mut member = Member {
+            channel,
+            user,
+            token: None,
+        };
         member.renew().await?;
         Ok(member)
     }
@@ -82,10 +91,18 @@
     /// # Errors
     /// etcd does not know the user.
     pub async fn renew(&mut self) -> Result<(), Status> {
-        let Some((name, password)) = self.user.clone() else { return Ok(()) };
+        let Some((name, password)) = self.user.clone() else {
+            return Ok(());
+        };
         let mut client = AuthClient::new(self.channel.clone());
-        let answer = client.authenticate(AuthenticateRequest { name, password }).await?.into_inner();
-        let token = answer.token.parse().map_err(|_| Status::internal("etcd's token can't be sent"))?;
+        let answer = client
+            .authenticate(AuthenticateRequest { name, password })
+            .await?
+            .into_inner();
+        let token = answer
+            .token
+            .parse()
+            .map_err(|_| Status::internal("etcd's token can't be sent"))?;
         self.token = Some(token);
         Ok(())
     }
@@ -101,7 +118,9 @@
     pub fn request<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
         if let Some(token) = &self.token {
-            request.metadata_mut().insert("authorization", token.clone());
+            request
+                .metadata_mut()
+                .insert("authorization", token.clone());
         }
         request
     }
--- a/crates/etcd/src/follow.rs
+++ b/crates/etcd/src/follow.rs
@@ -23,7 +23,12 @@
 
 /// Follows the servers below these keys until nobody listens any more. `pool` names it in the log.
 pub async fn follow<C: Connect>(
-    connect: C, settings: Settings, pool: String, keys: Keys, limits: fleet::Limits, seed: u64,
+    connect: C,
+    settings: Settings,
+    pool: String,
+    keys: Keys,
+    limits: fleet::Limits,
+    seed: u64,
     to: mpsc::UnboundedSender<Update>,
 ) {
     let start = Instant::now();
@@ -95,14 +100,20 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn log(pool: &str, note: &Note) {
     match note {
         Note::Phase(phase) => tracing::info!(pool, %phase, "the list's state"),
         Note::Stale(_) => {
-            tracing::warn!(pool, "the list is stale: etcd says nothing; servers stay as they are");
+            tracing::warn!(
+                pool,
+                "the list is stale: etcd says nothing; servers stay as they are"
+            );
         }
         Note::Compacted(revision) => {
             tracing::warn!(
@@ -120,10 +131,19 @@
             );
         }
         Note::OtherCluster(cluster) => {
-            tracing::error!(pool, cluster, "another etcd cluster answers; nothing of it is taken");
+            tracing::error!(
+                pool,
+                cluster,
+                "another etcd cluster answers; nothing of it is taken"
+            );
         }
         Note::TurnedBack { has, known } => {
-            tracing::error!(pool, has, known, "etcd has gone back, as after a backup; its list is taken");
+            tracing::error!(
+                pool,
+                has,
+                known,
+                "etcd has gone back, as after a backup; its list is taken"
+            );
         }
         Note::Did(what) => tracing::warn!(pool, what, "servers"),
     }
@@ -145,20 +165,29 @@
 
 impl Line {
     fn open<C: Connect>(
-        connect: C, endpoint: String, settings: &Settings, keys: &Keys, number: u64, events: Events,
+        connect: C,
+        endpoint: String,
+        settings: &Settings,
+        keys: &Keys,
+        number: u64,
+        events: Events,
     ) -> Self {
         let (commands, told) = mpsc::unbounded_channel();
         let (user, page, keys) = (settings.user.clone(), settings.page, keys.clone());
         let task = tokio::spawn(async move {
             let teller = Teller { number, events };
             let member = timeout(CALL, async {
-                let channel = connect.connect(&endpoint).await.map_err(|e| e.to_string())?;
+                let channel = connect
+                    .connect(&endpoint)
+                    .await
+                    .map_err(|e| e.to_string())?;
                 Member::new(channel, user).await.map_err(|e| e.to_string())
             });
             let member = match member.await {
                 Ok(Ok(member)) => member,
                 failed => {
-                    let why = failed.map_or_else(|e| e.to_string(), |r| r.err().unwrap_or_default());
+                    let why =
+                        failed.map_or_else(|e| e.to_string(), |r| r.err().unwrap_or_default());
                     tracing::debug!(endpoint, why, "etcd can't be reached");
                     teller.tell(Event::Lost).await;
                     return;
@@ -167,7 +196,12 @@
             if !teller.tell(Event::Connected).await {
                 return;
             }
-            let mut session = Session { member, keys, page, watch: None };
+            let mut session = Session {
+                member,
+                keys,
+                page,
+                watch: None,
+            };
             if let Err(why) = session.run(told, &teller).await {
                 tracing::debug!(endpoint, why, "etcd is lost");
                 teller.tell(Event::Lost).await;
@@ -205,7 +239,9 @@
 
 impl Session {
     async fn run(
-        &mut self, mut commands: mpsc::UnboundedReceiver<Command>, teller: &Teller,
+        &mut self,
+        mut commands: mpsc::UnboundedReceiver<Command>,
+        teller: &Teller,
     ) -> Result<(), String> {
         loop {
             let answer = async {
@@ -257,21 +293,29 @@
         };
         let mut renewed = false;
         loop {
-            let mut client = KvClient::new(self.member.channel.clone()).max_decoding_message_size(MOST);
+            let mut client =
+                KvClient::new(self.member.channel.clone()).max_decoding_message_size(MOST);
             let call = client.range(self.member.request(request.clone()));
-            let answer = timeout(CALL, call).await.map_err(|_| "no list came".to_owned())?;
+            let answer = timeout(CALL, call)
+                .await
+                .map_err(|_| "no list came".to_owned())?;
             match answer {
                 Ok(answer) => {
                     let answer = answer.into_inner();
                     let kvs = answer.kvs.into_iter().map(kv).collect();
-                    return Ok(Event::Page { header: header(answer.header), kvs, more: answer.more });
+                    return Ok(Event::Page {
+                        header: header(answer.header),
+                        kvs,
+                        more: answer.more,
+                    });
                 }
                 Err(status) if !renewed && self.member.wants_token(&status) => {
                     renewed = true;
                     self.member.renew().await.map_err(|s| s.to_string())?;
                 }
                 Err(status)
-                    if status.code() == Code::OutOfRange && status.message().contains("compacted") =>
+                    if status.code() == Code::OutOfRange
+                        && status.message().contains("compacted") =>
                 {
                     return Ok(Event::PageCompacted);
                 }
@@ -291,11 +335,16 @@
             ..WatchCreateRequest::default()
         };
         let (requests, queue) = mpsc::channel(4);
-        let first = WatchRequest { request_union: Some(RequestUnion::CreateRequest(create)) };
+        let first = WatchRequest {
+            request_union: Some(RequestUnion::CreateRequest(create)),
+        };
         requests.send(first).await.map_err(|e| e.to_string())?;
-        let mut client = WatchClient::new(self.member.channel.clone()).max_decoding_message_size(MOST);
+        let mut client =
+            WatchClient::new(self.member.channel.clone()).max_decoding_message_size(MOST);
         let call = client.watch(self.member.request(ReceiverStream::new(queue)));
-        let answers = timeout(CALL, call).await.map_err(|_| "no watch came up".to_owned())?;
+        let answers = timeout(CALL, call)
+            .await
+            .map_err(|_| "no watch came up".to_owned())?;
         let answers = answers.map_err(|s| s.to_string())?.into_inner();
         self.watch = Some(Watch { requests, answers });
         Ok(())
@@ -303,7 +352,10 @@
 }
 
 fn header(header: Option<ResponseHeader>) -> Header {
-    header.map_or(Header::default(), |h| Header { cluster: h.cluster_id, revision: h.revision })
+    header.map_or(Header::default(), |h| Header {
+        cluster: h.cluster_id,
+        revision: h.revision,
+    })
 }
 
 pub(crate) fn kv(kv: KeyValue) -> Kv {
@@ -320,7 +372,9 @@
 fn read(answer: WatchResponse) -> Event {
     let header = header(answer.header);
     if answer.canceled {
-        return Event::Cancelled { compacted: answer.compact_revision };
+        return Event::Cancelled {
+            compacted: answer.compact_revision,
+        };
     }
     if answer.created {
         return Event::Watching(header);
@@ -332,11 +386,18 @@
         let deleted = e.r#type == event::EventType::Delete as i32;
         let it = kv(e.kv?);
         Some(if deleted {
-            Change::Delete { key: it.key, revision: it.mod_revision }
+            Change::Delete {
+                key: it.key,
+                revision: it.mod_revision,
+            }
         } else {
             Change::Put(it)
         })
     };
     let changes = answer.events.into_iter().filter_map(change).collect();
-    Event::Changes { header, changes, fragment: answer.fragment }
+    Event::Changes {
+        header,
+        changes,
+        fragment: answer.fragment,
+    }
 }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -11,7 +11,12 @@
 mod registry;
 
 /// The messages and services of etcd's v3 API that are spoken here.
-#[expect(missing_docs, clippy::all, clippy::pedantic, reason = "made from the published messages")]
+#[expect(
+    missing_docs,
+    clippy::all,
+    clippy::pedantic,
+    reason = "made from the published messages"
+)]
 pub mod api {
     tonic::include_proto!("etcdserverpb");
 }
--- a/crates/etcd/src/registry.rs
+++ b/crates/etcd/src/registry.rs
@@ -14,8 +14,8 @@
 use crate::api::lease_client::LeaseClient;
 use crate::api::request_op::Request;
 use crate::api::{
-    Compare, DeleteRangeRequest, KeyValue, LeaseGrantRequest, LeaseKeepAliveRequest, LeaseRevokeRequest,
-    PutRequest, RangeRequest, RequestOp, TxnRequest,
+    Compare, DeleteRangeRequest, KeyValue, LeaseGrantRequest, LeaseKeepAliveRequest,
+    LeaseRevokeRequest, PutRequest, RangeRequest, RequestOp, TxnRequest,
 };
 use crate::connect::{Connect, MOST, Member, Settings};
 
@@ -97,7 +97,12 @@
     /// None does.
     pub async fn connect(connect: C, settings: Settings, keys: Keys) -> Result<Self, Failed> {
         let member = any(&connect, &settings).await?;
-        Ok(Registry { connect, settings, keys, member })
+        Ok(Registry {
+            connect,
+            settings,
+            keys,
+            member,
+        })
     }
 
     /// Connects anew, to whichever member answers.
@@ -113,8 +118,12 @@
         KvClient::new(self.member.channel.clone()).max_decoding_message_size(MOST)
     }
 
-    async fn call<T>(call: impl Future<Output = Result<tonic::Response<T>, Status>>) -> Result<T, Failed> {
-        let answer = timeout(CALL, call).await.map_err(|_| Failed::Unreached("no answer in time".into()))?;
+    async fn call<T>(
+        call: impl Future<Output = Result<tonic::Response<T>, Status>>,
+    ) -> Result<T, Failed> {
+        let answer = timeout(CALL, call)
+            .await
+            .map_err(|_| Failed::Unreached("no answer in time".into()))?;
         Ok(answer?.into_inner())
     }
 
@@ -134,8 +143,14 @@
                 ..RangeRequest::default()
             };
             let answer = Self::call(self.kv().range(self.member.request(request))).await?;
-            revision = answer.header.map_or(revision, |h| if revision == 0 { h.revision } else { revision });
-            let Some(last) = answer.kvs.last() else { return Ok(all) };
+            revision =
+                answer.header.map_or(
+                    revision,
+                    |h| if revision == 0 { h.revision } else { revision },
+                );
+            let Some(last) = answer.kvs.last() else {
+                return Ok(all);
+            };
             from = [last.key.as_slice(), &[0]].concat();
             all.extend(answer.kvs.iter().filter_map(|kv| self.listed(kv)));
             if !answer.more {
@@ -154,20 +169,36 @@
     }
 
     async fn get(&self, name: &str) -> Result<Option<KeyValue>, Failed> {
-        let request = RangeRequest { key: self.keys.of(name).into_bytes(), ..RangeRequest::default() };
-        Ok(Self::call(self.kv().range(self.member.request(request))).await?.kvs.pop())
+        let request = RangeRequest {
+            key: self.keys.of(name).into_bytes(),
+            ..RangeRequest::default()
+        };
+        Ok(Self::call(self.kv().range(self.member.request(request)))
+            .await?
+            .kvs
+            .pop())
     }
 
     /// Registers a server with a lease of its own. A name that another address has is not taken over.
     ///
     /// # Errors
     /// etcd can't be asked, or the name is taken.
-    pub async fn register(&self, name: &str, entry: &Entry, ttl: Duration) -> Result<Registration, Failed> {
-        let grant = LeaseGrantRequest { ttl: ttl.as_secs().max(1) as i64, id: 0 };
+    pub async fn register(
+        &self,
+        name: &str,
+        entry: &Entry,
+        ttl: Duration,
+    ) -> Result<Registration, Failed> {
+        let grant = LeaseGrantRequest {
+            ttl: ttl.as_secs().max(1) as i64,
+            id: 0,
+        };
         let mut leases = LeaseClient::new(self.member.channel.clone());
         let lease = Self::call(leases.lease_grant(self.member.request(grant))).await?;
-        let registration =
-            Registration { lease: lease.id, ttl: Duration::from_secs(lease.ttl.max(1) as u64) };
+        let registration = Registration {
+            lease: lease.id,
+            ttl: Duration::from_secs(lease.ttl.max(1) as u64),
+        };
         for _ in 0..TRIES {
             let now = self.get(name).await?;
             let mut entry = entry.clone();
@@ -182,7 +213,10 @@
                 }
             }
             let revision = now.map_or(0, |kv| kv.mod_revision);
-            if self.put_if(name, revision, &entry, registration.lease).await? {
+            if self
+                .put_if(name, revision, &entry, registration.lease)
+                .await?
+            {
                 return Ok(registration);
             }
         }
@@ -190,7 +224,13 @@
     }
 
     /// Writes a value if its key is still at this revision; 0 if there was none.
-    async fn put_if(&self, name: &str, revision: i64, entry: &Entry, lease: i64) -> Result<bool, Failed> {
+    async fn put_if(
+        &self,
+        name: &str,
+        revision: i64,
+        entry: &Entry,
+        lease: i64,
+    ) -> Result<bool, Failed> {
         let key = self.keys.of(name).into_bytes();
         let compare = Compare {
             result: CompareResult::Equal as i32,
@@ -198,13 +238,22 @@
             key: key.clone(),
             target_union: Some(TargetUnion::ModRevision(revision)),
         };
-        let put = PutRequest { key, value: entry.text().into_bytes(), lease, ..PutRequest::default() };
+        let put = PutRequest {
+            key,
+            value: entry.text().into_bytes(),
+            lease,
+            ..PutRequest::default()
+        };
         let request = TxnRequest {
             compare: vec![compare],
-            success: vec![RequestOp { request: Some(Request::RequestPut(put)) }],
+            success: vec![RequestOp {
+                request: Some(Request::RequestPut(put)),
+            }],
             failure: Vec::new(),
         };
-        Ok(Self::call(self.kv().txn(self.member.request(request))).await?.succeeded)
+        Ok(Self::call(self.kv().txn(self.member.request(request)))
+            .await?
+            .succeeded)
     }
 
     /// Renews a lease until that fails, or its end comes near.
@@ -215,7 +264,9 @@
         let (requests, queue) = mpsc::channel(2);
         let mut leases = LeaseClient::new(self.member.channel.clone());
         let call = leases.lease_keep_alive(self.member.request(ReceiverStream::new(queue)));
-        let ask = LeaseKeepAliveRequest { id: registration.lease };
+        let ask = LeaseKeepAliveRequest {
+            id: registration.lease,
+        };
         // The stream stands once the first renewal has gone out.
         if requests.send(ask).await.is_err() {
             return Failed::Unreached("the stream of renewals has ended".into());
@@ -229,7 +280,9 @@
             match timeout(registration.ttl / 2, answers.message()).await {
                 Ok(Ok(Some(answer))) if answer.ttl > 0 => {}
                 Ok(Ok(Some(_))) => return Failed::Refused("the lease has ended".into()),
-                Ok(Ok(None)) => return Failed::Unreached("the stream of renewals has ended".into()),
+                Ok(Ok(None)) => {
+                    return Failed::Unreached("the stream of renewals has ended".into());
+                }
                 Ok(Err(status)) => return status.into(),
                 Err(_) => return Failed::Unreached("no renewal in time".into()),
             }
@@ -242,7 +295,8 @@
 
     async fn revoke(&self, lease: i64) -> Result<(), Failed> {
         let mut leases = LeaseClient::new(self.member.channel.clone());
-        Self::call(leases.lease_revoke(self.member.request(LeaseRevokeRequest { id: lease }))).await?;
+        Self::call(leases.lease_revoke(self.member.request(LeaseRevokeRequest { id: lease })))
+            .await?;
         Ok(())
     }
 
@@ -252,8 +306,12 @@
     /// It is not there, or etcd can't be asked.
     pub async fn set_state(&self, name: &str, state: State) -> Result<(), Failed> {
         for _ in 0..TRIES {
-            let kv = self.get(name).await?.ok_or_else(|| Failed::NotThere(name.to_owned()))?;
-            let mut entry = Entry::read(&kv.value).map_err(|e| Failed::Refused(format!("{name}: {e}")))?;
+            let kv = self
+                .get(name)
+                .await?
+                .ok_or_else(|| Failed::NotThere(name.to_owned()))?;
+            let mut entry =
+                Entry::read(&kv.value).map_err(|e| Failed::Refused(format!("{name}: {e}")))?;
             entry.state = state;
             if self.put_if(name, kv.mod_revision, &entry, kv.lease).await? {
                 return Ok(());
@@ -272,8 +330,10 @@
             Ok(()) | Err(Failed::Refused(_)) => {}
             Err(e) => return Err(e),
         }
-        let request =
-            DeleteRangeRequest { key: self.keys.of(name).into_bytes(), ..DeleteRangeRequest::default() };
+        let request = DeleteRangeRequest {
+            key: self.keys.of(name).into_bytes(),
+            ..DeleteRangeRequest::default()
+        };
         Self::call(self.kv().delete_range(self.member.request(request))).await?;
         Ok(())
     }
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -23,7 +23,11 @@
     /// The keys of a pool below a prefix.
     pub fn new(prefix: &str, pool: &str) -> Self {
         let all = format!("{}/{pool}/", prefix.trim_end_matches('/'));
-        Keys { servers: format!("{all}servers/"), release: format!("{all}control/release"), all }
+        Keys {
+            servers: format!("{all}servers/"),
+            release: format!("{all}control/release"),
+            all,
+        }
     }
 
     /// The key that all others of the pool begin with.
@@ -152,11 +156,17 @@
     /// What is wrong with it.
     pub fn read(value: &[u8]) -> Result<Self, Invalid> {
         if value.len() > LONGEST {
-            return Err(Invalid(format!("it has {} bytes, {LONGEST} at most", value.len())));
+            return Err(Invalid(format!(
+                "it has {} bytes, {LONGEST} at most",
+                value.len()
+            )));
         }
         let entry: Entry = serde_json::from_slice(value).map_err(|e| Invalid(e.to_string()))?;
         if !(0.01..=10_000.0).contains(&entry.size) {
-            return Err(Invalid(format!("size: {} is not from 0.01 to 10,000", entry.size)));
+            return Err(Invalid(format!(
+                "size: {} is not from 0.01 to 10,000",
+                entry.size
+            )));
         }
         if entry.v == 0 {
             return Err(Invalid("v: it begins with 1".into()));
@@ -178,7 +188,10 @@
     fn unknown_fields_are_kept_and_bad_values_told_of() {
         let text = r#"{"v":3,"address":"127.0.0.1:9","rack":"r7","size":2.0,"nested":{"a":[1]}}"#;
         let entry = Entry::read(text.as_bytes()).unwrap();
-        assert_eq!((entry.state, entry.rest["rack"].as_str()), (State::Up, Some("r7")));
+        assert_eq!(
+            (entry.state, entry.rest["rack"].as_str()),
+            (State::Up, Some("r7"))
+        );
         let again = Entry::read(entry.text().as_bytes()).unwrap();
         assert_eq!(entry, again);
         for bad in [
--- a/crates/fleet/src/follower.rs
+++ b/crates/fleet/src/follower.rs
@@ -237,8 +237,8 @@
     fn eq(&self, other: &Self) -> bool {
         let rest = |f: &Self| {
             (
-                f.cluster, f.revision, f.listed, f.missed, f.endpoint, f.tries, f.heard, f.asked, f.behind,
-                f.older,
+                f.cluster, f.revision, f.listed, f.missed, f.endpoint, f.tries, f.heard, f.asked,
+                f.behind, f.older,
             )
         };
         self.table == other.table && self.step == other.step && rest(self) == rest(other)
@@ -274,7 +274,9 @@
         Status {
             phase: self.phase(now),
             revision: self.revision,
-            stale_since: self.behind.filter(|since| now >= since + self.limits.stale && self.listed),
+            stale_since: self
+                .behind
+                .filter(|since| now >= since + self.limits.stale && self.listed),
             servers: self.table.counts(),
         }
     }
@@ -285,7 +287,9 @@
     }
 
     fn phase(&self, now: Millis) -> Phase {
-        let stale = self.behind.is_some_and(|since| now >= since + self.limits.stale);
+        let stale = self
+            .behind
+            .is_some_and(|since| now >= since + self.limits.stale);
         match &self.step {
             _ if !self.listed => Phase::Listing,
             Step::Watching { stands: true, .. } if self.behind.is_none() => Phase::Watching,
@@ -299,13 +303,21 @@
     pub fn next(&self) -> Option<Millis> {
         let silent = match self.step {
             Step::Connecting => None,
-            Step::Watching { stands: true, .. } => {
-                Some((self.heard.max(self.asked) + self.limits.ask).min(self.heard + self.limits.silence))
-            }
+            Step::Watching { stands: true, .. } => Some(
+                (self.heard.max(self.asked) + self.limits.ask)
+                    .min(self.heard + self.limits.silence),
+            ),
             _ => Some(self.heard + self.limits.silence),
         };
-        let stale = self.behind.filter(|_| self.listed && !self.told_stale).map(|b| b + self.limits.stale);
-        silent.into_iter().chain(stale).chain(self.table.next()).min()
+        let stale = self
+            .behind
+            .filter(|_| self.listed && !self.told_stale)
+            .map(|b| b + self.limits.stale);
+        silent
+            .into_iter()
+            .chain(stale)
+            .chain(self.table.next())
+            .min()
     }
 
     /// Takes an event at its time; `unix_ms` is the same time for people and servers. Commands are to be carried out in order.
@@ -342,7 +354,11 @@
                     }
                 }
             }
-            Event::Changes { header, changes, fragment } => {
+            Event::Changes {
+                header,
+                changes,
+                fragment,
+            } => {
                 if self.same(now, header, out) {
                     self.changes(now, unix_ms, changes, fragment, &mut told, &mut did);
                 }
@@ -398,7 +414,10 @@
             self.missed = true;
             self.list(out);
         } else if now >= since + self.limits.silence {
-            out.push(Command::Note(Note::Lagging { has, known: self.revision }));
+            out.push(Command::Note(Note::Lagging {
+                has,
+                known: self.revision,
+            }));
             self.lost(now, out);
         }
     }
@@ -410,7 +429,10 @@
                     // The first call; those of proxies that start together are spread as later ones are.
                     self.asked = 1;
                     let at = now + self.wait(self.limits.backoff.0);
-                    out.push(Command::Connect { endpoint: self.endpoint, at });
+                    out.push(Command::Connect {
+                        endpoint: self.endpoint,
+                        at,
+                    });
                 }
             }
             step => {
@@ -423,8 +445,9 @@
                 }
             }
         }
-        if let Some(since) =
-            self.behind.filter(|s| self.listed && !self.told_stale && now >= s + self.limits.stale)
+        if let Some(since) = self
+            .behind
+            .filter(|s| self.listed && !self.told_stale && now >= s + self.limits.stale)
         {
             self.told_stale = true;
             out.push(Command::Note(Note::Stale(since)));
@@ -433,7 +456,11 @@
 
     /// A wait of at most so long.
     fn wait(&mut self, most: Millis) -> Millis {
-        if self.limits.jitter { self.rng.u64(0..=most) } else { most }
+        if self.limits.jitter {
+            self.rng.u64(0..=most)
+        } else {
+            most
+        }
     }
 
     fn connected(&mut self, now: Millis, out: &mut Vec<Command>) {
@@ -449,12 +476,21 @@
     }
 
     fn list(&mut self, out: &mut Vec<Command>) {
-        self.step = Step::Listing { at: 0, got: Vec::new() };
-        out.push(Command::List { from: self.keys.all().as_bytes().to_vec(), revision: 0 });
+        self.step = Step::Listing {
+            at: 0,
+            got: Vec::new(),
+        };
+        out.push(Command::List {
+            from: self.keys.all().as_bytes().to_vec(),
+            revision: 0,
+        });
     }
 
     fn watch(&mut self, out: &mut Vec<Command>) {
-        self.step = Step::Watching { stands: false, parts: Vec::new() };
+        self.step = Step::Watching {
+            stands: false,
+            parts: Vec::new(),
+        };
         out.push(Command::Watch(self.revision + 1));
     }
 
@@ -466,7 +502,10 @@
         let most = first.saturating_mul(1 << self.tries.min(16)).min(most);
         self.tries = self.tries.saturating_add(1);
         let at = now + self.wait(most);
-        out.push(Command::Connect { endpoint: self.endpoint, at });
+        out.push(Command::Connect {
+            endpoint: self.endpoint,
+            at,
+        });
     }
 
     /// Whether an answer is of the store that is followed.
@@ -484,15 +523,27 @@
         }
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the parts of one answer, and where what comes of it goes")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "the parts of one answer, and where what comes of it goes"
+    )]
     fn page(
-        &mut self, now: Millis, unix_ms: u64, header: Header, kvs: Vec<Kv>, more: bool,
-        out: &mut Vec<Command>, told: &mut Vec<Told>, did: &mut Vec<Did>,
+        &mut self,
+        now: Millis,
+        unix_ms: u64,
+        header: Header,
+        kvs: Vec<Kv>,
+        more: bool,
+        out: &mut Vec<Command>,
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
     ) {
         if !matches!(self.step, Step::Listing { .. }) || !self.same(now, header, out) {
             return;
         }
-        let Step::Listing { at, got } = &mut self.step else { return };
+        let Step::Listing { at, got } = &mut self.step else {
+            return;
+        };
         let first = *at == 0;
         if first {
             *at = header.revision;
@@ -522,10 +573,21 @@
     }
 
     fn changes(
-        &mut self, now: Millis, unix_ms: u64, changes: Vec<Change>, fragment: bool, told: &mut Vec<Told>,
+        &mut self,
+        now: Millis,
+        unix_ms: u64,
+        changes: Vec<Change>,
+        fragment: bool,
+        told: &mut Vec<Told>,
         did: &mut Vec<Did>,
     ) {
-        let Step::Watching { stands: true, parts } = &mut self.step else { return };
+        let Step::Watching {
+            stands: true,
+            parts,
+        } = &mut self.step
+        else {
+            return;
+        };
         parts.extend(changes);
         if fragment {
             return;
@@ -534,7 +596,9 @@
         // What is known already comes again after a connection was lost, and is no news.
         let known = self.revision;
         changes.retain(|c| c.revision() > known);
-        let Some(newest) = changes.iter().map(Change::revision).max() else { return };
+        let Some(newest) = changes.iter().map(Change::revision).max() else {
+            return;
+        };
         self.table.changes(now, unix_ms, &changes, told, did);
         // The header may be ahead of the changes: those between are still to come.
         self.revision = newest;
@@ -551,8 +615,12 @@
             "{n} leases ended together: their servers are held; `canvascart fleet release` lets them go"
         ),
         Did::LetGo(n) => format!("{n} servers that were held are let go"),
-        Did::Flaps(name) => format!("{name} comes and goes: it is taken back when it has stayed for a while"),
+        Did::Flaps(name) => {
+            format!("{name} comes and goes: it is taken back when it has stayed for a while")
+        }
         Did::TooMany(name) => format!("{name} is one server too many, and not taken"),
-        Did::Ghost(name) => format!("{name} is gone, and an older state of the store does not bring it back"),
+        Did::Ghost(name) => {
+            format!("{name} is gone, and an older state of the store does not bring it back")
+        }
     }
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -200,7 +200,11 @@
     /// Servers that are in the list, how many of them are quarantined, and how many held.
     pub fn counts(&self) -> [usize; 3] {
         let count = |f: fn(&Known) -> bool| self.known.values().filter(|k| f(k)).count();
-        [self.known.len(), count(|k| k.quarantined), count(|k| k.held.is_some())]
+        [
+            self.known.len(),
+            count(|k| k.quarantined),
+            count(|k| k.held.is_some()),
+        ]
     }
 
     /// The servers of the list.
@@ -215,20 +219,35 @@
 
     /// When something is due by itself.
     pub fn next(&self) -> Option<Millis> {
-        let held = self.known.values().filter_map(|k| k.held.map(|(at, _)| at + self.rules.hold));
-        let waits =
-            self.flapping.values().filter_map(|f| f.waits.as_ref().map(|w| w.0 + self.rules.flap_stay));
+        let held = self
+            .known
+            .values()
+            .filter_map(|k| k.held.map(|(at, _)| at + self.rules.hold));
+        let waits = self
+            .flapping
+            .values()
+            .filter_map(|f| f.waits.as_ref().map(|w| w.0 + self.rules.flap_stay));
         held.chain(waits).min()
     }
 
     /// Takes what is due.
     pub fn advance(&mut self, now: Millis, unix_ms: u64, told: &mut Vec<Told>, did: &mut Vec<Did>) {
         let over = |k: &Known| k.held.is_some_and(|(at, _)| now >= at + self.rules.hold);
-        let over: Vec<String> = self.known.iter().filter(|(_, k)| over(k)).map(|(n, _)| n.clone()).collect();
+        let over: Vec<String> = self
+            .known
+            .iter()
+            .filter(|(_, k)| over(k))
+            .map(|(n, _)| n.clone())
+            .collect();
         self.let_go(now, over, told, did);
         let stay = self.rules.flap_stay;
         let due = |f: &Flapping| f.waits.as_ref().is_some_and(|w| now >= w.0 + stay);
-        let due: Vec<String> = self.flapping.iter().filter(|(_, f)| due(f)).map(|(n, _)| n.clone()).collect();
+        let due: Vec<String> = self
+            .flapping
+            .iter()
+            .filter(|(_, f)| due(f))
+            .map(|(n, _)| n.clone())
+            .collect();
         for name in due {
             let waits = self.flapping.get_mut(&name).and_then(|f| f.waits.take());
             if let Some((_, kv)) = waits {
@@ -236,12 +255,18 @@
             }
         }
         let span = self.rules.flap_span;
-        self.flapping.retain(|_, f| f.waits.is_some() || f.returns.last().is_some_and(|r| now < r + span));
+        self.flapping
+            .retain(|_, f| f.waits.is_some() || f.returns.last().is_some_and(|r| now < r + span));
     }
 
     /// Takes changes that came together, each newer than all before.
     pub fn changes(
-        &mut self, now: Millis, unix_ms: u64, changes: &[Change], told: &mut Vec<Told>, did: &mut Vec<Did>,
+        &mut self,
+        now: Millis,
+        unix_ms: u64,
+        changes: &[Change],
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
     ) {
         let mut gone: Vec<(String, i64)> = Vec::new();
         for change in changes {
@@ -251,7 +276,9 @@
                 }
                 continue;
             }
-            let Some(name) = self.keys.name(change.key()).map(str::to_owned) else { continue };
+            let Some(name) = self.keys.name(change.key()).map(str::to_owned) else {
+                continue;
+            };
             match change {
                 Change::Delete { revision, .. } => gone.push((name, *revision)),
                 Change::Put(kv) => {
@@ -268,7 +295,13 @@
 
     /// Takes the whole list as it is at a revision: what it lacks is gone.
     pub fn whole(
-        &mut self, now: Millis, unix_ms: u64, at: i64, kvs: &[Kv], told: &mut Vec<Told>, did: &mut Vec<Did>,
+        &mut self,
+        now: Millis,
+        unix_ms: u64,
+        at: i64,
+        kvs: &[Kv],
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
     ) {
         let mut seen: BTreeMap<String, &Kv> = BTreeMap::new();
         for kv in kvs {
@@ -286,7 +319,14 @@
         self.delete(now, missing, &mut changes, did);
         self.flapping.values_mut().for_each(|f| f.waits = None);
         for (name, kv) in seen {
-            self.put(now, if first { 0 } else { unix_ms }, &name, kv, &mut changes, did);
+            self.put(
+                now,
+                if first { 0 } else { unix_ms },
+                &name,
+                kv,
+                &mut changes,
+                did,
+            );
         }
         if first {
             told.push(Told::Whole(self.servers()));
@@ -298,7 +338,13 @@
     }
 
     fn put(
-        &mut self, now: Millis, unix_ms: u64, name: &str, kv: &Kv, told: &mut Vec<Told>, did: &mut Vec<Did>,
+        &mut self,
+        now: Millis,
+        unix_ms: u64,
+        name: &str,
+        kv: &Kv,
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
     ) {
         if let Some(known) = self.known.get(name)
             && known.mod_revision == kv.mod_revision
@@ -308,14 +354,20 @@
         }
         if let Some(stone) = self.tombstones.get(name) {
             // What went does not come back by being read from an older state of the store, or from a backup.
-            let old =
-                if stone.turned { kv.create_revision == stone.made } else { kv.mod_revision <= stone.gone };
+            let old = if stone.turned {
+                kv.create_revision == stone.made
+            } else {
+                kv.mod_revision <= stone.gone
+            };
             if old {
                 did.push(Did::Ghost(name.to_owned()));
                 return;
             }
             let span = self.rules.flap_span;
-            let none = || Flapping { returns: Vec::new(), waits: None };
+            let none = || Flapping {
+                returns: Vec::new(),
+                waits: None,
+            };
             let flapping = self.flapping.entry(name.to_owned()).or_insert_with(none);
             if let Some((_, waits)) = &mut flapping.waits {
                 *waits = kv.clone();
@@ -336,14 +388,21 @@
 
     /// Takes a value over.
     fn take(
-        &mut self, now: Millis, unix_ms: u64, name: &str, kv: &Kv, told: &mut Vec<Told>, did: &mut Vec<Did>,
+        &mut self,
+        now: Millis,
+        unix_ms: u64,
+        name: &str,
+        kv: &Kv,
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
     ) {
         let entry = match Entry::read(&kv.value) {
             Ok(entry) => entry,
             Err(e) => {
                 did.push(Did::Quarantined(name.to_owned(), e.to_string()));
                 if let Some(known) = self.known.get_mut(name) {
-                    (known.quarantined, known.mod_revision, known.lease) = (true, kv.mod_revision, kv.lease);
+                    (known.quarantined, known.mod_revision, known.lease) =
+                        (true, kv.mod_revision, kv.lease);
                     known.held = None;
                 }
                 return;
@@ -357,10 +416,9 @@
             return;
         }
         // Made again, or elsewhere, is another process; it is cold from when it says, or from now.
-        let same = self
-            .known
-            .get(name)
-            .filter(|k| k.create_revision == kv.create_revision && k.entry.address == entry.address);
+        let same = self.known.get(name).filter(|k| {
+            k.create_revision == kv.create_revision && k.entry.address == entry.address
+        });
         let born_ms = match (entry.born_ms, same) {
             (Some(born), _) => born,
             (None, Some(known)) => known.born_ms,
@@ -378,15 +436,28 @@
         self.tombstones.remove(name);
         let old = self.known.insert(name.to_owned(), known);
         if old.is_none_or(|old| old.entry != entry || old.born_ms != born_ms) {
-            told.push(Told::Is(Server { name: name.to_owned(), entry, born_ms }));
+            told.push(Told::Is(Server {
+                name: name.to_owned(),
+                entry,
+                born_ms,
+            }));
         }
     }
 
     /// Takes servers whose keys are gone, all at once.
-    fn delete(&mut self, now: Millis, gone: Vec<(String, i64)>, told: &mut Vec<Told>, did: &mut Vec<Did>) {
+    fn delete(
+        &mut self,
+        now: Millis,
+        gone: Vec<(String, i64)>,
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
+    ) {
         // Who leaves on purpose says so first, and who drains gets nothing new anyway: what is left are leases that ended.
         let leased = |k: &&Known| k.lease != 0 && k.entry.state == State::Up && k.held.is_none();
-        let ends = gone.iter().filter(|(name, _)| self.known.get(name).as_ref().is_some_and(leased)).count();
+        let ends = gone
+            .iter()
+            .filter(|(name, _)| self.known.get(name).as_ref().is_some_and(leased))
+            .count();
         let (together, guard) = (self.rules.together, self.rules.guard);
         self.ended.retain(|at| now < at + together);
         let all = self.known.values().filter(leased).count() + self.ended.len();
@@ -427,16 +498,30 @@
     fn release(&mut self, now: Millis, revision: i64, told: &mut Vec<Told>, did: &mut Vec<Did>) {
         self.released = self.released.max(revision);
         let older = |k: &Known| k.held.is_some_and(|(_, gone)| gone <= revision);
-        let go: Vec<String> = self.known.iter().filter(|(_, k)| older(k)).map(|(n, _)| n.clone()).collect();
+        let go: Vec<String> = self
+            .known
+            .iter()
+            .filter(|(_, k)| older(k))
+            .map(|(n, _)| n.clone())
+            .collect();
         self.let_go(now, go, told, did);
     }
 
-    fn let_go(&mut self, now: Millis, names: Vec<String>, told: &mut Vec<Told>, did: &mut Vec<Did>) {
+    fn let_go(
+        &mut self,
+        now: Millis,
+        names: Vec<String>,
+        told: &mut Vec<Told>,
+        did: &mut Vec<Did>,
+    ) {
         if !names.is_empty() {
             did.push(Did::LetGo(names.len()));
         }
         for name in names {
-            let held = self.known.get(&name).and_then(|k| Some((k.held?.1, k.create_revision)));
+            let held = self
+                .known
+                .get(&name)
+                .and_then(|k| Some((k.held?.1, k.create_revision)));
             if let Some((gone, made)) = held {
                 self.bury(now, &name, gone, made, told);
             }
@@ -447,9 +532,21 @@
         if self.known.remove(name).is_some() {
             told.push(Told::Gone(name.to_owned()));
         }
-        self.tombstones.insert(name.to_owned(), Tombstone { gone, made, at: now, turned: false });
+        self.tombstones.insert(
+            name.to_owned(),
+            Tombstone {
+                gone,
+                made,
+                at: now,
+                turned: false,
+            },
+        );
         if self.tombstones.len() > self.rules.tombstones {
-            let oldest = self.tombstones.iter().min_by_key(|(_, t)| t.at).map(|(n, _)| n.clone());
+            let oldest = self
+                .tombstones
+                .iter()
+                .min_by_key(|(_, t)| t.at)
+                .map(|(n, _)| n.clone());
             oldest.map(|n| self.tombstones.remove(&n));
         }
         let span = self.rules.tombstone_span;
--- a/crates/fleet/tests/follower.rs
+++ b/crates/fleet/tests/follower.rs
@@ -27,16 +27,25 @@
 }
 
 fn delete(name: &str, revision: i64) -> Change {
-    Change::Delete { key: keys().of(name).into_bytes(), revision }
+    Change::Delete {
+        key: keys().of(name).into_bytes(),
+        revision,
+    }
 }
 
 fn header(revision: i64) -> Header {
-    Header { cluster: CLUSTER, revision }
+    Header {
+        cluster: CLUSTER,
+        revision,
+    }
 }
 
 impl Play {
     fn new() -> Self {
-        let limits = Limits { jitter: false, ..Limits::default() };
+        let limits = Limits {
+            jitter: false,
+            ..Limits::default()
+        };
         let mut play = Play {
             follower: Follower::new(keys(), limits, 1),
             now: 1,
@@ -51,7 +60,11 @@
     fn watching(kvs: Vec<Kv>, revision: i64) -> Self {
         let mut play = Play::new();
         play.hear(Event::Connected);
-        play.hear(Event::Page { header: header(revision), kvs, more: false });
+        play.hear(Event::Page {
+            header: header(revision),
+            kvs,
+            more: false,
+        });
         play.hear(Event::Watching(header(revision)));
         assert_eq!(play.phase(), Phase::Watching);
         play
@@ -59,7 +72,8 @@
 
     fn hear(&mut self, event: Event) {
         self.out.clear();
-        self.follower.handle(self.now, 1_000_000 + self.now, event, &mut self.out);
+        self.follower
+            .handle(self.now, 1_000_000 + self.now, event, &mut self.out);
         for command in &self.out {
             match command {
                 Command::Tell(Told::Whole(all)) => {
@@ -73,7 +87,11 @@
     }
 
     fn changes(&mut self, revision: i64, changes: Vec<Change>) {
-        self.hear(Event::Changes { header: header(revision), changes, fragment: false });
+        self.hear(Event::Changes {
+            header: header(revision),
+            changes,
+            fragment: false,
+        });
     }
 
     /// Lets time pass, with its timers.
@@ -95,25 +113,40 @@
     }
 
     fn noted(&self, f: impl Fn(&Note) -> bool) -> bool {
-        self.out.iter().any(|c| matches!(c, Command::Note(n) if f(n)))
+        self.out
+            .iter()
+            .any(|c| matches!(c, Command::Note(n) if f(n)))
     }
 }
 
 fn three(lease: i64) -> Vec<Kv> {
-    ["a", "b", "c"].iter().enumerate().map(|(i, n)| kv(n, i as i64 + 1, i as i64 + 1, lease, "")).collect()
+    ["a", "b", "c"]
+        .iter()
+        .enumerate()
+        .map(|(i, n)| kv(n, i as i64 + 1, i as i64 + 1, lease, ""))
+        .collect()
 }
 
 #[test]
 fn a_removal_is_told_at_once_and_a_return_is_cold() {
     let mut play = Play::watching(three(0), 10);
-    assert_eq!(play.up["a"], 0, "who was there at the first list started long ago");
+    assert_eq!(
+        play.up["a"], 0,
+        "who was there at the first list started long ago"
+    );
     play.changes(11, vec![delete("a", 11)]);
     assert!(!play.has("a") && play.has("b"));
     play.now += 500;
     play.changes(12, vec![Change::Put(kv("a", 12, 12, 0, ""))]);
     assert_eq!(play.up["a"], 1_000_000 + play.now, "it has just started");
-    play.changes(13, vec![Change::Put(kv("b", 13, 2, 0, r#","state":"gone""#))]);
-    assert!(!play.has("b"), "who says that it leaves is gone before its key is");
+    play.changes(
+        13,
+        vec![Change::Put(kv("b", 13, 2, 0, r#","state":"gone""#))],
+    );
+    assert!(
+        !play.has("b"),
+        "who says that it leaves is gone before its key is"
+    );
 }
 
 #[test]
@@ -127,16 +160,34 @@
     assert!(play.noted(|n| *n == Note::Compacted(40)) && play.phase() == Phase::Resyncing);
     assert!(play.has("a"));
     // A page at a time, at one revision.
-    play.hear(Event::Page { header: header(50), kvs: vec![kv("b", 2, 2, 0, "")], more: true });
+    play.hear(Event::Page {
+        header: header(50),
+        kvs: vec![kv("b", 2, 2, 0, "")],
+        more: true,
+    });
     let mut from = keys().of("b").into_bytes();
     from.push(0);
     assert_eq!(play.out, [Command::List { from, revision: 50 }]);
     play.hear(Event::PageCompacted);
-    assert!(matches!(play.out[0], Command::List { revision: 0, .. }), "it begins anew");
+    assert!(
+        matches!(play.out[0], Command::List { revision: 0, .. }),
+        "it begins anew"
+    );
     let d = kv("d", 45, 45, 0, "");
-    play.hear(Event::Page { header: header(51), kvs: vec![kv("b", 2, 2, 0, ""), d], more: false });
-    let told: Vec<&Command> = play.out.iter().filter(|c| matches!(c, Command::Tell(_))).collect();
-    assert!(matches!(told[0], Command::Tell(Told::Gone(n)) if n == "a"), "removals come first: {told:?}");
+    play.hear(Event::Page {
+        header: header(51),
+        kvs: vec![kv("b", 2, 2, 0, ""), d],
+        more: false,
+    });
+    let told: Vec<&Command> = play
+        .out
+        .iter()
+        .filter(|c| matches!(c, Command::Tell(_)))
+        .collect();
+    assert!(
+        matches!(told[0], Command::Tell(Told::Gone(n)) if n == "a"),
+        "removals come first: {told:?}"
+    );
     assert_eq!(play.up.keys().collect::<Vec<_>>(), ["b", "d"]);
     assert!(play.out.contains(&Command::Watch(52)));
 }
@@ -146,7 +197,11 @@
     let mut play = Play::watching(three(0), 10);
     play.changes(11, vec![delete("a", 11)]);
     play.hear(Event::Cancelled { compacted: 20 });
-    let old = || Event::Page { header: header(9), kvs: three(0), more: false };
+    let old = || Event::Page {
+        header: header(9),
+        kvs: three(0),
+        more: false,
+    };
     play.hear(old());
     assert!(play.noted(|n| *n == Note::Lagging { has: 9, known: 11 }) && !play.has("a"));
     let mut turned = false;
@@ -161,7 +216,11 @@
         }
     }
     assert!(turned, "all that there is has an older state");
-    assert!(play.noted(|n| matches!(n, Note::Did(text) if text.starts_with("a is gone"))), "{:?}", play.out);
+    assert!(
+        play.noted(|n| matches!(n, Note::Did(text) if text.starts_with("a is gone"))),
+        "{:?}",
+        play.out
+    );
     assert!(play.has("b") && !play.has("a"));
     play.hear(Event::Watching(header(9)));
     // Made anew in the store's new past, it is another server.
@@ -189,14 +248,26 @@
                 }
             }
         }
-        lists += play.out.iter().filter(|c| matches!(c, Command::List { .. })).count();
+        lists += play
+            .out
+            .iter()
+            .filter(|c| matches!(c, Command::List { .. }))
+            .count();
         if lists > 0 {
             break;
         }
     }
     assert!(members > 2, "other members were asked first");
-    play.hear(Event::Page { header: header(9), kvs: three(0), more: false });
-    assert!(play.noted(|n| matches!(n, Note::TurnedBack { has: 9, known: 11 })), "{:?}", play.out);
+    play.hear(Event::Page {
+        header: header(9),
+        kvs: three(0),
+        more: false,
+    });
+    assert!(
+        play.noted(|n| matches!(n, Note::TurnedBack { has: 9, known: 11 })),
+        "{:?}",
+        play.out
+    );
     assert!(play.has("b") && !play.has("a"));
 }
 
@@ -206,7 +277,14 @@
     play.hear(Event::Lost);
     play.hear(Event::Connected);
     play.hear(Event::Cancelled { compacted: 0 });
-    play.hear(Event::Page { header: Header { cluster: 2, revision: 99 }, kvs: Vec::new(), more: false });
+    play.hear(Event::Page {
+        header: Header {
+            cluster: 2,
+            revision: 99,
+        },
+        kvs: Vec::new(),
+        more: false,
+    });
     assert!(play.noted(|n| *n == Note::OtherCluster(2)));
     assert_eq!(play.up.len(), 3);
 }
@@ -221,7 +299,13 @@
     play.pass(2999);
     assert_eq!(play.phase(), Phase::Watching);
     play.pass(10);
-    assert!(play.out.iter().any(|c| matches!(c, Command::Connect { endpoint: 1, .. })), "{:?}", play.out);
+    assert!(
+        play.out
+            .iter()
+            .any(|c| matches!(c, Command::Connect { endpoint: 1, .. })),
+        "{:?}",
+        play.out
+    );
     play.pass(20_000);
     let status = play.follower.status(play.now);
     assert!(status.phase == Phase::Stale && status.stale_since.is_some() && play.up.len() == 3);
@@ -236,12 +320,20 @@
 #[test]
 fn fragments_are_one_change_and_what_comes_twice_is_no_news() {
     let mut play = Play::watching(three(0), 10);
-    let part = |changes, fragment| Event::Changes { header: header(30), changes, fragment };
+    let part = |changes, fragment| Event::Changes {
+        header: header(30),
+        changes,
+        fragment,
+    };
     play.hear(part(vec![delete("a", 11)], true));
     assert!(play.has("a"), "the rest is still to come");
     play.hear(Event::Lost);
     play.hear(Event::Connected);
-    assert_eq!(play.out.last(), Some(&Command::Watch(11)), "half of an answer is none");
+    assert_eq!(
+        play.out.last(),
+        Some(&Command::Watch(11)),
+        "half of an answer is none"
+    );
     play.hear(Event::Watching(header(30)));
     play.hear(part(vec![delete("a", 11)], true));
     play.hear(part(vec![Change::Put(kv("a", 12, 12, 0, ""))], false));
@@ -271,7 +363,11 @@
 fn leases_that_end_together_do_not_empty_the_list() {
     let names: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
     let all = || {
-        names.iter().enumerate().map(|(i, n)| kv(n, i as i64 + 1, i as i64 + 1, 5, "")).collect::<Vec<_>>()
+        names
+            .iter()
+            .enumerate()
+            .map(|(i, n)| kv(n, i as i64 + 1, i as i64 + 1, 5, ""))
+            .collect::<Vec<_>>()
     };
     // One by one in separate answers: after half of them the others are held.
     let mut play = Play::watching(all(), 10);
@@ -279,7 +375,10 @@
         play.now += 50;
         play.changes(11 + i as i64, vec![delete(name, 11 + i as i64)]);
     }
-    assert_eq!((play.up.len(), play.follower.status(play.now).servers[2]), (5, 5));
+    assert_eq!(
+        (play.up.len(), play.follower.status(play.now).servers[2]),
+        (5, 5)
+    );
     // Who comes back is taken, others are let go after a minute.
     play.changes(30, vec![Change::Put(kv("s9", 30, 30, 6, ""))]);
     play.pass(59_000);
@@ -290,7 +389,10 @@
     let mut play = Play::watching(all(), 10);
     play.changes(11, names.iter().map(|n| delete(n, 11)).collect());
     assert_eq!(play.up.len(), 10);
-    let release = Kv { key: keys().release().into(), ..kv("x", 12, 12, 0, "") };
+    let release = Kv {
+        key: keys().release().into(),
+        ..kv("x", 12, 12, 0, "")
+    };
     play.changes(12, vec![Change::Put(release)]);
     assert!(play.up.is_empty());
     // Without leases, or on purpose, nothing is held.
@@ -311,7 +413,10 @@
         play.now += 1000;
         play.changes(revision + 1, vec![delete("a", revision + 1)]);
         assert!(!play.has("a"), "a removal is never held back");
-        play.changes(revision + 2, vec![Change::Put(kv("a", revision + 2, revision + 2, 0, ""))]);
+        play.changes(
+            revision + 2,
+            vec![Change::Put(kv("a", revision + 2, revision + 2, 0, ""))],
+        );
         revision += 2;
         assert_eq!(play.has("a"), n < 3, "return {n}");
     }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -82,7 +82,12 @@
 /// The servers at a revision, with the one that made each.
 fn at(world: &World, revision: i64) -> BTreeMap<usize, i64> {
     let mut there = BTreeMap::new();
-    for (i, (name, up)) in world.history.iter().enumerate().take((revision - 1) as usize) {
+    for (i, (name, up)) in world
+        .history
+        .iter()
+        .enumerate()
+        .take((revision - 1) as usize)
+    {
         if *up {
             there.insert(*name, i as i64 + 2);
         } else {
@@ -93,26 +98,51 @@
 }
 
 fn kv(name: usize, made: i64) -> Kv {
-    let value = format!(r#"{{"address":"127.0.0.1:{}","born-ms":{made}}}"#, 9000 + name);
+    let value = format!(
+        r#"{{"address":"127.0.0.1:{}","born-ms":{made}}}"#,
+        9000 + name
+    );
     let key = Keys::new("/f", "p").of(NAMES[name]).into_bytes();
-    Kv { key, value: value.into_bytes(), mod_revision: made, create_revision: made, lease: 0 }
+    Kv {
+        key,
+        value: value.into_bytes(),
+        mod_revision: made,
+        create_revision: made,
+        lease: 0,
+    }
 }
 
 impl Store {
     fn header(&self, world: &World, member: usize) -> Header {
-        let revision = if self.lies { revision(world) } else { world.applied[member] };
-        Header { cluster: CLUSTER, revision }
+        let revision = if self.lies {
+            revision(world)
+        } else {
+            world.applied[member]
+        };
+        Header {
+            cluster: CLUSTER,
+            revision,
+        }
     }
 
     /// What a member sends once it has come further.
     fn push(&self, world: &mut World) {
         let Some(line) = &world.line else { return };
-        let (member, Some(next)) = (line.member, line.watch) else { return };
+        let (member, Some(next)) = (line.member, line.watch) else {
+            return;
+        };
         let until = world.applied[member];
         let changes = (next..=until).map(|r| {
             let (name, up) = world.history[(r - 2) as usize];
             let kv = kv(name, r);
-            if up { Change::Put(kv) } else { Change::Delete { key: kv.key, revision: r } }
+            if up {
+                Change::Put(kv)
+            } else {
+                Change::Delete {
+                    key: kv.key,
+                    revision: r,
+                }
+            }
         });
         let changes: Vec<Change> = changes.collect();
         if changes.is_empty() {
@@ -121,26 +151,44 @@
         let header = self.header(world, member);
         let Some(line) = &mut world.line else { return };
         line.watch = Some(until.max(next - 1) + 1);
-        line.queue.push(Event::Changes { header, changes, fragment: false });
+        line.queue.push(Event::Changes {
+            header,
+            changes,
+            fragment: false,
+        });
     }
 
     fn obey(&self, world: &mut World, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Connect { endpoint, .. } => (world.line, world.wanted) = (None, Some(endpoint % 2)),
+                Command::Connect { endpoint, .. } => {
+                    (world.line, world.wanted) = (None, Some(endpoint % 2))
+                }
                 Command::List { .. } => {
-                    let Some(member) = world.line.as_ref().map(|l| l.member) else { continue };
+                    let Some(member) = world.line.as_ref().map(|l| l.member) else {
+                        continue;
+                    };
                     let header = self.header(world, member);
-                    let kvs =
-                        at(world, world.applied[member]).into_iter().map(|(n, made)| kv(n, made)).collect();
+                    let kvs = at(world, world.applied[member])
+                        .into_iter()
+                        .map(|(n, made)| kv(n, made))
+                        .collect();
                     if let Some(line) = &mut world.line {
-                        line.queue.push(Event::Page { header, kvs, more: false });
+                        line.queue.push(Event::Page {
+                            header,
+                            kvs,
+                            more: false,
+                        });
                     }
                 }
                 Command::Watch(from) => {
-                    let Some(member) = world.line.as_ref().map(|l| l.member) else { continue };
+                    let Some(member) = world.line.as_ref().map(|l| l.member) else {
+                        continue;
+                    };
                     let (header, compacted) = (self.header(world, member), world.compacted);
-                    let Some(line) = &mut world.line else { continue };
+                    let Some(line) = &mut world.line else {
+                        continue;
+                    };
                     if from <= compacted {
                         line.queue.push(Event::Cancelled { compacted });
                     } else {
@@ -150,7 +198,9 @@
                     }
                 }
                 Command::Ask => {
-                    let Some(member) = world.line.as_ref().map(|l| l.member) else { continue };
+                    let Some(member) = world.line.as_ref().map(|l| l.member) else {
+                        continue;
+                    };
                     let header = self.header(world, member);
                     if let Some(line) = &mut world.line {
                         line.queue.push(Event::Progress(header));
@@ -174,14 +224,19 @@
         if let Event::Changes { changes, .. } = &event {
             for change in changes {
                 if let Change::Delete { key, revision } = change {
-                    let name = Keys::new("/f", "p").name(key).unwrap_or_default().to_owned();
+                    let name = Keys::new("/f", "p")
+                        .name(key)
+                        .unwrap_or_default()
+                        .to_owned();
                     let gone = world.gone.entry(name).or_default();
                     *gone = (*gone).max(*revision);
                 }
             }
         }
         let mut commands = Vec::new();
-        world.follower.handle(world.now, world.now, event, &mut commands);
+        world
+            .follower
+            .handle(world.now, world.now, event, &mut commands);
         self.obey(world, commands);
     }
 }
@@ -191,7 +246,11 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let mut limits = Limits { jitter: false, turned_back: u64::MAX / 2, ..Limits::default() };
+        let mut limits = Limits {
+            jitter: false,
+            turned_back: u64::MAX / 2,
+            ..Limits::default()
+        };
         if self.lies {
             limits.rules.tombstones = 0;
         }
@@ -217,7 +276,11 @@
         if world.budget.writes > 0 {
             actions.extend((0..NAMES.len()).map(Act::Write));
         }
-        actions.extend((0..2).filter(|m| world.applied[*m] < revision(world)).map(Act::Apply));
+        actions.extend(
+            (0..2)
+                .filter(|m| world.applied[*m] < revision(world))
+                .map(Act::Apply),
+        );
         if world.budget.compactions > 0 && world.compacted < revision(world) {
             actions.push(Act::Compact);
         }
@@ -258,7 +321,11 @@
             }
             Act::Connect => {
                 let member = world.wanted.take()?;
-                world.line = Some(Line { member, queue: Vec::new(), watch: None });
+                world.line = Some(Line {
+                    member,
+                    queue: Vec::new(),
+                    watch: None,
+                });
                 self.hear(&mut world, Event::Connected);
             }
             Act::Deliver => {
@@ -281,12 +348,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a server that it was told is gone is not given out", |_, w: &World| {
-                w.pool.iter().all(|(name, made)| w.gone.get(name).is_none_or(|gone| *made as i64 > *gone))
-            }),
+            Property::always(
+                "a server that it was told is gone is not given out",
+                |_, w: &World| {
+                    w.pool.iter().all(|(name, made)| {
+                        w.gone.get(name).is_none_or(|gone| *made as i64 > *gone)
+                    })
+                },
+            ),
             Property::always("in step it has what the store has", |_, w: &World| {
-                let quiet =
-                    w.line.as_ref().is_some_and(|l| l.queue.is_empty() && w.applied[l.member] == revision(w));
+                let quiet = w
+                    .line
+                    .as_ref()
+                    .is_some_and(|l| l.queue.is_empty() && w.applied[l.member] == revision(w));
                 let in_step = w.follower.status(w.now).phase == Phase::Watching;
                 let store: BTreeMap<String, u64> = at(w, revision(w))
                     .into_iter()
@@ -294,15 +368,28 @@
                     .collect();
                 !quiet || !in_step || w.pool == store
             }),
-            Property::always("it never lacks a server that was there all the time", |_, w: &World| {
-                let listed = w.follower.status(w.now).phase != Phase::Listing;
-                let steady = |n: usize| w.history.iter().filter(|(name, _)| *name == n).count() == 1;
-                !listed || (0..NAMES.len()).filter(|n| steady(*n)).all(|n| w.pool.contains_key(NAMES[n]))
+            Property::always(
+                "it never lacks a server that was there all the time",
+                |_, w: &World| {
+                    let listed = w.follower.status(w.now).phase != Phase::Listing;
+                    let steady =
+                        |n: usize| w.history.iter().filter(|(name, _)| *name == n).count() == 1;
+                    !listed
+                        || (0..NAMES.len())
+                            .filter(|n| steady(*n))
+                            .all(|n| w.pool.contains_key(NAMES[n]))
+                },
+            ),
+            Property::sometimes("changes are missed by a compaction", |_, w: &World| {
+                w.resynced
+            }),
+            Property::sometimes("a lagging member's list is refused", |_, w: &World| {
+                w.refused
             }),
-            Property::sometimes("changes are missed by a compaction", |_, w: &World| w.resynced),
-            Property::sometimes("a lagging member's list is refused", |_, w: &World| w.refused),
             Property::sometimes("a server that went is taken back", |_, w: &World| {
-                w.gone.iter().any(|(name, gone)| w.pool.get(name).is_some_and(|made| *made as i64 > *gone))
+                w.gone
+                    .iter()
+                    .any(|(name, gone)| w.pool.get(name).is_some_and(|made| *made as i64 > *gone))
             }),
         ]
     }
@@ -313,18 +400,44 @@
     let mut states = 0;
     // Each bound on its own is small; together they cover what one alone leaves out.
     for budget in [
-        Budget { writes: 3, cuts: 2, compactions: 1, timers: 0 },
-        Budget { writes: 2, cuts: 1, compactions: 1, timers: 3 },
-        Budget { writes: 4, cuts: 1, compactions: 0, timers: 1 },
+        Budget {
+            writes: 3,
+            cuts: 2,
+            compactions: 1,
+            timers: 0,
+        },
+        Budget {
+            writes: 2,
+            cuts: 1,
+            compactions: 1,
+            timers: 3,
+        },
+        Budget {
+            writes: 4,
+            cuts: 1,
+            compactions: 0,
+            timers: 1,
+        },
     ] {
-        let checker =
-            Store { budget, lies: false }.checker().threads(4).target_max_depth(18).spawn_bfs().join();
+        let checker = Store {
+            budget,
+            lies: false,
+        }
+        .checker()
+        .threads(4)
+        .target_max_depth(18)
+        .spawn_bfs()
+        .join();
         for name in [
             "a server that it was told is gone is not given out",
             "in step it has what the store has",
             "it never lacks a server that was there all the time",
         ] {
-            assert!(checker.discovery(name).is_none(), "{budget:?}: {name}: {:?}", checker.discovery(name));
+            assert!(
+                checker.discovery(name).is_none(),
+                "{budget:?}: {name}: {:?}",
+                checker.discovery(name)
+            );
         }
         println!(
             "{budget:?}: {} states, {} of them unique",
@@ -349,10 +462,23 @@
 /// A follower that took a lagging member's word and forgot who is gone would bring the dead back: the checker finds it.
 #[test]
 fn a_planted_fault_is_found() {
-    let budget = Budget { writes: 2, cuts: 1, compactions: 1, timers: 0 };
-    let checker = Store { budget, lies: true }.checker().threads(4).target_max_depth(18).spawn_bfs().join();
+    let budget = Budget {
+        writes: 2,
+        cuts: 1,
+        compactions: 1,
+        timers: 0,
+    };
+    let checker = Store { budget, lies: true }
+        .checker()
+        .threads(4)
+        .target_max_depth(18)
+        .spawn_bfs()
+        .join();
     let found = checker.discovery("a server that it was told is gone is not given out");
     println!("{found:?}");
     let steps = found.expect("the planted fault").into_actions();
-    assert!(steps.contains(&Act::Cut) && steps.contains(&Act::Compact), "{steps:?}");
+    assert!(
+        steps.contains(&Act::Cut) && steps.contains(&Act::Compact),
+        "{steps:?}"
+    );
 }
