--- a/crates/hosted/src/book.rs
+++ b/crates/hosted/src/book.rs
@@ -72,7 +72,10 @@
     /// Opens an account; it is closed when the last holder lets go of it and all it held is given back.
     pub fn open(self: &Rc<Self>, caps: &Caps) -> Rc<Holder> {
         let mut places = self.places.borrow_mut();
-        let free = places.iter().position(|taken| !taken).unwrap_or(places.len());
+        let free = places
+            .iter()
+            .position(|taken| !taken)
+            .unwrap_or(places.len());
         if free == places.len() {
             places.push(true);
             self.waiting.borrow_mut().push(Default::default());
@@ -80,7 +83,12 @@
         places[free] = true;
         let tenant = Tenant(free);
         self.shares.borrow_mut().set(self.now(), tenant, caps);
-        Rc::new(Holder { book: self.clone(), tenant, turn: Cell::new((0, ROUND)), name: RefCell::default() })
+        Rc::new(Holder {
+            book: self.clone(),
+            tenant,
+            turn: Cell::new((0, ROUND)),
+            name: RefCell::default(),
+        })
     }
 
     /// The account of a tenant that wakes: the one that it had if anybody holds that still, or one that goes on from there.
@@ -92,10 +100,14 @@
         let holder = self.open(caps);
         if let Some(past) = self.past.borrow_mut().remove(name) {
             let refused = past.refused.map_or([0; 5], |r| *r);
-            self.shares.borrow_mut().resume(holder.tenant, past.time, refused);
+            self.shares
+                .borrow_mut()
+                .resume(holder.tenant, past.time, refused);
         }
         holder.name.replace(Some(name.clone()));
-        self.open.borrow_mut().insert(name.clone(), Rc::downgrade(&holder));
+        self.open
+            .borrow_mut()
+            .insert(name.clone(), Rc::downgrade(&holder));
         holder
     }
 
@@ -110,23 +122,39 @@
             return holder.used();
         }
         let past = self.past.borrow();
-        let Some(past) = past.get(name) else { return Use::default() };
+        let Some(past) = past.get(name) else {
+            return Use::default();
+        };
         let refused = past.refused.as_ref().map_or([0; 5], |r| **r);
-        Use { time: past.time, refused, ..Use::default() }
+        Use {
+            time: past.time,
+            refused,
+            ..Use::default()
+        }
     }
 
     /// A tenant is gone: nothing is kept of it, and one of its name that comes later is another one.
     pub fn forget(&self, name: &str) {
         self.past.borrow_mut().remove(name);
-        if let Some(holder) = self.open.borrow_mut().remove(name).and_then(|h| h.upgrade()) {
+        if let Some(holder) = self
+            .open
+            .borrow_mut()
+            .remove(name)
+            .and_then(|h| h.upgrade())
+        {
             holder.name.replace(None);
         }
     }
 
     /// Servers with limits that several tenants use.
     pub fn share_server(&self, server: u64, connections: u64, members: &[(Rc<Holder>, f64)]) {
-        let members: Vec<(Tenant, f64)> = members.iter().map(|(h, weight)| (h.tenant, *weight)).collect();
-        self.shares.borrow_mut().share_server(server, connections, &members);
+        let members: Vec<(Tenant, f64)> = members
+            .iter()
+            .map(|(h, weight)| (h.tenant, *weight))
+            .collect();
+        self.shares
+            .borrow_mut()
+            .share_server(server, connections, &members);
     }
 
     /// Lets waiting connections be read as their tenants' accounts allow; runs for as long as the process.
@@ -137,7 +165,9 @@
             }
             self.round.set(self.round.get() + 1);
             let places = self.waiting.borrow().len();
-            let woken = (0..places).filter(|place| self.next_turn(Tenant(*place))).count();
+            let woken = (0..places)
+                .filter(|place| self.next_turn(Tenant(*place)))
+                .count();
             // Whoever is ready goes before the next round, and what has come in meanwhile is looked for.
             if woken > 0 {
                 tokio::task::yield_now().await;
@@ -167,8 +197,12 @@
             return false;
         }
         let mut waiting = self.waiting.borrow_mut();
-        let queue = waiting.get_mut(tenant.0).map(|queues| &mut queues[wish as usize]);
-        let Some(queue) = queue.filter(|q| !q.is_empty()) else { return false };
+        let queue = waiting
+            .get_mut(tenant.0)
+            .map(|queues| &mut queues[wish as usize]);
+        let Some(queue) = queue.filter(|q| !q.is_empty()) else {
+            return false;
+        };
         if !self.may(tenant, wish) {
             return false;
         }
@@ -185,8 +219,12 @@
 
     fn wait(&self, tenant: Tenant, wish: Wish, waker: &Waker) {
         let mut waiting = self.waiting.borrow_mut();
-        let queue = waiting.get_mut(tenant.0).map(|queues| &mut queues[wish as usize]);
-        let Some(queue) = queue else { return waker.wake_by_ref() };
+        let queue = waiting
+            .get_mut(tenant.0)
+            .map(|queues| &mut queues[wish as usize]);
+        let Some(queue) = queue else {
+            return waker.wake_by_ref();
+        };
         if queue.back().is_some_and(|w| w.will_wake(waker)) {
             return;
         }
@@ -236,12 +274,19 @@
     /// What it may still take in this round.
     fn left(&self) -> Millis {
         let (round, left) = self.turn.get();
-        if round == self.book.round.get() { left } else { ROUND }
+        if round == self.book.round.get() {
+            left
+        } else {
+            ROUND
+        }
     }
 
     /// Changes its terms; what it holds it keeps.
     pub fn set(&self, caps: &Caps) {
-        self.book.shares.borrow_mut().set(self.book.now(), self.tenant, caps);
+        self.book
+            .shares
+            .borrow_mut()
+            .set(self.book.now(), self.tenant, caps);
     }
 
     /// What it holds and has done.
@@ -262,15 +307,25 @@
             self.book.open.borrow_mut().remove(&name);
             let refused = refused.iter().any(|n| *n > 0).then(|| Box::new(refused));
             if time > 0.0 || refused.is_some() {
-                self.book.past.borrow_mut().insert(name, Past { time, refused });
+                self.book
+                    .past
+                    .borrow_mut()
+                    .insert(name, Past { time, refused });
             }
         }
         self.close();
         // Whoever held something held this account, too: nothing is left on it.
-        let queues = self.book.waiting.borrow_mut().get_mut(self.tenant.0).map(std::mem::take);
+        let queues = self
+            .book
+            .waiting
+            .borrow_mut()
+            .get_mut(self.tenant.0)
+            .map(std::mem::take);
         for queue in queues.into_iter().flatten().filter(|q| !q.is_empty()) {
             queue.into_iter().for_each(Waker::wake);
-            self.book.queues_waiting.set(self.book.queues_waiting.get() - 1);
+            self.book
+                .queues_waiting
+                .set(self.book.queues_waiting.get() - 1);
         }
         if let Some(place) = self.book.places.borrow_mut().get_mut(self.tenant.0) {
             *place = false;
@@ -280,7 +335,11 @@
 
 impl Account for Holder {
     fn connect(&self) -> Result<(), Millis> {
-        self.book.shares.borrow_mut().connect(self.book.now(), self.tenant).map_err(|r| r.wait)
+        self.book
+            .shares
+            .borrow_mut()
+            .connect(self.book.now(), self.tenant)
+            .map_err(|r| r.wait)
     }
 
     fn disconnect(&self) {
@@ -288,7 +347,11 @@
     }
 
     fn begin(&self, bytes: u64) -> Result<(), Millis> {
-        self.book.shares.borrow_mut().begin(self.book.now(), self.tenant, bytes).map_err(|r| r.wait)
+        self.book
+            .shares
+            .borrow_mut()
+            .begin(self.book.now(), self.tenant, bytes)
+            .map_err(|r| r.wait)
     }
 
     fn end(&self, bytes: u64, held: Millis) {
@@ -324,10 +387,17 @@
     }
 
     fn visit(&self, server: u64) -> bool {
-        self.book.shares.borrow_mut().to_server(self.book.now(), self.tenant, server).is_ok()
+        self.book
+            .shares
+            .borrow_mut()
+            .to_server(self.book.now(), self.tenant, server)
+            .is_ok()
     }
 
     fn leave(&self, server: u64) {
-        self.book.shares.borrow_mut().from_server(self.tenant, server);
+        self.book
+            .shares
+            .borrow_mut()
+            .from_server(self.tenant, server);
     }
 }
--- a/crates/hosted/src/catalog.rs
+++ b/crates/hosted/src/catalog.rs
@@ -117,7 +117,8 @@
 
 fn unpack<T: for<'de> Deserialize<'de>>(block: &[u8]) -> Option<T> {
     let (bytes, sum) = block.split_last_chunk::<SUM>()?;
-    (crc32fast::hash(bytes) == u32::from_le_bytes(*sum)).then(|| rmp_serde::from_slice(bytes).ok())?
+    (crc32fast::hash(bytes) == u32::from_le_bytes(*sum))
+        .then(|| rmp_serde::from_slice(bytes).ok())?
 }
 
 impl Catalog {
@@ -151,7 +152,10 @@
     /// The same tenants in another frame.
     #[must_use]
     pub fn in_frame(&self, frame: &Service) -> Self {
-        Catalog { frame: Catalog::new(frame).frame, ..self.clone() }
+        Catalog {
+            frame: Catalog::new(frame).frame,
+            ..self.clone()
+        }
     }
 
     /// The document without its tenants.
@@ -177,7 +181,9 @@
     /// The names behind this one, in order.
     pub fn names_after(&self, name: &str) -> impl Iterator<Item = &Name> {
         let after: Name = name.into();
-        self.tenants.range((Bound::Excluded(after), Bound::Unbounded)).map(|(name, _)| name)
+        self.tenants
+            .range((Bound::Excluded(after), Bound::Unbounded))
+            .map(|(name, _)| name)
     }
 
     /// The whole document. It takes as long as there are tenants, and as much memory.
@@ -186,7 +192,10 @@
     /// What is held of a tenant is damaged.
     pub fn service(&self) -> Result<Service, Damaged> {
         let tenants = self.iter().map(|t| Ok(t?.1)).collect::<Result<_, _>>()?;
-        Ok(Service { tenants, ..(*self.frame).clone() })
+        Ok(Service {
+            tenants,
+            ..(*self.frame).clone()
+        })
     }
 
     /// A tenant's name as it is held, if it is there.
@@ -204,7 +213,9 @@
     /// # Errors
     /// What is held of it is damaged.
     pub fn get(&self, name: &str) -> Option<Result<(u64, Tenant), Damaged>> {
-        self.tenants.get_key_value(name).map(|(name, record)| record.read(name))
+        self.tenants
+            .get_key_value(name)
+            .map(|(name, record)| record.read(name))
     }
 
     /// All tenants, in order, each with its revision.
@@ -216,23 +227,34 @@
     pub fn put(&mut self, parts: &mut Parts, tenant: &Tenant, rev: u64) {
         parts.packed += 1;
         self.take_ways(&tenant.name);
-        let name = self.name(&tenant.name).cloned().unwrap_or_else(|| tenant.name.as_str().into());
+        let name = self
+            .name(&tenant.name)
+            .cloned()
+            .unwrap_or_else(|| tenant.name.as_str().into());
         for host in &tenant.hosts {
             self.hosts.insert(normal(host).into(), name.clone());
         }
         for server in &tenant.servers {
             if let Some(connections) = server.connections {
-                self.limited.insert((server.address.as_str().into(), name.clone()), connections);
+                self.limited
+                    .insert((server.address.as_str().into(), name.clone()), connections);
             }
         }
-        let own = Own { rev, hosts: tenant.hosts.clone(), fleet: tenant.fleet.clone() };
+        let own = Own {
+            rev,
+            hosts: tenant.hosts.clone(),
+            fleet: tenant.fleet.clone(),
+        };
         let terms = Terms {
             classes: tenant.classes.clone(),
             limits: tenant.limits.clone(),
             rules: tenant.rules.clone(),
         };
-        let record =
-            Record { own: parts.pack(&own), terms: parts.pack(&terms), servers: parts.pack(&tenant.servers) };
+        let record = Record {
+            own: parts.pack(&own),
+            terms: parts.pack(&terms),
+            servers: parts.pack(&tenant.servers),
+        };
         self.tenants.insert(name, record);
     }
 
@@ -244,7 +266,9 @@
 
     /// What leads to a tenant, and what it shares, is no more.
     fn take_ways(&mut self, name: &str) {
-        let Some((name, record)) = self.tenants.get_key_value(name) else { return };
+        let Some((name, record)) = self.tenants.get_key_value(name) else {
+            return;
+        };
         let (name, record) = (name.clone(), record.clone());
         if let Some(own) = unpack::<Own>(&record.own) {
             for host in &own.hosts {
@@ -269,9 +293,12 @@
                 let limited = servers.into_iter().filter(|s| s.connections.is_some());
                 limited.map(|s| s.address.into()).collect()
             }
-            None => {
-                self.limited.keys().filter(|(_, of)| of == name).map(|(address, _)| address.clone()).collect()
-            }
+            None => self
+                .limited
+                .keys()
+                .filter(|(_, of)| of == name)
+                .map(|(address, _)| address.clone())
+                .collect(),
         }
     }
 
@@ -286,7 +313,10 @@
     }
 
     /// What leads from one catalog to another. It takes as long as there are differences where one came of the other.
-    pub fn differences<'c>(old: &'c Catalog, new: &'c Catalog) -> impl Iterator<Item = Difference<'c>> {
+    pub fn differences<'c>(
+        old: &'c Catalog,
+        new: &'c Catalog,
+    ) -> impl Iterator<Item = Difference<'c>> {
         old.tenants.diff(&new.tenants).map(|item| match item {
             DiffItem::Add(name, _) => Difference::Added(name),
             DiffItem::Remove(name, _) => Difference::Removed(name),
@@ -315,7 +345,9 @@
 
 impl std::fmt::Debug for Catalog {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Catalog").field("tenants", &self.len()).finish_non_exhaustive()
+        f.debug_struct("Catalog")
+            .field("tenants", &self.len())
+            .finish_non_exhaustive()
     }
 }
 
@@ -332,9 +364,13 @@
 
 impl Record {
     fn read(&self, name: &str) -> Result<(u64, Tenant), Damaged> {
-        let damaged = |part| Damaged { tenant: name.to_owned(), part };
+        let damaged = |part| Damaged {
+            tenant: name.to_owned(),
+            part,
+        };
         let own: Own = unpack(&self.own).ok_or_else(|| damaged("hosts"))?;
-        let terms: Terms = unpack(&self.terms).ok_or_else(|| damaged("classes, rules or limits"))?;
+        let terms: Terms =
+            unpack(&self.terms).ok_or_else(|| damaged("classes, rules or limits"))?;
         let servers = unpack(&self.servers).ok_or_else(|| damaged("servers"))?;
         let tenant = Tenant {
             name: name.to_owned(),
--- a/crates/hosted/src/check.rs
+++ b/crates/hosted/src/check.rs
@@ -16,15 +16,27 @@
 pub fn read(file: &str, text: &str) -> Result<Service, DocumentError> {
     let at_start = |what: String| DocumentError {
         file: file.to_owned(),
-        problems: vec![Problem { line: 1, key: String::new(), what }],
+        problems: vec![Problem {
+            line: 1,
+            key: String::new(),
+            what,
+        }],
     };
     let (service, places) = form().map_err(at_start)?.read_toml::<Service>(file, text)?;
     let problem = |f: Fault| {
         let key = f.key();
-        Problem { line: places.line_of(&key), key, what: f.what }
+        Problem {
+            line: places.line_of(&key),
+            key,
+            what: f.what,
+        }
     };
     let problems: Vec<Problem> = faults(&service).into_iter().map(problem).collect();
-    if problems.is_empty() { Ok(service) } else { Err(places.problems(problems)) }
+    if problems.is_empty() {
+        Ok(service)
+    } else {
+        Err(places.problems(problems))
+    }
 }
 
 /// The form of a service's configuration.
@@ -39,19 +51,28 @@
 pub fn faults(service: &Service) -> Vec<Fault> {
     let names: BTreeSet<&str> = service.tenants.iter().map(|t| t.name.as_str()).collect();
     let mut faults = Faults(around(service, |name| names.contains(name)));
-    faults.once("/tenant", service.tenants.iter().map(|t| t.name.as_str()), "name");
+    faults.once(
+        "/tenant",
+        service.tenants.iter().map(|t| t.name.as_str()),
+        "name",
+    );
     let mut hosts = BTreeMap::new();
     let mut shared: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
     for (i, t) in service.tenants.iter().enumerate() {
         let at = format!("/tenant/{i}");
         tenant(&mut faults, &at, t);
         for (h, host) in t.hosts.iter().enumerate() {
-            if hosts.insert(normal(host), i).is_some_and(|other| other != i) {
+            if hosts
+                .insert(normal(host), i)
+                .is_some_and(|other| other != i)
+            {
                 faults.put(&format!("{at}/hosts/{h}"), "it is another tenant's, too");
             }
         }
         for (s, server) in t.servers.iter().enumerate() {
-            let Some(connections) = server.connections else { continue };
+            let Some(connections) = server.connections else {
+                continue;
+            };
             let (first, whose) = *shared.entry(&server.address).or_insert((connections, i));
             if first != connections && whose != i {
                 faults.put(
@@ -71,26 +92,52 @@
     faults.within("/process/loop-share", p.loop_share.0, 0.01, 1.0);
     faults.within("/process/turning-share", p.turning_share.0, 0.001, 1.0);
     if p.loop_share.0 + p.turning_share.0 > 1.0 {
-        faults.put("/process/turning-share", "with loop-share it is more than the whole loop");
+        faults.put(
+            "/process/turning-share",
+            "with loop-share it is more than the whole loop",
+        );
     }
     faults.within("/process/newcomers", p.newcomers.0, 0.0, 0.5);
     if !(1_000.0..=86_400_000.0).contains(&p.rest_after.0) {
         faults.put("/process/rest-after", "it is not from 1 s to 24 h");
     }
-    faults.once("/listener", service.listeners.iter().map(|l| l.name.as_str()), "name");
+    faults.once(
+        "/listener",
+        service.listeners.iter().map(|l| l.name.as_str()),
+        "name",
+    );
     // Port 0 is any that is free: two of them are two ports.
     let any = |a: &str| a.ends_with(":0");
-    for (i, l) in service.listeners.iter().enumerate().filter(|(_, l)| !any(&l.address)) {
-        if service.listeners[..i].iter().any(|other| other.address == l.address) {
-            faults.put(&format!("/listener/{i}/address"), format!("\"{}\" stands twice", l.address));
+    for (i, l) in service
+        .listeners
+        .iter()
+        .enumerate()
+        .filter(|(_, l)| !any(&l.address))
+    {
+        if service.listeners[..i]
+            .iter()
+            .any(|other| other.address == l.address)
+        {
+            faults.put(
+                &format!("/listener/{i}/address"),
+                format!("\"{}\" stands twice", l.address),
+            );
         }
     }
     if let Some(admin) = &service.admin {
         faults.address("/admin/address", &admin.address);
         if service.state.is_none() {
-            faults.put("/state", "it is missing: the administration API needs a place for its versions");
+            faults.put(
+                "/state",
+                "it is missing: the administration API needs a place for its versions",
+            );
         }
-        if admin.address.parse::<SocketAddr>().is_ok_and(|a| !a.ip().is_loopback()) && !admin.anywhere {
+        if admin
+            .address
+            .parse::<SocketAddr>()
+            .is_ok_and(|a| !a.ip().is_loopback())
+            && !admin.anywhere
+        {
             faults.put(
                 "/admin/address",
                 "it is not on loopback: tokens would pass as they are (anywhere = true)",
@@ -109,7 +156,10 @@
                 faults.put(&format!("{at}/tenant"), "there is no such tenant");
             }
             (TenantBy::Host | TenantBy::Header, Some(_)) => {
-                faults.put(&format!("{at}/tenant"), "it is only named where tenant-by is \"listener\"");
+                faults.put(
+                    &format!("{at}/tenant"),
+                    "it is only named where tenant-by is \"listener\"",
+                );
             }
             _ => {}
         }
@@ -122,8 +172,11 @@
 /// changes and at what that touches, and at nothing else.
 pub fn edits(now: &Catalog, edits: &[(String, Option<Tenant>)]) -> Vec<(Option<usize>, Fault)> {
     let mut all = Vec::new();
-    let place: BTreeMap<&str, usize> =
-        edits.iter().enumerate().map(|(i, (name, _))| (name.as_str(), i)).collect();
+    let place: BTreeMap<&str, usize> = edits
+        .iter()
+        .enumerate()
+        .map(|(i, (name, _))| (name.as_str(), i))
+        .collect();
     let stays = |name: &str| !place.contains_key(name);
     let mut hosts: BTreeMap<String, usize> = BTreeMap::new();
     let mut limits: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
@@ -131,7 +184,13 @@
         let mut faults = Faults::default();
         let Some(t) = tenant else {
             let names = |l: &crate::document::Listener| l.tenant.as_deref() == Some(name);
-            for (l, _) in now.frame().listeners.iter().enumerate().filter(|(_, l)| names(l)) {
+            for (l, _) in now
+                .frame()
+                .listeners
+                .iter()
+                .enumerate()
+                .filter(|(_, l)| names(l))
+            {
                 faults.put(&format!("/listener/{l}/tenant"), "there is no such tenant");
             }
             all.extend(faults.0.into_iter().map(|f| (None, f)));
@@ -140,18 +199,28 @@
         self::tenant(&mut faults, "", t);
         for (h, host) in t.hosts.iter().enumerate() {
             let others = now.host(host).is_some_and(|of| stays(of))
-                || hosts.insert(normal(host), i).is_some_and(|other| other != i);
+                || hosts
+                    .insert(normal(host), i)
+                    .is_some_and(|other| other != i);
             if others {
                 faults.put(&format!("/hosts/{h}"), "it is another tenant's, too");
             }
         }
         for (s, server) in t.servers.iter().enumerate() {
-            let Some(connections) = server.connections else { continue };
-            let other = now.users(&server.address).find(|(of, _)| stays(of)).map(|(_, limit)| limit);
+            let Some(connections) = server.connections else {
+                continue;
+            };
+            let other = now
+                .users(&server.address)
+                .find(|(of, _)| stays(of))
+                .map(|(_, limit)| limit);
             let (first, whose) = *limits.entry(&server.address).or_insert((connections, i));
-            if other.is_some_and(|limit| limit != connections) || first != connections && whose != i {
-                faults
-                    .put(&format!("/server/{s}/connections"), "another tenant says otherwise of this server");
+            if other.is_some_and(|limit| limit != connections) || first != connections && whose != i
+            {
+                faults.put(
+                    &format!("/server/{s}/connections"),
+                    "another tenant says otherwise of this server",
+                );
             }
         }
         all.extend(faults.0.into_iter().map(|f| (Some(i), f)));
@@ -167,7 +236,10 @@
     faults.address("/cluster/address", &c.address);
     for (name, address) in &c.peers {
         if *name == c.instance {
-            faults.put(&format!("/cluster/peers/{name}"), "it is this instance itself");
+            faults.put(
+                &format!("/cluster/peers/{name}"),
+                "it is this instance itself",
+            );
         }
         faults.address(&format!("/cluster/peers/{name}"), address);
     }
@@ -192,7 +264,11 @@
 fn tenant(faults: &mut Faults, at: &str, t: &Tenant) {
     let classes = t.classes.iter().map(|c| c.name.as_str());
     faults.once(&format!("{at}/class"), classes, "name");
-    faults.once(&format!("{at}/server"), t.servers.iter().map(|s| s.name.as_str()), "name");
+    faults.once(
+        &format!("{at}/server"),
+        t.servers.iter().map(|s| s.name.as_str()),
+        "name",
+    );
     for (i, host) in t.hosts.iter().enumerate() {
         let good = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | ':' | '[' | ']');
         if host.is_empty() || !host.chars().all(good) {
@@ -200,28 +276,70 @@
         }
     }
     for (i, c) in t.classes.iter().enumerate() {
-        faults.within(&format!("{at}/class/{i}/deadline"), c.deadline.0, 1.0, 3.6e6);
-        faults.within(&format!("{at}/class/{i}/late-worth"), c.late_worth.0, 0.0, 1.0);
+        faults.within(
+            &format!("{at}/class/{i}/deadline"),
+            c.deadline.0,
+            1.0,
+            3.6e6,
+        );
+        faults.within(
+            &format!("{at}/class/{i}/late-worth"),
+            c.late_worth.0,
+            0.0,
+            1.0,
+        );
         if c.aim.0 > c.deadline.0 || c.aim.0 <= 0.0 {
-            faults.put(&format!("{at}/class/{i}/aim"), "it is more than nothing and at most the deadline");
+            faults.put(
+                &format!("{at}/class/{i}/aim"),
+                "it is more than nothing and at most the deadline",
+            );
         }
     }
-    faults.within(&format!("{at}/limits/burst"), t.limits.burst.0, 1.0, 10_000.0);
+    faults.within(
+        &format!("{at}/limits/burst"),
+        t.limits.burst.0,
+        1.0,
+        10_000.0,
+    );
     if let Some(share) = t.limits.loop_share {
         faults.within(&format!("{at}/limits/loop-share"), share.0, 0.001, 1.0);
     }
-    faults.within(&format!("{at}/rules/cold-from"), t.rules.cold_from.0, 0.01, 1.0);
+    faults.within(
+        &format!("{at}/rules/cold-from"),
+        t.rules.cold_from.0,
+        0.01,
+        1.0,
+    );
     faults.within(&format!("{at}/rules/cold"), t.rules.cold.0, 0.0, 3.6e6);
-    faults.within(&format!("{at}/rules/dial-timeout"), t.rules.dial_timeout.0, 1.0, 60_000.0);
-    faults.within(&format!("{at}/rules/idle-close"), t.rules.idle_close.0, 100.0, 3.6e6);
-    faults.within(&format!("{at}/rules/retry-after"), t.rules.retry_after.0, 1.0, 3.6e6);
+    faults.within(
+        &format!("{at}/rules/dial-timeout"),
+        t.rules.dial_timeout.0,
+        1.0,
+        60_000.0,
+    );
+    faults.within(
+        &format!("{at}/rules/idle-close"),
+        t.rules.idle_close.0,
+        100.0,
+        3.6e6,
+    );
+    faults.within(
+        &format!("{at}/rules/retry-after"),
+        t.rules.retry_after.0,
+        1.0,
+        3.6e6,
+    );
     if let Some(fleet) = &t.fleet {
         if !t.servers.is_empty() {
-            faults.put(&format!("{at}/server"), "its servers are followed by fleet, and not named here");
+            faults.put(
+                &format!("{at}/server"),
+                "its servers are followed by fleet, and not named here",
+            );
         }
         for (i, url) in fleet.etcd.iter().enumerate() {
-            let address =
-                url.strip_prefix("http://").and_then(|a| a.trim_end_matches('/').parse::<SocketAddr>().ok());
+            let address = url
+                .strip_prefix("http://")
+                .and_then(|a| a.trim_end_matches('/').parse::<SocketAddr>().ok());
             if address.is_none() {
                 faults.put(
                     &format!("{at}/fleet/etcd/{i}"),
@@ -242,18 +360,27 @@
 
 impl Faults {
     fn put(&mut self, pointer: &str, what: impl Into<String>) {
-        self.0.push(Fault { pointer: pointer.to_owned(), what: what.into() });
+        self.0.push(Fault {
+            pointer: pointer.to_owned(),
+            what: what.into(),
+        });
     }
 
     fn within(&mut self, pointer: &str, value: f64, least: f64, most: f64) {
         if !(least..=most).contains(&value) {
-            self.put(pointer, format!("it is from {least} to {most} (in ms, or as a part of 1)"));
+            self.put(
+                pointer,
+                format!("it is from {least} to {most} (in ms, or as a part of 1)"),
+            );
         }
     }
 
     fn address(&mut self, pointer: &str, text: &str) {
         if text.parse::<SocketAddr>().is_err() {
-            self.put(pointer, format!("\"{text}\" is no address with a port, such as \"127.0.0.1:8080\""));
+            self.put(
+                pointer,
+                format!("\"{text}\" is no address with a port, such as \"127.0.0.1:8080\""),
+            );
         }
     }
 
@@ -262,7 +389,10 @@
         let mut seen = BTreeSet::new();
         for (i, value) in keys.enumerate() {
             if !seen.insert(value) {
-                self.put(&format!("{list}/{i}/{key}"), format!("\"{value}\" stands twice"));
+                self.put(
+                    &format!("{list}/{i}/{key}"),
+                    format!("\"{value}\" stands twice"),
+                );
             }
         }
     }
--- a/crates/hosted/src/digest.rs
+++ b/crates/hosted/src/digest.rs
@@ -38,7 +38,10 @@
 
     /// When a server started.
     pub fn born(&self, server: u64) -> f64 {
-        self.born.iter().find(|(number, _)| *number == server).map_or(self.all_born, |(_, born)| *born)
+        self.born
+            .iter()
+            .find(|(number, _)| *number == server)
+            .map_or(self.all_born, |(_, born)| *born)
     }
 
     /// A server comes anew: what was known under its number is another's.
@@ -64,7 +67,13 @@
 impl Digests {
     /// Room for so many entries.
     pub fn new(most: usize) -> Self {
-        Digests { of: BTreeMap::new(), ends: BTreeSet::new(), entries: 0, most, dropped: 0 }
+        Digests {
+            of: BTreeMap::new(),
+            ends: BTreeSet::new(),
+            entries: 0,
+            most,
+            dropped: 0,
+        }
     }
 
     /// How many entries there are.
@@ -84,10 +93,13 @@
             return;
         }
         self.entries += digest.len();
-        self.ends.insert((digest.end.max(0.0).to_bits(), name.clone()));
+        self.ends
+            .insert((digest.end.max(0.0).to_bits(), name.clone()));
         self.of.insert(name.clone(), digest);
         while self.entries > self.most {
-            let Some((_, name)) = self.ends.first().cloned() else { break };
+            let Some((_, name)) = self.ends.first().cloned() else {
+                break;
+            };
             self.take(&name);
             self.dropped += 1;
         }
--- a/crates/hosted/src/document.rs
+++ b/crates/hosted/src/document.rs
@@ -92,7 +92,10 @@
 
 impl Default for Admin {
     fn default() -> Self {
-        Admin { address: "127.0.0.1:7070".into(), anywhere: false }
+        Admin {
+            address: "127.0.0.1:7070".into(),
+            anywhere: false,
+        }
     }
 }
 
--- a/crates/hosted/src/plan.rs
+++ b/crates/hosted/src/plan.rs
@@ -52,10 +52,17 @@
                 Difference::Added(name) => plan.added.push(name.to_string()),
                 Difference::Removed(name) => plan.removed.push(name.to_string()),
                 Difference::Changed(name) => {
-                    let (was, is) = (old.get(name).and_then(Result::ok), new.get(name).and_then(Result::ok));
+                    let (was, is) = (
+                        old.get(name).and_then(Result::ok),
+                        new.get(name).and_then(Result::ok),
+                    );
                     let (Some((_, was)), Some((_, is))) = (was, is) else {
                         // What is damaged is made anew of what there is now.
-                        let all = Change { pool: true, servers: true, limits: true };
+                        let all = Change {
+                            pool: true,
+                            servers: true,
+                            limits: true,
+                        };
                         plan.changed.insert(name.to_string(), all);
                         plan.routes = true;
                         continue;
@@ -75,8 +82,16 @@
         let (before, after) = (&old.frame().listeners, &new.frame().listeners);
         let at = |l: &Listener| (l.name.clone(), l.address.clone());
         let stays = |all: &[Listener], l: &Listener| all.iter().any(|o| at(o) == at(l));
-        plan.opened = after.iter().filter(|l| !stays(before, l)).cloned().collect();
-        plan.closed = before.iter().filter(|l| !stays(after, l)).map(|l| l.name.clone()).collect();
+        plan.opened = after
+            .iter()
+            .filter(|l| !stays(before, l))
+            .cloned()
+            .collect();
+        plan.closed = before
+            .iter()
+            .filter(|l| !stays(after, l))
+            .map(|l| l.name.clone())
+            .collect();
         plan.routes |= !plan.added.is_empty() || !plan.removed.is_empty() || before != after;
         plan
     }
@@ -107,8 +122,14 @@
     /// What leads from one version to another.
     pub fn between(old: &Catalog, next: Catalog) -> Self {
         let plan = Plan::between(old, &next);
-        let (mut limited, mut followed, mut brought) = (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
-        for name in plan.added.iter().chain(&plan.removed).chain(plan.changed.keys()) {
+        let (mut limited, mut followed, mut brought) =
+            (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
+        for name in plan
+            .added
+            .iter()
+            .chain(&plan.removed)
+            .chain(plan.changed.keys())
+        {
             let of = |c: &Catalog| c.get(name).and_then(Result::ok).map(|(_, tenant)| tenant);
             let (was, is) = (of(old), of(&next));
             for tenant in was.iter().chain(&is) {
@@ -120,14 +141,27 @@
                 followed.insert(name.clone());
             }
             if plan.changed.get(name).is_some_and(|c| c.servers) {
-                let before: BTreeMap<&str, &str> =
-                    was.iter().flat_map(|t| &t.servers).map(|s| (&*s.name, &*s.address)).collect();
+                let before: BTreeMap<&str, &str> = was
+                    .iter()
+                    .flat_map(|t| &t.servers)
+                    .map(|s| (&*s.name, &*s.address))
+                    .collect();
                 let comes = |s: &&Server| before.get(&*s.name) != Some(&&*s.address);
-                let comes = is.servers.iter().filter(comes).map(|s| (number_of(&s.name), s.warm));
+                let comes = is
+                    .servers
+                    .iter()
+                    .filter(comes)
+                    .map(|s| (number_of(&s.name), s.warm));
                 brought.insert(name.clone(), comes.collect());
             }
         }
-        Prepared { next, plan, limited, followed, brought }
+        Prepared {
+            next,
+            plan,
+            limited,
+            followed,
+            brought,
+        }
     }
 }
 
@@ -135,13 +169,23 @@
 /// a tenant would have none left meanwhile they are not named: it needs what comes with the new version first.
 pub fn ended(old: &Catalog, new: &Catalog) -> BTreeMap<String, BTreeSet<String>> {
     let up = |t: Tenant| -> BTreeSet<String> {
-        t.servers.into_iter().filter(|s| s.state == State::Up).map(|s| s.name).collect()
+        t.servers
+            .into_iter()
+            .filter(|s| s.state == State::Up)
+            .map(|s| s.name)
+            .collect()
+    };
+    let of = |c: &Catalog, name: &str| {
+        c.get(name)
+            .and_then(Result::ok)
+            .map(|(_, t)| up(t))
+            .unwrap_or_default()
     };
-    let of =
-        |c: &Catalog, name: &str| c.get(name).and_then(Result::ok).map(|(_, t)| up(t)).unwrap_or_default();
     let mut all = BTreeMap::new();
     for difference in Catalog::differences(old, new) {
-        let (Difference::Changed(name) | Difference::Removed(name)) = difference else { continue };
+        let (Difference::Changed(name) | Difference::Removed(name)) = difference else {
+            continue;
+        };
         let (before, stay) = (of(old, name), of(new, name));
         let ends: BTreeSet<String> = before.difference(&stay).cloned().collect();
         if !ends.is_empty() && ends.len() < before.len() {
@@ -161,7 +205,9 @@
     pub fn note(&mut self, servers: &[Server], first: bool, now_ms: f64) {
         let old = std::mem::take(&mut self.0);
         for s in servers {
-            let known = old.get(&s.name).filter(|(address, _)| *address == s.address);
+            let known = old
+                .get(&s.name)
+                .filter(|(address, _)| *address == s.address);
             let born = match known {
                 Some((_, born)) => *born,
                 None if first || s.warm => 0.0,
--- a/crates/hosted/src/plane.rs
+++ b/crates/hosted/src/plane.rs
@@ -206,7 +206,10 @@
             myself: myself.clone(),
         });
         spawn_local(plane.turns.clone().give());
-        spawn_local(Plane::look_after(plane.myself.clone(), residents::look(process)));
+        spawn_local(Plane::look_after(
+            plane.myself.clone(),
+            residents::look(process),
+        ));
         plane
     }
 
@@ -234,16 +237,27 @@
     /// # Errors
     /// A listener can't be opened: then nothing has changed.
     pub fn carry_out(&self, prepared: Prepared) -> Result<(), String> {
-        let Prepared { next, plan, limited, followed, brought } = prepared;
+        let Prepared {
+            next,
+            plan,
+            limited,
+            followed,
+            brought,
+        } = prepared;
         let opened = self.open(&plan)?;
         for name in &plan.removed {
             self.remove(name);
         }
         let first = self.version.get() == 0;
         for name in plan.added.iter().chain(plan.changed.keys()) {
-            let Some(name) = next.name(name) else { continue };
+            let Some(name) = next.name(name) else {
+                continue;
+            };
             self.damaged.borrow_mut().remove(name);
-            let (change, follows) = (plan.changed.get(&**name).copied(), followed.contains(&**name));
+            let (change, follows) = (
+                plan.changed.get(&**name).copied(),
+                followed.contains(&**name),
+            );
             if !follows && !self.tenants.borrow().contains_key(name) {
                 let brought = brought.get(&**name).map_or(&[][..], Vec::as_slice);
                 self.change_at_rest(&next, name, change, brought, first);
@@ -255,7 +269,9 @@
                 None => {}
             }
         }
-        limited.iter().for_each(|address| self.share_server(&next, address));
+        limited
+            .iter()
+            .for_each(|address| self.share_server(&next, address));
         if !followed.is_empty() {
             self.warn_of_pinned();
         }
@@ -286,7 +302,8 @@
             self.attend(live);
         }
         if change.servers || change.pool {
-            live.births.note(&live.document.servers, first, self.process.unix_now());
+            live.births
+                .note(&live.document.servers, first, self.process.unix_now());
             live.tell();
         }
     }
@@ -307,12 +324,21 @@
     pub fn way(self: &Rc<Self>, listener: &str) -> Way {
         let caps = caps(&document::Limits::default());
         let mut strangers = self.strangers.borrow_mut();
-        let strangers = strangers.entry(listener.to_owned()).or_insert_with(|| self.book.open(&caps)).clone();
-        Way { plane: self.clone(), listener: listener.to_owned(), strangers }
+        let strangers = strangers
+            .entry(listener.to_owned())
+            .or_insert_with(|| self.book.open(&caps))
+            .clone();
+        Way {
+            plane: self.clone(),
+            listener: listener.to_owned(),
+            strangers,
+        }
     }
 
     fn serve(&self, name: &str, listener: TcpListener, address: SocketAddr) {
-        let Some(plane) = self.myself.upgrade() else { return };
+        let Some(plane) = self.myself.upgrade() else {
+            return;
+        };
         let (stop, stopped) = watch::channel(false);
         let way = plane.way(name);
         let (process, most) = (self.process.clone(), self.most);
@@ -324,7 +350,14 @@
             process.serve(listener, way, most, stop).await;
         });
         tracing::info!(listener = name, %address, "listens");
-        self.listeners.borrow_mut().insert(name.to_owned(), Open { address, stop, task });
+        self.listeners.borrow_mut().insert(
+            name.to_owned(),
+            Open {
+                address,
+                stop,
+                task,
+            },
+        );
     }
 
     /// Follows a tenant's list as its document says now. What is known of the list stands until another one comes.
@@ -333,7 +366,11 @@
             live.followed = None;
             return;
         };
-        if live.followed.as_ref().is_some_and(|f| f.settings == settings) {
+        if live
+            .followed
+            .as_ref()
+            .is_some_and(|f| f.settings == settings)
+        {
             return;
         }
         let mut updates = (self.follow)(&live.document, &settings, live.seed);
@@ -342,12 +379,19 @@
             while let Some(update) = updates.recv().await {
                 let Some(plane) = plane.upgrade() else { return };
                 let mut tenants = plane.tenants.borrow_mut();
-                let Some(live) = tenants.get_mut(name.as_str()) else { return };
+                let Some(live) = tenants.get_mut(name.as_str()) else {
+                    return;
+                };
                 live.hear(update);
             }
         });
         let hosts = live.followed.take().and_then(|mut f| f.hosts.take());
-        live.followed = Some(Followed { settings, hosts, status: None, task });
+        live.followed = Some(Followed {
+            settings,
+            hosts,
+            status: None,
+            task,
+        });
     }
 
     fn pool(&self, tenant: &Tenant, account: &Rc<Holder>, seed: u64, number: u64) -> Running {
@@ -372,7 +416,8 @@
     fn renew(&self, live: &mut Live) {
         let running = self.pool(&live.document, &live.account, live.seed, live.pools);
         live.pools += 1;
-        self.longest.set(self.longest.get().max(running.pool.patience()));
+        self.longest
+            .set(self.longest.get().max(running.pool.patience()));
         let old = std::mem::replace(&mut live.running, running);
         old.end();
         live.former.push(old.feed);
@@ -385,7 +430,9 @@
         let before = self.held_off.replace(servers.clone());
         let mut tenants = self.tenants.borrow_mut();
         for name in before.keys().chain(servers.keys()) {
-            let Some(live) = tenants.get_mut(name.as_str()) else { continue };
+            let Some(live) = tenants.get_mut(name.as_str()) else {
+                continue;
+            };
             let now = servers.get(name).cloned().unwrap_or_default();
             if now != live.held_off {
                 live.held_off = now;
@@ -415,7 +462,11 @@
             return;
         }
         for live in self.tenants.borrow().values() {
-            let pools = live.former.iter().filter(|f| f.is_alive()).chain([&live.running.feed]);
+            let pools = live
+                .former
+                .iter()
+                .filter(|f| f.is_alive())
+                .chain([&live.running.feed]);
             pools.for_each(|feed| feed.among(me, instances));
         }
     }
@@ -433,10 +484,17 @@
         let tenants = self.tenants.borrow();
         let unknown = |(name, live): (&Name, &Live)| {
             let followed = live.followed.as_ref()?;
-            let current = followed.status.as_ref().is_some_and(|s| s.phase == fleet::Phase::Watching);
+            let current = followed
+                .status
+                .as_ref()
+                .is_some_and(|s| s.phase == fleet::Phase::Watching);
             (!current).then(|| name.to_string())
         };
-        (self.opens.get(), self.routes.borrow().catalog().len(), tenants.iter().filter_map(unknown).collect())
+        (
+            self.opens.get(),
+            self.routes.borrow().catalog().len(),
+            tenants.iter().filter_map(unknown).collect(),
+        )
     }
 
     /// Requests that waited at the gate, and those that it refused.
@@ -446,7 +504,11 @@
 
     /// Where the listeners are, by name.
     pub fn addresses(&self) -> BTreeMap<String, SocketAddr> {
-        self.listeners.borrow().iter().map(|(name, open)| (name.clone(), open.address)).collect()
+        self.listeners
+            .borrow()
+            .iter()
+            .map(|(name, open)| (name.clone(), open.address))
+            .collect()
     }
 
     /// The present version.
@@ -477,8 +539,12 @@
             site: s.zone.clone(),
             class: s.kind.clone(),
             block: None,
-            health: if s.state == State::Up && !self.held_off.contains(&s.name) { "up" } else { "draining" }
-                .into(),
+            health: if s.state == State::Up && !self.held_off.contains(&s.name) {
+                "up"
+            } else {
+                "draining"
+            }
+            .into(),
             share: Some(s.size),
             born_ms: self.births.of(&s.name),
         };
@@ -491,13 +557,18 @@
     /// Tells all its pools its list.
     fn tell(&self) {
         let Some(hosts) = self.hosts() else { return };
-        self.former.iter().filter(|f| f.is_alive()).for_each(|f| f.whole(hosts.clone()));
+        self.former
+            .iter()
+            .filter(|f| f.is_alive())
+            .for_each(|f| f.whole(hosts.clone()));
         self.running.feed.whole(hosts);
     }
 
     /// Takes what has become of a list that is followed, and tells all its pools.
     fn hear(&mut self, update: Update) {
-        let Some(followed) = &mut self.followed else { return };
+        let Some(followed) = &mut self.followed else {
+            return;
+        };
         let changed = match update {
             Update::Status(status) => {
                 followed.status = Some(status);
@@ -509,15 +580,26 @@
             }
             Update::Told(Told::Is(server)) => {
                 let host = host(&server);
-                followed.hosts.get_or_insert_default().insert(server.name, host.clone());
+                followed
+                    .hosts
+                    .get_or_insert_default()
+                    .insert(server.name, host.clone());
                 host
             }
             Update::Told(Told::Gone(name)) => {
-                let Some(host) = followed.hosts.as_mut().and_then(|h| h.remove(&name)) else { return };
-                Host { health: "removed".into(), ..host }
+                let Some(host) = followed.hosts.as_mut().and_then(|h| h.remove(&name)) else {
+                    return;
+                };
+                Host {
+                    health: "removed".into(),
+                    ..host
+                }
             }
         };
-        self.former.iter().filter(|f| f.is_alive()).for_each(|f| f.changed(vec![changed.clone()]));
+        self.former
+            .iter()
+            .filter(|f| f.is_alive())
+            .for_each(|f| f.changed(vec![changed.clone()]));
         self.running.feed.changed(vec![changed]);
     }
 }
@@ -531,7 +613,12 @@
         site: entry.zone.clone(),
         class: entry.kind.clone(),
         block: None,
-        health: if entry.state == fleet::State::Up { "up" } else { "draining" }.into(),
+        health: if entry.state == fleet::State::Up {
+            "up"
+        } else {
+            "draining"
+        }
+        .into(),
         share: Some(entry.size),
         born_ms: server.born_ms as f64,
     }
@@ -564,8 +651,14 @@
     };
     let rules = &tenant.rules;
     let classes = tenant.classes.iter().map(|c| c.name.clone()).collect();
-    let mut names = Names { classes, ..Names::default() };
-    let zone = rules.zone.as_deref().map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
+    let mut names = Names {
+        classes,
+        ..Names::default()
+    };
+    let zone = rules
+        .zone
+        .as_deref()
+        .map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
     let settings = Settings {
         me: 0,
         proxies: 1,
@@ -589,8 +682,16 @@
             max_attempts: rules.max_attempts,
         },
     };
-    let connections = Connections { dial_timeout: rules.dial_timeout.0, idle_close: rules.idle_close.0 };
-    Terms { settings, names, connections, seed }
+    let connections = Connections {
+        dial_timeout: rules.dial_timeout.0,
+        idle_close: rules.idle_close.0,
+    };
+    Terms {
+        settings,
+        names,
+        connections,
+        seed,
+    }
 }
 
 /// One listener's way to the pools.
@@ -608,7 +709,10 @@
         // A target in absolute form names the host itself (RFC 9112, 3.2.2).
         let host = uri.host().or_else(|| once(headers, &hyper::header::HOST));
         let tenant = once(headers, &HeaderName::from_static("x-tenant-id"));
-        let name = routes.find(&self.listener, host, tenant).map_err(|_| NO_TENANT)?.clone();
+        let name = routes
+            .find(&self.listener, host, tenant)
+            .map_err(|_| NO_TENANT)?
+            .clone();
         drop(routes);
         // Nobody is woken to say that the process is up, nor while nothing may be decided.
         let may_wake = uri.path() != "/up" && self.gate().is_none_or(Gate::is_open);
@@ -642,7 +746,11 @@
     }
 
     fn make_room(&self) {
-        self.plane.tenants.borrow().values().for_each(|live| live.running.make_room());
+        self.plane
+            .tenants
+            .borrow()
+            .values()
+            .for_each(|live| live.running.make_room());
     }
 }
 
--- a/crates/hosted/src/plane/residents.rs
+++ b/crates/hosted/src/plane/residents.rs
@@ -69,7 +69,11 @@
 
 impl Turns {
     pub(super) fn new() -> Rc<Self> {
-        Rc::new(Turns { left: Semaphore::new(WAKES), taken: Notify::new(), rounds: Cell::new(0) })
+        Rc::new(Turns {
+            left: Semaphore::new(WAKES),
+            taken: Notify::new(),
+            rounds: Cell::new(0),
+        })
     }
 
     /// Gives turns for as long as the process runs.
@@ -79,7 +83,8 @@
             // Whoever is ready goes before the next round, and what has come in meanwhile is looked for.
             tokio::task::yield_now().await;
             self.rounds.set(self.rounds.get() + 1);
-            self.left.add_permits(WAKES - self.left.available_permits().min(WAKES));
+            self.left
+                .add_permits(WAKES - self.left.available_permits().min(WAKES));
         }
     }
 
@@ -144,8 +149,17 @@
 
 impl Plane {
     /// The pool of a tenant that is there; one at rest is woken if it may be, and has had its turn.
-    pub(super) fn pool_of(&self, name: &Name, may_wake: bool, turn: bool) -> Result<Rc<Pool>, Missing> {
-        let resident = self.tenants.borrow().get(name).map(|live| live.running.pool.clone());
+    pub(super) fn pool_of(
+        &self,
+        name: &Name,
+        may_wake: bool,
+        turn: bool,
+    ) -> Result<Rc<Pool>, Missing> {
+        let resident = self
+            .tenants
+            .borrow()
+            .get(name)
+            .map(|live| live.running.pool.clone());
         if !may_wake {
             return resident.ok_or(Missing::Later(LEAST_STAY)); // nor is it kept awake by that
         }
@@ -201,7 +215,13 @@
         let wakes = self.residents.borrow().counts().wakes;
         let seed = self.seed ^ number_of(name) ^ wakes.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let running = self.pool(&tenant, &account, seed, 0);
-        let born = |s: &crate::document::Server| if s.warm { 0.0 } else { digest.born(number_of(&s.name)) };
+        let born = |s: &crate::document::Server| {
+            if s.warm {
+                0.0
+            } else {
+                digest.born(number_of(&s.name))
+            }
+        };
         let mut live = Live {
             births: Births::known(&tenant.servers, born),
             document: tenant,
@@ -209,7 +229,12 @@
             running,
             former: Vec::new(),
             followed: None,
-            held_off: self.held_off.borrow().get(&**name).cloned().unwrap_or_default(),
+            held_off: self
+                .held_off
+                .borrow()
+                .get(&**name)
+                .cloned()
+                .unwrap_or_default(),
             seed,
             pools: 1,
         };
@@ -223,13 +248,17 @@
         let limited = self.join_servers(name, &live.document);
         self.tenants.borrow_mut().insert(name.clone(), live);
         let catalog = self.catalog();
-        limited.iter().for_each(|address| self.share_server(&catalog, address));
+        limited
+            .iter()
+            .for_each(|address| self.share_server(&catalog, address));
         pool
     }
 
     /// A resident is at rest from here on. What outlasts that is kept.
     fn put_to_rest(&self, name: &Name) {
-        let Some(live) = self.tenants.borrow_mut().remove(name) else { return };
+        let Some(live) = self.tenants.borrow_mut().remove(name) else {
+            return;
+        };
         self.digests.borrow_mut().put(name, self.digest(&live));
         let catalog = self.catalog();
         for address in self.leave_servers(name, &live.document) {
@@ -242,13 +271,29 @@
         let cold = live.document.rules.cold.0;
         let born = |s: &crate::document::Server| (number_of(&s.name), live.births.of(&s.name));
         let young = |(_, born): &(u64, f64)| *born > 0.0 && unix - born < cold;
-        let born: Vec<_> = live.document.servers.iter().map(born).filter(young).collect();
+        let born: Vec<_> = live
+            .document
+            .servers
+            .iter()
+            .map(born)
+            .filter(young)
+            .collect();
         let standing = live.running.standing();
-        let ejected =
-            standing.servers.iter().flat_map(|s| s.whole.iter().chain(s.classes.iter().map(|c| &c.1)));
+        let ejected = standing
+            .servers
+            .iter()
+            .flat_map(|s| s.whole.iter().chain(s.classes.iter().map(|c| &c.1)));
         let closings = ejected.map(|e| e.until.max(now) + ON_TRIAL);
-        let ends = born.iter().map(|(_, born)| now + born + cold - unix).chain(closings);
-        Digest { end: ends.fold(now, f64::max), all_born: 0.0, born, standing }
+        let ends = born
+            .iter()
+            .map(|(_, born)| now + born + cold - unix)
+            .chain(closings);
+        Digest {
+            end: ends.fold(now, f64::max),
+            all_born: 0.0,
+            born,
+            standing,
+        }
     }
 
     /// A tenant is no more.
@@ -258,7 +303,9 @@
         self.digests.borrow_mut().take(&name);
         self.damaged.borrow_mut().remove(&name);
         self.book.forget(&name);
-        let Some(live) = self.tenants.borrow_mut().remove(&name) else { return };
+        let Some(live) = self.tenants.borrow_mut().remove(&name) else {
+            return;
+        };
         // Its servers get nothing new; what is under way there ends, and with it the pool.
         live.running.end();
         live.running.feed.whole(Vec::new());
@@ -268,7 +315,12 @@
 
     /// A tenant at rest comes or changes: all that there is to do is to note which of its servers have just started.
     pub(super) fn change_at_rest(
-        &self, next: &Catalog, name: &Name, change: Option<Change>, brought: &[(u64, bool)], first: bool,
+        &self,
+        next: &Catalog,
+        name: &Name,
+        change: Option<Change>,
+        brought: &[(u64, bool)],
+        first: bool,
     ) {
         if first {
             return;
@@ -283,7 +335,14 @@
         let (now, unix) = (self.process.now(), self.process.unix_now());
         let mut digests = self.digests.borrow_mut();
         let Some(change) = change else {
-            return digests.put(name, Digest { all_born: unix, end: now + ALL_COLD, ..Digest::default() });
+            return digests.put(
+                name,
+                Digest {
+                    all_born: unix,
+                    end: now + ALL_COLD,
+                    ..Digest::default()
+                },
+            );
         };
         let mut digest = digests.take(name).unwrap_or_default();
         if change.pool {
@@ -299,7 +358,13 @@
     }
 
     /// A resident changes, or a tenant whose list is followed comes.
-    pub(super) fn change_resident(&self, name: &Name, tenant: Tenant, change: Option<Change>, first: bool) {
+    pub(super) fn change_resident(
+        &self,
+        name: &Name,
+        tenant: Tenant,
+        change: Option<Change>,
+        first: bool,
+    ) {
         let now = self.process.now();
         let follows = tenant.fleet.is_some();
         if follows {
@@ -328,7 +393,10 @@
         let limited: Vec<String> = limited.map(|s| s.address.clone()).collect();
         let mut sharers = self.sharers.borrow_mut();
         for address in &limited {
-            sharers.entry(address.clone()).or_default().insert(name.clone());
+            sharers
+                .entry(address.clone())
+                .or_default()
+                .insert(name.clone());
         }
         limited
     }
@@ -354,15 +422,22 @@
         let Ok(at) = address.parse() else { return };
         let (tenants, sharers) = (self.tenants.borrow(), self.sharers.borrow());
         let mut all = catalog.users(address);
-        let (connections, several) =
-            (all.next().map_or(0, |(_, connections)| connections), all.next().is_some());
-        let users = sharers.get(address).filter(|_| several).into_iter().flatten();
+        let (connections, several) = (
+            all.next().map_or(0, |(_, connections)| connections),
+            all.next().is_some(),
+        );
+        let users = sharers
+            .get(address)
+            .filter(|_| several)
+            .into_iter()
+            .flatten();
         let member = |name| {
             let live: &Live = tenants.get(name)?;
             Some((live.account.clone(), live.document.limits.weight))
         };
         let members: Vec<_> = users.filter_map(member).collect();
-        self.book.share_server(service::server_number(at), connections, &members);
+        self.book
+            .share_server(service::server_number(at), connections, &members);
     }
 
     /// Says so where those that stay whatever happens take the others' places.
@@ -407,7 +482,13 @@
         rests.iter().for_each(|name| self.put_to_rest(name));
         self.digests.borrow_mut().expire(now);
         let tenants = self.tenants.borrow();
-        self.longest.set(tenants.values().map(|live| live.running.pool.patience()).max().unwrap_or_default());
+        self.longest.set(
+            tenants
+                .values()
+                .map(|live| live.running.pool.patience())
+                .max()
+                .unwrap_or_default(),
+        );
         rests.len()
     }
 
@@ -420,7 +501,13 @@
     /// How the tenants fare, so many of them at most: residents first, each group by name, and few of those at rest, as each of these
     /// has to be read.
     pub fn status(&self, most: usize) -> Vec<TenantStatus> {
-        let mut all: Vec<TenantStatus> = self.tenants.borrow().iter().take(most).map(status).collect();
+        let mut all: Vec<TenantStatus> = self
+            .tenants
+            .borrow()
+            .iter()
+            .take(most)
+            .map(status)
+            .collect();
         let left = (most - all.len()).min(MOST_READ);
         let routes = self.routes.borrow();
         let at_rest = |name: &&Name| !self.tenants.borrow().contains_key(*name);
@@ -433,14 +520,23 @@
         if let Some(live) = self.tenants.borrow().get_key_value(name) {
             return status(live);
         }
-        let tenant = self.routes.borrow().catalog().get(name).and_then(Result::ok).map(|(_, tenant)| tenant);
+        let tenant = self
+            .routes
+            .borrow()
+            .catalog()
+            .get(name)
+            .and_then(Result::ok)
+            .map(|(_, tenant)| tenant);
         let used = self.book.used_by(name);
         let listed = tenant.as_ref().map_or(&[][..], |t| &t.servers);
         TenantStatus {
             name: name.to_string(),
             resident: false,
             ready: tenant.is_some(),
-            servers: [listed.iter().filter(|s| s.state == State::Up).count(), listed.len()],
+            servers: [
+                listed.iter().filter(|s| s.state == State::Up).count(),
+                listed.len(),
+            ],
             fleet: None,
             former_pools: 0,
             sockets: used.sockets,
@@ -456,13 +552,20 @@
     pub fn servers_of(&self, name: &str) -> Vec<(String, f64, bool)> {
         let tenants = self.tenants.borrow();
         let hosts = tenants.get(name).and_then(Live::hosts).unwrap_or_default();
-        hosts.into_iter().map(|h| (h.host, h.born_ms, h.health == "up")).collect()
+        hosts
+            .into_iter()
+            .map(|h| (h.host, h.born_ms, h.health == "up"))
+            .collect()
     }
 
     /// What a resident's module holds against its servers. For tests.
     #[doc(hidden)]
     pub fn standing_of(&self, name: &str) -> wharfhitch::Standing {
-        self.tenants.borrow().get(name).map(|live| live.running.standing()).unwrap_or_default()
+        self.tenants
+            .borrow()
+            .get(name)
+            .map(|live| live.running.standing())
+            .unwrap_or_default()
     }
 
     /// How many are resident, and what has come of it.
@@ -490,18 +593,28 @@
     let used = live.account.used();
     let listed = &live.document.servers;
     let servers = match &live.followed {
-        None => [listed.iter().filter(|s| s.state == State::Up).count(), listed.len()],
+        None => [
+            listed.iter().filter(|s| s.state == State::Up).count(),
+            listed.len(),
+        ],
         Some(followed) => {
             let hosts = followed.hosts.iter().flat_map(BTreeMap::values);
-            [hosts.clone().filter(|h| h.health == "up").count(), hosts.count()]
+            [
+                hosts.clone().filter(|h| h.health == "up").count(),
+                hosts.count(),
+            ]
         }
     };
-    let followed = live.followed.as_ref().and_then(|f| f.status.as_ref()).map(|s| FleetStatus {
-        state: s.phase.to_string(),
-        revision: s.revision,
-        quarantined: s.servers[1],
-        held: s.servers[2],
-    });
+    let followed = live
+        .followed
+        .as_ref()
+        .and_then(|f| f.status.as_ref())
+        .map(|s| FleetStatus {
+            state: s.phase.to_string(),
+            revision: s.revision,
+            quarantined: s.servers[1],
+            held: s.servers[2],
+        });
     TenantStatus {
         name: name.to_string(),
         resident: true,
--- a/crates/hosted/src/routes.rs
+++ b/crates/hosted/src/routes.rs
@@ -31,8 +31,16 @@
             TenantBy::Host => Way::Host,
             TenantBy::Header => Way::Header,
         };
-        let listeners = catalog.frame().listeners.iter().map(|l| (l.name.clone(), way(l))).collect();
-        Routes { listeners, catalog: catalog.clone() }
+        let listeners = catalog
+            .frame()
+            .listeners
+            .iter()
+            .map(|l| (l.name.clone(), way(l)))
+            .collect();
+        Routes {
+            listeners,
+            catalog: catalog.clone(),
+        }
     }
 
     /// The version's tenants.
@@ -52,7 +60,12 @@
     ///
     /// # Errors
     /// It names none that is there.
-    pub fn find(&self, listener: &str, host: Option<&str>, header: Option<&str>) -> Result<&Name, NoTenant> {
+    pub fn find(
+        &self,
+        listener: &str,
+        host: Option<&str>,
+        header: Option<&str>,
+    ) -> Result<&Name, NoTenant> {
         let found = match self.listeners.get(listener).ok_or(NoTenant)? {
             Way::Tenant(name) => self.catalog.name(name),
             Way::Host => self.catalog.host(host.ok_or(NoTenant)?),
@@ -68,7 +81,11 @@
     let name = match host.rsplit_once(':') {
         // Brackets hold an IPv6 address, whose colons are its own.
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) && !name.ends_with(':') => {
-            if name.contains(':') && !name.ends_with(']') { host } else { name }
+            if name.contains(':') && !name.ends_with(']') {
+                host
+            } else {
+                name
+            }
         }
         _ => host,
     };
--- a/crates/hosted/tests/catalog.rs
+++ b/crates/hosted/tests/catalog.rs
@@ -26,17 +26,29 @@
     };
     Tenant {
         name: format!("t{n:05}"),
-        hosts: vec![format!("t{n:05}.example"), format!("www.t{n:05}.example:80")],
-        limits: Limits { weight: 1.0 + (n % 3) as f64, ..Limits::default() },
+        hosts: vec![
+            format!("t{n:05}.example"),
+            format!("www.t{n:05}.example:80"),
+        ],
+        limits: Limits {
+            weight: 1.0 + (n % 3) as f64,
+            ..Limits::default()
+        },
         rules: Rules::default(),
-        classes: vec![class("lookup", Effect::Safe), class("checkout", Effect::Unsafe)],
+        classes: vec![
+            class("lookup", Effect::Safe),
+            class("checkout", Effect::Unsafe),
+        ],
         fleet: None,
         servers: (0..4).map(server).collect(),
     }
 }
 
 fn service(n: usize) -> Service {
-    Service { tenants: (0..n).map(tenant).collect(), ..Service::default() }
+    Service {
+        tenants: (0..n).map(tenant).collect(),
+        ..Service::default()
+    }
 }
 
 #[test]
@@ -54,11 +66,19 @@
         guard: documents::units::Share(0.5),
         hold: Span(60_000.0),
     };
-    let other = Tenant { fleet: Some(followed), servers: Vec::new(), hosts: Vec::new(), ..tenant(7) };
+    let other = Tenant {
+        fleet: Some(followed),
+        servers: Vec::new(),
+        hosts: Vec::new(),
+        ..tenant(7)
+    };
     catalog.put(&mut parts, &other, 9);
     assert_eq!(catalog.get("t00007"), Some(Ok((9, other))));
     assert_eq!(catalog.host("t00007.example"), None, "its hosts are gone");
-    assert_eq!(catalog.host("WWW.T00008.example.").map(|n| &**n), Some("t00008"));
+    assert_eq!(
+        catalog.host("WWW.T00008.example.").map(|n| &**n),
+        Some("t00008")
+    );
     catalog.remove("t00008");
     assert!(catalog.get("t00008").is_none() && catalog.host("t00008.example").is_none());
     assert_eq!(catalog.len(), 299);
@@ -69,7 +89,14 @@
     let mut parts = Parts::default();
     let old = Catalog::of(&service(1000), &mut parts);
     let mut new = old.clone();
-    new.put(&mut parts, &Tenant { servers: Vec::new(), ..tenant(500) }, 1);
+    new.put(
+        &mut parts,
+        &Tenant {
+            servers: Vec::new(),
+            ..tenant(500)
+        },
+        1,
+    );
     new.put(&mut parts, &tenant(700), 1); // a revision alone is no difference
     new.put(&mut parts, &tenant(1000), 1);
     new.remove("t00010");
@@ -80,7 +107,14 @@
             Difference::Removed(n) => ("removed", &**n),
         })
         .collect();
-    assert_eq!(all, [("removed", "t00010"), ("changed", "t00500"), ("added", "t01000")]);
+    assert_eq!(
+        all,
+        [
+            ("removed", "t00010"),
+            ("changed", "t00500"),
+            ("added", "t01000")
+        ]
+    );
     assert_eq!(old.get("t00500"), Some(Ok((0, tenant(500)))));
     assert_eq!((old.len(), new.len()), (1000, 1000));
     assert!(old != new && old == Catalog::of(&service(1000), &mut Parts::default()));
@@ -97,10 +131,24 @@
 fn who_uses_a_server_with_a_limit_is_known() {
     let mut parts = Parts::default();
     let mut catalog = Catalog::of(&service(36), &mut parts);
-    let users =
-        |c: &Catalog| -> Vec<String> { c.users("127.0.0.1:9000").map(|(n, _)| n.to_string()).collect() };
-    assert_eq!(users(&catalog), ["t00000", "t00035"], "every fifth has limits, every seventh this server");
-    catalog.put(&mut parts, &Tenant { servers: Vec::new(), ..tenant(35) }, 1);
+    let users = |c: &Catalog| -> Vec<String> {
+        c.users("127.0.0.1:9000")
+            .map(|(n, _)| n.to_string())
+            .collect()
+    };
+    assert_eq!(
+        users(&catalog),
+        ["t00000", "t00035"],
+        "every fifth has limits, every seventh this server"
+    );
+    catalog.put(
+        &mut parts,
+        &Tenant {
+            servers: Vec::new(),
+            ..tenant(35)
+        },
+        1,
+    );
     assert_eq!(users(&catalog), ["t00000"]);
     catalog.remove("t00000");
     assert!(users(&catalog).is_empty());
@@ -111,8 +159,14 @@
     let mut parts = Parts::default();
     let mut catalog = Catalog::of(&service(50), &mut parts);
     catalog.spoil("t00020");
-    let damaged = catalog.get("t00020").expect("it is there").expect_err("it is damaged");
-    assert_eq!((damaged.tenant.as_str(), damaged.part), ("t00020", "servers"));
+    let damaged = catalog
+        .get("t00020")
+        .expect("it is there")
+        .expect_err("it is damaged");
+    assert_eq!(
+        (damaged.tenant.as_str(), damaged.part),
+        ("t00020", "servers")
+    );
     // The part that others share is theirs still.
     assert_eq!(catalog.iter().filter(Result::is_ok).count(), 49);
     // What is put in anew is whole again, and nothing of the damaged one is left behind.
@@ -131,17 +185,31 @@
     let catalog = Catalog::of(&service(20), &mut parts);
     let faults = |edits: &[(String, Option<Tenant>)]| -> Vec<String> {
         let all = check::edits(&catalog, edits);
-        all.into_iter().map(|(i, f)| format!("{i:?} {}: {}", f.key(), f.what)).collect()
+        all.into_iter()
+            .map(|(i, f)| format!("{i:?} {}: {}", f.key(), f.what))
+            .collect()
     };
     let edit = |t: Tenant| (t.name.clone(), Some(t));
     assert!(faults(&[edit(tenant(3)), edit(tenant(99))]).is_empty());
-    let takes = Tenant { hosts: vec!["T00004.example".into()], ..tenant(3) };
-    assert_eq!(faults(&[edit(takes.clone())]), ["Some(0) hosts.0: it is another tenant's, too"]);
+    let takes = Tenant {
+        hosts: vec!["T00004.example".into()],
+        ..tenant(3)
+    };
+    assert_eq!(
+        faults(&[edit(takes.clone())]),
+        ["Some(0) hosts.0: it is another tenant's, too"]
+    );
     // Where the other one gives it up with the same change, it is free; where both want it, the later is told.
-    let gives = Tenant { hosts: Vec::new(), ..tenant(4) };
+    let gives = Tenant {
+        hosts: Vec::new(),
+        ..tenant(4)
+    };
     assert!(faults(&[edit(takes.clone()), edit(gives)]).is_empty());
     assert!(faults(&[edit(takes.clone()), ("t00004".into(), None)]).is_empty());
-    let both = Tenant { hosts: vec!["t00004.example".into()], ..tenant(5) };
+    let both = Tenant {
+        hosts: vec!["t00004.example".into()],
+        ..tenant(5)
+    };
     let said = faults(&[edit(takes), ("t00004".into(), None), edit(both)]);
     assert_eq!(said, ["Some(2) hosts.0: it is another tenant's, too"]);
     // The limit of a server is the same for all who say one.
@@ -156,6 +224,13 @@
     twice.servers[1].name = "s0".into();
     twice.classes[0].aim = Span(0.0);
     let said = faults(&[edit(twice)]);
-    assert!(said.iter().any(|f| f.starts_with("Some(0) server.1.name: \"s0\" stands twice")), "{said:?}");
-    assert!(said.iter().any(|f| f.starts_with("Some(0) class.0.aim: ")), "{said:?}");
+    assert!(
+        said.iter()
+            .any(|f| f.starts_with("Some(0) server.1.name: \"s0\" stands twice")),
+        "{said:?}"
+    );
+    assert!(
+        said.iter().any(|f| f.starts_with("Some(0) class.0.aim: ")),
+        "{said:?}"
+    );
 }
--- a/crates/hosted/tests/documents.rs
+++ b/crates/hosted/tests/documents.rs
@@ -65,8 +65,13 @@
 "#;
 
 fn good() -> Service {
-    check::read("good.toml", &GOOD.replace(":0 \"", ":0\"").replacen("127.0.0.1:0", "127.0.0.1:1", 1))
-        .unwrap()
+    check::read(
+        "good.toml",
+        &GOOD
+            .replace(":0 \"", ":0\"")
+            .replacen("127.0.0.1:0", "127.0.0.1:1", 1),
+    )
+    .unwrap()
 }
 
 fn at_rest(service: &Service) -> Catalog {
@@ -76,12 +81,18 @@
 #[test]
 fn a_good_document_is_read_with_its_defaults() {
     let service = good();
-    assert_eq!((service.process.sockets, service.process.in_flight), (512, 2048));
+    assert_eq!(
+        (service.process.sockets, service.process.in_flight),
+        (512, 2048)
+    );
     assert_eq!(service.tenants[0].limits.weight, 2.0);
     assert_eq!(service.tenants[0].servers[1].state, State::Draining);
     assert_eq!(service.tenants[1].rules.max_attempts, 3);
     let catalog = at_rest(&service);
-    let users: Vec<(&str, u64)> = catalog.users("127.0.0.1:9001").map(|(n, limit)| (&**n, limit)).collect();
+    let users: Vec<(&str, u64)> = catalog
+        .users("127.0.0.1:9001")
+        .map(|(n, limit)| (&**n, limit))
+        .collect();
     assert_eq!(users, [("north", 8), ("south", 8)]);
 }
 
@@ -140,7 +151,10 @@
         assert_eq!(find("public", Some(host), Some("south")), Ok("north"));
     }
     assert_eq!(find("public", Some("south.example"), None), Ok("south"));
-    assert_eq!(find("inner", Some("north.example"), Some("south")), Ok("south"));
+    assert_eq!(
+        find("inner", Some("north.example"), Some("south")),
+        Ok("south")
+    );
     assert_eq!(find("north-only", None, Some("south")), Ok("north"));
     for (listener, host, header) in [
         ("public", None, None),
@@ -149,9 +163,16 @@
         ("inner", None, Some("nobody")),
         ("nowhere", Some("north.example"), Some("north")),
     ] {
-        assert_eq!(find(listener, host, header), Err(NoTenant), "{listener} {host:?} {header:?}");
+        assert_eq!(
+            find(listener, host, header),
+            Err(NoTenant),
+            "{listener} {host:?} {header:?}"
+        );
     }
-    assert_eq!((routes.owner("north-only"), routes.owner("public")), (Some("north"), None));
+    assert_eq!(
+        (routes.owner("north-only"), routes.owner("public")),
+        (Some("north"), None)
+    );
 }
 
 #[test]
@@ -163,8 +184,14 @@
     new.tenants[0].servers.pop();
     new.tenants[1].limits.weight = 5.0;
     let plan = between(&old, &new);
-    let servers = Change { servers: true, ..Change::default() };
-    let limits = Change { limits: true, ..Change::default() };
+    let servers = Change {
+        servers: true,
+        ..Change::default()
+    };
+    let limits = Change {
+        limits: true,
+        ..Change::default()
+    };
     assert_eq!(
         plan.changed.into_iter().collect::<Vec<_>>(),
         [("north".into(), servers), ("south".into(), limits)]
@@ -177,7 +204,10 @@
     new.listeners[1].address = "127.0.0.1:8081".into();
     let plan = between(&old, &new);
     assert!(plan.changed["north"].pool && !plan.changed["north"].servers);
-    assert_eq!((plan.removed, plan.closed), (vec!["south".to_owned()], vec!["inner".to_owned()]));
+    assert_eq!(
+        (plan.removed, plan.closed),
+        (vec!["south".to_owned()], vec!["inner".to_owned()])
+    );
     assert_eq!(plan.opened[0].address, "127.0.0.1:8081");
     assert!(plan.routes);
 }
@@ -199,10 +229,20 @@
         server("c", "127.0.0.1:3", true),
     ];
     births.note(&next, false, 2000.0);
-    assert_eq!([births.of("a"), births.of("b"), births.of("c")], [0.0, 2000.0, 0.0]);
+    assert_eq!(
+        [births.of("a"), births.of("b"), births.of("c")],
+        [0.0, 2000.0, 0.0]
+    );
     // Another address is another process; one that left and comes back has started anew.
     births.note(&[server("a", "127.0.0.1:9", false)], false, 3000.0);
-    births.note(&[server("a", "127.0.0.1:9", false), server("b", "127.0.0.1:2", false)], false, 4000.0);
+    births.note(
+        &[
+            server("a", "127.0.0.1:9", false),
+            server("b", "127.0.0.1:2", false),
+        ],
+        false,
+        4000.0,
+    );
     assert_eq!([births.of("a"), births.of("b")], [3000.0, 4000.0]);
 }
 
--- a/crates/hosted/tests/heap.rs
+++ b/crates/hosted/tests/heap.rs
@@ -47,7 +47,11 @@
 
 /// As at the size ahead, scaled down: 33,000 tenants of 680 services with some 17 servers each, and of 5,300 sets of classes.
 fn of_the_target(n: usize, of: usize) -> Tenant {
-    of_parts(n, (680 * of).div_ceil(33_000), (5_300 * of).div_ceil(33_000))
+    of_parts(
+        n,
+        (680 * of).div_ceil(33_000),
+        (5_300 * of).div_ceil(33_000),
+    )
 }
 
 /// One of so many services and sets of classes.
@@ -64,7 +68,9 @@
         hosts: vec![format!("tenant-{n:06}.service{service}.example")],
         limits: Limits::default(),
         rules: Rules::default(),
-        classes: (0..2).map(|i| class(format!("route{set}-{i}"), 300.0 + set as f64)).collect(),
+        classes: (0..2)
+            .map(|i| class(format!("route{set}-{i}"), 300.0 + set as f64))
+            .collect(),
         fleet: None,
         servers: servers.collect(),
     }
@@ -82,21 +88,36 @@
 
 /// As the lab makes them: two classes, and four servers of their own each.
 fn of_the_lab(n: usize, _: usize) -> Tenant {
-    let address = |i| format!("10.{}.{}.{}:8080", n >> 14, (n >> 6) & 255, (n & 63) * 4 + i);
+    let address = |i| {
+        format!(
+            "10.{}.{}.{}:8080",
+            n >> 14,
+            (n >> 6) & 255,
+            (n & 63) * 4 + i
+        )
+    };
     Tenant {
         name: format!("t{n:05}"),
         hosts: vec![format!("t{n:05}.example")],
         limits: Limits::default(),
         rules: Rules::default(),
-        classes: vec![class("lookup".into(), 300.0), class("checkout".into(), 300.0)],
+        classes: vec![
+            class("lookup".into(), 300.0),
+            class("checkout".into(), 300.0),
+        ],
         fleet: None,
-        servers: (0..4).map(|i| server(format!("s{i}"), address(i))).collect(),
+        servers: (0..4)
+            .map(|i| server(format!("s{i}"), address(i)))
+            .collect(),
     }
 }
 
 /// What a plane with so many tenants at rest holds beyond one with none.
 fn at_rest(count: usize, make: impl Fn(usize, usize) -> Tenant) -> f64 {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let service = Service::default();
         let plane = Plane::new(&service.process, stage::follow());
@@ -110,7 +131,10 @@
             plane.go_over(catalog).expect("it can be carried out");
         }
         tokio::task::yield_now().await;
-        assert_eq!((plane.residency().tenants, plane.residency().resident), (count, 0));
+        assert_eq!(
+            (plane.residency().tenants, plane.residency().resident),
+            (count, 0)
+        );
         held() - empty
     })
 }
@@ -118,7 +142,9 @@
 /// The least-squares line through points: slope and base.
 fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
-    let (x, y) = points.iter().fold((0.0, 0.0), |(a, b), (x, y)| (a + x / n, b + y / n));
+    let (x, y) = points
+        .iter()
+        .fold((0.0, 0.0), |(a, b), (x, y)| (a + x / n, b + y / n));
     let over: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
     let slope = over / points.iter().map(|p| (p.0 - x).powi(2)).sum::<f64>();
     (slope, y - slope * x)
@@ -127,13 +153,17 @@
 /// One test, as what others hold meanwhile would count. Each bound is a fifth over what was measured: `docs/design/residency.md`.
 #[test]
 fn tenants_cost_what_the_page_says() {
-    for (shape, make, most) in
-        [("target", of_the_target as fn(usize, usize) -> Tenant, 537.0), ("lab", of_the_lab, 695.0)]
-    {
+    for (shape, make, most) in [
+        ("target", of_the_target as fn(usize, usize) -> Tenant, 537.0),
+        ("lab", of_the_lab, 695.0),
+    ] {
         let sizes = [1_000, 2_000, 4_000, 8_000];
         let points: Vec<(f64, f64)> = sizes.map(|n| (n as f64, at_rest(n, make))).to_vec();
         let (slope, base) = line(&points);
-        let residual = points.iter().map(|(x, y)| (y - slope * x - base).abs() / y).fold(0.0, f64::max);
+        let residual = points
+            .iter()
+            .map(|(x, y)| (y - slope * x - base).abs() / y)
+            .fold(0.0, f64::max);
         println!(
             "{shape}: {slope:.1} bytes a tenant at rest, base {base:.0}, residual at most {:.2} % of {points:?}",
             100.0 * residual
@@ -143,30 +173,52 @@
     // Routes and services apart, each with as many tenants: one more of either is a list of its own, whoever has it.
     const TENANTS: usize = 5_300;
     for (what, sizes, make, most) in [
-        ("route", [700, 1_400, 2_800, 5_300], of_routes as fn(usize, usize) -> Tenant, 403.2),
+        (
+            "route",
+            [700, 1_400, 2_800, 5_300],
+            of_routes as fn(usize, usize) -> Tenant,
+            403.2,
+        ),
         ("service", [85, 170, 340, 680], of_services, 1_447.7),
     ] {
-        let points: Vec<(f64, f64)> =
-            sizes.map(|count| (count as f64, at_rest(TENANTS, |n, _| make(n, count)))).to_vec();
+        let points: Vec<(f64, f64)> = sizes
+            .map(|count| (count as f64, at_rest(TENANTS, |n, _| make(n, count))))
+            .to_vec();
         let (slope, base) = line(&points);
-        println!("{what}: {slope:.1} bytes each beside {TENANTS} tenants, base {base:.0}, of {points:?}");
+        println!(
+            "{what}: {slope:.1} bytes each beside {TENANTS} tenants, base {base:.0}, of {points:?}"
+        );
         assert!(slope > 0.0 && slope < most, "{slope} bytes a {what}");
     }
     let whole = at_rest(33_000, of_the_target);
-    println!("target: {:.1} MiB for 33000 tenants at rest", whole / 1_048_576.0);
+    println!(
+        "target: {:.1} MiB for 33000 tenants at rest",
+        whole / 1_048_576.0
+    );
     assert!(whole < 24.0 * 1_048_576.0, "{whole} bytes");
     for (shape, make, most, most_left) in [
-        ("target", of_the_target as fn(usize, usize) -> Tenant, 45_470.0, 80.0),
+        (
+            "target",
+            of_the_target as fn(usize, usize) -> Tenant,
+            45_470.0,
+            80.0,
+        ),
         ("lab", of_the_lab, 23_400.0, 80.0),
     ] {
         let (each, left, mut woken) = resident(make);
         woken.sort_by(f64::total_cmp);
-        let (mean, p99) = (woken.iter().sum::<f64>() / woken.len() as f64, woken[woken.len() * 99 / 100]);
+        let (mean, p99) = (
+            woken.iter().sum::<f64>() / woken.len() as f64,
+            woken[woken.len() * 99 / 100],
+        );
         println!(
             "{shape}: {each:.0} bytes a resident, {left:.1} once it rests again; woken in {mean:.0} us, 99 % within {p99:.0} us"
         );
         assert!(each < most, "{shape}: {each} bytes a resident");
-        assert!(left < most_left, "{shape}: {left} bytes that are left of a resident");
+        assert!(
+            left < most_left,
+            "{shape}: {left} bytes that are left of a resident"
+        );
     }
 }
 
@@ -174,9 +226,15 @@
 /// where its module has its list, in us.
 fn resident(make: fn(usize, usize) -> Tenant) -> (f64, f64, Vec<f64>) {
     use engine::service::Router;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let process = Process { rest_after: Span(2_000.0), ..Process::default() };
+        let process = Process {
+            rest_after: Span(2_000.0),
+            ..Process::default()
+        };
         let service = Service {
             process,
             listeners: vec![hosted::document::Listener {
--- a/crates/hosted/tests/plane/mod.rs
+++ b/crates/hosted/tests/plane/mod.rs
@@ -60,7 +60,11 @@
         rules: Rules::default(),
         classes: vec![class],
         fleet: None,
-        servers: if servers.is_empty() { none.to_vec() } else { servers.to_vec() },
+        servers: if servers.is_empty() {
+            none.to_vec()
+        } else {
+            servers.to_vec()
+        },
     }
 }
 
@@ -72,8 +76,16 @@
         tenant_by: TenantBy::Header,
         tenant: None,
     };
-    let process = Process { seed: Some(7), ..process };
-    let service = Service { process, listeners: vec![listener], tenants, ..Service::default() };
+    let process = Process {
+        seed: Some(7),
+        ..process
+    };
+    let service = Service {
+        process,
+        listeners: vec![listener],
+        tenants,
+        ..Service::default()
+    };
     let plane = Plane::new(&service.process, follow());
     plane.apply(&service).expect("it can be served");
     plane
@@ -95,12 +107,27 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         let (answers, may) = watch::channel(true);
-        let backend =
-            Backend { address, seen: Rc::default(), most: Rc::default(), now: Rc::default(), answers };
-        let (seen, most, now) = (backend.seen.clone(), backend.most.clone(), backend.now.clone());
+        let backend = Backend {
+            address,
+            seen: Rc::default(),
+            most: Rc::default(),
+            now: Rc::default(),
+            answers,
+        };
+        let (seen, most, now) = (
+            backend.seen.clone(),
+            backend.most.clone(),
+            backend.now.clone(),
+        );
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(answer(stream, seen.clone(), most.clone(), now.clone(), may.clone()));
+                spawn_local(answer(
+                    stream,
+                    seen.clone(),
+                    most.clone(),
+                    now.clone(),
+                    may.clone(),
+                ));
             }
         });
         backend
@@ -109,7 +136,9 @@
     /// An address that refuses connections, and that nobody else gets while the test runs.
     pub async fn dead() -> String {
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+        socket
+            .bind("127.0.0.1:0".parse().expect("an address"))
+            .expect("a port");
         let address = socket.local_addr().expect("an address").to_string();
         spawn_local(async move {
             std::future::pending::<()>().await;
@@ -120,7 +149,10 @@
 }
 
 async fn answer(
-    mut stream: TcpStream, seen: Rc<Cell<usize>>, most: Rc<Cell<usize>>, now: Rc<Cell<usize>>,
+    mut stream: TcpStream,
+    seen: Rc<Cell<usize>>,
+    most: Rc<Cell<usize>>,
+    now: Rc<Cell<usize>>,
     mut may: watch::Receiver<bool>,
 ) {
     let mut head = Vec::new();
@@ -134,7 +166,11 @@
             most.set(most.get().max(now.get()));
             let _ = may.wait_for(|may| *may).await; // or the test is over
             now.set(now.get() - 1);
-            if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.is_err() {
+            if stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                .await
+                .is_err()
+            {
                 return;
             }
         }
@@ -144,10 +180,14 @@
 /// The status of a lookup's answer.
 pub async fn ask(address: SocketAddr, tenant: &str) -> u16 {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
-    let head =
-        format!("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Tenant-Id: {tenant}\r\nConnection: close\r\n\r\n");
+    let head = format!(
+        "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Tenant-Id: {tenant}\r\nConnection: close\r\n\r\n"
+    );
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     let mut text = String::new();
     stream.read_to_string(&mut text).await.expect("its answer");
-    text.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+    text.split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .expect("a status")
 }
--- a/crates/hosted/tests/residents.rs
+++ b/crates/hosted/tests/residents.rs
@@ -37,21 +37,39 @@
 
 /// A resident's servers: name, whether it has just started, whether it takes new work.
 fn fresh(plane: &Plane, name: &str) -> Vec<(String, bool, bool)> {
-    plane.servers_of(name).into_iter().map(|(name, born, up)| (name, born > 0.0, up)).collect()
+    plane
+        .servers_of(name)
+        .into_iter()
+        .map(|(name, born, up)| (name, born > 0.0, up))
+        .collect()
 }
 
 fn names(plane: &Plane) -> Vec<String> {
-    plane.status(usize::MAX).into_iter().filter(|t| t.resident).map(|t| t.name).collect()
+    plane
+        .status(usize::MAX)
+        .into_iter()
+        .filter(|t| t.resident)
+        .map(|t| t.name)
+        .collect()
 }
 
 #[tokio::test(start_paused = true)]
 async fn nobody_is_resident_before_the_first_request_nor_long_after_the_last() {
     local(async {
-        let plane = plane(Process::default(), (0..50).map(|n| tenant(n, &[])).collect());
-        assert_eq!((plane.residency().tenants, plane.residency().resident), (50, 0));
+        let plane = plane(
+            Process::default(),
+            (0..50).map(|n| tenant(n, &[])).collect(),
+        );
+        assert_eq!(
+            (plane.residency().tenants, plane.residency().resident),
+            (50, 0)
+        );
         let way = plane.way("all");
         let held = pool(&way, "t00007").await.expect("it wakes");
-        assert!(matches!(pool(&way, "nobody").await, Err(Missing::Plain(StatusCode::NOT_FOUND, _))));
+        assert!(matches!(
+            pool(&way, "nobody").await,
+            Err(Missing::Plain(StatusCode::NOT_FOUND, _))
+        ));
         assert_eq!(names(&plane), ["t00007"]);
         let status = plane.status_of("t00007").expect("it is there");
         sleep(Duration::from_secs(1)).await;
@@ -62,10 +80,17 @@
         let before = plane.status_of("t00007").expect("it is there").loop_ms;
         drop(held);
         sleep(Duration::from_secs(120)).await;
-        assert_eq!((plane.residency().resident, plane.residency().rests), (0, 1));
+        assert_eq!(
+            (plane.residency().resident, plane.residency().rests),
+            (0, 1)
+        );
         let after = plane.status_of("t00007").expect("it is there");
         assert!(!after.resident && after.ready && after.servers == [2, 2]);
-        assert!(before > 0.0 && after.loop_ms >= before, "figures go on: {before}, {}", after.loop_ms);
+        assert!(
+            before > 0.0 && after.loop_ms >= before,
+            "figures go on: {before}, {}",
+            after.loop_ms
+        );
         drop(pool(&way, "t00007").await.expect("it wakes again"));
         assert!(plane.status_of("t00007").expect("it is there").loop_ms >= after.loop_ms);
         // The list of all is bounded, residents first.
@@ -78,19 +103,31 @@
 #[tokio::test(start_paused = true)]
 async fn the_bound_holds_and_who_waits_is_told_when_to_come() {
     local(async {
-        let process = Process { resident_tenants: 4, ..Process::default() };
+        let process = Process {
+            resident_tenants: 4,
+            ..Process::default()
+        };
         let plane = plane(process, (0..50).map(|n| tenant(n, &[])).collect());
         let way = plane.way("all");
         let mut held = Vec::new();
         for n in 0..4 {
-            held.push(pool(&way, &format!("t{n:05}")).await.expect("there is a place"));
+            held.push(
+                pool(&way, &format!("t{n:05}"))
+                    .await
+                    .expect("there is a place"),
+            );
         }
         sleep(Duration::from_secs(1)).await;
         // All have something under way.
-        let Err(Missing::Later(wait)) = pool(&way, "t00010").await else { panic!("there is no place") };
+        let Err(Missing::Later(wait)) = pool(&way, "t00010").await else {
+            panic!("there is no place")
+        };
         assert!((1.0..=10_000.0).contains(&wait), "{wait}");
         assert!(matches!(pool(&way, "t00011").await, Err(Missing::Later(_))));
-        assert_eq!((plane.residency().resident, plane.residency().waiting), (4, 2));
+        assert_eq!(
+            (plane.residency().resident, plane.residency().waiting),
+            (4, 2)
+        );
         drop(held.swap_remove(1));
         // The one that asked first gets the place that has come free, whoever else asks.
         assert!(matches!(pool(&way, "t00012").await, Err(Missing::Later(_))));
@@ -98,7 +135,10 @@
         drop(pool(&way, "t00010").await.expect("it is its turn"));
         assert_eq!(names(&plane), ["t00000", "t00002", "t00003", "t00010"]);
         let figures = plane.residency();
-        assert_eq!((figures.evictions, figures.refused, figures.wakes), (1, 4, 5));
+        assert_eq!(
+            (figures.evictions, figures.refused, figures.wakes),
+            (1, 4, 5)
+        );
         // A resident one is served all the while.
         drop(pool(&way, "t00000").await.expect("it is resident"));
     })
@@ -108,7 +148,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_thousand_that_wake_in_one_moment_leave_others_their_turns() {
     local(async {
-        let plane = plane(Process::default(), (0..1001).map(|n| tenant(n, &[])).collect());
+        let plane = plane(
+            Process::default(),
+            (0..1001).map(|n| tenant(n, &[])).collect(),
+        );
         let way = Rc::new(plane.way("all"));
         drop(pool(&*way, "t01000").await.expect("it wakes"));
         sleep(Duration::from_secs(1)).await;
@@ -117,7 +160,11 @@
             .map(|n| {
                 let (way, wakes) = (way.clone(), wakes.clone());
                 tokio::task::spawn_local(async move {
-                    drop(pool(&*way, &format!("t{n:05}")).await.expect("there is a place"));
+                    drop(
+                        pool(&*way, &format!("t{n:05}"))
+                            .await
+                            .expect("there is a place"),
+                    );
                     wakes.set(wakes.get() + 1);
                 })
             })
@@ -134,7 +181,10 @@
         for one in crowd {
             one.await.expect("it has its turn");
         }
-        assert!(most <= 8, "{most} were woken between two turns of the busy one");
+        assert!(
+            most <= 8,
+            "{most} were woken between two turns of the busy one"
+        );
         assert!(turns >= 125, "the busy one had {turns} turns meanwhile");
         assert_eq!(plane.residency().wakes, 1001);
     })
@@ -150,7 +200,9 @@
         let change = |parts: &mut Parts, tenant: &Tenant| {
             let mut next = plane.catalog();
             next.put(parts, tenant, 1);
-            plane.carry_out(Prepared::between(&plane.catalog(), next)).expect("it can be carried out");
+            plane
+                .carry_out(Prepared::between(&plane.catalog(), next))
+                .expect("it can be carried out");
         };
         // Its servers, its classes.
         let mut other = tenant(1, &[]);
@@ -167,13 +219,24 @@
         sleep(Duration::from_millis(10)).await;
         assert_eq!(plane.residency().remembered, 0);
         let told: Vec<(String, bool, bool)> = fresh(&plane, "t00001");
-        let told: Vec<(&str, bool, bool)> = told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
-        assert_eq!(told, [("s0", false, false), ("s1", false, true), ("s9", true, true)]);
+        let told: Vec<(&str, bool, bool)> =
+            told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
+        assert_eq!(
+            told,
+            [
+                ("s0", false, false),
+                ("s1", false, true),
+                ("s9", true, true)
+            ]
+        );
         // It goes and comes back while it is at rest: all its servers are new.
         let mut next = plane.catalog();
         next.remove("t00002");
         plane.go_over(next).expect("it can be carried out");
-        assert!(matches!(pool(&way, "t00002").await, Err(Missing::Plain(StatusCode::NOT_FOUND, _))));
+        assert!(matches!(
+            pool(&way, "t00002").await,
+            Err(Missing::Plain(StatusCode::NOT_FOUND, _))
+        ));
         change(&mut parts, &tenant(2, &[]));
         drop(pool(&way, "t00002").await.expect("it is back"));
         assert!(fresh(&plane, "t00002").iter().all(|(_, new, _)| *new));
@@ -201,7 +264,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_version_that_comes_between_route_and_wake_is_the_one_that_wakes() {
     local(async {
-        let plane = plane(Process::default(), (0..20).map(|n| tenant(n, &[])).collect());
+        let plane = plane(
+            Process::default(),
+            (0..20).map(|n| tenant(n, &[])).collect(),
+        );
         let way = plane.way("all");
         let uri = "/lookup".parse().expect("a target");
         let find = |name: &str, turn| way.pool(&uri, &named(name), turn);
@@ -214,7 +280,10 @@
             }
             Err(why) => why == Missing::Turn,
         });
-        assert!(waits.is_some_and(|n| n < 10), "turns are bounded: {waits:?}");
+        assert!(
+            waits.is_some_and(|n| n < 10),
+            "turns are bounded: {waits:?}"
+        );
         for name in ["t00010", "t00011", "t00012"] {
             assert_eq!(find(name, false).err(), Some(Missing::Turn), "{name}");
         }
@@ -232,9 +301,20 @@
         let mut next = plane.catalog();
         next.put(&mut parts, &tenant(12, &[]), 3);
         plane.go_over(next).expect("it can be carried out");
-        assert_eq!(plane.residency().resident, held.len(), "no version wakes anybody");
+        assert_eq!(
+            plane.residency().resident,
+            held.len(),
+            "no version wakes anybody"
+        );
         for (name, servers) in [
-            ("t00010", Some(vec![("s0", false, false), ("s1", false, true), ("s9", true, true)])),
+            (
+                "t00010",
+                Some(vec![
+                    ("s0", false, false),
+                    ("s1", false, true),
+                    ("s9", true, true),
+                ]),
+            ),
             ("t00011", None),
             ("t00012", Some(vec![("s0", true, true), ("s1", true, true)])),
         ] {
@@ -242,10 +322,14 @@
             let found = find(name, true);
             assert_eq!(found.is_ok(), servers.is_some(), "{name}");
             if let Err(why) = found {
-                assert!(matches!(why, Missing::Plain(StatusCode::NOT_FOUND, _)), "{name}: {why:?}");
+                assert!(
+                    matches!(why, Missing::Plain(StatusCode::NOT_FOUND, _)),
+                    "{name}: {why:?}"
+                );
             }
             let told = fresh(&plane, name);
-            let told: Vec<(&str, bool, bool)> = told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
+            let told: Vec<(&str, bool, bool)> =
+                told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
             assert_eq!(told, servers.unwrap_or_default(), "{name}");
         }
         assert_eq!(plane.residency().resident, held.len() + 2);
@@ -260,12 +344,21 @@
         let way = plane.way("all");
         let off = |name: &str| [(name.to_owned(), ["s0".to_owned()].into())].into();
         plane.hold_off(&off("t00001"));
-        let up = |name: &str| plane.servers_of(name).into_iter().map(|(_, _, up)| up).collect::<Vec<_>>();
+        let up = |name: &str| {
+            plane
+                .servers_of(name)
+                .into_iter()
+                .map(|(_, _, up)| up)
+                .collect::<Vec<_>>()
+        };
         drop(pool(&way, "t00001").await.expect("it wakes"));
         assert_eq!(up("t00001"), [false, true], "held off while at rest");
         drop(pool(&way, "t00002").await.expect("it wakes"));
         plane.hold_off(&off("t00002")); // its driver has not had its first turn yet
-        assert_eq!((up("t00001"), up("t00002")), (vec![true, true], vec![false, true]));
+        assert_eq!(
+            (up("t00001"), up("t00002")),
+            (vec![true, true], vec![false, true])
+        );
         sleep(Duration::from_secs(120)).await;
         assert_eq!(plane.residency().resident, 0);
         drop(pool(&way, "t00002").await.expect("it wakes"));
@@ -284,9 +377,18 @@
         plane.go_over(spoilt).expect("it can be carried out");
         for _ in 0..3 {
             let found = pool(&way, "t00001").await.err();
-            assert_eq!(found, Some(Missing::Plain(StatusCode::SERVICE_UNAVAILABLE, "unavailable")));
+            assert_eq!(
+                found,
+                Some(Missing::Plain(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "unavailable"
+                ))
+            );
         }
-        assert_eq!((plane.residency().damaged, plane.residency().resident), (1, 0));
+        assert_eq!(
+            (plane.residency().damaged, plane.residency().resident),
+            (1, 0)
+        );
         assert!(!plane.status_of("t00001").expect("it is there").ready);
         drop(pool(&way, "t00000").await.expect("others are whole"));
         let mut next = plane.catalog();
@@ -311,16 +413,33 @@
         };
         let mut tenants: Vec<Tenant> = (0..3).map(|n| tenant(n, &[])).collect();
         (tenants[1].fleet, tenants[1].servers) = (Some(fleet), Vec::new());
-        let plane = plane(Process { resident_tenants: 1, ..Process::default() }, tenants);
-        assert_eq!((names(&plane), plane.residency().pinned), (vec!["t00001".to_owned()], 1));
+        let plane = plane(
+            Process {
+                resident_tenants: 1,
+                ..Process::default()
+            },
+            tenants,
+        );
+        assert_eq!(
+            (names(&plane), plane.residency().pinned),
+            (vec!["t00001".to_owned()], 1)
+        );
         sleep(Duration::from_secs(3600)).await;
-        drop(pool(&plane.way("all"), "t00000").await.expect("a place is left for others"));
+        drop(
+            pool(&plane.way("all"), "t00000")
+                .await
+                .expect("a place is left for others"),
+        );
         assert_eq!(plane.residency().resident, 2);
         let mut next = plane.catalog();
         next.put(&mut Parts::default(), &tenant(1, &[]), 1);
         plane.go_over(next).expect("it can be carried out");
         sleep(Duration::from_secs(3600)).await;
-        assert_eq!((plane.residency().resident, plane.residency().pinned), (0, 0), "it is like others now");
+        assert_eq!(
+            (plane.residency().resident, plane.residency().pinned),
+            (0, 0),
+            "it is like others now"
+        );
     })
     .await;
 }
@@ -331,14 +450,27 @@
         let sound = Backend::start().await;
         let dead = Backend::dead().await;
         let servers = [server("dead", &dead), server("sound", &sound.address)];
-        let process = Process { rest_after: Span(100.0), ..Process::default() };
+        let process = Process {
+            rest_after: Span(100.0),
+            ..Process::default()
+        };
         let service = || vec![tenant(0, &servers)];
         let plane = plane(process.clone(), service());
         let address = plane.addresses()["all"];
         // Until the dead one was tried and closed.
-        let closed = |plane: &Plane| plane.standing_of("t00000").servers.iter().any(|s| s.whole.is_some());
+        let closed = |plane: &Plane| {
+            plane
+                .standing_of("t00000")
+                .servers
+                .iter()
+                .any(|s| s.whole.is_some())
+        };
         while !closed(&plane) {
-            assert_eq!(ask(address, "t00000").await, 200, "the other serves what it can't");
+            assert_eq!(
+                ask(address, "t00000").await,
+                200,
+                "the other serves what it can't"
+            );
         }
         let before = plane.standing_of("t00000");
         while plane.residency().resident > 0 {
@@ -353,8 +485,14 @@
             }
             tokio::task::yield_now().await;
         }
-        let (was, is) = (before.servers[0].whole.expect("it is closed"), plane.standing_of("t00000"));
-        assert_eq!((is.servers.len(), is.servers[0].id), (1, before.servers[0].id));
+        let (was, is) = (
+            before.servers[0].whole.expect("it is closed"),
+            plane.standing_of("t00000"),
+        );
+        assert_eq!(
+            (is.servers.len(), is.servers[0].id),
+            (1, before.servers[0].id)
+        );
         assert_eq!(is.servers[0].whole, Some(was));
         drop(held);
         assert_eq!(ask(address, "t00000").await, 200);
@@ -369,19 +507,29 @@
 async fn a_cold_server_gets_no_second_budget_by_a_rest() {
     local(async {
         let (old, new) = (Backend::start().await, Backend::start().await);
-        let process = Process { rest_after: Span(100.0), ..Process::default() };
+        let process = Process {
+            rest_after: Span(100.0),
+            ..Process::default()
+        };
         let plane = plane(process, vec![tenant(0, &[server("old", &old.address)])]);
         let address = plane.addresses()["all"];
         assert_eq!(ask(address, "t00000").await, 200);
         let mut next = plane.catalog();
-        let mut both = tenant(0, &[server("old", &old.address), server("new", &new.address)]);
+        let mut both = tenant(
+            0,
+            &[server("old", &old.address), server("new", &new.address)],
+        );
         both.rules.cold = Span(600_000.0);
         next.put(&mut Parts::default(), &both, 1);
         plane.go_over(next).expect("it can be carried out");
         assert_eq!(ask(address, "t00000").await, 200);
         let cold = |plane: &Plane| {
             let standing = plane.standing_of("t00000");
-            standing.servers.iter().find_map(|s| s.cold).expect("one is cold")
+            standing
+                .servers
+                .iter()
+                .find_map(|s| s.cold)
+                .expect("one is cold")
         };
         let before = cold(&plane);
         while plane.residency().resident > 0 {
@@ -390,8 +538,16 @@
         let held = pool(&plane.way("all"), "t00000").await.expect("it wakes");
         sleep(Duration::from_millis(1)).await;
         let after = cold(&plane);
-        assert_eq!((after.grant, after.at >= before.at), (before.grant, true), "it is the same budget");
-        assert!(fresh(&plane, "t00000").iter().any(|(name, new, _)| name == "new" && *new));
+        assert_eq!(
+            (after.grant, after.at >= before.at),
+            (before.grant, true),
+            "it is the same budget"
+        );
+        assert!(
+            fresh(&plane, "t00000")
+                .iter()
+                .any(|(name, new, _)| name == "new" && *new)
+        );
         drop(held);
     })
     .await;
@@ -401,13 +557,22 @@
 async fn a_servers_limit_holds_for_one_that_is_awake_among_users_at_rest() {
     local(async {
         let backend = Backend::start().await;
-        let limited =
-            hosted::document::Server { connections: Some(2), warm: true, ..server("both", &backend.address) };
-        let plane =
-            plane(Process::default(), (0..2).map(|n| tenant(n, std::slice::from_ref(&limited))).collect());
+        let limited = hosted::document::Server {
+            connections: Some(2),
+            warm: true,
+            ..server("both", &backend.address)
+        };
+        let plane = plane(
+            Process::default(),
+            (0..2)
+                .map(|n| tenant(n, std::slice::from_ref(&limited)))
+                .collect(),
+        );
         let address = plane.addresses()["all"];
         backend.answers.send_replace(false);
-        let asks: Vec<_> = (0..6).map(|_| tokio::task::spawn_local(ask(address, "t00000"))).collect();
+        let asks: Vec<_> = (0..6)
+            .map(|_| tokio::task::spawn_local(ask(address, "t00000")))
+            .collect();
         while backend.seen.get() < 2 {
             tokio::task::yield_now().await;
         }
@@ -422,7 +587,10 @@
         let mut served = 0;
         for one in asks.into_iter().chain([other]) {
             let status = one.await.expect("an answer");
-            assert!(status == 200 || status == 503, "{status}: served, or refused as the server is full");
+            assert!(
+                status == 200 || status == 503,
+                "{status}: served, or refused as the server is full"
+            );
             served += usize::from(status == 200);
         }
         assert!(served >= 2, "{served}");
@@ -435,8 +603,14 @@
 async fn with_fewer_places_than_tenants_that_ask_each_is_served_in_its_turn() {
     local(async {
         let backend = Backend::start().await;
-        let servers = [hosted::document::Server { warm: true, ..server("one", &backend.address) }];
-        let process = Process { resident_tenants: 3, ..Process::default() };
+        let servers = [hosted::document::Server {
+            warm: true,
+            ..server("one", &backend.address)
+        }];
+        let process = Process {
+            resident_tenants: 3,
+            ..Process::default()
+        };
         let plane = plane(process, (0..12).map(|n| tenant(n, &servers)).collect());
         let address = plane.addresses()["all"];
         let asks: Vec<_> = (0..12)
@@ -458,8 +632,14 @@
             refused += one.await.expect("an answer");
         }
         let figures = plane.residency();
-        assert!(refused > 0 && figures.refused >= refused, "{refused}, {figures:?}");
-        assert!(figures.resident <= 3 && figures.wakes == 12 && figures.evictions >= 9, "{figures:?}");
+        assert!(
+            refused > 0 && figures.refused >= refused,
+            "{refused}, {figures:?}"
+        );
+        assert!(
+            figures.resident <= 3 && figures.wakes == 12 && figures.evictions >= 9,
+            "{figures:?}"
+        );
     })
     .await;
 }
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -37,26 +37,45 @@
         if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
             return None;
         }
-        let (mean_x, mean_y) =
-            (points.iter().map(|p| p.0).sum::<f64>() / n, points.iter().map(|p| p.1).sum::<f64>() / n);
+        let (mean_x, mean_y) = (
+            points.iter().map(|p| p.0).sum::<f64>() / n,
+            points.iter().map(|p| p.1).sum::<f64>() / n,
+        );
         let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
         if points.len() < 2 || spread <= 0.0 {
             return None;
         }
-        let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread;
+        let slope = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum::<f64>()
+            / spread;
         let base = mean_y - slope * mean_x;
         let largest = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
-        let off = points.iter().map(|(x, y)| (base + slope * x - y).abs()).fold(0.0, f64::max);
+        let off = points
+            .iter()
+            .map(|(x, y)| (base + slope * x - y).abs())
+            .fold(0.0, f64::max);
         let residual = if largest > 0.0 { off / largest } else { 0.0 };
         let range = [
             points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min),
             points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max),
         ];
-        Some(Fit { slope, base, residual, range, points: points.len() })
+        Some(Fit {
+            slope,
+            base,
+            residual,
+            range,
+            points: points.len(),
+        })
     }
 
     /// What it gives at a size.
     pub fn at(&self, size: f64) -> AtTarget {
-        AtTarget { size, value: self.base + self.slope * size, times: size / self.range[1] }
+        AtTarget {
+            size,
+            value: self.base + self.slope * size,
+            times: size / self.range[1],
+        }
     }
 }
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -136,20 +136,26 @@
 /// # Errors
 /// No thread can be had, or nobody reads the answers.
 pub fn host(input: impl Read + Send + 'static, mut output: impl Write) -> io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let (tell, mut told) = mpsc::unbounded_channel();
-    thread::Builder::new().name("orders".into()).spawn(move || {
-        for line in BufReader::new(input).lines().map_while(Result::ok) {
-            if tell.send(line).is_err() {
-                return;
+    thread::Builder::new()
+        .name("orders".into())
+        .spawn(move || {
+            for line in BufReader::new(input).lines().map_while(Result::ok) {
+                if tell.send(line).is_err() {
+                    return;
+                }
             }
-        }
-    })?;
+        })?;
     runtime.block_on(async {
         let mut members = Vec::new();
         while let Some(line) = told.recv().await {
             let reply = match serde_json::from_str(&line) {
-                Ok(order) => obey(&mut members, order).await.unwrap_or_else(Reply::Failed),
+                Ok(order) => obey(&mut members, order)
+                    .await
+                    .unwrap_or_else(Reply::Failed),
                 Err(e) => Reply::Failed(e.to_string()),
             };
             writeln!(output, "{}", serde_json::to_string(&reply)?)?;
@@ -160,7 +166,12 @@
 }
 
 async fn obey(members: &mut Vec<Member>, order: Order) -> Result<Reply, String> {
-    let first = |members: &[Member]| members.first().map(|m| m.said.clone()).ok_or("no member was started");
+    let first = |members: &[Member]| {
+        members
+            .first()
+            .map(|m| m.said.clone())
+            .ok_or("no member was started")
+    };
     match order {
         Order::Start(spec) => {
             for one in &spec.members {
@@ -172,7 +183,9 @@
         Order::Status => {
             let (tell, told) = oneshot::channel();
             let _ = first(members)?.send(Said::Status(tell)); // one that has ended drops the question
-            told.await.map(|s| Reply::Status(Box::new(s))).map_err(|e| e.to_string())
+            told.await
+                .map(|s| Reply::Status(Box::new(s)))
+                .map_err(|e| e.to_string())
         }
         Order::Change(id, bytes) => {
             let (tell, told) = oneshot::channel();
@@ -187,7 +200,10 @@
         Order::StepDown => {
             let (tell, told) = oneshot::channel();
             let _ = first(members)?.send(Said::StepDown(None, tell)); // as above
-            told.await.map_err(|e| e.to_string())?.map(|()| Reply::Done).map_err(|e| e.to_string())
+            told.await
+                .map_err(|e| e.to_string())?
+                .map(|()| Reply::Done)
+                .map_err(|e| e.to_string())
         }
     }
 }
@@ -216,7 +232,10 @@
     let driven = member::open(settings, tells, hears, right.clone(), begin).await?;
     let counts = driven.counts();
     tokio::spawn(driven.run());
-    let seen = Arc::new(Mutex::new(Seen { name: one.name.clone(), ..Seen::default() }));
+    let seen = Arc::new(Mutex::new(Seen {
+        name: one.name.clone(),
+        ..Seen::default()
+    }));
     let application = Application {
         said: said.clone(),
         seen: seen.clone(),
@@ -226,13 +245,22 @@
         next_read: 0,
     };
     tokio::spawn(application.follow(told));
-    Ok(Member { right, counts, seen, said })
+    Ok(Member {
+        right,
+        counts,
+        seen,
+        said,
+    })
 }
 
 fn look(members: &[Member]) -> Look {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: u64 = pages.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
+    let pages: u64 = pages
+        .split(' ')
+        .nth(1)
+        .and_then(|p| p.parse().ok())
+        .unwrap_or(0);
     let mut look = Look {
         cpu_us: time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000,
         memory: pages * rustix::param::page_size() as u64,
@@ -240,13 +268,25 @@
     };
     for member in members {
         for kind in 0..Kind::COUNT {
-            let (out, incoming) = (member.counts.out[kind].so_far(), member.counts.incoming[kind].so_far());
+            let (out, incoming) = (
+                member.counts.out[kind].so_far(),
+                member.counts.incoming[kind].so_far(),
+            );
             (0..2).for_each(|i| look.out[kind][i] += out[i]);
             (0..2).for_each(|i| look.incoming[kind][i] += incoming[i]);
         }
-        look.dropped += member.counts.dropped.load(std::sync::atomic::Ordering::Relaxed);
-        let mut seen = member.seen.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        seen.decides = seen.version.is_some_and(|v| member.right.may_decide(v).is_some());
+        look.dropped += member
+            .counts
+            .dropped
+            .load(std::sync::atomic::Ordering::Relaxed);
+        let mut seen = member
+            .seen
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
+        seen.decides = seen
+            .version
+            .is_some_and(|v| member.right.may_decide(v).is_some());
         look.members.push(seen);
     }
     look
@@ -295,7 +335,10 @@
             }
             Told::Note(_) => self.entry += 1,
             Told::Restore(machine, state) => {
-                self.seen.lock().unwrap_or_else(PoisonError::into_inner).restored = state.len();
+                self.seen
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .restored = state.len();
                 self.entry = machine.entry;
                 self.serves(machine.version);
                 let change = machine.change.map(|c| (c.proposal.id, c.phase));
@@ -317,7 +360,10 @@
                 }
             }
             Told::Ended(why) => {
-                self.seen.lock().unwrap_or_else(PoisonError::into_inner).ended = Some(why);
+                self.seen
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .ended = Some(why);
             }
             Told::Members(..) | Told::GivenUp => {}
         }
@@ -328,7 +374,11 @@
             return self.say(Said::Unanswered(id));
         }
         let (tell, told) = oneshot::channel();
-        let proposal = Proposal { id: format!("{id}.0"), base: self.entry, payload };
+        let proposal = Proposal {
+            id: format!("{id}.0"),
+            base: self.entry,
+            payload,
+        };
         self.say(Said::Propose(proposal, false, tell));
         let said = self.said.clone();
         tokio::spawn(async move {
@@ -344,7 +394,11 @@
 
 /// What runs a group's members.
 enum Host {
-    Process(Child, Box<dyn Write + Send>, BufReader<Box<dyn Read + Send>>),
+    Process(
+        Child,
+        Box<dyn Write + Send>,
+        BufReader<Box<dyn Read + Send>>,
+    ),
     Thread(UnixStream, BufReader<UnixStream>),
 }
 
@@ -365,7 +419,11 @@
 impl Group {
     /// Members that do not run yet. `command` takes the arguments of `canvascart`; without it they are to run on a thread.
     pub fn new(spec: Spec, command: Option<Vec<String>>) -> Self {
-        Group { spec, command, host: None }
+        Group {
+            spec,
+            command,
+            host: None,
+        }
     }
 
     /// How many members there are.
@@ -405,8 +463,9 @@
         self.kill();
         self.host = Some(match &self.command {
             Some(command) => {
-                let (program, arguments) =
-                    command.split_first().ok_or_else(|| io::Error::other("no program is named"))?;
+                let (program, arguments) = command
+                    .split_first()
+                    .ok_or_else(|| io::Error::other("no program is named"))?;
                 let mut child = Command::new(program)
                     .args(arguments)
                     .args(["--log", "error", "lab", "hollow"])
@@ -422,9 +481,11 @@
             None => {
                 let (own, other) = UnixStream::pair()?;
                 let (input, output) = (other.try_clone()?, other);
-                thread::Builder::new().name("hollow".into()).spawn(move || {
-                    let _ = host(input, output); // whoever asked sees that no answer comes
-                })?;
+                thread::Builder::new()
+                    .name("hollow".into())
+                    .spawn(move || {
+                        let _ = host(input, output); // whoever asked sees that no answer comes
+                    })?;
                 Host::Thread(own.try_clone()?, BufReader::new(own))
             }
         });
@@ -449,7 +510,9 @@
     pub fn send(&mut self, order: &Order) -> io::Result<()> {
         let line = format!("{}\n", serde_json::to_string(order)?);
         let sent = match &mut self.host {
-            Some(Host::Process(_, input, _)) => input.write_all(line.as_bytes()).and_then(|()| input.flush()),
+            Some(Host::Process(_, input, _)) => input
+                .write_all(line.as_bytes())
+                .and_then(|()| input.flush()),
             Some(Host::Thread(input, _)) => input.write_all(line.as_bytes()),
             None => Err(io::Error::other("these hollow members do not run")),
         };
@@ -480,10 +543,14 @@
     fn died(&mut self, why: &io::Error) -> io::Error {
         let who = self.spec.members.first().map_or("-", |m| &m.name);
         let ended = match &mut self.host {
-            Some(Host::Process(child, ..)) => child.wait().map_or_else(|e| e.to_string(), |s| s.to_string()),
+            Some(Host::Process(child, ..)) => child
+                .wait()
+                .map_or_else(|e| e.to_string(), |s| s.to_string()),
             _ => String::new(),
         };
-        io::Error::other(format!("the hollow process of {who} has ended: {why}; {ended}"))
+        io::Error::other(format!(
+            "the hollow process of {who} has ended: {why}; {ended}"
+        ))
     }
 
     /// What there was.
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -111,12 +111,19 @@
     /// The system does not say.
     pub fn here(dir: &Path) -> io::Result<Self> {
         let info = std::fs::read_to_string("/proc/meminfo")?;
-        let total = info.lines().find_map(|l| l.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB"));
-        let total: u64 =
-            total.and_then(|t| t.trim().parse().ok()).ok_or_else(|| io::Error::other("/proc/meminfo"))?;
+        let total = info
+            .lines()
+            .find_map(|l| l.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB"));
+        let total: u64 = total
+            .and_then(|t| t.trim().parse().ok())
+            .ok_or_else(|| io::Error::other("/proc/meminfo"))?;
         let disk = rustix::fs::statvfs(dir)?;
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-        Ok(Room { memory: total * 1024 / 2, disk: disk.f_bavail * disk.f_frsize / 2, descriptors })
+        Ok(Room {
+            memory: total * 1024 / 2,
+            disk: disk.f_bavail * disk.f_frsize / 2,
+            descriptors,
+        })
     }
 }
 
@@ -124,8 +131,16 @@
     /// What so many members with a state of so many bytes need.
     pub fn of(members: usize, state_bytes: usize, threads: bool) -> Self {
         let (count, state) = (members as u64, state_bytes as u64);
-        let processes = if threads { 0 } else { shares(members, tenth(members)).len() };
-        let own = if threads { count } else { count.min(SHARE as u64) } * FILES;
+        let processes = if threads {
+            0
+        } else {
+            shares(members, tenth(members)).len()
+        };
+        let own = if threads {
+            count
+        } else {
+            count.min(SHARE as u64)
+        } * FILES;
         Needs {
             processes,
             memory: count * (MEMBER + COPIES * state),
@@ -142,10 +157,16 @@
     pub fn fit(&self, members: usize, room: &Room) -> io::Result<()> {
         let mib = |bytes: u64| bytes >> 20;
         let beyond = |what: String| {
-            Err(io::Error::new(io::ErrorKind::InvalidInput, format!("members: {members} need {what}")))
+            Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                format!("members: {members} need {what}"),
+            ))
         };
         if self.processes > PROCESSES {
-            return beyond(format!("{} processes, and {PROCESSES} are the most", self.processes));
+            return beyond(format!(
+                "{} processes, and {PROCESSES} are the most",
+                self.processes
+            ));
         }
         if self.memory > room.memory {
             let half = mib(room.memory);
@@ -156,7 +177,10 @@
         }
         if self.disk > room.disk {
             let half = mib(room.disk);
-            return beyond(format!("{} MiB on disk, and half of what is free is {half}", mib(self.disk)));
+            return beyond(format!(
+                "{} MiB on disk, and half of what is free is {half}",
+                mib(self.disk)
+            ));
         }
         if self.descriptors > room.descriptors {
             let limit = room.descriptors;
@@ -192,8 +216,15 @@
     let voters = members.min(VOTERS);
     let mut shares: Vec<(Role, usize)> = (0..voters).map(|_| (Role::Voter, 1)).collect();
     let mut left = members - voters;
-    for (role, part) in [(Role::Few, members.div_ceil(100)), (Role::Many, members / 10)] {
-        let more = if role == Role::Many { part.saturating_sub(members.div_ceil(100)) } else { part };
+    for (role, part) in [
+        (Role::Few, members.div_ceil(100)),
+        (Role::Many, members / 10),
+    ] {
+        let more = if role == Role::Many {
+            part.saturating_sub(members.div_ceil(100))
+        } else {
+            part
+        };
         let count = more.min(left.saturating_sub(1));
         if count > 0 && members >= 2 * VOTERS {
             shares.push((role, count));
@@ -238,7 +269,10 @@
 impl Sight {
     /// All members that were seen.
     pub fn members(&self) -> impl Iterator<Item = &super::hollow::Seen> {
-        self.groups.iter().filter_map(|(_, l)| l.as_ref()).flat_map(|l| &l.members)
+        self.groups
+            .iter()
+            .filter_map(|(_, l)| l.as_ref())
+            .flat_map(|l| &l.members)
     }
 
     fn sum(&self, of: fn(&Look) -> &Kinds) -> Kinds {
@@ -251,7 +285,9 @@
 }
 
 fn add(to: &mut Kinds, from: &Kinds) {
-    to.iter_mut().zip(from).for_each(|(t, f)| (0..2).for_each(|i| t[i] += f[i]));
+    to.iter_mut()
+        .zip(from)
+        .for_each(|(t, f)| (0..2).for_each(|i| t[i] += f[i]));
 }
 
 fn less(a: &Kinds, b: &Kinds) -> Kinds {
@@ -269,7 +305,12 @@
 /// All but heartbeats and confirmations, which come by time and by how busy the members are.
 pub(super) fn own(kinds: &Kinds) -> [f64; 2] {
     let mut kinds = *kinds;
-    for kind in [Kind::Heartbeat, Kind::HeartbeatAnswer, Kind::Confirmation, Kind::ConfirmationAnswer] {
+    for kind in [
+        Kind::Heartbeat,
+        Kind::HeartbeatAnswer,
+        Kind::Confirmation,
+        Kind::ConfirmationAnswer,
+    ] {
         kinds[kind as usize] = [0, 0];
     }
     total(&kinds)
@@ -295,8 +336,15 @@
     ///
     /// # Errors
     /// As [`Cluster::start`].
-    pub fn shared(play: &Play, members: usize, share: usize, stop: &AtomicBool) -> io::Result<Self> {
-        let dir = play.dir.join(format!("hollow-{}-{:x}", std::process::id(), drawn()));
+    pub fn shared(
+        play: &Play,
+        members: usize,
+        share: usize,
+        stop: &AtomicBool,
+    ) -> io::Result<Self> {
+        let dir = play
+            .dir
+            .join(format!("hollow-{}-{:x}", std::process::id(), drawn()));
         match std::fs::remove_dir_all(&dir) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => std::fs::create_dir_all(&dir)?,
@@ -330,7 +378,12 @@
             group.know(&peers);
         }
         let paused = vec![false; groups.len()];
-        let mut cluster = Cluster { groups, paused, changes: 0, dir };
+        let mut cluster = Cluster {
+            groups,
+            paused,
+            changes: 0,
+            dir,
+        };
         let voters = members.min(VOTERS);
         for (_, group) in &mut cluster.groups[..voters] {
             group.start()?;
@@ -384,9 +437,18 @@
     /// # Errors
     /// A process has died.
     pub fn look(&mut self) -> io::Result<Sight> {
-        let asked: Vec<bool> =
-            self.groups.iter().zip(&self.paused).map(|((_, g), p)| g.runs() && !p).collect();
-        for ((_, group), _) in self.groups.iter_mut().zip(&asked).filter(|(_, asked)| **asked) {
+        let asked: Vec<bool> = self
+            .groups
+            .iter()
+            .zip(&self.paused)
+            .map(|((_, g), p)| g.runs() && !p)
+            .collect();
+        for ((_, group), _) in self
+            .groups
+            .iter_mut()
+            .zip(&asked)
+            .filter(|(_, asked)| **asked)
+        {
             group.send(&Order::Look)?;
         }
         let at = Instant::now();
@@ -429,8 +491,12 @@
     /// A process has died.
     pub fn leader(&mut self, asked: usize) -> io::Result<Option<usize>> {
         let leader = self.status_of(asked)?.leader;
-        let leads =
-            |(_, g): &(Role, Group)| g.spec().members.iter().any(|m| Some(&m.name) == leader.as_ref());
+        let leads = |(_, g): &(Role, Group)| {
+            g.spec()
+                .members
+                .iter()
+                .any(|m| Some(&m.name) == leader.as_ref())
+        };
         Ok(self.groups.iter().position(leads))
     }
 
@@ -440,7 +506,12 @@
     /// It was not made, or a process died.
     pub fn change(&mut self, by: usize, bytes: usize, stop: &AtomicBool) -> io::Result<[f64; 2]> {
         self.changes += 1;
-        let before = self.look()?.members().filter_map(|m| m.version).max().unwrap_or(0);
+        let before = self
+            .look()?
+            .members()
+            .filter_map(|m| m.version)
+            .max()
+            .unwrap_or(0);
         let began = clock::now();
         let (id, group) = (format!("c{}", self.changes), &mut self.groups[by].1);
         group.send(&Order::Change(id, bytes))?;
@@ -450,7 +521,10 @@
         let last = loop {
             let sight = self.look()?;
             let at = |m: &super::hollow::Seen| {
-                m.served.iter().find(|(version, _)| *version > before).map(|(_, at)| *at)
+                m.served
+                    .iter()
+                    .find(|(version, _)| *version > before)
+                    .map(|(_, at)| *at)
             };
             let served: Option<Vec<u64>> = sight.members().map(at).collect();
             if let Some(last) = served.and_then(|s| s.into_iter().max()) {
@@ -464,7 +538,9 @@
 
     /// The groups of a role.
     pub fn of(&self, roles: &[Role]) -> Vec<usize> {
-        (0..self.groups.len()).filter(|i| roles.contains(&self.groups[*i].0)).collect()
+        (0..self.groups.len())
+            .filter(|i| roles.contains(&self.groups[*i].0))
+            .collect()
     }
 
     /// How many members a group has.
@@ -507,7 +583,9 @@
     /// They can't be removed.
     pub fn empty(&self, group: usize) -> io::Result<()> {
         let spec = self.groups[group].1.spec();
-        spec.members.iter().try_for_each(|m| std::fs::remove_dir_all(spec.directory.join(&m.name)))
+        spec.members
+            .iter()
+            .try_for_each(|m| std::fs::remove_dir_all(spec.directory.join(&m.name)))
     }
 
     /// Stops a group's process, or lets it go on.
@@ -520,14 +598,20 @@
 /// Some number, another each time.
 pub(super) fn drawn() -> u64 {
     use std::hash::{BuildHasher as _, Hasher as _};
-    std::collections::hash_map::RandomState::new().build_hasher().finish()
+    std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish()
 }
 
 /// What passed between two sights: out and in by kind, and the span in seconds.
 pub fn between(before: &Sight, after: &Sight) -> (Kinds, Kinds, f64) {
     let out = less(&after.sum(|l| &l.out), &before.sum(|l| &l.out));
     let incoming = less(&after.sum(|l| &l.incoming), &before.sum(|l| &l.incoming));
-    (out, incoming, after.at.duration_since(before.at).as_secs_f64())
+    (
+        out,
+        incoming,
+        after.at.duration_since(before.at).as_secs_f64(),
+    )
 }
 
 /// Processor time of groups of a role between two sights, as a part of a core for each member, in per cent.
@@ -565,22 +649,40 @@
     }
     let leader = |i: usize, _| i == 0;
     if let (Some(a), Some(b)) = (&after.groups[0].1, &before.groups[0].1) {
-        let (sent, got) = (total(&less(&a.out, &b.out)), total(&less(&a.incoming, &b.incoming)));
+        let (sent, got) = (
+            total(&less(&a.out, &b.out)),
+            total(&less(&a.incoming, &b.incoming)),
+        );
         put("leader messages out /s".into(), sent[0] / span);
         put("leader bytes out /s".into(), sent[1] / span);
         put("leader bytes in /s".into(), got[1] / span);
     }
     put("leader cpu %".into(), cpu(before, after, leader));
-    put("voter cpu %".into(), cpu(before, after, |i, role| i > 0 && role == Role::Voter));
-    put("learner cpu %".into(), cpu(before, after, |_, role| role != Role::Voter));
+    put(
+        "voter cpu %".into(),
+        cpu(before, after, |i, role| i > 0 && role == Role::Voter),
+    );
+    put(
+        "learner cpu %".into(),
+        cpu(before, after, |_, role| role != Role::Voter),
+    );
     let mib = |of: &dyn Fn(usize, Role) -> bool| {
-        let looks = after.groups.iter().enumerate().filter(|(i, (role, _))| of(*i, *role));
+        let looks = after
+            .groups
+            .iter()
+            .enumerate()
+            .filter(|(i, (role, _))| of(*i, *role));
         let looks: Vec<&Look> = looks.filter_map(|(_, (_, l))| l.as_ref()).collect();
         let members: usize = looks.iter().map(|l| l.members.len()).sum();
-        looks.iter().map(|l| l.memory).sum::<u64>() as f64 / members.max(1) as f64 / f64::from(1 << 20)
+        looks.iter().map(|l| l.memory).sum::<u64>() as f64
+            / members.max(1) as f64
+            / f64::from(1 << 20)
     };
     put("leader MiB".into(), mib(&leader));
-    put("learner MiB each".into(), mib(&|_, role| role != Role::Voter));
+    put(
+        "learner MiB each".into(),
+        mib(&|_, role| role != Role::Voter),
+    );
 }
 
 /// What a change adds to what idle members send: kinds and the span in seconds, of both, and how many changes there were.
@@ -622,7 +724,9 @@
     point.sizes.insert("members".into(), members as f64);
     let began = Instant::now();
     let mut cluster = Cluster::start(play, members, stop)?;
-    point.figures.insert("all joined s".into(), began.elapsed().as_secs_f64());
+    point
+        .figures
+        .insert("all joined s".into(), began.elapsed().as_secs_f64());
     let period = Duration::from_micros(play.rules.lease / 5);
     thread::sleep(2 * period);
     interrupted(stop)?;
@@ -641,11 +745,25 @@
     let after = cluster.look()?;
     if !times.is_empty() {
         let (out, _, span) = between(&before, &after);
-        change_figures(point, (&idle_out, idle_span), (&out, span), times.len() as f64);
+        change_figures(
+            point,
+            (&idle_out, idle_span),
+            (&out, span),
+            times.len() as f64,
+        );
         let mut put = |name: &str, value: f64| _ = point.figures.insert(name.into(), value);
-        put("change answered ms", median(&times.iter().map(|t| t[0]).collect::<Vec<_>>()));
-        put("change everywhere ms", median(&times.iter().map(|t| t[1]).collect::<Vec<_>>()));
-        put("change everywhere longest ms", times.iter().map(|t| t[1]).fold(0.0, f64::max));
+        put(
+            "change answered ms",
+            median(&times.iter().map(|t| t[0]).collect::<Vec<_>>()),
+        );
+        put(
+            "change everywhere ms",
+            median(&times.iter().map(|t| t[1]).collect::<Vec<_>>()),
+        );
+        put(
+            "change everywhere longest ms",
+            times.iter().map(|t| t[1]).fold(0.0, f64::max),
+        );
     }
     if !play.peak.is_zero() {
         peak(play, &mut cluster, point, stop)?;
@@ -657,7 +775,12 @@
 }
 
 /// Changes at twenty times the day's rate, one each 1.5 s.
-fn peak(play: &Play, cluster: &mut Cluster, point: &mut Point, stop: &AtomicBool) -> io::Result<()> {
+fn peak(
+    play: &Play,
+    cluster: &mut Cluster,
+    point: &mut Point,
+    stop: &AtomicBool,
+) -> io::Result<()> {
     let pace = Duration::from_secs_f64(86_400.0 / target::CHANGES / 20.0);
     let (before, began) = (cluster.look()?, Instant::now());
     let (mut times, mut late): (Vec<f64>, f64) = (Vec::new(), 0.0);
@@ -679,33 +802,63 @@
     put("peak bytes out /s member", total(&out)[1] / span / count);
     put("peak messages out /s member", total(&out)[0] / span / count);
     put("peak leader cpu %", cpu(&before, &after, |i, _| i == 0));
-    put("peak learner cpu %", cpu(&before, &after, |_, role| role != Role::Voter));
+    put(
+        "peak learner cpu %",
+        cpu(&before, &after, |_, role| role != Role::Voter),
+    );
     put("peak everywhere ms", median(&times));
-    put("peak everywhere longest ms", times.iter().copied().fold(0.0, f64::max));
+    put(
+        "peak everywhere longest ms",
+        times.iter().copied().fold(0.0, f64::max),
+    );
     put("peak begun late s", late);
     Ok(())
 }
 
 /// A part is killed, started and stopped; changes meanwhile.
-fn hurt(play: &Play, cluster: &mut Cluster, point: &mut Point, stop: &AtomicBool) -> io::Result<()> {
+fn hurt(
+    play: &Play,
+    cluster: &mut Cluster,
+    point: &mut Point,
+    stop: &AtomicBool,
+) -> io::Result<()> {
     let patience = || Instant::now() + PATIENCE * 2;
-    for (part, roles) in [("1 %", &[Role::Few][..]), ("10 %", &[Role::Few, Role::Many])] {
+    for (part, roles) in [
+        ("1 %", &[Role::Few][..]),
+        ("10 %", &[Role::Few, Role::Many]),
+    ] {
         let groups = cluster.of(roles);
         let hurt: usize = groups.iter().map(|g| cluster.count(*g)).sum();
-        let mut put = |name: &str, value: f64| _ = point.figures.insert(format!("{part} {name}"), value);
+        let mut put =
+            |name: &str, value: f64| _ = point.figures.insert(format!("{part} {name}"), value);
         put("are", hurt as f64);
         groups.iter().for_each(|g| cluster.kill(*g));
-        put("dead: first change ms", cluster.change(0, play.change_bytes, stop)?[1]);
-        put("dead: next change ms", cluster.change(0, play.change_bytes, stop)?[1]);
+        put(
+            "dead: first change ms",
+            cluster.change(0, play.change_bytes, stop)?[1],
+        );
+        put(
+            "dead: next change ms",
+            cluster.change(0, play.change_bytes, stop)?[1],
+        );
         let began = Instant::now();
         cluster.restart(&groups)?;
-        put("starting: change ms", cluster.change(0, play.change_bytes, stop)?[1]);
+        put(
+            "starting: change ms",
+            cluster.change(0, play.change_bytes, stop)?[1],
+        );
         cluster.all_decide(patience(), stop)?;
         put("starting: all decide s", began.elapsed().as_secs_f64());
         if play.command.is_some() {
             groups.iter().for_each(|g| cluster.pause(*g, true));
-            put("stalled: first change ms", cluster.change(0, play.change_bytes, stop)?[1]);
-            put("stalled: next change ms", cluster.change(0, play.change_bytes, stop)?[1]);
+            put(
+                "stalled: first change ms",
+                cluster.change(0, play.change_bytes, stop)?[1],
+            );
+            put(
+                "stalled: next change ms",
+                cluster.change(0, play.change_bytes, stop)?[1],
+            );
             groups.iter().for_each(|g| cluster.pause(*g, false));
             cluster.all_decide(patience(), stop)?;
         }
@@ -729,22 +882,30 @@
             return bad("members: 0 are no cluster".into());
         }
         if *members > MOST {
-            return bad(format!("members: {members} are more than the {MOST} that have addresses here"));
+            return bad(format!(
+                "members: {members} are more than the {MOST} that have addresses here"
+            ));
         }
         Needs::of(*members, play.state_bytes, play.command.is_none()).fit(*members, &room)?;
     }
     if play.side_by_side {
         // All at once: what they hold adds up, while descriptors are a process's.
         let all = sizes.iter().sum();
-        Needs { descriptors: 0, ..Needs::of(all, play.state_bytes, play.command.is_none()) }
-            .fit(all, &room)?;
+        Needs {
+            descriptors: 0,
+            ..Needs::of(all, play.state_bytes, play.command.is_none())
+        }
+        .fit(all, &room)?;
     }
     Ok(())
 }
 
 /// Plays each size, one after the other or side by side. One that fails makes a void point, one that is interrupted none.
 pub(super) fn each(
-    sweep: &mut Sweep, sizes: &[usize], how: &Play, mut tell: impl FnMut(&Sweep),
+    sweep: &mut Sweep,
+    sizes: &[usize],
+    how: &Play,
+    mut tell: impl FnMut(&Sweep),
     play: impl Fn(usize, &mut Point) -> io::Result<()> + Sync,
 ) {
     let one = |size: usize| {
@@ -757,12 +918,24 @@
         }
         Some(point)
     };
-    let panicked = || Point { void: Some("it panicked".into()), ..Point::default() };
-    let at_once = if how.side_by_side { sizes.len().max(1) } else { 1 };
+    let panicked = || Point {
+        void: Some("it panicked".into()),
+        ..Point::default()
+    };
+    let at_once = if how.side_by_side {
+        sizes.len().max(1)
+    } else {
+        1
+    };
     for sizes in sizes.chunks(at_once) {
         let points: Vec<Option<Point>> = thread::scope(|threads| {
-            let all: Vec<_> = sizes.iter().map(|size| threads.spawn(|| one(*size))).collect();
-            all.into_iter().map(|one| one.join().unwrap_or_else(|_| Some(panicked()))).collect()
+            let all: Vec<_> = sizes
+                .iter()
+                .map(|size| threads.spawn(|| one(*size)))
+                .collect();
+            all.into_iter()
+                .map(|one| one.join().unwrap_or_else(|_| Some(panicked())))
+                .collect()
         });
         sweep.partial |= points.contains(&None);
         sweep.points.extend(points.into_iter().flatten());
@@ -777,12 +950,23 @@
 ///
 /// # Errors
 /// A size is zero or beyond the machine; nothing was started.
-pub fn sweep(how: &Play, sizes: &[usize], stop: &AtomicBool, tell: impl FnMut(&Sweep)) -> io::Result<Sweep> {
+pub fn sweep(
+    how: &Play,
+    sizes: &[usize],
+    stop: &AtomicBool,
+    tell: impl FnMut(&Sweep),
+) -> io::Result<Sweep> {
     fits(how, sizes)?;
     let list: Vec<String> = sizes.iter().map(usize::to_string).collect();
     let command = format!("canvascart lab members members --sizes {}", list.join(","));
-    let mut sweep = Sweep { name: "members".into(), command, ..Sweep::default() };
-    each(&mut sweep, sizes, how, tell, |members, point| play(how, members, point, stop));
+    let mut sweep = Sweep {
+        name: "members".into(),
+        command,
+        ..Sweep::default()
+    };
+    each(&mut sweep, sizes, how, tell, |members, point| {
+        play(how, members, point, stop)
+    });
     for figure in LINES {
         sweep.line(figure, "members", target::PROXIES);
     }
@@ -797,7 +981,11 @@
             point.sizes.insert("members squared".into(), n * n);
         }
     }
-    sweep.line("confirmation /s", "members squared", target::PROXIES.powi(2));
+    sweep.line(
+        "confirmation /s",
+        "members squared",
+        target::PROXIES.powi(2),
+    );
 }
 
 /// What lines are wanted of.
@@ -831,11 +1019,20 @@
 /// What a member's figures say that it sent, by kind.
 fn kinds_in(text: &str) -> io::Result<Kinds> {
     let mut kinds = Kinds::default();
-    for (i, name) in ["messages_total", "message_bytes_total"].into_iter().enumerate() {
+    for (i, name) in ["messages_total", "message_bytes_total"]
+        .into_iter()
+        .enumerate()
+    {
         let (mut any, name) = (false, format!("canvascart_cluster_{name}{{kind=\""));
-        for (kind, value) in text.lines().filter_map(|l| l.strip_prefix(&name)?.split_once("\"} ")) {
+        for (kind, value) in text
+            .lines()
+            .filter_map(|l| l.strip_prefix(&name)?.split_once("\"} "))
+        {
             let spoilt = || io::Error::other(format!("{name}{kind} {value}: no kind and number"));
-            let kind = Kind::ALL.into_iter().find(|k| k.name() == kind).ok_or_else(spoilt)?;
+            let kind = Kind::ALL
+                .into_iter()
+                .find(|k| k.name() == kind)
+                .ok_or_else(spoilt)?;
             kinds[kind as usize][i] = value.trim().parse().map_err(|_| spoilt())?;
             any = true;
         }
@@ -852,8 +1049,13 @@
 /// # Errors
 /// They do not come up, or a change can't be made.
 pub fn of_processes(play: &Play, members: usize, seed: u64) -> io::Result<(Point, usize)> {
-    let command = play.command.clone().ok_or_else(|| io::Error::other("no program is named"))?;
-    let dir = play.dir.join(format!("real-{}-{:x}", std::process::id(), drawn()));
+    let command = play
+        .command
+        .clone()
+        .ok_or_else(|| io::Error::other("no program is named"))?;
+    let dir = play
+        .dir
+        .join(format!("real-{}-{:x}", std::process::id(), drawn()));
     let served = changes::server(&Ledger::default())?;
     let fleet = changes::begin(
         &changes::Play {
@@ -875,7 +1077,9 @@
         }
         Ok(all)
     };
-    let leader = fleet.leader().ok_or_else(|| io::Error::other("nobody leads"))?;
+    let leader = fleet
+        .leader()
+        .ok_or_else(|| io::Error::other("nobody leads"))?;
     let mut line = fleet.line(leader)?;
     let period = Duration::from_micros(play.rules.lease / 5);
     thread::sleep(2 * period);
@@ -898,13 +1102,24 @@
     let (after, span) = (sent(&fleet)?, began.elapsed().as_secs_f64());
     if play.changes > 0 {
         let changed = less(&after, &before);
-        change_figures(&mut point, (&idle, idle_span), (&changed, span), play.changes as f64);
+        change_figures(
+            &mut point,
+            (&idle, idle_span),
+            (&changed, span),
+            play.changes as f64,
+        );
     }
     let state = fleet.state(leader).to_owned();
     drop(fleet);
     let (_, logged) = store::log::Log::open(&state).map_err(|e| io::Error::other(e.to_string()))?;
     let proposes = |e: &&Vec<u8>| e.windows(11).any(|w| w == b"{\"propose\":");
-    let entry = logged.entries.iter().filter(proposes).map(Vec::len).max().unwrap_or(0);
+    let entry = logged
+        .entries
+        .iter()
+        .filter(proposes)
+        .map(Vec::len)
+        .max()
+        .unwrap_or(0);
     let _ = std::fs::remove_dir_all(&dir); // nothing but the lab's own state
     Ok((point, entry))
 }
@@ -914,21 +1129,33 @@
 /// # Errors
 /// A size is zero.
 pub fn virtual_sweep(
-    how: &Play, sizes: &[usize], seed: u64, stop: &AtomicBool, mut tell: impl FnMut(&Sweep),
+    how: &Play,
+    sizes: &[usize],
+    seed: u64,
+    stop: &AtomicBool,
+    mut tell: impl FnMut(&Sweep),
 ) -> io::Result<Sweep> {
     if sizes.contains(&0) {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "members: 0 are no cluster"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "members: 0 are no cluster",
+        ));
     }
     let list: Vec<String> = sizes.iter().map(usize::to_string).collect();
     let command = format!("canvascart lab members virtual --sizes {}", list.join(","));
-    let mut sweep = Sweep { name: "members in virtual time".into(), command, ..Sweep::default() };
+    let mut sweep = Sweep {
+        name: "members in virtual time".into(),
+        command,
+        ..Sweep::default()
+    };
     for members in sizes {
         let sizes = [("members".to_owned(), *members as f64)].into();
-        let point = in_virtual_time(*members, &how.rules, how.changes, seed).unwrap_or_else(|why| Point {
-            sizes,
-            figures: BTreeMap::new(),
-            void: Some(why),
-        });
+        let point =
+            in_virtual_time(*members, &how.rules, how.changes, seed).unwrap_or_else(|why| Point {
+                sizes,
+                figures: BTreeMap::new(),
+                void: Some(why),
+            });
         sweep.points.push(point);
         tell(&sweep);
         if stop.load(Ordering::Relaxed) {
@@ -936,7 +1163,12 @@
             break;
         }
     }
-    for figure in ["messages out /s member", "bytes out /s member", "confirmation /s", "report /s"] {
+    for figure in [
+        "messages out /s member",
+        "bytes out /s member",
+        "confirmation /s",
+        "report /s",
+    ] {
         sweep.line(figure, "members", target::PROXIES);
     }
     square(&mut sweep);
@@ -947,7 +1179,12 @@
 ///
 /// # Errors
 /// They are no cluster in time, or a change does not end.
-pub fn in_virtual_time(members: usize, rules: &Rules, changes: u64, seed: u64) -> Result<Point, String> {
+pub fn in_virtual_time(
+    members: usize,
+    rules: &Rules,
+    changes: u64,
+    seed: u64,
+) -> Result<Point, String> {
     let second = 1_000_000;
     let mut sim = Sim::new(members, ZONES, rules, World::default(), seed);
     let end = sim.now + 300 * second;
@@ -962,7 +1199,10 @@
     let mut point = Point::default();
     point.sizes.insert("members".into(), members as f64);
     let mut put = |name: String, value: f64| _ = point.figures.insert(name, value);
-    let rest = [(sim.sent.0 - sent.0) as f64 / span, (sim.sent.1 - sent.1) as f64 / span];
+    let rest = [
+        (sim.sent.0 - sent.0) as f64 / span,
+        (sim.sent.1 - sent.1) as f64 / span,
+    ];
     put("messages out /s member".into(), rest[0] / members as f64);
     put("bytes out /s member".into(), rest[1] / members as f64);
     for kind in Kind::ALL {
@@ -977,7 +1217,9 @@
         while sim.change(&id).is_err() && sim.now < end {
             sim.run(10_000);
         }
-        if !sim.until(end, |s| s.played.get(&id).is_some_and(|p| p.everywhere.is_some())) {
+        if !sim.until(end, |s| {
+            s.played.get(&id).is_some_and(|p| p.everywhere.is_some())
+        }) {
             return Err(format!("{id} is not in force everywhere"));
         }
         if let Some((Some(at), asked)) = sim.played.get(&id).map(|p| (p.everywhere, p.asked)) {
@@ -988,7 +1230,10 @@
     if changes > 0 {
         let span = (sim.now - began) as f64 / 1e6;
         let n = changes as f64;
-        put("change messages".into(), ((sim.sent.0 - sent.0) as f64 - rest[0] * span) / n);
+        put(
+            "change messages".into(),
+            ((sim.sent.0 - sent.0) as f64 - rest[0] * span) / n,
+        );
         put("change everywhere ms".into(), median(&everywhere));
     }
     Ok(point)
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -105,16 +105,28 @@
 /// A line through the points that count.
 fn through(points: &[Point], figure: &str, by: &str, target: f64) -> Line {
     let of = |p: &Point| Some((*p.sizes.get(by)?, *p.figures.get(figure)?));
-    let points: Vec<(f64, f64)> = points.iter().filter(|p| p.void.is_none()).filter_map(of).collect();
+    let points: Vec<(f64, f64)> = points
+        .iter()
+        .filter(|p| p.void.is_none())
+        .filter_map(of)
+        .collect();
     let fit = Fit::of(&points);
-    Line { figure: figure.into(), by: by.into(), target, fit, at_target: fit.map(|f| f.at(target)) }
+    Line {
+        figure: figure.into(),
+        by: by.into(),
+        target,
+        fit,
+        at_target: fit.map(|f| f.at(target)),
+    }
 }
 
 impl Sweep {
     /// The line of a figure by a size, through the points that count; the second build's is kept beside it.
     pub fn line(&mut self, figure: &str, by: &str, target: f64) -> Option<Fit> {
         if let Some(beside) = &mut self.beside {
-            beside.lines.push(through(&beside.points, figure, by, target));
+            beside
+                .lines
+                .push(through(&beside.points, figure, by, target));
         }
         let line = through(&self.points, figure, by, target);
         let fit = line.fit;
@@ -131,7 +143,11 @@
     /// It as a table: a row a size and figure, a column a point, of both builds side by side; then a row a line.
     pub fn table(&self) -> String {
         let mut text = String::new();
-        let partial = if self.partial { " (partial: it was interrupted)" } else { "" };
+        let partial = if self.partial {
+            " (partial: it was interrupted)"
+        } else {
+            ""
+        };
         // Into a string, which takes all.
         let _ = writeln!(text, "{}{partial}: {}", self.name, self.command);
         let mut columns: Vec<(&str, &Point)> = Vec::new();
@@ -144,26 +160,48 @@
             let _ = writeln!(text, "beside: {}", beside.command);
         }
         let names = |of: fn(&Point) -> &BTreeMap<String, f64>| {
-            let mut all: Vec<&str> =
-                columns.iter().flat_map(|(_, p)| of(p).keys()).map(String::as_str).collect();
+            let mut all: Vec<&str> = columns
+                .iter()
+                .flat_map(|(_, p)| of(p).keys())
+                .map(String::as_str)
+                .collect();
             all.sort_unstable();
             all.dedup();
             all
         };
         let (sizes, figures) = (names(|p| &p.sizes), names(|p| &p.figures));
         let builds: Vec<&str> = columns.iter().map(|(build, _)| *build).collect();
-        let _ =
-            writeln!(text, "| | {} |\n| ---{}", builds.join(" | "), " | ---:".repeat(columns.len()) + " |");
-        let rows = sizes.iter().map(|n| (*n, true)).chain(figures.iter().map(|n| (*n, false)));
+        let _ = writeln!(
+            text,
+            "| | {} |\n| ---{}",
+            builds.join(" | "),
+            " | ---:".repeat(columns.len()) + " |"
+        );
+        let rows = sizes
+            .iter()
+            .map(|n| (*n, true))
+            .chain(figures.iter().map(|n| (*n, false)));
         for (name, is_size) in rows {
-            let of =
-                |p: &Point| if is_size { p.sizes.get(name).copied() } else { p.figures.get(name).copied() };
-            let cells: Vec<String> = columns.iter().map(|(_, p)| of(p).map_or("-".into(), number)).collect();
+            let of = |p: &Point| {
+                if is_size {
+                    p.sizes.get(name).copied()
+                } else {
+                    p.figures.get(name).copied()
+                }
+            };
+            let cells: Vec<String> = columns
+                .iter()
+                .map(|(_, p)| of(p).map_or("-".into(), number))
+                .collect();
             let _ = writeln!(text, "| {name} | {} |", cells.join(" | "));
         }
         for (build, point) in &columns {
             let Some(why) = &point.void else { continue };
-            let at: Vec<String> = point.sizes.iter().map(|(n, v)| format!("{n} {}", number(*v))).collect();
+            let at: Vec<String> = point
+                .sizes
+                .iter()
+                .map(|(n, v)| format!("{n} {}", number(*v)))
+                .collect();
             let _ = writeln!(
                 text,
                 "void: {why} ({}{}{})",
@@ -173,7 +211,11 @@
             );
         }
         let lines = self.lines.iter().map(|l| ("", l));
-        let beside = self.beside.iter().flat_map(|b| &b.lines).map(|l| ("beside: ", l));
+        let beside = self
+            .beside
+            .iter()
+            .flat_map(|b| &b.lines)
+            .map(|l| ("beside: ", l));
         lines.chain(beside).for_each(|(build, line)| {
             let _ = writeln!(text, "{build}{}", line.told());
         });
@@ -187,7 +229,11 @@
         let (Some(fit), Some(at)) = (self.fit, self.at_target) else {
             return format!("{} by {}: too few points for a line", self.figure, self.by);
         };
-        let far = if at.times > 10.0 { ", over ten times of what was measured" } else { "" };
+        let far = if at.times > 10.0 {
+            ", over ten times of what was measured"
+        } else {
+            ""
+        };
         format!(
             "{} = {} + {} x {} (of {} to {}, residual {:.1} %); at {}: {}{far}",
             self.figure,
@@ -220,14 +266,27 @@
 
 /// Plays one size after the other, each with the first build and then with the second, until all are played or it is stopped.
 pub fn in_turn<S>(
-    sweep: &mut Sweep, setting: &Setting, sizes: &[S], named: impl Fn(&S) -> BTreeMap<String, f64>,
+    sweep: &mut Sweep,
+    setting: &Setting,
+    sizes: &[S],
+    named: impl Fn(&S) -> BTreeMap<String, f64>,
     mut play: impl FnMut(&[String], &S, &mut BTreeMap<String, f64>) -> io::Result<()>,
 ) {
-    sweep.beside = setting.beside.as_ref().map(|b| Beside { command: b.join(" "), ..Beside::default() });
+    sweep.beside = setting.beside.as_ref().map(|b| Beside {
+        command: b.join(" "),
+        ..Beside::default()
+    });
     for size in sizes {
-        for command in [Some(&setting.service), setting.beside.as_ref()].into_iter().flatten().enumerate() {
+        for command in [Some(&setting.service), setting.beside.as_ref()]
+            .into_iter()
+            .flatten()
+            .enumerate()
+        {
             let (n, command) = command;
-            let mut point = Point { sizes: named(size), ..Point::default() };
+            let mut point = Point {
+                sizes: named(size),
+                ..Point::default()
+            };
             point.figures.insert("load average".into(), needs::load());
             let played = play(command, size, &mut point.figures);
             if setting.stop.is_set() {
@@ -252,7 +311,11 @@
     const LONGEST: usize = 300;
     let line = why.lines().next().unwrap_or_default();
     let cut: String = line.chars().take(LONGEST).collect();
-    if cut.len() < line.len() { cut + "..." } else { cut }
+    if cut.len() < line.len() {
+        cut + "..."
+    } else {
+        cut
+    }
 }
 
 /// A figure with as many digits as it is worth.
--- a/crates/lab/src/capacity/module.rs
+++ b/crates/lab/src/capacity/module.rs
@@ -6,8 +6,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use wharfhitch::{
-    Action, Backend, BackendId, Balancer, Class, ClassId, Discovery, Effect, Event, Limits, Outcome, Prices,
-    Rating, RequestId, Scope, Settings, State,
+    Action, Backend, BackendId, Balancer, Class, ClassId, Discovery, Effect, Event, Limits,
+    Outcome, Prices, Rating, RequestId, Scope, Settings, State,
 };
 
 use super::servers::{OF_SERVICE, RATE};
@@ -82,7 +82,10 @@
 /// This thread's time on a processor.
 fn spent() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
-    Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
+    Duration::new(
+        u64::try_from(time.tv_sec).unwrap_or(0),
+        u32::try_from(time.tv_nsec).unwrap_or(0),
+    )
 }
 
 /// What comes next in virtual time.
@@ -110,7 +113,8 @@
 impl Played {
     fn put(&mut self, at: f64, module: usize, next: Next) {
         self.order += 1;
-        self.queue.push(Reverse(((at * 1e6) as u64, self.order, module, next)));
+        self.queue
+            .push(Reverse(((at * 1e6) as u64, self.order, module, next)));
     }
 
     fn carry_out(&mut self, now: f64, module: usize, actions: &mut Vec<Action>) {
@@ -136,7 +140,9 @@
             if at as f64 / 1e6 > end {
                 return;
             }
-            let Some(Reverse((at, _, module, next))) = self.queue.pop() else { return };
+            let Some(Reverse((at, _, module, next))) = self.queue.pop() else {
+                return;
+            };
             let now = at as f64 / 1e6;
             let (balancer, servers) = &mut self.modules[module];
             let event = match next {
@@ -176,7 +182,11 @@
 
 /// Plays modules with so many servers together, idle and then with 144 requests a second dealt to them in turn.
 pub fn play(dealt: Dealt, servers: usize, seed: u64) -> Measured {
-    let of = if dealt == Dealt::One { servers } else { OF_SERVICE };
+    let of = if dealt == Dealt::One {
+        servers
+    } else {
+        OF_SERVICE
+    };
     let mut played = Played {
         modules: Vec::new(),
         queue: BinaryHeap::new(),
@@ -202,7 +212,14 @@
             })
             .collect();
         let many = entries.len();
-        module.handle(0.0, Event::List { scope: Scope::Full, entries }, &mut actions);
+        module.handle(
+            0.0,
+            Event::List {
+                scope: Scope::Full,
+                entries,
+            },
+            &mut actions,
+        );
         played.modules.push((module, many));
         played.carry_out(0.0, n, &mut actions);
     }
@@ -216,7 +233,8 @@
             }
         }
         played.until(began + WARM);
-        let (before, timers, looked, requests) = (spent(), played.timers, played.looked, played.requests);
+        let (before, timers, looked, requests) =
+            (spent(), played.timers, played.looked, played.requests);
         played.until(began + SPAN);
         let seconds = (SPAN - WARM) / 1000.0;
         measured.ms[busy] = 1000.0 * (spent() - before).as_secs_f64() / seconds;
@@ -235,7 +253,11 @@
         Dealt::One => "the decision module alone, one with all servers",
         Dealt::Services => "the decision module alone, one for each 18 servers",
     };
-    let mut sweep = Sweep { name: name.into(), command, ..Sweep::default() };
+    let mut sweep = Sweep {
+        name: name.into(),
+        command,
+        ..Sweep::default()
+    };
     for &servers in sizes {
         if stop.is_set() {
             sweep.partial = true;
@@ -243,7 +265,11 @@
         }
         let load = needs::load();
         let m = play(dealt, servers, 1);
-        let modules = if dealt == Dealt::One { 1 } else { servers.div_ceil(OF_SERVICE) };
+        let modules = if dealt == Dealt::One {
+            1
+        } else {
+            servers.div_ceil(OF_SERVICE)
+        };
         let sizes = [("servers", servers), ("modules", modules)];
         let figures = [
             ("load average", load),
@@ -252,7 +278,10 @@
             ("idle, servers looked at a second", m.looked[0]),
             ("144 a second, % of a core", m.ms[1] / 10.0),
             ("144 a second, timers a second", m.timers[1]),
-            ("144 a second, us of processor a request", 1000.0 * m.ms[1] / m.requests.max(1.0)),
+            (
+                "144 a second, us of processor a request",
+                1000.0 * m.ms[1] / m.requests.max(1.0),
+            ),
             (
                 "144 a second, us a request without the idle part",
                 1000.0 * (m.ms[1] - m.ms[0]) / m.requests.max(1.0),
--- a/crates/lab/src/capacity/needs.rs
+++ b/crates/lab/src/capacity/needs.rs
@@ -35,7 +35,10 @@
 /// The load average of the last minute; not a number where the system does not tell.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split(' ').next().and_then(|l| l.parse().ok()).unwrap_or(f64::NAN)
+    text.split(' ')
+        .next()
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(f64::NAN)
 }
 
 impl Machine {
@@ -45,19 +48,31 @@
     /// The system does not tell.
     pub fn here(dir: &Path) -> io::Result<Self> {
         let cpus = fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
-        let processor = cpus.lines().find_map(|l| l.strip_prefix("model name")?.split_once(": "));
+        let processor = cpus
+            .lines()
+            .find_map(|l| l.strip_prefix("model name")?.split_once(": "));
         let memory = fs::read_to_string("/proc/meminfo")?;
         let total = memory.lines().find_map(|l| l.strip_prefix("MemTotal:"));
         let kib: Option<f64> = total.and_then(|l| l.split_whitespace().next()?.parse().ok());
-        let there = dir.ancestors().find(|d| d.exists()).unwrap_or(Path::new("/"));
+        let there = dir
+            .ancestors()
+            .find(|d| d.exists())
+            .unwrap_or(Path::new("/"));
         let disk = rustix::fs::statvfs(there)?;
         Ok(Machine {
             processor: processor.map_or("unknown", |(_, name)| name).to_owned(),
             cores: std::thread::available_parallelism().map_or(1, usize::from),
-            memory_mib: kib.ok_or_else(|| io::Error::other("the system does not tell its memory"))? / 1024.0,
-            descriptors: getrlimit(Resource::Nofile).current.map_or(f64::INFINITY, |n| n as f64),
+            memory_mib: kib
+                .ok_or_else(|| io::Error::other("the system does not tell its memory"))?
+                / 1024.0,
+            descriptors: getrlimit(Resource::Nofile)
+                .current
+                .map_or(f64::INFINITY, |n| n as f64),
             disk_mib: disk.f_bavail as f64 * disk.f_frsize as f64 / f64::from(1 << 20),
-            system: fs::read_to_string("/proc/sys/kernel/osrelease").unwrap_or_default().trim().to_owned(),
+            system: fs::read_to_string("/proc/sys/kernel/osrelease")
+                .unwrap_or_default()
+                .trim()
+                .to_owned(),
             load: load(),
         })
     }
@@ -93,18 +108,35 @@
     /// that a process may have.
     pub fn beyond(&self, machine: &Machine) -> Option<String> {
         let all = [
-            ("MiB of memory", self.memory_mib, PART * machine.memory_mib, "half of this machine's"),
-            ("processes", self.processes, PROCESSES, "the most that a sweep starts"),
+            (
+                "MiB of memory",
+                self.memory_mib,
+                PART * machine.memory_mib,
+                "half of this machine's",
+            ),
+            (
+                "processes",
+                self.processes,
+                PROCESSES,
+                "the most that a sweep starts",
+            ),
             (
                 "descriptors in one process",
                 self.descriptors,
                 machine.descriptors,
                 "its limit here (RLIMIT_NOFILE)",
             ),
-            ("MiB of files", self.disk_mib, PART * machine.disk_mib, "half of the disk's room"),
+            (
+                "MiB of files",
+                self.disk_mib,
+                PART * machine.disk_mib,
+                "half of the disk's room",
+            ),
         ];
         let over = all.iter().find(|(_, needs, has, _)| needs > has)?;
         let (what, needs, has, which) = over;
-        Some(format!("it needs about {needs:.0} {what}, and {which} is {has:.0}"))
+        Some(format!(
+            "it needs about {needs:.0} {what}, and {which} is {has:.0}"
+        ))
     }
 }
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -55,7 +55,10 @@
         let kib: Option<f64> = line.and_then(|l| l.split_whitespace().next()?.parse().ok());
         kib.map(|kib| kib / 1024.0).ok_or_else(|| gone("memory"))
     };
-    Ok(Memory { resident: of("VmRSS:")?, peak: of("VmHWM:")? })
+    Ok(Memory {
+        resident: of("VmRSS:")?,
+        peak: of("VmHWM:")?,
+    })
 }
 
 /// A process's processor time, of its serving and its API's thread to the ns that the scheduler counts. Others may have ended, so that
@@ -68,10 +71,17 @@
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
         let path = task?.path();
         let read = |name: &str| fs::read_to_string(path.join(name));
-        let (Ok(name), Ok(times)) = (read("comm"), read("schedstat")) else { continue }; // it has ended
-        let ns: f64 =
-            times.split(' ').next().and_then(|t| t.parse().ok()).ok_or_else(|| gone("processor time"))?;
-        let first = path.file_name().is_some_and(|n| n.to_str() == Some(&id.to_string()));
+        let (Ok(name), Ok(times)) = (read("comm"), read("schedstat")) else {
+            continue;
+        }; // it has ended
+        let ns: f64 = times
+            .split(' ')
+            .next()
+            .and_then(|t| t.parse().ok())
+            .ok_or_else(|| gone("processor time"))?;
+        let first = path
+            .file_name()
+            .is_some_and(|n| n.to_str() == Some(&id.to_string()));
         let to = match name.trim_end() {
             _ if first => &mut spent.serving,
             "admin" => &mut spent.admin,
@@ -98,7 +108,8 @@
     let text = fs::read_to_string(format!("/proc/{id}/io"))?;
     let of = |key: &str| {
         let line = text.lines().find_map(|l| l.strip_prefix(key));
-        line.and_then(|l| l.trim().parse().ok()).ok_or_else(|| gone("bytes written"))
+        line.and_then(|l| l.trim().parse().ok())
+            .ok_or_else(|| gone("bytes written"))
     };
     Ok([of("wchar:")?, of("write_bytes:")?])
 }
@@ -109,8 +120,9 @@
 /// It does not run.
 pub fn sockets(id: u32) -> io::Result<usize> {
     let all = fs::read_dir(format!("/proc/{id}/fd"))?;
-    let is_socket =
-        |path: &Path| fs::read_link(path).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"));
+    let is_socket = |path: &Path| {
+        fs::read_link(path).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
+    };
     Ok(all.flatten().filter(|e| is_socket(&e.path())).count())
 }
 
@@ -121,7 +133,15 @@
 
 /// Bytes of all files in a directory and below it; 0 where there is none.
 pub fn lengths(dir: &Path) -> u64 {
-    let Ok(entries) = fs::read_dir(dir) else { return 0 };
-    let of = |path: &Path| if path.is_dir() { lengths(path) } else { length(path) };
+    let Ok(entries) = fs::read_dir(dir) else {
+        return 0;
+    };
+    let of = |path: &Path| {
+        if path.is_dir() {
+            lengths(path)
+        } else {
+            length(path)
+        }
+    };
     entries.flatten().map(|e| of(&e.path())).sum()
 }
--- a/crates/lab/src/capacity/restarts.rs
+++ b/crates/lab/src/capacity/restarts.rs
@@ -29,7 +29,9 @@
 
 /// Waits until the names of members that are gone for good are free: nothing of them is heard any more for a lease.
 fn forget(how: &Play) {
-    thread::sleep(Duration::from_micros(how.rules.surely(how.rules.lease)) + Duration::from_secs(1));
+    thread::sleep(
+        Duration::from_micros(how.rules.surely(how.rules.lease)) + Duration::from_secs(1),
+    );
 }
 
 fn rest(play: &Play, cluster: &mut Cluster) -> io::Result<Rest> {
@@ -52,9 +54,18 @@
 
 /// Kills groups and starts them again, at once if they keep their disks; what it costs.
 fn restart(
-    cluster: &mut Cluster, hit: &Hit, how: &Play, rest: &Rest, point: &mut Point, stop: &AtomicBool,
+    cluster: &mut Cluster,
+    hit: &Hit,
+    how: &Play,
+    rest: &Rest,
+    point: &mut Point,
+    stop: &AtomicBool,
 ) -> io::Result<()> {
-    let Hit { name, groups, empty } = *hit;
+    let Hit {
+        name,
+        groups,
+        empty,
+    } = *hit;
     let period = Duration::from_micros(how.rules.lease / 5);
     let mut before = cluster.look()?;
     let members: usize = groups.iter().map(|g| cluster.count(*g)).sum();
@@ -88,7 +99,8 @@
         }
     });
     let (out, _, span) = between(&then, &after);
-    let mut put = |what: &str, value: f64| _ = point.figures.insert(format!("{name} {what}"), value);
+    let mut put =
+        |what: &str, value: f64| _ = point.figures.insert(format!("{name} {what}"), value);
     put("members", members as f64);
     put("processes started s", started.as_secs_f64());
     put("all decide s", took.as_secs_f64());
@@ -109,13 +121,28 @@
     let mut cluster = Cluster::shared(how, members, tenth(members), stop)?;
     let rest = rest(how, &mut cluster)?;
     let mut hit = |cluster: &mut Cluster, name: &str, groups: &[usize], empty: bool| {
-        restart(cluster, &Hit { name, groups, empty }, how, &rest, point, stop)
+        restart(
+            cluster,
+            &Hit {
+                name,
+                groups,
+                empty,
+            },
+            how,
+            &rest,
+            point,
+            stop,
+        )
     };
     let few = cluster.of(&[Role::Few]);
     hit(&mut cluster, "learners (1 %)", &few, false)?;
     let voters = cluster.of(&[Role::Voter]);
     let leads = cluster.leader(voters[0])?.unwrap_or(voters[0]);
-    let other = voters.iter().copied().find(|v| *v != leads).unwrap_or(leads);
+    let other = voters
+        .iter()
+        .copied()
+        .find(|v| *v != leads)
+        .unwrap_or(leads);
     hit(&mut cluster, "a voter", &[other], false)?;
     hit(&mut cluster, "the leader", &[leads], false)?;
     // A fifth, as a zone has: whole processes, so many as come nearest from below.
@@ -138,13 +165,30 @@
 ///
 /// # Errors
 /// A size is zero or beyond the machine; nothing was started.
-pub fn sweep(how: &Play, sizes: &[usize], stop: &AtomicBool, tell: impl FnMut(&Sweep)) -> io::Result<Sweep> {
+pub fn sweep(
+    how: &Play,
+    sizes: &[usize],
+    stop: &AtomicBool,
+    tell: impl FnMut(&Sweep),
+) -> io::Result<Sweep> {
     fits(how, sizes)?;
     let list: Vec<String> = sizes.iter().map(usize::to_string).collect();
     let command = format!("canvascart lab members restarts --sizes {}", list.join(","));
-    let mut sweep = Sweep { name: "restarts".into(), command, ..Sweep::default() };
-    each(&mut sweep, sizes, how, tell, |members, point| play(how, members, point, stop));
-    let hits = ["learners (1 %)", "a voter", "the leader", "a zone", "a zone, empty disks"];
+    let mut sweep = Sweep {
+        name: "restarts".into(),
+        command,
+        ..Sweep::default()
+    };
+    each(&mut sweep, sizes, how, tell, |members, point| {
+        play(how, members, point, stop)
+    });
+    let hits = [
+        "learners (1 %)",
+        "a voter",
+        "the leader",
+        "a zone",
+        "a zone, empty disks",
+    ];
     for who in hits.iter().take(if how.hurt { 5 } else { 4 }) {
         for what in ["all decide s", "messages", "bytes", "voters cpu ms"] {
             sweep.line(&format!("{who} {what}"), "members", target::PROXIES);
@@ -159,36 +203,76 @@
 /// # Errors
 /// A size is beyond the machine; nothing was started.
 pub fn snapshots(
-    how: &Play, members: usize, states: &[usize], stop: &AtomicBool, tell: impl FnMut(&Sweep),
+    how: &Play,
+    members: usize,
+    states: &[usize],
+    stop: &AtomicBool,
+    tell: impl FnMut(&Sweep),
 ) -> io::Result<Sweep> {
     for state in states {
-        fits(&Play { state_bytes: *state, ..how.clone() }, &[members])?;
+        fits(
+            &Play {
+                state_bytes: *state,
+                ..how.clone()
+            },
+            &[members],
+        )?;
     }
     let list: Vec<String> = states.iter().map(usize::to_string).collect();
-    let command = format!("canvascart lab members snapshots --sizes {}", list.join(","));
-    let mut sweep = Sweep { name: "snapshots".into(), command, ..Sweep::default() };
+    let command = format!(
+        "canvascart lab members snapshots --sizes {}",
+        list.join(",")
+    );
+    let mut sweep = Sweep {
+        name: "snapshots".into(),
+        command,
+        ..Sweep::default()
+    };
     each(&mut sweep, states, how, tell, |state, point| {
-        with_state(&Play { state_bytes: state, ..how.clone() }, members, point, stop)
+        with_state(
+            &Play {
+                state_bytes: state,
+                ..how.clone()
+            },
+            members,
+            point,
+            stop,
+        )
     });
-    for figure in ["learner MiB", "leader MiB", "disk MiB", "caught up s", "caught up bytes", "leader cpu ms"]
-    {
+    for figure in [
+        "learner MiB",
+        "leader MiB",
+        "disk MiB",
+        "caught up s",
+        "caught up bytes",
+        "leader cpu ms",
+    ] {
         sweep.line(figure, "state bytes", 40e6);
     }
     Ok(sweep)
 }
 
 fn with_state(how: &Play, members: usize, point: &mut Point, stop: &AtomicBool) -> io::Result<()> {
-    point.sizes.insert("state bytes".into(), how.state_bytes as f64);
+    point
+        .sizes
+        .insert("state bytes".into(), how.state_bytes as f64);
     point.sizes.insert("members".into(), members as f64);
     let mut cluster = Cluster::start(how, members, stop)?;
     let idle = rest(how, &mut cluster)?;
     let mib = f64::from(1 << 20);
     let sight = cluster.look()?;
     let new = cluster.of(&[Role::Few])[0];
-    let memory = |g: usize| sight.groups[g].1.as_ref().map_or(0.0, |l| l.memory as f64 / mib);
+    let memory = |g: usize| {
+        sight.groups[g]
+            .1
+            .as_ref()
+            .map_or(0.0, |l| l.memory as f64 / mib)
+    };
     point.figures.insert("leader MiB".into(), memory(0));
     point.figures.insert("learner MiB".into(), memory(new));
-    point.figures.insert("disk MiB".into(), cluster.disk(new)? as f64 / mib);
+    point
+        .figures
+        .insert("disk MiB".into(), cluster.disk(new)? as f64 / mib);
     // As a new machine has it: no log. Its name is free once nothing of it is heard any more for a lease.
     cluster.kill(new);
     cluster.empty(new)?;
@@ -203,13 +287,20 @@
     then.groups[new].1 = None;
     let (out, _, span) = between(&then, &after);
     let us = |s: &super::members::Sight| s.groups[0].1.as_ref().map_or(0, |l| l.cpu_us);
-    let restored = after.groups[new].1.as_ref().and_then(|l| l.members.first()).map_or(0, |m| m.restored);
+    let restored = after.groups[new]
+        .1
+        .as_ref()
+        .and_then(|l| l.members.first())
+        .map_or(0, |m| m.restored);
     let mut put = |what: &str, value: f64| _ = point.figures.insert(what.into(), value);
     put("caught up s", took.as_secs_f64());
     put("caught up bytes", own(&out)[1] - idle.bytes * span);
     put("snapshots", out[Kind::Snapshot as usize][0] as f64);
     put("snapshot bytes", out[Kind::Snapshot as usize][1] as f64);
-    put("leader cpu ms", us(&after).saturating_sub(us(&before)) as f64 / 1000.0);
+    put(
+        "leader cpu ms",
+        us(&after).saturating_sub(us(&before)) as f64 / 1000.0,
+    );
     put("state bytes restored", restored as f64);
     Ok(())
 }
--- a/crates/lab/src/capacity/servers.rs
+++ b/crates/lab/src/capacity/servers.rs
@@ -71,7 +71,10 @@
 /// # Errors
 /// A process or a port can't be had.
 pub fn start(
-    own: &Path, servers: usize, work: Duration, stop: &Stop,
+    own: &Path,
+    servers: usize,
+    work: Duration,
+    stop: &Stop,
 ) -> io::Result<(Vec<Started>, Vec<SocketAddr>)> {
     let (mut all, mut addresses) = (Vec::new(), Vec::new());
     while addresses.len() < servers {
@@ -80,11 +83,30 @@
         // Each process has an address of its own, whose ports are no others'.
         let host = format!("127.0.77.{}", 1 + all.len());
         let work = work.as_millis().to_string();
-        let arguments = ["lab", "peer", "responder", "--count", &count, "--host", &host, "--work", &work];
-        let mut process =
-            Ending(Command::new(own).args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?);
+        let arguments = [
+            "lab",
+            "peer",
+            "responder",
+            "--count",
+            &count,
+            "--host",
+            &host,
+            "--work",
+            &work,
+        ];
+        let mut process = Ending(
+            Command::new(own)
+                .args(arguments)
+                .stdin(Stdio::null())
+                .stdout(Stdio::piped())
+                .spawn()?,
+        );
         let watched = stop.watch(process.0.id());
-        let told = process.0.stdout.take().ok_or_else(|| io::Error::other("it has no output"))?;
+        let told = process
+            .0
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("it has no output"))?;
         let mut line = String::new();
         BufReader::new(told).read_line(&mut line)?;
         let more: Vec<SocketAddr> = serde_json::from_str(&line)
@@ -116,11 +138,22 @@
 impl Size {
     /// So many, as far as they can be one tenant's.
     pub fn of(of: Of, servers: usize) -> Self {
-        Size { of, servers: if of == Of::One { servers.min(OF_TENANT) } else { servers } }
+        Size {
+            of,
+            servers: if of == Of::One {
+                servers.min(OF_TENANT)
+            } else {
+                servers
+            },
+        }
     }
 
     fn tenants(&self) -> usize {
-        if self.of == Of::One { 1 } else { self.servers.div_ceil(OF_SERVICE) }
+        if self.of == Of::One {
+            1
+        } else {
+            self.servers.div_ceil(OF_SERVICE)
+        }
     }
 
     fn named(&self) -> BTreeMap<String, f64> {
@@ -153,9 +186,15 @@
 
 impl Care {
     /// As the figures of the page are measured.
-    pub const FULL: Care = Care { rest: Duration::from_secs(12), span: Duration::from_secs(4) };
+    pub const FULL: Care = Care {
+        rest: Duration::from_secs(12),
+        span: Duration::from_secs(4),
+    };
     /// For a small sweep.
-    pub const SMALL: Care = Care { rest: Duration::from_secs(3), span: Duration::from_secs(1) };
+    pub const SMALL: Care = Care {
+        rest: Duration::from_secs(3),
+        span: Duration::from_secs(1),
+    };
 }
 
 /// Measures one size with one build.
@@ -163,7 +202,11 @@
 /// # Errors
 /// The service or its servers can't be had, end, or turn a call down.
 pub fn measure(
-    command: &[String], size: &Size, care: &Care, setting: &Setting, figures: &mut BTreeMap<String, f64>,
+    command: &[String],
+    size: &Size,
+    care: &Care,
+    setting: &Setting,
+    figures: &mut BTreeMap<String, f64>,
 ) -> io::Result<()> {
     let stop = &setting.stop;
     let (_servers, addresses) = start(&setting.own, size.servers, Duration::ZERO, stop)?;
@@ -171,7 +214,11 @@
     let mut service = begin(command, &place, stop)?;
     let mut admin = service.1.line(&place)?;
     let each = size.servers.div_ceil(size.tenants());
-    let all: Vec<Value> = addresses.chunks(each).enumerate().map(|(n, list)| document(n, list)).collect();
+    let all: Vec<Value> = addresses
+        .chunks(each)
+        .enumerate()
+        .map(|(n, list)| document(n, list))
+        .collect();
     for batch in all.chunks(500) {
         stop.check()?;
         admin.json("POST", "/v1/apply", "", &json!({ "tenant": batch }))?;
@@ -188,7 +235,9 @@
 fn begin(command: &[String], place: &Place, stop: &Stop) -> io::Result<(Option<Watched>, Service)> {
     stop.check()?;
     let mut watched = None;
-    let service = Service::start_seen(command, &place.config, 1, true, |id| watched = stop.watch(id))?;
+    let service = Service::start_seen(command, &place.config, 1, true, |id| {
+        watched = stop.watch(id)
+    })?;
     Ok((watched, service))
 }
 
@@ -212,7 +261,10 @@
 impl Load {
     /// Asks from so many connections until each is told to end: by the number of the request, or the time.
     fn ask(
-        &self, clients: u64, gap: Option<Duration>, go_on: &(dyn Fn(u64) -> bool + Sync),
+        &self,
+        clients: u64,
+        gap: Option<Duration>,
+        go_on: &(dyn Fn(u64) -> bool + Sync),
     ) -> io::Result<(Histogram<u64>, u64)> {
         let (began, first) = (Instant::now(), self.next.load(Ordering::Relaxed));
         let one = || -> io::Result<(Histogram<u64>, u64)> {
@@ -238,7 +290,9 @@
             let all: Vec<_> = (0..clients).map(|_| threads.spawn(one)).collect();
             let (mut seen, mut lost) = (histogram()?, 0);
             for one in all {
-                let (more, less) = one.join().map_err(|_| io::Error::other("a client panicked"))??;
+                let (more, less) = one
+                    .join()
+                    .map_err(|_| io::Error::other("a client panicked"))??;
                 seen.add(more).map_err(io::Error::other)?;
                 lost += less;
             }
@@ -248,7 +302,11 @@
 }
 
 fn measured(
-    size: &Size, care: &Care, stop: &Stop, service: &Service, server: SocketAddr,
+    size: &Size,
+    care: &Care,
+    stop: &Stop,
+    service: &Service,
+    server: SocketAddr,
     figures: &mut BTreeMap<String, f64>,
 ) -> io::Result<()> {
     let (id, ready) = (service.id(), Instant::now());
@@ -271,12 +329,18 @@
     // Connected: asked until nearly all are.
     let own = process::sockets(id)?;
     let at = service.listener("public")?;
-    let load = Load { at, tenants: size.tenants() as u64, next: AtomicU64::new(0) };
+    let load = Load {
+        at,
+        tenants: size.tenants() as u64,
+        next: AtomicU64::new(0),
+    };
     let mut lost = 0;
     for _ in 0..ROUNDS {
         stop.check()?;
         let many = 2 * size.servers as u64;
-        lost += load.ask(4 * CLIENTS, None, &|n| n < many && !stop.is_set())?.1;
+        lost += load
+            .ask(4 * CLIENTS, None, &|n| n < many && !stop.is_set())?
+            .1;
         if process::sockets(id)? >= own + size.servers * 19 / 20 {
             break;
         }
@@ -291,7 +355,11 @@
     // The same clients at one of the servers without anything between, by which it is known what is added.
     let gap = Some(Duration::from_secs_f64(1.0 / RATE));
     let until = Instant::now() + care.span;
-    let directly = Load { at: server, tenants: 1, next: AtomicU64::new(0) };
+    let directly = Load {
+        at: server,
+        tenants: 1,
+        next: AtomicU64::new(0),
+    };
     let (seen, _) = directly.ask(PACED, gap, &|_| Instant::now() < until && !stop.is_set())?;
     let direct = quantiles(&seen);
     put("144 a second directly, p50, ms", direct[0]);
@@ -305,12 +373,21 @@
         let (seen, lost) = load.ask(clients, gap, &|_| Instant::now() < until && !stop.is_set())?;
         let (spent, took) = (process::spent(id)?.since(&before), from.elapsed());
         put(&format!("{what}, % of a core"), part(spent, took));
-        put(&format!("{what}, us of processor a request"), 1000.0 * spent.all() / seen.len().max(1) as f64);
-        put(&format!("{what}, requests a second"), seen.len() as f64 / took.as_secs_f64());
+        put(
+            &format!("{what}, us of processor a request"),
+            1000.0 * spent.all() / seen.len().max(1) as f64,
+        );
+        put(
+            &format!("{what}, requests a second"),
+            seen.len() as f64 / took.as_secs_f64(),
+        );
         put(&format!("{what}, p50, ms"), quantiles(&seen)[0]);
         put(&format!("{what}, p99, ms"), quantiles(&seen)[1]);
         if gap.is_some() {
-            put(&format!("{what}, p99 less the direct one, ms"), quantiles(&seen)[1] - direct[1]);
+            put(
+                &format!("{what}, p99 less the direct one, ms"),
+                quantiles(&seen)[1] - direct[1],
+            );
         }
         put(&format!("{what}, not served"), lost as f64);
     }
@@ -322,16 +399,30 @@
 ///
 /// # Errors
 /// Its files can't be removed.
-pub fn sweep(of: Of, sizes: &[usize], care: &Care, command: String, setting: &Setting) -> io::Result<Sweep> {
+pub fn sweep(
+    of: Of,
+    sizes: &[usize],
+    care: &Care,
+    command: String,
+    setting: &Setting,
+) -> io::Result<Sweep> {
     let name = match of {
         Of::One => "servers of one tenant",
         Of::Services => "servers of tenants with 18 each",
     };
-    let mut sweep = Sweep { name: name.into(), command, ..Sweep::default() };
+    let mut sweep = Sweep {
+        name: name.into(),
+        command,
+        ..Sweep::default()
+    };
     let sizes: Vec<Size> = sizes.iter().map(|n| Size::of(of, *n)).collect();
-    in_turn(&mut sweep, setting, &sizes, Size::named, |command, size, figures| {
-        measure(command, size, care, setting, figures)
-    });
+    in_turn(
+        &mut sweep,
+        setting,
+        &sizes,
+        Size::named,
+        |command, size, figures| measure(command, size, care, setting, figures),
+    );
     for figure in LINES {
         sweep.line(figure, "servers", target::SERVERS);
     }
--- a/crates/lab/src/capacity/stop.rs
+++ b/crates/lab/src/capacity/stop.rs
@@ -39,7 +39,10 @@
 
 impl Stop {
     fn children(&self) -> std::sync::MutexGuard<'_, BTreeMap<u64, OwnedFd>> {
-        self.0.children.lock().unwrap_or_else(PoisonError::into_inner)
+        self.0
+            .children
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Ends all processes that are watched, and lets no wait go on.
@@ -65,7 +68,11 @@
     /// # Errors
     /// It is to end.
     pub fn check(&self) -> io::Result<()> {
-        if self.is_set() { Err(io::ErrorKind::Interrupted.into()) } else { Ok(()) }
+        if self.is_set() {
+            Err(io::ErrorKind::Interrupted.into())
+        } else {
+            Ok(())
+        }
     }
 
     /// Waits.
@@ -86,13 +93,17 @@
 
     /// Watches a child of this process that has not been waited for; it ends at once if this is stopped already.
     pub fn watch(&self, id: u32) -> Option<Watched> {
-        let child = pidfd_open(Pid::from_raw(i32::try_from(id).ok()?)?, PidfdFlags::empty()).ok()?;
+        let child =
+            pidfd_open(Pid::from_raw(i32::try_from(id).ok()?)?, PidfdFlags::empty()).ok()?;
         let number = self.0.next.fetch_add(1, Ordering::SeqCst);
         let mut children = self.children();
         if self.is_set() {
             let _ = pidfd_send_signal(&child, Signal::KILL); // as above
         }
         children.insert(number, child);
-        Some(Watched { stop: self.clone(), number })
+        Some(Watched {
+            stop: self.clone(),
+            number,
+        })
     }
 }
