--- a/crates/lab/src/capacity/tenants.rs
+++ b/crates/lab/src/capacity/tenants.rs
@@ -68,8 +68,11 @@
 
 impl By {
     /// All of them, with the names that the command line has for them.
-    pub const ALL: [(&str, By); 3] =
-        [("tenants", By::Tenants), ("routes", By::Routes), ("services", By::Services)];
+    pub const ALL: [(&str, By); 3] = [
+        ("tenants", By::Tenants),
+        ("routes", By::Routes),
+        ("services", By::Services),
+    ];
 
     /// The name of its size, and how many there are at the target.
     fn target(self) -> (&'static str, f64) {
@@ -99,10 +102,18 @@
     pub fn of(shape: Shape, tenants: usize) -> Self {
         let part = |of: f64| ((tenants as f64 * of / target::TENANTS).round() as usize).max(1);
         match shape {
-            Shape::Own => Size { shape, tenants, services: 0, routes: 1 },
-            Shape::Shared => {
-                Size { shape, tenants, services: part(target::SERVICES), routes: part(target::ROUTES) }
-            }
+            Shape::Own => Size {
+                shape,
+                tenants,
+                services: 0,
+                routes: 1,
+            },
+            Shape::Shared => Size {
+                shape,
+                tenants,
+                services: part(target::SERVICES),
+                routes: part(target::ROUTES),
+            },
         }
     }
 
@@ -111,8 +122,14 @@
         let size = Size::of(Shape::Shared, tenants);
         match by {
             By::Tenants => Size::of(Shape::Shared, count),
-            By::Routes => Size { routes: count, ..size },
-            By::Services => Size { services: count, ..size },
+            By::Routes => Size {
+                routes: count,
+                ..size
+            },
+            By::Services => Size {
+                services: count,
+                ..size
+            },
         }
     }
 
@@ -126,13 +143,19 @@
         if self.shape == Shape::Shared {
             all.extend([("services", self.services), ("servers", self.servers())]);
         }
-        all.into_iter().map(|(name, n)| (name.to_owned(), n as f64)).collect()
+        all.into_iter()
+            .map(|(name, n)| (name.to_owned(), n as f64))
+            .collect()
     }
 
     /// What it needs of the machine.
     pub fn needs(&self) -> Needs {
         // By what was measured of a build that keeps all tenants awake in full, and a half more (docs/CAPACITY.md).
-        let kib = if self.shape == Shape::Own { 80.0 } else { 200.0 };
+        let kib = if self.shape == Shape::Own {
+            80.0
+        } else {
+            200.0
+        };
         let servers = self.servers() as f64;
         Needs {
             memory_mib: 200.0 + (kib * self.tenants as f64 + 20.0 * servers) / 1024.0,
@@ -199,7 +222,10 @@
 enum Behind {
     Own(Fleet),
     /// The addresses of each service.
-    Shared(Vec<Vec<SocketAddr>>, #[expect(dead_code, reason = "ends the processes")] Vec<Started>),
+    Shared(
+        Vec<Vec<SocketAddr>>,
+        #[expect(dead_code, reason = "ends the processes")] Vec<Started>,
+    ),
 }
 
 impl Behind {
@@ -208,9 +234,12 @@
             return Fleet::start().map(Behind::Own);
         }
         let work = Duration::from_millis(20);
-        let (started, addresses) = servers::start(&setting.own, size.servers(), work, &setting.stop)?;
+        let (started, addresses) =
+            servers::start(&setting.own, size.servers(), work, &setting.stop)?;
         let mut left = addresses.into_iter();
-        let lists = (0..size.services).map(|n| left.by_ref().take(of_service(n)).collect()).collect();
+        let lists = (0..size.services)
+            .map(|n| left.by_ref().take(of_service(n)).collect())
+            .collect();
         Ok(Behind::Shared(lists, started))
     }
 
@@ -247,7 +276,9 @@
     fn start(command: &[String], place: &Place, stop: &Stop) -> io::Result<Self> {
         stop.check()?;
         let mut watched = None;
-        let service = Service::start_seen(command, &place.config, 1, true, |id| watched = stop.watch(id))?;
+        let service = Service::start_seen(command, &place.config, 1, true, |id| {
+            watched = stop.watch(id)
+        })?;
         Ok(Running { watched, service })
     }
 
@@ -272,7 +303,8 @@
 /// How long a process writes nothing that has written all that its last change leads to; none where that is too long to wait for.
 fn still(place: &Place) -> Option<Duration> {
     let aside = std::fs::metadata(place.state.join("last-good.snapshot")).map_or(0, |m| m.len());
-    Some(STILL + Duration::from_secs_f64(aside as f64 / ASIDE_RATE)).filter(|still| *still <= LATEST)
+    Some(STILL + Duration::from_secs_f64(aside as f64 / ASIDE_RATE))
+        .filter(|still| *still <= LATEST)
 }
 
 /// Waits until a process has written nothing for so long, such as what it keeps aside after a change.
@@ -293,12 +325,25 @@
 /// # Errors
 /// The service or its servers can't be had, end, or turn a call down.
 pub fn measure(
-    command: &[String], size: &Size, care: &Care, setting: &Setting, figures: &mut BTreeMap<String, f64>,
+    command: &[String],
+    size: &Size,
+    care: &Care,
+    setting: &Setting,
+    figures: &mut BTreeMap<String, f64>,
 ) -> io::Result<()> {
     let behind = Behind::start(size, setting)?;
     let place = Place::new(&setting.dir, "[process]\nserver-sockets = 8192\n")?;
     let mut running = Running::start(command, &place, &setting.stop)?;
-    let done = measured(command, size, care, setting, &behind, &place, &mut running, figures);
+    let done = measured(
+        command,
+        size,
+        care,
+        setting,
+        &behind,
+        &place,
+        &mut running,
+        figures,
+    );
     ended(&mut running.service, done)
 }
 
@@ -317,10 +362,19 @@
     }
 }
 
-#[expect(clippy::too_many_arguments, reason = "all that a measurement needs, in one place")]
+#[expect(
+    clippy::too_many_arguments,
+    reason = "all that a measurement needs, in one place"
+)]
 fn measured(
-    command: &[String], size: &Size, care: &Care, setting: &Setting, behind: &Behind, place: &Place,
-    running: &mut Running, figures: &mut BTreeMap<String, f64>,
+    command: &[String],
+    size: &Size,
+    care: &Care,
+    setting: &Setting,
+    behind: &Behind,
+    place: &Place,
+    running: &mut Running,
+    figures: &mut BTreeMap<String, f64>,
 ) -> io::Result<()> {
     let stop = &setting.stop;
     let mut put = |name: &str, value: f64| {
@@ -335,7 +389,10 @@
         admin.json("POST", "/v1/apply", "", &json!({ "tenant": all }))?;
     }
     put("made in, s", began.elapsed().as_secs_f64());
-    put("peak while made, MiB", process::memory(running.service.id())?.peak);
+    put(
+        "peak while made, MiB",
+        process::memory(running.service.id())?.peak,
+    );
 
     // The restart, by which memory is measured without what making them left behind.
     running.service.kill();
@@ -352,7 +409,10 @@
     }
     put("start to first answer, ms", ms(began));
     put("refused before the first answer", refused);
-    put("processor time to first answer, ms", process::spent(id)?.all());
+    put(
+        "processor time to first answer, ms",
+        process::spent(id)?.all(),
+    );
     put("memory at ready, MiB", process::memory(id)?.resident);
     // A first answer that comes later leaves nothing of the first seconds to measure.
     let (at_ready, in_time) = (process::spent(id)?, ready.elapsed() < care.first);
@@ -361,12 +421,18 @@
     stop.sleep(care.first.saturating_sub(ready.elapsed()))?;
     let part = |spent: Spent, over: Duration| 100.0 * spent.all() / (1000.0 * over.as_secs_f64());
     if in_time {
-        put("first seconds, % of a core", part(process::spent(id)?.since(&at_ready), ready.elapsed()));
+        put(
+            "first seconds, % of a core",
+            part(process::spent(id)?.since(&at_ready), ready.elapsed()),
+        );
     }
     stop.sleep(care.rest.saturating_sub(ready.elapsed()))?;
     let (before, from) = (process::spent(id)?, Instant::now());
     stop.sleep(care.idle)?;
-    put("idle, % of a core", part(process::spent(id)?.since(&before), from.elapsed()));
+    put(
+        "idle, % of a core",
+        part(process::spent(id)?.since(&before), from.elapsed()),
+    );
     put("memory at rest, MiB", process::memory(id)?.resident);
 
     let mut admin = running.service.line(place)?;
@@ -382,7 +448,13 @@
 
     let mut admin = running.service.line(place)?; // one that is idle for long is closed
     let mut load = Measured::default();
-    under_load(&mut admin, running.public()?, care.changes, care.load, &mut load)?;
+    under_load(
+        &mut admin,
+        running.public()?,
+        care.changes,
+        care.load,
+        &mut load,
+    )?;
     put("change to effect p50, ms", load.effect_ms[0]);
     put("change to effect p99, ms", load.effect_ms[1]);
     put("change to answer p50, ms", load.answer_ms[0]);
@@ -401,9 +473,18 @@
     put("busy lookups beside these p99, ms", busy[1]);
 
     put("peak, MiB", process::memory(id)?.peak);
-    put("store, KiB", process::length(&place.state.join("state.redb")) as f64 / 1024.0);
-    put("snapshot, KiB", process::length(&place.state.join("last-good.snapshot")) as f64 / 1024.0);
-    put("all of the state, KiB", process::lengths(&place.state) as f64 / 1024.0);
+    put(
+        "store, KiB",
+        process::length(&place.state.join("state.redb")) as f64 / 1024.0,
+    );
+    put(
+        "snapshot, KiB",
+        process::length(&place.state.join("last-good.snapshot")) as f64 / 1024.0,
+    );
+    put(
+        "all of the state, KiB",
+        process::lengths(&place.state) as f64 / 1024.0,
+    );
 
     // And what lookups see right after a start.
     running.service.kill();
@@ -413,7 +494,9 @@
         let asking = threads.spawn(|| lookups(at, &told));
         let slept = stop.sleep(care.load);
         told.store(true, Ordering::Relaxed);
-        let seen = asking.join().map_err(|_| io::Error::other("a client panicked"))?;
+        let seen = asking
+            .join()
+            .map_err(|_| io::Error::other("a client panicked"))?;
         slept.and(seen)
     })?;
     // Where none was answered there is no quantile, and no zero.
@@ -430,7 +513,12 @@
 type Cost = (Vec<(&'static str, f64)>, [[f64; 2]; 3]);
 
 fn changes(
-    admin: &mut Line, running: &Running, place: &Place, tenants: usize, many: u64, stop: &Stop,
+    admin: &mut Line,
+    running: &Running,
+    place: &Place,
+    tenants: usize,
+    many: u64,
+    stop: &Stop,
 ) -> io::Result<Cost> {
     let changed = if tenants > 1 { "t00001" } else { "t00000" };
     let id = running.service.id();
@@ -448,8 +536,11 @@
     };
     let many = many.max(2) / 2 * 2;
     // Alone, so that processor time is the change's own.
-    let (spent, written, stored) =
-        (process::spent(id)?, process::written(id)?, process::lengths(&place.state));
+    let (spent, written, stored) = (
+        process::spent(id)?,
+        process::written(id)?,
+        process::lengths(&place.state),
+    );
     let mut answers = histogram()?;
     for n in 0..many {
         answers.saturating_record((change(admin, n)? * 1000.0) as u64);
@@ -473,7 +564,10 @@
     let lone = [
         ("a lone change and what follows, all threads, ms", lone.0),
         ("a lone change and what follows, written, KiB", lone.1[0]),
-        ("a lone change and what follows, written to disk, KiB", lone.1[1]),
+        (
+            "a lone change and what follows, written to disk, KiB",
+            lone.1[1],
+        ),
     ];
     let mut cost: Vec<(&'static str, f64)> = lone.into_iter().filter(|_| still.is_some()).collect();
     cost.extend([
@@ -508,19 +602,33 @@
             })
             .collect();
         told.store(true, Ordering::Relaxed);
-        let pings = pinging.join().map_err(|_| io::Error::other("a client panicked"))?;
+        let pings = pinging
+            .join()
+            .map_err(|_| io::Error::other("a client panicked"))?;
         Ok::<_, io::Error>(((changed?, quiet), pings?))
     })?;
     let longest = |from: Instant, span: Duration| {
         let to = from + span + AFTER;
-        let within = pings.iter().filter(|(sent, took)| *sent < to && *sent + *took > from);
-        within.map(|(_, took)| 1000.0 * took.as_secs_f64()).fold(0.0, f64::max)
+        let within = pings
+            .iter()
+            .filter(|(sent, took)| *sent < to && *sent + *took > from);
+        within
+            .map(|(_, took)| 1000.0 * took.as_secs_f64())
+            .fold(0.0, f64::max)
     };
     let typical = Duration::from_secs_f64(quantiles(&answers)[0] / 1000.0);
-    let with: Vec<f64> =
-        windows.0.iter().map(|(b, ms)| longest(*b, Duration::from_secs_f64(ms / 1000.0))).collect();
+    let with: Vec<f64> = windows
+        .0
+        .iter()
+        .map(|(b, ms)| longest(*b, Duration::from_secs_f64(ms / 1000.0)))
+        .collect();
     let without: Vec<f64> = windows.1.iter().map(|b| longest(*b, typical)).collect();
-    let both = |all: &[f64]| [crate::service::quantile(all, 0.5), crate::service::quantile(all, 1.0)];
+    let both = |all: &[f64]| {
+        [
+            crate::service::quantile(all, 0.5),
+            crate::service::quantile(all, 1.0),
+        ]
+    };
     Ok((cost, [quantiles(&answers), both(&with), both(&without)]))
 }
 
@@ -543,7 +651,10 @@
 /// First requests of tenants at rest, each followed by one of the busy tenant: median and 99th percentile in ms of either, and how many of
 /// all were refused.
 fn first_requests(
-    at: SocketAddr, tenants: usize, woken: usize, stop: &Stop,
+    at: SocketAddr,
+    tenants: usize,
+    woken: usize,
+    stop: &Stop,
 ) -> io::Result<([[f64; 2]; 2], u64)> {
     let many = woken.min(tenants.saturating_sub(2));
     let mut busy = Line::new(at, BUSY);
@@ -554,7 +665,10 @@
         // The connection is there already: it is the tenant that is asked for the first time.
         let mut line = Line::new(at, "");
         line.call("GET", "/up", "", "")?;
-        for (line, headers, seen) in [(&mut line, &headers[..], &mut first), (&mut busy, "", &mut beside)] {
+        for (line, headers, seen) in [
+            (&mut line, &headers[..], &mut first),
+            (&mut busy, "", &mut beside),
+        ] {
             match asked(line, headers)? {
                 Some(ms) => seen.saturating_record((1000.0 * ms) as u64),
                 None => lost += 1,
@@ -568,7 +682,13 @@
 ///
 /// # Errors
 /// Its files can't be removed.
-pub fn sweep(by: By, sizes: &[Size], care: &Care, command: String, setting: &Setting) -> io::Result<Sweep> {
+pub fn sweep(
+    by: By,
+    sizes: &[Size],
+    care: &Care,
+    command: String,
+    setting: &Setting,
+) -> io::Result<Sweep> {
     let tenants = sizes.first().map_or(0, |s| s.tenants);
     let name = match (by, sizes.first().map(|s| s.shape)) {
         (By::Tenants, Some(Shape::Own)) => "tenants with four servers of their own each".into(),
@@ -576,10 +696,18 @@
         (By::Routes, _) => format!("routes (sets of classes) of {tenants} tenants"),
         (By::Services, _) => format!("services of {tenants} tenants"),
     };
-    let mut sweep = Sweep { name, command, ..Sweep::default() };
-    in_turn(&mut sweep, setting, sizes, Size::named, |command, size, figures| {
-        measure(command, size, care, setting, figures)
-    });
+    let mut sweep = Sweep {
+        name,
+        command,
+        ..Sweep::default()
+    };
+    in_turn(
+        &mut sweep,
+        setting,
+        sizes,
+        Size::named,
+        |command, size, figures| measure(command, size, care, setting, figures),
+    );
     let (size, target) = by.target();
     for figure in LINES {
         sweep.line(figure, size, target);
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -46,19 +46,27 @@
 /// # Errors
 /// A port or the thread can't be had.
 pub fn start(scenario: &Scenario, seed: u64) -> io::Result<Vec<Member>> {
-    let scenario = Scenario { faults: Vec::new(), ..scenario.clone() };
+    let scenario = Scenario {
+        faults: Vec::new(),
+        ..scenario.clone()
+    };
     let (tell, told) = channel();
-    thread::Builder::new().name("demo-fleet".into()).spawn(move || {
-        let run = async {
-            let fleet = Fleet::new(Arc::new(scenario), seed)?;
-            let _ = tell.send(fleet.open().await); // whoever started it is gone otherwise
-            fleet.turn().await;
-            Ok::<_, io::Error>(())
-        };
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        LocalSet::new().block_on(&runtime, run)
-    })?;
-    told.recv().map_err(|_| io::Error::other("the emulated fleet did not come up"))?
+    thread::Builder::new()
+        .name("demo-fleet".into())
+        .spawn(move || {
+            let run = async {
+                let fleet = Fleet::new(Arc::new(scenario), seed)?;
+                let _ = tell.send(fleet.open().await); // whoever started it is gone otherwise
+                fleet.turn().await;
+                Ok::<_, io::Error>(())
+            };
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
+            LocalSet::new().block_on(&runtime, run)
+        })?;
+    told.recv()
+        .map_err(|_| io::Error::other("the emulated fleet did not come up"))?
 }
 
 struct Fleet {
@@ -74,7 +82,10 @@
 
 impl Fleet {
     fn new(scenario: Arc<Scenario>, seed: u64) -> io::Result<Rc<Self>> {
-        let works = scenario.classes.iter().map(|c| LogNormal::from_mean_cv(c.work.0, c.spread));
+        let works = scenario
+            .classes
+            .iter()
+            .map(|c| LogNormal::from_mean_cv(c.work.0, c.spread));
         Ok(Rc::new(Fleet {
             works: works.collect::<Result<_, _>>().map_err(io::Error::other)?,
             world: RefCell::new(World::new(scenario, seed)),
@@ -152,7 +163,9 @@
 
     async fn connection(self: Rc<Self>, mut wire: Wire, server: ServerId) {
         while let Ok(request) = wire.read(true).await {
-            let Start::Request(_, target) = &request.start else { return };
+            let Start::Request(_, target) = &request.start else {
+                return;
+            };
             let answer = self.answer(&mut wire, server, target).await;
             let Some((status, body)) = answer else { return };
             let head = format!(
@@ -167,26 +180,46 @@
 
     /// What a server says to a request; none where the connection breaks.
     async fn answer(
-        &self, wire: &mut Wire, server: ServerId, target: &str,
+        &self,
+        wire: &mut Wire,
+        server: ServerId,
+        target: &str,
     ) -> Option<(&'static str, String)> {
         let name = self.world.borrow().name(server);
         let path = target.split('?').next().unwrap_or_default();
         let class = path.split('/').nth(1).unwrap_or_default();
-        let place = self.world.borrow().scenario().classes.iter().position(|c| c.name == class);
+        let place = self
+            .world
+            .borrow()
+            .scenario()
+            .classes
+            .iter()
+            .position(|c| c.name == class);
         let Some(place) = place else {
-            return Some(("404 Not Found", serde_json::json!({ "server": name }).to_string()));
+            return Some((
+                "404 Not Found",
+                serde_json::json!({ "server": name }).to_string(),
+            ));
         };
         let work = self.works[place].sample(&mut *self.rng.borrow_mut());
         let attempt = self.next.replace(self.next.get() + 1);
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(attempt, tell);
         let began = self.now();
-        let key = path.bytes().fold(0u64, |key, b| key.wrapping_mul(31).wrapping_add(u64::from(b)));
-        let (offer, _) = self.world.borrow_mut().offer(began, server, Job { attempt, work, key });
+        let key = path.bytes().fold(0u64, |key, b| {
+            key.wrapping_mul(31).wrapping_add(u64::from(b))
+        });
+        let (offer, _) = self
+            .world
+            .borrow_mut()
+            .offer(began, server, Job { attempt, work, key });
         self.changed.notify_one();
         if offer != Offer::Taken {
             self.waiting.borrow_mut().remove(&attempt);
-            return Some(("503 Busy", serde_json::json!({ "server": name, "busy": true }).to_string()));
+            return Some((
+                "503 Busy",
+                serde_json::json!({ "server": name, "busy": true }).to_string(),
+            ));
         }
         let verdict = tokio::select! {
             biased;
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -50,12 +50,17 @@
 impl Run {
     /// Judges and counts what a run left behind.
     pub fn new(
-        scenario: Arc<Scenario>, name: &str, seed: u64, ledger: Ledger, asks: Vec<Ask>,
+        scenario: Arc<Scenario>,
+        name: &str,
+        seed: u64,
+        ledger: Ledger,
+        asks: Vec<Ask>,
         served: &[Option<f64>],
     ) -> Self {
         let broken = judge(&ledger, &scenario.rules, &scenario.proxies);
         let score = score(&scenario, &asks, served, &ledger);
-        let (counts, module_us, partial, void, virtual_time) = (Counts::default(), 0.0, false, None, false);
+        let (counts, module_us, partial, void, virtual_time) =
+            (Counts::default(), 0.0, false, None, false);
         let name = name.to_owned();
         Run {
             scenario,
@@ -75,11 +80,23 @@
 }
 
 /// Plays a scenario in virtual time.
-pub fn simulate(scenario: &Arc<Scenario>, name: &str, seed: u64, sabotage: Option<Sabotage>) -> Run {
+pub fn simulate(
+    scenario: &Arc<Scenario>,
+    name: &str,
+    seed: u64,
+    sabotage: Option<Sabotage>,
+) -> Run {
     let played = Sim::new(scenario.clone(), seed, sabotage).play();
     let served: Vec<Option<f64>> = played.served.iter().map(|(at, _)| *at).collect();
     let requests = played.ledger.tries.len().max(1) as f64;
-    let mut run = Run::new(scenario.clone(), name, seed, played.ledger, played.asks, &served);
+    let mut run = Run::new(
+        scenario.clone(),
+        name,
+        seed,
+        played.ledger,
+        played.asks,
+        &served,
+    );
     run.virtual_time = true;
     run.counts = played.counts;
     run.module_us = played.module.as_secs_f64() * 1e6 / requests;
@@ -100,8 +117,13 @@
                 done.push((n, job(n)));
             }
         };
-        let workers: Vec<_> = (0..threads.clamp(1, jobs.max(1))).map(|_| scope.spawn(worker)).collect();
-        workers.into_iter().flat_map(|w| w.join().unwrap_or_else(|panic| resume_unwind(panic))).collect()
+        let workers: Vec<_> = (0..threads.clamp(1, jobs.max(1)))
+            .map(|_| scope.spawn(worker))
+            .collect();
+        workers
+            .into_iter()
+            .flat_map(|w| w.join().unwrap_or_else(|panic| resume_unwind(panic)))
+            .collect()
     });
     results.sort_by_key(|(n, _)| *n);
     results.into_iter().map(|(_, result)| result).collect()
@@ -118,38 +140,63 @@
     Scenario::parse(file, text)?; // errors of the file itself name its lines
     let wrong = |set: &str, what: &str| ScenarioError {
         file: file.to_owned(),
-        problems: vec![crate::Problem { line: 1, key: set.to_owned(), what: what.to_owned() }],
+        problems: vec![crate::Problem {
+            line: 1,
+            key: set.to_owned(),
+            what: what.to_owned(),
+        }],
     };
     let mut table: toml::Table = toml::from_str(text).map_err(|e| wrong("", e.message()))?;
     for set in sets {
-        let (key, value) = set.split_once('=').ok_or_else(|| wrong(set, "a setting is written key=value"))?;
+        let (key, value) = set
+            .split_once('=')
+            .ok_or_else(|| wrong(set, "a setting is written key=value"))?;
         let value: toml::Value = match toml::from_str::<toml::Table>(&format!("v = {value}")) {
-            Ok(mut parsed) => parsed.remove("v").ok_or_else(|| wrong(set, "there is no value"))?,
+            Ok(mut parsed) => parsed
+                .remove("v")
+                .ok_or_else(|| wrong(set, "there is no value"))?,
             Err(_) => toml::Value::String(value.to_owned()), // a quantity with its unit, unquoted
         };
         let root = toml::Value::Table(std::mem::take(&mut table));
         let root = put(root, &key.trim().split('.').collect::<Vec<_>>(), value)
             .ok_or_else(|| wrong(set, "there is no such place"))?;
-        let toml::Value::Table(root) = root else { return Err(wrong(set, "there is no such place")) };
+        let toml::Value::Table(root) = root else {
+            return Err(wrong(set, "there is no such place"));
+        };
         table = root;
     }
     // The two ways to give the load exclude each other: the one set last counts.
     if let Some(toml::Value::Table(load)) = table.get_mut("load")
-        && let Some(last) =
-            sets.iter().rev().find_map(|s| ["load.level", "load.rate"].into_iter().find(|k| s.starts_with(k)))
+        && let Some(last) = sets.iter().rev().find_map(|s| {
+            ["load.level", "load.rate"]
+                .into_iter()
+                .find(|k| s.starts_with(k))
+        })
     {
-        load.remove(if last == "load.level" { "rate" } else { "level" });
+        load.remove(if last == "load.level" {
+            "rate"
+        } else {
+            "level"
+        });
     }
     let text = toml::to_string(&table).map_err(|e| wrong("", &e.to_string()))?;
     Scenario::parse(&format!("{file} with {}", sets.join(", ")), &text)
 }
 
 fn put(mut at: toml::Value, path: &[&str], value: toml::Value) -> Option<toml::Value> {
-    let Some((first, rest)) = path.split_first() else { return Some(value) };
+    let Some((first, rest)) = path.split_first() else {
+        return Some(value);
+    };
     match &mut at {
         toml::Value::Table(table) => {
-            let below = table.remove(*first).unwrap_or_else(|| toml::Value::Table(toml::Table::new()));
-            let below = if rest.is_empty() { value } else { put(below, rest, value)? };
+            let below = table
+                .remove(*first)
+                .unwrap_or_else(|| toml::Value::Table(toml::Table::new()));
+            let below = if rest.is_empty() {
+                value
+            } else {
+                put(below, rest, value)?
+            };
             table.insert((*first).to_owned(), below);
         }
         toml::Value::Array(items) => {
@@ -181,7 +228,11 @@
             let variance = samples.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0);
             t.inverse_cdf(0.975) * (variance / n).sqrt()
         });
-        Estimate { mean, low: mean - half, high: mean + half }
+        Estimate {
+            mean,
+            low: mean - half,
+            high: mean + half,
+        }
     }
 
     /// Whether nothing lies outside the bounds.
@@ -196,8 +247,12 @@
 /// What two runs are compared by.
 pub const FIGURES: [Figure; 7] = [
     ("served share", |r| r.score.whole.share),
-    ("worst class", |r| r.score.classes.iter().map(|c| c.share).fold(1.0, f64::min)),
-    ("worst window", |r| r.score.windows.iter().map(|w| w.share).fold(1.0, f64::min)),
+    ("worst class", |r| {
+        r.score.classes.iter().map(|c| c.share).fold(1.0, f64::min)
+    }),
+    ("worst window", |r| {
+        r.score.windows.iter().map(|w| w.share).fold(1.0, f64::min)
+    }),
     ("refused tries", |r| r.score.refused),
     ("attempts an ask", |r| r.score.attempts),
     ("p50 ms", |r| r.score.whole.latency_ms[0]),
@@ -223,7 +278,12 @@
         let (a, b): (Vec<f64>, Vec<f64>) = (a.iter().map(of).collect(), b.iter().map(of).collect());
         let paired: Vec<f64> = a.iter().zip(&b).map(|(a, b)| b - a).collect();
         let mean = |x: &[f64]| x.iter().sum::<f64>() / x.len().max(1) as f64;
-        Difference { figure: name, a: mean(&a), b: mean(&b), difference: Estimate::of(&paired) }
+        Difference {
+            figure: name,
+            a: mean(&a),
+            b: mean(&b),
+            difference: Estimate::of(&paired),
+        }
     };
     FIGURES.iter().map(figure).collect()
 }
--- a/crates/lab/src/floods/fleet.rs
+++ b/crates/lab/src/floods/fleet.rs
@@ -49,12 +49,21 @@
                 let _ = tell.send(all); // whoever started it is gone otherwise
                 std::future::pending::<io::Result<()>>().await
             };
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
             LocalSet::new().block_on(&runtime, run)
         })?;
-        let mut all = told.recv().map_err(|_| io::Error::other("the servers did not come up"))?.into_iter();
+        let mut all = told
+            .recv()
+            .map_err(|_| io::Error::other("the servers did not come up"))?
+            .into_iter();
         let mut next = || all.next().unwrap_or_default();
-        Ok(Fleet { quiet: next(), flooded: next(), hanging: next() })
+        Ok(Fleet {
+            quiet: next(),
+            flooded: next(),
+            hanging: next(),
+        })
     }
 }
 
@@ -67,9 +76,17 @@
                     return wire.ended().await;
                 }
                 sleep(WORK).await;
-                let large = matches!(&request.start, Start::Request(_, path) if path.ends_with(LARGE));
-                let body = if large { "x".repeat(MANY) } else { "done".into() };
-                let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                let large =
+                    matches!(&request.start, Start::Request(_, path) if path.ends_with(LARGE));
+                let body = if large {
+                    "x".repeat(MANY)
+                } else {
+                    "done".into()
+                };
+                let answer = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                );
                 if wire.write(answer.as_bytes()).await.is_err() {
                     return;
                 }
--- a/crates/lab/src/floods/mod.rs
+++ b/crates/lab/src/floods/mod.rs
@@ -55,7 +55,10 @@
     ];
 
     fn name(self) -> &'static str {
-        Self::ALL.iter().find(|(_, k)| *k == self).map_or("", |(name, _)| name)
+        Self::ALL
+            .iter()
+            .find(|(_, k)| *k == self)
+            .map_or("", |(name, _)| name)
     }
 }
 
@@ -129,7 +132,11 @@
             directory.display().to_string()
         )
     });
-    let flooding = if kind == Kind::Hangs { &fleet.hanging } else { &fleet.flooded };
+    let flooding = if kind == Kind::Hangs {
+        &fleet.hanging
+    } else {
+        &fleet.flooded
+    };
     [
         &state,
         "[process]\nsockets = 256\nin-flight = 128\nbytes = \"4 MiB\"\nloop-share = \"40 %\"\nturning-share = \"10 \
@@ -149,7 +156,12 @@
 /// # Errors
 /// The service, a server or a socket could not be had.
 pub fn flood(
-    kind: Kind, command: &[String], span: Duration, seed: u64, [apart, changing]: [bool; 2], dir: &Path,
+    kind: Kind,
+    command: &[String],
+    span: Duration,
+    seed: u64,
+    [apart, changing]: [bool; 2],
+    dir: &Path,
 ) -> io::Result<Flood> {
     std::fs::create_dir_all(dir)?;
     let fleet = Fleet::start()?;
@@ -158,9 +170,16 @@
     if changing && state.exists() {
         std::fs::remove_dir_all(&state)?;
     }
-    std::fs::write(&file, config(&fleet, kind, changing.then_some(state.as_path())))?;
+    std::fs::write(
+        &file,
+        config(&fleet, kind, changing.then_some(state.as_path())),
+    )?;
     let service = Service::start(command, &file, 2, changing)?;
-    let other = if apart { Some(Service::start(command, &file, 2, false)?) } else { None };
+    let other = if apart {
+        Some(Service::start(command, &file, 2, false)?)
+    } else {
+        None
+    };
     let until = Instant::now() + 2 * span + SETTLE;
     let changes = service.admin.map(|at| {
         let token = std::fs::read_to_string(state.join("operator.token"))?;
@@ -177,10 +196,16 @@
         begin,
         [span, floods[0] - begin + SETTLE, floods[1] - begin],
     ))?;
-    let (sent, served) = flooding.join().map_err(|_| io::Error::other("the flood panicked"))??;
+    let (sent, served) = flooding
+        .join()
+        .map_err(|_| io::Error::other("the flood panicked"))??;
     let seconds = (floods[1] - floods[0]).as_secs_f64();
-    let changes =
-        changes.map(|c| c.join().map_err(|_| io::Error::other("the changes panicked"))?).transpose()?;
+    let changes = changes
+        .map(|c| {
+            c.join()
+                .map_err(|_| io::Error::other("the changes panicked"))?
+        })
+        .transpose()?;
     Ok(Flood {
         changes: changes.unwrap_or(0),
         kind,
@@ -199,7 +224,12 @@
         let limits = serde_json::json!({ "in-flight": 100 + n % 10 });
         line.json("PUT", "/v1/tenants/quiet/limits", "", &limits)?;
         let act = if n % 2 == 0 { "drain" } else { "resume" };
-        line.json("POST", &format!("/v1/tenants/quiet/servers/quiet-0/{act}"), "", &serde_json::Value::Null)?;
+        line.json(
+            "POST",
+            &format!("/v1/tenants/quiet/servers/quiet-0/{act}"),
+            "",
+            &serde_json::Value::Null,
+        )?;
         n += 1;
         thread::sleep(Duration::from_millis(50));
     }
@@ -207,7 +237,9 @@
 }
 
 fn on_thread<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let outcome = LocalSet::new().block_on(&runtime, future);
     runtime.shutdown_background();
     outcome
@@ -223,7 +255,12 @@
 
 /// Sends the quiet tenant's requests at their times, whatever became of those before. The first half ends at `marks[0]`, the
 /// second is from `marks[1]` to `marks[2]`.
-async fn quietly(to: SocketAddr, seed: u64, begin: Instant, marks: [Duration; 3]) -> io::Result<Quiet> {
+async fn quietly(
+    to: SocketAddr,
+    seed: u64,
+    begin: Instant,
+    marks: [Duration; 3],
+) -> io::Result<Quiet> {
     let mut rng = stream(seed, Use::Load);
     let gap = Exp::new(QUIET_RATE).map_err(io::Error::other)?;
     let idle: Rc<RefCell<Vec<Wire>>> = Rc::default();
@@ -236,7 +273,9 @@
         let (idle, all) = (idle.clone(), all.clone());
         tasks.push(spawn_local(async move {
             let late = (begin + at).elapsed();
-            let served = timeout(PATIENCE, ask(to, &idle)).await.is_ok_and(|good| good);
+            let served = timeout(PATIENCE, ask(to, &idle))
+                .await
+                .is_ok_and(|good| good);
             let took = served.then(|| (begin + at).elapsed());
             all.borrow_mut().push((at, late, took));
         }));
@@ -246,7 +285,8 @@
     }
     let all = all.borrow();
     let half = |from: Duration, to: Duration| -> io::Result<Fared> {
-        let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
+        let mut latencies =
+            Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         let mut sent = 0;
         for (_, _, took) in all.iter().filter(|(at, ..)| (from..to).contains(at)) {
             sent += 1;
@@ -263,8 +303,13 @@
     };
     let mut late: Vec<Duration> = all.iter().map(|(_, late, _)| *late).collect();
     late.sort();
-    let late_ms = late.get(late.len().saturating_sub(1) * 99 / 100).map_or(0.0, |l| l.as_secs_f64() * 1000.0);
-    Ok(Quiet { halves: [half(Duration::ZERO, marks[0])?, half(marks[1], marks[2])?], late_ms })
+    let late_ms = late
+        .get(late.len().saturating_sub(1) * 99 / 100)
+        .map_or(0.0, |l| l.as_secs_f64() * 1000.0);
+    Ok(Quiet {
+        halves: [half(Duration::ZERO, marks[0])?, half(marks[1], marks[2])?],
+        late_ms,
+    })
 }
 
 /// One lookup on a connection that is idle, or a new one. A connection that was closed meanwhile is replaced once.
@@ -277,7 +322,9 @@
             None => TcpStream::connect(to).await.ok().map(Wire::new),
         };
         let Some(mut wire) = wire else { return false };
-        let written = wire.write(b"GET /lookup/1 HTTP/1.1\r\nHost: quiet\r\n\r\n").await;
+        let written = wire
+            .write(b"GET /lookup/1 HTTP/1.1\r\nHost: quiet\r\n\r\n")
+            .await;
         match (written, wire.read(false).await) {
             (Ok(()), Ok(answer)) => {
                 if !answer.closes() {
@@ -293,7 +340,11 @@
 }
 
 /// Floods from the first instant to the second; how much was sent, and served.
-async fn flood_with(kind: Kind, to: SocketAddr, [from, until]: [Instant; 2]) -> io::Result<(u64, u64)> {
+async fn flood_with(
+    kind: Kind,
+    to: SocketAddr,
+    [from, until]: [Instant; 2],
+) -> io::Result<(u64, u64)> {
     sleep_until(from.into()).await;
     let counts: Rc<(Cell<u64>, Cell<u64>)> = Rc::default();
     if kind != Kind::Nothing {
@@ -313,7 +364,9 @@
 
 /// One connection's part of a flood, until it ends.
 async fn pour(kind: Kind, to: SocketAddr, (sent, served): &(Cell<u64>, Cell<u64>)) {
-    let Ok(stream) = TcpStream::connect(to).await else { return };
+    let Ok(stream) = TcpStream::connect(to).await else {
+        return;
+    };
     let mut wire = Wire::new(stream);
     let one_more = |count: &Cell<u64>| count.set(count.get() + 1);
     match kind {
@@ -351,7 +404,9 @@
                 if wire.write(request.as_bytes()).await.is_err() {
                     return;
                 }
-                let Ok(answer) = wire.read(false).await else { return };
+                let Ok(answer) = wire.read(false).await else {
+                    return;
+                };
                 if answer.start == Start::Answer(200) {
                     one_more(served);
                 }
--- a/crates/lab/src/followers.rs
+++ b/crates/lab/src/followers.rs
@@ -32,7 +32,11 @@
 }
 
 fn put(standin: &Standin, name: &str, address: SocketAddr) {
-    let entry = Entry { size: 16.0, born_ms: Some(1), ..Entry::at(address) };
+    let entry = Entry {
+        size: 16.0,
+        born_ms: Some(1),
+        ..Entry::at(address)
+    };
     let request = PutRequest {
         key: keys().of(name).into_bytes(),
         value: entry.text().into_bytes(),
@@ -42,7 +46,10 @@
 }
 
 fn delete(standin: &Standin, name: &str) {
-    let request = DeleteRangeRequest { key: keys().of(name).into_bytes(), ..DeleteRangeRequest::default() };
+    let request = DeleteRangeRequest {
+        key: keys().of(name).into_bytes(),
+        ..DeleteRangeRequest::default()
+    };
     standin.store(|s| _ = s.delete(0, &request));
 }
 
@@ -62,13 +69,24 @@
 }
 
 fn runtime() -> io::Result<Runtime> {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
 }
 
 fn follow(standin: &Standin, limits: Limits, seed: u64) -> mpsc::UnboundedReceiver<Update> {
     let (to, updates) = mpsc::unbounded_channel();
     let settings = Settings::new(standin.endpoints());
-    tokio::spawn(etcd::follow(Plain, settings, "lab".into(), keys(), limits, seed, to));
+    tokio::spawn(etcd::follow(
+        Plain,
+        settings,
+        "lab".into(),
+        keys(),
+        limits,
+        seed,
+        to,
+    ));
     updates
 }
 
@@ -83,19 +101,28 @@
         (0..servers).for_each(|n| put(&standin, &format!("s{n:05}"), address));
         let id = std::process::id();
         let (cpu, mb, began) = (cpu_seconds(id), resident_mb(id), Instant::now());
-        let no_wait = Limits { backoff: (0, 1000), ..Limits::default() };
+        let no_wait = Limits {
+            backoff: (0, 1000),
+            ..Limits::default()
+        };
         let mut updates = follow(&standin, no_wait, 1);
-        let mut measured = Size { servers, ..Size::default() };
+        let mut measured = Size {
+            servers,
+            ..Size::default()
+        };
         while let Some(update) = updates.recv().await {
             match update {
-                Update::Told(Told::Whole(_)) => measured.listed_ms = began.elapsed().as_secs_f64() * 1000.0,
+                Update::Told(Told::Whole(_)) => {
+                    measured.listed_ms = began.elapsed().as_secs_f64() * 1000.0
+                }
                 Update::Status(status) if status.phase == Phase::Watching => break,
                 _ => {}
             }
         }
         measured.cpu_ms = 1000.0 * (cpu_seconds(id).unwrap_or(0.0) - cpu.unwrap_or(0.0));
         measured.resident_mb = resident_mb(id).unwrap_or(0.0) - mb.unwrap_or(0.0);
-        let mut took = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
+        let mut took =
+            Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         for n in 0..CHANGES {
             let name = format!("x{n}");
             for up in [true, false] {
@@ -106,8 +133,10 @@
                     delete(&standin, &name)
                 }
                 loop {
-                    let update =
-                        updates.recv().await.ok_or_else(|| io::Error::other("the follower has ended"))?;
+                    let update = updates
+                        .recv()
+                        .await
+                        .ok_or_else(|| io::Error::other("the follower has ended"))?;
                     if matches!(update, Update::Told(_)) {
                         break;
                     }
@@ -129,8 +158,14 @@
         let standin = Standin::start(1).await?;
         put(&standin, "a", SocketAddr::from(([127, 0, 0, 1], 9)));
         // A first wait of up to 2 s, as the operators of a large fleet would set it.
-        let limits = Limits { jitter, backoff: (2000, 8000), ..Limits::default() };
-        let mut all: Vec<_> = (0..MANY).map(|n| follow(&standin, limits, n as u64)).collect();
+        let limits = Limits {
+            jitter,
+            backoff: (2000, 8000),
+            ..Limits::default()
+        };
+        let mut all: Vec<_> = (0..MANY)
+            .map(|n| follow(&standin, limits, n as u64))
+            .collect();
         for updates in &mut all {
             while let Some(update) = updates.recv().await {
                 if matches!(update, Update::Status(s) if s.phase == Phase::Watching) {
@@ -182,7 +217,10 @@
             asked.store(start.elapsed().as_micros() as u64, Ordering::Relaxed);
             head.clear();
             thread::sleep(Duration::from_millis(2));
-            if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err() {
+            if stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                .is_err()
+            {
                 return;
             }
         }
@@ -198,11 +236,22 @@
     let runtime = runtime()?;
     let standin = runtime.block_on(Standin::start(3))?;
     let start = Instant::now();
-    let witnesses = [Witness::new(start)?, Witness::new(start)?, Witness::new(start)?];
+    let witnesses = [
+        Witness::new(start)?,
+        Witness::new(start)?,
+        Witness::new(start)?,
+    ];
     let on = runtime.enter();
-    witnesses.iter().enumerate().for_each(|(n, w)| put(&standin, &format!("w{n}"), w.address));
+    witnesses
+        .iter()
+        .enumerate()
+        .for_each(|(n, w)| put(&standin, &format!("w{n}"), w.address));
     drop(on);
-    let endpoints: Vec<String> = standin.endpoints().iter().map(|e| format!("{e:?}")).collect();
+    let endpoints: Vec<String> = standin
+        .endpoints()
+        .iter()
+        .map(|e| format!("{e:?}"))
+        .collect();
     let tables = format!(
         "[[tenant]]\nname = \"t\"\nfleet = {{ etcd = [{}] }}\n[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 \
          ms\"\ndeadline = \"1 s\"\n",
@@ -210,8 +259,11 @@
     );
     let place = Place::new(dir, &tables)?;
     let service = Service::start(command, &place.config, 1, true)?;
-    let at =
-        service.listeners.get("public").copied().ok_or_else(|| io::Error::other("it has no listener"))?;
+    let at = service
+        .listeners
+        .get("public")
+        .copied()
+        .ok_or_else(|| io::Error::other("it has no listener"))?;
     let stop = AtomicBool::new(false);
     let mut late = thread::scope(|threads| -> io::Result<Vec<f64>> {
         for _ in 0..8 {
@@ -231,7 +283,9 @@
             let gone = start.elapsed().as_micros() as f64;
             // A server that nobody asked would keep the rule without a merit.
             if witness.asked.swap(0, Ordering::Relaxed) == 0 {
-                return Err(io::Error::other(format!("{name} was not asked before its removal")));
+                return Err(io::Error::other(format!(
+                    "{name} was not asked before its removal"
+                )));
             }
             delete(&standin, &name);
             thread::sleep(Duration::from_millis(1200));
@@ -258,9 +312,13 @@
     let rows: [(&str, Of); 5] = [
         ("servers", |s| s.servers.to_string()),
         ("whole list, ms", |s| format!("{:.1}", s.listed_ms)),
-        ("CPU with the stand-in's, ms", |s| format!("{:.0}", s.cpu_ms)),
+        ("CPU with the stand-in's, ms", |s| {
+            format!("{:.0}", s.cpu_ms)
+        }),
         ("memory, MiB", |s| format!("{:.1}", s.resident_mb)),
-        ("write to list p50 / p99, ms", |s| format!("{:.2} / {:.2}", s.change_ms[0], s.change_ms[1])),
+        ("write to list p50 / p99, ms", |s| {
+            format!("{:.2} / {:.2}", s.change_ms[0], s.change_ms[1])
+        }),
     ];
     let mut text = String::new();
     for (name, of) in rows {
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -158,7 +158,12 @@
     /// Notes a send; returns the attempt's number in its try.
     pub fn send(&mut self, id: TryId, server: ServerId, at: Millis) -> usize {
         let attempts = &mut self.tries[id].attempts;
-        attempts.push(Attempt { server, sent: at, ended: None, ran: None });
+        attempts.push(Attempt {
+            server,
+            sent: at,
+            ended: None,
+            ran: None,
+        });
         attempts.len() - 1
     }
 
@@ -175,6 +180,10 @@
 
     /// When a proxy was alive no longer, after this time.
     pub fn end_of(&self, proxy: ProxyId, after: Millis) -> Option<Millis> {
-        self.ends.iter().filter(|e| e.proxy == proxy && e.at >= after).map(|e| e.at).min_by(f64::total_cmp)
+        self.ends
+            .iter()
+            .filter(|e| e.proxy == proxy && e.at >= after)
+            .map(|e| e.at)
+            .min_by(f64::total_cmp)
     }
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -30,7 +30,10 @@
 /// How much of the plain rate is asked for at a time, by waves, steps and launches.
 fn factor(s: &Scenario, at: Millis) -> f64 {
     let wave = 1.0 + s.load.swing.0 * (std::f64::consts::TAU * at / s.load.period.0).sin();
-    let steps = s.faults.iter().filter(|f| f.kind == FaultKind::LoadStep && f.holds(at));
+    let steps = s
+        .faults
+        .iter()
+        .filter(|f| f.kind == FaultKind::LoadStep && f.holds(at));
     wave * steps.filter_map(|f| f.factor).product::<f64>()
 }
 
@@ -57,9 +60,17 @@
         .collect();
     let classes: Vec<f64> = s.classes.iter().map(|c| c.share.0).collect();
     let tenants: Vec<f64> = s.tenants.iter().map(|t| t.share.0 * t.usage).collect();
-    let launches: Vec<_> = s.faults.iter().filter(|f| f.kind == FaultKind::Launch).collect();
+    let launches: Vec<_> = s
+        .faults
+        .iter()
+        .filter(|f| f.kind == FaultKind::Launch)
+        .collect();
     // Arrivals at the highest rate, each kept with the chance that the rate of its moment has.
-    let steps = s.faults.iter().filter(|f| f.kind == FaultKind::LoadStep).filter_map(|f| f.factor);
+    let steps = s
+        .faults
+        .iter()
+        .filter(|f| f.kind == FaultKind::LoadStep)
+        .filter_map(|f| f.factor);
     let most = (1.0 + s.load.swing.0) * steps.map(|f| f.max(1.0)).product::<f64>();
     let rate = s.rate() * most;
     let (mut asks, mut at) = (Vec::new(), 0.0);
@@ -117,7 +128,10 @@
         TryEnd::Refused(_) | TryEnd::Unreachable => true,
         TryEnd::Failed | TryEnd::GaveUp => class.effect == Effect::Safe,
     };
-    let impatient = s.faults.iter().any(|f| f.kind == FaultKind::Impatient && f.holds(now));
+    let impatient = s
+        .faults
+        .iter()
+        .any(|f| f.kind == FaultKind::Impatient && f.holds(now));
     let wait = match end {
         _ if impatient => 0.0,
         TryEnd::Refused(Some(after)) if ask.honours => after.max(s.clients.backoff.0),
@@ -136,10 +150,18 @@
 /// The proxy that the front before them picks: one of the client's zone that it holds for alive, else any such one,
 /// else any at all.
 pub fn pick_proxy(
-    rng: &mut impl Rng, proxies: usize, zones: usize, zone: usize, alive: impl Fn(usize) -> bool,
+    rng: &mut impl Rng,
+    proxies: usize,
+    zones: usize,
+    zone: usize,
+    alive: impl Fn(usize) -> bool,
 ) -> usize {
     let any: Vec<usize> = (0..proxies).filter(|p| alive(*p)).collect();
     let near: Vec<usize> = any.iter().copied().filter(|p| p % zones == zone).collect();
     let among = if near.is_empty() { any } else { near };
-    if among.is_empty() { rng.random_range(0..proxies) } else { among[rng.random_range(0..among.len())] }
+    if among.is_empty() {
+        rng.random_range(0..proxies)
+    } else {
+        among[rng.random_range(0..among.len())]
+    }
 }
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -64,7 +64,11 @@
     /// A port can't be had.
     pub fn new() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let link = Link { address: listener.local_addr()?, target: Arc::default(), how: Arc::default() };
+        let link = Link {
+            address: listener.local_addr()?,
+            target: Arc::default(),
+            how: Arc::default(),
+        };
         let (target, how) = (link.target.clone(), link.how.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -72,7 +76,9 @@
                     return;
                 }
                 let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
-                let (Ok(stream), Some(to)) = (stream, to) else { continue };
+                let (Ok(stream), Some(to)) = (stream, to) else {
+                    continue;
+                };
                 let how = how.clone();
                 thread::spawn(move || _ = carry(&stream, to, &how)); // an end of either side ends it
             }
@@ -92,7 +98,9 @@
 
     /// What passes takes so long from here on, one way.
     pub fn delay(&self, delay: Duration) {
-        self.how.delay_us.store(delay.as_micros() as u64, Ordering::Relaxed);
+        self.how
+            .delay_us
+            .store(delay.as_micros() as u64, Ordering::Relaxed);
     }
 }
 
@@ -101,7 +109,10 @@
         return Ok(());
     }
     let there = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
-    let (back, forth) = ((there.try_clone()?, from.try_clone()?), (from.try_clone()?, there.try_clone()?));
+    let (back, forth) = (
+        (there.try_clone()?, from.try_clone()?),
+        (from.try_clone()?, there.try_clone()?),
+    );
     for stream in [from, &there] {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(LOOK))?;
@@ -133,14 +144,20 @@
                     held.push_back((Instant::now() + delay, buffer[..n].to_vec()));
                     bytes += n;
                 }
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) => {}
                 Err(_) => over = true,
             }
         } else {
             thread::sleep(LOOK);
         }
         while mode == Mode::Pass && held.front().is_some_and(|(due, _)| *due <= Instant::now()) {
-            let Some((_, piece)) = held.pop_front() else { break };
+            let Some((_, piece)) = held.pop_front() else {
+                break;
+            };
             to.write_all(&piece)?;
             bytes -= piece.len();
         }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -72,17 +72,38 @@
             ("descriptors", u.descriptors as f64, bounds.sockets as f64),
         ];
         for (what, value, most) in over.into_iter().filter(|(_, value, most)| value > most) {
-            let evidence = format!("proxy {} held {value:.0} {what}, {most:.0} are allowed", u.proxy);
-            broken.push(Broken { rule: Rule::Bounds, at: u.at, request: None, server: None, evidence });
+            let evidence = format!(
+                "proxy {} held {value:.0} {what}, {most:.0} are allowed",
+                u.proxy
+            );
+            broken.push(Broken {
+                rule: Rule::Bounds,
+                at: u.at,
+                request: None,
+                server: None,
+                evidence,
+            });
         }
     }
     for e in ledger.ends.iter().filter(|e| !e.wanted) {
         let evidence = format!("proxy {} ended by itself", e.proxy);
-        broken.push(Broken { rule: Rule::NoCrash, at: e.at, request: None, server: None, evidence });
+        broken.push(Broken {
+            rule: Rule::NoCrash,
+            at: e.at,
+            request: None,
+            server: None,
+            evidence,
+        });
     }
     for (server, at, what) in &ledger.strangers {
         let (server, evidence) = (Some(*server), what.clone());
-        broken.push(Broken { rule: Rule::NoStranger, at: *at, request: None, server, evidence });
+        broken.push(Broken {
+            rule: Rule::NoStranger,
+            at: *at,
+            request: None,
+            server,
+            evidence,
+        });
     }
     broken.sort_by(|a, b| a.at.total_cmp(&b.at));
     broken
@@ -90,17 +111,27 @@
 
 fn one_answer(ledger: &Ledger, rules: &Rules, id: usize, t: &Try, broken: &mut Vec<Broken>) {
     let mut tell = |at, evidence: String| {
-        broken.push(Broken { rule: Rule::OneAnswer, at, request: Some(id), server: None, evidence });
+        broken.push(Broken {
+            rule: Rule::OneAnswer,
+            at,
+            request: Some(id),
+            server: None,
+            evidence,
+        });
     };
     let Some(taken) = t.taken else { return };
     if let [_, (at, second), ..] = t.answers[..] {
-        tell(at, format!("a second answer, {second:?}, after {:?}", t.answers[0].1));
+        tell(
+            at,
+            format!("a second answer, {second:?}, after {:?}", t.answers[0].1),
+        );
     }
     let late = t.due + rules.answer_slack.0;
     match t.answers.first() {
-        Some((at, code)) if *at > late => {
-            tell(*at, format!("{code:?} came {:.1} ms after its time", at - t.due))
-        }
+        Some((at, code)) if *at > late => tell(
+            *at,
+            format!("{code:?} came {:.1} ms after its time", at - t.due),
+        ),
         Some((at, Code::Served { genuine: false })) => {
             tell(*at, "served with what no server made for it".into());
         }
@@ -111,7 +142,10 @@
             let dead = ledger.end_of(t.proxy, taken).is_some_and(|end| end <= late);
             let open = ledger.closed < late;
             if !left && !dead && !open {
-                tell(late, format!("no answer from proxy {} by {:.3} s", t.proxy, late / 1000.0));
+                tell(
+                    late,
+                    format!("no answer from proxy {} by {:.3} s", t.proxy, late / 1000.0),
+                );
             }
         }
     }
@@ -119,37 +153,61 @@
 
 /// Whether an attempt may have run, as far as its proxy could know at a time.
 fn in_doubt(a: &Attempt, at: Millis) -> bool {
-    a.ended.is_none_or(|(when, end)| when > at || end != AttemptEnd::NeverRan)
+    a.ended
+        .is_none_or(|(when, end)| when > at || end != AttemptEnd::NeverRan)
 }
 
 fn never_twice(id: usize, t: &Try, broken: &mut Vec<Broken>) {
     let mut tell = |at, server: Option<usize>, evidence: String| {
-        broken.push(Broken { rule: Rule::NeverTwice, at, request: Some(id), server, evidence });
+        broken.push(Broken {
+            rule: Rule::NeverTwice,
+            at,
+            request: Some(id),
+            server,
+            evidence,
+        });
     };
     for (i, a) in t.attempts.iter().enumerate().skip(1) {
         let before = &t.attempts[..i];
-        if let Some(out) = before.iter().find(|b| b.ended.is_none_or(|(when, _)| when > a.sent)) {
+        if let Some(out) = before
+            .iter()
+            .find(|b| b.ended.is_none_or(|(when, _)| when > a.sent))
+        {
             tell(
                 a.sent,
                 Some(a.server),
                 format!("a second attempt while one is out at server {}", out.server),
             );
         } else if let Some(first) = before.iter().find(|b| t.once && in_doubt(b, a.sent)) {
-            let evidence = format!("sent again though it may have run at server {}", first.server);
+            let evidence = format!(
+                "sent again though it may have run at server {}",
+                first.server
+            );
             tell(a.sent, Some(a.server), evidence);
         }
     }
     if !t.once {
         return;
     }
-    let mut ran = t.attempts.iter().filter_map(|a| a.ran.map(|at| (at, a.server)));
+    let mut ran = t
+        .attempts
+        .iter()
+        .filter_map(|a| a.ran.map(|at| (at, a.server)));
     if let (Some((_, first)), Some((at, second))) = (ran.next(), ran.next()) {
-        tell(at, Some(second), format!("it ran at server {first} already"));
+        tell(
+            at,
+            Some(second),
+            format!("it ran at server {first} already"),
+        );
     }
     if let Some((at, Code::Refused { .. })) = t.answers.first()
         && let Some(a) = t.attempts.iter().find(|a| in_doubt(a, *at))
     {
-        tell(*at, Some(a.server), "refused though it may have run, so that the client tries again".into());
+        tell(
+            *at,
+            Some(a.server),
+            "refused though it may have run, so that the client tries again".into(),
+        );
     }
 }
 
@@ -157,14 +215,21 @@
     // For each proxy and server: since when it has been told that nothing new may go there.
     let mut told: FxHashMap<(usize, usize), Vec<(Millis, bool)>> = FxHashMap::default();
     for t in &ledger.told {
-        told.entry((t.proxy, t.server)).or_default().push((t.at, t.up));
+        told.entry((t.proxy, t.server))
+            .or_default()
+            .push((t.at, t.up));
     }
-    told.values_mut().for_each(|news| news.sort_by(|a, b| a.0.total_cmp(&b.0)));
+    told.values_mut()
+        .for_each(|news| news.sort_by(|a, b| a.0.total_cmp(&b.0)));
     for (id, t) in ledger.tries.iter().enumerate() {
         for a in &t.attempts {
-            let Some(news) = told.get(&(t.proxy, a.server)) else { continue };
+            let Some(news) = told.get(&(t.proxy, a.server)) else {
+                continue;
+            };
             let last_up = news.iter().rposition(|(at, up)| *up && *at <= a.sent);
-            let down = news[last_up.map_or(0, |i| i + 1)..].iter().find(|(at, up)| !up && *at <= a.sent);
+            let down = news[last_up.map_or(0, |i| i + 1)..]
+                .iter()
+                .find(|(at, up)| !up && *at <= a.sent);
             let Some((since, _)) = down else { continue };
             if a.sent > since + rules.drain_grace.0 {
                 let evidence = format!(
@@ -173,7 +238,13 @@
                     a.sent - since
                 );
                 let (request, server) = (Some(id), Some(a.server));
-                broken.push(Broken { rule: Rule::Drain, at: a.sent, request, server, evidence });
+                broken.push(Broken {
+                    rule: Rule::Drain,
+                    at: a.sent,
+                    request,
+                    server,
+                    evidence,
+                });
             }
         }
     }
@@ -186,9 +257,14 @@
     for fall in &ledger.falls {
         let (mut all, mut told) = (0.0f64, 0.0f64);
         for t in &ledger.tries {
-            for a in t.attempts.iter().filter(|a| a.server == fall.server && a.sent <= fall.at) {
-                let knew =
-                    |n: &&crate::ledger::Told| n.proxy == t.proxy && n.server == a.server && n.at <= a.sent;
+            for a in t
+                .attempts
+                .iter()
+                .filter(|a| a.server == fall.server && a.sent <= fall.at)
+            {
+                let knew = |n: &&crate::ledger::Told| {
+                    n.proxy == t.proxy && n.server == a.server && n.at <= a.sent
+                };
                 all += 1.0;
                 told += f64::from(u8::from(ledger.told.iter().any(|n| knew(&n))));
             }
@@ -200,7 +276,13 @@
                 100.0 * fall.warmth
             );
             let (at, server) = (fall.at, Some(fall.server));
-            broken.push(Broken { rule: Rule::ColdStart, at, request: None, server, evidence });
+            broken.push(Broken {
+                rule: Rule::ColdStart,
+                at,
+                request: None,
+                server,
+                evidence,
+            });
         }
     }
 }
--- a/crates/lab/src/price/mod.rs
+++ b/crates/lab/src/price/mod.rs
@@ -57,14 +57,25 @@
 
 impl Process {
     /// Starts a peer and reads the line in which it tells its addresses.
-    fn peer(program: &Path, arguments: &[&str], input: &str) -> io::Result<(Self, Vec<SocketAddr>)> {
+    fn peer(
+        program: &Path,
+        arguments: &[&str],
+        input: &str,
+    ) -> io::Result<(Self, Vec<SocketAddr>)> {
         let mut command = Command::new(program);
-        command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped());
+        command
+            .args(arguments)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped());
         let mut process = Process(command.spawn()?);
         if let Some(mut stdin) = process.0.stdin.take() {
             stdin.write_all(input.as_bytes())?;
         }
-        let stdout = process.0.stdout.take().ok_or_else(|| io::Error::other("it has no output"))?;
+        let stdout = process
+            .0
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("it has no output"))?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line)?;
         let addresses =
@@ -73,8 +84,13 @@
     }
 
     /// Starts a proxy that knows these servers.
-    fn proxy(command: &[String], servers: &[SocketAddr], dir: &Path) -> io::Result<(Self, SocketAddr)> {
-        let text = shipped::text("quiet").ok_or_else(|| io::Error::other("the scenario is missing"))?;
+    fn proxy(
+        command: &[String],
+        servers: &[SocketAddr],
+        dir: &Path,
+    ) -> io::Result<(Self, SocketAddr)> {
+        let text =
+            shipped::text("quiet").ok_or_else(|| io::Error::other("the scenario is missing"))?;
         let mut s = Scenario::parse("quiet", text).map_err(io::Error::other)?;
         s.proxies.count = 1;
         s.tenants.clear();
@@ -96,8 +112,9 @@
         std::fs::create_dir_all(dir)?;
         let file = dir.join("priced.json");
         std::fs::write(&file, config.to_string())?;
-        let (program, arguments) =
-            command.split_first().ok_or_else(|| io::Error::other("no proxy is named"))?;
+        let (program, arguments) = command
+            .split_first()
+            .ok_or_else(|| io::Error::other("no proxy is named"))?;
         let log = std::fs::File::create(dir.join("priced.log"))?;
         let child = Command::new(program)
             .args(arguments)
@@ -118,16 +135,23 @@
 }
 
 fn is_up(address: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(address) else { return false };
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        return false;
+    };
     let mut said = [0; 12];
-    stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").is_ok()
+    stream
+        .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .is_ok()
         && stream.read_exact(&mut said).is_ok()
         && &said == b"HTTP/1.1 200"
 }
 
 /// Sends requests one after the other until the time is up; latencies in µs from `from` on.
 fn client(
-    address: SocketAddr, number: usize, from: Instant, until: Instant,
+    address: SocketAddr,
+    number: usize,
+    from: Instant,
+    until: Instant,
 ) -> io::Result<(Histogram<u64>, u64)> {
     let mut latencies = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
     let mut stream = TcpStream::connect(address)?;
@@ -163,9 +187,13 @@
         let mut parsed = httparse::Response::new(&mut headers);
         let status = parsed.parse(buffer).map_err(io::Error::other)?;
         if let httparse::Status::Complete(head) = status {
-            let length = parsed.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-            let length =
-                length.and_then(|h| std::str::from_utf8(h.value).ok()?.parse::<usize>().ok()).unwrap_or(0);
+            let length = parsed
+                .headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case("content-length"));
+            let length = length
+                .and_then(|h| std::str::from_utf8(h.value).ok()?.parse::<usize>().ok())
+                .unwrap_or(0);
             if buffer.len() >= head + length {
                 return Ok(parsed.code == Some(200));
             }
@@ -179,12 +207,17 @@
 
 /// Loads a target from so many connections for a while.
 fn load(
-    target: &'static str, address: SocketAddr, pid: Option<u32>, connections: usize, span: Duration,
+    target: &'static str,
+    address: SocketAddr,
+    pid: Option<u32>,
+    connections: usize,
+    span: Duration,
 ) -> io::Result<Price> {
     let from = Instant::now() + WARM_UP;
     let until = from + span;
-    let clients: Vec<_> =
-        (0..connections).map(|n| thread::spawn(move || client(address, n, from, until))).collect();
+    let clients: Vec<_> = (0..connections)
+        .map(|n| thread::spawn(move || client(address, n, from, until)))
+        .collect();
     thread::sleep(from.saturating_duration_since(Instant::now()));
     let cpu = || pid.and_then(cpu_seconds).unwrap_or(0.0);
     let before = cpu();
@@ -194,7 +227,9 @@
     let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
     let mut bad = 0;
     for c in clients {
-        let (latencies, wrong) = c.join().map_err(|_| io::Error::other("a client panicked"))??;
+        let (latencies, wrong) = c
+            .join()
+            .map_err(|_| io::Error::other("a client panicked"))??;
         all.add(&latencies).map_err(io::Error::other)?;
         bad += wrong;
     }
@@ -203,7 +238,10 @@
         target,
         rate: all.len() as f64 / span.as_secs_f64(),
         cpu_us: 1e6 * used / many,
-        latency_us: (all.value_at_quantile(0.5) as f64, all.value_at_quantile(0.99) as f64),
+        latency_us: (
+            all.value_at_quantile(0.5) as f64,
+            all.value_at_quantile(0.99) as f64,
+        ),
         memory_mb,
         bad,
     })
@@ -214,15 +252,29 @@
 /// # Errors
 /// A process or a socket could not be had, or a connection broke under the load.
 pub fn measure(
-    own: &Path, proxy: &[String], servers: usize, connections: usize, span: Duration, dir: &Path,
+    own: &Path,
+    proxy: &[String],
+    servers: usize,
+    connections: usize,
+    span: Duration,
+    dir: &Path,
 ) -> io::Result<Vec<Price>> {
-    let (_responder, addresses) =
-        Process::peer(own, &["lab", "peer", "responder", "--count", &servers.to_string()], "")?;
+    let (_responder, addresses) = Process::peer(
+        own,
+        &["lab", "peer", "responder", "--count", &servers.to_string()],
+        "",
+    )?;
     let direct = load("direct", addresses[0], None, connections, span)?;
     let passed = {
         let input = serde_json::to_string(&addresses).map_err(io::Error::other)? + "\n";
         let (process, at) = Process::peer(own, &["lab", "peer", "pass-through"], &input)?;
-        load("pass-through", at[0], Some(process.0.id()), connections, span)?
+        load(
+            "pass-through",
+            at[0],
+            Some(process.0.id()),
+            connections,
+            span,
+        )?
     };
     let (process, at) = Process::proxy(proxy, &addresses, dir)?;
     let priced = load("proxy", at, Some(process.0.id()), connections, span)?;
--- a/crates/lab/src/price/peers.rs
+++ b/crates/lab/src/price/peers.rs
@@ -28,7 +28,9 @@
 const READ: usize = 4096;
 
 fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, future)
 }
 
@@ -43,7 +45,10 @@
 /// # Errors
 /// A port can't be had.
 pub fn responder(
-    host: IpAddr, count: usize, work: Duration, told: impl FnOnce(&[SocketAddr]),
+    host: IpAddr,
+    count: usize,
+    work: Duration,
+    told: impl FnOnce(&[SocketAddr]),
 ) -> io::Result<()> {
     block_on(async {
         let mut addresses = Vec::new();
@@ -95,7 +100,11 @@
 /// Its own address can't be had.
 pub fn pass_through(addresses: Vec<SocketAddr>, told: impl FnOnce(SocketAddr)) -> io::Result<()> {
     let idle = RefCell::new(addresses.iter().map(|_| Vec::new()).collect());
-    let pool = Rc::new(Pool { addresses, idle, next: Cell::new(0) });
+    let pool = Rc::new(Pool {
+        addresses,
+        idle,
+        next: Cell::new(0),
+    });
     block_on(async {
         let (listener, address) = bind(Ipv4Addr::LOCALHOST.into()).await?;
         told(address);
@@ -105,13 +114,18 @@
             let pool = pool.clone();
             spawn_local(async move {
                 let service = service_fn(move |request| pass(pool.clone(), request));
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                let _ = http1::Builder::new()
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     })
 }
 
-async fn pass(pool: Rc<Pool>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn pass(
+    pool: Rc<Pool>,
+    request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     Ok(try_pass(&pool, request).await.unwrap_or_else(|_| {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::BAD_GATEWAY;
@@ -120,12 +134,17 @@
 }
 
 async fn try_pass(
-    pool: &Pool, request: Request<Incoming>,
+    pool: &Pool,
+    request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error>> {
     let (head, body) = request.into_parts();
     let request = Request::from_parts(head, Full::new(body.collect().await?.to_bytes()));
-    let server = pool.next.replace((pool.next.get() + 1) % pool.addresses.len());
-    let kept = pool.idle.borrow_mut()[server].pop().filter(SendRequest::is_ready);
+    let server = pool
+        .next
+        .replace((pool.next.get() + 1) % pool.addresses.len());
+    let kept = pool.idle.borrow_mut()[server]
+        .pop()
+        .filter(SendRequest::is_ready);
     let mut sender = match kept {
         Some(sender) => sender,
         None => {
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -80,8 +80,19 @@
 
     fn pick(&self, zone: usize) -> ProxyId {
         let (now, zones) = (self.stage.now(), self.stage.scenario.fleet.zones.len());
-        let alive = |p: usize| self.proxies[p].known_gone.get().is_none_or(|from| now < from);
-        load::pick_proxy(&mut *self.chance.borrow_mut(), self.proxies.len(), zones, zone, alive)
+        let alive = |p: usize| {
+            self.proxies[p]
+                .known_gone
+                .get()
+                .is_none_or(|from| now < from)
+        };
+        load::pick_proxy(
+            &mut *self.chance.borrow_mut(),
+            self.proxies.len(),
+            zones,
+            zone,
+            alive,
+        )
     }
 
     async fn ask(&self, ask: usize) {
@@ -102,7 +113,9 @@
                     served.0 = Some(now);
                 }
             }
-            let Some(wait) = load::next_try(&stage.scenario, a, number, now, end) else { return };
+            let Some(wait) = load::next_try(&stage.scenario, a, number, now, end) else {
+                return;
+            };
             intended = now + wait;
             sleep_until(stage.instant(intended)).await;
         }
@@ -137,15 +150,26 @@
             (id, format!("r-{id:08x}"))
         };
         stage.ids.borrow_mut().insert(name.clone(), id);
-        let method = if class.effect == Effect::Safe { "GET" } else { "POST" };
-        let tenant = a
-            .tenant
-            .map_or(String::new(), |t| format!("X-Tenant-Id: {}\r\n", stage.scenario.tenants[t].name));
+        let method = if class.effect == Effect::Safe {
+            "GET"
+        } else {
+            "POST"
+        };
+        let tenant = a.tenant.map_or(String::new(), |t| {
+            format!("X-Tenant-Id: {}\r\n", stage.scenario.tenants[t].name)
+        });
         let retried = if number > 1 { "X-Retried: 1\r\n" } else { "" };
         let size = self.large();
-        let body = if method == "POST" && size.is_some() { body_for(&name, size) } else { Vec::new() };
-        let length =
-            if method == "POST" { format!("Content-Length: {}\r\n", body.len()) } else { String::new() };
+        let body = if method == "POST" && size.is_some() {
+            body_for(&name, size)
+        } else {
+            Vec::new()
+        };
+        let length = if method == "POST" {
+            format!("Content-Length: {}\r\n", body.len())
+        } else {
+            String::new()
+        };
         let large = size.map_or(String::new(), |size| format!("&large={size}"));
         let request = format!(
             "{method} /{}?sid={:x}{large} HTTP/1.1\r\nHost: lab\r\nX-Request-ID: {name}\r\nX-Timeout: {:.3}\r\n{tenant}{retried}\
@@ -165,7 +189,9 @@
             Ok(Exchange::Unreachable) => TryEnd::Unreachable,
             Ok(Exchange::Ended) => TryEnd::Failed,
             Ok(Exchange::Torn) => {
-                stage.ledger.borrow_mut().tries[id].answers.push((stage.now(), Code::Broken));
+                stage.ledger.borrow_mut().tries[id]
+                    .answers
+                    .push((stage.now(), Code::Broken));
                 TryEnd::Failed
             }
             Ok(Exchange::Answer(message)) => {
@@ -183,13 +209,17 @@
                 (Code::Served { genuine }, TryEnd::Served)
             }
             Start::Answer(429 | 503) => {
-                let after =
-                    message.header("retry-after").and_then(|v| v.parse::<f64>().ok()).map(|s| s * 1000.0);
+                let after = message
+                    .header("retry-after")
+                    .and_then(|v| v.parse::<f64>().ok())
+                    .map(|s| s * 1000.0);
                 (Code::Refused { retry_after: after }, TryEnd::Refused(after))
             }
             _ => (Code::Failed, TryEnd::Failed),
         };
-        self.stage.ledger.borrow_mut().tries[id].answers.push((now, code));
+        self.stage.ledger.borrow_mut().tries[id]
+            .answers
+            .push((now, code));
         end
     }
 
@@ -211,8 +241,11 @@
 
     async fn over(&self, id: TryId, proxy: ProxyId, mut wire: Wire, request: &[u8]) -> Exchange {
         // A large body comes in two halves, and the second one late.
-        let (first, late) =
-            request.split_at(if request.len() > LARGE { request.len() / 2 } else { request.len() });
+        let (first, late) = request.split_at(if request.len() > LARGE {
+            request.len() / 2
+        } else {
+            request.len()
+        });
         if wire.write(first).await.is_err() {
             return Exchange::Ended;
         }
@@ -250,15 +283,26 @@
     fn reads_slowly(&self) -> bool {
         let now = self.stage.now();
         let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::SlowReaders && f.holds(now);
-        let share: f64 =
-            self.stage.scenario.faults.iter().filter(holds).filter_map(|f| f.share).map(|s| s.0).sum();
+        let share: f64 = self
+            .stage
+            .scenario
+            .faults
+            .iter()
+            .filter(holds)
+            .filter_map(|f| f.share)
+            .map(|s| s.0)
+            .sum();
         share > 0.0 && self.chance.borrow_mut().random::<f64>() < share
     }
 
     /// Peers that send garbage, for as long as the faults say.
     pub async fn garbage(self: Rc<Self>) {
-        const SORTS: [&[u8]; 4] =
-            [b"\x16\x03\x01\x02\x00\x01", b"GET", b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nx", b""];
+        const SORTS: [&[u8]; 4] = [
+            b"\x16\x03\x01\x02\x00\x01",
+            b"GET",
+            b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nx",
+            b"",
+        ];
         let faults = self.stage.scenario.faults.clone();
         for fault in faults.iter().filter(|f| f.kind == FaultKind::Garbage) {
             let gap = 1000.0 / fault.rate.map_or(1.0, |r| r.0);
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -37,12 +37,16 @@
 impl Message {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 
     /// Whether the connection ends with it.
     pub fn closes(&self) -> bool {
-        self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
+        self.header("connection")
+            .is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
@@ -65,7 +69,10 @@
     /// A connection that is up.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true); // slower without, no worse
-        Wire { stream, buffer: Vec::new() }
+        Wire {
+            stream,
+            buffer: Vec::new(),
+        }
     }
 
     async fn more(&mut self) -> Result<(), NoMessage> {
@@ -81,15 +88,24 @@
 
     /// Waits for the first byte of the next message.
     pub async fn begun(&mut self) -> Result<(), NoMessage> {
-        if self.buffer.is_empty() { self.more().await } else { Ok(()) }
+        if self.buffer.is_empty() {
+            self.more().await
+        } else {
+            Ok(())
+        }
     }
 
     /// Reads one message; `request` tells which kind is expected.
     pub async fn read(&mut self, request: bool) -> Result<Message, NoMessage> {
-        let wrong = |e: &str| NoMessage::Broken(io::Error::new(io::ErrorKind::InvalidData, e.to_owned()));
+        let wrong =
+            |e: &str| NoMessage::Broken(io::Error::new(io::ErrorKind::InvalidData, e.to_owned()));
         loop {
-            if let Some((mut message, head)) = parse(&self.buffer, request).map_err(|e| wrong(&e))? {
-                let length = message.header("content-length").map_or(Ok(0), str::parse::<usize>);
+            if let Some((mut message, head)) =
+                parse(&self.buffer, request).map_err(|e| wrong(&e))?
+            {
+                let length = message
+                    .header("content-length")
+                    .map_or(Ok(0), str::parse::<usize>);
                 let length = length.map_err(|_| wrong("the length is no number"))?;
                 if length > BODY {
                     return Err(wrong("the body is too long"));
@@ -144,12 +160,24 @@
         let status = r.parse(bytes).map_err(|e| e.to_string())?;
         (status, Start::Answer(r.code.unwrap_or(0)), r.headers)
     };
-    let httparse::Status::Complete(head) = status else { return Ok(None) };
+    let httparse::Status::Complete(head) = status else {
+        return Ok(None);
+    };
     let own = |h: &httparse::Header| {
-        (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).trim().to_owned())
+        (
+            h.name.to_ascii_lowercase(),
+            String::from_utf8_lossy(h.value).trim().to_owned(),
+        )
     };
     let headers = headers.iter().map(own).collect();
-    Ok(Some((Message { start, headers, body: Vec::new() }, head)))
+    Ok(Some((
+        Message {
+            start,
+            headers,
+            body: Vec::new(),
+        },
+        head,
+    )))
 }
 
 #[cfg(test)]
@@ -158,17 +186,25 @@
 
     #[test]
     fn a_head_is_read_once_it_is_whole() {
-        let text = b"POST /checkout?sid=1 HTTP/1.1\r\nX-Request-ID: r-1\r\nContent-Length: 2\r\n\r\nhi";
+        let text =
+            b"POST /checkout?sid=1 HTTP/1.1\r\nX-Request-ID: r-1\r\nContent-Length: 2\r\n\r\nhi";
         for cut in 0..text.len() - 2 {
             let parsed = parse(&text[..cut], true).expect("a part of it is no error");
             assert!(parsed.is_none(), "cut at {cut}");
         }
         let (message, head) = parse(text, true).expect("good").expect("whole");
-        assert_eq!(message.start, Start::Request("POST".into(), "/checkout?sid=1".into()));
-        assert_eq!((message.header("x-request-id"), head), (Some("r-1"), text.len() - 2));
+        assert_eq!(
+            message.start,
+            Start::Request("POST".into(), "/checkout?sid=1".into())
+        );
+        assert_eq!(
+            (message.header("x-request-id"), head),
+            (Some("r-1"), text.len() - 2)
+        );
         assert!(parse(b"\x16\x03\x01", true).is_err());
-        let (answer, _) =
-            parse(b"HTTP/1.1 503 x\r\nConnection: close\r\n\r\n", false).expect("good").expect("whole");
+        let (answer, _) = parse(b"HTTP/1.1 503 x\r\nConnection: close\r\n\r\n", false)
+            .expect("good")
+            .expect("whole");
         assert!(answer.closes() && answer.start == Start::Answer(503));
     }
 }
--- a/crates/lab/src/real/list.rs
+++ b/crates/lab/src/real/list.rs
@@ -38,15 +38,33 @@
 impl Agent {
     /// An agent that knows the list as it stands.
     pub fn new(stage: Rc<Stage>, servers: Rc<Servers>, proxy: ProxyId) -> Rc<Self> {
-        let list = stage.world.borrow().listed().into_iter().map(|l| (l.server, l.state)).collect();
+        let list = stage
+            .world
+            .borrow()
+            .listed()
+            .into_iter()
+            .map(|l| (l.server, l.state))
+            .collect();
         let (news, _) = watch::channel(1);
         let (log, seq) = (RefCell::default(), Cell::new(1));
-        Rc::new(Agent { stage, servers, proxy, list: RefCell::new(list), log, seq, news })
+        Rc::new(Agent {
+            stage,
+            servers,
+            proxy,
+            list: RefCell::new(list),
+            log,
+            seq,
+            news,
+        })
     }
 
     /// A change is on its way; it arrives when the world says.
     pub fn send(self: &Rc<Self>, line: Line) {
-        let at = self.stage.world.borrow_mut().news_at(self.stage.now(), self.proxy);
+        let at = self
+            .stage
+            .world
+            .borrow_mut()
+            .news_at(self.stage.now(), self.proxy);
         let agent = self.clone();
         spawn_local(async move {
             sleep_until(agent.stage.instant(at)).await;
@@ -81,7 +99,14 @@
     }
 
     fn lines(&self) -> Vec<Line> {
-        self.list.borrow().iter().map(|(server, state)| Line { server: *server, state: *state }).collect()
+        self.list
+            .borrow()
+            .iter()
+            .map(|(server, state)| Line {
+                server: *server,
+                state: *state,
+            })
+            .collect()
     }
 
     /// The list as it is written; what is written counts as told.
@@ -101,7 +126,13 @@
         let mut ledger = self.stage.ledger.borrow_mut();
         for l in lines {
             let (up, born) = (l.state == Listed::Up, world.loans()[l.server].server.born());
-            ledger.told.push(Told { proxy: self.proxy, server: l.server, at, up, born });
+            ledger.told.push(Told {
+                proxy: self.proxy,
+                server: l.server,
+                at,
+                up,
+                born,
+            });
         }
     }
 
@@ -127,9 +158,15 @@
 
     async fn serve(self: Rc<Self>, mut wire: Wire) {
         while let Ok(message) = wire.read(true).await {
-            let Start::Request(_, target) = message.start else { return };
+            let Start::Request(_, target) = message.start else {
+                return;
+            };
             let query = target.split_once('?').map_or("", |(_, q)| q);
-            let value = |key: &str| query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('='));
+            let value = |key: &str| {
+                query
+                    .split('&')
+                    .find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
+            };
             if value("watch") == Some("1") {
                 let after = value("after").and_then(|a| a.parse().ok());
                 let _ = self.watch(&mut wire, after).await; // it lasts until its connection ends
@@ -148,12 +185,15 @@
     fn silent(&self) -> bool {
         let now = self.stage.now();
         let faults = &self.stage.scenario.faults;
-        faults.iter().any(|f| f.kind == FaultKind::ListSilent && f.holds(now))
+        faults
+            .iter()
+            .any(|f| f.kind == FaultKind::ListSilent && f.holds(now))
     }
 
     async fn watch(&self, wire: &mut Wire, after: Option<u64>) -> std::io::Result<()> {
         let mut news = self.news.subscribe();
-        wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await?;
         let mut seen = match after.filter(|a| *a <= self.seq.get()) {
             Some(after) => after,
             None => {
@@ -167,8 +207,13 @@
         loop {
             let seq = *news.borrow_and_update();
             if seq > seen {
-                let lines: Vec<Line> =
-                    self.log.borrow().iter().filter(|(s, _)| *s > seen).map(|(_, l)| l.clone()).collect();
+                let lines: Vec<Line> = self
+                    .log
+                    .borrow()
+                    .iter()
+                    .filter(|(s, _)| *s > seen)
+                    .map(|(_, l)| l.clone())
+                    .collect();
                 let document = self.document(false, &lines);
                 self.tell(&lines);
                 chunk(wire, &document.to_string()).await?;
@@ -187,5 +232,6 @@
 }
 
 async fn chunk(wire: &mut Wire, line: &str) -> std::io::Result<()> {
-    wire.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await
+    wire.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+        .await
 }
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -57,18 +57,31 @@
 /// # Errors
 /// A proxy or a socket could not be had; what has been started is ended.
 pub fn play(
-    scenario: &Arc<Scenario>, name: &str, seed: u64, command: &[String], dir: &Path,
+    scenario: &Arc<Scenario>,
+    name: &str,
+    seed: u64,
+    command: &[String],
+    dir: &Path,
     tick: impl FnMut(f64) + 'static,
 ) -> io::Result<(Run, Measured)> {
     std::fs::create_dir_all(dir)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let outcome = LocalSet::new().block_on(&runtime, run(scenario.clone(), name, seed, command, dir, tick));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    let outcome = LocalSet::new().block_on(
+        &runtime,
+        run(scenario.clone(), name, seed, command, dir, tick),
+    );
     runtime.shutdown_background();
     outcome
 }
 
 async fn run(
-    scenario: Arc<Scenario>, name: &str, seed: u64, command: &[String], dir: &Path,
+    scenario: Arc<Scenario>,
+    name: &str,
+    seed: u64,
+    command: &[String],
+    dir: &Path,
     mut tick: impl FnMut(f64) + 'static,
 ) -> io::Result<(Run, Measured)> {
     // From here on an interrupt is kept until it is asked for, also while proxies start.
@@ -91,7 +104,15 @@
     for number in 0..scenario.proxies.count {
         let agent = Agent::new(stage.clone(), servers.clone(), number);
         let discovery = agent.listen().await?;
-        let proxy = Proxy::new(stage.clone(), number, command.to_vec(), discovery, agent.clone(), seed, dir)?;
+        let proxy = Proxy::new(
+            stage.clone(),
+            number,
+            command.to_vec(),
+            discovery,
+            agent.clone(),
+            seed,
+            dir,
+        )?;
         agents.push(agent);
         proxies.push(proxy);
     }
@@ -100,7 +121,11 @@
     }
     stage.begin(Instant::now() + LEAD);
     let failed: Rc<Cell<Option<io::Error>>> = Rc::default();
-    let turning = spawn_local(stage.clone().turn(cues(&agents, &proxies, &servers, &failed)));
+    let turning = spawn_local(
+        stage
+            .clone()
+            .turn(cues(&agents, &proxies, &servers, &failed)),
+    );
     for proxy in &proxies {
         spawn_local(proxy.clone().watch());
     }
@@ -137,7 +162,10 @@
     let sent = ledger.tries.len().max(1) as f64;
     let mut late = clients.late.borrow().clone();
     late.sort_by(f64::total_cmp);
-    let at = |q: f64| late.get(((late.len() as f64 * q) as usize).min(late.len().saturating_sub(1))).copied();
+    let at = |q: f64| {
+        late.get(((late.len() as f64 * q) as usize).min(late.len().saturating_sub(1)))
+            .copied()
+    };
     let late_ms = (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
     let mut run = Run::new(scenario, name, seed, ledger, stage.asks.clone(), &served);
     run.partial = partial;
@@ -151,15 +179,30 @@
         tracing::warn!(at_ms = broken.at, rule = ?broken.rule, "rule broken: {broken}");
     }
     let share = run.score.whole.share;
-    tracing::info!(seed, share, broken = run.broken.len(), partial, void = run.void, "run is over");
-    Ok((run, Measured { cpu_us: 1e6 * used / sent, late_ms }))
+    tracing::info!(
+        seed,
+        share,
+        broken = run.broken.len(),
+        partial,
+        void = run.void,
+        "run is over"
+    );
+    Ok((
+        run,
+        Measured {
+            cpu_us: 1e6 * used / sent,
+            late_ms,
+        },
+    ))
 }
 
 /// Logs each fault's begin and end at its time.
 async fn log_faults(stage: Rc<Stage>) {
     let faults = &stage.scenario.faults;
     let begins = faults.iter().map(|f| (f.at.0, f.kind, "fault begins"));
-    let ends = faults.iter().map(|f| (f.at.0 + f.span.0, f.kind, "fault ends"));
+    let ends = faults
+        .iter()
+        .map(|f| (f.at.0 + f.span.0, f.kind, "fault ends"));
     let mut marks: Vec<_> = begins.chain(ends).collect();
     marks.sort_by(|a, b| a.0.total_cmp(&b.0));
     for (at_ms, kind, what) in marks {
@@ -170,10 +213,17 @@
 
 /// What the parts do when the world says so.
 fn cues(
-    agents: &[Rc<Agent>], proxies: &[Rc<Proxy>], servers: &Rc<Servers>, failed: &Rc<Cell<Option<io::Error>>>,
+    agents: &[Rc<Agent>],
+    proxies: &[Rc<Proxy>],
+    servers: &Rc<Servers>,
+    failed: &Rc<Cell<Option<io::Error>>>,
 ) -> impl FnMut(Cue) + use<> {
-    let (agents, proxies, servers, failed) =
-        (agents.to_vec(), proxies.to_vec(), servers.clone(), failed.clone());
+    let (agents, proxies, servers, failed) = (
+        agents.to_vec(),
+        proxies.to_vec(),
+        servers.clone(),
+        failed.clone(),
+    );
     move |cue| {
         let outcome = match cue {
             Cue::Listed(line) => {
--- a/crates/lab/src/real/operators.rs
+++ b/crates/lab/src/real/operators.rs
@@ -19,7 +19,10 @@
 /// Does what the scenario says, each thing at its time. The first error ends the run.
 pub fn act(stage: &Rc<Stage>, proxies: &[Rc<Proxy>], failed: &Rc<Cell<Option<io::Error>>>) {
     for (number, fault) in stage.scenario.faults.iter().enumerate() {
-        if !matches!(fault.kind, FaultKind::Upgrade | FaultKind::Drain | FaultKind::Retune) {
+        if !matches!(
+            fault.kind,
+            FaultKind::Upgrade | FaultKind::Drain | FaultKind::Retune
+        ) {
             continue;
         }
         let share = fault.share.map_or(0.0, |s| s.0);
--- a/crates/lab/src/real/plug.rs
+++ b/crates/lab/src/real/plug.rs
@@ -30,7 +30,10 @@
     pub async fn new(listener: &'a TcpListener) -> io::Result<Self> {
         let address = listener.local_addr()?;
         // From here on a failure, too, gives the listener its queue back: it drops the plug.
-        let mut plug = Plug { listener, fill: Vec::new() };
+        let mut plug = Plug {
+            listener,
+            fill: Vec::new(),
+        };
         SockRef::from(listener).listen(0)?;
         while plug.fill.len() < MOST
             && let Ok(stream) = timeout(SOON, TcpStream::connect(address)).await
@@ -63,6 +66,8 @@
             let _stream = TcpStream::connect(address).await.unwrap();
             listener.accept().await.unwrap();
         };
-        timeout(Duration::from_secs(20), taken).await.expect("it takes connections again");
+        timeout(Duration::from_secs(20), taken)
+            .await
+            .expect("it takes connections again");
     }
 }
--- a/crates/lab/src/real/port.rs
+++ b/crates/lab/src/real/port.rs
@@ -22,8 +22,14 @@
         let held = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         held.set_reuse_address(true)?;
         held.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
-        let address = held.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address"))?;
-        Ok(Port { address, _held: held })
+        let address = held
+            .local_addr()?
+            .as_socket()
+            .ok_or_else(|| io::Error::other("no address"))?;
+        Ok(Port {
+            address,
+            _held: held,
+        })
     }
 
     /// Where it is.
@@ -46,7 +52,11 @@
             let taken = other.bind(&port.address().into()).unwrap_err();
             assert_eq!(taken.kind(), io::ErrorKind::AddrInUse);
             let refused = TcpStream::connect(port.address()).unwrap_err();
-            assert_eq!(refused.kind(), io::ErrorKind::ConnectionRefused, "nobody listens yet");
+            assert_eq!(
+                refused.kind(),
+                io::ErrorKind::ConnectionRefused,
+                "nobody listens yet"
+            );
             let server = TcpListener::bind(port.address()).unwrap();
             let _client = TcpStream::connect(port.address()).unwrap();
             let (_stream, from) = server.accept().unwrap();
--- a/crates/lab/src/real/proxies.rs
+++ b/crates/lab/src/real/proxies.rs
@@ -121,12 +121,21 @@
     /// # Errors
     /// No port is free.
     pub fn new(
-        stage: Rc<Stage>, number: ProxyId, command: Vec<String>, discovery: SocketAddr, agent: Rc<Agent>,
-        seed: u64, dir: &Path,
+        stage: Rc<Stage>,
+        number: ProxyId,
+        command: Vec<String>,
+        discovery: SocketAddr,
+        agent: Rc<Agent>,
+        seed: u64,
+        dir: &Path,
     ) -> io::Result<Rc<Self>> {
         let port = Port::hold()?;
         let upgrades = operators::has(&stage.scenario, &[FaultKind::Upgrade]);
-        let held = if upgrades { Some(listen(port.address())?) } else { None };
+        let held = if upgrades {
+            Some(listen(port.address())?)
+        } else {
+            None
+        };
         Ok(Rc::new(Proxy {
             address: port.address(),
             _port: port,
@@ -169,7 +178,10 @@
                 return Err(io::Error::other(why));
             }
             if Instant::now() >= end {
-                return Err(io::Error::other(format!("proxy {} did not come up", self.number)));
+                return Err(io::Error::other(format!(
+                    "proxy {} did not come up",
+                    self.number
+                )));
             }
             sleep(Duration::from_millis(5)).await;
         }
@@ -188,18 +200,34 @@
         while !self.call("GET /_ready").await {
             let ended = next.try_wait()?.is_some();
             if ended || Instant::now() >= end {
-                return Err(io::Error::other(format!("proxy {}: its upgrade did not come up", self.number)));
+                return Err(io::Error::other(format!(
+                    "proxy {}: its upgrade did not come up",
+                    self.number
+                )));
             }
             sleep(Duration::from_millis(5)).await;
         }
         let old = self.child.borrow_mut().replace(next);
         self.cpu_before.set(self.cpu.get());
         let Some(mut old) = old else { return Ok(()) };
-        if let Some(pid) = old.id().and_then(|id| Pid::from_raw(i32::try_from(id).ok()?)) {
+        if let Some(pid) = old
+            .id()
+            .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?))
+        {
             let _ = kill_process(pid, Signal::TERM); // it may just have ended
         }
-        tracing::info!(at_ms = self.stage.now(), proxy = self.number, "proxy has been upgraded");
-        let longest = self.stage.scenario.classes.iter().map(|c| c.deadline.0).fold(0.0, f64::max);
+        tracing::info!(
+            at_ms = self.stage.now(),
+            proxy = self.number,
+            "proxy has been upgraded"
+        );
+        let longest = self
+            .stage
+            .scenario
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .fold(0.0, f64::max);
         let patience = Duration::from_secs_f64((longest + END) / 1000.0);
         if timeout(patience, old.wait()).await.is_err() {
             let _ = old.kill().await;
@@ -212,9 +240,16 @@
     /// # Errors
     /// The door says no, or nothing.
     pub async fn drain(&self, on: bool) -> io::Result<()> {
-        let call = if on { "PUT /_lameduck/on" } else { "PUT /_lameduck/off" };
+        let call = if on {
+            "PUT /_lameduck/on"
+        } else {
+            "PUT /_lameduck/off"
+        };
         if !self.call(call).await {
-            return Err(io::Error::other(format!("proxy {}: {call} got no yes", self.number)));
+            return Err(io::Error::other(format!(
+                "proxy {}: {call} got no yes",
+                self.number
+            )));
         }
         self.known_gone.set(on.then(|| self.stage.now() + FRONT));
         Ok(())
@@ -237,19 +272,33 @@
         }
         std::fs::write(&self.file, config.to_string())?;
         let child = self.child.borrow();
-        let pid = child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
+        let pid = child
+            .as_ref()
+            .and_then(Child::id)
+            .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         pid.map_or(Ok(()), |pid| Ok(kill_process(pid, Signal::HUP)?))
     }
 
     /// Whether a call at the present door gets a yes.
     async fn call(&self, call: &str) -> bool {
-        let Some(door) = self.doors.borrow().last().map(Port::address) else { return false };
+        let Some(door) = self.doors.borrow().last().map(Port::address) else {
+            return false;
+        };
         let asked = async {
             let mut wire = Wire::new(TcpStream::connect(door).await.ok()?);
-            wire.write(format!("{call} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes()).await.ok()?;
-            wire.read(false).await.ok().map(|m| matches!(m.start, Start::Answer(200..=299)))
+            wire.write(format!("{call} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes())
+                .await
+                .ok()?;
+            wire.read(false)
+                .await
+                .ok()
+                .map(|m| matches!(m.start, Start::Answer(200..=299)))
         };
-        timeout(Duration::from_secs(1), asked).await.ok().flatten().unwrap_or(false)
+        timeout(Duration::from_secs(1), asked)
+            .await
+            .ok()
+            .flatten()
+            .unwrap_or(false)
     }
 
     /// What a process is told at its start.
@@ -277,14 +326,22 @@
 
     fn spawn(&self) -> io::Result<Child> {
         self.starts.set(self.starts.get() + 1);
-        if operators::has(&self.stage.scenario, &[FaultKind::Upgrade, FaultKind::Drain, FaultKind::Retune]) {
+        if operators::has(
+            &self.stage.scenario,
+            &[FaultKind::Upgrade, FaultKind::Drain, FaultKind::Retune],
+        ) {
             self.doors.borrow_mut().push(Port::hold()?);
         }
         let config = self.config();
         std::fs::write(&self.file, config.to_string())?;
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
-        let (program, arguments) =
-            self.command.split_first().ok_or_else(|| io::Error::other("there is no proxy to start"))?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.log)?;
+        let (program, arguments) = self
+            .command
+            .split_first()
+            .ok_or_else(|| io::Error::other("there is no proxy to start"))?;
         let mut command = Command::new(program);
         if let Some(held) = &self.held {
             command.env("NODE_SOCKET_FD", held.as_raw_fd().to_string());
@@ -303,10 +360,19 @@
     async fn is_up(&self) -> bool {
         let asked = async {
             let mut wire = Wire::new(TcpStream::connect(self.address).await.ok()?);
-            wire.write(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await.ok()?;
-            wire.read(false).await.ok().map(|m| m.start == Start::Answer(200))
+            wire.write(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
+                .await
+                .ok()?;
+            wire.read(false)
+                .await
+                .ok()
+                .map(|m| m.start == Start::Answer(200))
         };
-        timeout(Duration::from_secs(1), asked).await.ok().flatten().unwrap_or(false)
+        timeout(Duration::from_secs(1), asked)
+            .await
+            .ok()
+            .flatten()
+            .unwrap_or(false)
     }
 
     /// How its process ended, if it has.
@@ -319,7 +385,10 @@
 
     fn signal(&self, signal: Signal) {
         let child = self.child.borrow();
-        let pid = child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
+        let pid = child
+            .as_ref()
+            .and_then(Child::id)
+            .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
             self.wanted.set(true);
             let _ = kill_process(pid, signal); // it may just have ended
@@ -334,8 +403,13 @@
             let _ = child.wait().await;
         }
         let now = self.stage.now();
-        self.stage.ledger.borrow_mut().ends.push(End { proxy: self.number, at: now, wanted: true });
-        self.known_gone.set(Some(now + self.stage.scenario.proxies.notice.0));
+        self.stage.ledger.borrow_mut().ends.push(End {
+            proxy: self.number,
+            at: now,
+            wanted: true,
+        });
+        self.known_gone
+            .set(Some(now + self.stage.scenario.proxies.notice.0));
         tracing::info!(at_ms = now, proxy = self.number, "proxy was killed");
     }
 
@@ -360,7 +434,8 @@
         if let Some(pid) = pid {
             let at = self.stage.now();
             let memory_mb = resident_mb(pid).unwrap_or(0.0);
-            let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
+            let descriptors =
+                std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
             if let Some(seconds) = cpu_seconds(pid) {
                 self.cpu.set(self.cpu_before.get() + seconds);
             }
@@ -372,7 +447,12 @@
                     u.descriptors = u.descriptors.max(descriptors);
                     u.at = at;
                 }
-                None => ledger.usage.push(Usage { proxy, at, memory_mb, descriptors }),
+                None => ledger.usage.push(Usage {
+                    proxy,
+                    at,
+                    memory_mb,
+                    descriptors,
+                }),
             }
         }
         if let Some(status) = self.ended() {
@@ -381,8 +461,16 @@
                 tracing::warn!(at_ms, proxy = self.number, status, %log, "proxy ended by itself");
             }
             let (proxy, at, wanted) = (self.number, self.stage.now(), self.wanted.get());
-            self.stage.ledger.borrow_mut().ends.push(End { proxy, at, wanted });
-            self.known_gone.set(self.known_gone.get().or(Some(at + self.stage.scenario.proxies.notice.0)));
+            self.stage
+                .ledger
+                .borrow_mut()
+                .ends
+                .push(End { proxy, at, wanted });
+            self.known_gone.set(
+                self.known_gone
+                    .get()
+                    .or(Some(at + self.stage.scenario.proxies.notice.0)),
+            );
         }
     }
 
@@ -418,7 +506,11 @@
 pub fn resident_mb(pid: u32) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-    line.split_whitespace().next()?.parse::<f64>().ok().map(|kb| kb / 1024.0)
+    line.split_whitespace()
+        .next()?
+        .parse::<f64>()
+        .ok()
+        .map(|kb| kb / 1024.0)
 }
 
 /// User and system time of a process; the kernel counts them in hundredths of a second.
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -29,14 +29,20 @@
 
 /// The size that a target asks for, of a large body.
 fn large(target: &str) -> Option<usize> {
-    target.split(['?', '&']).find_map(|part| part.strip_prefix("large=")?.parse().ok())
+    target
+        .split(['?', '&'])
+        .find_map(|part| part.strip_prefix("large=")?.parse().ok())
 }
 
 /// Wait after a failed accept, lest it spin.
 const PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
 
 fn written(written: std::io::Result<()>) -> Next {
-    if written.is_ok() { Next::More } else { Next::Close }
+    if written.is_ok() {
+        Next::More
+    } else {
+        Next::Close
+    }
 }
 
 /// All listeners.
@@ -89,9 +95,13 @@
         for proxy in 0..self.stage.scenario.proxies.count {
             let known = self.addresses.borrow().get(&(proxy, server)).copied();
             let listener = listen(known.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
-            self.addresses.borrow_mut().insert((proxy, server), listener.local_addr()?);
+            self.addresses
+                .borrow_mut()
+                .insert((proxy, server), listener.local_addr()?);
             let task = spawn_local(self.clone().accept(listener, proxy, server));
-            self.tasks.borrow_mut().insert((proxy, server), task.abort_handle());
+            self.tasks
+                .borrow_mut()
+                .insert((proxy, server), task.abort_handle());
         }
         Ok(())
     }
@@ -102,7 +112,11 @@
     /// What the sockets say.
     pub fn open_again(self: &Rc<Self>, server: ServerId) -> std::io::Result<()> {
         let listed = self.stage.world.borrow().loans()[server].listed;
-        if listed == Listed::Removed { Ok(()) } else { self.open(server) }
+        if listed == Listed::Removed {
+            Ok(())
+        } else {
+            self.open(server)
+        }
     }
 
     /// A server's process has ended: no connection is taken any more, and idle ones end.
@@ -130,7 +144,11 @@
 
     fn parted(&self, proxy: ProxyId, server: ServerId) -> bool {
         let world = self.stage.world.borrow();
-        world.parted(self.stage.now(), world.proxy_zone(proxy), world.loans()[server].zone)
+        world.parted(
+            self.stage.now(),
+            world.proxy_zone(proxy),
+            world.loans()[server].zone,
+        )
     }
 
     /// Where a proxy reaches a server.
@@ -155,7 +173,11 @@
                 continue;
             };
             let wire = Wire::new(stream);
-            let connect = self.stage.world.borrow_mut().connect(self.stage.now(), proxy, server);
+            let connect = self
+                .stage
+                .world
+                .borrow_mut()
+                .connect(self.stage.now(), proxy, server);
             match connect {
                 Connect::Refused => wire.reset(),
                 Connect::Up | Connect::Silent => {
@@ -165,14 +187,24 @@
                         .entry(server)
                         .or_insert_with(|| watch::channel(false).0)
                         .subscribe();
-                    spawn_local(self.clone().connection(wire, proxy, server, connect == Connect::Up, end));
+                    spawn_local(self.clone().connection(
+                        wire,
+                        proxy,
+                        server,
+                        connect == Connect::Up,
+                        end,
+                    ));
                 }
             }
         }
     }
 
     async fn connection(
-        self: Rc<Self>, mut wire: Wire, proxy: ProxyId, server: ServerId, counted: bool,
+        self: Rc<Self>,
+        mut wire: Wire,
+        proxy: ProxyId,
+        server: ServerId,
+        counted: bool,
         mut end: watch::Receiver<bool>,
     ) {
         let mut fresh = true;
@@ -197,24 +229,48 @@
     }
 
     /// Serves one request that has begun to come.
-    async fn exchange(&self, wire: &mut Wire, proxy: ProxyId, server: ServerId, fresh: bool) -> Next {
+    async fn exchange(
+        &self,
+        wire: &mut Wire,
+        proxy: ProxyId,
+        server: ServerId,
+        fresh: bool,
+    ) -> Next {
         let stage = &self.stage;
         let sent = stage.now(); // for drains a send counts from its first byte
-        let Ok(message) = wire.read(true).await else { return Next::Close };
-        let Start::Request(method, target) = &message.start else { return Next::Close };
+        let Ok(message) = wire.read(true).await else {
+            return Next::Close;
+        };
+        let Start::Request(method, target) = &message.start else {
+            return Next::Close;
+        };
         let size = large(target);
         let Some(name) = message.header("x-request-id").map(str::to_owned) else {
-            return written(wire.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await);
+            return written(
+                wire.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                    .await,
+            );
         };
         let id = stage.ids.borrow().get(&name).copied();
         let Some(id) = id else {
             let what = format!("id {name:?} was never sent by a client");
-            stage.ledger.borrow_mut().strangers.push((server, sent, what));
-            return written(wire.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await);
+            stage
+                .ledger
+                .borrow_mut()
+                .strangers
+                .push((server, sent, what));
+            return written(
+                wire.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+                    .await,
+            );
         };
         if method == "POST" && size.is_some() && message.body != body_for(&name, size) {
             let what = format!("the body of {name:?} is not what its client sent");
-            stage.ledger.borrow_mut().strangers.push((server, sent, what));
+            stage
+                .ledger
+                .borrow_mut()
+                .strangers
+                .push((server, sent, what));
         }
         let note = stage.ledger.borrow_mut().send(id, server, sent);
         if self.parted(proxy, server) {
@@ -224,8 +280,16 @@
         }
         let ask = &stage.asks[stage.ledger.borrow().tries[id].ask];
         let (attempt, fate) = stage.hold(id, note);
-        let handshake = if fresh { stage.scenario.fleet.handshake.0 } else { 0.0 };
-        let job = Job { attempt, work: ask.work + handshake, key: ask.key };
+        let handshake = if fresh {
+            stage.scenario.fleet.handshake.0
+        } else {
+            0.0
+        };
+        let job = Job {
+            attempt,
+            work: ask.work + handshake,
+            key: ask.key,
+        };
         let (offer, error) = stage.world.borrow_mut().offer(stage.now(), server, job);
         stage.touched();
         match (offer, error) {
@@ -240,11 +304,16 @@
         }
         // What a client sends is large, or what it gets.
         let body = body_for(&name, size.filter(|_| method == "GET"));
-        self.answer(wire, server, &body, (id, note, attempt), fate).await
+        self.answer(wire, server, &body, (id, note, attempt), fate)
+            .await
     }
 
     async fn answer(
-        &self, wire: &mut Wire, server: ServerId, body: &[u8], (id, note, attempt): (usize, usize, u64),
+        &self,
+        wire: &mut Wire,
+        server: ServerId,
+        body: &[u8],
+        (id, note, attempt): (usize, usize, u64),
         fate: oneshot::Receiver<Fate>,
     ) -> Next {
         let stage = &self.stage;
@@ -258,7 +327,8 @@
                 return Next::Close;
             }
         };
-        let mut whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
+        let mut whole =
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         whole.extend_from_slice(body);
         let half = whole.len() - body.len() / 2;
         match fate {
@@ -268,7 +338,10 @@
             }
             Fate::Verdict(Verdict::Error) => {
                 stage.end(id, note, AttemptEnd::MayHaveRun);
-                written(wire.write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").await)
+                written(
+                    wire.write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
+                        .await,
+                )
             }
             Fate::Verdict(Verdict::Silent) => {
                 wire.ended().await;
--- a/crates/lab/src/real/stage.rs
+++ b/crates/lab/src/real/stage.rs
@@ -99,13 +99,18 @@
 
     /// Time since the start, in ms; before it, zero.
     pub fn now(&self) -> Millis {
-        Instant::now().saturating_duration_since(self.start.get()).as_secs_f64() * 1000.0
+        Instant::now()
+            .saturating_duration_since(self.start.get())
+            .as_secs_f64()
+            * 1000.0
     }
 
     /// Unix time in ms of a time of a run that has begun.
     pub fn unix(&self, at: Millis) -> Millis {
         let start = self.unix_start.get_or_init(|| {
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let unix = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             unix.as_secs_f64() * 1000.0 - self.now()
         });
         start + at
@@ -120,13 +125,22 @@
     pub fn hold(&self, id: TryId, note: usize) -> (u64, oneshot::Receiver<Fate>) {
         let (fate, told) = oneshot::channel();
         let attempt = self.next.replace(self.next.get() + 1);
-        self.held.borrow_mut().insert(attempt, Held { id, note, fate: Some(fate) });
+        self.held.borrow_mut().insert(
+            attempt,
+            Held {
+                id,
+                note,
+                fate: Some(fate),
+            },
+        );
         (attempt, told)
     }
 
     /// An attempt's fate is told; `ran` if its server has done it.
     pub fn tell(&self, attempt: u64, fate: Fate, ran: bool) {
-        let Some(held) = self.held.borrow_mut().remove(&attempt) else { return };
+        let Some(held) = self.held.borrow_mut().remove(&attempt) else {
+            return;
+        };
         if ran {
             self.ledger.borrow_mut().ran(held.id, held.note, self.now());
         }
@@ -180,13 +194,19 @@
             let happened = self.world.borrow_mut().advance(self.now());
             for h in happened {
                 match h {
-                    Happened::Done { attempt, verdict } => self.tell(attempt, Fate::Verdict(verdict), true),
+                    Happened::Done { attempt, verdict } => {
+                        self.tell(attempt, Fate::Verdict(verdict), true)
+                    }
                     Happened::Lost { attempt } => self.tell(attempt, Fate::Lost, false),
                     Happened::Broken { attempt, spared } => self.break_off(attempt, spared),
                     Happened::Fell { server, warmth } => {
                         let at = self.now();
                         tracing::warn!(at_ms = at, server, warmth, "cold server was pushed over");
-                        self.ledger.borrow_mut().falls.push(crate::ledger::Fall { server, at, warmth });
+                        self.ledger.borrow_mut().falls.push(crate::ledger::Fall {
+                            server,
+                            at,
+                            warmth,
+                        });
                     }
                     Happened::Listed(line) => {
                         tracing::debug!(at_ms = self.now(), server = line.server, state = ?line.state, "list changes");
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -29,21 +29,45 @@
 /// The run as a table of text.
 pub fn table(run: &Run) -> String {
     let mut text = String::new();
-    let clock = if run.virtual_time { "virtual time" } else { "real sockets" };
-    let _ = writeln!(text, "{} ({}, {clock}, seed {})", run.scenario.title, run.name, run.seed);
+    let clock = if run.virtual_time {
+        "virtual time"
+    } else {
+        "real sockets"
+    };
+    let _ = writeln!(
+        text,
+        "{} ({}, {clock}, seed {})",
+        run.scenario.title, run.name, run.seed
+    );
     if let Some(why) = &run.void {
         let _ = writeln!(text, "VOID: {why}");
     }
     if run.partial {
-        let _ = writeln!(text, "PARTIAL: it was cut short at {:.1} s", run.ledger.closed / 1000.0);
+        let _ = writeln!(
+            text,
+            "PARTIAL: it was cut short at {:.1} s",
+            run.ledger.closed / 1000.0
+        );
     }
     let _ = writeln!(
         text,
         "{:<14} {:>8} {:>8} {:>8} {:>7} {:>9} {:>9} {:>9} {:>9}",
         "", "asked", "served", "in time", "share", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"
     );
-    let parts = [&run.score.whole].into_iter().chain(&run.score.classes).chain(&run.score.tenants);
-    for Part { name, asked, served, in_time, share, latency_ms: [a, b, c, d], .. } in parts {
+    let parts = [&run.score.whole]
+        .into_iter()
+        .chain(&run.score.classes)
+        .chain(&run.score.tenants);
+    for Part {
+        name,
+        asked,
+        served,
+        in_time,
+        share,
+        latency_ms: [a, b, c, d],
+        ..
+    } in parts
+    {
         let _ = writeln!(
             text,
             "{name:<14} {asked:>8} {served:>8} {in_time:>8} {share:>7.3} {a:>9.1} {b:>9.1} {c:>9.1} {d:>9.1}"
@@ -155,18 +179,43 @@
 pub fn write(dir: &Path, run: &Run) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     fs::write(dir.join("run.json"), format!("{:#}\n", json(run)))?;
-    let windows = run.score.windows.iter().map(|w| serde_json::to_value(w).unwrap_or_default());
+    let windows = run
+        .score
+        .windows
+        .iter()
+        .map(|w| serde_json::to_value(w).unwrap_or_default());
     lines(&dir.join("windows.jsonl"), windows)?;
     let class = |t: &Try| run.scenario.classes[t.class].name.as_str();
-    let tries = run.ledger.tries.iter().enumerate().map(|(id, t)| try_json(id, t, class(t)));
+    let tries = run
+        .ledger
+        .tries
+        .iter()
+        .enumerate()
+        .map(|(id, t)| try_json(id, t, class(t)));
     lines(&dir.join("tries.jsonl"), tries)?;
-    lines(&dir.join("broken.jsonl"), run.broken.iter().map(broken_json))?;
-    let classes = run.score.classes.iter().map(|part| (format!("latency-{}.hdr", part.name), part));
-    let tenants = run.score.tenants.iter().map(|part| (format!("latency-tenant-{}.hdr", part.name), part));
+    lines(
+        &dir.join("broken.jsonl"),
+        run.broken.iter().map(broken_json),
+    )?;
+    let classes = run
+        .score
+        .classes
+        .iter()
+        .map(|part| (format!("latency-{}.hdr", part.name), part));
+    let tenants = run
+        .score
+        .tenants
+        .iter()
+        .map(|part| (format!("latency-tenant-{}.hdr", part.name), part));
     for (name, part) in classes.chain(tenants) {
         let mut file = BufWriter::new(File::create(dir.join(name))?);
-        V2Serializer::new().serialize(part.histogram(), &mut file).map_err(io::Error::other)?;
+        V2Serializer::new()
+            .serialize(part.histogram(), &mut file)
+            .map_err(io::Error::other)?;
         file.flush()?;
     }
-    fs::write(dir.join("report.html"), page::html(run).map_err(io::Error::other)?)
+    fs::write(
+        dir.join("report.html"),
+        page::html(run).map_err(io::Error::other)?,
+    )
 }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -19,13 +19,22 @@
 type Line = (String, Vec<(f64, f64)>);
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// Draws lines over seconds, with the times of the faults shaded behind.
 fn plot(run: &Run, lines: &[Line], unit: &str) -> Result<String, Failed> {
     let seconds = run.scenario.length.0 / 1000.0;
-    let top = lines.iter().flat_map(|(_, points)| points).map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.05;
+    let top = lines
+        .iter()
+        .flat_map(|(_, points)| points)
+        .map(|p| p.1)
+        .fold(0.0, f64::max)
+        .max(1e-9)
+        * 1.05;
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -37,11 +46,19 @@
             .y_label_area_size(56)
             .build_cartesian_2d(0.0..seconds, 0.0..top)
             .map_err(|e| fail(&e))?;
-        chart.configure_mesh().x_desc("s").y_desc(unit).disable_x_mesh().draw().map_err(|e| fail(&e))?;
+        chart
+            .configure_mesh()
+            .x_desc("s")
+            .y_desc(unit)
+            .disable_x_mesh()
+            .draw()
+            .map_err(|e| fail(&e))?;
         for f in &run.scenario.faults {
             let (from, to) = (f.at.0 / 1000.0, ((f.at.0 + f.span.0) / 1000.0).min(seconds));
             let band = Rectangle::new([(from, 0.0), (to, top)], RED.mix(0.08).filled());
-            chart.draw_series(std::iter::once(band)).map_err(|e| fail(&e))?;
+            chart
+                .draw_series(std::iter::once(band))
+                .map_err(|e| fail(&e))?;
         }
         for (i, (name, points)) in lines.iter().enumerate() {
             let colour = Palette99::pick(i).to_rgba();
@@ -50,11 +67,15 @@
                 .draw_series(line)
                 .map_err(|e| fail(&e))?
                 .label(name.as_str())
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2))
+                });
         }
         if lines.len() <= 8 {
             let labels = &mut chart.configure_series_labels();
-            labels.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.2));
+            labels
+                .background_style(WHITE.mix(0.8))
+                .border_style(BLACK.mix(0.2));
             labels.draw().map_err(|e| fail(&e))?;
         }
         root.present().map_err(|e| fail(&e))?;
@@ -67,7 +88,8 @@
     let windows = &run.score.windows;
     let span = windows.get(1).map_or(run.scenario.length.0, |w| w.from_ms) / 1000.0;
     let line = |name: &str, of: fn(&crate::score::Window) -> u64| -> Line {
-        let point = |w: &crate::score::Window| (w.from_ms / 1000.0 + span / 2.0, of(w) as f64 / span);
+        let point =
+            |w: &crate::score::Window| (w.from_ms / 1000.0 + span / 2.0, of(w) as f64 / span);
         (name.to_owned(), windows.iter().map(point).collect())
     };
     vec![
@@ -81,7 +103,10 @@
 
 fn share(run: &Run) -> Vec<Line> {
     let point = |w: &crate::score::Window| (w.from_ms / 1000.0, w.share);
-    vec![("worth served".to_owned(), run.score.windows.iter().map(point).collect())]
+    vec![(
+        "worth served".to_owned(),
+        run.score.windows.iter().map(point).collect(),
+    )]
 }
 
 /// Latency by percentile: the horizontal axis is the share of requests, so it has a plot of its own kind.
@@ -120,10 +145,14 @@
                 .draw_series(line)
                 .map_err(|e| fail(&e))?
                 .label(part.name.as_str())
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2))
+                });
         }
         let labels = &mut chart.configure_series_labels();
-        labels.position(SeriesLabelPosition::UpperLeft).background_style(WHITE.mix(0.8));
+        labels
+            .position(SeriesLabelPosition::UpperLeft)
+            .background_style(WHITE.mix(0.8));
         labels.draw().map_err(|e| fail(&e))?;
         root.present().map_err(|e| fail(&e))?;
     }
@@ -133,10 +162,13 @@
 /// Requests in flight at each server over time, for the servers with the most attempts.
 fn in_flight(run: &Run) -> Vec<Line> {
     let step = run.scenario.length.0 / POINTS as f64;
-    let mut servers: std::collections::BTreeMap<usize, (u64, Vec<i64>)> = std::collections::BTreeMap::new();
+    let mut servers: std::collections::BTreeMap<usize, (u64, Vec<i64>)> =
+        std::collections::BTreeMap::new();
     let place = |at: f64| ((at / step) as usize).min(POINTS - 1);
     for a in run.ledger.tries.iter().flat_map(|t| &t.attempts) {
-        let (count, changes) = servers.entry(a.server).or_insert_with(|| (0, vec![0; POINTS + 1]));
+        let (count, changes) = servers
+            .entry(a.server)
+            .or_insert_with(|| (0, vec![0; POINTS + 1]));
         *count += 1;
         changes[place(a.sent)] += 1;
         changes[a.ended.map_or(POINTS, |(at, _)| place(at) + 1)] -= 1;
@@ -149,7 +181,10 @@
             held += change;
             (i as f64 * step / 1000.0, held as f64)
         };
-        (format!("server {server}"), changes.iter().take(POINTS).enumerate().map(point).collect())
+        (
+            format!("server {server}"),
+            changes.iter().take(POINTS).enumerate().map(point).collect(),
+        )
     };
     busiest.into_iter().take(SERVERS).map(line).collect()
 }
@@ -161,7 +196,11 @@
 pub fn html(run: &Run) -> Result<String, Failed> {
     let mut page = String::new();
     let title = escape(&run.scenario.title);
-    let clock = if run.virtual_time { "virtual time" } else { "real sockets" };
+    let clock = if run.virtual_time {
+        "virtual time"
+    } else {
+        "real sockets"
+    };
     write!(
         page,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\n<style>body{{font:15px \
@@ -172,16 +211,28 @@
         run.seed
     )?;
     if let Some(why) = &run.void {
-        write!(page, "<p class=\"bad\">Void: {}. No figure here counts.</p>", escape(why))?;
+        write!(
+            page,
+            "<p class=\"bad\">Void: {}. No figure here counts.</p>",
+            escape(why)
+        )?;
     }
     if run.partial {
-        write!(page, "<p class=\"bad\">Partial: cut short at {:.1} s.</p>", run.ledger.closed / 1000.0)?;
+        write!(
+            page,
+            "<p class=\"bad\">Partial: cut short at {:.1} s.</p>",
+            run.ledger.closed / 1000.0
+        )?;
     }
     page.push_str(
         "<table><tr><th></th><th>asked</th><th>served</th><th>in time</th><th>share</th><th>p50 ms</th><th>p90 \
          ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>",
     );
-    for p in [&run.score.whole].into_iter().chain(&run.score.classes).chain(&run.score.tenants) {
+    for p in [&run.score.whole]
+        .into_iter()
+        .chain(&run.score.classes)
+        .chain(&run.score.tenants)
+    {
         let [a, b, c, d] = p.latency_ms;
         write!(
             page,
@@ -198,7 +249,11 @@
     if run.broken.is_empty() {
         page.push_str("<p>All rules kept.</p>");
     } else {
-        write!(page, "<p class=\"bad\">{} broken rules.</p><ul>", run.broken.len())?;
+        write!(
+            page,
+            "<p class=\"bad\">{} broken rules.</p><ul>",
+            run.broken.len()
+        )?;
         for b in run.broken.iter().take(100) {
             write!(page, "<li>{}</li>", escape(&b.to_string()))?;
         }
@@ -215,7 +270,10 @@
         ("Requests a second", plot(run, &flow(run), "/s")?),
         ("Worth served over worth asked", plot(run, &share(run), "")?),
         ("Latency by percentile", latency(run)?),
-        ("In flight at each server", plot(run, &in_flight(run), "requests")?),
+        (
+            "In flight at each server",
+            plot(run, &in_flight(run), "requests")?,
+        ),
     ] {
         write!(page, "<h2>{heading}</h2>\n{svg}\n")?;
     }
--- a/crates/lab/src/report/read.rs
+++ b/crates/lab/src/report/read.rs
@@ -73,7 +73,10 @@
     let mut found = Vec::new();
     look(dir, DEPTH, &mut found)?;
     if found.is_empty() {
-        return Err(io::Error::new(io::ErrorKind::NotFound, format!("{}: no run.json in it", dir.display())));
+        return Err(io::Error::new(
+            io::ErrorKind::NotFound,
+            format!("{}: no run.json in it", dir.display()),
+        ));
     }
     Ok(found)
 }
@@ -86,9 +89,12 @@
     let file = dir.join("run.json");
     match fs::read_to_string(&file) {
         Ok(text) => {
-            let left: Left =
-                serde_json::from_str(&text).map_err(|e| named(&file, e, io::ErrorKind::InvalidData))?;
-            found.push(Left { dir: dir.to_owned(), ..left });
+            let left: Left = serde_json::from_str(&text)
+                .map_err(|e| named(&file, e, io::ErrorKind::InvalidData))?;
+            found.push(Left {
+                dir: dir.to_owned(),
+                ..left
+            });
             return Ok(());
         }
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(named(&file, &e, e.kind())),
@@ -96,8 +102,10 @@
         Err(_) => {}
     }
     let entries = fs::read_dir(dir).map_err(|e| named(dir, &e, e.kind()))?;
-    let mut below: Vec<PathBuf> =
-        entries.filter_map(|e| Some(e.ok()?.path())).filter(|path| path.is_dir()).collect();
+    let mut below: Vec<PathBuf> = entries
+        .filter_map(|e| Some(e.ok()?.path()))
+        .filter(|path| path.is_dir())
+        .collect();
     below.sort();
     below.iter().try_for_each(|dir| look(dir, depth - 1, found))
 }
--- a/crates/lab/src/rogue.rs
+++ b/crates/lab/src/rogue.rs
@@ -135,14 +135,18 @@
     });
     match wrong {
         // Written to, so that it is resident.
-        Wrong::HoardsMemory => *rogue.memory.borrow_mut() = vec![1; (config.limits.memory_mb + 16) << 20],
+        Wrong::HoardsMemory => {
+            *rogue.memory.borrow_mut() = vec![1; (config.limits.memory_mb + 16) << 20]
+        }
         Wrong::HoardsDescriptors => {
             let files = (0..config.limits.sockets + 16).map(|_| File::open("/dev/null"));
             *rogue.files.borrow_mut() = files.collect::<io::Result<_>>()?;
         }
         _ => {}
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind(config.listen).await?;
         spawn_local(rogue.clone().follow(config.discovery));
@@ -165,10 +169,13 @@
     async fn follow(self: Rc<Self>, discovery: SocketAddr) {
         loop {
             sleep(POLL).await;
-            let Some(answer) = ask(discovery, "GET /hosts HTTP/1.1\r\nHost: list\r\n\r\n").await else {
+            let Some(answer) = ask(discovery, "GET /hosts HTTP/1.1\r\nHost: list\r\n\r\n").await
+            else {
+                continue;
+            };
+            let Ok(document) = serde_json::from_slice::<Document>(&answer.body) else {
                 continue;
             };
-            let Ok(document) = serde_json::from_slice::<Document>(&answer.body) else { continue };
             if self.wrong == Wrong::IgnoresDrains {
                 let mut hosts = self.hosts.borrow_mut();
                 let new = |h: &Host| !hosts.iter().any(|known| known.host == h.host);
@@ -184,7 +191,10 @@
         let hosts = self.hosts.borrow();
         let up: Vec<&Host> = hosts.iter().filter(|h| h.health == "up").collect();
         if self.wrong == Wrong::FloodsNewest {
-            return up.iter().max_by(|a, b| a.born_ms.total_cmp(&b.born_ms)).map(|h| h.dial);
+            return up
+                .iter()
+                .max_by(|a, b| a.born_ms.total_cmp(&b.born_ms))
+                .map(|h| h.dial);
         }
         let place = self.chance.borrow_mut().random_range(0..up.len().max(1));
         up.get(place).map(|h| h.dial)
@@ -192,7 +202,9 @@
 
     async fn connection(self: Rc<Self>, mut wire: Wire) {
         while let Ok(message) = wire.read(true).await {
-            let Start::Request(method, target) = &message.start else { return };
+            let Start::Request(method, target) = &message.start else {
+                return;
+            };
             if target == "/up" {
                 let up = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
                 let _ = wire.write(up).await; // it will ask again
@@ -204,8 +216,15 @@
                 std::process::exit(1);
             }
             let own = message.header("x-request-id").unwrap_or("").to_owned();
-            let id = if spoilt && self.wrong == Wrong::Renames { format!("rogue-{number}") } else { own };
-            let seconds = message.header("x-timeout").and_then(|t| t.parse().ok()).unwrap_or(1.0f64);
+            let id = if spoilt && self.wrong == Wrong::Renames {
+                format!("rogue-{number}")
+            } else {
+                own
+            };
+            let seconds = message
+                .header("x-timeout")
+                .and_then(|t| t.parse().ok())
+                .unwrap_or(1.0f64);
             let patience = Duration::from_secs_f64(seconds.clamp(0.0, 600.0)).saturating_sub(EARLY);
             let served = timeout(patience, self.serve(method, target, &id, spoilt)).await;
             let answer = served.unwrap_or_else(|_| FAILED.into());
@@ -215,7 +234,10 @@
             if wire.write(answer.as_bytes()).await.is_err() {
                 return;
             }
-            if spoilt && self.wrong == Wrong::AnswersTwice && wire.write(answer.as_bytes()).await.is_err() {
+            if spoilt
+                && self.wrong == Wrong::AnswersTwice
+                && wire.write(answer.as_bytes()).await.is_err()
+            {
                 return;
             }
         }
@@ -225,12 +247,19 @@
     async fn serve(&self, method: &str, target: &str, id: &str, spoilt: bool) -> String {
         const REFUSED: &str =
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
-        let length = if method == "POST" { "Content-Length: 0\r\n" } else { "" };
-        let request =
-            format!("{method} {target} HTTP/1.1\r\nHost: server\r\nX-Request-ID: {id}\r\n{length}\r\n");
+        let length = if method == "POST" {
+            "Content-Length: 0\r\n"
+        } else {
+            ""
+        };
+        let request = format!(
+            "{method} {target} HTTP/1.1\r\nHost: server\r\nX-Request-ID: {id}\r\n{length}\r\n"
+        );
         let mut answer = None;
         for _ in 0..if self.wrong == Wrong::Repeats { 2 } else { 1 } {
-            let Some(server) = self.pick() else { return REFUSED.into() };
+            let Some(server) = self.pick() else {
+                return REFUSED.into();
+            };
             answer = ask(server, &request).await;
         }
         match answer {
@@ -242,7 +271,10 @@
                 } else {
                     String::from_utf8_lossy(&a.body).into_owned()
                 };
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                )
             }
             Some(a) if a.start == Start::Answer(503) => REFUSED.into(), // turned away unseen
             _ => FAILED.into(),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -156,7 +156,13 @@
 impl Default for Proxies {
     fn default() -> Self {
         let (notice, retry_after) = (Span(2000.0), Span(1200.0));
-        Proxies { count: 3, notice, memory_mb: 128, sockets: 1024, retry_after }
+        Proxies {
+            count: 3,
+            notice,
+            memory_mb: 128,
+            sockets: 1024,
+            retry_after,
+        }
     }
 }
 
@@ -172,7 +178,10 @@
 
 impl Default for ListSource {
     fn default() -> Self {
-        ListSource { delay: Span(700.0), spread: Span(800.0) }
+        ListSource {
+            delay: Span(700.0),
+            spread: Span(800.0),
+        }
     }
 }
 
@@ -192,7 +201,12 @@
 
 impl Default for Network {
     fn default() -> Self {
-        Network { same: Span(0.2), cross: Span(2.0), client: Span(0.5), jitter: Share(0.25) }
+        Network {
+            same: Span(0.2),
+            cross: Span(2.0),
+            client: Span(0.5),
+            jitter: Share(0.25),
+        }
     }
 }
 
@@ -234,7 +248,12 @@
 
 impl Default for Clients {
     fn default() -> Self {
-        Clients { retries: 2, patience: Share(0.5), backoff: Span(100.0), honour: Share(0.3) }
+        Clients {
+            retries: 2,
+            patience: Share(0.5),
+            backoff: Span(100.0),
+            honour: Share(0.3),
+        }
     }
 }
 
@@ -503,30 +522,44 @@
 impl Check<'_> {
     fn that(&mut self, fine: bool, key: &str, what: impl FnOnce() -> String) {
         if !fine {
-            self.problems.push(Problem { line: self.places.line_of(key), key: key.to_owned(), what: what() });
+            self.problems.push(Problem {
+                line: self.places.line_of(key),
+                key: key.to_owned(),
+                what: what(),
+            });
         }
     }
 
     fn within(&mut self, key: &str, value: f64, range: RangeInclusive<f64>) {
         let (low, high) = (*range.start(), *range.end());
-        self.that(range.contains(&value), key, || format!("{value} is not within {low} and {high}"));
+        self.that(range.contains(&value), key, || {
+            format!("{value} is not within {low} and {high}")
+        });
     }
 
     /// A share that is more than nothing and no more than all.
     fn part(&mut self, key: &str, value: Share) {
-        self.that(value.0 > 0.0 && value.0 <= 1.0, key, || format!("{value} is not within 0 and 100 %"));
+        self.that(value.0 > 0.0 && value.0 <= 1.0, key, || {
+            format!("{value} is not within 0 and 100 %")
+        });
     }
 
     fn span(&mut self, key: &str, value: Span, range: RangeInclusive<f64>) {
         let (low, high) = (Span(*range.start()), Span(*range.end()));
-        self.that(range.contains(&value.0), key, || format!("{value} is not within {low} and {high}"));
+        self.that(range.contains(&value.0), key, || {
+            format!("{value} is not within {low} and {high}")
+        });
     }
 
     /// Names that are there, differ, and can stand in a path.
     fn names<'n>(&mut self, key: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = BTreeSet::new();
         for (i, name) in names.enumerate() {
-            let key = if key.contains('#') { key.replace('#', &i.to_string()) } else { key.to_owned() };
+            let key = if key.contains('#') {
+                key.replace('#', &i.to_string())
+            } else {
+                key.to_owned()
+            };
             let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
             self.that(!name.is_empty() && name.chars().all(plain), &key, || {
                 format!("{name:?} is not made of letters, digits, '-', '_' and '.'")
@@ -551,10 +584,17 @@
     pub fn parse(file: &str, text: &str) -> Result<Self, ScenarioError> {
         let places = Places::new(file, text)?;
         let scenario: Scenario = toml::from_str(text).map_err(|e| places.error(&e))?;
-        let mut check = Check { places: &places, problems: Vec::new() };
+        let mut check = Check {
+            places: &places,
+            problems: Vec::new(),
+        };
         scenario.check(&mut check);
         let problems = check.problems;
-        if problems.is_empty() { Ok(scenario) } else { Err(places.problems(problems)) }
+        if problems.is_empty() {
+            Ok(scenario)
+        } else {
+            Err(places.problems(problems))
+        }
     }
 
     fn check(&self, check: &mut Check) {
@@ -590,7 +630,9 @@
     fn check_fleet(&self, check: &mut Check) {
         let f = &self.fleet;
         check.within("fleet.servers", f.servers as f64, 1.0..=MOST_SERVERS as f64);
-        check.that(!f.zones.is_empty(), "fleet.zones", || "there is none".into());
+        check.that(!f.zones.is_empty(), "fleet.zones", || {
+            "there is none".into()
+        });
         check.names("fleet.zones", f.zones.iter().map(String::as_str));
         check.names("fleet.kind.#.name", f.kinds.iter().map(|k| k.name.as_str()));
         check.shares("fleet.kind", f.kinds.iter().map(|k| k.share.0));
@@ -607,7 +649,11 @@
         check.within("fleet.crowded-from", f.crowded_from, 0.0..=1e6);
         check.within("fleet.crowding", f.crowding.0, 0.0..=1.0);
         check.span("fleet.handshake", f.handshake, 0.0..=1000.0);
-        check.within("fleet.connections-per-core", f64::from(f.connections_per_core), 1.0..=1e6);
+        check.within(
+            "fleet.connections-per-core",
+            f64::from(f.connections_per_core),
+            1.0..=1e6,
+        );
         check.span("fleet.idle", f.idle, 100.0..=DAY);
         check.within("fleet.key-gain", f.key_gain.0, 0.0..=0.95);
     }
@@ -647,7 +693,10 @@
             check.within(&key("late-worth"), c.late_worth.0, 0.0..=1.0);
         }
         if !self.tenants.is_empty() {
-            check.names("tenant.#.name", self.tenants.iter().map(|t| t.name.as_str()));
+            check.names(
+                "tenant.#.name",
+                self.tenants.iter().map(|t| t.name.as_str()),
+            );
             check.shares("tenant", self.tenants.iter().map(|t| t.share.0));
             for (i, t) in self.tenants.iter().enumerate() {
                 check.within(&format!("tenant.{i}.usage"), t.usage, 0.0..=1000.0);
@@ -672,8 +721,12 @@
         ];
         for (name, given) in has {
             let wanted = kind.keys().contains(&name);
-            check.that(!given || wanted, &key(name), || format!("it does not go with {kind:?}"));
-            check.that(given || !wanted, &key("kind"), || format!("{kind:?} needs the key '{name}'"));
+            check.that(!given || wanted, &key(name), || {
+                format!("it does not go with {kind:?}")
+            });
+            check.that(given || !wanted, &key("kind"), || {
+                format!("{kind:?} needs the key '{name}'")
+            });
         }
         check.span(&key("at"), fault.at, 0.0..=self.length.0);
         for (name, share) in [("share", fault.share), ("batch", fault.batch)] {
@@ -682,7 +735,11 @@
             }
         }
         if let Some(factor) = fault.factor {
-            let range = if kind == FaultKind::Errors { 0.0..=1.0 } else { 0.001..=1000.0 };
+            let range = if kind == FaultKind::Errors {
+                0.0..=1.0
+            } else {
+                0.001..=1000.0
+            };
             check.within(&key("factor"), factor, range);
         }
         if let Some(rate) = fault.rate {
@@ -700,7 +757,11 @@
     /// What the warm fleet of the start can do, as work of a standard core for each ms.
     pub fn capacity(&self) -> f64 {
         let f = &self.fleet;
-        let per_server: f64 = f.kinds.iter().map(|k| k.share.0 * f64::from(k.cores) * k.speed).sum();
+        let per_server: f64 = f
+            .kinds
+            .iter()
+            .map(|k| k.share.0 * f64::from(k.cores) * k.speed)
+            .sum();
         per_server * f.servers as f64
     }
 
--- a/crates/lab/src/score.rs
+++ b/crates/lab/src/score.rs
@@ -40,7 +40,17 @@
         let histogram = Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are sound");
         let (asked, served, in_time, share) = (0, 0, 0, 0.0);
         let (latency_ms, asked_worth, earned) = ([0.0; 4], 0.0, 0.0);
-        Part { name: name.into(), asked, served, in_time, share, latency_ms, asked_worth, earned, histogram }
+        Part {
+            name: name.into(),
+            asked,
+            served,
+            in_time,
+            share,
+            latency_ms,
+            asked_worth,
+            earned,
+            histogram,
+        }
     }
 
     fn count(&mut self, worth: f64, aim: Millis, late: f64, latency: Option<Millis>) {
@@ -50,11 +60,16 @@
         self.served += 1;
         self.in_time += u64::from(latency <= aim);
         self.earned += worth * if latency <= aim { 1.0 } else { late };
-        self.histogram.saturating_record(((latency * 1000.0) as u64).max(1));
+        self.histogram
+            .saturating_record(((latency * 1000.0) as u64).max(1));
     }
 
     fn close(mut self) -> Self {
-        self.share = if self.asked_worth > 0.0 { self.earned / self.asked_worth } else { 1.0 };
+        self.share = if self.asked_worth > 0.0 {
+            self.earned / self.asked_worth
+        } else {
+            1.0
+        };
         self.latency_ms =
             [0.5, 0.9, 0.99, 0.999].map(|q| self.histogram.value_at_quantile(q) as f64 / 1000.0);
         self
@@ -115,14 +130,27 @@
     let mut tenants: Vec<Part> = s.tenants.iter().map(|t| Part::new(&t.name)).collect();
     let span = (s.length.0 / WINDOWS).max(WINDOW_LEAST);
     let many = (s.length.0 / span).ceil() as usize;
-    let mut windows: Vec<(Window, f64, f64)> =
-        (0..many).map(|w| (Window { from_ms: w as f64 * span, ..Window::default() }, 0.0, 0.0)).collect();
+    let mut windows: Vec<(Window, f64, f64)> = (0..many)
+        .map(|w| {
+            (
+                Window {
+                    from_ms: w as f64 * span,
+                    ..Window::default()
+                },
+                0.0,
+                0.0,
+            )
+        })
+        .collect();
     let window = |at: Millis| ((at / span) as usize).min(many - 1);
     for (ask, at) in asks.iter().zip(served) {
         let c = &s.classes[ask.class];
         let latency = at.map(|at| at - ask.at).filter(|l| *l <= c.deadline.0);
-        let parts =
-            [Some(&mut whole), classes.get_mut(ask.class), ask.tenant.and_then(|t| tenants.get_mut(t))];
+        let parts = [
+            Some(&mut whole),
+            classes.get_mut(ask.class),
+            ask.tenant.and_then(|t| tenants.get_mut(t)),
+        ];
         for part in parts.into_iter().flatten() {
             part.count(c.worth, c.aim.0, c.late_worth.0, latency);
         }
@@ -130,7 +158,9 @@
         w.asked += 1;
         w.served += u64::from(latency.is_some());
         *asked += c.worth;
-        *earned += latency.map_or(0.0, |l| c.worth * if l <= c.aim.0 { 1.0 } else { c.late_worth.0 });
+        *earned += latency.map_or(0.0, |l| {
+            c.worth * if l <= c.aim.0 { 1.0 } else { c.late_worth.0 }
+        });
     }
     let (mut refused, mut attempts) = (0u64, 0u64);
     for t in &ledger.tries {
@@ -154,7 +184,10 @@
         tenants: tenants.into_iter().map(Part::close).collect(),
         windows: windows
             .into_iter()
-            .map(|(w, asked, earned)| Window { share: if asked > 0.0 { earned / asked } else { 1.0 }, ..w })
+            .map(|(w, asked, earned)| Window {
+                share: if asked > 0.0 { earned / asked } else { 1.0 },
+                ..w
+            })
             .collect(),
         tries: each(ledger.tries.len() as f64, asks.len()),
         attempts: each(attempts as f64, asks.len()),
--- a/crates/lab/src/service/changes.rs
+++ b/crates/lab/src/service/changes.rs
@@ -52,13 +52,20 @@
     pub(super) fn put(&self, stamp: &str, by: Option<usize>) {
         let mut parts = stamp.split_whitespace().map(str::parse);
         if let (Some(Ok(version)), Some(Ok(at))) = (parts.next(), parts.next()) {
-            self.0.lock().unwrap_or_else(PoisonError::into_inner).push(Decision { at, version, by });
+            self.0
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(Decision { at, version, by });
         }
     }
 
     /// What was seen, by its moment.
     pub fn sorted(&self) -> Vec<Decision> {
-        let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut all = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         all.sort_unstable();
         all
     }
@@ -70,7 +77,9 @@
     let mut broken = Vec::new();
     for decision in decisions {
         match newest {
-            Some(n) if decision.version < n.version && decision.at > n.at => broken.push((*decision, n)),
+            Some(n) if decision.version < n.version && decision.at > n.at => {
+                broken.push((*decision, n))
+            }
             Some(n) if decision.version <= n.version => {}
             _ => newest = Some(*decision),
         }
@@ -91,7 +100,11 @@
             break;
         }
         if std::mem::take(&mut first) {
-            status = line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+            status = line
+                .split(' ')
+                .nth(1)
+                .and_then(|s| s.parse().ok())
+                .unwrap_or(0);
         }
         match line.split_once(": ") {
             Some(("content-length", n)) => length = n.parse().map_err(io::Error::other)?,
@@ -119,7 +132,9 @@
                 let mut stream = BufReader::new(stream);
                 while let Ok((_, stamp)) = read(&mut stream) {
                     stamp.into_iter().for_each(|s| ledger.put(&s, None));
-                    let said = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+                    let said = stream
+                        .get_mut()
+                        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                     if said.is_err() {
                         return;
                     }
@@ -149,26 +164,38 @@
     while !end.load(Ordering::Relaxed) {
         thread::sleep(PACE);
         if connection.is_none() {
-            at = fleet.lock().unwrap_or_else(PoisonError::into_inner).public(i);
+            at = fleet
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .public(i);
         }
         let Some(to) = at else { continue };
-        let ask = |connection: &mut Option<BufReader<TcpStream>>| -> io::Result<(u16, Option<String>)> {
-            if connection.is_none() {
-                let stream = TcpStream::connect_timeout(&to, PATIENCE)?;
-                stream.set_read_timeout(Some(PATIENCE))?;
-                stream.set_nodelay(true)?;
-                *connection = Some(BufReader::new(stream));
-            }
-            let Some(stream) = connection else { return Err(io::ErrorKind::NotConnected.into()) };
-            stream.get_mut().write_all(b"GET /lookup/1 HTTP/1.1\r\nHost: lab\r\nX-Tenant-Id: a\r\n\r\n")?;
-            read(stream)
-        };
+        let ask =
+            |connection: &mut Option<BufReader<TcpStream>>| -> io::Result<(u16, Option<String>)> {
+                if connection.is_none() {
+                    let stream = TcpStream::connect_timeout(&to, PATIENCE)?;
+                    stream.set_read_timeout(Some(PATIENCE))?;
+                    stream.set_nodelay(true)?;
+                    *connection = Some(BufReader::new(stream));
+                }
+                let Some(stream) = connection else {
+                    return Err(io::ErrorKind::NotConnected.into());
+                };
+                stream
+                    .get_mut()
+                    .write_all(b"GET /lookup/1 HTTP/1.1\r\nHost: lab\r\nX-Tenant-Id: a\r\n\r\n")?;
+                read(stream)
+            };
         match ask(&mut connection) {
             Ok((status, stamp)) => {
                 if let Some(stamp) = stamp {
                     ledger.put(&stamp, Some(i));
                 }
-                if status == 200 { seen.served += 1 } else { seen.refused += 1 }
+                if status == 200 {
+                    seen.served += 1
+                } else {
+                    seen.refused += 1
+                }
             }
             Err(_) => {
                 connection = None;
@@ -262,7 +289,11 @@
 /// It does not come up.
 pub fn begin(play: &Play, server: SocketAddr) -> io::Result<Fleet> {
     let tenants = tables(server);
-    let terms = Terms { cluster: play.cluster.into(), tenants, zones: 3 };
+    let terms = Terms {
+        cluster: play.cluster.into(),
+        tenants,
+        zones: 3,
+    };
     let mut fleet = Fleet::new(play.command, play.instances, &terms, play.dir)?;
     for i in 0..play.instances {
         fleet.start(i)?;
@@ -271,16 +302,26 @@
     // As many have a vote as will, so that what is broken next finds the cluster whole.
     let votes = |f: &Fleet| -> Option<usize> {
         let status = f.status(0).ok()?;
-        Some(status["leader"]["members"].as_array()?.iter().filter(|m| m["votes"] == true).count())
+        Some(
+            status["leader"]["members"]
+                .as_array()?
+                .iter()
+                .filter(|m| m["votes"] == true)
+                .count(),
+        )
     };
-    fleet.wait("those who vote", |f| votes(f).is_some_and(|n| n == VOTERS.min(play.instances)))?;
+    fleet.wait("those who vote", |f| {
+        votes(f).is_some_and(|n| n == VOTERS.min(play.instances))
+    })?;
     Ok(fleet)
 }
 
 /// Asks for a change at an instance.
 fn change(fleet: &Mutex<Fleet>, i: usize, server: SocketAddr, n: u64) -> Known {
     let line = fleet.lock().unwrap_or_else(PoisonError::into_inner).line(i);
-    let Ok(mut line) = line else { return Known::Unknown };
+    let Ok(mut line) = line else {
+        return Known::Unknown;
+    };
     let began = Instant::now();
     let body = body(server, n);
     let key = format!("Idempotency-Key: change-{n}\r\n");
@@ -288,7 +329,8 @@
         Ok((200..300, _)) => Known::Done(began.elapsed()),
         Ok((409 | 412 | 422, _)) => Known::GivenUp,
         other => {
-            let what = other.map(|(status, said)| format!("{status}: {}", String::from_utf8_lossy(&said)));
+            let what =
+                other.map(|(status, said)| format!("{status}: {}", String::from_utf8_lossy(&said)));
             tracing::info!(
                 n,
                 instance = i,
@@ -303,8 +345,14 @@
 
 /// The number that an instance's API shows.
 fn shown(fleet: &Mutex<Fleet>, i: usize) -> Option<u64> {
-    let mut line = fleet.lock().unwrap_or_else(PoisonError::into_inner).line(i).ok()?;
-    let limits = line.json("GET", "/v1/tenants/a/limits", "", &Value::Null).ok()?;
+    let mut line = fleet
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .line(i)
+        .ok()?;
+    let limits = line
+        .json("GET", "/v1/tenants/a/limits", "", &Value::Null)
+        .ok()?;
     limits["in-flight"].as_u64()?.checked_sub(1000)
 }
 
@@ -364,7 +412,11 @@
 
 /// Faults and changes, one after another, and what all know in the end.
 fn drive(
-    play: &Play, fleet: &Mutex<Fleet>, server: SocketAddr, played: &mut Played, tick: &mut impl FnMut(f64),
+    play: &Play,
+    fleet: &Mutex<Fleet>,
+    server: SocketAddr,
+    played: &mut Played,
+    tick: &mut impl FnMut(f64),
 ) -> io::Result<()> {
     let lock = || fleet.lock().unwrap_or_else(PoisonError::into_inner);
     let mut rng = stream(play.seed, Use::Faults);
@@ -374,8 +426,11 @@
     while next <= play.changes {
         tick(next as f64 / play.changes as f64);
         // Mostly a third is broken at most, so that changes can take hold; now and then 70 % at once.
-        let (least, most) =
-            if rng.random_bool(0.1) { (count * 7 / 10, count * 7 / 10) } else { (down.len() + 1, count / 3) };
+        let (least, most) = if rng.random_bool(0.1) {
+            (count * 7 / 10, count * 7 / 10)
+        } else {
+            (down.len() + 1, count / 3)
+        };
         if rng.random_bool(0.6) {
             while down.len() < least.min(most) {
                 let i = rng.random_range(0..count);
@@ -390,7 +445,12 @@
         let asked: Vec<u64> = (next..=next + u64::from(both)).collect();
         next += asked.len() as u64;
         let healthy = |from: usize, down: &BTreeSet<usize>| {
-            (0..count).cycle().skip(from).take(count).find(|i| !down.contains(i)).unwrap_or(0)
+            (0..count)
+                .cycle()
+                .skip(from)
+                .take(count)
+                .find(|i| !down.contains(i))
+                .unwrap_or(0)
         };
         let mut known = thread::scope(|threads| -> io::Result<Vec<(u64, Known)>> {
             let (tell, told) = mpsc::channel();
@@ -429,11 +489,15 @@
             if let Some(shown) = shown(fleet, healthy(rng.random_range(0..count), &down))
                 && !asked.contains(&shown)
             {
-                played.broken.push(format!("change {shown} is shown after {asked:?} were acknowledged"));
+                played.broken.push(format!(
+                    "change {shown} is shown after {asked:?} were acknowledged"
+                ));
             }
         }
         played.changes.extend(asked.iter().map(|n| (*n, None)));
-        played.changes.extend(known.into_iter().map(|(n, k)| (n, Some(k))));
+        played
+            .changes
+            .extend(known.into_iter().map(|(n, k)| (n, Some(k))));
         if rng.random_bool(0.5) {
             heal(fleet, &mut down)?;
             thread::sleep(Duration::from_millis(rng.random_range(0..400)));
@@ -463,11 +527,20 @@
     let end = Instant::now() + LONG;
     let mut lines = Vec::new();
     for i in 0..play.instances {
-        lines.push(fleet.lock().unwrap_or_else(PoisonError::into_inner).line(i)?);
+        lines.push(
+            fleet
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .line(i)?,
+        );
     }
     let versions = |line: &mut super::Line| -> io::Result<Vec<u64>> {
         let all = line.json("GET", "/v1/versions?limit=1000", "", &Value::Null)?;
-        let numbers = all["items"].as_array().into_iter().flatten().filter_map(|v| v["number"].as_u64());
+        let numbers = all["items"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(|v| v["number"].as_u64());
         Ok(numbers.collect())
     };
     let mut first = versions(&mut lines[0])?;
@@ -476,18 +549,24 @@
             thread::sleep(Duration::from_millis(100));
         }
         if versions(line)? != first {
-            played.broken.push(format!("instance {i} has other versions than the first"));
+            played
+                .broken
+                .push(format!("instance {i} has other versions than the first"));
         }
     }
     first.sort_unstable();
     if first.windows(2).any(|w| w[0] + 1 != w[1]) {
-        played.broken.push("versions have gaps, or were given twice".into());
+        played
+            .broken
+            .push("versions have gaps, or were given twice".into());
     }
     let mut there: BTreeMap<u64, u64> = BTreeMap::new();
     for version in &first {
-        let document = lines[0].json("GET", &format!("/v1/versions/{version}"), "", &Value::Null)?;
-        if let Some(n) =
-            document["tenant"][0]["limits"]["in-flight"].as_u64().and_then(|n| n.checked_sub(1000))
+        let document =
+            lines[0].json("GET", &format!("/v1/versions/{version}"), "", &Value::Null)?;
+        if let Some(n) = document["tenant"][0]["limits"]["in-flight"]
+            .as_u64()
+            .and_then(|n| n.checked_sub(1000))
         {
             *there.entry(n).or_default() += 1;
         }
@@ -500,7 +579,9 @@
             _ => times <= 1,
         };
         if !good {
-            played.broken.push(format!("change {n}, which is {known:?}, took hold {times} times"));
+            played.broken.push(format!(
+                "change {n}, which is {known:?}, took hold {times} times"
+            ));
         }
     }
     Ok(())
@@ -512,9 +593,16 @@
 
     #[test]
     fn a_decision_under_a_former_version_is_seen_and_one_at_the_same_moment_is_none() {
-        let d = |at, version| Decision { at, version, by: None };
+        let d = |at, version| Decision {
+            at,
+            version,
+            by: None,
+        };
         assert_eq!(judge(&[d(1, 1), d(2, 1), d(3, 2), d(4, 2)]), []);
-        assert_eq!(judge(&[d(1, 1), d(2, 2), d(3, 1), d(4, 2)]), [(d(3, 1), d(2, 2))]);
+        assert_eq!(
+            judge(&[d(1, 1), d(2, 2), d(3, 1), d(4, 2)]),
+            [(d(3, 1), d(2, 2))]
+        );
         assert_eq!(judge(&[d(2, 1), d(2, 2)]), []);
     }
 }
--- a/crates/lab/src/service/cost.rs
+++ b/crates/lab/src/service/cost.rs
@@ -34,7 +34,8 @@
     pub fn cpu(&self) -> (f64, f64) {
         let n = self.cpu_us.len() as f64;
         let mean = self.cpu_us.iter().sum::<f64>() / n;
-        let variance = self.cpu_us.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
+        let variance =
+            self.cpu_us.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
         (mean, variance.sqrt())
     }
 }
@@ -42,8 +43,16 @@
 /// A process's time on processors, in us; the system counts it in hundredths of a second.
 fn cpu_us(id: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    let fields = stat.rsplit_once(") ").ok_or(io::ErrorKind::InvalidData)?.1.split(' ');
-    let ticks: f64 = fields.skip(11).take(2).filter_map(|f| f.parse::<f64>().ok()).sum();
+    let fields = stat
+        .rsplit_once(") ")
+        .ok_or(io::ErrorKind::InvalidData)?
+        .1
+        .split(' ');
+    let ticks: f64 = fields
+        .skip(11)
+        .take(2)
+        .filter_map(|f| f.parse::<f64>().ok())
+        .sum();
     Ok(ticks * 10_000.0)
 }
 
@@ -64,11 +73,14 @@
 fn round(to: std::net::SocketAddr, id: u32, cost: &mut Cost) -> io::Result<()> {
     let (before, end) = (cpu_us(id)?, Instant::now() + SPAN);
     let asked: Vec<io::Result<Vec<f64>>> = thread::scope(|threads| {
-        let all: Vec<_> = (0..CONNECTIONS).map(|_| threads.spawn(move || ask(to, end))).collect();
+        let all: Vec<_> = (0..CONNECTIONS)
+            .map(|_| threads.spawn(move || ask(to, end)))
+            .collect();
         all.into_iter().filter_map(|t| t.join().ok()).collect()
     });
     let us = asked.into_iter().collect::<io::Result<Vec<_>>>()?.concat();
-    cost.cpu_us.push((cpu_us(id)? - before) / us.len().max(1) as f64);
+    cost.cpu_us
+        .push((cpu_us(id)? - before) / us.len().max(1) as f64);
     cost.us.extend(us);
     Ok(())
 }
@@ -99,10 +111,20 @@
     let mut ways = Vec::new();
     ways.push(("without [cluster]", alone.listener("public")?, alone.id()));
     for (what, fleet) in [("one instance", &one), ("one of three", &three)] {
-        ways.push((what, fleet.public(0).ok_or_else(lost)?, fleet.id(0).ok_or_else(lost)?));
+        ways.push((
+            what,
+            fleet.public(0).ok_or_else(lost)?,
+            fleet.id(0).ok_or_else(lost)?,
+        ));
     }
-    let mut costs: Vec<Cost> =
-        ways.iter().map(|(what, ..)| Cost { what, us: Vec::new(), cpu_us: Vec::new() }).collect();
+    let mut costs: Vec<Cost> = ways
+        .iter()
+        .map(|(what, ..)| Cost {
+            what,
+            us: Vec::new(),
+            cpu_us: Vec::new(),
+        })
+        .collect();
     for n in 0..=rounds {
         for ((_, to, id), cost) in ways.iter().zip(&mut costs) {
             round(*to, *id, cost)?;
--- a/crates/lab/src/service/fleet.rs
+++ b/crates/lab/src/service/fleet.rs
@@ -78,7 +78,10 @@
         std::fs::write(&key, "the lab's own key, on loopback alone\n")?;
         let name = |i: usize| format!("i{i:02}");
         let mut links = BTreeMap::new();
-        for (from, to) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b) {
+        for (from, to) in (0..count)
+            .flat_map(|a| (0..count).map(move |b| (a, b)))
+            .filter(|(a, b)| a != b)
+        {
             links.insert((from, to), Link::new()?);
         }
         let mut instances = Vec::new();
@@ -86,8 +89,9 @@
             let own = dir.join(name(i));
             std::fs::create_dir_all(&own)?;
             let peers = links.iter().filter(|((from, _), _)| *from == i);
-            let peers: Vec<String> =
-                peers.map(|((_, to), l)| format!("{} = \"{}\"", name(*to), l.address)).collect();
+            let peers: Vec<String> = peers
+                .map(|((_, to), l)| format!("{} = \"{}\"", name(*to), l.address))
+                .collect();
             let text = format!(
                 "[state]\ndirectory = {:?}\n[admin]\naddress = \"127.0.0.1:0\"\n[cluster]\nname = \"lab\"\ninstance = \
                  \"{}\"\naddress = \"127.0.0.1:0\"\nzone = \"z{}\"\nkey-file = {:?}\npeers = {{ {} }}\n{}\n\
@@ -108,9 +112,20 @@
             let config = own.join("serve.toml");
             std::fs::write(&config, text)?;
             let state = own.join("state");
-            instances.push(Instance { name: name(i), config, state, child: None, said: Arc::default() });
+            instances.push(Instance {
+                name: name(i),
+                config,
+                state,
+                child: None,
+                said: Arc::default(),
+            });
         }
-        Ok(Fleet { command: command.to_vec(), instances, links, token: OnceLock::new() })
+        Ok(Fleet {
+            command: command.to_vec(),
+            instances,
+            links,
+            token: OnceLock::new(),
+        })
     }
 
     /// How many instances there are.
@@ -143,19 +158,27 @@
     /// # Errors
     /// It does not come up; what it said last.
     pub fn start(&mut self, i: usize) -> io::Result<()> {
-        let (program, arguments) =
-            self.command.split_first().ok_or_else(|| io::Error::other("no service is named"))?;
+        let (program, arguments) = self
+            .command
+            .split_first()
+            .ok_or_else(|| io::Error::other("no service is named"))?;
         let instance = &mut self.instances[i];
         let mut child = Command::new(program)
             .args(arguments)
             .args(["--log-format", "json", "--log", "info", "serve", "--config"])
             .arg(&instance.config)
-            .env("CANVASCART_FAILPOINTS", instance.config.with_file_name("failpoints"))
+            .env(
+                "CANVASCART_FAILPOINTS",
+                instance.config.with_file_name("failpoints"),
+            )
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let stderr = child.stderr.take().ok_or_else(|| io::Error::other("it has no log"))?;
+        let stderr = child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("it has no log"))?;
         instance.child = Some(child);
         let said: Arc<Mutex<Said>> = Arc::default();
         instance.said = said.clone();
@@ -176,7 +199,9 @@
                 }
             }
         });
-        self.wait("the instance's start", |f| f.said(i).links.is_some() && f.said(i).admin.is_some())?;
+        self.wait("the instance's start", |f| {
+            f.said(i).links.is_some() && f.said(i).admin.is_some()
+        })?;
         let at = self.said(i).links;
         for ((_, to), link) in &self.links {
             if let (true, Some(at)) = (*to == i, at) {
@@ -187,7 +212,11 @@
     }
 
     fn said(&self, i: usize) -> Said {
-        self.instances[i].said.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.instances[i]
+            .said
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// What an instance's log says last.
@@ -211,7 +240,10 @@
     }
 
     fn signal(&self, i: usize, signal: Signal) {
-        let id = self.instances[i].child.as_ref().and_then(|c| Pid::from_raw(c.id() as i32));
+        let id = self.instances[i]
+            .child
+            .as_ref()
+            .and_then(|c| Pid::from_raw(c.id() as i32));
         if let Some(id) = id {
             let _ = kill_process(id, signal); // it may have ended
         }
@@ -241,7 +273,9 @@
         std::fs::write(&aside, points)?;
         std::fs::rename(aside, &file)?;
         let taken = file.with_extension("taken");
-        self.wait("the failpoints", |_| std::fs::read_to_string(&taken).is_ok_and(|t| t == points))
+        self.wait("the failpoints", |_| {
+            std::fs::read_to_string(&taken).is_ok_and(|t| t == points)
+        })
     }
 
     /// Whether an instance's process is there.
@@ -265,7 +299,10 @@
 
     /// What all links from and to an instance do.
     pub fn isolate(&self, i: usize, mode: Mode) {
-        let own = self.links.iter().filter(|((from, to), _)| *from == i || *to == i);
+        let own = self
+            .links
+            .iter()
+            .filter(|((from, to), _)| *from == i || *to == i);
         own.for_each(|(_, link)| link.set(mode));
     }
 
@@ -287,9 +324,14 @@
         if let Some(token) = self.token.get() {
             return Ok(token.clone());
         }
-        let tokens = self.instances.iter().map(|i| std::fs::read_to_string(i.state.join("operator.token")));
-        let token =
-            tokens.into_iter().find(Result::is_ok).unwrap_or_else(|| Err(io::ErrorKind::NotFound.into()))?;
+        let tokens = self
+            .instances
+            .iter()
+            .map(|i| std::fs::read_to_string(i.state.join("operator.token")));
+        let token = tokens
+            .into_iter()
+            .find(Result::is_ok)
+            .unwrap_or_else(|| Err(io::ErrorKind::NotFound.into()))?;
         Ok(self.token.get_or_init(|| token).clone())
     }
 
@@ -298,13 +340,19 @@
     /// # Errors
     /// It has none.
     pub fn line(&self, i: usize) -> io::Result<Line> {
-        let at = self.admin(i).ok_or_else(|| io::Error::other("the instance does not run"))?;
+        let at = self
+            .admin(i)
+            .ok_or_else(|| io::Error::other("the instance does not run"))?;
         Ok(Line::admin(at, &self.token()?))
     }
 
     /// Whether an instance says that it takes requests.
     pub fn is_up(&self, i: usize) -> bool {
-        let up = |at| Line::new(at, "").call("GET", "/up", "", "").is_ok_and(|(status, _)| status == 200);
+        let up = |at| {
+            Line::new(at, "")
+                .call("GET", "/up", "", "")
+                .is_ok_and(|(status, _)| status == 200)
+        };
         self.public(i).is_some_and(up)
     }
 
@@ -313,7 +361,9 @@
     /// # Errors
     /// They do not in time.
     pub fn ready(&self) -> io::Result<()> {
-        self.wait("all instances take requests", |f| (0..f.count()).all(|i| !f.runs(i) || f.is_up(i)))
+        self.wait("all instances take requests", |f| {
+            (0..f.count()).all(|i| !f.runs(i) || f.is_up(i))
+        })
     }
 
     /// How the cluster looks from an instance.
--- a/crates/lab/src/service/kills.rs
+++ b/crates/lab/src/service/kills.rs
@@ -51,7 +51,11 @@
 /// # Errors
 /// A service can't be started.
 pub fn play(
-    command: &[String], kills: u64, seed: u64, dir: &Path, mut tick: impl FnMut(f64),
+    command: &[String],
+    kills: u64,
+    seed: u64,
+    dir: &Path,
+    mut tick: impl FnMut(f64),
 ) -> io::Result<Kills> {
     let place = Place::new(dir, "")?;
     let mut rng = stream(seed, Use::Faults);
@@ -62,7 +66,8 @@
         let began = Instant::now();
         let mut service = Service::start(command, &place.config, 1, true)?;
         if n > 0 {
-            told.restarts_ms.push(began.elapsed().as_secs_f64() * 1000.0);
+            told.restarts_ms
+                .push(began.elapsed().as_secs_f64() * 1000.0);
         }
         let mut line = service.line(&place)?;
         match look(&mut line, last, sent) {
@@ -75,7 +80,8 @@
                     last += 1;
                 }
                 if let Err(what) = look(&mut line, last, false) {
-                    told.broken.push(format!("kill {n}, after the repetition: {what}"));
+                    told.broken
+                        .push(format!("kill {n}, after the repetition: {what}"));
                 }
             }
             Err(what) => {
@@ -93,7 +99,10 @@
             let changing = threads.spawn(|| {
                 let mut at = last;
                 while !ending.load(Ordering::Relaxed) {
-                    if line.json("POST", "/v1/apply", &key(at + 1), &change(at + 1)).is_err() {
+                    if line
+                        .json("POST", "/v1/apply", &key(at + 1), &change(at + 1))
+                        .is_err()
+                    {
                         return (at, true);
                     }
                     at += 1;
@@ -113,14 +122,23 @@
 
 /// What number stands in a service: the same everywhere, and the last one that was acknowledged or the one after it.
 fn look(line: &mut Line, last: u64, sent: bool) -> Result<u64, String> {
-    let mut get = |target: &str| line.json("GET", target, "", &Value::Null).map_err(|e| e.to_string());
+    let mut get = |target: &str| {
+        line.json("GET", target, "", &Value::Null)
+            .map_err(|e| e.to_string())
+    };
     let tenants = get("/v1/tenants")?;
     if tenants["items"].as_array().is_some_and(Vec::is_empty) {
-        return if last == 0 { Ok(0) } else { Err(format!("nothing is there after change {last}")) };
+        return if last == 0 {
+            Ok(0)
+        } else {
+            Err(format!("nothing is there after change {last}"))
+        };
     }
     let mut number = |tenant: &str| -> Result<u64, String> {
         let limits = get(&format!("/v1/tenants/{tenant}/limits"))?;
-        limits["in-flight"].as_u64().ok_or_else(|| format!("{limits} has no number"))
+        limits["in-flight"]
+            .as_u64()
+            .ok_or_else(|| format!("{limits} has no number"))
     };
     let (a, b) = (number("a")?, number("b")?);
     if a != b {
@@ -133,7 +151,9 @@
     let versions = get("/v1/versions?limit=1")?;
     let version = versions["items"][0]["number"].as_u64().unwrap_or(0);
     if version != a {
-        return Err(format!("version {version} holds change {a}: one was made twice, or is lost"));
+        return Err(format!(
+            "version {version} holds change {a}: one was made twice, or is lost"
+        ));
     }
     Ok(a)
 }
--- a/crates/lab/src/service/mod.rs
+++ b/crates/lab/src/service/mod.rs
@@ -26,7 +26,10 @@
 pub(crate) fn quantile(values: &[f64], q: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    sorted.get((q * (sorted.len().max(1) - 1) as f64).round() as usize).copied().unwrap_or(f64::NAN)
+    sorted
+        .get((q * (sorted.len().max(1) - 1) as f64).round() as usize)
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// A service that is killed when it is no longer needed.
@@ -51,7 +54,10 @@
     /// # Errors
     /// It does not come up; what it said last.
     pub fn start(
-        command: &[String], config: &Path, listeners: usize, administered: bool,
+        command: &[String],
+        config: &Path,
+        listeners: usize,
+        administered: bool,
     ) -> io::Result<Self> {
         Service::start_seen(command, config, listeners, administered, |_| ())
     }
@@ -61,10 +67,15 @@
     /// # Errors
     /// As [`Service::start`].
     pub fn start_seen(
-        command: &[String], config: &Path, listeners: usize, administered: bool, seen: impl FnOnce(u32),
+        command: &[String],
+        config: &Path,
+        listeners: usize,
+        administered: bool,
+        seen: impl FnOnce(u32),
     ) -> io::Result<Self> {
-        let (program, arguments) =
-            command.split_first().ok_or_else(|| io::Error::other("no service is named"))?;
+        let (program, arguments) = command
+            .split_first()
+            .ok_or_else(|| io::Error::other("no service is named"))?;
         let mut child = Command::new(program)
             .args(arguments)
             .args(["--log-format", "json", "--log", "info", "serve", "--config"])
@@ -74,17 +85,30 @@
             .stderr(Stdio::piped())
             .spawn()?;
         seen(child.id());
-        let stderr = child.stderr.take().ok_or_else(|| io::Error::other("it has no log"))?;
-        let mut service = Service { child, listeners: BTreeMap::new(), admin: None };
+        let stderr = child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("it has no log"))?;
+        let mut service = Service {
+            child,
+            listeners: BTreeMap::new(),
+            admin: None,
+        };
         let mut lines = BufReader::new(stderr).lines();
         let mut said = String::new();
         while service.listeners.len() < listeners || administered && service.admin.is_none() {
             let Some(line) = lines.next().transpose()? else {
-                return Err(io::Error::other(format!("the service did not come up: {said}")));
+                return Err(io::Error::other(format!(
+                    "the service did not come up: {said}"
+                )));
             };
             let value: Value = serde_json::from_str(&line).unwrap_or_default();
             let address = value["address"].as_str().and_then(|a| a.parse().ok());
-            match (value["message"].as_str(), value["listener"].as_str(), address) {
+            match (
+                value["message"].as_str(),
+                value["listener"].as_str(),
+                address,
+            ) {
                 (Some("listens"), Some(name), Some(address)) => {
                     service.listeners.insert(name.to_owned(), address);
                 }
@@ -110,7 +134,9 @@
     /// # Errors
     /// It has none, or no token is there.
     pub fn line(&self, place: &Place) -> io::Result<Line> {
-        let at = self.admin.ok_or_else(|| io::Error::other("the service has no administration API"))?;
+        let at = self
+            .admin
+            .ok_or_else(|| io::Error::other("the service has no administration API"))?;
         Ok(Line::admin(at, &place.token()?))
     }
 
@@ -142,14 +168,21 @@
 impl Line {
     /// A connection to an address, made when it is needed.
     pub fn new(to: SocketAddr, headers: &str) -> Self {
-        Line { to, stream: None, headers: headers.to_owned() }
+        Line {
+            to,
+            stream: None,
+            headers: headers.to_owned(),
+        }
     }
 
     /// A connection to an administration API with a token.
     pub fn admin(to: SocketAddr, token: &str) -> Self {
         Line::new(
             to,
-            &format!("Authorization: Bearer {}\r\nContent-Type: application/json\r\n", token.trim()),
+            &format!(
+                "Authorization: Bearer {}\r\nContent-Type: application/json\r\n",
+                token.trim()
+            ),
         )
     }
 
@@ -157,7 +190,13 @@
     ///
     /// # Errors
     /// The connection breaks; the request may have had its effect.
-    pub fn call(&mut self, method: &str, target: &str, more: &str, body: &str) -> io::Result<(u16, Vec<u8>)> {
+    pub fn call(
+        &mut self,
+        method: &str,
+        target: &str,
+        more: &str,
+        body: &str,
+    ) -> io::Result<(u16, Vec<u8>)> {
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => {
@@ -167,7 +206,10 @@
                 BufReader::new(stream)
             }
         };
-        let mut text = format!("{method} {target} HTTP/1.1\r\nHost: lab\r\n{}{more}", self.headers);
+        let mut text = format!(
+            "{method} {target} HTTP/1.1\r\nHost: lab\r\n{}{more}",
+            self.headers
+        );
         let _ = write!(text, "Content-Length: {}\r\n\r\n{body}", body.len()); // a string takes all
         stream.get_mut().write_all(text.as_bytes())?;
         let (mut status, mut length, mut closes) = (0, 0, false);
@@ -181,7 +223,13 @@
                 _ if line.is_empty() => break,
                 Some(("content-length", n)) => length = n.parse().map_err(io::Error::other)?,
                 Some(("connection", "close")) => closes = true,
-                None => status = line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0),
+                None => {
+                    status = line
+                        .split(' ')
+                        .nth(1)
+                        .and_then(|s| s.parse().ok())
+                        .unwrap_or(0)
+                }
                 _ => {}
             }
         }
@@ -197,14 +245,26 @@
     ///
     /// # Errors
     /// As [`Line::call`], and what the API says.
-    pub fn json(&mut self, method: &str, target: &str, more: &str, body: &Value) -> io::Result<Value> {
-        let text = if body.is_null() { String::new() } else { body.to_string() };
+    pub fn json(
+        &mut self,
+        method: &str,
+        target: &str,
+        more: &str,
+        body: &Value,
+    ) -> io::Result<Value> {
+        let text = if body.is_null() {
+            String::new()
+        } else {
+            body.to_string()
+        };
         let (status, body) = self.call(method, target, more, &text)?;
         let value: Value = serde_json::from_slice(&body)?;
         if (200..300).contains(&status) {
             Ok(value)
         } else {
-            Err(io::Error::other(format!("{method} {target}: {status}: {value}")))
+            Err(io::Error::other(format!(
+                "{method} {target}: {status}: {value}"
+            )))
         }
     }
 }
@@ -223,7 +283,10 @@
     /// # Errors
     /// What the system says.
     pub fn new(dir: &Path, tables: &str) -> io::Result<Self> {
-        let place = Place { config: dir.join("serve.toml"), state: dir.join("state") };
+        let place = Place {
+            config: dir.join("serve.toml"),
+            state: dir.join("state"),
+        };
         match std::fs::remove_dir_all(dir) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => std::fs::create_dir_all(dir)?,
--- a/crates/lab/src/service/pace.rs
+++ b/crates/lab/src/service/pace.rs
@@ -70,7 +70,9 @@
     }
 
     fn of(what: String, fare: &'static str, times: &[f64]) -> Self {
-        let (first, rest) = times.split_first().map_or((f64::NAN, &[][..]), |(f, r)| (*f, r));
+        let (first, rest) = times
+            .split_first()
+            .map_or((f64::NAN, &[][..]), |(f, r)| (*f, r));
         Row {
             what,
             fare,
@@ -89,7 +91,10 @@
     if status == 200 {
         return Ok(began.elapsed().as_secs_f64() * 1000.0);
     }
-    Err(io::Error::other(format!("change {n}: {status}: {}", String::from_utf8_lossy(&said))))
+    Err(io::Error::other(format!(
+        "change {n}: {status}: {}",
+        String::from_utf8_lossy(&said)
+    )))
 }
 
 /// One process without others.
@@ -101,8 +106,14 @@
     let place = Place::new(dir, &tables(server))?;
     let service = Service::start(command, &place.config, 1, true)?;
     let mut line = service.line(&place)?;
-    let times = (1..=changes).map(|n| timed(&mut line, server, n)).collect::<io::Result<Vec<f64>>>()?;
-    Ok(Row::of("one process, without [cluster]".into(), "up", &times))
+    let times = (1..=changes)
+        .map(|n| timed(&mut line, server, n))
+        .collect::<io::Result<Vec<f64>>>()?;
+    Ok(Row::of(
+        "one process, without [cluster]".into(),
+        "up",
+        &times,
+    ))
 }
 
 /// Messages and bytes that an instance has sent.
@@ -121,40 +132,72 @@
     let server = server(&ledger)?;
     let mut fleet = begin(play, server)?;
     let idle = if fare == Fare::Up {
-        let before = (0..fleet.count()).map(|i| sent(&fleet, i)).collect::<io::Result<Vec<_>>>()?;
+        let before = (0..fleet.count())
+            .map(|i| sent(&fleet, i))
+            .collect::<io::Result<Vec<_>>>()?;
         thread::sleep(IDLE);
-        let after = (0..fleet.count()).map(|i| sent(&fleet, i)).collect::<io::Result<Vec<_>>>()?;
+        let after = (0..fleet.count())
+            .map(|i| sent(&fleet, i))
+            .collect::<io::Result<Vec<_>>>()?;
         let count = fleet.count() as f64 * IDLE.as_secs_f64();
-        let sum = |n: usize| after.iter().zip(&before).map(|(a, b)| a[n] - b[n]).sum::<f64>() / count;
+        let sum = |n: usize| {
+            after
+                .iter()
+                .zip(&before)
+                .map(|(a, b)| a[n] - b[n])
+                .sum::<f64>()
+                / count
+        };
         Some([sum(0), sum(1)])
     } else {
         None
     };
-    let leader = fleet.leader().ok_or_else(|| io::Error::other("nobody leads"))?;
+    let leader = fleet
+        .leader()
+        .ok_or_else(|| io::Error::other("nobody leads"))?;
     let others: Vec<usize> = (0..fleet.count()).filter(|i| *i != leader).collect();
     match fare {
         Fare::Up => {}
-        Fare::ThirdDown => others[..fleet.count() / 3].iter().for_each(|i| fleet.kill(*i)),
+        Fare::ThirdDown => others[..fleet.count() / 3]
+            .iter()
+            .for_each(|i| fleet.kill(*i)),
         Fare::OneStill => fleet.pause(others[0], true),
     }
     let still = (fare == Fare::OneStill).then_some(others[0]);
-    let running: Vec<usize> = (0..fleet.count()).filter(|i| fleet.runs(*i) && Some(*i) != still).collect();
+    let running: Vec<usize> = (0..fleet.count())
+        .filter(|i| fleet.runs(*i) && Some(*i) != still)
+        .collect();
     let mut line = fleet.line(leader)?;
     let fleet = Mutex::new(fleet);
     let end = AtomicBool::new(false);
     let (times, seen) = thread::scope(|threads| {
         let (fleet, ledger, end) = (&fleet, &ledger, &end);
-        let clients: Vec<_> =
-            running.iter().map(|i| threads.spawn(move || client(fleet, *i, ledger, end))).collect();
-        let times = (1..=play.changes).map(|n| timed(&mut line, server, n)).collect::<io::Result<Vec<f64>>>();
+        let clients: Vec<_> = running
+            .iter()
+            .map(|i| threads.spawn(move || client(fleet, *i, ledger, end)))
+            .collect();
+        let times = (1..=play.changes)
+            .map(|n| timed(&mut line, server, n))
+            .collect::<io::Result<Vec<f64>>>();
         end.store(true, Ordering::Relaxed);
         let seen: Vec<Seen> = clients.into_iter().filter_map(|c| c.join().ok()).collect();
         (times, seen)
     });
-    let mut row = Row::of(format!("{} processes", play.instances), fare.name(), &times?);
-    row.requests = [seen.iter().map(|s| s.served).sum(), seen.iter().map(|s| s.refused + s.unanswered).sum()];
+    let mut row = Row::of(
+        format!("{} processes", play.instances),
+        fare.name(),
+        &times?,
+    );
+    row.requests = [
+        seen.iter().map(|s| s.served).sum(),
+        seen.iter().map(|s| s.refused + s.unanswered).sum(),
+    ];
     row.idle = idle;
-    row.broken = judge(&ledger.sorted()).iter().take(4).map(|b| format!("{b:?}")).collect();
+    row.broken = judge(&ledger.sorted())
+        .iter()
+        .take(4)
+        .map(|b| format!("{b:?}"))
+        .collect();
     Ok(row)
 }
 
@@ -163,7 +206,11 @@
 /// # Errors
 /// A change does not end.
 pub fn in_virtual_time(
-    instances: usize, fare: Fare, changes: u64, rules: &Rules, seed: u64,
+    instances: usize,
+    fare: Fare,
+    changes: u64,
+    rules: &Rules,
+    seed: u64,
 ) -> Result<Row, String> {
     let second = 1_000_000;
     let mut sim = Sim::new(instances, 3, rules, World::default(), seed);
@@ -176,13 +223,20 @@
     let before = sim.sent;
     sim.run(10 * second);
     let each = 10.0 * instances as f64;
-    let idle = [(sim.sent.0 - before.0) as f64 / each, (sim.sent.1 - before.1) as f64 / each];
+    let idle = [
+        (sim.sent.0 - before.0) as f64 / each,
+        (sim.sent.1 - before.1) as f64 / each,
+    ];
     let leader = sim.leader().ok_or("nobody leads")?;
     let others: Vec<usize> = (0..instances).filter(|i| *i != leader).collect();
     match fare {
         Fare::Up => {}
         // The last that joined: those who vote were the first, and without most of them nothing changes.
-        Fare::ThirdDown => others.iter().rev().take(instances / 3).for_each(|i| sim.kill(*i)),
+        Fare::ThirdDown => others
+            .iter()
+            .rev()
+            .take(instances / 3)
+            .for_each(|i| sim.kill(*i)),
         Fare::OneStill => sim.pause(others[0], true),
     }
     let mut times = Vec::new();
@@ -192,8 +246,14 @@
         while sim.change(&id).is_err() && sim.now < end {
             sim.run(10_000);
         }
-        sim.until(end, |s| s.played.get(&id).is_some_and(|p| p.ended.is_some()));
-        match sim.played.get(&id).and_then(|p| Some((p.asked, p.ended.clone()?))) {
+        sim.until(end, |s| {
+            s.played.get(&id).is_some_and(|p| p.ended.is_some())
+        });
+        match sim
+            .played
+            .get(&id)
+            .and_then(|p| Some((p.asked, p.ended.clone()?)))
+        {
             Some((asked, (at, Outcome::InEffect(_)))) => times.push((at - asked) as f64 / 1000.0),
             other => return Err(format!("{id}: {other:?}")),
         }
