--- a/crates/lab/src/service/recover.rs
+++ b/crates/lab/src/service/recover.rs
@@ -61,7 +61,10 @@
     }
 
     fn note(&self, server: usize, came: u64, in_hand: u64) {
-        let mut windows = self.servers[server].windows.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut windows = self.servers[server]
+            .windows
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let window = windows.entry(self.ms() / WINDOW).or_default();
         window.0 += came;
         window.1 = window.1.max(in_hand);
@@ -80,12 +83,20 @@
                 let _ = stream.set_nodelay(true); // slower without, no worse
                 let mut stream = BufReader::new(stream);
                 while let Ok((_, stamp)) = read(&mut stream) {
-                    let in_hand = watch.servers[number].in_hand.fetch_add(1, Ordering::Relaxed) + 1;
+                    let in_hand = watch.servers[number]
+                        .in_hand
+                        .fetch_add(1, Ordering::Relaxed)
+                        + 1;
                     watch.note(number, 0, in_hand);
                     stamp.into_iter().for_each(|s| watch.ledger.put(&s, None));
                     thread::sleep(WORK);
-                    watch.servers[number].in_hand.fetch_sub(1, Ordering::Relaxed);
-                    if stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err()
+                    watch.servers[number]
+                        .in_hand
+                        .fetch_sub(1, Ordering::Relaxed);
+                    if stream
+                        .get_mut()
+                        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                        .is_err()
                     {
                         return;
                     }
@@ -104,22 +115,35 @@
         thread::sleep(PACE);
         let ask = |line: &mut Option<BufReader<TcpStream>>| -> io::Result<(u16, Option<String>)> {
             if line.is_none() {
-                let public = fleet.lock().unwrap_or_else(PoisonError::into_inner).public(at);
+                let public = fleet
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .public(at);
                 let to = public.ok_or(io::ErrorKind::NotConnected)?;
                 let stream = TcpStream::connect_timeout(&to, PATIENCE)?;
                 stream.set_read_timeout(Some(PATIENCE))?;
                 stream.set_nodelay(true)?;
                 *line = Some(BufReader::new(stream));
             }
-            let Some(stream) = line else { return Err(io::ErrorKind::NotConnected.into()) };
-            stream.get_mut().write_all(b"GET /lookup/1 HTTP/1.1\r\nHost: lab\r\nX-Tenant-Id: a\r\n\r\n")?;
+            let Some(stream) = line else {
+                return Err(io::ErrorKind::NotConnected.into());
+            };
+            stream
+                .get_mut()
+                .write_all(b"GET /lookup/1 HTTP/1.1\r\nHost: lab\r\nX-Tenant-Id: a\r\n\r\n")?;
             read(stream)
         };
         let moves = match ask(&mut line) {
             Ok((200, stamp)) => {
-                stamp.into_iter().for_each(|s| watch.ledger.put(&s, Some(at)));
+                stamp
+                    .into_iter()
+                    .for_each(|s| watch.ledger.put(&s, Some(at)));
                 let served = (watch.ms(), at);
-                watch.served.lock().unwrap_or_else(PoisonError::into_inner).push(served);
+                watch
+                    .served
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push(served);
                 false
             }
             Ok(_) => {
@@ -195,10 +219,15 @@
     );
     for n in 0..SERVERS {
         let address = serve(&watch, n)?;
-        tenants +=
-            &format!("[[tenant.server]]\nname = \"s{n}\"\naddress = \"{address}\"\nsize = 16\nwarm = true\n");
+        tenants += &format!(
+            "[[tenant.server]]\nname = \"s{n}\"\naddress = \"{address}\"\nsize = 16\nwarm = true\n"
+        );
     }
-    let terms = Terms { cluster: "lease = \"3 s\"\ndeadline = \"10 s\"".into(), tenants, zones: 3 };
+    let terms = Terms {
+        cluster: "lease = \"3 s\"\ndeadline = \"10 s\"".into(),
+        tenants,
+        zones: 3,
+    };
     let mut fleet = Fleet::new(play.command, play.instances, &terms, play.dir)?;
     (0..play.instances).try_for_each(|i| fleet.start(i))?;
     fleet.ready()?;
@@ -225,7 +254,11 @@
 type Phases = BTreeMap<String, (u64, u64)>;
 
 /// Kills and starts; returns when, whom, and how long the phases of their starts took.
-fn drive(play: &Play, fleet: &Mutex<Fleet>, watch: &Watch) -> io::Result<(u64, Vec<usize>, Phases)> {
+fn drive(
+    play: &Play,
+    fleet: &Mutex<Fleet>,
+    watch: &Watch,
+) -> io::Result<(u64, Vec<usize>, Phases)> {
     let lock = || fleet.lock().unwrap_or_else(PoisonError::into_inner);
     thread::sleep(BEFORE);
     let mut all: Vec<usize> = (0..play.instances).collect();
@@ -257,7 +290,10 @@
         let mut line = lock().line(*i)?;
         let told = line.json("GET", "/v1/cluster/recovery", "", &Value::Null)?;
         for phase in told["start"]["took"].as_array().into_iter().flatten() {
-            let (name, ms) = (phase["phase"].as_str().unwrap_or_default(), phase["ms"].as_u64().unwrap_or(0));
+            let (name, ms) = (
+                phase["phase"].as_str().unwrap_or_default(),
+                phase["ms"].as_u64().unwrap_or(0),
+            );
             took.entry(name.to_owned()).or_default().push(ms);
         }
     }
@@ -265,7 +301,13 @@
         ms.sort_unstable();
         (ms[ms.len() / 2], ms[ms.len() - 1])
     };
-    Ok((killed_at, all, took.into_iter().map(|(name, ms)| (name, middle(ms))).collect()))
+    Ok((
+        killed_at,
+        all,
+        took.into_iter()
+            .map(|(name, ms)| (name, middle(ms)))
+            .collect(),
+    ))
 }
 
 fn count(watch: &Watch, killed_at: u64, killed: &[usize]) -> Recovered {
@@ -273,26 +315,51 @@
     let from = killed_at.saturating_sub(BEFORE.as_millis() as u64 - 1000);
     let last = served.iter().map(|(ms, _)| *ms).max().unwrap_or(killed_at);
     let span = (killed_at - from) as f64 / 1000.0;
-    let before: Vec<&(u64, usize)> = served.iter().filter(|(ms, _)| (from..killed_at).contains(ms)).collect();
+    let before: Vec<&(u64, usize)> = served
+        .iter()
+        .filter(|(ms, _)| (from..killed_at).contains(ms))
+        .collect();
     let rate = before.len() as f64 / span;
     // The last window of 1 s, moved on by 100 ms, in which less than nearly all of it was served.
     let mut by_window: BTreeMap<u64, u64> = BTreeMap::new();
-    served.iter().for_each(|(ms, _)| *by_window.entry(ms / WINDOW).or_default() += 1);
+    served
+        .iter()
+        .for_each(|(ms, _)| *by_window.entry(ms / WINDOW).or_default() += 1);
     let sum = |w: u64| (w..w + 10).filter_map(|w| by_window.get(&w)).sum::<u64>() as f64;
     let windows = killed_at / WINDOW..(last / WINDOW).saturating_sub(10);
     // What the load itself swings by is no loss: held against the least of the windows before.
-    let least = (from / WINDOW..(killed_at / WINDOW).saturating_sub(10)).map(sum).fold(rate, f64::min);
-    let full = windows.clone().rev().find(|w| sum(*w) < FULL * least).map_or(windows.start, |w| w + 1);
-    let full_s = (full < windows.end).then(|| (full * WINDOW).saturating_sub(killed_at) as f64 / 1000.0);
-    let until = full_s.map_or(last, |s| killed_at + (s * 1000.0) as u64).max(killed_at + 100);
+    let least = (from / WINDOW..(killed_at / WINDOW).saturating_sub(10))
+        .map(sum)
+        .fold(rate, f64::min);
+    let full = windows
+        .clone()
+        .rev()
+        .find(|w| sum(*w) < FULL * least)
+        .map_or(windows.start, |w| w + 1);
+    let full_s =
+        (full < windows.end).then(|| (full * WINDOW).saturating_sub(killed_at) as f64 / 1000.0);
+    let until = full_s
+        .map_or(last, |s| killed_at + (s * 1000.0) as u64)
+        .max(killed_at + 100);
     let survives = |i: &usize| !killed.contains(i);
     let own = before.iter().filter(|(_, i)| survives(i)).count() as f64 / span;
-    let during = served.iter().filter(|(ms, i)| (killed_at..until).contains(ms) && survives(i)).count();
+    let during = served
+        .iter()
+        .filter(|(ms, i)| (killed_at..until).contains(ms) && survives(i))
+        .count();
     let during = during as f64 / ((until - killed_at) as f64 / 1000.0);
     let (mut connections, mut in_hand) = ((0.0, 0.0), (0, 0));
     for server in &watch.servers {
-        let windows = server.windows.lock().unwrap_or_else(PoisonError::into_inner);
-        let second = |w: u64| (w..w + 10).filter_map(|w| windows.get(&w)).map(|w| w.0).sum::<u64>() as f64;
+        let windows = server
+            .windows
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let second = |w: u64| {
+            (w..w + 10)
+                .filter_map(|w| windows.get(&w))
+                .map(|w| w.0)
+                .sum::<u64>() as f64
+        };
         for (w, (_, most)) in windows.iter().filter(|(w, _)| **w >= from / WINDOW) {
             if *w < killed_at / WINDOW {
                 connections.0 = f64::max(connections.0, second(w.saturating_sub(9)));
--- a/crates/lab/src/service/tenants.rs
+++ b/crates/lab/src/service/tenants.rs
@@ -49,8 +49,7 @@
 }
 
 pub(crate) fn document(n: usize, servers: &[SocketAddr]) -> Value {
-    let server =
-        |(i, a): (usize, &SocketAddr)| json!({ "name": format!("s{i}"), "address": a, "size": 16.0 });
+    let server = |(i, a): (usize, &SocketAddr)| json!({ "name": format!("s{i}"), "address": a, "size": 16.0 });
     json!({
         "name": format!("t{n:05}"),
         "hosts": [format!("t{n:05}.example")],
@@ -68,13 +67,20 @@
 /// # Errors
 /// The service can't be had, or turns a change down.
 pub fn measure(
-    command: &[String], tenants: usize, idle: Duration, changes: u64, dir: &Path,
+    command: &[String],
+    tenants: usize,
+    idle: Duration,
+    changes: u64,
+    dir: &Path,
 ) -> io::Result<Measured> {
     let fleet = Fleet::start()?;
     let place = Place::new(dir, "")?;
     let mut service = Service::start(command, &place.config, 1, true)?;
     let mut admin = service.line(&place)?;
-    let mut measured = Measured { tenants, ..Measured::default() };
+    let mut measured = Measured {
+        tenants,
+        ..Measured::default()
+    };
     let all: Vec<Value> = (0..tenants).map(|n| document(n, &fleet.quiet)).collect();
     let began = Instant::now();
     admin.json("POST", "/v1/apply", "", &json!({ "tenant": all }))?;
@@ -90,8 +96,11 @@
     service.kill();
     let began = Instant::now();
     service = Service::start(command, &place.config, 1, true)?;
-    let at =
-        service.listeners.get("public").copied().ok_or_else(|| io::Error::other("it has no listener"))?;
+    let at = service
+        .listeners
+        .get("public")
+        .copied()
+        .ok_or_else(|| io::Error::other("it has no listener"))?;
     let one = "X-Tenant-Id: t00000\r\n";
     let (status, _) = Line::new(at, one).call("GET", "/lookup/1", "", "")?;
     measured.restart_ms = ms(began);
@@ -100,7 +109,13 @@
     }
     measured.resident_mb[1] = resident_mb(service.id()).unwrap_or(0.0);
     let mut admin = service.line(&place)?;
-    under_load(&mut admin, at, changes, Duration::from_secs(3), &mut measured)?;
+    under_load(
+        &mut admin,
+        at,
+        changes,
+        Duration::from_secs(3),
+        &mut measured,
+    )?;
     measured.admission_ns = admission(tenants);
     Ok(measured)
 }
@@ -142,7 +157,9 @@
         let all: Vec<_> = (0..LINES).map(|n| threads.spawn(move || one(n))).collect();
         let (mut seen, mut lost) = (histogram()?, 0);
         for one in all {
-            let (more, less) = one.join().map_err(|_| io::Error::other("a client panicked"))??;
+            let (more, less) = one
+                .join()
+                .map_err(|_| io::Error::other("a client panicked"))??;
             seen.add(more).map_err(io::Error::other)?;
             lost += less;
         }
@@ -152,14 +169,20 @@
 
 /// Lookups alone for a while, and beside changes.
 pub(crate) fn under_load(
-    admin: &mut Line, at: SocketAddr, changes: u64, alone: Duration, measured: &mut Measured,
+    admin: &mut Line,
+    at: SocketAddr,
+    changes: u64,
+    alone: Duration,
+    measured: &mut Measured,
 ) -> io::Result<()> {
     let stop = AtomicBool::new(false);
     let alone = thread::scope(|threads| {
         let lookups = threads.spawn(|| lookups(at, &stop));
         thread::sleep(alone);
         stop.store(true, Ordering::Relaxed);
-        lookups.join().map_err(|_| io::Error::other("a client panicked"))?
+        lookups
+            .join()
+            .map_err(|_| io::Error::other("a client panicked"))?
     })?;
     stop.store(false, Ordering::Relaxed);
     let (mut effects, mut answers) = (histogram()?, histogram()?);
@@ -173,7 +196,9 @@
             Ok::<_, io::Error>(())
         });
         stop.store(true, Ordering::Relaxed);
-        let beside = lookups.join().map_err(|_| io::Error::other("a client panicked"))?;
+        let beside = lookups
+            .join()
+            .map_err(|_| io::Error::other("a client panicked"))?;
         changed.and(beside)
     })?;
     measured.effect_ms = quantiles(&effects);
@@ -206,13 +231,25 @@
             }
         });
         let answered = admin
-            .json("PUT", &format!("/v1/tenants/t00000/classes/{class}"), "", &body)
+            .json(
+                "PUT",
+                &format!("/v1/tenants/t00000/classes/{class}"),
+                "",
+                &body,
+            )
             .map(|_| began.elapsed());
-        let seen = sees.join().map_err(|_| io::Error::other("a client panicked"));
+        let seen = sees
+            .join()
+            .map_err(|_| io::Error::other("a client panicked"));
         let answered = answered?; // first, as nothing is seen of what failed
         Ok::<_, io::Error>((seen??, answered))
     })?;
-    admin.json("DELETE", &format!("/v1/tenants/t00000/classes/{class}"), "", &Value::Null)?;
+    admin.json(
+        "DELETE",
+        &format!("/v1/tenants/t00000/classes/{class}"),
+        "",
+        &Value::Null,
+    )?;
     Ok((seen, answered))
 }
 
@@ -247,15 +284,33 @@
     let rows: [(&str, Of); 11] = [
         ("tenants", |m| m.tenants.to_string()),
         ("all made at once, ms", |m| format!("{:.0}", m.made_ms)),
-        ("memory, made / restarted, MiB", |m| format!("{:.1} / {:.1}", m.resident_mb[0], m.resident_mb[1])),
-        ("idle CPU, % of a core", |m| format!("{:.2}", 100.0 * m.idle_cpu)),
-        ("restart to first answer, ms", |m| format!("{:.0}", m.restart_ms)),
-        ("change to effect p50 / p99, ms", |m| format!("{:.1} / {:.1}", m.effect_ms[0], m.effect_ms[1])),
-        ("change to answer p50 / p99, ms", |m| format!("{:.1} / {:.1}", m.answer_ms[0], m.answer_ms[1])),
-        ("lookups' p99 alone, ms", |m| format!("{:.1}", m.lookup_p99_ms[0])),
-        ("lookups' p99 beside changes, ms", |m| format!("{:.1}", m.lookup_p99_ms[1])),
-        ("lookups not served", |m| format!("{} of {}", m.lost[0], m.lost[1])),
-        ("admission and end, ns", |m| format!("{:.0}", m.admission_ns)),
+        ("memory, made / restarted, MiB", |m| {
+            format!("{:.1} / {:.1}", m.resident_mb[0], m.resident_mb[1])
+        }),
+        ("idle CPU, % of a core", |m| {
+            format!("{:.2}", 100.0 * m.idle_cpu)
+        }),
+        ("restart to first answer, ms", |m| {
+            format!("{:.0}", m.restart_ms)
+        }),
+        ("change to effect p50 / p99, ms", |m| {
+            format!("{:.1} / {:.1}", m.effect_ms[0], m.effect_ms[1])
+        }),
+        ("change to answer p50 / p99, ms", |m| {
+            format!("{:.1} / {:.1}", m.answer_ms[0], m.answer_ms[1])
+        }),
+        ("lookups' p99 alone, ms", |m| {
+            format!("{:.1}", m.lookup_p99_ms[0])
+        }),
+        ("lookups' p99 beside changes, ms", |m| {
+            format!("{:.1}", m.lookup_p99_ms[1])
+        }),
+        ("lookups not served", |m| {
+            format!("{} of {}", m.lost[0], m.lost[1])
+        }),
+        ("admission and end, ns", |m| {
+            format!("{:.0}", m.admission_ns)
+        }),
     ];
     let mut text = String::new();
     for (name, of) in rows {
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -12,7 +12,13 @@
         proxies: s.proxies.count as u32,
         zone: Some(ZoneId((proxy % s.fleet.zones.len()) as u32)),
         classes: s.classes.iter().map(class).collect(),
-        tenants: s.tenants.iter().map(|t| Tenant { allowance_per_s: t.share.0 * capacity_per_s }).collect(),
+        tenants: s
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                allowance_per_s: t.share.0 * capacity_per_s,
+            })
+            .collect(),
         over_share_worth: 0.2,
         worth_by_work: false,
         discovery: Discovery::Pushed,
--- a/crates/lab/src/shares/mod.rs
+++ b/crates/lab/src/shares/mod.rs
@@ -83,12 +83,22 @@
     let ways: [(&'static str, MakeGate); 5] = [
         (NO_SHARES, |_, _, _| Box::new(Open)),
         ("turns alone", |_, _, _| Box::new(Open)),
-        ("token buckets, borrowing", |w, rate, burst| Box::new(Buckets::new(w, rate, burst))),
-        ("deficit rounds", |w, rate, burst| Box::new(Rounds::new(w, rate, burst))),
-        ("virtual time", |w, rate, burst| Box::new(Virtual::new(w, rate, burst))),
+        ("token buckets, borrowing", |w, rate, burst| {
+            Box::new(Buckets::new(w, rate, burst))
+        }),
+        ("deficit rounds", |w, rate, burst| {
+            Box::new(Rounds::new(w, rate, burst))
+        }),
+        ("virtual time", |w, rate, burst| {
+            Box::new(Virtual::new(w, rate, burst))
+        }),
     ];
     ways.iter()
-        .map(|(way, make)| row(way, seeds, |seed| time_figures(*make, *way != NO_SHARES, seed)))
+        .map(|(way, make)| {
+            row(way, seeds, |seed| {
+                time_figures(*make, *way != NO_SHARES, seed)
+            })
+        })
         .collect()
 }
 
@@ -101,11 +111,15 @@
         ("moving threshold", |w, all| Box::new(Moving::new(w, all))),
         ("claims", |w, all| {
             let mut stock = Stock::new(all, 1.0 / 16.0);
-            w.iter().enumerate().for_each(|(i, w)| stock.set(Tenant(i), *w, u64::MAX));
+            w.iter()
+                .enumerate()
+                .for_each(|(i, w)| stock.set(Tenant(i), *w, u64::MAX));
             Box::new(stock)
         }),
     ];
-    ways.iter().map(|(way, make)| row(way, seeds, |seed| stock_figures(*make, seed))).collect()
+    ways.iter()
+        .map(|(way, make)| row(way, seeds, |seed| stock_figures(*make, seed)))
+        .collect()
 }
 
 impl Holding for Stock {
@@ -127,7 +141,10 @@
         let [sum, least, most] = column.fold([first; 3], fold);
         [sum / all.len() as f64, least, most]
     };
-    Row { way, figures: (0..all[0].len()).map(of).collect() }
+    Row {
+        way,
+        figures: (0..all[0].len()).map(of).collect(),
+    }
 }
 
 /// The load of one tenant: arrivals by chance at a rate in work per ms, or so many at once now and then.
@@ -160,13 +177,22 @@
 /// neither let in nor turned away stay unread. With `turns`, a tenant's connections are read one at a time, the next when
 /// the one before is done; otherwise each as its input comes.
 fn play_loop(
-    make: MakeGate, turns: bool, weights: &[f64], loads: &[Load], rng: &mut ChaCha8Rng,
+    make: MakeGate,
+    turns: bool,
+    weights: &[f64],
+    loads: &[Load],
+    rng: &mut ChaCha8Rng,
 ) -> Vec<Fate> {
     let mut inside = make(weights, RATE, BURST);
     let mut outside = make(weights, TURNING_RATE, TURNING_BURST);
     let mut read_since: Vec<Option<f64>> = vec![None; loads.len()];
-    let mut fates =
-        vec![Fate { work: vec![0.0; (LENGTH / 1000.0) as usize + 1], ..Fate::default() }; loads.len()];
+    let mut fates = vec![
+        Fate {
+            work: vec![0.0; (LENGTH / 1000.0) as usize + 1],
+            ..Fate::default()
+        };
+        loads.len()
+    ];
     let mut arrivals: Vec<VecDeque<f64>> = loads.iter().map(|l| arrivals(*l, rng)).collect();
     let mut waiting: Vec<VecDeque<f64>> = vec![VecDeque::new(); loads.len()];
     let mut now = 0.0;
@@ -195,16 +221,27 @@
         }
         let Some((_, tenant)) = next else {
             // Nothing to read now: until something comes, or for a moment if some connections are not read.
-            let coming = arrivals.iter().filter_map(|a| a.front().copied()).fold(LENGTH, f64::min);
+            let coming = arrivals
+                .iter()
+                .filter_map(|a| a.front().copied())
+                .fold(LENGTH, f64::min);
             let unread = waiting.iter().any(|q| !q.is_empty());
-            now = if unread { coming.min(now + 0.02) } else { coming };
+            now = if unread {
+                coming.min(now + 0.02)
+            } else {
+                coming
+            };
             continue;
         };
         let came = waiting[tenant].pop_front().unwrap_or(now);
         // Its connections are read one at a time: the next comes up when this one is done.
         read_since[tenant] = Some(now);
         let let_in = inside.admit(now, tenant);
-        let work = if let_in { SERVED * rng.random_range(0.5..1.5) } else { TURNED_AWAY };
+        let work = if let_in {
+            SERVED * rng.random_range(0.5..1.5)
+        } else {
+            TURNED_AWAY
+        };
         fates[tenant].work[(now / 1000.0) as usize] += work;
         now += work;
         if let_in { &mut inside } else { &mut outside }.charge(now, tenant, work);
@@ -220,11 +257,15 @@
     match load {
         Load::None => VecDeque::new(),
         Load::Bursts { every, size } => {
-            let times = (0..).map(|n| 500.0 + every * f64::from(n)).take_while(|t| *t < LENGTH);
+            let times = (0..)
+                .map(|n| 500.0 + every * f64::from(n))
+                .take_while(|t| *t < LENGTH);
             times.flat_map(|t| std::iter::repeat_n(t, size)).collect()
         }
         Load::Steady(rate) => {
-            let Ok(gap) = Exp::new(rate / SERVED) else { return VecDeque::new() };
+            let Ok(gap) = Exp::new(rate / SERVED) else {
+                return VecDeque::new();
+            };
             let mut at = 0.0;
             let mut next = || {
                 at += gap.sample(rng);
@@ -258,10 +299,24 @@
         [of(0), of(1), of(2)]
     });
     let off = 100.0 * off.fold(0.0, f64::max);
-    let spare = play(&weights, &[Load::Steady(2.0), Load::Steady(2.0), Load::Steady(0.1)], 4);
+    let spare = play(
+        &weights,
+        &[Load::Steady(2.0), Load::Steady(2.0), Load::Steady(0.1)],
+        4,
+    );
     let served = [spare[0].served as f64, spare[1].served as f64];
     let spare = 100.0 * (served[1] / (2.0 * served[0]) - 1.0).abs();
-    let bursts = play(&[1.0, 1.0], &[Load::Bursts { every: 1000.0, size: 100 }, Load::Steady(3.0)], 2);
+    let bursts = play(
+        &[1.0, 1.0],
+        &[
+            Load::Bursts {
+                every: 1000.0,
+                size: 100,
+            },
+            Load::Steady(3.0),
+        ],
+        2,
+    );
     let let_in = 100.0 * bursts[0].served as f64 / bursts[0].asked as f64;
     let mut loads = [Load::None; 10];
     loads[0] = Load::Steady(0.98 * RATE);
@@ -291,11 +346,23 @@
     reached: Option<f64>,
 }
 
-fn play_stock(stock: &mut dyn Holding, wants: &[Want], goal: u64, rng: &mut ChaCha8Rng) -> Vec<Held> {
+fn play_stock(
+    stock: &mut dyn Holding,
+    wants: &[Want],
+    goal: u64,
+    rng: &mut ChaCha8Rng,
+) -> Vec<Held> {
     const STEP: f64 = 0.25;
     let mut held = vec![Vec::<f64>::new(); wants.len()]; // when each ends
-    let mut out: Vec<Held> =
-        wants.iter().map(|_| Held { asked: 0, got: 0, mean: 0.0, reached: None }).collect();
+    let mut out: Vec<Held> = wants
+        .iter()
+        .map(|_| Held {
+            asked: 0,
+            got: 0,
+            mean: 0.0,
+            reached: None,
+        })
+        .collect();
     let steps = (LENGTH / STEP) as usize;
     for step in 0..steps {
         let now = step as f64 * STEP;
@@ -308,7 +375,10 @@
         let first = rng.random_range(0..wants.len());
         for tenant in (first..wants.len()).chain(0..first) {
             let want = wants[tenant];
-            let (Ok(hold), true) = (Exp::new(1.0 / want.hold), now >= want.from && want.rate > 0.0) else {
+            let (Ok(hold), true) = (
+                Exp::new(1.0 / want.hold),
+                now >= want.from && want.rate > 0.0,
+            ) else {
                 continue;
             };
             let mean = want.rate * STEP;
@@ -337,8 +407,16 @@
         let mut rng = stream(seed.wrapping_mul(16).wrapping_add(8 + more), Use::Load);
         play_stock(make(weights, STOCK).as_mut(), wants, goal, &mut rng)
     };
-    let want = |held: f64, hold: f64| Want { rate: held / hold, hold, from: 0.0 };
-    let none = Want { rate: 0.0, hold: 1.0, from: 0.0 };
+    let want = |held: f64, hold: f64| Want {
+        rate: held / hold,
+        hold,
+        from: 0.0,
+    };
+    let none = Want {
+        rate: 0.0,
+        hold: 1.0,
+        from: 0.0,
+    };
     let flood = want(10.0 * STOCK as f64 / 2.0, HOLD);
     let share = |f: &Held| 100.0 * f.got as f64 / f.asked as f64;
     let steady = share(&play(&[1.0, 1.0], &[want(100.0, HOLD), flood], 0, 0)[0]);
@@ -347,18 +425,33 @@
     let mut wants = [none; 10];
     wants[0] = flood;
     let alone = play(&[1.0; 10], &wants, 0, 2)[0].mean / STOCK as f64;
-    let late = Want { from: 2500.0, ..want(150.0, HOLD) };
-    let newcomer = play(&[1.0, 1.0], &[late, flood], 135, 3)[0].reached.unwrap_or(f64::INFINITY);
+    let late = Want {
+        from: 2500.0,
+        ..want(150.0, HOLD)
+    };
+    let newcomer = play(&[1.0, 1.0], &[late, flood], 135, 3)[0]
+        .reached
+        .unwrap_or(f64::INFINITY);
     let weights = [1.0, 2.0, 5.0];
     let greedy = play(&weights, &[flood; 3], 0, 4);
     let sum: f64 = greedy.iter().map(|f| f.mean).sum();
     let off = (0..3).map(|i| (greedy[i].mean / (sum * weights[i] / 8.0) - 1.0).abs());
-    vec![steady, hangs, alone, newcomer, 100.0 * off.fold(0.0, f64::max)]
+    vec![
+        steady,
+        hangs,
+        alone,
+        newcomer,
+        100.0 * off.fold(0.0, f64::max),
+    ]
 }
 
 /// The terms by which [`Virtual`] shares time.
 fn terms(weight: f64, burst: f64) -> FlowTerms {
-    FlowTerms { weight, burst, cap: 1.0 }
+    FlowTerms {
+        weight,
+        burst,
+        cap: 1.0,
+    }
 }
 
 #[cfg(test)]
@@ -374,8 +467,14 @@
         let rows = time(1);
         assert!(figure(&rows, "virtual time", 0) > 99.0, "{rows:?}");
         assert!(figure(&rows, "virtual time", 1) < 1.0, "{rows:?}");
-        assert!(figure(&rows, "no shares", 1) > 50.0, "the model does flood: {rows:?}");
-        assert!(figure(&rows, "virtual time", 3).max(figure(&rows, "virtual time", 4)) < 5.0, "{rows:?}");
+        assert!(
+            figure(&rows, "no shares", 1) > 50.0,
+            "the model does flood: {rows:?}"
+        );
+        assert!(
+            figure(&rows, "virtual time", 3).max(figure(&rows, "virtual time", 4)) < 5.0,
+            "{rows:?}"
+        );
         assert!(figure(&rows, "virtual time", 6) > 0.99, "{rows:?}");
     }
 
@@ -383,7 +482,10 @@
     fn claims_keep_a_steady_tenant_whole_and_lend_the_rest() {
         let rows = stock(1);
         assert!(figure(&rows, "claims", 0) > 99.0, "{rows:?}");
-        assert!(figure(&rows, "no shares", 0) < 60.0, "the model does flood: {rows:?}");
+        assert!(
+            figure(&rows, "no shares", 0) < 60.0,
+            "the model does flood: {rows:?}"
+        );
         assert!(figure(&rows, "claims", 2) > 0.9, "{rows:?}");
     }
 }
--- a/crates/lab/src/shares/rivals.rs
+++ b/crates/lab/src/shares/rivals.rs
@@ -28,7 +28,13 @@
     pub fn new(weights: &[f64], rate: f64, burst: f64) -> Self {
         let sum: f64 = weights.iter().sum();
         let rates: Vec<f64> = weights.iter().map(|w| rate * w / sum).collect();
-        Buckets { tokens: vec![burst; rates.len()], rates, common: burst, burst, at: 0.0 }
+        Buckets {
+            tokens: vec![burst; rates.len()],
+            rates,
+            common: burst,
+            burst,
+            at: 0.0,
+        }
     }
 
     fn fill(&mut self, now: f64) {
@@ -98,7 +104,13 @@
         }
         let rounds = ((now - self.round) / ROUND).floor();
         self.round += rounds * ROUND;
-        let sum: f64 = self.weights.iter().zip(&self.asked).filter(|(_, a)| **a).map(|(w, _)| w).sum();
+        let sum: f64 = self
+            .weights
+            .iter()
+            .zip(&self.asked)
+            .filter(|(_, a)| **a)
+            .map(|(w, _)| w)
+            .sum();
         for (i, deficit) in self.deficits.iter_mut().enumerate() {
             if std::mem::take(&mut self.asked[i]) {
                 let quantum = self.quantum * self.weights[i] / sum;
@@ -136,7 +148,10 @@
 impl Virtual {
     pub fn new(weights: &[f64], rate: f64, burst: f64) -> Self {
         let mut flow = Flow::new(rate);
-        weights.iter().enumerate().for_each(|(i, w)| flow.set(0.0, Tenant(i), terms(*w, burst)));
+        weights
+            .iter()
+            .enumerate()
+            .for_each(|(i, w)| flow.set(0.0, Tenant(i), terms(*w, burst)));
         Virtual(flow)
     }
 }
@@ -182,7 +197,12 @@
 impl Split {
     pub fn new(weights: &[f64], all: u64) -> Self {
         let sum: f64 = weights.iter().sum();
-        Split { free: weights.iter().map(|w| (all as f64 * w / sum) as u64).collect() }
+        Split {
+            free: weights
+                .iter()
+                .map(|w| (all as f64 * w / sum) as u64)
+                .collect(),
+        }
     }
 }
 
@@ -209,13 +229,18 @@
     pub fn new(weights: &[f64], all: u64) -> Self {
         let mean = weights.iter().sum::<f64>() / weights.len() as f64;
         let factors: Vec<f64> = weights.iter().map(|w| w / mean).collect();
-        Moving { held: vec![0; factors.len()], factors, free: all }
+        Moving {
+            held: vec![0; factors.len()],
+            factors,
+            free: all,
+        }
     }
 }
 
 impl Holding for Moving {
     fn take(&mut self, _: f64, tenant: usize) -> bool {
-        let got = self.free > 0 && (self.held[tenant] as f64) < self.factors[tenant] * self.free as f64;
+        let got =
+            self.free > 0 && (self.held[tenant] as f64) < self.factors[tenant] * self.free as f64;
         self.held[tenant] += u64::from(got);
         self.free -= u64::from(got);
         got
--- a/crates/lab/src/sim/decider.rs
+++ b/crates/lab/src/sim/decider.rs
@@ -53,16 +53,27 @@
 impl Saboteur {
     /// A module broken in one way.
     pub fn new(settings: Settings, seed: u64, sabotage: Sabotage) -> Self {
-        Saboteur { inner: Balancer::new(settings, seed), sabotage, newest: None, sent: FxHashMap::default() }
+        Saboteur {
+            inner: Balancer::new(settings, seed),
+            sabotage,
+            newest: None,
+            sent: FxHashMap::default(),
+        }
     }
 
     /// Sends a request again to where it has just failed, twice at most.
     fn resend(&mut self, request: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some((backend, again)) = self.sent.get_mut(&request).filter(|(_, again)| *again < 2) else {
+        let Some((backend, again)) = self.sent.get_mut(&request).filter(|(_, again)| *again < 2)
+        else {
             return false;
         };
         *again += 1;
-        out.push(Action::Send { request, backend: *backend, timeout: None, begin_by: None });
+        out.push(Action::Send {
+            request,
+            backend: *backend,
+            timeout: None,
+            begin_by: None,
+        });
         true
     }
 }
@@ -76,32 +87,57 @@
                 }
             }
             if self.sabotage == Sabotage::IgnoresDrains {
-                entries.iter_mut().for_each(|e| e.state = wharfhitch::State::Up);
+                entries
+                    .iter_mut()
+                    .for_each(|e| e.state = wharfhitch::State::Up);
             }
         }
         match (self.sabotage, &event) {
-            (Sabotage::LosesRequests, Event::Request { id: RequestId(id), .. }) if id % 50 == 0 => return,
+            (
+                Sabotage::LosesRequests,
+                Event::Request {
+                    id: RequestId(id), ..
+                },
+            ) if id % 50 == 0 => return,
             (
                 Sabotage::RefusesAll,
                 Event::Ended {
-                    request, outcome: Outcome::Error | Outcome::Reset | Outcome::TimedOut, ..
+                    request,
+                    outcome: Outcome::Error | Outcome::Reset | Outcome::TimedOut,
+                    ..
                 },
-            ) => out.push(Action::Refuse { request: *request, retry_after: None }),
-            (Sabotage::RepeatsAll, Event::Ended { request, outcome: Outcome::Reset, .. })
-                if self.resend(*request, out) =>
-            {
+            ) => out.push(Action::Refuse {
+                request: *request,
+                retry_after: None,
+            }),
+            (
+                Sabotage::RepeatsAll,
+                Event::Ended {
+                    request,
+                    outcome: Outcome::Reset,
+                    ..
+                },
+            ) if self.resend(*request, out) => {
                 return;
             }
             (Sabotage::FloodsNewest, Event::Request { id, .. }) => {
                 if let Some((_, backend)) = self.newest {
-                    return out.push(Action::Send { request: *id, backend, timeout: None, begin_by: None });
+                    return out.push(Action::Send {
+                        request: *id,
+                        backend,
+                        timeout: None,
+                        begin_by: None,
+                    });
                 }
             }
             _ => {}
         }
         self.inner.handle(now, event, out);
         for action in out.iter() {
-            if let Action::Send { request, backend, .. } = action {
+            if let Action::Send {
+                request, backend, ..
+            } = action
+            {
                 self.sent.entry(*request).or_insert((*backend, 0)).0 = *backend;
             }
         }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -14,10 +14,14 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
-use wharfhitch::{Action, Balancer, ClassId, Event, Key, Millis, Outcome, RequestId, Scope, TenantId};
+use wharfhitch::{
+    Action, Balancer, ClassId, Event, Key, Millis, Outcome, RequestId, Scope, TenantId,
+};
 
 use crate::chance::{Use, stream};
-use crate::ledger::{Attempt, AttemptEnd, Code, End, Fall, Ledger, ProxyId, ServerId, Told, Try, TryId};
+use crate::ledger::{
+    Attempt, AttemptEnd, Code, End, Fall, Ledger, ProxyId, ServerId, Told, Try, TryId,
+};
 use crate::load::{self, Ask, TryEnd};
 use crate::scenario::{Break, Effect, Scenario};
 use crate::settings;
@@ -208,7 +212,12 @@
         for ask in 0..self.asks.len() {
             self.schedule(self.asks[ask].at, What::Send(ask, 1));
         }
-        let longest = self.s.classes.iter().map(|c| c.deadline.0).fold(0.0, f64::max);
+        let longest = self
+            .s
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .fold(0.0, f64::max);
         let end = self.s.length.0 + longest + self.s.rules.answer_slack.0 + 100.0;
         self.watch_world();
         while let Some(Reverse(entry)) = self.queue.pop() {
@@ -234,7 +243,11 @@
 
     fn schedule(&mut self, at: Millis, what: What) {
         self.order += 1;
-        self.queue.push(Reverse(Entry { at: micros(at), order: self.order, what }));
+        self.queue.push(Reverse(Entry {
+            at: micros(at),
+            order: self.order,
+            what,
+        }));
     }
 
     fn after(&mut self, span: Millis, what: What) {
@@ -243,11 +256,18 @@
 
     /// Wakes up when something next happens in the world by itself.
     fn watch_world(&mut self) {
-        let next = self.world.next().map_or(u64::MAX, |at| micros(at.max(self.now)));
+        let next = self
+            .world
+            .next()
+            .map_or(u64::MAX, |at| micros(at.max(self.now)));
         if next < self.world_due {
             self.world_due = next;
             self.order += 1;
-            self.queue.push(Reverse(Entry { at: next, order: self.order, what: What::World(next) }));
+            self.queue.push(Reverse(Entry {
+                at: next,
+                order: self.order,
+                what: What::World(next),
+            }));
         }
     }
 
@@ -263,7 +283,11 @@
     /// One way between a proxy and a server.
     fn server_way(&mut self, proxy: ProxyId, server: ServerId) -> Millis {
         let same = self.world.proxy_zone(proxy) == self.world.loans()[server].zone;
-        self.jitter(if same { self.s.network.same.0 } else { self.s.network.cross.0 })
+        self.jitter(if same {
+            self.s.network.same.0
+        } else {
+            self.s.network.cross.0
+        })
     }
 
     fn happen(&mut self, what: What) {
@@ -292,7 +316,10 @@
             }
             What::LastResort(proxy, generation, id) => {
                 let lost = self.sabotage == Some(Sabotage::LosesRequests);
-                if self.generations[proxy] == generation && !lost && self.answer(proxy, id, Code::Failed) {
+                if self.generations[proxy] == generation
+                    && !lost
+                    && self.answer(proxy, id, Code::Failed)
+                {
                     self.feed(proxy, Event::Abandoned(request_of(id)));
                 }
             }
@@ -323,7 +350,13 @@
     fn pick_proxy(&mut self, zone: usize) -> ProxyId {
         let (now, gone) = (self.now, &self.known_gone);
         let alive = |p: usize| gone[p].is_none_or(|from| now < from);
-        load::pick_proxy(&mut self.front, gone.len(), self.s.fleet.zones.len(), zone, alive)
+        load::pick_proxy(
+            &mut self.front,
+            gone.len(),
+            self.s.fleet.zones.len(),
+            zone,
+            alive,
+        )
     }
 
     fn send_try(&mut self, ask: usize, number: u32) {
@@ -389,11 +422,22 @@
     }
 
     fn tell(&mut self, proxy: ProxyId, scope: Scope, lines: &[Line]) {
-        let Some(p) = self.proxies[proxy].as_mut() else { return };
+        let Some(p) = self.proxies[proxy].as_mut() else {
+            return;
+        };
         for line in lines {
-            let (up, born) = (line.state == Listed::Up, self.world.loans()[line.server].server.born());
+            let (up, born) = (
+                line.state == Listed::Up,
+                self.world.loans()[line.server].server.born(),
+            );
             if scope != Scope::Cached {
-                self.ledger.told.push(Told { proxy, server: line.server, at: self.now, up, born });
+                self.ledger.told.push(Told {
+                    proxy,
+                    server: line.server,
+                    at: self.now,
+                    up,
+                    born,
+                });
             }
         }
         let began = Instant::now();
@@ -409,7 +453,9 @@
     }
 
     fn feed(&mut self, proxy: ProxyId, event: Event) {
-        let Some(p) = self.proxies[proxy].as_mut() else { return };
+        let Some(p) = self.proxies[proxy].as_mut() else {
+            return;
+        };
         let began = Instant::now();
         let actions = p.handle(self.now, event);
         self.module += began.elapsed();
@@ -420,10 +466,18 @@
     fn perform(&mut self, proxy: ProxyId, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { request, backend, timeout, .. } => {
+                Action::Send {
+                    request,
+                    backend,
+                    timeout,
+                    ..
+                } => {
                     self.send(proxy, request, server_of(backend), timeout);
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     self.answer(proxy, request.0 as TryId, Code::Refused { retry_after });
                 }
                 Action::Fail(request) => {
@@ -448,15 +502,37 @@
         };
         let patience = due - sent;
         let deadline = self.now + patience;
-        p.live.insert(id, Live { wanted: true, deadline, attempts: 0, out: 0 });
+        p.live.insert(
+            id,
+            Live {
+                wanted: true,
+                deadline,
+                attempts: 0,
+                out: 0,
+            },
+        );
         self.ledger.tries[id].taken = Some(self.now);
         let generation = self.generations[proxy];
-        self.schedule(deadline - LAST_RESORT, What::LastResort(proxy, generation, id));
+        self.schedule(
+            deadline - LAST_RESORT,
+            What::LastResort(proxy, generation, id),
+        );
         let a = &self.asks[ask];
         let (class, tenant) = (ClassId(a.class), a.tenant.map(TenantId));
         let (id, key) = (request_of(id), Some(Key(a.key)));
         let budget = (patience - LAST_RESORT).max(0.0);
-        self.feed(proxy, Event::Request { id, class, tenant, key, budget, hint: None, whole: true });
+        self.feed(
+            proxy,
+            Event::Request {
+                id,
+                class,
+                tenant,
+                key,
+                budget,
+                hint: None,
+                whole: true,
+            },
+        );
     }
 
     /// Gives a request its final answer, unless it has one.
@@ -477,11 +553,21 @@
 
     // ---- attempts ----
 
-    fn send(&mut self, proxy: ProxyId, request: RequestId, server: ServerId, timeout: Option<Millis>) {
+    fn send(
+        &mut self,
+        proxy: ProxyId,
+        request: RequestId,
+        server: ServerId,
+        timeout: Option<Millis>,
+    ) {
         let (id, now) = (request.0 as TryId, self.now);
-        let Some(p) = self.proxies[proxy].as_mut() else { return };
+        let Some(p) = self.proxies[proxy].as_mut() else {
+            return;
+        };
         // A broken module may name what it does not hold, or a server that nobody knows.
-        let (Some(live), true) = (p.live.get_mut(&id), server < self.world.loans().len()) else { return };
+        let (Some(live), true) = (p.live.get_mut(&id), server < self.world.loans().len()) else {
+            return;
+        };
         let attempt = live.attempts;
         live.attempts += 1;
         live.out += 1;
@@ -518,7 +604,9 @@
     }
 
     fn dial(&mut self, flight: u64) {
-        let Some(f) = self.flights.get(&flight) else { return };
+        let Some(f) = self.flights.get(&flight) else {
+            return;
+        };
         let (proxy, server, sent) = (f.proxy, f.server, f.sent);
         let connect = self.world.connect(self.now, proxy, server);
         if connect == Connect::Up {
@@ -542,7 +630,9 @@
     }
 
     fn dialled(&mut self, flight: u64, connect: Connect) {
-        let Some(f) = self.flights.get(&flight) else { return };
+        let Some(f) = self.flights.get(&flight) else {
+            return;
+        };
         let server = f.server;
         if f.over {
             if connect == Connect::Up {
@@ -559,11 +649,16 @@
 
     /// Writes a request, unless its server takes no more or its answer has been given.
     fn write(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight) else { return };
+        let Some(f) = self.flights.get_mut(&flight) else {
+            return;
+        };
         let (id, proxy, server) = (f.id, f.proxy, f.server);
         let open = self.sabotage == Some(Sabotage::IgnoresDrains);
         let generation = f.generation;
-        let Some(p) = self.proxies[proxy].as_ref().filter(|p| p.generation == generation) else {
+        let Some(p) = self.proxies[proxy]
+            .as_ref()
+            .filter(|p| p.generation == generation)
+        else {
             self.flights.remove(&flight); // its process has ended while the connection came up
             return self.disconnect(server);
         };
@@ -577,14 +672,28 @@
     }
 
     fn reach(&mut self, flight: u64) {
-        let Some(f) = self.flights.get(&flight) else { return };
+        let Some(f) = self.flights.get(&flight) else {
+            return;
+        };
         let (proxy, server, id) = (f.proxy, f.server, f.id);
-        if self.world.parted(self.now, self.world.proxy_zone(proxy), self.world.loans()[server].zone) {
+        if self.world.parted(
+            self.now,
+            self.world.proxy_zone(proxy),
+            self.world.loans()[server].zone,
+        ) {
             return;
         }
         let ask = &self.asks[self.ledger.tries[id].ask];
-        let handshake = if f.fresh { self.s.fleet.handshake.0 } else { 0.0 };
-        let job = Job { attempt: flight, work: ask.work + handshake, key: ask.key };
+        let handshake = if f.fresh {
+            self.s.fleet.handshake.0
+        } else {
+            0.0
+        };
+        let job = Job {
+            attempt: flight,
+            work: ask.work + handshake,
+            key: ask.key,
+        };
         let up = matches!(
             self.world.loans()[server].server.life(),
             crate::world::server::Life::Up | crate::world::server::Life::Draining
@@ -597,7 +706,9 @@
                 self.after(way, What::Reply(flight, Outcome::Error, true));
             }
             (Offer::Taken, None) => {}
-            (Offer::TurnedAway, None) if up => self.after(way, What::Reply(flight, Outcome::Full, true)),
+            (Offer::TurnedAway, None) if up => {
+                self.after(way, What::Reply(flight, Outcome::Full, true))
+            }
             // Its process is gone: the connection breaks under the request.
             (Offer::TurnedAway | Offer::PushedOver, None) => {
                 self.after(way, What::Reply(flight, Outcome::Reset, false));
@@ -615,7 +726,9 @@
 
     /// The end of an attempt arrives at its proxy; `keep` tells whether the connection may be used again.
     fn reply(&mut self, flight: u64, outcome: Outcome, keep: bool) {
-        let Some(f) = self.flights.remove(&flight) else { return };
+        let Some(f) = self.flights.remove(&flight) else {
+            return;
+        };
         let same = self.generations[f.proxy] == f.generation;
         let (Some(p), false) = (self.proxies[f.proxy].as_mut().filter(|_| same), f.over) else {
             return; // given up before, with its connection
@@ -637,23 +750,41 @@
             };
             self.ledger.end(f.id, note, self.now, end);
         }
-        let Some(live) = self.proxies[f.proxy].as_mut().and_then(|p| p.live.get_mut(&f.id)) else { return };
+        let Some(live) = self.proxies[f.proxy]
+            .as_mut()
+            .and_then(|p| p.live.get_mut(&f.id))
+        else {
+            return;
+        };
         live.out -= 1;
         let was_open = live.wanted;
         if outcome == Outcome::Served && was_open {
-            let genuine = f.note.is_some_and(|n| self.ledger.tries[f.id].attempts[n].ran.is_some());
+            let genuine = f
+                .note
+                .is_some_and(|n| self.ledger.tries[f.id].attempts[n].ran.is_some());
             self.answer(f.proxy, f.id, Code::Served { genuine });
         } else if let Some(p) = self.proxies[f.proxy].as_mut() {
             p.forget(f.id);
         }
         let closed = !was_open || outcome == Outcome::Served;
         let (request, attempt, latency) = (request_of(f.id), f.attempt, self.now - f.sent);
-        self.feed(f.proxy, Event::Ended { request, attempt, latency, outcome, closed });
+        self.feed(
+            f.proxy,
+            Event::Ended {
+                request,
+                attempt,
+                latency,
+                outcome,
+                closed,
+            },
+        );
     }
 
     /// An attempt is given up: its connection is closed, which its server sees a little later.
     fn expire(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else { return };
+        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else {
+            return;
+        };
         if self.generations[f.proxy] != f.generation {
             return;
         }
@@ -664,12 +795,21 @@
         if written {
             self.after(way, What::Closed(server, flight));
         }
-        self.tell_end(&end, if written { Outcome::TimedOut } else { Outcome::ConnectFailed });
+        self.tell_end(
+            &end,
+            if written {
+                Outcome::TimedOut
+            } else {
+                Outcome::ConnectFailed
+            },
+        );
     }
 
     /// An attempt's connection has broken while its server held it: over here, and perhaps not there.
     fn broken(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else { return };
+        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else {
+            return;
+        };
         if self.generations[f.proxy] != f.generation {
             return;
         }
@@ -685,12 +825,16 @@
         match happened {
             Happened::Done { attempt, verdict } => self.done(attempt, verdict),
             Happened::Lost { attempt } => {
-                let Some(f) = self.flights.get(&attempt) else { return };
+                let Some(f) = self.flights.get(&attempt) else {
+                    return;
+                };
                 let way = self.server_way(f.proxy, f.server);
                 self.after(way, What::Reply(attempt, Outcome::Reset, false));
             }
             Happened::Broken { attempt, .. } => {
-                let Some(f) = self.flights.get(&attempt) else { return };
+                let Some(f) = self.flights.get(&attempt) else {
+                    return;
+                };
                 let way = self.server_way(f.proxy, f.server);
                 self.after(way, What::Broken(attempt));
             }
@@ -701,7 +845,11 @@
                 }
             }
             Happened::Fell { server, warmth } => {
-                self.ledger.falls.push(Fall { server, at: self.now, warmth });
+                self.ledger.falls.push(Fall {
+                    server,
+                    at: self.now,
+                    warmth,
+                });
             }
             // Each connect asks the world.
             Happened::Refusing { .. } | Happened::Parted => {}
@@ -723,9 +871,15 @@
 
     fn done(&mut self, flight: u64, verdict: Verdict) {
         self.ran(flight);
-        let Some(f) = self.flights.get(&flight) else { return };
+        let Some(f) = self.flights.get(&flight) else {
+            return;
+        };
         let (proxy, server) = (f.proxy, f.server);
-        if self.world.parted(self.now, self.world.proxy_zone(proxy), self.world.loans()[server].zone) {
+        if self.world.parted(
+            self.now,
+            self.world.proxy_zone(proxy),
+            self.world.loans()[server].zone,
+        ) {
             return; // the answer is lost on the way
         }
         let way = self.server_way(proxy, server);
@@ -733,7 +887,9 @@
             Verdict::Silent => return,
             Verdict::Served => (Outcome::Served, true),
             Verdict::Error => (Outcome::Error, true),
-            Verdict::Reset(Break::During | Break::Before | Break::Inside) => (Outcome::Reset, false),
+            Verdict::Reset(Break::During | Break::Before | Break::Inside) => {
+                (Outcome::Reset, false)
+            }
             Verdict::Reset(Break::After) => (Outcome::Served, false),
         };
         self.after(way, What::Reply(flight, outcome, keep));
@@ -741,11 +897,22 @@
 
     /// A proxy's process ends with all that it holds; the front notices after a while.
     fn end_process(&mut self, proxy: ProxyId, notice: Option<Millis>) {
-        let Some(p) = self.proxies[proxy].take() else { return };
-        self.ledger.ends.push(End { proxy, at: self.now, wanted: true });
+        let Some(p) = self.proxies[proxy].take() else {
+            return;
+        };
+        self.ledger.ends.push(End {
+            proxy,
+            at: self.now,
+            wanted: true,
+        });
         self.known_gone[proxy] = notice.map(|n| self.now + n);
         // In order, so that one seed gives one run.
-        let mut held: Vec<TryId> = p.live.iter().filter(|(_, l)| l.wanted).map(|(id, _)| *id).collect();
+        let mut held: Vec<TryId> = p
+            .live
+            .iter()
+            .filter(|(_, l)| l.wanted)
+            .map(|(id, _)| *id)
+            .collect();
         held.sort_unstable();
         for id in held {
             let way = self.client_way();
@@ -754,7 +921,9 @@
         let mut out: Vec<(u64, ServerId)> = self
             .flights
             .iter()
-            .filter(|(_, f)| f.proxy == proxy && f.generation == p.generation && !f.over && f.note.is_some())
+            .filter(|(_, f)| {
+                f.proxy == proxy && f.generation == p.generation && !f.over && f.note.is_some()
+            })
             .map(|(flight, f)| (*flight, f.server))
             .collect();
         out.sort_unstable();
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -60,7 +60,13 @@
 
     /// All of it.
     pub fn lines(&self) -> Vec<Line> {
-        self.list.iter().map(|(server, state)| Line { server: *server, state: *state }).collect()
+        self.list
+            .iter()
+            .map(|(server, state)| Line {
+                server: *server,
+                state: *state,
+            })
+            .collect()
     }
 }
 
@@ -112,7 +118,13 @@
     }
 
     /// News of the list.
-    pub fn news(&mut self, now: Millis, world: &World, scope: Scope, lines: &[Line]) -> Vec<Action> {
+    pub fn news(
+        &mut self,
+        now: Millis,
+        world: &World,
+        scope: Scope,
+        lines: &[Line],
+    ) -> Vec<Action> {
         for line in lines {
             self.open.insert(line.server, line.state == Listed::Up);
             if line.state != Listed::Up {
@@ -131,20 +143,27 @@
     /// Takes the connection to a server that was used last, if it has not been idle since before `oldest`; tells also
     /// how many that were too old have been closed.
     pub fn reuse(&mut self, server: ServerId, oldest: Millis) -> (bool, usize) {
-        let Some(idle) = self.idle.get_mut(&server) else { return (false, 0) };
+        let Some(idle) = self.idle.get_mut(&server) else {
+            return (false, 0);
+        };
         match idle.last() {
             Some(since) if *since > oldest => {
                 idle.pop();
                 (true, 0)
             }
             // The one used last is too old, and so are all others.
-            _ => (false, self.idle.remove(&server).map_or(0, |idle| idle.len())),
+            _ => (
+                false,
+                self.idle.remove(&server).map_or(0, |idle| idle.len()),
+            ),
         }
     }
 
     /// Takes the right to answer a request; `false` if it has had its answer.
     pub fn close(&mut self, id: TryId) -> bool {
-        let Some(live) = self.live.get_mut(&id) else { return false };
+        let Some(live) = self.live.get_mut(&id) else {
+            return false;
+        };
         let was = std::mem::take(&mut live.wanted);
         self.forget(id);
         was
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -208,14 +208,27 @@
             connections: f.connections_per_core * k.cores,
             cold: (f.cold_from.0, f.cold.0),
             crowding: (f.crowded_from, f.crowding.0),
-            keys: (f.key_gain.0, f.keys_per_core * k.cores as usize, f.key_span.0),
-            fall: (self.scenario.rules.fall_multiple, self.scenario.rules.fall.0),
+            keys: (
+                f.key_gain.0,
+                f.keys_per_core * k.cores as usize,
+                f.key_span.0,
+            ),
+            fall: (
+                self.scenario.rules.fall_multiple,
+                self.scenario.rules.fall.0,
+            ),
         }
     }
 
     fn add(&mut self, zone: usize, kind: usize, born: Option<Millis>, now: Millis) -> ServerId {
         let server = Server::new(self.machine(kind), born, now);
-        self.loans.push(Loan { server, zone, kind, listed: Listed::Up, epoch: 0 });
+        self.loans.push(Loan {
+            server,
+            zone,
+            kind,
+            listed: Listed::Up,
+            epoch: 0,
+        });
         self.loans.len() - 1
     }
 
@@ -253,10 +266,16 @@
     }
 
     fn active(
-        &self, now: Millis, kind: FaultKind,
+        &self,
+        now: Millis,
+        kind: FaultKind,
     ) -> impl Iterator<Item = (usize, &crate::scenario::Fault)> + use<'_> {
         let holds = move |f: &crate::scenario::Fault| f.kind == kind && f.holds(now);
-        self.scenario.faults.iter().enumerate().filter(move |(_, f)| holds(f))
+        self.scenario
+            .faults
+            .iter()
+            .enumerate()
+            .filter(move |(_, f)| holds(f))
     }
 
     /// When the word of a change of now reaches a proxy; later words never come before earlier ones.
@@ -282,7 +301,11 @@
         if !self.pending.is_empty() {
             return Some(0.0);
         }
-        [due, planned].into_iter().flatten().min().map(|at| at as f64 / 1000.0)
+        [due, planned]
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|at| at as f64 / 1000.0)
     }
 
     /// Notes that a server has changed: what it does next is due anew.
@@ -298,8 +321,16 @@
     pub fn advance(&mut self, now: Millis) -> Vec<Happened> {
         let until = micros(now);
         loop {
-            let due = self.due.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= until);
-            let planned = self.plan.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= until);
+            let due = self
+                .due
+                .peek()
+                .map(|Reverse((at, ..))| *at)
+                .filter(|at| *at <= until);
+            let planned = self
+                .plan
+                .peek()
+                .map(|Reverse((at, ..))| *at)
+                .filter(|at| *at <= until);
             match (due, planned) {
                 (None, None) => return std::mem::take(&mut self.pending),
                 (due, Some(at)) if due.is_none_or(|due| at <= due) => {
@@ -308,7 +339,9 @@
                     }
                 }
                 _ => {
-                    let Some(Reverse((at, id, epoch))) = self.due.pop() else { continue };
+                    let Some(Reverse((at, id, epoch))) = self.due.pop() else {
+                        continue;
+                    };
                     if self.loans[id].epoch == epoch {
                         self.finish(at as f64 / 1000.0, id);
                     }
@@ -320,7 +353,10 @@
     fn finish(&mut self, at: Millis, id: ServerId) {
         for job in self.loans[id].server.finished(at) {
             let verdict = self.verdict(at);
-            self.pending.push(Happened::Done { attempt: job.attempt, verdict });
+            self.pending.push(Happened::Done {
+                attempt: job.attempt,
+                verdict,
+            });
         }
         self.touch(id);
     }
@@ -328,7 +364,10 @@
     /// What becomes of an answer.
     fn verdict(&mut self, at: Millis) -> Verdict {
         let share = |f: &crate::scenario::Fault| f.share.map_or(0.0, |s| s.0);
-        let lost = self.active(at, FaultKind::LostAnswers).map(|(_, f)| share(f)).sum::<f64>();
+        let lost = self
+            .active(at, FaultKind::LostAnswers)
+            .map(|(_, f)| share(f))
+            .sum::<f64>();
         let resets: Vec<(f64, Break)> = self
             .active(at, FaultKind::Resets)
             .map(|(_, f)| (share(f), f.place.unwrap_or(Break::Before)))
@@ -351,8 +390,9 @@
         if self.parted(now, self.proxy_zone(proxy), self.loans[server].zone) {
             return Connect::Silent;
         }
-        let refuses =
-            self.active(now, FaultKind::RefuseConnects).any(|(i, _)| self.struck[i].contains(&server));
+        let refuses = self
+            .active(now, FaultKind::RefuseConnects)
+            .any(|(i, _)| self.struck[i].contains(&server));
         let loan = &mut self.loans[server].server;
         if refuses || matches!(loan.life(), Life::Down | Life::Fallen) || !loan.connect() {
             return Connect::Refused;
@@ -393,7 +433,9 @@
     /// the span that the work takes a machine that has nothing else to do.
     fn plan_break(&mut self, now: Millis, server: ServerId, attempt: u64, work: f64) {
         let during = |f: &crate::scenario::Fault| f.place == Some(Break::During);
-        let resets = self.active(now, FaultKind::Resets).filter(|(_, f)| during(f));
+        let resets = self
+            .active(now, FaultKind::Resets)
+            .filter(|(_, f)| during(f));
         let share: f64 = resets.map(|(_, f)| f.share.map_or(0.0, |s| s.0)).sum();
         if share > 0.0 && self.faults.random::<f64>() < share {
             let alone = work / self.loans[server].server.machine().speed;
@@ -404,7 +446,8 @@
 
     fn lose(&mut self, server: ServerId) {
         let held = self.loans[server].server.lose_all();
-        self.pending.extend(held.into_iter().map(|attempt| Happened::Lost { attempt }));
+        self.pending
+            .extend(held.into_iter().map(|attempt| Happened::Lost { attempt }));
     }
 
     /// A proxy has given an attempt up: its connection is closed. Tells whether the server was spared it.
@@ -422,7 +465,9 @@
 
     /// Servers that run and take work.
     fn up(&self) -> Vec<ServerId> {
-        (0..self.loans.len()).filter(|&s| self.loans[s].server.life() == Life::Up).collect()
+        (0..self.loans.len())
+            .filter(|&s| self.loans[s].server.life() == Life::Up)
+            .collect()
     }
 
     fn step(&mut self, at: Millis, step: Step) {
@@ -451,7 +496,8 @@
             }
             Step::Stop(server) => {
                 let held = self.loans[server].server.stop(at);
-                self.pending.extend(held.into_iter().map(|attempt| Happened::Lost { attempt }));
+                self.pending
+                    .extend(held.into_iter().map(|attempt| Happened::Lost { attempt }));
                 self.list(server, Listed::Removed);
                 self.touch(server);
             }
@@ -484,7 +530,9 @@
         let (kind, factor) = (f.kind, f.factor.unwrap_or(1.0));
         for server in self.struck[fault].clone() {
             match kind {
-                FaultKind::Slow => self.loans[server].server.set_slow(at, if begins { factor } else { 1.0 }),
+                FaultKind::Slow => self.loans[server]
+                    .server
+                    .set_slow(at, if begins { factor } else { 1.0 }),
                 FaultKind::Hang => self.loans[server].server.set_hung(at, begins),
                 FaultKind::RefuseConnects => {
                     self.pending.push(Happened::Refusing { server, on: begins });
@@ -517,7 +565,16 @@
 
     /// The list as it now stands.
     pub fn listed(&self) -> Vec<Line> {
-        let lines = self.loans.iter().enumerate().filter(|(_, l)| l.listed != Listed::Removed);
-        lines.map(|(server, l)| Line { server, state: l.listed }).collect()
+        let lines = self
+            .loans
+            .iter()
+            .enumerate()
+            .filter(|(_, l)| l.listed != Listed::Removed);
+        lines
+            .map(|(server, l)| Line {
+                server,
+                state: l.listed,
+            })
+            .collect()
     }
 }
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -154,7 +154,9 @@
 
     /// The warmth summed over a stretch of time.
     fn warm_span(&self, from: Millis, to: Millis) -> f64 {
-        let Some(born) = self.born else { return to - from };
+        let Some(born) = self.born else {
+            return to - from;
+        };
         let warm_at = (born + self.machine.cold.1).clamp(from, to);
         let mean = (self.warmth(from) + self.warmth(warm_at)) / 2.0;
         mean * (warm_at - from) + (to - warm_at)
@@ -163,7 +165,10 @@
     /// Work that each request in work gets in a ms, were the server warm.
     fn rate(&self) -> f64 {
         let m = &self.machine;
-        let (n, held) = (self.working.len() as f64, (self.working.len() + self.waiting.len()) as f64);
+        let (n, held) = (
+            self.working.len() as f64,
+            (self.working.len() + self.waiting.len()) as f64,
+        );
         if n == 0.0 || self.hung || matches!(self.life, Life::Down | Life::Fallen) {
             return 0.0;
         }
@@ -179,7 +184,12 @@
     /// When the next request is done, if nothing else happens before.
     pub fn next(&self) -> Option<Millis> {
         let rate = self.rate();
-        let first = self.working.iter().map(|w| w.until).min_by(f64::total_cmp).filter(|_| rate > 0.0)?;
+        let first = self
+            .working
+            .iter()
+            .map(|w| w.until)
+            .min_by(f64::total_cmp)
+            .filter(|_| rate > 0.0)?;
         let need = (first - self.pace).max(0.0) / rate;
         let warmth = self.warmth(self.at);
         let (from, span) = self.machine.cold;
@@ -201,7 +211,9 @@
         loop {
             let due = |w: &Working| w.until <= self.pace + 1e-6;
             let first = self.working.iter().enumerate().filter(|(_, w)| due(w));
-            let first = first.min_by(|a, b| a.1.until.total_cmp(&b.1.until)).map(|(i, _)| i);
+            let first = first
+                .min_by(|a, b| a.1.until.total_cmp(&b.1.until))
+                .map(|(i, _)| i);
             let Some(i) = first else { return done };
             let job = self.working.remove(i).job;
             self.remember(now, job.key);
@@ -213,15 +225,23 @@
     /// Moves waiting requests into work.
     fn fill(&mut self, now: Millis) {
         while self.working.len() < self.machine.slots {
-            let Some(job) = self.waiting.pop_front() else { return };
-            let saved = if self.knows(now, job.key) { self.machine.keys.0 } else { 0.0 };
+            let Some(job) = self.waiting.pop_front() else {
+                return;
+            };
+            let saved = if self.knows(now, job.key) {
+                self.machine.keys.0
+            } else {
+                0.0
+            };
             let until = self.pace + job.work * (1.0 - saved);
             self.working.push(Working { job, until });
         }
     }
 
     fn knows(&self, now: Millis, key: u64) -> bool {
-        self.keys.get(&key).is_some_and(|at| now - at <= self.machine.keys.2)
+        self.keys
+            .get(&key)
+            .is_some_and(|at| now - at <= self.machine.keys.2)
     }
 
     fn remember(&mut self, now: Millis, key: u64) {
@@ -230,8 +250,12 @@
         }
         self.keys.insert(key, now);
         self.key_order.push_back((key, now));
-        while self.keys.len() > self.machine.keys.1 || self.key_order.len() > 4 * self.machine.keys.1 {
-            let Some((key, at)) = self.key_order.pop_front() else { return };
+        while self.keys.len() > self.machine.keys.1
+            || self.key_order.len() > 4 * self.machine.keys.1
+        {
+            let Some((key, at)) = self.key_order.pop_front() else {
+                return;
+            };
             if self.keys.get(&key) == Some(&at) {
                 self.keys.remove(&key);
             }
@@ -258,7 +282,9 @@
             self.life = Life::Fallen;
             return Offer::PushedOver;
         }
-        if self.life == Life::Draining || self.waiting.len() >= self.machine.queue.max(1) && self.is_full() {
+        if self.life == Life::Draining
+            || self.waiting.len() >= self.machine.queue.max(1) && self.is_full()
+        {
             return Offer::TurnedAway;
         }
         self.waiting.push_back(job);
@@ -317,7 +343,9 @@
     pub fn lose_all(&mut self) -> Vec<u64> {
         self.connections = 0;
         let working = self.working.drain(..).map(|w| w.job.attempt);
-        working.chain(self.waiting.drain(..).map(|j| j.attempt)).collect()
+        working
+            .chain(self.waiting.drain(..).map(|j| j.attempt))
+            .collect()
     }
 
     /// Runs this many times slower than it should.
@@ -352,7 +380,11 @@
     }
 
     fn job(attempt: u64, work: f64) -> Job {
-        Job { attempt, work, key: attempt }
+        Job {
+            attempt,
+            work,
+            key: attempt,
+        }
     }
 
     fn ids(jobs: Vec<Job>) -> Vec<u64> {
@@ -375,7 +407,14 @@
 
     #[test]
     fn more_in_work_than_cores_share_them() {
-        let mut s = Server::new(Machine { slots: 4, ..machine() }, None, 0.0);
+        let mut s = Server::new(
+            Machine {
+                slots: 4,
+                ..machine()
+            },
+            None,
+            0.0,
+        );
         for n in 0..4 {
             s.offer(0.0, job(n, 10.0));
         }
@@ -400,7 +439,14 @@
         for (born, fate) in [(Some(0.0), Offer::PushedOver), (None, Offer::TurnedAway)] {
             let mut s = Server::new(machine(), born, 0.0);
             let offers: Vec<Offer> = (0..200).map(|n| s.offer(0.0, job(n, 10.0))).collect();
-            assert_eq!(*offers.last().expect("some"), if born.is_some() { Offer::TurnedAway } else { fate });
+            assert_eq!(
+                *offers.last().expect("some"),
+                if born.is_some() {
+                    Offer::TurnedAway
+                } else {
+                    fate
+                }
+            );
             assert_eq!(offers.contains(&Offer::PushedOver), born.is_some());
         }
     }
@@ -419,9 +465,11 @@
 
     #[test]
     fn what_a_cancel_spares_is_as_set() {
-        for (cancels, left) in
-            [(Cancels::Nothing, (2, 1)), (Cancels::Waiting, (2, 0)), (Cancels::All, (1, 0))]
-        {
+        for (cancels, left) in [
+            (Cancels::Nothing, (2, 1)),
+            (Cancels::Waiting, (2, 0)),
+            (Cancels::All, (1, 0)),
+        ] {
             let mut s = Server::new(machine(), None, 0.0);
             for n in 0..3 {
                 s.offer(0.0, job(n, 10.0));
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -14,7 +14,9 @@
 #[test]
 fn a_line_has_slope_base_residual_and_range() {
     let fit = Fit::of(&[(1.0, 12.0), (2.0, 14.0), (4.0, 18.0)]).expect("there is a line");
-    assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.base - 10.0).abs() < 1e-9 && fit.residual < 1e-9);
+    assert!(
+        (fit.slope - 2.0).abs() < 1e-9 && (fit.base - 10.0).abs() < 1e-9 && fit.residual < 1e-9
+    );
     assert_eq!((fit.range, fit.points), ([1.0, 4.0], 3));
     let at = fit.at(80.0);
     assert!((at.value - 170.0).abs() < 1e-9 && (at.times - 20.0).abs() < 1e-9);
@@ -27,14 +29,31 @@
 
 #[test]
 fn a_void_point_is_shown_and_has_no_part_in_a_line() {
-    let mut sweep = Sweep { name: "tenants".into(), command: "c".into(), ..Sweep::default() };
-    sweep.points =
-        vec![point(1.0, 1.0), point(2.0, 2.0), Point { void: Some("it died".into()), ..point(3.0, 0.0) }];
-    let fit = sweep.line("memory MiB", "tenants", 33_000.0).expect("two points count");
+    let mut sweep = Sweep {
+        name: "tenants".into(),
+        command: "c".into(),
+        ..Sweep::default()
+    };
+    sweep.points = vec![
+        point(1.0, 1.0),
+        point(2.0, 2.0),
+        Point {
+            void: Some("it died".into()),
+            ..point(3.0, 0.0)
+        },
+    ];
+    let fit = sweep
+        .line("memory MiB", "tenants", 33_000.0)
+        .expect("two points count");
     assert!((fit.slope - 1.0).abs() < 1e-9 && fit.points == 2);
     sweep.partial = true;
     let table = sweep.table();
-    for part in ["void: it died", "partial", "over ten times", "at 33000: 33000"] {
+    for part in [
+        "void: it died",
+        "partial",
+        "over ten times",
+        "at 33000: 33000",
+    ] {
         assert!(table.contains(part), "{part}: {table}");
     }
     assert_eq!(sweep.line("nothing", "tenants", 1.0), None);
@@ -43,13 +62,32 @@
 
 #[test]
 fn a_second_build_stands_beside_the_first_size_by_size_with_a_line_of_its_own() {
-    let mut sweep = Sweep { name: "tenants".into(), command: "c".into(), ..Sweep::default() };
+    let mut sweep = Sweep {
+        name: "tenants".into(),
+        command: "c".into(),
+        ..Sweep::default()
+    };
     sweep.points = vec![point(1.0, 10.0), point(2.0, 20.0)];
-    let points =
-        vec![point(1.0, 5.0), Point { void: Some("it ended".into()), ..point(2.0, 0.0) }, point(3.0, 7.0)];
-    sweep.beside = Some(Beside { command: "other".into(), points, lines: Vec::new() });
-    let fit = sweep.line("memory MiB", "tenants", 4.0).expect("two points count");
-    assert!((fit.slope - 10.0).abs() < 1e-9, "the first build's is given: {fit:?}");
+    let points = vec![
+        point(1.0, 5.0),
+        Point {
+            void: Some("it ended".into()),
+            ..point(2.0, 0.0)
+        },
+        point(3.0, 7.0),
+    ];
+    sweep.beside = Some(Beside {
+        command: "other".into(),
+        points,
+        lines: Vec::new(),
+    });
+    let fit = sweep
+        .line("memory MiB", "tenants", 4.0)
+        .expect("two points count");
+    assert!(
+        (fit.slope - 10.0).abs() < 1e-9,
+        "the first build's is given: {fit:?}"
+    );
     let table = sweep.table();
     for part in [
         "|  | beside |  | beside | beside |",
@@ -78,28 +116,72 @@
     let own = |n| tenants::Size::of(tenants::Shape::Own, n).needs();
     assert!(own(8000).memory_mib > own(1000).memory_mib && own(8000).disk_mib > own(1000).disk_mib);
     let shared = tenants::Size::of(tenants::Shape::Shared, 33_000);
-    assert_eq!((shared.services, shared.routes, shared.servers()), (680, 5300, 12_000), "the target's");
+    assert_eq!(
+        (shared.services, shared.routes, shared.servers()),
+        (680, 5300, 12_000),
+        "the target's"
+    );
     assert_eq!(own(100).or(own(200)), own(200));
     let beyond = |needs: Needs| needs.beyond(&machine);
     assert_eq!(
-        beyond(Needs { memory_mib: 4000.0, processes: 300.0, descriptors: 1024.0, disk_mib: 4000.0 }),
+        beyond(Needs {
+            memory_mib: 4000.0,
+            processes: 300.0,
+            descriptors: 1024.0,
+            disk_mib: 4000.0
+        }),
         None
     );
     for (needs, word) in [
-        (Needs { memory_mib: 4001.0, ..Needs::default() }, "MiB of memory"),
-        (Needs { processes: 301.0, ..Needs::default() }, "processes"),
-        (Needs { descriptors: 1025.0, ..Needs::default() }, "RLIMIT_NOFILE"),
-        (Needs { disk_mib: 4001.0, ..Needs::default() }, "disk"),
-        (servers::Size::of(servers::Of::Services, 12_000).needs(), "descriptors"),
+        (
+            Needs {
+                memory_mib: 4001.0,
+                ..Needs::default()
+            },
+            "MiB of memory",
+        ),
+        (
+            Needs {
+                processes: 301.0,
+                ..Needs::default()
+            },
+            "processes",
+        ),
+        (
+            Needs {
+                descriptors: 1025.0,
+                ..Needs::default()
+            },
+            "RLIMIT_NOFILE",
+        ),
+        (
+            Needs {
+                disk_mib: 4001.0,
+                ..Needs::default()
+            },
+            "disk",
+        ),
+        (
+            servers::Size::of(servers::Of::Services, 12_000).needs(),
+            "descriptors",
+        ),
     ] {
-        assert!(beyond(needs).is_some_and(|what| what.contains(word)), "{word}");
+        assert!(
+            beyond(needs).is_some_and(|what| what.contains(word)),
+            "{word}"
+        );
     }
 }
 
 #[test]
 fn a_stop_ends_waits_and_the_processes_that_are_watched() {
     let stop = Stop::default();
-    let run = || std::process::Command::new("sleep").arg("600").spawn().expect("it starts");
+    let run = || {
+        std::process::Command::new("sleep")
+            .arg("600")
+            .spawn()
+            .expect("it starts")
+    };
     let (mut before, mut after, mut free) = (run(), run(), run());
     let _watched = stop.watch(before.id()).expect("it runs");
     drop(stop.watch(free.id()).expect("it runs")); // no longer
@@ -111,9 +193,19 @@
     assert_eq!(ended.kind(), std::io::ErrorKind::Interrupted);
     assert!(!before.wait().expect("it has ended").success());
     let _late = stop.watch(after.id()).expect("it runs");
-    assert!(!after.wait().expect("one that comes after the stop ends as well").success());
-    assert!(free.try_wait().expect("it can be asked").is_none(), "it runs on");
-    free.kill().and_then(|()| free.wait()).expect("it is ended here");
+    assert!(
+        !after
+            .wait()
+            .expect("one that comes after the stop ends as well")
+            .success()
+    );
+    assert!(
+        free.try_wait().expect("it can be asked").is_none(),
+        "it runs on"
+    );
+    free.kill()
+        .and_then(|()| free.wait())
+        .expect("it is ended here");
 }
 
 #[test]
@@ -122,10 +214,21 @@
     for (dealt, modules) in [(Dealt::One, [1.0, 1.0]), (Dealt::Services, [12.0, 45.0])] {
         let [small, large] = [200, 800].map(|servers| module::play(dealt, servers, 1));
         for (m, modules) in [small, large].iter().zip(modules) {
-            assert!(m.timers.iter().all(|timers| *timers <= 1.2 * 50.0 * modules), "{dealt:?}: {m:?}");
-            assert!(m.unsent == 0 && (m.requests - servers::RATE).abs() < 1.0, "{dealt:?}: {m:?}");
+            assert!(
+                m.timers
+                    .iter()
+                    .all(|timers| *timers <= 1.2 * 50.0 * modules),
+                "{dealt:?}: {m:?}"
+            );
+            assert!(
+                m.unsent == 0 && (m.requests - servers::RATE).abs() < 1.0,
+                "{dealt:?}: {m:?}"
+            );
         }
         let slope = (large.looked[0] - small.looked[0]) / 600.0;
-        assert!(slope <= 1.2 * 50.0 && slope > 0.0, "{dealt:?}: {slope} looks a second and server");
+        assert!(
+            slope <= 1.2 * 50.0 && slope > 0.0,
+            "{dealt:?}: {slope} looks a second and server"
+        );
     }
 }
--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/lab/tests/capacity_page.rs
@@ -65,7 +65,10 @@
 
 impl Data {
     fn size(&self, name: &str) -> Option<f64> {
-        self.target.get(name).copied().or_else(|| self.given.get(name).map(|given| given.value))
+        self.target
+            .get(name)
+            .copied()
+            .or_else(|| self.given.get(name).map(|given| given.value))
     }
 }
 
@@ -76,7 +79,9 @@
     }
 
     fn at(&self, data: &Data) -> AtTarget {
-        self.fit().at(data.size(&self.by).unwrap_or_else(|| panic!("no size is called {}", self.by)))
+        self.fit().at(data
+            .size(&self.by)
+            .unwrap_or_else(|| panic!("no size is called {}", self.by)))
     }
 }
 
@@ -97,22 +102,37 @@
     };
     text.lines()
         .filter_map(|line| line.strip_prefix('|')?.strip_suffix('|'))
-        .map(|line| line.split('|').map(|cell| cell.trim().to_owned()).collect::<Vec<_>>())
+        .map(|line| {
+            line.split('|')
+                .map(|cell| cell.trim().to_owned())
+                .collect::<Vec<_>>()
+        })
         .filter(|cells| cells.first().is_some_and(|cell| is_id(cell)))
         .collect()
 }
 
 /// A figure as it is written: its value and the worth of half of its last digit.
 fn figure(cell: &str) -> Option<(f64, f64)> {
-    let number = cell.trim_start_matches("about ").split_whitespace().next()?.replace(',', "");
+    let number = cell
+        .trim_start_matches("about ")
+        .split_whitespace()
+        .next()?
+        .replace(',', "");
     let decimals = number.split_once('.').map_or(0, |(_, part)| part.len());
-    Some((number.parse().ok()?, 0.5 / 10_f64.powi(i32::try_from(decimals).ok()?)))
+    Some((
+        number.parse().ok()?,
+        0.5 / 10_f64.powi(i32::try_from(decimals).ok()?),
+    ))
 }
 
 /// Whether what is written is the value: within the rounding of its last digit, or of its third.
 fn agrees(cell: &str, value: f64) -> bool {
     figure(cell).is_some_and(|(written, half)| {
-        let slack = (0.005 * value.abs()).max(if value.abs() < 1.0 && written == 0.0 { 0.0 } else { half });
+        let slack = (0.005 * value.abs()).max(if value.abs() < 1.0 && written == 0.0 {
+            0.0
+        } else {
+            half
+        });
         (written - value).abs() <= slack * (1.0 + 1e-9) + f64::EPSILON
     })
 }
@@ -126,10 +146,15 @@
         let spaced = formula.replace('(', " ( ").replace(')', " ) ");
         let mut parts = spaced.split_whitespace().peekable();
         let value = self.sum(&mut parts)?;
-        parts.next().map_or(Ok(value), |rest| Err(format!("`{formula}`: what is \"{rest}\"?")))
+        parts.next().map_or(Ok(value), |rest| {
+            Err(format!("`{formula}`: what is \"{rest}\"?"))
+        })
     }
 
-    fn sum<'a>(&self, parts: &mut std::iter::Peekable<impl Iterator<Item = &'a str>>) -> Result<f64, String> {
+    fn sum<'a>(
+        &self,
+        parts: &mut std::iter::Peekable<impl Iterator<Item = &'a str>>,
+    ) -> Result<f64, String> {
         let mut value = self.product(parts)?;
         while let Some(sign) = parts.next_if(|p| matches!(*p, "+" | "-")) {
             let next = self.product(parts)?;
@@ -139,23 +164,33 @@
     }
 
     fn product<'a>(
-        &self, parts: &mut std::iter::Peekable<impl Iterator<Item = &'a str>>,
+        &self,
+        parts: &mut std::iter::Peekable<impl Iterator<Item = &'a str>>,
     ) -> Result<f64, String> {
         let mut value = self.term(parts)?;
         while let Some(sign) = parts.next_if(|p| matches!(*p, "x" | "/")) {
             let next = self.term(parts)?;
-            value = if sign == "x" { value * next } else { value / next };
+            value = if sign == "x" {
+                value * next
+            } else {
+                value / next
+            };
         }
         Ok(value)
     }
 
     fn term<'a>(
-        &self, parts: &mut std::iter::Peekable<impl Iterator<Item = &'a str>>,
+        &self,
+        parts: &mut std::iter::Peekable<impl Iterator<Item = &'a str>>,
     ) -> Result<f64, String> {
         match parts.next() {
             Some("(") => {
                 let value = self.sum(parts)?;
-                if parts.next() == Some(")") { Ok(value) } else { Err("a parenthesis stays open".into()) }
+                if parts.next() == Some(")") {
+                    Ok(value)
+                } else {
+                    Err("a parenthesis stays open".into())
+                }
             }
             Some(word) => self
                 .0
@@ -178,7 +213,11 @@
         }
     }
     for row in rows(page, 'W') {
-        if row[2].trim_matches('`').split_whitespace().any(|word| far.contains(word)) {
+        if row[2]
+            .trim_matches('`')
+            .split_whitespace()
+            .any(|word| far.contains(word))
+        {
             far.insert(row[0].clone());
         }
     }
@@ -192,9 +231,15 @@
         let before = names.0.insert(name.to_owned(), value);
         assert!(before.is_none(), "{name} stands for two things");
     };
-    data.target.iter().for_each(|(name, value)| add(name, *value));
-    data.allowed.iter().for_each(|(name, value)| add(name, *value));
-    data.given.iter().for_each(|(name, given)| add(name, given.value));
+    data.target
+        .iter()
+        .for_each(|(name, value)| add(name, *value));
+    data.allowed
+        .iter()
+        .for_each(|(name, value)| add(name, *value));
+    data.given
+        .iter()
+        .for_each(|(name, given)| add(name, given.value));
     for slope in &data.slope {
         add(&slope.id, slope.at(data).value);
         add(&format!("{}.slope", slope.id), slope.fit().slope);
@@ -202,9 +247,16 @@
     }
     data.measured.iter().for_each(|m| add(&m.id, m.value));
     for row in rows(page, 'W') {
-        let [id, _, formula, ..] = &row[..] else { panic!("{row:?} lacks a cell") };
-        let value = names.work_out(formula.trim_matches('`')).unwrap_or_else(|e| panic!("{id}: {e}"));
-        assert!(names.0.insert(id.clone(), value).is_none(), "{id} stands twice");
+        let [id, _, formula, ..] = &row[..] else {
+            panic!("{row:?} lacks a cell")
+        };
+        let value = names
+            .work_out(formula.trim_matches('`'))
+            .unwrap_or_else(|e| panic!("{id}: {e}"));
+        assert!(
+            names.0.insert(id.clone(), value).is_none(),
+            "{id} stands twice"
+        );
     }
     names
 }
@@ -235,20 +287,42 @@
     for slope in &data.slope {
         let id = &slope.id;
         assert!(ids.insert(id.clone()), "{id} stands twice");
-        assert!(data.size(&slope.by).is_some(), "{id}: no size is called {}", slope.by);
-        let texts = [&slope.what, &slope.unit, &slope.command, &slope.source, &slope.date];
-        assert!(texts.iter().all(|text| !text.trim().is_empty()), "{id} leaves something out");
+        assert!(
+            data.size(&slope.by).is_some(),
+            "{id}: no size is called {}",
+            slope.by
+        );
+        let texts = [
+            &slope.what,
+            &slope.unit,
+            &slope.command,
+            &slope.source,
+            &slope.date,
+        ];
+        assert!(
+            texts.iter().all(|text| !text.trim().is_empty()),
+            "{id} leaves something out"
+        );
         let fit = slope.fit();
-        assert!(0.0 <= fit.range[0] && fit.points == slope.points.len(), "{id}");
+        assert!(
+            0.0 <= fit.range[0] && fit.points == slope.points.len(),
+            "{id}"
+        );
     }
     for m in &data.measured {
         let id = &m.id;
         assert!(ids.insert(id.clone()) && m.value.is_finite(), "{id}");
         let texts = [&m.what, &m.unit, &m.command, &m.source, &m.date];
-        assert!(texts.iter().all(|text| !text.trim().is_empty()), "{id} leaves something out");
+        assert!(
+            texts.iter().all(|text| !text.trim().is_empty()),
+            "{id} leaves something out"
+        );
     }
     for (name, given) in &data.given {
-        assert!(!given.source.trim().is_empty() && !given.unit.trim().is_empty(), "{name} has no source");
+        assert!(
+            !given.source.trim().is_empty() && !given.unit.trim().is_empty(),
+            "{name} has no source"
+        );
     }
 }
 
@@ -259,18 +333,42 @@
     let shown: BTreeSet<&str> = rows.iter().map(|row| row[0].as_str()).collect();
     let known: BTreeSet<&str> = data.slope.iter().map(|slope| slope.id.as_str()).collect();
     assert_eq!(shown, known, "the page's slopes are not those of the data");
-    assert_eq!(rows.len(), data.slope.len(), "a slope stands twice in the page");
+    assert_eq!(
+        rows.len(),
+        data.slope.len(),
+        "a slope stands twice in the page"
+    );
     for row in &rows {
         let [id, _, slope, base, by, at, range, residual, command] = &row[..] else {
             panic!("{row:?} does not have nine cells")
         };
-        let of = data.slope.iter().find(|slope| slope.id == *id).expect("it is known");
+        let of = data
+            .slope
+            .iter()
+            .find(|slope| slope.id == *id)
+            .expect("it is known");
         let (fit, target) = (of.fit(), of.at(&data));
-        assert!(agrees(slope, fit.slope), "{id}: slope {slope} is not {}", fit.slope);
-        assert!(agrees(base, fit.base), "{id}: base {base} is not {}", fit.base);
-        assert!(agrees(at, target.value), "{id}: {at} is not {}", target.value);
+        assert!(
+            agrees(slope, fit.slope),
+            "{id}: slope {slope} is not {}",
+            fit.slope
+        );
+        assert!(
+            agrees(base, fit.base),
+            "{id}: base {base} is not {}",
+            fit.base
+        );
+        assert!(
+            agrees(at, target.value),
+            "{id}: {at} is not {}",
+            target.value
+        );
         for cell in [slope, base, at] {
-            assert!(cell.contains(&of.unit), "{id}: {cell} lacks its unit, {}", of.unit);
+            assert!(
+                cell.contains(&of.unit),
+                "{id}: {cell} lacks its unit, {}",
+                of.unit
+            );
         }
         assert!(
             agrees(by, target.size) && by.contains(&of.by),
@@ -278,18 +376,39 @@
             target.size,
             of.by
         );
-        let (span, beyond) = range.split_once("; ").unwrap_or_else(|| panic!("{id}: {range}"));
-        let (least, most) = span.split_once(" to ").unwrap_or_else(|| panic!("{id}: {range}"));
+        let (span, beyond) = range
+            .split_once("; ")
+            .unwrap_or_else(|| panic!("{id}: {range}"));
+        let (least, most) = span
+            .split_once(" to ")
+            .unwrap_or_else(|| panic!("{id}: {range}"));
         let right = agrees(least, fit.range[0]) && agrees(most, fit.range[1]);
-        assert!(right && agrees(beyond, target.times), "{id}: {range} is not {:?}", fit.range);
-        assert_eq!(beyond.contains(SAYS_FAR), target.times > FAR, "{id}: {range}");
+        assert!(
+            right && agrees(beyond, target.times),
+            "{id}: {range} is not {:?}",
+            fit.range
+        );
+        assert_eq!(
+            beyond.contains(SAYS_FAR),
+            target.times > FAR,
+            "{id}: {range}"
+        );
         if fit.points == 2 {
             assert_eq!(residual, "two points", "{id}");
         } else {
-            let right = |(written, half): (f64, f64)| (written - 100.0 * fit.residual).abs() <= half + 1e-9;
-            assert!(figure(residual).is_some_and(right), "{id}: {residual} is not {}", fit.residual);
+            let right =
+                |(written, half): (f64, f64)| (written - 100.0 * fit.residual).abs() <= half + 1e-9;
+            assert!(
+                figure(residual).is_some_and(right),
+                "{id}: {residual} is not {}",
+                fit.residual
+            );
         }
-        assert_eq!(command.trim_matches('`'), of.command, "{id}: another command");
+        assert_eq!(
+            command.trim_matches('`'),
+            of.command,
+            "{id}: another command"
+        );
     }
 }
 
@@ -299,16 +418,25 @@
     let rows = rows(&page, 'D');
     let shown: Vec<&str> = rows.iter().map(|row| row[0].as_str()).collect();
     let known: Vec<&str> = data.measured.iter().map(|m| m.id.as_str()).collect();
-    assert_eq!(shown, known, "the page's single figures are not those of the data");
+    assert_eq!(
+        shown, known,
+        "the page's single figures are not those of the data"
+    );
     for (row, m) in rows.iter().zip(&data.measured) {
-        let [id, _, value, command] = &row[..] else { panic!("{row:?} does not have four cells") };
+        let [id, _, value, command] = &row[..] else {
+            panic!("{row:?} does not have four cells")
+        };
         assert!(
             agrees(value, m.value) && value.contains(&m.unit),
             "{id}: {value} is not {} {}",
             m.value,
             m.unit
         );
-        assert_eq!(command.trim_matches('`'), m.command, "{id}: another command");
+        assert_eq!(
+            command.trim_matches('`'),
+            m.command,
+            "{id}: another command"
+        );
     }
 }
 
@@ -319,8 +447,12 @@
     let rows = rows(&page, 'W');
     assert!(!rows.is_empty());
     for row in rows {
-        let [id, _, formula, value, ..] = &row[..] else { panic!("{row:?} lacks a cell") };
-        let is = names.work_out(formula.trim_matches('`')).unwrap_or_else(|e| panic!("{id}: {e}"));
+        let [id, _, formula, value, ..] = &row[..] else {
+            panic!("{row:?} lacks a cell")
+        };
+        let is = names
+            .work_out(formula.trim_matches('`'))
+            .unwrap_or_else(|e| panic!("{id}: {e}"));
         assert!(agrees(value, is), "{id}: {value} is not {formula} = {is}");
         assert_eq!(value.contains(SAYS_FAR), far.contains(id), "{id}: {value}");
     }
@@ -332,16 +464,34 @@
     let (data, page) = (data(), read("CAPACITY.md"));
     let names = names(&data, &page);
     let is_row = |line: &&str| {
-        let first = line.trim_start_matches('|').trim_start().split(' ').next().unwrap_or_default();
+        let first = line
+            .trim_start_matches('|')
+            .trim_start()
+            .split(' ')
+            .next()
+            .unwrap_or_default();
         line.starts_with('|') && ids(first, "SDWAMN").next() == Some(first)
     };
-    let text: String = page.lines().filter(|line| !is_row(line)).map(|line| format!("{line} ")).collect();
+    let text: String = page
+        .lines()
+        .filter(|line| !is_row(line))
+        .map(|line| format!("{line} "))
+        .collect();
     let mut checked = 0;
     for (at, _) in text.match_indices('(') {
         let id = text[at + 1..].split(')').next().unwrap_or_default();
-        let Some(is) = names.0.get(id).filter(|_| ids(id, "WDS").next() == Some(id)) else { continue };
-        let before =
-            text[..at].split_whitespace().rev().take(3).find(|w| w.starts_with(|c: char| c.is_ascii_digit()));
+        let Some(is) = names
+            .0
+            .get(id)
+            .filter(|_| ids(id, "WDS").next() == Some(id))
+        else {
+            continue;
+        };
+        let before = text[..at]
+            .split_whitespace()
+            .rev()
+            .take(3)
+            .find(|w| w.starts_with(|c: char| c.is_ascii_digit()));
         if let Some(said) = before {
             assert!(agrees(said, *is), "{said} ({id}) is {is}");
             checked += 1;
@@ -358,14 +508,30 @@
     let rows = rows(&page, 'A');
     assert!(!rows.is_empty());
     for row in rows {
-        let [id, _, formula, value, allowed, multiple, ..] = &row[..] else { panic!("{row:?} lacks a cell") };
-        let is = names.work_out(formula.trim_matches('`')).unwrap_or_else(|e| panic!("{id}: {e}"));
+        let [id, _, formula, value, allowed, multiple, ..] = &row[..] else {
+            panic!("{row:?} lacks a cell")
+        };
+        let is = names
+            .work_out(formula.trim_matches('`'))
+            .unwrap_or_else(|e| panic!("{id}: {e}"));
         assert!(agrees(value, is), "{id}: {value} is not {formula} = {is}");
-        let is_far = formula.trim_matches('`').split_whitespace().any(|word| far.contains(word));
+        let is_far = formula
+            .trim_matches('`')
+            .split_whitespace()
+            .any(|word| far.contains(word));
         assert_eq!(value.contains(SAYS_FAR), is_far, "{id}: {value}");
-        let limit = figure(allowed).unwrap_or_else(|| panic!("{id}: {allowed}")).0;
-        assert!(data.allowed.values().any(|a| *a == limit), "{id}: nobody allows {allowed}");
-        assert!(agrees(multiple, is / limit), "{id}: {multiple} is not {}", is / limit);
+        let limit = figure(allowed)
+            .unwrap_or_else(|| panic!("{id}: {allowed}"))
+            .0;
+        assert!(
+            data.allowed.values().any(|a| *a == limit),
+            "{id}: nobody allows {allowed}"
+        );
+        assert!(
+            agrees(multiple, is / limit),
+            "{id}: {multiple} is not {}",
+            is / limit
+        );
         assert!(is / limit <= before, "{id} is not in order");
         before = is / limit;
     }
@@ -373,10 +539,13 @@
 
 /// What a text names by an id of these letters.
 fn ids<'a>(text: &'a str, letters: &'a str) -> impl Iterator<Item = &'a str> {
-    text.split(|c: char| !c.is_ascii_alphanumeric()).filter(move |word| {
-        let digits = word.strip_prefix(|c| letters.contains(c)).unwrap_or_default();
-        !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit())
-    })
+    text.split(|c: char| !c.is_ascii_alphanumeric())
+        .filter(move |word| {
+            let digits = word
+                .strip_prefix(|c| letters.contains(c))
+                .unwrap_or_default();
+            !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit())
+        })
 }
 
 #[test]
@@ -388,7 +557,10 @@
     }
     for (name, text) in [("page", &page), ("note", &read("design/capacity.md"))] {
         for id in ids(text, "SDWAMN") {
-            assert!(known.contains(id), "the {name} names {id}, which has no row");
+            assert!(
+                known.contains(id),
+                "the {name} names {id}, which has no row"
+            );
         }
     }
 }
@@ -396,31 +568,58 @@
 #[test]
 fn what_is_missing_stands_in_the_roadmap_in_the_same_order_with_its_size() {
     let (page, roadmap) = (read("CAPACITY.md"), read("ROADMAP.md"));
-    let begin = roadmap.find("the fleet ahead").expect("the ROADMAP has a part on the fleet ahead");
+    let begin = roadmap
+        .find("the fleet ahead")
+        .expect("the ROADMAP has a part on the fleet ahead");
     let part = &roadmap[begin..];
     let part = &part[..part.find("\n## ").unwrap_or(part.len())];
     let rows = rows(&page, 'M');
     assert!(!rows.is_empty());
     let mut at = 0;
     for (number, row) in rows.iter().enumerate() {
-        let [id, name, size, removes, ..] = &row[..] else { panic!("{row:?} lacks a cell") };
+        let [id, name, size, removes, ..] = &row[..] else {
+            panic!("{row:?} lacks a cell")
+        };
         assert_eq!(*id, format!("M{}", number + 1), "out of order");
-        assert!(size.contains("lines") && size.contains("week"), "{id}: {size} is no size");
-        assert!(ids(removes, "SDWAN").next().is_some(), "{id} names no figure that it takes away");
-        let found = part[at..].lines().position(|line| line.contains(&format!("**{name}**")));
-        let line =
-            found.unwrap_or_else(|| panic!("{id}: \"{name}\" has no line in the ROADMAP from there on"));
+        assert!(
+            size.contains("lines") && size.contains("week"),
+            "{id}: {size} is no size"
+        );
+        assert!(
+            ids(removes, "SDWAN").next().is_some(),
+            "{id} names no figure that it takes away"
+        );
+        let found = part[at..]
+            .lines()
+            .position(|line| line.contains(&format!("**{name}**")));
+        let line = found
+            .unwrap_or_else(|| panic!("{id}: \"{name}\" has no line in the ROADMAP from there on"));
         let text = part[at..].lines().nth(line).unwrap_or_default();
-        assert!(text.contains(id.as_str()), "{id}: the ROADMAP's line is another's: {text}");
-        assert!(text.contains(size.as_str()), "{id}: the ROADMAP's line lacks its size, {size}: {text}");
-        at += part[at..].lines().take(line + 1).map(|l| l.len() + 1).sum::<usize>();
+        assert!(
+            text.contains(id.as_str()),
+            "{id}: the ROADMAP's line is another's: {text}"
+        );
+        assert!(
+            text.contains(size.as_str()),
+            "{id}: the ROADMAP's line lacks its size, {size}: {text}"
+        );
+        at += part[at..]
+            .lines()
+            .take(line + 1)
+            .map(|l| l.len() + 1)
+            .sum::<usize>();
     }
     let listed = part.lines().filter(|line| line.contains(". **")).count();
     assert_eq!(listed, rows.len(), "the ROADMAP has another number of them");
-    let missing = page.lines().filter(|line| line.starts_with('|') && line.contains("missing:"));
+    let missing = page
+        .lines()
+        .filter(|line| line.starts_with('|') && line.contains("missing:"));
     for line in missing {
         let named = line.split("missing:").nth(1).unwrap_or_default();
-        assert!(ids(named, "M").next().is_some(), "what is missing has no row: {line}");
+        assert!(
+            ids(named, "M").next().is_some(),
+            "what is missing has no row: {line}"
+        );
     }
 }
 
--- a/crates/lab/tests/settings.rs
+++ b/crates/lab/tests/settings.rs
@@ -8,7 +8,11 @@
         let s = Scenario::parse(name, text).unwrap();
         for proxy in 0..s.proxies.count {
             let (read, _) = settings::parse(&lab::real::settings_json(&s, proxy));
-            assert_eq!(format!("{read:?}"), format!("{:?}", lab::settings::of(&s, proxy)), "{name}");
+            assert_eq!(
+                format!("{read:?}"),
+                format!("{:?}", lab::settings::of(&s, proxy)),
+                "{name}"
+            );
         }
     }
 }
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -40,8 +40,12 @@
     let text = shipped::text("reset-storm").unwrap();
     let first = shown(&play(text, 5).1.ledger);
     let others: Vec<String> = std::thread::scope(|scope| {
-        let runs: Vec<_> = (0..3).map(|_| scope.spawn(|| shown(&play(text, 5).1.ledger))).collect();
-        runs.into_iter().map(|run| run.join().expect("it ends")).collect()
+        let runs: Vec<_> = (0..3)
+            .map(|_| scope.spawn(|| shown(&play(text, 5).1.ledger)))
+            .collect();
+        runs.into_iter()
+            .map(|run| run.join().expect("it ends"))
+            .collect()
     });
     assert!(others.iter().all(|other| *other == first));
     assert_ne!(shown(&play(text, 6).1.ledger), first);
@@ -49,11 +53,21 @@
 
 #[test]
 fn a_fault_changes_nothing_before_it_begins() {
-    let quiet = shipped::text("hung-server").unwrap().split("\n[[fault]]").next().unwrap().to_owned();
-    let ((_, with), (_, without)) = (play(shipped::text("hung-server").unwrap(), 3), play(&quiet, 3));
+    let quiet = shipped::text("hung-server")
+        .unwrap()
+        .split("\n[[fault]]")
+        .next()
+        .unwrap()
+        .to_owned();
+    let ((_, with), (_, without)) = (
+        play(shipped::text("hung-server").unwrap(), 3),
+        play(&quiet, 3),
+    );
     let before = |p: &Played| {
         let early = p.ledger.tries.iter().filter(|t| t.sent < 3000.0);
-        early.map(|t| format!("{:?}", t.attempts.first().map(|a| (a.server, a.sent)))).collect::<Vec<_>>()
+        early
+            .map(|t| format!("{:?}", t.attempts.first().map(|a| (a.server, a.sent))))
+            .collect::<Vec<_>>()
     };
     assert_eq!(before(&with), before(&without));
     assert_ne!(shown(&with.ledger), shown(&without.ledger));
@@ -67,26 +81,41 @@
     assert!(calm.whole.share > 0.99 && calm.refused < 0.01, "{calm:?}");
     let (s, p) = play(&quiet.replace("45 %", "200 %"), 1);
     let over = scored(&s, &p);
-    assert!(over.whole.share > 0.3 && over.whole.share < 0.8 && over.refused > 0.2, "{over:?}");
+    assert!(
+        over.whole.share > 0.3 && over.whole.share < 0.8 && over.refused > 0.2,
+        "{over:?}"
+    );
     assert!(judge(&p.ledger, &s.rules, &s.proxies).is_empty());
 }
 
 #[test]
 fn a_fleet_of_many_servers_keeps_the_rules_through_a_deploy() {
     let text = shipped::text("deploy-81").unwrap();
-    let text = text.replace("servers = 12", "servers = 200").replace("count = 3", "count = 20");
-    let text =
-        text.replace("length = \"30 s\"", "length = \"8 s\"").replace("for = \"18 s\"", "for = \"4 s\"");
+    let text = text
+        .replace("servers = 12", "servers = 200")
+        .replace("count = 3", "count = 20");
+    let text = text
+        .replace("length = \"30 s\"", "length = \"8 s\"")
+        .replace("for = \"18 s\"", "for = \"4 s\"");
     let (s, p) = play(&text.replace("at = \"4 s\"", "at = \"2 s\""), 1);
     let broken = judge(&p.ledger, &s.rules, &s.proxies);
     assert!(broken.is_empty(), "{} of {}", broken[0], broken.len());
-    assert!(p.ledger.told.iter().filter(|t| !t.up).count() > 100 * 20, "drains were told");
+    assert!(
+        p.ledger.told.iter().filter(|t| !t.up).count() > 100 * 20,
+        "drains were told"
+    );
 }
 
 /// Attempts that were over for their proxies before their servers had done them.
 fn worked_on(played: &Played) -> usize {
     let attempts = played.ledger.tries.iter().flat_map(|t| &t.attempts);
-    attempts.filter(|a| a.ended.zip(a.ran).is_some_and(|((ended, _), ran)| ended < ran)).count()
+    attempts
+        .filter(|a| {
+            a.ended
+                .zip(a.ran)
+                .is_some_and(|((ended, _), ran)| ended < ran)
+        })
+        .count()
 }
 
 #[test]
@@ -96,7 +125,10 @@
     let spared = text.replace("cancels = \"nothing\"", "cancels = \"all\"");
     // In all three some are given up when their clients' time is over; beyond those only breaks leave work behind.
     let [during, before, spared] = [text, answers, &spared].map(|text| worked_on(&play(text, 1).1));
-    assert!(during > 3 * before.max(spared), "{during} in mid-work, {before} at answers, {spared} spared");
+    assert!(
+        during > 3 * before.max(spared),
+        "{during} in mid-work, {before} at answers, {spared} spared"
+    );
     assert!(during > 50, "{during}");
 }
 
--- a/crates/links/src/frame.rs
+++ b/crates/links/src/frame.rs
@@ -55,12 +55,17 @@
 impl Key {
     /// The key of a cluster of this name.
     pub fn new(cluster: &str, bytes: &[u8]) -> Self {
-        Key { bytes: bytes.to_vec(), cluster: cluster.to_owned() }
+        Key {
+            bytes: bytes.to_vec(),
+            cluster: cluster.to_owned(),
+        }
     }
 
     fn seal(&self, parts: &[&[u8]]) -> [u8; SEAL] {
         // A key of any length is taken, so that this can't fail.
-        let Ok(mut mac) = <Hmac<Sha256> as Mac>::new_from_slice(&self.bytes) else { return [0; SEAL] };
+        let Ok(mut mac) = <Hmac<Sha256> as Mac>::new_from_slice(&self.bytes) else {
+            return [0; SEAL];
+        };
         for part in [self.cluster.as_bytes()].iter().chain(parts) {
             mac.update(&(part.len() as u64).to_le_bytes());
             mac.update(part);
@@ -90,7 +95,11 @@
         let mut session = [0; 2 * NONCE];
         session[..NONCE].copy_from_slice(dialler);
         session[NONCE..].copy_from_slice(dialled);
-        Sealer { key: key.clone(), session, number: 0 }
+        Sealer {
+            key: key.clone(),
+            session,
+            number: 0,
+        }
     }
 
     /// The head of the next message.
@@ -103,7 +112,9 @@
         }
         let mut head = [0; HEAD];
         head[..4].copy_from_slice(&(message.len() as u32).to_le_bytes());
-        let seal = self.key.seal(&[SEALED, &self.session, &self.number.to_le_bytes(), message]);
+        let seal = self
+            .key
+            .seal(&[SEALED, &self.session, &self.number.to_le_bytes(), message]);
         head[4..].copy_from_slice(&seal);
         self.number += 1;
         Ok(head)
@@ -115,7 +126,11 @@
     /// It is too long.
     pub fn length(head: &[u8; HEAD]) -> Result<usize, Rubbish> {
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        if length > LONGEST { Err(Rubbish::TooLong(length)) } else { Ok(length) }
+        if length > LONGEST {
+            Err(Rubbish::TooLong(length))
+        } else {
+            Ok(length)
+        }
     }
 
     /// Whether a message is the next one.
@@ -124,7 +139,10 @@
     /// It is not.
     pub fn check(&mut self, head: &[u8; HEAD], message: &[u8]) -> Result<(), Rubbish> {
         let number = self.number.to_le_bytes();
-        if !self.key.fits(&[SEALED, &self.session, &number, message], &head[4..]) {
+        if !self
+            .key
+            .fits(&[SEALED, &self.session, &number, message], &head[4..])
+        {
             return Err(Rubbish::Seal);
         }
         self.number += 1;
@@ -147,7 +165,9 @@
 /// # Errors
 /// No answer is due: the link ends.
 pub fn answer(
-    key: &Key, opening: &[u8; OPENING], drawn: [u8; NONCE],
+    key: &Key,
+    opening: &[u8; OPENING],
+    drawn: [u8; NONCE],
 ) -> Result<([u8; ANSWER], Sealer), Rubbish> {
     if opening[..4] != MAGIC {
         return Err(Rubbish::Foreign);
--- a/crates/links/src/kept.rs
+++ b/crates/links/src/kept.rs
@@ -30,14 +30,24 @@
     /// It can't be had, or is damaged.
     pub fn open(directory: &Path) -> Result<Self, String> {
         let (log, logged) = Log::open(directory).map_err(|e| e.to_string())?;
-        let identity = logged.identity.as_deref().map(serde_json::from_slice).transpose();
+        let identity = logged
+            .identity
+            .as_deref()
+            .map(serde_json::from_slice)
+            .transpose();
         let identity = identity.map_err(|e: serde_json::Error| e.to_string())?;
-        Ok(Kept { log, identity, saved: saved(&logged) })
+        Ok(Kept {
+            log,
+            identity,
+            saved: saved(&logged),
+        })
     }
 
     /// The cluster's id and the member's name, if it is one's.
     pub fn identity(&self) -> Option<(&str, &str)> {
-        self.identity.as_ref().map(|i| (i.cluster.as_str(), i.name.as_str()))
+        self.identity
+            .as_ref()
+            .map(|i| (i.cluster.as_str(), i.name.as_str()))
     }
 
     /// What the log tells.
@@ -52,10 +62,19 @@
     ///
     /// # Errors
     /// It can't be written; the directory is as it was, or is no member's.
-    pub fn begin_anew(&mut self, machine: &Machine, name: &str, state: String) -> Result<(), String> {
+    pub fn begin_anew(
+        &mut self,
+        machine: &Machine,
+        name: &str,
+        state: String,
+    ) -> Result<(), String> {
         let id = machine.members.get(name).map_or(0, |m| m.id);
         let saved = found(machine, state, id);
-        let identity = Identity { cluster: machine.cluster.clone(), id, name: name.to_owned() };
+        let identity = Identity {
+            cluster: machine.cluster.clone(),
+            id,
+            name: name.to_owned(),
+        };
         self.log.clear().map_err(|e| e.to_string())?;
         put_identity(&mut self.log, &identity, &saved)
     }
@@ -75,7 +94,11 @@
     }
 }
 
-pub(crate) fn put_identity(log: &mut Log, identity: &Identity, saved: &Saved) -> Result<(), String> {
+pub(crate) fn put_identity(
+    log: &mut Log,
+    identity: &Identity,
+    saved: &Saved,
+) -> Result<(), String> {
     let identity = serde_json::to_vec(identity).map_err(|e| e.to_string())?;
     let append = Append {
         snapshot: saved.snapshot.as_deref().map(|s| (1, s)),
--- a/crates/links/src/mark.rs
+++ b/crates/links/src/mark.rs
@@ -25,7 +25,10 @@
 
 /// Which start of the machine this is.
 fn boot() -> String {
-    std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default().trim().to_owned()
+    std::fs::read_to_string("/proc/sys/kernel/random/boot_id")
+        .unwrap_or_default()
+        .trim()
+        .to_owned()
 }
 
 impl Mark {
@@ -33,14 +36,23 @@
     pub fn read(directory: &Path) -> Self {
         let (file, boot) = (directory.join("alive"), boot());
         let text = std::fs::read_to_string(&file).unwrap_or_default(); // none is no fresh one
-        let found = text.trim().split_once(' ').filter(|(of, _)| !boot.is_empty() && *of == boot);
+        let found = text
+            .trim()
+            .split_once(' ')
+            .filter(|(of, _)| !boot.is_empty() && *of == boot);
         let found = found.and_then(|(_, at)| at.parse().ok());
-        Mark { file, found, due: 0, boot }
+        Mark {
+            file,
+            found,
+            due: 0,
+            boot,
+        }
     }
 
     /// Whether the disk is known to be its process's newest.
     pub fn is_fresh(&self) -> bool {
-        self.found.is_some_and(|at| clock::now().checked_sub(at).is_some_and(|age| age <= FRESH))
+        self.found
+            .is_some_and(|at| clock::now().checked_sub(at).is_some_and(|age| age <= FRESH))
     }
 
     /// Marks that the process runs, where that is due. It need not outlast the machine.
@@ -61,7 +73,8 @@
 
     #[test]
     fn only_a_young_mark_of_this_start_of_the_machine_is_fresh() {
-        let directory = std::env::temp_dir().join(format!("canvascart-mark-{}", std::process::id()));
+        let directory =
+            std::env::temp_dir().join(format!("canvascart-mark-{}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("a directory");
         let (now, boot) = (clock::now(), boot());
         let fresh = |text: String| {
@@ -69,10 +82,25 @@
             Mark::read(&directory).is_fresh()
         };
         assert!(fresh(format!("{boot} {now}\n")));
-        assert!(!fresh(format!("{boot} {}\n", now.saturating_sub(FRESH + 1_000_000))), "it is too old");
-        assert!(!fresh(format!("{boot} {}\n", now + 3_600_000_000)), "it is of another time");
-        assert!(!fresh(format!("other {now}\n")), "it is of another start of the machine");
-        assert!(!fresh(format!("{boot} 12x")) && !fresh(String::new()), "it is torn");
+        assert!(
+            !fresh(format!(
+                "{boot} {}\n",
+                now.saturating_sub(FRESH + 1_000_000)
+            )),
+            "it is too old"
+        );
+        assert!(
+            !fresh(format!("{boot} {}\n", now + 3_600_000_000)),
+            "it is of another time"
+        );
+        assert!(
+            !fresh(format!("other {now}\n")),
+            "it is of another start of the machine"
+        );
+        assert!(
+            !fresh(format!("{boot} 12x")) && !fresh(String::new()),
+            "it is torn"
+        );
         std::fs::remove_file(directory.join("alive")).expect("it is there");
         Mark::read(&directory).keep(now);
         assert!(Mark::read(&directory).is_fresh());
--- a/crates/links/src/member.rs
+++ b/crates/links/src/member.rs
@@ -179,8 +179,11 @@
 /// # Errors
 /// The log or the address can't be had.
 pub async fn open(
-    settings: Settings, to: mpsc::UnboundedSender<Told>, from: mpsc::UnboundedReceiver<Said>,
-    right: Arc<Right>, begin: Beginning,
+    settings: Settings,
+    to: mpsc::UnboundedSender<Told>,
+    from: mpsc::UnboundedReceiver<Said>,
+    right: Arc<Right>,
+    begin: Beginning,
 ) -> Result<Driven, String> {
     let (log, logged) = Log::open(&settings.directory).map_err(|e| e.to_string())?;
     let at = |e: io::Error| format!("{}: {e}", settings.address);
@@ -227,7 +230,9 @@
 
     /// Goes on as the member that the log tells of, if it tells of one.
     fn remember(&mut self, logged: &Logged) -> Result<(), String> {
-        let Some(bytes) = &logged.identity else { return Ok(()) };
+        let Some(bytes) = &logged.identity else {
+            return Ok(());
+        };
         let identity: Identity = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
         if identity.name != self.settings.name {
             return Err(format!(
@@ -240,11 +245,23 @@
 
     fn begin_with(&mut self, identity: Identity, saved: &Saved) -> Result<(), String> {
         let proven = self.mark.is_fresh();
-        let node = Node::new(identity.id, saved, self.starts, proven, fastrand::u64(..), clock::now());
+        let node = Node::new(
+            identity.id,
+            saved,
+            self.starts,
+            proven,
+            fastrand::u64(..),
+            clock::now(),
+        );
         let mut node = node.map_err(|e| e.to_string())?;
         node.keep(self.settings.log_entries);
         self.node = Some(node);
-        tracing::info!(name = identity.name, id = identity.id, cluster = identity.cluster, "is a member");
+        tracing::info!(
+            name = identity.name,
+            id = identity.id,
+            cluster = identity.cluster,
+            "is a member"
+        );
         self.identity = Some(identity);
         Ok(())
     }
@@ -286,14 +303,30 @@
     }
 
     fn me(&self) -> Sender {
-        let (id, cluster) = self.identity.as_ref().map_or((0, String::new()), |i| (i.id, i.cluster.clone()));
-        Sender { name: self.settings.name.clone(), address: self.address.clone(), id, cluster }
+        let (id, cluster) = self
+            .identity
+            .as_ref()
+            .map_or((0, String::new()), |i| (i.id, i.cluster.clone()));
+        Sender {
+            name: self.settings.name.clone(),
+            address: self.address.clone(),
+            id,
+            cluster,
+        }
     }
 
     fn write(&mut self, name: &str, address: &str, body: Body) {
         // What the operator's file says of where another is goes before what that one says itself.
-        let address = self.settings.peers.get(name).map_or(address, String::as_str).to_owned();
-        let message = Message { from: self.me(), body };
+        let address = self
+            .settings
+            .peers
+            .get(name)
+            .map_or(address, String::as_str)
+            .to_owned();
+        let message = Message {
+            from: self.me(),
+            body,
+        };
         self.post.send(name, &address, &message);
     }
 
@@ -337,11 +370,21 @@
             return self.found();
         }
         let leader = self.told.values().find_map(|body| match body {
-            Body::Tell { leader: Some(leader), .. } => Some(leader.clone()),
+            Body::Tell {
+                leader: Some(leader),
+                ..
+            } => Some(leader.clone()),
             _ => None,
         });
         if let Some((name, address)) = leader {
-            self.write(&name, &address, Body::Join { zone: self.settings.zone.clone(), drawn: self.drawn });
+            self.write(
+                &name,
+                &address,
+                Body::Join {
+                    zone: self.settings.zone.clone(),
+                    drawn: self.drawn,
+                },
+            );
         }
         self.ask();
         Ok(())
@@ -360,20 +403,37 @@
     fn ask(&mut self) {
         let names = self.names();
         for (name, address) in self.settings.peers.clone() {
-            self.write(&name, &address, Body::Ask { names: names.clone() });
+            self.write(
+                &name,
+                &address,
+                Body::Ask {
+                    names: names.clone(),
+                },
+            );
         }
     }
 
     fn found(&mut self) -> Result<(), String> {
-        let Some(begin) = self.begin.take() else { return Ok(()) };
+        let Some(begin) = self.begin.take() else {
+            return Ok(());
+        };
         let (version, entry, state) = begin()?;
         let cluster = new_cluster();
         let (name, zone) = (self.settings.name.clone(), self.settings.zone.clone());
-        let member = Member { id: 1, address: self.address.clone(), zone, drawn: self.drawn };
+        let member = Member {
+            id: 1,
+            address: self.address.clone(),
+            zone,
+            drawn: self.drawn,
+        };
         let rules = self.settings.rules.clone();
         let machine = Machine::found(cluster.clone(), rules, name.clone(), member, version, entry);
         let saved = found(&machine, state, 1);
-        let identity = Identity { cluster, id: 1, name };
+        let identity = Identity {
+            cluster,
+            id: 1,
+            name,
+        };
         put_identity(&mut self.log, &identity, &saved)?;
         tracing::info!(cluster = identity.cluster, version, "founds the cluster");
         self.begin_with(identity, &saved)
@@ -382,13 +442,18 @@
     fn message(&mut self, message: Message) -> Result<(), String> {
         let Message { from, body } = message;
         let now = clock::now();
-        let ours = self.identity.as_ref().is_some_and(|i| i.cluster == from.cluster);
+        let ours = self
+            .identity
+            .as_ref()
+            .is_some_and(|i| i.cluster == from.cluster);
         if !ours && !from.cluster.is_empty() && matches!(body, Body::Node(..) | Body::Ask { .. }) {
             self.foreign(now, &from);
         }
         match body {
             Body::Node(to, message) => {
-                let Some(node) = self.node.as_mut().filter(|n| ours && n.id() == to) else { return Ok(()) };
+                let Some(node) = self.node.as_mut().filter(|n| ours && n.id() == to) else {
+                    return Ok(());
+                };
                 if node.machine().is_none_or(|m| m.name_of(from.id).is_none()) {
                     self.heard.insert(from.id, (from.name, from.address));
                     if self.heard.len() > CALLS {
@@ -407,15 +472,23 @@
             }
             Body::Tell { .. } => _ = self.told.insert(from.name, body),
             Body::Join { zone, drawn } => {
-                let Some(node) = &mut self.node else { return Ok(()) };
+                let Some(node) = &mut self.node else {
+                    return Ok(());
+                };
                 match node.join(now, &from.name, &from.address, &zone, drawn) {
                     Ok(Some(id)) => self.write(&from.name, &from.address, Body::Joined(Ok(id))),
                     Ok(None) | Err(Refusal::NotLeading(_)) => {} // it asks again
-                    Err(e) => self.write(&from.name, &from.address, Body::Joined(Err(e.to_string()))),
+                    Err(e) => {
+                        self.write(&from.name, &from.address, Body::Joined(Err(e.to_string())))
+                    }
                 }
             }
             Body::Joined(Ok(id)) if self.identity.is_none() => {
-                let identity = Identity { cluster: from.cluster, id, name: self.settings.name.clone() };
+                let identity = Identity {
+                    cluster: from.cluster,
+                    id,
+                    name: self.settings.name.clone(),
+                };
                 put_identity(&mut self.log, &identity, &Saved::default())?;
                 self.begin_with(identity, &Saved::default())?;
             }
@@ -439,19 +512,31 @@
 
     /// A member of another cluster has written, such as one of before a restore: nothing of it is taken, and it is told so.
     fn foreign(&mut self, now: Micros, from: &Sender) {
-        let Some(own) = self.identity.as_ref().map(|i| i.cluster.clone()).filter(|_| now >= self.foreign_due)
+        let Some(own) = self
+            .identity
+            .as_ref()
+            .map(|i| i.cluster.clone())
+            .filter(|_| now >= self.foreign_due)
         else {
             return;
         };
         self.foreign_due = now + AGAIN;
-        tracing::warn!(name = from.name, cluster = from.cluster, "a member of another cluster is not heard");
+        tracing::warn!(
+            name = from.name,
+            cluster = from.cluster,
+            "a member of another cluster is not heard"
+        );
         self.write(&from.name, &from.address, Body::Foreign(own));
     }
 
     fn leader(&self) -> Option<(String, String)> {
         let node = self.node.as_ref()?;
         let leader = node.leader()?;
-        let (name, member) = node.machine()?.members.iter().find(|(_, m)| m.id == leader)?;
+        let (name, member) = node
+            .machine()?
+            .members
+            .iter()
+            .find(|(_, m)| m.id == leader)?;
         Some((name.clone(), member.address.clone()))
     }
 
@@ -472,13 +557,22 @@
         self.calls.retain(|_, call| !call.answer.is_closed());
         let leader = self.node.as_ref().and_then(Node::leader);
         let due = |c: &Call| now >= c.due || c.sent_to != leader;
-        let ids: Vec<String> = self.calls.iter().filter(|(_, c)| due(c)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<String> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| due(c))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in ids {
-            let Some(call) = self.calls.get_mut(&id) else { continue };
+            let Some(call) = self.calls.get_mut(&id) else {
+                continue;
+            };
             (call.due, call.sent_to) = (now + AGAIN, leader);
             let text = call.text.clone();
             match leader {
-                Some(to) if Some(to) == self.node.as_ref().map(Node::id) => self.called(id, text, None),
+                Some(to) if Some(to) == self.node.as_ref().map(Node::id) => {
+                    self.called(id, text, None)
+                }
                 Some(to) => self.write_to(to, Body::Call(id, text)),
                 None => {}
             }
@@ -493,7 +587,15 @@
                     let _ = answer.send(Err("too many calls wait".into()));
                     return;
                 }
-                self.calls.insert(id, Call { text, due: 0, sent_to: None, answer });
+                self.calls.insert(
+                    id,
+                    Call {
+                        text,
+                        due: 0,
+                        sent_to: None,
+                        answer,
+                    },
+                );
                 return self.forward(now);
             }
             Said::Answered(id, answer) => return self.answered(&id, answer),
@@ -551,7 +653,9 @@
             match who {
                 Some(name) => {
                     let address = self.node.as_ref().and_then(Node::machine);
-                    let address = address.and_then(|m| m.members.get(&name)).map(|m| m.address.clone());
+                    let address = address
+                        .and_then(|m| m.members.get(&name))
+                        .map(|m| m.address.clone());
                     if let Some(address) = address {
                         self.write(&name, &address, Body::Reply(id.to_owned(), answer.clone()));
                     }
@@ -621,7 +725,13 @@
 
     fn output(&mut self, output: Output) -> Result<(), String> {
         match output {
-            Output::Persist(Persist { snapshot, whole, entries, hard, acknowledged }) => {
+            Output::Persist(Persist {
+                snapshot,
+                whole,
+                entries,
+                hard,
+                acknowledged,
+            }) => {
                 let append = Append {
                     snapshot: snapshot.as_ref().map(|(n, s)| (*n, s.as_slice())),
                     whole,
@@ -631,12 +741,16 @@
                     acknowledged: acknowledged.as_deref(),
                 };
                 fail::fail_point!("cluster-log"); // a slow disk
-                self.log.append(append).map_err(|e| format!("the log: {e}"))?;
+                self.log
+                    .append(append)
+                    .map_err(|e| format!("the log: {e}"))?;
             }
             Output::Send(to, message) => self.write_to(to, Body::Node(to, message)),
             Output::Effect(Effect::Check(proposal)) => self.tell(Told::Check(proposal)),
             Output::Effect(Effect::Close(proposal)) => self.tell(Told::Close(proposal)),
-            Output::Effect(Effect::Open(version, proposal)) => self.tell(Told::Open(version, proposal)),
+            Output::Effect(Effect::Open(version, proposal)) => {
+                self.tell(Told::Open(version, proposal))
+            }
             Output::Effect(Effect::Note(proposal)) => self.tell(Told::Note(proposal)),
             Output::Effect(Effect::Ended(id, outcome)) => {
                 match &outcome {
@@ -653,20 +767,29 @@
             }
             Output::Effect(Effect::Members) => {
                 let machine = self.node.as_ref().and_then(Node::machine);
-                let names: BTreeSet<String> =
-                    machine.map(|m| m.members.keys().cloned().collect()).unwrap_or_default();
+                let names: BTreeSet<String> = machine
+                    .map(|m| m.members.keys().cloned().collect())
+                    .unwrap_or_default();
                 self.tell_members(&names);
                 let peers: BTreeSet<String> = self.settings.peers.keys().cloned().collect();
-                self.post.keep(|name| names.contains(name) || peers.contains(name));
+                self.post
+                    .keep(|name| names.contains(name) || peers.contains(name));
             }
             Output::Restore(machine, state) => {
-                tracing::info!(version = machine.version, "goes on from a snapshot of the log");
+                tracing::info!(
+                    version = machine.version,
+                    "goes on from a snapshot of the log"
+                );
                 self.tell_members(&machine.members.keys().cloned().collect());
                 self.tell(Told::Restore(machine, state));
             }
             Output::Right(right) => self.right.set(right),
-            Output::Confirmed(reads) => reads.into_iter().for_each(|r| self.tell(Told::Read(r, true))),
-            Output::Unconfirmed(reads) => reads.into_iter().for_each(|r| self.tell(Told::Read(r, false))),
+            Output::Confirmed(reads) => reads
+                .into_iter()
+                .for_each(|r| self.tell(Told::Read(r, true))),
+            Output::Unconfirmed(reads) => reads
+                .into_iter()
+                .for_each(|r| self.tell(Told::Read(r, false))),
             Output::Long => self.tell(Told::Save),
             Output::Forgotten { has, acknowledged } => self.begin_anew(has, acknowledged)?,
         }
@@ -675,9 +798,16 @@
 
     fn status(&self, now: Micros) -> Status {
         let counts = self.post.counts();
-        let messages = [&counts.sent, &counts.bytes, &counts.dropped, &counts.rubbish];
+        let messages = [
+            &counts.sent,
+            &counts.bytes,
+            &counts.dropped,
+            &counts.rubbish,
+        ];
         let messages = messages.map(|c| c.load(Ordering::Relaxed));
-        let by_kind = Kind::ALL.into_iter().map(|k| (k.name().to_owned(), counts.out[k as usize].so_far()));
+        let by_kind = Kind::ALL
+            .into_iter()
+            .map(|k| (k.name().to_owned(), counts.out[k as usize].so_far()));
         let me = self.me();
         let mut status = Status {
             name: me.name,
@@ -705,7 +835,9 @@
                 "others are of the cluster {other}, as after a restore: its state directory is to be emptied, so that it joins them"
             ));
         }
-        let Some(machine) = node.machine() else { return status };
+        let Some(machine) = node.machine() else {
+            return status;
+        };
         status.version = machine.version;
         let voters = node.voters();
         let member = |(name, m): (&String, &Member)| {
@@ -721,7 +853,9 @@
                 heard_ms: heard.map(|h| now.saturating_sub(h) / 1000),
                 holds_ms: match bound {
                     Some(Until::Forever) => Some(-1),
-                    Some(Until::Before(until)) if until > now => Some(((until - now) / 1000) as i64),
+                    Some(Until::Before(until)) if until > now => {
+                        Some(((until - now) / 1000) as i64)
+                    }
                     _ => None,
                 },
             }
--- a/crates/links/src/message.rs
+++ b/crates/links/src/message.rs
@@ -106,6 +106,9 @@
         let (from, rest) = rest.split_at_checked(u32::from_le_bytes(*length) as usize)?;
         let (to, log) = rest.split_first_chunk::<8>()?;
         let body = Body::Node(u64::from_le_bytes(*to), node::Message::Log(log.to_vec()));
-        Some(Message { from: serde_json::from_slice(from).ok()?, body })
+        Some(Message {
+            from: serde_json::from_slice(from).ok()?,
+            body,
+        })
     }
 }
--- a/crates/links/src/post.rs
+++ b/crates/links/src/post.rs
@@ -62,7 +62,10 @@
 
     /// What there was until now.
     pub fn so_far(&self) -> [u64; 2] {
-        [self.messages.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed)]
+        [
+            self.messages.load(Ordering::Relaxed),
+            self.bytes.load(Ordering::Relaxed),
+        ]
     }
 }
 
@@ -92,7 +95,11 @@
     pub fn new(key: Key, listener: TcpListener, messages: mpsc::Sender<Message>) -> Self {
         let counts = Arc::new(Counts::default());
         tokio::spawn(receive(key.clone(), listener, messages, counts.clone()));
-        Post { key, counts, out: BTreeMap::new() }
+        Post {
+            key,
+            counts,
+            out: BTreeMap::new(),
+        }
     }
 
     /// What it has seen.
@@ -105,7 +112,12 @@
         let gone = |(at, out): &(String, mpsc::Sender<_>)| at != address || out.is_closed();
         if self.out.get(name).is_none_or(gone) {
             let (out, messages) = mpsc::channel(QUEUE);
-            tokio::spawn(deliver(self.key.clone(), address.to_owned(), messages, self.counts.clone()));
+            tokio::spawn(deliver(
+                self.key.clone(),
+                address.to_owned(),
+                messages,
+                self.counts.clone(),
+            ));
             self.out.insert(name.to_owned(), (address.to_owned(), out));
         }
         if let Some((_, out)) = self.out.get(name)
@@ -122,7 +134,9 @@
 }
 
 async fn within<T>(what: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    timeout(PATIENCE, what).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(PATIENCE, what)
+        .await
+        .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 async fn dial(key: &Key, address: &str) -> io::Result<(TcpStream, Sealer)> {
@@ -138,7 +152,12 @@
 }
 
 /// Delivers messages to one member, over one link after another.
-async fn deliver(key: Key, address: String, mut messages: mpsc::Receiver<Written>, counts: Arc<Counts>) {
+async fn deliver(
+    key: Key,
+    address: String,
+    mut messages: mpsc::Receiver<Written>,
+    counts: Arc<Counts>,
+) {
     let mut link: Option<(TcpStream, Sealer)> = None;
     let mut told = false;
     while let Some((kind, message)) = messages.recv().await {
@@ -161,7 +180,9 @@
                 }
             }
         }
-        let Some((stream, sealer)) = &mut link else { continue };
+        let Some((stream, sealer)) = &mut link else {
+            continue;
+        };
         let head = match sealer.seal(&message) {
             Ok(head) => head,
             Err(e) => {
@@ -176,7 +197,9 @@
         match within(write).await {
             Ok(()) => {
                 counts.sent.fetch_add(1, Ordering::Relaxed);
-                counts.bytes.fetch_add((HEAD + message.len()) as u64, Ordering::Relaxed);
+                counts
+                    .bytes
+                    .fetch_add((HEAD + message.len()) as u64, Ordering::Relaxed);
                 counts.out[kind as usize].add(HEAD + message.len());
             }
             Err(_) => {
@@ -187,10 +210,17 @@
     }
 }
 
-async fn receive(key: Key, listener: TcpListener, messages: mpsc::Sender<Message>, counts: Arc<Counts>) {
+async fn receive(
+    key: Key,
+    listener: TcpListener,
+    messages: mpsc::Sender<Message>,
+    counts: Arc<Counts>,
+) {
     let room = Arc::new(Semaphore::new(LINKS));
     loop {
-        let Ok(place) = room.clone().acquire_owned().await else { return };
+        let Ok(place) = room.clone().acquire_owned().await else {
+            return;
+        };
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
@@ -213,7 +243,10 @@
 }
 
 async fn read(
-    key: &Key, stream: TcpStream, messages: &mpsc::Sender<Message>, counts: &Counts,
+    key: &Key,
+    stream: TcpStream,
+    messages: &mpsc::Sender<Message>,
+    counts: &Counts,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = BufReader::new(stream);
@@ -234,14 +267,19 @@
         let length = Sealer::length(&head).map_err(rubbish)?;
         let mut message = Vec::new();
         // Room grows with what comes, so that a length alone takes none.
-        match timeout(SILENCE, (&mut stream).take(length as u64).read_to_end(&mut message)).await {
+        match timeout(
+            SILENCE,
+            (&mut stream).take(length as u64).read_to_end(&mut message),
+        )
+        .await
+        {
             Ok(Ok(read)) if read == length => {}
             _ => return Err(io::ErrorKind::UnexpectedEof.into()),
         }
         sealer.check(&head, &message).map_err(rubbish)?;
         let message = Message::read(&message);
-        let message =
-            message.ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "it is no message"))?;
+        let message = message
+            .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "it is no message"))?;
         counts.incoming[message.kind() as usize].add(HEAD + length);
         if messages.send(message).await.is_err() {
             return Ok(()); // the member has ended
--- a/crates/links/tests/frame.rs
+++ b/crates/links/tests/frame.rs
@@ -16,9 +16,17 @@
     let (mut writer, mut reader) = link();
     let (one, two) = (writer.seal(b"one").unwrap(), writer.seal(b"two").unwrap());
     assert_eq!(Sealer::length(&one), Ok(3));
-    assert_eq!(reader.check(&two, b"two"), Err(Rubbish::Seal), "out of order");
+    assert_eq!(
+        reader.check(&two, b"two"),
+        Err(Rubbish::Seal),
+        "out of order"
+    );
     assert_eq!(reader.check(&one, b"one"), Ok(()));
-    assert_eq!(reader.check(&one, b"one"), Err(Rubbish::Seal), "played again");
+    assert_eq!(
+        reader.check(&one, b"one"),
+        Err(Rubbish::Seal),
+        "played again"
+    );
     assert_eq!(reader.check(&two, b"twp"), Err(Rubbish::Seal), "changed");
     let (_, mut other) = link();
     assert_eq!(other.check(&two, b"two"), Err(Rubbish::Seal), "left out");
@@ -28,17 +36,32 @@
 fn another_key_name_version_or_program_is_turned_away() {
     let key = Key::new("c", b"secret");
     for other in [Key::new("c", b"other"), Key::new("d", b"secret")] {
-        assert_eq!(answer(&key, &opening(&other, [1; NONCE]), [2; NONCE]).err(), Some(Rubbish::Stranger));
+        assert_eq!(
+            answer(&key, &opening(&other, [1; NONCE]), [2; NONCE]).err(),
+            Some(Rubbish::Stranger)
+        );
         let (said, _) = answer(&other, &opening(&other, [1; NONCE]), [2; NONCE]).unwrap();
-        assert_eq!(opened(&key, [1; NONCE], &said).err(), Some(Rubbish::Stranger));
+        assert_eq!(
+            opened(&key, [1; NONCE], &said).err(),
+            Some(Rubbish::Stranger)
+        );
     }
     let mut bytes = opening(&key, [1; NONCE]);
     bytes[4] = 9;
-    assert_eq!(answer(&key, &bytes, [2; NONCE]).err(), Some(Rubbish::Version(9)));
+    assert_eq!(
+        answer(&key, &bytes, [2; NONCE]).err(),
+        Some(Rubbish::Version(9))
+    );
     bytes[0] = b'G';
-    assert_eq!(answer(&key, &bytes, [2; NONCE]).err(), Some(Rubbish::Foreign));
+    assert_eq!(
+        answer(&key, &bytes, [2; NONCE]).err(),
+        Some(Rubbish::Foreign)
+    );
     let mut head = [0xFF; HEAD];
-    assert_eq!(Sealer::length(&head), Err(Rubbish::TooLong(u32::MAX as usize)));
+    assert_eq!(
+        Sealer::length(&head),
+        Err(Rubbish::TooLong(u32::MAX as usize))
+    );
     head[..4].copy_from_slice(&(LONGEST as u32).to_le_bytes());
     assert_eq!(Sealer::length(&head), Ok(LONGEST));
 }
--- a/crates/links/tests/links.rs
+++ b/crates/links/tests/links.rs
@@ -12,8 +12,18 @@
 use tokio::time::timeout;
 
 fn message(n: usize) -> Message {
-    let from = Sender { name: "a".into(), address: "127.0.0.1:1".into(), id: 1, cluster: "c".into() };
-    Message { from, body: Body::Ask { names: vec!["n".repeat(n)] } }
+    let from = Sender {
+        name: "a".into(),
+        address: "127.0.0.1:1".into(),
+        id: 1,
+        cluster: "c".into(),
+    };
+    Message {
+        from,
+        body: Body::Ask {
+            names: vec!["n".repeat(n)],
+        },
+    }
 }
 
 async fn post(key: &Key) -> (Post, mpsc::Receiver<Message>, String) {
@@ -59,7 +69,11 @@
         let mut head = sealer.seal(&bytes).unwrap();
         stream.write_all(&head).await.unwrap();
         stream.write_all(&bytes).await.unwrap();
-        assert_eq!(messages.recv().await.unwrap(), message(5), "a good one first");
+        assert_eq!(
+            messages.recv().await.unwrap(),
+            message(5),
+            "a good one first"
+        );
         match *how {
             "changed" => {
                 head = sealer.seal(&bytes).unwrap();
@@ -71,7 +85,9 @@
         }
         let _ = stream.write_all(&head).await; // it may have been closed by then
         let _ = stream.write_all(&bytes).await;
-        let closed = timeout(Duration::from_secs(10), stream.read(&mut [0; 8])).await.unwrap();
+        let closed = timeout(Duration::from_secs(10), stream.read(&mut [0; 8]))
+            .await
+            .unwrap();
         assert!(matches!(closed, Ok(0) | Err(_)), "{how}");
         while there.counts().rubbish.load(Ordering::Relaxed) as usize <= n {
             tokio::task::yield_now().await;
@@ -86,27 +102,74 @@
     let _ = std::fs::remove_dir_all(&directory); // of an earlier run
     let entry = |n: u64, text: &str| (n, text.as_bytes().to_vec());
     let (mut log, logged) = Log::open(&directory).unwrap();
-    assert_eq!(logged, Logged { starts: 1, ..Logged::default() });
-    assert!(Log::open(&directory).is_err(), "one process has it at a time");
-    let snapshot = Append { snapshot: Some((1, b"s")), identity: Some(b"me"), ..Append::default() };
+    assert_eq!(
+        logged,
+        Logged {
+            starts: 1,
+            ..Logged::default()
+        }
+    );
+    assert!(
+        Log::open(&directory).is_err(),
+        "one process has it at a time"
+    );
+    let snapshot = Append {
+        snapshot: Some((1, b"s")),
+        identity: Some(b"me"),
+        ..Append::default()
+    };
     log.append(snapshot).unwrap();
     let entries = [entry(2, "two"), entry(3, "three"), entry(4, "four")];
-    log.append(Append { entries: &entries, hard: Some(b"h"), ..Append::default() }).unwrap();
-    log.append(Append { entries: &[entry(3, "other")], ..Append::default() }).unwrap();
+    log.append(Append {
+        entries: &entries,
+        hard: Some(b"h"),
+        ..Append::default()
+    })
+    .unwrap();
+    log.append(Append {
+        entries: &[entry(3, "other")],
+        ..Append::default()
+    })
+    .unwrap();
     drop(log);
     let (mut log, logged) = Log::open(&directory).unwrap();
     let texts = |l: &Logged| -> Vec<String> {
-        l.entries.iter().map(|e| String::from_utf8(e.clone()).unwrap()).collect()
+        l.entries
+            .iter()
+            .map(|e| String::from_utf8(e.clone()).unwrap())
+            .collect()
     };
-    assert_eq!((texts(&logged), logged.starts), (vec!["two".into(), "other".into()], 2));
-    assert_eq!((logged.hard.as_deref(), logged.identity.as_deref()), (Some(&b"h"[..]), Some(&b"me"[..])));
+    assert_eq!(
+        (texts(&logged), logged.starts),
+        (vec!["two".into(), "other".into()], 2)
+    );
+    assert_eq!(
+        (logged.hard.as_deref(), logged.identity.as_deref()),
+        (Some(&b"h"[..]), Some(&b"me"[..]))
+    );
     // Shortened, it begins after the snapshot; another's snapshot takes everything.
-    log.append(Append { snapshot: Some((2, b"t")), ..Append::default() }).unwrap();
+    log.append(Append {
+        snapshot: Some((2, b"t")),
+        ..Append::default()
+    })
+    .unwrap();
     drop(log);
     let (mut log, logged) = Log::open(&directory).unwrap();
-    assert_eq!((texts(&logged), logged.snapshot.as_deref()), (vec!["other".into()], Some(&b"t"[..])));
-    log.append(Append { snapshot: Some((9, b"u")), whole: true, ..Append::default() }).unwrap();
-    log.append(Append { entries: &[entry(10, "ten")], ..Append::default() }).unwrap();
+    assert_eq!(
+        (texts(&logged), logged.snapshot.as_deref()),
+        (vec!["other".into()], Some(&b"t"[..]))
+    );
+    log.append(Append {
+        snapshot: Some((9, b"u")),
+        whole: true,
+        ..Append::default()
+    })
+    .unwrap();
+    log.append(Append {
+        entries: &[entry(10, "ten")],
+        ..Append::default()
+    })
+    .unwrap();
     drop(log);
     let (log, logged) = Log::open(&directory).unwrap();
     assert_eq!(texts(&logged), ["ten"]);
--- a/crates/links/tests/wire_fixtures.rs
+++ b/crates/links/tests/wire_fixtures.rs
@@ -15,7 +15,10 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn bodies() -> Vec<(&'static str, Body)> {
@@ -29,50 +32,119 @@
             closed: closed.map(str::to_owned),
         })
     };
-    let grant = |span| node::Message::Grant(Grant { seq: 5, version: 1_000_002, span });
+    let grant = |span| {
+        node::Message::Grant(Grant {
+            seq: 5,
+            version: 1_000_002,
+            span,
+        })
+    };
     vec![
-        ("log", part(node::Message::Log(vec![8, 8, 16, 7, 24, 1, 255]))),
+        (
+            "log",
+            part(node::Message::Log(vec![8, 8, 16, 7, 24, 1, 255])),
+        ),
         ("report-empty", part(report(None, None))),
-        ("report-checked", part(report(Some(("c1", None)), Some("c1")))),
-        ("report-fault", part(report(Some(("c2", Some("no listener"))), None))),
+        (
+            "report-checked",
+            part(report(Some(("c1", None)), Some("c1"))),
+        ),
+        (
+            "report-fault",
+            part(report(Some(("c2", Some("no listener"))), None)),
+        ),
         ("grant-short", part(grant(Span::Short))),
         ("grant-lease", part(grant(Span::Lease))),
         ("grant-forever", part(grant(Span::Forever))),
         ("hello", part(node::Message::Hello)),
         (
             "welcome",
-            part(node::Message::Welcome(Welcome { acknowledged: 40, term: 6, voters: vec![1, 2, 5] })),
+            part(node::Message::Welcome(Welcome {
+                acknowledged: 40,
+                term: 6,
+                voters: vec![1, 2, 5],
+            })),
+        ),
+        (
+            "ask",
+            Body::Ask {
+                names: vec!["a".into(), "b".into()],
+            },
+        ),
+        (
+            "tell-none",
+            Body::Tell {
+                leader: None,
+                names: vec!["a".into()],
+            },
+        ),
+        (
+            "tell-leader",
+            Body::Tell {
+                leader: Some(("a".into(), "127.0.0.1:1".into())),
+                names: Vec::new(),
+            },
+        ),
+        (
+            "join",
+            Body::Join {
+                zone: "east".into(),
+                drawn: 77,
+            },
         ),
-        ("ask", Body::Ask { names: vec!["a".into(), "b".into()] }),
-        ("tell-none", Body::Tell { leader: None, names: vec!["a".into()] }),
-        ("tell-leader", Body::Tell { leader: Some(("a".into(), "127.0.0.1:1".into())), names: Vec::new() }),
-        ("join", Body::Join { zone: "east".into(), drawn: 77 }),
         ("joined", Body::Joined(Ok(4))),
-        ("joined-not", Body::Joined(Err("a member of this name runs".into()))),
+        (
+            "joined-not",
+            Body::Joined(Err("a member of this name runs".into())),
+        ),
         ("call", Body::Call("k1".into(), "{\"a\":1}".into())),
         ("foreign", Body::Foreign("0123".into())),
         ("reply", Body::Reply("k1".into(), Ok("{}".into()))),
-        ("reply-error", Body::Reply("k1".into(), Err("not known".into()))),
+        (
+            "reply-error",
+            Body::Reply("k1".into(), Err("not known".into())),
+        ),
     ]
 }
 
 fn sender() -> Sender {
-    Sender { name: "b".into(), address: "127.0.0.1:7102".into(), id: 3, cluster: "00ff".into() }
+    Sender {
+        name: "b".into(),
+        address: "127.0.0.1:7102".into(),
+        id: 3,
+        cluster: "00ff".into(),
+    }
 }
 
 #[test]
 fn messages_are_written_and_read_as_by_the_version_before() {
     let mut written = String::new();
     for (name, body) in bodies() {
-        let message = Message { from: sender(), body };
+        let message = Message {
+            from: sender(),
+            body,
+        };
         written += &format!("{name} {}\n", hex(&message.write()));
     }
-    assert_eq!(written, MESSAGES, "messages are written otherwise than before:\n{written}");
-    let lines: Vec<(&str, &str)> = MESSAGES.lines().filter_map(|line| line.split_once(' ')).collect();
+    assert_eq!(
+        written, MESSAGES,
+        "messages are written otherwise than before:\n{written}"
+    );
+    let lines: Vec<(&str, &str)> = MESSAGES
+        .lines()
+        .filter_map(|line| line.split_once(' '))
+        .collect();
     assert_eq!(lines.len(), bodies().len());
     for ((name, body), (recorded, line)) in bodies().into_iter().zip(lines) {
         assert_eq!(name, recorded);
-        assert_eq!(Message::read(&bytes(line)), Some(Message { from: sender(), body }), "{name}");
+        assert_eq!(
+            Message::read(&bytes(line)),
+            Some(Message {
+                from: sender(),
+                body
+            }),
+            "{name}"
+        );
     }
 }
 
@@ -88,5 +160,8 @@
         written += &format!("frame {}\n", hex(&head));
         assert_eq!(reader.check(&head, message), Ok(()));
     }
-    assert_eq!(written, FRAMES, "frames are written otherwise than before:\n{written}");
+    assert_eq!(
+        written, FRAMES,
+        "frames are written otherwise than before:\n{written}"
+    );
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -33,7 +33,13 @@
 
 impl Phase {
     /// All of them, in their order.
-    pub const ALL: [Phase; 5] = [Phase::Store, Phase::Members, Phase::Policy, Phase::List, Phase::Serving];
+    pub const ALL: [Phase; 5] = [
+        Phase::Store,
+        Phase::Members,
+        Phase::Policy,
+        Phase::List,
+        Phase::Serving,
+    ];
 
     /// What it is called.
     pub fn name(self) -> &'static str {
@@ -211,9 +217,20 @@
             Phase::Members => "an instance that leads".into(),
             Phase::Policy => "the word that its policy is the one in effect".into(),
             Phase::List => {
-                let named = self.facts.unknown.iter().take(NAMED).cloned().collect::<Vec<_>>().join(", ");
+                let named = self
+                    .facts
+                    .unknown
+                    .iter()
+                    .take(NAMED)
+                    .cloned()
+                    .collect::<Vec<_>>()
+                    .join(", ");
                 let more = self.facts.unknown.len().saturating_sub(NAMED);
-                let more = if more > 0 { format!(" and {more} more") } else { String::new() };
+                let more = if more > 0 {
+                    format!(" and {more} more")
+                } else {
+                    String::new()
+                };
                 format!("the lists of {named}{more}")
             }
             Phase::Serving => "nothing".into(),
@@ -236,7 +253,14 @@
             waits_for: self.waits_for(),
             at_most_ms: lists.then_some(self.terms.list_wait / 1000),
             then: then.map(str::to_owned),
-            took: self.took.iter().map(|(phase, us)| Took { phase: *phase, ms: us / 1000 }).collect(),
+            took: self
+                .took
+                .iter()
+                .map(|(phase, us)| Took {
+                    phase: *phase,
+                    ms: us / 1000,
+                })
+                .collect(),
             unsure: self.unsure.clone(),
         }
     }
@@ -248,45 +272,96 @@
 
     use super::*;
 
-    const TERMS: Terms = Terms { list_wait: 1000, when_list_unknown: WhenUnknown::Serve };
+    const TERMS: Terms = Terms {
+        list_wait: 1000,
+        when_list_unknown: WhenUnknown::Serve,
+    };
 
     fn facts(joined: bool, led: bool, current: bool, unknown: &[&str]) -> Facts {
         let unknown = unknown.iter().map(|n| (*n).to_owned()).collect();
-        Facts { joined, led, current, tenants: 3, unknown }
+        Facts {
+            joined,
+            led,
+            current,
+            tenants: 3,
+            unknown,
+        }
     }
 
     #[test]
     fn phases_follow_what_is_known_and_a_lost_list_keeps_nobody_else_out_for_ever() {
         let mut start = Start::new(0, TERMS);
-        assert_eq!(start.look(5, facts(true, true, true, &[])), Verdict::Wait, "its store first");
+        assert_eq!(
+            start.look(5, facts(true, true, true, &[])),
+            Verdict::Wait,
+            "its store first"
+        );
         start.stored(10);
-        assert_eq!(start.look(20, facts(true, false, false, &[])), Verdict::Wait);
+        assert_eq!(
+            start.look(20, facts(true, false, false, &[])),
+            Verdict::Wait
+        );
         assert_eq!(
             (start.phase(), start.report(20).waits_for.as_str()),
             (Phase::Members, "an instance that leads")
         );
         assert_eq!(start.look(30, facts(true, true, false, &[])), Verdict::Wait);
         assert_eq!(start.phase(), Phase::Policy);
-        assert_eq!(start.look(40, facts(true, true, true, &["a", "b"])), Verdict::Wait);
+        assert_eq!(
+            start.look(40, facts(true, true, true, &["a", "b"])),
+            Verdict::Wait
+        );
         assert_eq!(start.report(40).waits_for, "the lists of a, b");
-        assert_eq!(start.look(50, facts(true, true, false, &["a"])), Verdict::Wait);
+        assert_eq!(
+            start.look(50, facts(true, true, false, &["a"])),
+            Verdict::Wait
+        );
         assert_eq!(start.phase(), Phase::Policy, "its lease ran out meanwhile");
-        assert_eq!(start.look(60, facts(true, true, true, &["a"])), Verdict::Wait);
-        assert_eq!(start.look(1059, facts(true, true, true, &["a"])), Verdict::Wait);
-        assert_eq!(start.look(1060, facts(true, true, true, &["a"])), Verdict::TakeUnsure);
+        assert_eq!(
+            start.look(60, facts(true, true, true, &["a"])),
+            Verdict::Wait
+        );
+        assert_eq!(
+            start.look(1059, facts(true, true, true, &["a"])),
+            Verdict::Wait
+        );
+        assert_eq!(
+            start.look(1060, facts(true, true, true, &["a"])),
+            Verdict::TakeUnsure
+        );
         assert_eq!(start.report(1060).unsure, ["a"]);
         let took: Vec<_> = start.took.iter().map(|(p, us)| (p.name(), *us)).collect();
-        assert_eq!(took, [("store", 10), ("members", 20), ("policy", 20), ("list", 1010)]);
+        assert_eq!(
+            took,
+            [
+                ("store", 10),
+                ("members", 20),
+                ("policy", 20),
+                ("list", 1010)
+            ]
+        );
     }
 
     #[test]
     fn where_the_file_says_so_it_refuses_until_the_last_list_is_known() {
-        let mut start = Start::new(0, Terms { when_list_unknown: WhenUnknown::Refuse, ..TERMS });
+        let mut start = Start::new(
+            0,
+            Terms {
+                when_list_unknown: WhenUnknown::Refuse,
+                ..TERMS
+            },
+        );
         start.stored(0);
         for now in [1, 1_000, 1_000_000] {
-            assert_eq!(start.look(now, facts(true, true, true, &["a"])), Verdict::Wait);
+            assert_eq!(
+                start.look(now, facts(true, true, true, &["a"])),
+                Verdict::Wait
+            );
         }
-        assert_eq!(start.look(1_000_001, facts(true, true, true, &[])), Verdict::Take);
+        assert_eq!(
+            start.look(1_000_001, facts(true, true, true, &[])),
+            Verdict::Take
+        );
     }
 
     proptest! {
--- a/crates/residency/src/lib.rs
+++ b/crates/residency/src/lib.rs
@@ -102,7 +102,10 @@
     /// An empty one.
     pub fn new(terms: Terms) -> Self {
         ResidentSet {
-            terms: Terms { most: terms.most.max(1), ..terms },
+            terms: Terms {
+                most: terms.most.max(1),
+                ..terms
+            },
             residents: BTreeMap::new(),
             order: BTreeMap::new(),
             pinned: BTreeSet::new(),
@@ -160,7 +163,10 @@
     /// # Errors
     /// All places are taken, or others come first: when to come again.
     pub fn ask(
-        &mut self, now: Millis, key: &K, mut may_rest: impl FnMut(&K) -> bool,
+        &mut self,
+        now: Millis,
+        key: &K,
+        mut may_rest: impl FnMut(&K) -> bool,
     ) -> Result<Admission<K>, Wait> {
         if self.pinned.contains(key) {
             return Ok(Admission::Resident);
@@ -193,7 +199,12 @@
     }
 
     /// The least recently used one that may rest, if that many may: the others' places are for those that stand first in the line.
-    fn victim(&mut self, now: Millis, wanted: usize, may_rest: &mut impl FnMut(&K) -> bool) -> Option<K> {
+    fn victim(
+        &mut self,
+        now: Millis,
+        wanted: usize,
+        may_rest: &mut impl FnMut(&K) -> bool,
+    ) -> Option<K> {
         let stayed = |r: &Resident| now - r.since >= self.terms.least_stay;
         let (mut found, mut first, mut busy) = (0, None, Vec::new());
         for key in self.order.values().take(LOOKS + wanted) {
@@ -216,12 +227,18 @@
     }
 
     /// Those that were idle for long enough to rest, this many at most: they are no longer resident.
-    pub fn rest(&mut self, now: Millis, most: usize, mut may_rest: impl FnMut(&K) -> bool) -> Vec<K> {
+    pub fn rest(
+        &mut self,
+        now: Millis,
+        most: usize,
+        mut may_rest: impl FnMut(&K) -> bool,
+    ) -> Vec<K> {
         self.expire(now);
         // Beyond their places are some only after others were pinned.
         let over = self.residents.len().saturating_sub(self.places());
         let idle = |r: &Resident| now - r.last >= self.terms.rest_after;
-        let old = |(at, key): &(usize, &K)| *at < over || self.residents.get(*key).is_some_and(idle);
+        let old =
+            |(at, key): &(usize, &K)| *at < over || self.residents.get(*key).is_some_and(idle);
         let old = self.order.values().enumerate().take_while(old).take(most);
         let old: Vec<K> = old.map(|(_, key)| key.clone()).collect();
         let (rests, busy): (Vec<K>, Vec<K>) = old.into_iter().partition(|key| may_rest(key));
@@ -255,14 +272,23 @@
 
     fn settle(&mut self, now: Millis, key: &K) {
         self.leave_line(key);
-        self.residents.insert(key.clone(), Resident { used: self.next, since: now, last: now });
+        self.residents.insert(
+            key.clone(),
+            Resident {
+                used: self.next,
+                since: now,
+                last: now,
+            },
+        );
         self.order.insert(self.next, key.clone());
         self.next += 1;
         self.counts.wakes += 1;
     }
 
     fn touch(&mut self, now: Millis, key: &K) {
-        let Some(resident) = self.residents.get_mut(key) else { return };
+        let Some(resident) = self.residents.get_mut(key) else {
+            return;
+        };
         if let Some(key) = self.order.remove(&resident.used) {
             self.order.insert(self.next, key);
         }
@@ -279,15 +305,22 @@
     /// Gives a tenant a turn at the end of the line, or tells it anew of the one that it has.
     fn line_up(&mut self, now: Millis, key: &K) -> Wait {
         let places = self.places() as f64;
-        let span =
-            |ahead: usize| (self.terms.least_stay * (1.0 + ahead as f64 / places)).clamp(1.0, LONGEST_WAIT);
+        let span = |ahead: usize| {
+            (self.terms.least_stay * (1.0 + ahead as f64 / places)).clamp(1.0, LONGEST_WAIT)
+        };
         let had = self.waiting.get(key).copied();
         if had.is_none() && self.line.len() >= self.terms.most_waiting {
-            return Wait { span: span(self.line.len()), in_line: false };
+            return Wait {
+                span: span(self.line.len()),
+                in_line: false,
+            };
         }
         let ticket = had.map_or(self.next, |w| w.ticket);
         self.next += u64::from(had.is_none());
-        let first = self.line.first_key_value().map_or(ticket, |(first, _)| *first);
+        let first = self
+            .line
+            .first_key_value()
+            .map_or(ticket, |(first, _)| *first);
         // Tickets count asking and use alike: no more stand ahead than there are in the line.
         let span = span(self.line.len().min((ticket - first) as usize));
         let come_by = now + span + self.terms.hold;
@@ -296,20 +329,29 @@
         }
         self.ends.insert((come_by.to_bits(), ticket));
         self.line.insert(ticket, key.clone());
-        self.waiting.insert(key.clone(), Waiting { ticket, come_by });
-        Wait { span, in_line: true }
+        self.waiting
+            .insert(key.clone(), Waiting { ticket, come_by });
+        Wait {
+            span,
+            in_line: true,
+        }
     }
 
     fn leave_line(&mut self, key: &K) {
         if let Some(waiting) = self.waiting.remove(key) {
             self.line.remove(&waiting.ticket);
-            self.ends.remove(&(waiting.come_by.to_bits(), waiting.ticket));
+            self.ends
+                .remove(&(waiting.come_by.to_bits(), waiting.ticket));
         }
     }
 
     /// Turns whose tenants have not come for them are others'.
     fn expire(&mut self, now: Millis) {
-        while let Some((_, ticket)) = self.ends.first().filter(|(end, _)| f64::from_bits(*end) < now).copied()
+        while let Some((_, ticket)) = self
+            .ends
+            .first()
+            .filter(|(end, _)| f64::from_bits(*end) < now)
+            .copied()
         {
             match self.line.get(&ticket).cloned() {
                 Some(key) => self.leave_line(&key),
--- a/crates/residency/tests/properties.rs
+++ b/crates/residency/tests/properties.rs
@@ -5,8 +5,13 @@
 use proptest::prelude::*;
 use residency::{Admission, Millis, ResidentSet, Terms};
 
-const TERMS: Terms =
-    Terms { most: 8, rest_after: 5_000.0, least_stay: 250.0, hold: 2_000.0, most_waiting: 32 };
+const TERMS: Terms = Terms {
+    most: 8,
+    rest_after: 5_000.0,
+    least_stay: 250.0,
+    hold: 2_000.0,
+    most_waiting: 32,
+};
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -153,7 +158,11 @@
     // Both have just come.
     let first = set.ask(10.0, &"c", idle).unwrap_err();
     assert!(first.in_line && first.span >= 240.0, "{first:?}");
-    assert_eq!(set.ask(11.0, &"c", idle).unwrap_err().span, first.span, "its turn is the same");
+    assert_eq!(
+        set.ask(11.0, &"c", idle).unwrap_err().span,
+        first.span,
+        "its turn is the same"
+    );
     set.ask(20.0, &"d", idle).unwrap_err();
     set.ask(30.0, &"e", idle).unwrap_err();
     assert_eq!((set.waiting(), set.counts().refused), (3, 4));
@@ -163,11 +172,21 @@
     assert_eq!(set.ask(300.0, &"c", idle), Ok(Admission::InPlaceOf("a")));
     assert_eq!(set.waiting(), 1);
     // One with something under way stays however long it is idle otherwise.
-    assert_eq!(set.ask(700.0, &"e", |who| *who != "d"), Ok(Admission::InPlaceOf("c")));
+    assert_eq!(
+        set.ask(700.0, &"e", |who| *who != "d"),
+        Ok(Admission::InPlaceOf("c"))
+    );
     assert_eq!(set.rest(9_000.0, 9, |who| *who != "d"), ["e"]);
     assert_eq!(set.rest(9_100.0, 9, idle), [""; 0], "it was seen in use");
     assert_eq!(set.rest(14_001.0, 9, idle), ["d"]);
-    assert_eq!((set.counts().wakes, set.counts().rests, set.counts().evictions), (5, 5, 3));
+    assert_eq!(
+        (
+            set.counts().wakes,
+            set.counts().rests,
+            set.counts().evictions
+        ),
+        (5, 5, 3)
+    );
 }
 
 #[test]
@@ -179,9 +198,15 @@
     set.ask(2.0, &2, idle).unwrap_err();
     // The first never comes: its turn is kept for a while after the time that it was told, and no longer.
     let kept = 1.0 + told + TERMS.hold;
-    assert!(set.ask(kept, &2, idle).is_err(), "it is the first one's still");
+    assert!(
+        set.ask(kept, &2, idle).is_err(),
+        "it is the first one's still"
+    );
     assert_eq!(set.ask(kept + 1.0, &2, idle), Ok(Admission::InPlaceOf(0)));
-    assert!(set.ask(kept + 2.0, &1, idle).unwrap_err().in_line, "it stands at the end now");
+    assert!(
+        set.ask(kept + 2.0, &1, idle).unwrap_err().in_line,
+        "it stands at the end now"
+    );
 }
 
 #[test]
@@ -191,7 +216,10 @@
     assert_eq!((set.len(), set.pinned(), set.places()), (20, 20, 1));
     assert_eq!(set.ask(0.0, &1, |_| true), Ok(Admission::Woken));
     assert_eq!(set.ask(300.0, &2, |_| true), Ok(Admission::InPlaceOf(1)));
-    assert!(set.rest(1e6, 99, |_| true) == [2] && set.len() == 20, "those stay whatever happens");
+    assert!(
+        set.rest(1e6, 99, |_| true) == [2] && set.len() == 20,
+        "those stay whatever happens"
+    );
     (100..115).for_each(|who| set.unpin(1e6, &who));
     // Fewer places than there are residents: the oldest go with the next look.
     assert_eq!((set.places(), set.len()), (3, 20));
--- a/crates/sandgap/tests/compatibility.rs
+++ b/crates/sandgap/tests/compatibility.rs
@@ -11,7 +11,11 @@
 /// The names of figures, with their labels, without values.
 fn names(text: &str) -> String {
     let name = |line: &str| Some(line.rsplit_once(' ')?.0.to_owned());
-    let all: BTreeSet<String> = text.lines().filter(|line| !line.starts_with('#')).filter_map(name).collect();
+    let all: BTreeSet<String> = text
+        .lines()
+        .filter(|line| !line.starts_with('#'))
+        .filter_map(name)
+        .collect();
     Vec::from_iter(all).join("\n") + "\n"
 }
 
@@ -20,8 +24,23 @@
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
-    let proxy = Proxy::up(&discovery, &Setup { door: true, ..Setup::default() });
-    assert_eq!(Client::new(&proxy).ask(&page("r-1")).expect("an answer").status(), 200);
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            door: true,
+            ..Setup::default()
+        },
+    );
+    assert_eq!(
+        Client::new(&proxy)
+            .ask(&page("r-1"))
+            .expect("an answer")
+            .status(),
+        200
+    );
     let found = names(&proxy.call("GET /_vars").expect("the figures").text());
-    assert_eq!(found, FIGURES, "names of figures differ; they are now:\n{found}");
+    assert_eq!(
+        found, FIGURES,
+        "names of figures differ; they are now:\n{found}"
+    );
 }
--- a/crates/sandgap/tests/crossings_clients.rs
+++ b/crates/sandgap/tests/crossings_clients.rs
@@ -36,7 +36,9 @@
         Leave::Close => {}
         Leave::Reset => reset(&stream),
         Leave::HalfClose => {
-            stream.shutdown(std::net::Shutdown::Write).expect("a connection");
+            stream
+                .shutdown(std::net::Shutdown::Write)
+                .expect("a connection");
             return Some(stream);
         }
     }
@@ -47,25 +49,45 @@
 fn waiting(peer: &Peer) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.say(&list(1, true, &[host("s-0", peer.address, "draining", 0)]));
-    let proxy = Proxy::up(&discovery, &Setup { door: true, deadline: 20_000, ..Setup::default() });
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            door: true,
+            deadline: 20_000,
+            ..Setup::default()
+        },
+    );
     (discovery, proxy)
 }
 
 #[test]
 fn a_request_whose_client_left_while_it_waited_is_not_sent_on() {
-    let much =
-        format!("{}{}", page("r-behind"), "GET /page HTTP/1.1\r\n".to_owned() + &"X: y\r\n".repeat(20_000));
+    let much = format!(
+        "{}{}",
+        page("r-behind"),
+        "GET /page HTTP/1.1\r\n".to_owned() + &"X: y\r\n".repeat(20_000)
+    );
     for how in [Leave::Close, Leave::Reset, Leave::HalfClose] {
         let (peer, mut ids) = (Peer::new(), Vec::new());
         let (discovery, proxy) = waiting(&peer);
         let mut open = Vec::new();
-        for (n, behind) in ["", &page("r-behind"), &page("r-behind")[..30], &much].into_iter().enumerate() {
-            let stream = sends(&proxy, &format!("{}{behind}", submit(&format!("r-{n}"), "20", "x")));
+        for (n, behind) in ["", &page("r-behind"), &page("r-behind")[..30], &much]
+            .into_iter()
+            .enumerate()
+        {
+            let stream = sends(
+                &proxy,
+                &format!("{}{behind}", submit(&format!("r-{n}"), "20", "x")),
+            );
             wait_for("it to be taken", || proxy.var("node_current") == 1.0);
             open.extend(leaves(stream, how));
             wait_for("it to be gone", || proxy.var("node_current") == 0.0);
         }
-        assert_eq!(proxy.var("node_abandoned{group=\"submit\"}"), 4.0, "{how:?}");
+        assert_eq!(
+            proxy.var("node_abandoned{group=\"submit\"}"),
+            4.0,
+            "{how:?}"
+        );
         discovery.say(&list(2, false, &[host("s-0", peer.address, "up", 0)]));
         let mut last = Client::new(&proxy);
         last.send(&submit("r-last", "20", "x"));
@@ -82,12 +104,22 @@
 fn nothing_is_written_for_clients_that_left_while_the_connection_came_up() {
     let (slow, full) = full_listener();
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[host("s-0", slow.local_addr().expect("an address"), "up", 0)]));
-    let setup = Setup { door: true, dial_timeout: 30_000, deadline: 40_000, ..Setup::default() };
+    discovery.say(&list(
+        1,
+        true,
+        &[host("s-0", slow.local_addr().expect("an address"), "up", 0)],
+    ));
+    let setup = Setup {
+        door: true,
+        dial_timeout: 30_000,
+        deadline: 40_000,
+        ..Setup::default()
+    };
     let proxy = Proxy::up(&discovery, &setup);
     // Enough to fill the server's slots: none comes up, and the last ones wait.
-    let clients: Vec<TcpStream> =
-        (0..12).map(|n| sends(&proxy, &submit(&format!("r-{n}"), "40", "x"))).collect();
+    let clients: Vec<TcpStream> = (0..12)
+        .map(|n| sends(&proxy, &submit(&format!("r-{n}"), "40", "x")))
+        .collect();
     wait_for("all to be taken", || proxy.var("node_current") == 12.0);
     drop(clients);
     wait_for("all to be gone", || proxy.var("node_current") == 0.0);
@@ -101,7 +133,9 @@
     let mut seen = Vec::new();
     while seen.is_empty() {
         let (stream, _) = slow.accept().expect("a connection");
-        stream.set_read_timeout(Some(Duration::from_millis(200))).expect("a time-out");
+        stream
+            .set_read_timeout(Some(Duration::from_millis(200)))
+            .expect("a time-out");
         if let Some(message) = read_message(&mut BufReader::new(&stream)) {
             seen.push(message.id().to_owned());
             (&stream).write_all(ok("").as_bytes()).expect("it is there");
@@ -109,7 +143,11 @@
     }
     assert_eq!(seen, ["r-last"]);
     assert_eq!(status(last.answer()), 200);
-    assert_eq!(proxy.var("node_sends"), 1.0, "nothing went out for those that left");
+    assert_eq!(
+        proxy.var("node_sends"),
+        1.0,
+        "nothing went out for those that left"
+    );
 }
 
 /// The next request at any of them.
@@ -126,8 +164,18 @@
 fn no_further_attempt_begins_for_a_client_that_left_during_the_first() {
     let servers = [Peer::new(), Peer::new()];
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, "up", 0))));
-    let proxy = Proxy::up(&discovery, &Setup { door: true, ..Setup::default() });
+    discovery.say(&list(
+        1,
+        true,
+        &[0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, "up", 0)),
+    ));
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            door: true,
+            ..Setup::default()
+        },
+    );
     for (gone, behind) in [String::new(), page("r-behind")].into_iter().enumerate() {
         let stream = sends(&proxy, &format!("{}{behind}", page("r-1")));
         let first = any(&servers);
@@ -135,7 +183,11 @@
         drop(stream);
         let left = || proxy.var("node_abandoned{group=\"page\"}");
         wait_for("it to be gone", || proxy.var("node_current") == 0.0);
-        assert_eq!(left(), gone as f64 + 1.0, "it has left, and its time was not over");
+        assert_eq!(
+            left(),
+            gone as f64 + 1.0,
+            "it has left, and its time was not over"
+        );
         first.reset();
         // A request that is served shows that the end of that attempt has been dealt with.
         let mut next = Client::new(&proxy);
@@ -169,7 +221,9 @@
         .collect();
     // Cut where it may fall, and the last one comes only when all others have their answers.
     let (most, last) = all.split_at(all.len() - 30);
-    most.as_bytes().chunks(777).for_each(|piece| client.send(&String::from_utf8_lossy(piece)));
+    most.as_bytes()
+        .chunks(777)
+        .for_each(|piece| client.send(&String::from_utf8_lossy(piece)));
     for n in 0..49 {
         assert_eq!(client.answer().expect("an answer").text(), format!("r-{n}"));
     }
@@ -182,26 +236,43 @@
     let peer = Peer::new();
     let discovery = Discovery::new();
     discovery.say(&list(1, true, &[host("s-0", peer.address, "up", 0)]));
-    let proxy = Proxy::up(&discovery, &Setup { door: true, ..Setup::default() });
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            door: true,
+            ..Setup::default()
+        },
+    );
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("an option"); // the answer has to wait in the proxy's socket
-    socket.connect(&proxy.address.into()).expect("the proxy accepts");
+    socket
+        .connect(&proxy.address.into())
+        .expect("the proxy accepts");
     let mut stream = TcpStream::from(socket);
     stream.set_write_timeout(Some(LIMIT)).expect("an option");
-    stream.write_all(submit("r-1", "5", "x").as_bytes()).expect("it takes it");
+    stream
+        .write_all(submit("r-1", "5", "x").as_bytes())
+        .expect("it takes it");
     let mut call = peer.next();
     // It is the last answer as the process leaves, or as more has come behind the request than is kept.
     proxy.terminate();
     wait_for("the signal to be seen", || !proxy.is_up());
     let behind = page("r-behind").repeat(3000);
-    stream.write_all(behind.as_bytes()).expect("all of it is taken");
+    stream
+        .write_all(behind.as_bytes())
+        .expect("all of it is taken");
     let body = "0123456789abcdef".repeat(4000);
     call.write(&ok(&body));
     // It goes on sending while its answer is on its way.
     let mut more = stream.try_clone().expect("a handle");
     let floods = std::thread::spawn(move || while more.write_all(&[b'x'; 1000]).is_ok() {});
     let whole = read_out(&mut stream).unwrap_or_else(|cut| cut);
-    assert!(String::from_utf8_lossy(&whole).ends_with(&body), "{} bytes came", whole.len());
+    assert!(
+        String::from_utf8_lossy(&whole).ends_with(&body),
+        "{} bytes came",
+        whole.len()
+    );
     let _ = stream.shutdown(std::net::Shutdown::Both); // it may be closed by now
     floods.join().expect("it ends with the connection");
     assert!(peer.come().is_none(), "nothing behind it was served");
--- a/crates/sandgap/tests/crossings_servers.rs
+++ b/crates/sandgap/tests/crossings_servers.rs
@@ -39,7 +39,11 @@
         let mut second = server.next();
         second.write(&ok("two"));
         assert_ne!(second.connection, first.connection, "after {spoilt:?}");
-        assert_eq!(client.answer().expect("an answer").text(), "two", "after {spoilt:?}");
+        assert_eq!(
+            client.answer().expect("an answer").text(),
+            "two",
+            "after {spoilt:?}"
+        );
         assert!(server.come().is_none(), "it went out once");
     }
 }
@@ -105,13 +109,22 @@
     let discovery = Discovery::new();
     discovery.say(&list(1, true, &[host("s-0", first.address, "up", 0)]));
     // Repeats are dropped for 2.5 s (`window`), and a connection is waited for much longer.
-    let setup = Setup { dial_timeout: 30_000, deadline: 40_000, door: true, ..Setup::default() };
+    let setup = Setup {
+        dial_timeout: 30_000,
+        deadline: 40_000,
+        door: true,
+        ..Setup::default()
+    };
     let proxy = Proxy::up(&discovery, &setup);
     let mut client = Client::new(&proxy);
     client.send(&booking("r-1", "40"));
     let call = first.next();
     let sent = Instant::now();
-    discovery.say(&list(2, false, &[host("s-1", slow.local_addr().expect("an address"), "up", 0)]));
+    discovery.say(&list(
+        2,
+        false,
+        &[host("s-1", slow.local_addr().expect("an address"), "up", 0)],
+    ));
     wait_for("the other server", || proxy.var("node_cluster_size") == 2.0);
     call.reset(); // it may have run, and is tried where its repeat is dropped
     thread::sleep((sent + Duration::from_millis(2600)).saturating_duration_since(Instant::now()));
@@ -120,8 +133,13 @@
     }
     let (stream, _) = slow.accept().expect("the second attempt's connection");
     assert_eq!(status(client.answer()), 502, "it may have run");
-    stream.set_read_timeout(Some(Duration::from_millis(100))).expect("a time-out");
-    assert!(read_message(&mut BufReader::new(&stream)).is_none(), "it began after its window");
+    stream
+        .set_read_timeout(Some(Duration::from_millis(100)))
+        .expect("a time-out");
+    assert!(
+        read_message(&mut BufReader::new(&stream)).is_none(),
+        "it began after its window"
+    );
     assert_eq!(proxy.var("node_sends"), 1.0);
 }
 
@@ -130,7 +148,13 @@
     let (mute, _full) = full_listener();
     let server = Peer::new();
     let at = [mute.local_addr().expect("an address"), server.address];
-    let (_discovery, proxy) = proxy_before(&at, &Setup { door: true, ..Setup::default() });
+    let (_discovery, proxy) = proxy_before(
+        &at,
+        &Setup {
+            door: true,
+            ..Setup::default()
+        },
+    );
     for n in 0..12 {
         let mut client = Client::new(&proxy);
         client.send(&submit(&format!("r-{n}"), "5", "x"));
@@ -147,7 +171,12 @@
     let servers: Vec<Peer> = (0..10).map(|_| Peer::new()).collect();
     let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
     // So few sockets that a handful at most go to servers.
-    let setup = Setup { sockets: 64, door: true, dial_timeout: 200, ..Setup::default() };
+    let setup = Setup {
+        sockets: 64,
+        door: true,
+        dial_timeout: 200,
+        ..Setup::default()
+    };
     let (_discovery, proxy) = proxy_before(&addresses, &setup);
     let mut clients: Vec<Client> = (0..9).map(|_| Client::new(&proxy)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -175,10 +204,22 @@
     let server = Peer::new();
     let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
     for (n, (head, ends, wanted)) in [
-        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it", true, 200),
-        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of i", false, 502),
+        (
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it",
+            true,
+            200,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of i",
+            false,
+            502,
+        ),
         ("HTTP/1.1 200 OK\r\n\r\nhalf of i", false, 502),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, 502),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+            true,
+            502,
+        ),
     ]
     .into_iter()
     .enumerate()
@@ -199,11 +240,20 @@
 #[test]
 fn an_answer_that_has_no_end_has_one_for_the_client() {
     let server = Peer::new();
-    let (_discovery, proxy) = proxy_before(&[server.address], &Setup { memory_mb: 64, ..Setup::default() });
+    let (_discovery, proxy) = proxy_before(
+        &[server.address],
+        &Setup {
+            memory_mb: 64,
+            ..Setup::default()
+        },
+    );
     // One that trickles, in its head or in its body, until the request's time is over.
     for (n, (head, piece)) in [
         ("HTTP/1.1 200 OK\r\nX: ", "y"),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nz\r\n"),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "1\r\nz\r\n",
+        ),
     ]
     .into_iter()
     .enumerate()
@@ -223,11 +273,16 @@
     // A head over the limit.
     let mut client = Client::new(&proxy);
     client.send(&submit("r-head", "5", "x"));
-    server.next().write(&format!("HTTP/1.1 200 OK\r\n{}\r\n", "X: yyyyyyyyyy\r\n".repeat(5000)));
+    server.next().write(&format!(
+        "HTTP/1.1 200 OK\r\n{}\r\n",
+        "X: yyyyyyyyyy\r\n".repeat(5000)
+    ));
     assert_eq!(status(client.answer()), 502);
     // One that comes as fast as it is read: it is cut, so that its client can tell.
     let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
-    stream.write_all(submit("r-flood", "5", "x").as_bytes()).expect("it takes it");
+    stream
+        .write_all(submit("r-flood", "5", "x").as_bytes())
+        .expect("it takes it");
     let mut call = server.next();
     let floods = thread::spawn(move || {
         call.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/crates/sandgap/tests/crossings_shutdown.rs
+++ b/crates/sandgap/tests/crossings_shutdown.rs
@@ -22,13 +22,21 @@
 
 /// Waits until the process has seen the signal and takes no more connections.
 fn shut(proxy: &Proxy) {
-    wait_for("the listener's end", || TcpStream::connect(proxy.address).is_err());
+    wait_for("the listener's end", || {
+        TcpStream::connect(proxy.address).is_err()
+    });
 }
 
 #[test]
 fn a_process_that_is_ended_before_its_list_answers_what_it_took_and_goes() {
     let agent = Peer::new();
-    let mut proxy = Proxy::start(&agent.as_discovery(), &Setup { deadline: 400, ..Setup::default() });
+    let mut proxy = Proxy::start(
+        &agent.as_discovery(),
+        &Setup {
+            deadline: 400,
+            ..Setup::default()
+        },
+    );
     let _call = agent.next();
     let mut waits = Client::new(&proxy);
     waits.send(&submit("r-1", "0.4", "x"));
@@ -86,12 +94,19 @@
 #[test]
 fn with_servers_that_hang_each_request_has_one_answer_and_the_process_ends_in_time() {
     let servers = [Peer::new(), Peer::new()];
-    let setup = Setup { deadline: 300, ..Setup::default() };
+    let setup = Setup {
+        deadline: 300,
+        ..Setup::default()
+    };
     let (_discovery, mut proxy) = proxy_with(&[&servers[0], &servers[1]], &setup);
     // More than the servers' slots: some are out, and some wait in the queue.
     let mut clients: Vec<Client> = (0..24).map(|_| Client::new(&proxy)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&if n % 2 == 0 { page("r-a") } else { submit("r-b", "0.3", "x") });
+        client.send(&if n % 2 == 0 {
+            page("r-a")
+        } else {
+            submit("r-b", "0.3", "x")
+        });
     }
     let _hangs = (servers[0].next(), servers[1].next());
     proxy.terminate();
@@ -116,10 +131,17 @@
         })
         .collect();
     for flood in floods {
-        assert!(flood.join().expect("good answers") >= 1, "none without an answer");
+        assert!(
+            flood.join().expect("good answers") >= 1,
+            "none without an answer"
+        );
     }
     assert!(proxy.wait().success());
-    assert!(told.elapsed() < Duration::from_secs(3), "nothing waits for a hung server: {:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_secs(3),
+        "nothing waits for a hung server: {:?}",
+        told.elapsed()
+    );
 }
 
 #[test]
@@ -147,11 +169,18 @@
             })
         })
         .collect();
-    let ends: Vec<_> = cross.into_iter().map(|c| c.join().expect("it ends")).collect();
+    let ends: Vec<_> = cross
+        .into_iter()
+        .map(|c| c.join().expect("it ends"))
+        .collect();
     assert!(proxy.wait().success());
     let seen: Vec<String> = backend.seen().iter().map(|m| m.id().to_owned()).collect();
     for (answer, id) in ends {
-        assert_eq!(answer.as_deref(), seen.contains(&id).then_some(id.as_str()), "{id}");
+        assert_eq!(
+            answer.as_deref(),
+            seen.contains(&id).then_some(id.as_str()),
+            "{id}"
+        );
     }
 }
 
@@ -160,7 +189,9 @@
     let server = Peer::new();
     let (_discovery, mut proxy) = proxy_with(&[&server], &Setup::default());
     let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
-    stream.write_all(format!("{}{}", page("r-1"), page("r-2")).as_bytes()).expect("it takes it");
+    stream
+        .write_all(format!("{}{}", page("r-1"), page("r-2")).as_bytes())
+        .expect("it takes it");
     let mut call = server.next();
     proxy.terminate();
     wait_for("the signal to be seen", || !proxy.is_up());
@@ -168,7 +199,10 @@
     let said = read_out(&mut stream).expect("an end in order");
     let said = String::from_utf8_lossy(&said);
     assert_eq!(said.matches("HTTP/1.1 ").count(), 1, "{said}");
-    assert!(said.ends_with("first") && said.to_lowercase().contains("connection: close"), "{said}");
+    assert!(
+        said.ends_with("first") && said.to_lowercase().contains("connection: close"),
+        "{said}"
+    );
     drop(stream);
     assert!(proxy.wait().success());
     assert!(server.come().is_none());
--- a/crates/sandgap/tests/crossings_watch.rs
+++ b/crates/sandgap/tests/crossings_watch.rs
@@ -13,7 +13,10 @@
 
 /// Idle connections to servers outlast every wait, so that their end is a drain's work.
 fn lasting() -> Setup {
-    Setup { idle_close: 600_000, ..Setup::default() }
+    Setup {
+        idle_close: 600_000,
+        ..Setup::default()
+    }
 }
 
 fn status(answer: Option<Message>) -> u16 {
@@ -23,7 +26,10 @@
 /// A list of one server, laid out over many lines.
 fn indented(seq: u64, whole: bool, backend: &Backend, health: &str) -> String {
     let line = list(seq, whole, &[host("s-0", backend.address, health, 0)]);
-    let text = line.replace('{', "{\n\t").replace(',', ",\n\n    ").replace('}', "\r\n}");
+    let text = line
+        .replace('{', "{\n\t")
+        .replace(',', ",\n\n    ")
+        .replace('}', "\r\n}");
     assert!(text.lines().count() > 15);
     text
 }
@@ -44,7 +50,10 @@
 fn tells_of_drain(mut watch: Call, backend: &Backend) {
     if watch.message.first.contains("watch=1") {
         watch.begin();
-        watch.tell(&format!("{}\n", list(9, true, &[host("s-0", backend.address, "draining", 0)])));
+        watch.tell(&format!(
+            "{}\n",
+            list(9, true, &[host("s-0", backend.address, "draining", 0)])
+        ));
     }
     wait_for("the drain to act", || backend.ended() == 1);
 }
@@ -57,7 +66,10 @@
     let mut watch = agent.next();
     watch.begin();
     // Byte by byte, with a blank line before and half of the next object behind it.
-    let (next, after) = (indented(2, false, &backend, "draining"), indented(3, false, &backend, "up"));
+    let (next, after) = (
+        indented(2, false, &backend, "draining"),
+        indented(3, false, &backend, "up"),
+    );
     let (half, rest) = next.split_at(next.len() / 2);
     for byte in format!("\n  {} {half}", indented(1, true, &backend, "up")).bytes() {
         watch.tell(&char::from(byte).to_string());
@@ -68,8 +80,14 @@
     watch.tell(rest);
     wait_for("the drain to act", || backend.ended() == 1);
     // Two in one piece, with nothing between them.
-    watch.tell(&format!("{}{}", after, indented(4, false, &backend, "draining").replace("s-0", "s-1")));
-    wait_for("the server", || status(Client::new(&proxy).ask(&page("r-2"))) == 200);
+    watch.tell(&format!(
+        "{}{}",
+        after,
+        indented(4, false, &backend, "draining").replace("s-0", "s-1")
+    ));
+    wait_for("the server", || {
+        status(Client::new(&proxy).ask(&page("r-2"))) == 200
+    });
     assert!(agent.come().is_none(), "the first watch lasts");
 }
 
@@ -142,29 +160,50 @@
     let backend = Backend::new(Deed::Write(ok("")));
     let agents = [Peer::new(), Peer::new()];
     let (proxy, mut watch) = watched(&agents[0], &backend);
-    watch.tell(&format!("{}\n", list(41, false, &[host("s-0", backend.address, "up", 0)])));
+    watch.tell(&format!(
+        "{}\n",
+        list(41, false, &[host("s-0", backend.address, "up", 0)])
+    ));
     // The signal comes in the middle of an object.
     watch.tell("{\"seq\":42,\"whole\":false,\"hosts\":[");
     proxy.reconfigure(&config(agents[1].address, &lasting()));
     let mut second = agents[1].next();
     assert!(!second.resumes(), "{}", second.message.first);
     second.begin();
-    second.tell(&format!("{}\n", list(3, true, &[host("s-0", backend.address, "up", 0)])));
-    second.tell(&format!("{}\n", list(4, false, &[host("s-0", backend.address, "draining", 0)])));
+    second.tell(&format!(
+        "{}\n",
+        list(3, true, &[host("s-0", backend.address, "up", 0)])
+    ));
+    second.tell(&format!(
+        "{}\n",
+        list(4, false, &[host("s-0", backend.address, "draining", 0)])
+    ));
     wait_for("the drain to act", || backend.ended() == 1);
 }
 
 #[test]
 fn a_process_that_starts_sends_nothing_by_an_older_list_than_its_agent_has() {
-    let (old, new) = (Backend::new(Deed::Write(ok("old"))), Backend::new(Deed::Write(ok("new"))));
+    let (old, new) = (
+        Backend::new(Deed::Write(ok("old"))),
+        Backend::new(Deed::Write(ok("new"))),
+    );
     let agent = Peer::new();
     let known = list(1, true, &[host("s-0", old.address, "up", 0)]);
-    let proxy = Proxy::start(&agent.as_discovery(), &Setup { known, ..Setup::default() });
+    let proxy = Proxy::start(
+        &agent.as_discovery(),
+        &Setup {
+            known,
+            ..Setup::default()
+        },
+    );
     let mut client = Client::new(&proxy);
     client.send(&page("r-1")); // before the list, and it waits
     let mut watch = agent.next();
     watch.begin();
-    let lines = [host("s-0", old.address, "draining", 0), host("s-1", new.address, "up", 0)];
+    let lines = [
+        host("s-0", old.address, "draining", 0),
+        host("s-1", new.address, "up", 0),
+    ];
     watch.tell(&format!("{}\n", list(7, true, &lines)));
     assert_eq!(client.answer().expect("an answer").text(), "new");
     assert!(old.seen().is_empty());
@@ -174,9 +213,17 @@
 fn a_drain_told_between_two_attempts_counts_for_the_second() {
     let servers = [Peer::new(), Peer::new()];
     let discovery = Discovery::new();
-    let lines = |health: [&str; 2]| [0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, health[i], 0));
+    let lines = |health: [&str; 2]| {
+        [0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, health[i], 0))
+    };
     discovery.say(&list(1, true, &lines(["up", "up"])));
-    let proxy = Proxy::up(&discovery, &Setup { door: true, ..Setup::default() });
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            door: true,
+            ..Setup::default()
+        },
+    );
     let mut client = Client::new(&proxy);
     client.send(&page("r-1"));
     let (mut first, other) = loop {
@@ -188,8 +235,14 @@
     let mut health = ["up", "up"];
     health[other] = "draining";
     discovery.say(&list(2, false, &lines(health)));
-    discovery.say(&list(3, false, &[host("s-2", servers[other].address, "draining", 0)]));
-    wait_for("the drain to be told", || proxy.var("node_cluster_size") == 3.0);
+    discovery.say(&list(
+        3,
+        false,
+        &[host("s-2", servers[other].address, "draining", 0)],
+    ));
+    wait_for("the drain to be told", || {
+        proxy.var("node_cluster_size") == 3.0
+    });
     first.write(&empty("503 Full\r\nX-Not-Processed: 1"));
     assert_eq!(status(client.answer()), 503);
     assert!(servers[other].come().is_none());
--- a/crates/sandgap/tests/loads.rs
+++ b/crates/sandgap/tests/loads.rs
@@ -15,8 +15,17 @@
 fn asked_at_once_after(load: &str) -> usize {
     let servers: Vec<Peer> = (0..4).map(|_| Peer::new()).collect();
     let addresses: Vec<SocketAddr> = servers.iter().map(|s| s.address).collect();
-    let (_discovery, proxy) = proxy_before(&addresses, &Setup { proxies: 32, ..Setup::default() });
-    let answer = ok("x").replace("X-Own: kept", &format!("X-Own: kept\r\nX-Server-Load: {load}"));
+    let (_discovery, proxy) = proxy_before(
+        &addresses,
+        &Setup {
+            proxies: 32,
+            ..Setup::default()
+        },
+    );
+    let answer = ok("x").replace(
+        "X-Own: kept",
+        &format!("X-Own: kept\r\nX-Server-Load: {load}"),
+    );
     let come = || {
         let end = Instant::now() + LIMIT;
         loop {
@@ -35,7 +44,10 @@
         call.write(&answer);
         let got = clients[0].answer().expect("an answer");
         assert_eq!(got.status(), 200);
-        assert!(got.header("x-server-load").is_some(), "a header of the answer, passed on like any other");
+        assert!(
+            got.header("x-server-load").is_some(),
+            "a header of the answer, passed on like any other"
+        );
     }
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&submit(&format!("s-{n}"), "5", "x"));
@@ -51,7 +63,11 @@
         call.write(&answer);
         answered += 1;
     }
-    assert!(clients.iter_mut().all(|c| c.answer().is_some_and(|a| a.status() == 200)));
+    assert!(
+        clients
+            .iter_mut()
+            .all(|c| c.answer().is_some_and(|a| a.status() == 200))
+    );
     count
 }
 
@@ -59,5 +75,9 @@
 fn a_proxy_sends_less_at_once_to_servers_that_tell_of_a_crowd() {
     assert_eq!(asked_at_once_after(r#"{"busy_reqs":30,"pending":0}"#), 1);
     assert_eq!(asked_at_once_after(r#"{"busy_reqs":1,"pending":0}"#), 4);
-    assert_eq!(asked_at_once_after("spoilt"), 4, "what can't be read tells nothing");
+    assert_eq!(
+        asked_at_once_after("spoilt"),
+        4,
+        "what can't be read tells nothing"
+    );
 }
