--- a/crates/sandgap/tests/measure.rs
+++ b/crates/sandgap/tests/measure.rs
@@ -18,8 +18,15 @@
 
 fn quantiles(mut times: Vec<Duration>) -> String {
     times.sort();
-    let at = |q: f64| times[((times.len() as f64 * q) as usize).min(times.len() - 1)].as_secs_f64() * 1000.0;
-    format!("p50 {:.2} ms, p99 {:.2} ms of {}", at(0.5), at(0.99), times.len())
+    let at = |q: f64| {
+        times[((times.len() as f64 * q) as usize).min(times.len() - 1)].as_secs_f64() * 1000.0
+    };
+    format!(
+        "p50 {:.2} ms, p99 {:.2} ms of {}",
+        at(0.5),
+        at(0.99),
+        times.len()
+    )
 }
 
 fn calls(proxy: &Proxy, many: usize) -> Vec<Duration> {
@@ -41,7 +48,10 @@
 
 impl Crowd {
     fn start(address: SocketAddr, many: usize) -> Self {
-        let (stop, got) = (Arc::new(AtomicBool::new(false)), Arc::<[AtomicUsize; 3]>::default());
+        let (stop, got) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::<[AtomicUsize; 3]>::default(),
+        );
         let client = |_| {
             let (stop, got) = (stop.clone(), got.clone());
             thread::spawn(move || {
@@ -75,7 +85,9 @@
 
     fn end(self) -> [usize; 3] {
         self.stop.store(true, Ordering::SeqCst);
-        self.clients.into_iter().for_each(|c| c.join().expect("no panic"));
+        self.clients
+            .into_iter()
+            .for_each(|c| c.join().expect("no panic"));
         [0, 1, 2].map(|n| self.got[n].load(Ordering::SeqCst))
     }
 }
@@ -84,7 +96,13 @@
 fn cost(door: bool) -> f64 {
     let backends: Vec<Backend> = (0..4).map(|_| Backend::new(Deed::Write(ok("")))).collect();
     let addresses: Vec<SocketAddr> = backends.iter().map(|b| b.address).collect();
-    let (_discovery, proxy) = proxy_before(&addresses, &Setup { door, ..Setup::default() });
+    let (_discovery, proxy) = proxy_before(
+        &addresses,
+        &Setup {
+            door,
+            ..Setup::default()
+        },
+    );
     let crowd = Crowd::start(proxy.address, 16);
     thread::sleep(Duration::from_millis(500));
     let (before, count) = (proxy.cpu_seconds(), crowd.got[0].load(Ordering::SeqCst));
@@ -95,7 +113,10 @@
         }
         thread::sleep(Duration::from_millis(100));
     }
-    let (used, count) = (proxy.cpu_seconds() - before, crowd.got[0].load(Ordering::SeqCst) - count);
+    let (used, count) = (
+        proxy.cpu_seconds() - before,
+        crowd.got[0].load(Ordering::SeqCst) - count,
+    );
     crowd.end();
     used * 1e6 / count as f64
 }
@@ -121,15 +142,26 @@
             });
         }
     });
-    let (_discovery, proxy) =
-        proxy_before(&[to], &Setup { sockets: 1024, memory_mb: 48, deadline: 20_000, ..Setup::default() });
+    let (_discovery, proxy) = proxy_before(
+        &[to],
+        &Setup {
+            sockets: 1024,
+            memory_mb: 48,
+            deadline: 20_000,
+            ..Setup::default()
+        },
+    );
     let began = Instant::now();
     let readers: Vec<JoinHandle<usize>> = (0..many)
         .map(|_| {
             let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
             thread::spawn(move || {
                 stream
-                    .write_all(page("r-1").replace("X-Timeout: 5", "X-Timeout: 20").as_bytes())
+                    .write_all(
+                        page("r-1")
+                            .replace("X-Timeout: 5", "X-Timeout: 20")
+                            .as_bytes(),
+                    )
                     .expect("taken");
                 let (mut got, mut piece) = (0, vec![0; 64 << 10]);
                 while got < size {
@@ -142,7 +174,10 @@
             })
         })
         .collect();
-    let whole = readers.into_iter().map(|r| r.join().expect("no panic")).filter(|g| *g >= size);
+    let whole = readers
+        .into_iter()
+        .map(|r| r.join().expect("no panic"))
+        .filter(|g| *g >= size);
     assert_eq!(whole.count(), many, "all came whole");
     (proxy.memory_peak_mb(), began.elapsed())
 }
@@ -156,7 +191,14 @@
     let address = listener.local_addr().expect("an address");
     let start = || {
         let held = Some(listener.as_raw_fd());
-        Proxy::start(&discovery, &Setup { door: true, held, ..Setup::default() })
+        Proxy::start(
+            &discovery,
+            &Setup {
+                door: true,
+                held,
+                ..Setup::default()
+            },
+        )
     };
     let ready = |p: &Proxy| p.call("GET /_ready").is_some_and(|m| m.status() == 200);
     let mut old = start();
@@ -183,14 +225,29 @@
 #[ignore = "it measures, and wants the machine to itself"]
 fn measure() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let (_discovery, idle) = proxy_before(&[backend.address], &Setup { door: true, ..Setup::default() });
-    println!("door, idle:                {}", quantiles(calls(&idle, 300)));
+    let (_discovery, idle) = proxy_before(
+        &[backend.address],
+        &Setup {
+            door: true,
+            ..Setup::default()
+        },
+    );
+    println!(
+        "door, idle:                {}",
+        quantiles(calls(&idle, 300))
+    );
     let crowd = Crowd::start(idle.address, 32);
     thread::sleep(Duration::from_millis(300));
-    println!("door, under full load:     {}", quantiles(calls(&idle, 300)));
+    println!(
+        "door, under full load:     {}",
+        quantiles(calls(&idle, 300))
+    );
     println!("  the load:                {} answers", crowd.end()[0]);
     println!("CPU a request, no door:    {:.1} us", cost(false));
-    println!("CPU a request, door asked: {:.1} us (figures fetched 10 times a second)", cost(true));
+    println!(
+        "CPU a request, door asked: {:.1} us (figures fetched 10 times a second)",
+        cost(true)
+    );
     let show = |[answered, refused, lost]: [usize; 3]| {
         format!("{answered} answered, {refused} refused, {lost} without an answer")
     };
@@ -199,5 +256,8 @@
     let (small, _) = peak(100, 1000);
     println!("memory, 100 of 1 kB:       {small:.1} MB of 48");
     let (large, took) = peak(100, LARGE);
-    println!("memory, 100 of 32 MB:      {large:.1} MB of 48, {:.1} s", took.as_secs_f64());
+    println!(
+        "memory, 100 of 32 MB:      {large:.1} MB of 48, {:.1} s",
+        took.as_secs_f64()
+    );
 }
--- a/crates/sandgap/tests/proxy.rs
+++ b/crates/sandgap/tests/proxy.rs
@@ -29,16 +29,30 @@
         X-Tenant-Id: acme\r\nX-Timeout: 3.5\r\nIdempotency-Key: k-1\r\nConnection: keep-alive, X-Hop\r\n\
         X-Hop: 1\r\nContent-Length: 4\r\n\r\nbody";
     let answer = client.ask(request).expect("an answer");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "the answer"));
+    assert_eq!(
+        (answer.status(), answer.text().as_str()),
+        (200, "the answer")
+    );
     assert_eq!(answer.header("x-own"), Some("kept"));
     let seen = &backend.seen()[0];
     assert_eq!(seen.first, "POST /booking/7?sid=a%20b&x=1 HTTP/1.1");
     assert_eq!(
-        (seen.id(), seen.header("idempotency-key"), seen.text().as_str()),
+        (
+            seen.id(),
+            seen.header("idempotency-key"),
+            seen.text().as_str()
+        ),
         ("r-1", Some("k-1"), "body")
     );
-    assert_eq!((seen.header("host"), seen.header("x-hop")), (Some("origin.svc"), None));
-    let left: f64 = seen.header("x-timeout").expect("a time").parse().expect("a number");
+    assert_eq!(
+        (seen.header("host"), seen.header("x-hop")),
+        (Some("origin.svc"), None)
+    );
+    let left: f64 = seen
+        .header("x-timeout")
+        .expect("a time")
+        .parse()
+        .expect("a number");
     assert!(left > 0.0 && left <= 3.5, "{left}");
     // The connections on both sides are used again.
     assert_eq!(status(client.ask(&page("r-2"))), 200);
@@ -61,62 +75,117 @@
 fn a_list_that_is_asked_for_is_waited_for_in_turn() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.turn.store(1600, std::sync::atomic::Ordering::SeqCst);
+    discovery
+        .turn
+        .store(1600, std::sync::atomic::Ordering::SeqCst);
     discovery.say(&all_up(&[&backend]));
-    let proxy = Proxy::start(&discovery, &Setup { asks: true, ..Setup::default() });
+    let proxy = Proxy::start(
+        &discovery,
+        &Setup {
+            asks: true,
+            ..Setup::default()
+        },
+    );
     wait_for("/up", || proxy.is_up());
-    assert_eq!(discovery.asked.lock().unwrap().len(), 1, "it went back to the end of the line");
+    assert_eq!(
+        discovery.asked.lock().unwrap().len(),
+        1,
+        "it went back to the end of the line"
+    );
 }
 
 #[test]
 fn without_discovery_it_serves_from_the_list_it_remembers() {
     let backend = Backend::new(Deed::Write(ok("")));
     let mut discovery = Discovery::new();
-    discovery.address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap(); // nobody there now
-    let proxy = Proxy::up(&discovery, &Setup { known: all_up(&[&backend]), ..Setup::default() });
+    discovery.address = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap(); // nobody there now
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            known: all_up(&[&backend]),
+            ..Setup::default()
+        },
+    );
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
 }
 
 #[test]
 fn broken_and_stale_news_is_survived_and_a_watch_resumes() {
-    let (old, new) = (Backend::new(Deed::Write(ok("old"))), Backend::new(Deed::Write(ok("new"))));
+    let (old, new) = (
+        Backend::new(Deed::Write(ok("old"))),
+        Backend::new(Deed::Write(ok("new"))),
+    );
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&old]));
     let proxy = Proxy::up(&discovery, &Setup::default());
     // A broken line may hide a change: the watch is taken up again from the last good one.
     discovery.say(r#"{"seq":2,"whole":false,"hosts":"#);
-    let resumed = || discovery.asked.lock().unwrap().iter().any(|m| m.first.contains("watch=1&after=1 "));
+    let resumed = || {
+        discovery
+            .asked
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|m| m.first.contains("watch=1&after=1 "))
+    };
     wait_for("a watch that resumes", resumed);
     // An odd entry hides nothing of the rest.
-    let odd = [r#"{"host":3}"#, "null", r#"{"host":"s-odd","dial":"nowhere","health":"up","born_ms":"x"}"#];
+    let odd = [
+        r#"{"host":3}"#,
+        "null",
+        r#"{"host":"s-odd","dial":"nowhere","health":"up","born_ms":"x"}"#,
+    ];
     let mut lines: Vec<String> = odd.iter().map(|o| o.to_string()).collect();
     lines.push(host("s-new", new.address, "up", 0));
     discovery.say(&list(5, true, &lines));
-    let text = |id: &str| Client::new(&proxy).ask(&page(id)).expect("an answer").text();
+    let text = |id: &str| {
+        Client::new(&proxy)
+            .ask(&page(id))
+            .expect("an answer")
+            .text()
+    };
     wait_for("the new list", || text("r-1") == "new");
     discovery.say(&list(4, true, &[host("s-0", old.address, "up", 0)]));
-    wait_for("a line about it", || proxy.log.lock().unwrap().contains("stale"));
+    wait_for("a line about it", || {
+        proxy.log.lock().unwrap().contains("stale")
+    });
     assert_eq!(text("r-2"), "new");
 }
 
 #[test]
 fn at_sighup_the_list_comes_from_the_address_that_the_new_file_names() {
-    let (old, new) = (Backend::new(Deed::Write(ok("old"))), Backend::new(Deed::Write(ok("new"))));
+    let (old, new) = (
+        Backend::new(Deed::Write(ok("old"))),
+        Backend::new(Deed::Write(ok("new"))),
+    );
     let (first, mut proxy) = proxy_with(&[&old]);
     let second = Discovery::new();
     proxy.reconfigure("{\"discovery\":");
-    wait_for("a word about it", || proxy.log.lock().unwrap().contains("of no use"));
+    wait_for("a word about it", || {
+        proxy.log.lock().unwrap().contains("of no use")
+    });
     proxy.reconfigure(&config(second.address, &Setup::default()));
     wait_for("a watch there", || !second.asked.lock().unwrap().is_empty());
     drop(first);
     // The new address counts its versions anew.
     second.say(&list(0, true, &[host("s-new", new.address, "up", 0)]));
-    let text = |id: &str| Client::new(&proxy).ask(&page(id)).expect("an answer").text();
+    let text = |id: &str| {
+        Client::new(&proxy)
+            .ask(&page(id))
+            .expect("an answer")
+            .text()
+    };
     wait_for("the new list", || text("r-1") == "new");
     second.say(&list(
         1,
         false,
-        &[host("s-0", old.address, "up", 0), host("s-new", new.address, "removed", 0)],
+        &[
+            host("s-0", old.address, "up", 0),
+            host("s-new", new.address, "removed", 0),
+        ],
     ));
     wait_for("a change", || text("r-2") == "old");
     assert!(proxy.runs());
@@ -138,19 +207,36 @@
         (good.replace("X-Timeout: 5", "X-Timeout: soon"), 400),
         (good.replace("X-Timeout: 5", "X-Timeout: -1"), 400),
         (good.replace("X-Timeout: 5", "X-Timeout: inf"), 400),
-        (good.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Timeout: 6"), 400),
-        (good.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Cost: much"), 400),
-        (good.replace("Host: x", "Host: x\r\nIdempotency-Key: k"), 400),
+        (
+            good.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Timeout: 6"),
+            400,
+        ),
+        (
+            good.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Cost: much"),
+            400,
+        ),
+        (
+            good.replace("Host: x", "Host: x\r\nIdempotency-Key: k"),
+            400,
+        ),
         (good.replace("/submit", "/booking"), 400),
         (good.replace("Host: x", "no header"), 400),
         ("\u{1}\u{2}\u{3}\r\n\r\n".into(), 400),
     ];
     for (request, wanted) in &cases {
-        assert_eq!(status(Client::new(&proxy).ask(request)), *wanted, "{:.200}", request);
+        assert_eq!(
+            status(Client::new(&proxy).ask(request)),
+            *wanted,
+            "{:.200}",
+            request
+        );
     }
     assert!(backend.seen().is_empty());
     let largest = "x".repeat(64 << 10);
-    assert_eq!(status(Client::new(&proxy).ask(&submit("r-2", "1e300", &largest))), 200);
+    assert_eq!(
+        status(Client::new(&proxy).ask(&submit("r-2", "1e300", &largest))),
+        200
+    );
     assert_eq!(backend.seen()[0].body.len(), 64 << 10);
     assert!(proxy.runs());
 }
@@ -176,7 +262,9 @@
         // Half a body is no answer, and neither is one whose end nobody can tell.
         Deed::WriteAndClose(short),
         Deed::WriteAndClose("HTTP/1.1 200 OK\r\n\r\nperhaps all".into()),
-        Deed::WriteAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n".into()),
+        Deed::WriteAndClose(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n".into(),
+        ),
         Deed::WriteAndClose("garbage \u{1}\r\n\r\n".into()),
         Deed::WriteAndClose(String::new()),
     ] {
@@ -198,13 +286,21 @@
 #[test]
 fn a_cut_answer_to_what_may_be_repeated_is_made_good_elsewhere() {
     let short = Deed::WriteAndClose(ok("0123456789").replace("0123456789", "01234"));
-    let (cut, whole) = (Backend::new(short), Backend::new(Deed::Write(ok("0123456789"))));
+    let (cut, whole) = (
+        Backend::new(short),
+        Backend::new(Deed::Write(ok("0123456789"))),
+    );
     let (_discovery, proxy) = proxy_with(&[&cut, &whole]);
     let mut n = 0;
     wait_for("the one that cuts", || {
         n += 1;
-        let answer = Client::new(&proxy).ask(&page(&format!("r-{n}"))).expect("an answer");
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "0123456789"));
+        let answer = Client::new(&proxy)
+            .ask(&page(&format!("r-{n}")))
+            .expect("an answer");
+        assert_eq!(
+            (answer.status(), answer.text().as_str()),
+            (200, "0123456789")
+        );
         !cut.seen().is_empty()
     });
 }
@@ -212,13 +308,19 @@
 #[test]
 fn a_backend_that_refuses_or_never_takes_connections_costs_nothing() {
     // Nobody listens at the one; the other's accept queue is full, so that connections never come up.
-    let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let dead = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let (mute, _full) = full_listener();
     let at = mute.local_addr().unwrap();
     for address in [dead, at] {
         let backend = Backend::new(Deed::Write(ok("")));
         let discovery = Discovery::new();
-        let hosts = [host("s-0", address, "up", 0), host("s-1", backend.address, "up", 0)];
+        let hosts = [
+            host("s-0", address, "up", 0),
+            host("s-1", backend.address, "up", 0),
+        ];
         discovery.say(&list(1, true, &hosts));
         let proxy = Proxy::up(&discovery, &Setup::default());
         for n in 0..6 {
@@ -230,7 +332,10 @@
 
 #[test]
 fn nothing_new_goes_to_a_backend_that_drains_is_gone_or_has_moved() {
-    let (one, two) = (Backend::new(Deed::Write(ok("one"))), Backend::new(Deed::Write(ok("two"))));
+    let (one, two) = (
+        Backend::new(Deed::Write(ok("one"))),
+        Backend::new(Deed::Write(ok("two"))),
+    );
     let (discovery, proxy) = proxy_with(&[&one]);
     let text = |id: &str| Client::new(&proxy).ask(&page(id)).map(|m| m.text());
     assert_eq!(text("r-0").as_deref(), Some("one"));
@@ -240,7 +345,13 @@
         discovery.say(&list(seq, whole, lines));
     };
     // Drain: the pooled connection goes at once, and later requests go to the other.
-    tell(&[host("s-0", one.address, "draining", 0), host("s-1", two.address, "up", 0)], false);
+    tell(
+        &[
+            host("s-0", one.address, "draining", 0),
+            host("s-1", two.address, "up", 0),
+        ],
+        false,
+    );
     wait_for("the pooled connection's end", || one.ended() == 1);
     let before = one.seen().len();
     (0..5).for_each(|n| assert_eq!(text(&format!("r-a{n}")).as_deref(), Some("two")));
@@ -263,21 +374,35 @@
 fn a_drain_told_while_the_connection_comes_up_still_counts() {
     let (slow, full) = full_listener();
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[host("s-0", slow.local_addr().unwrap(), "up", 0)]));
-    let patient = Setup { dial_timeout: 30_000, deadline: 40_000, ..Setup::default() };
+    discovery.say(&list(
+        1,
+        true,
+        &[host("s-0", slow.local_addr().unwrap(), "up", 0)],
+    ));
+    let patient = Setup {
+        dial_timeout: 30_000,
+        deadline: 40_000,
+        ..Setup::default()
+    };
     let proxy = Proxy::up(&discovery, &patient);
     let mut first = Client::new(&proxy);
     first.send(&submit("r-first", "40", "x"));
     assert!(proxy.is_up()); // by now the first has most likely been read, and its connection begun
     let other = Backend::new(Deed::Write(ok("other")));
     let gone = host("s-0", slow.local_addr().unwrap(), "draining", 0);
-    discovery.say(&list(2, false, &[gone, host("s-1", other.address, "up", 0)]));
+    discovery.say(&list(
+        2,
+        false,
+        &[gone, host("s-1", other.address, "up", 0)],
+    ));
     // Nobody else can serve these before the drain has been told.
     let mut n = 0;
     wait_for("the news", || {
         n += 1;
         let quick = page(&format!("r-{n}")).replace("X-Timeout: 5", "X-Timeout: 0.3");
-        Client::new(&proxy).ask(&quick).is_some_and(|m| m.text() == "other")
+        Client::new(&proxy)
+            .ask(&quick)
+            .is_some_and(|m| m.text() == "other")
     });
     for _ in &full {
         slow.accept().unwrap();
@@ -296,7 +421,13 @@
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
-    let proxy = Proxy::up(&discovery, &Setup { sockets: 64, ..Setup::default() });
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            sockets: 64,
+            ..Setup::default()
+        },
+    );
     // More than the budget allows, and none of them ever finishes its head.
     let _stuck: Vec<TcpStream> = (0..40)
         .map(|_| {
@@ -306,7 +437,9 @@
         })
         .collect();
     wait_for("room for a whole request", || {
-        Client::new(&proxy).ask(&page("r-1")).is_some_and(|m| m.status() == 200)
+        Client::new(&proxy)
+            .ask(&page("r-1"))
+            .is_some_and(|m| m.status() == 200)
     });
 }
 
@@ -315,7 +448,13 @@
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
-    let proxy = Proxy::up(&discovery, &Setup { idle_close: 1000, ..Setup::default() });
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            idle_close: 1000,
+            ..Setup::default()
+        },
+    );
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
     wait_for("its end", || backend.ended() == 1);
 }
@@ -325,7 +464,10 @@
     let backend = Backend::new(Deed::WriteAndClose(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     for n in 1..20 {
-        assert_eq!(status(Client::new(&proxy).ask(&submit(&format!("r-{n}"), "5", "x"))), 200);
+        assert_eq!(
+            status(Client::new(&proxy).ask(&submit(&format!("r-{n}"), "5", "x"))),
+            200
+        );
         wait_for("the backend's close", || backend.ended() == n);
     }
 }
@@ -347,7 +489,10 @@
     wait_for("its time to run out", || sent.elapsed().as_millis() > 600);
     gate.open();
     // Its connection is not used again, and the client gets the next answer and no other.
-    assert_eq!(client.ask(&page("r-next")).expect("an answer").text(), "prompt");
+    assert_eq!(
+        client.ask(&page("r-next")).expect("an answer").text(),
+        "prompt"
+    );
     assert_eq!(backend.came.load(std::sync::atomic::Ordering::SeqCst), 2);
     wait_for("the connection's end", || backend.ended() == 1);
 }
@@ -388,16 +533,24 @@
     let (mut busy, mut idle) = (Client::new(&proxy), Client::new(&proxy));
     assert_eq!(status(idle.ask(&page("r-1"))), 200);
     busy.send(&submit("r-held", "5", "x"));
-    wait_for("the request", || backend.seen().iter().any(|m| m.id() == "r-held"));
+    wait_for("the request", || {
+        backend.seen().iter().any(|m| m.id() == "r-held")
+    });
     // This one waits in the accept queue or is fresh when the signal comes.
     let mut fresh = Client::new(&proxy);
     proxy.terminate();
     let answer = fresh.ask(&page("r-2")).expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(idle.is_closed(), "an idle connection closes");
     gate.open();
     let answer = busy.answer().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(proxy.wait().success());
 }
 
@@ -408,8 +561,15 @@
     discovery.say(&all_up(&[&backend]));
     // Once by its own budget, once by the system's limit, where accepting fails.
     for setup in [
-        Setup { sockets: 64, ..Setup::default() },
-        Setup { sockets: 1024, descriptors: Some(24), ..Setup::default() },
+        Setup {
+            sockets: 64,
+            ..Setup::default()
+        },
+        Setup {
+            sockets: 1024,
+            descriptors: Some(24),
+            ..Setup::default()
+        },
     ] {
         let mut proxy = Proxy::up(&discovery, &setup);
         let mut clients: Vec<Client> = (0..40).map(|_| Client::new(&proxy)).collect();
@@ -422,7 +582,9 @@
         }
         assert!(proxy.runs());
         wait_for("service as before", || {
-            Client::new(&proxy).ask(&page("r-x")).is_some_and(|m| m.status() == 200)
+            Client::new(&proxy)
+                .ask(&page("r-x"))
+                .is_some_and(|m| m.status() == 200)
         });
     }
 }
@@ -435,9 +597,18 @@
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_read_timeout(Some(LIMIT)).unwrap();
     // An address of this test's own, so that nobody else takes the port meanwhile.
-    let own = UdpSocket::bind("127.93.17.5:0").unwrap().local_addr().unwrap();
+    let own = UdpSocket::bind("127.93.17.5:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let tell = Some((own, other.local_addr().unwrap()));
-    let mut proxy = Proxy::up(&discovery, &Setup { may_tell: tell, ..Setup::default() });
+    let mut proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            may_tell: tell,
+            ..Setup::default()
+        },
+    );
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for size in [0, 1, 3, 255, 256, 257, 2000] {
         for first in [0u8, 1, 255] {
@@ -463,16 +634,31 @@
         ("{".to_owned(), "EOF"),
         (good.replace("\"127.0.0.1:0\"", "17"), "socket address"),
         (good.replace("\"classes\"", "\"glasses\""), "classes"),
-        (good.replace("127.0.0.1:0", "192.0.2.1:1"), "listen on 192.0.2.1:1"),
-        (good.replace("\"seed\":\"8c1f30d27a5be964\"", &format!("\"seed\":{{\"x\":\"{taken}\"}}")), "seed"),
+        (
+            good.replace("127.0.0.1:0", "192.0.2.1:1"),
+            "listen on 192.0.2.1:1",
+        ),
+        (
+            good.replace(
+                "\"seed\":\"8c1f30d27a5be964\"",
+                &format!("\"seed\":{{\"x\":\"{taken}\"}}"),
+            ),
+            "seed",
+        ),
     ] {
         let file = config_file(&text);
-        let run = Command::new(env!("CARGO_BIN_EXE_sandgap")).env("NODE_CONFIG", &file).output().unwrap();
+        let run = Command::new(env!("CARGO_BIN_EXE_sandgap"))
+            .env("NODE_CONFIG", &file)
+            .output()
+            .unwrap();
         let _ = std::fs::remove_file(&file);
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         assert!(!run.status.success() && log.contains(word), "{word}: {log}");
     }
-    let run = Command::new(env!("CARGO_BIN_EXE_sandgap")).env_remove("NODE_CONFIG").output().unwrap();
+    let run = Command::new(env!("CARGO_BIN_EXE_sandgap"))
+        .env_remove("NODE_CONFIG")
+        .output()
+        .unwrap();
     assert!(!run.status.success());
 }
 
@@ -486,7 +672,11 @@
     slow.write_all(start.as_bytes()).unwrap();
     let _silent = TcpStream::connect(proxy.address).unwrap();
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
-    assert_eq!(backend.seen().len(), 1, "a request goes on only once it is whole");
+    assert_eq!(
+        backend.seen().len(),
+        1,
+        "a request goes on only once it is whole"
+    );
     slow.write_all(rest.as_bytes()).unwrap();
     wait_for("the slow one", || backend.seen().len() == 2);
     assert_eq!(backend.seen()[1].body, b"body");
@@ -497,7 +687,13 @@
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
-    let proxy = Proxy::up(&discovery, &Setup { deadline: 100_000, ..Setup::default() });
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            deadline: 100_000,
+            ..Setup::default()
+        },
+    );
     let whole = submit("r-1", "100", "body");
     let peers: Vec<TcpStream> = ["", "GET", &whole[..40], &whole[..whole.len() - 2]]
         .into_iter()
@@ -512,7 +708,10 @@
     for mut peer in peers {
         let mut said = String::new();
         let ended = peer.read_to_string(&mut said);
-        assert!(ended.is_ok() || said.starts_with("HTTP/1.1 4"), "{ended:?} after {said:?}");
+        assert!(
+            ended.is_ok() || said.starts_with("HTTP/1.1 4"),
+            "{ended:?} after {said:?}"
+        );
     }
     assert!(backend.seen().is_empty());
 }
--- a/crates/sandgap/tests/settings_any.rs
+++ b/crates/sandgap/tests/settings_any.rs
@@ -11,7 +11,10 @@
 
 impl Chance {
     fn below(&mut self, many: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % many
     }
 
@@ -31,13 +34,21 @@
 fn draw(chance: &mut Chance, discovery: &str) -> (String, Vec<Drawn>, Vec<String>) {
     let classes: Vec<Drawn> = (0..chance.of(&[1, 2, 5, 40]))
         .map(|n| Drawn {
-            name: format!("{}-{n}", chance.of(&["Ünï", "a.b", "x", "very-long-name-of-a-class-of-requests"])),
+            name: format!(
+                "{}-{n}",
+                chance.of(&["Ünï", "a.b", "x", "very-long-name-of-a-class-of-requests"])
+            ),
             effect: chance.of(&["idempotent", "at_most_once", "deduplicated"]),
             deadline: chance.of(&[120, 400, 3000, 60_000, 86_400_000]),
         })
-        .map(|d| Drawn { name: d.name.replace("Ünï", "u-n-i"), ..d })
+        .map(|d| Drawn {
+            name: d.name.replace("Ünï", "u-n-i"),
+            ..d
+        })
+        .collect();
+    let tenants: Vec<String> = (0..chance.of(&[0, 1, 3, 200]))
+        .map(|n| format!("tenant {n}"))
         .collect();
-    let tenants: Vec<String> = (0..chance.of(&[0, 1, 3, 200])).map(|n| format!("tenant {n}")).collect();
     let class = |c: &Drawn, chance: &mut Chance| {
         format!(
             r#"{{"name":"{}","effect":"{}","dedupScope":"{}","window":{},"promise":{},"deadline":{},"worth":{},"lateShare":{}}}"#,
@@ -54,7 +65,12 @@
     let classes_text: Vec<String> = classes.iter().map(|c| class(c, chance)).collect();
     let tenants_text: Vec<String> = tenants
         .iter()
-        .map(|t| format!(r#"{{"name":"{t}","allowancePerS":{}}}"#, chance.of(&["0", "0.01", "1e6"])))
+        .map(|t| {
+            format!(
+                r#"{{"name":"{t}","allowancePerS":{}}}"#,
+                chance.of(&["0", "0.01", "1e6"])
+            )
+        })
         .collect();
     let zones = chance.of(&["", r#""a""#, r#""a","b","c","d","e","f","g""#]);
     let n = chance.of(&[1, 2, 30, 300]);
@@ -68,7 +84,11 @@
         "rules":{{"startCapacity":{},"cold":{},"fall":{},"fallMultiple":{},"drainGrace":{}}}}}}}"#,
         chance.below(1 << 30),
         chance.of(&[256, 1024]),
-        if zones.is_empty() { String::new() } else { r#""zone":"a","#.to_owned() },
+        if zones.is_empty() {
+            String::new()
+        } else {
+            r#""zone":"a","#.to_owned()
+        },
         chance.of(&["", r#""k""#, r#""k","l","m""#]),
         chance.below(n),
         chance.of(&["pushed", "on_request"]),
@@ -109,20 +129,39 @@
         for class in &classes {
             for id in ["r-1", "r-fails"] {
                 let before = backend.seen().len();
-                let keyed = if class.effect == "deduplicated" { "Idempotency-Key: k\r\n" } else { "" };
-                let tenant = tenants.last().map_or(String::new(), |t| format!("X-Tenant-Id: {t}\r\n"));
-                let head = format!("Host: x\r\nX-Request-ID: {id}\r\nX-Timeout: 0.3\r\n{tenant}{keyed}");
+                let keyed = if class.effect == "deduplicated" {
+                    "Idempotency-Key: k\r\n"
+                } else {
+                    ""
+                };
+                let tenant = tenants
+                    .last()
+                    .map_or(String::new(), |t| format!("X-Tenant-Id: {t}\r\n"));
+                let head =
+                    format!("Host: x\r\nX-Request-ID: {id}\r\nX-Timeout: 0.3\r\n{tenant}{keyed}");
                 let request = match class.effect {
                     "idempotent" => format!("GET /{}/1 HTTP/1.1\r\n{head}\r\n", class.name),
-                    _ => format!("POST /{}/1 HTTP/1.1\r\n{head}Content-Length: 1\r\n\r\nx", class.name),
+                    _ => format!(
+                        "POST /{}/1 HTTP/1.1\r\n{head}Content-Length: 1\r\n\r\nx",
+                        class.name
+                    ),
                 };
                 let answer = Client::new(&proxy).ask(&request).expect("an answer");
                 let told = (seed, &class.name, id, answer.status());
                 assert!([200, 502, 503].contains(&answer.status()), "{told:?}");
                 let ran = backend.seen().len() - before;
-                assert!(answer.status() != 200 || answer.text() == "r-1" && ran == 1, "{told:?}");
-                assert!(answer.status() != 503 || ran == 0 || class.effect != "at_most_once", "{told:?}");
-                assert!(class.effect != "at_most_once" || ran <= 1, "{told:?} ran {ran} times");
+                assert!(
+                    answer.status() != 200 || answer.text() == "r-1" && ran == 1,
+                    "{told:?}"
+                );
+                assert!(
+                    answer.status() != 503 || ran == 0 || class.effect != "at_most_once",
+                    "{told:?}"
+                );
+                assert!(
+                    class.effect != "at_most_once" || ran <= 1,
+                    "{told:?} ran {ran} times"
+                );
             }
         }
         proxy.terminate();
@@ -132,53 +171,103 @@
 
 #[test]
 fn settings_that_are_no_good_end_the_start_by_file_and_key() {
-    let good = config("127.0.0.1:1".parse().expect("an address"), &Setup::default());
+    let good = config(
+        "127.0.0.1:1".parse().expect("an address"),
+        &Setup::default(),
+    );
     for (from, to, word) in [
         ("\"classes\":[", "\"classes\":[],\"others\":[", "classes"),
         ("\"myNumber\":0", "\"myNumber\":7", "number 7 of 1"),
-        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"localhost\"", "socket address"),
-        ("\"discovery\":\"127.0.0.1:1\"", "\"place\":\"127.0.0.1:1\"", "discovery"),
+        (
+            "\"listen\":\"127.0.0.1:0\"",
+            "\"listen\":\"localhost\"",
+            "socket address",
+        ),
+        (
+            "\"discovery\":\"127.0.0.1:1\"",
+            "\"place\":\"127.0.0.1:1\"",
+            "discovery",
+        ),
         ("\"sockets\":256", "\"sockets\":-1", "invalid value"),
     ] {
         let file = config_file(&good.replace(from, to));
-        let run =
-            std::process::Command::new(env!("CARGO_BIN_EXE_sandgap")).env("NODE_CONFIG", &file).output();
+        let run = std::process::Command::new(env!("CARGO_BIN_EXE_sandgap"))
+            .env("NODE_CONFIG", &file)
+            .output();
         let run = run.expect("it runs");
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         let named = log.contains(&*file.to_string_lossy());
         let _ = std::fs::remove_file(&file);
-        assert!(!run.status.success() && log.contains(word) && named, "{word}: {log}");
+        assert!(
+            !run.status.success() && log.contains(word) && named,
+            "{word}: {log}"
+        );
     }
 }
 
 /// All files below a folder.
 fn files(folder: &Path) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path());
-    entries.flat_map(|path| if path.is_dir() { files(&path) } else { vec![path] }).collect()
+    let entries = std::fs::read_dir(folder)
+        .expect("a folder")
+        .map(|e| e.expect("an entry").path());
+    entries
+        .flat_map(|path| {
+            if path.is_dir() {
+                files(&path)
+            } else {
+                vec![path]
+            }
+        })
+        .collect()
 }
 
 #[test]
 fn program_and_deploy_file_know_no_deployment_s_names() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut names = Vec::new();
-    for file in
-        files(&root.join("deploy/sites")).iter().filter(|f| f.extension().is_some_and(|e| e == "toml"))
+    for file in files(&root.join("deploy/sites"))
+        .iter()
+        .filter(|f| f.extension().is_some_and(|e| e == "toml"))
     {
         let text = std::fs::read_to_string(file).expect("a text");
-        let named = text.lines().filter_map(|l| l.strip_prefix("name = \"")?.strip_suffix('"'));
+        let named = text
+            .lines()
+            .filter_map(|l| l.strip_prefix("name = \"")?.strip_suffix('"'));
         names.extend(named.map(str::to_owned));
-        let zones = text.lines().find_map(|l| l.strip_prefix("zones = [")).expect("zones");
+        let zones = text
+            .lines()
+            .find_map(|l| l.strip_prefix("zones = ["))
+            .expect("zones");
         names.extend(zones.split('"').skip(1).step_by(2).map(str::to_owned));
     }
     assert!(names.len() > 15, "{names:?}");
-    let parts = ["sandgap", "wirehost", "engine", "settings", "capture", "client", "wharfhitch"];
-    let mut looked = vec![root.join("deploy/balancer.toml"), root.join("deploy/canvascart.properties")];
-    looked.extend(parts.iter().flat_map(|p| files(&root.join("crates").join(p).join("src"))));
+    let parts = [
+        "sandgap",
+        "wirehost",
+        "engine",
+        "settings",
+        "capture",
+        "client",
+        "wharfhitch",
+    ];
+    let mut looked = vec![
+        root.join("deploy/balancer.toml"),
+        root.join("deploy/canvascart.properties"),
+    ];
+    looked.extend(
+        parts
+            .iter()
+            .flat_map(|p| files(&root.join("crates").join(p).join("src"))),
+    );
     assert!(looked.len() > 40);
     for file in looked {
         let text = std::fs::read_to_string(&file).expect("a text");
         for name in &names {
-            assert!(!text.contains(&format!("\"{name}\"")), "{name} stands in {}", file.display());
+            assert!(
+                !text.contains(&format!("\"{name}\"")),
+                "{name} stands in {}",
+                file.display()
+            );
         }
     }
 }
--- a/crates/sandgap/tests/settings_file.rs
+++ b/crates/sandgap/tests/settings_file.rs
@@ -10,7 +10,11 @@
 fn run(arguments: &[&str]) -> Output {
     let file = config_file(&config("127.0.0.1:1".parse().unwrap(), &Setup::default()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_sandgap"));
-    let run = command.args(arguments).env("NODE_CONFIG", &file).output().unwrap();
+    let run = command
+        .args(arguments)
+        .env("NODE_CONFIG", &file)
+        .output()
+        .unwrap();
     let _ = std::fs::remove_file(&file);
     run
 }
@@ -19,7 +23,10 @@
 fn a_bad_file_stops_the_start_and_is_named() {
     for (text, word) in [
         ("# fine\nno.such.key = 1\n", ":2: no.such.key: no such key"),
-        ("a.key = 1\na.key = 1\n", ":2: a.key: stands in line 1 already"),
+        (
+            "a.key = 1\na.key = 1\n",
+            ":2: a.key: stands in line 1 already",
+        ),
         ("a.key\n", ":1: a.key: there is no value"),
     ] {
         let file = config_file(text);
@@ -27,16 +34,27 @@
         let run = run(&["--properties", name]);
         let _ = std::fs::remove_file(&file);
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
-        assert!(!run.status.success() && log.contains(&format!("{name}{word}")), "{word}: {log}");
+        assert!(
+            !run.status.success() && log.contains(&format!("{name}{word}")),
+            "{word}: {log}"
+        );
     }
 }
 
 #[test]
 fn a_command_line_that_cannot_be_read_stops_the_start() {
-    for arguments in [&["--properties"][..], &["--prop", "x"], &["--properties", "x", "y"], &["x"]] {
+    for arguments in [
+        &["--properties"][..],
+        &["--prop", "x"],
+        &["--properties", "x", "y"],
+        &["x"],
+    ] {
         let run = run(arguments);
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
-        assert!(!run.status.success() && log.contains("usage: sandgap"), "{arguments:?}: {log}");
+        assert!(
+            !run.status.success() && log.contains("usage: sandgap"),
+            "{arguments:?}: {log}"
+        );
     }
 }
 
@@ -46,8 +64,20 @@
     let backend = Backend::new(Deed::Write(ok("served")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
-    let proxy = Proxy::up(&discovery, &Setup { properties: Some(service), ..Setup::default() });
-    assert_eq!(Client::new(&proxy).ask(&page("r-1")).expect("an answer").text(), "served");
+    let proxy = Proxy::up(
+        &discovery,
+        &Setup {
+            properties: Some(service),
+            ..Setup::default()
+        },
+    );
+    assert_eq!(
+        Client::new(&proxy)
+            .ask(&page("r-1"))
+            .expect("an answer")
+            .text(),
+        "served"
+    );
 }
 
 #[test]
@@ -58,10 +88,16 @@
         ("--version", "sandgap 0."),
         ("-V", "sandgap 0."),
     ] {
-        let run =
-            Command::new(env!("CARGO_BIN_EXE_sandgap")).arg(flag).env_remove("NODE_CONFIG").output().unwrap();
+        let run = Command::new(env!("CARGO_BIN_EXE_sandgap"))
+            .arg(flag)
+            .env_remove("NODE_CONFIG")
+            .output()
+            .unwrap();
         let said = String::from_utf8_lossy(&run.stdout).into_owned();
-        assert!(run.status.success() && said.contains(word) && run.stderr.is_empty(), "{flag}: {said}");
+        assert!(
+            run.status.success() && said.contains(word) && run.stderr.is_empty(),
+            "{flag}: {said}"
+        );
     }
 }
 
@@ -74,19 +110,29 @@
     assert_ne!(text, example);
     let file = config_file(&text.replace("127.0.0.1:8500", "127.0.0.1:1"));
     let mut command = Command::new(env!("CARGO_BIN_EXE_sandgap"));
-    let mut child = command.env("NODE_CONFIG", &file).stderr(std::process::Stdio::piped()).spawn().unwrap();
+    let mut child = command
+        .env("NODE_CONFIG", &file)
+        .stderr(std::process::Stdio::piped())
+        .spawn()
+        .unwrap();
     let lines = std::io::BufRead::lines(std::io::BufReader::new(child.stderr.take().unwrap()));
-    let address =
-        lines.map_while(Result::ok).find_map(|l| l.split_once("listens on ").map(|(_, a)| a.to_owned()));
+    let address = lines
+        .map_while(Result::ok)
+        .find_map(|l| l.split_once("listens on ").map(|(_, a)| a.to_owned()));
     let address: std::net::SocketAddr = address.expect("it listens").parse().unwrap();
     let ask = |text: &str| {
         use std::io::{Read as _, Write as _};
         let mut stream = std::net::TcpStream::connect(address).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
         let mut said = String::new();
-        stream.read_to_string(&mut said).map(|_| said).unwrap_or_default()
+        stream
+            .read_to_string(&mut said)
+            .map(|_| said)
+            .unwrap_or_default()
     };
-    wait_for("/up", || ask("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").contains(" 200 "));
+    wait_for("/up", || {
+        ask("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").contains(" 200 ")
+    });
     let lookup = "GET /lookup?sid=1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Request-ID: r-1\r\n\
                   X-Tenant-Id: example-library\r\nX-Timeout: 2.000\r\n\r\n";
     let said = ask(lookup);
--- a/crates/sandgap/tests/steered/mod.rs
+++ b/crates/sandgap/tests/steered/mod.rs
@@ -54,7 +54,9 @@
 
 /// A close of this socket, and of all its copies, resets the connection.
 pub fn reset(stream: &TcpStream) {
-    socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("an option");
+    socket2::SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("an option");
 }
 
 /// Somebody who listens and takes requests.
@@ -75,7 +77,12 @@
                     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
                     while let Some(message) = read_message(&mut reader) {
                         let stream = stream.try_clone().expect("a handle");
-                        let call = Call { message, at: Instant::now(), connection, stream };
+                        let call = Call {
+                            message,
+                            at: Instant::now(),
+                            connection,
+                            stream,
+                        };
                         if tell.send(call).is_err() {
                             return; // the test has ended
                         }
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -14,7 +14,13 @@
 pub const MOST: usize = 256;
 
 /// Keys that the platform's page calls optional: a file may come without them although the one before had them.
-const OPTIONAL: [&str; 5] = ["aimStretch", "passesDeadline", "warmKeys", "cpuUsPerRequest", "hints"];
+const OPTIONAL: [&str; 5] = [
+    "aimStretch",
+    "passesDeadline",
+    "warmKeys",
+    "cpuUsPerRequest",
+    "hints",
+];
 
 /// What is wrong with a file, and where in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +38,10 @@
 }
 
 fn fault<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { key: key.into(), reason: reason.into() })
+    Err(Fault {
+        key: key.into(),
+        reason: reason.into(),
+    })
 }
 
 /// Settings with the names that go with them.
@@ -54,13 +63,25 @@
     /// The settings that a process starts with.
     pub fn new(given: Value) -> Self {
         let (settings, names) = parse(&given);
-        Terms { given, ..Terms::of(settings, names) }
+        Terms {
+            given,
+            ..Terms::of(settings, names)
+        }
     }
 
     /// Settings that did not come from the platform's object, and that nothing follows.
     pub fn of(settings: Settings, names: Names) -> Self {
-        let (open, known) = (vec![true; names.classes.len()], vec![true; names.tenants.len()]);
-        Terms { settings, names, open, known, given: Value::Null }
+        let (open, known) = (
+            vec![true; names.classes.len()],
+            vec![true; names.tenants.len()],
+        );
+        Terms {
+            settings,
+            names,
+            open,
+            known,
+            given: Value::Null,
+        }
     }
 
     /// Those that follow them, read from `next`.
@@ -71,25 +92,48 @@
         like("settings", &self.given, next)?;
         check(next)?;
         let (mut settings, new) = parse(next);
-        let mut names =
-            Names { classes: self.names.classes.clone(), tenants: self.names.tenants.clone(), ..new };
-        let (classes, open) =
-            numbered(&mut names.classes, &new.classes, &self.settings.classes, &settings.classes);
-        let (tenants, known) =
-            numbered(&mut names.tenants, &new.tenants, &self.settings.tenants, &settings.tenants);
+        let mut names = Names {
+            classes: self.names.classes.clone(),
+            tenants: self.names.tenants.clone(),
+            ..new
+        };
+        let (classes, open) = numbered(
+            &mut names.classes,
+            &new.classes,
+            &self.settings.classes,
+            &settings.classes,
+        );
+        let (tenants, known) = numbered(
+            &mut names.tenants,
+            &new.tenants,
+            &self.settings.tenants,
+            &settings.tenants,
+        );
         (settings.classes, settings.tenants) = (classes, tenants);
-        for (key, many) in [("settings.classes", open.len()), ("settings.accounts", known.len())] {
+        for (key, many) in [
+            ("settings.classes", open.len()),
+            ("settings.accounts", known.len()),
+        ] {
             if many > MOST {
                 return fault(key, format!("over {MOST} names since the process started"));
             }
         }
-        Ok(Terms { settings, names, open, known, given: next.clone() })
+        Ok(Terms {
+            settings,
+            names,
+            open,
+            known,
+            given: next.clone(),
+        })
     }
 }
 
 /// Puts what is new in its place: under the number that its name has, or after all others.
 fn numbered<T: Clone>(
-    names: &mut Vec<String>, new: &[String], old: &[T], given: &[T],
+    names: &mut Vec<String>,
+    new: &[String],
+    old: &[T],
+    given: &[T],
 ) -> (Vec<T>, Vec<bool>) {
     let (mut items, mut there) = (old.to_vec(), vec![false; old.len()]);
     for (name, item) in new.iter().zip(given) {
@@ -134,7 +178,9 @@
             }
         }
         (Value::Array(now), Value::Array(next)) => {
-            let Some((first, others)) = now.split_first() else { return Ok(()) };
+            let Some((first, others)) = now.split_first() else {
+                return Ok(());
+            };
             let common = match first {
                 Value::Object(first) => {
                     let in_all = |name: &String| others.iter().all(|o| o.get(name).is_some());
@@ -186,8 +232,14 @@
     }
     let accounts = all["accounts"].as_array().map_or(&[][..], Vec::as_slice);
     for (place, account) in accounts.iter().enumerate() {
-        if accounts[..place].iter().any(|a| a["name"] == account["name"]) {
-            return fault(format!("settings.accounts[{place}].name"), "it stands there twice");
+        if accounts[..place]
+            .iter()
+            .any(|a| a["name"] == account["name"])
+        {
+            return fault(
+                format!("settings.accounts[{place}].name"),
+                "it stands there twice",
+            );
         }
     }
     Ok(())
@@ -233,9 +285,18 @@
         back["classes"][0]["effect"] = json!("at_most_once");
         back["ceilings"]["maxAttempts"] = json!(2);
         let third = second.followed_by(&back).expect("a good file");
-        assert_eq!((third.open.as_slice(), &third.known[..]), (&[true, true, false][..], &[true, false][..]));
+        assert_eq!(
+            (third.open.as_slice(), &third.known[..]),
+            (&[true, true, false][..], &[true, false][..])
+        );
         assert_eq!(third.settings.classes[0].effect, Effect::Unsafe);
-        assert_eq!((third.settings.limits.max_attempts, third.settings.classes.len()), (2, 3));
+        assert_eq!(
+            (
+                third.settings.limits.max_attempts,
+                third.settings.classes.len()
+            ),
+            (2, 3)
+        );
     }
 
     #[test]
@@ -243,26 +304,50 @@
         let change = |edit: &dyn Fn(&mut Value)| {
             let mut next = given();
             edit(&mut next);
-            Terms::new(given()).followed_by(&next).expect_err("a broken file")
+            Terms::new(given())
+                .followed_by(&next)
+                .expect_err("a broken file")
         };
         let drop = |v: &mut Value, key: &str| drop(v.as_object_mut().unwrap().remove(key));
         type Edit<'a> = &'a dyn Fn(&mut Value);
         let cases: [(&str, Edit); 14] = [
-            ("settings.classes: the key is missing", &|v| drop(v, "classes")),
+            ("settings.classes: the key is missing", &|v| {
+                drop(v, "classes")
+            }),
             ("settings.ceilings.maxAttempts: the key is missing", &|v| {
                 drop(&mut v["ceilings"], "maxAttempts")
             }),
             ("settings.rules: the key is missing", &|v| drop(v, "rules")),
-            ("settings.classes[1].deadline: the key is missing", &|v| drop(&mut v["classes"][1], "deadline")),
-            ("settings.classes[0].deadline: 0 is not", &|v| v["classes"][0]["deadline"] = json!(0)),
-            ("settings.classes[0].deadline: -1.0 is not", &|v| v["classes"][0]["deadline"] = json!(-1.0)),
-            ("settings.classes[0].deadline: text in place", &|v| v["classes"][0]["deadline"] = json!("9")),
-            ("settings.classes[0].promise: 0 is not", &|v| v["classes"][0]["promise"] = json!(0)),
-            ("settings.ceilings.maxAttempts: 0 is not", &|v| v["ceilings"]["maxAttempts"] = json!(0)),
-            ("settings.classes[1].name: 'lookup' stands", &|v| v["classes"][1]["name"] = json!("lookup")),
-            ("settings.classes[0].effect: \"odd\" is no", &|v| v["classes"][0]["effect"] = json!("odd")),
-            ("settings.classes: there is no class", &|v| v["classes"] = json!([])),
-            ("settings.classes: an object in place", &|v| v["classes"] = json!({})),
+            ("settings.classes[1].deadline: the key is missing", &|v| {
+                drop(&mut v["classes"][1], "deadline")
+            }),
+            ("settings.classes[0].deadline: 0 is not", &|v| {
+                v["classes"][0]["deadline"] = json!(0)
+            }),
+            ("settings.classes[0].deadline: -1.0 is not", &|v| {
+                v["classes"][0]["deadline"] = json!(-1.0)
+            }),
+            ("settings.classes[0].deadline: text in place", &|v| {
+                v["classes"][0]["deadline"] = json!("9")
+            }),
+            ("settings.classes[0].promise: 0 is not", &|v| {
+                v["classes"][0]["promise"] = json!(0)
+            }),
+            ("settings.ceilings.maxAttempts: 0 is not", &|v| {
+                v["ceilings"]["maxAttempts"] = json!(0)
+            }),
+            ("settings.classes[1].name: 'lookup' stands", &|v| {
+                v["classes"][1]["name"] = json!("lookup")
+            }),
+            ("settings.classes[0].effect: \"odd\" is no", &|v| {
+                v["classes"][0]["effect"] = json!("odd")
+            }),
+            ("settings.classes: there is no class", &|v| {
+                v["classes"] = json!([])
+            }),
+            ("settings.classes: an object in place", &|v| {
+                v["classes"] = json!({})
+            }),
             ("settings: text in place of an object", &|v| *v = json!("x")),
         ];
         for (wanted, edit) in cases {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,9 @@
 pub mod properties;
 
 use serde_json::Value;
-use wharfhitch::{Class, Discovery, Effect, Group, Limits, Millis, Prices, Rating, Settings, Tenant, ZoneId};
+use wharfhitch::{
+    Class, Discovery, Effect, Group, Limits, Millis, Prices, Rating, Settings, Tenant, ZoneId,
+};
 
 /// The names that later lines refer to.
 #[derive(Clone, Debug, Default)]
@@ -31,7 +33,9 @@
 
 /// The same number for the same name at every proxy (FNV-1a).
 pub fn number_of(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// Where `name` stands among `names`; a new name is added.
@@ -43,7 +47,10 @@
 }
 
 fn number(value: &Value, key: &str, default: f64) -> f64 {
-    value[key].as_f64().filter(|x| x.is_finite() && *x >= 0.0).unwrap_or(default)
+    value[key]
+        .as_f64()
+        .filter(|x| x.is_finite() && *x >= 0.0)
+        .unwrap_or(default)
 }
 
 fn flag(value: &Value, key: &str, default: bool) -> bool {
@@ -59,7 +66,11 @@
 }
 
 fn strings(value: &Value, key: &str) -> Vec<String> {
-    list(value, key).iter().filter_map(Value::as_str).map(str::to_owned).collect()
+    list(value, key)
+        .iter()
+        .filter_map(Value::as_str)
+        .map(str::to_owned)
+        .collect()
 }
 
 fn class(value: &Value) -> Class {
@@ -85,7 +96,10 @@
 }
 
 fn keyed(value: &Value, group: Group) -> Effect {
-    Effect::Keyed { group, window: number(value, "window", 0.0) }
+    Effect::Keyed {
+        group,
+        window: number(value, "window", 0.0),
+    }
 }
 
 /// Reads the figures that concern connections from the same object.
@@ -100,13 +114,21 @@
 /// Reads the settings; what is missing gets the careful default.
 pub fn parse(all: &Value) -> (Settings, Names) {
     let mut names = Names {
-        classes: list(all, "classes").iter().map(|c| text(c, "name").to_owned()).collect(),
-        tenants: list(all, "accounts").iter().map(|t| text(t, "name").to_owned()).collect(),
+        classes: list(all, "classes")
+            .iter()
+            .map(|c| text(c, "name").to_owned())
+            .collect(),
+        tenants: list(all, "accounts")
+            .iter()
+            .map(|t| text(t, "name").to_owned())
+            .collect(),
         zones: strings(all, "zones"),
         kinds: strings(all, "flavors"),
     };
     let (ceilings, rules, prices) = (&all["ceilings"], &all["rules"], &all["prices"]);
-    let zone = all["zone"].as_str().map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
+    let zone = all["zone"]
+        .as_str()
+        .map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
     let settings = Settings {
         me: number(all, "myNumber", 0.0) as u32,
         proxies: number(all, "nInstances", 1.0).clamp(1.0, 65_536.0) as u32,
@@ -114,7 +136,9 @@
         classes: list(all, "classes").iter().map(class).collect(),
         tenants: list(all, "accounts")
             .iter()
-            .map(|t| Tenant { allowance_per_s: number(t, "allowancePerS", f64::MAX) })
+            .map(|t| Tenant {
+                allowance_per_s: number(t, "allowancePerS", f64::MAX),
+            })
             .collect(),
         over_share_worth: number(all, "overShareWorth", 1.0),
         worth_by_work: text(all, "worthBy") == "work",
@@ -129,8 +153,11 @@
         },
         warm_keys: flag(&all["extra"], "warmKeys", false),
         may_tell: flag(ceilings, "mayTell", false),
-        retry_after: flag(ceilings, "retryAfter", false).then(|| number(ceilings, "maxRetryAfter", 1000.0)),
-        prices: Prices { cross_zone: number(prices, "crossZone", 0.0) },
+        retry_after: flag(ceilings, "retryAfter", false)
+            .then(|| number(ceilings, "maxRetryAfter", 1000.0)),
+        prices: Prices {
+            cross_zone: number(prices, "crossZone", 0.0),
+        },
         limits: Limits {
             start_capacity: number(rules, "startCapacity", 0.0),
             cold: number(rules, "cold", 30_000.0),
--- a/crates/store/src/dump.rs
+++ b/crates/store/src/dump.rs
@@ -66,33 +66,56 @@
         let (key, row) = row?;
         let (scope, rev) = key.value();
         let row = unpack(row.value(), &|| format!("revision {rev} of {scope}"))?;
-        put(Line::Row { scope: scope.to_owned(), rev, row })?;
+        put(Line::Row {
+            scope: scope.to_owned(),
+            rev,
+            row,
+        })?;
     }
     for head in read.open_table(HEADS)?.iter()? {
         let (scope, rev) = head?;
-        put(Line::Head { scope: scope.value().to_owned(), rev: rev.value() })?;
+        put(Line::Head {
+            scope: scope.value().to_owned(),
+            rev: rev.value(),
+        })?;
     }
     for version in read.open_table(VERSIONS)?.iter()? {
         let (version, entry) = version?;
-        put(Line::Version { version: version.value(), entry: entry.value() })?;
+        put(Line::Version {
+            version: version.value(),
+            entry: entry.value(),
+        })?;
     }
     for entry in read.open_table(AUDIT)?.iter()? {
         let (n, entry) = entry?;
         let n = n.value();
-        put(Line::Audit { n, entry: unpack(entry.value(), &|| format!("line {n} of the audit log"))? })?;
+        put(Line::Audit {
+            n,
+            entry: unpack(entry.value(), &|| format!("line {n} of the audit log"))?,
+        })?;
     }
     for token in read.open_table(TOKENS)?.iter()? {
         let (id, token) = token?;
         let token = unpack(token.value(), &|| format!("token {}", id.value()))?;
-        put(Line::Token { id: id.value().to_owned(), token })?;
+        put(Line::Token {
+            id: id.value().to_owned(),
+            token,
+        })?;
     }
     let replies = read.open_table(REPLIES)?;
     for given in read.open_table(REPLY_ORDER)?.iter()? {
         let (n, given) = given?;
         let (at_ms, key) = given.value();
-        let Some(reply) = replies.get(key)? else { continue };
+        let Some(reply) = replies.get(key)? else {
+            continue;
+        };
         let reply = unpack(reply.value(), &|| format!("the reply to {key}"))?;
-        put(Line::Reply { n: n.value(), at_ms, key: key.to_owned(), reply })?;
+        put(Line::Reply {
+            n: n.value(),
+            at_ms,
+            key: key.to_owned(),
+            reply,
+        })?;
     }
     Ok(())
 }
@@ -103,7 +126,10 @@
 /// The line that is wrong; the store is not empty.
 pub fn import(store: &mut Store, from: impl BufRead) -> Result<(), StoreError> {
     if store.entry() > 0 {
-        return Err(wrong(0, "the store is not empty: import into a new directory".into()));
+        return Err(wrong(
+            0,
+            "the store is not empty: import into a new directory".into(),
+        ));
     }
     let transaction = store.database()?.begin_write()?;
     fill(&transaction, from)?;
@@ -123,7 +149,10 @@
         match line {
             Line::CanvascartState { format } if i == 0 && format <= FORMAT => {}
             Line::CanvascartState { format } if i == 0 => {
-                return Err(StoreError::Newer { found: format, known: FORMAT });
+                return Err(StoreError::Newer {
+                    found: format,
+                    known: FORMAT,
+                });
             }
             Line::CanvascartState { .. } => {
                 return Err(wrong(i + 1, "only the first line says the format".into()));
@@ -164,7 +193,8 @@
     match line {
         Line::CanvascartState { .. } => {}
         Line::Row { scope, rev, row } => {
-            t.open_table(ROWS)?.insert((scope.as_str(), rev), pack(&row)?.as_slice())?;
+            t.open_table(ROWS)?
+                .insert((scope.as_str(), rev), pack(&row)?.as_slice())?;
         }
         Line::Head { scope, rev } => {
             t.open_table(HEADS)?.insert(scope.as_str(), rev)?;
@@ -180,11 +210,19 @@
             }
         }
         Line::Token { id, token } => {
-            t.open_table(TOKENS)?.insert(id.as_str(), pack(&token)?.as_slice())?;
+            t.open_table(TOKENS)?
+                .insert(id.as_str(), pack(&token)?.as_slice())?;
         }
-        Line::Reply { n, at_ms, key, reply } => {
-            t.open_table(REPLIES)?.insert(key.as_str(), pack(&reply)?.as_slice())?;
-            t.open_table(REPLY_ORDER)?.insert(n, (at_ms, key.as_str()))?;
+        Line::Reply {
+            n,
+            at_ms,
+            key,
+            reply,
+        } => {
+            t.open_table(REPLIES)?
+                .insert(key.as_str(), pack(&reply)?.as_slice())?;
+            t.open_table(REPLY_ORDER)?
+                .insert(n, (at_ms, key.as_str()))?;
         }
     }
     Ok(())
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -82,4 +82,10 @@
         })*
     };
 }
-from_redb!(DatabaseError, TransactionError, TableError, StorageError, CommitError);
+from_redb!(
+    DatabaseError,
+    TransactionError,
+    TableError,
+    StorageError,
+    CommitError
+);
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -43,7 +43,10 @@
 }
 
 /// A value from its bytes; `what` names it where it is damaged.
-pub fn unpack<T: DeserializeOwned>(bytes: &[u8], what: &dyn Fn() -> String) -> Result<T, StoreError> {
+pub fn unpack<T: DeserializeOwned>(
+    bytes: &[u8],
+    what: &dyn Fn() -> String,
+) -> Result<T, StoreError> {
     let whole = bytes
         .split_first_chunk::<4>()
         .filter(|(sum, json)| u32::from_le_bytes(**sum) == crc32fast::hash(json))
@@ -61,7 +64,12 @@
     };
     match found {
         Some(FORMAT) => return Ok(()),
-        Some(found) if found > FORMAT => return Err(StoreError::Newer { found, known: FORMAT }),
+        Some(found) if found > FORMAT => {
+            return Err(StoreError::Newer {
+                found,
+                known: FORMAT,
+            });
+        }
         _ => {}
     }
     let write = database.begin_write()?;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -70,8 +70,9 @@
 }
 
 fn unpacked(packed: &[u8], what: &str) -> Result<Vec<u8>, StoreError> {
-    let whole =
-        packed.split_first_chunk::<4>().filter(|(s, b)| u32::from_le_bytes(**s) == crc32fast::hash(b));
+    let whole = packed
+        .split_first_chunk::<4>()
+        .filter(|(s, b)| u32::from_le_bytes(**s) == crc32fast::hash(b));
     let (_, bytes) =
         whole.ok_or_else(|| StoreError::Damaged(format!("the checksum of {what} does not fit")))?;
     Ok(bytes.to_vec())
@@ -93,7 +94,10 @@
                 Err(e) => return Err(e.into()),
             };
             if let Some(found) = found.filter(|f| *f > LOG_FORMAT) {
-                return Err(StoreError::Newer { found, known: LOG_FORMAT });
+                return Err(StoreError::Newer {
+                    found,
+                    known: LOG_FORMAT,
+                });
             }
             let write = database.begin_write()?;
             {
@@ -167,17 +171,26 @@
     let read = database.begin_read()?;
     let parts = read.open_table(PARTS)?;
     let part = |name: &str| -> Result<Option<Vec<u8>>, StoreError> {
-        parts.get(name)?.map(|v| unpacked(v.value(), name)).transpose()
+        parts
+            .get(name)?
+            .map(|v| unpacked(v.value(), name))
+            .transpose()
     };
     let meta = read.open_table(META)?;
-    let number = |name: &str| -> Result<u64, StoreError> { Ok(meta.get(name)?.map_or(0, |v| v.value())) };
+    let number =
+        |name: &str| -> Result<u64, StoreError> { Ok(meta.get(name)?.map_or(0, |v| v.value())) };
     let mut entries = Vec::new();
     for (next, entry) in (number(AFTER)? + 1..).zip(read.open_table(ENTRIES)?.iter()?) {
         let (n, entry) = entry?;
         if n.value() != next {
-            return Err(StoreError::Damaged(format!("entry {next} of the log is missing")));
+            return Err(StoreError::Damaged(format!(
+                "entry {next} of the log is missing"
+            )));
         }
-        entries.push(unpacked(entry.value(), &format!("entry {next} of the log"))?);
+        entries.push(unpacked(
+            entry.value(),
+            &format!("entry {next} of the log"),
+        )?);
     }
     Ok(Logged {
         snapshot: part(SNAPSHOT)?,
--- a/crates/store/src/read.rs
+++ b/crates/store/src/read.rs
@@ -35,7 +35,8 @@
         let (scope, rev) = head?;
         let (scope, rev) = (scope.value(), rev.value());
         let row = rows.get((scope, rev))?;
-        let row = row.ok_or_else(|| StoreError::Damaged(format!("revision {rev} of {scope} is missing")))?;
+        let row = row
+            .ok_or_else(|| StoreError::Damaged(format!("revision {rev} of {scope} is missing")))?;
         if let Some(document) = unpack::<Row>(row.value(), &|| name(scope, rev))?.document {
             each(scope, rev, document);
         }
@@ -67,7 +68,11 @@
     /// The store can't be read.
     pub fn document(&self, scope: &str) -> Result<Option<(u64, Value)>, StoreError> {
         let rev = self.next_rev(scope)? - 1;
-        let row = if rev == 0 { None } else { self.revision(scope, rev)? };
+        let row = if rev == 0 {
+            None
+        } else {
+            self.revision(scope, rev)?
+        };
         Ok(row.and_then(|row| Some((rev, row.document?))))
     }
 
@@ -78,7 +83,11 @@
     pub fn next_rev(&self, scope: &str) -> Result<u64, StoreError> {
         guard(|| {
             let read = self.database()?.begin_read()?;
-            Ok(read.open_table(HEADS)?.get(scope)?.map_or(0, |rev| rev.value()) + 1)
+            Ok(read
+                .open_table(HEADS)?
+                .get(scope)?
+                .map_or(0, |rev| rev.value())
+                + 1)
         })
     }
 
@@ -89,14 +98,20 @@
     pub fn revision(&self, scope: &str, rev: u64) -> Result<Option<Row>, StoreError> {
         let read = self.database()?.begin_read()?;
         let row = read.open_table(ROWS)?.get((scope, rev))?;
-        row.map(|row| unpack(row.value(), &|| name(scope, rev))).transpose()
+        row.map(|row| unpack(row.value(), &|| name(scope, rev)))
+            .transpose()
     }
 
     /// Revisions of a document, the newest first, below one, at most so many.
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn history(&self, scope: &str, below: u64, most: usize) -> Result<Vec<(u64, Row)>, StoreError> {
+    pub fn history(
+        &self,
+        scope: &str,
+        below: u64,
+        most: usize,
+    ) -> Result<Vec<(u64, Row)>, StoreError> {
         let read = self.database()?.begin_read()?;
         let rows = read.open_table(ROWS)?;
         let mut all = Vec::new();
@@ -126,7 +141,8 @@
                 let (key, row) = row?;
                 let row: Row = unpack(row.value(), &|| name(scope, key.value().1))?;
                 if row.version <= version {
-                    row.document.map(|document| all.insert(scope.to_owned(), document));
+                    row.document
+                        .map(|document| all.insert(scope.to_owned(), document));
                     break;
                 }
             }
@@ -146,7 +162,8 @@
             let (version, n) = version?;
             let n = n.value();
             let entry = audit.get(n)?;
-            let entry = entry.ok_or_else(|| StoreError::Damaged(format!("{} is missing", line(n))))?;
+            let entry =
+                entry.ok_or_else(|| StoreError::Damaged(format!("{} is missing", line(n))))?;
             all.push((version.value(), unpack(entry.value(), &|| line(n))?));
         }
         Ok(all)
@@ -159,7 +176,9 @@
     pub fn line(&self, n: u64) -> Result<Option<Entry>, StoreError> {
         let read = self.database()?.begin_read()?;
         let entry = read.open_table(AUDIT)?.get(n)?;
-        entry.map(|entry| unpack(entry.value(), &|| line(n))).transpose()
+        entry
+            .map(|entry| unpack(entry.value(), &|| line(n)))
+            .transpose()
     }
 
     /// Lines of the audit log, the newest first, below one, at most so many; those that concern a name where one is given.
@@ -167,7 +186,10 @@
     /// # Errors
     /// The store can't be read.
     pub fn audit(
-        &self, name: Option<&str>, below: u64, most: usize,
+        &self,
+        name: Option<&str>,
+        below: u64,
+        most: usize,
     ) -> Result<Vec<(u64, Entry)>, StoreError> {
         let read = self.database()?.begin_read()?;
         let audit = read.open_table(AUDIT)?;
@@ -179,12 +201,17 @@
             return lines.collect();
         };
         let of = read.open_table(AUDIT_OF)?;
-        let lines = of.range((name, 0)..(name, below))?.rev().take(most).map(|l| {
-            let n = l?.0.value().1;
-            let entry = audit.get(n)?;
-            let entry = entry.ok_or_else(|| StoreError::Damaged(format!("{} is missing", line(n))))?;
-            Ok((n, unpack(entry.value(), &|| line(n))?))
-        });
+        let lines = of
+            .range((name, 0)..(name, below))?
+            .rev()
+            .take(most)
+            .map(|l| {
+                let n = l?.0.value().1;
+                let entry = audit.get(n)?;
+                let entry =
+                    entry.ok_or_else(|| StoreError::Damaged(format!("{} is missing", line(n))))?;
+                Ok((n, unpack(entry.value(), &|| line(n))?))
+            });
         lines.collect()
     }
 
@@ -195,7 +222,9 @@
     pub fn reply(&self, key: &str) -> Result<Option<Value>, StoreError> {
         let read = self.database()?.begin_read()?;
         let reply = read.open_table(REPLIES)?.get(key)?;
-        reply.map(|reply| unpack(reply.value(), &|| format!("the reply to {key}"))).transpose()
+        reply
+            .map(|reply| unpack(reply.value(), &|| format!("the reply to {key}")))
+            .transpose()
     }
 
     /// Looks at all that the store holds: the database's own checksums, each record's, and whether they fit each other.
@@ -207,8 +236,14 @@
     }
 
     fn look(&mut self) -> Result<(), StoreError> {
-        if !self.database_mut()?.check_integrity().map_err(StoreError::from)? {
-            return Err(StoreError::Damaged("the database had to be repaired; look again".into()));
+        if !self
+            .database_mut()?
+            .check_integrity()
+            .map_err(StoreError::from)?
+        {
+            return Err(StoreError::Damaged(
+                "the database had to be repaired; look again".into(),
+            ));
         }
         state(self.database()?)?;
         documents(self.database()?, &mut |_, _, _| {})?;
@@ -226,27 +261,38 @@
             let entry: Entry = unpack(entry.value(), &|| line(n))?;
             for name in entry.names() {
                 if of.get((name, n))?.is_none() {
-                    return Err(StoreError::Damaged(format!("{} is not among those of {name}", line(n))));
+                    return Err(StoreError::Damaged(format!(
+                        "{} is not among those of {name}",
+                        line(n)
+                    )));
                 }
                 pointed += 1;
             }
         }
         if redb::ReadableTableMetadata::len(&of)? != pointed {
-            return Err(StoreError::Damaged("lines of the audit log are named that are not there".into()));
+            return Err(StoreError::Damaged(
+                "lines of the audit log are named that are not there".into(),
+            ));
         }
         let mut expected = None;
         for version in read.open_table(VERSIONS)?.iter()? {
             let (version, n) = version?;
             let (version, n) = (version.value(), n.value());
             let entry = audit.get(n)?;
-            let entry = entry.ok_or_else(|| StoreError::Damaged(format!("{} is missing", line(n))))?;
+            let entry =
+                entry.ok_or_else(|| StoreError::Damaged(format!("{} is missing", line(n))))?;
             let entry: Entry = unpack(entry.value(), &|| line(n))?;
             if expected.is_some_and(|e| e != version) && !entry.skipped {
-                return Err(StoreError::Damaged(format!("before version {version} one is missing")));
+                return Err(StoreError::Damaged(format!(
+                    "before version {version} one is missing"
+                )));
             }
             expected = Some(version + 1);
             if entry.version != Some(version) {
-                return Err(StoreError::Damaged(format!("{} is not version {version}", line(n))));
+                return Err(StoreError::Damaged(format!(
+                    "{} is not version {version}",
+                    line(n)
+                )));
             }
         }
         Ok(())
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -43,7 +43,10 @@
 impl Entry {
     /// The names that it concerns, each once: its subject's, and those that its documents' scopes end in.
     pub fn names(&self) -> BTreeSet<&str> {
-        let edited = self.edits.iter().filter_map(|e| e.scope.split_once('/').map(|(_, name)| name));
+        let edited = self
+            .edits
+            .iter()
+            .filter_map(|e| e.scope.split_once('/').map(|(_, name)| name));
         self.subject.as_deref().into_iter().chain(edited).collect()
     }
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -88,18 +88,27 @@
 /// # Errors
 /// What the system says, or why a document can't be had; the one that was there is there still.
 pub fn write(
-    directory: &Path, state: &State, documents: impl Iterator<Item = Result<Document, StoreError>>,
+    directory: &Path,
+    state: &State,
+    documents: impl Iterator<Item = Result<Document, StoreError>>,
 ) -> Result<u64, StoreError> {
     let aside = directory.join(format!("{FILE}.new"));
     let mut file = File::create(&aside)?;
     file.write_all(&[0; SUM as usize])?;
-    let mut to = Summed { to: BufWriter::new(file), sum: crc32fast::Hasher::new(), bytes: SUM };
+    let mut to = Summed {
+        to: BufWriter::new(file),
+        sum: crc32fast::Hasher::new(),
+        bytes: SUM,
+    };
     let failed = Cell::new(None);
     let snapshot = Snapshot {
         format: FORMAT,
         version: state.version,
         entry: state.entry,
-        documents: Documents { all: RefCell::new(documents), failed: &failed },
+        documents: Documents {
+            all: RefCell::new(documents),
+            failed: &failed,
+        },
         tokens: &state.tokens,
     };
     let written = serde_json::to_writer(&mut to, &snapshot);
@@ -134,16 +143,29 @@
         Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Err(unfit()),
         read => read?,
     }
-    let mut found = Summed { to: io::sink(), sum: crc32fast::Hasher::new(), bytes: SUM };
+    let mut found = Summed {
+        to: io::sink(),
+        sum: crc32fast::Hasher::new(),
+        bytes: SUM,
+    };
     io::copy(&mut file, &mut found)?;
     if found.sum.finalize() != u32::from_le_bytes(sum) {
         return Err(unfit());
     }
     file.seek(SeekFrom::Start(SUM))?;
     let mut text = serde_json::Deserializer::from_reader(file);
-    let (format, state) = Reading(each).deserialize(&mut text).map_err(|e| damaged(e.to_string()))?;
+    let (format, state) = Reading(each)
+        .deserialize(&mut text)
+        .map_err(|e| damaged(e.to_string()))?;
     text.end().map_err(|e| damaged(e.to_string()))?;
-    if format > FORMAT { Err(StoreError::Newer { found: format, known: FORMAT }) } else { Ok(state) }
+    if format > FORMAT {
+        Err(StoreError::Newer {
+            found: format,
+            known: FORMAT,
+        })
+    } else {
+        Ok(state)
+    }
 }
 
 /// Reads a snapshot: its format and what it says, but for the documents, which are told.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -37,7 +37,12 @@
 
 impl Default for Keep {
     fn default() -> Self {
-        Keep { versions: 1000, audit: 100_000, replies: 10_000, reply_ms: 24 * 3600 * 1000 }
+        Keep {
+            versions: 1000,
+            audit: 100_000,
+            replies: 10_000,
+            reply_ms: 24 * 3600 * 1000,
+        }
     }
 }
 
@@ -95,7 +100,10 @@
         if !file.exists() {
             make(directory, &file)?;
         }
-        Store::with(Box::new(move || Ok(Database::builder().set_cache_size(CACHE).open(&file)?)), keep)
+        Store::with(
+            Box::new(move || Ok(Database::builder().set_cache_size(CACHE).open(&file)?)),
+            keep,
+        )
     }
 
     /// Opens the store of a directory that must be there.
@@ -115,7 +123,13 @@
     /// # Errors
     /// As [`Store::open`].
     pub fn with(opener: Opener, keep: Keep) -> Result<(Self, State), StoreError> {
-        let mut store = Store { opener, database: None, keep, version: 0, entry: 0 };
+        let mut store = Store {
+            opener,
+            database: None,
+            keep,
+            version: 0,
+            entry: 0,
+        };
         let state = store.reopen()?;
         Ok((store, state))
     }
@@ -153,11 +167,15 @@
     }
 
     pub(crate) fn database(&self) -> Result<&Database, StoreError> {
-        self.database.as_ref().ok_or_else(|| StoreError::Database("it could not be opened anew".into()))
+        self.database
+            .as_ref()
+            .ok_or_else(|| StoreError::Database("it could not be opened anew".into()))
     }
 
     pub(crate) fn database_mut(&mut self) -> Result<&mut Database, StoreError> {
-        self.database.as_mut().ok_or_else(|| StoreError::Database("it could not be opened anew".into()))
+        self.database
+            .as_mut()
+            .ok_or_else(|| StoreError::Database("it could not be opened anew".into()))
     }
 
     /// The present version; 0 before the first.
@@ -179,7 +197,10 @@
             self.reopen()?;
         }
         if write.base != self.entry {
-            return Err(StoreError::MovedOn { found: self.entry, expected: write.base });
+            return Err(StoreError::MovedOn {
+                found: self.entry,
+                expected: write.base,
+            });
         }
         let entry = self.entry_of(write)?;
         let failed = match guard(|| self.put(write, &entry)) {
@@ -191,13 +212,21 @@
             Err(e) => e,
         };
         self.reopen()?;
-        if self.entry == write.base { Err(failed) } else { Ok(entry) }
+        if self.entry == write.base {
+            Err(failed)
+        } else {
+            Ok(entry)
+        }
     }
 
     /// The line of the audit log that a write makes.
     fn entry_of(&self, write: &Write) -> Result<Entry, StoreError> {
         let edited = |(scope, document): &(String, Option<Value>)| {
-            Ok(Edited { scope: scope.clone(), rev: self.next_rev(scope)?, gone: document.is_none() })
+            Ok(Edited {
+                scope: scope.clone(),
+                rev: self.next_rev(scope)?,
+                gone: document.is_none(),
+            })
         };
         let next = self.version + 1;
         let skipped = write.skip_to.is_some_and(|to| to > next);
@@ -213,7 +242,11 @@
             detail: write.detail.clone(),
             version,
             skipped,
-            edits: write.edits.iter().map(edited).collect::<Result<_, StoreError>>()?,
+            edits: write
+                .edits
+                .iter()
+                .map(edited)
+                .collect::<Result<_, StoreError>>()?,
         })
     }
 
@@ -221,7 +254,10 @@
         let number = self.entry + 1;
         let transaction = self.database()?.begin_write()?;
         {
-            let (mut rows, mut heads) = (transaction.open_table(ROWS)?, transaction.open_table(HEADS)?);
+            let (mut rows, mut heads) = (
+                transaction.open_table(ROWS)?,
+                transaction.open_table(HEADS)?,
+            );
             for (edit, (scope, document)) in entry.edits.iter().zip(&write.edits) {
                 let row = Row {
                     version: entry.version.unwrap_or_default(),
@@ -238,15 +274,21 @@
                     None => tokens.remove(id.as_str())?,
                 };
             }
-            transaction.open_table(AUDIT)?.insert(number, pack(entry)?.as_slice())?;
+            transaction
+                .open_table(AUDIT)?
+                .insert(number, pack(entry)?.as_slice())?;
             let mut of = transaction.open_table(AUDIT_OF)?;
             for name in entry.names() {
                 of.insert((name, number), ())?;
             }
             drop(of);
             if let Some((key, reply)) = &write.reply {
-                transaction.open_table(REPLIES)?.insert(key.as_str(), pack(reply)?.as_slice())?;
-                transaction.open_table(REPLY_ORDER)?.insert(number, (write.at_ms, key.as_str()))?;
+                transaction
+                    .open_table(REPLIES)?
+                    .insert(key.as_str(), pack(reply)?.as_slice())?;
+                transaction
+                    .open_table(REPLY_ORDER)?
+                    .insert(number, (write.at_ms, key.as_str()))?;
             }
             if let Some(version) = entry.version {
                 transaction.open_table(VERSIONS)?.insert(version, number)?;
@@ -267,19 +309,25 @@
                 break;
             }
             let mut oldest = versions.iter()?;
-            let (Some(first), Some(next)) = (oldest.next(), oldest.next()) else { break };
+            let (Some(first), Some(next)) = (oldest.next(), oldest.next()) else {
+                break;
+            };
             // What the next version changed is in use no longer as it was before.
             let (first, next) = (first?.0.value(), next?.1.value());
             drop(oldest);
             let what = || format!("line {next} of the audit log");
-            let line =
-                audit.get(next)?.ok_or_else(|| StoreError::Damaged(format!("{} is missing", what())))?;
+            let line = audit
+                .get(next)?
+                .ok_or_else(|| StoreError::Damaged(format!("{} is missing", what())))?;
             let entry: Entry = unpack(line.value(), &what)?;
             for edit in &entry.edits {
                 rows.remove((edit.scope.as_str(), edit.rev - 1))?;
                 if edit.gone {
                     rows.remove((edit.scope.as_str(), edit.rev))?;
-                    if heads.get(edit.scope.as_str())?.is_some_and(|rev| rev.value() == edit.rev) {
+                    if heads
+                        .get(edit.scope.as_str())?
+                        .is_some_and(|rev| rev.value() == edit.rev)
+                    {
                         heads.remove(edit.scope.as_str())?;
                     }
                 }
@@ -291,7 +339,9 @@
         let until = oldest.min((number + 1).saturating_sub(self.keep.audit));
         for _ in 0..GOING {
             let first = audit.first()?.map(|(n, _)| n.value());
-            let Some(first) = first.filter(|first| *first < until) else { break };
+            let Some(first) = first.filter(|first| *first < until) else {
+                break;
+            };
             let entry: Entry = match audit.remove(first)? {
                 Some(line) => unpack(line.value(), &|| format!("line {first} of the audit log"))?,
                 None => break,
@@ -303,7 +353,9 @@
         let (mut order, mut replies) = (t.open_table(REPLY_ORDER)?, t.open_table(REPLIES)?);
         for _ in 0..GOING {
             let many = redb::ReadableTableMetadata::len(&order)? > self.keep.replies;
-            let first = order.first()?.map(|(n, v)| (n.value(), v.value().0, v.value().1.to_owned()));
+            let first = order
+                .first()?
+                .map(|(n, v)| (n.value(), v.value().0, v.value().1.to_owned()));
             let Some((n, at_ms, key)) = first else { break };
             if !many && now_ms.saturating_sub(at_ms) <= self.keep.reply_ms {
                 break;
--- a/crates/store/tests/disk/mod.rs
+++ b/crates/store/tests/disk/mod.rs
@@ -54,7 +54,11 @@
         let disk = self.clone();
         Box::new(move || {
             let mut builder = Database::builder();
-            Ok::<_, StoreError>(builder.set_cache_size(1 << 20).create_with_backend(disk.clone())?)
+            Ok::<_, StoreError>(
+                builder
+                    .set_cache_size(1 << 20)
+                    .create_with_backend(disk.clone())?,
+            )
         })
     }
 
@@ -82,7 +86,11 @@
             match (end, op) {
                 (End::Killed, op) => apply(&mut image, op),
                 (End::PowerCut, Op::Write(at, bytes)) if rng.bool() => {
-                    let kept = if rng.bool() { bytes.len() } else { rng.usize(..=bytes.len()) };
+                    let kept = if rng.bool() {
+                        bytes.len()
+                    } else {
+                        rng.usize(..=bytes.len())
+                    };
                     apply(&mut image, &Op::Write(*at, bytes[..kept].to_vec()));
                 }
                 (End::PowerCut, Op::Write(..)) => {}
@@ -90,7 +98,11 @@
                 (End::PowerCut, op) => apply(&mut image, op),
             }
         }
-        Disk(Arc::new(Mutex::new(Inner { durable: image.clone(), image, ..Inner::default() })))
+        Disk(Arc::new(Mutex::new(Inner {
+            durable: image.clone(),
+            image,
+            ..Inner::default()
+        })))
     }
 
     fn step(&self, op: Option<Op>) -> io::Result<()> {
@@ -104,7 +116,10 @@
         }
         let Some(op) = op else {
             let inner = &mut *inner;
-            inner.pending.drain(..).for_each(|op| apply(&mut inner.durable, &op));
+            inner
+                .pending
+                .drain(..)
+                .for_each(|op| apply(&mut inner.durable, &op));
             return Ok(());
         };
         let length = match &op {
@@ -128,7 +143,10 @@
     fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
         let inner = self.0.lock().unwrap();
         let at = offset as usize;
-        let bytes = inner.image.get(at..at + len).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let bytes = inner
+            .image
+            .get(at..at + len)
+            .ok_or(io::ErrorKind::UnexpectedEof)?;
         Ok(bytes.to_vec())
     }
 
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -15,7 +15,10 @@
     Write {
         base,
         at_ms: 1000 + base,
-        by: Author { id: "t".into(), name: "test".into() },
+        by: Author {
+            id: "t".into(),
+            name: "test".into(),
+        },
         action: "test".into(),
         subject: edits.first().map(|(scope, _)| scope.clone()),
         detail: None,
@@ -32,7 +35,10 @@
     Write {
         tokens: vec![("key".into(), Some(json!(n)))],
         reply: Some((format!("reply-{n}"), json!(n))),
-        ..write(base, vec![("a".into(), Some(body.clone())), ("b".into(), Some(body))])
+        ..write(
+            base,
+            vec![("a".into(), Some(body.clone())), ("b".into(), Some(body))],
+        )
     }
 }
 
@@ -51,10 +57,16 @@
     let (a, b) = (there.get("a"), there.get("b"));
     let found = n(a);
     assert_eq!(found, n(b), "one version's document beside another's");
-    assert_eq!(state.tokens.get("key").map_or(0, |t| t.as_u64().unwrap()), found);
+    assert_eq!(
+        state.tokens.get("key").map_or(0, |t| t.as_u64().unwrap()),
+        found
+    );
     assert_eq!(state.version, found);
     if found > 0 {
-        assert_eq!(store.reply(&format!("reply-{found}")).unwrap(), Some(json!(found)));
+        assert_eq!(
+            store.reply(&format!("reply-{found}")).unwrap(),
+            Some(json!(found))
+        );
     }
     assert_eq!(store.reply(&format!("reply-{}", found + 1)).unwrap(), None);
     found
@@ -62,7 +74,9 @@
 
 /// Writes until the disk ends; returns how many writes were acknowledged.
 fn write_until_end(disk: &Disk, keep: Keep, most: u64) -> u64 {
-    let Ok((mut store, state)) = Store::with(disk.opener(), keep) else { return 0 };
+    let Ok((mut store, state)) = Store::with(disk.opener(), keep) else {
+        return 0;
+    };
     let mut acknowledged = number(&store, &state);
     while acknowledged < most {
         let next = acknowledged + 1;
@@ -77,7 +91,12 @@
 #[test]
 fn a_process_that_ends_at_any_write_boundary_leaves_one_whole_version() {
     const WRITES: u64 = 12;
-    let keep = Keep { versions: 4, audit: 4, replies: 4, reply_ms: u64::MAX };
+    let keep = Keep {
+        versions: 4,
+        audit: 4,
+        replies: 4,
+        reply_ms: u64::MAX,
+    };
     let made = || {
         let disk = Disk::default();
         drop(Store::with(disk.opener(), keep).unwrap());
@@ -102,7 +121,9 @@
                     (acknowledged..=acknowledged + 1).contains(&there),
                     "boundary {at}, {end:?}, seed {seed}: {there} after {acknowledged} were acknowledged"
                 );
-                store.check().unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
+                store
+                    .check()
+                    .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
                 store.commit(&fourfold(store.entry(), there + 1)).unwrap();
                 ends.fetch_add(1, Ordering::Relaxed);
             }
@@ -115,14 +136,22 @@
     });
     let ends = ends.into_inner();
     println!("{ends} ends at {} boundaries", boundaries - before);
-    assert!(ends >= 500, "{ends} ends at {} boundaries", boundaries - before);
+    assert!(
+        ends >= 500,
+        "{ends} ends at {} boundaries",
+        boundaries - before
+    );
 }
 
 #[test]
 fn old_versions_are_what_they_were_as_long_as_they_are_kept() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
-        let keep = Keep { versions: 8, audit: 12, ..Keep::default() };
+        let keep = Keep {
+            versions: 8,
+            audit: 12,
+            ..Keep::default()
+        };
         let (mut store, mut state) = Store::with(Disk::default().opener(), keep).unwrap();
         let mut was: Vec<BTreeMap<String, Value>> = vec![BTreeMap::new()];
         for n in 0..60 {
@@ -144,10 +173,20 @@
         for version in 0..=newest {
             let kept = version > newest - keep.versions;
             let expected = kept.then(|| was[version as usize].clone());
-            assert_eq!(store.at(version).unwrap(), expected, "seed {seed}, version {version}");
+            assert_eq!(
+                store.at(version).unwrap(),
+                expected,
+                "seed {seed}, version {version}"
+            );
         }
-        assert_eq!(store.versions(u64::MAX, 100).unwrap().len() as u64, keep.versions);
-        assert_eq!(store.audit(None, u64::MAX, 100).unwrap().len() as u64, keep.audit);
+        assert_eq!(
+            store.versions(u64::MAX, 100).unwrap().len() as u64,
+            keep.versions
+        );
+        assert_eq!(
+            store.audit(None, u64::MAX, 100).unwrap().len() as u64,
+            keep.audit
+        );
         store.check().unwrap();
         // What follows the writes in memory is what a new start reads.
         let bytes = {
@@ -160,9 +199,18 @@
         let mut again = Vec::new();
         export(&copy, &mut again).unwrap();
         assert_eq!(bytes, again);
-        assert!(matches!(import(&mut copy, bytes.as_slice()), Err(StoreError::Import { line: 0, .. })));
-        let there: BTreeMap<_, _> = documents(&copy).into_iter().map(|(s, (_, d))| (s, d)).collect();
-        assert_eq!((copy.at(state.version).unwrap().unwrap(), &there), (there.clone(), was.last().unwrap()));
+        assert!(matches!(
+            import(&mut copy, bytes.as_slice()),
+            Err(StoreError::Import { line: 0, .. })
+        ));
+        let there: BTreeMap<_, _> = documents(&copy)
+            .into_iter()
+            .map(|(s, (_, d))| (s, d))
+            .collect();
+        assert_eq!(
+            (copy.at(state.version).unwrap().unwrap(), &there),
+            (there.clone(), was.last().unwrap())
+        );
         assert_eq!(documents(&store), documents(&copy));
     }
 }
@@ -193,7 +241,8 @@
 
 impl Directory {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("canvascart-store-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("canvascart-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path); // of an earlier run
         std::fs::create_dir_all(&path).unwrap();
         Directory(path)
@@ -210,19 +259,32 @@
 fn a_store_that_is_missing_open_elsewhere_or_newer_is_left_alone() {
     let directory = Directory::new("alone");
     let path = &directory.0;
-    assert!(matches!(Store::open_existing(path, Keep::default()), Err(StoreError::Missing(_))));
+    assert!(matches!(
+        Store::open_existing(path, Keep::default()),
+        Err(StoreError::Missing(_))
+    ));
     // Left by a process that was killed while it made the store.
     std::fs::write(path.join(format!("{}.new", store::FILE)), "half").unwrap();
     let (store, _) = Store::open(path, Keep::default()).unwrap();
-    assert!(matches!(Store::open(path, Keep::default()), Err(StoreError::Locked)));
+    assert!(matches!(
+        Store::open(path, Keep::default()),
+        Err(StoreError::Locked)
+    ));
     drop(store);
     let newer = redb::Database::open(path.join(store::FILE)).unwrap();
     let change = newer.begin_write().unwrap();
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
-    change.open_table(meta).unwrap().insert("format", store::FORMAT + 1).unwrap();
+    change
+        .open_table(meta)
+        .unwrap()
+        .insert("format", store::FORMAT + 1)
+        .unwrap();
     change.commit().unwrap();
     drop(newer);
-    let said = Store::open(path, Keep::default()).err().unwrap().to_string();
+    let said = Store::open(path, Keep::default())
+        .err()
+        .unwrap()
+        .to_string();
     assert!(said.contains("use the program that wrote it"), "{said}");
 }
 
@@ -235,7 +297,12 @@
         for n in 0..30 {
             let scope = format!("tenant/{}", ["x", "y"][n % 2]);
             let edits = vec![(scope, Some(json!(n))), ("tenant/z".into(), Some(json!(n)))];
-            store.commit(&Write { subject: None, ..write(store.entry(), edits) }).unwrap();
+            store
+                .commit(&Write {
+                    subject: None,
+                    ..write(store.entry(), edits)
+                })
+                .unwrap();
         }
         drop(store);
         let database = disk.opener()().unwrap();
@@ -243,7 +310,11 @@
         let of = redb::TableDefinition::<(&str, u64), ()>::new("audit-of");
         assert!(change.delete_table(of).unwrap());
         let meta = redb::TableDefinition::<&str, u64>::new("meta");
-        change.open_table(meta).unwrap().insert("format", 1).unwrap();
+        change
+            .open_table(meta)
+            .unwrap()
+            .insert("format", 1)
+            .unwrap();
         change.commit().unwrap();
         drop(database);
         disk
@@ -254,7 +325,12 @@
         let of = |name| store.audit(Some(name), u64::MAX, 100).unwrap().len();
         assert_eq!([of("x"), of("y"), of("z"), of("tenant/x")], [15, 15, 30, 0]);
         assert_eq!(
-            store.audit(Some("x"), 20, 3).unwrap().iter().map(|(n, _)| *n).collect::<Vec<_>>(),
+            store
+                .audit(Some("x"), 20, 3)
+                .unwrap()
+                .iter()
+                .map(|(n, _)| *n)
+                .collect::<Vec<_>>(),
             [19, 17, 15]
         );
         store.check().unwrap();
@@ -284,11 +360,18 @@
     }
     let all = documents(&store);
     drop(store);
-    let told = all.iter().map(|(scope, (rev, d))| Ok((scope.clone(), *rev, d.clone())));
+    let told = all
+        .iter()
+        .map(|(scope, (rev, d))| Ok((scope.clone(), *rev, d.clone())));
     let bytes = snapshot::write(path, &state, told).unwrap();
-    assert_eq!(bytes, std::fs::metadata(path.join(snapshot::FILE)).unwrap().len());
+    assert_eq!(
+        bytes,
+        std::fs::metadata(path.join(snapshot::FILE)).unwrap().len()
+    );
     let mut kept = BTreeMap::new();
-    let read = snapshot::read(path, &mut |s, rev, d| _ = kept.insert(s.to_owned(), (rev, d)));
+    let read = snapshot::read(path, &mut |s, rev, d| {
+        _ = kept.insert(s.to_owned(), (rev, d))
+    });
     assert_eq!((read.unwrap(), &kept), (state.clone(), &all));
     let file = path.join(store::FILE);
     let whole = std::fs::read(&file).unwrap();
@@ -304,7 +387,11 @@
             .and_then(|(mut store, found)| store.check().map(|()| (documents(&store), found)));
         match opened {
             Ok((there, found)) => {
-                assert_eq!((&found, &there), (&state, &all), "damage at {at} went by unseen");
+                assert_eq!(
+                    (&found, &there),
+                    (&state, &all),
+                    "damage at {at} went by unseen"
+                );
                 unharmed += 1;
             }
             Err(e) => {
@@ -317,19 +404,33 @@
     let text = std::fs::read(path.join(snapshot::FILE)).unwrap();
     std::fs::write(path.join(snapshot::FILE), &text[..text.len() - 1]).unwrap();
     let told = &mut |_: &str, _, _| panic!("told of a snapshot that is damaged");
-    assert!(matches!(snapshot::read(path, told), Err(StoreError::Damaged(_))));
+    assert!(matches!(
+        snapshot::read(path, told),
+        Err(StoreError::Damaged(_))
+    ));
 }
 
 #[test]
 fn a_snapshot_that_cannot_be_made_leaves_the_one_that_was_there() {
     let directory = Directory::new("half");
     let path = &directory.0;
-    let state = store::State { version: 1, entry: 1, ..store::State::default() };
+    let state = store::State {
+        version: 1,
+        entry: 1,
+        ..store::State::default()
+    };
     let good = || Ok(("a".to_owned(), 1, json!(1)));
     snapshot::write(path, &state, [good()].into_iter()).unwrap();
     let before = std::fs::read(path.join(snapshot::FILE)).unwrap();
     let spoiled = [good(), Err(StoreError::Damaged("b".into()))].into_iter();
-    let failed = snapshot::write(path, &store::State { version: 2, ..state }, spoiled);
+    let failed = snapshot::write(
+        path,
+        &store::State {
+            version: 2,
+            ..state
+        },
+        spoiled,
+    );
     assert!(matches!(failed, Err(StoreError::Damaged(what)) if what == "b"));
     assert_eq!(std::fs::read(path.join(snapshot::FILE)).unwrap(), before);
 }
--- a/crates/tenancy/src/flow.rs
+++ b/crates/tenancy/src/flow.rs
@@ -75,11 +75,20 @@
             self.payers.resize(tenant.0 + 1, None);
         }
         let weight = terms.weight.max(1e-9);
-        let terms = Terms { weight, burst: terms.burst.max(0.0), cap: terms.cap.clamp(1e-6, 1.0) };
+        let terms = Terms {
+            weight,
+            burst: terms.burst.max(0.0),
+            cap: terms.cap.clamp(1e-6, 1.0),
+        };
         let backlog = self.backlog(tenant);
         self.leave(tenant.0);
         let over_cap = self.payers[tenant.0].as_ref().map_or(0.0, |p| p.over_cap);
-        let payer = Payer { terms, finish: self.virtual_time, over_cap, at: now };
+        let payer = Payer {
+            terms,
+            finish: self.virtual_time,
+            over_cap,
+            at: now,
+        };
         self.payers[tenant.0] = Some(payer);
         self.join(tenant.0, backlog);
     }
@@ -94,7 +103,9 @@
 
     /// Takes a tenant out of the busy ones.
     fn leave(&mut self, place: usize) {
-        let Some(Some(payer)) = self.payers.get(place) else { return };
+        let Some(Some(payer)) = self.payers.get(place) else {
+            return;
+        };
         if self.busy.remove(&(bits(payer.finish), place)) {
             self.weight -= payer.terms.weight;
         }
@@ -106,7 +117,9 @@
     /// Lays out work for a tenant that is not among the busy ones.
     fn join(&mut self, place: usize, work: Millis) {
         let start = self.virtual_time;
-        let Some(Some(payer)) = self.payers.get_mut(place) else { return };
+        let Some(Some(payer)) = self.payers.get_mut(place) else {
+            return;
+        };
         payer.finish = start + work / payer.terms.weight;
         if payer.finish > start {
             self.busy.insert((bits(payer.finish), place));
@@ -132,13 +145,18 @@
         // Nobody has a backlog: virtual time may start anew, lest it grow so large that it turns coarse.
         if self.virtual_time > COARSE {
             self.virtual_time = 0.0;
-            self.payers.iter_mut().flatten().for_each(|p| p.finish = 0.0);
+            self.payers
+                .iter_mut()
+                .flatten()
+                .for_each(|p| p.finish = 0.0);
         }
     }
 
     /// A tenant's backlog in ms of work, as of the last call with a time.
     pub fn backlog(&self, tenant: Tenant) -> Millis {
-        let Some(Some(payer)) = self.payers.get(tenant.0) else { return 0.0 };
+        let Some(Some(payer)) = self.payers.get(tenant.0) else {
+            return 0.0;
+        };
         (payer.finish - self.virtual_time).max(0.0) * payer.terms.weight
     }
 
@@ -149,7 +167,9 @@
     pub fn admit(&mut self, now: Millis, tenant: Tenant) -> Result<(), Millis> {
         self.advance(now);
         let backlog = self.backlog(tenant);
-        let Some(Some(payer)) = self.payers.get_mut(tenant.0) else { return Err(f64::INFINITY) };
+        let Some(Some(payer)) = self.payers.get_mut(tenant.0) else {
+            return Err(f64::INFINITY);
+        };
         payer.age(now, self.rate);
         let Terms { weight, burst, cap } = payer.terms;
         let over = (backlog - burst).max(0.0) * self.weight.max(weight) / (weight * self.rate);
@@ -162,7 +182,9 @@
     pub fn charge(&mut self, now: Millis, tenant: Tenant, work: Millis) {
         self.advance(now);
         let backlog = self.backlog(tenant);
-        let Some(Some(payer)) = self.payers.get_mut(tenant.0) else { return };
+        let Some(Some(payer)) = self.payers.get_mut(tenant.0) else {
+            return;
+        };
         payer.age(now, self.rate);
         let most = MOST_BURSTS * payer.terms.burst.max(work);
         if payer.terms.cap < 1.0 {
@@ -193,7 +215,15 @@
     fn flow(weights: &[f64]) -> Flow {
         let mut flow = Flow::new(1.0);
         for (i, &weight) in weights.iter().enumerate() {
-            flow.set(0.0, Tenant(i), Terms { weight, burst: 10.0, cap: 1.0 });
+            flow.set(
+                0.0,
+                Tenant(i),
+                Terms {
+                    weight,
+                    burst: 10.0,
+                    cap: 1.0,
+                },
+            );
         }
         flow
     }
@@ -202,7 +232,12 @@
     fn race(flow: &mut Flow, every: &[f64], work: f64, end: f64) -> Vec<f64> {
         let (mut done, mut next) = (vec![0.0; every.len()], vec![0.0f64; every.len()]);
         loop {
-            let (i, at) = next.iter().copied().enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).unwrap();
+            let (i, at) = next
+                .iter()
+                .copied()
+                .enumerate()
+                .min_by(|a, b| a.1.total_cmp(&b.1))
+                .unwrap();
             if at >= end {
                 return done;
             }
@@ -217,15 +252,26 @@
     #[test]
     fn greedy_tenants_get_their_weights_and_nothing_is_left() {
         let done = race(&mut flow(&[1.0, 3.0]), &[0.01, 0.01], 0.05, 4000.0);
-        assert!((done[0] / 1000.0 - 1.0).abs() < 0.02 && (done[1] / 3000.0 - 1.0).abs() < 0.02, "{done:?}");
+        assert!(
+            (done[0] / 1000.0 - 1.0).abs() < 0.02 && (done[1] / 3000.0 - 1.0).abs() < 0.02,
+            "{done:?}"
+        );
     }
 
     #[test]
     fn what_one_leaves_goes_to_the_others_by_weight() {
         // The third asks for a tenth of the rate and has a right to a third.
-        let done = race(&mut flow(&[1.0, 2.0, 1.5]), &[0.01, 0.01, 0.5], 0.05, 4000.0);
+        let done = race(
+            &mut flow(&[1.0, 2.0, 1.5]),
+            &[0.01, 0.01, 0.5],
+            0.05,
+            4000.0,
+        );
         assert!((done[2] / 400.0 - 1.0).abs() < 0.01, "{done:?}");
-        assert!((done[0] / 1200.0 - 1.0).abs() < 0.03 && (done[1] / 2400.0 - 1.0).abs() < 0.03, "{done:?}");
+        assert!(
+            (done[0] / 1200.0 - 1.0).abs() < 0.03 && (done[1] / 2400.0 - 1.0).abs() < 0.03,
+            "{done:?}"
+        );
     }
 
     #[test]
@@ -238,14 +284,25 @@
         }
         flow.charge(1000.0, B, 1.1);
         let wait = flow.admit(1000.0, B).unwrap_err();
-        assert!((wait - 2.0).abs() < 0.1, "1 ms over, at half the rate: {wait}");
+        assert!(
+            (wait - 2.0).abs() < 0.1,
+            "1 ms over, at half the rate: {wait}"
+        );
         assert!(flow.admit(1000.0 + wait + 0.1, B).is_ok());
     }
 
     #[test]
     fn a_cap_holds_while_all_else_is_idle() {
         let mut flow = Flow::new(1.0);
-        flow.set(0.0, A, Terms { weight: 1.0, burst: 5.0, cap: 0.25 });
+        flow.set(
+            0.0,
+            A,
+            Terms {
+                weight: 1.0,
+                burst: 5.0,
+                cap: 0.25,
+            },
+        );
         let done = race(&mut flow, &[0.01], 0.05, 4000.0);
         assert!((done[0] - 1005.0).abs() < 1.0, "{done:?}");
     }
--- a/crates/tenancy/src/shares.rs
+++ b/crates/tenancy/src/shares.rs
@@ -71,7 +71,14 @@
 impl Default for Caps {
     fn default() -> Self {
         let all = u64::MAX;
-        Caps { weight: 1.0, sockets: all, in_flight: all, bytes: all, time: 1.0, burst: 25.0 }
+        Caps {
+            weight: 1.0,
+            sockets: all,
+            in_flight: all,
+            bytes: all,
+            time: 1.0,
+            burst: 25.0,
+        }
     }
 }
 
@@ -160,14 +167,28 @@
             self.accounts.resize(tenant.0 + 1, Account::default());
         }
         if !std::mem::replace(&mut self.accounts[tenant.0].there, true) {
-            self.accounts[tenant.0] = Account { there: true, ..Account::default() };
+            self.accounts[tenant.0] = Account {
+                there: true,
+                ..Account::default()
+            };
         }
         self.sockets.set(tenant, caps.weight, caps.sockets);
         self.in_flight.set(tenant, caps.weight, caps.in_flight);
         self.bytes.set(tenant, caps.weight, caps.bytes);
-        let terms = Terms { weight: caps.weight, burst: caps.burst, cap: caps.time };
+        let terms = Terms {
+            weight: caps.weight,
+            burst: caps.burst,
+            cap: caps.time,
+        };
         self.time.set(now, tenant, terms);
-        self.turning.set(now, tenant, Terms { burst: TURNING * caps.burst, ..terms });
+        self.turning.set(
+            now,
+            tenant,
+            Terms {
+                burst: TURNING * caps.burst,
+                ..terms
+            },
+        );
         for server in self.servers.values_mut() {
             if let Some(at) = server.members.iter().position(|m| *m == tenant) {
                 server.stock.set(Tenant(at), caps.weight, u64::MAX);
@@ -198,7 +219,10 @@
     pub fn is_idle(&self, tenant: Tenant) -> bool {
         let stocks = [&self.sockets, &self.in_flight, &self.bytes];
         stocks.iter().all(|s| s.held_by(tenant) == 0)
-            && self.servers.values().all(|s| s.place(tenant).is_none_or(|at| s.stock.held_by(at) == 0))
+            && self
+                .servers
+                .values()
+                .all(|s| s.place(tenant).is_none_or(|at| s.stock.held_by(at) == 0))
     }
 
     /// A server with so many connections is used by these tenants, with their weights. A server with one user needs no
@@ -214,14 +238,23 @@
         let left = left.filter(|t| members.iter().all(|(m, _)| m != t));
         let all: Vec<Tenant> = members.iter().map(|(t, _)| *t).chain(left).collect();
         for (at, &tenant) in all.iter().enumerate() {
-            let held = old.as_ref().and_then(|o| Some(o.stock.held_by(o.place(tenant)?))).unwrap_or(0);
+            let held = old
+                .as_ref()
+                .and_then(|o| Some(o.stock.held_by(o.place(tenant)?)))
+                .unwrap_or(0);
             let weight = members.get(at).map_or(1.0, |(_, weight)| *weight);
             stock.inherit(Tenant(at), weight, held);
             if at >= members.len() {
                 stock.remove(Tenant(at));
             }
         }
-        self.servers.insert(server, SharedServer { stock, members: all });
+        self.servers.insert(
+            server,
+            SharedServer {
+                stock,
+                members: all,
+            },
+        );
     }
 
     /// A connection to a server, if others share it.
@@ -229,8 +262,12 @@
     /// # Errors
     /// The others' shares of the server leave no room for it.
     pub fn to_server(&mut self, now: Millis, tenant: Tenant, server: u64) -> Result<(), Refusal> {
-        let Some(shared) = self.servers.get_mut(&server) else { return Ok(()) };
-        let Some(at) = shared.place(tenant) else { return Ok(()) };
+        let Some(shared) = self.servers.get_mut(&server) else {
+            return Ok(());
+        };
+        let Some(at) = shared.place(tenant) else {
+            return Ok(());
+        };
         let taken = shared.stock.take(now, at, 1);
         taken.map_err(|lack| self.refuse(tenant, Resource::Server, lack))
     }
@@ -268,7 +305,11 @@
         }
         if let Err(wait) = self.time.admit(now, tenant) {
             self.count(tenant, Resource::Time);
-            return Err(Refusal { resource: Resource::Time, lack: None, wait: wait.max(SOONEST) });
+            return Err(Refusal {
+                resource: Resource::Time,
+                lack: None,
+                wait: wait.max(SOONEST),
+            });
         }
         if let Err(lack) = self.in_flight.take(now, tenant, 1) {
             return Err(self.refuse(tenant, Resource::InFlight, lack));
@@ -323,7 +364,10 @@
         match self.time.admit(now, tenant) {
             Ok(()) if self.has_room(now, tenant) => Ok(()),
             Ok(()) => self.turning.admit(now, tenant),
-            Err(wait) => self.turning.admit(now, tenant).map_err(|turning| wait.min(turning)),
+            Err(wait) => self
+                .turning
+                .admit(now, tenant)
+                .map_err(|turning| wait.min(turning)),
         }
     }
 
@@ -377,7 +421,11 @@
     fn refuse(&mut self, tenant: Tenant, resource: Resource, lack: Lack) -> Refusal {
         self.count(tenant, resource);
         let hold = self.accounts.get(tenant.0).map_or(0.0, |a| a.hold);
-        Refusal { resource, lack: Some(lack), wait: hold.max(SOONEST) }
+        Refusal {
+            resource,
+            lack: Some(lack),
+            wait: hold.max(SOONEST),
+        }
     }
 }
 
@@ -395,11 +443,24 @@
     const B: Tenant = Tenant(1);
 
     fn two() -> Shares {
-        let limits =
-            Limits { sockets: 8, in_flight: 6, bytes: 1000, time: 0.5, turning: 0.1, newcomers: 0.0 };
+        let limits = Limits {
+            sockets: 8,
+            in_flight: 6,
+            bytes: 1000,
+            time: 0.5,
+            turning: 0.1,
+            newcomers: 0.0,
+        };
         let mut shares = Shares::new(limits);
         shares.set(0.0, A, &Caps::default());
-        shares.set(0.0, B, &Caps { in_flight: 2, ..Caps::default() });
+        shares.set(
+            0.0,
+            B,
+            &Caps {
+                in_flight: 2,
+                ..Caps::default()
+            },
+        );
         shares
     }
 
@@ -407,19 +468,40 @@
     fn each_shared_thing_is_refused_by_its_own_name_and_nothing_is_held_then() {
         let mut shares = two();
         (0..8).for_each(|_| shares.connect(0.0, A).unwrap());
-        assert_eq!(shares.connect(0.0, B).unwrap_err().resource, Resource::Sockets);
+        assert_eq!(
+            shares.connect(0.0, B).unwrap_err().resource,
+            Resource::Sockets
+        );
         let big = shares.begin(0.0, A, 1001).unwrap_err();
-        assert_eq!((big.resource, big.lack), (Resource::Bytes, Some(Lack::Full)));
+        assert_eq!(
+            (big.resource, big.lack),
+            (Resource::Bytes, Some(Lack::Full))
+        );
         assert_eq!(shares.used(A).in_flight, 0);
         (0..2).for_each(|_| shares.begin(0.0, B, 10).unwrap());
         let capped = shares.begin(0.0, B, 10).unwrap_err();
-        assert_eq!((capped.resource, capped.lack), (Resource::InFlight, Some(Lack::Cap)));
+        assert_eq!(
+            (capped.resource, capped.lack),
+            (Resource::InFlight, Some(Lack::Cap))
+        );
         shares.spent(0.0, A, 30.0);
         let late = shares.begin(0.0, A, 10).unwrap_err();
-        assert_eq!((late.resource, late.wait), (Resource::Time, 10.0), "5 ms over, at half the loop's time");
-        assert_eq!(shares.may_read(0.0, A), Ok(()), "it can still be turned away");
+        assert_eq!(
+            (late.resource, late.wait),
+            (Resource::Time, 10.0),
+            "5 ms over, at half the loop's time"
+        );
+        assert_eq!(
+            shares.may_read(0.0, A),
+            Ok(()),
+            "it can still be turned away"
+        );
         shares.turned_away(0.0, A, 3.0);
-        assert_eq!(shares.may_read(0.0, A), Err(5.0), "half a ms over, at a tenth of the loop's time");
+        assert_eq!(
+            shares.may_read(0.0, A),
+            Err(5.0),
+            "half a ms over, at a tenth of the loop's time"
+        );
         assert_eq!(shares.used(A).time, 33.0);
         assert_eq!(shares.may_accept(0.0, A), Err(5.0));
         // No room for a request of the other's: it is only read while it may be turned away.
@@ -452,7 +534,10 @@
         let mut shares = two();
         (0..3).for_each(|_| shares.begin(0.0, A, 1).unwrap());
         let fair = shares.fair(A, Resource::InFlight);
-        assert_eq!((shares.may_read(0.0, B), shares.may_accept(0.0, B)), (Ok(()), Ok(())));
+        assert_eq!(
+            (shares.may_read(0.0, B), shares.may_accept(0.0, B)),
+            (Ok(()), Ok(()))
+        );
         assert_eq!(shares.fair(A, Resource::InFlight), fair);
         (0..3).for_each(|_| shares.begin(0.0, A, 1).unwrap());
     }
@@ -464,13 +549,19 @@
         shares.share_server(7, 4, &[(A, 1.0), (B, 1.0)]);
         (0..2).for_each(|_| shares.to_server(0.0, A, 7).unwrap());
         (0..2).for_each(|_| shares.to_server(0.0, B, 7).unwrap());
-        assert_eq!(shares.to_server(0.0, A, 7).unwrap_err().resource, Resource::Server);
+        assert_eq!(
+            shares.to_server(0.0, A, 7).unwrap_err().resource,
+            Resource::Server
+        );
         shares.from_server(A, 7);
         // Other members: what is held stays held.
         shares.set(0.0, Tenant(2), &Caps::default());
         shares.share_server(7, 4, &[(B, 1.0), (Tenant(2), 1.0)]);
         shares.to_server(0.0, Tenant(2), 7).unwrap();
-        assert!(shares.to_server(0.0, Tenant(2), 7).is_err(), "one is still the first tenant's");
+        assert!(
+            shares.to_server(0.0, Tenant(2), 7).is_err(),
+            "one is still the first tenant's"
+        );
         shares.from_server(A, 7);
         assert_eq!(shares.to_server(0.0, Tenant(2), 7), Ok(()));
     }
--- a/crates/tenancy/src/stock.rs
+++ b/crates/tenancy/src/stock.rs
@@ -111,7 +111,9 @@
 
     /// Forgets a tenant; what it still holds is given back as ever.
     pub fn remove(&mut self, tenant: Tenant) {
-        let Some(holder) = self.holders.get_mut(tenant.0).filter(|h| h.there) else { return };
+        let Some(holder) = self.holders.get_mut(tenant.0).filter(|h| h.there) else {
+            return;
+        };
         (holder.there, holder.cap) = (false, 0);
         self.tenants -= 1;
         if holder.held == 0 && holder.active {
@@ -138,7 +140,9 @@
 
     /// A tenant's fair share now, were it active.
     pub fn fair(&self, tenant: Tenant) -> u64 {
-        let Some(holder) = self.holders.get(tenant.0) else { return 0 };
+        let Some(holder) = self.holders.get(tenant.0) else {
+            return 0;
+        };
         let joins = if holder.active { 0.0 } else { holder.weight };
         let actives = self.active.len() + usize::from(!holder.active);
         self.part(holder.weight, self.weight + joins, actives)
@@ -146,7 +150,11 @@
 
     /// The share of one of so many active tenants.
     fn part(&self, weight: f64, sum: f64, actives: usize) -> u64 {
-        let kept = if actives < self.tenants { self.newcomers } else { 0 };
+        let kept = if actives < self.tenants {
+            self.newcomers
+        } else {
+            0
+        };
         ((self.capacity - kept) as f64 * weight / sum.max(weight)) as u64
     }
 
@@ -157,7 +165,11 @@
     pub fn take(&mut self, now: Millis, tenant: Tenant, amount: u64) -> Result<(), Lack> {
         self.roll(now);
         // Who asks is active, whether it gets something or not: otherwise one that is shut out stays shut out.
-        if let Some(holder) = self.holders.get_mut(tenant.0).filter(|h| h.there && !h.active) {
+        if let Some(holder) = self
+            .holders
+            .get_mut(tenant.0)
+            .filter(|h| h.there && !h.active)
+        {
             holder.active = true;
             self.active.push(tenant.0);
             self.count();
@@ -180,7 +192,9 @@
     /// Why it would not.
     pub fn check(&mut self, now: Millis, tenant: Tenant, amount: u64) -> Result<(), Lack> {
         self.roll(now);
-        let Some(holder) = self.holders.get(tenant.0).filter(|h| h.there) else { return Err(Lack::Cap) };
+        let Some(holder) = self.holders.get(tenant.0).filter(|h| h.there) else {
+            return Err(Lack::Cap);
+        };
         let held = holder.held.saturating_add(amount);
         if held > holder.cap {
             return Err(Lack::Cap);
@@ -194,7 +208,11 @@
         let claimed = amount.min(self.holders[tenant.0].claim);
         let borrows = held > self.fair(tenant);
         // Borrowers leave alone what others have a right to and lack, and what newcomers will need.
-        let newcomers = if self.active.len() < self.tenants { self.newcomers } else { 0 };
+        let newcomers = if self.active.len() < self.tenants {
+            self.newcomers
+        } else {
+            0
+        };
         let left = if borrows { newcomers + self.lacking } else { 0 };
         if amount - claimed > self.unclaimed().saturating_sub(left) {
             return Err(Lack::Share);
@@ -204,7 +222,9 @@
 
     /// Gives back what was taken; at most what the tenant holds.
     pub fn give(&mut self, tenant: Tenant, amount: u64) {
-        let Some(holder) = self.holders.get_mut(tenant.0) else { return };
+        let Some(holder) = self.holders.get_mut(tenant.0) else {
+            return;
+        };
         let amount = amount.min(holder.held);
         holder.held -= amount;
         self.held -= amount;
@@ -238,7 +258,9 @@
     fn count(&mut self) {
         self.weight = self.active.iter().map(|i| self.holders[*i].weight).sum();
         for place in 0..self.holders.len() {
-            if !self.holders[place].active && self.holders[place].claim + self.holders[place].lacks > 0 {
+            if !self.holders[place].active
+                && self.holders[place].claim + self.holders[place].lacks > 0
+            {
                 self.claim(place);
             }
         }
@@ -257,7 +279,10 @@
         self.window = now;
         for place in std::mem::take(&mut self.active) {
             let holder = &mut self.holders[place];
-            holder.peaks = [holder.held, if both { holder.held } else { holder.peaks[0] }];
+            holder.peaks = [
+                holder.held,
+                if both { holder.held } else { holder.peaks[0] },
+            ];
             holder.active = holder.peak() > 0;
             if holder.active {
                 self.active.push(place);
@@ -316,7 +341,11 @@
         (0..20).for_each(|_| stock.take(0.0, B, 1).unwrap());
         (0..20).for_each(|_| stock.give(B, 1));
         assert_eq!(greedy(&mut stock, 1.0, A), Lack::Share);
-        assert_eq!(stock.held_by(A), 74, "26 are kept: a quarter more than the 20, and one");
+        assert_eq!(
+            stock.held_by(A),
+            74,
+            "26 are kept: a quarter more than the 20, and one"
+        );
         (0..26).for_each(|_| stock.take(2.0, B, 1).unwrap());
         (0..26).for_each(|_| stock.give(B, 1));
         // Two windows later nothing is known of it any more.
@@ -332,7 +361,10 @@
         assert_eq!(greedy(&mut stock, 0.0, A), Lack::Cap);
         stock.set(A, 1.0, 4);
         stock.give(A, 5);
-        assert_eq!((stock.held_by(A), stock.take(0.0, A, 1)), (5, Err(Lack::Cap)));
+        assert_eq!(
+            (stock.held_by(A), stock.take(0.0, A, 1)),
+            (5, Err(Lack::Cap))
+        );
         stock.give(A, 2);
         assert_eq!(stock.take(0.0, A, 1), Ok(()));
     }
@@ -346,6 +378,10 @@
         assert_eq!(stock.take(0.0, A, 1), Err(Lack::Cap));
         stock.give(A, 9);
         assert_eq!(stock.held(), 0);
-        assert_eq!(stock.take(0.0, Tenant(7), 1), Err(Lack::Cap), "nobody knows it");
+        assert_eq!(
+            stock.take(0.0, Tenant(7), 1),
+            Err(Lack::Cap),
+            "nobody knows it"
+        );
     }
 }
--- a/crates/tenancy/tests/properties.rs
+++ b/crates/tenancy/tests/properties.rs
@@ -169,7 +169,9 @@
 /// The parts of a rate of 1 that max-min fairness by weight gives, by filling up the smallest demands first.
 fn max_min(tenants: &[(f64, f64)]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..tenants.len()).collect();
-    order.sort_by(|a, b| (tenants[*a].1 / tenants[*a].0).total_cmp(&(tenants[*b].1 / tenants[*b].0)));
+    order.sort_by(|a, b| {
+        (tenants[*a].1 / tenants[*a].0).total_cmp(&(tenants[*b].1 / tenants[*b].0))
+    });
     let mut weight: f64 = tenants.iter().map(|t| t.0).sum();
     let (mut left, mut parts) = (1.0, vec![0.0; tenants.len()]);
     for i in order {
--- a/crates/wharfhitch/src/bands.rs
+++ b/crates/wharfhitch/src/bands.rs
@@ -26,8 +26,17 @@
     pub fn new(count: usize, ratio: f64) -> Self {
         let middle = count as f64 / 2.0;
         let speed = |b: usize| ratio.powf(middle - b as f64);
-        let bands = (0..count).map(|b| Band { speed: speed(b), ..Band::default() }).collect();
-        Bands { bands, per_ln: 1.0 / ratio.ln(), filed: Vec::new() }
+        let bands = (0..count)
+            .map(|b| Band {
+                speed: speed(b),
+                ..Band::default()
+            })
+            .collect();
+        Bands {
+            bands,
+            per_ln: 1.0 / ratio.ln(),
+            filed: Vec::new(),
+        }
     }
 
     /// The band for a relative cost.
@@ -43,7 +52,8 @@
 
     /// Files a server: its own slots under `slot_band`, itself under `open_band` if it is open.
     pub fn file(&mut self, k: usize, slot_band: usize, slots: f64, open_band: Option<usize>) {
-        self.filed.resize(self.filed.len().max(k + 1), Filed::default());
+        self.filed
+            .resize(self.filed.len().max(k + 1), Filed::default());
         let f = &mut self.filed[k];
         let old = &mut self.bands[f.slot_band].slots;
         *old -= f.slots;
--- a/crates/wharfhitch/src/choice.rs
+++ b/crates/wharfhitch/src/choice.rs
@@ -126,7 +126,10 @@
         let longest_aim = cfg.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
         let first_guess = (longest_aim / 4.0).max(1.0);
         Balancer {
-            start: Start { backoff: BACKOFF, throttle: UNMEASURED },
+            start: Start {
+                backoff: BACKOFF,
+                throttle: UNMEASURED,
+            },
             rng: fastrand::Rng::with_seed(seed),
             servers: Vec::new(),
             index: FxHashMap::default(),
@@ -181,11 +184,22 @@
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         if self.ticks == 0 {
             (self.ticks, self.rate_at, self.told_at) = (1, now, now);
-            out.push(Action::Timer { token: 0, at: now + self.rng.f64() * TICK });
+            out.push(Action::Timer {
+                token: 0,
+                at: now + self.rng.f64() * TICK,
+            });
         }
         match event {
             Event::List { scope, entries } => self.list(now, scope, entries),
-            Event::Request { id, class, tenant, key, budget, hint, whole } => {
+            Event::Request {
+                id,
+                class,
+                tenant,
+                key,
+                budget,
+                hint,
+                whole,
+            } => {
                 self.arrive(now, id, class.0, tenant, key, budget, hint, whole, out);
             }
             Event::Whole { id, budget } => self.whole(now, id, budget),
@@ -193,16 +207,41 @@
             Event::Settings(cfg) => self.settle_on(now, *cfg),
             Event::Proxies { me, proxies } => self.divide(now, me, proxies),
             Event::Standing(known) => {
-                self.resume(&known).into_iter().for_each(|k| self.rate(k, self.warmth(k, now), now));
+                self.resume(&known)
+                    .into_iter()
+                    .for_each(|k| self.rate(k, self.warmth(k, now), now));
             }
             Event::Unadmitted { id, wait } => return self.turn_away(id, wait, out),
-            Event::Started { request, attempt, worked } => {
+            Event::Started {
+                request,
+                attempt,
+                worked,
+            } => {
                 self.started(now, request, attempt as usize, worked, out);
             }
-            Event::Ended { request, attempt, latency, outcome, closed, .. } => {
-                self.ended(now, request, attempt as usize, latency, outcome, closed, out);
+            Event::Ended {
+                request,
+                attempt,
+                latency,
+                outcome,
+                closed,
+                ..
+            } => {
+                self.ended(
+                    now,
+                    request,
+                    attempt as usize,
+                    latency,
+                    outcome,
+                    closed,
+                    out,
+                );
             }
-            Event::Load { request, attempt, load } => return self.note(request, attempt as usize, load),
+            Event::Load {
+                request,
+                attempt,
+                load,
+            } => return self.note(request, attempt as usize, load),
             Event::Abandoned(id) => self.finish(id),
             Event::Timer(0) => self.tick(now, out),
             Event::Timer(token) => self.answer(RequestId(token - 1), out), // its time is up
@@ -214,18 +253,32 @@
     // ---- queue and threshold ----
 
     fn arrive(
-        &mut self, now: Millis, id: RequestId, class: usize, tenant: Option<TenantId>, key: Option<Key>,
-        budget: Millis, hint: Option<Millis>, whole: bool, out: &mut Vec<Action>,
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        class: usize,
+        tenant: Option<TenantId>,
+        key: Option<Key>,
+        budget: Millis,
+        hint: Option<Millis>,
+        whole: bool,
+        out: &mut Vec<Action>,
     ) {
         self.arrivals += 1.0;
         self.retries = (self.retries + RETRY_SHARE).min(20.0);
         self.credit = (self.credit + TELL_SHARE * MESSAGE as f64 / f64::from(self.cfg.proxies))
             .min(2.0 * MESSAGE as f64);
         let over_share = tenant.is_some_and(|t| !self.within_share(t.0));
-        let home = key.filter(|_| self.cfg.warm_keys).and_then(|key| self.home(key, now));
+        let home = key
+            .filter(|_| self.cfg.warm_keys)
+            .and_then(|key| self.home(key, now));
         let (size, aim) = self.size_and_aim(class, hint);
         let (effect, most) = (self.cfg.classes[class].effect, self.cfg.limits.max_attempts);
-        self.safe_at = if effect == Effect::Safe { now } else { self.safe_at };
+        self.safe_at = if effect == Effect::Safe {
+            now
+        } else {
+            self.safe_at
+        };
         let mut request = Request::new(class, effect, most, size, key.map_or(0, |k| k.0), home);
         (request.over_share, request.whole) = (over_share, whole);
         (request.aim, request.due) = (now + aim.min(budget), now + budget);
@@ -242,7 +295,9 @@
 
     /// Takes one request off a tenant's allowance, if there is any left.
     fn within_share(&mut self, tenant: usize) -> bool {
-        let Some(left) = self.allowance.get_mut(tenant) else { return true };
+        let Some(left) = self.allowance.get_mut(tenant) else {
+            return true;
+        };
         let within = *left >= 1.0;
         *left -= f64::from(u8::from(within));
         within
@@ -251,17 +306,32 @@
     /// A request's expected work relative to its class, and its aim as a span.
     fn size_and_aim(&mut self, class: usize, hint: Option<Millis>) -> (f64, Millis) {
         let c = &self.cfg.classes[class];
-        let Some(hint) = hint.filter(|h| h.is_finite() && *h > 0.0) else { return (1.0, c.aim) };
+        let Some(hint) = hint.filter(|h| h.is_finite() && *h > 0.0) else {
+            return (1.0, c.aim);
+        };
         let (mean, weight) = self.hints[class];
-        average(&mut self.hints[class], if weight > 0.0 { hint.min(10.0 * mean) } else { hint }, 100.0);
-        ((hint / self.hints[class].0).clamp(0.05, 50.0), (c.aim + c.aim_stretch * hint).min(c.deadline))
+        average(
+            &mut self.hints[class],
+            if weight > 0.0 {
+                hint.min(10.0 * mean)
+            } else {
+                hint
+            },
+            100.0,
+        );
+        (
+            (hint / self.hints[class].0).clamp(0.05, 50.0),
+            (c.aim + c.aim_stretch * hint).min(c.deadline),
+        )
     }
 
     /// The server that a key's requests prefer: the same at every proxy, without a word between them.
     fn home(&mut self, key: Key, now: Millis) -> Option<usize> {
         let up = |s: &Server| s.told.is_none() && (s.health.closed <= now || self.doubt);
         let near = |a: &usize, b: &usize| self.score(*a, key.0).total_cmp(&self.score(*b, key.0));
-        (0..self.servers.len()).filter(|&k| up(&self.servers[k])).min_by(near)
+        (0..self.servers.len())
+            .filter(|&k| up(&self.servers[k]))
+            .min_by(near)
     }
 
     /// Weighted rendezvous hashing; the exponent and mantissa of a float stand in for its logarithm.
@@ -282,7 +352,9 @@
             }
             let mut best: Option<(f64, usize, RequestId)> = None;
             for (q, &skipped) in skip.iter().enumerate() {
-                let Some(id) = self.waiting_at(q, skipped) else { continue };
+                let Some(id) = self.waiting_at(q, skipped) else {
+                    continue;
+                };
                 let press = self.press(&self.requests[&id], now);
                 if best.is_none_or(|b| press > b.0) {
                     best = Some((press, q, id));
@@ -294,7 +366,11 @@
                 self.send(now, id, k, out);
             } else {
                 let r = &self.requests[&id];
-                skip[q] = if r.home.is_some() || !r.attempts.is_empty() { skip[q] + 1 } else { usize::MAX };
+                skip[q] = if r.home.is_some() || !r.attempts.is_empty() {
+                    skip[q] + 1
+                } else {
+                    usize::MAX
+                };
                 looks -= 1;
             }
         }
@@ -303,11 +379,26 @@
     /// How pressing a request is: its worth for the time it takes, discounted by its slack. Worth decides
     /// under overload, urgency else.
     fn press(&self, r: &Request, now: Millis) -> f64 {
-        let (c, work) = (&self.cfg.classes[r.class], self.class_ms[r.class].0.max(0.1) * r.size);
-        let worth = if self.cfg.worth_by_work { c.worth * r.size } else { c.worth };
+        let (c, work) = (
+            &self.cfg.classes[r.class],
+            self.class_ms[r.class].0.max(0.1) * r.size,
+        );
+        let worth = if self.cfg.worth_by_work {
+            c.worth * r.size
+        } else {
+            c.worth
+        };
         let slack = r.aim - now - work;
-        let part = if r.over_share { self.cfg.over_share_worth } else { 1.0 };
-        let part = if slack < 0.0 { part * c.late_worth } else { part };
+        let part = if r.over_share {
+            self.cfg.over_share_worth
+        } else {
+            1.0
+        };
+        let part = if slack < 0.0 {
+            part * c.late_worth
+        } else {
+            part
+        };
         part * worth / work * (-slack.max(0.0) / (SLACK_SCALE * c.aim.max(1.0))).exp()
     }
 
@@ -315,11 +406,15 @@
     fn serve(&mut self, now: Millis, k: usize, out: &mut Vec<Action>) {
         while self.servers[k].wanted > 0 && self.servers[k].free && self.out() < self.most_out() {
             let requests = &self.requests;
-            self.servers[k].line.retain(|id| requests.get(id).is_some_and(|r| r.waiting));
+            self.servers[k]
+                .line
+                .retain(|id| requests.get(id).is_some_and(|r| r.waiting));
             let press = |id: &RequestId| self.press(&requests[id], now);
             let fits = |r: &Request| !r.may_have_run() && self.suits(k, r, now);
             let line = self.servers[k].line.iter().filter(|id| fits(&requests[id]));
-            let Some(&id) = line.max_by(|a, b| press(a).total_cmp(&press(b))) else { return };
+            let Some(&id) = line.max_by(|a, b| press(a).total_cmp(&press(b))) else {
+                return;
+            };
             self.send(now, id, k, out);
         }
     }
@@ -334,7 +429,9 @@
             let open = |k: &usize| self.bands.is_open(*k) && (!full || all[*k].budgeted());
             let near = |k: &usize| all[*k].drops_repeats_of(first, group) && open(k);
             let fits = |k: &usize| near(k) && self.suits(*k, r, now);
-            let best = (0..all.len()).filter(fits).min_by(|a, b| all[*a].cost.total_cmp(&all[*b].cost));
+            let best = (0..all.len())
+                .filter(fits)
+                .min_by(|a, b| all[*a].cost.total_cmp(&all[*b].cost));
             return best.filter(|_| now < until);
         }
         // A server back from a closing is tried with what may be repeated, if such requests come at all.
@@ -350,16 +447,30 @@
             let fits = |k: &usize| {
                 let s = &self.servers[*k];
                 // ... or where what may be repeated is what it leaves unanswered.
-                let mute = || self.cfg.classes.iter().zip(&s.by_class).any(|(c, h)| safe_class(c) && h.trial);
+                let mute = || {
+                    self.cfg
+                        .classes
+                        .iter()
+                        .zip(&s.by_class)
+                        .any(|(c, h)| safe_class(c) && h.trial)
+                };
                 let sound = safe || !s.health.trial || self.doubt || mute();
                 let open = !full || s.budgeted();
                 open && sound && (urgent || s.free || home.is_some()) && self.suits(*k, r, now)
             };
             // Ties are broken at random; with a key, by its hash, so that its overflow too meets it again.
-            let near = |a: &usize, b: &usize| self.score(*a, r.key).total_cmp(&self.score(*b, r.key));
+            let near =
+                |a: &usize, b: &usize| self.score(*a, r.key).total_cmp(&self.score(*b, r.key));
             let found = match home {
-                Some(_) => band.open.iter().map(|&k| k as usize).filter(fits).min_by(near),
-                None => (0..n.min(8)).map(|i| band.open[(start + i) % n] as usize).find(fits),
+                Some(_) => band
+                    .open
+                    .iter()
+                    .map(|&k| k as usize)
+                    .filter(fits)
+                    .min_by(near),
+                None => (0..n.min(8))
+                    .map(|i| band.open[(start + i) % n] as usize)
+                    .find(fits),
             };
             let Some(k) = found else {
                 (m, sum) = (m + band.slots, sum + band.slots * band.speed);
@@ -367,10 +478,17 @@
             };
             let Some((h, s)) = home.filter(|_| !full).map(|h| (h, &self.servers[h])) else {
                 // Of all the pooled slots the window's are those that come free for this proxy.
-                let part = if full { (self.window / m).min(1.0) } else { 1.0 };
+                let part = if full {
+                    (self.window / m).min(1.0)
+                } else {
+                    1.0
+                };
                 let (m, sum) = (m * part, sum * part);
                 // Of the faster servers those closed to this class won't come free for it.
-                let (m, sum) = (m * (1.0 - self.blocked[r.class]), sum * (1.0 - self.blocked[r.class]));
+                let (m, sum) = (
+                    m * (1.0 - self.blocked[r.class]),
+                    sum * (1.0 - self.blocked[r.class]),
+                );
                 let go = m < 0.01 || urgent || {
                     let tau = threshold(m, self.rate * self.mean / sum, sum / m / band.speed);
                     self.waiting > tau as usize
@@ -421,7 +539,11 @@
         let slow = (s.slow.0 * s.slow.1 + kind * KIND_WEIGHT) / (s.slow.1 + KIND_WEIGHT);
         // A cold server's budget keeps it from crowding, so its like in a crowd say nothing of it.
         let calm = self.kinds[s.kind].core / self.mean;
-        let slow = if s.fresh && warmth < 1.0 { slow.min(calm) } else { slow };
+        let slow = if s.fresh && warmth < 1.0 {
+            slow.min(calm)
+        } else {
+            slow
+        };
         let crosses = s.info.zone.is_some() && s.info.zone != self.cfg.zone;
         let cross = PULL * self.cfg.prices.cross_zone * self.longest_aim / self.mean;
         let cost = slow / warmth + if crosses { cross } else { 0.0 };
@@ -433,7 +555,10 @@
     /// The part of its capacity that a server surely has: it warms at least evenly.
     fn warmth(&self, k: usize, now: Millis) -> f64 {
         let l = &self.cfg.limits;
-        let age = self.servers[k].info.since.map_or(1.0, |since| ((now - since) / l.cold).clamp(0.0, 1.0));
+        let age = self.servers[k]
+            .info
+            .since
+            .map_or(1.0, |since| ((now - since) / l.cold).clamp(0.0, 1.0));
         l.start_capacity + (1.0 - l.start_capacity) * age
     }
 
@@ -447,7 +572,8 @@
         let cold = s.budgeted();
         let allowed = usable && (!s.health.trial || s.own == 0) && (!cold || s.tokens >= 1.0);
         let (held, room) = (f64::from(s.held()), s.room * warmth);
-        let own = allowed && f64::from(s.own) < s.mine.max(if self.cfg.warm_keys { 1.0 } else { 0.0 });
+        let own =
+            allowed && f64::from(s.own) < s.mine.max(if self.cfg.warm_keys { 1.0 } else { 0.0 });
         let (free, open) = if !self.cfg.may_tell {
             (own, own.then_some(band)) // no word from others: only what is surely this proxy's
         } else if own && held < room && s.mine > 0.0 {
@@ -458,7 +584,10 @@
             let chance = (room - held) / f64::from(self.cfg.proxies);
             let lucky = draw(s.info.id.0 ^ ticks, u64::from(self.cfg.me)) < chance;
             let free = allowed && held + 0.5 < room;
-            (free, (free && lucky).then(|| (band + BORROW).min(BANDS - 1)))
+            (
+                free,
+                (free && lucky).then(|| (band + BORROW).min(BANDS - 1)),
+            )
         };
         let slots = if usable { s.mine * warmth } else { 0.0 };
         let (s, helps) = (&mut self.servers[k], cold && open.is_some());
@@ -482,7 +611,11 @@
 
     /// Requests that this proxy may have out.
     fn most_out(&self) -> usize {
-        if self.pools() { self.window as usize } else { usize::MAX }
+        if self.pools() {
+            self.window as usize
+        } else {
+            usize::MAX
+        }
     }
 
     /// An answer from a warm server fits the window: one that eats up its aim, or took far longer than on
@@ -492,7 +625,9 @@
         let kind = &self.kinds[self.servers[k].kind];
         let calm = kind.core / self.mean * self.class_ms[class].0 * size;
         // Calm may have been learnt in a crowd: what the server tells of itself goes before it.
-        let crowded = load.per_core(self.servers[k].cores).is_some_and(|n| n > CROWD);
+        let crowded = load
+            .per_core(self.servers[k].cores)
+            .is_some_and(|n| n > CROWD);
         let good = !crowded && latency < (CALM * calm).min(LATE * self.cfg.classes[class].aim);
         if good || self.servers[k].slow.0 <= OUTLIER * kind.slow.0 {
             self.fit_window(good);
@@ -502,8 +637,16 @@
     /// Widens or narrows that window.
     fn fit_window(&mut self, good: bool) {
         let used = self.out() as f64 + 2.0 > self.window;
-        let step = if used { WINDOW_STEP * (self.window / WINDOW_FIRST).min(1.0) } else { 0.0 };
-        let window = if good { self.window + step } else { self.window * WINDOW_CUT };
+        let step = if used {
+            WINDOW_STEP * (self.window / WINDOW_FIRST).min(1.0)
+        } else {
+            0.0
+        };
+        let window = if good {
+            self.window + step
+        } else {
+            self.window * WINDOW_CUT
+        };
         self.window = window.clamp(WINDOW_LEAST, self.servers.len().max(4) as f64);
     }
 
@@ -515,12 +658,14 @@
             return count;
         }
         let info = &self.servers[k].info;
-        let near = |i: &u32| self.zones[*i as usize].is_none() || self.zones[*i as usize] == info.zone;
+        let near =
+            |i: &u32| self.zones[*i as usize].is_none() || self.zones[*i as usize] == info.zone;
         let any = (0..self.cfg.proxies).any(|i| near(&i));
         let score = |slot: u32, i: u32| draw(info.id.0 ^ u64::from(slot), u64::from(i));
         let owner = |slot: &u32| {
             let proxies = (0..self.cfg.proxies).filter(|i| near(i) || !any);
-            proxies.max_by(|&a, &b| score(*slot, a).total_cmp(&score(*slot, b))) == Some(self.cfg.me)
+            proxies.max_by(|&a, &b| score(*slot, a).total_cmp(&score(*slot, b)))
+                == Some(self.cfg.me)
         };
         let count = (0..slots.min(MOST_SLOTS)).filter(owner).count() as u32;
         self.servers[k].owned = Some((slots, count));
@@ -531,7 +676,11 @@
     fn size(&mut self, k: usize) {
         let s = &self.servers[k];
         // A rating is cores times speed; on the slowest kind a core has about the speed of the yardstick.
-        let rating = if self.cfg.rating == Rating::Size { s.info.rating } else { 1.0 };
+        let rating = if self.cfg.rating == Rating::Size {
+            s.info.rating
+        } else {
+            1.0
+        };
         let (which, kind) = (s.kind, &self.kinds[s.kind]);
         let cores = rating * (kind.core / self.slowest).min(1.0);
         let room = (FULLNESS * kind.throttle * cores).max(1.0);
@@ -559,7 +708,11 @@
         average(&mut self.spread, relative * relative, SPREAD_SAMPLES);
         average(&mut s.slow, sample, SAMPLES);
         if warmth >= 1.0 {
-            average(&mut self.class_ms[class], latency / (s.slow.0.max(0.05) * factor), CLASS_SAMPLES);
+            average(
+                &mut self.class_ms[class],
+                latency / (s.slow.0.max(0.05) * factor),
+                CLASS_SAMPLES,
+            );
             let kind = &mut self.kinds[s.kind];
             let usual = sample.min(OUTLIER * kind.slow.0); // a few slow servers are not the kind
             average(&mut kind.slow, usual, CLASS_SAMPLES);
@@ -575,7 +728,11 @@
         if self.cfg.warm_keys {
             let s = &self.servers[k];
             let sample = latency * s.warmth / (s.slow.0.max(0.05) * self.class_ms[class].0);
-            average(&mut self.temper[usize::from(home)], sample.min(20.0), samples);
+            average(
+                &mut self.temper[usize::from(home)],
+                sample.min(20.0),
+                samples,
+            );
             self.gain = (self.temper[0].0 / self.temper[1].0.max(0.01)).clamp(1.1, 8.0);
         }
     }
@@ -589,7 +746,11 @@
     fn mean_latency(&self) -> Millis {
         let all = |(s, w): (f64, f64), c: &(f64, f64)| (s + c.0 * (c.1 + 0.01), w + c.1 + 0.01);
         let (sum, weight) = self.class_ms.iter().fold((0.0, 0.0), all);
-        if weight > 0.0 { (sum / weight).max(0.01) } else { 1.0 }
+        if weight > 0.0 {
+            (sum / weight).max(0.01)
+        } else {
+            1.0
+        }
     }
 
     // ---- health ----
@@ -599,7 +760,12 @@
     fn note_common(&mut self, least: f64) {
         for class in 0..self.common.len() {
             let health = |s: &Server| s.by_class.get(class).unwrap_or(&s.health).faulty;
-            let known = self.servers.iter().filter(|s| s.told.is_none()).map(health).filter(|f| f.1 >= least);
+            let known = self
+                .servers
+                .iter()
+                .filter(|s| s.told.is_none())
+                .map(health)
+                .filter(|f| f.1 >= least);
             let mut parts: Vec<f64> = known.map(|f| f.0).collect();
             parts.sort_by(f64::total_cmp);
             self.common[class] = parts.get(parts.len() / 4).copied().unwrap_or(0.0);
@@ -612,9 +778,19 @@
         let listed: Vec<&Server> = self.servers.iter().filter(|s| s.told.is_none()).collect();
         let up = listed.len() as f64 + 0.01;
         for (class, part) in self.blocked.iter_mut().enumerate() {
-            *part = listed.iter().filter(|s| s.by_class[class].closed > now).count() as f64 / up;
+            *part = listed
+                .iter()
+                .filter(|s| s.by_class[class].closed > now)
+                .count() as f64
+                / up;
         }
-        (up, listed.iter().filter(|s| s.health.closed > now && !s.full).count() as f64)
+        (
+            up,
+            listed
+                .iter()
+                .filter(|s| s.health.closed > now && !s.full)
+                .count() as f64,
+        )
     }
 
     /// How long it takes until this proxy has been asked for as much as there are servers: about the span
@@ -630,14 +806,23 @@
     fn judge(&mut self, k: usize, class: usize, outcome: Outcome, now: Millis) {
         let (good, full) = (outcome == Outcome::Served, outcome == Outcome::Full);
         let (meeting, proxies) = (self.meeting(), self.cfg.proxies);
-        let gain = if outcome == Outcome::ConnectFailed { DIAL_GAIN } else { FAIL_GAIN };
+        let gain = if outcome == Outcome::ConnectFailed {
+            DIAL_GAIN
+        } else {
+            FAIL_GAIN
+        };
         let s = &mut self.servers[k];
-        (s.progress, s.full) = if good { (now, s.full) } else { (s.progress, full) };
+        (s.progress, s.full) = if good {
+            (now, s.full)
+        } else {
+            (s.progress, full)
+        };
         let jitter = 0.75 + 0.5 * self.rng.f64();
         let (all, of_class) = (self.common[self.common.len() - 1], self.common[class]);
-        for (h, common, longer) in
-            [(&mut s.health, all, 1.0), (&mut s.by_class[class], of_class, CLASS_BACKOFF)]
-        {
+        for (h, common, longer) in [
+            (&mut s.health, all, 1.0),
+            (&mut s.by_class[class], of_class, CLASS_BACKOFF),
+        ] {
             let limit = fail_limit(common);
             average(&mut h.faulty, f64::from(u8::from(!good)), FAULT_SAMPLES);
             if good {
@@ -645,11 +830,19 @@
                 h.trial &= h.fails > limit / 2.0;
                 h.backoff = if h.trial { h.backoff } else { BACKOFF };
                 // An answer also lifts a closing that was mere slowness.
-                h.closed = if h.fails < limit { h.closed.min(now) } else { h.closed };
+                h.closed = if h.fails < limit {
+                    h.closed.min(now)
+                } else {
+                    h.closed
+                };
             } else {
                 h.fails += gain * (1.0 - h.fails);
                 if h.fails > limit && h.closed <= now {
-                    close(h, now, stretch(longer * h.backoff, meeting, proxies) * jitter);
+                    close(
+                        h,
+                        now,
+                        stretch(longer * h.backoff, meeting, proxies) * jitter,
+                    );
                 }
             }
         }
@@ -662,7 +855,9 @@
         let lone = self.cfg.may_tell && self.news < NEWS * self.mean && self.servers[k].held() == 0;
         let begin_by = self.bound(&self.requests[&id]).map(|(.., until)| until);
         self.begin(now, id, k, lone);
-        let cost = self.servers[k].budgeted().then(|| self.cost(k, &self.requests[&id]));
+        let cost = self.servers[k]
+            .budgeted()
+            .then(|| self.cost(k, &self.requests[&id]));
         let s = &mut self.servers[k];
         s.progress = if s.own == 0 { now } else { s.progress };
         s.own += 1;
@@ -672,7 +867,12 @@
         }
         let backend = s.info.id;
         let timeout = self.give_up(now, id, k);
-        out.push(Action::Send { request: id, backend, timeout, begin_by });
+        out.push(Action::Send {
+            request: id,
+            backend,
+            timeout,
+            begin_by,
+        });
         self.place(k, now);
     }
 
@@ -691,16 +891,33 @@
 
     /// A request that was still coming in has gone out whole: its time begins, and its server's work.
     fn whole(&mut self, now: Millis, id: RequestId, budget: Millis) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.whole) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.whole) else {
+            return;
+        };
         r.whole = true;
-        (r.aim, r.due) = (now + self.cfg.classes[r.class].aim.min(budget), now + budget);
-        r.attempts.iter_mut().filter(|a| !a.over).for_each(|a| a.sent = now);
+        (r.aim, r.due) = (
+            now + self.cfg.classes[r.class].aim.min(budget),
+            now + budget,
+        );
+        r.attempts
+            .iter_mut()
+            .filter(|a| !a.over)
+            .for_each(|a| a.sent = now);
     }
 
     /// The client owns an answer that has begun. Where its server has done its work, it is judged by that and
     /// is free for others; how fast a client reads says nothing of it.
-    fn started(&mut self, now: Millis, id: RequestId, attempt: usize, worked: bool, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+    fn started(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: usize,
+        worked: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.started = true;
         if let Some(a) = r.attempts.get(attempt).filter(|a| worked && !a.over) {
             let latency = now - a.sent;
@@ -710,16 +927,29 @@
 
     /// Takes in what an answer tells of its server's load.
     fn note(&mut self, id: RequestId, attempt: usize, load: Load) {
-        let attempt = self.requests.get_mut(&id).and_then(|r| r.attempts.get_mut(attempt));
+        let attempt = self
+            .requests
+            .get_mut(&id)
+            .and_then(|r| r.attempts.get_mut(attempt));
         attempt.into_iter().for_each(|a| a.load = load);
     }
 
     fn ended(
-        &mut self, now: Millis, id: RequestId, attempt: usize, latency: Millis, outcome: Outcome,
-        closed: bool, out: &mut Vec<Action>,
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: usize,
+        latency: Millis,
+        outcome: Outcome,
+        closed: bool,
+        out: &mut Vec<Action>,
     ) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get(attempt) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = r.attempts.get(attempt) else {
+            return;
+        };
         let (over, k, class) = (a.over, a.server, r.class);
         r.done |= closed;
         if over {
@@ -749,11 +979,20 @@
 
     /// Learns from how an attempt ended, and gives its slot to another.
     fn credit(
-        &mut self, now: Millis, id: RequestId, attempt: usize, latency: Millis, outcome: Outcome,
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: usize,
+        latency: Millis,
+        outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(attempt) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(attempt) else {
+            return;
+        };
         (a.over, a.ran) = (true, outcome.may_have_run());
         let (k, lone, load, silent, budgeted) = (a.server, a.lone, a.load, a.silent, a.budgeted);
         let (class, size, home) = (r.class, r.size, r.home);
@@ -761,15 +1000,21 @@
         self.silent -= usize::from(silent);
         self.budgeted -= usize::from(budgeted && !silent);
         if silent && matches!(outcome, Outcome::Served | Outcome::TimedOut) {
-            average(&mut self.lost, f64::from(u8::from(outcome == Outcome::TimedOut)), LOST_SAMPLES);
+            average(
+                &mut self.lost,
+                f64::from(u8::from(outcome == Outcome::TimedOut)),
+                LOST_SAMPLES,
+            );
         }
         if !silent && matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) {
             // Given up, yet it may still occupy the server: its slot stays taken until it plausibly ends.
-            self.ghosts.push_back((now + 2.0 * self.class_ms[class].0, k));
+            self.ghosts
+                .push_back((now + 2.0 * self.class_ms[class].0, k));
         } else {
             self.servers[k].own -= u32::from(!silent); // a silent one gave it back before
         }
-        self.success += (f64::from(u8::from(outcome == Outcome::Served)) - self.success) / CLASS_SAMPLES;
+        self.success +=
+            (f64::from(u8::from(outcome == Outcome::Served)) - self.success) / CLASS_SAMPLES;
         match outcome {
             Outcome::Served => {
                 if !budgeted {
@@ -791,11 +1036,26 @@
 
     /// Gives the final answer: a refusal where it surely had no effect, else a failure.
     fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.started) else { return };
-        let harmless = matches!(r.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.started) else {
+            return;
+        };
+        let harmless = matches!(
+            r.effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
         let harmless = harmless || !r.may_have_run();
-        let retry_after = self.cfg.retry_after.map(|most| self.queueing().clamp(self.mean.min(most), most));
-        let refuse = Action::Refuse { request: id, retry_after };
+        let retry_after = self
+            .cfg
+            .retry_after
+            .map(|most| self.queueing().clamp(self.mean.min(most), most));
+        let refuse = Action::Refuse {
+            request: id,
+            retry_after,
+        };
         out.push(if harmless { refuse } else { Action::Fail(id) });
         self.finish(id);
     }
@@ -804,8 +1064,14 @@
     /// different times.
     fn turn_away(&mut self, id: RequestId, wait: Millis, out: &mut Vec<Action>) {
         let spread = 1.0 + self.rng.f64();
-        let retry_after = self.cfg.retry_after.map(|most| wait.max(1.0).min(0.5 * most) * spread);
-        out.push(Action::Refuse { request: id, retry_after });
+        let retry_after = self
+            .cfg
+            .retry_after
+            .map(|most| wait.max(1.0).min(0.5 * most) * spread);
+        out.push(Action::Refuse {
+            request: id,
+            retry_after,
+        });
     }
 
     /// How long those who wait now will take to go out: a client that comes back sooner only lengthens it.
@@ -818,16 +1084,24 @@
     fn end(&self, r: &Request) -> Millis {
         let late = self.cfg.classes[r.class].late_worth > 0.0;
         let crowded = r.waiting && self.waiting > self.out();
-        if late && !crowded { r.due } else { r.aim.min(r.due) }
+        if late && !crowded {
+            r.due
+        } else {
+            r.aim.min(r.due)
+        }
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
-        out.push(Action::Timer { token: 0, at: now + TICK });
+        out.push(Action::Timer {
+            token: 0,
+            at: now + TICK,
+        });
         self.ticks += 1;
         self.settle(now, TICK);
         for q in 0..self.queues.len() {
             let late = |r: &Request| now + MARGIN.max(0.5 * self.usual(r)) > self.end(r);
-            let useless = |id: &RequestId| self.requests.get(id).is_some_and(|r| r.waiting && late(r));
+            let useless =
+                |id: &RequestId| self.requests.get(id).is_some_and(|r| r.waiting && late(r));
             let ids: Vec<RequestId> = self.queues[q].iter().copied().filter(useless).collect();
             ids.into_iter().for_each(|id| self.answer(id, out));
         }
@@ -846,18 +1120,26 @@
 
     /// Looks after a running request: is its server hung, is it still of use?
     fn watch(&mut self, now: Millis, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| r.whole) else { return }; // else none has begun it
+        let Some(r) = self.requests.get(&id).filter(|r| r.whole) else {
+            return;
+        }; // else none has begun it
         let usual = self.usual(r);
-        let patience =
-            |a: &Attempt| HANG * usual * self.servers[a.server].slow.0.max(1.0) / self.warmth(a.server, now);
+        let patience = |a: &Attempt| {
+            HANG * usual * self.servers[a.server].slow.0.max(1.0) / self.warmth(a.server, now)
+        };
         let silent = |a: &Attempt| !a.over && !a.silent && now - a.sent > patience(a);
         if let Some(i) = r.attempts.iter().position(silent) {
-            let (k, class, s) = (r.attempts[i].server, r.class, &self.servers[r.attempts[i].server]);
+            let (k, class, s) = (
+                r.attempts[i].server,
+                r.class,
+                &self.servers[r.attempts[i].server],
+            );
             // With nothing else there, its silence is all there is to go by: answers lost on a path that all
             // servers share look the same.
             let proves = s.own > 1 || self.common[self.common.len() - 1] < HANG_RARE;
             let meeting = self.meeting();
-            let hung = proves && s.health.closed <= now && now - s.progress > patience(&r.attempts[i]);
+            let hung =
+                proves && s.health.closed <= now && now - s.progress > patience(&r.attempts[i]);
             self.judge(k, class, Outcome::TimedOut, now);
             let s = &mut self.servers[k];
             if hung {
@@ -874,14 +1156,22 @@
         }
         let r = &self.requests[&id];
         if !r.done && !r.started && now + 1.5 * TICK > self.end(r) {
-            out.push(Action::Timer { token: id.0 + 1, at: self.end(r) - LEAST });
+            out.push(Action::Timer {
+                token: id.0 + 1,
+                at: self.end(r) - LEAST,
+            });
         }
     }
 
     /// For a keyed request that may have run: the server tried first, who drops repeats, and until when.
     fn bound(&self, r: &Request) -> Option<(usize, Group, Millis)> {
-        let Effect::Keyed { group, window } = r.effect else { return None };
-        r.attempts.iter().find(|a| a.ran).map(|a| (a.server, group, a.sent + window))
+        let Effect::Keyed { group, window } = r.effect else {
+            return None;
+        };
+        r.attempts
+            .iter()
+            .find(|a| a.ran)
+            .map(|a| (a.server, group, a.sent + window))
     }
 
     /// Whether another attempt is allowed, by the request's effect and the count of attempts.
@@ -897,7 +1187,11 @@
     fn settle(&mut self, now: Millis, tick: Millis) {
         let span = now - self.rate_at;
         if span >= 10.0 * tick {
-            let gain = if self.rate == 0.0 { 1.0 } else { 1.0 - (-span / RATE_SPAN).exp() };
+            let gain = if self.rate == 0.0 {
+                1.0
+            } else {
+                1.0 - (-span / RATE_SPAN).exp()
+            };
             self.rate += gain * (self.arrivals / span - self.rate);
             (self.arrivals, self.rate_at) = (0.0, now);
         }
@@ -911,8 +1205,13 @@
             self.place(k, now);
         }
         for from in 0..self.peers.len() {
-            if self.peers[from].as_ref().is_some_and(|p| now - p.heard > STALE) {
-                self.unhear(from).into_iter().for_each(|k| self.place(k, now));
+            if self.peers[from]
+                .as_ref()
+                .is_some_and(|p| now - p.heard > STALE)
+            {
+                self.unhear(from)
+                    .into_iter()
+                    .for_each(|k| self.place(k, now));
             }
         }
     }
@@ -933,25 +1232,46 @@
         (self.mean_room, self.pace) = (rooms / many, self.mean * slow / many);
         let pools = self.pools();
         let short = self.waiting > 0 && !pools;
-        for kind in self.kinds.iter_mut().filter(|k| k.slow.1 >= 3.0 * KIND_WEIGHT) {
+        for kind in self
+            .kinds
+            .iter_mut()
+            .filter(|k| k.slow.1 >= 3.0 * KIND_WEIGHT)
+        {
             // Overfilled servers are slow all alike and look as if they had more cores: against that jam a
             // kind whose latency has left its calm level gets fewer slots until it is back.
             let latency = kind.slow.0 * self.mean;
-            kind.throttle = if kind.calm.is_finite() { kind.throttle } else { 1.0 }; // at last measured
+            kind.throttle = if kind.calm.is_finite() {
+                kind.throttle
+            } else {
+                1.0
+            }; // at last measured
             // What ends first is short and may pass for calm. With one slot on each server no request crowds
             // another: what they take then is calm.
             let alone = !pools && FULLNESS * kind.throttle * kind.cores <= 1.0;
             kind.calm = latency.min(kind.calm * if alone { ALONE_CREEP } else { CALM_CREEP });
-            kind.core = if kind.lone.1 >= KIND_WEIGHT { kind.lone.0 } else { kind.calm };
+            kind.core = if kind.lone.1 >= KIND_WEIGHT {
+                kind.lone.0
+            } else {
+                kind.calm
+            };
             let calm = kind.calm.max(kind.core * (1.0 + 0.5 / kind.cores));
             let grow = if short { THROTTLE_STEP } else { 1.02 };
             let step = (CROWDED * calm / latency).clamp(0.95, grow);
             // A size tells little of how many requests a machine can hold. While some wait here and its
             // kind is calm, it is given more; what it has been given it keeps while it stays calm.
-            let most = if short { THROTTLE_MOST } else { kind.throttle.max(1.0) };
+            let most = if short {
+                THROTTLE_MOST
+            } else {
+                kind.throttle.max(1.0)
+            };
             kind.throttle = (kind.throttle * step).clamp(THROTTLE_MIN, most);
         }
-        self.slowest = self.kinds.iter().map(|k| k.core).filter(|c| c.is_finite()).fold(0.0, f64::max);
+        self.slowest = self
+            .kinds
+            .iter()
+            .map(|k| k.core)
+            .filter(|c| c.is_finite())
+            .fold(0.0, f64::max);
         self.note_common(KIND_WEIGHT);
         let (up, ill) = self.census(now);
         self.doubt = ill > ALL_ILL * up || ill > DISTRUST * up && self.success < DISTRUST;
@@ -992,7 +1312,16 @@
         if cfg.classes.len() < old.classes.len() || cfg.tenants.len() < old.tenants.len() {
             return; // numbers would change their meaning under requests that have them
         }
-        self.cfg = Settings { me, proxies, zone, discovery, rating, warm_keys, may_tell, ..cfg };
+        self.cfg = Settings {
+            me,
+            proxies,
+            zone,
+            discovery,
+            rating,
+            warm_keys,
+            may_tell,
+            ..cfg
+        };
         self.longest_aim = self.cfg.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
         self.resize(now);
     }
@@ -1003,7 +1332,9 @@
             return;
         }
         for from in proxies as usize..self.peers.len() {
-            self.unhear(from).into_iter().for_each(|k| self.place(k, now));
+            self.unhear(from)
+                .into_iter()
+                .for_each(|k| self.place(k, now));
         }
         self.peers.resize_with(proxies as usize, || None);
         self.zones.resize(proxies as usize, None);
@@ -1039,7 +1370,8 @@
 
     /// Takes in what another proxy tells.
     fn hear(&mut self, now: Millis, from: usize, bytes: &[u8]) {
-        let Some((zone, blames, holds)) = unpack(bytes, &self.names).filter(|_| from < self.peers.len())
+        let Some((zone, blames, holds)) =
+            unpack(bytes, &self.names).filter(|_| from < self.peers.len())
         else {
             return;
         };
@@ -1052,12 +1384,18 @@
         if std::mem::replace(&mut self.zones[from], zone) != zone {
             self.servers.iter_mut().for_each(|s| s.owned = None);
         }
-        self.peers[from] = Some(Peer { heard: now, holds, blames });
+        self.peers[from] = Some(Peer {
+            heard: now,
+            holds,
+            blames,
+        });
     }
 
     /// Takes back what a peer told before; returns the servers where it held something.
     fn unhear(&mut self, from: usize) -> Vec<usize> {
-        let Some(p) = self.peers[from].take() else { return Vec::new() };
+        let Some(p) = self.peers[from].take() else {
+            return Vec::new();
+        };
         p.blames.iter().for_each(|&k| self.servers[k].blame -= 1);
         p.holds.iter().for_each(|&k| self.servers[k].peers -= 1);
         p.holds
--- a/crates/wharfhitch/src/interface.rs
+++ b/crates/wharfhitch/src/interface.rs
@@ -248,7 +248,9 @@
     /// How many requests there were to one of so many cores; none if nothing was told. Where only those that
     /// wait are told, each core is taken to have one in work.
     pub fn per_core(self, cores: f64) -> Option<f64> {
-        self.in_hand.map(|n| n / cores).or(self.waiting.map(|n| if n > 0.0 { 1.0 + n / cores } else { 0.0 }))
+        self.in_hand.map(|n| n / cores).or(self
+            .waiting
+            .map(|n| if n > 0.0 { 1.0 + n / cores } else { 0.0 }))
     }
 }
 
--- a/crates/wharfhitch/src/message.rs
+++ b/crates/wharfhitch/src/message.rs
@@ -14,7 +14,11 @@
 pub(crate) fn pack(zone: Option<ZoneId>, servers: &[Server], now: Millis) -> Vec<u8> {
     let name = |s: &Server| short(s.info.id).to_le_bytes();
     let mut bytes = vec![VERSION, zone.map_or(u8::MAX, |z| z.0 as u8), 0];
-    for s in servers.iter().filter(|s| s.health.closed > now && s.told.is_none()).take(30) {
+    for s in servers
+        .iter()
+        .filter(|s| s.health.closed > now && s.told.is_none())
+        .take(30)
+    {
         bytes.extend(name(s));
         bytes[2] += 1;
     }
@@ -28,7 +32,8 @@
 
 /// Unpacks a message: the sender's zone, what it blames, what it holds.
 pub(crate) fn unpack(
-    bytes: &[u8], names: &FxHashMap<u16, usize>,
+    bytes: &[u8],
+    names: &FxHashMap<u16, usize>,
 ) -> Option<(Option<ZoneId>, Vec<usize>, Vec<usize>)> {
     if bytes.len() < HEAD || bytes[0] != VERSION {
         return None;
@@ -37,7 +42,11 @@
     let (mut blames, mut holds) = (Vec::new(), Vec::new());
     for (i, pair) in bytes[HEAD..].chunks_exact(2).enumerate() {
         if let Some(&k) = names.get(&u16::from_le_bytes([pair[0], pair[1]])) {
-            if i < usize::from(bytes[2]) { blames.push(k) } else { holds.push(k) }
+            if i < usize::from(bytes[2]) {
+                blames.push(k)
+            } else {
+                holds.push(k)
+            }
         }
     }
     Some((zone, blames, holds))
--- a/crates/wharfhitch/src/records.rs
+++ b/crates/wharfhitch/src/records.rs
@@ -17,7 +17,13 @@
 impl Health {
     /// Nothing is held against a server.
     pub fn clean(now: Millis, backoff: Millis) -> Self {
-        Health { fails: 0.0, faulty: (0.0, 0.0), closed: now, backoff, trial: false }
+        Health {
+            fails: 0.0,
+            faulty: (0.0, 0.0),
+            closed: now,
+            backoff,
+            trial: false,
+        }
     }
 }
 
@@ -25,32 +31,32 @@
 pub(crate) struct Server {
     pub info: Backend,
     pub told: Option<Millis>,  // when its drain or end was told
-    pub own: u32,              // this proxy's attempts there, those given up but plausibly running included
-    pub peers: u32,            // attempts of other proxies, as told by them
-    pub blame: u32,            // other proxies that hold it for ill
-    pub slow: (f64, f64),      // mean latency relative to its classes' means over the fleet, and its weight
-    pub health: Health,        // as a whole
+    pub own: u32, // this proxy's attempts there, those given up but plausibly running included
+    pub peers: u32, // attempts of other proxies, as told by them
+    pub blame: u32, // other proxies that hold it for ill
+    pub slow: (f64, f64), // mean latency relative to its classes' means over the fleet, and its weight
+    pub health: Health,   // as a whole
     pub by_class: Vec<Health>, // and for each class
-    pub full: bool,            // its last failure was mere fullness
-    pub progress: Millis,      // last answer, or the send that ended its idleness
-    pub restarted: bool,       // the list has just told of a new process
-    pub fresh: bool,           // seen within its cold span: budgeted
-    pub tokens: f64,           // sends that a cold server's budget still allows
+    pub full: bool,       // its last failure was mere fullness
+    pub progress: Millis, // last answer, or the send that ended its idleness
+    pub restarted: bool,  // the list has just told of a new process
+    pub fresh: bool,      // seen within its cold span: budgeted
+    pub tokens: f64,      // sends that a cold server's budget still allows
     pub tokens_at: Millis,
-    pub grant: f64,                // the most that a request may take of it for one send
-    pub kind: usize,               // its kind of machine; 0 if none is told
-    pub cores: f64,                // its cores, as its size tells
-    pub room: f64,                 // slots for all proxies together
-    pub mine: f64,                 // those of them that are this proxy's own
+    pub grant: f64,  // the most that a request may take of it for one send
+    pub kind: usize, // its kind of machine; 0 if none is told
+    pub cores: f64,  // its cores, as its size tells
+    pub room: f64,   // slots for all proxies together
+    pub mine: f64,   // those of them that are this proxy's own
     pub owned: Option<(u32, u32)>, // of so many slots, how many are this proxy's own by the hash
-    pub band: usize,               // the speed band of that cost
-    pub warmth: f64,               // part of its capacity that it surely has
-    pub cost: f64,                 // expected latency relative to the fleet's mean, crossing included
-    pub weight: f64,               // inverse weight in the choice of a key's home
+    pub band: usize, // the speed band of that cost
+    pub warmth: f64, // part of its capacity that it surely has
+    pub cost: f64,   // expected latency relative to the fleet's mean, crossing included
+    pub weight: f64, // inverse weight in the choice of a key's home
     pub line: VecDeque<RequestId>, // waiting requests of its keys, some perhaps no longer
-    pub helps: bool,               // open though cold
-    pub free: bool,                // a request of its keys may come
-    pub wanted: u32,               // waiting requests whose key is at home here
+    pub helps: bool, // open though cold
+    pub free: bool,  // a request of its keys may come
+    pub wanted: u32, // waiting requests whose key is at home here
 }
 
 impl Server {
@@ -168,7 +174,14 @@
 
 impl Request {
     /// One that waits for its first attempt, and what may be done for it.
-    pub fn new(class: usize, effect: Effect, most: u32, size: f64, key: u64, home: Option<usize>) -> Self {
+    pub fn new(
+        class: usize,
+        effect: Effect,
+        most: u32,
+        size: f64,
+        key: u64,
+        home: Option<usize>,
+    ) -> Self {
         Request {
             class,
             effect,
--- a/crates/wharfhitch/src/standing.rs
+++ b/crates/wharfhitch/src/standing.rs
@@ -9,7 +9,12 @@
 
 fn ejection(h: &Health, now: Millis) -> Option<Ejection> {
     let something = h.closed > now || h.trial || h.fails > SOME;
-    something.then_some(Ejection { fails: h.fails, until: h.closed, backoff: h.backoff, trial: h.trial })
+    something.then_some(Ejection {
+        fails: h.fails,
+        until: h.closed,
+        backoff: h.backoff,
+        trial: h.trial,
+    })
 }
 
 fn put(h: &mut Health, e: &Ejection) {
@@ -26,11 +31,24 @@
             let whole = ejection(&s.health, now);
             let age = s.info.since.map(|since| now - since);
             let cold = age.filter(|age| s.fresh && *age < self.cfg.limits.cold);
-            let cold = cold.map(|_| ColdBudget { tokens: s.tokens, at: s.tokens_at, grant: s.grant });
+            let cold = cold.map(|_| ColdBudget {
+                tokens: s.tokens,
+                at: s.tokens_at,
+                grant: s.grant,
+            });
             let some = whole.is_some() || !classes.is_empty() || cold.is_some();
-            some.then_some(ServerStanding { id: s.info.id, since: s.info.since, whole, classes, cold })
+            some.then_some(ServerStanding {
+                id: s.info.id,
+                since: s.info.since,
+                whole,
+                classes,
+                cold,
+            })
         };
-        Standing { proxies: self.cfg.proxies, servers: listed.filter_map(server).collect() }
+        Standing {
+            proxies: self.cfg.proxies,
+            servers: listed.filter_map(server).collect(),
+        }
     }
 
     /// Takes over what another module knew of servers that this one has just been told of; returns these.
@@ -39,7 +57,9 @@
         let part = f64::from(standing.proxies.max(1)) / f64::from(self.cfg.proxies.max(1));
         let mut told = Vec::new();
         for known in &standing.servers {
-            let Some(&k) = self.index.get(&known.id) else { continue };
+            let Some(&k) = self.index.get(&known.id) else {
+                continue;
+            };
             let s = &mut self.servers[k];
             if s.info.since != known.since {
                 continue; // another process: nothing is known of it
@@ -53,7 +73,8 @@
                 }
             }
             if let (Some(cold), true) = (known.cold, s.fresh) {
-                (s.tokens, s.tokens_at, s.grant) = (cold.tokens * part.min(1.0), cold.at, cold.grant);
+                (s.tokens, s.tokens_at, s.grant) =
+                    (cold.tokens * part.min(1.0), cold.at, cold.grant);
             }
             told.push(k);
         }
--- a/crates/wharfhitch/src/state.rs
+++ b/crates/wharfhitch/src/state.rs
@@ -25,25 +25,25 @@
     pub(crate) queues: Queues,
     pub(crate) waiting: usize,
     pub(crate) running: Vec<RequestId>,
-    pub(crate) silent: usize,    // those of them that have been out for too long
-    pub(crate) budgeted: usize,  // those of the others whose server was cold
-    pub(crate) helpers: usize,   // open servers that are cold
+    pub(crate) silent: usize, // those of them that have been out for too long
+    pub(crate) budgeted: usize, // those of the others whose server was cold
+    pub(crate) helpers: usize, // open servers that are cold
     pub(crate) lost: (f64, f64), // part of silent attempts that was never answered, and its weight
     pub(crate) ghosts: VecDeque<(Millis, usize)>, // slots of attempts given up, and until when they stay taken
     pub(crate) class_ms: Vec<(f64, f64)>,         // mean latency by class, and its weight
     pub(crate) kinds: Vec<Kind>,
     pub(crate) longest_aim: Millis,
     pub(crate) blocked: Vec<f64>, // part of the servers that is closed to a class alone
-    pub(crate) common: Vec<f64>,  // part of attempts that fails at sound servers: of each class, then of all
+    pub(crate) common: Vec<f64>, // part of attempts that fails at sound servers: of each class, then of all
     pub(crate) spread: (f64, f64), // mean square of latency over its expected value, and its weight
-    pub(crate) window: f64,       // requests that this proxy may have out where it shares all servers
-    pub(crate) mean_room: f64,    // slots of a mean listed server
-    pub(crate) listed: u32,       // servers that take work, as far as the list says
-    pub(crate) pace: Millis,      // mean latency at a mean listed server
-    pub(crate) mean: Millis,      // mean latency over all classes
-    pub(crate) slowest: f64,      // calm latency of the slowest kind
-    pub(crate) rating: f64,       // sum of the ratings of listed servers
-    pub(crate) gain: f64,         // how much faster a warm server is
+    pub(crate) window: f64, // requests that this proxy may have out where it shares all servers
+    pub(crate) mean_room: f64, // slots of a mean listed server
+    pub(crate) listed: u32, // servers that take work, as far as the list says
+    pub(crate) pace: Millis, // mean latency at a mean listed server
+    pub(crate) mean: Millis, // mean latency over all classes
+    pub(crate) slowest: f64, // calm latency of the slowest kind
+    pub(crate) rating: f64, // sum of the ratings of listed servers
+    pub(crate) gain: f64,   // how much faster a warm server is
     pub(crate) temper: [(f64, f64); 2], // mean relative latency away from home and at home, and its weight
     pub(crate) arrivals: f64,
     pub(crate) rate: f64, // arrivals per ms
@@ -66,7 +66,10 @@
 
 impl Balancer {
     pub(crate) fn enqueue(&mut self, id: RequestId, first: bool) {
-        let r = self.requests.get_mut(&id).expect("only known requests wait");
+        let r = self
+            .requests
+            .get_mut(&id)
+            .expect("only known requests wait");
         r.waiting = true;
         self.waiting += 1;
         if let Some(h) = r.home {
@@ -74,20 +77,29 @@
             self.servers[h].line.push_back(id);
         }
         let queue = &mut self.queues[r.class * 2 + usize::from(r.over_share)];
-        if first { queue.push_front(id) } else { queue.push_back(id) }
+        if first {
+            queue.push_front(id)
+        } else {
+            queue.push_back(id)
+        }
     }
 
     /// The request at a place of a queue, those that no longer wait left out.
     pub(crate) fn waiting_at(&mut self, q: usize, place: usize) -> Option<RequestId> {
         let queue = &mut self.queues[q];
-        while queue.get(place).is_some_and(|id| self.requests.get(id).is_none_or(|r| !r.waiting)) {
+        while queue
+            .get(place)
+            .is_some_and(|id| self.requests.get(id).is_none_or(|r| !r.waiting))
+        {
             queue.remove(place);
         }
         queue.get(place).copied()
     }
 
     pub(crate) fn dequeue(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.waiting) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.waiting) else {
+            return;
+        };
         r.waiting = false;
         self.waiting -= 1;
         if let Some(h) = r.home {
@@ -99,9 +111,21 @@
     pub(crate) fn begin(&mut self, now: Millis, id: RequestId, server: usize, lone: bool) {
         self.dequeue(id);
         let budgeted = self.servers[server].budgeted();
-        let r = self.requests.get_mut(&id).expect("only known requests are sent");
+        let r = self
+            .requests
+            .get_mut(&id)
+            .expect("only known requests are sent");
         let (over, ran, silent, load) = (false, true, false, Load::default());
-        r.attempts.push(Attempt { server, sent: now, over, ran, lone, load, budgeted, silent });
+        r.attempts.push(Attempt {
+            server,
+            sent: now,
+            over,
+            ran,
+            lone,
+            load,
+            budgeted,
+            silent,
+        });
         self.budgeted += usize::from(budgeted);
         self.running.push(id);
     }
@@ -109,7 +133,9 @@
     /// Forgets a request that has its answer, once all its attempts have been heard of.
     pub(crate) fn finish(&mut self, id: RequestId) {
         self.dequeue(id);
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.done = true;
         if !r.running() {
             self.requests.remove(&id);
@@ -128,7 +154,8 @@
         let (classes, backoff) = (self.cfg.classes.len(), self.start.backoff);
         self.queues.resize_with(classes * 2, VecDeque::new);
         let known = self.class_ms.len();
-        self.class_ms.extend(self.cfg.classes[known..].iter().map(|c| (c.aim / 4.0, 0.0)));
+        self.class_ms
+            .extend(self.cfg.classes[known..].iter().map(|c| (c.aim / 4.0, 0.0)));
         self.blocked.resize(classes, 0.0);
         let all = self.common.pop().unwrap_or(0.0);
         self.common.resize(classes, 0.0);
@@ -149,14 +176,27 @@
 
     /// Notes a line of the server list; returns the server.
     fn record(&mut self, now: Millis, mut e: Backend) -> usize {
-        e.rating = if e.rating.is_finite() && e.rating > 0.0 { e.rating } else { 1.0 };
+        e.rating = if e.rating.is_finite() && e.rating > 0.0 {
+            e.rating
+        } else {
+            1.0
+        };
         let k = *self.index.entry(e.id).or_insert(self.servers.len());
         if k == self.servers.len() {
             self.names.insert(short(e.id), k);
-            self.servers.push(Server::new(e.clone(), self.cfg.classes.len(), now, self.start.backoff));
+            self.servers.push(Server::new(
+                e.clone(),
+                self.cfg.classes.len(),
+                now,
+                self.start.backoff,
+            ));
         }
         let s = &mut self.servers[k];
-        s.told = if e.state == State::Up { None } else { s.told.or(Some(now)) };
+        s.told = if e.state == State::Up {
+            None
+        } else {
+            s.told.or(Some(now))
+        };
         s.restarted |= s.info.since != e.since || e.since.is_some() && !s.fresh;
         s.kind = e.kind.map_or(0, |k| k.0 as usize + 1);
         let kinds = self.kinds.len().max(s.kind + 1);
@@ -168,7 +208,12 @@
     }
 
     /// Notes the lines of a list; returns their servers, and with a full list those that have left too.
-    pub(crate) fn record_all(&mut self, now: Millis, full: bool, entries: Vec<Backend>) -> Vec<usize> {
+    pub(crate) fn record_all(
+        &mut self,
+        now: Millis,
+        full: bool,
+        entries: Vec<Backend>,
+    ) -> Vec<usize> {
         let mut listed: Vec<usize> = entries.into_iter().map(|e| self.record(now, e)).collect();
         if full {
             let mut left = vec![true; self.servers.len()];
--- a/crates/wharfhitch/tests/cold.rs
+++ b/crates/wharfhitch/tests/cold.rs
@@ -58,7 +58,11 @@
         let mut chance = fastrand::Rng::with_seed(p.seed * 1_000_003 + u64::from(me));
         let knows = (p.knows)(me);
         let told = if knows == Knows::Alone { 1 } else { p.proxies };
-        let settings = Settings { me: if told == 1 { 0 } else { me }, limits: p.limits, ..settings(told) };
+        let settings = Settings {
+            me: if told == 1 { 0 } else { me },
+            limits: p.limits,
+            ..settings(told)
+        };
         let warm: Vec<Backend> = (0..p.warm).map(server).collect();
         let begin = match knows {
             Knows::Later(after) => after,
@@ -66,14 +70,20 @@
         };
         let all = |now: Millis| {
             let since = Some(now - begin as f64);
-            let cold = (0..p.cold).map(|k| Backend { since, ..server(1000 + k) });
+            let cold = (0..p.cold).map(|k| Backend {
+                since,
+                ..server(1000 + k)
+            });
             warm.iter().cloned().chain(cold).collect::<Vec<_>>()
         };
         let mut hand = if matches!(knows, Knows::All | Knows::Alone) {
             let mut hand = Hand::seeded(settings, warm.clone(), chance.u64(..));
             learn(&mut hand, &mut chance);
             if told != p.proxies {
-                hand.give(Event::Proxies { me, proxies: p.proxies });
+                hand.give(Event::Proxies {
+                    me,
+                    proxies: p.proxies,
+                });
             }
             let now = hand.now;
             hand.give(full(all(now)));
@@ -156,7 +166,13 @@
 }
 
 fn limits(start_capacity: f64, cold: Millis, fall_multiple: f64, fall: Millis) -> Limits {
-    Limits { start_capacity, cold, fall_multiple, fall, max_attempts: 4 }
+    Limits {
+        start_capacity,
+        cold,
+        fall_multiple,
+        fall,
+        max_attempts: 4,
+    }
 }
 
 /// Plays all traffics under all limits with so many proxies.
@@ -169,10 +185,23 @@
     let (mut broken, mut largest) = (Vec::new(), 0.0_f64);
     for &proxies in proxies {
         for (n, limits) in all.into_iter().enumerate() {
-            for traffic in [Traffic::Even, Traffic::Burst(9000), Traffic::Skewed, Traffic::Heavy] {
+            for traffic in [
+                Traffic::Even,
+                Traffic::Burst(9000),
+                Traffic::Skewed,
+                Traffic::Heavy,
+            ] {
                 for seed in 0..(60 / u64::from(proxies)).clamp(1, 4) {
                     let (warm, cold) = (1, 3);
-                    let p = Play { proxies, warm, cold, limits, traffic, knows, seed };
+                    let p = Play {
+                        proxies,
+                        warm,
+                        cold,
+                        limits,
+                        traffic,
+                        knows,
+                        seed,
+                    };
                     let (part, at, budget) = worst(&p, &play(&p));
                     largest = part.max(largest);
                     if part > 1.0 {
@@ -185,7 +214,10 @@
         }
     }
     assert!(broken.is_empty(), "{}", broken.join("\n"));
-    assert!(largest > 0.4, "{largest}: what is played asks little of them");
+    assert!(
+        largest > 0.4,
+        "{largest}: what is played asks little of them"
+    );
 }
 
 #[test]
@@ -195,7 +227,13 @@
 
 #[test]
 fn proxies_of_which_most_have_just_started_stay_within_it() {
-    holds(&[5, 20, 30, 300], |me| if me % 10 < 3 { Knows::All } else { Knows::Nothing });
+    holds(&[5, 20, 30, 300], |me| {
+        if me % 10 < 3 {
+            Knows::All
+        } else {
+            Knows::Nothing
+        }
+    });
 }
 
 #[test]
@@ -205,5 +243,11 @@
 
 #[test]
 fn proxies_that_hear_late_of_each_other_stay_within_it() {
-    holds(&[5, 20, 30], |me| if me % 2 == 0 { Knows::Alone } else { Knows::All });
+    holds(&[5, 20, 30], |me| {
+        if me % 2 == 0 {
+            Knows::Alone
+        } else {
+            Knows::All
+        }
+    });
 }
