--- a/crates/wharfhitch/tests/common/mod.rs
+++ b/crates/wharfhitch/tests/common/mod.rs
@@ -4,10 +4,20 @@
 use wharfhitch::*;
 
 pub fn class(effect: Effect, aim: Millis) -> Class {
-    Class { aim, deadline: 2.5 * aim, aim_stretch: 0.0, worth: 1.0, late_worth: 0.0, effect }
+    Class {
+        aim,
+        deadline: 2.5 * aim,
+        aim_stretch: 0.0,
+        worth: 1.0,
+        late_worth: 0.0,
+        effect,
+    }
 }
 
-pub const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 2000.0 };
+pub const KEYED: Effect = Effect::Keyed {
+    group: Group::Cell,
+    window: 2000.0,
+};
 
 /// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that tell the size.
 pub fn settings(proxies: u32) -> Settings {
@@ -15,7 +25,11 @@
         me: 0,
         proxies,
         zone: Some(ZoneId(0)),
-        classes: vec![class(Effect::Safe, 800.0), class(Effect::Unsafe, 1200.0), class(KEYED, 800.0)],
+        classes: vec![
+            class(Effect::Safe, 800.0),
+            class(Effect::Unsafe, 1200.0),
+            class(KEYED, 800.0),
+        ],
         tenants: vec![],
         over_share_worth: 0.1,
         worth_by_work: false,
@@ -48,7 +62,10 @@
 }
 
 pub fn full(entries: Vec<Backend>) -> Event {
-    Event::List { scope: Scope::Full, entries }
+    Event::List {
+        scope: Scope::Full,
+        entries,
+    }
 }
 
 pub fn request(id: u64, class: usize, budget: Millis) -> Event {
@@ -65,7 +82,13 @@
 
 pub fn ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
     let closed = outcome == Outcome::Served;
-    Event::Ended { request: RequestId(id), attempt, latency, outcome, closed }
+    Event::Ended {
+        request: RequestId(id),
+        attempt,
+        latency,
+        outcome,
+        closed,
+    }
 }
 
 /// A Balancer whose timers are kept and fired by hand.
@@ -86,7 +109,13 @@
 
     pub fn seeded(settings: Settings, servers: Vec<Backend>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed);
-        let mut hand = Hand { balancer, now: 1000.0, keys: 0, load: |_| Load::default(), timers: vec![] };
+        let mut hand = Hand {
+            balancer,
+            now: 1000.0,
+            keys: 0,
+            load: |_| Load::default(),
+            timers: vec![],
+        };
         hand.give(full(servers));
         hand
     }
@@ -125,7 +154,10 @@
     /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` of one depends on its server and on
     /// how many are there already. Returns request and server of each send, and the servers of those still out.
     pub fn drive(
-        &mut self, span: u64, every: u64, latency: impl Fn(u64, usize) -> Millis,
+        &mut self,
+        span: u64,
+        every: u64,
+        latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(u64, u64)>, Vec<u64>) {
         let (all, still) = self.drive_timed(span, every, latency);
         (all.into_iter().map(|(_, id, to)| (id, to)).collect(), still)
@@ -133,7 +165,10 @@
 
     /// The same, with the time of each send.
     pub fn drive_timed(
-        &mut self, span: u64, every: u64, latency: impl Fn(u64, usize) -> Millis,
+        &mut self,
+        span: u64,
+        every: u64,
+        latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(Millis, u64, u64)>, Vec<u64>) {
         let mut all = vec![];
         let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // until when, and its latency
@@ -153,7 +188,11 @@
             for (id, _, _, latency) in over {
                 let load = (self.load)(answers);
                 answers += 1;
-                actions.extend(self.give(Event::Load { request: RequestId(id), attempt: 0, load }));
+                actions.extend(self.give(Event::Load {
+                    request: RequestId(id),
+                    attempt: 0,
+                    load,
+                }));
                 actions.extend(self.give(ended(id, 0, latency, Outcome::Served)));
             }
             for (id, to) in sends(&actions) {
@@ -182,7 +221,9 @@
 /// Request and server of each send.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
-        Action::Send { request, backend, .. } => Some((request.0, backend.0)),
+        Action::Send {
+            request, backend, ..
+        } => Some((request.0, backend.0)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -215,7 +256,14 @@
 impl Checker {
     pub fn new(settings: Settings, work: Millis) -> Self {
         let (servers, owed, cold, breaches) = Default::default();
-        Checker { settings, servers, owed, cold, work, breaches }
+        Checker {
+            settings,
+            servers,
+            owed,
+            cold,
+            work,
+            breaches,
+        }
     }
 
     /// The proxy was killed: nothing is owed any more.
@@ -230,12 +278,23 @@
 
     pub fn event(&mut self, now: Millis, event: &Event) {
         match event {
-            Event::List { scope: Scope::Failed, .. } => {}
+            Event::List {
+                scope: Scope::Failed,
+                ..
+            } => {}
             Event::List { scope, entries } => {
                 for e in entries {
                     let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == State::Up { None } else { old.or(Some(now)) };
-                    if self.servers.get(&e.id.0).is_some_and(|s| s.0.since != e.since) {
+                    let told = if e.state == State::Up {
+                        None
+                    } else {
+                        old.or(Some(now))
+                    };
+                    if self
+                        .servers
+                        .get(&e.id.0)
+                        .is_some_and(|s| s.0.since != e.since)
+                    {
                         self.cold.remove(&e.id.0); // a new process has its own budget
                     }
                     self.servers.insert(e.id.0, (e.clone(), told));
@@ -248,11 +307,24 @@
                     }
                 }
             }
-            Event::Request { id, class, budget, .. } => {
-                let owed = Owed { class: class.0, due: now + budget, sent: vec![], answered: false };
+            Event::Request {
+                id, class, budget, ..
+            } => {
+                let owed = Owed {
+                    class: class.0,
+                    due: now + budget,
+                    sent: vec![],
+                    answered: false,
+                };
                 self.owed.insert(id.0, owed);
             }
-            Event::Ended { request, attempt, outcome, closed, .. } => {
+            Event::Ended {
+                request,
+                attempt,
+                outcome,
+                closed,
+                ..
+            } => {
                 if let Some(o) = self.owed.get_mut(&request.0) {
                     o.answered |= closed;
                     if let Some(s) = o.sent.get_mut(*attempt as usize) {
@@ -271,14 +343,19 @@
 
     pub fn action(&mut self, now: Millis, action: &Action) {
         match action {
-            Action::Send { request, backend, .. } => self.sent(now, request.0, backend.0),
+            Action::Send {
+                request, backend, ..
+            } => self.sent(now, request.0, backend.0),
             Action::Refuse { request, .. } => {
                 let Some(o) = self.owed.get(&request.0) else {
                     return self.breach(now, format!("refused {request:?}, which is not held"));
                 };
                 let ran = o.sent.iter().any(|s| !s.over || s.ran);
                 let allowed = match self.settings.classes[o.class].effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                    Effect::Safe
+                    | Effect::Keyed {
+                        group: Group::All, ..
+                    } => true,
                     _ => !ran,
                 };
                 if !allowed {
@@ -342,7 +419,12 @@
         }
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
         texts.into_iter().for_each(|t| self.breach(now, t));
-        self.owed.get_mut(&id).unwrap().sent.push(Sent { server: to, at: now, over: false, ran: true });
+        self.owed.get_mut(&id).unwrap().sent.push(Sent {
+            server: to,
+            at: now,
+            over: false,
+            ran: true,
+        });
         if let Some(since) = server.since.filter(|s| now - s < limits.cold) {
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
@@ -354,7 +436,10 @@
             let alike = f64::from(self.settings.proxies);
             let push = (sent.len() as f64 - 1.0) * alike * self.work;
             if push > budget {
-                self.breach(now, format!("pushed cold {to}: {push:.0} ms of work against {budget:.0}"));
+                self.breach(
+                    now,
+                    format!("pushed cold {to}: {push:.0} ms of work against {budget:.0}"),
+                );
             }
         }
     }
@@ -362,12 +447,17 @@
     /// Looks for answers overdue.
     pub fn look(&mut self, now: Millis) {
         let slack = 20.0;
-        let late: Vec<u64> =
-            self.owed.iter().filter(|(_, o)| !o.answered && now > o.due + slack).map(|(id, _)| *id).collect();
+        let late: Vec<u64> = self
+            .owed
+            .iter()
+            .filter(|(_, o)| !o.answered && now > o.due + slack)
+            .map(|(id, _)| *id)
+            .collect();
         for id in late {
             self.owed.get_mut(&id).unwrap().answered = true;
             self.breach(now, format!("no answer for {id} in time"));
         }
-        self.owed.retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
+        self.owed
+            .retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
     }
 }
--- a/crates/wharfhitch/tests/decision_trace.rs
+++ b/crates/wharfhitch/tests/decision_trace.rs
@@ -35,14 +35,22 @@
         self.number(proxy as u64);
         self.float(now);
         match action {
-            Action::Send { request, backend, timeout, begin_by } => {
+            Action::Send {
+                request,
+                backend,
+                timeout,
+                begin_by,
+            } => {
                 self.byte(1);
                 self.number(request.0);
                 self.number(backend.0);
                 self.optional(*timeout);
                 self.optional(*begin_by);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.byte(2);
                 self.number(request.0);
                 self.optional(*retry_after);
@@ -108,16 +116,30 @@
 }
 
 fn class(effect: Effect, aim: Millis) -> Class {
-    Class { aim, deadline: 2.5 * aim, aim_stretch: 0.0, worth: 1.0, late_worth: 0.0, effect }
+    Class {
+        aim,
+        deadline: 2.5 * aim,
+        aim_stretch: 0.0,
+        worth: 1.0,
+        late_worth: 0.0,
+        effect,
+    }
 }
 
 fn base(proxies: u32) -> Settings {
-    let keyed = Effect::Keyed { group: Group::Cell, window: 900.0 };
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: 900.0,
+    };
     Settings {
         me: 0,
         proxies,
         zone: Some(ZoneId(0)),
-        classes: vec![class(Effect::Safe, 400.0), class(Effect::Unsafe, 600.0), class(keyed, 500.0)],
+        classes: vec![
+            class(Effect::Safe, 400.0),
+            class(Effect::Unsafe, 600.0),
+            class(keyed, 500.0),
+        ],
         tenants: vec![],
         over_share_worth: 0.1,
         worth_by_work: false,
@@ -151,24 +173,58 @@
     told.may_tell = true;
     told.warm_keys = true;
     told.retry_after = Some(1200.0);
-    let gossip =
-        Scenario { name: "gossip", settings: told, proxies: 9, servers: 14, arrival_ms: 1.5, ..own_like() };
+    let gossip = Scenario {
+        name: "gossip",
+        settings: told,
+        proxies: 9,
+        servers: 14,
+        arrival_ms: 1.5,
+        ..own_like()
+    };
     let mut few = base(30);
     few.classes.iter_mut().for_each(|c| c.late_worth = 0.3);
     few.retry_after = Some(2000.0);
-    let pooled =
-        Scenario { name: "pooled", settings: few, proxies: 30, servers: 16, arrival_ms: 1.2, ..own_like() };
+    let pooled = Scenario {
+        name: "pooled",
+        settings: few,
+        proxies: 30,
+        servers: 16,
+        arrival_ms: 1.2,
+        ..own_like()
+    };
     let mut polled = base(3);
     polled.discovery = Discovery::OnRequest;
     polled.rating = Rating::Silent;
     polled.worth_by_work = true;
-    polled.tenants = vec![Tenant { allowance_per_s: 120.0 }, Tenant { allowance_per_s: 30.0 }];
+    polled.tenants = vec![
+        Tenant {
+            allowance_per_s: 120.0,
+        },
+        Tenant {
+            allowance_per_s: 30.0,
+        },
+    ];
     polled.limits.max_attempts = 2;
-    polled.classes[2].effect = Effect::Keyed { group: Group::Zone, window: 300.0 };
+    polled.classes[2].effect = Effect::Keyed {
+        group: Group::Zone,
+        window: 300.0,
+    };
     polled.classes[0].aim_stretch = 2.0;
-    polled.classes.push(class(Effect::Keyed { group: Group::All, window: 600.0 }, 700.0));
-    let tenants =
-        Scenario { name: "tenants", settings: polled, proxies: 3, servers: 8, arrival_ms: 3.0, ..own_like() };
+    polled.classes.push(class(
+        Effect::Keyed {
+            group: Group::All,
+            window: 600.0,
+        },
+        700.0,
+    ));
+    let tenants = Scenario {
+        name: "tenants",
+        settings: polled,
+        proxies: 3,
+        servers: 8,
+        arrival_ms: 3.0,
+        ..own_like()
+    };
     let mut live = base(6);
     live.rating = Rating::Live;
     live.zone = None;
@@ -240,10 +296,17 @@
 impl World {
     fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-        let list: Vec<Backend> = (0..scenario.servers).map(|id| backend(&mut rng, id)).collect();
+        let list: Vec<Backend> = (0..scenario.servers)
+            .map(|id| backend(&mut rng, id))
+            .collect();
         let settings = scenario.settings.clone();
-        let me = |index: usize| Settings { me: index as u32, ..settings.clone() };
-        let balancers = (0..scenario.proxies).map(|i| Balancer::new(me(i), seed * 1000 + i as u64)).collect();
+        let me = |index: usize| Settings {
+            me: index as u32,
+            ..settings.clone()
+        };
+        let balancers = (0..scenario.proxies)
+            .map(|i| Balancer::new(me(i), seed * 1000 + i as u64))
+            .collect();
         World {
             rng,
             now: 1000.0,
@@ -266,7 +329,8 @@
         self.sequence += 1;
         self.due.insert(self.sequence, (proxy, due));
         // Times are positive, and the bits of positive floats are in their order.
-        self.order.push(Reverse((at.max(self.now).to_bits(), self.sequence)));
+        self.order
+            .push(Reverse((at.max(self.now).to_bits(), self.sequence)));
     }
 
     fn handle(&mut self, proxy: usize, event: Event) {
@@ -284,7 +348,12 @@
                 let at = at + self.rng.f64() * 3.0;
                 self.later(at, proxy, Due::Event(Event::Timer(token)));
             }
-            Action::Send { request, backend, timeout, .. } => self.attempt(proxy, request, backend, timeout),
+            Action::Send {
+                request,
+                backend,
+                timeout,
+                ..
+            } => self.attempt(proxy, request, backend, timeout),
             Action::Refuse { request, .. } | Action::Fail(request) => {
                 if let Some(held) = self.held.get_mut(&(proxy, request.0)) {
                     held.answered = true;
@@ -292,7 +361,10 @@
             }
             Action::Broadcast(bytes) => {
                 for other in (0..self.balancers.len()).filter(|o| *o != proxy) {
-                    let message = Event::Message { from: proxy as u32, bytes: bytes.clone() };
+                    let message = Event::Message {
+                        from: proxy as u32,
+                        bytes: bytes.clone(),
+                    };
                     self.later(self.now + 2.0, other, Due::Event(message));
                 }
             }
@@ -300,7 +372,11 @@
                 let failed = self.rng.f64() < 0.2;
                 let scope = if failed { Scope::Failed } else { Scope::Full };
                 let entries = if failed { vec![] } else { self.list.clone() };
-                self.later(self.now + 4.0, proxy, Due::Event(Event::List { scope, entries }));
+                self.later(
+                    self.now + 4.0,
+                    proxy,
+                    Due::Event(Event::List { scope, entries }),
+                );
             }
         }
     }
@@ -311,7 +387,9 @@
         *crowd += 1;
         let crowd = f64::from(*crowd);
         let speed = 0.6 + (to.0 % 5) as f64 * 0.25;
-        let Some(held) = self.held.get_mut(&(proxy, id.0)) else { return };
+        let Some(held) = self.held.get_mut(&(proxy, id.0)) else {
+            return;
+        };
         let (attempt, whole) = (held.attempts, held.whole);
         held.attempts += 1;
         let left = held.deadline - self.now;
@@ -345,15 +423,36 @@
         let end = self.now + begun + latency;
         if outcome == Outcome::Served && self.rng.f64() < 0.1 {
             let worked = self.rng.bool();
-            let started = Event::Started { request: id, attempt, worked };
+            let started = Event::Started {
+                request: id,
+                attempt,
+                worked,
+            };
             self.later(self.now + begun + 0.6 * latency, proxy, Due::Event(started));
         }
         if self.rng.f64() < 0.5 {
-            let load = Load { in_hand: Some(crowd), waiting: self.rng.bool().then_some(crowd / 2.0) };
-            self.later(end, proxy, Due::Event(Event::Load { request: id, attempt, load }));
+            let load = Load {
+                in_hand: Some(crowd),
+                waiting: self.rng.bool().then_some(crowd / 2.0),
+            };
+            self.later(
+                end,
+                proxy,
+                Due::Event(Event::Load {
+                    request: id,
+                    attempt,
+                    load,
+                }),
+            );
         }
         let closed = outcome == Outcome::Served;
-        let ended = Event::Ended { request: id, attempt, latency, outcome, closed };
+        let ended = Event::Ended {
+            request: id,
+            attempt,
+            latency,
+            outcome,
+            closed,
+        };
         self.later(end, proxy, Due::Event(ended));
         self.later(end, to.0 as usize, Due::Restart);
     }
@@ -367,26 +466,51 @@
             return self.handle(proxy, Event::Unadmitted { id, wait });
         }
         let class = self.rng.usize(0..self.settings.classes.len());
-        let budget = self.settings.classes[class].deadline * [0.02, 0.4, 1.0, 1.0][self.rng.usize(0..4)];
+        let budget =
+            self.settings.classes[class].deadline * [0.02, 0.4, 1.0, 1.0][self.rng.usize(0..4)];
         let key = self.rng.bool().then(|| Key(self.rng.u64(0..40)));
         let tenants = self.settings.tenants.len();
         let tenant = (tenants > 0 && self.rng.bool()).then(|| TenantId(self.rng.usize(0..tenants)));
         let hint = (self.rng.f64() < 0.4).then(|| 5.0 + 60.0 * self.rng.f64());
         let whole = self.rng.f64() < 0.9;
-        let held = Held { deadline: self.now + budget, class, whole, attempts: 0, answered: false };
+        let held = Held {
+            deadline: self.now + budget,
+            class,
+            whole,
+            attempts: 0,
+            answered: false,
+        };
         self.held.insert((proxy, id.0), held);
         if self.rng.f64() < 0.03 {
             let at = self.now + self.rng.f64() * budget;
             self.later(at, proxy, Due::Event(Event::Abandoned(id)));
         }
         let class = ClassId(class);
-        self.handle(proxy, Event::Request { id, class, tenant, key, budget, hint, whole });
+        self.handle(
+            proxy,
+            Event::Request {
+                id,
+                class,
+                tenant,
+                key,
+                budget,
+                hint,
+                whole,
+            },
+        );
     }
 
     fn tell_all(&mut self, scope: Scope, entries: &[Backend]) {
         for proxy in 0..self.balancers.len() {
             let at = self.now + self.rng.f64() * 40.0;
-            self.later(at, proxy, Due::Event(Event::List { scope, entries: entries.to_vec() }));
+            self.later(
+                at,
+                proxy,
+                Due::Event(Event::List {
+                    scope,
+                    entries: entries.to_vec(),
+                }),
+            );
         }
     }
 
@@ -394,14 +518,18 @@
         let last = self.list.len() - 1;
         match self.rng.u32(0..9) {
             0 | 1 => {
-                let fresh = Backend { since: Some(self.now), ..backend(&mut self.rng, self.next_server) };
+                let fresh = Backend {
+                    since: Some(self.now),
+                    ..backend(&mut self.rng, self.next_server)
+                };
                 self.next_server += 1;
                 self.list.push(fresh.clone());
                 self.tell_all(Scope::Delta, &[fresh]);
             }
             2 | 3 => {
                 let index = self.rng.usize(0..=last);
-                self.list[index].state = [State::Draining, State::Gone, State::Up][self.rng.usize(0..3)];
+                self.list[index].state =
+                    [State::Draining, State::Gone, State::Up][self.rng.usize(0..3)];
                 let changed = self.list[index].clone();
                 self.tell_all(Scope::Delta, &[changed]);
             }
@@ -431,13 +559,23 @@
         let proxy = self.rng.usize(0..self.balancers.len());
         let standing = self.balancers[proxy].standing(self.now);
         self.hash.standing(&standing);
-        let settings = Settings { me: proxy as u32, ..self.settings.clone() };
+        let settings = Settings {
+            me: proxy as u32,
+            ..self.settings.clone()
+        };
         self.balancers[proxy] = Balancer::new(settings, self.sequence);
         self.held.retain(|(owner, _), _| *owner != proxy);
-        let of_proxy = |due: &(usize, Due)| due.0 == proxy && matches!(due.1, Due::Event(_) | Due::Whole(_));
+        let of_proxy =
+            |due: &(usize, Due)| due.0 == proxy && matches!(due.1, Due::Event(_) | Due::Whole(_));
         self.due.retain(|_, due| !of_proxy(due));
         let entries = self.list.clone();
-        self.handle(proxy, Event::List { scope: Scope::Cached, entries });
+        self.handle(
+            proxy,
+            Event::List {
+                scope: Scope::Cached,
+                entries,
+            },
+        );
         self.handle(proxy, Event::Standing(Box::new(standing)));
     }
 
@@ -448,18 +586,29 @@
             let me = (proxy as u32).min(proxies - 1);
             return self.handle(proxy, Event::Proxies { me, proxies });
         }
-        let mut settings = Settings { me: proxy as u32, ..self.settings.clone() };
+        let mut settings = Settings {
+            me: proxy as u32,
+            ..self.settings.clone()
+        };
         settings.limits.max_attempts = self.rng.u32(1..5);
         settings.classes[0].aim *= 0.8 + 0.4 * self.rng.f64();
         settings.classes.push(class(Effect::Safe, 300.0));
-        settings.tenants.push(Tenant { allowance_per_s: 20.0 });
+        settings.tenants.push(Tenant {
+            allowance_per_s: 20.0,
+        });
         self.handle(proxy, Event::Settings(Box::new(settings)));
     }
 
     fn run(mut self, scenario: &Scenario) -> (u64, u64) {
         for proxy in 0..self.balancers.len() {
             let entries = self.list.clone();
-            self.handle(proxy, Event::List { scope: Scope::Cached, entries });
+            self.handle(
+                proxy,
+                Event::List {
+                    scope: Scope::Cached,
+                    entries,
+                },
+            );
         }
         let end = self.now + scenario.span_ms;
         let mut arrival = self.now;
@@ -468,7 +617,11 @@
             let at = f64::from_bits(bits);
             while arrival < at && arrival < end {
                 self.now = self.now.max(arrival);
-                let burst = if (self.now / 2000.0) as u64 % 3 == 2 { 0.5 } else { 1.0 };
+                let burst = if (self.now / 2000.0) as u64 % 3 == 2 {
+                    0.5
+                } else {
+                    1.0
+                };
                 arrival += -(1.0 - self.rng.f64()).ln() * scenario.arrival_ms * burst;
                 self.arrive();
                 if self.now >= change {
@@ -480,11 +633,15 @@
                 break;
             }
             self.now = self.now.max(at);
-            let Some((proxy, due)) = self.due.remove(&key) else { continue };
+            let Some((proxy, due)) = self.due.remove(&key) else {
+                continue;
+            };
             match due {
                 Due::Event(event) => self.pass_on(proxy, event),
                 Due::Whole(id) => {
-                    let Some(held) = self.held.get_mut(&(proxy, id.0)) else { continue };
+                    let Some(held) = self.held.get_mut(&(proxy, id.0)) else {
+                        continue;
+                    };
                     held.whole = true;
                     let budget = held.deadline - self.now;
                     self.handle(proxy, Event::Whole { id, budget });
@@ -500,7 +657,10 @@
 
     /// Hands in an event as a proxy would: an end after the final answer says that the request is closed.
     fn pass_on(&mut self, proxy: usize, mut event: Event) {
-        if let Event::Ended { request, closed, .. } = &mut event {
+        if let Event::Ended {
+            request, closed, ..
+        } = &mut event
+        {
             if let Some(held) = self.held.get(&(proxy, request.0)) {
                 *closed |= held.answered;
             }
@@ -535,12 +695,21 @@
             played += &format!("{} {seed} {hash:016x} {sends}\n", scenario.name);
         }
     }
-    assert!(sent > 100_000, "only {sent} attempts: the traces are too short to hold anything");
-    assert_eq!(played, RECORDED, "decisions differ from the recorded ones; these were played:\n{played}");
+    assert!(
+        sent > 100_000,
+        "only {sent} attempts: the traces are too short to hold anything"
+    );
+    assert_eq!(
+        played, RECORDED,
+        "decisions differ from the recorded ones; these were played:\n{played}"
+    );
 }
 
 #[test]
 fn another_seed_gives_other_decisions() {
     let scenario = &scenarios()[0];
-    assert_ne!(World::new(scenario, 1).run(scenario).0, World::new(scenario, 2).run(scenario).0);
+    assert_ne!(
+        World::new(scenario, 1).run(scenario).0,
+        World::new(scenario, 2).run(scenario).0
+    );
 }
--- a/crates/wharfhitch/tests/fleet.rs
+++ b/crates/wharfhitch/tests/fleet.rs
@@ -17,10 +17,24 @@
 /// Sends that each of the servers, all just started, got in each step of 100 ms, over all proxies, each asked for
 /// something every 25 ms.
 fn play(proxies: u32, servers: u64, steps: usize, told: Told) -> Vec<Vec<u32>> {
-    let list = |since| (0..servers).map(|id| Backend { since, ..server(id) }).collect();
+    let list = |since| {
+        (0..servers)
+            .map(|id| Backend {
+                since,
+                ..server(id)
+            })
+            .collect()
+    };
     let mut counts = vec![vec![0; steps]; servers as usize];
     for me in 0..proxies {
-        let settings = if told == Told::AtStart { Settings { me, ..settings(proxies) } } else { settings(1) };
+        let settings = if told == Told::AtStart {
+            Settings {
+                me,
+                ..settings(proxies)
+            }
+        } else {
+            settings(1)
+        };
         let mut hand = Hand::seeded(settings, list(None), u64::from(me));
         hand.train(0, 50, |_| LATENCY); // what its kind takes when it is warm
         if told == Told::Later {
@@ -55,7 +69,11 @@
     let servers = [1, 1000, 3, 12, 100, 29, 60, 60, 1, 8, 60];
     for (proxies, servers) in proxies.into_iter().zip(servers) {
         let counts = play(proxies, servers, 40, Told::AtStart);
-        assert_eq!(pushed_over(&counts), None, "{proxies} proxies, {servers} servers");
+        assert_eq!(
+            pushed_over(&counts),
+            None,
+            "{proxies} proxies, {servers} servers"
+        );
     }
 }
 
@@ -63,7 +81,11 @@
 fn proxies_that_hear_of_each_other_after_the_start_divide_what_cold_servers_bear() {
     for (proxies, servers) in [(2, 3), (12, 8), (60, 60)] {
         let counts = play(proxies, servers, 40, Told::Later);
-        assert_eq!(pushed_over(&counts), None, "{proxies} proxies, {servers} servers");
+        assert_eq!(
+            pushed_over(&counts),
+            None,
+            "{proxies} proxies, {servers} servers"
+        );
     }
     // Without a word each reckons as if it were alone.
     assert!(pushed_over(&play(12, 8, 40, Told::Never)).is_some());
--- a/crates/wharfhitch/tests/limits.rs
+++ b/crates/wharfhitch/tests/limits.rs
@@ -5,24 +5,46 @@
 const MODULE: &str = include_str!("../src/choice.rs");
 
 /// Files that decide nothing: types, records of what is known, encoding. All others have to stand in the policy.
-const DECIDE_NOTHING: [&str; 8] =
-    ["lib", "interface", "hash", "records", "bands", "message", "state", "standing"];
+const DECIDE_NOTHING: [&str; 8] = [
+    "lib",
+    "interface",
+    "hash",
+    "records",
+    "bands",
+    "message",
+    "state",
+    "standing",
+];
 
 /// The files that the deploy file names as the policy.
 fn policy() -> BTreeSet<String> {
     let deploy = include_str!("../../../deploy/balancer.toml");
-    let line = deploy.lines().find_map(|l| l.strip_prefix("policy = [")).expect("a policy");
-    let names = line.trim_end_matches(']').split(',').map(|name| name.trim().trim_matches('"'));
+    let line = deploy
+        .lines()
+        .find_map(|l| l.strip_prefix("policy = ["))
+        .expect("a policy");
+    let names = line
+        .trim_end_matches(']')
+        .split(',')
+        .map(|name| name.trim().trim_matches('"'));
     names.map(str::to_owned).collect()
 }
 
 /// Every source file of this package, from the repository's root.
 fn sources() -> BTreeSet<String> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let package = Path::new(env!("CARGO_MANIFEST_DIR")).file_name().unwrap().to_str().unwrap();
-    let name = |entry: std::io::Result<std::fs::DirEntry>| entry.unwrap().file_name().into_string().unwrap();
+    let package = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .file_name()
+        .unwrap()
+        .to_str()
+        .unwrap();
+    let name = |entry: std::io::Result<std::fs::DirEntry>| {
+        entry.unwrap().file_name().into_string().unwrap()
+    };
     let files = std::fs::read_dir(source).unwrap().map(name);
-    files.map(|file| format!("crates/{package}/src/{file}")).collect()
+    files
+        .map(|file| format!("crates/{package}/src/{file}"))
+        .collect()
 }
 
 fn stem(path: &str) -> &str {
@@ -46,10 +68,28 @@
 fn nothing_outside_the_policy_decides() {
     let named: BTreeSet<String> = FILES.iter().map(|(name, _)| (*name).to_owned()).collect();
     let present: BTreeSet<String> = sources().iter().map(|path| stem(path).to_owned()).collect();
-    assert!(present.iter().all(|name| name == "lib" || named.contains(name)), "a file is not looked at");
-    for (name, text) in FILES.iter().filter(|(name, _)| DECIDE_NOTHING.contains(name)) {
-        for word in ["Vec<Action>", "out.push(", "rng.f64(", "rng.u", "Action::Send {", "Action::Refuse {"] {
-            assert!(!text.contains(word), "{word} in {name}, which is to decide nothing");
+    assert!(
+        present
+            .iter()
+            .all(|name| name == "lib" || named.contains(name)),
+        "a file is not looked at"
+    );
+    for (name, text) in FILES
+        .iter()
+        .filter(|(name, _)| DECIDE_NOTHING.contains(name))
+    {
+        for word in [
+            "Vec<Action>",
+            "out.push(",
+            "rng.f64(",
+            "rng.u",
+            "Action::Send {",
+            "Action::Refuse {",
+        ] {
+            assert!(
+                !text.contains(word),
+                "{word} in {name}, which is to decide nothing"
+            );
         }
     }
 }
@@ -74,7 +114,15 @@
 
 #[test]
 fn no_clock_thread_global_or_input() {
-    for word in ["std::time", "std::thread", "std::io", "std::env", "static ", "println!", "unsafe {"] {
+    for word in [
+        "std::time",
+        "std::thread",
+        "std::io",
+        "std::env",
+        "static ",
+        "println!",
+        "unsafe {",
+    ] {
         for (file, text) in FILES {
             assert!(!text.contains(word), "{word} in {file}");
         }
@@ -86,7 +134,10 @@
 fn no_file_uses_one_above_it() {
     for (own, (file, text)) in FILES.iter().enumerate() {
         for (above, _) in &FILES[own + 1..] {
-            assert!(!text.contains(&format!("crate::{above}")), "{file} uses {above}");
+            assert!(
+                !text.contains(&format!("crate::{above}")),
+                "{file} uses {above}"
+            );
         }
     }
 }
--- a/crates/wharfhitch/tests/properties.rs
+++ b/crates/wharfhitch/tests/properties.rs
@@ -66,8 +66,16 @@
                     }
                 }
                 Action::Subscribe | Action::FetchList => {
-                    let scope = if self.rng.bool() { Scope::Full } else { Scope::Failed };
-                    let entries = if scope == Scope::Full { self.list.clone() } else { vec![] };
+                    let scope = if self.rng.bool() {
+                        Scope::Full
+                    } else {
+                        Scope::Failed
+                    };
+                    let entries = if scope == Scope::Full {
+                        self.list.clone()
+                    } else {
+                        vec![]
+                    };
                     self.give(Event::List { scope, entries });
                 }
             }
@@ -75,7 +83,9 @@
     }
 
     fn attempt(&mut self, id: u64) {
-        let Some(e) = self.ends.get_mut(&id) else { return };
+        let Some(e) = self.ends.get_mut(&id) else {
+            return;
+        };
         let (due, n) = (e.0, e.1);
         e.1 += 1;
         let x = self.rng.f64();
@@ -88,9 +98,13 @@
             x if x < 0.92 => (0.0, Outcome::Moot),
             _ => (1e9, Outcome::TimedOut),
         };
-        let (latency, outcome) =
-            if self.now + latency > due { (due - self.now, Outcome::TimedOut) } else { (latency, outcome) };
-        self.due.push((self.now + latency, Due::Ended(id, n, latency, outcome)));
+        let (latency, outcome) = if self.now + latency > due {
+            (due - self.now, Outcome::TimedOut)
+        } else {
+            (latency, outcome)
+        };
+        self.due
+            .push((self.now + latency, Due::Ended(id, n, latency, outcome)));
     }
 
     fn change_list(&mut self) {
@@ -98,7 +112,10 @@
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
-                let fresh = Backend { since: Some(self.now), ..server(100 + self.next) };
+                let fresh = Backend {
+                    since: Some(self.now),
+                    ..server(100 + self.next)
+                };
                 self.list.push(fresh.clone());
                 entries.push(fresh);
             }
@@ -114,27 +131,40 @@
                 entries.push(self.list[k].clone());
                 entries.push(self.list[k].clone()); // a repeated line does no harm
             }
-            4 => return self.give(Event::List { scope: Scope::Failed, entries: vec![] }),
+            4 => {
+                return self.give(Event::List {
+                    scope: Scope::Failed,
+                    entries: vec![],
+                });
+            }
             _ => {
                 self.list.retain(|b| b.state != State::Gone);
                 let entries = self.list.clone();
                 return self.give(full(entries));
             }
         }
-        self.give(Event::List { scope: Scope::Delta, entries });
+        self.give(Event::List {
+            scope: Scope::Delta,
+            entries,
+        });
     }
 
     fn run(mut self, span: Millis) -> Vec<String> {
         let end = self.now + span;
         let entries = self.list.clone();
-        self.give(Event::List { scope: Scope::Cached, entries });
+        self.give(Event::List {
+            scope: Scope::Cached,
+            entries,
+        });
         let mut arrival = self.now;
         while self.now < end + 4000.0 {
-            let first = (0..self.due.len()).min_by(|a, b| self.due[*a].0.total_cmp(&self.due[*b].0));
+            let first =
+                (0..self.due.len()).min_by(|a, b| self.due[*a].0.total_cmp(&self.due[*b].0));
             let at = first.map_or(f64::INFINITY, |i| self.due[i].0);
             if arrival <= at && arrival < end {
                 self.now = self.now.max(arrival);
-                arrival += -(self.rng.f64() + 1e-9).ln() * if self.rng.f64() < 0.1 { 60.0 } else { 6.0 };
+                arrival +=
+                    -(self.rng.f64() + 1e-9).ln() * if self.rng.f64() < 0.1 { 60.0 } else { 6.0 };
                 self.step();
             } else {
                 let Some(i) = first else { break };
@@ -144,11 +174,19 @@
                     Due::Timer(token) => self.give(Event::Timer(token)),
                     Due::Message(bytes) => self.give(Event::Message { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
-                        let Some(e) = self.ends.get_mut(&id) else { continue };
+                        let Some(e) = self.ends.get_mut(&id) else {
+                            continue;
+                        };
                         e.2 |= outcome == Outcome::Served;
                         let closed = e.2;
                         let request = RequestId(id);
-                        self.give(Event::Ended { request, attempt, latency, outcome, closed });
+                        self.give(Event::Ended {
+                            request,
+                            attempt,
+                            latency,
+                            outcome,
+                            closed,
+                        });
                     }
                 }
             }
@@ -167,9 +205,15 @@
                 self.ends.clear();
                 self.due.clear();
                 let entries = self.list.clone();
-                self.give(Event::List { scope: Scope::Cached, entries });
+                self.give(Event::List {
+                    scope: Scope::Cached,
+                    entries,
+                });
             }
-            7..10 => self.give(Event::Message { from: self.next as u32 % 9, bytes: vec![1, 0, 9, 3] }),
+            7..10 => self.give(Event::Message {
+                from: self.next as u32 % 9,
+                bytes: vec![1, 0, 9, 3],
+            }),
             10..14 => self.give(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
@@ -203,17 +247,44 @@
 
 fn variants() -> Vec<Settings> {
     let base = settings(4);
-    let mut all = vec![base.clone(), Settings { warm_keys: true, ..base.clone() }];
-    all.push(Settings { may_tell: true, proxies: 9, ..base.clone() });
-    all.push(Settings { may_tell: true, warm_keys: true, discovery: Discovery::OnRequest, ..base.clone() });
-    let mut one = Settings { rating: Rating::Silent, tenants: vec![Tenant { allowance_per_s: 3.0 }], ..base };
+    let mut all = vec![
+        base.clone(),
+        Settings {
+            warm_keys: true,
+            ..base.clone()
+        },
+    ];
+    all.push(Settings {
+        may_tell: true,
+        proxies: 9,
+        ..base.clone()
+    });
+    all.push(Settings {
+        may_tell: true,
+        warm_keys: true,
+        discovery: Discovery::OnRequest,
+        ..base.clone()
+    });
+    let mut one = Settings {
+        rating: Rating::Silent,
+        tenants: vec![Tenant {
+            allowance_per_s: 3.0,
+        }],
+        ..base
+    };
     one.limits.max_attempts = 2;
     one.classes.remove(0);
-    one.classes[1].effect = Effect::Keyed { group: Group::Zone, window: 300.0 };
+    one.classes[1].effect = Effect::Keyed {
+        group: Group::Zone,
+        window: 300.0,
+    };
     all.push(one);
     let mut late = settings(4);
     late.classes.iter_mut().for_each(|c| c.late_worth = 0.3);
-    late.classes[2].effect = Effect::Keyed { group: Group::All, window: 600.0 };
+    late.classes[2].effect = Effect::Keyed {
+        group: Group::All,
+        window: 600.0,
+    };
     all.push(late);
     all
 }
@@ -250,9 +321,14 @@
 }
 
 fn caught(tamper: fn(&mut Vec<Action>), what: &str) {
-    let all: Vec<String> =
-        (0..40).flat_map(|seed| World::new(seed, settings(4), tamper).run(20_000.0)).collect();
-    assert!(all.iter().any(|b| b.contains(what)), "the checker missed '{what}': {:?}", all.first());
+    let all: Vec<String> = (0..40)
+        .flat_map(|seed| World::new(seed, settings(4), tamper).run(20_000.0))
+        .collect();
+    assert!(
+        all.iter().any(|b| b.contains(what)),
+        "the checker missed '{what}': {:?}",
+        all.first()
+    );
 }
 
 /// The checker must be able to fail: each rule is broken on purpose and seen.
@@ -260,18 +336,27 @@
 fn the_checker_sees_broken_rules() {
     caught(
         |out| {
-            let twice: Vec<Action> =
-                out.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
+            let twice: Vec<Action> = out
+                .iter()
+                .filter(|a| matches!(a, Action::Send { .. }))
+                .cloned()
+                .collect();
             out.extend(twice);
         },
         "never run twice",
     );
-    caught(|out| out.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))), "in time");
+    caught(
+        |out| out.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))),
+        "in time",
+    );
     caught(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Fail(request) = *a {
-                    *a = Action::Refuse { request, retry_after: None };
+                    *a = Action::Refuse {
+                        request,
+                        retry_after: None,
+                    };
                 }
             }
         },
--- a/crates/wharfhitch/tests/standing.rs
+++ b/crates/wharfhitch/tests/standing.rs
@@ -6,7 +6,18 @@
 const SECOND: u64 = 2;
 
 fn servers(since: Option<Millis>) -> Vec<Backend> {
-    (1..5).map(|id| if id == SECOND { Backend { since, ..server(id) } } else { server(id) }).collect()
+    (1..5)
+        .map(|id| {
+            if id == SECOND {
+                Backend {
+                    since,
+                    ..server(id)
+                }
+            } else {
+                server(id)
+            }
+        })
+        .collect()
 }
 
 /// A new module at that time, told a list and what another one knew.
@@ -50,10 +61,23 @@
 fn a_server_that_one_module_closed_is_closed_to_the_next() {
     let before = closed();
     let (now, known) = (before.now, before.balancer.standing(before.now));
-    let second = known.servers.iter().find(|s| s.id == BackendId(SECOND)).expect("something is known of it");
-    assert!(second.whole.is_some_and(|e| e.until > now && e.trial), "{second:?}");
-    assert_eq!(to_second(&mut next(now, servers(None), Some(known.clone()), 1), 40), 0);
-    assert!(to_second(&mut next(now, servers(None), None, 1), 40) > 0, "without it is like the others");
+    let second = known
+        .servers
+        .iter()
+        .find(|s| s.id == BackendId(SECOND))
+        .expect("something is known of it");
+    assert!(
+        second.whole.is_some_and(|e| e.until > now && e.trial),
+        "{second:?}"
+    );
+    assert_eq!(
+        to_second(&mut next(now, servers(None), Some(known.clone()), 1), 40),
+        0
+    );
+    assert!(
+        to_second(&mut next(now, servers(None), None, 1), 40) > 0,
+        "without it is like the others"
+    );
     // Handed on unused it is the same.
     let again = next(now, servers(None), Some(known.clone()), 1);
     assert_eq!(again.balancer.standing(now), known);
@@ -62,8 +86,17 @@
     let of_it = restarted.balancer.standing(now);
     assert!(of_it.servers.iter().all(|s| s.whole.is_none()), "{of_it:?}");
     // One that is gone by then is no server.
-    let fewer = servers(None).into_iter().filter(|s| s.id != BackendId(SECOND)).collect();
-    assert_eq!(next(now, fewer, Some(known), 1).balancer.standing(now).servers, []);
+    let fewer = servers(None)
+        .into_iter()
+        .filter(|s| s.id != BackendId(SECOND))
+        .collect();
+    assert_eq!(
+        next(now, fewer, Some(known), 1)
+            .balancer
+            .standing(now)
+            .servers,
+        []
+    );
 }
 
 #[test]
@@ -73,13 +106,30 @@
     first.pass(200.0);
     to_second(&mut first, 400);
     let (now, known) = (first.now, first.balancer.standing(first.now));
-    let budget = known.servers.iter().find_map(|s| s.cold).expect("it is cold");
+    let budget = known
+        .servers
+        .iter()
+        .find_map(|s| s.cold)
+        .expect("it is cold");
     assert!(budget.tokens < 1.0, "it has been used up: {budget:?}");
-    assert_eq!(to_second(&mut next(now, cold.clone(), Some(known.clone()), 1), 100), 0, "no second budget");
+    assert_eq!(
+        to_second(&mut next(now, cold.clone(), Some(known.clone()), 1), 100),
+        0,
+        "no second budget"
+    );
     // Among twice as many proxies it has half of what was left.
-    let among_two = next(now, cold.clone(), Some(known.clone()), 2).balancer.standing(now);
-    let part = among_two.servers.iter().find_map(|s| s.cold).expect("it is cold");
-    assert!((part.tokens - budget.tokens / 2.0).abs() < 1e-9, "{part:?}, {budget:?}");
+    let among_two = next(now, cold.clone(), Some(known.clone()), 2)
+        .balancer
+        .standing(now);
+    let part = among_two
+        .servers
+        .iter()
+        .find_map(|s| s.cold)
+        .expect("it is cold");
+    assert!(
+        (part.tokens - budget.tokens / 2.0).abs() < 1e-9,
+        "{part:?}, {budget:?}"
+    );
     // It is warm in time all the same, and then there is nothing to say of it.
     let mut later = next(now, cold, Some(known), 1);
     later.pass(20_000.0);
--- a/crates/wharfhitch/tests/threshold.rs
+++ b/crates/wharfhitch/tests/threshold.rs
@@ -27,7 +27,9 @@
                 let tau = threshold(f64::from(m), rho, ratio);
                 assert!(tau <= top, "m {m} rho {rho} R {ratio}: {tau} > {top}");
                 let found = delay(m, rho, ratio, tau);
-                let best = (0..=top.min(600)).map(|t| delay(m, rho, ratio, t)).fold(f64::INFINITY, f64::min);
+                let best = (0..=top.min(600))
+                    .map(|t| delay(m, rho, ratio, t))
+                    .fold(f64::INFINITY, f64::min);
                 assert!(
                     found <= best * (1.0 + 1e-9),
                     "m {m} rho {rho} R {ratio} tau {tau}: {found} > {best}"
@@ -39,7 +41,12 @@
 
 #[test]
 fn it_is_the_largest_with_a_negative_difference() {
-    for (m, rho, ratio) in [(1, 0.7, 6.0), (4, 0.9, 3.0), (10, 1.0, 4.0), (30, 0.98, 2.5)] {
+    for (m, rho, ratio) in [
+        (1, 0.7, 6.0),
+        (4, 0.9, 3.0),
+        (10, 1.0, 4.0),
+        (30, 0.98, 2.5),
+    ] {
         let tau = threshold(f64::from(m), rho, ratio);
         assert!(tau > 0, "a case that tests nothing");
         assert!(delay(m, rho, ratio, tau) < delay(m, rho, ratio, tau - 1));
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -17,7 +17,11 @@
     let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
     let mut now: Option<f64> = None;
     let mut reply = String::new();
-    let mut lines = input.lines().enumerate().map(|(n, line)| (n + 1, line)).peekable();
+    let mut lines = input
+        .lines()
+        .enumerate()
+        .map(|(n, line)| (n + 1, line))
+        .peekable();
     while let Some((number, line)) = lines.next() {
         let line = line.map_err(|e| format!("line {number}: {e}"))?;
         let at = |what: String| format!("line {number}: {what}");
@@ -29,7 +33,9 @@
             "GO" => {
                 now.take().ok_or_else(|| at("GO without FRAME".into()))?;
                 reply.push_str("EOR\n");
-                output.write_all(reply.as_bytes()).map_err(|e| at(e.to_string()))?;
+                output
+                    .write_all(reply.as_bytes())
+                    .map_err(|e| at(e.to_string()))?;
                 output.flush().map_err(|e| at(e.to_string()))?;
                 reply.clear();
             }
@@ -51,7 +57,9 @@
                 let mut items = Vec::new();
                 if name == "TOPOLOGY" {
                     for _ in 0..fields.optional_whole("nodesList").map_err(at)?.unwrap_or(0) {
-                        let (n, item) = lines.next().ok_or_else(|| at("the list is cut short".into()))?;
+                        let (n, item) = lines
+                            .next()
+                            .ok_or_else(|| at("the list is cut short".into()))?;
                         let item = item.map_err(|e| format!("line {n}: {e}"))?;
                         let item = item
                             .strip_prefix("ITEM\t")
@@ -59,7 +67,9 @@
                         items.push((n, item.to_owned()));
                     }
                 }
-                let Some(instance) = instances.get_mut(&id) else { continue };
+                let Some(instance) = instances.get_mut(&id) else {
+                    continue;
+                };
                 if let Some(load) = instance.load(name, &fields).map_err(at)? {
                     instance.handle(now, load, id, &mut reply);
                 }
@@ -70,7 +80,9 @@
                     continue;
                 };
                 let before = reply.len();
-                let done = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, id, &mut reply)));
+                let done = catch_unwind(AssertUnwindSafe(|| {
+                    instance.handle(now, event, id, &mut reply)
+                }));
                 if let Err(cause) = done {
                     reply.truncate(before);
                     let text = cause
@@ -84,7 +96,11 @@
             }
         }
     }
-    if now.is_some() { Err("the input ends inside a batch".into()) } else { Ok(()) }
+    if now.is_some() {
+        Err("the input ends inside a batch".into())
+    } else {
+        Ok(())
+    }
 }
 
 fn main() -> ExitCode {
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -7,8 +7,8 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use rustc_hash::FxHashMap;
 use wharfhitch::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Load, Outcome, RequestId,
-    Scope, State, TenantId, ZoneId,
+    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Load, Outcome,
+    RequestId, Scope, State, TenantId, ZoneId,
 };
 
 use settings::{Names, index_of, number_of};
@@ -42,7 +42,9 @@
                 rest = after;
                 continue;
             }
-            let (name, value) = part.split_once('=').ok_or_else(|| format!("'{part}' has no '='"))?;
+            let (name, value) = part
+                .split_once('=')
+                .ok_or_else(|| format!("'{part}' has no '='"))?;
             if name == "params" || name == "message" {
                 fields.push((name, &rest[name.len() + 1..]));
                 break;
@@ -63,11 +65,14 @@
 
     /// A number that has to be there.
     pub fn number(&self, name: &str) -> Result<f64, String> {
-        self.optional_number(name)?.ok_or_else(|| format!("'{name}' is missing"))
+        self.optional_number(name)?
+            .ok_or_else(|| format!("'{name}' is missing"))
     }
 
     fn optional_number(&self, name: &str) -> Result<Option<f64>, String> {
-        let Some(value) = self.get(name) else { return Ok(None) };
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
         match value.parse::<f64>() {
             Ok(x) if x.is_finite() => Ok(Some(x)),
             _ => Err(format!("'{name}={value}' is no number")),
@@ -76,13 +81,19 @@
 
     /// A whole number that has to be there.
     pub fn whole(&self, name: &str) -> Result<u64, String> {
-        self.optional_whole(name)?.ok_or_else(|| format!("'{name}' is missing"))
+        self.optional_whole(name)?
+            .ok_or_else(|| format!("'{name}' is missing"))
     }
 
     /// A whole number that may be absent.
     pub fn optional_whole(&self, name: &str) -> Result<Option<u64>, String> {
-        let Some(value) = self.get(name) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| format!("'{name}={value}' is no whole number"))
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
+        value
+            .parse()
+            .map(Some)
+            .map_err(|_| format!("'{name}={value}' is no whole number"))
     }
 }
 
@@ -121,7 +132,8 @@
     /// Starts a proxy from its `UP` line.
     pub fn new(fields: &Fields) -> Result<Self, String> {
         let seed = fields.optional_whole("randomSeed")?.unwrap_or(0);
-        let params = serde_json::from_str(fields.text("params")?).map_err(|e| format!("settings: {e}"))?;
+        let params =
+            serde_json::from_str(fields.text("params")?).map_err(|e| format!("settings: {e}"))?;
         let (settings, names) = settings::parse(&params);
         Ok(Instance {
             balancer: Balancer::new(settings, seed),
@@ -140,8 +152,12 @@
         let name = fields.text("backend").map_err(at)?;
         let id = number_of(name);
         self.backends.entry(id).or_insert_with(|| name.to_owned());
-        let zone = fields.get("failureDomain").map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32));
-        let kind = fields.get("shape").map(|k| KindId(index_of(&mut self.names.kinds, k) as u32));
+        let zone = fields
+            .get("failureDomain")
+            .map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32));
+        let kind = fields
+            .get("shape")
+            .map(|k| KindId(index_of(&mut self.names.kinds, k) as u32));
         Ok(Backend {
             id: BackendId(id),
             zone,
@@ -153,7 +169,10 @@
                 Some(_) => State::Draining, // draining, or unknown: nothing new goes there
             },
             rating: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
-            since: fields.optional_number("since").map_err(at)?.filter(|s| *s > 0.0),
+            since: fields
+                .optional_number("since")
+                .map_err(at)?
+                .filter(|s| *s > 0.0),
         })
     }
 
@@ -163,12 +182,17 @@
 
     /// What an outcome tells of its server's load, to be handed in before it; values of other names mean nothing here.
     pub fn load(&self, name: &str, fields: &Fields) -> Result<Option<Event>, String> {
-        let (true, Some(told)) = (name == "OUTCOME", fields.get("feedback")) else { return Ok(None) };
-        let Some(request) = self.request(fields)? else { return Ok(None) };
+        let (true, Some(told)) = (name == "OUTCOME", fields.get("feedback")) else {
+            return Ok(None);
+        };
+        let Some(request) = self.request(fields)? else {
+            return Ok(None);
+        };
         let mut load = Load::default();
         for pair in told.split(',').filter(|p| !p.is_empty()) {
-            let (name, value) =
-                pair.split_once(':').ok_or_else(|| format!("'feedback': '{pair}' has no ':'"))?;
+            let (name, value) = pair
+                .split_once(':')
+                .ok_or_else(|| format!("'feedback': '{pair}' has no ':'"))?;
             let count = || match value.parse::<f64>() {
                 Ok(n) if n.is_finite() => Ok(Some(n.max(0.0))),
                 _ => Err(format!("'feedback': '{pair}' is no number")),
@@ -179,12 +203,19 @@
                 _ => {}
             }
         }
-        Ok(Some(Event::Load { request, attempt: fields.whole("sendNo")? as u32, load }))
+        Ok(Some(Event::Load {
+            request,
+            attempt: fields.whole("sendNo")? as u32,
+            load,
+        }))
     }
 
     /// Translates a line; `None` for what means nothing to this proxy any more.
     pub fn event(
-        &mut self, name: &str, fields: &Fields, items: &[(usize, String)],
+        &mut self,
+        name: &str,
+        fields: &Fields,
+        items: &[(usize, String)],
     ) -> Result<Option<Event>, String> {
         Ok(Some(match name {
             "TOPOLOGY" => Event::List {
@@ -195,7 +226,10 @@
                     "failed" => Scope::Failed,
                     _ => return Ok(None),
                 },
-                entries: items.iter().map(|item| self.backend(item)).collect::<Result<_, _>>()?,
+                entries: items
+                    .iter()
+                    .map(|item| self.backend(item))
+                    .collect::<Result<_, _>>()?,
             },
             "ARRIVAL" => {
                 let name = fields.text("rid")?;
@@ -206,8 +240,9 @@
                     .iter()
                     .position(|c| c == class)
                     .ok_or_else(|| format!("class '{class}' is not in the settings"))?;
-                let tenant =
-                    fields.get("userGroup").and_then(|t| self.names.tenants.iter().position(|n| n == t));
+                let tenant = fields
+                    .get("userGroup")
+                    .and_then(|t| self.names.tenants.iter().position(|n| n == t));
                 let event = Event::Request {
                     id: RequestId(self.last),
                     class: ClassId(class),
@@ -218,16 +253,31 @@
                     whole: true,
                 };
                 self.ids.insert(name.to_owned(), self.last);
-                self.requests.insert(self.last, Known { name: name.to_owned(), out: 0, done: false });
+                self.requests.insert(
+                    self.last,
+                    Known {
+                        name: name.to_owned(),
+                        out: 0,
+                        done: false,
+                    },
+                );
                 self.last += 1;
                 event
             }
             "ESTABLISHED" => {
-                let Some(request) = self.request(fields)? else { return Ok(None) };
-                Event::Started { request, attempt: fields.whole("sendNo")? as u32, worked: false }
+                let Some(request) = self.request(fields)? else {
+                    return Ok(None);
+                };
+                Event::Started {
+                    request,
+                    attempt: fields.whole("sendNo")? as u32,
+                    worked: false,
+                }
             }
             "OUTCOME" => {
-                let Some(request) = self.request(fields)? else { return Ok(None) };
+                let Some(request) = self.request(fields)? else {
+                    return Ok(None);
+                };
                 let closed = fields.get("closed").is_some_and(|c| c != "0");
                 if let Some(known) = self.requests.get_mut(&request.0) {
                     known.out = known.out.saturating_sub(1);
@@ -242,7 +292,9 @@
                 }
             }
             "HANGUP" => {
-                let Some(request) = self.request(fields)? else { return Ok(None) };
+                let Some(request) = self.request(fields)? else {
+                    return Ok(None);
+                };
                 if let Some(known) = self.requests.get_mut(&request.0) {
                     known.done = true;
                 }
@@ -256,7 +308,10 @@
                 } else {
                     BASE64.decode(text).map_err(|e| format!("'msg': {e}"))?
                 };
-                Event::Message { from: fields.whole("who")? as u32, bytes }
+                Event::Message {
+                    from: fields.whole("who")? as u32,
+                    bytes,
+                }
             }
             _ => return Ok(None),
         }))
@@ -282,18 +337,34 @@
     fn write(&mut self, action: Action, i: u64, reply: &mut String) {
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send { request, backend, timeout, .. } => {
-                let Some(known) = self.requests.get_mut(&request.0) else { return };
+            Action::Send {
+                request,
+                backend,
+                timeout,
+                ..
+            } => {
+                let Some(known) = self.requests.get_mut(&request.0) else {
+                    return;
+                };
                 known.out += 1;
                 let backend = self.backends.get(&backend.0).map_or("-", String::as_str);
-                let _ = write!(reply, "SUBMIT_TO\ti={i}\trid={}\tbackend={backend}", known.name);
+                let _ = write!(
+                    reply,
+                    "SUBMIT_TO\ti={i}\trid={}\tbackend={backend}",
+                    known.name
+                );
                 match timeout {
                     Some(t) => writeln!(reply, "\tmaxWait={t:.3}"),
                     None => writeln!(reply),
                 }
             }
-            Action::Refuse { request, retry_after } => {
-                let Some(known) = self.requests.get_mut(&request.0) else { return };
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
+                let Some(known) = self.requests.get_mut(&request.0) else {
+                    return;
+                };
                 known.done = true;
                 let _ = write!(reply, "TURN_AWAY\ti={i}\trid={}", known.name);
                 let wrote = match retry_after {
@@ -304,15 +375,23 @@
                 wrote
             }
             Action::Fail(request) => {
-                let Some(known) = self.requests.get_mut(&request.0) else { return };
+                let Some(known) = self.requests.get_mut(&request.0) else {
+                    return;
+                };
                 known.done = true;
                 let wrote = writeln!(reply, "REPORT_FAILURE\ti={i}\trid={}", known.name);
                 self.forget(request);
                 wrote
             }
-            Action::Timer { token, at } => writeln!(reply, "WAKE_ME\ti={i}\tkeyBack={token}\tdueAt={at:.3}"),
+            Action::Timer { token, at } => {
+                writeln!(reply, "WAKE_ME\ti={i}\tkeyBack={token}\tdueAt={at:.3}")
+            }
             Action::Broadcast(bytes) => {
-                let text = if bytes.is_empty() { "-".to_owned() } else { BASE64.encode(bytes) };
+                let text = if bytes.is_empty() {
+                    "-".to_owned()
+                } else {
+                    BASE64.encode(bytes)
+                };
                 writeln!(reply, "SAY\ti={i}\trecipient=-1\tmsg={text}")
             }
             Action::Subscribe => writeln!(reply, "SUBSCRIBE\ti={i}\tactive=1"),
@@ -322,7 +401,10 @@
 
     /// Drops the name of a finished request once all its attempts have been heard of.
     fn forget(&mut self, request: RequestId) {
-        if self.requests.get(&request.0).is_some_and(|k| k.done && k.out == 0)
+        if self
+            .requests
+            .get(&request.0)
+            .is_some_and(|k| k.done && k.out == 0)
             && let Some(known) = self.requests.remove(&request.0)
         {
             self.ids.remove(&known.name);
--- a/crates/wirehost/tests/adapter.rs
+++ b/crates/wirehost/tests/adapter.rs
@@ -29,7 +29,10 @@
 
 #[test]
 fn an_empty_batch_and_the_end() {
-    assert_eq!(wirehost("FRAME\tts=1.5\nGO\n"), (true, "EOR\n".into(), String::new()));
+    assert_eq!(
+        wirehost("FRAME\tts=1.5\nGO\n"),
+        (true, "EOR\n".into(), String::new())
+    );
     assert_eq!(wirehost(""), (true, String::new(), String::new()));
 }
 
@@ -43,10 +46,16 @@
     let (ok, out, err) = wirehost(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
-    assert!(replies[0].contains("SUBMIT_TO\ti=0\trid=r-x\tbackend=b."), "{out}");
+    assert!(
+        replies[0].contains("SUBMIT_TO\ti=0\trid=r-x\tbackend=b."),
+        "{out}"
+    );
     // The unknown effect counts as unsafe and the unknown outcome as one that may have run.
     assert!(replies[1].contains("REPORT_FAILURE\ti=0\trid=r-x"), "{out}");
-    assert!(!replies[1].contains("SUBMIT_TO") && !replies[1].contains("TURN_AWAY"), "{out}");
+    assert!(
+        !replies[1].contains("SUBMIT_TO") && !replies[1].contains("TURN_AWAY"),
+        "{out}"
+    );
 }
 
 #[test]
@@ -77,23 +86,35 @@
     input += &format!("FRAME\tts=5000\n{burst}GO\n");
     let (ok, out, err) = wirehost(&input);
     assert!(ok, "{err}");
-    out.split("EOR\n").nth(81).unwrap().matches("SUBMIT_TO").count()
+    out.split("EOR\n")
+        .nth(81)
+        .unwrap()
+        .matches("SUBMIT_TO")
+        .count()
 }
 
 #[test]
 fn what_outcomes_tell_of_a_crowd_narrows_the_window() {
     // No more than one is out at a time, so that good answers don't widen the first window; two servers have room for two.
-    let (calm, crowded) =
-        (sent_at_once_after("failed_ps:0,busy_reqs:2"), sent_at_once_after("busy_reqs:30,pending:1"));
+    let (calm, crowded) = (
+        sent_at_once_after("failed_ps:0,busy_reqs:2"),
+        sent_at_once_after("busy_reqs:30,pending:1"),
+    );
     assert_eq!((calm, crowded), (2, 1));
 }
 
 #[test]
 fn malformed_lines_end_it_with_their_number() {
     for (line, at) in [
-        ("ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=soon\n", "line 6"),
+        (
+            "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=soon\n",
+            "line 6",
+        ),
         ("ARRIVAL\ti=0\trid=r-1\ttierClass=page\n", "line 6"),
-        ("ARRIVAL\ti=0\trid=r-1\ttierClass=none\ttimeBudget=5\n", "line 6"),
+        (
+            "ARRIVAL\ti=0\trid=r-1\ttierClass=none\ttimeBudget=5\n",
+            "line 6",
+        ),
         ("ARRIVAL\ti=zero\trid=r-1\n", "line 6"),
         ("ARRIVAL\tnonsense\n", "line 6"),
         ("TOPOLOGY\ti=0\tscope=delta\tnodesList=1\nGO\n", "line 7"),
@@ -117,11 +138,22 @@
 
 #[test]
 fn a_restart_forgets_and_instances_do_not_touch_each_other() {
-    let ask = |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
+    let ask =
+        |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
     let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), ask(1, "r-1"));
-    let both = format!("FRAME\tts=10\n{}{}{}{}GO\n", start(0), start(1), ask(0, "r-0"), ask(1, "r-1"));
-    let of_one =
-        |out: &str| out.lines().filter(|l| l.contains("\ti=1\t")).map(str::to_owned).collect::<Vec<_>>();
+    let both = format!(
+        "FRAME\tts=10\n{}{}{}{}GO\n",
+        start(0),
+        start(1),
+        ask(0, "r-0"),
+        ask(1, "r-1")
+    );
+    let of_one = |out: &str| {
+        out.lines()
+            .filter(|l| l.contains("\ti=1\t"))
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(of_one(&wirehost(&alone).1), of_one(&wirehost(&both).1));
     let again = format!(
         "{alone}FRAME\tts=20\nCRASH_NOW\ti=1\n{}OUTCOME\ti=1\trid=r-1\tbackend=b.one\tsendNo=0\treason=completed\nGO\n",
@@ -152,14 +184,18 @@
         assert!(ok, "{to}: {err}");
         assert!(!out.contains("EXCEPTION"), "{to}: {out}");
     }
-    let input = format!("FRAME\tts=10\n{}DEADLINE_HIT\ti=0\tkeyBack=NaN\nGO\n", start(0));
+    let input = format!(
+        "FRAME\tts=10\n{}DEADLINE_HIT\ti=0\tkeyBack=NaN\nGO\n",
+        start(0)
+    );
     assert!(!wirehost(&input).0, "a token that is no number");
 }
 
 #[test]
 fn a_kill_and_a_start_in_one_batch_and_an_answer_with_a_hang_up() {
     let ask = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
-    let end = "OUTCOME\ti=0\trid=r-1\tbackend=b.one\tlatency=9\tsendNo=0\tclosed=1\treason=completed\n";
+    let end =
+        "OUTCOME\ti=0\trid=r-1\tbackend=b.one\tlatency=9\tsendNo=0\tclosed=1\treason=completed\n";
     let input = format!(
         "FRAME\tts=10\n{}{ask}GO\nFRAME\tts=20\nCRASH_NOW\ti=0\n{}GO\n\
          FRAME\tts=30\n{}GO\nFRAME\tts=40\n{end}HANGUP\ti=0\trid=r-2\nHANGUP\ti=0\trid=r-2\nGO\n",
@@ -170,6 +206,12 @@
     let (ok, out, err) = wirehost(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
-    assert!(replies[2].contains("SUBMIT_TO\ti=0\trid=r-2"), "the new start serves: {out}");
-    assert!(!replies[3].contains("r-1") && !replies[3].contains("r-2"), "nothing for what is over: {out}");
+    assert!(
+        replies[2].contains("SUBMIT_TO\ti=0\trid=r-2"),
+        "the new start serves: {out}"
+    );
+    assert!(
+        !replies[3].contains("r-1") && !replies[3].contains("r-2"),
+        "nothing for what is over: {out}"
+    );
 }
