--- a/check.sh
+++ b/check.sh
@@ -6,7 +6,7 @@
 cargo clippy --locked --workspace --all-targets --profile ci -- -D warnings
 # What the platform builds, with no more of others' features than it asks for itself.
 cargo clippy --locked --profile ci -- -D warnings
-cargo clippy --locked -p wharfhitch --profile ci -- -D warnings
+cargo clippy --locked -p balancer --profile ci -- -D warnings
 .ci/known-red-test.sh
 # With failpoints, by which tests make a process slow or stand still at a named place. Tests that KNOWN-RED.txt
 # lists may fail.
--- a/crates/admin/src/answers.rs
+++ b/crates/admin-api/src/answers.rs
@@ -1,10 +1,10 @@
 //! The bodies of answers and of calls that are no part of a tenant's document.
 
-use hosted::document::Tenant;
-use hosted::plane::TenantStatus;
+use config_store::Entry;
+use multi_tenant::document::Tenant;
+use multi_tenant::plane::TenantStatus;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use store::Entry;
 
 use crate::access::{Role, Who};
 use crate::difference::Difference;
@@ -92,8 +92,8 @@
     pub name: String,
 }
 
-impl From<&store::Author> for By {
-    fn from(author: &store::Author) -> Self {
+impl From<&config_store::Author> for By {
+    fn from(author: &config_store::Author) -> Self {
         By {
             id: author.id.clone(),
             name: author.name.clone(),
--- a/crates/admin/src/call.rs
+++ b/crates/admin-api/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hosted::plan::Prepared;
+use multi_tenant::plan::Prepared;
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -193,7 +193,7 @@
     /// # Errors
     /// It has another form.
     pub fn read<T: DeserializeOwned + JsonSchema>(&self) -> Result<T, Problem> {
-        let form = documents::Form::of::<T>().map_err(Problem::internal)?;
+        let form = config_parser::Form::of::<T>().map_err(Problem::internal)?;
         form.read(&self.body).map_err(Problem::faults)
     }
 }
--- a/crates/admin/src/desk.rs
+++ b/crates/admin-api/src/desk.rs
@@ -6,15 +6,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-use documents::{Fault, Form};
-use hosted::catalog::{Catalog, Name, Parts};
-use hosted::check;
-use hosted::document::{Service, Tenant};
-use hosted::plan::{self, Prepared};
+use config_parser::{Fault, Form};
+use config_store::{Author, Each, Keep, State, Store, StoreError, Write, snapshot};
+use multi_tenant::catalog::{Catalog, Name, Parts};
+use multi_tenant::check;
+use multi_tenant::document::{Service, Tenant};
+use multi_tenant::plan::{self, Prepared};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use sha2::{Digest as _, Sha256};
-use store::{Author, Each, Keep, State, Store, StoreError, Write, snapshot};
 
 use crate::access::{self, Role, Token, Who};
 use crate::answers::{By, Changed, Written};
@@ -411,7 +411,7 @@
     pub fn export(&self) -> Result<String, String> {
         let store = self.store.as_ref().ok_or("the state is read-only")?;
         let mut text = Vec::new();
-        store::export(store, &mut text).map_err(|e| e.to_string())?;
+        config_store::export(store, &mut text).map_err(|e| e.to_string())?;
         String::from_utf8(text).map_err(|e| e.to_string())
     }
 
@@ -421,7 +421,7 @@
     /// It can't be read or stored, or does not fit the file; then what was here is served no more.
     pub fn replace(&mut self, file: &Service, text: &str) -> Result<(), String> {
         let store = self.store.as_mut().ok_or("the state is read-only")?;
-        let state = store::replace(store, text.as_bytes()).map_err(|e| e.to_string())?;
+        let state = config_store::replace(store, text.as_bytes()).map_err(|e| e.to_string())?;
         (self.version, self.entry, self.stale) = (state.version, state.entry, true);
         self.tokens = tokens(state.tokens)?;
         self.load(file)
--- a/crates/admin/src/events.rs
+++ b/crates/admin-api/src/events.rs
@@ -1,7 +1,7 @@
 //! What streams of events tell: versions that have taken effect, and how tenants fare.
 
+use config_store::Entry;
 use serde_json::{Value, json};
-use store::Entry;
 
 use crate::access::Who;
 use crate::answers::{By, Changed};
@@ -24,7 +24,7 @@
 impl Happened {
     /// What a log entry tells of it, to those who join later.
     pub fn of(entry: &Entry, name: impl Fn(&str) -> Option<String>) -> Option<Self> {
-        let changed = |e: &store::Edited| {
+        let changed = |e: &config_store::Edited| {
             Some(Changed {
                 name: name(&e.scope)?,
                 rev: e.rev,
--- a/crates/admin/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write as _;
 
-use hosted::plane::{Residency, TenantStatus};
-use links::status::Status;
+use cluster_runtime::status::Status;
+use multi_tenant::plane::{Residency, TenantStatus};
 
 /// What an instance is told to have been turned away for, as [`TenantStatus::refused`] has it.
 const CAUSES: [&str; 5] = ["sockets", "in-flight", "bytes", "time", "servers"];
--- a/crates/admin/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -15,12 +15,12 @@
 };
 use axum::http::{HeaderMap, HeaderName, Method, Response, StatusCode};
 use axum::routing::{MethodFilter, MethodRouter, on};
-use hosted::catalog::Catalog;
-use hosted::document::Service;
-use hosted::plan::Prepared;
-use hosted::plane::{Plane, Residency, TenantStatus};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
+use multi_tenant::catalog::Catalog;
+use multi_tenant::document::Service;
+use multi_tenant::plan::Prepared;
+use multi_tenant::plane::{Plane, Residency, TenantStatus};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore, broadcast, mpsc, oneshot};
--- a/crates/admin/src/problem.rs
+++ b/crates/admin-api/src/problem.rs
@@ -2,10 +2,10 @@
 
 use std::borrow::Cow;
 
-use documents::Fault;
+use config_parser::Fault;
+use config_store::StoreError;
 use serde::Serialize;
 use serde_json::{Value, json};
-use store::StoreError;
 
 /// Bytes of a text in an answer or in the log: what somebody sent is not told back whole.
 const LONG: usize = 1024;
--- a/crates/admin/src/start.rs
+++ b/crates/admin-api/src/start.rs
@@ -3,8 +3,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use recovery::{Facts, Phase, Start, Terms, Verdict};
 use serde_json::json;
+use startup::{Facts, Phase, Start, Terms, Verdict};
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
--- a/crates/admin/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use hosted::catalog::Name;
+use multi_tenant::catalog::Name;
 use serde_json::{Value, json};
 
 use crate::access::Needs;
@@ -117,7 +117,7 @@
     let now = desk.document(&call.who, &name);
     let mut body = call.body.clone();
     let differs = |what| {
-        Problem::faults(vec![documents::Fault {
+        Problem::faults(vec![config_parser::Fault {
             pointer: "/name".into(),
             what,
         }])
@@ -254,7 +254,7 @@
         }
         if !named.insert(tenant.name.as_str()) {
             let what = format!("\"{}\" stands twice", tenant.name);
-            return Err(Problem::faults(vec![documents::Fault {
+            return Err(Problem::faults(vec![config_parser::Fault {
                 pointer: format!("/tenant/{i}/name"),
                 what,
             }]));
--- a/crates/admin/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -8,10 +8,10 @@
 
 use cluster::machine::{Outcome as Ended, Phase, Proposal, Reason};
 use cluster::node::Refusal;
-use documents::Fault;
-use hosted::document::Service;
-use links::member::{Said, Told};
-use links::status::Status;
+use cluster_runtime::member::{Said, Told};
+use cluster_runtime::status::Status;
+use config_parser::Fault;
+use multi_tenant::document::Service;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/admin/src/tokens.rs
+++ b/crates/admin-api/src/tokens.rs
@@ -68,7 +68,7 @@
 }
 
 fn fault(pointer: &str, what: &str) -> Problem {
-    Problem::faults(vec![documents::Fault {
+    Problem::faults(vec![config_parser::Fault {
         pointer: pointer.into(),
         what: what.into(),
     }])
--- a/crates/admin/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
+use config_store::{Entry, Row};
 use serde_json::Value;
-use store::{Entry, Row};
 
 use crate::access::Needs;
 use crate::answers::{Back, By, Compared, Line, Version};
@@ -73,7 +73,7 @@
         // A log that was cut short leaves revisions whose makers are not known any more.
         let unknown = || Entry {
             at_ms: 0,
-            by: store::Author {
+            by: config_store::Author {
                 id: String::new(),
                 name: "not kept".into(),
             },
--- a/crates/admin/tests/desk.rs
+++ b/crates/admin-api/tests/desk.rs
@@ -1,8 +1,8 @@
 //! What the desk decides, without sockets: lost updates, repetitions, rights, faults, and going back.
 mod service;
 
-use admin::operations::{Act, OPERATIONS};
-use admin::{Call, Problem, Reply};
+use admin_api::operations::{Act, OPERATIONS};
+use admin_api::{Call, Problem, Reply};
 use serde_json::{Value, json};
 use service::{Caller, NOW, tenant};
 
@@ -503,7 +503,7 @@
         match it.with_tag("*").call(method, target, body.clone()) {
             Ok(reply) => {
                 proptest::prop_assert!(reply.status < 300);
-                proptest::prop_assert!(hosted::check::faults(&it.desk.catalog().service().unwrap()).is_empty());
+                proptest::prop_assert!(multi_tenant::check::faults(&it.desk.catalog().service().unwrap()).is_empty());
             }
             Err(problem) => {
                 proptest::prop_assert!((400..500).contains(&problem.status), "{:?}", problem);
--- a/crates/admin/tests/held.rs
+++ b/crates/admin-api/tests/held.rs
@@ -4,13 +4,13 @@
 
 use std::time::Duration;
 
-use admin::{Desk, Problem, snapshot_rest};
-use documents::Fault;
-use hosted::catalog::{Catalog, Difference};
-use hosted::document::Service;
+use admin_api::{Desk, Problem, snapshot_rest};
+use config_parser::Fault;
+use config_store::{Keep, Store};
+use multi_tenant::catalog::{Catalog, Difference};
+use multi_tenant::document::Service;
 use serde_json::{Value, json};
 use service::{Caller, Directory, KEEP, NOW, file, tenant};
-use store::{Keep, Store};
 
 /// A state that the program of 2b8906c made and exported, and the snapshot that it wrote of it.
 const EXPORT: &str = include_str!("older/export.jsonl");
@@ -24,7 +24,7 @@
     };
     let path = directory.path().join("exported");
     let (mut store, _) = Store::open(&path, keep).unwrap();
-    store::import(&mut store, text.as_bytes()).unwrap();
+    config_store::import(&mut store, text.as_bytes()).unwrap();
     drop(store);
     let (store, state) = Store::open(&path, keep).unwrap();
     Desk::with(
@@ -185,8 +185,8 @@
 fn an_older_snapshot_serves_a_start_beside_a_damaged_store_and_is_written_the_same() {
     let it = Caller::new(&["model"]);
     let path = it.directory.path();
-    std::fs::write(path.join(store::FILE), "no store").unwrap();
-    std::fs::write(path.join(store::snapshot::FILE), SNAPSHOT).unwrap();
+    std::fs::write(path.join(config_store::FILE), "no store").unwrap();
+    std::fs::write(path.join(config_store::snapshot::FILE), SNAPSHOT).unwrap();
     let mut service = file(&[]);
     let durable = json!({ "directory": path.display().to_string() });
     service.state = Some(serde_json::from_value(durable).unwrap());
@@ -214,7 +214,7 @@
         .write()
         .map_err(|(e, _)| e)
         .unwrap();
-    let written = std::fs::read(path.join(store::snapshot::FILE)).unwrap();
+    let written = std::fs::read(path.join(config_store::snapshot::FILE)).unwrap();
     assert_eq!(
         (written.as_slice(), bytes),
         (SNAPSHOT, SNAPSHOT.len() as u64)
--- a/crates/admin/tests/http.rs
+++ b/crates/admin-api/tests/http.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use admin::operations::{OPERATIONS, openapi};
-use admin::{Api, Order};
+use admin_api::operations::{OPERATIONS, openapi};
+use admin_api::{Api, Order};
 use serde_json::{Value, json};
 use service::{Caller, tenant};
 
@@ -68,10 +68,12 @@
                     Order::HoldOff(_) | Order::Take | Order::Among(..) => {}
                     Order::Known(tell) => _ = tell.send((None, 0, Vec::new())),
                     Order::Gate(tell) => _ = tell.send([0; 2]),
-                    Order::Residency(tell) => _ = tell.send(hosted::plane::Residency::default()),
+                    Order::Residency(tell) => {
+                        _ = tell.send(multi_tenant::plane::Residency::default())
+                    }
                     Order::Close(done) | Order::OpenAt(_, done) => _ = done.send(()),
                     Order::Status(name, tell) => {
-                        let status = |name: String| hosted::plane::TenantStatus {
+                        let status = |name: String| multi_tenant::plane::TenantStatus {
                             name,
                             resident: true,
                             ready: true,
--- a/crates/admin/tests/service/mod.rs
+++ b/crates/admin-api/tests/service/mod.rs
@@ -2,13 +2,13 @@
 #![allow(dead_code)] // each test file uses its own part
 use std::collections::BTreeMap;
 
-use admin::operations::{Act, OPERATIONS};
-use admin::{Call, Desk, Outcome, Problem, Reply, Role, Who};
-use hosted::document::Service;
+use admin_api::operations::{Act, OPERATIONS};
+use admin_api::{Call, Desk, Outcome, Problem, Reply, Role, Who};
+use config_store::{Keep, Store};
+use multi_tenant::document::Service;
 use redb::Database;
 use redb::backends::InMemoryBackend;
 use serde_json::{Value, json};
-use store::{Keep, Store};
 
 pub const NOW: u64 = 1_800_000_000_000;
 /// Versions that are kept.
@@ -76,7 +76,7 @@
             NOW,
         )
         .unwrap();
-        let token = std::fs::read_to_string(directory.join(admin::OPERATOR)).unwrap();
+        let token = std::fs::read_to_string(directory.join(admin_api::OPERATOR)).unwrap();
         let who = desk
             .who(Some(&format!("Bearer {}", token.trim())), NOW)
             .unwrap();
@@ -187,7 +187,7 @@
     /// All that the store holds.
     pub fn export(&self) -> String {
         let mut text = Vec::new();
-        store::export(self.desk.store().unwrap(), &mut text).unwrap();
+        config_store::export(self.desk.store().unwrap(), &mut text).unwrap();
         String::from_utf8(text).unwrap()
     }
 }
@@ -204,7 +204,7 @@
     }
 }
 
-fn operation(method: &str, path: &str) -> &'static admin::operations::Operation {
+fn operation(method: &str, path: &str) -> &'static admin_api::operations::Operation {
     let fits = |template: &str| {
         let (a, b): (Vec<_>, Vec<_>) = (template.split('/').collect(), path.split('/').collect());
         a.len() == b.len() && a.iter().zip(&b).all(|(t, p)| t.starts_with('{') || t == p)
--- a/crates/wharfhitch/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,4 +1,4 @@
-//! wharfhitch decides, for one reverse proxy, which HTTP server gets which request and when.
+//! balancer decides, for one reverse proxy, which HTTP server gets which request and when.
 //!
 //! It does no input or output of its own: feed a [`Balancer`] through [`Balancer::handle`] with the [`Event`]s
 //! that the proxy sees, and carry out the [`Action`]s that it returns. It holds no clock either: the time comes
--- a/crates/wharfhitch/tests/choice.rs
+++ b/crates/balancer/tests/choice.rs
@@ -1,7 +1,7 @@
 //! One test for each failure found on the bench, none of which needs it.
 mod common;
+use balancer::*;
 use common::*;
-use wharfhitch::*;
 
 fn refusals(actions: &[Action]) -> usize {
     actions
--- a/crates/wharfhitch/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -1,8 +1,8 @@
 //! What many proxies together send to servers that have just started, with traffic that comes unevenly, requests of unlike work, and
 //! proxies that know nothing yet: within a server's budget of N requests of mean work, and 2 √N + 2 more for chance.
 mod common;
+use balancer::*;
 use common::*;
-use wharfhitch::*;
 
 /// Work of the two classes on one core, the part of the second, and the cores of a server.
 const WORK: [Millis; 2] = [16.0, 96.0];
--- a/crates/wharfhitch/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings for tests, a checker of the four rules, and a small world that drives a Balancer.
 #![allow(dead_code)] // each test file uses its own part
+use balancer::*;
 use std::collections::{BTreeMap, HashMap};
-use wharfhitch::*;
 
 pub fn class(effect: Effect, aim: Millis) -> Class {
     Class {
--- a/crates/wharfhitch/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use wharfhitch::*;
+use balancer::*;
 
 const RECORDED: &str = include_str!("fixtures/decision_trace.txt");
 
--- a/crates/wharfhitch/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many proxies side by side, each a module of its own: what they may do apart must hold for their sum.
 mod common;
+use balancer::*;
 use common::*;
-use wharfhitch::*;
 
 const LATENCY: Millis = 40.0; // of an answer on a warm server: two cores of it do 50 a second
 
--- a/crates/wharfhitch/tests/operations.rs
+++ b/crates/balancer/tests/operations.rs
@@ -1,7 +1,7 @@
 //! What operators change under way: settings, and requests and answers too large to be kept.
 mod common;
+use balancer::*;
 use common::*;
-use wharfhitch::*;
 
 fn change(base: &Settings, edit: impl FnOnce(&mut Settings)) -> Event {
     let mut settings = base.clone();
--- a/crates/wharfhitch/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,7 +1,7 @@
 //! The four rules over seeded random but legal event streams, watched by an independent checker.
 mod common;
+use balancer::*;
 use common::*;
-use wharfhitch::*;
 
 enum Due {
     Timer(u64),
--- a/crates/wharfhitch/tests/standing.rs
+++ b/crates/balancer/tests/standing.rs
@@ -1,7 +1,7 @@
 //! What a module knew of servers goes over to the next one, and nothing of a server that is another process by then.
 mod common;
+use balancer::*;
 use common::*;
-use wharfhitch::*;
 
 const SECOND: u64 = 2;
 
--- a/crates/wharfhitch/tests/threshold.rs
+++ b/crates/balancer/tests/threshold.rs
@@ -1,5 +1,5 @@
 //! The threshold against the delay formulas of the paper, computed another way.
-use wharfhitch::threshold;
+use balancer::threshold;
 
 /// D_τ of (3.1) and (3.2) with μ_slow = 1 and μ_fast = R, from the M/M/m/K state probabilities.
 fn delay(m: u32, rho: f64, ratio: f64, tau: u32) -> f64 {
--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use documents::{DocumentError, Fault, Places, Problem};
+use config_parser::{DocumentError, Fault, Places, Problem};
 use http_body_util::BodyExt as _;
 use serde_json::{Value, json};
 
@@ -771,6 +771,6 @@
         let value = serde_json::from_str(&text).map_err(|e| format!("{name}:{}: {e}", e.line()))?;
         return Ok((value, None));
     }
-    let (value, places) = documents::toml(&name, &text).map_err(|e| e.to_string())?;
+    let (value, places) = config_parser::toml(&name, &text).map_err(|e| e.to_string())?;
     Ok((value, Some(places)))
 }
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ::admin::Api;
+use ::admin_api::Api;
 use ::cluster::machine::{self, Micros, Rules};
-use engine::gate::{Gate, Terms};
-use hosted::document::{Cluster, Service, WhenCutOff, WhenListUnknown};
-use links::member::{self, Said, Settings, Told};
-use links::right::Right;
+use cluster_runtime::member::{self, Said, Settings, Told};
+use cluster_runtime::right::Right;
+use multi_tenant::document::{Cluster, Service, WhenCutOff, WhenListUnknown};
+use proxy_core::gate::{Gate, Terms};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 use crate::serve::unix_ms;
@@ -40,12 +40,12 @@
 }
 
 /// What an instance's start goes by.
-pub fn start(cluster: &Cluster) -> recovery::Terms {
-    recovery::Terms {
+pub fn start(cluster: &Cluster) -> startup::Terms {
+    startup::Terms {
         list_wait: micros(cluster.list_wait.0),
         when_list_unknown: match cluster.when_list_unknown {
-            WhenListUnknown::Serve => recovery::WhenUnknown::Serve,
-            WhenListUnknown::Refuse => recovery::WhenUnknown::Refuse,
+            WhenListUnknown::Serve => startup::WhenUnknown::Serve,
+            WhenListUnknown::Refuse => startup::WhenUnknown::Refuse,
         },
     }
 }
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -3,11 +3,11 @@
 
 use std::path::{Path, PathBuf};
 
-use ::admin::{Backup, Desk};
+use ::admin_api::{Backup, Desk};
 use ::cluster::machine::{Machine, Member};
 use ::cluster::salvage::next_era;
-use hosted::document::{Cluster, Service};
-use links::kept::{Kept, new_cluster};
+use cluster_runtime::kept::{Kept, new_cluster};
+use multi_tenant::document::{Cluster, Service};
 use serde_json::Value;
 
 use crate::serve::{read, unix_ms};
@@ -83,7 +83,7 @@
     yes: bool,
 ) -> Result<(), String> {
     let named = |e: String| format!("{}: {e}", directory.display());
-    if !directory.join(store::log::LOG_FILE).exists() {
+    if !directory.join(config_store::log::LOG_FILE).exists() {
         return Err(named(
             "it is no member's directory; to begin from a backup give --backup FILE".into(),
         ));
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -7,9 +7,9 @@
 
 use ::lab::service::fleet::{Fleet, Terms};
 use ::lab::{demo, experiment, shipped};
-use hosted::check;
-use hosted::document::Service;
-use hosted::plane::Plane;
+use multi_tenant::check;
+use multi_tenant::document::Service;
+use multi_tenant::plane::Plane;
 use serde_json::{Value, json};
 
 /// What instances of a demonstration go by: leases that run out while somebody looks on.
@@ -120,7 +120,7 @@
             );
         }
         let Some(admin) = admin else { return };
-        let token = self.directory.join(::admin::OPERATOR);
+        let token = self.directory.join(::admin_api::OPERATOR);
         println!("Administration:");
         println!(
             "  canvascart admin --url http://{admin} --token-file {} status",
@@ -172,7 +172,7 @@
         .map_or(String::new(), |a| format!("--url http://{a}"));
     let token = format!(
         "--token-file {}",
-        fleet.state(0).join(::admin::OPERATOR).display()
+        fleet.state(0).join(::admin_api::OPERATOR).display()
     );
     println!("Ask for something:        curl -H 'X-Tenant-Id: north' ADDRESS/lookup/1");
     println!("Look:                     canvascart cluster {admin} {token} status");
--- a/crates/canvascart/src/fleet.rs
+++ b/crates/canvascart/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ::fleet::{Entry, Keys, Limits, State, Told, is_name};
+use ::endpoint_discovery::{Entry, Keys, Limits, State, Told, is_name};
 use clap::Subcommand;
 use etcd::{Failed, Listed, Plain, Registry, Settings, Update};
 use serde_json::json;
--- a/crates/canvascart/src/main.rs
+++ b/crates/canvascart/src/main.rs
@@ -59,7 +59,7 @@
     /// Tells of the configuration of `serve`.
     #[command(subcommand)]
     Config(serve::Config),
-    /// Runs a proxy, as the program sandgap does: for tests and the lab, which need nothing else built.
+    /// Runs a proxy, as the program canvascart-proxy does: for tests and the lab, which need nothing else built.
     #[command(hide = true)]
     Proxy {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -118,7 +118,7 @@
         Command::Fleet(arguments) => fleet::run(arguments),
         Command::Store(command) => state::run(&command),
         Command::Config(command) => serve::config(&command),
-        Command::Proxy { arguments } => return engine::process::main(arguments.into_iter()),
+        Command::Proxy { arguments } => return proxy_core::process::main(arguments.into_iter()),
     };
     ExitCode::from(outcome.unwrap_or_else(|text| {
         eprintln!("canvascart: {text}");
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -4,11 +4,11 @@
 use std::collections::BinaryHeap;
 
 use ::capture::{Head, News, Record, Server, Tried};
-use settings::{Names, index_of, number_of};
-use wharfhitch::{
+use balancer::{
     Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Millis, Outcome,
     RequestId, TenantId, ZoneId,
 };
+use settings::{Names, index_of, number_of};
 
 /// Between two requests: they come alone, so that none waits for another.
 const STEP: Millis = 50.0;
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use ::admin::{Api, Desk, Order, Starting, Together};
-use ::fleet::Keys;
-use hosted::check;
-use hosted::document::Service;
-use hosted::plan::Plan;
-use hosted::plane::{Follow, Plane};
-use links::member::Said;
-use links::right::Right;
+use ::admin_api::{Api, Desk, Order, Starting, Together};
+use ::endpoint_discovery::Keys;
+use cluster_runtime::member::Said;
+use cluster_runtime::right::Right;
+use multi_tenant::check;
+use multi_tenant::document::Service;
+use multi_tenant::plan::Plan;
+use multi_tenant::plane::{Follow, Plane};
 use tokio::runtime::Handle;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -69,7 +69,7 @@
 pub fn config(command: &Config) -> Result<u8, String> {
     let document = match command {
         Config::Schema => check::form()?.schema().clone(),
-        Config::Openapi => ::admin::operations::openapi(),
+        Config::Openapi => ::admin_api::operations::openapi(),
     };
     println!(
         "{}",
@@ -112,7 +112,7 @@
         );
         return Ok(0);
     }
-    engine::service::log_as("canvascart");
+    proxy_core::service::log_as("canvascart");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -262,7 +262,7 @@
         let (to, updates) = tokio::sync::mpsc::unbounded_channel();
         let pool = settings.pool.clone().unwrap_or_else(|| tenant.name.clone());
         let keys = Keys::new(&settings.prefix, &pool);
-        let mut limits = ::fleet::Limits::default();
+        let mut limits = ::endpoint_discovery::Limits::default();
         (limits.rules.guard, limits.rules.hold) = (settings.guard.0, settings.hold.0 as u64);
         let user = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
             Ok(text) => text.trim().split_once(':').map(|(n, p)| (n.to_owned(), p.to_owned())),
--- a/crates/canvascart/src/state.rs
+++ b/crates/canvascart/src/state.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use store::{Author, Keep, Store, StoreError, Write};
+use config_store::{Author, Keep, Store, StoreError, Write};
 
 /// The store is not there, damaged, open elsewhere, or another program's.
 const OF_NO_USE: u8 = 3;
@@ -86,12 +86,12 @@
     match output {
         Some(file) => {
             let mut to = BufWriter::new(File::create(file)?);
-            store::export(&store, &mut to)?;
+            config_store::export(&store, &mut to)?;
             to.into_inner().map_err(|e| e.into_error())?.sync_all()?;
         }
         None => {
             let mut to = BufWriter::new(stdout().lock());
-            store::export(&store, &mut to)?;
+            config_store::export(&store, &mut to)?;
             to.flush()?;
         }
     }
@@ -101,9 +101,9 @@
 fn import(directory: &Path, file: &Path) -> Result<(), StoreError> {
     let (mut store, _) = Store::open(directory, Keep::default())?;
     if file == Path::new("-") {
-        store::import(&mut store, stdin().lock())
+        config_store::import(&mut store, stdin().lock())
     } else {
-        store::import(&mut store, BufReader::new(File::open(file)?))
+        config_store::import(&mut store, BufReader::new(File::open(file)?))
     }
 }
 
@@ -113,7 +113,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    let (id, whole, token) = ::admin::operator("canvascart store token", now_ms)
+    let (id, whole, token) = ::admin_api::operator("canvascart store token", now_ms)
         .map_err(|p| StoreError::Database(p.detail))?;
     store.commit(&Write {
         base: state.entry,
--- a/crates/canvascart/tests/capture.rs
+++ b/crates/canvascart/tests/capture.rs
@@ -1,5 +1,5 @@
 //! The capture of a running proxy, and `canvascart capture replay`.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::process::{Command, Output};
@@ -220,7 +220,7 @@
 #[test]
 fn what_is_left_of_a_wrapped_ring_is_replayed_alone_and_foreign_lines_are_skipped() {
     let capture = format!(
-        "sandgap: a line\nr early page - sid=- dl=900ms seq=6 -> s-a 200\n{HEAD}{SETTINGS}{LIST}\
+        "canvascart-proxy: a line\nr early page - sid=- dl=900ms seq=6 -> s-a 200\n{HEAD}{SETTINGS}{LIST}\
          r one page - sid=7f dl=900ms seq=7 -> s-a 200\ncanvascart.requests:1|c|#class:page\n\
          r two page - sid=- dl=900ms seq=7 -> (front) 503\n\
          l seq=8 at=90100.000 changes hosts=2\nb s-a site=- class=- block=- share=- born=0 gone\n\
@@ -243,7 +243,7 @@
 #[test]
 fn what_is_no_capture_is_an_error() {
     for (capture, word) in [
-        ("sandgap: a line\n", "no head"),
+        ("canvascart-proxy: a line\n", "no head"),
         (LIST, "no head"),
         ("", "no head"),
         (HEAD, "settings are missing"),
@@ -434,7 +434,7 @@
 #[test]
 fn segments_go_to_files_and_an_unwritable_directory_harms_nothing() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let dir = std::env::temp_dir().join(format!("sandgap-capture-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("canvascart-proxy-capture-{}", std::process::id()));
     std::fs::create_dir(&dir).unwrap();
     let on = format!("{ON}capture.dir = {}\n", dir.display());
     for _start in 0..2 {
@@ -474,7 +474,7 @@
     );
     let log = end(proxy, 1);
     assert!(
-        log.contains("sandgap: capture: ") && log.contains("No such file"),
+        log.contains("canvascart-proxy: capture: ") && log.contains("No such file"),
         "{log}"
     );
 }
--- a/crates/canvascart/tests/client.rs
+++ b/crates/canvascart/tests/client.rs
@@ -1,5 +1,5 @@
 //! `canvascart client` against stubs on loopback, and against the proxy.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::net::{SocketAddr, TcpListener};
--- a/crates/canvascart/tests/compatibility.rs
+++ b/crates/canvascart/tests/compatibility.rs
@@ -3,7 +3,7 @@
 //!
 //! A `.sparse` file is a database file without its empty blocks: its length, then each block of 512 bytes that is not
 //! all zeros, behind its offset (little-endian, 8 bytes each).
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::collections::BTreeSet;
--- a/crates/canvascart/tests/drills.rs
+++ b/crates/canvascart/tests/drills.rs
@@ -1,5 +1,5 @@
 //! Drills on a running proxy, through `canvascart drill` and its side port.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::io::{Read, Write};
@@ -33,7 +33,7 @@
         let log = proxy.log.lock().unwrap();
         address = log
             .lines()
-            .find_map(|l| l.strip_prefix("sandgap: drills on ")?.parse().ok());
+            .find_map(|l| l.strip_prefix("canvascart-proxy: drills on ")?.parse().ok());
         address.is_some()
     });
     address.expect("just seen")
@@ -102,13 +102,9 @@
         count(&proxy.log.lock().unwrap(), "drill=page-abort id=r-") == 100
     });
     let affected = codes.iter().position(|c| *c == 500).expect("a hundred");
-    assert!(
-        proxy
-            .log
-            .lock()
-            .unwrap()
-            .contains(&format!("sandgap: drill=page-abort id=r-{affected}\n"))
-    );
+    assert!(proxy.log.lock().unwrap().contains(&format!(
+        "canvascart-proxy: drill=page-abort id=r-{affected}\n"
+    )));
 }
 
 #[test]
@@ -137,7 +133,7 @@
     let log = proxy.log.lock().unwrap().clone();
     for line in log
         .lines()
-        .filter_map(|l| l.strip_prefix("sandgap: drill=page-delay-20ms id=r-"))
+        .filter_map(|l| l.strip_prefix("canvascart-proxy: drill=page-delay-20ms id=r-"))
     {
         let n: usize = line.parse().expect("a number");
         assert!(
--- a/crates/canvascart/tests/figures.rs
+++ b/crates/canvascart/tests/figures.rs
@@ -1,5 +1,5 @@
 //! The figures of a running proxy, wherever they go.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::net::{SocketAddr, UdpSocket};
@@ -64,7 +64,10 @@
 }
 
 fn path(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("sandgap-figures-{}-{name}", std::process::id()))
+    std::env::temp_dir().join(format!(
+        "canvascart-proxy-figures-{}-{name}",
+        std::process::id()
+    ))
 }
 
 const SERVED: &str = "class:page,tenant:acme,code:200";
@@ -286,7 +289,7 @@
     assert!(
         before
             .iter()
-            .all(|l| l.starts_with("canvascart.") || l.starts_with("sandgap: ")),
+            .all(|l| l.starts_with("canvascart.") || l.starts_with("canvascart-proxy: ")),
         "whole lines"
     );
     drop(lines); // and now nobody ever will
@@ -306,7 +309,7 @@
         let log = proxy.log.lock().unwrap();
         at = log
             .lines()
-            .find_map(|l| l.strip_prefix("sandgap: drills on ")?.parse().ok());
+            .find_map(|l| l.strip_prefix("canvascart-proxy: drills on ")?.parse().ok());
         at.is_some()
     });
     let at = at.expect("just seen").to_string();
--- a/crates/canvascart/tests/fleet.rs
+++ b/crates/canvascart/tests/fleet.rs
@@ -5,9 +5,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+use endpoint_discovery::{Entry, Keys, State};
 use etcd::api::PutRequest;
-use etcd_standin::{Net, Standin};
-use fleet::{Entry, Keys, State};
+use etcd_fake::{Net, Standin};
 use hosted::sockets::{Backend, Deed, Gate, ok, wait_for};
 use hosted::{Client, Running, listener, says, tenant};
 
--- a/crates/canvascart/tests/hosted/mod.rs
+++ b/crates/canvascart/tests/hosted/mod.rs
@@ -1,6 +1,6 @@
 //! A hosted service as a process on loopback, and clients of it.
 #![allow(dead_code)] // each test file uses its own part
-#[path = "../../../engine/tests/sockets/mod.rs"]
+#[path = "../../../proxy-core/tests/sockets/mod.rs"]
 pub mod sockets;
 
 use std::collections::BTreeMap;
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -3,9 +3,9 @@
 
 use std::time::{Duration, Instant};
 
+use endpoint_discovery::{Entry, Keys};
 use etcd::api::PutRequest;
-use etcd_standin::{Net, Standin};
-use fleet::{Entry, Keys};
+use etcd_fake::{Net, Standin};
 use lab::net::Mode;
 use lab::service::Line;
 use lab::service::changes::{Ledger, server};
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -17,7 +17,7 @@
 use std::borrow::Cow;
 use std::fmt::{self, Write as _};
 
-use wharfhitch::{Millis, Outcome, Scope, State};
+use balancer::{Millis, Outcome, Scope, State};
 
 /// Bytes of a field from outside; the rest is cut, which `%~` marks.
 pub const FIELD: usize = 128;
@@ -496,7 +496,7 @@
             }
         }
         for foreign in [
-            "sandgap: n0 listens on 127.0.0.1:1",
+            "canvascart-proxy: n0 listens on 127.0.0.1:1",
             "canvascart.requests:1|c",
             "rr x",
             "r2 d2",
--- a/crates/links/src/kept.rs
+++ b/crates/cluster-runtime/src/kept.rs
@@ -5,8 +5,8 @@
 use cluster::machine::Machine;
 use cluster::node::{Saved, found};
 use cluster::salvage::Salvage;
+use config_store::log::{Append, Log, Logged};
 use serde::{Deserialize, Serialize};
-use store::log::{Append, Log, Logged};
 
 /// Who a member is, as its log has it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/links/src/member.rs
+++ b/crates/cluster-runtime/src/member.rs
@@ -10,7 +10,7 @@
 use cluster::fence::Until;
 use cluster::machine::{Effect, Machine, Member, Micros, Outcome, Phase, Proposal, Rules, Version};
 use cluster::node::{Kind, Node, Output, Persist, Refusal, Saved, TICK, found};
-use store::log::{Append, Log, Logged};
+use config_store::log::{Append, Log, Logged};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
--- a/crates/links/tests/frame.rs
+++ b/crates/cluster-runtime/tests/frame.rs
@@ -1,6 +1,8 @@
 //! Messages pass a link in order and unchanged, and nobody opens one without the cluster's key.
 
-use links::frame::{HEAD, Key, LONGEST, OPENING, Rubbish, Sealer, answer, opened, opening};
+use cluster_runtime::frame::{
+    HEAD, Key, LONGEST, OPENING, Rubbish, Sealer, answer, opened, opening,
+};
 
 /// Bytes of the drawn numbers.
 const NONCE: usize = 16;
--- a/crates/links/tests/links.rs
+++ b/crates/cluster-runtime/tests/links.rs
@@ -2,10 +2,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use links::frame::{ANSWER, Key, OPENING, opened, opening};
-use links::message::{Body, Message, Sender};
-use links::post::Post;
-use store::log::{Append, Log, Logged};
+use cluster_runtime::frame::{ANSWER, Key, OPENING, opened, opening};
+use cluster_runtime::message::{Body, Message, Sender};
+use cluster_runtime::post::Post;
+use config_store::log::{Append, Log, Logged};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -174,7 +174,7 @@
     let (log, logged) = Log::open(&directory).unwrap();
     assert_eq!(texts(&logged), ["ten"]);
     drop(log);
-    std::fs::write(directory.join(store::log::LOG_FILE), b"no database").unwrap();
+    std::fs::write(directory.join(config_store::log::LOG_FILE), b"no database").unwrap();
     assert!(Log::open(&directory).is_err(), "a damaged one is told of");
     std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/crates/links/tests/message.rs
+++ b/crates/cluster-runtime/tests/message.rs
@@ -1,7 +1,7 @@
 //! What members write to each other is read as it was written, and what is no message is none.
 
 use cluster::node;
-use links::message::{Body, Message, Sender};
+use cluster_runtime::message::{Body, Message, Sender};
 
 fn sender() -> Sender {
     Sender {
--- a/crates/links/tests/wire_fixtures.rs
+++ b/crates/cluster-runtime/tests/wire_fixtures.rs
@@ -4,8 +4,8 @@
 //! the bytes that open a link and the heads of the first frames on it.
 use cluster::fence::{Grant, Report, Span};
 use cluster::node::{self, Welcome};
-use links::frame::{Key, answer, opened, opening};
-use links::message::{Body, Message, Sender};
+use cluster_runtime::frame::{Key, answer, opened, opening};
+use cluster_runtime::message::{Body, Message, Sender};
 
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
 const FRAMES: &str = include_str!("fixtures/frames.txt");
--- a/crates/documents/tests/form.rs
+++ b/crates/config-parser/tests/form.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use documents::units::{Bytes, Span};
-use documents::{Fault, Form, MOST_LISTED};
+use config_parser::units::{Bytes, Span};
+use config_parser::{Fault, Form, MOST_LISTED};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -347,8 +347,8 @@
 
 #[test]
 fn checks_beyond_the_schema_are_listed_within_the_same_bounds() {
-    let (_, places) = documents::toml("s.toml", "a = 1\nb = 2\n").unwrap();
-    let problem = |i: usize| documents::Problem {
+    let (_, places) = config_parser::toml("s.toml", "a = 1\nb = 2\n").unwrap();
+    let problem = |i: usize| config_parser::Problem {
         line: if i == 9_999 { 1 } else { 2 },
         key: "b".repeat(i + 1),
         what: "w".repeat(10_000),
--- a/crates/store/tests/disk/mod.rs
+++ b/crates/config-store/tests/disk/mod.rs
@@ -2,9 +2,9 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
+use config_store::{Opener, StoreError};
 use fastrand::Rng;
 use redb::{Database, StorageBackend};
-use store::{Opener, StoreError};
 
 #[derive(Debug, Default)]
 struct Inner {
--- a/crates/store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
+use config_store::{Author, Keep, Store, StoreError, Write, export, import, snapshot};
 use disk::{Disk, End};
 use fastrand::Rng;
 use serde_json::{Value, json};
-use store::{Author, Keep, Store, StoreError, Write, export, import, snapshot};
 
 fn write(base: u64, edits: Vec<(String, Option<Value>)>) -> Write {
     Write {
@@ -51,7 +51,7 @@
 }
 
 /// What number stands in a store: the same everywhere.
-fn number(store: &Store, state: &store::State) -> u64 {
+fn number(store: &Store, state: &config_store::State) -> u64 {
     let n = |v: Option<&(u64, Value)>| v.map_or(0, |(_, v)| v["n"].as_u64().unwrap());
     let there = documents(store);
     let (a, b) = (there.get("a"), there.get("b"));
@@ -264,20 +264,20 @@
         Err(StoreError::Missing(_))
     ));
     // Left by a process that was killed while it made the store.
-    std::fs::write(path.join(format!("{}.new", store::FILE)), "half").unwrap();
+    std::fs::write(path.join(format!("{}.new", config_store::FILE)), "half").unwrap();
     let (store, _) = Store::open(path, Keep::default()).unwrap();
     assert!(matches!(
         Store::open(path, Keep::default()),
         Err(StoreError::Locked)
     ));
     drop(store);
-    let newer = redb::Database::open(path.join(store::FILE)).unwrap();
+    let newer = redb::Database::open(path.join(config_store::FILE)).unwrap();
     let change = newer.begin_write().unwrap();
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
     change
         .open_table(meta)
         .unwrap()
-        .insert("format", store::FORMAT + 1)
+        .insert("format", config_store::FORMAT + 1)
         .unwrap();
     change.commit().unwrap();
     drop(newer);
@@ -373,7 +373,7 @@
         _ = kept.insert(s.to_owned(), (rev, d))
     });
     assert_eq!((read.unwrap(), &kept), (state.clone(), &all));
-    let file = path.join(store::FILE);
+    let file = path.join(config_store::FILE);
     let whole = std::fs::read(&file).unwrap();
     let mut rng = Rng::with_seed(7);
     let (mut told, mut unharmed) = (0, 0);
@@ -414,10 +414,10 @@
 fn a_snapshot_that_cannot_be_made_leaves_the_one_that_was_there() {
     let directory = Directory::new("half");
     let path = &directory.0;
-    let state = store::State {
+    let state = config_store::State {
         version: 1,
         entry: 1,
-        ..store::State::default()
+        ..config_store::State::default()
     };
     let good = || Ok(("a".to_owned(), 1, json!(1)));
     snapshot::write(path, &state, [good()].into_iter()).unwrap();
@@ -425,7 +425,7 @@
     let spoiled = [good(), Err(StoreError::Damaged("b".into()))].into_iter();
     let failed = snapshot::write(
         path,
-        &store::State {
+        &config_store::State {
             version: 2,
             ..state
         },
--- a/crates/fleet/tests/follower.rs
+++ b/crates/endpoint-discovery/tests/follower.rs
@@ -1,5 +1,7 @@
 //! Hard cases of following a store, one at a time.
-use fleet::{Change, Command, Event, Follower, Header, Keys, Kv, Limits, Note, Phase, Told};
+use endpoint_discovery::{
+    Change, Command, Event, Follower, Header, Keys, Kv, Limits, Note, Phase, Told,
+};
 
 const CLUSTER: u64 = 1;
 
--- a/crates/fleet/tests/model.rs
+++ b/crates/endpoint-discovery/tests/model.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use fleet::{Change, Command, Event, Follower, Header, Keys, Kv, Limits, Phase, Told};
+use endpoint_discovery::{Change, Command, Event, Follower, Header, Keys, Kv, Limits, Phase, Told};
 use stateright::{Checker, Model, Property};
 
 const NAMES: [&str; 2] = ["a", "b"];
@@ -212,8 +212,8 @@
                 Command::Tell(Told::Is(s)) => _ = world.pool.insert(s.name, s.born_ms),
                 Command::Tell(Told::Gone(name)) => _ = world.pool.remove(&name),
                 Command::Note(note) => {
-                    world.resynced |= matches!(note, fleet::Note::Compacted(_));
-                    world.refused |= matches!(note, fleet::Note::Lagging { .. });
+                    world.resynced |= matches!(note, endpoint_discovery::Note::Compacted(_));
+                    world.refused |= matches!(note, endpoint_discovery::Note::Lagging { .. });
                 }
             }
         }
--- a/crates/etcd-standin/tests/follow.rs
+++ b/crates/etcd-fake/tests/follow.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use etcd_standin::{Net, Standin};
-use fleet::{Limits, Phase};
+use endpoint_discovery::{Limits, Phase};
+use etcd_fake::{Net, Standin};
 use play::{Play, delete, put, quick, run};
 
 #[test]
--- a/crates/etcd-standin/tests/foreign.rs
+++ b/crates/etcd-fake/tests/foreign.rs
@@ -7,7 +7,7 @@
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
     Txn, TxnOp, WatchOptions,
 };
-use etcd_standin::Standin;
+use etcd_fake::Standin;
 use play::run;
 
 #[test]
--- a/crates/etcd-standin/tests/play/mod.rs
+++ b/crates/etcd-fake/tests/play/mod.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
+use endpoint_discovery::{Keys, Limits, Phase, Rules, Server, Told};
 use etcd::api::{DeleteRangeRequest, PutRequest};
 use etcd::{Plain, Settings, Update};
-use etcd_standin::Standin;
-use fleet::{Keys, Limits, Phase, Rules, Server, Told};
+use etcd_fake::Standin;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
--- a/crates/etcd-standin/tests/registry.rs
+++ b/crates/etcd-fake/tests/registry.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
+use endpoint_discovery::{Entry, Limits, State};
 use etcd::{Failed, Plain, Registry, Settings};
-use etcd_standin::{Net, Standin};
-use fleet::{Entry, Limits, State};
+use etcd_fake::{Net, Standin};
 use play::{Play, keys, quick, run};
 
 async fn registry(standin: &Standin) -> Registry<Plain> {
@@ -100,7 +100,7 @@
         let mut play = Play::follow(&standin, quick()).await;
         play.until("all", |p| p.names().len() == 8).await;
         standin.net_all(Net::Down);
-        standin.store(etcd_standin::store::Store::expire_all);
+        standin.store(etcd_fake::store::Store::expire_all);
         standin.net_all(Net::Up);
         play.until("they are held", |p| p.held >= 4).await;
         assert!(play.names().len() >= 4, "{:?}", play.names());
--- a/crates/etcd/src/follow.rs
+++ b/crates/etcd/src/follow.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use fleet::{Change, Command, Event, Follower, Header, Keys, Kv, Note, Status, Update, range_end};
+use endpoint_discovery::{
+    Change, Command, Event, Follower, Header, Keys, Kv, Note, Status, Update, range_end,
+};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout};
@@ -27,7 +29,7 @@
     settings: Settings,
     pool: String,
     keys: Keys,
-    limits: fleet::Limits,
+    limits: endpoint_discovery::Limits,
     seed: u64,
     to: mpsc::UnboundedSender<Update>,
 ) {
--- a/crates/etcd/src/registry.rs
+++ b/crates/etcd/src/registry.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use fleet::{Entry, Keys, State, range_end};
+use endpoint_discovery::{Entry, Keys, State, range_end};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 use tokio_stream::wrappers::ReceiverStream;
--- a/crates/tenancy/tests/properties.rs
+++ b/crates/fair-share/tests/properties.rs
@@ -1,7 +1,7 @@
 //! What must hold of the shares for any tenants, weights and order of events.
 
+use fair_share::{Flow, FlowTerms, Lack, Stock, Tenant};
 use proptest::prelude::*;
-use tenancy::{Flow, FlowTerms, Lack, Stock, Tenant};
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -14,10 +14,10 @@
 
 use cluster::machine::{Outcome, Phase, Proposal, Rules, Version};
 use cluster::node::Kind;
-use links::member::{self, Said, Settings, Told};
-use links::post::Counts;
-use links::right::Right;
-use links::status::Status;
+use cluster_runtime::member::{self, Said, Settings, Told};
+use cluster_runtime::post::Counts;
+use cluster_runtime::right::Right;
+use cluster_runtime::status::Status;
 use rustix::process::{Pid, Signal, kill_process};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
@@ -321,7 +321,7 @@
         if seen.served.len() >= REMEMBERED {
             seen.served.remove(0);
         }
-        seen.served.push((version, links::clock::now()));
+        seen.served.push((version, cluster_runtime::clock::now()));
     }
 
     fn told(&mut self, told: Told) {
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -11,8 +11,8 @@
 use cluster::machine::{Micros, Rules, WhenCutOff};
 use cluster::node::Kind;
 use cluster::sim::{Sim, World};
-use links::clock;
-use links::status::Status;
+use cluster_runtime::clock;
+use cluster_runtime::status::Status;
 use rustix::process::{Resource, getrlimit};
 
 use super::hollow::{Group, Kinds, Look, One, Order, Reply, Spec};
@@ -1111,7 +1111,8 @@
     }
     let state = fleet.state(leader).to_owned();
     drop(fleet);
-    let (_, logged) = store::log::Log::open(&state).map_err(|e| io::Error::other(e.to_string()))?;
+    let (_, logged) =
+        config_store::log::Log::open(&state).map_err(|e| io::Error::other(e.to_string()))?;
     let proposes = |e: &&Vec<u8>| e.windows(11).any(|w| w == b"{\"propose\":");
     let entry = logged
         .entries
--- a/crates/lab/src/capacity/module.rs
+++ b/crates/lab/src/capacity/module.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use rustix::time::{ClockId, clock_gettime};
-use wharfhitch::{
+use balancer::{
     Action, Backend, BackendId, Balancer, Class, ClassId, Discovery, Effect, Event, Limits,
     Outcome, Prices, Rating, RequestId, Scope, Settings, State,
 };
+use rustix::time::{ClockId, clock_gettime};
 
 use super::servers::{OF_SERVICE, RATE};
 use super::stop::Stop;
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -10,6 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
+use balancer::Millis;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution as _, LogNormal};
 use rustc_hash::FxHashMap;
@@ -17,7 +18,6 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep_until};
-use wharfhitch::Millis;
 
 use crate::chance::{Use, stream};
 use crate::ledger::ServerId;
--- a/crates/lab/src/followers.rs
+++ b/crates/lab/src/followers.rs
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use endpoint_discovery::{Entry, Keys, Limits, Phase, Told};
 use etcd::api::{DeleteRangeRequest, PutRequest};
 use etcd::{Plain, Settings, Update};
-use etcd_standin::Standin;
-use fleet::{Entry, Keys, Limits, Phase, Told};
+use etcd_fake::Standin;
 use hdrhistogram::Histogram;
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -4,7 +4,7 @@
 //! All times are on one clock that never runs backwards. A try is one request of a client: a client's further try is
 //! a request of its own, with an id of its own.
 
-use wharfhitch::Millis;
+use balancer::Millis;
 
 /// A try, as numbered by the driver.
 pub type TryId = usize;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -31,4 +31,4 @@
 pub mod sim;
 pub mod world;
 
-pub use documents::{DocumentError as ScenarioError, Problem, units};
+pub use config_parser::{DocumentError as ScenarioError, Problem, units};
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,9 +1,9 @@
 //! The load: all first tries of a run, drawn ahead, so that a stalled proxy delays no arrival; and what a client does
 //! after a try.
 
+use balancer::Millis;
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
-use wharfhitch::Millis;
 
 use crate::chance::{Use, stream};
 use crate::scenario::{Effect, FaultKind, Scenario};
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -4,8 +4,8 @@
 
 use std::fmt;
 
+use balancer::Millis;
 use rustc_hash::FxHashMap;
-use wharfhitch::Millis;
 
 use crate::ledger::{Attempt, AttemptEnd, Code, Ledger, Try};
 use crate::scenario::{Proxies, Rules};
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -3,12 +3,12 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use balancer::Millis;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{Duration, sleep, sleep_until, timeout_at};
-use wharfhitch::Millis;
 
 use super::http::{Message, NoMessage, Start, Wire};
 use super::proxies::Proxy;
--- a/crates/lab/src/real/stage.rs
+++ b/crates/lab/src/real/stage.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use balancer::Millis;
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
-use wharfhitch::Millis;
 
 use crate::ledger::{AttemptEnd, Ledger, ProxyId, ServerId, TryId};
 use crate::load::Ask;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 
-use documents::Places;
+use config_parser::Places;
 
 use crate::units::{Bytes, Rate, Share, Span};
 use crate::{Problem, ScenarioError};
@@ -369,7 +369,7 @@
 
 impl Fault {
     /// Whether it lasts at a time.
-    pub fn holds(&self, at: wharfhitch::Millis) -> bool {
+    pub fn holds(&self, at: balancer::Millis) -> bool {
         self.at.0 <= at && at < self.at.0 + self.span.0
     }
 }
--- a/crates/lab/src/score.rs
+++ b/crates/lab/src/score.rs
@@ -1,9 +1,9 @@
 //! How good the service was: the worth answered in time over the worth asked for, as a whole, by class, by tenant and
 //! over time, with latencies counted from when the first try should have been sent.
 
+use balancer::Millis;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use wharfhitch::Millis;
 
 use crate::ledger::{Code, Ledger};
 use crate::load::Ask;
--- a/crates/lab/src/service/tenants.rs
+++ b/crates/lab/src/service/tenants.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use fair_share::{Caps, Limits, Shares, Tenant};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
-use tenancy::{Caps, Limits, Shares, Tenant};
 
 use super::{Line, Place, Service};
 use crate::floods::fleet::Fleet;
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -1,6 +1,6 @@
 //! A scenario as a decision module is told it.
 
-use wharfhitch::{Class, Discovery, Effect, Limits, Prices, Rating, Settings, Tenant, ZoneId};
+use balancer::{Class, Discovery, Effect, Limits, Prices, Rating, Settings, Tenant, ZoneId};
 
 use crate::scenario::{self, Scenario};
 
--- a/crates/lab/src/shares/mod.rs
+++ b/crates/lab/src/shares/mod.rs
@@ -8,10 +8,10 @@
 
 use std::collections::VecDeque;
 
+use fair_share::{FlowTerms, Stock, Tenant};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution as _, Exp};
-use tenancy::{FlowTerms, Stock, Tenant};
 
 use crate::chance::{Use, stream};
 use rivals::{Buckets, Moving, Open, Rounds, Split, Unbounded, Virtual};
--- a/crates/lab/src/shares/rivals.rs
+++ b/crates/lab/src/shares/rivals.rs
@@ -1,6 +1,6 @@
 //! The ways that are played against each other. What the product uses stands in `tenancy`; the others are here alone.
 
-use tenancy::{Flow, Tenant};
+use fair_share::{Flow, Tenant};
 
 use super::{Gate, Holding, terms};
 
--- a/crates/lab/src/sim/decider.rs
+++ b/crates/lab/src/sim/decider.rs
@@ -1,7 +1,7 @@
 //! What decides in a simulated proxy: the decision module, or one made to break a rule.
 
+use balancer::{Action, BackendId, Balancer, Event, Millis, Outcome, RequestId, Settings};
 use rustc_hash::FxHashMap;
-use wharfhitch::{Action, BackendId, Balancer, Event, Millis, Outcome, RequestId, Settings};
 
 /// Takes events with their time and says what is to be done; [`Balancer::handle`]'s contract.
 pub trait Decider {
@@ -89,7 +89,7 @@
             if self.sabotage == Sabotage::IgnoresDrains {
                 entries
                     .iter_mut()
-                    .for_each(|e| e.state = wharfhitch::State::Up);
+                    .for_each(|e| e.state = balancer::State::Up);
             }
         }
         match (self.sabotage, &event) {
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use balancer::{
+    Action, Balancer, ClassId, Event, Key, Millis, Outcome, RequestId, Scope, TenantId,
+};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
-use wharfhitch::{
-    Action, Balancer, ClassId, Event, Key, Millis, Outcome, RequestId, Scope, TenantId,
-};
 
 use crate::chance::{Use, stream};
 use crate::ledger::{
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use rustc_hash::FxHashMap;
-use wharfhitch::{
+use balancer::{
     Action, Backend, BackendId, CellId, Event, KindId, Millis, RequestId, Scope, State, ZoneId,
 };
+use rustc_hash::FxHashMap;
 
 use super::decider::Decider;
 use crate::ledger::{ServerId, TryId};
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -11,10 +11,10 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
+use balancer::Millis;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Normal};
-use wharfhitch::Millis;
 
 use crate::chance::{Use, pick, stream};
 use crate::ledger::{ProxyId, ServerId};
--- a/crates/lab/src/world/plan.rs
+++ b/crates/lab/src/world/plan.rs
@@ -1,6 +1,6 @@
 //! A scenario's faults as single steps in time.
 
-use wharfhitch::Millis;
+use balancer::Millis;
 
 use crate::ledger::{ProxyId, ServerId};
 use crate::scenario::{FaultKind, Scenario};
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -4,8 +4,8 @@
 
 use std::collections::VecDeque;
 
+use balancer::Millis;
 use rustc_hash::FxHashMap;
-use wharfhitch::Millis;
 
 use crate::scenario::Cancels;
 
--- a/crates/hosted/src/book.rs
+++ b/crates/multi-tenant/src/book.rs
@@ -6,9 +6,9 @@
 use std::task::Waker;
 use std::time::Duration;
 
-use engine::account::Account;
+use fair_share::{Caps, Limits, Millis, Shares, Tenant, Use};
+use proxy_core::account::Account;
 use rustix::time::{ClockId, clock_gettime};
-use tenancy::{Caps, Limits, Millis, Shares, Tenant, Use};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
--- a/crates/hosted/src/check.rs
+++ b/crates/multi-tenant/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use documents::{DocumentError, Fault, Form, Problem};
+use config_parser::{DocumentError, Fault, Form, Problem};
 
 use crate::catalog::Catalog;
 use crate::document::{Cluster, Service, Tenant, TenantBy};
--- a/crates/hosted/src/digest.rs
+++ b/crates/multi-tenant/src/digest.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use wharfhitch::{Millis, Standing};
+use balancer::{Millis, Standing};
 
 use crate::catalog::Name;
 
--- a/crates/hosted/src/document.rs
+++ b/crates/multi-tenant/src/document.rs
@@ -1,6 +1,6 @@
 //! What an operator writes: the process, its listeners and its tenants. The types are the schema.
 
-use documents::units::{Bytes, Share, Span};
+use config_parser::units::{Bytes, Share, Span};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
--- a/crates/hosted/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -10,22 +10,22 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use engine::account::Account;
-use engine::gate::Gate;
-use engine::pool::Pool;
-use engine::service::{self, Feed, Host, Missing, Process, Router, Running, Terms};
-use fleet::{Told, Update};
+use balancer::{Class, Discovery, Effect, Prices, Rating, Settings, ZoneId};
+use endpoint_discovery::{Told, Update};
+use fair_share::{Caps, Limits};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{StatusCode, Uri};
+use proxy_core::account::Account;
+use proxy_core::gate::Gate;
+use proxy_core::pool::Pool;
+use proxy_core::service::{self, Feed, Host, Missing, Process, Router, Running, Terms};
 use schemars::JsonSchema;
 use serde::Serialize;
 use settings::{Connections, Names, index_of};
-use tenancy::{Caps, Limits};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
-use wharfhitch::{Class, Discovery, Effect, Prices, Rating, Settings, ZoneId};
 
 use crate::book::{Book, Holder};
 use crate::catalog::{Catalog, Name, Parts};
@@ -61,7 +61,7 @@
     settings: document::Fleet,
     /// The list; none before the first.
     hosts: Option<BTreeMap<String, Host>>,
-    status: Option<fleet::Status>,
+    status: Option<endpoint_discovery::Status>,
     task: JoinHandle<()>,
 }
 
@@ -88,7 +88,7 @@
     /// The residents.
     tenants: RefCell<BTreeMap<Name, Live>>,
     /// Who is resident, and who waits to be.
-    residents: RefCell<residency::ResidentSet<Name>>,
+    residents: RefCell<tenant_activation::ResidentSet<Name>>,
     turns: Rc<Turns>,
     /// What is kept of tenants at rest beside their documents.
     digests: RefCell<Digests>,
@@ -186,7 +186,9 @@
                 ..Service::default()
             }))),
             tenants: RefCell::default(),
-            residents: RefCell::new(residency::ResidentSet::new(residents::terms(process))),
+            residents: RefCell::new(tenant_activation::ResidentSet::new(residents::terms(
+                process,
+            ))),
             turns: Turns::new(),
             digests: RefCell::new(Digests::new(digest::MOST)),
             sharers: RefCell::default(),
@@ -487,7 +489,7 @@
             let current = followed
                 .status
                 .as_ref()
-                .is_some_and(|s| s.phase == fleet::Phase::Watching);
+                .is_some_and(|s| s.phase == endpoint_discovery::Phase::Watching);
             (!current).then(|| name.to_string())
         };
         (
@@ -605,7 +607,7 @@
 }
 
 /// A server of a list that is followed, as the module takes it.
-fn host(server: &fleet::Server) -> Host {
+fn host(server: &endpoint_discovery::Server) -> Host {
     let entry = &server.entry;
     Host {
         host: server.name.clone(),
@@ -613,7 +615,7 @@
         site: entry.zone.clone(),
         class: entry.kind.clone(),
         block: None,
-        health: if entry.state == fleet::State::Up {
+        health: if entry.state == endpoint_discovery::State::Up {
             "up"
         } else {
             "draining"
@@ -673,7 +675,7 @@
         may_tell: false,
         retry_after: Some(rules.retry_after.0),
         prices: Prices::default(),
-        limits: wharfhitch::Limits {
+        limits: balancer::Limits {
             start_capacity: rules.cold_from.0,
             cold: rules.cold.0,
             fall_multiple: 1.0,
--- a/crates/hosted/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -5,16 +5,16 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use engine::pool::Pool;
-use engine::service::{self, Feed, Missing};
+use balancer::Millis;
 use hyper::StatusCode;
-use residency::{Admission, Terms, Wait};
+use proxy_core::pool::Pool;
+use proxy_core::service::{self, Feed, Missing};
 use schemars::JsonSchema;
 use serde::Serialize;
 use settings::number_of;
+use tenant_activation::{Admission, Terms, Wait};
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::sleep;
-use wharfhitch::Millis;
 
 use super::{FleetStatus, Live, NO_TENANT, Plane, TenantStatus, caps};
 use crate::catalog::{Catalog, Name};
@@ -346,7 +346,7 @@
         };
         let mut digest = digests.take(name).unwrap_or_default();
         if change.pool {
-            digest.standing = wharfhitch::Standing::default(); // a new module learns anew
+            digest.standing = balancer::Standing::default(); // a new module learns anew
         }
         for (server, warm) in brought {
             digest.renew(*server, if *warm { 0.0 } else { unix });
@@ -560,7 +560,7 @@
 
     /// What a resident's module holds against its servers. For tests.
     #[doc(hidden)]
-    pub fn standing_of(&self, name: &str) -> wharfhitch::Standing {
+    pub fn standing_of(&self, name: &str) -> balancer::Standing {
         self.tenants
             .borrow()
             .get(name)
--- a/crates/hosted/tests/catalog.rs
+++ b/crates/multi-tenant/tests/catalog.rs
@@ -1,9 +1,9 @@
 //! Tenants at rest: what is put in comes out, what is the same is held once, a change shares the rest, damage is seen.
 
-use documents::units::Span;
-use hosted::catalog::{Catalog, Difference, Parts};
-use hosted::document::{Class, Effect, Fleet, Limits, Rules, Server, Service, State, Tenant};
-use hosted::{check, plan};
+use config_parser::units::Span;
+use multi_tenant::catalog::{Catalog, Difference, Parts};
+use multi_tenant::document::{Class, Effect, Fleet, Limits, Rules, Server, Service, State, Tenant};
+use multi_tenant::{check, plan};
 
 fn tenant(n: usize) -> Tenant {
     let class = |name: &str, effect| Class {
@@ -12,7 +12,7 @@
         aim: Span(300.0),
         deadline: Span(1000.0),
         worth: 1.0,
-        late_worth: documents::units::Share(0.5),
+        late_worth: config_parser::units::Share(0.5),
     };
     let server = |i: usize| Server {
         name: format!("s{i}"),
@@ -63,7 +63,7 @@
         prefix: "/p".into(),
         pool: Some("p".into()),
         user_file: None,
-        guard: documents::units::Share(0.5),
+        guard: config_parser::units::Share(0.5),
         hold: Span(60_000.0),
     };
     let other = Tenant {
--- a/crates/hosted/tests/documents.rs
+++ b/crates/multi-tenant/tests/documents.rs
@@ -1,10 +1,10 @@
 //! Documents, routes and plans, without a socket.
 
-use hosted::catalog::{Catalog, Parts};
-use hosted::check;
-use hosted::document::{Server, Service, State};
-use hosted::plan::{Births, Change, Plan};
-use hosted::routes::{NoTenant, Routes};
+use multi_tenant::catalog::{Catalog, Parts};
+use multi_tenant::check;
+use multi_tenant::document::{Server, Service, State};
+use multi_tenant::plan::{Births, Change, Plan};
+use multi_tenant::routes::{NoTenant, Routes};
 
 const GOOD: &str = r#"
 [process]
--- a/crates/hosted/tests/heap.rs
+++ b/crates/multi-tenant/tests/heap.rs
@@ -2,10 +2,12 @@
 
 use std::alloc::System;
 
-use documents::units::{Share, Span};
-use hosted::catalog::{Catalog, Parts};
-use hosted::document::{Class, Effect, Limits, Process, Rules, Server, Service, State, Tenant};
-use hosted::plane::Plane;
+use config_parser::units::{Share, Span};
+use multi_tenant::catalog::{Catalog, Parts};
+use multi_tenant::document::{
+    Class, Effect, Limits, Process, Rules, Server, Service, State, Tenant,
+};
+use multi_tenant::plane::Plane;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
 #[path = "plane/mod.rs"]
@@ -225,7 +227,7 @@
 /// What each of a thousand residents holds and what of that is left when it rests again, in bytes; and how long it took from asking to
 /// where its module has its list, in us.
 fn resident(make: fn(usize, usize) -> Tenant) -> (f64, f64, Vec<f64>) {
-    use engine::service::Router;
+    use proxy_core::service::Router;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -237,10 +239,10 @@
         };
         let service = Service {
             process,
-            listeners: vec![hosted::document::Listener {
+            listeners: vec![multi_tenant::document::Listener {
                 name: "all".into(),
                 address: "127.0.0.1:0".into(),
-                tenant_by: hosted::document::TenantBy::Header,
+                tenant_by: multi_tenant::document::TenantBy::Header,
                 tenant: None,
             }],
             tenants: (0..2_000).map(|n| make(n, 2_000)).collect(),
--- a/crates/hosted/tests/plane/mod.rs
+++ b/crates/multi-tenant/tests/plane/mod.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use documents::units::{Share, Span};
-use hosted::document::{
+use config_parser::units::{Share, Span};
+use multi_tenant::document::{
     Class, Effect, Limits, Listener, Process, Rules, Server, Service, State, Tenant, TenantBy,
 };
-use hosted::plane::{Follow, Plane};
+use multi_tenant::plane::{Follow, Plane};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
--- a/crates/hosted/tests/residents.rs
+++ b/crates/multi-tenant/tests/residents.rs
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use documents::units::Span;
-use engine::service::{Missing, Router};
-use hosted::catalog::Parts;
-use hosted::document::{Fleet, Process, State, Tenant};
-use hosted::plan::Prepared;
-use hosted::plane::Plane;
+use config_parser::units::Span;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue};
+use multi_tenant::catalog::Parts;
+use multi_tenant::document::{Fleet, Process, State, Tenant};
+use multi_tenant::plan::Prepared;
+use multi_tenant::plane::Plane;
+use proxy_core::service::{Missing, Router};
 use stage::{Backend, ask, local, plane, server, tenant};
 use tokio::time::sleep;
 
@@ -24,7 +24,7 @@
 }
 
 /// Finds a tenant's pool as a front does.
-async fn pool(way: &impl Router, name: &str) -> Result<Rc<engine::pool::Pool>, Missing> {
+async fn pool(way: &impl Router, name: &str) -> Result<Rc<proxy_core::pool::Pool>, Missing> {
     let uri = "/lookup".parse().expect("a target");
     match way.pool(&uri, &named(name), false) {
         Err(Missing::Turn) => {
@@ -408,7 +408,7 @@
             prefix: "/p".into(),
             pool: None,
             user_file: None,
-            guard: documents::units::Share(0.5),
+            guard: config_parser::units::Share(0.5),
             hold: Span(60_000.0),
         };
         let mut tenants: Vec<Tenant> = (0..3).map(|n| tenant(n, &[])).collect();
@@ -557,7 +557,7 @@
 async fn a_servers_limit_holds_for_one_that_is_awake_among_users_at_rest() {
     local(async {
         let backend = Backend::start().await;
-        let limited = hosted::document::Server {
+        let limited = multi_tenant::document::Server {
             connections: Some(2),
             warm: true,
             ..server("both", &backend.address)
@@ -603,7 +603,7 @@
 async fn with_fewer_places_than_tenants_that_ask_each_is_served_in_its_turn() {
     local(async {
         let backend = Backend::start().await;
-        let servers = [hosted::document::Server {
+        let servers = [multi_tenant::document::Server {
             warm: true,
             ..server("one", &backend.address)
         }];
--- a/crates/hosted/tests/routes.rs
+++ b/crates/multi-tenant/tests/routes.rs
@@ -1,6 +1,6 @@
 //! How hosts are compared.
 
-use hosted::routes::normal;
+use multi_tenant::routes::normal;
 
 #[test]
 fn hosts_are_compared_without_port_case_and_last_dot() {
--- a/crates/engine/src/account.rs
+++ b/crates/proxy-core/src/account.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-use wharfhitch::Millis;
+use balancer::Millis;
 
 /// One tenant's account of what all tenants share. Calls come from one thread, in the course of serving: none may block.
 pub trait Account {
--- a/crates/engine/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use ::capture::{Field, Head, News, Record, Server, Tried};
+use balancer::{BackendId, ClassId, Millis, Outcome, Scope, State, TenantId};
 use settings::properties::Capture as Settings;
 use settings::{Names, number_of};
-use wharfhitch::{BackendId, ClassId, Millis, Outcome, Scope, State, TenantId};
 
 use crate::clock::Clock;
 use crate::hosts::Host;
--- a/crates/engine/src/clock.rs
+++ b/crates/proxy-core/src/clock.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use balancer::Millis;
 use tokio::time::Instant;
-use wharfhitch::Millis;
 
 /// The module's clock is monotonic and starts with the process; Unix time is converted here alone, by an
 /// offset taken once, so that the same start always gives the same time.
--- a/crates/engine/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -7,6 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer::Scope;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
@@ -16,7 +17,6 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use wharfhitch::Scope;
 
 use crate::backoff::Backoff;
 use crate::hosts::List;
--- a/crates/engine/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer::{
+    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, KindId, Millis, Outcome,
+    RequestId, Scope, Standing, State, ZoneId,
+};
 use rustc_hash::FxHashMap;
 use settings::{Names, index_of, number_of};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
-use wharfhitch::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, KindId, Millis, Outcome,
-    RequestId, Scope, Standing, State, ZoneId,
-};
 
 use crate::account::{self, Account};
 use crate::capture::{Capture, Pending};
--- a/crates/engine/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -11,6 +11,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
+use balancer::RequestId;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use http_body_util::Full;
@@ -25,7 +26,6 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use wharfhitch::RequestId;
 
 use crate::account::{self, Account};
 use crate::connection::{Client, Gated, IDLE, READS};
--- a/crates/engine/src/gate.rs
+++ b/crates/proxy-core/src/gate.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use balancer::Millis;
 use hyper::header::{HeaderMap, HeaderName};
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
-use wharfhitch::Millis;
 
 /// Tells on answers, and on requests to servers, what they were decided under: the version, and the moment in us.
 pub const DECIDED: HeaderName = HeaderName::from_static("x-canvascart-decided");
--- a/crates/engine/src/hosts.rs
+++ b/crates/proxy-core/src/hosts.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
+use balancer::State;
 use serde::Deserialize;
 use serde_json::Value;
-use wharfhitch::State;
 
 use crate::note;
 
--- a/crates/engine/src/inbox.rs
+++ b/crates/proxy-core/src/inbox.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer::{ClassId, Key, Millis, Outcome, RequestId, Scope, Settings, Standing, TenantId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use wharfhitch::{ClassId, Key, Millis, Outcome, RequestId, Scope, Settings, Standing, TenantId};
 
 use crate::gate::Decided;
 use crate::hosts::Host;
--- a/crates/engine/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,5 +1,5 @@
 //! The reverse proxy as a library: clients, backends, discovery and peers on sockets, every decision in the
-//! module `wharfhitch`.
+//! module `balancer`.
 //!
 //! It decides nothing about requests: the driver feeds the module with what the sockets see and does what it says,
 //! in order. [`process::main`] is a whole proxy, started as the platform starts it; [`service`] carries several pools in
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -4,8 +4,8 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
+use balancer::Millis;
 use tokio::sync::Notify;
-use wharfhitch::Millis;
 
 use crate::clock::Clock;
 
--- a/crates/engine/src/load.rs
+++ b/crates/proxy-core/src/load.rs
@@ -1,8 +1,8 @@
 //! The load report that an answer may carry: a server's word on what it had in hand some time ago.
 
+use balancer::Load;
 use hyper::HeaderMap;
 use serde::Deserialize;
-use wharfhitch::Load;
 
 /// Its header.
 const NAME: &str = "x-server-load";
--- a/crates/engine/src/log.rs
+++ b/crates/proxy-core/src/log.rs
@@ -26,7 +26,7 @@
 static NAME: OnceLock<&str> = OnceLock::new();
 
 fn name() -> &'static str {
-    NAME.get().copied().unwrap_or("sandgap")
+    NAME.get().copied().unwrap_or("canvascart-proxy")
 }
 
 /// Gives the program another name; the first one holds.
--- a/crates/engine/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer::{ClassId, Effect, Key, TenantId};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
 use settings::change::Terms;
 use settings::{Names, number_of};
-use wharfhitch::{ClassId, Effect, Key, TenantId};
 
 use crate::account::Account;
 use crate::capture::Capture;
--- a/crates/engine/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use balancer::{Balancer, Scope};
 use settings::properties;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{LocalSet, spawn_local};
-use wharfhitch::{Balancer, Scope};
 
 use crate::capture::Capture;
 use crate::clock::Clock;
@@ -183,7 +183,7 @@
         life: life.clone(),
         counts: counts.clone(),
     };
-    let pushed = config.terms.settings.discovery == wharfhitch::Discovery::Pushed;
+    let pushed = config.terms.settings.discovery == balancer::Discovery::Pushed;
     let balancer = Balancer::new(config.terms.settings.clone(), config.seed);
     let driver = spawn_local(Driver::new(balancer, config.terms.names.clone(), parts).run(inputs));
     // The module's time begins with its first event.
@@ -299,14 +299,14 @@
 const HELP: &str = "\
 A reverse proxy that spreads requests over HTTP servers.
 
-usage: sandgap [--properties FILE]
+usage: canvascart-proxy [--properties FILE]
 
   --properties FILE  settings of the features, one key = value a line (docs/features.md)
   --help             this text
   --version          the version
 
 The file that NODE_CONFIG names tells it where to listen, where discovery is, and the settings that the
-module decides by; deploy/sandgap.example.json is one to start from. SIGTERM ends it once every request it
+module decides by; deploy/proxy.example.json is one to start from. SIGTERM ends it once every request it
 has taken is answered, SIGHUP makes it read the file anew.
 ";
 
@@ -320,7 +320,7 @@
 
 /// Reads the command line: nothing, the file with the features' settings, or a wish for help.
 fn asked(mut arguments: impl Iterator<Item = OsString>) -> Result<Asked, String> {
-    let usage = "usage: sandgap [--properties FILE]; --help says more";
+    let usage = "usage: canvascart-proxy [--properties FILE]; --help says more";
     let Some(flag) = arguments.next() else {
         return Ok(Asked::Proxy(Box::default()));
     };
@@ -330,7 +330,7 @@
             .map_err(|e| e.to_string()),
         (Some("--help" | "-h"), None, None) => Ok(Asked::Text(HELP.into())),
         (Some("--version" | "-V"), None, None) => Ok(Asked::Text(format!(
-            "sandgap {}\n",
+            "canvascart-proxy {}\n",
             env!("CARGO_PKG_VERSION")
         ))),
         _ => Err(usage.into()),
@@ -344,7 +344,7 @@
         Asked::Text(text) => return io::stdout().write_all(text.as_bytes()).or(Ok(())),
     };
     let unset =
-        "NODE_CONFIG is not set: it names the configuration, such as deploy/sandgap.example.json";
+        "NODE_CONFIG is not set: it names the configuration, such as deploy/proxy.example.json";
     let path = PathBuf::from(std::env::var_os("NODE_CONFIG").ok_or(unset)?);
     let mut config = config::read(&path)?;
     let variable =
--- a/crates/engine/src/service.rs
+++ b/crates/proxy-core/src/service.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use balancer::{Balancer, Millis, Scope, Settings, Standing};
 use settings::{Connections, Names, change};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{JoinError, spawn_local};
-use wharfhitch::{Balancer, Millis, Scope, Settings, Standing};
 
 use crate::account::{self, Account};
 use crate::clock::Clock;
--- a/crates/engine/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -11,6 +11,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
+use balancer::Outcome;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
@@ -23,7 +24,6 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
-use wharfhitch::Outcome;
 
 use crate::account::{self, Account};
 use crate::message::{Content, Outgoing, Reply, strip};
--- a/crates/engine/tests/backoff.rs
+++ b/crates/proxy-core/tests/backoff.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use engine::backoff::{Backoff, MOST};
+use proxy_core::backoff::{Backoff, MOST};
 
 /// When a caller calls that is turned away at once each time, for five seconds.
 fn calls(seed: u64) -> Vec<Duration> {
--- a/crates/engine/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -1,5 +1,5 @@
 //! What two readers could see differently, and where requests end.
-use engine::guard::Guard;
+use proxy_core::guard::Guard;
 
 const GOOD: &str = "\r\nGET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\n\n\n\r\n:\
     POST /c HTTP/1.1\r\ntransfer-encoding:  Chunked \r\n\r\n5;x=\"y\"\r\n\n\r\n\n:\r\n0\r\nX: 1\r\n\r\n\
--- a/crates/engine/tests/lifecycle.rs
+++ b/crates/proxy-core/tests/lifecycle.rs
@@ -1,8 +1,8 @@
 //! Where a process stands between its start and its end.
 use std::time::Duration;
 
-use engine::lifecycle::{Idle, Lifecycle, Phase};
-use wharfhitch::Millis;
+use balancer::Millis;
+use proxy_core::lifecycle::{Idle, Lifecycle, Phase};
 
 fn serving(shared: bool) -> Lifecycle {
     let mut life = Lifecycle::new(shared);
--- a/crates/engine/tests/load.rs
+++ b/crates/proxy-core/tests/load.rs
@@ -1,8 +1,8 @@
 //! Load reports in the heads of answers.
-use engine::load::told;
+use balancer::Load;
 use hyper::HeaderMap;
 use hyper::header::HeaderValue;
-use wharfhitch::Load;
+use proxy_core::load::told;
 
 fn of(value: &str) -> Option<Load> {
     let mut headers = HeaderMap::new();
--- a/crates/engine/tests/objects.rs
+++ b/crates/proxy-core/tests/objects.rs
@@ -1,5 +1,5 @@
 //! Objects out of a stream of bytes.
-use engine::objects::{Objects, Part};
+use proxy_core::objects::{Objects, Part};
 
 const STREAM: &str = "{\"a\":1}\n\n{\n  \"b\": [ {\"c\": \"}\\\"{]\"},\n\n  [] ],\r\n  \"d\\\\\": {}\n}\r\n {\"e\":{}}{\"f\":2}\n";
 
--- a/crates/engine/tests/rest.rs
+++ b/crates/proxy-core/tests/rest.rs
@@ -4,12 +4,12 @@
 use std::task::Waker;
 use std::time::Duration;
 
-use engine::account::Account;
-use engine::service::{Host, Process, Terms};
+use balancer::{Class, Discovery, Effect, Limits, Millis, Prices, Rating, Settings};
+use proxy_core::account::Account;
+use proxy_core::service::{Host, Process, Terms};
 use settings::{Connections, Names};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
-use wharfhitch::{Class, Discovery, Effect, Limits, Millis, Prices, Rating, Settings};
 
 /// Counts how often its pool has had a turn.
 #[derive(Default)]
--- a/crates/engine/tests/sockets/mod.rs
+++ b/crates/proxy-core/tests/sockets/mod.rs
@@ -444,7 +444,10 @@
 /// Writes a configuration where the process finds it.
 pub fn config_file(text: &str) -> std::path::PathBuf {
     let number = COUNT.fetch_add(1, Ordering::SeqCst);
-    let file = std::env::temp_dir().join(format!("sandgap-{}-{number}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "canvascart-proxy-{}-{number}.json",
+        std::process::id()
+    ));
     std::fs::write(&file, text).expect("a file");
     file
 }
@@ -464,7 +467,7 @@
         let properties = setup.properties.as_deref().map(config_file);
         // Whichever program of the package under test runs a proxy.
         let (program, verb) = match (
-            option_env!("CARGO_BIN_EXE_sandgap"),
+            option_env!("CARGO_BIN_EXE_canvascart-proxy"),
             option_env!("CARGO_BIN_EXE_canvascart"),
         ) {
             (Some(program), _) => (program, None),
--- a/crates/sandgap/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    engine::process::main(std::env::args_os().skip(1))
+    proxy_core::process::main(std::env::args_os().skip(1))
 }
--- a/crates/sandgap/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -1,5 +1,5 @@
 //! Bodies too large to be kept, slow peers and odd forms of HTTP/1.1, on loopback sockets.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/sandgap/tests/compatibility.rs
+++ b/crates/proxy/tests/compatibility.rs
@@ -1,5 +1,5 @@
 //! The operators' door and the log's first lines keep the names that operators read.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::collections::BTreeSet;
--- a/crates/sandgap/tests/crossings_clients.rs
+++ b/crates/proxy/tests/crossings_clients.rs
@@ -1,5 +1,5 @@
 //! Clients that leave while their request waits, is on its way out or is about to be tried again; and what comes behind a request.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 mod steered;
 
--- a/crates/sandgap/tests/crossings_floods.rs
+++ b/crates/proxy/tests/crossings_floods.rs
@@ -1,5 +1,5 @@
 //! Descriptors that idle clients fill, clients that send much and go, and many processes that start at once.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 mod steered;
 
--- a/crates/sandgap/tests/crossings_servers.rs
+++ b/crates/proxy/tests/crossings_servers.rs
@@ -1,6 +1,6 @@
 //! Connections to servers and what comes on them: spoilt while at rest, late, never up, reset, without an end; and attempts that may
 //! not begin any more.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 mod steered;
 
--- a/crates/sandgap/tests/crossings_shutdown.rs
+++ b/crates/proxy/tests/crossings_shutdown.rs
@@ -1,5 +1,5 @@
 //! SIGTERM at each place: before the list, with requests queued, half read, sent to a server that hangs; and what clients send then.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 mod steered;
 
--- a/crates/sandgap/tests/crossings_watch.rs
+++ b/crates/proxy/tests/crossings_watch.rs
@@ -1,5 +1,5 @@
 //! What comes between two lines of a watch on the list: silence, cuts, failed calls, another address, a drain.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 mod steered;
 
--- a/crates/sandgap/tests/loads.rs
+++ b/crates/proxy/tests/loads.rs
@@ -1,5 +1,5 @@
 //! What servers tell of their load with their answers.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 mod steered;
 
--- a/crates/sandgap/tests/measure.rs
+++ b/crates/proxy/tests/measure.rs
@@ -1,7 +1,7 @@
 //! What the operators' parts cost and save, each beside a baseline in the same run. No verdict: it prints a table.
 //!
-//!     cargo test --release -p sandgap --test measure -- --ignored --nocapture
-#[path = "../../engine/tests/sockets/mod.rs"]
+//!     cargo test --release -p proxy --test measure -- --ignored --nocapture
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::io::{Read, Write};
--- a/crates/sandgap/tests/operations.rs
+++ b/crates/proxy/tests/operations.rs
@@ -1,5 +1,5 @@
 //! What operators do to a running proxy, on loopback sockets.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::io::Write;
@@ -440,7 +440,7 @@
         ("0", "descriptor 0: it is no"),
         ("77", "descriptor 77:"),
     ] {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sandgap"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"));
         command.stdin(
             std::os::unix::net::UnixStream::pair()
                 .map(|(a, _)| std::os::fd::OwnedFd::from(a))
--- a/crates/sandgap/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,5 +1,5 @@
 //! The proxy on loopback sockets, one failure a test.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::io::{Read, Write};
@@ -647,7 +647,7 @@
         ),
     ] {
         let file = config_file(&text);
-        let run = Command::new(env!("CARGO_BIN_EXE_sandgap"))
+        let run = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"))
             .env("NODE_CONFIG", &file)
             .output()
             .unwrap();
@@ -655,7 +655,7 @@
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         assert!(!run.status.success() && log.contains(word), "{word}: {log}");
     }
-    let run = Command::new(env!("CARGO_BIN_EXE_sandgap"))
+    let run = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"))
         .env_remove("NODE_CONFIG")
         .output()
         .unwrap();
--- a/crates/sandgap/tests/settings_any.rs
+++ b/crates/proxy/tests/settings_any.rs
@@ -1,5 +1,5 @@
 //! Other deployments: with any valid settings the program starts, serves and keeps the rules, and it knows no deployment's names.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::path::{Path, PathBuf};
@@ -191,7 +191,7 @@
         ("\"sockets\":256", "\"sockets\":-1", "invalid value"),
     ] {
         let file = config_file(&good.replace(from, to));
-        let run = std::process::Command::new(env!("CARGO_BIN_EXE_sandgap"))
+        let run = std::process::Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"))
             .env("NODE_CONFIG", &file)
             .output();
         let run = run.expect("it runs");
@@ -242,13 +242,13 @@
     }
     assert!(names.len() > 15, "{names:?}");
     let parts = [
-        "sandgap",
+        "canvascart-proxy",
         "wirehost",
         "engine",
         "settings",
         "capture",
         "client",
-        "wharfhitch",
+        "balancer",
     ];
     let mut looked = vec![
         root.join("deploy/balancer.toml"),
--- a/crates/sandgap/tests/settings_file.rs
+++ b/crates/proxy/tests/settings_file.rs
@@ -1,5 +1,5 @@
 //! The file with the features' settings, through the command line of the proxy.
-#[path = "../../engine/tests/sockets/mod.rs"]
+#[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
 use std::process::{Command, Output};
@@ -9,7 +9,7 @@
 /// Runs the proxy with these arguments; it must end by itself.
 fn run(arguments: &[&str]) -> Output {
     let file = config_file(&config("127.0.0.1:1".parse().unwrap(), &Setup::default()));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_sandgap"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"));
     let run = command
         .args(arguments)
         .env("NODE_CONFIG", &file)
@@ -52,7 +52,7 @@
         let run = run(arguments);
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         assert!(
-            !run.status.success() && log.contains("usage: sandgap"),
+            !run.status.success() && log.contains("usage: canvascart-proxy"),
             "{arguments:?}: {log}"
         );
     }
@@ -84,11 +84,11 @@
 fn help_and_version_are_no_errors() {
     for (flag, word) in [
         ("--help", "NODE_CONFIG"),
-        ("-h", "usage: sandgap"),
-        ("--version", "sandgap 0."),
-        ("-V", "sandgap 0."),
+        ("-h", "usage: canvascart-proxy"),
+        ("--version", "canvascart-proxy 0."),
+        ("-V", "canvascart-proxy 0."),
     ] {
-        let run = Command::new(env!("CARGO_BIN_EXE_sandgap"))
+        let run = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"))
             .arg(flag)
             .env_remove("NODE_CONFIG")
             .output()
@@ -104,12 +104,12 @@
 #[test]
 fn the_example_configuration_starts_a_proxy_that_serves() {
     let backend = Backend::new(Deed::Write(ok("served")));
-    let example = include_str!("../../../deploy/sandgap.example.json");
+    let example = include_str!("../../../deploy/proxy.example.json");
     let text = example.replace("127.0.0.1:9000", "127.0.0.1:0");
     let text = text.replace("127.0.0.1:9100", &backend.address.to_string());
     assert_ne!(text, example);
     let file = config_file(&text.replace("127.0.0.1:8500", "127.0.0.1:1"));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_sandgap"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"));
     let mut child = command
         .env("NODE_CONFIG", &file)
         .stderr(std::process::Stdio::piped())
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -5,8 +5,8 @@
 
 use std::fmt;
 
+use balancer::Settings;
 use serde_json::Value;
-use wharfhitch::Settings;
 
 use crate::{Names, parse};
 
@@ -247,8 +247,8 @@
 
 #[cfg(test)]
 mod tests {
+    use balancer::Effect;
     use serde_json::json;
-    use wharfhitch::Effect;
 
     use super::*;
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,10 +4,10 @@
 pub mod change;
 pub mod properties;
 
-use serde_json::Value;
-use wharfhitch::{
+use balancer::{
     Class, Discovery, Effect, Group, Limits, Millis, Prices, Rating, Settings, Tenant, ZoneId,
 };
+use serde_json::Value;
 
 /// The names that later lines refer to.
 #[derive(Clone, Debug, Default)]
--- a/crates/wirehost/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The adapter between the operators' simulator wire and one [`wharfhitch::Balancer`] per proxy.
+//! The adapter between the operators' simulator wire and one [`balancer::Balancer`] per proxy.
 //!
 //! It translates and decides nothing. Instances share nothing.
 
@@ -107,7 +107,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("wharfhitch-wirehost: {text}");
+            eprintln!("canvascart-sim-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-use base64::Engine as _;
-use base64::engine::general_purpose::STANDARD as BASE64;
-use rustc_hash::FxHashMap;
-use wharfhitch::{
+use balancer::{
     Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Load, Outcome,
     RequestId, Scope, State, TenantId, ZoneId,
 };
+use base64::Engine as _;
+use base64::engine::general_purpose::STANDARD as BASE64;
+use rustc_hash::FxHashMap;
 
 use settings::{Names, index_of, number_of};
 
--- a/crates/wirehost/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Stdio};
 
 fn wirehost(input: &str) -> (bool, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_wharfhitch-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_canvascart-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/residency/tests/properties.rs
+++ b/crates/tenant-activation/tests/properties.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use residency::{Admission, Millis, ResidentSet, Terms};
+use tenant_activation::{Admission, Millis, ResidentSet, Terms};
 
 const TERMS: Terms = Terms {
     most: 8,
