--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -1,7 +1,7 @@
 //! Every decision of one proxy, in the order in which a request meets them: queue and threshold; speeds
 //! and slots; health; attempts, time-outs, final answers; cold starts and drains; discovery and peers.
 //!
-//! Types, settings, events and actions: `src/interface.rs`. Records: `src/records.rs`. Plumbing that decides
+//! Types, settings, events and actions: `src/types.rs`, `src/settings.rs`, `src/event.rs`, `src/action.rs`. Records: `src/records.rs`. Plumbing that decides
 //! nothing: `src/state.rs`, `src/bands.rs`, `src/message.rs`. Mechanism and extensions: `docs/design.md`;
 //! formula numbers are those of the paper named there. Times are in ms.
 
@@ -9,12 +9,16 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::action::*;
 use crate::bands::Bands;
+use crate::event::*;
 use crate::hash::draw;
-use crate::interface::*;
+use crate::health_snapshot::*;
 use crate::message::{HEAD, MESSAGE, pack, unpack};
 use crate::records::{Attempt, Health, Kind, Peer, Request, Server, Start, average};
+use crate::settings::*;
 use crate::state::Balancer;
+use crate::types::*;
 
 const TICK: Millis = 20.0; // how often waiting and running requests are looked over: within a rule's slack
 const REVIEW: u64 = 5; // ticks between looks at all servers
@@ -123,7 +127,11 @@
 impl Balancer {
     /// Starts a proxy that knows nothing yet; `seed` is the only source of chance.
     pub fn new(cfg: Settings, seed: u64) -> Self {
-        let longest_aim = cfg.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
+        let longest_aim = cfg
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .fold(0.0, f64::max);
         let first_guess = (longest_aim / 4.0).max(1.0);
         Balancer {
             start: Start {
@@ -144,7 +152,11 @@
             budgeted: 0,
             helpers: 0,
             ghosts: VecDeque::new(),
-            class_ms: cfg.classes.iter().map(|c| (c.aim / 4.0, 0.0)).collect(),
+            class_ms: cfg
+                .classes
+                .iter()
+                .map(|c| (c.latency_objective / 4.0, 0.0))
+                .collect(),
             kinds: vec![Kind::new(UNMEASURED)],
             mean: first_guess,
             pace: first_guess,
@@ -157,7 +169,7 @@
             spread: (2.0, 0.2 * SPREAD_SAMPLES),
             window: WINDOW_FIRST,
             rating: 0.0,
-            gain: if cfg.warm_keys { 2.0 } else { 1.0 },
+            gain: if cfg.key_affinity { 2.0 } else { 1.0 },
             temper: [(1.0, 1.0), (1.0, 1.0)],
             arrivals: 0.0,
             rate: 0.0,
@@ -169,8 +181,8 @@
             safe_at: f64::NEG_INFINITY,
             success: 1.0,
             ticks: 0,
-            peers: (0..cfg.proxies).map(|_| None).collect(),
-            zones: vec![None; cfg.proxies as usize],
+            peers: (0..cfg.proxy_count).map(|_| None).collect(),
+            zones: vec![None; cfg.proxy_count as usize],
             credit: 0.0,
             told_at: 0.0,
             news: STALE,
@@ -190,41 +202,53 @@
             });
         }
         match event {
-            Event::List { scope, entries } => self.list(now, scope, entries),
+            Event::EndpointUpdate {
+                scope,
+                endpoints: entries,
+            } => self.list(now, scope, entries),
             Event::Request {
                 id,
                 class,
                 tenant,
                 key,
-                budget,
-                hint,
-                whole,
+                timeout: budget,
+                expected_work: hint,
+                body_complete: whole,
             } => {
                 self.arrive(now, id, class.0, tenant, key, budget, hint, whole, out);
             }
-            Event::Whole { id, budget } => self.whole(now, id, budget),
-            Event::Spent(id) => self.spend(id),
+            Event::BodyComplete {
+                id,
+                timeout: budget,
+            } => self.whole(now, id, budget),
+            Event::BodyDiscarded(id) => self.spend(id),
             Event::Settings(cfg) => self.settle_on(now, *cfg),
-            Event::Proxies { me, proxies } => self.divide(now, me, proxies),
-            Event::Standing(known) => {
+            Event::ProxyCount {
+                proxy_index: me,
+                proxy_count: proxies,
+            } => self.divide(now, me, proxies),
+            Event::HealthRestored(known) => {
                 self.resume(&known)
                     .into_iter()
                     .for_each(|k| self.rate(k, self.warmth(k, now), now));
             }
-            Event::Unadmitted { id, wait } => return self.turn_away(id, wait, out),
-            Event::Started {
+            Event::QuotaRejected {
+                id,
+                retry_after: wait,
+            } => return self.turn_away(id, wait, out),
+            Event::ResponseStarted {
                 request,
                 attempt,
-                worked,
+                processing_done: worked,
             } => {
                 self.started(now, request, attempt as usize, worked, out);
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
-                closed,
+                request_finished: closed,
                 ..
             } => {
                 self.ended(
@@ -237,15 +261,15 @@
                     out,
                 );
             }
-            Event::Load {
+            Event::LoadReport {
                 request,
                 attempt,
                 load,
             } => return self.note(request, attempt as usize, load),
-            Event::Abandoned(id) => self.finish(id),
+            Event::ClientGone(id) => self.finish(id),
             Event::Timer(0) => self.tick(now, out),
             Event::Timer(token) => self.answer(RequestId(token - 1), out), // its time is up
-            Event::Message { from, bytes } => return self.hear(now, from as usize, &bytes),
+            Event::Gossip { from, bytes } => return self.hear(now, from as usize, &bytes),
         }
         self.pump(now, out);
     }
@@ -266,15 +290,18 @@
     ) {
         self.arrivals += 1.0;
         self.retries = (self.retries + RETRY_SHARE).min(20.0);
-        self.credit = (self.credit + TELL_SHARE * MESSAGE as f64 / f64::from(self.cfg.proxies))
+        self.credit = (self.credit + TELL_SHARE * MESSAGE as f64 / f64::from(self.cfg.proxy_count))
             .min(2.0 * MESSAGE as f64);
         let over_share = tenant.is_some_and(|t| !self.within_share(t.0));
         let home = key
-            .filter(|_| self.cfg.warm_keys)
+            .filter(|_| self.cfg.key_affinity)
             .and_then(|key| self.home(key, now));
         let (size, aim) = self.size_and_aim(class, hint);
-        let (effect, most) = (self.cfg.classes[class].effect, self.cfg.limits.max_attempts);
-        self.safe_at = if effect == Effect::Safe {
+        let (effect, most) = (
+            self.cfg.classes[class].idempotency,
+            self.cfg.limits.max_attempts,
+        );
+        self.safe_at = if effect == Idempotency::Idempotent {
             now
         } else {
             self.safe_at
@@ -287,7 +314,10 @@
             return self.answer(id, out); // the next look could come too late for an answer in time
         }
         let turn = self.waiting as f64 * self.pace / self.window;
-        if self.pools() && effect == Effect::Safe && turn > HOPELESS * self.cfg.classes[class].aim {
+        if self.pools()
+            && effect == Idempotency::Idempotent
+            && turn > HOPELESS * self.cfg.classes[class].latency_objective
+        {
             return self.answer(id, out); // others go first, and it would only be refused later
         }
         self.enqueue(id, false);
@@ -307,7 +337,7 @@
     fn size_and_aim(&mut self, class: usize, hint: Option<Millis>) -> (f64, Millis) {
         let c = &self.cfg.classes[class];
         let Some(hint) = hint.filter(|h| h.is_finite() && *h > 0.0) else {
-            return (1.0, c.aim);
+            return (1.0, c.latency_objective);
         };
         let (mean, weight) = self.hints[class];
         average(
@@ -321,7 +351,7 @@
         );
         (
             (hint / self.hints[class].0).clamp(0.05, 50.0),
-            (c.aim + c.aim_stretch * hint).min(c.deadline),
+            (c.latency_objective + c.objective_work_multiple * hint).min(c.deadline),
         )
     }
 
@@ -383,23 +413,23 @@
             &self.cfg.classes[r.class],
             self.class_ms[r.class].0.max(0.1) * r.size,
         );
-        let worth = if self.cfg.worth_by_work {
-            c.worth * r.size
+        let worth = if self.cfg.weight_by_work {
+            c.priority_weight * r.size
         } else {
-            c.worth
+            c.priority_weight
         };
         let slack = r.aim - now - work;
         let part = if r.over_share {
-            self.cfg.over_share_worth
+            self.cfg.over_quota_weight_fraction
         } else {
             1.0
         };
         let part = if slack < 0.0 {
-            part * c.late_worth
+            part * c.late_weight_fraction
         } else {
             part
         };
-        part * worth / work * (-slack.max(0.0) / (SLACK_SCALE * c.aim.max(1.0))).exp()
+        part * worth / work * (-slack.max(0.0) / (SLACK_SCALE * c.latency_objective.max(1.0))).exp()
     }
 
     /// Gives a server's free slots to those who wait for it as their home, the most pressing first.
@@ -435,8 +465,8 @@
             return best.filter(|_| now < until);
         }
         // A server back from a closing is tried with what may be repeated, if such requests come at all.
-        let safe_class = |c: &Class| c.effect == Effect::Safe;
-        let safe = r.effect == Effect::Safe || now - self.safe_at > BACKOFF_MAX;
+        let safe_class = |c: &Class| c.idempotency == Idempotency::Idempotent;
+        let safe = r.effect == Idempotency::Idempotent || now - self.safe_at > BACKOFF_MAX;
         let home = r.home.filter(|&h| !r.tried(h));
         // Near its aim a request goes to any open server: holding it further would cost its worth.
         let urgent = r.aim - now < 1.5 * self.usual(r) + 2.0 * TICK;
@@ -503,8 +533,8 @@
                 return Some(if crowded { k } else { h });
             }
             // The home's slots are the faster ones, and those who wait for it over all proxies the queue.
-            let n = f64::from(self.cfg.proxies);
-            let rho = self.rate * n * s.info.rating / self.rating * self.mean / (s.room * warm);
+            let n = f64::from(self.cfg.proxy_count);
+            let rho = self.rate * n * s.info.weight / self.rating * self.mean / (s.room * warm);
             let tau = threshold(s.room, rho, warm / band.speed);
             let go = urgent || f64::from(s.wanted) * n > f64::from(tau);
             return go.then_some(k);
@@ -517,7 +547,8 @@
     fn suits(&self, k: usize, r: &Request, now: Millis) -> bool {
         let (s, l) = (&self.servers[k], &self.cfg.limits);
         let closed = s.by_class[r.class].closed > now && self.blocked[r.class] <= ALL_ILL;
-        let heavy = s.fresh && self.usual(r) > COLD_PART * l.fall_multiple * s.warmth * l.fall;
+        let heavy = s.fresh
+            && self.usual(r) > COLD_PART * l.overload_multiple * s.warmth * l.overload_window;
         // A send is for mean work, and to save up for more takes one of many proxies too long: what is c
         // times as heavy may go with a chance of 1/c.
         let costly = || s.budgeted() && self.cost(k, r) > s.tokens.max(s.grant);
@@ -545,7 +576,7 @@
             slow
         };
         let crosses = s.info.zone.is_some() && s.info.zone != self.cfg.zone;
-        let cross = PULL * self.cfg.prices.cross_zone * self.longest_aim / self.mean;
+        let cross = PULL * self.cfg.costs.cross_zone * self.longest_aim / self.mean;
         let cost = slow / warmth + if crosses { cross } else { 0.0 };
         let s = &mut self.servers[k];
         (s.cost, s.warmth, s.band) = (cost, warmth, self.bands.of(cost));
@@ -557,9 +588,9 @@
         let l = &self.cfg.limits;
         let age = self.servers[k]
             .info
-            .since
-            .map_or(1.0, |since| ((now - since) / l.cold).clamp(0.0, 1.0));
-        l.start_capacity + (1.0 - l.start_capacity) * age
+            .started_at
+            .map_or(1.0, |since| ((now - since) / l.warm_up).clamp(0.0, 1.0));
+        l.initial_capacity_fraction + (1.0 - l.initial_capacity_fraction) * age
     }
 
     /// Judges anew whether a server is open, and to whom.
@@ -573,16 +604,16 @@
         let allowed = usable && (!s.health.trial || s.own == 0) && (!cold || s.tokens >= 1.0);
         let (held, room) = (f64::from(s.held()), s.room * warmth);
         let own =
-            allowed && f64::from(s.own) < s.mine.max(if self.cfg.warm_keys { 1.0 } else { 0.0 });
-        let (free, open) = if !self.cfg.may_tell {
+            allowed && f64::from(s.own) < s.mine.max(if self.cfg.key_affinity { 1.0 } else { 0.0 });
+        let (free, open) = if !self.cfg.gossip_enabled {
             (own, own.then_some(band)) // no word from others: only what is surely this proxy's
         } else if own && held < room && s.mine > 0.0 {
             (true, Some(band))
         } else {
             // All proxies see the same idle slots of others. Each may borrow at a random part of the servers
             // only, drawn anew every few ticks, so that about one proxy comes for each idle slot.
-            let chance = (room - held) / f64::from(self.cfg.proxies);
-            let lucky = draw(s.info.id.0 ^ ticks, u64::from(self.cfg.me)) < chance;
+            let chance = (room - held) / f64::from(self.cfg.proxy_count);
+            let lucky = draw(s.info.id.0 ^ ticks, u64::from(self.cfg.proxy_index)) < chance;
             let free = allowed && held + 0.5 < room;
             (
                 free,
@@ -599,8 +630,10 @@
     /// Whether this proxy's part of all slots is too small to do without the others': a few servers of one's
     /// own leave long waits, in proportion to (1 + cv²) / slots (Pollaczek and Khinchine).
     fn pools(&self) -> bool {
-        let own = self.mean_room * f64::from(self.listed) / f64::from(self.cfg.proxies);
-        !self.cfg.may_tell && self.cfg.proxies > 1 && own < OWN_LEAST * self.spread.0 / 2.0
+        let own = self.mean_room * f64::from(self.listed) / f64::from(self.cfg.proxy_count);
+        !self.cfg.gossip_enabled
+            && self.cfg.proxy_count > 1
+            && own < OWN_LEAST * self.spread.0 / 2.0
     }
 
     /// Requests that this proxy has out, those left out that are silent: they are lost, and no load. Nor are
@@ -621,14 +654,15 @@
     /// An answer from a warm server fits the window: one that eats up its aim, or took far longer than on
     /// calm servers, narrows it. The aim alone lets many proxies crowd few servers until they hold several
     /// times what they work on, and then do less. A server that is slow by itself says nothing of others.
-    fn heed(&mut self, k: usize, class: usize, latency: Millis, size: f64, load: Load) {
+    fn heed(&mut self, k: usize, class: usize, latency: Millis, size: f64, load: LoadReport) {
         let kind = &self.kinds[self.servers[k].kind];
         let calm = kind.core / self.mean * self.class_ms[class].0 * size;
         // Calm may have been learnt in a crowd: what the server tells of itself goes before it.
         let crowded = load
             .per_core(self.servers[k].cores)
             .is_some_and(|n| n > CROWD);
-        let good = !crowded && latency < (CALM * calm).min(LATE * self.cfg.classes[class].aim);
+        let good = !crowded
+            && latency < (CALM * calm).min(LATE * self.cfg.classes[class].latency_objective);
         if good || self.servers[k].slow.0 <= OUTLIER * kind.slow.0 {
             self.fit_window(good);
         }
@@ -660,12 +694,12 @@
         let info = &self.servers[k].info;
         let near =
             |i: &u32| self.zones[*i as usize].is_none() || self.zones[*i as usize] == info.zone;
-        let any = (0..self.cfg.proxies).any(|i| near(&i));
+        let any = (0..self.cfg.proxy_count).any(|i| near(&i));
         let score = |slot: u32, i: u32| draw(info.id.0 ^ u64::from(slot), u64::from(i));
         let owner = |slot: &u32| {
-            let proxies = (0..self.cfg.proxies).filter(|i| near(i) || !any);
+            let proxies = (0..self.cfg.proxy_count).filter(|i| near(i) || !any);
             proxies.max_by(|&a, &b| score(*slot, a).total_cmp(&score(*slot, b)))
-                == Some(self.cfg.me)
+                == Some(self.cfg.proxy_index)
         };
         let count = (0..slots.min(MOST_SLOTS)).filter(owner).count() as u32;
         self.servers[k].owned = Some((slots, count));
@@ -676,8 +710,8 @@
     fn size(&mut self, k: usize) {
         let s = &self.servers[k];
         // A rating is cores times speed; on the slowest kind a core has about the speed of the yardstick.
-        let rating = if self.cfg.rating == Rating::Size {
-            s.info.rating
+        let rating = if self.cfg.weight_meaning == WeightMeaning::Capacity {
+            s.info.weight
         } else {
             1.0
         };
@@ -694,7 +728,7 @@
         self.kinds[which].cores = cores.max(1.0);
         let s = &mut self.servers[k];
         (s.cores, s.room, s.mine) = (cores.max(1.0), room, mine);
-        s.weight = 1.0 / (s.info.rating * s.warmth).max(1e-6);
+        s.weight = 1.0 / (s.info.weight * s.warmth).max(1e-6);
     }
 
     /// Learns from an answer how slow a server is; failures and cold servers prove nothing of their like.
@@ -725,7 +759,7 @@
     /// What is the gain of a warm server? Compares answers from homes with the others, each for its
     /// server's speed.
     fn learn_gain(&mut self, k: usize, class: usize, latency: Millis, home: bool, samples: f64) {
-        if self.cfg.warm_keys {
+        if self.cfg.key_affinity {
             let s = &self.servers[k];
             let sample = latency * s.warmth / (s.slow.0.max(0.05) * self.class_ms[class].0);
             average(
@@ -804,8 +838,8 @@
     /// or a class's own dependency fails; harms where a kind is slow by nature at one class. A class's
     /// closing is longer, as each trial may cost a request.
     fn judge(&mut self, k: usize, class: usize, outcome: Outcome, now: Millis) {
-        let (good, full) = (outcome == Outcome::Served, outcome == Outcome::Full);
-        let (meeting, proxies) = (self.meeting(), self.cfg.proxies);
+        let (good, full) = (outcome == Outcome::Served, outcome == Outcome::Overloaded);
+        let (meeting, proxies) = (self.meeting(), self.cfg.proxy_count);
         let gain = if outcome == Outcome::ConnectFailed {
             DIAL_GAIN
         } else {
@@ -852,7 +886,8 @@
 
     fn send(&mut self, now: Millis, id: RequestId, k: usize, out: &mut Vec<Action>) {
         // Did it find the server idle? Only others' word tells.
-        let lone = self.cfg.may_tell && self.news < NEWS * self.mean && self.servers[k].held() == 0;
+        let lone =
+            self.cfg.gossip_enabled && self.news < NEWS * self.mean && self.servers[k].held() == 0;
         let begin_by = self.bound(&self.requests[&id]).map(|(.., until)| until);
         self.begin(now, id, k, lone);
         let cost = self.servers[k]
@@ -867,11 +902,11 @@
         }
         let backend = s.info.id;
         let timeout = self.give_up(now, id, k);
-        out.push(Action::Send {
+        out.push(Action::Forward {
             request: id,
-            backend,
+            endpoint: backend,
             timeout,
-            begin_by,
+            start_by: begin_by,
         });
         self.place(k, now);
     }
@@ -882,7 +917,7 @@
         let r = &self.requests[&id];
         let usual = self.usual(r);
         let patience = HANG * usual * self.servers[k].slow.0 / self.warmth(k, now) + TICK;
-        let safe = r.effect == Effect::Safe && r.whole;
+        let safe = r.effect == Idempotency::Idempotent && r.whole;
         let again = r.attempts.len() < r.most;
         let in_time = now + patience + 2.0 * usual < r.aim.min(r.due - MARGIN);
         let lost = self.lost.0 > LOST && self.rng.f64() >= LOST_WATCHED;
@@ -896,7 +931,7 @@
         };
         r.whole = true;
         (r.aim, r.due) = (
-            now + self.cfg.classes[r.class].aim.min(budget),
+            now + self.cfg.classes[r.class].latency_objective.min(budget),
             now + budget,
         );
         r.attempts
@@ -926,7 +961,7 @@
     }
 
     /// Takes in what an answer tells of its server's load.
-    fn note(&mut self, id: RequestId, attempt: usize, load: Load) {
+    fn note(&mut self, id: RequestId, attempt: usize, load: LoadReport) {
         let attempt = self
             .requests
             .get_mut(&id)
@@ -1023,11 +1058,11 @@
                 self.learn(k, class, latency / size, home == Some(k), lone);
                 self.judge(k, class, outcome, now);
             }
-            Outcome::Moot | Outcome::Cancelled => {}
+            Outcome::NotSent | Outcome::Cancelled => {}
             Outcome::TimedOut if silent => {} // blamed already
             _ => self.judge(k, class, outcome, now),
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Overloaded {
             self.fit_window(false);
         }
         self.place(k, now);
@@ -1041,18 +1076,18 @@
         };
         let harmless = matches!(
             r.effect,
-            Effect::Safe
-                | Effect::Keyed {
-                    group: Group::All,
+            Idempotency::Idempotent
+                | Idempotency::IdempotencyKey {
+                    scope: DeduplicationScope::All,
                     ..
                 }
         );
         let harmless = harmless || !r.may_have_run();
         let retry_after = self
             .cfg
-            .retry_after
+            .max_retry_after
             .map(|most| self.queueing().clamp(self.mean.min(most), most));
-        let refuse = Action::Refuse {
+        let refuse = Action::Reject {
             request: id,
             retry_after,
         };
@@ -1066,9 +1101,9 @@
         let spread = 1.0 + self.rng.f64();
         let retry_after = self
             .cfg
-            .retry_after
+            .max_retry_after
             .map(|most| wait.max(1.0).min(0.5 * most) * spread);
-        out.push(Action::Refuse {
+        out.push(Action::Reject {
             request: id,
             retry_after,
         });
@@ -1082,7 +1117,7 @@
 
     /// When a request stops being of use: at its aim, unless a late answer earns something and has room.
     fn end(&self, r: &Request) -> Millis {
-        let late = self.cfg.classes[r.class].late_worth > 0.0;
+        let late = self.cfg.classes[r.class].late_weight_fraction > 0.0;
         let crowded = r.waiting && self.waiting > self.out();
         if late && !crowded {
             r.due
@@ -1143,7 +1178,7 @@
             self.judge(k, class, Outcome::TimedOut, now);
             let s = &mut self.servers[k];
             if hung {
-                let span = stretch(s.health.backoff, meeting, self.cfg.proxies);
+                let span = stretch(s.health.backoff, meeting, self.cfg.proxy_count);
                 let span = span.max(HANG * usual); // nothing else has moved there
                 close(&mut s.health, now, span);
             }
@@ -1164,8 +1199,12 @@
     }
 
     /// For a keyed request that may have run: the server tried first, who drops repeats, and until when.
-    fn bound(&self, r: &Request) -> Option<(usize, Group, Millis)> {
-        let Effect::Keyed { group, window } = r.effect else {
+    fn bound(&self, r: &Request) -> Option<(usize, DeduplicationScope, Millis)> {
+        let Idempotency::IdempotencyKey {
+            scope: group,
+            window,
+        } = r.effect
+        else {
             return None;
         };
         r.attempts
@@ -1176,7 +1215,7 @@
 
     /// Whether another attempt is allowed, by the request's effect and the count of attempts.
     fn may_repeat(&self, r: &Request, now: Millis) -> bool {
-        let harmless = r.effect == Effect::Safe || !r.may_have_run();
+        let harmless = r.effect == Idempotency::Idempotent || !r.may_have_run();
         let dropped = || self.bound(r).is_some_and(|(.., until)| now < until);
         (harmless || dropped()) && !r.spent && r.attempts.len() < r.most
     }
@@ -1196,7 +1235,7 @@
             (self.arrivals, self.rate_at) = (0.0, now);
         }
         for (left, tenant) in self.allowance.iter_mut().zip(&self.cfg.tenants) {
-            let rate = tenant.allowance_per_s / 1000.0 / f64::from(self.cfg.proxies);
+            let rate = tenant.quota_per_second / 1000.0 / f64::from(self.cfg.proxy_count);
             *left = (*left + rate * tick).min(rate * 1000.0 + 1.0);
         }
         while self.ghosts.front().is_some_and(|g| g.0 <= now) {
@@ -1287,10 +1326,10 @@
                 let kind = &self.kinds[s.kind];
                 let room = s.room / kind.throttle.max(1.0); // by its size: more is for warm ones
                 let capacity = room / FULLNESS / unit;
-                let rate = COLD_SHARE * self.cfg.limits.fall_multiple * warmth * capacity
-                    / f64::from(self.cfg.proxies);
+                let rate = COLD_SHARE * self.cfg.limits.overload_multiple * warmth * capacity
+                    / f64::from(self.cfg.proxy_count);
                 s.tokens += rate * (now - s.tokens_at);
-                let excess = s.tokens - 1.0 - rate * COLD_RIPE * self.cfg.limits.fall;
+                let excess = s.tokens - 1.0 - rate * COLD_RIPE * self.cfg.limits.overload_window;
                 if excess > 0.0 {
                     s.tokens -= excess.ceil(); // sends that nobody wanted in time
                     s.grant = 1.0 / (self.rng.f64() + 1e-9);
@@ -1306,29 +1345,38 @@
     /// Takes over new settings. What is known of servers and classes stays, and so do the requests under way.
     fn settle_on(&mut self, now: Millis, cfg: Settings) {
         let old = &self.cfg;
-        let (me, proxies, zone) = (old.me, old.proxies, old.zone);
-        let (discovery, rating, warm_keys, may_tell) =
-            (old.discovery, old.rating, old.warm_keys, old.may_tell);
+        let (me, proxies, zone) = (old.proxy_index, old.proxy_count, old.zone);
+        let (discovery, rating, warm_keys, may_tell) = (
+            old.discovery,
+            old.weight_meaning,
+            old.key_affinity,
+            old.gossip_enabled,
+        );
         if cfg.classes.len() < old.classes.len() || cfg.tenants.len() < old.tenants.len() {
             return; // numbers would change their meaning under requests that have them
         }
         self.cfg = Settings {
-            me,
-            proxies,
+            proxy_index: me,
+            proxy_count: proxies,
             zone,
             discovery,
-            rating,
-            warm_keys,
-            may_tell,
+            weight_meaning: rating,
+            key_affinity: warm_keys,
+            gossip_enabled: may_tell,
             ..cfg
         };
-        self.longest_aim = self.cfg.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
+        self.longest_aim = self
+            .cfg
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .fold(0.0, f64::max);
         self.resize(now);
     }
 
     /// So many proxies share the servers from here on. A cold server's budget is divided from this moment on.
     fn divide(&mut self, now: Millis, me: u32, proxies: u32) {
-        if me >= proxies || (me, proxies) == (self.cfg.me, self.cfg.proxies) {
+        if me >= proxies || (me, proxies) == (self.cfg.proxy_index, self.cfg.proxy_count) {
             return;
         }
         for from in proxies as usize..self.peers.len() {
@@ -1338,8 +1386,8 @@
         }
         self.peers.resize_with(proxies as usize, || None);
         self.zones.resize(proxies as usize, None);
-        let part = f64::from(self.cfg.proxies) / f64::from(proxies);
-        (self.cfg.me, self.cfg.proxies) = (me, proxies);
+        let part = f64::from(self.cfg.proxy_count) / f64::from(proxies);
+        (self.cfg.proxy_index, self.cfg.proxy_count) = (me, proxies);
         for k in 0..self.servers.len() {
             let s = &mut self.servers[k];
             (s.owned, s.tokens) = (None, s.tokens * part.min(1.0));
@@ -1348,13 +1396,13 @@
         }
     }
 
-    fn list(&mut self, now: Millis, scope: Scope, entries: Vec<Backend>) {
-        if scope == Scope::Failed {
+    fn list(&mut self, now: Millis, scope: UpdateScope, entries: Vec<Endpoint>) {
+        if scope == UpdateScope::Failed {
             // Ask again, but not all proxies at once.
             (self.subscribed, self.ask_at) = (false, now + 500.0 + 1500.0 * self.rng.f64());
             return;
         }
-        for k in self.record_all(now, scope == Scope::Full, entries) {
+        for k in self.record_all(now, scope == UpdateScope::Full, entries) {
             let s = &mut self.servers[k];
             if s.restarted {
                 // A new process: cold, and nothing known against it. The random start of its budget keeps
@@ -1405,7 +1453,7 @@
     fn tell(&mut self, now: Millis, out: &mut Vec<Action>) {
         let cost = (HEAD + 2 * (self.running.len() + self.ghosts.len())) as f64;
         let due = self.credit >= cost || now - self.told_at > STALE / 2.0;
-        if self.cfg.may_tell && self.cfg.proxies > 1 && due {
+        if self.cfg.gossip_enabled && self.cfg.proxy_count > 1 && due {
             self.news += 0.1 * (now - self.told_at - self.news); // others tell about as often
             (self.credit, self.told_at) = (self.credit - cost, now);
             out.push(Action::Broadcast(pack(self.cfg.zone, &self.servers, now)));
--- a/crates/balancer/src/message.rs
+++ b/crates/balancer/src/message.rs
@@ -2,9 +2,13 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::action::*;
+use crate::event::*;
 use crate::hash::mix;
-use crate::interface::{BackendId, Millis, ZoneId};
+use crate::health_snapshot::*;
 use crate::records::Server;
+use crate::settings::*;
+use crate::types::*;
 
 const VERSION: u8 = 1;
 pub(crate) const HEAD: usize = 3; // bytes of a message before its servers
@@ -53,6 +57,6 @@
 }
 
 /// The 16 bits by which messages name a server.
-pub(crate) fn short(id: BackendId) -> u16 {
+pub(crate) fn short(id: EndpointId) -> u16 {
     mix(id.0) as u16
 }
--- a/crates/balancer/src/records.rs
+++ b/crates/balancer/src/records.rs
@@ -2,7 +2,11 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::*;
+use crate::action::*;
+use crate::event::*;
+use crate::health_snapshot::*;
+use crate::settings::*;
+use crate::types::*;
 
 /// How well a server does, as a whole or for one class.
 #[derive(Clone)]
@@ -29,7 +33,7 @@
 
 /// What is known of a server.
 pub(crate) struct Server {
-    pub info: Backend,
+    pub info: Endpoint,
     pub told: Option<Millis>,  // when its drain or end was told
     pub own: u32, // this proxy's attempts there, those given up but plausibly running included
     pub peers: u32, // attempts of other proxies, as told by them
@@ -60,7 +64,7 @@
 }
 
 impl Server {
-    pub fn new(info: Backend, classes: usize, now: Millis, backoff: Millis) -> Self {
+    pub fn new(info: Endpoint, classes: usize, now: Millis, backoff: Millis) -> Self {
         Server {
             info,
             told: None,
@@ -99,11 +103,15 @@
     }
 
     /// Whether it is in one group with the server of an earlier attempt.
-    pub fn drops_repeats_of(&self, first: &Server, group: Group) -> bool {
+    pub fn drops_repeats_of(&self, first: &Server, group: DeduplicationScope) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => first.info.zone.is_some() && self.info.zone == first.info.zone,
-            Group::Cell => first.info.cell.is_some() && self.info.cell == first.info.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => {
+                first.info.zone.is_some() && self.info.zone == first.info.zone
+            }
+            DeduplicationScope::Cell => {
+                first.info.cell.is_some() && self.info.cell == first.info.cell
+            }
         }
     }
 
@@ -147,19 +155,19 @@
     pub server: usize,
     pub sent: Millis,
     pub over: bool,
-    pub budgeted: bool, // its server was cold
-    pub lone: bool,     // it found the server idle
-    pub load: Load,     // of its server, as its answer tells
-    pub silent: bool,   // it was out for so long that its server was blamed
-    pub ran: bool,      // it runs or may have run
+    pub budgeted: bool,   // its server was cold
+    pub lone: bool,       // it found the server idle
+    pub load: LoadReport, // of its server, as its answer tells
+    pub silent: bool,     // it was out for so long that its server was blamed
+    pub ran: bool,        // it runs or may have run
 }
 
 pub(crate) struct Request {
     pub class: usize,
-    pub effect: Effect, // as it was when the request came
-    pub most: usize,    // attempts that it may have, likewise
-    pub whole: bool,    // its last byte has come
-    pub spent: bool,    // it can't be sent again
+    pub effect: Idempotency, // as it was when the request came
+    pub most: usize,         // attempts that it may have, likewise
+    pub whole: bool,         // its last byte has come
+    pub spent: bool,         // it can't be sent again
     pub over_share: bool,
     pub size: f64,   // its expected work, relative to its class
     pub aim: Millis, // the clock time until which it earns its full worth
@@ -176,7 +184,7 @@
     /// One that waits for its first attempt, and what may be done for it.
     pub fn new(
         class: usize,
-        effect: Effect,
+        effect: Idempotency,
         most: u32,
         size: f64,
         key: u64,
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -4,10 +4,14 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::action::*;
 use crate::bands::Bands;
-use crate::interface::*;
+use crate::event::*;
+use crate::health_snapshot::*;
 use crate::message::short;
 use crate::records::{Attempt, Health, Kind, Peer, Request, Server, Start};
+use crate::settings::*;
+use crate::types::*;
 
 /// Waiting requests, by class and by whether they are beyond their tenant's share, oldest first.
 pub(crate) type Queues = Vec<VecDeque<RequestId>>;
@@ -18,7 +22,7 @@
     pub(crate) start: Start,
     pub(crate) rng: fastrand::Rng,
     pub(crate) servers: Vec<Server>,
-    pub(crate) index: FxHashMap<BackendId, usize>,
+    pub(crate) index: FxHashMap<EndpointId, usize>,
     pub(crate) names: FxHashMap<u16, usize>,
     pub(crate) bands: Bands,
     pub(crate) requests: FxHashMap<RequestId, Request>,
@@ -115,7 +119,7 @@
             .requests
             .get_mut(&id)
             .expect("only known requests are sent");
-        let (over, ran, silent, load) = (false, true, false, Load::default());
+        let (over, ran, silent, load) = (false, true, false, LoadReport::default());
         r.attempts.push(Attempt {
             server,
             sent: now,
@@ -154,8 +158,11 @@
         let (classes, backoff) = (self.cfg.classes.len(), self.start.backoff);
         self.queues.resize_with(classes * 2, VecDeque::new);
         let known = self.class_ms.len();
-        self.class_ms
-            .extend(self.cfg.classes[known..].iter().map(|c| (c.aim / 4.0, 0.0)));
+        self.class_ms.extend(
+            self.cfg.classes[known..]
+                .iter()
+                .map(|c| (c.latency_objective / 4.0, 0.0)),
+        );
         self.blocked.resize(classes, 0.0);
         let all = self.common.pop().unwrap_or(0.0);
         self.common.resize(classes, 0.0);
@@ -169,15 +176,19 @@
 
     /// How many servers the list names, and how many of those that take work get none from here now, as they are closed.
     pub fn fleet(&self, now: Millis) -> (usize, usize) {
-        let listed = || self.servers.iter().filter(|s| s.info.state != State::Gone);
+        let listed = || {
+            self.servers
+                .iter()
+                .filter(|s| s.info.state != EndpointState::Removed)
+        };
         let shut = |s: &&Server| s.told.is_none() && s.health.closed > now;
         (listed().count(), listed().filter(shut).count())
     }
 
     /// Notes a line of the server list; returns the server.
-    fn record(&mut self, now: Millis, mut e: Backend) -> usize {
-        e.rating = if e.rating.is_finite() && e.rating > 0.0 {
-            e.rating
+    fn record(&mut self, now: Millis, mut e: Endpoint) -> usize {
+        e.weight = if e.weight.is_finite() && e.weight > 0.0 {
+            e.weight
         } else {
             1.0
         };
@@ -192,13 +203,13 @@
             ));
         }
         let s = &mut self.servers[k];
-        s.told = if e.state == State::Up {
+        s.told = if e.state == EndpointState::Up {
             None
         } else {
             s.told.or(Some(now))
         };
-        s.restarted |= s.info.since != e.since || e.since.is_some() && !s.fresh;
-        s.kind = e.kind.map_or(0, |k| k.0 as usize + 1);
+        s.restarted |= s.info.started_at != e.started_at || e.started_at.is_some() && !s.fresh;
+        s.kind = e.machine_type.map_or(0, |k| k.0 as usize + 1);
         let kinds = self.kinds.len().max(s.kind + 1);
         let throttle = self.start.throttle;
         self.kinds.resize_with(kinds, || Kind::new(throttle));
@@ -212,7 +223,7 @@
         &mut self,
         now: Millis,
         full: bool,
-        entries: Vec<Backend>,
+        entries: Vec<Endpoint>,
     ) -> Vec<usize> {
         let mut listed: Vec<usize> = entries.into_iter().map(|e| self.record(now, e)).collect();
         if full {
@@ -220,12 +231,12 @@
             listed.iter().for_each(|&k| left[k] = false);
             for k in (0..left.len()).filter(|&k| left[k]) {
                 let s = &mut self.servers[k];
-                (s.told, s.info.state) = (s.told.or(Some(now)), State::Gone);
+                (s.told, s.info.state) = (s.told.or(Some(now)), EndpointState::Removed);
                 listed.push(k);
             }
         }
         let up = self.servers.iter().filter(|s| s.told.is_none());
-        let (rating, many) = up.fold((0.0, 0u32), |(sum, n), s| (sum + s.info.rating, n + 1));
+        let (rating, many) = up.fold((0.0, 0u32), |(sum, n), s| (sum + s.info.weight, n + 1));
         (self.rating, self.listed) = (rating.max(1e-6), many);
         listed
     }
--- a/crates/balancer/tests/choice.rs
+++ b/crates/balancer/tests/choice.rs
@@ -6,7 +6,7 @@
 fn refusals(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
+        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
         .count()
 }
 
@@ -28,8 +28,8 @@
 fn holds_for_a_faster_server_and_sends_when_the_queue_outgrows_the_threshold() {
     let list = vec![
         server(1),
-        Backend {
-            kind: Some(KindId(1)),
+        Endpoint {
+            machine_type: Some(MachineTypeId(1)),
             ..server(2)
         },
     ];
@@ -54,8 +54,8 @@
         settings(1),
         vec![
             server(1),
-            Backend {
-                kind: Some(KindId(1)),
+            Endpoint {
+                machine_type: Some(MachineTypeId(1)),
                 ..server(2)
             },
         ],
@@ -127,7 +127,7 @@
         let mut attempt = 0;
         while let Some((of, _)) = sent.pop() {
             tries += 1;
-            let out = hand.give(ended(of, attempt, 1.0, Outcome::Full));
+            let out = hand.give(ended(of, attempt, 1.0, Outcome::Overloaded));
             attempt += 1;
             sent = sends(&out);
             if sent.first().is_some_and(|s| s.0 != of) {
@@ -145,8 +145,8 @@
 #[test]
 fn a_kind_that_slows_gets_fewer_slots() {
     // i7496cc: overfilled servers looked as if they had more cores, and stayed overfilled.
-    let big = |id| Backend {
-        rating: 12.0,
+    let big = |id| Endpoint {
+        weight: 12.0,
         ..server(id)
     };
     let mut hand = Hand::new(settings(1), vec![big(1), big(2)]);
@@ -167,7 +167,7 @@
 fn a_few_slow_servers_take_no_slots_from_the_healthy_ones_of_their_kind() {
     // ib2a989: three of fourteen servers eight times slower, and the slots of all others shrank.
     let told = Settings {
-        may_tell: true,
+        gossip_enabled: true,
         ..settings(1)
     };
     let mut hand = Hand::new(told, (1..=10).map(server).collect());
@@ -182,17 +182,17 @@
 fn waits_at_one_core_do_not_shrink_the_slots_of_others() {
     // i30d937: one-core servers that held two requests looked slow, and so others seemed to have few cores.
     let told = Settings {
-        may_tell: true,
+        gossip_enabled: true,
         ..settings(2)
     };
-    let big = |id| Backend {
-        kind: Some(KindId(1)),
-        rating: 8.0,
+    let big = |id| Endpoint {
+        machine_type: Some(MachineTypeId(1)),
+        weight: 8.0,
         ..server(id)
     };
-    let list: Vec<Backend> = (1..=8)
-        .map(|id| Backend {
-            rating: 1.6,
+    let list: Vec<Endpoint> = (1..=8)
+        .map(|id| Endpoint {
+            weight: 1.6,
             ..server(id)
         })
         .chain((11..=14).map(big))
@@ -214,11 +214,11 @@
 fn an_unmeasured_kind_gets_half_its_slots() {
     // La59078: a fleet jammed from the first second took the jam for calm and stayed in it.
     let told = Settings {
-        may_tell: true,
+        gossip_enabled: true,
         ..settings(1)
     };
-    let list = vec![Backend {
-        rating: 8.0,
+    let list = vec![Endpoint {
+        weight: 8.0,
         ..server(1)
     }];
     let first = burst(&mut Hand::new(told.clone(), list.clone()), 1000, 20).len();
@@ -240,14 +240,14 @@
 fn slots_of_all_proxies_do_not_overlap() {
     // Herding: many proxies saw the same open servers. Each slot is owned by one proxy.
     let n = 12;
-    let list: Vec<Backend> = (0..20).map(server).collect();
+    let list: Vec<Endpoint> = (0..20).map(server).collect();
     let mut at = vec![0u32; 20];
     for me in 0..n {
         let base = settings(n);
         let mut hand = Hand::new(
             Settings {
-                me,
-                may_tell: true,
+                proxy_index: me,
+                gossip_enabled: true,
                 ..base
             },
             list.clone(),
@@ -265,14 +265,20 @@
 #[test]
 fn a_proxy_among_many_has_servers_of_its_own() {
     // bern: with 250 proxies on 60 small servers most proxies had no server at all and refused everything.
-    let small = |id| Backend {
-        rating: 1.0,
+    let small = |id| Endpoint {
+        weight: 1.0,
         ..server(id)
     };
     let mut without = 0;
     for me in 0..50 {
         let base = settings(250);
-        let mut hand = Hand::new(Settings { me, ..base }, (0..60).map(small).collect());
+        let mut hand = Hand::new(
+            Settings {
+                proxy_index: me,
+                ..base
+            },
+            (0..60).map(small).collect(),
+        );
         hand.pass(1500.0);
         let sent = burst(&mut hand, 0, 30);
         assert!(
@@ -291,7 +297,7 @@
     let base = settings(38);
     let mut hand = Hand::new(
         Settings {
-            warm_keys: true,
+            key_affinity: true,
             ..base
         },
         (0..40).map(server).collect(),
@@ -302,9 +308,9 @@
         class: ClassId(1),
         tenant: None,
         key: Some(Key(id + 1)),
-        budget: 3000.0,
-        hint: None,
-        whole: true,
+        timeout: 3000.0,
+        expected_work: None,
+        body_complete: true,
     };
     let sent: usize = (0..200).map(|id| sends(&hand.give(ask(id))).len()).sum();
     // Its fair part of some 104 slots is under three.
@@ -317,8 +323,8 @@
         let base = settings(5);
         let mut hand = Hand::new(
             Settings {
-                me,
-                warm_keys: true,
+                proxy_index: me,
+                key_affinity: true,
                 ..base
             },
             (0..12).map(server).collect(),
@@ -328,9 +334,9 @@
             class: ClassId(0),
             tenant: None,
             key: Some(Key(key)),
-            budget: 2000.0,
-            hint: None,
-            whole: true,
+            timeout: 2000.0,
+            expected_work: None,
+            body_complete: true,
         };
         let mut homes = vec![];
         for key in 1..9 {
@@ -346,14 +352,14 @@
 #[test]
 fn a_restart_told_twice_in_one_list_is_still_a_cold_start() {
     // Found by the property test: the second line of the same server took its fresh start back.
-    let fresh = Backend {
-        since: Some(1000.0),
+    let fresh = Endpoint {
+        started_at: Some(1000.0),
         ..server(1)
     };
     let mut hand = Hand::new(settings(8), vec![server(1)]);
-    hand.give(Event::List {
-        scope: Scope::Delta,
-        entries: vec![fresh.clone(), fresh],
+    hand.give(Event::EndpointUpdate {
+        scope: UpdateScope::Delta,
+        endpoints: vec![fresh.clone(), fresh],
     });
     let sent = burst(&mut hand, 0, 20);
     assert!(
@@ -365,10 +371,10 @@
 #[test]
 fn a_drained_server_gets_nothing_and_its_requests_are_answered() {
     let mut hand = Hand::new(settings(1), vec![server(1)]);
-    hand.give(Event::List {
-        scope: Scope::Delta,
-        entries: vec![Backend {
-            state: State::Draining,
+    hand.give(Event::EndpointUpdate {
+        scope: UpdateScope::Delta,
+        endpoints: vec![Endpoint {
+            state: EndpointState::Draining,
             ..server(1)
         }],
     });
@@ -389,8 +395,8 @@
 
 #[test]
 fn odd_lists_do_no_harm() {
-    let odd = |rating| Backend {
-        rating,
+    let odd = |rating| Endpoint {
+        weight: rating,
         ..server(3)
     };
     for rating in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
@@ -454,14 +460,17 @@
 #[test]
 fn deaf_proxies_with_many_servers_each_share_no_slot() {
     // At full size random subsets of 20 servers for each of 36 proxies overlapped twice and servers choked.
-    let small = |id| Backend {
-        rating: 1.0,
+    let small = |id| Endpoint {
+        weight: 1.0,
         ..server(id)
     };
     let mut holders = std::collections::HashMap::<u64, usize>::new();
     for me in 0..8 {
         let mut hand = Hand::new(
-            Settings { me, ..settings(8) },
+            Settings {
+                proxy_index: me,
+                ..settings(8)
+            },
             (0..160).map(small).collect(),
         );
         hand.pass(1500.0);
@@ -483,8 +492,8 @@
 fn deaf_proxies_with_few_servers_each_pool_them() {
     // 20 proxies with 29 one-core servers: one server of one's own leaves long waits and idles for a round trip
     // between answers.
-    let small = |id| Backend {
-        rating: 1.0,
+    let small = |id| Endpoint {
+        weight: 1.0,
         ..server(id)
     };
     let mut hand = Hand::new(settings(20), (0..29).map(small).collect());
@@ -503,8 +512,8 @@
 #[test]
 fn late_answers_narrow_the_window_of_pooled_servers() {
     let out_at_once = |latency: Millis| {
-        let small = |id| Backend {
-            rating: 1.0,
+        let small = |id| Endpoint {
+            weight: 1.0,
             ..server(id)
         };
         let mut hand = Hand::new(settings(20), (0..40).map(small).collect());
@@ -521,8 +530,8 @@
     // A deploy replaced twelve servers thrice; the module counted all 48 and held its own part of the few that were
     // left for enough to do without the others'.
     let sent_at_once = |deploys: u64| {
-        let small = |id| Backend {
-            rating: 1.0,
+        let small = |id| Endpoint {
+            weight: 1.0,
             ..server(id)
         };
         let mut hand = Hand::new(settings(6), (1..=12).map(small).collect());
@@ -544,8 +553,8 @@
 fn calm_servers_get_more_than_their_size_says_while_requests_wait() {
     // Fleets that a proxy does not pool were held to what their ratings say: four servers of size 1 got five requests
     // at once, and the rest waited for servers that had nothing to do.
-    let small = |id| Backend {
-        rating: 1.0,
+    let small = |id| Endpoint {
+        weight: 1.0,
         ..server(id)
     };
     let out_at_once = |latency: fn(u64, usize) -> Millis| {
@@ -565,8 +574,8 @@
 fn the_first_answers_of_a_kind_are_short_and_no_measure_of_its_calm() {
     // A proxy that began under load took what ended first for the latency of a calm kind; the usual one then looked
     // like a crowd's, and the kind was held to a third of its slots for many seconds.
-    let kind = |id| Backend {
-        kind: Some(KindId(u32::from(id > 6))),
+    let kind = |id| Endpoint {
+        machine_type: Some(MachineTypeId(u32::from(id > 6))),
         ..server(id)
     };
     let mut hand = Hand::new(settings(1), (1..=12).map(kind).collect());
@@ -676,12 +685,12 @@
 #[test]
 fn answers_lost_at_all_servers_alike_prove_no_hang() {
     // page108: three answers in a hundred never came, and each of them closed a server that was well.
-    let slow = |id| Backend {
-        kind: Some(KindId(1)),
+    let slow = |id| Endpoint {
+        machine_type: Some(MachineTypeId(1)),
         ..server(id)
     };
     let list = (1..=4).map(server).chain((5..=8).map(slow)).collect();
-    let classes = vec![class(Effect::Safe, 100.0); 2];
+    let classes = vec![class(Idempotency::Idempotent, 100.0); 2];
     let mut hand = Hand::new(
         Settings {
             classes,
@@ -715,7 +724,7 @@
     let waits = |retry_after, n| {
         let mut hand = Hand::new(
             Settings {
-                retry_after,
+                max_retry_after: retry_after,
                 ..settings(1)
             },
             vec![server(1)],
@@ -725,7 +734,7 @@
             .collect();
         out.extend(hand.pass(1200.0));
         let wait = |a: &Action| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
         out.iter().filter_map(wait).collect::<Vec<_>>()
@@ -746,7 +755,7 @@
     let mut hand = Hand::new(settings(1), (1..=4).map(server).collect());
     hand.train(0, 200, |_| 20.0);
     let timeout = |actions: &[Action]| match actions {
-        [Action::Send { timeout, .. }] => *timeout,
+        [Action::Forward { timeout, .. }] => *timeout,
         _ => None,
     };
     let sent = hand.give(request(1000, 0, 2000.0));
@@ -790,14 +799,14 @@
 fn slots_are_divided_anew_when_a_proxy_tells_its_zone() {
     // How many slots are a proxy's own is kept: the count must not outlive what it was counted by.
     let told = |proxies, me, zone| Settings {
-        may_tell: true,
-        me,
+        gossip_enabled: true,
+        proxy_index: me,
         zone: Some(ZoneId(zone)),
         ..settings(proxies)
     };
-    let servers: Vec<Backend> = (1..=40)
-        .map(|id| Backend {
-            rating: 8.0,
+    let servers: Vec<Endpoint> = (1..=40)
+        .map(|id| Endpoint {
+            weight: 8.0,
             ..server(id)
         })
         .collect();
@@ -816,7 +825,7 @@
         let bytes = word(1, zone).expect("it tells");
         for _ in 0..80 {
             hand.pass(20.0); // each server's slots are looked at again
-            hand.give(Event::Message {
+            hand.give(Event::Gossip {
                 from: 1,
                 bytes: bytes.clone(),
             });
@@ -835,7 +844,7 @@
     let refusals = |most: Option<f64>| -> Vec<Option<f64>> {
         let mut balancer = Balancer::new(
             Settings {
-                retry_after: most,
+                max_retry_after: most,
                 ..settings(1)
             },
             1,
@@ -844,15 +853,15 @@
         for n in 0..50 {
             balancer.handle(
                 0.0,
-                Event::Unadmitted {
+                Event::QuotaRejected {
                     id: RequestId(n),
-                    wait: 100.0,
+                    retry_after: 100.0,
                 },
                 &mut out,
             );
         }
         let refused = |a: &Action| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
         out.iter().filter_map(refused).collect()
@@ -924,8 +933,8 @@
     // One of 100 proxies; a release has left 24 warm servers, crowded by all, and 36 cold ones with a budget.
     let mut hand = Hand::new(settings(100), (0..24).map(server).collect());
     hand.drive(6000, 60, |_, _| 30.0);
-    let cold = |id| Backend {
-        since: Some(7000.0),
+    let cold = |id| Endpoint {
+        started_at: Some(7000.0),
         ..server(id)
     };
     hand.give(full(
@@ -950,7 +959,7 @@
 /// have taken `latency` instead of 40 ms from the 100th send on.
 fn with_slow_servers(keys: u64, slow: u64, latency: Millis) -> (usize, usize) {
     let settings = Settings {
-        warm_keys: keys > 0,
+        key_affinity: keys > 0,
         ..settings(100)
     };
     let mut hand = Hand::new(settings, (0..24).map(server).collect());
@@ -982,9 +991,9 @@
 }
 
 /// One of 32 proxies before twelve servers of one core, which answer in 250 ms from the first request on.
-fn among_small_servers(load: fn(usize) -> Load) -> Hand {
-    let small = |id| Backend {
-        rating: 1.0,
+fn among_small_servers(load: fn(usize) -> LoadReport) -> Hand {
+    let small = |id| Endpoint {
+        weight: 1.0,
         ..server(id)
     };
     let mut hand = Hand::new(settings(32), (0..12).map(small).collect());
@@ -1004,16 +1013,16 @@
     };
     for (load, why) in [
         (
-            (|_| Load {
-                in_hand: Some(20.0),
-                waiting: Some(0.0),
-            }) as fn(usize) -> Load,
+            (|_| LoadReport {
+                in_flight: Some(20.0),
+                queued: Some(0.0),
+            }) as fn(usize) -> LoadReport,
             "in hand",
         ),
         (
-            |_| Load {
-                in_hand: None,
-                waiting: Some(20.0),
+            |_| LoadReport {
+                in_flight: None,
+                queued: Some(20.0),
             },
             "waiting alone",
         ),
@@ -1022,20 +1031,20 @@
     }
     for (load, why) in [
         (
-            (|_| Load::default()) as fn(usize) -> Load,
+            (|_| LoadReport::default()) as fn(usize) -> LoadReport,
             "nothing is told",
         ),
         (
-            |_| Load {
-                in_hand: Some(4.0),
-                waiting: Some(9.0),
+            |_| LoadReport {
+                in_flight: Some(4.0),
+                queued: Some(9.0),
             },
             "few in hand go before those that wait",
         ),
         (
-            |_| Load {
-                in_hand: None,
-                waiting: Some(3.0),
+            |_| LoadReport {
+                in_flight: None,
+                queued: Some(3.0),
             },
             "few wait",
         ),
@@ -1046,7 +1055,10 @@
 
 #[test]
 fn a_load_is_told_for_each_core() {
-    let told = |in_hand, waiting| Load { in_hand, waiting };
+    let told = |in_hand, waiting| LoadReport {
+        in_flight: in_hand,
+        queued: waiting,
+    };
     assert_eq!(told(None, None).per_core(2.0), None);
     assert_eq!(
         told(Some(6.0), Some(40.0)).per_core(2.0),
@@ -1077,7 +1089,7 @@
     // One of 100 proxies; one key's home has been crowded by all that ask for it.
     let mut hand = Hand::new(
         Settings {
-            warm_keys: true,
+            key_affinity: true,
             ..settings(100)
         },
         (0..60).map(server).collect(),
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -59,19 +59,19 @@
         let knows = (p.knows)(me);
         let told = if knows == Knows::Alone { 1 } else { p.proxies };
         let settings = Settings {
-            me: if told == 1 { 0 } else { me },
+            proxy_index: if told == 1 { 0 } else { me },
             limits: p.limits,
             ..settings(told)
         };
-        let warm: Vec<Backend> = (0..p.warm).map(server).collect();
+        let warm: Vec<Endpoint> = (0..p.warm).map(server).collect();
         let begin = match knows {
             Knows::Later(after) => after,
             _ => 0,
         };
         let all = |now: Millis| {
             let since = Some(now - begin as f64);
-            let cold = (0..p.cold).map(|k| Backend {
-                since,
+            let cold = (0..p.cold).map(|k| Endpoint {
+                started_at: since,
                 ..server(1000 + k)
             });
             warm.iter().cloned().chain(cold).collect::<Vec<_>>()
@@ -80,9 +80,9 @@
             let mut hand = Hand::seeded(settings, warm.clone(), chance.u64(..));
             learn(&mut hand, &mut chance);
             if told != p.proxies {
-                hand.give(Event::Proxies {
-                    me,
-                    proxies: p.proxies,
+                hand.give(Event::ProxyCount {
+                    proxy_index: me,
+                    proxy_count: p.proxies,
                 });
             }
             let now = hand.now;
@@ -147,15 +147,16 @@
 /// The largest part that a server got of its budget with what is put down to chance; when, and of what budget.
 fn worst(p: &Play, sums: &[Vec<f64>]) -> (f64, u64, f64) {
     let l = &p.limits;
-    let window = (l.fall as u64 / STEP) as usize;
+    let window = (l.overload_window as u64 / STEP) as usize;
     let mut worst = (0.0, 0, 0.0);
     for server in sums {
         // It is judged while it is cold.
-        let cold = (l.cold as u64 / STEP) as usize;
+        let cold = (l.warm_up as u64 / STEP) as usize;
         for (from, sent) in server[..cold.min(server.len())].windows(window).enumerate() {
-            let age = (from as u64 * STEP) as f64 / l.cold;
-            let warmth = (l.start_capacity + (1.0 - l.start_capacity) * age).min(1.0);
-            let n = l.fall_multiple * warmth * CORES / mean_work() * l.fall;
+            let age = (from as u64 * STEP) as f64 / l.warm_up;
+            let warmth =
+                (l.initial_capacity_fraction + (1.0 - l.initial_capacity_fraction) * age).min(1.0);
+            let n = l.overload_multiple * warmth * CORES / mean_work() * l.overload_window;
             let part = sent.iter().sum::<f64>() / (n + 2.0 * n.sqrt() + 2.0);
             if part > worst.0 {
                 worst = (part, from as u64 * STEP, n);
@@ -167,10 +168,10 @@
 
 fn limits(start_capacity: f64, cold: Millis, fall_multiple: f64, fall: Millis) -> Limits {
     Limits {
-        start_capacity,
-        cold,
-        fall_multiple,
-        fall,
+        initial_capacity_fraction: start_capacity,
+        warm_up: cold,
+        overload_multiple: fall_multiple,
+        overload_window: fall,
         max_attempts: 4,
     }
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -3,68 +3,68 @@
 use balancer::*;
 use std::collections::{BTreeMap, HashMap};
 
-pub fn class(effect: Effect, aim: Millis) -> Class {
+pub fn class(effect: Idempotency, aim: Millis) -> Class {
     Class {
-        aim,
+        latency_objective: aim,
         deadline: 2.5 * aim,
-        aim_stretch: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        objective_work_multiple: 0.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency: effect,
     }
 }
 
-pub const KEYED: Effect = Effect::Keyed {
-    group: Group::Cell,
+pub const KEYED: Idempotency = Idempotency::IdempotencyKey {
+    scope: DeduplicationScope::Cell,
     window: 2000.0,
 };
 
 /// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that tell the size.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
-        me: 0,
-        proxies,
+        proxy_index: 0,
+        proxy_count: proxies,
         zone: Some(ZoneId(0)),
         classes: vec![
-            class(Effect::Safe, 800.0),
-            class(Effect::Unsafe, 1200.0),
+            class(Idempotency::Idempotent, 800.0),
+            class(Idempotency::NonIdempotent, 1200.0),
             class(KEYED, 800.0),
         ],
         tenants: vec![],
-        over_share_worth: 0.1,
-        worth_by_work: false,
+        over_quota_weight_fraction: 0.1,
+        weight_by_work: false,
         discovery: Discovery::Pushed,
-        rating: Rating::Size,
-        warm_keys: false,
-        may_tell: false,
-        retry_after: None,
-        prices: Prices::default(),
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: false,
+        gossip_enabled: false,
+        max_retry_after: None,
+        costs: Costs::default(),
         limits: Limits {
-            start_capacity: 0.2,
-            cold: 10_000.0,
-            fall_multiple: 3.0,
-            fall: 2000.0,
+            initial_capacity_fraction: 0.2,
+            warm_up: 10_000.0,
+            overload_multiple: 3.0,
+            overload_window: 2000.0,
             max_attempts: 4,
         },
     }
 }
 
-pub fn server(id: u64) -> Backend {
-    Backend {
-        id: BackendId(id),
+pub fn server(id: u64) -> Endpoint {
+    Endpoint {
+        id: EndpointId(id),
         zone: Some(ZoneId(0)),
-        kind: Some(KindId(0)),
+        machine_type: Some(MachineTypeId(0)),
         cell: Some(CellId(id / 3)),
-        state: State::Up,
-        rating: 2.0,
-        since: None,
+        state: EndpointState::Up,
+        weight: 2.0,
+        started_at: None,
     }
 }
 
-pub fn full(entries: Vec<Backend>) -> Event {
-    Event::List {
-        scope: Scope::Full,
-        entries,
+pub fn full(entries: Vec<Endpoint>) -> Event {
+    Event::EndpointUpdate {
+        scope: UpdateScope::Full,
+        endpoints: entries,
     }
 }
 
@@ -74,20 +74,20 @@
         class: ClassId(class),
         tenant: None,
         key: None,
-        budget,
-        hint: None,
-        whole: true,
+        timeout: budget,
+        expected_work: None,
+        body_complete: true,
     }
 }
 
 pub fn ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
     let closed = outcome == Outcome::Served;
-    Event::Ended {
+    Event::AttemptEnded {
         request: RequestId(id),
         attempt,
         latency,
         outcome,
-        closed,
+        request_finished: closed,
     }
 }
 
@@ -98,22 +98,22 @@
     /// Of how many keys `drive` asks in turn; 0 if requests have none.
     pub keys: u64,
     /// What the n-th answer tells of its server's load.
-    pub load: fn(usize) -> Load,
+    pub load: fn(usize) -> LoadReport,
     timers: Vec<(Millis, u64)>,
 }
 
 impl Hand {
-    pub fn new(settings: Settings, servers: Vec<Backend>) -> Self {
+    pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
         Hand::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Backend>, seed: u64) -> Self {
+    pub fn seeded(settings: Settings, servers: Vec<Endpoint>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed);
         let mut hand = Hand {
             balancer,
             now: 1000.0,
             keys: 0,
-            load: |_| Load::default(),
+            load: |_| LoadReport::default(),
             timers: vec![],
         };
         hand.give(full(servers));
@@ -188,7 +188,7 @@
             for (id, _, _, latency) in over {
                 let load = (self.load)(answers);
                 answers += 1;
-                actions.extend(self.give(Event::Load {
+                actions.extend(self.give(Event::LoadReport {
                     request: RequestId(id),
                     attempt: 0,
                     load,
@@ -221,8 +221,10 @@
 /// Request and server of each send.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
-        Action::Send {
-            request, backend, ..
+        Action::Forward {
+            request,
+            endpoint: backend,
+            ..
         } => Some((request.0, backend.0)),
         _ => None,
     };
@@ -246,7 +248,7 @@
 /// Watches every event and action of one proxy and notes each breach of the four rules.
 pub struct Checker {
     settings: Settings,
-    servers: HashMap<u64, (Backend, Option<Millis>)>,
+    servers: HashMap<u64, (Endpoint, Option<Millis>)>,
     owed: BTreeMap<u64, Owed>,
     cold: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
@@ -278,14 +280,17 @@
 
     pub fn event(&mut self, now: Millis, event: &Event) {
         match event {
-            Event::List {
-                scope: Scope::Failed,
+            Event::EndpointUpdate {
+                scope: UpdateScope::Failed,
                 ..
             } => {}
-            Event::List { scope, entries } => {
+            Event::EndpointUpdate {
+                scope,
+                endpoints: entries,
+            } => {
                 for e in entries {
                     let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == State::Up {
+                    let told = if e.state == EndpointState::Up {
                         None
                     } else {
                         old.or(Some(now))
@@ -293,13 +298,13 @@
                     if self
                         .servers
                         .get(&e.id.0)
-                        .is_some_and(|s| s.0.since != e.since)
+                        .is_some_and(|s| s.0.started_at != e.started_at)
                     {
                         self.cold.remove(&e.id.0); // a new process has its own budget
                     }
                     self.servers.insert(e.id.0, (e.clone(), told));
                 }
-                if *scope == Scope::Full {
+                if *scope == UpdateScope::Full {
                     for (id, s) in &mut self.servers {
                         if !entries.iter().any(|e| e.id.0 == *id) {
                             s.1 = s.1.or(Some(now));
@@ -308,7 +313,10 @@
                 }
             }
             Event::Request {
-                id, class, budget, ..
+                id,
+                class,
+                timeout: budget,
+                ..
             } => {
                 let owed = Owed {
                     class: class.0,
@@ -318,11 +326,11 @@
                 };
                 self.owed.insert(id.0, owed);
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 outcome,
-                closed,
+                request_finished: closed,
                 ..
             } => {
                 if let Some(o) = self.owed.get_mut(&request.0) {
@@ -332,7 +340,7 @@
                     }
                 }
             }
-            Event::Abandoned(id) => {
+            Event::ClientGone(id) => {
                 if let Some(o) = self.owed.get_mut(&id.0) {
                     o.answered = true;
                 }
@@ -343,18 +351,21 @@
 
     pub fn action(&mut self, now: Millis, action: &Action) {
         match action {
-            Action::Send {
-                request, backend, ..
+            Action::Forward {
+                request,
+                endpoint: backend,
+                ..
             } => self.sent(now, request.0, backend.0),
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let Some(o) = self.owed.get(&request.0) else {
                     return self.breach(now, format!("refused {request:?}, which is not held"));
                 };
                 let ran = o.sent.iter().any(|s| !s.over || s.ran);
-                let allowed = match self.settings.classes[o.class].effect {
-                    Effect::Safe
-                    | Effect::Keyed {
-                        group: Group::All, ..
+                let allowed = match self.settings.classes[o.class].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey {
+                        scope: DeduplicationScope::All,
+                        ..
                     } => true,
                     _ => !ran,
                 };
@@ -386,7 +397,7 @@
         let Some(o) = self.owed.get(&id) else {
             return self.breach(now, format!("sent {id}, which is not held"));
         };
-        let effect = self.settings.classes[o.class].effect;
+        let effect = self.settings.classes[o.class].idempotency;
         let out = o.sent.iter().any(|s| !s.over);
         let ran = o.sent.iter().find(|s| !s.over || s.ran);
         let mut wrong = vec![];
@@ -400,13 +411,21 @@
             wrong.push("too often");
         }
         match (effect, ran) {
-            (Effect::Unsafe, Some(_)) => wrong.push("again though it must never run twice"),
-            (Effect::Keyed { group, window }, Some(first)) => {
+            (Idempotency::NonIdempotent, Some(_)) => {
+                wrong.push("again though it must never run twice")
+            }
+            (
+                Idempotency::IdempotencyKey {
+                    scope: group,
+                    window,
+                },
+                Some(first),
+            ) => {
                 let other = &self.servers[&first.server].0;
                 let same = match group {
-                    Group::All => true,
-                    Group::Zone => other.zone == server.zone,
-                    Group::Cell => other.cell == server.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => other.zone == server.zone,
+                    DeduplicationScope::Cell => other.cell == server.cell,
                 };
                 if !same {
                     wrong.push("outside the group that drops its repeat");
@@ -425,15 +444,16 @@
             over: false,
             ran: true,
         });
-        if let Some(since) = server.since.filter(|s| now - s < limits.cold) {
+        if let Some(since) = server.started_at.filter(|s| now - s < limits.warm_up) {
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
-            sent.retain(|t| *t > now - limits.fall);
+            sent.retain(|t| *t > now - limits.overload_window);
             // If every proxy did the same: sure capacity over the window, plus one request each for chance.
-            let age = ((now - since) / limits.cold).clamp(0.0, 1.0);
-            let part = limits.start_capacity + (1.0 - limits.start_capacity) * age;
-            let budget = limits.fall_multiple * part * server.rating * limits.fall;
-            let alike = f64::from(self.settings.proxies);
+            let age = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
+            let part =
+                limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age;
+            let budget = limits.overload_multiple * part * server.weight * limits.overload_window;
+            let alike = f64::from(self.settings.proxy_count);
             let push = (sent.len() as f64 - 1.0) * alike * self.work;
             if push > budget {
                 self.breach(
--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -35,11 +35,11 @@
         self.number(proxy as u64);
         self.float(now);
         match action {
-            Action::Send {
+            Action::Forward {
                 request,
-                backend,
+                endpoint: backend,
                 timeout,
-                begin_by,
+                start_by: begin_by,
             } => {
                 self.byte(1);
                 self.number(request.0);
@@ -47,7 +47,7 @@
                 self.optional(*timeout);
                 self.optional(*begin_by);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -70,33 +70,33 @@
                 bytes.iter().for_each(|b| self.byte(*b));
             }
             Action::Subscribe => self.byte(6),
-            Action::FetchList => self.byte(7),
+            Action::FetchEndpoints => self.byte(7),
         }
     }
 
     fn ejection(&mut self, ejection: &Ejection) {
-        self.float(ejection.fails);
-        self.float(ejection.until);
+        self.float(ejection.failure_mean);
+        self.float(ejection.ejected_until);
         self.float(ejection.backoff);
-        self.byte(u8::from(ejection.trial));
+        self.byte(u8::from(ejection.on_probation));
     }
 
-    fn standing(&mut self, standing: &Standing) {
-        self.number(u64::from(standing.proxies));
-        for server in &standing.servers {
+    fn standing(&mut self, standing: &HealthSnapshot) {
+        self.number(u64::from(standing.proxy_count));
+        for server in &standing.endpoints {
             self.number(server.id.0);
-            self.optional(server.since);
-            self.byte(u8::from(server.whole.is_some()));
-            server.whole.iter().for_each(|e| self.ejection(e));
-            for (class, ejection) in &server.classes {
+            self.optional(server.started_at);
+            self.byte(u8::from(server.overall.is_some()));
+            server.overall.iter().for_each(|e| self.ejection(e));
+            for (class, ejection) in &server.by_class {
                 self.number(class.0 as u64);
                 self.ejection(ejection);
             }
-            self.byte(u8::from(server.cold.is_some()));
-            if let Some(budget) = &server.cold {
+            self.byte(u8::from(server.slow_start.is_some()));
+            if let Some(budget) = &server.slow_start {
                 self.float(budget.tokens);
-                self.float(budget.at);
-                self.float(budget.grant);
+                self.float(budget.updated_at);
+                self.float(budget.max_cost);
             }
         }
     }
@@ -115,45 +115,45 @@
     seeds: std::ops::Range<u64>,
 }
 
-fn class(effect: Effect, aim: Millis) -> Class {
+fn class(effect: Idempotency, aim: Millis) -> Class {
     Class {
-        aim,
+        latency_objective: aim,
         deadline: 2.5 * aim,
-        aim_stretch: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        objective_work_multiple: 0.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency: effect,
     }
 }
 
 fn base(proxies: u32) -> Settings {
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
         window: 900.0,
     };
     Settings {
-        me: 0,
-        proxies,
+        proxy_index: 0,
+        proxy_count: proxies,
         zone: Some(ZoneId(0)),
         classes: vec![
-            class(Effect::Safe, 400.0),
-            class(Effect::Unsafe, 600.0),
+            class(Idempotency::Idempotent, 400.0),
+            class(Idempotency::NonIdempotent, 600.0),
             class(keyed, 500.0),
         ],
         tenants: vec![],
-        over_share_worth: 0.1,
-        worth_by_work: false,
+        over_quota_weight_fraction: 0.1,
+        weight_by_work: false,
         discovery: Discovery::Pushed,
-        rating: Rating::Size,
-        warm_keys: false,
-        may_tell: false,
-        retry_after: None,
-        prices: Prices { cross_zone: 0.02 },
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: false,
+        gossip_enabled: false,
+        max_retry_after: None,
+        costs: Costs { cross_zone: 0.02 },
         limits: Limits {
-            start_capacity: 0.2,
-            cold: 6_000.0,
-            fall_multiple: 3.0,
-            fall: 1500.0,
+            initial_capacity_fraction: 0.2,
+            warm_up: 6_000.0,
+            overload_multiple: 3.0,
+            overload_window: 1500.0,
             max_attempts: 4,
         },
     }
@@ -170,9 +170,9 @@
         seeds: 0..12,
     };
     let mut told = base(9);
-    told.may_tell = true;
-    told.warm_keys = true;
-    told.retry_after = Some(1200.0);
+    told.gossip_enabled = true;
+    told.key_affinity = true;
+    told.max_retry_after = Some(1200.0);
     let gossip = Scenario {
         name: "gossip",
         settings: told,
@@ -182,8 +182,10 @@
         ..own_like()
     };
     let mut few = base(30);
-    few.classes.iter_mut().for_each(|c| c.late_worth = 0.3);
-    few.retry_after = Some(2000.0);
+    few.classes
+        .iter_mut()
+        .for_each(|c| c.late_weight_fraction = 0.3);
+    few.max_retry_after = Some(2000.0);
     let pooled = Scenario {
         name: "pooled",
         settings: few,
@@ -194,25 +196,25 @@
     };
     let mut polled = base(3);
     polled.discovery = Discovery::OnRequest;
-    polled.rating = Rating::Silent;
-    polled.worth_by_work = true;
+    polled.weight_meaning = WeightMeaning::Unspecified;
+    polled.weight_by_work = true;
     polled.tenants = vec![
         Tenant {
-            allowance_per_s: 120.0,
+            quota_per_second: 120.0,
         },
         Tenant {
-            allowance_per_s: 30.0,
+            quota_per_second: 30.0,
         },
     ];
     polled.limits.max_attempts = 2;
-    polled.classes[2].effect = Effect::Keyed {
-        group: Group::Zone,
+    polled.classes[2].idempotency = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Zone,
         window: 300.0,
     };
-    polled.classes[0].aim_stretch = 2.0;
+    polled.classes[0].objective_work_multiple = 2.0;
     polled.classes.push(class(
-        Effect::Keyed {
-            group: Group::All,
+        Idempotency::IdempotencyKey {
+            scope: DeduplicationScope::All,
             window: 600.0,
         },
         700.0,
@@ -226,9 +228,9 @@
         ..own_like()
     };
     let mut live = base(6);
-    live.rating = Rating::Live;
+    live.weight_meaning = WeightMeaning::AvailableCapacity;
     live.zone = None;
-    live.warm_keys = true;
+    live.key_affinity = true;
     let keys = Scenario {
         name: "warm-keys",
         settings: live,
@@ -281,7 +283,7 @@
     now: Millis,
     settings: Settings,
     balancers: Vec<Balancer>,
-    list: Vec<Backend>,
+    list: Vec<Endpoint>,
     in_flight: BTreeMap<u64, u32>,
     held: BTreeMap<(usize, u64), Held>,
     due: BTreeMap<u64, (usize, Due)>,
@@ -296,12 +298,12 @@
 impl World {
     fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-        let list: Vec<Backend> = (0..scenario.servers)
+        let list: Vec<Endpoint> = (0..scenario.servers)
             .map(|id| backend(&mut rng, id))
             .collect();
         let settings = scenario.settings.clone();
         let me = |index: usize| Settings {
-            me: index as u32,
+            proxy_index: index as u32,
             ..settings.clone()
         };
         let balancers = (0..scenario.proxies)
@@ -348,40 +350,47 @@
                 let at = at + self.rng.f64() * 3.0;
                 self.later(at, proxy, Due::Event(Event::Timer(token)));
             }
-            Action::Send {
+            Action::Forward {
                 request,
-                backend,
+                endpoint: backend,
                 timeout,
                 ..
             } => self.attempt(proxy, request, backend, timeout),
-            Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::Reject { request, .. } | Action::Fail(request) => {
                 if let Some(held) = self.held.get_mut(&(proxy, request.0)) {
                     held.answered = true;
                 }
             }
             Action::Broadcast(bytes) => {
                 for other in (0..self.balancers.len()).filter(|o| *o != proxy) {
-                    let message = Event::Message {
+                    let message = Event::Gossip {
                         from: proxy as u32,
                         bytes: bytes.clone(),
                     };
                     self.later(self.now + 2.0, other, Due::Event(message));
                 }
             }
-            Action::Subscribe | Action::FetchList => {
+            Action::Subscribe | Action::FetchEndpoints => {
                 let failed = self.rng.f64() < 0.2;
-                let scope = if failed { Scope::Failed } else { Scope::Full };
+                let scope = if failed {
+                    UpdateScope::Failed
+                } else {
+                    UpdateScope::Full
+                };
                 let entries = if failed { vec![] } else { self.list.clone() };
                 self.later(
                     self.now + 4.0,
                     proxy,
-                    Due::Event(Event::List { scope, entries }),
+                    Due::Event(Event::EndpointUpdate {
+                        scope,
+                        endpoints: entries,
+                    }),
                 );
             }
         }
     }
 
-    fn attempt(&mut self, proxy: usize, id: RequestId, to: BackendId, timeout: Option<Millis>) {
+    fn attempt(&mut self, proxy: usize, id: RequestId, to: EndpointId, timeout: Option<Millis>) {
         self.sent += 1;
         let crowd = self.in_flight.entry(to.0).or_default();
         *crowd += 1;
@@ -399,15 +408,15 @@
         let chance = self.rng.f64() * if ill { 0.3 } else { 1.0 };
         let mut outcome = match chance {
             c if c < 0.02 => Outcome::Error,
-            c if c < 0.04 => Outcome::Full,
+            c if c < 0.04 => Outcome::Overloaded,
             c if c < 0.05 => Outcome::ConnectFailed,
             c if c < 0.07 => Outcome::Reset,
-            c if c < 0.08 => Outcome::Moot,
+            c if c < 0.08 => Outcome::NotSent,
             c if c < 0.11 => Outcome::TimedOut,
             _ => Outcome::Served,
         };
         latency *= match outcome {
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => 0.05,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent => 0.05,
             Outcome::TimedOut => 1000.0,
             _ => 1.0,
         };
@@ -417,28 +426,32 @@
         }
         let begun = if whole { 0.0 } else { 15.0 };
         if !whole {
-            self.later(self.now + 0.4 * begun, proxy, Due::Event(Event::Spent(id)));
+            self.later(
+                self.now + 0.4 * begun,
+                proxy,
+                Due::Event(Event::BodyDiscarded(id)),
+            );
             self.later(self.now + begun, proxy, Due::Whole(id));
         }
         let end = self.now + begun + latency;
         if outcome == Outcome::Served && self.rng.f64() < 0.1 {
             let worked = self.rng.bool();
-            let started = Event::Started {
+            let started = Event::ResponseStarted {
                 request: id,
                 attempt,
-                worked,
+                processing_done: worked,
             };
             self.later(self.now + begun + 0.6 * latency, proxy, Due::Event(started));
         }
         if self.rng.f64() < 0.5 {
-            let load = Load {
-                in_hand: Some(crowd),
-                waiting: self.rng.bool().then_some(crowd / 2.0),
+            let load = LoadReport {
+                in_flight: Some(crowd),
+                queued: self.rng.bool().then_some(crowd / 2.0),
             };
             self.later(
                 end,
                 proxy,
-                Due::Event(Event::Load {
+                Due::Event(Event::LoadReport {
                     request: id,
                     attempt,
                     load,
@@ -446,12 +459,12 @@
             );
         }
         let closed = outcome == Outcome::Served;
-        let ended = Event::Ended {
+        let ended = Event::AttemptEnded {
             request: id,
             attempt,
             latency,
             outcome,
-            closed,
+            request_finished: closed,
         };
         self.later(end, proxy, Due::Event(ended));
         self.later(end, to.0 as usize, Due::Restart);
@@ -463,7 +476,13 @@
         self.next_request += 1;
         if self.rng.f64() < 0.01 {
             let wait = self.rng.f64() * 300.0;
-            return self.handle(proxy, Event::Unadmitted { id, wait });
+            return self.handle(
+                proxy,
+                Event::QuotaRejected {
+                    id,
+                    retry_after: wait,
+                },
+            );
         }
         let class = self.rng.usize(0..self.settings.classes.len());
         let budget =
@@ -483,7 +502,7 @@
         self.held.insert((proxy, id.0), held);
         if self.rng.f64() < 0.03 {
             let at = self.now + self.rng.f64() * budget;
-            self.later(at, proxy, Due::Event(Event::Abandoned(id)));
+            self.later(at, proxy, Due::Event(Event::ClientGone(id)));
         }
         let class = ClassId(class);
         self.handle(
@@ -493,22 +512,22 @@
                 class,
                 tenant,
                 key,
-                budget,
-                hint,
-                whole,
+                timeout: budget,
+                expected_work: hint,
+                body_complete: whole,
             },
         );
     }
 
-    fn tell_all(&mut self, scope: Scope, entries: &[Backend]) {
+    fn tell_all(&mut self, scope: UpdateScope, entries: &[Endpoint]) {
         for proxy in 0..self.balancers.len() {
             let at = self.now + self.rng.f64() * 40.0;
             self.later(
                 at,
                 proxy,
-                Due::Event(Event::List {
+                Due::Event(Event::EndpointUpdate {
                     scope,
-                    entries: entries.to_vec(),
+                    endpoints: entries.to_vec(),
                 }),
             );
         }
@@ -518,37 +537,40 @@
         let last = self.list.len() - 1;
         match self.rng.u32(0..9) {
             0 | 1 => {
-                let fresh = Backend {
-                    since: Some(self.now),
+                let fresh = Endpoint {
+                    started_at: Some(self.now),
                     ..backend(&mut self.rng, self.next_server)
                 };
                 self.next_server += 1;
                 self.list.push(fresh.clone());
-                self.tell_all(Scope::Delta, &[fresh]);
+                self.tell_all(UpdateScope::Delta, &[fresh]);
             }
             2 | 3 => {
                 let index = self.rng.usize(0..=last);
-                self.list[index].state =
-                    [State::Draining, State::Gone, State::Up][self.rng.usize(0..3)];
+                self.list[index].state = [
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                    EndpointState::Up,
+                ][self.rng.usize(0..3)];
                 let changed = self.list[index].clone();
-                self.tell_all(Scope::Delta, &[changed]);
+                self.tell_all(UpdateScope::Delta, &[changed]);
             }
             4 => {
                 let index = self.rng.usize(0..=last);
-                self.list[index].since = Some(self.now - 200.0);
-                self.list[index].state = State::Up;
+                self.list[index].started_at = Some(self.now - 200.0);
+                self.list[index].state = EndpointState::Up;
                 let changed = self.list[index].clone();
-                self.tell_all(Scope::Delta, &[changed]);
+                self.tell_all(UpdateScope::Delta, &[changed]);
             }
             5 => {
-                self.list.retain(|b| b.state != State::Gone);
+                self.list.retain(|b| b.state != EndpointState::Removed);
                 if self.list.is_empty() {
                     self.list.push(backend(&mut self.rng, 1));
                 }
                 let entries = self.list.clone();
-                self.tell_all(Scope::Full, &entries);
+                self.tell_all(UpdateScope::Full, &entries);
             }
-            6 => self.tell_all(Scope::Failed, &[]),
+            6 => self.tell_all(UpdateScope::Failed, &[]),
             7 => self.restart(),
             _ => self.reconfigure(),
         }
@@ -560,7 +582,7 @@
         let standing = self.balancers[proxy].standing(self.now);
         self.hash.standing(&standing);
         let settings = Settings {
-            me: proxy as u32,
+            proxy_index: proxy as u32,
             ..self.settings.clone()
         };
         self.balancers[proxy] = Balancer::new(settings, self.sequence);
@@ -571,30 +593,36 @@
         let entries = self.list.clone();
         self.handle(
             proxy,
-            Event::List {
-                scope: Scope::Cached,
-                entries,
+            Event::EndpointUpdate {
+                scope: UpdateScope::Cached,
+                endpoints: entries,
             },
         );
-        self.handle(proxy, Event::Standing(Box::new(standing)));
+        self.handle(proxy, Event::HealthRestored(Box::new(standing)));
     }
 
     fn reconfigure(&mut self) {
         let proxy = self.rng.usize(0..self.balancers.len());
         if self.rng.bool() {
-            let proxies = self.settings.proxies.max(2) - self.rng.u32(0..2);
+            let proxies = self.settings.proxy_count.max(2) - self.rng.u32(0..2);
             let me = (proxy as u32).min(proxies - 1);
-            return self.handle(proxy, Event::Proxies { me, proxies });
+            return self.handle(
+                proxy,
+                Event::ProxyCount {
+                    proxy_index: me,
+                    proxy_count: proxies,
+                },
+            );
         }
         let mut settings = Settings {
-            me: proxy as u32,
+            proxy_index: proxy as u32,
             ..self.settings.clone()
         };
         settings.limits.max_attempts = self.rng.u32(1..5);
-        settings.classes[0].aim *= 0.8 + 0.4 * self.rng.f64();
-        settings.classes.push(class(Effect::Safe, 300.0));
+        settings.classes[0].latency_objective *= 0.8 + 0.4 * self.rng.f64();
+        settings.classes.push(class(Idempotency::Idempotent, 300.0));
         settings.tenants.push(Tenant {
-            allowance_per_s: 20.0,
+            quota_per_second: 20.0,
         });
         self.handle(proxy, Event::Settings(Box::new(settings)));
     }
@@ -604,9 +632,9 @@
             let entries = self.list.clone();
             self.handle(
                 proxy,
-                Event::List {
-                    scope: Scope::Cached,
-                    entries,
+                Event::EndpointUpdate {
+                    scope: UpdateScope::Cached,
+                    endpoints: entries,
                 },
             );
         }
@@ -644,7 +672,13 @@
                     };
                     held.whole = true;
                     let budget = held.deadline - self.now;
-                    self.handle(proxy, Event::Whole { id, budget });
+                    self.handle(
+                        proxy,
+                        Event::BodyComplete {
+                            id,
+                            timeout: budget,
+                        },
+                    );
                 }
                 Due::Restart => {
                     let crowd = self.in_flight.entry(proxy as u64).or_default();
@@ -657,30 +691,32 @@
 
     /// Hands in an event as a proxy would: an end after the final answer says that the request is closed.
     fn pass_on(&mut self, proxy: usize, mut event: Event) {
-        if let Event::Ended {
-            request, closed, ..
+        if let Event::AttemptEnded {
+            request,
+            request_finished: closed,
+            ..
         } = &mut event
         {
             if let Some(held) = self.held.get(&(proxy, request.0)) {
                 *closed |= held.answered;
             }
         }
-        if let Event::Abandoned(id) = &event {
+        if let Event::ClientGone(id) = &event {
             self.held.remove(&(proxy, id.0));
         }
         self.handle(proxy, event);
     }
 }
 
-fn backend(rng: &mut fastrand::Rng, id: u64) -> Backend {
-    Backend {
-        id: BackendId(id),
+fn backend(rng: &mut fastrand::Rng, id: u64) -> Endpoint {
+    Endpoint {
+        id: EndpointId(id),
         zone: Some(ZoneId((id % 3) as u32)),
-        kind: Some(KindId((id % 2) as u32)),
+        machine_type: Some(MachineTypeId((id % 2) as u32)),
         cell: Some(CellId(id / 3)),
-        state: State::Up,
-        rating: 1.0 + (id % 4) as f64,
-        since: (rng.f64() < 0.2).then_some(-2000.0),
+        state: EndpointState::Up,
+        weight: 1.0 + (id % 4) as f64,
+        started_at: (rng.f64() < 0.2).then_some(-2000.0),
     }
 }
 
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -19,8 +19,8 @@
 fn play(proxies: u32, servers: u64, steps: usize, told: Told) -> Vec<Vec<u32>> {
     let list = |since| {
         (0..servers)
-            .map(|id| Backend {
-                since,
+            .map(|id| Endpoint {
+                started_at: since,
                 ..server(id)
             })
             .collect()
@@ -29,7 +29,7 @@
     for me in 0..proxies {
         let settings = if told == Told::AtStart {
             Settings {
-                me,
+                proxy_index: me,
                 ..settings(proxies)
             }
         } else {
@@ -38,7 +38,10 @@
         let mut hand = Hand::seeded(settings, list(None), u64::from(me));
         hand.train(0, 50, |_| LATENCY); // what its kind takes when it is warm
         if told == Told::Later {
-            hand.give(Event::Proxies { me, proxies });
+            hand.give(Event::ProxyCount {
+                proxy_index: me,
+                proxy_count: proxies,
+            });
         }
         let begin = hand.now;
         hand.give(full(list(Some(begin))));
@@ -96,7 +99,10 @@
     let mut hand = Hand::seeded(settings(1), (0..6).map(server).collect(), 1);
     hand.train(0, 50, |_| LATENCY);
     for (me, proxies) in [(0, 4), (3, 9), (9, 9), (0, 0), (1, 2), (0, 1)] {
-        hand.give(Event::Proxies { me, proxies });
+        hand.give(Event::ProxyCount {
+            proxy_index: me,
+            proxy_count: proxies,
+        });
         let (sent, _) = hand.drive_timed(500, 25, |_, _| LATENCY);
         assert!(!sent.is_empty(), "it goes on as {me} of {proxies}");
     }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -5,15 +5,19 @@
 const MODULE: &str = include_str!("../src/choice.rs");
 
 /// Files that decide nothing: types, records of what is known, encoding. All others have to stand in the policy.
-const DECIDE_NOTHING: [&str; 8] = [
+const DECIDE_NOTHING: [&str; 12] = [
     "lib",
-    "interface",
+    "types",
+    "settings",
+    "health_snapshot",
+    "event",
+    "action",
     "hash",
     "records",
     "bands",
     "message",
     "state",
-    "standing",
+    "snapshot",
 ];
 
 /// The files that the deploy file names as the policy.
@@ -83,8 +87,8 @@
             "out.push(",
             "rng.f64(",
             "rng.u",
-            "Action::Send {",
-            "Action::Refuse {",
+            "Action::Forward {",
+            "Action::Reject {",
         ] {
             assert!(
                 !text.contains(word),
@@ -97,18 +101,31 @@
 #[test]
 fn the_interface_is_named_at_the_top() {
     let head: String = MODULE.lines().take(8).collect();
-    assert!(head.contains("src/interface.rs"));
+    assert!(
+        [
+            "src/types.rs",
+            "src/settings.rs",
+            "src/event.rs",
+            "src/action.rs"
+        ]
+        .iter()
+        .all(|file| head.contains(file))
+    );
 }
 
 /// Every file of the module, from the lowest up.
-const FILES: [(&str, &str); 8] = [
-    ("interface", include_str!("../src/interface.rs")),
+const FILES: [(&str, &str); 12] = [
+    ("types", include_str!("../src/types.rs")),
+    ("settings", include_str!("../src/settings.rs")),
+    ("health_snapshot", include_str!("../src/health_snapshot.rs")),
+    ("event", include_str!("../src/event.rs")),
+    ("action", include_str!("../src/action.rs")),
     ("hash", include_str!("../src/hash.rs")),
     ("records", include_str!("../src/records.rs")),
     ("bands", include_str!("../src/bands.rs")),
     ("message", include_str!("../src/message.rs")),
     ("state", include_str!("../src/state.rs")),
-    ("standing", include_str!("../src/standing.rs")),
+    ("snapshot", include_str!("../src/snapshot.rs")),
     ("choice", MODULE),
 ];
 
--- a/crates/balancer/tests/operations.rs
+++ b/crates/balancer/tests/operations.rs
@@ -18,7 +18,7 @@
     let first = sends(&hand.give(request(1000, 0, 2000.0)));
     assert_eq!(first.len(), 1);
     hand.give(change(&base, |s| {
-        s.classes[0].effect = Effect::Unsafe;
+        s.classes[0].idempotency = Idempotency::NonIdempotent;
         s.limits.max_attempts = 1;
     }));
     assert_eq!(
@@ -34,10 +34,10 @@
     );
     // And one that surely never ran has no attempt left: it is refused.
     assert_eq!(sends(&hand.give(request(1002, 0, 2000.0))).len(), 1);
-    let refused = hand.give(ended(1002, 0, 5.0, Outcome::Full));
+    let refused = hand.give(ended(1002, 0, 5.0, Outcome::Overloaded));
     assert_eq!(
         refused,
-        [Action::Refuse {
+        [Action::Reject {
             request: RequestId(1002),
             retry_after: None
         }]
@@ -50,9 +50,9 @@
     let mut hand = Hand::new(base.clone(), (1..5).map(server).collect());
     hand.train(0, 40, |_| 20.0);
     hand.give(change(&base, |s| {
-        s.classes.push(class(Effect::Unsafe, 500.0));
+        s.classes.push(class(Idempotency::NonIdempotent, 500.0));
         s.tenants.push(Tenant {
-            allowance_per_s: 10.0,
+            quota_per_second: 10.0,
         });
     }));
     assert_eq!(
@@ -76,8 +76,8 @@
         class,
         tenant,
         key,
-        budget,
-        hint,
+        timeout: budget,
+        expected_work: hint,
         ..
     } = request(1000, 1, 2000.0)
     else {
@@ -88,15 +88,18 @@
         class,
         tenant,
         key,
-        budget,
-        hint,
-        whole: false,
+        timeout: budget,
+        expected_work: hint,
+        body_complete: false,
     };
     assert_eq!(sends(&hand.give(streams)).len(), 1);
     // However long its client takes: no server is blamed, and it is not given up.
     assert_eq!(hand.pass(10_000.0), []);
     assert_eq!(hand.balancer.fleet(hand.now), (2, 0));
-    hand.give(Event::Whole { id, budget: 2000.0 });
+    hand.give(Event::BodyComplete {
+        id,
+        timeout: 2000.0,
+    });
     assert_eq!(refused_or_failed(&hand.pass(1000.0)), 0);
     assert_eq!(
         refused_or_failed(&hand.pass(300.0)),
@@ -110,11 +113,11 @@
     let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
     hand.train(0, 60, |_| 50.0);
     assert_eq!(sends(&hand.give(request(1000, 1, 2000.0))).len(), 1);
-    hand.give(Event::Spent(RequestId(1000)));
+    hand.give(Event::BodyDiscarded(RequestId(1000)));
     let refused = hand.give(ended(1000, 0, 5.0, Outcome::ConnectFailed));
     assert_eq!(
         refused,
-        [Action::Refuse {
+        [Action::Reject {
             request: RequestId(1000),
             retry_after: None
         }]
@@ -135,10 +138,10 @@
         "its slots are taken: {}",
         all.len()
     );
-    let begun = |id: u64, worked| Event::Started {
+    let begun = |id: u64, worked| Event::ResponseStarted {
         request: RequestId(id),
         attempt: 0,
-        worked,
+        processing_done: worked,
     };
     assert_eq!(
         sends(&hand.give(begun(all[0], false))).len(),
@@ -161,6 +164,6 @@
 fn refused_or_failed(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
+        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
         .count()
 }
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -17,7 +17,7 @@
     settings: Settings,
     checker: Checker,
     due: Vec<(Millis, Due)>,
-    list: Vec<Backend>,
+    list: Vec<Endpoint>,
     ends: std::collections::HashMap<u64, (Millis, u32, bool)>,
     next: u64,
     tamper: fn(&mut Vec<Action>),
@@ -53,8 +53,8 @@
                     let late = self.rng.f64() * 5.0;
                     self.due.push((at.max(self.now) + late, Due::Timer(token)));
                 }
-                Action::Send { request, .. } => self.attempt(request.0),
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::Forward { request, .. } => self.attempt(request.0),
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     if let Some(e) = self.ends.get_mut(&request.0) {
                         e.2 = true;
                     }
@@ -65,18 +65,21 @@
                         self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer said the like
                     }
                 }
-                Action::Subscribe | Action::FetchList => {
+                Action::Subscribe | Action::FetchEndpoints => {
                     let scope = if self.rng.bool() {
-                        Scope::Full
+                        UpdateScope::Full
                     } else {
-                        Scope::Failed
+                        UpdateScope::Failed
                     };
-                    let entries = if scope == Scope::Full {
+                    let entries = if scope == UpdateScope::Full {
                         self.list.clone()
                     } else {
                         vec![]
                     };
-                    self.give(Event::List { scope, entries });
+                    self.give(Event::EndpointUpdate {
+                        scope,
+                        endpoints: entries,
+                    });
                 }
             }
         }
@@ -92,10 +95,10 @@
         let (latency, outcome) = match x {
             x if x < 0.70 => (10.0 + self.rng.f64() * 100.0, Outcome::Served),
             x if x < 0.76 => (5.0, Outcome::Error),
-            x if x < 0.82 => (1.0, Outcome::Full),
+            x if x < 0.82 => (1.0, Outcome::Overloaded),
             x if x < 0.86 => (50.0, Outcome::ConnectFailed),
             x if x < 0.90 => (self.rng.f64() * 500.0, Outcome::Reset),
-            x if x < 0.92 => (0.0, Outcome::Moot),
+            x if x < 0.92 => (0.0, Outcome::NotSent),
             _ => (1e9, Outcome::TimedOut),
         };
         let (latency, outcome) = if self.now + latency > due {
@@ -112,8 +115,8 @@
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
-                let fresh = Backend {
-                    since: Some(self.now),
+                let fresh = Endpoint {
+                    started_at: Some(self.now),
                     ..server(100 + self.next)
                 };
                 self.list.push(fresh.clone());
@@ -121,40 +124,45 @@
             }
             1 | 2 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
-                let states = [State::Draining, State::Gone, State::Up];
+                let states = [
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                    EndpointState::Up,
+                ];
                 self.list[k].state = states[self.rng.usize(0..3)];
                 entries.push(self.list[k].clone());
             }
             3 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
-                (self.list[k].state, self.list[k].since) = (State::Up, Some(self.now - 300.0));
+                (self.list[k].state, self.list[k].started_at) =
+                    (EndpointState::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
                 entries.push(self.list[k].clone()); // a repeated line does no harm
             }
             4 => {
-                return self.give(Event::List {
-                    scope: Scope::Failed,
-                    entries: vec![],
+                return self.give(Event::EndpointUpdate {
+                    scope: UpdateScope::Failed,
+                    endpoints: vec![],
                 });
             }
             _ => {
-                self.list.retain(|b| b.state != State::Gone);
+                self.list.retain(|b| b.state != EndpointState::Removed);
                 let entries = self.list.clone();
                 return self.give(full(entries));
             }
         }
-        self.give(Event::List {
-            scope: Scope::Delta,
-            entries,
+        self.give(Event::EndpointUpdate {
+            scope: UpdateScope::Delta,
+            endpoints: entries,
         });
     }
 
     fn run(mut self, span: Millis) -> Vec<String> {
         let end = self.now + span;
         let entries = self.list.clone();
-        self.give(Event::List {
-            scope: Scope::Cached,
-            entries,
+        self.give(Event::EndpointUpdate {
+            scope: UpdateScope::Cached,
+            endpoints: entries,
         });
         let mut arrival = self.now;
         while self.now < end + 4000.0 {
@@ -172,7 +180,7 @@
                 self.now = self.now.max(at);
                 match due {
                     Due::Timer(token) => self.give(Event::Timer(token)),
-                    Due::Message(bytes) => self.give(Event::Message { from: 1, bytes }),
+                    Due::Message(bytes) => self.give(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
                         let Some(e) = self.ends.get_mut(&id) else {
                             continue;
@@ -180,12 +188,12 @@
                         e.2 |= outcome == Outcome::Served;
                         let closed = e.2;
                         let request = RequestId(id);
-                        self.give(Event::Ended {
+                        self.give(Event::AttemptEnded {
                             request,
                             attempt,
                             latency,
                             outcome,
-                            closed,
+                            request_finished: closed,
                         });
                     }
                 }
@@ -205,12 +213,12 @@
                 self.ends.clear();
                 self.due.clear();
                 let entries = self.list.clone();
-                self.give(Event::List {
-                    scope: Scope::Cached,
-                    entries,
+                self.give(Event::EndpointUpdate {
+                    scope: UpdateScope::Cached,
+                    endpoints: entries,
                 });
             }
-            7..10 => self.give(Event::Message {
+            7..10 => self.give(Event::Gossip {
                 from: self.next as u32 % 9,
                 bytes: vec![1, 0, 9, 3],
             }),
@@ -218,7 +226,7 @@
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
                     self.ends.get_mut(&id).unwrap().2 = true;
-                    self.give(Event::Abandoned(RequestId(id)));
+                    self.give(Event::ClientGone(RequestId(id)));
                     self.ends.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
@@ -236,9 +244,9 @@
                     class: ClassId(class),
                     tenant,
                     key,
-                    budget,
-                    hint: None,
-                    whole: true,
+                    timeout: budget,
+                    expected_work: None,
+                    body_complete: true,
                 });
             }
         }
@@ -250,39 +258,41 @@
     let mut all = vec![
         base.clone(),
         Settings {
-            warm_keys: true,
+            key_affinity: true,
             ..base.clone()
         },
     ];
     all.push(Settings {
-        may_tell: true,
-        proxies: 9,
+        gossip_enabled: true,
+        proxy_count: 9,
         ..base.clone()
     });
     all.push(Settings {
-        may_tell: true,
-        warm_keys: true,
+        gossip_enabled: true,
+        key_affinity: true,
         discovery: Discovery::OnRequest,
         ..base.clone()
     });
     let mut one = Settings {
-        rating: Rating::Silent,
+        weight_meaning: WeightMeaning::Unspecified,
         tenants: vec![Tenant {
-            allowance_per_s: 3.0,
+            quota_per_second: 3.0,
         }],
         ..base
     };
     one.limits.max_attempts = 2;
     one.classes.remove(0);
-    one.classes[1].effect = Effect::Keyed {
-        group: Group::Zone,
+    one.classes[1].idempotency = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Zone,
         window: 300.0,
     };
     all.push(one);
     let mut late = settings(4);
-    late.classes.iter_mut().for_each(|c| c.late_worth = 0.3);
-    late.classes[2].effect = Effect::Keyed {
-        group: Group::All,
+    late.classes
+        .iter_mut()
+        .for_each(|c| c.late_weight_fraction = 0.3);
+    late.classes[2].idempotency = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::All,
         window: 600.0,
     };
     all.push(late);
@@ -338,7 +348,7 @@
         |out| {
             let twice: Vec<Action> = out
                 .iter()
-                .filter(|a| matches!(a, Action::Send { .. }))
+                .filter(|a| matches!(a, Action::Forward { .. }))
                 .cloned()
                 .collect();
             out.extend(twice);
@@ -346,14 +356,14 @@
         "never run twice",
     );
     caught(
-        |out| out.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))),
+        |out| out.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))),
         "in time",
     );
     caught(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Fail(request) = *a {
-                    *a = Action::Refuse {
+                    *a = Action::Reject {
                         request,
                         retry_after: None,
                     };
@@ -365,7 +375,10 @@
     caught(
         |out| {
             for a in out.iter_mut() {
-                if let Action::Send { backend, .. } = a {
+                if let Action::Forward {
+                    endpoint: backend, ..
+                } = a
+                {
                     backend.0 = if backend.0 >= 100 { backend.0 } else { 1 };
                 }
             }
@@ -374,7 +387,7 @@
     );
     caught(
         |out| {
-            let cold = |a: &&Action| matches!(a, Action::Send { backend, .. } if backend.0 >= 100);
+            let cold = |a: &&Action| matches!(a, Action::Forward { endpoint: backend, .. } if backend.0 >= 100);
             if let Some(a) = out.iter().find(cold).cloned() {
                 out.extend(std::iter::repeat_n(a, 40));
             }
--- a/crates/balancer/tests/standing.rs
+++ b/crates/balancer/tests/standing.rs
@@ -5,12 +5,12 @@
 
 const SECOND: u64 = 2;
 
-fn servers(since: Option<Millis>) -> Vec<Backend> {
+fn servers(since: Option<Millis>) -> Vec<Endpoint> {
     (1..5)
         .map(|id| {
             if id == SECOND {
-                Backend {
-                    since,
+                Endpoint {
+                    started_at: since,
                     ..server(id)
                 }
             } else {
@@ -21,12 +21,12 @@
 }
 
 /// A new module at that time, told a list and what another one knew.
-fn next(now: Millis, list: Vec<Backend>, known: Option<Standing>, proxies: u32) -> Hand {
+fn next(now: Millis, list: Vec<Endpoint>, known: Option<HealthSnapshot>, proxies: u32) -> Hand {
     let mut hand = Hand::new(settings(proxies), Vec::new());
     hand.pass(now - hand.now);
     hand.give(full(list));
     if let Some(known) = known {
-        hand.give(Event::Standing(Box::new(known)));
+        hand.give(Event::HealthRestored(Box::new(known)));
     }
     hand
 }
@@ -62,12 +62,14 @@
     let before = closed();
     let (now, known) = (before.now, before.balancer.standing(before.now));
     let second = known
-        .servers
+        .endpoints
         .iter()
-        .find(|s| s.id == BackendId(SECOND))
+        .find(|s| s.id == EndpointId(SECOND))
         .expect("something is known of it");
     assert!(
-        second.whole.is_some_and(|e| e.until > now && e.trial),
+        second
+            .overall
+            .is_some_and(|e| e.ejected_until > now && e.on_probation),
         "{second:?}"
     );
     assert_eq!(
@@ -84,17 +86,20 @@
     // Another process under the same name: nothing is held against it.
     let restarted = next(now, servers(Some(now - 1e6)), Some(known.clone()), 1);
     let of_it = restarted.balancer.standing(now);
-    assert!(of_it.servers.iter().all(|s| s.whole.is_none()), "{of_it:?}");
+    assert!(
+        of_it.endpoints.iter().all(|s| s.overall.is_none()),
+        "{of_it:?}"
+    );
     // One that is gone by then is no server.
     let fewer = servers(None)
         .into_iter()
-        .filter(|s| s.id != BackendId(SECOND))
+        .filter(|s| s.id != EndpointId(SECOND))
         .collect();
     assert_eq!(
         next(now, fewer, Some(known), 1)
             .balancer
             .standing(now)
-            .servers,
+            .endpoints,
         []
     );
 }
@@ -107,9 +112,9 @@
     to_second(&mut first, 400);
     let (now, known) = (first.now, first.balancer.standing(first.now));
     let budget = known
-        .servers
+        .endpoints
         .iter()
-        .find_map(|s| s.cold)
+        .find_map(|s| s.slow_start)
         .expect("it is cold");
     assert!(budget.tokens < 1.0, "it has been used up: {budget:?}");
     assert_eq!(
@@ -122,9 +127,9 @@
         .balancer
         .standing(now);
     let part = among_two
-        .servers
+        .endpoints
         .iter()
-        .find_map(|s| s.cold)
+        .find_map(|s| s.slow_start)
         .expect("it is cold");
     assert!(
         (part.tokens - budget.tokens / 2.0).abs() < 1e-9,
@@ -133,5 +138,5 @@
     // It is warm in time all the same, and then there is nothing to say of it.
     let mut later = next(now, cold, Some(known), 1);
     later.pass(20_000.0);
-    assert_eq!(later.balancer.standing(later.now).servers, []);
+    assert_eq!(later.balancer.standing(later.now).endpoints, []);
 }
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -5,8 +5,8 @@
 
 use ::capture::{Head, News, Record, Server, Tried};
 use balancer::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Millis, Outcome,
-    RequestId, TenantId, ZoneId,
+    Action, Balancer, CellId, ClassId, Endpoint, EndpointId, Event, Key, MachineTypeId, Millis,
+    Outcome, RequestId, TenantId, ZoneId,
 };
 use settings::{Names, index_of, number_of};
 
@@ -30,7 +30,7 @@
     unix_start: Millis,
     now: Millis,
     requests: u64,
-    servers: Vec<(BackendId, String)>,
+    servers: Vec<(EndpointId, String)>,
     /// When the module wants which of its timers back, in µs.
     due: BinaryHeap<Reverse<(u64, u64)>>,
 }
@@ -48,7 +48,7 @@
         let given =
             serde_json::from_str(given).map_err(|e| format!("the capture's settings: {e}"))?;
         let (settings, names) = settings::parse(&given);
-        if settings.me >= settings.proxies {
+        if settings.proxy_index >= settings.proxy_count {
             return Err("the capture's settings: the proxy's number is off".into());
         }
         Ok(Replay {
@@ -67,34 +67,34 @@
         self.pass(news.at, &mut Course::default());
         let entries = servers.iter().map(|s| self.backend(s)).collect();
         self.handle(
-            Event::List {
+            Event::EndpointUpdate {
                 scope: news.scope,
-                entries,
+                endpoints: entries,
             },
             &mut Course::default(),
         );
     }
 
-    fn backend(&mut self, server: &Server) -> Backend {
-        let id = BackendId(number_of(&server.name));
+    fn backend(&mut self, server: &Server) -> Endpoint {
+        let id = EndpointId(number_of(&server.name));
         if !self.servers.iter().any(|(known, _)| *known == id) {
             self.servers.push((id, server.name.clone()));
         }
         let born = server.born.is_finite() && server.born > 0.0;
-        Backend {
+        Endpoint {
             id,
             zone: server
                 .site
                 .as_ref()
                 .map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32)),
-            kind: server
+            machine_type: server
                 .class
                 .as_ref()
-                .map(|k| KindId(index_of(&mut self.names.kinds, k) as u32)),
+                .map(|k| MachineTypeId(index_of(&mut self.names.kinds, k) as u32)),
             cell: server.block.map(CellId),
             state: server.state,
-            rating: server.share.unwrap_or(1.0),
-            since: born.then_some(server.born - self.unix_start),
+            weight: server.share.unwrap_or(1.0),
+            started_at: born.then_some(server.born - self.unix_start),
         }
     }
 
@@ -116,9 +116,9 @@
             class: ClassId(class),
             tenant: tenant.map(TenantId),
             key: then.sid.as_ref().map(|sid| Key(number_of(sid))),
-            budget,
-            hint: None,
-            whole: true,
+            timeout: budget,
+            expected_work: None,
+            body_complete: true,
         };
         let end = self.now + budget;
         self.handle(request, &mut course);
@@ -127,12 +127,12 @@
         if course.tried.last().is_some_and(|t| t.end.is_none()) {
             let attempt = (course.tried.len() - 1) as u32;
             let (outcome, latency) = (Outcome::TimedOut, budget);
-            let late = Event::Ended {
+            let late = Event::AttemptEnded {
                 request: id,
                 attempt,
                 latency,
                 outcome,
-                closed: true,
+                request_finished: true,
             };
             self.handle(late, &mut Course::default());
         }
@@ -168,23 +168,23 @@
                 let closed = outcome == Outcome::Served;
                 course.code = closed.then_some(SERVED);
                 let request = id;
-                let ended = Event::Ended {
+                let ended = Event::AttemptEnded {
                     request,
                     attempt: attempt as u32,
                     latency,
                     outcome,
-                    closed,
+                    request_finished: closed,
                 };
                 self.handle(ended, course);
             } else if left {
                 course.code = Some(GONE);
-                self.handle(Event::Abandoned(id), course);
+                self.handle(Event::ClientGone(id), course);
             } else if self.now < end && self.next().is_some() {
                 let next = self.next().unwrap_or(end).min(end).max(self.now);
                 self.pass(next, course);
             } else {
                 course.code = Some(FAILED); // the proxy's own last resort
-                self.handle(Event::Abandoned(id), course);
+                self.handle(Event::ClientGone(id), course);
             }
         }
     }
@@ -210,7 +210,9 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { backend, .. } => {
+                Action::Forward {
+                    endpoint: backend, ..
+                } => {
                     let name = self
                         .servers
                         .iter()
@@ -221,12 +223,12 @@
                         end: None,
                     });
                 }
-                Action::Refuse { .. } => course.code = course.code.or(Some(REFUSED)),
+                Action::Reject { .. } => course.code = course.code.or(Some(REFUSED)),
                 Action::Fail(_) => course.code = course.code.or(Some(FAILED)),
                 Action::Timer { token, at } => {
                     self.due.push(Reverse(((at * 1000.0).ceil() as u64, token)))
                 }
-                Action::Broadcast(_) | Action::Subscribe | Action::FetchList => {} // nobody is there
+                Action::Broadcast(_) | Action::Subscribe | Action::FetchEndpoints => {} // nobody is there
             }
         }
     }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -17,7 +17,7 @@
 use std::borrow::Cow;
 use std::fmt::{self, Write as _};
 
-use balancer::{Millis, Outcome, Scope, State};
+use balancer::{EndpointState, Millis, Outcome, UpdateScope};
 
 /// Bytes of a field from outside; the rest is cut, which `%~` marks.
 pub const FIELD: usize = 128;
@@ -44,7 +44,7 @@
     /// When it came, in ms since the start.
     pub at: Millis,
     /// How far it reaches.
-    pub scope: Scope,
+    pub scope: UpdateScope,
     /// How many servers follow.
     pub hosts: usize,
 }
@@ -65,7 +65,7 @@
     /// When it last started: Unix time in ms, 0 for long ago.
     pub born: Millis,
     /// Its state.
-    pub state: State,
+    pub state: EndpointState,
 }
 
 /// A request that has ended.
@@ -115,24 +115,24 @@
 
 const ENDS: [(Outcome, &str); 7] = [
     (Outcome::Error, "error"),
-    (Outcome::Full, "full"),
+    (Outcome::Overloaded, "full"),
     (Outcome::TimedOut, "timeout"),
     (Outcome::ConnectFailed, "connect"),
     (Outcome::Reset, "reset"),
     (Outcome::Cancelled, "cancelled"),
-    (Outcome::Moot, "moot"),
+    (Outcome::NotSent, "moot"),
 ];
 const OUT: &str = "out";
 const FRONT: &str = "(front)";
-const SCOPES: [(Scope, &str); 3] = [
-    (Scope::Full, "whole"),
-    (Scope::Delta, "changes"),
-    (Scope::Cached, "known"),
+const SCOPES: [(UpdateScope, &str); 3] = [
+    (UpdateScope::Full, "whole"),
+    (UpdateScope::Delta, "changes"),
+    (UpdateScope::Cached, "known"),
 ];
-const STATES: [(State, &str); 3] = [
-    (State::Up, "up"),
-    (State::Draining, "draining"),
-    (State::Gone, "gone"),
+const STATES: [(EndpointState, &str); 3] = [
+    (EndpointState::Up, "up"),
+    (EndpointState::Draining, "draining"),
+    (EndpointState::Removed, "gone"),
 ];
 
 fn word<T: PartialEq>(table: &[(T, &'static str)], value: &T) -> Option<&'static str> {
--- a/crates/lab/src/capacity/module.rs
+++ b/crates/lab/src/capacity/module.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use balancer::{
-    Action, Backend, BackendId, Balancer, Class, ClassId, Discovery, Effect, Event, Limits,
-    Outcome, Prices, Rating, RequestId, Scope, Settings, State,
+    Action, Balancer, Class, ClassId, Costs, Discovery, Endpoint, EndpointId, EndpointState, Event,
+    Idempotency, Limits, Outcome, RequestId, Settings, UpdateScope, WeightMeaning,
 };
 use rustix::time::{ClockId, clock_gettime};
 
@@ -48,32 +48,32 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: 300.0,
+        latency_objective: 300.0,
         deadline: 1000.0,
-        aim_stretch: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        objective_work_multiple: 0.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
     Settings {
-        me: 0,
-        proxies: 1,
+        proxy_index: 0,
+        proxy_count: 1,
         zone: None,
         classes: vec![class],
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        worth_by_work: false,
+        over_quota_weight_fraction: 1.0,
+        weight_by_work: false,
         discovery: Discovery::Pushed,
-        rating: Rating::Size,
-        warm_keys: false,
-        may_tell: false,
-        retry_after: Some(2000.0),
-        prices: Prices::default(),
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: false,
+        gossip_enabled: false,
+        max_retry_after: Some(2000.0),
+        costs: Costs::default(),
         limits: Limits {
-            start_capacity: 0.2,
-            cold: 10_000.0,
-            fall_multiple: 1.0,
-            fall: f64::MAX,
+            initial_capacity_fraction: 0.2,
+            warm_up: 10_000.0,
+            overload_multiple: 1.0,
+            overload_window: f64::MAX,
             max_attempts: 3,
         },
     }
@@ -121,13 +121,13 @@
         for action in actions.drain(..) {
             match action {
                 Action::Timer { token, at } => self.put(at.max(now), module, Next::Timer(token)),
-                Action::Send { request, .. } => {
+                Action::Forward { request, .. } => {
                     let attempts = self.attempts.entry(request.0).or_default();
                     let attempt = *attempts;
                     *attempts += 1;
                     self.put(now + WORK, module, Next::Served(request.0, attempt));
                 }
-                Action::Refuse { .. } | Action::Fail(_) => self.unsent += 1,
+                Action::Reject { .. } | Action::Fail(_) => self.unsent += 1,
                 _ => {}
             }
         }
@@ -158,19 +158,19 @@
                         class: ClassId(0),
                         tenant: None,
                         key: None,
-                        budget: 1000.0,
-                        hint: None,
-                        whole: true,
+                        timeout: 1000.0,
+                        expected_work: None,
+                        body_complete: true,
                     }
                 }
                 Next::Served(id, attempt) => {
                     self.attempts.remove(&id);
-                    Event::Ended {
+                    Event::AttemptEnded {
                         request: RequestId(id),
                         attempt,
                         latency: WORK,
                         outcome: Outcome::Served,
-                        closed: true,
+                        request_finished: true,
                     }
                 }
             };
@@ -200,23 +200,23 @@
     let mut actions = Vec::new();
     for (n, first) in (0..servers).step_by(of.max(1)).enumerate() {
         let mut module = Balancer::new(settings(), seed + n as u64);
-        let entries: Vec<Backend> = (first..servers.min(first + of))
-            .map(|id| Backend {
-                id: BackendId(id as u64),
+        let entries: Vec<Endpoint> = (first..servers.min(first + of))
+            .map(|id| Endpoint {
+                id: EndpointId(id as u64),
                 zone: None,
-                kind: None,
+                machine_type: None,
                 cell: None,
-                state: State::Up,
-                rating: 16.0,
-                since: None,
+                state: EndpointState::Up,
+                weight: 16.0,
+                started_at: None,
             })
             .collect();
         let many = entries.len();
         module.handle(
             0.0,
-            Event::List {
-                scope: Scope::Full,
-                entries,
+            Event::EndpointUpdate {
+                scope: UpdateScope::Full,
+                endpoints: entries,
             },
             &mut actions,
         );
--- a/crates/lab/src/real/proxies.rs
+++ b/crates/lab/src/real/proxies.rs
@@ -83,20 +83,20 @@
     json!({
         "classes": s.classes.iter().map(class).collect::<Vec<_>>(),
         "accounts": tenants
-            .map(|(t, a)| json!({ "name": t.name, "share": t.share.0, "allowancePerS": a.allowance_per_s }))
+            .map(|(t, a)| json!({ "name": t.name, "share": t.share.0, "allowancePerS": a.quota_per_second }))
             .collect::<Vec<_>>(),
         "zones": s.fleet.zones,
         "flavors": s.fleet.kinds.iter().map(|k| k.name.as_str()).collect::<Vec<_>>(),
         "zone": s.fleet.zones[proxy % s.fleet.zones.len()],
         "myNumber": proxy,
         "nInstances": s.proxies.count,
-        "overShareWorth": of.over_share_worth,
+        "overShareWorth": of.over_quota_weight_fraction,
         "worthBy": "request",
         "discovery": "pushed",
         "weightSource": "nominal",
-        "extra": { "warmKeys": of.warm_keys },
+        "extra": { "warmKeys": of.key_affinity },
         "ceilings": {
-            "retryAfter": of.retry_after.is_some(),
+            "retryAfter": of.max_retry_after.is_some(),
             "maxRetryAfter": s.proxies.retry_after.0,
             "dialTimeout": 250.0,
             "idleClose": s.fleet.idle.0,
@@ -104,14 +104,14 @@
             "maxAttempts": s.rules.max_attempts,
         },
         "rules": {
-            "startCapacity": of.limits.start_capacity,
-            "cold": of.limits.cold,
-            "fallMultiple": of.limits.fall_multiple,
-            "fall": of.limits.fall,
+            "startCapacity": of.limits.initial_capacity_fraction,
+            "cold": of.limits.warm_up,
+            "fallMultiple": of.limits.overload_multiple,
+            "fall": of.limits.overload_window,
             "drainGrace": s.rules.drain_grace.0,
             "answerSlack": s.rules.answer_slack.0,
         },
-        "prices": { "crossZone": of.prices.cross_zone },
+        "prices": { "crossZone": of.costs.cross_zone },
     })
 }
 
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -1,6 +1,8 @@
 //! A scenario as a decision module is told it.
 
-use balancer::{Class, Discovery, Effect, Limits, Prices, Rating, Settings, Tenant, ZoneId};
+use balancer::{
+    Class, Costs, Discovery, Idempotency, Limits, Settings, Tenant, WeightMeaning, ZoneId,
+};
 
 use crate::scenario::{self, Scenario};
 
@@ -8,30 +10,30 @@
 pub fn of(s: &Scenario, proxy: usize) -> Settings {
     let capacity_per_s = 1000.0 * s.capacity() / s.mean_work().max(1e-9);
     Settings {
-        me: proxy as u32,
-        proxies: s.proxies.count as u32,
+        proxy_index: proxy as u32,
+        proxy_count: s.proxies.count as u32,
         zone: Some(ZoneId((proxy % s.fleet.zones.len()) as u32)),
         classes: s.classes.iter().map(class).collect(),
         tenants: s
             .tenants
             .iter()
             .map(|t| Tenant {
-                allowance_per_s: t.share.0 * capacity_per_s,
+                quota_per_second: t.share.0 * capacity_per_s,
             })
             .collect(),
-        over_share_worth: 0.2,
-        worth_by_work: false,
+        over_quota_weight_fraction: 0.2,
+        weight_by_work: false,
         discovery: Discovery::Pushed,
-        rating: Rating::Size,
-        warm_keys: s.fleet.key_gain.0 > 0.0,
-        may_tell: false,
-        retry_after: (s.proxies.retry_after.0 > 0.0).then_some(s.proxies.retry_after.0),
-        prices: Prices { cross_zone: 0.02 },
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: s.fleet.key_gain.0 > 0.0,
+        gossip_enabled: false,
+        max_retry_after: (s.proxies.retry_after.0 > 0.0).then_some(s.proxies.retry_after.0),
+        costs: Costs { cross_zone: 0.02 },
         limits: Limits {
-            start_capacity: s.fleet.cold_from.0,
-            cold: s.fleet.cold.0,
-            fall_multiple: s.rules.fall_multiple,
-            fall: s.rules.fall.0,
+            initial_capacity_fraction: s.fleet.cold_from.0,
+            warm_up: s.fleet.cold.0,
+            overload_multiple: s.rules.fall_multiple,
+            overload_window: s.rules.fall.0,
             max_attempts: s.rules.max_attempts,
         },
     }
@@ -39,14 +41,14 @@
 
 fn class(c: &scenario::Class) -> Class {
     Class {
-        aim: c.aim.0,
+        latency_objective: c.aim.0,
         deadline: c.deadline.0,
-        aim_stretch: 0.0,
-        worth: c.worth,
-        late_worth: c.late_worth.0,
-        effect: match c.effect {
-            scenario::Effect::Safe => Effect::Safe,
-            scenario::Effect::Unsafe => Effect::Unsafe,
+        objective_work_multiple: 0.0,
+        priority_weight: c.worth,
+        late_weight_fraction: c.late_worth.0,
+        idempotency: match c.effect {
+            scenario::Effect::Safe => Idempotency::Idempotent,
+            scenario::Effect::Unsafe => Idempotency::NonIdempotent,
         },
     }
 }
--- a/crates/lab/src/sim/decider.rs
+++ b/crates/lab/src/sim/decider.rs
@@ -1,6 +1,6 @@
 //! What decides in a simulated proxy: the decision module, or one made to break a rule.
 
-use balancer::{Action, BackendId, Balancer, Event, Millis, Outcome, RequestId, Settings};
+use balancer::{Action, Balancer, EndpointId, Event, Millis, Outcome, RequestId, Settings};
 use rustc_hash::FxHashMap;
 
 /// Takes events with their time and says what is to be done; [`Balancer::handle`]'s contract.
@@ -45,9 +45,9 @@
 pub struct Saboteur {
     inner: Balancer,
     sabotage: Sabotage,
-    newest: Option<(Millis, BackendId)>,
+    newest: Option<(Millis, EndpointId)>,
     /// Where each request went last, and how often it was sent again.
-    sent: FxHashMap<RequestId, (BackendId, u32)>,
+    sent: FxHashMap<RequestId, (EndpointId, u32)>,
 }
 
 impl Saboteur {
@@ -68,11 +68,11 @@
             return false;
         };
         *again += 1;
-        out.push(Action::Send {
+        out.push(Action::Forward {
             request,
-            backend: *backend,
+            endpoint: *backend,
             timeout: None,
-            begin_by: None,
+            start_by: None,
         });
         true
     }
@@ -80,16 +80,22 @@
 
 impl Decider for Saboteur {
     fn handle(&mut self, now: Millis, mut event: Event, out: &mut Vec<Action>) {
-        if let Event::List { entries, .. } = &mut event {
-            for e in entries.iter().filter(|e| e.since.is_some()) {
-                if self.newest.is_none_or(|(since, _)| e.since > Some(since)) {
-                    self.newest = e.since.map(|since| (since, e.id));
+        if let Event::EndpointUpdate {
+            endpoints: entries, ..
+        } = &mut event
+        {
+            for e in entries.iter().filter(|e| e.started_at.is_some()) {
+                if self
+                    .newest
+                    .is_none_or(|(since, _)| e.started_at > Some(since))
+                {
+                    self.newest = e.started_at.map(|since| (since, e.id));
                 }
             }
             if self.sabotage == Sabotage::IgnoresDrains {
                 entries
                     .iter_mut()
-                    .for_each(|e| e.state = balancer::State::Up);
+                    .for_each(|e| e.state = balancer::EndpointState::Up);
             }
         }
         match (self.sabotage, &event) {
@@ -101,18 +107,18 @@
             ) if id % 50 == 0 => return,
             (
                 Sabotage::RefusesAll,
-                Event::Ended {
+                Event::AttemptEnded {
                     request,
                     outcome: Outcome::Error | Outcome::Reset | Outcome::TimedOut,
                     ..
                 },
-            ) => out.push(Action::Refuse {
+            ) => out.push(Action::Reject {
                 request: *request,
                 retry_after: None,
             }),
             (
                 Sabotage::RepeatsAll,
-                Event::Ended {
+                Event::AttemptEnded {
                     request,
                     outcome: Outcome::Reset,
                     ..
@@ -122,11 +128,11 @@
             }
             (Sabotage::FloodsNewest, Event::Request { id, .. }) => {
                 if let Some((_, backend)) = self.newest {
-                    return out.push(Action::Send {
+                    return out.push(Action::Forward {
                         request: *id,
-                        backend,
+                        endpoint: backend,
                         timeout: None,
-                        begin_by: None,
+                        start_by: None,
                     });
                 }
             }
@@ -134,8 +140,10 @@
         }
         self.inner.handle(now, event, out);
         for action in out.iter() {
-            if let Action::Send {
-                request, backend, ..
+            if let Action::Forward {
+                request,
+                endpoint: backend,
+                ..
             } = action
             {
                 self.sent.entry(*request).or_insert((*backend, 0)).0 = *backend;
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use balancer::{
-    Action, Balancer, ClassId, Event, Key, Millis, Outcome, RequestId, Scope, TenantId,
+    Action, Balancer, ClassId, Event, Key, Millis, Outcome, RequestId, TenantId, UpdateScope,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -306,7 +306,7 @@
             What::Leave(id) => {
                 let proxy = self.ledger.tries[id].proxy;
                 if self.proxies[proxy].as_mut().is_some_and(|p| p.close(id)) {
-                    self.feed(proxy, Event::Abandoned(request_of(id)));
+                    self.feed(proxy, Event::ClientGone(request_of(id)));
                 }
             }
             What::Module(proxy, generation, token) => {
@@ -320,7 +320,7 @@
                     && !lost
                     && self.answer(proxy, id, Code::Failed)
                 {
-                    self.feed(proxy, Event::Abandoned(request_of(id)));
+                    self.feed(proxy, Event::ClientGone(request_of(id)));
                 }
             }
             What::Dial(flight) => self.dial(flight),
@@ -414,14 +414,14 @@
         self.known_gone[proxy] = None;
         // It knows the list as it was last told, and is told the rest as soon as its watch is up.
         let lines = self.memories[proxy].lines();
-        self.tell(proxy, Scope::Cached, &lines);
+        self.tell(proxy, UpdateScope::Cached, &lines);
         let listed = self.world.listed();
         self.memories[proxy] = Memory::default();
         self.memories[proxy].learn(&listed);
-        self.tell(proxy, Scope::Full, &listed);
+        self.tell(proxy, UpdateScope::Full, &listed);
     }
 
-    fn tell(&mut self, proxy: ProxyId, scope: Scope, lines: &[Line]) {
+    fn tell(&mut self, proxy: ProxyId, scope: UpdateScope, lines: &[Line]) {
         let Some(p) = self.proxies[proxy].as_mut() else {
             return;
         };
@@ -430,7 +430,7 @@
                 line.state == Listed::Up,
                 self.world.loans()[line.server].server.born(),
             );
-            if scope != Scope::Cached {
+            if scope != UpdateScope::Cached {
                 self.ledger.told.push(Told {
                     proxy,
                     server: line.server,
@@ -449,7 +449,7 @@
 
     fn news(&mut self, proxy: ProxyId, line: Line) {
         self.memories[proxy].learn(std::slice::from_ref(&line));
-        self.tell(proxy, Scope::Delta, &[line]);
+        self.tell(proxy, UpdateScope::Delta, &[line]);
     }
 
     fn feed(&mut self, proxy: ProxyId, event: Event) {
@@ -466,15 +466,15 @@
     fn perform(&mut self, proxy: ProxyId, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send {
+                Action::Forward {
                     request,
-                    backend,
+                    endpoint: backend,
                     timeout,
                     ..
                 } => {
                     self.send(proxy, request, server_of(backend), timeout);
                 }
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                 } => {
@@ -488,7 +488,7 @@
                     self.schedule(at.max(self.now), What::Module(proxy, generation, token));
                 }
                 // News is pushed, and proxies tell each other nothing here.
-                Action::Broadcast(_) | Action::Subscribe | Action::FetchList => {}
+                Action::Broadcast(_) | Action::Subscribe | Action::FetchEndpoints => {}
             }
         }
     }
@@ -528,9 +528,9 @@
                 class,
                 tenant,
                 key,
-                budget,
-                hint: None,
-                whole: true,
+                timeout: budget,
+                expected_work: None,
+                body_complete: true,
             },
         );
     }
@@ -592,7 +592,7 @@
         };
         self.flights.insert(flight, record);
         if !wanted || !open {
-            return self.after(0.0, What::Reply(flight, Outcome::Moot, false));
+            return self.after(0.0, What::Reply(flight, Outcome::NotSent, false));
         }
         self.schedule(until, What::Expire(flight));
         if reuse {
@@ -663,7 +663,7 @@
             return self.disconnect(server);
         };
         if !(open || p.is_open(server)) || !p.live.get(&id).is_some_and(|l| l.wanted) {
-            self.reply(flight, Outcome::Moot, false);
+            self.reply(flight, Outcome::NotSent, false);
             return self.disconnect(server);
         }
         f.note = Some(self.ledger.send(id, server, self.now));
@@ -707,7 +707,7 @@
             }
             (Offer::Taken, None) => {}
             (Offer::TurnedAway, None) if up => {
-                self.after(way, What::Reply(flight, Outcome::Full, true))
+                self.after(way, What::Reply(flight, Outcome::Overloaded, true))
             }
             // Its process is gone: the connection breaks under the request.
             (Offer::TurnedAway | Offer::PushedOver, None) => {
@@ -770,12 +770,12 @@
         let (request, attempt, latency) = (request_of(f.id), f.attempt, self.now - f.sent);
         self.feed(
             f.proxy,
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
-                closed,
+                request_finished: closed,
             },
         );
     }
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use balancer::{
-    Action, Backend, BackendId, CellId, Event, KindId, Millis, RequestId, Scope, State, ZoneId,
+    Action, CellId, Endpoint, EndpointId, EndpointState, Event, MachineTypeId, Millis, RequestId,
+    UpdateScope, ZoneId,
 };
 use rustc_hash::FxHashMap;
 
@@ -71,27 +72,27 @@
 }
 
 /// A line as the module is told it.
-fn backend(world: &World, line: &Line) -> Backend {
+fn backend(world: &World, line: &Line) -> Endpoint {
     let loan = &world.loans()[line.server];
     let machine = loan.server.machine();
-    Backend {
-        id: BackendId(line.server as u64 + 1),
+    Endpoint {
+        id: EndpointId(line.server as u64 + 1),
         zone: Some(ZoneId(loan.zone as u32)),
-        kind: Some(KindId(loan.kind as u32)),
+        machine_type: Some(MachineTypeId(loan.kind as u32)),
         cell: Some(CellId(line.server as u64 / 4)),
         state: match line.state {
-            Listed::Up => State::Up,
-            Listed::Draining => State::Draining,
-            Listed::Removed => State::Gone,
+            Listed::Up => EndpointState::Up,
+            Listed::Draining => EndpointState::Draining,
+            Listed::Removed => EndpointState::Removed,
         },
         // The size as registered: the kind's, not the single machine's.
-        rating: machine.cores * world.scenario().fleet.kinds[loan.kind].speed,
-        since: loan.server.born(),
+        weight: machine.cores * world.scenario().fleet.kinds[loan.kind].speed,
+        started_at: loan.server.born(),
     }
 }
 
 /// The server that the module means.
-pub fn server_of(backend: BackendId) -> ServerId {
+pub fn server_of(backend: EndpointId) -> ServerId {
     (backend.0 as usize).wrapping_sub(1)
 }
 
@@ -122,7 +123,7 @@
         &mut self,
         now: Millis,
         world: &World,
-        scope: Scope,
+        scope: UpdateScope,
         lines: &[Line],
     ) -> Vec<Action> {
         for line in lines {
@@ -132,7 +133,13 @@
             }
         }
         let entries = lines.iter().map(|line| backend(world, line)).collect();
-        self.handle(now, Event::List { scope, entries })
+        self.handle(
+            now,
+            Event::EndpointUpdate {
+                scope,
+                endpoints: entries,
+            },
+        )
     }
 
     /// Whether something new may go to a server.
--- a/crates/multi-tenant/src/digest.rs
+++ b/crates/multi-tenant/src/digest.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use balancer::{Millis, Standing};
+use balancer::{HealthSnapshot, Millis};
 
 use crate::catalog::Name;
 
@@ -20,7 +20,7 @@
     /// When servers started, by their numbers.
     pub born: Vec<(u64, f64)>,
     /// What its module held against servers.
-    pub standing: Standing,
+    pub standing: HealthSnapshot,
     /// Nothing of it matters after this, on the process's clock in ms.
     pub end: Millis,
 }
@@ -28,7 +28,7 @@
 impl Digest {
     /// How much there is to say.
     pub fn len(&self) -> usize {
-        usize::from(self.all_born > 0.0) + self.born.len() + self.standing.servers.len()
+        usize::from(self.all_born > 0.0) + self.born.len() + self.standing.endpoints.len()
     }
 
     /// Whether there is nothing to say.
@@ -46,7 +46,7 @@
 
     /// A server comes anew: what was known under its number is another's.
     pub fn renew(&mut self, server: u64, born: f64) {
-        self.standing.servers.retain(|s| s.id.0 != server);
+        self.standing.endpoints.retain(|s| s.id.0 != server);
         self.born.retain(|(number, _)| *number != server);
         if born > 0.0 || self.all_born > 0.0 {
             self.born.push((server, born));
--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -10,7 +10,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use balancer::{Class, Discovery, Effect, Prices, Rating, Settings, ZoneId};
+use balancer::{Class, Costs, Discovery, Idempotency, Settings, WeightMeaning, ZoneId};
 use endpoint_discovery::{Told, Update};
 use fair_share::{Caps, Limits};
 use hyper::header::{HeaderMap, HeaderName};
@@ -400,7 +400,7 @@
         let (plane, name) = (self.myself.clone(), tenant.name.clone());
         let seed = seed.wrapping_add(number);
         let mut terms = terms(tenant, seed);
-        (terms.settings.me, terms.settings.proxies) = self.among.get();
+        (terms.settings.proxy_index, terms.settings.proxy_count) = self.among.get();
         self.process.start(terms, Some(account.clone()), move |end| {
             if let Err(e) = end {
                 tracing::error!(tenant = name, error = %e, "its module has failed; it gets a new one");
@@ -641,14 +641,14 @@
 /// A tenant's document as its decision module takes it.
 fn terms(tenant: &Tenant, seed: u64) -> Terms {
     let class = |c: &document::Class| Class {
-        aim: c.aim.0,
+        latency_objective: c.aim.0,
         deadline: c.deadline.0,
-        aim_stretch: 0.0,
-        worth: c.worth,
-        late_worth: c.late_worth.0,
-        effect: match c.effect {
-            document::Effect::Safe => Effect::Safe,
-            document::Effect::Unsafe => Effect::Unsafe,
+        objective_work_multiple: 0.0,
+        priority_weight: c.worth,
+        late_weight_fraction: c.late_worth.0,
+        idempotency: match c.effect {
+            document::Effect::Safe => Idempotency::Idempotent,
+            document::Effect::Unsafe => Idempotency::NonIdempotent,
         },
     };
     let rules = &tenant.rules;
@@ -662,25 +662,25 @@
         .as_deref()
         .map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
     let settings = Settings {
-        me: 0,
-        proxies: 1,
+        proxy_index: 0,
+        proxy_count: 1,
         zone,
         classes: tenant.classes.iter().map(class).collect(),
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        worth_by_work: false,
+        over_quota_weight_fraction: 1.0,
+        weight_by_work: false,
         discovery: Discovery::Pushed,
-        rating: Rating::Size,
-        warm_keys: false,
-        may_tell: false,
-        retry_after: Some(rules.retry_after.0),
-        prices: Prices::default(),
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: false,
+        gossip_enabled: false,
+        max_retry_after: Some(rules.retry_after.0),
+        costs: Costs::default(),
         limits: balancer::Limits {
-            start_capacity: rules.cold_from.0,
-            cold: rules.cold.0,
-            fall_multiple: 1.0,
+            initial_capacity_fraction: rules.cold_from.0,
+            warm_up: rules.cold.0,
+            overload_multiple: 1.0,
             // How long a cold server bears too much is not known here: its budget alone keeps it, and no class is too heavy.
-            fall: f64::MAX,
+            overload_window: f64::MAX,
             max_attempts: rules.max_attempts,
         },
     };
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -143,7 +143,7 @@
             && !self.former.iter().any(Feed::is_alive)
             // One of which there is more to say than is kept stays; a small one never is.
             && (self.document.servers.len() < digest::MOST_OF_ONE
-                || self.running.standing().servers.len() <= digest::MOST_OF_ONE)
+                || self.running.standing().endpoints.len() <= digest::MOST_OF_ONE)
     }
 }
 
@@ -240,7 +240,7 @@
         };
         self.attend(&mut live);
         live.tell();
-        if !digest.standing.servers.is_empty() {
+        if !digest.standing.endpoints.is_empty() {
             live.running.feed.resume(digest.standing);
         }
         let pool = live.running.pool.clone();
@@ -280,10 +280,10 @@
             .collect();
         let standing = live.running.standing();
         let ejected = standing
-            .servers
+            .endpoints
             .iter()
-            .flat_map(|s| s.whole.iter().chain(s.classes.iter().map(|c| &c.1)));
-        let closings = ejected.map(|e| e.until.max(now) + ON_TRIAL);
+            .flat_map(|s| s.overall.iter().chain(s.by_class.iter().map(|c| &c.1)));
+        let closings = ejected.map(|e| e.ejected_until.max(now) + ON_TRIAL);
         let ends = born
             .iter()
             .map(|(_, born)| now + born + cold - unix)
@@ -346,7 +346,7 @@
         };
         let mut digest = digests.take(name).unwrap_or_default();
         if change.pool {
-            digest.standing = balancer::Standing::default(); // a new module learns anew
+            digest.standing = balancer::HealthSnapshot::default(); // a new module learns anew
         }
         for (server, warm) in brought {
             digest.renew(*server, if *warm { 0.0 } else { unix });
@@ -560,7 +560,7 @@
 
     /// What a resident's module holds against its servers. For tests.
     #[doc(hidden)]
-    pub fn standing_of(&self, name: &str) -> balancer::Standing {
+    pub fn standing_of(&self, name: &str) -> balancer::HealthSnapshot {
         self.tenants
             .borrow()
             .get(name)
--- a/crates/multi-tenant/tests/residents.rs
+++ b/crates/multi-tenant/tests/residents.rs
@@ -461,9 +461,9 @@
         let closed = |plane: &Plane| {
             plane
                 .standing_of("t00000")
-                .servers
+                .endpoints
                 .iter()
-                .any(|s| s.whole.is_some())
+                .any(|s| s.overall.is_some())
         };
         while !closed(&plane) {
             assert_eq!(
@@ -486,14 +486,14 @@
             tokio::task::yield_now().await;
         }
         let (was, is) = (
-            before.servers[0].whole.expect("it is closed"),
+            before.endpoints[0].overall.expect("it is closed"),
             plane.standing_of("t00000"),
         );
         assert_eq!(
-            (is.servers.len(), is.servers[0].id),
-            (1, before.servers[0].id)
+            (is.endpoints.len(), is.endpoints[0].id),
+            (1, before.endpoints[0].id)
         );
-        assert_eq!(is.servers[0].whole, Some(was));
+        assert_eq!(is.endpoints[0].overall, Some(was));
         drop(held);
         assert_eq!(ask(address, "t00000").await, 200);
         // Another process knows nothing, and serves.
@@ -526,9 +526,9 @@
         let cold = |plane: &Plane| {
             let standing = plane.standing_of("t00000");
             standing
-                .servers
+                .endpoints
                 .iter()
-                .find_map(|s| s.cold)
+                .find_map(|s| s.slow_start)
                 .expect("one is cold")
         };
         let before = cold(&plane);
@@ -539,8 +539,8 @@
         sleep(Duration::from_millis(1)).await;
         let after = cold(&plane);
         assert_eq!(
-            (after.grant, after.at >= before.at),
-            (before.grant, true),
+            (after.max_cost, after.updated_at >= before.updated_at),
+            (before.max_cost, true),
             "it is the same budget"
         );
         assert!(
--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ::capture::{Field, Head, News, Record, Server, Tried};
-use balancer::{BackendId, ClassId, Millis, Outcome, Scope, State, TenantId};
+use balancer::{ClassId, EndpointId, EndpointState, Millis, Outcome, TenantId, UpdateScope};
 use settings::properties::Capture as Settings;
 use settings::{Names, number_of};
 
@@ -111,7 +111,7 @@
     }
 
     /// An attempt goes out.
-    pub fn sent(&self, pending: &mut Pending, backend: BackendId) {
+    pub fn sent(&self, pending: &mut Pending, backend: EndpointId) {
         let ring = self.ring.borrow();
         // What is sent to is on the list, or has just left it.
         let name = ring
@@ -156,7 +156,7 @@
     }
 
     /// The list has changed.
-    pub fn news(&self, scope: Scope, seq: Option<u64>, hosts: &[Host]) {
+    pub fn news(&self, scope: UpdateScope, seq: Option<u64>, hosts: &[Host]) {
         let mut ring = self.ring.borrow_mut();
         let lines = ring.news(
             &News {
@@ -247,7 +247,7 @@
     /// Oldest first; the last one is written to.
     segments: VecDeque<Vec<u8>>,
     /// The present list: a server's name and its line.
-    list: BTreeMap<BackendId, (Rc<str>, String)>,
+    list: BTreeMap<EndpointId, (Rc<str>, String)>,
     seq: Option<u64>,
     /// Standard error has had the ring.
     told: bool,
@@ -292,7 +292,7 @@
         let news = News {
             seq: self.seq,
             at: now,
-            scope: Scope::Full,
+            scope: UpdateScope::Full,
             hosts: self.list.len(),
         };
         segment.extend_from_slice(format!("{news}\n").as_bytes());
@@ -331,19 +331,19 @@
     /// Notes the new list, and returns the lines that tell of the change.
     fn news(&mut self, news: &News, hosts: &[Host]) -> String {
         self.seq = news.seq.or(self.seq);
-        if matches!(news.scope, Scope::Full | Scope::Cached) {
+        if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             self.list.clear();
         }
         let mut lines = format!("{news}\n");
         for host in hosts {
             let (id, line) = (
-                BackendId(number_of(&host.host)),
+                EndpointId(number_of(&host.host)),
                 format!("{}\n", server(host)),
             );
             lines.push_str(&line);
             match host.state() {
-                State::Gone => self.list.remove(&id),
-                State::Up | State::Draining => {
+                EndpointState::Removed => self.list.remove(&id),
+                EndpointState::Up | EndpointState::Draining => {
                     self.list.insert(id, (host.host.as_str().into(), line))
                 }
             };
@@ -471,7 +471,7 @@
         }
     }
 
-    fn news(ring: &mut Ring, seq: u64, scope: Scope, hosts: &[Host]) {
+    fn news(ring: &mut Ring, seq: u64, scope: UpdateScope, hosts: &[Host]) {
         ring.news(
             &News {
                 seq: Some(seq),
@@ -512,13 +512,13 @@
         news(
             &mut ring,
             1,
-            Scope::Full,
+            UpdateScope::Full,
             &[host("s-0", "up"), host("s-1", "up")],
         );
         news(
             &mut ring,
             2,
-            Scope::Delta,
+            UpdateScope::Delta,
             &[host("s-1", "removed"), host("s-2", "draining")],
         );
         let mut count = 0;
@@ -543,12 +543,15 @@
             };
             assert_eq!(
                 (news.seq, news.scope, news.hosts),
-                (Some(2), Scope::Full, 2)
+                (Some(2), UpdateScope::Full, 2)
             );
             let Line::Server(last) = &segment[4] else {
                 panic!("a server")
             };
-            assert_eq!((last.name.as_str(), last.state), ("s-2", State::Draining));
+            assert_eq!(
+                (last.name.as_str(), last.state),
+                ("s-2", EndpointState::Draining)
+            );
             ids.extend(segment[5..].iter().map(|l| match l {
                 Line::Record(r) => r.id.parse::<u64>().expect("a number"),
                 other => panic!("{other:?}"),
@@ -565,7 +568,7 @@
     fn a_list_too_long_for_an_opening_leaves_room_for_records() {
         let mut ring = ring();
         let many: Vec<Host> = (0..10_000).map(|n| host(&format!("s-{n}"), "up")).collect();
-        news(&mut ring, 1, Scope::Full, &many);
+        news(&mut ring, 1, UpdateScope::Full, &many);
         assert!(
             ring.segments.iter().all(|s| s.len() <= OPENING),
             "the rest is left out"
--- a/crates/proxy-core/src/config.rs
+++ b/crates/proxy-core/src/config.rs
@@ -100,10 +100,10 @@
     }
     let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
     let terms = now.followed_by(&file.settings).map_err(|e| e.to_string())?;
-    if terms.settings.me >= terms.settings.proxies {
+    if terms.settings.proxy_index >= terms.settings.proxy_count {
         return Err(format!(
             "settings.myNumber: {} of {}",
-            terms.settings.me, terms.settings.proxies
+            terms.settings.proxy_index, terms.settings.proxy_count
         ));
     }
     Ok(Change {
@@ -141,14 +141,14 @@
         return Err("'settings' has no named classes".into());
     }
     // A wrong number would make this proxy claim another's part of the servers.
-    if settings.me >= settings.proxies {
+    if settings.proxy_index >= settings.proxy_count {
         return Err(format!(
             "'settings': proxy number {} of {}",
-            settings.me, settings.proxies
+            settings.proxy_index, settings.proxy_count
         ));
     }
     let peers = match (file.peer_listen, file.peers_all) {
-        (Some(listen), Some(all)) if settings.may_tell => Some(PeerAddresses {
+        (Some(listen), Some(all)) if settings.gossip_enabled => Some(PeerAddresses {
             listen,
             peers: file.peers,
             all,
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer::Scope;
+use balancer::UpdateScope;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
@@ -216,9 +216,9 @@
         }
         self.seq = Some(list.seq);
         let scope = if list.whole {
-            Scope::Full
+            UpdateScope::Full
         } else {
-            Scope::Delta
+            UpdateScope::Delta
         };
         self.inbox.put(Input::List {
             scope,
@@ -238,7 +238,7 @@
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         Ok(list) => {
             inbox.put(Input::List {
-                scope: Scope::Full,
+                scope: UpdateScope::Full,
                 seq: Some(list.seq),
                 hosts: list.entries(),
             });
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use balancer::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, KindId, Millis, Outcome,
-    RequestId, Scope, Standing, State, ZoneId,
+    Action, Balancer, CellId, ClassId, EndpointId, EndpointState, Event, HealthSnapshot,
+    MachineTypeId, Millis, Outcome, RequestId, UpdateScope, ZoneId,
 };
 use rustc_hash::FxHashMap;
 use settings::{Names, index_of, number_of};
@@ -106,7 +106,7 @@
     }
 
     /// What the module holds against servers, and what cold ones may still be sent.
-    pub fn standing(&self, now: Millis) -> Standing {
+    pub fn standing(&self, now: Millis) -> HealthSnapshot {
         self.balancer.borrow().standing(now)
     }
 }
@@ -116,7 +116,7 @@
     known: Rc<Known>,
     names: Names,
     parts: Parts,
-    endpoints: FxHashMap<BackendId, Rc<Endpoint>>,
+    endpoints: FxHashMap<EndpointId, Rc<Endpoint>>,
     live: FxHashMap<RequestId, Live>,
     due: BinaryHeap<Reverse<(Instant, Due)>>,
     actions: Vec<Action>,
@@ -228,7 +228,7 @@
             Input::Unadmitted { id, wait, answer } => self.unadmitted(id, wait, answer),
             Input::Gone(id) => {
                 if self.close(id, GONE).is_some() {
-                    self.handle(Event::Abandoned(id));
+                    self.handle(Event::ClientGone(id));
                 }
             }
             Input::Ended {
@@ -247,10 +247,13 @@
                 reply,
             } => self.began(request, attempt, reply),
             Input::List { scope, seq, hosts } => self.list(scope, seq, hosts),
-            Input::Datagram { from, bytes } => self.handle(Event::Message { from, bytes }),
-            Input::Proxies { me, proxies } => self.handle(Event::Proxies { me, proxies }),
+            Input::Datagram { from, bytes } => self.handle(Event::Gossip { from, bytes }),
+            Input::Proxies { me, proxies } => self.handle(Event::ProxyCount {
+                proxy_index: me,
+                proxy_count: proxies,
+            }),
             Input::Settings(settings) => self.handle(Event::Settings(settings)),
-            Input::Standing(standing) => self.handle(Event::Standing(standing)),
+            Input::Standing(standing) => self.handle(Event::HealthRestored(standing)),
             Input::Ask(tell) => {
                 let _ = tell.send(self.held()); // who asked may have left
             }
@@ -271,7 +274,10 @@
             pending: None,
         };
         self.live.insert(id, live);
-        self.handle(Event::Unadmitted { id, wait });
+        self.handle(Event::QuotaRejected {
+            id,
+            retry_after: wait,
+        });
     }
 
     fn request(&mut self, arrival: Arrival) {
@@ -325,9 +331,9 @@
             class,
             tenant,
             key,
-            budget,
-            hint,
-            whole,
+            timeout: budget,
+            expected_work: hint,
+            body_complete: whole,
         });
     }
 
@@ -346,7 +352,7 @@
         }
         if let Some(answer) = self.close(id, FAILED) {
             let _ = answer.send(Answer::Failed); // a client that has left needs none
-            self.handle(Event::Abandoned(id));
+            self.handle(Event::ClientGone(id));
         }
     }
 
@@ -362,7 +368,10 @@
         let last = live.deadline - LAST_RESORT;
         let budget = last.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         self.due.push(Reverse((last, Due::LastResort(id))));
-        self.handle(Event::Whole { id, budget });
+        self.handle(Event::BodyComplete {
+            id,
+            timeout: budget,
+        });
     }
 
     /// The client owns an answer that has begun: it is neither cut at the deadline nor made anew.
@@ -376,10 +385,10 @@
         live.wanted.end();
         live.passing = true;
         let _ = answer.send(Answer::Served(reply)); // likewise, if the client has just left
-        self.handle(Event::Started {
+        self.handle(Event::ResponseStarted {
             request,
             attempt,
-            worked: true,
+            processing_done: true,
         });
     }
 
@@ -401,17 +410,17 @@
         let was_open = live.answer.is_some();
         let upload = live.message.body.upload().cloned();
         if upload.as_ref().is_some_and(|u| u.is_touched()) {
-            self.handle(Event::Spent(request));
+            self.handle(Event::BodyDiscarded(request));
         }
         if let Some(load) = reply.as_ref().and_then(|r| load::told(&r.headers)) {
-            self.handle(Event::Load {
+            self.handle(Event::LoadReport {
                 request,
                 attempt,
                 load,
             });
         }
         if upload.is_some_and(|u| u.is_lost()) && self.close(request, GONE).is_some() {
-            self.handle(Event::Abandoned(request));
+            self.handle(Event::ClientGone(request));
         }
         if self.live.get(&request).is_some_and(|l| l.passing) {
             let code = match outcome {
@@ -420,12 +429,12 @@
                 _ => FAILED,
             };
             self.close(request, code);
-            return self.handle(Event::Ended {
+            return self.handle(Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
-                closed: true,
+                request_finished: true,
             });
         }
         if let (Outcome::Served, Some(reply)) = (outcome, reply)
@@ -435,12 +444,12 @@
         }
         let closed = !was_open || outcome == Outcome::Served;
         self.forget(request);
-        self.handle(Event::Ended {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             latency,
             outcome,
-            closed,
+            request_finished: closed,
         });
     }
 
@@ -491,40 +500,46 @@
         }
     }
 
-    fn list(&mut self, scope: Scope, seq: Option<u64>, hosts: Vec<Host>) {
+    fn list(&mut self, scope: UpdateScope, seq: Option<u64>, hosts: Vec<Host>) {
         // A remembered list is older than one that discovery has told.
-        if scope == Scope::Cached && self.listed {
+        if scope == UpdateScope::Cached && self.listed {
             return;
         }
-        self.listed |= scope == Scope::Full;
+        self.listed |= scope == UpdateScope::Full;
         if let Some(capture) = self
             .parts
             .capture
             .as_ref()
-            .filter(|_| scope != Scope::Failed)
+            .filter(|_| scope != UpdateScope::Failed)
         {
             capture.news(scope, seq, &hosts);
         }
-        let whole = matches!(scope, Scope::Full | Scope::Cached);
-        let entries: Vec<Backend> = hosts.into_iter().map(|host| self.backend(host)).collect();
+        let whole = matches!(scope, UpdateScope::Full | UpdateScope::Cached);
+        let entries: Vec<balancer::Endpoint> =
+            hosts.into_iter().map(|host| self.backend(host)).collect();
         if whole {
-            let listed: rustc_hash::FxHashSet<BackendId> = entries.iter().map(|e| e.id).collect();
+            let listed: rustc_hash::FxHashSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             for (_, endpoint) in self.endpoints.iter().filter(|(id, _)| !listed.contains(id)) {
                 endpoint.set_open(false);
             }
         }
         let some = !entries.is_empty();
-        self.handle(Event::List { scope, entries });
+        self.handle(Event::EndpointUpdate {
+            scope,
+            endpoints: entries,
+        });
         match scope {
-            Scope::Cached if !some => {}
-            Scope::Full | Scope::Cached => self.parts.life.tell(|life, _| life.listed()),
-            Scope::Delta | Scope::Failed => {}
+            UpdateScope::Cached if !some => {}
+            UpdateScope::Full | UpdateScope::Cached => {
+                self.parts.life.tell(|life, _| life.listed())
+            }
+            UpdateScope::Delta | UpdateScope::Failed => {}
         }
     }
 
     /// Notes where a backend is, and whether something new may go there.
-    fn backend(&mut self, host: Host) -> Backend {
-        let id = BackendId(number_of(&host.host));
+    fn backend(&mut self, host: Host) -> balancer::Endpoint {
+        let id = EndpointId(number_of(&host.host));
         let state = host.state();
         if let Some(address) = host.dial {
             let same = |e: &Rc<Endpoint>| e.address == address && e.born_ms == host.born_ms;
@@ -537,20 +552,20 @@
             }
         }
         if let Some(endpoint) = self.endpoints.get(&id) {
-            endpoint.set_open(state == State::Up);
+            endpoint.set_open(state == EndpointState::Up);
         }
-        Backend {
+        balancer::Endpoint {
             id,
             zone: host
                 .site
                 .map(|z| ZoneId(index_of(&mut self.names.zones, &z) as u32)),
-            kind: host
+            machine_type: host
                 .class
-                .map(|k| KindId(index_of(&mut self.names.kinds, &k) as u32)),
+                .map(|k| MachineTypeId(index_of(&mut self.names.kinds, &k) as u32)),
             cell: host.block.map(CellId),
             state,
-            rating: host.share.unwrap_or(1.0),
-            since: self.parts.clock.born(host.born_ms),
+            weight: host.share.unwrap_or(1.0),
+            started_at: self.parts.clock.born(host.born_ms),
         }
     }
 
@@ -569,15 +584,15 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send {
+            Action::Forward {
                 request,
-                backend,
+                endpoint: backend,
                 timeout,
-                begin_by,
+                start_by: begin_by,
             } => {
                 self.send(request, backend, timeout, begin_by);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -600,7 +615,7 @@
                 }
             }
             Action::Subscribe => self.parts.watch.notify_one(),
-            Action::FetchList => {
+            Action::FetchEndpoints => {
                 if let Some(place) = &self.parts.discovery {
                     tokio::task::spawn_local(discovery::fetch(
                         place.address(),
@@ -614,7 +629,7 @@
     fn send(
         &mut self,
         request: RequestId,
-        backend: BackendId,
+        backend: EndpointId,
         timeout: Option<Millis>,
         begin_by: Option<Millis>,
     ) {
@@ -638,7 +653,7 @@
             .get(&backend)
             .filter(|e| live.wanted.holds() && e.is_open())
         else {
-            return report.tell(Outcome::Moot, None);
+            return report.tell(Outcome::NotSent, None);
         };
         let until = timeout.map_or(live.deadline, |t| {
             live.deadline
@@ -661,7 +676,7 @@
             return;
         };
         let Some(visit) = Visit::begin(account, attempt.endpoint.address) else {
-            return report.tell(Outcome::Full, None); // the module tries elsewhere, or later
+            return report.tell(Outcome::Overloaded, None); // the module tries elsewhere, or later
         };
         tokio::task::spawn_local(account::on(account.clone(), async move {
             let mut visit = Some(visit);
--- a/crates/proxy-core/src/hosts.rs
+++ b/crates/proxy-core/src/hosts.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use balancer::State;
+use balancer::EndpointState;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -54,11 +54,11 @@
     }
 
     /// Whether something new may go there.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> EndpointState {
         match self.health.as_str() {
-            "up" if self.dial.is_some() => State::Up,
-            "removed" => State::Gone,
-            _ => State::Draining, // draining, unknown or nowhere: nothing new goes there
+            "up" if self.dial.is_some() => EndpointState::Up,
+            "removed" => EndpointState::Removed,
+            _ => EndpointState::Draining, // draining, unknown or nowhere: nothing new goes there
         }
     }
 }
--- a/crates/proxy-core/src/inbox.rs
+++ b/crates/proxy-core/src/inbox.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer::{ClassId, Key, Millis, Outcome, RequestId, Scope, Settings, Standing, TenantId};
+use balancer::{
+    ClassId, HealthSnapshot, Key, Millis, Outcome, RequestId, Settings, TenantId, UpdateScope,
+};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -50,7 +52,7 @@
     },
     /// News of the list, with discovery's version of it.
     List {
-        scope: Scope,
+        scope: UpdateScope,
         seq: Option<u64>,
         hosts: Vec<Host>,
     },
@@ -61,7 +63,7 @@
     /// This proxy's number among others that share its servers, and how many there are.
     Proxies { me: u32, proxies: u32 },
     /// What another module knew of the servers that this one was told.
-    Standing(Box<Standing>),
+    Standing(Box<HealthSnapshot>),
     /// What is held now is asked for.
     Ask(oneshot::Sender<Held>),
     /// Nothing new comes any more: what is held is ended, and then the driver.
@@ -72,7 +74,7 @@
     /// A list that was asked for and did not come.
     pub fn no_list() -> Self {
         Input::List {
-            scope: Scope::Failed,
+            scope: UpdateScope::Failed,
             seq: None,
             hosts: Vec::new(),
         }
--- a/crates/proxy-core/src/load.rs
+++ b/crates/proxy-core/src/load.rs
@@ -1,6 +1,6 @@
 //! The load report that an answer may carry: a server's word on what it had in hand some time ago.
 
-use balancer::Load;
+use balancer::LoadReport;
 use hyper::HeaderMap;
 use serde::Deserialize;
 
@@ -17,12 +17,12 @@
 }
 
 /// What an answer's head tells; none where there is no report, or one that can't be read.
-pub fn told(headers: &HeaderMap) -> Option<Load> {
+pub fn told(headers: &HeaderMap) -> Option<LoadReport> {
     let told: Told = serde_json::from_slice(headers.get(NAME)?.as_bytes()).ok()?;
     let count = |n: Option<f64>| n.filter(|n| n.is_finite() && *n >= 0.0);
-    let load = Load {
-        in_hand: count(told.inflight),
-        waiting: count(told.queue),
+    let load = LoadReport {
+        in_flight: count(told.inflight),
+        queued: count(told.queue),
     };
-    (load != Load::default()).then_some(load)
+    (load != LoadReport::default()).then_some(load)
 }
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer::{ClassId, Effect, Key, TenantId};
+use balancer::{ClassId, Idempotency, Key, TenantId};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
 use settings::change::Terms;
@@ -99,7 +99,7 @@
             .position(|c| c == class_of(uri))
             .filter(|c| open[*c]);
         let class = class.ok_or((StatusCode::NOT_FOUND, "no such class"))?;
-        let wanted = if settings.classes[class].effect == Effect::Safe {
+        let wanted = if settings.classes[class].idempotency == Idempotency::Idempotent {
             Method::GET
         } else {
             Method::POST
@@ -110,7 +110,10 @@
                 "not the method of this class",
             ));
         }
-        let keyed = matches!(settings.classes[class].effect, Effect::Keyed { .. });
+        let keyed = matches!(
+            settings.classes[class].idempotency,
+            Idempotency::IdempotencyKey { .. }
+        );
         if keyed != one(headers, "idempotency-key")?.is_some() && *method == Method::POST {
             return Err(bad("Idempotency-Key does not fit the class"));
         }
--- a/crates/proxy-core/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use balancer::{Balancer, Scope};
+use balancer::{Balancer, UpdateScope};
 use settings::properties;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -188,7 +188,7 @@
     let driver = spawn_local(Driver::new(balancer, config.terms.names.clone(), parts).run(inputs));
     // The module's time begins with its first event.
     inbox.put(Input::List {
-        scope: Scope::Cached,
+        scope: UpdateScope::Cached,
         seq: None,
         hosts: Vec::new(),
     });
@@ -199,7 +199,7 @@
                 tokio::time::sleep(PATIENCE.1).await;
             }
             inbox.put(Input::List {
-                scope: Scope::Cached,
+                scope: UpdateScope::Cached,
                 seq: Some(seq),
                 hosts,
             });
--- a/crates/proxy-core/src/service.rs
+++ b/crates/proxy-core/src/service.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use balancer::{Balancer, Millis, Scope, Settings, Standing};
+use balancer::{Balancer, HealthSnapshot, Millis, Settings, UpdateScope};
 use settings::{Connections, Names, change};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore};
@@ -76,7 +76,7 @@
     }
 
     /// What its module holds against servers, and what cold ones may still be sent.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> HealthSnapshot {
         self.known.standing(self.clock.now())
     }
 
@@ -104,7 +104,7 @@
     /// The whole list: what it lacks has left.
     pub fn whole(&self, hosts: Vec<Host>) {
         self.inbox.put(Input::List {
-            scope: Scope::Full,
+            scope: UpdateScope::Full,
             seq: None,
             hosts,
         });
@@ -113,14 +113,14 @@
     /// Lines that have changed; all others stand.
     pub fn changed(&self, hosts: Vec<Host>) {
         self.inbox.put(Input::List {
-            scope: Scope::Delta,
+            scope: UpdateScope::Delta,
             seq: None,
             hosts,
         });
     }
 
     /// What another module knew of the servers of the list that was told before.
-    pub fn resume(&self, standing: Standing) {
+    pub fn resume(&self, standing: HealthSnapshot) {
         self.inbox.put(Input::Standing(Box::new(standing)));
     }
 
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -446,11 +446,11 @@
                     Ok(Err(_)) | Err(_) if dialled.get() => {
                         return report(News::Ended(Outcome::ConnectFailed, None));
                     }
-                    Ok(Err(_)) | Err(_) => return report(News::Ended(Outcome::Moot, None)),
+                    Ok(Err(_)) | Err(_) => return report(News::Ended(Outcome::NotSent, None)),
                 },
                 // Its place is free at once. What the server has paid for by now is kept for others.
                 () = wanted.ended() => {
-                    report(News::Ended(Outcome::Moot, None));
+                    report(News::Ended(Outcome::NotSent, None));
                     if let Ok(Ok(connection)) = dial.await {
                         endpoint.keep(connection);
                     }
@@ -464,11 +464,11 @@
             before,
         };
         if !gate.is_open() {
-            report(News::Ended(Outcome::Moot, None));
+            report(News::Ended(Outcome::NotSent, None));
             return endpoint.keep(connection);
         }
         let Some(request) = message.request(until) else {
-            return report(News::Ended(Outcome::Moot, None));
+            return report(News::Ended(Outcome::NotSent, None));
         };
         let (meter, upload) = (connection.meter.clone(), message.body.upload().cloned());
         let left = if upload.is_some() {
@@ -521,7 +521,7 @@
                 outcome == Outcome::Served && meter.complete()
             }
             Some(Err(_)) if meter.denied.get() && !meter.begun.get() => {
-                return report(News::Ended(Outcome::Moot, None));
+                return report(News::Ended(Outcome::NotSent, None));
             }
             Some(Err(_)) | None if !meter.complete() => {
                 return report(News::Ended(Outcome::ConnectFailed, None));
@@ -657,7 +657,7 @@
             )
         }
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => {
-            Got::Whole(Outcome::Full, None, !large)
+            Got::Whole(Outcome::Overloaded, None, !large)
         }
         status => Got::Whole(
             Outcome::Error,
--- a/crates/proxy-core/tests/load.rs
+++ b/crates/proxy-core/tests/load.rs
@@ -1,10 +1,10 @@
 //! Load reports in the heads of answers.
-use balancer::Load;
+use balancer::LoadReport;
 use hyper::HeaderMap;
 use hyper::header::HeaderValue;
 use proxy_core::load::told;
 
-fn of(value: &str) -> Option<Load> {
+fn of(value: &str) -> Option<LoadReport> {
     let mut headers = HeaderMap::new();
     headers.insert("x-server-load", HeaderValue::from_str(value).unwrap());
     told(&headers)
@@ -12,7 +12,12 @@
 
 #[test]
 fn what_is_in_hand_and_what_waits_is_read_by_either_name() {
-    let load = |in_hand, waiting| Some(Load { in_hand, waiting });
+    let load = |in_hand, waiting| {
+        Some(LoadReport {
+            in_flight: in_hand,
+            queued: waiting,
+        })
+    };
     assert_eq!(
         of(r#"{"inflight":7,"queue":2,"util":0.61}"#),
         load(Some(7.0), Some(2.0))
@@ -43,9 +48,9 @@
     }
     assert_eq!(
         of(r#"{"inflight":-3,"queue":4}"#),
-        Some(Load {
-            in_hand: None,
-            waiting: Some(4.0)
+        Some(LoadReport {
+            in_flight: None,
+            queued: Some(4.0)
         }),
         "one that is spoilt says nothing against the other"
     );
--- a/crates/proxy-core/tests/rest.rs
+++ b/crates/proxy-core/tests/rest.rs
@@ -4,7 +4,7 @@
 use std::task::Waker;
 use std::time::Duration;
 
-use balancer::{Class, Discovery, Effect, Limits, Millis, Prices, Rating, Settings};
+use balancer::{Class, Costs, Discovery, Idempotency, Limits, Millis, Settings, WeightMeaning};
 use proxy_core::account::Account;
 use proxy_core::service::{Host, Process, Terms};
 use settings::{Connections, Names};
@@ -42,32 +42,32 @@
 
 fn terms() -> Terms {
     let class = Class {
-        aim: 100.0,
+        latency_objective: 100.0,
         deadline: 1000.0,
-        aim_stretch: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        objective_work_multiple: 0.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
     let settings = Settings {
-        me: 0,
-        proxies: 1,
+        proxy_index: 0,
+        proxy_count: 1,
         zone: None,
         classes: vec![class],
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        worth_by_work: false,
+        over_quota_weight_fraction: 1.0,
+        weight_by_work: false,
         discovery: Discovery::Pushed,
-        rating: Rating::Size,
-        warm_keys: false,
-        may_tell: false,
-        retry_after: None,
-        prices: Prices::default(),
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: false,
+        gossip_enabled: false,
+        max_retry_after: None,
+        costs: Costs::default(),
         limits: Limits {
-            start_capacity: 0.2,
-            cold: 10_000.0,
-            fall_multiple: 1.0,
-            fall: 1000.0,
+            initial_capacity_fraction: 0.2,
+            warm_up: 10_000.0,
+            overload_multiple: 1.0,
+            overload_window: 1000.0,
             max_attempts: 3,
         },
     };
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -247,7 +247,7 @@
 
 #[cfg(test)]
 mod tests {
-    use balancer::Effect;
+    use balancer::Idempotency;
     use serde_json::json;
 
     use super::*;
@@ -289,7 +289,10 @@
             (third.open.as_slice(), &third.known[..]),
             (&[true, true, false][..], &[true, false][..])
         );
-        assert_eq!(third.settings.classes[0].effect, Effect::Unsafe);
+        assert_eq!(
+            third.settings.classes[0].idempotency,
+            Idempotency::NonIdempotent
+        );
         assert_eq!(
             (
                 third.settings.limits.max_attempts,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,8 @@
 pub mod properties;
 
 use balancer::{
-    Class, Discovery, Effect, Group, Limits, Millis, Prices, Rating, Settings, Tenant, ZoneId,
+    Class, Costs, DeduplicationScope, Discovery, Idempotency, Limits, Millis, Settings, Tenant,
+    WeightMeaning, ZoneId,
 };
 use serde_json::Value;
 
@@ -76,28 +77,28 @@
 fn class(value: &Value) -> Class {
     let deadline = number(value, "deadline", 1000.0);
     Class {
-        aim: number(value, "promise", deadline).min(deadline),
+        latency_objective: number(value, "promise", deadline).min(deadline),
         deadline,
-        aim_stretch: number(value, "aimStretch", 0.0),
-        worth: number(value, "worth", 1.0),
-        late_worth: number(value, "lateShare", 0.0),
+        objective_work_multiple: number(value, "aimStretch", 0.0),
+        priority_weight: number(value, "worth", 1.0),
+        late_weight_fraction: number(value, "lateShare", 0.0),
         // What is not known to be repeatable must never run twice.
-        effect: match text(value, "effect") {
-            "idempotent" => Effect::Safe,
+        idempotency: match text(value, "effect") {
+            "idempotent" => Idempotency::Idempotent,
             "deduplicated" => match text(value, "dedupScope") {
-                "all" => keyed(value, Group::All),
-                "zone" => keyed(value, Group::Zone),
-                "cell" => keyed(value, Group::Cell),
-                _ => Effect::Unsafe,
+                "all" => keyed(value, DeduplicationScope::All),
+                "zone" => keyed(value, DeduplicationScope::Zone),
+                "cell" => keyed(value, DeduplicationScope::Cell),
+                _ => Idempotency::NonIdempotent,
             },
-            _ => Effect::Unsafe,
+            _ => Idempotency::NonIdempotent,
         },
     }
 }
 
-fn keyed(value: &Value, group: Group) -> Effect {
-    Effect::Keyed {
-        group,
+fn keyed(value: &Value, group: DeduplicationScope) -> Idempotency {
+    Idempotency::IdempotencyKey {
+        scope: group,
         window: number(value, "window", 0.0),
     }
 }
@@ -130,39 +131,39 @@
         .as_str()
         .map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
     let settings = Settings {
-        me: number(all, "myNumber", 0.0) as u32,
-        proxies: number(all, "nInstances", 1.0).clamp(1.0, 65_536.0) as u32,
+        proxy_index: number(all, "myNumber", 0.0) as u32,
+        proxy_count: number(all, "nInstances", 1.0).clamp(1.0, 65_536.0) as u32,
         zone,
         classes: list(all, "classes").iter().map(class).collect(),
         tenants: list(all, "accounts")
             .iter()
             .map(|t| Tenant {
-                allowance_per_s: number(t, "allowancePerS", f64::MAX),
+                quota_per_second: number(t, "allowancePerS", f64::MAX),
             })
             .collect(),
-        over_share_worth: number(all, "overShareWorth", 1.0),
-        worth_by_work: text(all, "worthBy") == "work",
+        over_quota_weight_fraction: number(all, "overShareWorth", 1.0),
+        weight_by_work: text(all, "worthBy") == "work",
         discovery: match text(all, "discovery") {
             "on_request" => Discovery::OnRequest,
             _ => Discovery::Pushed,
         },
-        rating: match text(all, "weightSource") {
-            "nominal" | "rough" => Rating::Size,
-            "live" => Rating::Live,
-            _ => Rating::Silent,
+        weight_meaning: match text(all, "weightSource") {
+            "nominal" | "rough" => WeightMeaning::Capacity,
+            "live" => WeightMeaning::AvailableCapacity,
+            _ => WeightMeaning::Unspecified,
         },
-        warm_keys: flag(&all["extra"], "warmKeys", false),
-        may_tell: flag(ceilings, "mayTell", false),
-        retry_after: flag(ceilings, "retryAfter", false)
+        key_affinity: flag(&all["extra"], "warmKeys", false),
+        gossip_enabled: flag(ceilings, "mayTell", false),
+        max_retry_after: flag(ceilings, "retryAfter", false)
             .then(|| number(ceilings, "maxRetryAfter", 1000.0)),
-        prices: Prices {
+        costs: Costs {
             cross_zone: number(prices, "crossZone", 0.0),
         },
         limits: Limits {
-            start_capacity: number(rules, "startCapacity", 0.0),
-            cold: number(rules, "cold", 30_000.0),
-            fall_multiple: number(rules, "fallMultiple", 1.0),
-            fall: number(rules, "fall", 1000.0),
+            initial_capacity_fraction: number(rules, "startCapacity", 0.0),
+            warm_up: number(rules, "cold", 30_000.0),
+            overload_multiple: number(rules, "fallMultiple", 1.0),
+            overload_window: number(rules, "fall", 1000.0),
             max_attempts: number(ceilings, "maxAttempts", 1.0).max(1.0) as u32,
         },
     };
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write as _;
 
 use balancer::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Load, Outcome,
-    RequestId, Scope, State, TenantId, ZoneId,
+    Action, Balancer, CellId, ClassId, Endpoint, EndpointId, EndpointState, Event, Key, LoadReport,
+    MachineTypeId, Outcome, RequestId, TenantId, UpdateScope, ZoneId,
 };
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -118,12 +118,12 @@
 fn outcome(reason: &str) -> Outcome {
     match reason {
         "completed" => Outcome::Served,
-        "saturated" => Outcome::Full,
+        "saturated" => Outcome::Overloaded,
         "overdue" => Outcome::TimedOut,
         "refused_conn" => Outcome::ConnectFailed,
         "severed" => Outcome::Reset,
         "recalled" => Outcome::Cancelled,
-        "superseded" => Outcome::Moot,
+        "superseded" => Outcome::NotSent,
         _ => Outcome::Error, // an error, or unknown: it may have run
     }
 }
@@ -146,7 +146,7 @@
         })
     }
 
-    fn backend(&mut self, (line, text): &(usize, String)) -> Result<Backend, String> {
+    fn backend(&mut self, (line, text): &(usize, String)) -> Result<Endpoint, String> {
         let at = |e: String| format!("line {line}: {e}");
         let fields = Fields::new(text).map_err(at)?;
         let name = fields.text("backend").map_err(at)?;
@@ -157,19 +157,19 @@
             .map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32));
         let kind = fields
             .get("shape")
-            .map(|k| KindId(index_of(&mut self.names.kinds, k) as u32));
-        Ok(Backend {
-            id: BackendId(id),
+            .map(|k| MachineTypeId(index_of(&mut self.names.kinds, k) as u32));
+        Ok(Endpoint {
+            id: EndpointId(id),
             zone,
-            kind,
+            machine_type: kind,
             cell: fields.optional_whole("cell").map_err(at)?.map(CellId),
             state: match fields.get("state") {
-                Some("up") | None => State::Up,
-                Some("removed") => State::Gone,
-                Some(_) => State::Draining, // draining, or unknown: nothing new goes there
+                Some("up") | None => EndpointState::Up,
+                Some("removed") => EndpointState::Removed,
+                Some(_) => EndpointState::Draining, // draining, or unknown: nothing new goes there
             },
-            rating: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
-            since: fields
+            weight: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
+            started_at: fields
                 .optional_number("since")
                 .map_err(at)?
                 .filter(|s| *s > 0.0),
@@ -188,7 +188,7 @@
         let Some(request) = self.request(fields)? else {
             return Ok(None);
         };
-        let mut load = Load::default();
+        let mut load = LoadReport::default();
         for pair in told.split(',').filter(|p| !p.is_empty()) {
             let (name, value) = pair
                 .split_once(':')
@@ -198,12 +198,12 @@
                 _ => Err(format!("'feedback': '{pair}' is no number")),
             };
             match name {
-                "busy_reqs" => load.in_hand = count()?,
-                "pending" => load.waiting = count()?,
+                "busy_reqs" => load.in_flight = count()?,
+                "pending" => load.queued = count()?,
                 _ => {}
             }
         }
-        Ok(Some(Event::Load {
+        Ok(Some(Event::LoadReport {
             request,
             attempt: fields.whole("sendNo")? as u32,
             load,
@@ -218,15 +218,15 @@
         items: &[(usize, String)],
     ) -> Result<Option<Event>, String> {
         Ok(Some(match name {
-            "TOPOLOGY" => Event::List {
+            "TOPOLOGY" => Event::EndpointUpdate {
                 scope: match fields.text("scope")? {
-                    "delta" => Scope::Delta,
-                    "full" => Scope::Full,
-                    "cached" => Scope::Cached,
-                    "failed" => Scope::Failed,
+                    "delta" => UpdateScope::Delta,
+                    "full" => UpdateScope::Full,
+                    "cached" => UpdateScope::Cached,
+                    "failed" => UpdateScope::Failed,
                     _ => return Ok(None),
                 },
-                entries: items
+                endpoints: items
                     .iter()
                     .map(|item| self.backend(item))
                     .collect::<Result<_, _>>()?,
@@ -248,9 +248,9 @@
                     class: ClassId(class),
                     tenant: tenant.map(TenantId),
                     key: fields.optional_whole("nameKey")?.map(Key),
-                    budget: fields.number("timeBudget")?,
-                    hint: fields.optional_number("predicted")?,
-                    whole: true,
+                    timeout: fields.number("timeBudget")?,
+                    expected_work: fields.optional_number("predicted")?,
+                    body_complete: true,
                 };
                 self.ids.insert(name.to_owned(), self.last);
                 self.requests.insert(
@@ -268,10 +268,10 @@
                 let Some(request) = self.request(fields)? else {
                     return Ok(None);
                 };
-                Event::Started {
+                Event::ResponseStarted {
                     request,
                     attempt: fields.whole("sendNo")? as u32,
-                    worked: false,
+                    processing_done: false,
                 }
             }
             "OUTCOME" => {
@@ -283,12 +283,12 @@
                     known.out = known.out.saturating_sub(1);
                     known.done |= closed;
                 }
-                Event::Ended {
+                Event::AttemptEnded {
                     request,
                     attempt: fields.whole("sendNo")? as u32,
                     latency: fields.optional_number("latency")?.unwrap_or(0.0),
                     outcome: outcome(fields.text("reason")?),
-                    closed,
+                    request_finished: closed,
                 }
             }
             "HANGUP" => {
@@ -298,7 +298,7 @@
                 if let Some(known) = self.requests.get_mut(&request.0) {
                     known.done = true;
                 }
-                Event::Abandoned(request)
+                Event::ClientGone(request)
             }
             "DEADLINE_HIT" => Event::Timer(fields.whole("keyBack")?),
             "NOTE_FROM" => {
@@ -308,7 +308,7 @@
                 } else {
                     BASE64.decode(text).map_err(|e| format!("'msg': {e}"))?
                 };
-                Event::Message {
+                Event::Gossip {
                     from: fields.whole("who")? as u32,
                     bytes,
                 }
@@ -320,7 +320,7 @@
     /// Hands an event to the Balancer and writes its actions.
     pub fn handle(&mut self, now: f64, event: Event, i: u64, reply: &mut String) {
         let touched = match &event {
-            Event::Ended { request, .. } | Event::Abandoned(request) => Some(*request),
+            Event::AttemptEnded { request, .. } | Event::ClientGone(request) => Some(*request),
             _ => None,
         };
         let mut actions = std::mem::take(&mut self.actions);
@@ -337,9 +337,9 @@
     fn write(&mut self, action: Action, i: u64, reply: &mut String) {
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send {
+            Action::Forward {
                 request,
-                backend,
+                endpoint: backend,
                 timeout,
                 ..
             } => {
@@ -358,7 +358,7 @@
                     None => writeln!(reply),
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -395,7 +395,7 @@
                 writeln!(reply, "SAY\ti={i}\trecipient=-1\tmsg={text}")
             }
             Action::Subscribe => writeln!(reply, "SUBSCRIBE\ti={i}\tactive=1"),
-            Action::FetchList => writeln!(reply, "RELOAD\ti={i}"),
+            Action::FetchEndpoints => writeln!(reply, "RELOAD\ti={i}"),
         };
     }
 
