--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -113,6 +113,17 @@
     arrival_ms: f64,
     span_ms: f64,
     seeds: std::ops::Range<u64>,
+    faults: Faults,
+}
+
+/// Faults that a world has besides a few outliers.
+#[derive(Clone, Copy, PartialEq)]
+enum Faults {
+    None,
+    /// For some seconds most answers get lost, whatever endpoint they come from.
+    LostAnswers,
+    /// For some seconds nearly all endpoints fail.
+    NearlyAllFail,
 }
 
 fn class(effect: Effect, aim: Millis) -> Class {
@@ -168,6 +179,7 @@
         arrival_ms: 1.6,
         span_ms: 8_000.0,
         seeds: 0..12,
+        faults: Faults::None,
     };
     let mut told = base(9);
     told.may_tell = true;
@@ -245,8 +257,27 @@
         arrival_ms: 0.3,
         span_ms: 4_000.0,
         seeds: 0..1,
+        faults: Faults::None,
+    };
+    let lost = Scenario {
+        name: "lost-answers",
+        settings: base(4),
+        proxies: 4,
+        servers: 12,
+        arrival_ms: 2.0,
+        faults: Faults::LostAnswers,
+        ..own_like()
     };
-    vec![own, gossip, pooled, tenants, keys, thousand]
+    let failing = Scenario {
+        name: "nearly-all-fail",
+        settings: base(4),
+        proxies: 4,
+        servers: 12,
+        arrival_ms: 2.0,
+        faults: Faults::NearlyAllFail,
+        ..own_like()
+    };
+    vec![own, gossip, pooled, tenants, keys, thousand, lost, failing]
 }
 
 /// Span and seeds that most scenarios share.
@@ -259,6 +290,7 @@
         arrival_ms: 1.0,
         span_ms: 6_000.0,
         seeds: 0..12,
+        faults: Faults::None,
     }
 }
 
@@ -291,6 +323,7 @@
     next_server: u64,
     hash: Fnv,
     sent: u64,
+    faults: Faults,
 }
 
 impl World {
@@ -321,6 +354,7 @@
             next_server: 1000,
             hash: Fnv(0xcbf2_9ce4_8422_2325),
             sent: 0,
+            faults: scenario.faults,
             settings,
         }
     }
@@ -406,6 +440,17 @@
             c if c < 0.11 => Outcome::TimedOut,
             _ => Outcome::Served,
         };
+        let phase = self.now > 2_500.0 && self.now < 5_500.0;
+        let faulty = match self.faults {
+            Faults::None => false,
+            Faults::LostAnswers => phase && self.rng.f64() < 0.7,
+            Faults::NearlyAllFail => phase && to.0 % 12 != 5,
+        };
+        if faulty && self.faults == Faults::LostAnswers {
+            outcome = Outcome::TimedOut;
+        } else if faulty {
+            outcome = Outcome::Error;
+        }
         latency *= match outcome {
             Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => 0.05,
             Outcome::TimedOut => 1000.0,
