--- /dev/null
+++ b/crates/balancer/src/admission.rs
@@ -0,0 +1,130 @@
+//! Admission: accepts, queues or rejects requests on arrival, and sheds queued requests that can't be of use any more.
+
+use crate::action::Action;
+use crate::queue::Position;
+use crate::request::{Body, Request, Stage};
+use crate::state::State;
+use crate::timing::DEADLINE_MARGIN;
+use crate::types::{ClassId, Idempotency, Key, Millis, RequestId, TenantId};
+
+/// Fraction of the latency objective that an idempotent request may expect to be queued where proxies share slots:
+/// behind a longer queue it would only be rejected later.
+const MAX_QUEUED_OBJECTIVE_FRACTION: f64 = 0.5;
+/// Fraction of its expected latency before the end of its usefulness at which a queued request is shed.
+const SHED_LATENCY_FRACTION: f64 = 0.5;
+
+/// Request that has arrived.
+pub(crate) struct Arrival {
+    /// Identifies the request.
+    pub id: RequestId,
+    /// Class of the request.
+    pub class: ClassId,
+    /// Tenant of the request, if any.
+    pub tenant: Option<TenantId>,
+    /// Affinity key, if any.
+    pub key: Option<Key>,
+    /// Time for which the client waits.
+    pub timeout: Millis,
+    /// Expected work on a standard core, if known.
+    pub expected_work: Option<Millis>,
+    /// The whole body has arrived.
+    pub body_complete: bool,
+}
+
+/// Work and latency objective of a request.
+struct Demand {
+    /// Expected work relative to the mean of the class.
+    relative_work: f64,
+    latency_objective: Millis,
+}
+
+impl State {
+    /// Takes in a request: queues it, or answers it at once if it has no chance.
+    pub fn admit(&mut self, arrival: &Arrival, now: Millis, out: &mut Vec<Action>) {
+        self.arrivals.count();
+        self.retries.add_arrival();
+        self.gossip.add_arrival(self.settings.proxy_count);
+        let request = self.new_request(arrival, now);
+        let idempotent = request.idempotency == Idempotency::Idempotent;
+        if idempotent {
+            self.last_idempotent_at = now;
+        }
+        self.requests.insert(arrival.id, request);
+        let too_late = arrival.timeout < DEADLINE_MARGIN;
+        if too_late || idempotent && self.is_queue_too_long(arrival.class) {
+            self.answer(arrival.id, out);
+        } else {
+            self.enqueue(arrival.id, Position::Back);
+        }
+    }
+
+    fn new_request(&mut self, arrival: &Arrival, now: Millis) -> Request {
+        let within_quota = arrival
+            .tenant
+            .is_none_or(|tenant| self.quotas.try_take(tenant.0));
+        let affinity_key = arrival.key.filter(|_| self.settings.key_affinity);
+        let home = affinity_key.and_then(|key| self.home_of(key, now));
+        let demand = self.demand(arrival);
+        Request {
+            class: arrival.class.0,
+            idempotency: self.settings.classes[arrival.class.0].idempotency,
+            max_attempts: self.settings.limits.max_attempts as usize,
+            relative_work: demand.relative_work,
+            over_quota: !within_quota,
+            objective_at: now + demand.latency_objective.min(arrival.timeout),
+            deadline: now + arrival.timeout,
+            key: arrival.key.map_or(0, |key| key.0),
+            home,
+            body: Body {
+                complete: arrival.body_complete,
+                replayable: true,
+            },
+            attempts: Vec::new(),
+            stage: Stage::default(),
+        }
+    }
+
+    fn demand(&mut self, arrival: &Arrival) -> Demand {
+        let class = &self.settings.classes[arrival.class.0];
+        let is_valid = |work: &Millis| work.is_finite() && *work > 0.0;
+        let Some(work) = arrival.expected_work.filter(is_valid) else {
+            return Demand {
+                relative_work: 1.0,
+                latency_objective: class.latency_objective,
+            };
+        };
+        let extended = class.latency_objective + class.objective_work_multiple * work;
+        Demand {
+            relative_work: self.latency.relative_work(arrival.class.0, work),
+            latency_objective: extended.min(class.deadline),
+        }
+    }
+
+    /// Returns true if proxies share all slots and the queue takes too long for a request of a class.
+    fn is_queue_too_long(&self, class: ClassId) -> bool {
+        let delay =
+            self.queue.len() as f64 * self.latency.mean_endpoint() / self.concurrency.window();
+        let objective = self.settings.classes[class.0].latency_objective;
+        self.is_pooled() && delay > MAX_QUEUED_OBJECTIVE_FRACTION * objective
+    }
+
+    /// Answers queued requests that can't be of use any more.
+    pub fn shed_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
+        for lane in 0..self.queue.lanes() {
+            let is_useless = |id: &RequestId| {
+                let request = self.requests.get(id);
+                request
+                    .is_some_and(|request| request.stage.queued && self.is_too_late(request, now))
+            };
+            let useless: Vec<RequestId> = self.queue.entries(lane).filter(is_useless).collect();
+            for id in useless {
+                self.answer(id, out);
+            }
+        }
+    }
+
+    fn is_too_late(&self, request: &Request, now: Millis) -> bool {
+        let lead = DEADLINE_MARGIN.max(SHED_LATENCY_FRACTION * self.expected_latency(request));
+        now + lead > self.useful_until(request)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer.rs
@@ -0,0 +1,164 @@
+//! Entry point of the decision module: hands each event to the rule that handles it.
+
+use crate::action::Action;
+use crate::admission::Arrival;
+use crate::attempts::{AttemptEnd, AttemptId};
+use crate::event::Event;
+use crate::health_snapshot::HealthSnapshot;
+use crate::maintenance::TICK_TOKEN;
+use crate::settings::Settings;
+use crate::state::State;
+use crate::types::{EndpointState, Millis, RequestId};
+
+/// Decisions of one proxy.
+pub struct Balancer {
+    state: State,
+}
+
+/// Numbers of endpoints.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Endpoints in the list, draining ones included.
+    pub listed: usize,
+    /// Endpoints that accept requests according to the list and are ejected by this proxy.
+    pub ejected: usize,
+}
+
+impl Balancer {
+    /// Creates the module of a proxy that knows no endpoints; `seed` is the only source of chance.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Balancer {
+            state: State::new(settings, seed),
+        }
+    }
+
+    /// Handles one event and appends the actions to carry out, in order. `now` never runs backwards.
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+        self.state.start(now, out);
+        if self.dispatch(now, event, out) == QueueCheck::Needed {
+            self.state.forward_queued(now, out);
+        }
+    }
+
+    fn dispatch(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) -> QueueCheck {
+        let state = &mut self.state;
+        match event {
+            Event::EndpointUpdate { scope, endpoints } => {
+                state.update_endpoints(scope, endpoints, now);
+            }
+            Event::Request {
+                id,
+                class,
+                tenant,
+                key,
+                timeout,
+                expected_work,
+                body_complete,
+            } => {
+                let arrival = Arrival {
+                    id,
+                    class,
+                    tenant,
+                    key,
+                    timeout,
+                    expected_work,
+                    body_complete,
+                };
+                state.admit(&arrival, now, out);
+            }
+            Event::BodyComplete { id, timeout } => state.complete_body(id, timeout, now),
+            Event::BodyDiscarded(id) => state.discard_body(id),
+            Event::ClientGone(id) => state.finish(id),
+            Event::Timer(TICK_TOKEN) => state.tick(now, out),
+            Event::Timer(token) => state.answer(RequestId(token - 1), out),
+            Event::QuotaRejected { id, retry_after } => {
+                state.reject_by_quota(id, retry_after, out);
+                return QueueCheck::Unneeded;
+            }
+            Event::Gossip { from, bytes } => {
+                state.receive_gossip(from as usize, &bytes, now);
+                return QueueCheck::Unneeded;
+            }
+            Event::Settings(settings) => state.update_settings(*settings, now),
+            Event::ProxyCount {
+                proxy_index,
+                proxy_count,
+            } => state.update_proxy_count(proxy_index, proxy_count, now),
+            Event::HealthRestored(snapshot) => state.restore_health(&snapshot, now),
+            Event::LoadReport { .. }
+            | Event::ResponseStarted { .. }
+            | Event::AttemptEnded { .. } => return self.dispatch_attempt(now, event, out),
+        }
+        QueueCheck::Needed
+    }
+
+    fn dispatch_attempt(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) -> QueueCheck {
+        let id = |request, attempt: u32| AttemptId {
+            request,
+            attempt: attempt as usize,
+        };
+        match event {
+            Event::LoadReport {
+                request,
+                attempt,
+                load,
+            } => {
+                self.state.record_load(id(request, attempt), load);
+                return QueueCheck::Unneeded;
+            }
+            Event::ResponseStarted {
+                request,
+                attempt,
+                processing_done,
+            } => {
+                let attempt = id(request, attempt);
+                self.state
+                    .start_response(attempt, processing_done, now, out);
+            }
+            Event::AttemptEnded {
+                request,
+                attempt,
+                latency,
+                outcome,
+                request_finished,
+            } => {
+                let end = AttemptEnd {
+                    latency,
+                    outcome,
+                    request_finished,
+                };
+                self.state.end_attempt(id(request, attempt), &end, now, out);
+            }
+            _ => {}
+        }
+        QueueCheck::Needed
+    }
+
+    /// Counts listed and ejected endpoints.
+    pub fn endpoint_counts(&self, now: Millis) -> EndpointCounts {
+        let listed = self
+            .state
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.entry.state != EndpointState::Removed);
+        let ejected = listed
+            .clone()
+            .filter(|endpoint| endpoint.is_listed() && endpoint.health.overall().is_ejected(now));
+        EndpointCounts {
+            ejected: ejected.count(),
+            listed: listed.count(),
+        }
+    }
+
+    /// Takes a snapshot of what outlives this instance: ejections and slow start budgets.
+    pub fn health_snapshot(&self, now: Millis) -> HealthSnapshot {
+        self.state.health_snapshot(now)
+    }
+}
+
+/// Need to check queued requests after an event.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum QueueCheck {
+    Needed,
+    Unneeded,
+}
--- /dev/null
+++ b/crates/balancer/src/forwarding.rs
@@ -0,0 +1,169 @@
+//! Forwarding: takes requests from the queue by priority and starts their attempts.
+
+use crate::action::Action;
+use crate::latency_estimator::SILENCE_MULTIPLE;
+use crate::queue::priority;
+use crate::request::{Attempt, AttemptState, Request};
+use crate::retry::deduplication;
+use crate::state::State;
+use crate::timing::{DEADLINE_MARGIN, TICK};
+use crate::types::{Idempotency, LoadReport, Millis, RequestId};
+
+/// Queued requests that are tried in vain before forwarding stops for this event.
+const MAX_VAIN_SELECTIONS: usize = 6;
+/// Multiple of the expected latency that must be left for a retry when an attempt times out early.
+const RETRY_LATENCY_FACTOR: f64 = 2.0;
+/// Place in a lane whose remaining requests are not tried.
+const SKIP_LANE: usize = usize::MAX;
+
+/// Queued request with the highest priority.
+struct Next {
+    id: RequestId,
+    lane: usize,
+    priority: f64,
+}
+
+impl State {
+    /// Forwards queued requests as long as their selection lets them go, by priority.
+    pub fn forward_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let mut places = vec![0usize; self.queue.lanes()];
+        let mut vain_selections = 0;
+        while self.queue.len() > 0 && vain_selections < MAX_VAIN_SELECTIONS {
+            let window_full = self.is_window_full();
+            if window_full && self.open_while_warming == 0 {
+                return;
+            }
+            let Some(next) = self.next_queued(&places, now) else {
+                return;
+            };
+            let place = &mut places[next.lane];
+            if let Some(endpoint) = self.select_endpoint(next.id, now, window_full) {
+                self.queue.remove_entry(next.lane, *place);
+                self.forward(next.id, endpoint, now, out);
+                continue;
+            }
+            vain_selections += 1;
+            // Only with a home or after an attempt do requests of a lane differ in where they may go.
+            let request = &self.requests[&next.id];
+            let differs = request.home.is_some() || !request.attempts.is_empty();
+            *place = if differs { *place + 1 } else { SKIP_LANE };
+        }
+    }
+
+    /// Returns the request with the highest priority among those at the given places of the lanes.
+    fn next_queued(&mut self, places: &[usize], now: Millis) -> Option<Next> {
+        let mut best: Option<Next> = None;
+        for (lane, &place) in places.iter().enumerate() {
+            let Some(id) = self.queue.request_at(lane, place, &self.requests) else {
+                continue;
+            };
+            let priority = self.priority_of(&self.requests[&id], now);
+            if best.as_ref().is_none_or(|best| priority > best.priority) {
+                best = Some(Next { id, lane, priority });
+            }
+        }
+        best
+    }
+
+    fn priority_of(&self, request: &Request, now: Millis) -> f64 {
+        let class_latency = self.latency.of_class(request.class);
+        priority(request, class_latency, now, &self.settings)
+    }
+
+    /// Gives the free slots of an endpoint to requests that wait for it as their home, by priority.
+    pub fn forward_affinity_queue(&mut self, endpoint: usize, now: Millis, out: &mut Vec<Action>) {
+        loop {
+            let record = &self.endpoints[endpoint];
+            let free = record.affinity_queue.queued > 0 && record.has_free_slot;
+            if !free || self.is_window_full() {
+                return;
+            }
+            let Some(id) = self.next_in_affinity_queue(endpoint, now) else {
+                return;
+            };
+            self.forward(id, endpoint, now, out);
+        }
+    }
+
+    fn next_in_affinity_queue(&mut self, endpoint: usize, now: Millis) -> Option<RequestId> {
+        let requests = &self.requests;
+        let is_queued =
+            |id: &RequestId| requests.get(id).is_some_and(|request| request.stage.queued);
+        let queue = &mut self.endpoints[endpoint].affinity_queue.requests;
+        queue.retain(is_queued);
+        let suits =
+            |request: &Request| !request.may_have_run() && self.suits(endpoint, request, now);
+        let priority = |id: &RequestId| self.priority_of(&self.requests[id], now);
+        self.endpoints[endpoint]
+            .affinity_queue
+            .requests
+            .iter()
+            .filter(|id| suits(&self.requests[id]))
+            .max_by(|a, b| priority(a).total_cmp(&priority(b)))
+            .copied()
+    }
+
+    /// Starts an attempt.
+    fn forward(&mut self, id: RequestId, index: usize, now: Millis, out: &mut Vec<Action>) {
+        self.dequeue(id);
+        let start_by = deduplication(&self.requests[&id]).map(|bounds| bounds.until);
+        self.add_attempt(id, index, now);
+        if self.endpoints[index].slow_start.is_warming() {
+            let cost = self.slow_start_cost(index, &self.requests[&id]);
+            let slow_start = &mut self.endpoints[index].slow_start;
+            slow_start.spend(cost, &mut self.rng);
+        }
+        let timeout = self.attempt_timeout(id, index, now);
+        out.push(Action::Forward {
+            request: id,
+            endpoint: self.endpoints[index].entry.id,
+            timeout,
+            start_by,
+        });
+        self.update_availability(index, now);
+    }
+
+    fn add_attempt(&mut self, id: RequestId, index: usize, now: Millis) {
+        let endpoint = &mut self.endpoints[index];
+        // Without recent reports of other proxies nothing is known of its idleness.
+        let idleness_known =
+            self.settings.gossip_enabled && self.gossip.shows_idleness(self.latency.mean());
+        let to_warming_endpoint = endpoint.slow_start.is_warming();
+        let attempt = Attempt {
+            endpoint: index,
+            sent_at: now,
+            state: AttemptState::InFlight,
+            to_warming_endpoint,
+            found_idle: idleness_known && endpoint.in_flight.total() == 0,
+            load: LoadReport::default(),
+            may_have_run: true,
+        };
+        if endpoint.in_flight.own == 0 {
+            endpoint.health.end_idleness(now);
+        }
+        endpoint.in_flight.own += 1;
+        let request = self.requests.get_mut(&id);
+        request
+            .expect("only known requests are forwarded")
+            .attempts
+            .push(attempt);
+        self.in_flight.add(id, to_warming_endpoint);
+    }
+
+    /// Returns the time after which an attempt is given up for a retry: only where responses get lost, and a retry
+    /// is allowed and can still meet the latency objective.
+    fn attempt_timeout(&mut self, id: RequestId, index: usize, now: Millis) -> Option<Millis> {
+        let request = &self.requests[&id];
+        let expected = self.expected_latency(request);
+        let relative_latency = self.endpoints[index].relative_latency.mean;
+        let silence = SILENCE_MULTIPLE * expected * relative_latency
+            / self.capacity_fraction(index, now)
+            + TICK;
+        let repeatable = request.idempotency == Idempotency::Idempotent && request.body.complete;
+        let retry_left = request.attempts.len() < request.max_attempts;
+        let end = request.objective_at.min(request.deadline - DEADLINE_MARGIN);
+        let in_time = now + silence + RETRY_LATENCY_FACTOR * expected < end;
+        let give_up_early = self.lost_responses.give_up_early(&mut self.rng);
+        (repeatable && retry_left && in_time && give_up_early).then_some(silence)
+    }
+}
--- a/crates/balancer/src/hash.rs
+++ b/crates/balancer/src/hash.rs
@@ -1,13 +1,14 @@
-//! Numbers that depend on their arguments alone: the same at every proxy.
+//! Hashes that are equal on all proxies, as they depend on their arguments only.
 
-/// Spreads the bits of a number.
-pub(crate) fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+/// Spreads the bits of a number (the finalizer of splitmix64).
+pub(crate) fn mix(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
 
-/// A number in [0, 1) that depends on both arguments alone: the same at every proxy.
-pub(crate) fn draw(a: u64, b: u64) -> f64 {
-    (mix(a ^ mix(b.wrapping_add(0x9e37_79b9_7f4a_7c15))) >> 11) as f64 / (1u64 << 53) as f64
+/// Maps two numbers to a uniformly distributed one in [0, 1).
+pub(crate) fn unit_hash(first: u64, second: u64) -> f64 {
+    let bits = mix(first ^ mix(second.wrapping_add(0x9e37_79b9_7f4a_7c15)));
+    (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,31 +1,89 @@
-//! balancer decides, for one reverse proxy, which HTTP server gets which request and when.
+//! Decision module of a reverse proxy: decides which endpoint gets which request, and when.
 //!
-//! It does no input or output of its own: feed a [`Balancer`] through [`Balancer::handle`] with the [`Event`]s
-//! that the proxy sees, and carry out the [`Action`]s that it returns. It holds no clock either: the time comes
-//! with each event, and chance from one seed.
+//! It has no sockets and no clock: feed a [`Balancer`] through [`Balancer::handle`] with the [`Event`]s that the
+//! proxy sees, each with its time, and carry out the [`Action`]s that it returns. All chance comes from one seed.
 //!
-//! `choice.rs` holds every decision. Below it stand what it knows (`records.rs`, `state.rs`, `standing.rs`) and plumbing that
-//! decides nothing (`bands.rs`, `message.rs`, `hash.rs`), over `interface.rs`: events, actions and settings.
+//! Interface: `types`, `settings`, `health_snapshot`, `event`, `action`. Each rule is a module with its constants;
+//! `deploy/balancer.toml` names them all under `policy`. A module knows only those above it in this list:
+//!
+//! | module | rule |
+//! | --- | --- |
+//! | `timing` | periods and margins that several rules share |
+//! | `threshold` | forward to a slower endpoint now, or wait |
+//! | `speed_bands` | which endpoints count as equally fast |
+//! | `arrival_rate`, `tenant_quota` | arrivals, quotas |
+//! | `latency_estimator` | latencies per class, machine type and endpoint |
+//! | `outlier_detection` | ejection, backoff, probation, panic threshold |
+//! | `slow_start` | requests to an endpoint that is warming up |
+//! | `concurrency_limit` | slots per endpoint, window of requests in flight |
+//! | `retry` | repeats, retry budget, lost responses |
+//! | `queue` | priority of queued requests |
+//! | `gossip` | validity and frequency of reports between proxies |
+//! | `availability` | cost of an endpoint, and whether it is open |
+//! | `endpoint_selection` | endpoint for a request |
+//! | `forwarding` | order of queued requests, attempt timeouts |
+//! | `final_answer` | rejection or failure, Retry-After |
+//! | `attempts` | consequences of an attempt's progress and end |
+//! | `stall_detection` | silent attempts, hanging endpoints |
+//! | `admission` | acceptance on arrival, load shedding |
+//! | `endpoint_list` | additions, drains, removals, subscription |
+//! | `peer_reports` | exchange of reports with other proxies |
+//! | `reconfiguration` | new settings, number of proxies |
+//! | `maintenance` | ticks and reviews |
+//! | `balancer` | dispatch of events |
+
+#![deny(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::type_complexity,
+    clippy::struct_excessive_bools
+)]
 
 mod action;
-mod bands;
-mod choice;
+mod admission;
+mod arrival_rate;
+mod attempts;
+mod availability;
+mod balancer;
+mod concurrency_limit;
+mod endpoint;
+mod endpoint_list;
+mod endpoint_selection;
 mod event;
+mod ewma;
+mod final_answer;
+mod forwarding;
+mod gossip;
+mod gossip_message;
 mod hash;
 mod health_snapshot;
-mod message;
-mod records;
+mod in_flight;
+mod latency_estimator;
+mod maintenance;
+mod outlier_detection;
+mod peer_reports;
+mod queue;
+mod reconfiguration;
+mod request;
+mod retry;
 mod settings;
+mod slow_start;
 mod snapshot;
+mod speed_bands;
+mod stall_detection;
 mod state;
+mod tenant_quota;
+mod threshold;
+mod timing;
 mod types;
 
 pub use action::Action;
-pub use choice::threshold;
+pub use balancer::{Balancer, EndpointCounts};
 pub use event::Event;
 pub use health_snapshot::{Ejection, EndpointHealth, HealthSnapshot, SlowStartBudget};
 pub use settings::{Class, Costs, Discovery, Limits, Settings, Tenant, WeightMeaning};
-pub use state::Balancer;
+pub use threshold::threshold;
 pub use types::{
     CellId, ClassId, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency, Key,
     LoadReport, MachineTypeId, Millis, Outcome, RequestId, TenantId, UpdateScope, ZoneId,
--- /dev/null
+++ b/crates/balancer/src/peer_reports.rs
@@ -0,0 +1,44 @@
+//! Exchange of reports with other proxies: what follows from a report for endpoints' availability, and sending.
+
+use crate::action::Action;
+use crate::gossip_message;
+use crate::state::State;
+use crate::types::Millis;
+
+impl State {
+    /// Takes over a message of another proxy.
+    pub fn receive_gossip(&mut self, from: usize, bytes: &[u8], now: Millis) {
+        let Some(message) = self.gossip.decode(from, bytes) else {
+            return;
+        };
+        let changed = self.gossip.receive(from, message, &mut self.endpoints, now);
+        for index in changed {
+            self.update_availability(index, now);
+        }
+    }
+
+    /// Forgets reports that are too old.
+    pub fn forget_stale_peers(&mut self, now: Millis) {
+        for from in 0..self.gossip.proxies() {
+            if self.gossip.is_stale(from, now) {
+                self.forget_peer(from, now);
+            }
+        }
+    }
+
+    /// Forgets the report of another proxy.
+    pub fn forget_peer(&mut self, from: usize, now: Millis) {
+        for index in self.gossip.forget(from, &mut self.endpoints) {
+            self.update_availability(index, now);
+        }
+    }
+
+    /// Sends a message to the other proxies, if one is due.
+    pub fn send_gossip(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let enabled = self.settings.gossip_enabled && self.settings.proxy_count > 1;
+        if enabled && self.gossip.take_turn(self.in_flight.occupied(), now) {
+            let message = gossip_message::encode(self.settings.zone, &self.endpoints, now);
+            out.push(Action::Broadcast(message));
+        }
+    }
+}
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,91 +1,76 @@
-//! What outlasts a module that is put to rest: taken out of its records, and put into those of the next one. It decides nothing.
+//! Taking and restoring health snapshots. Decides nothing.
 
-use crate::action::*;
-use crate::event::*;
-use crate::health_snapshot::*;
-use crate::records::Health;
-use crate::settings::*;
-use crate::state::Balancer;
-use crate::types::*;
+use crate::endpoint::EndpointRecord;
+use crate::health_snapshot::{EndpointHealth, HealthSnapshot};
+use crate::state::State;
+use crate::types::{ClassId, EndpointState, Millis};
 
-/// A mean of failures below this says nothing: it is what two good answers leave of one failure.
-const SOME: f64 = 0.2;
-
-fn ejection(h: &Health, now: Millis) -> Option<Ejection> {
-    let something = h.closed > now || h.trial || h.fails > SOME;
-    something.then_some(Ejection {
-        failure_mean: h.fails,
-        ejected_until: h.closed,
-        backoff: h.backoff,
-        on_probation: h.trial,
-    })
-}
-
-fn put(h: &mut Health, e: &Ejection) {
-    (h.fails, h.closed, h.backoff, h.trial) =
-        (e.failure_mean, e.ejected_until, e.backoff, e.on_probation);
-}
-
-impl Balancer {
-    /// What is held against servers now, and what cold ones may still be sent.
-    pub fn standing(&self, now: Millis) -> HealthSnapshot {
-        let listed = self
-            .servers
+impl State {
+    /// Takes a snapshot of ejections and slow start budgets.
+    pub fn health_snapshot(&self, now: Millis) -> HealthSnapshot {
+        let endpoints = self
+            .endpoints
             .iter()
-            .filter(|s| s.info.state != EndpointState::Removed);
-        let server = |s: &crate::records::Server| {
-            let of_class = |(c, h)| Some((ClassId(c), ejection(h, now)?));
-            let classes: Vec<_> = s.by_class.iter().enumerate().filter_map(of_class).collect();
-            let whole = ejection(&s.health, now);
-            let age = s.info.started_at.map(|since| now - since);
-            let cold = age.filter(|age| s.fresh && *age < self.cfg.limits.warm_up);
-            let cold = cold.map(|_| SlowStartBudget {
-                tokens: s.tokens,
-                updated_at: s.tokens_at,
-                max_cost: s.grant,
-            });
-            let some = whole.is_some() || !classes.is_empty() || cold.is_some();
-            some.then_some(EndpointHealth {
-                id: s.info.id,
-                started_at: s.info.started_at,
-                overall: whole,
-                by_class: classes,
-                slow_start: cold,
-            })
-        };
+            .filter(|endpoint| endpoint.entry.state != EndpointState::Removed)
+            .filter_map(|endpoint| self.endpoint_health(endpoint, now))
+            .collect();
         HealthSnapshot {
-            proxy_count: self.cfg.proxy_count,
-            endpoints: listed.filter_map(server).collect(),
+            proxy_count: self.settings.proxy_count,
+            endpoints,
         }
     }
 
-    /// Takes over what another module knew of servers that this one has just been told of; returns these.
-    pub(crate) fn resume(&mut self, standing: &HealthSnapshot) -> Vec<usize> {
-        // A cold server's budget is divided: where there are more proxies by now, each has less of it.
-        let part = f64::from(standing.proxy_count.max(1)) / f64::from(self.cfg.proxy_count.max(1));
-        let mut told = Vec::new();
-        for known in &standing.endpoints {
-            let Some(&k) = self.index.get(&known.id) else {
+    fn endpoint_health(&self, endpoint: &EndpointRecord, now: Millis) -> Option<EndpointHealth> {
+        let started_at = endpoint.entry.started_at;
+        let health = EndpointHealth {
+            id: endpoint.entry.id,
+            started_at,
+            overall: endpoint.health.overall_snapshot(now),
+            by_class: endpoint
+                .health
+                .class_snapshots(now)
+                .map(|(class, ejection)| (ClassId(class), ejection))
+                .collect(),
+            slow_start: endpoint
+                .slow_start
+                .snapshot(started_at, &self.settings.limits, now),
+        };
+        let notable =
+            health.overall.is_some() || !health.by_class.is_empty() || health.slow_start.is_some();
+        notable.then_some(health)
+    }
+
+    /// Restores a snapshot for endpoints that are known by now. Health of a former process of an endpoint is void.
+    pub fn restore_health(&mut self, snapshot: &HealthSnapshot, now: Millis) {
+        for index in self.restore_records(snapshot) {
+            self.update_cost(index, self.capacity_fraction(index, now), now);
+        }
+    }
+
+    fn restore_records(&mut self, snapshot: &HealthSnapshot) -> Vec<usize> {
+        let mut restored = Vec::new();
+        for health in &snapshot.endpoints {
+            let Some(&index) = self.endpoint_index.get(&health.id) else {
                 continue;
             };
-            let s = &mut self.servers[k];
-            if s.info.started_at != known.started_at {
-                continue; // another process: nothing is known of it
+            let endpoint = &mut self.endpoints[index];
+            if endpoint.entry.started_at != health.started_at {
+                continue;
             }
-            if let Some(e) = &known.overall {
-                put(&mut s.health, e);
+            if let Some(ejection) = &health.overall {
+                endpoint.health.restore_overall(ejection);
             }
-            for (class, e) in &known.by_class {
-                if let Some(h) = s.by_class.get_mut(class.0) {
-                    put(h, e);
-                }
+            for (class, ejection) in &health.by_class {
+                endpoint.health.restore_class(class.0, ejection);
             }
-            if let (Some(cold), true) = (known.slow_start, s.fresh) {
-                (s.tokens, s.tokens_at, s.grant) =
-                    (cold.tokens * part.min(1.0), cold.updated_at, cold.max_cost);
+            if let Some(budget) = health.slow_start {
+                let proxy_count = self.settings.proxy_count;
+                endpoint
+                    .slow_start
+                    .restore(budget, snapshot.proxy_count, proxy_count);
             }
-            told.push(k);
+            restored.push(index);
         }
-        told
+        restored
     }
 }
--- /dev/null
+++ b/crates/balancer/src/stall_detection.rs
@@ -0,0 +1,92 @@
+//! Stall detection: finds attempts that stay silent for too long and endpoints that hang, and answers requests whose
+//! attempt can't be of use any more.
+
+use crate::action::Action;
+use crate::latency_estimator::SILENCE_MULTIPLE;
+use crate::request::{Attempt, AttemptState, Request};
+use crate::state::State;
+use crate::timing::{ANSWER_LEAD, TICK};
+use crate::types::{Millis, Outcome, RequestId};
+
+impl State {
+    /// Checks the attempts in flight, the latest first.
+    pub fn check_in_flight(&mut self, now: Millis, out: &mut Vec<Action>) {
+        for position in (0..self.in_flight.requests().len()).rev() {
+            let id = self.in_flight.requests()[position];
+            self.check_request(id, now, out);
+        }
+    }
+
+    /// Checks a request in flight. While its body is streamed no endpoint can have processed it.
+    fn check_request(&mut self, id: RequestId, now: Millis, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if !request.body.complete {
+            return;
+        }
+        let is_silent = |attempt: &Attempt| {
+            let silence = self.silence_limit(request, attempt, now);
+            attempt.state == AttemptState::InFlight && now - attempt.sent_at > silence
+        };
+        if let Some(attempt) = request.attempts.iter().position(is_silent) {
+            self.mark_silent(id, attempt, now);
+        }
+        let request = &self.requests[&id];
+        let answered = request.stage.finished || request.stage.response_started;
+        let useful_until = self.useful_until(request);
+        if !answered && now + 1.5 * TICK > useful_until {
+            out.push(Action::Timer {
+                token: id.0 + 1,
+                at: useful_until - ANSWER_LEAD,
+            });
+        }
+    }
+
+    /// Returns the time after which an attempt counts as silent.
+    fn silence_limit(&self, request: &Request, attempt: &Attempt, now: Millis) -> Millis {
+        let endpoint = &self.endpoints[attempt.endpoint];
+        SILENCE_MULTIPLE * self.expected_latency(request) * endpoint.relative_latency.mean.max(1.0)
+            / self.capacity_fraction(attempt.endpoint, now)
+    }
+
+    /// Blames the endpoint of a silent attempt, ejects it if it hangs, and releases the slot for other classes.
+    fn mark_silent(&mut self, id: RequestId, attempt: usize, now: Millis) {
+        let request = &self.requests[&id];
+        let class = request.class;
+        let expected_latency = self.expected_latency(request);
+        let silent = &request.attempts[attempt];
+        let silence = self.silence_limit(request, silent, now);
+        let index = silent.endpoint;
+        let to_warming_endpoint = silent.to_warming_endpoint;
+        let endpoint = &self.endpoints[index];
+        let hangs = self.outliers.silence_shows_hang(endpoint.in_flight.own)
+            && !endpoint.health.overall().is_ejected(now)
+            && endpoint.health.stalled_for(now) > silence;
+        self.judge_endpoint(index, class, Outcome::TimedOut, now);
+        let exposure = self.exposure();
+        let endpoint = &mut self.endpoints[index];
+        if hangs {
+            let least = SILENCE_MULTIPLE * expected_latency;
+            endpoint.health.eject_hanging(now, exposure, least);
+        }
+        endpoint.in_flight.own -= 1;
+        self.in_flight.mark_silent(to_warming_endpoint);
+        let request = self.requests.get_mut(&id);
+        let request = request.expect("the request was found above");
+        request.attempts[attempt].state = AttemptState::Silent;
+        self.update_availability(index, now);
+    }
+
+    /// Returns the time at which a request stops being of use: at its latency objective, unless a late response earns
+    /// something and there is room for it.
+    pub fn useful_until(&self, request: &Request) -> Millis {
+        let class = &self.settings.classes[request.class];
+        let crowded = request.stage.queued && self.queue.len() > self.in_flight.counted();
+        if class.late_weight_fraction > 0.0 && !crowded {
+            request.deadline
+        } else {
+            request.objective_at.min(request.deadline)
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/tenant_quota.rs
@@ -0,0 +1,46 @@
+//! Tenant quotas: which requests keep their full priority weight.
+//!
+//! A request beyond its tenant's quota is not rejected for that; it only counts less when requests compete.
+
+use crate::settings::Tenant;
+use crate::types::Millis;
+
+/// Span of quota that a tenant may save up.
+const BURST: Millis = 1000.0;
+
+/// Token buckets of all tenants.
+pub(crate) struct TenantQuotas {
+    tokens: Vec<f64>,
+}
+
+impl TenantQuotas {
+    /// Creates buckets with one request for each tenant.
+    pub fn new(tenants: usize) -> Self {
+        TenantQuotas {
+            tokens: vec![1.0; tenants],
+        }
+    }
+
+    /// Adds buckets for new tenants.
+    pub fn resize(&mut self, tenants: usize) {
+        self.tokens.resize(tenants, 1.0);
+    }
+
+    /// Takes one request off a tenant's quota; returns false if it is used up.
+    pub fn try_take(&mut self, tenant: usize) -> bool {
+        let Some(tokens) = self.tokens.get_mut(tenant) else {
+            return true;
+        };
+        let within = *tokens >= 1.0;
+        *tokens -= f64::from(u8::from(within));
+        within
+    }
+
+    /// Refills the buckets for a span; each proxy has an equal part of a quota.
+    pub fn refill(&mut self, span: Millis, tenants: &[Tenant], proxy_count: u32) {
+        for (tokens, tenant) in self.tokens.iter_mut().zip(tenants) {
+            let per_ms = tenant.quota_per_second / 1000.0 / f64::from(proxy_count);
+            *tokens = (*tokens + per_ms * span).min(per_ms * BURST + 1.0);
+        }
+    }
+}
--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -624,7 +624,7 @@
     /// One balancer ends; what outlasts it goes to the one in its place.
     fn restart(&mut self) {
         let proxy = self.rng.usize(0..self.balancers.len());
-        let standing = self.balancers[proxy].standing(self.now);
+        let standing = self.balancers[proxy].health_snapshot(self.now);
         self.hash.standing(&standing);
         let settings = Settings {
             proxy_index: proxy as u32,
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -2,10 +2,10 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-const MODULE: &str = include_str!("../src/choice.rs");
+const ROOT: &str = include_str!("../src/lib.rs");
 
 /// Files that decide nothing: types, records of what is known, encoding. All others have to stand in the policy.
-const DECIDE_NOTHING: [&str; 12] = [
+const DECIDE_NOTHING: [&str; 14] = [
     "lib",
     "types",
     "settings",
@@ -13,9 +13,11 @@
     "event",
     "action",
     "hash",
-    "records",
-    "bands",
-    "message",
+    "ewma",
+    "request",
+    "endpoint",
+    "in_flight",
+    "gossip_message",
     "state",
     "snapshot",
 ];
@@ -100,33 +102,63 @@
 
 #[test]
 fn the_interface_is_named_at_the_top() {
-    let head: String = MODULE.lines().take(8).collect();
-    assert!(
-        [
-            "src/types.rs",
-            "src/settings.rs",
-            "src/event.rs",
-            "src/action.rs"
-        ]
-        .iter()
-        .all(|file| head.contains(file))
-    );
+    let head: String = ROOT.lines().take(8).collect();
+    for file in ["types", "settings", "health_snapshot", "event", "action"] {
+        assert!(head.contains(&format!("`{file}`")));
+    }
 }
 
 /// Every file of the module, from the lowest up.
-const FILES: [(&str, &str); 12] = [
+const FILES: [(&str, &str); 37] = [
     ("types", include_str!("../src/types.rs")),
     ("settings", include_str!("../src/settings.rs")),
     ("health_snapshot", include_str!("../src/health_snapshot.rs")),
     ("event", include_str!("../src/event.rs")),
     ("action", include_str!("../src/action.rs")),
     ("hash", include_str!("../src/hash.rs")),
-    ("records", include_str!("../src/records.rs")),
-    ("bands", include_str!("../src/bands.rs")),
-    ("message", include_str!("../src/message.rs")),
+    ("ewma", include_str!("../src/ewma.rs")),
+    ("timing", include_str!("../src/timing.rs")),
+    ("threshold", include_str!("../src/threshold.rs")),
+    ("speed_bands", include_str!("../src/speed_bands.rs")),
+    ("arrival_rate", include_str!("../src/arrival_rate.rs")),
+    ("tenant_quota", include_str!("../src/tenant_quota.rs")),
+    (
+        "latency_estimator",
+        include_str!("../src/latency_estimator.rs"),
+    ),
+    (
+        "outlier_detection",
+        include_str!("../src/outlier_detection.rs"),
+    ),
+    ("slow_start", include_str!("../src/slow_start.rs")),
+    ("endpoint", include_str!("../src/endpoint.rs")),
+    (
+        "concurrency_limit",
+        include_str!("../src/concurrency_limit.rs"),
+    ),
+    ("request", include_str!("../src/request.rs")),
+    ("retry", include_str!("../src/retry.rs")),
+    ("queue", include_str!("../src/queue.rs")),
+    ("in_flight", include_str!("../src/in_flight.rs")),
+    ("gossip_message", include_str!("../src/gossip_message.rs")),
+    ("gossip", include_str!("../src/gossip.rs")),
     ("state", include_str!("../src/state.rs")),
+    ("availability", include_str!("../src/availability.rs")),
+    (
+        "endpoint_selection",
+        include_str!("../src/endpoint_selection.rs"),
+    ),
+    ("forwarding", include_str!("../src/forwarding.rs")),
+    ("final_answer", include_str!("../src/final_answer.rs")),
+    ("attempts", include_str!("../src/attempts.rs")),
+    ("stall_detection", include_str!("../src/stall_detection.rs")),
+    ("admission", include_str!("../src/admission.rs")),
+    ("endpoint_list", include_str!("../src/endpoint_list.rs")),
+    ("peer_reports", include_str!("../src/peer_reports.rs")),
+    ("reconfiguration", include_str!("../src/reconfiguration.rs")),
     ("snapshot", include_str!("../src/snapshot.rs")),
-    ("choice", MODULE),
+    ("maintenance", include_str!("../src/maintenance.rs")),
+    ("balancer", include_str!("../src/balancer.rs")),
 ];
 
 #[test]
--- a/crates/balancer/tests/operations.rs
+++ b/crates/balancer/tests/operations.rs
@@ -95,7 +95,13 @@
     assert_eq!(sends(&hand.give(streams)).len(), 1);
     // However long its client takes: no server is blamed, and it is not given up.
     assert_eq!(hand.pass(10_000.0), []);
-    assert_eq!(hand.balancer.fleet(hand.now), (2, 0));
+    assert_eq!(
+        hand.balancer.endpoint_counts(hand.now),
+        EndpointCounts {
+            listed: 2,
+            ejected: 0
+        }
+    );
     hand.give(Event::BodyComplete {
         id,
         timeout: 2000.0,
--- a/crates/balancer/tests/standing.rs
+++ b/crates/balancer/tests/standing.rs
@@ -60,7 +60,7 @@
 #[test]
 fn a_server_that_one_module_closed_is_closed_to_the_next() {
     let before = closed();
-    let (now, known) = (before.now, before.balancer.standing(before.now));
+    let (now, known) = (before.now, before.balancer.health_snapshot(before.now));
     let second = known
         .endpoints
         .iter()
@@ -82,10 +82,10 @@
     );
     // Handed on unused it is the same.
     let again = next(now, servers(None), Some(known.clone()), 1);
-    assert_eq!(again.balancer.standing(now), known);
+    assert_eq!(again.balancer.health_snapshot(now), known);
     // Another process under the same name: nothing is held against it.
     let restarted = next(now, servers(Some(now - 1e6)), Some(known.clone()), 1);
-    let of_it = restarted.balancer.standing(now);
+    let of_it = restarted.balancer.health_snapshot(now);
     assert!(
         of_it.endpoints.iter().all(|s| s.overall.is_none()),
         "{of_it:?}"
@@ -98,7 +98,7 @@
     assert_eq!(
         next(now, fewer, Some(known), 1)
             .balancer
-            .standing(now)
+            .health_snapshot(now)
             .endpoints,
         []
     );
@@ -110,7 +110,7 @@
     let mut first = next(1000.0, cold.clone(), None, 1);
     first.pass(200.0);
     to_second(&mut first, 400);
-    let (now, known) = (first.now, first.balancer.standing(first.now));
+    let (now, known) = (first.now, first.balancer.health_snapshot(first.now));
     let budget = known
         .endpoints
         .iter()
@@ -125,7 +125,7 @@
     // Among twice as many proxies it has half of what was left.
     let among_two = next(now, cold.clone(), Some(known.clone()), 2)
         .balancer
-        .standing(now);
+        .health_snapshot(now);
     let part = among_two
         .endpoints
         .iter()
@@ -138,5 +138,5 @@
     // It is warm in time all the same, and then there is nothing to say of it.
     let mut later = next(now, cold, Some(known), 1);
     later.pass(20_000.0);
-    assert_eq!(later.balancer.standing(later.now).endpoints, []);
+    assert_eq!(later.balancer.health_snapshot(later.now).endpoints, []);
 }
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -107,7 +107,7 @@
 
     /// What the module holds against servers, and what cold ones may still be sent.
     pub fn standing(&self, now: Millis) -> HealthSnapshot {
-        self.balancer.borrow().standing(now)
+        self.balancer.borrow().health_snapshot(now)
     }
 }
 
@@ -477,7 +477,11 @@
 
     /// What is held now.
     fn held(&self) -> Held {
-        let (listed, avoided) = self.known.balancer.borrow().fleet(self.parts.clock.now());
+        let endpoints = self
+            .known
+            .balancer
+            .borrow()
+            .endpoint_counts(self.parts.clock.now());
         let current = self
             .live
             .values()
@@ -485,8 +489,8 @@
             .count();
         Held {
             current,
-            listed,
-            avoided,
+            listed: endpoints.listed,
+            avoided: endpoints.ejected,
         }
     }
 
