--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -34,13 +34,15 @@
 
     /// Handles one event and appends the actions to carry out, in order. `now` never runs backwards.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+        let affects_queue = affects_queue(&event);
         self.state.start(now, out);
-        if self.dispatch(now, event, out) == QueueCheck::Needed {
+        self.dispatch(now, event, out);
+        if affects_queue {
             self.state.forward_queued(now, out);
         }
     }
 
-    fn dispatch(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) -> QueueCheck {
+    fn dispatch(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         let state = &mut self.state;
         match event {
             Event::EndpointUpdate { scope, endpoints } => {
@@ -73,12 +75,8 @@
             Event::Timer(token) => state.answer(RequestId(token - 1), out),
             Event::QuotaRejected { id, retry_after } => {
                 state.reject_by_quota(id, retry_after, out);
-                return QueueCheck::Unneeded;
-            }
-            Event::Gossip { from, bytes } => {
-                state.receive_gossip(from as usize, &bytes, now);
-                return QueueCheck::Unneeded;
             }
+            Event::Gossip { from, bytes } => state.receive_gossip(from as usize, &bytes, now),
             Event::Settings(settings) => state.update_settings(*settings, now),
             Event::ProxyCount {
                 proxy_index,
@@ -87,12 +85,11 @@
             Event::HealthRestored(snapshot) => state.restore_health(&snapshot, now),
             Event::LoadReport { .. }
             | Event::ResponseStarted { .. }
-            | Event::AttemptEnded { .. } => return self.dispatch_attempt(now, event, out),
+            | Event::AttemptEnded { .. } => self.dispatch_attempt(now, event, out),
         }
-        QueueCheck::Needed
     }
 
-    fn dispatch_attempt(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) -> QueueCheck {
+    fn dispatch_attempt(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         let id = |request, attempt: u32| AttemptId {
             request,
             attempt: attempt as usize,
@@ -102,10 +99,7 @@
                 request,
                 attempt,
                 load,
-            } => {
-                self.state.record_load(id(request, attempt), load);
-                return QueueCheck::Unneeded;
-            }
+            } => self.state.record_load(id(request, attempt), load),
             Event::ResponseStarted {
                 request,
                 attempt,
@@ -131,7 +125,6 @@
             }
             _ => {}
         }
-        QueueCheck::Needed
     }
 
     /// Counts listed and ejected endpoints.
@@ -156,9 +149,10 @@
     }
 }
 
-/// Need to check queued requests after an event.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum QueueCheck {
-    Needed,
-    Unneeded,
+/// Returns true if queued requests may be forwarded after an event.
+fn affects_queue(event: &Event) -> bool {
+    !matches!(
+        event,
+        Event::QuotaRejected { .. } | Event::LoadReport { .. } | Event::Gossip { .. }
+    )
 }
