--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::action::Action;
 use crate::queue::Position;
-use crate::request::{Body, Request, Stage};
+use crate::request::{Body, Request, Status};
 use crate::state::State;
 use crate::timing::DEADLINE_MARGIN;
 use crate::types::{ClassId, Idempotency, Key, Millis, RequestId, TenantId};
@@ -80,7 +80,7 @@
                 replayable: true,
             },
             attempts: Vec::new(),
-            stage: Stage::default(),
+            status: Status::default(),
         }
     }
 
@@ -114,7 +114,7 @@
             let is_useless = |id: &RequestId| {
                 let request = self.requests.get(id);
                 request
-                    .is_some_and(|request| request.stage.queued && self.is_too_late(request, now))
+                    .is_some_and(|request| request.status.queued && self.is_too_late(request, now))
             };
             let useless: Vec<RequestId> = self.queue.entries(lane).filter(is_useless).collect();
             for id in useless {
--- a/crates/balancer/src/attempts.rs
+++ b/crates/balancer/src/attempts.rs
@@ -104,7 +104,7 @@
         let Some(request) = self.requests.get_mut(&id.request) else {
             return;
         };
-        request.stage.response_started = true;
+        request.status.response_started = true;
         let Some(attempt) = request.attempts.get(id.attempt) else {
             return;
         };
@@ -132,13 +132,13 @@
         let Some(attempt) = request.attempts.get(id.attempt) else {
             return;
         };
-        request.stage.finished |= end.request_finished;
+        request.status.finished |= end.request_finished;
         if attempt.state == AttemptState::Ended {
             return self.end_response(id, end, now);
         }
         self.conclude(id, end, now, out);
         let request = &self.requests[&id.request];
-        if request.stage.finished {
+        if request.status.finished {
             return self.finish(id.request);
         }
         let in_time = now + self.expected_latency(request) < request.deadline - DEADLINE_MARGIN;
@@ -155,7 +155,7 @@
         let endpoint = request.attempts[id.attempt].endpoint;
         let class = request.class;
         let complete = matches!(end.outcome, Outcome::Served | Outcome::Cancelled);
-        if request.stage.response_started && !complete {
+        if request.status.response_started && !complete {
             self.judge_endpoint(endpoint, class, end.outcome, now);
             self.update_availability(endpoint, now);
         }
@@ -166,7 +166,7 @@
 
     /// Learns from the result of an attempt, and gives its slot to another request.
     fn conclude(&mut self, id: AttemptId, end: &AttemptEnd, now: Millis, out: &mut Vec<Action>) {
-        let Some(ended) = self.mark_ended(id, end.outcome) else {
+        let Some(ended) = self.record_end(id, end.outcome) else {
             return;
         };
         let endpoint = ended.endpoint;
@@ -187,7 +187,7 @@
         self.forward_affinity_queue(endpoint, now, out);
     }
 
-    fn mark_ended(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
+    fn record_end(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id.request)?;
         let attempt = request.attempts.get_mut(id.attempt)?;
         let state = std::mem::replace(&mut attempt.state, AttemptState::Ended);
@@ -218,7 +218,7 @@
             let span = ABANDONED_LATENCY_FACTOR * self.latency.of_class(ended.class);
             self.in_flight.keep_abandoned(ended.endpoint, now + span);
         } else {
-            self.endpoints[ended.endpoint].in_flight.own -= 1;
+            self.endpoints[ended.endpoint].in_flight.remove_own();
         }
     }
 
--- a/crates/balancer/src/availability.rs
+++ b/crates/balancer/src/availability.rs
@@ -5,7 +5,7 @@
 
 use crate::concurrency_limit::Owners;
 use crate::endpoint::EndpointRecord;
-use crate::gossip::Gossip;
+use crate::gossip::peers_confirm_ejection;
 use crate::hash::unit_hash;
 use crate::settings::WeightMeaning;
 use crate::state::State;
@@ -17,7 +17,7 @@
 /// Bands by which an endpoint counts slower while it is open on another proxy's slot: both may take it at once.
 const BORROWED_SLOT_BANDS: usize = 3;
 /// Part of a slot that must be free for a request on another proxy's slot.
-const BORROWED_SLOT_ROOM: f64 = 0.5;
+const BORROWED_SLOT_MARGIN: f64 = 0.5;
 
 /// Free slot at an endpoint.
 struct FreeSlot {
@@ -61,7 +61,7 @@
         let crosses_zones = zone.is_some() && zone != self.settings.zone;
         let crossing = if crosses_zones {
             let cost = ZONE_CROSSING_FACTOR * self.settings.costs.cross_zone;
-            cost * self.longest_objective / self.latency.mean()
+            cost * self.max_latency_objective / self.latency.mean()
         } else {
             0.0
         };
@@ -96,9 +96,9 @@
     /// are merely overloaded.
     fn is_usable(&self, endpoint: &EndpointRecord, now: Millis) -> bool {
         let health = &endpoint.health;
-        let ill = health.overall().is_ejected(now) || Gossip::confirms_ejection(endpoint, now);
+        let ejected = health.overall().is_ejected(now) || peers_confirm_ejection(endpoint, now);
         let believed = !self.outliers.is_panicking() || health.is_overloaded();
-        endpoint.is_listed() && !(ill && believed)
+        endpoint.is_listed() && !(ejected && believed)
     }
 
     /// Finds a free slot at an endpoint.
@@ -125,7 +125,7 @@
                 open_band: Some(endpoint.band),
             };
         }
-        let free = allowed && in_flight + BORROWED_SLOT_ROOM < slots;
+        let free = allowed && in_flight + BORROWED_SLOT_MARGIN < slots;
         let open = free && self.may_borrow_slot(endpoint, slots - in_flight);
         let band = self.bands.slower(endpoint.band, BORROWED_SLOT_BANDS);
         FreeSlot {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -70,7 +70,7 @@
             }
             Event::BodyComplete { id, timeout } => state.complete_body(id, timeout, now),
             Event::BodyDiscarded(id) => state.discard_body(id),
-            Event::ClientGone(id) => state.finish(id),
+            Event::ClientDisconnected(id) => state.finish(id),
             Event::Timer(TICK_TOKEN) => state.tick(now, out),
             Event::Timer(token) => state.answer(RequestId(token - 1), out),
             Event::QuotaRejected { id, retry_after } => {
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -39,6 +39,16 @@
 }
 
 impl InFlightCount {
+    /// Adds an attempt of this proxy.
+    pub fn add_own(&mut self) {
+        self.own += 1;
+    }
+
+    /// Removes an attempt of this proxy.
+    pub fn remove_own(&mut self) {
+        self.own -= 1;
+    }
+
     /// Returns the attempts of all proxies, as far as this one knows.
     pub fn total(&self) -> u32 {
         self.own.saturating_add(self.peers)
--- a/crates/balancer/src/endpoint_selection.rs
+++ b/crates/balancer/src/endpoint_selection.rs
@@ -17,7 +17,7 @@
 use crate::types::{Idempotency, Key, Millis, RequestId};
 
 /// Endpoints of a band that are tried for one request.
-const TRIED_PER_BAND: usize = 8;
+const MAX_CANDIDATES_PER_BAND: usize = 8;
 /// Multiple of its expected latency before the latency objective from which a request is urgent.
 const URGENT_LATENCY_FACTOR: f64 = 1.5;
 /// Faster slots below which there is nothing to wait for.
@@ -163,7 +163,7 @@
                 .min_by(|&a, &b| self.compare_affinity(a, b, key));
         }
         let count = band.open.len();
-        (0..count.min(TRIED_PER_BAND))
+        (0..count.min(MAX_CANDIDATES_PER_BAND))
             .map(|offset| band.open[(start + offset) % count] as usize)
             .find(accepts)
     }
@@ -275,7 +275,7 @@
         let endpoint = &self.endpoints[home];
         let gain = self.latency.affinity_gain();
         let home_speed = gain / endpoint.cost;
-        // A home slower than elsewhere by more than its gain is crowded by its keys or ill. Leaving it makes work,
+        // A home slower than elsewhere by more than its gain is crowded by its keys or unhealthy. Leaving it makes work,
         // so requests that lack slots stay.
         let crowded = self.queue.len() <= 1 && home_speed * gain < candidate_speed;
         if crowded {
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -98,7 +98,7 @@
         request_finished: bool,
     },
     /// The client has disconnected; no answer is due any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer set with [`Action::Timer`](crate::Action::Timer) has expired.
     Timer(u64),
     /// Another proxy has sent a message.
--- a/crates/balancer/src/final_answer.rs
+++ b/crates/balancer/src/final_answer.rs
@@ -28,7 +28,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if request.stage.finished || request.stage.response_started {
+        if request.status.finished || request.status.response_started {
             return;
         }
         out.push(if is_retry_safe(request) {
--- a/crates/balancer/src/forwarding.rs
+++ b/crates/balancer/src/forwarding.rs
@@ -9,8 +9,8 @@
 use crate::timing::{DEADLINE_MARGIN, TICK};
 use crate::types::{Idempotency, LoadReport, Millis, RequestId};
 
-/// Queued requests that are tried in vain before forwarding stops for this event.
-const MAX_VAIN_SELECTIONS: usize = 6;
+/// Queued requests that are selected without success before forwarding stops for this event.
+const MAX_FAILED_SELECTIONS: usize = 6;
 /// Multiple of the expected latency that must be left for a retry when an attempt times out early.
 const RETRY_LATENCY_FACTOR: f64 = 2.0;
 /// Place in a lane whose remaining requests are not tried.
@@ -27,8 +27,8 @@
     /// Forwards queued requests as long as their selection lets them go, by priority.
     pub fn forward_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
         let mut places = vec![0usize; self.queue.lanes()];
-        let mut vain_selections = 0;
-        while self.queue.len() > 0 && vain_selections < MAX_VAIN_SELECTIONS {
+        let mut failed_selections = 0;
+        while self.queue.len() > 0 && failed_selections < MAX_FAILED_SELECTIONS {
             let window_full = self.is_window_full();
             if window_full && self.open_while_warming == 0 {
                 return;
@@ -42,7 +42,7 @@
                 self.forward(next.id, endpoint, now, out);
                 continue;
             }
-            vain_selections += 1;
+            failed_selections += 1;
             // Only with a home or after an attempt do requests of a lane differ in where they may go.
             let request = &self.requests[&next.id];
             let differs = request.home.is_some() || !request.attempts.is_empty();
@@ -87,8 +87,11 @@
 
     fn next_in_affinity_queue(&mut self, endpoint: usize, now: Millis) -> Option<RequestId> {
         let requests = &self.requests;
-        let is_queued =
-            |id: &RequestId| requests.get(id).is_some_and(|request| request.stage.queued);
+        let is_queued = |id: &RequestId| {
+            requests
+                .get(id)
+                .is_some_and(|request| request.status.queued)
+        };
         let queue = &mut self.endpoints[endpoint].affinity_queue.requests;
         queue.retain(is_queued);
         let suits =
@@ -141,7 +144,7 @@
         if endpoint.in_flight.own == 0 {
             endpoint.health.end_idleness(now);
         }
-        endpoint.in_flight.own += 1;
+        endpoint.in_flight.add_own();
         let request = self.requests.get_mut(&id);
         request
             .expect("only known requests are forwarded")
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -17,7 +17,7 @@
 /// Largest messages that may be saved up.
 const MAX_SAVED_MESSAGES: f64 = 2.0;
 /// Weight of an interval in the mean interval.
-const INTERVAL_GAIN: f64 = 0.1;
+const INTERVAL_WEIGHT: f64 = 0.1;
 /// Fraction of the mean latency within which peers must report for an endpoint to count as idle.
 const IDLE_INTERVAL_FRACTION: f64 = 0.3;
 /// Number of peers whose ejections count where this proxy sees no progress.
@@ -138,11 +138,6 @@
         report.in_flight
     }
 
-    /// Returns true if several peers have ejected an endpoint that makes no progress for this proxy either.
-    pub fn confirms_ejection(endpoint: &EndpointRecord, now: Millis) -> bool {
-        endpoint.ejecting_peers >= EJECTING_PEERS && endpoint.health.stalled_for(now) > STALE_AFTER
-    }
-
     /// Returns true if peers report often enough to tell an idle endpoint.
     pub fn shows_idleness(&self, mean_latency: Millis) -> bool {
         self.mean_interval < IDLE_INTERVAL_FRACTION * mean_latency
@@ -154,17 +149,22 @@
         self.byte_credit = (self.byte_credit + earned).min(MAX_SAVED_MESSAGES * MAX_BYTES as f64);
     }
 
-    /// Returns true if a message is due, and takes its cost off the credit.
-    pub fn take_turn(&mut self, in_flight: usize, now: Millis) -> bool {
-        let cost = gossip_message::encoded_bytes(in_flight) as f64;
+    /// Returns true if a message on so many attempts in flight is due.
+    pub fn is_message_due(&self, in_flight: usize, now: Millis) -> bool {
+        let affordable = self.byte_credit >= gossip_message::encoded_bytes(in_flight) as f64;
+        affordable || now - self.sent_at > MAX_INTERVAL
+    }
+
+    /// Records a message; peers are assumed to report about as often as this proxy does.
+    pub fn record_message(&mut self, in_flight: usize, now: Millis) {
         let interval = now - self.sent_at;
-        if self.byte_credit < cost && interval <= MAX_INTERVAL {
-            return false;
-        }
-        // Peers report about as often as this proxy does.
-        self.mean_interval += INTERVAL_GAIN * (interval - self.mean_interval);
-        self.byte_credit -= cost;
+        self.mean_interval += INTERVAL_WEIGHT * (interval - self.mean_interval);
+        self.byte_credit -= gossip_message::encoded_bytes(in_flight) as f64;
         self.sent_at = now;
-        true
     }
 }
+
+/// Returns true if several peers have ejected an endpoint that makes no progress for this proxy either.
+pub(crate) fn peers_confirm_ejection(endpoint: &EndpointRecord, now: Millis) -> bool {
+    endpoint.ejecting_peers >= EJECTING_PEERS && endpoint.health.stalled_for(now) > STALE_AFTER
+}
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes that an attempt has become silent.
-    pub fn mark_silent(&mut self, to_warming_endpoint: bool) {
+    pub fn record_silence(&mut self, to_warming_endpoint: bool) {
         self.silent += 1;
         self.to_warming_endpoints -= usize::from(to_warming_endpoint);
     }
--- a/crates/balancer/src/latency_estimator.rs
+++ b/crates/balancer/src/latency_estimator.rs
@@ -159,8 +159,8 @@
 
 impl LatencyEstimator {
     /// Creates an estimator that assumes latencies from the classes' objectives.
-    pub fn new(classes: &[Class], longest_objective: Millis, key_affinity: bool) -> Self {
-        let mean = (longest_objective * INITIAL_OBJECTIVE_FRACTION).max(1.0);
+    pub fn new(classes: &[Class], max_latency_objective: Millis, key_affinity: bool) -> Self {
+        let mean = (max_latency_objective * INITIAL_OBJECTIVE_FRACTION).max(1.0);
         let mut estimator = LatencyEstimator {
             by_class: Vec::new(),
             work_by_class: Vec::new(),
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -53,7 +53,7 @@
     /// Releases the slots of abandoned attempts that have plausibly ended.
     fn release_abandoned(&mut self, now: Millis) {
         while let Some(index) = self.in_flight.release_abandoned(now) {
-            self.endpoints[index].in_flight.own -= 1;
+            self.endpoints[index].in_flight.remove_own();
             self.update_availability(index, now);
         }
     }
@@ -63,14 +63,7 @@
         self.latency.review_mean();
         self.review_means();
         self.review_machine_types();
-        let outliers = &mut self.outliers;
-        let listed: Vec<_> = self
-            .endpoints
-            .iter()
-            .filter(|endpoint| endpoint.is_listed())
-            .map(|endpoint| &endpoint.health)
-            .collect();
-        outliers.review(&listed, now);
+        self.review_health(now);
         let review = self.ticks / REVIEW_TICKS;
         for index in 0..self.endpoints.len() {
             if index as u64 % SLOT_REVIEWS == review % SLOT_REVIEWS {
@@ -98,6 +91,17 @@
         self.latency.review_mean_endpoint(relative_latency, count);
     }
 
+    /// Recomputes the panic state and the baselines of failures.
+    fn review_health(&mut self, now: Millis) {
+        let listed: Vec<_> = self
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.is_listed())
+            .map(|endpoint| &endpoint.health)
+            .collect();
+        self.outliers.review(&listed, now);
+    }
+
     /// Adapts the slots of machine types to their latencies.
     fn review_machine_types(&mut self) {
         let pooled = self.is_pooled();
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: ejects endpoints that fail or stay silent, as a whole or for one class, and brings them back
 //! one request at a time.
 //!
-//! Health is judged from a mean of failures against a baseline: the fraction that fails at sound endpoints too. An
-//! ejection lasts for a backoff that doubles with each failed return. If nearly all endpoints look ill, ejections
+//! Health is judged from a mean of failures against a baseline: the fraction that fails at healthy endpoints too. An
+//! ejection lasts for a backoff that doubles with each failed return. If nearly all endpoints look unhealthy, ejections
 //! are not believed (panic threshold). Attempts and their timeouts are handled elsewhere.
 
 use crate::ewma::Ewma;
@@ -22,9 +22,9 @@
 /// Factor by which an ejection for one class is longer, as each trial may cost a request.
 const CLASS_EJECTION_FACTOR: f64 = 4.0;
 /// Weight of a failed attempt in the failure mean: two in a row eject the endpoint.
-const FAILURE_GAIN: f64 = 0.3;
+const FAILURE_WEIGHT: f64 = 0.3;
 /// Weight of a failed connection attempt: no process answers, so one ejects the endpoint.
-const CONNECT_FAILURE_GAIN: f64 = 0.5;
+const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
 /// Failure mean above which an endpoint is ejected where others hardly fail.
 const MIN_FAILURE_LIMIT: f64 = 0.4;
 /// Probability of a row of failures that is taken for no chance.
@@ -40,7 +40,7 @@
 /// Fraction of ejected endpoints above which ejections are not believed.
 const PANIC_FRACTION: f64 = 0.9;
 /// The same while fewer than this fraction of attempts succeed.
-const PANIC_FRACTION_FAILING: f64 = 0.5;
+const PANIC_FRACTION_LOW_SUCCESS: f64 = 0.5;
 const PANIC_SUCCESS_MEAN: f64 = 0.5;
 /// Attempts over which success is averaged.
 const SUCCESS_SAMPLES: f64 = 100.0;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Extends an ejection by a proxy that meets the endpoint seldom: it would return with the very next request and
+    /// Extends an ejection by a proxy that rarely meets the endpoint: it would return with the very next request and
     /// lose that too. All proxies together still try the endpoint as often as one alone would, as the factor is at
     /// most the number of proxies.
     fn extend(self, ejection: Millis) -> Millis {
@@ -128,7 +128,7 @@
     }
 
     fn record_success(&mut self, now: Millis, limit: f64) {
-        self.failure_mean *= 1.0 - FAILURE_GAIN / 2.0;
+        self.failure_mean *= 1.0 - FAILURE_WEIGHT / 2.0;
         self.on_probation &= self.failure_mean > limit / 2.0;
         if !self.on_probation {
             self.backoff = MIN_BACKOFF;
@@ -152,12 +152,12 @@
         if !failed {
             return self.record_success(sample.now, limit);
         }
-        let gain = if sample.outcome == Outcome::ConnectFailed {
-            CONNECT_FAILURE_GAIN
+        let weight = if sample.outcome == Outcome::ConnectFailed {
+            CONNECT_FAILURE_WEIGHT
         } else {
-            FAILURE_GAIN
+            FAILURE_WEIGHT
         };
-        self.failure_mean += gain * (1.0 - self.failure_mean);
+        self.failure_mean += weight * (1.0 - self.failure_mean);
         if self.failure_mean > limit && !self.is_ejected(sample.now) {
             self.eject(sample.now, ejection(self.backoff));
         }
@@ -183,12 +183,12 @@
     }
 }
 
-/// Returns the failure mean above which an endpoint is ejected, if `baseline` of the attempts fail at sound endpoints
+/// Returns the failure mean above which an endpoint is ejected, if `baseline` of the attempts fail at healthy endpoints
 /// too: the mean after a row of failures too long for chance. So resets on a path that all endpoints share say
 /// nothing against one of them.
 fn failure_limit(baseline: f64) -> f64 {
     let row = CHANCE_LIMIT.ln() / baseline.clamp(1e-9, MAX_BASELINE).ln();
-    MIN_FAILURE_LIMIT.max(1.0 - (1.0 - FAILURE_GAIN).powf(row))
+    MIN_FAILURE_LIMIT.max(1.0 - (1.0 - FAILURE_WEIGHT).powf(row))
 }
 
 /// Health of an endpoint, as a whole and for each class: some endpoints fail or ignore one class and serve the rest,
@@ -237,8 +237,8 @@
         self.overloaded
     }
 
-    /// Returns true if the endpoint is ejected as ill, not as overloaded.
-    fn is_ill(&self, now: Millis) -> bool {
+    /// Returns true if the endpoint is ejected for failures other than overload.
+    fn is_ejected_for_failures(&self, now: Millis) -> bool {
         self.overall.is_ejected(now) && !self.overloaded
     }
 
@@ -366,15 +366,18 @@
             let ejected = |record: &&&HealthRecord| record.by_class[class].is_ejected(now);
             *fraction = listed.iter().filter(ejected).count() as f64 / count;
         }
-        let ill = listed.iter().filter(|record| record.is_ill(now)).count() as f64;
-        let failing = self.success_mean < PANIC_SUCCESS_MEAN;
-        self.panic =
-            ill > PANIC_FRACTION * count || ill > PANIC_FRACTION_FAILING * count && failing;
+        let failing = listed
+            .iter()
+            .filter(|record| record.is_ejected_for_failures(now))
+            .count() as f64;
+        let low_success = self.success_mean < PANIC_SUCCESS_MEAN;
+        self.panic = failing > PANIC_FRACTION * count
+            || low_success && failing > PANIC_FRACTION_LOW_SUCCESS * count;
     }
 }
 
-/// Returns the fraction of attempts that fails at sound endpoints: the lower quartile over endpoints with enough
-/// responses, so that a few ill ones don't count.
+/// Returns the fraction of attempts that fails at healthy endpoints: the lower quartile over endpoints with enough
+/// responses, so that a few unhealthy ones don't count.
 fn baseline_of<'a>(health: impl Iterator<Item = &'a Health>) -> f64 {
     let mut fractions: Vec<f64> = health
         .map(|health| health.failure_fraction)
--- a/crates/balancer/src/peer_reports.rs
+++ b/crates/balancer/src/peer_reports.rs
@@ -36,7 +36,9 @@
     /// Sends a message to the other proxies, if one is due.
     pub fn send_gossip(&mut self, now: Millis, out: &mut Vec<Action>) {
         let enabled = self.settings.gossip_enabled && self.settings.proxy_count > 1;
-        if enabled && self.gossip.take_turn(self.in_flight.occupied(), now) {
+        let in_flight = self.in_flight.occupied();
+        if enabled && self.gossip.is_message_due(in_flight, now) {
+            self.gossip.record_message(in_flight, now);
             let message = gossip_message::encode(self.settings.zone, &self.endpoints, now);
             out.push(Action::Broadcast(message));
         }
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -60,7 +60,7 @@
 
     /// Appends a request, or puts it first.
     pub fn push(&mut self, id: RequestId, request: &mut Request, position: Position) {
-        request.stage.queued = true;
+        request.status.queued = true;
         self.queued += 1;
         let lane = &mut self.lanes[request.class * 2 + usize::from(request.over_quota)];
         match position {
@@ -71,7 +71,7 @@
 
     /// Takes a request out. Its entry in the lane stays until it is met.
     pub fn remove(&mut self, request: &mut Request) {
-        request.stage.queued = false;
+        request.status.queued = false;
         self.queued -= 1;
     }
 
@@ -88,8 +88,11 @@
         requests: &Requests,
     ) -> Option<RequestId> {
         let lane = &mut self.lanes[lane];
-        let is_stale =
-            |id: &RequestId| requests.get(id).is_none_or(|request| !request.stage.queued);
+        let is_stale = |id: &RequestId| {
+            requests
+                .get(id)
+                .is_none_or(|request| !request.status.queued)
+        };
         while lane.get(place).is_some_and(is_stale) {
             lane.remove(place);
         }
--- a/crates/balancer/src/reconfiguration.rs
+++ b/crates/balancer/src/reconfiguration.rs
@@ -1,7 +1,7 @@
 //! Reconfiguration at run time: new settings, and a new number of proxies.
 
 use crate::settings::Settings;
-use crate::state::{State, longest_objective};
+use crate::state::{State, max_latency_objective};
 use crate::types::Millis;
 
 impl State {
@@ -24,7 +24,7 @@
             gossip_enabled: present.gossip_enabled,
             ..settings
         };
-        self.longest_objective = longest_objective(&self.settings.classes);
+        self.max_latency_objective = max_latency_objective(&self.settings.classes);
         self.resize(now);
     }
 
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -26,8 +26,8 @@
     pub body: Body,
     /// Attempts in the order of sends.
     pub attempts: Vec<Attempt>,
-    /// Stage of its processing.
-    pub stage: Stage,
+    /// Progress of its processing.
+    pub status: Status,
 }
 
 /// State of a request's body.
@@ -38,10 +38,10 @@
     pub replayable: bool,
 }
 
-/// Stage of a request. The parts are independent: an answered request may still have an attempt whose response
+/// Progress of a request. The parts are independent: an answered request may still have an attempt whose response
 /// has begun.
 #[derive(Default)]
-pub(crate) struct Stage {
+pub(crate) struct Status {
     /// It is queued for an attempt.
     pub queued: bool,
     /// The client has received the beginning of a response.
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: limits requests to an endpoint whose process has just started, over all proxies together.
 //!
 //! Each proxy has a token bucket per warming endpoint, which refills with its equal part of what the endpoint can
-//! surely process. Endpoint selection asks the bucket; it is spent when a request is forwarded.
+//! is guaranteed to process. Endpoint selection asks the bucket; it is spent when a request is forwarded.
 
 use crate::health_snapshot::SlowStartBudget;
 use crate::settings::Limits;
@@ -25,7 +25,7 @@
     budget: SlowStartBudget,
 }
 
-/// Returns the fraction of its capacity that an endpoint surely has: it warms up at least linearly.
+/// Returns the fraction of its capacity that an endpoint is guaranteed to have: it warms up at least linearly.
 pub(crate) fn capacity_fraction(started_at: Option<Millis>, limits: &Limits, now: Millis) -> f64 {
     let age = started_at.map_or(1.0, |started_at| {
         ((now - started_at) / limits.warm_up).clamp(0.0, 1.0)
@@ -81,7 +81,7 @@
         self.started && capacity_fraction < 1.0
     }
 
-    /// Returns the fraction of its capacity that the endpoint surely has, as of the last update.
+    /// Returns the fraction of its capacity that the endpoint is guaranteed to have, as of the last update.
     pub fn capacity_fraction(&self) -> f64 {
         self.capacity_fraction
     }
@@ -168,7 +168,7 @@
     pub limits: &'a Limits,
     /// Requests of mean work that the endpoint processes per ms at full capacity.
     pub capacity: f64,
-    /// Fraction of the capacity that it surely has.
+    /// Fraction of the capacity that it is guaranteed to have.
     pub capacity_fraction: f64,
     /// Number of proxies.
     pub proxy_count: u32,
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -30,10 +30,10 @@
             attempt.state == AttemptState::InFlight && now - attempt.sent_at > silence
         };
         if let Some(attempt) = request.attempts.iter().position(is_silent) {
-            self.mark_silent(id, attempt, now);
+            self.record_silence(id, attempt, now);
         }
         let request = &self.requests[&id];
-        let answered = request.stage.finished || request.stage.response_started;
+        let answered = request.status.finished || request.status.response_started;
         let useful_until = self.useful_until(request);
         if !answered && now + 1.5 * TICK > useful_until {
             out.push(Action::Timer {
@@ -51,7 +51,7 @@
     }
 
     /// Blames the endpoint of a silent attempt, ejects it if it hangs, and releases the slot for other classes.
-    fn mark_silent(&mut self, id: RequestId, attempt: usize, now: Millis) {
+    fn record_silence(&mut self, id: RequestId, attempt: usize, now: Millis) {
         let request = &self.requests[&id];
         let class = request.class;
         let expected_latency = self.expected_latency(request);
@@ -70,8 +70,8 @@
             let least = SILENCE_MULTIPLE * expected_latency;
             endpoint.health.eject_hanging(now, exposure, least);
         }
-        endpoint.in_flight.own -= 1;
-        self.in_flight.mark_silent(to_warming_endpoint);
+        endpoint.in_flight.remove_own();
+        self.in_flight.record_silence(to_warming_endpoint);
         let request = self.requests.get_mut(&id);
         let request = request.expect("the request was found above");
         request.attempts[attempt].state = AttemptState::Silent;
@@ -82,7 +82,7 @@
     /// something and there is room for it.
     pub fn useful_until(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class];
-        let crowded = request.stage.queued && self.queue.len() > self.in_flight.counted();
+        let crowded = request.status.queued && self.queue.len() > self.in_flight.counted();
         if class.late_weight_fraction > 0.0 && !crowded {
             request.deadline
         } else {
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -40,7 +40,7 @@
     /// Settings in force.
     pub settings: Settings,
     /// Longest latency objective of all classes.
-    pub longest_objective: Millis,
+    pub max_latency_objective: Millis,
     /// Only source of chance.
     pub rng: fastrand::Rng,
     /// Number of maintenance ticks; 0 before the first event.
@@ -84,7 +84,7 @@
 }
 
 /// Returns the longest latency objective of all classes.
-pub(crate) fn longest_objective(classes: &[Class]) -> Millis {
+pub(crate) fn max_latency_objective(classes: &[Class]) -> Millis {
     classes
         .iter()
         .map(|class| class.latency_objective)
@@ -95,9 +95,9 @@
     /// Creates the state of a proxy that knows no endpoints.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let classes = settings.classes.len();
-        let longest_objective = longest_objective(&settings.classes);
+        let max_latency_objective = max_latency_objective(&settings.classes);
         State {
-            longest_objective,
+            max_latency_objective,
             rng: fastrand::Rng::with_seed(seed),
             ticks: 0,
             endpoints: Vec::new(),
@@ -117,7 +117,7 @@
             quotas: TenantQuotas::new(settings.tenants.len()),
             latency: LatencyEstimator::new(
                 &settings.classes,
-                longest_objective,
+                max_latency_objective,
                 settings.key_affinity,
             ),
             concurrency: ConcurrencyLimit::new(),
@@ -134,7 +134,7 @@
         self.latency.of_class(request.class) * request.relative_work
     }
 
-    /// Returns the fraction of its capacity that an endpoint surely has now.
+    /// Returns the fraction of its capacity that an endpoint is guaranteed to have now.
     pub fn capacity_fraction(&self, index: usize, now: Millis) -> f64 {
         let started_at = self.endpoints[index].entry.started_at;
         slow_start::capacity_fraction(started_at, &self.settings.limits, now)
@@ -182,7 +182,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !request.stage.queued {
+        if !request.status.queued {
             return;
         }
         self.queue.remove(request);
@@ -197,7 +197,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.stage.finished = true;
+        request.status.finished = true;
         if !request.is_in_flight() {
             self.requests.remove(&id);
         }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -340,7 +340,7 @@
                     }
                 }
             }
-            Event::ClientGone(id) => {
+            Event::ClientDisconnected(id) => {
                 if let Some(o) = self.owed.get_mut(&id.0) {
                     o.answered = true;
                 }
--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -547,7 +547,7 @@
         self.held.insert((proxy, id.0), held);
         if self.rng.f64() < 0.03 {
             let at = self.now + self.rng.f64() * budget;
-            self.later(at, proxy, Due::Event(Event::ClientGone(id)));
+            self.later(at, proxy, Due::Event(Event::ClientDisconnected(id)));
         }
         let class = ClassId(class);
         self.handle(
@@ -746,7 +746,7 @@
                 *closed |= held.answered;
             }
         }
-        if let Event::ClientGone(id) = &event {
+        if let Event::ClientDisconnected(id) = &event {
             self.held.remove(&(proxy, id.0));
         }
         self.handle(proxy, event);
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -226,7 +226,7 @@
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
                     self.ends.get_mut(&id).unwrap().2 = true;
-                    self.give(Event::ClientGone(RequestId(id)));
+                    self.give(Event::ClientDisconnected(RequestId(id)));
                     self.ends.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -178,13 +178,13 @@
                 self.handle(ended, course);
             } else if left {
                 course.code = Some(GONE);
-                self.handle(Event::ClientGone(id), course);
+                self.handle(Event::ClientDisconnected(id), course);
             } else if self.now < end && self.next().is_some() {
                 let next = self.next().unwrap_or(end).min(end).max(self.now);
                 self.pass(next, course);
             } else {
                 course.code = Some(FAILED); // the proxy's own last resort
-                self.handle(Event::ClientGone(id), course);
+                self.handle(Event::ClientDisconnected(id), course);
             }
         }
     }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -306,7 +306,7 @@
             What::Leave(id) => {
                 let proxy = self.ledger.tries[id].proxy;
                 if self.proxies[proxy].as_mut().is_some_and(|p| p.close(id)) {
-                    self.feed(proxy, Event::ClientGone(request_of(id)));
+                    self.feed(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
             What::Module(proxy, generation, token) => {
@@ -320,7 +320,7 @@
                     && !lost
                     && self.answer(proxy, id, Code::Failed)
                 {
-                    self.feed(proxy, Event::ClientGone(request_of(id)));
+                    self.feed(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
             What::Dial(flight) => self.dial(flight),
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -228,7 +228,7 @@
             Input::Unadmitted { id, wait, answer } => self.unadmitted(id, wait, answer),
             Input::Gone(id) => {
                 if self.close(id, GONE).is_some() {
-                    self.handle(Event::ClientGone(id));
+                    self.handle(Event::ClientDisconnected(id));
                 }
             }
             Input::Ended {
@@ -352,7 +352,7 @@
         }
         if let Some(answer) = self.close(id, FAILED) {
             let _ = answer.send(Answer::Failed); // a client that has left needs none
-            self.handle(Event::ClientGone(id));
+            self.handle(Event::ClientDisconnected(id));
         }
     }
 
@@ -420,7 +420,7 @@
             });
         }
         if upload.is_some_and(|u| u.is_lost()) && self.close(request, GONE).is_some() {
-            self.handle(Event::ClientGone(request));
+            self.handle(Event::ClientDisconnected(request));
         }
         if self.live.get(&request).is_some_and(|l| l.passing) {
             let code = match outcome {
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -298,7 +298,7 @@
                 if let Some(known) = self.requests.get_mut(&request.0) {
                     known.done = true;
                 }
-                Event::ClientGone(request)
+                Event::ClientDisconnected(request)
             }
             "DEADLINE_HIT" => Event::Timer(fields.whole("keyBack")?),
             "NOTE_FROM" => {
@@ -320,7 +320,7 @@
     /// Hands an event to the Balancer and writes its actions.
     pub fn handle(&mut self, now: f64, event: Event, i: u64, reply: &mut String) {
         let touched = match &event {
-            Event::AttemptEnded { request, .. } | Event::ClientGone(request) => Some(*request),
+            Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => Some(*request),
             _ => None,
         };
         let mut actions = std::mem::take(&mut self.actions);
