--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -320,7 +320,9 @@
     /// Hands an event to the Balancer and writes its actions.
     pub fn handle(&mut self, now: f64, event: Event, i: u64, reply: &mut String) {
         let touched = match &event {
-            Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => Some(*request),
+            Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => {
+                Some(*request)
+            }
             _ => None,
         };
         let mut actions = std::mem::take(&mut self.actions);
