--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn server(id: u64) -> Endpoint {
+pub fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
         zone: Some(ZoneId(0)),
@@ -61,7 +61,7 @@
     }
 }
 
-pub fn full(entries: Vec<Endpoint>) -> Event {
+pub fn full_update(entries: Vec<Endpoint>) -> Event {
     Event::EndpointUpdate {
         scope: UpdateScope::Full,
         endpoints: entries,
@@ -80,7 +80,7 @@
     }
 }
 
-pub fn ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
+pub fn attempt_ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
     let closed = outcome == Outcome::Served;
     Event::AttemptEnded {
         request: RequestId(id),
@@ -91,37 +91,37 @@
     }
 }
 
-/// A Balancer whose timers are kept and fired by hand.
-pub struct Hand {
+/// A Balancer whose timers are kept and fired by harness.
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    /// Of how many keys `drive` asks in turn; 0 if requests have none.
+    /// Of how many keys `run` asks in turn; 0 if requests have none.
     pub keys: u64,
     /// What the n-th answer tells of its server's load.
     pub load: fn(usize) -> LoadReport,
     timers: Vec<(Millis, u64)>,
 }
 
-impl Hand {
+impl Harness {
     pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
-        Hand::seeded(settings, servers, 7)
+        Harness::seeded(settings, servers, 7)
     }
 
     pub fn seeded(settings: Settings, servers: Vec<Endpoint>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed);
-        let mut hand = Hand {
+        let mut harness = Harness {
             balancer,
             now: 1000.0,
             keys: 0,
             load: |_| LoadReport::default(),
             timers: vec![],
         };
-        hand.give(full(servers));
-        hand
+        harness.handle(full_update(servers));
+        harness
     }
 
     /// Hands in an event at the present time; returns what is to be done, timers aside.
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
         for action in &out {
@@ -134,7 +134,7 @@
     }
 
     /// Lets time pass with nothing but timers.
-    pub fn pass(&mut self, span: Millis) -> Vec<Action> {
+    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut out = vec![];
         while let Some(i) =
@@ -145,7 +145,7 @@
             }
             let (at, token) = self.timers.swap_remove(i);
             self.now = self.now.max(at);
-            out.extend(self.give(Event::Timer(token)));
+            out.extend(self.handle(Event::Timer(token)));
         }
         self.now = end;
         out
@@ -153,18 +153,18 @@
 
     /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` of one depends on its server and on
     /// how many are there already. Returns request and server of each send, and the servers of those still out.
-    pub fn drive(
+    pub fn run(
         &mut self,
         span: u64,
         every: u64,
         latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(u64, u64)>, Vec<u64>) {
-        let (all, still) = self.drive_timed(span, every, latency);
+        let (all, still) = self.run_timed(span, every, latency);
         (all.into_iter().map(|(_, id, to)| (id, to)).collect(), still)
     }
 
     /// The same, with the time of each send.
-    pub fn drive_timed(
+    pub fn run_timed(
         &mut self,
         span: u64,
         every: u64,
@@ -174,13 +174,13 @@
         let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // until when, and its latency
         let mut answers = 0;
         for step in 0..span {
-            let mut actions = self.pass(1.0);
+            let mut actions = self.advance(1.0);
             if step % every == 0 {
                 let mut event = request(1000 + step, 1, 3000.0);
                 if let (Event::Request { key, .. }, 1..) = (&mut event, self.keys) {
                     *key = Some(Key(step / every % self.keys));
                 }
-                actions.extend(self.give(event));
+                actions.extend(self.handle(event));
             }
             let now = self.now;
             let (over, still) = out.into_iter().partition::<Vec<_>, _>(|o| o.2 <= now);
@@ -188,14 +188,14 @@
             for (id, _, _, latency) in over {
                 let load = (self.load)(answers);
                 answers += 1;
-                actions.extend(self.give(Event::LoadReport {
+                actions.extend(self.handle(Event::LoadReport {
                     request: RequestId(id),
                     attempt: 0,
                     load,
                 }));
-                actions.extend(self.give(ended(id, 0, latency, Outcome::Served)));
+                actions.extend(self.handle(attempt_ended(id, 0, latency, Outcome::Served)));
             }
-            for (id, to) in sends(&actions) {
+            for (id, to) in forwarded(&actions) {
                 let latency = latency(to, out.iter().filter(|o| o.1 == to).count());
                 out.push((id, to, now + latency, latency));
                 all.push((now, id, to));
@@ -207,25 +207,23 @@
     /// Serves requests one after the other, each in `latency(server)`, so that speeds are learnt.
     pub fn train(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
         for id in first..first + count {
-            let sent = sends(&self.give(request(id, 0, 2000.0)));
+            let sent = forwarded(&self.handle(request(id, 0, 2000.0)));
             let Some(&(_, to)) = sent.first() else {
-                self.pass(2100.0);
+                self.advance(2100.0);
                 continue;
             };
-            self.pass(latency(to));
-            self.give(ended(id, 0, latency(to), Outcome::Served));
+            self.advance(latency(to));
+            self.handle(attempt_ended(id, 0, latency(to), Outcome::Served));
         }
     }
 }
 
 /// Request and server of each send.
-pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+pub fn forwarded(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
         Action::Forward {
-            request,
-            endpoint: backend,
-            ..
-        } => Some((request.0, backend.0)),
+            request, endpoint, ..
+        } => Some((request.0, endpoint.0)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -352,10 +350,8 @@
     pub fn action(&mut self, now: Millis, action: &Action) {
         match action {
             Action::Forward {
-                request,
-                endpoint: backend,
-                ..
-            } => self.sent(now, request.0, backend.0),
+                request, endpoint, ..
+            } => self.sent(now, request.0, endpoint.0),
             Action::Reject { request, .. } => {
                 let Some(o) = self.owed.get(&request.0) else {
                     return self.breach(now, format!("refused {request:?}, which is not held"));
@@ -481,3 +477,17 @@
             .retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
     }
 }
+
+pub fn final_answers(actions: &[Action]) -> usize {
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
+        .count()
+}
+
+/// Offers so many non-idempotent requests at once; returns request and endpoint of each attempt.
+pub fn burst(harness: &mut Harness, first: u64, n: u64) -> Vec<(u64, u64)> {
+    (first..first + n)
+        .flat_map(|id| forwarded(&harness.handle(request(id, 1, 3000.0))))
+        .collect()
+}
--- /dev/null
+++ b/crates/balancer/tests/concurrency_window.rs
@@ -0,0 +1,220 @@
+//! Concurrency window: requests in flight where proxies share all slots.
+mod common;
+use balancer::*;
+use common::*;
+
+/// Requests that one of 100 proxies has in flight at the end, and attempts in the last tenth, if endpoints below `slow`
+/// take `latency` instead of 40 ms from the 100th attempt on.
+fn with_slow_endpoints(keys: u64, slow: u64, latency: Millis) -> (usize, usize) {
+    let settings = Settings {
+        key_affinity: keys > 0,
+        ..settings(100)
+    };
+    let mut harness = Harness::new(settings, (0..24).map(endpoint).collect());
+    harness.keys = keys;
+    let sends = std::cell::Cell::new(0);
+    let take = |to: u64, _: usize| {
+        sends.set(sends.get() + 1);
+        if to < slow && sends.get() > 100 {
+            latency
+        } else {
+            40.0
+        }
+    };
+    let (sent, still) = harness.run(30_000, 30, take);
+    (
+        still.len(),
+        sent.iter().filter(|s| s.0 >= 1000 + 27_000).count(),
+    )
+}
+
+/// One of 32 proxies before twelve endpoints of one core, which respond in 250 ms from the first request on.
+fn among_single_cores(load: fn(usize) -> LoadReport) -> Harness {
+    let small = |id| Endpoint {
+        weight: 1.0,
+        ..endpoint(id)
+    };
+    let mut harness = Harness::new(settings(32), (0..12).map(small).collect());
+    harness.load = load;
+    harness
+}
+
+#[test]
+fn without_gossip_few_requests_are_in_flight() {
+    // One slot at each endpoint for each of 38 proxies would overload the endpoints.
+    let base = settings(38);
+    let mut harness = Harness::new(
+        Settings {
+            key_affinity: true,
+            ..base
+        },
+        (0..40).map(endpoint).collect(),
+    );
+    harness.advance(500.0);
+    let ask = |id| Event::Request {
+        id: RequestId(id),
+        class: ClassId(1),
+        tenant: None,
+        key: Some(Key(id + 1)),
+        timeout: 3000.0,
+        expected_work: None,
+        body_complete: true,
+    };
+    let sent: usize = (0..200)
+        .map(|id| forwarded(&harness.handle(ask(id))).len())
+        .sum();
+    // Its equal part of about 104 slots is under three.
+    assert!((4..=9).contains(&sent), "{sent} out at once");
+}
+
+#[test]
+fn without_gossip_proxies_with_few_endpoints_share_all_slots() {
+    // A single endpoint of its own leaves long waits, and idles for a round trip between responses.
+    let small = |id| Endpoint {
+        weight: 1.0,
+        ..endpoint(id)
+    };
+    let mut harness = Harness::new(settings(20), (0..29).map(small).collect());
+    harness.advance(500.0);
+    let mut reached = std::collections::HashSet::new();
+    for id in 0..200 {
+        for (id, to) in forwarded(&harness.handle(request(id, 0, 2000.0))) {
+            reached.insert(to);
+            harness.advance(20.0);
+            harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
+        }
+    }
+    assert!(reached.len() >= 15, "only {} of 29 servers", reached.len());
+}
+
+#[test]
+fn late_responses_reduce_the_window() {
+    let out_at_once = |latency: Millis| {
+        let small = |id| Endpoint {
+            weight: 1.0,
+            ..endpoint(id)
+        };
+        let mut harness = Harness::new(settings(20), (0..40).map(small).collect());
+        let (_, still) = harness.run(6000, 12, |_, _| latency);
+        still.len()
+    };
+    let (good, late) = (out_at_once(200.0), out_at_once(1100.0));
+    assert!(good >= 12, "answers in good time widen it: {good}");
+    assert!(late <= 6, "late ones, of 1200 ms, do not: {late}");
+}
+
+#[test]
+fn silent_attempts_do_not_count_in_the_window() {
+    let mut harness = Harness::new(settings(20), (1..=40).map(endpoint).collect());
+    harness.train(0, 100, |_| 20.0);
+    harness.advance(200.0);
+    let (mut held, mut out) = (0, vec![]);
+    for id in 1000..1400 {
+        let actions = harness.handle(request(id, 0, 2000.0));
+        held += usize::from(forwarded(&actions).is_empty());
+        out.extend(forwarded(&actions));
+        out.extend(forwarded(&harness.advance(20.0)));
+        while let Some((of, _)) = out.pop() {
+            if of % 10 != 0 {
+                out.extend(forwarded(&harness.handle(attempt_ended(
+                    of,
+                    0,
+                    20.0,
+                    Outcome::Served,
+                ))));
+            }
+        }
+    }
+    // One in ten is in flight for 0.8 s, which is 40 requests: four at any time, as many as the initial window.
+    assert!(
+        held <= 8,
+        "{held} of 400 were held with nearly all servers idle"
+    );
+}
+
+#[test]
+fn crowding_reduces_the_window_before_responses_are_late() {
+    // Half the latency objective is 600 ms. 100 proxies with four requests each would put 17 on each endpoint.
+    let (out, _) = with_slow_endpoints(0, 24, 400.0);
+    assert!(
+        out <= 2,
+        "{out} out among servers that take ten times as long as when calm"
+    );
+}
+
+#[test]
+fn load_reports_reduce_a_window_whose_baseline_was_learned_in_a_crowd() {
+    // Each single core holds 20 requests from the start, so that crowded latencies pass for uncrowded.
+    let out = |load| among_single_cores(load).run(6000, 12, |_, _| 250.0).1.len();
+    for (load, why) in [
+        (
+            (|_| LoadReport {
+                in_flight: Some(20.0),
+                queued: Some(0.0),
+            }) as fn(usize) -> LoadReport,
+            "in harness",
+        ),
+        (
+            |_| LoadReport {
+                in_flight: None,
+                queued: Some(20.0),
+            },
+            "waiting alone",
+        ),
+    ] {
+        assert!(out(load) <= 2, "{why}: {}", out(load));
+    }
+    for (load, why) in [
+        (
+            (|_| LoadReport::default()) as fn(usize) -> LoadReport,
+            "nothing is told",
+        ),
+        (
+            |_| LoadReport {
+                in_flight: Some(4.0),
+                queued: Some(9.0),
+            },
+            "few in harness go before those that wait",
+        ),
+        (
+            |_| LoadReport {
+                in_flight: None,
+                queued: Some(3.0),
+            },
+            "few wait",
+        ),
+    ] {
+        assert!(out(load) >= 6, "{why}: {}", out(load));
+    }
+}
+
+#[test]
+fn a_load_report_is_converted_to_requests_per_core() {
+    let told = |in_hand, waiting| LoadReport {
+        in_flight: in_hand,
+        queued: waiting,
+    };
+    assert_eq!(told(None, None).per_core(2.0), None);
+    assert_eq!(
+        told(Some(6.0), Some(40.0)).per_core(2.0),
+        Some(3.0),
+        "what is in harness goes first"
+    );
+    assert_eq!(
+        told(None, Some(6.0)).per_core(2.0),
+        Some(4.0),
+        "and those in work beside"
+    );
+    assert_eq!(
+        told(None, Some(0.0)).per_core(2.0),
+        Some(0.0),
+        "none may be in work"
+    );
+}
+
+#[test]
+fn endpoints_slow_for_their_type_do_not_reduce_the_window() {
+    // Keys whose home is a slow endpoint keep going there.
+    let (_, sent) = with_slow_endpoints(97, 16, 500.0);
+    assert!(sent >= 95, "{sent} of 100 went out");
+}
--- /dev/null
+++ b/crates/balancer/tests/endpoint_list.rs
@@ -0,0 +1,53 @@
+//! Endpoint list: drains, restarts and invalid entries.
+mod common;
+use balancer::*;
+use common::*;
+
+#[test]
+fn a_restart_listed_twice_is_still_a_slow_start() {
+    // The second entry must not end the slow start.
+    let fresh = Endpoint {
+        started_at: Some(1000.0),
+        ..endpoint(1)
+    };
+    let mut harness = Harness::new(settings(8), vec![endpoint(1)]);
+    harness.handle(Event::EndpointUpdate {
+        scope: UpdateScope::Delta,
+        endpoints: vec![fresh.clone(), fresh],
+    });
+    let sent = burst(&mut harness, 0, 20);
+    assert!(
+        sent.is_empty(),
+        "a cold server of one in eight proxies: {sent:?}"
+    );
+}
+
+#[test]
+fn a_draining_endpoint_gets_no_requests_and_they_are_answered() {
+    let mut harness = Harness::new(settings(1), vec![endpoint(1)]);
+    harness.handle(Event::EndpointUpdate {
+        scope: UpdateScope::Delta,
+        endpoints: vec![Endpoint {
+            state: EndpointState::Draining,
+            ..endpoint(1)
+        }],
+    });
+    let mut out = harness.handle(request(1, 1, 3000.0));
+    out.extend(harness.advance(3000.0));
+    assert!(forwarded(&out).is_empty());
+    assert_eq!(final_answers(&out), 1);
+}
+
+#[test]
+fn invalid_weights_do_no_harm() {
+    let odd = |rating| Endpoint {
+        weight: rating,
+        ..endpoint(3)
+    };
+    for rating in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
+        let mut harness = Harness::new(settings(3), vec![odd(rating), endpoint(4)]);
+        burst(&mut harness, 0, 9);
+        let out = harness.advance(4000.0);
+        assert!(final_answers(&out) <= 9);
+    }
+}
--- /dev/null
+++ b/crates/balancer/tests/final_answer.rs
@@ -0,0 +1,103 @@
+//! Final answers: exactly one, in time, with a Retry-After where settings allow it.
+mod common;
+use balancer::*;
+use common::*;
+
+#[test]
+fn a_queued_request_is_answered_once() {
+    // Its entry in the queue outlives its answer.
+    let mut harness = Harness::new(settings(1), vec![]);
+    harness.handle(request(1, 1, 3000.0));
+    let out = harness.advance(4000.0);
+    assert_eq!(final_answers(&out), 1);
+}
+
+#[test]
+fn a_request_in_flight_is_answered_just_before_its_latency_objective() {
+    // An earlier answer would give away requests that may still be served in time.
+    let mut harness = Harness::new(settings(1), vec![endpoint(1)]);
+    assert_eq!(burst(&mut harness, 1, 1).len(), 1);
+    assert_eq!(
+        final_answers(&harness.advance(1190.0)),
+        0,
+        "its aim is 1200 ms"
+    );
+    assert_eq!(final_answers(&harness.advance(10.0)), 1);
+}
+
+#[test]
+fn rejections_name_a_retry_after_if_settings_allow_it() {
+    let waits = |retry_after, n| {
+        let mut harness = Harness::new(
+            Settings {
+                max_retry_after: retry_after,
+                ..settings(1)
+            },
+            vec![endpoint(1)],
+        );
+        let mut out: Vec<Action> = (0..n)
+            .flat_map(|id| harness.handle(request(id, 1, 1200.0)))
+            .collect();
+        out.extend(harness.advance(1200.0));
+        let wait = |a: &Action| match a {
+            Action::Reject { retry_after, .. } => Some(*retry_after),
+            _ => None,
+        };
+        out.iter().filter_map(wait).collect::<Vec<_>>()
+    };
+    assert!(waits(None, 20).iter().all(Option::is_none));
+    let told: Vec<Millis> = waits(Some(900.0), 20).into_iter().flatten().collect();
+    assert!(
+        told.len() >= 10 && told.iter().all(|w| (1.0..=900.0).contains(w)),
+        "{told:?}"
+    );
+    // A longer queue means a later retry, up to the bound.
+    assert_eq!(waits(Some(900.0), 200)[0], Some(900.0));
+}
+
+#[test]
+fn rejections_by_quota_name_different_retry_afters() {
+    let final_answers = |most: Option<f64>| -> Vec<Option<f64>> {
+        let mut balancer = Balancer::new(
+            Settings {
+                max_retry_after: most,
+                ..settings(1)
+            },
+            1,
+        );
+        let mut out = Vec::new();
+        for n in 0..50 {
+            balancer.handle(
+                0.0,
+                Event::QuotaRejected {
+                    id: RequestId(n),
+                    retry_after: 100.0,
+                },
+                &mut out,
+            );
+        }
+        let refused = |a: &Action| match a {
+            Action::Reject { retry_after, .. } => Some(*retry_after),
+            _ => None,
+        };
+        out.iter().filter_map(refused).collect()
+    };
+    let named: Vec<f64> = final_answers(Some(1000.0)).into_iter().flatten().collect();
+    assert_eq!(named.len(), 50);
+    assert!(
+        named.iter().all(|ms| (100.0..200.0).contains(ms)),
+        "{named:?}"
+    );
+    assert!(
+        named.iter().any(|ms| *ms < 130.0) && named.iter().any(|ms| *ms > 170.0),
+        "{named:?}"
+    );
+    assert!(
+        final_answers(Some(120.0))
+            .iter()
+            .flatten()
+            .all(|ms| (60.0..120.0).contains(ms)),
+        "no longer than allowed"
+    );
+    assert_eq!(final_answers(None), [None; 50]);
+}
--- a/crates/balancer/tests/standing.rs
+++ b/crates/balancer/tests/health_snapshot.rs
@@ -11,54 +11,54 @@
             if id == SECOND {
                 Endpoint {
                     started_at: since,
-                    ..server(id)
+                    ..endpoint(id)
                 }
             } else {
-                server(id)
+                endpoint(id)
             }
         })
         .collect()
 }
 
 /// A new module at that time, told a list and what another one knew.
-fn next(now: Millis, list: Vec<Endpoint>, known: Option<HealthSnapshot>, proxies: u32) -> Hand {
-    let mut hand = Hand::new(settings(proxies), Vec::new());
-    hand.pass(now - hand.now);
-    hand.give(full(list));
+fn next(now: Millis, list: Vec<Endpoint>, known: Option<HealthSnapshot>, proxies: u32) -> Harness {
+    let mut harness = Harness::new(settings(proxies), Vec::new());
+    harness.advance(now - harness.now);
+    harness.handle(full_update(list));
     if let Some(known) = known {
-        hand.give(Event::HealthRestored(Box::new(known)));
+        harness.handle(Event::HealthRestored(Box::new(known)));
     }
-    hand
+    harness
 }
 
 /// Of so many requests one after the other, how many go to the second server.
-fn to_second(hand: &mut Hand, many: u64) -> usize {
+fn to_second(harness: &mut Harness, many: u64) -> usize {
     let mut hits = 0;
     for id in 5000..5000 + many {
-        let sent = sends(&hand.give(request(id, 0, 2000.0)));
+        let sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
         hits += sent.iter().filter(|(_, to)| *to == SECOND).count();
-        hand.give(ended(id, 0, 20.0, Outcome::Served));
+        harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
     }
     hits
 }
 
 /// A module that has closed the second server.
-fn closed() -> Hand {
-    let mut hand = Hand::new(settings(1), servers(None));
-    hand.train(0, 40, |_| 20.0);
+fn closed() -> Harness {
+    let mut harness = Harness::new(settings(1), servers(None));
+    harness.train(0, 40, |_| 20.0);
     for id in 1000..1200 {
-        let sent = sends(&hand.give(request(id, 0, 2000.0)));
+        let sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
         if sent.iter().any(|(_, to)| *to == SECOND) {
-            hand.give(ended(id, 0, 5.0, Outcome::ConnectFailed));
-            return hand;
+            harness.handle(attempt_ended(id, 0, 5.0, Outcome::ConnectFailed));
+            return harness;
         }
-        hand.give(ended(id, 0, 20.0, Outcome::Served));
+        harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
     }
     panic!("the second server was never asked");
 }
 
 #[test]
-fn a_server_that_one_module_closed_is_closed_to_the_next() {
+fn an_ejection_is_restored_in_the_next_instance() {
     let before = closed();
     let (now, known) = (before.now, before.balancer.health_snapshot(before.now));
     let second = known
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn what_a_cold_server_was_sent_counts_for_the_next_module_too() {
+fn a_slow_start_budget_is_restored_in_the_next_instance() {
     let cold = servers(Some(1000.0));
     let mut first = next(1000.0, cold.clone(), None, 1);
-    first.pass(200.0);
+    first.advance(200.0);
     to_second(&mut first, 400);
     let (now, known) = (first.now, first.balancer.health_snapshot(first.now));
     let budget = known
@@ -137,6 +137,6 @@
     );
     // It is warm in time all the same, and then there is nothing to say of it.
     let mut later = next(now, cold, Some(known), 1);
-    later.pass(20_000.0);
+    later.advance(20_000.0);
     assert_eq!(later.balancer.health_snapshot(later.now).endpoints, []);
 }
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/many_proxies.rs
@@ -21,31 +21,31 @@
         (0..servers)
             .map(|id| Endpoint {
                 started_at: since,
-                ..server(id)
+                ..endpoint(id)
             })
             .collect()
     };
     let mut counts = vec![vec![0; steps]; servers as usize];
-    for me in 0..proxies {
+    for proxy_index in 0..proxies {
         let settings = if told == Told::AtStart {
             Settings {
-                proxy_index: me,
+                proxy_index,
                 ..settings(proxies)
             }
         } else {
             settings(1)
         };
-        let mut hand = Hand::seeded(settings, list(None), u64::from(me));
-        hand.train(0, 50, |_| LATENCY); // what its kind takes when it is warm
+        let mut harness = Harness::seeded(settings, list(None), u64::from(proxy_index));
+        harness.train(0, 50, |_| LATENCY); // what its kind takes when it is warm
         if told == Told::Later {
-            hand.give(Event::ProxyCount {
-                proxy_index: me,
+            harness.handle(Event::ProxyCount {
+                proxy_index,
                 proxy_count: proxies,
             });
         }
-        let begin = hand.now;
-        hand.give(full(list(Some(begin))));
-        for (at, _, to) in hand.drive_timed(steps as u64 * 100, 25, |_, _| LATENCY).0 {
+        let begin = harness.now;
+        harness.handle(full_update(list(Some(begin))));
+        for (at, _, to) in harness.run_timed(steps as u64 * 100, 25, |_, _| LATENCY).0 {
             counts[to as usize][(((at - begin) / 100.0) as usize).min(steps - 1)] += 1;
         }
     }
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn cold_servers_are_not_pushed_over_by_any_number_of_proxies_together() {
+fn warming_endpoints_are_not_overloaded_by_any_number_of_proxies() {
     let proxies = [1, 1, 2, 3, 7, 20, 60, 100, 200, 200, 200];
     let servers = [1, 1000, 3, 12, 100, 29, 60, 60, 1, 8, 60];
     for (proxies, servers) in proxies.into_iter().zip(servers) {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn proxies_that_hear_of_each_other_after_the_start_divide_what_cold_servers_bear() {
+fn proxies_that_learn_the_proxy_count_later_divide_slow_start_budgets() {
     for (proxies, servers) in [(2, 3), (12, 8), (60, 60)] {
         let counts = play(proxies, servers, 40, Told::Later);
         assert_eq!(
@@ -95,21 +95,21 @@
 }
 
 #[test]
-fn a_proxy_hears_of_more_and_fewer_while_requests_are_out() {
-    let mut hand = Hand::seeded(settings(1), (0..6).map(server).collect(), 1);
-    hand.train(0, 50, |_| LATENCY);
-    for (me, proxies) in [(0, 4), (3, 9), (9, 9), (0, 0), (1, 2), (0, 1)] {
-        hand.give(Event::ProxyCount {
-            proxy_index: me,
+fn the_proxy_count_changes_while_requests_are_in_flight() {
+    let mut harness = Harness::seeded(settings(1), (0..6).map(endpoint).collect(), 1);
+    harness.train(0, 50, |_| LATENCY);
+    for (proxy_index, proxies) in [(0, 4), (3, 9), (9, 9), (0, 0), (1, 2), (0, 1)] {
+        harness.handle(Event::ProxyCount {
+            proxy_index,
             proxy_count: proxies,
         });
-        let (sent, _) = hand.drive_timed(500, 25, |_, _| LATENCY);
-        assert!(!sent.is_empty(), "it goes on as {me} of {proxies}");
+        let (sent, _) = harness.run_timed(500, 25, |_, _| LATENCY);
+        assert!(!sent.is_empty(), "it goes on as {proxy_index} of {proxies}");
     }
 }
 
 #[test]
-fn many_proxies_together_do_use_cold_servers_by_their_parts() {
+fn many_proxies_together_use_warming_endpoints() {
     // Each proxy's part of a cold server is less than a send a second; their sum is not nothing.
     for proxies in [20, 100, 200] {
         let counts = play(proxies, 30, 40, Told::AtStart);
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -26,7 +26,7 @@
 impl World {
     fn new(seed: u64, settings: Settings, tamper: fn(&mut Vec<Action>)) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let list = (0..rng.u64(0..14)).map(server).collect();
+        let list = (0..rng.u64(0..14)).map(endpoint).collect();
         World {
             balancer: Balancer::new(settings.clone(), seed),
             checker: Checker::new(settings.clone(), 60.0),
@@ -41,7 +41,7 @@
         }
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.checker.event(self.now, &event);
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -76,7 +76,7 @@
                     } else {
                         vec![]
                     };
-                    self.give(Event::EndpointUpdate {
+                    self.handle(Event::EndpointUpdate {
                         scope,
                         endpoints: entries,
                     });
@@ -117,7 +117,7 @@
             0 => {
                 let fresh = Endpoint {
                     started_at: Some(self.now),
-                    ..server(100 + self.next)
+                    ..endpoint(100 + self.next)
                 };
                 self.list.push(fresh.clone());
                 entries.push(fresh);
@@ -140,7 +140,7 @@
                 entries.push(self.list[k].clone()); // a repeated line does no harm
             }
             4 => {
-                return self.give(Event::EndpointUpdate {
+                return self.handle(Event::EndpointUpdate {
                     scope: UpdateScope::Failed,
                     endpoints: vec![],
                 });
@@ -148,10 +148,10 @@
             _ => {
                 self.list.retain(|b| b.state != EndpointState::Removed);
                 let entries = self.list.clone();
-                return self.give(full(entries));
+                return self.handle(full_update(entries));
             }
         }
-        self.give(Event::EndpointUpdate {
+        self.handle(Event::EndpointUpdate {
             scope: UpdateScope::Delta,
             endpoints: entries,
         });
@@ -160,7 +160,7 @@
     fn run(mut self, span: Millis) -> Vec<String> {
         let end = self.now + span;
         let entries = self.list.clone();
-        self.give(Event::EndpointUpdate {
+        self.handle(Event::EndpointUpdate {
             scope: UpdateScope::Cached,
             endpoints: entries,
         });
@@ -179,8 +179,8 @@
                 let (at, due) = self.due.swap_remove(i);
                 self.now = self.now.max(at);
                 match due {
-                    Due::Timer(token) => self.give(Event::Timer(token)),
-                    Due::Message(bytes) => self.give(Event::Gossip { from: 1, bytes }),
+                    Due::Timer(token) => self.handle(Event::Timer(token)),
+                    Due::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
                         let Some(e) = self.ends.get_mut(&id) else {
                             continue;
@@ -188,7 +188,7 @@
                         e.2 |= outcome == Outcome::Served;
                         let closed = e.2;
                         let request = RequestId(id);
-                        self.give(Event::AttemptEnded {
+                        self.handle(Event::AttemptEnded {
                             request,
                             attempt,
                             latency,
@@ -213,20 +213,20 @@
                 self.ends.clear();
                 self.due.clear();
                 let entries = self.list.clone();
-                self.give(Event::EndpointUpdate {
+                self.handle(Event::EndpointUpdate {
                     scope: UpdateScope::Cached,
                     endpoints: entries,
                 });
             }
-            7..10 => self.give(Event::Gossip {
+            7..10 => self.handle(Event::Gossip {
                 from: self.next as u32 % 9,
                 bytes: vec![1, 0, 9, 3],
             }),
-            10..14 => self.give(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
+            10..14 => self.handle(attempt_ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
                     self.ends.get_mut(&id).unwrap().2 = true;
-                    self.give(Event::ClientDisconnected(RequestId(id)));
+                    self.handle(Event::ClientDisconnected(RequestId(id)));
                     self.ends.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
@@ -239,7 +239,7 @@
                 let id = RequestId(self.next);
                 self.ends.insert(self.next, (self.now + budget, 0, false));
                 self.next += 1;
-                self.give(Event::Request {
+                self.handle(Event::Request {
                     id,
                     class: ClassId(class),
                     tenant,
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn the_four_rules_hold_over_random_streams() {
+fn the_four_rules_hold_over_random_events() {
     for (v, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
             let breaches = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
@@ -316,13 +316,13 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut hand = Hand::new(settings(4), (0..9).map(server).collect());
+        let mut harness = Harness::new(settings(4), (0..9).map(endpoint).collect());
         let mut all = vec![];
         for id in 0..200 {
-            all.extend(hand.give(request(id, id as usize % 3, 1500.0)));
-            all.extend(hand.pass(7.0));
+            all.extend(harness.handle(request(id, id as usize % 3, 1500.0)));
+            all.extend(harness.advance(7.0));
             if id >= 8 {
-                all.extend(hand.give(ended(id - 8, 0, 56.0, Outcome::Served)));
+                all.extend(harness.handle(attempt_ended(id - 8, 0, 56.0, Outcome::Served)));
             }
         }
         all
@@ -375,11 +375,8 @@
     caught(
         |out| {
             for a in out.iter_mut() {
-                if let Action::Forward {
-                    endpoint: backend, ..
-                } = a
-                {
-                    backend.0 = if backend.0 >= 100 { backend.0 } else { 1 };
+                if let Action::Forward { endpoint, .. } = a {
+                    endpoint.0 = if endpoint.0 >= 100 { endpoint.0 } else { 1 };
                 }
             }
         },
@@ -387,7 +384,8 @@
     );
     caught(
         |out| {
-            let cold = |a: &&Action| matches!(a, Action::Forward { endpoint: backend, .. } if backend.0 >= 100);
+            let cold =
+                |a: &&Action| matches!(a, Action::Forward { endpoint, .. } if endpoint.0 >= 100);
             if let Some(a) = out.iter().find(cold).cloned() {
                 out.extend(std::iter::repeat_n(a, 40));
             }
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -54,16 +54,16 @@
 fn play(p: &Play) -> Vec<Vec<f64>> {
     let steps = (SPAN / STEP) as usize;
     let mut sums = vec![vec![0.0; steps + 1]; p.cold as usize];
-    for me in 0..p.proxies {
-        let mut chance = fastrand::Rng::with_seed(p.seed * 1_000_003 + u64::from(me));
-        let knows = (p.knows)(me);
+    for proxy_index in 0..p.proxies {
+        let mut chance = fastrand::Rng::with_seed(p.seed * 1_000_003 + u64::from(proxy_index));
+        let knows = (p.knows)(proxy_index);
         let told = if knows == Knows::Alone { 1 } else { p.proxies };
         let settings = Settings {
-            proxy_index: if told == 1 { 0 } else { me },
+            proxy_index: if told == 1 { 0 } else { proxy_index },
             limits: p.limits,
             ..settings(told)
         };
-        let warm: Vec<Endpoint> = (0..p.warm).map(server).collect();
+        let warm: Vec<Endpoint> = (0..p.warm).map(endpoint).collect();
         let begin = match knows {
             Knows::Later(after) => after,
             _ => 0,
@@ -72,34 +72,34 @@
             let since = Some(now - begin as f64);
             let cold = (0..p.cold).map(|k| Endpoint {
                 started_at: since,
-                ..server(1000 + k)
+                ..endpoint(1000 + k)
             });
             warm.iter().cloned().chain(cold).collect::<Vec<_>>()
         };
-        let mut hand = if matches!(knows, Knows::All | Knows::Alone) {
-            let mut hand = Hand::seeded(settings, warm.clone(), chance.u64(..));
-            learn(&mut hand, &mut chance);
+        let mut harness = if matches!(knows, Knows::All | Knows::Alone) {
+            let mut harness = Harness::seeded(settings, warm.clone(), chance.u64(..));
+            learn(&mut harness, &mut chance);
             if told != p.proxies {
-                hand.give(Event::ProxyCount {
-                    proxy_index: me,
+                harness.handle(Event::ProxyCount {
+                    proxy_index,
                     proxy_count: p.proxies,
                 });
             }
-            let now = hand.now;
-            hand.give(full(all(now)));
-            hand
+            let now = harness.now;
+            harness.handle(full_update(all(now)));
+            harness
         } else {
-            Hand::seeded(settings, all(1000.0), chance.u64(..))
+            Harness::seeded(settings, all(1000.0), chance.u64(..))
         };
-        let start = hand.now - begin as f64;
+        let start = harness.now - begin as f64;
         let many = match p.traffic {
-            Traffic::Skewed if me % 10 == 0 => 200.0,
+            Traffic::Skewed if proxy_index % 10 == 0 => 200.0,
             Traffic::Skewed => 0.5,
             _ => 60.0, // more than its one slot on the one warm server can bear
         };
         let mut out: Vec<(Millis, u64, Millis)> = vec![];
         for at in begin..SPAN {
-            let mut actions = hand.pass(1.0);
+            let mut actions = harness.advance(1.0);
             let rate = match p.traffic {
                 Traffic::Burst(from) if at < from => 0.5,
                 Traffic::Burst(_) => 120.0,
@@ -108,15 +108,15 @@
             if chance.f64() < rate / 1000.0 {
                 let heavy = matches!(p.traffic, Traffic::Heavy) || chance.f64() < HEAVY;
                 let id = 2 * (at + 100_000) + u64::from(heavy);
-                actions.extend(hand.give(request(id, usize::from(heavy), 3000.0)));
+                actions.extend(harness.handle(request(id, usize::from(heavy), 3000.0)));
             }
-            let now = hand.now;
+            let now = harness.now;
             let (over, still) = out.into_iter().partition::<Vec<_>, _>(|o| o.0 <= now);
             out = still;
             for (_, id, latency) in over {
-                actions.extend(hand.give(ended(id, 0, latency, Outcome::Served)));
+                actions.extend(harness.handle(attempt_ended(id, 0, latency, Outcome::Served)));
             }
-            for (id, to) in sends(&actions) {
+            for (id, to) in forwarded(&actions) {
                 let work = WORK[(id % 2) as usize];
                 let latency = work * (0.5 + chance.f64());
                 out.push((now + latency, id, latency));
@@ -131,16 +131,16 @@
 }
 
 /// What its servers take is known to a proxy that has served for a while.
-fn learn(hand: &mut Hand, chance: &mut fastrand::Rng) {
+fn learn(harness: &mut Harness, chance: &mut fastrand::Rng) {
     for id in 0..120 {
         let heavy = chance.f64() < HEAVY;
         let latency = WORK[usize::from(heavy)] * (0.5 + chance.f64());
-        if sends(&hand.give(request(id, usize::from(heavy), 2000.0))).is_empty() {
-            hand.pass(2100.0);
+        if forwarded(&harness.handle(request(id, usize::from(heavy), 2000.0))).is_empty() {
+            harness.advance(2100.0);
             continue;
         }
-        hand.pass(latency);
-        hand.give(ended(id, 0, latency, Outcome::Served));
+        harness.advance(latency);
+        harness.handle(attempt_ended(id, 0, latency, Outcome::Served));
     }
 }
 
@@ -222,14 +222,14 @@
 }
 
 #[test]
-fn proxies_that_have_served_for_a_while_stay_within_the_budget() {
+fn proxies_with_estimates_stay_within_the_budget() {
     holds(&[1, 5, 20, 30, 300], |_| Knows::All);
 }
 
 #[test]
-fn proxies_of_which_most_have_just_started_stay_within_it() {
-    holds(&[5, 20, 30, 300], |me| {
-        if me % 10 < 3 {
+fn proxies_that_mostly_have_just_started_stay_within_the_budget() {
+    holds(&[5, 20, 30, 300], |proxy_index| {
+        if proxy_index % 10 < 3 {
             Knows::All
         } else {
             Knows::Nothing
@@ -238,14 +238,16 @@
 }
 
 #[test]
-fn proxies_that_start_one_after_the_other_stay_within_it() {
-    holds(&[5, 20, 30], |me| Knows::Later(u64::from(me % 7) * 500));
+fn proxies_that_start_one_after_the_other_stay_within_the_budget() {
+    holds(&[5, 20, 30], |proxy_index| {
+        Knows::Later(u64::from(proxy_index % 7) * 500)
+    });
 }
 
 #[test]
-fn proxies_that_hear_late_of_each_other_stay_within_it() {
-    holds(&[5, 20, 30], |me| {
-        if me % 2 == 0 {
+fn proxies_that_learn_the_proxy_count_late_stay_within_the_budget() {
+    holds(&[5, 20, 30], |proxy_index| {
+        if proxy_index % 2 == 0 {
             Knows::Alone
         } else {
             Knows::All
