--- a/crates/admin-api/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -6,8 +6,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cluster::machine::{Outcome as Ended, Phase, Proposal, Reason};
-use cluster::node::Refusal;
+use cluster::command::{AbortReason, Proposal};
+use cluster::error::NodeError;
+use cluster::state_machine::{Outcome as Ended, Phase};
 use cluster_runtime::member::{Said, Told};
 use cluster_runtime::status::Status;
 use config_parser::Fault;
@@ -234,17 +235,17 @@
                     self.stored();
                 }
                 Told::Restore(machine, state) => {
-                    match self.restore(together, machine.entry, &state).await {
+                    match self.restore(together, machine.revision, &state).await {
                         Ok(()) => {
                             let version = machine.version;
                             self.order(|done| Order::OpenAt(version, done)).await;
                             let change = machine.change.map(|c| (c.proposal, c.phase));
-                            if let Some((_, Phase::Closing)) = change {
+                            if let Some((_, Phase::Fencing)) = change {
                                 self.order(Order::Close).await;
                             }
                             let told = change.as_ref().map(|(p, phase)| (p.id.clone(), *phase));
                             together.say(Said::Restored(version, told));
-                            if let Some((proposal, Phase::Checking)) = change {
+                            if let Some((proposal, Phase::Validating)) = change {
                                 self.check(together, proposal);
                             }
                         }
@@ -391,16 +392,16 @@
             let note = agreed.write.edits.is_empty();
             let proposal = Proposal {
                 id: format!("{id}.{round}"),
-                base: agreed.write.base,
+                base_revision: agreed.write.base,
                 payload: agreed.write_down(),
             };
             match together
                 .ask(|tell| Said::Propose(proposal, note, tell))
                 .await?
             {
-                Ok(Ended::InEffect(_) | Ended::Stored) => return Some(Given::Reply(reply)),
-                Ok(Ended::GivenUp(why)) => return Some(given_up(&why).into()),
-                Ok(Ended::Overtaken) => {}
+                Ok(Ended::Activated(_) | Ended::Stored) => return Some(Given::Reply(reply)),
+                Ok(Ended::Aborted(why)) => return Some(given_up(&why).into()),
+                Ok(Ended::Conflict) => {}
                 Err(_) => return None,
             }
         }
@@ -447,8 +448,8 @@
         if let Err(problem) = may {
             return Some(problem.into());
         }
-        let refused = |e: Refusal| match e {
-            Refusal::NotLeading(_) => None,
+        let refused = |e: NodeError| match e {
+            NodeError::NotLeader => None,
             e => Some(Given::from(Problem::conflict(e.to_string()))),
         };
         match joint {
@@ -503,10 +504,7 @@
                             return Some(Given::Reply(Reply::of(json!({ "removed": name }))));
                         }
                         Ok(false) => {}
-                        Err(Refusal::Wait(why)) if why != "another member comes or goes" => {
-                            return Some(Problem::conflict(why).into());
-                        }
-                        Err(Refusal::Wait(_)) => {}
+                        Err(NodeError::MembershipChangeInProgress) => {}
                         Err(e) => return refused(e),
                     }
                     sleep(AGAIN).await;
@@ -562,10 +560,10 @@
     Problem::not_found("this service is not one of a cluster's instances")
 }
 
-fn given_up(why: &[Reason]) -> Problem {
-    let one = |r: &Reason| match r.by.is_empty() {
-        true => r.why.clone(),
-        false => format!("{}: {}", r.by, r.why),
+fn given_up(why: &[AbortReason]) -> Problem {
+    let one = |r: &AbortReason| match r.member.is_empty() {
+        true => r.detail.clone(),
+        false => format!("{}: {}", r.member, r.detail),
     };
     let all: Vec<String> = why.iter().map(one).collect();
     Problem::given_up(format!("it has taken hold nowhere: {}", all.join("; ")))
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ::admin_api::Api;
-use ::cluster::machine::{self, Micros, Rules};
+use ::cluster::rules::{Micros, PartitionPolicy, Rules};
 use cluster_runtime::member::{self, Said, Settings, Told};
 use cluster_runtime::right::Right;
 use multi_tenant::document::{Cluster, Service, WhenCutOff, WhenListUnknown};
@@ -66,12 +66,12 @@
     }
     let rules = Rules {
         lease: micros(cluster.lease.0),
-        short: micros(cluster.change_lease.0),
-        drift: (cluster.drift.0 * 1e6) as u32,
-        deadline: micros(cluster.deadline.0),
-        when_cut_off: match cluster.when_cut_off {
-            WhenCutOff::Refuse => machine::WhenCutOff::Refuse,
-            WhenCutOff::Serve => machine::WhenCutOff::Serve,
+        change_lease: micros(cluster.change_lease.0),
+        clock_drift_ppm: (cluster.drift.0 * 1e6) as u32,
+        change_deadline: micros(cluster.deadline.0),
+        partition_policy: match cluster.when_cut_off {
+            WhenCutOff::Refuse => PartitionPolicy::Reject,
+            WhenCutOff::Serve => PartitionPolicy::Serve,
         },
         voters: cluster.voters,
     };
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -4,8 +4,9 @@
 use std::path::{Path, PathBuf};
 
 use ::admin_api::{Backup, Desk};
-use ::cluster::machine::{Machine, Member};
-use ::cluster::salvage::next_era;
+use ::cluster::command::Member;
+use ::cluster::log_recovery::{next_era, restart_with_one_member};
+use ::cluster::state_machine::StateMachine;
 use cluster_runtime::kept::{Kept, new_cluster};
 use multi_tenant::document::{Cluster, Service};
 use serde_json::Value;
@@ -100,7 +101,7 @@
         )));
     }
     let salvage = kept.salvage().map_err(named)?;
-    let before = &salvage.machine;
+    let before = &salvage.state_machine;
     let version = next_era(before.version);
     println!("survivor        {name}, of the cluster {old}");
     println!(
@@ -109,17 +110,17 @@
     );
     println!(
         "log             up to entry {}, term {}",
-        salvage.position.1, salvage.position.0
+        salvage.last_index, salvage.term
     );
-    println!("known agreed    up to entry {}", salvage.agreed);
+    println!("known agreed    up to entry {}", salvage.committed_index);
     println!(
         "taken besides   {} entries that may have been acknowledged",
-        salvage.unsure
+        salvage.uncommitted_entries
     );
     println!(
         "given up        {}",
         salvage
-            .under_way
+            .aborted_change
             .as_deref()
             .unwrap_or("no change was under way")
     );
@@ -139,21 +140,22 @@
     );
     println!(
         "may be missing  whatever was acknowledged after entry {} without this member",
-        salvage.position.1
+        salvage.last_index
     );
     if !yes {
         println!("nothing was changed: say --yes to do it");
         return Ok(());
     }
     let mut desk = Desk::open(file, false, unix_ms())?;
-    if desk.entry() < salvage.state.1 {
-        desk.replace(file, &salvage.state.0)?;
+    if desk.entry() < salvage.application_revision {
+        desk.replace(file, &salvage.application_state)?;
     }
-    let detail = format!("the cluster {old} up to entry {}", salvage.position.1);
+    let detail = format!("the cluster {old} up to entry {}", salvage.last_index);
     let (version, entry, state) =
         desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
     let member = member(cluster, before.next_id);
-    let machine = before.anew(new_cluster(), name.clone(), member, version, entry);
+    let machine =
+        restart_with_one_member(before, new_cluster(), name.clone(), member, version, entry);
     kept.begin_anew(&machine, &name, state).map_err(named)?;
     done(&machine);
     Ok(())
@@ -204,7 +206,7 @@
     let (version, entry, state) = desk.salvage(file, &[], version, detail, unix_ms())?;
     let rules = super::settings(cluster, &directory.display().to_string())?.rules;
     let name = cluster.instance.clone();
-    let machine = Machine::found(
+    let machine = StateMachine::bootstrap(
         new_cluster(),
         rules,
         name.clone(),
@@ -222,14 +224,14 @@
         id,
         address: cluster.address.clone(),
         zone: cluster.zone.clone(),
-        drawn: 0,
+        join_nonce: 0,
     }
 }
 
-fn done(machine: &Machine) {
+fn done(machine: &StateMachine) {
     println!(
         "done            the cluster is {} from here on; start this instance",
-        machine.cluster
+        machine.cluster_id
     );
     println!(
         "others          join it with empty state directories; with those of before they are refused"
--- a/crates/canvascart/src/lab/together.rs
+++ b/crates/canvascart/src/lab/together.rs
@@ -7,7 +7,7 @@
 use ::lab::service::changes::{Known, Planted, Play, Played, play};
 use ::lab::service::pace::{Fare, Row, among, in_virtual_time, single};
 use ::lab::service::recover::Play as Recover;
-use cluster::machine::{Rules, WhenCutOff};
+use cluster::rules::{PartitionPolicy, Rules};
 
 use super::hosted::{own, place_for};
 use super::{BROKEN, NOT_RUN};
@@ -23,10 +23,10 @@
     let second = 1_000_000;
     Rules {
         lease: 15 * second,
-        short: 3 * second,
-        drift: 20_000,
-        deadline: 60 * second,
-        when_cut_off: WhenCutOff::Refuse,
+        change_lease: 3 * second,
+        clock_drift_ppm: 20_000,
+        change_deadline: 60 * second,
+        partition_policy: PartitionPolicy::Reject,
         voters: 3,
     }
 }
--- a/crates/cluster-runtime/src/clock.rs
+++ b/crates/cluster-runtime/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock that leases are measured by.
 
-use cluster::machine::Micros;
+use cluster::rules::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
 /// The time since the machine started, with what it slept: it is never set, and goes on while a process is stopped.
--- a/crates/cluster-runtime/src/kept.rs
+++ b/crates/cluster-runtime/src/kept.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use cluster::machine::Machine;
-use cluster::node::{Saved, found};
-use cluster::salvage::Salvage;
+use cluster::log_recovery::{RecoveredLog, recover_log};
+use cluster::persistence::PersistedState;
+use cluster::state_machine::StateMachine;
 use config_store::log::{Append, Log, Logged};
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,7 @@
 /// What a member's directory tells while its process does not run.
 pub struct Kept {
     log: Log,
-    saved: Saved,
+    saved: PersistedState,
     identity: Option<Identity>,
 }
 
@@ -54,8 +54,8 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn salvage(&self) -> Result<Salvage, String> {
-        cluster::salvage::salvage(&self.saved).map_err(|e| e.to_string())
+    pub fn salvage(&self) -> Result<RecoveredLog, String> {
+        recover_log(&self.saved).map_err(|e| e.to_string())
     }
 
     /// From here on the directory is the one member's of a cluster of its own.
@@ -64,14 +64,14 @@
     /// It can't be written; the directory is as it was, or is no member's.
     pub fn begin_anew(
         &mut self,
-        machine: &Machine,
+        machine: &StateMachine,
         name: &str,
         state: String,
     ) -> Result<(), String> {
         let id = machine.members.get(name).map_or(0, |m| m.id);
-        let saved = found(machine, state, id);
+        let saved = PersistedState::bootstrap(machine, state, id);
         let identity = Identity {
-            cluster: machine.cluster.clone(),
+            cluster: machine.cluster_id.clone(),
             id,
             name: name.to_owned(),
         };
@@ -85,11 +85,11 @@
     format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..))
 }
 
-pub(crate) fn saved(logged: &Logged) -> Saved {
-    Saved {
+pub(crate) fn saved(logged: &Logged) -> PersistedState {
+    PersistedState {
         snapshot: logged.snapshot.clone(),
         entries: logged.entries.clone(),
-        hard: logged.hard.clone(),
+        hard_state: logged.hard.clone(),
         acknowledged: logged.acknowledged.clone(),
     }
 }
@@ -97,12 +97,12 @@
 pub(crate) fn put_identity(
     log: &mut Log,
     identity: &Identity,
-    saved: &Saved,
+    saved: &PersistedState,
 ) -> Result<(), String> {
     let identity = serde_json::to_vec(identity).map_err(|e| e.to_string())?;
     let append = Append {
         snapshot: saved.snapshot.as_deref().map(|s| (1, s)),
-        hard: saved.hard.as_deref(),
+        hard: saved.hard_state.as_deref(),
         identity: Some(&identity),
         ..Append::default()
     };
--- a/crates/cluster-runtime/src/mark.rs
+++ b/crates/cluster-runtime/src/mark.rs
@@ -5,7 +5,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cluster::machine::Micros;
+use cluster::rules::Micros;
 
 use crate::clock;
 
--- a/crates/cluster-runtime/src/member.rs
+++ b/crates/cluster-runtime/src/member.rs
@@ -7,9 +7,15 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cluster::fence::Until;
-use cluster::machine::{Effect, Machine, Member, Micros, Outcome, Phase, Proposal, Rules, Version};
-use cluster::node::{Kind, Node, Output, Persist, Refusal, Saved, TICK, found};
+use cluster::command::{Member, Proposal};
+use cluster::error::NodeError;
+use cluster::member_lease::{LeaseExpiry, Validation};
+use cluster::message::MessageKind;
+use cluster::node::{JoinRequest, Node, NodeConfig, ProposalKind, TICK};
+use cluster::output::Output;
+use cluster::persistence::{Persist, PersistedState};
+use cluster::rules::{Micros, Rules};
+use cluster::state_machine::{Effect, Outcome, Phase, StateMachine, Version};
 use config_store::log::{Append, Log, Logged};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
@@ -72,7 +78,7 @@
     /// Something is stored.
     Note(Proposal),
     /// What the log came to until here; it replaces what the application has, if that is less: [`Said::Restored`].
-    Restore(Machine, String),
+    Restore(StateMachine, String),
     /// All that was told until here is to be written down: [`Said::Saved`].
     Save,
     /// What was read by this number may be answered with what there is now; or not, as another leads.
@@ -101,7 +107,7 @@
     /// A call gets no answer here, as another leads; whoever took it asks that one.
     Unanswered(String),
     /// Something is to be agreed on; its end comes when it is known.
-    Propose(Proposal, bool, oneshot::Sender<Result<Outcome, Refusal>>),
+    Propose(Proposal, bool, oneshot::Sender<Result<Outcome, NodeError>>),
     /// Something was read, and is to be known to be current: [`Told::Read`].
     Confirm(u64),
     /// A call for whoever leads.
@@ -111,11 +117,11 @@
     /// How the cluster looks from here.
     Status(oneshot::Sender<Status>),
     /// A member is to be removed; whether it is gone.
-    Remove(String, oneshot::Sender<Result<bool, Refusal>>),
+    Remove(String, oneshot::Sender<Result<bool, NodeError>>),
     /// An operator says that this member's disk is its newest; whether there was a doubt.
     Vouch(oneshot::Sender<bool>),
     /// Another one is to lead.
-    StepDown(Option<String>, oneshot::Sender<Result<(), Refusal>>),
+    StepDown(Option<String>, oneshot::Sender<Result<(), NodeError>>),
 }
 
 /// What founds a cluster: the version, how much is stored, and the application's state.
@@ -140,7 +146,7 @@
     ask_due: Micros,
     /// Where others are that wrote.
     heard: BTreeMap<u64, (String, String)>,
-    waiting: BTreeMap<String, Vec<oneshot::Sender<Result<Outcome, Refusal>>>>,
+    waiting: BTreeMap<String, Vec<oneshot::Sender<Result<Outcome, NodeError>>>>,
     /// Calls of this instance that wait for the one that leads.
     calls: BTreeMap<String, Call>,
     /// Calls that are being answered here: who asked.
@@ -243,18 +249,20 @@
         self.begin_with(identity, &saved(logged))
     }
 
-    fn begin_with(&mut self, identity: Identity, saved: &Saved) -> Result<(), String> {
+    fn begin_with(&mut self, identity: Identity, saved: &PersistedState) -> Result<(), String> {
         let proven = self.mark.is_fresh();
         let node = Node::new(
-            identity.id,
+            &NodeConfig {
+                id: identity.id,
+                process_start: self.starts,
+                is_disk_confirmed: proven,
+                seed: fastrand::u64(..),
+            },
             saved,
-            self.starts,
-            proven,
-            fastrand::u64(..),
             clock::now(),
         );
         let mut node = node.map_err(|e| e.to_string())?;
-        node.keep(self.settings.log_entries);
+        node.set_compaction_threshold(self.settings.log_entries);
         self.node = Some(node);
         tracing::info!(
             name = identity.name,
@@ -331,11 +339,15 @@
     }
 
     fn write_to(&mut self, id: u64, body: Body) {
-        let of = |m: &Machine| {
+        let of = |m: &StateMachine| {
             let found = m.members.iter().find(|(_, member)| member.id == id);
             found.map(|(name, member)| (name.clone(), member.address.clone()))
         };
-        let known = self.node.as_ref().and_then(Node::machine).and_then(of);
+        let known = self
+            .node
+            .as_ref()
+            .and_then(Node::state_machine)
+            .and_then(of);
         if let Some((name, address)) = known.or_else(|| self.heard.get(&id).cloned()) {
             self.write(&name, &address, body);
         }
@@ -424,11 +436,12 @@
             id: 1,
             address: self.address.clone(),
             zone,
-            drawn: self.drawn,
+            join_nonce: self.drawn,
         };
         let rules = self.settings.rules.clone();
-        let machine = Machine::found(cluster.clone(), rules, name.clone(), member, version, entry);
-        let saved = found(&machine, state, 1);
+        let machine =
+            StateMachine::bootstrap(cluster.clone(), rules, name.clone(), member, version, entry);
+        let saved = PersistedState::bootstrap(&machine, state, 1);
         let identity = Identity {
             cluster,
             id: 1,
@@ -454,7 +467,10 @@
                 let Some(node) = self.node.as_mut().filter(|n| ours && n.id() == to) else {
                     return Ok(());
                 };
-                if node.machine().is_none_or(|m| m.name_of(from.id).is_none()) {
+                if node
+                    .state_machine()
+                    .is_none_or(|m| m.name_of(from.id).is_none())
+                {
                     self.heard.insert(from.id, (from.name, from.address));
                     if self.heard.len() > CALLS {
                         self.heard.pop_first();
@@ -475,9 +491,17 @@
                 let Some(node) = &mut self.node else {
                     return Ok(());
                 };
-                match node.join(now, &from.name, &from.address, &zone, drawn) {
+                match node.add_member(
+                    now,
+                    &JoinRequest {
+                        name: &from.name,
+                        address: &from.address,
+                        zone: &zone,
+                        nonce: drawn,
+                    },
+                ) {
                     Ok(Some(id)) => self.write(&from.name, &from.address, Body::Joined(Ok(id))),
-                    Ok(None) | Err(Refusal::NotLeading(_)) => {} // it asks again
+                    Ok(None) | Err(NodeError::NotLeader) => {} // it asks again
                     Err(e) => {
                         self.write(&from.name, &from.address, Body::Joined(Err(e.to_string())))
                     }
@@ -489,8 +513,8 @@
                     id,
                     name: self.settings.name.clone(),
                 };
-                put_identity(&mut self.log, &identity, &Saved::default())?;
-                self.begin_with(identity, &Saved::default())?;
+                put_identity(&mut self.log, &identity, &PersistedState::default())?;
+                self.begin_with(identity, &PersistedState::default())?;
             }
             Body::Joined(Ok(_)) => {}
             Body::Joined(Err(why)) => tracing::info!(why, "has not joined yet"),
@@ -533,7 +557,7 @@
         let node = self.node.as_ref()?;
         let leader = node.leader()?;
         let (name, member) = node
-            .machine()?
+            .state_machine()?
             .members
             .iter()
             .find(|(_, m)| m.id == leader)?;
@@ -542,7 +566,7 @@
 
     /// A call for the one that leads has come, from here or from another.
     fn called(&mut self, id: String, text: String, from: Option<String>) {
-        if !self.node.as_ref().is_some_and(Node::leads) || self.answering.len() >= CALLS {
+        if !self.node.as_ref().is_some_and(Node::is_leader) || self.answering.len() >= CALLS {
             return; // it is made again
         }
         let first = !self.answering.contains_key(&id);
@@ -611,38 +635,49 @@
         }
         let Some(node) = &mut self.node else { return };
         match said {
-            Said::Checked(change, result) => node.checked(now, &change, result.err()),
-            Said::Closed(change) => node.closed(now, &change),
-            Said::Opened(version) => node.carried(now, version),
+            Said::Checked(change, result) => node.change_validated(
+                now,
+                Validation {
+                    change,
+                    fault: result.err(),
+                },
+            ),
+            Said::Closed(change) => node.change_fenced(now, &change),
+            Said::Opened(version) => node.version_served(now, version),
             Said::Restored(version, change) => {
-                node.carried(now, version);
-                if let Some((change, Phase::Closing)) = change {
-                    node.closed(now, &change);
+                node.version_served(now, version);
+                if let Some((change, Phase::Fencing)) = change {
+                    node.change_fenced(now, &change);
                 }
             }
-            Said::Saved(state) => node.shorten(now, state),
-            Said::Rest => node.rest(now),
+            Said::Saved(state) => node.compact(now, state),
+            Said::Rest => node.release_lease(now),
             Said::Confirm(read) => {
-                if node.confirm(now, read).is_err() {
+                if node.confirm_read(now, read).is_err() {
                     let _ = self.to.send(Told::Read(read, false));
                 }
             }
             Said::Propose(proposal, note, tell) => {
                 let id = proposal.id.clone();
-                match node.propose(now, proposal, note) {
+                let kind = if note {
+                    ProposalKind::Storage
+                } else {
+                    ProposalKind::Change
+                };
+                match node.propose(now, proposal, kind) {
                     Ok(()) => self.waiting.entry(id).or_default().push(tell),
                     Err(e) => _ = tell.send(Err(e)),
                 }
             }
             Said::Vouch(tell) => {
-                let doubted = !node.is_proven();
-                node.vouch();
+                let doubted = !node.is_disk_confirmed();
+                node.confirm_disk();
                 let _ = tell.send(doubted); // who asked may have left
             }
-            Said::Remove(name, tell) => _ = tell.send(node.leave(now, &name)),
+            Said::Remove(name, tell) => _ = tell.send(node.remove_member(now, &name)),
             Said::StepDown(to, tell) => {
-                let id = to.and_then(|name| node.machine()?.members.get(&name).map(|m| m.id));
-                let _ = tell.send(node.step_down(now, id));
+                let id = to.and_then(|name| node.state_machine()?.members.get(&name).map(|m| m.id));
+                let _ = tell.send(node.transfer_leadership(now, id));
             }
             Said::Call(..) | Said::Answered(..) | Said::Unanswered(_) | Said::Status(_) => {}
         }
@@ -652,7 +687,7 @@
         for who in self.answering.remove(id).unwrap_or_default() {
             match who {
                 Some(name) => {
-                    let address = self.node.as_ref().and_then(Node::machine);
+                    let address = self.node.as_ref().and_then(Node::state_machine);
                     let address = address
                         .and_then(|m| m.members.get(&name))
                         .map(|m| m.address.clone());
@@ -691,7 +726,11 @@
     /// Does what the member's part asks for, in its order.
     fn carry_out(&mut self) -> Result<(), String> {
         loop {
-            let outputs = self.node.as_mut().map(Node::outputs).unwrap_or_default();
+            let outputs = self
+                .node
+                .as_mut()
+                .map(Node::take_outputs)
+                .unwrap_or_default();
             if outputs.is_empty() {
                 self.let_go();
                 return Ok(());
@@ -705,11 +744,11 @@
     /// Where this member leads no more, what it proposed may get lost, and its end may never be heard of: whoever waits for it asks
     /// the one that leads.
     fn let_go(&mut self) {
-        if self.waiting.is_empty() || self.node.as_ref().is_some_and(Node::leads) {
+        if self.waiting.is_empty() || self.node.as_ref().is_some_and(Node::is_leader) {
             return;
         }
         for waits in std::mem::take(&mut self.waiting).into_values().flatten() {
-            let _ = waits.send(Err(Refusal::NotLeading(None))); // who asked may have left
+            let _ = waits.send(Err(NodeError::NotLeader)); // who asked may have left
         }
     }
 
@@ -727,16 +766,16 @@
         match output {
             Output::Persist(Persist {
                 snapshot,
-                whole,
+                replaces_log,
                 entries,
-                hard,
+                hard_state,
                 acknowledged,
             }) => {
                 let append = Append {
-                    snapshot: snapshot.as_ref().map(|(n, s)| (*n, s.as_slice())),
-                    whole,
+                    snapshot: snapshot.as_ref().map(|s| (s.index, s.bytes.as_slice())),
+                    whole: replaces_log,
                     entries: &entries,
-                    hard: hard.as_deref(),
+                    hard: hard_state.as_deref(),
                     identity: None,
                     acknowledged: acknowledged.as_deref(),
                 };
@@ -745,28 +784,28 @@
                     .append(append)
                     .map_err(|e| format!("the log: {e}"))?;
             }
-            Output::Send(to, message) => self.write_to(to, Body::Node(to, message)),
-            Output::Effect(Effect::Check(proposal)) => self.tell(Told::Check(proposal)),
-            Output::Effect(Effect::Close(proposal)) => self.tell(Told::Close(proposal)),
-            Output::Effect(Effect::Open(version, proposal)) => {
+            Output::Send { to, message } => self.write_to(to, Body::Node(to, message)),
+            Output::Effect(Effect::Validate(proposal)) => self.tell(Told::Check(proposal)),
+            Output::Effect(Effect::Fence(proposal)) => self.tell(Told::Close(proposal)),
+            Output::Effect(Effect::Activate { version, proposal }) => {
                 self.tell(Told::Open(version, proposal))
             }
-            Output::Effect(Effect::Note(proposal)) => self.tell(Told::Note(proposal)),
-            Output::Effect(Effect::Ended(id, outcome)) => {
+            Output::Effect(Effect::Store(proposal)) => self.tell(Told::Note(proposal)),
+            Output::Effect(Effect::Completed { id, outcome }) => {
                 match &outcome {
-                    Outcome::InEffect(_) => self.changes[0] += 1,
-                    Outcome::GivenUp(_) => {
+                    Outcome::Activated(_) => self.changes[0] += 1,
+                    Outcome::Aborted(_) => {
                         self.changes[1] += 1;
                         self.tell(Told::GivenUp);
                     }
-                    Outcome::Stored | Outcome::Overtaken => {}
+                    Outcome::Stored | Outcome::Conflict => {}
                 }
                 for waits in self.waiting.remove(&id).unwrap_or_default() {
                     let _ = waits.send(Ok(outcome.clone())); // who asked may have left
                 }
             }
-            Output::Effect(Effect::Members) => {
-                let machine = self.node.as_ref().and_then(Node::machine);
+            Output::Effect(Effect::MembersChanged) => {
+                let machine = self.node.as_ref().and_then(Node::state_machine);
                 let names: BTreeSet<String> = machine
                     .map(|m| m.members.keys().cloned().collect())
                     .unwrap_or_default();
@@ -775,7 +814,10 @@
                 self.post
                     .keep(|name| names.contains(name) || peers.contains(name));
             }
-            Output::Restore(machine, state) => {
+            Output::Restore {
+                state_machine: machine,
+                application_state: state,
+            } => {
                 tracing::info!(
                     version = machine.version,
                     "goes on from a snapshot of the log"
@@ -783,15 +825,18 @@
                 self.tell_members(&machine.members.keys().cloned().collect());
                 self.tell(Told::Restore(machine, state));
             }
-            Output::Right(right) => self.right.set(right),
-            Output::Confirmed(reads) => reads
+            Output::LeaseChanged(right) => self.right.set(right),
+            Output::ReadsConfirmed(reads) => reads
                 .into_iter()
                 .for_each(|r| self.tell(Told::Read(r, true))),
-            Output::Unconfirmed(reads) => reads
+            Output::ReadsRejected(reads) => reads
                 .into_iter()
                 .for_each(|r| self.tell(Told::Read(r, false))),
-            Output::Long => self.tell(Told::Save),
-            Output::Forgotten { has, acknowledged } => self.begin_anew(has, acknowledged)?,
+            Output::SnapshotNeeded => self.tell(Told::Save),
+            Output::AmnesiaDetected {
+                last_index,
+                acknowledged_index,
+            } => self.begin_anew(last_index, acknowledged_index)?,
         }
         Ok(())
     }
@@ -805,7 +850,7 @@
             &counts.rubbish,
         ];
         let messages = messages.map(|c| c.load(Ordering::Relaxed));
-        let by_kind = Kind::ALL
+        let by_kind = MessageKind::ALL
             .into_iter()
             .map(|k| (k.name().to_owned(), counts.out[k as usize].so_far()));
         let me = self.me();
@@ -823,10 +868,11 @@
             status.fenced = Some("it has not joined yet".into());
             return status;
         };
-        (status.term, status.applied) = node.position();
-        status.unproven = !node.is_proven();
+        status.term = node.term();
+        status.applied = node.applied_index();
+        status.unproven = !node.is_disk_confirmed();
         status.leader = self.leader().map(|(name, _)| name);
-        match node.fence().may_decide(now) {
+        match node.lease().may_decide(now) {
             Ok(version) => status.decides = Some(version),
             Err(why) => status.fenced = Some(why.to_string()),
         }
@@ -835,25 +881,25 @@
                 "others are of the cluster {other}, as after a restore: its state directory is to be emptied, so that it joins them"
             ));
         }
-        let Some(machine) = node.machine() else {
+        let Some(machine) = node.state_machine() else {
             return status;
         };
         status.version = machine.version;
         let voters = node.voters();
         let member = |(name, m): (&String, &Member)| {
-            let seen = node.warden().and_then(|w| w.seen(m.id));
-            let (heard, bound, version) = seen.unwrap_or_default();
+            let seen = node.lease_table().and_then(|t| t.observation(m.id));
+            let seen = seen.unwrap_or_default();
             MemberStatus {
                 name: name.clone(),
                 id: m.id,
                 zone: m.zone.clone(),
                 address: m.address.clone(),
                 votes: voters.contains(&m.id),
-                version,
-                heard_ms: heard.map(|h| now.saturating_sub(h) / 1000),
-                holds_ms: match bound {
-                    Some(Until::Forever) => Some(-1),
-                    Some(Until::Before(until)) if until > now => {
+                version: seen.version,
+                heard_ms: seen.last_heard.map(|h| now.saturating_sub(h) / 1000),
+                holds_ms: match seen.latest_expiry {
+                    Some(LeaseExpiry::Never) => Some(-1),
+                    Some(LeaseExpiry::At(until)) if until > now => {
                         Some(((until - now) / 1000) as i64)
                     }
                     _ => None,
@@ -864,10 +910,14 @@
         status.change = machine.change.as_ref().map(|change| ChangeStatus {
             id: change.proposal.id.clone(),
             phase: match change.phase {
-                Phase::Checking => "checking".into(),
-                Phase::Closing => "closing".into(),
+                Phase::Validating => "checking".into(),
+                Phase::Fencing => "closing".into(),
             },
-            waits_for: node.waits(now).into_iter().map(|w| w.name).collect(),
+            waits_for: node
+                .blocking_members(now)
+                .into_iter()
+                .map(|w| w.name)
+                .collect(),
         });
         status
     }
--- a/crates/cluster-runtime/src/message.rs
+++ b/crates/cluster-runtime/src/message.rs
@@ -1,6 +1,6 @@
 //! What members write to each other.
 
-use cluster::node::{self, Kind};
+use cluster::message::{self, MessageKind};
 use serde::{Deserialize, Serialize};
 
 /// A message, with who wrote it.
@@ -30,7 +30,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
     /// From one member's part to another's, by its number.
-    Node(u64, node::Message),
+    Node(u64, message::Message),
     /// One that is no member asks whether there is a cluster, and who leads it.
     Ask {
         /// The members that its file names, with its own name, so that those who found a cluster mean the same one.
@@ -67,16 +67,16 @@
 
 impl Message {
     /// What it is about.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> MessageKind {
         match &self.body {
             Body::Node(_, message) => message.kind(),
-            _ => Kind::Other,
+            _ => MessageKind::Other,
         }
     }
 
     /// The message's bytes.
     pub fn write(&self) -> Vec<u8> {
-        if let Body::Node(to, node::Message::Log(log)) = &self.body
+        if let Body::Node(to, message::Message::Raft(log)) = &self.body
             && let Ok(from) = serde_json::to_vec(&self.from)
         {
             let mut bytes = vec![LOG];
@@ -105,7 +105,10 @@
         let (length, rest) = rest.split_first_chunk::<4>()?;
         let (from, rest) = rest.split_at_checked(u32::from_le_bytes(*length) as usize)?;
         let (to, log) = rest.split_first_chunk::<8>()?;
-        let body = Body::Node(u64::from_le_bytes(*to), node::Message::Log(log.to_vec()));
+        let body = Body::Node(
+            u64::from_le_bytes(*to),
+            message::Message::Raft(log.to_vec()),
+        );
         Some(Message {
             from: serde_json::from_slice(from).ok()?,
             body,
--- a/crates/cluster-runtime/src/post.rs
+++ b/crates/cluster-runtime/src/post.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use cluster::node::Kind;
+use cluster::message::MessageKind;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
@@ -39,10 +39,10 @@
     pub dropped: AtomicU64,
     /// Links that were ended as rubbish came by them.
     pub rubbish: AtomicU64,
-    /// What went out by kind, in the order of [`Kind::ALL`].
-    pub out: [Traffic; Kind::COUNT],
+    /// What went out by kind, in the order of [`MessageKind::ALL`].
+    pub out: [Traffic; MessageKind::COUNT],
     /// What came in, likewise.
-    pub incoming: [Traffic; Kind::COUNT],
+    pub incoming: [Traffic; MessageKind::COUNT],
 }
 
 /// Messages of one kind, and their bytes with their frames.
@@ -70,7 +70,7 @@
 }
 
 /// A message's kind and its bytes.
-type Written = (Kind, Vec<u8>);
+type Written = (MessageKind, Vec<u8>);
 
 /// The post.
 pub struct Post {
--- a/crates/cluster-runtime/src/right.rs
+++ b/crates/cluster-runtime/src/right.rs
@@ -3,8 +3,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use cluster::fence::Until;
-use cluster::machine::{Micros, Version};
+use cluster::member_lease::{Lease, LeaseExpiry};
+use cluster::rules::Micros;
+use cluster::state_machine::Version;
 use tokio::sync::Notify;
 
 use crate::clock;
@@ -25,7 +26,7 @@
     }
 
     /// The member's right is this from now on.
-    pub fn set(&self, right: Option<(Version, Until)>) {
+    pub fn set(&self, right: Option<Lease>) {
         if right.is_none() && kept() {
             return;
         }
@@ -33,12 +34,18 @@
         self.changed.notify_waiters();
     }
 
-    fn put(&self, right: Option<(Version, Until)>) {
+    fn put(&self, right: Option<Lease>) {
         // While the version changes there is no right at all: a reader that sees the new moment sees the new version, too.
         let (version, until) = match right {
             None => return self.until.store(0, Ordering::SeqCst),
-            Some((version, Until::Forever)) => (version, u64::MAX),
-            Some((version, Until::Before(until))) => (version, until),
+            Some(Lease {
+                version,
+                expiry: LeaseExpiry::Never,
+            }) => (version, u64::MAX),
+            Some(Lease {
+                version,
+                expiry: LeaseExpiry::At(until),
+            }) => (version, until),
         };
         if self.version.load(Ordering::SeqCst) != version {
             self.until.store(0, Ordering::SeqCst);
@@ -73,15 +80,19 @@
 mod tests {
     use super::*;
 
+    fn lease(version: Version, expiry: LeaseExpiry) -> Option<Lease> {
+        Some(Lease { version, expiry })
+    }
+
     #[test]
     fn it_ends_with_its_moment_and_is_for_one_version() {
         let right = Right::default();
         assert_eq!(right.may_decide(0), None);
-        right.set(Some((3, Until::Forever)));
+        right.set(lease(3, LeaseExpiry::Never));
         assert!(right.may_decide(3).is_some() && right.may_decide(2).is_none());
-        right.set(Some((4, Until::Before(clock::now() + 60_000_000))));
+        right.set(lease(4, LeaseExpiry::At(clock::now() + 60_000_000)));
         assert!(right.may_decide(4).is_some() && right.may_decide(3).is_none());
-        right.set(Some((4, Until::Before(clock::now()))));
+        right.set(lease(4, LeaseExpiry::At(clock::now())));
         assert_eq!(right.may_decide(4), None);
         right.set(None);
         assert_eq!(right.may_decide(4), None);
--- a/crates/cluster-runtime/tests/message.rs
+++ b/crates/cluster-runtime/tests/message.rs
@@ -1,6 +1,6 @@
 //! What members write to each other is read as it was written, and what is no message is none.
 
-use cluster::node;
+use cluster::message;
 use cluster_runtime::message::{Body, Message, Sender};
 
 fn sender() -> Sender {
@@ -15,7 +15,7 @@
 #[test]
 fn messages_are_read_as_they_were_written() {
     let bodies = [
-        Body::Node(7, node::Message::Log(vec![0, 1, 255])),
+        Body::Node(7, message::Message::Raft(vec![0, 1, 255])),
         Body::Ask {
             names: vec!["a".into()],
         },
@@ -40,7 +40,7 @@
     let mut chance = fastrand::Rng::with_seed(11);
     let whole = Message {
         from: sender(),
-        body: Body::Node(7, node::Message::Log(vec![9; 40])),
+        body: Body::Node(7, message::Message::Raft(vec![9; 40])),
     }
     .write();
     for _ in 0..20_000 {
--- a/crates/cluster-runtime/tests/wire_fixtures.rs
+++ b/crates/cluster-runtime/tests/wire_fixtures.rs
@@ -2,8 +2,8 @@
 //!
 //! `fixtures/messages.txt` holds a line for each message, its name and its bytes in hexadecimal; `fixtures/frames.txt`
 //! the bytes that open a link and the heads of the first frames on it.
-use cluster::fence::{Grant, Report, Span};
-use cluster::node::{self, Welcome};
+use cluster::member_lease::{Grant, LeaseDuration, Report};
+use cluster::message::{self, DiskCheckReply};
 use cluster_runtime::frame::{Key, answer, opened, opening};
 use cluster_runtime::message::{Body, Message, Sender};
 
@@ -24,25 +24,26 @@
 fn bodies() -> Vec<(&'static str, Body)> {
     let part = |message| Body::Node(7, message);
     let report = |checked: Option<(&str, Option<&str>)>, closed: Option<&str>| {
-        node::Message::Report(Report {
-            seq: (3 << 32) + 9,
+        message::Message::Report(Report {
+            sequence: (3 << 32) + 9,
             version: closed.map(|_| 12),
-            holds_nothing: closed.is_none(),
-            checked: checked.map(|(change, why)| (change.to_owned(), why.map(str::to_owned))),
-            closed: closed.map(str::to_owned),
+            holds_no_lease: closed.is_none(),
+            validation: checked
+                .map(|(change, why)| (change.to_owned(), why.map(str::to_owned)).into()),
+            fenced_change: closed.map(str::to_owned),
         })
     };
     let grant = |span| {
-        node::Message::Grant(Grant {
-            seq: 5,
+        message::Message::Grant(Grant {
+            report_sequence: 5,
             version: 1_000_002,
-            span,
+            duration: span,
         })
     };
     vec![
         (
             "log",
-            part(node::Message::Log(vec![8, 8, 16, 7, 24, 1, 255])),
+            part(message::Message::Raft(vec![8, 8, 16, 7, 24, 1, 255])),
         ),
         ("report-empty", part(report(None, None))),
         (
@@ -53,14 +54,14 @@
             "report-fault",
             part(report(Some(("c2", Some("no listener"))), None)),
         ),
-        ("grant-short", part(grant(Span::Short))),
-        ("grant-lease", part(grant(Span::Lease))),
-        ("grant-forever", part(grant(Span::Forever))),
-        ("hello", part(node::Message::Hello)),
+        ("grant-short", part(grant(LeaseDuration::DuringChange))),
+        ("grant-lease", part(grant(LeaseDuration::Regular))),
+        ("grant-forever", part(grant(LeaseDuration::Unlimited))),
+        ("hello", part(message::Message::DiskCheck)),
         (
             "welcome",
-            part(node::Message::Welcome(Welcome {
-                acknowledged: 40,
+            part(message::Message::DiskCheckReply(DiskCheckReply {
+                acknowledged_index: 40,
                 term: 6,
                 voters: vec![1, 2, 5],
             })),
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,17 +1,32 @@
-//! Instances that act as one: a log that they agree on, and changes of policy that take hold everywhere or nowhere.
+//! Replication of configuration changes between members: a raft log, leases, and changes that take effect everywhere or nowhere.
 //!
-//! - [`Machine`](machine::Machine): what the log comes to, the same at each instance.
-//! - [`Fence`](fence::Fence): an instance's right to decide, under one version and by its own clock.
-//! - [`Warden`](warden::Warden): what a leader knows of these rights, and when a change may go on.
-//! - [`salvage`]: what is left in one member's log when most are lost for good.
-//! - [`Node`](node::Node): these three with the log's library, one instance's whole part.
+//! - [`StateMachine`](state_machine::StateMachine): the replicated state, the same at each member.
+//! - [`MemberLease`](member_lease::MemberLease): the lease under which a member decides.
+//! - [`LeaseTable`](lease_table::LeaseTable): the leader's knowledge of these leases, which determines when a change may proceed.
+//! - [`Node`](node::Node): one member; combines the above with raft.
+//! - [`log_recovery`]: recovery from one member's log after a permanent loss of the quorum.
+//! - [`simulation`]: many members in virtual time.
 //!
-//! Nothing here has sockets, a disk or a clock; it knows nothing of what a policy says, and decides nothing about requests.
+//! The package has no sockets, no disk and no clock. It does not interpret configurations and decides nothing about requests.
+#![deny(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::type_complexity,
+    clippy::struct_excessive_bools
+)]
 
-pub mod fence;
-mod log;
-pub mod machine;
+mod codec;
+pub mod command;
+pub mod error;
+pub mod lease_table;
+pub mod log_recovery;
+pub mod member_lease;
+pub mod message;
 pub mod node;
-pub mod salvage;
-pub mod sim;
-pub mod warden;
+pub mod output;
+pub mod persistence;
+mod raft_log;
+pub mod rules;
+pub mod simulation;
+pub mod state_machine;
--- /dev/null
+++ b/crates/cluster/src/node/leases.rs
@@ -0,0 +1,119 @@
+//! A node's lease: reports to the leader, grants, and the steps of a change that the application has completed.
+
+use crate::member_lease::{Grant, Report, Validation};
+use crate::message::Message;
+use crate::output::Output;
+use crate::rules::Micros;
+use crate::state_machine::Version;
+
+use super::{Node, TICK};
+
+/// Reports during a lease.
+const REPORTS_PER_LEASE: u64 = 5;
+/// Fraction of the report interval by which a report may come early, so that members which started together do not report together.
+const REPORT_JITTER_DIVISOR: u64 = 4;
+/// Lease assumed before the rules are known.
+const INITIAL_LEASE: Micros = 10 * TICK;
+
+impl Node {
+    /// Records the application's validation of a change, and reports it.
+    pub fn change_validated(&mut self, now: Micros, validation: Validation) {
+        if self.is_change_under_way(&validation.change) {
+            self.lease.record_validation(now, validation);
+            self.announce_lease();
+            self.send_report(now);
+        }
+        self.advance(now);
+    }
+
+    /// Records that nothing is decided any more under the present version, as a change takes effect, and reports it.
+    pub fn change_fenced(&mut self, now: Micros, change: &str) {
+        if self.is_change_under_way(change) {
+            self.lease.fence(change);
+            self.announce_lease();
+            self.send_report(now);
+        }
+        self.advance(now);
+    }
+
+    /// Records that the application serves a version, where its lease allows it, and reports it.
+    pub fn version_served(&mut self, now: Micros, version: Version) {
+        self.lease.serve_version(version);
+        self.announce_lease();
+        self.send_report(now);
+        self.advance(now);
+    }
+
+    /// Releases the lease, as the process ends, and reports it.
+    pub fn release_lease(&mut self, now: Micros) {
+        self.lease.release();
+        self.announce_lease();
+        self.send_report(now);
+        self.advance(now);
+    }
+
+    fn is_change_under_way(&self, change: &str) -> bool {
+        self.state_machine
+            .as_ref()
+            .is_some_and(|state_machine| state_machine.is_under_way(change))
+    }
+
+    /// Reports if it is time to, or a new leader is known: a new leader knows nothing of this member.
+    pub(super) fn report_if_due(&mut self, now: Micros) {
+        let leader = self.leader();
+        if leader != self.last_leader {
+            self.last_leader = leader;
+            let soon = now + self.random.u64(..TICK);
+            self.next_report = self.next_report.min(soon);
+        }
+        if now >= self.next_report {
+            self.send_report(now);
+        }
+    }
+
+    fn send_report(&mut self, now: Micros) {
+        let interval = self.report_interval();
+        let jitter = self.random.u64(..=interval / REPORT_JITTER_DIVISOR);
+        self.next_report = now + interval - jitter;
+        let Some(leader) = self.leader() else { return };
+        let report = self.lease.next_report(now);
+        self.announce_lease();
+        if leader == self.id() {
+            self.receive_report(now, leader, &report);
+        } else {
+            self.send(leader, Message::Report(report));
+        }
+    }
+
+    fn report_interval(&self) -> Micros {
+        let lease = match &self.state_machine {
+            Some(state_machine) if state_machine.change.is_some() => {
+                state_machine.rules.change_lease
+            }
+            Some(state_machine) => state_machine.rules.lease,
+            None => INITIAL_LEASE,
+        };
+        (lease / REPORTS_PER_LEASE).max(TICK)
+    }
+
+    pub(super) fn receive_report(&mut self, now: Micros, from: u64, report: &Report) {
+        if let (Some(table), Some(state_machine)) = (&mut self.lease_table, &self.state_machine) {
+            table.record_report(now, from, report, state_machine);
+        }
+    }
+
+    pub(super) fn receive_grant(&mut self, grant: &Grant) {
+        if self.lease.accept_grant(grant) {
+            self.announce_lease();
+        }
+    }
+
+    /// Tells the caller of the lease, if it has changed.
+    pub(super) fn announce_lease(&mut self) {
+        let lease = self.lease.current();
+        if lease != self.announced_lease {
+            self.announced_lease = lease;
+            self.outputs.push(Output::LeaseChanged(lease));
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/node/requests.rs
@@ -0,0 +1,192 @@
+//! Requests that only the leader takes: proposals, reads, and changes of the members.
+
+use crate::command::{Command, Member, Proposal};
+use crate::error::NodeError;
+use crate::lease_table::LeaseTable;
+use crate::output::Output;
+use crate::rules::Micros;
+use crate::state_machine::{Effect, StateMachine};
+
+use super::Node;
+use super::raft_adapter::ConfigurationChange;
+
+/// Kind of a proposal.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProposalKind {
+    /// A change, which every member validates and which becomes a version.
+    Change,
+    /// A payload that influences no decision and is only stored.
+    Storage,
+}
+
+/// Request of a process to become a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JoinRequest<'a> {
+    /// Name of the member.
+    pub name: &'a str,
+    /// Address on which it listens for other members.
+    pub address: &'a str,
+    /// Availability zone.
+    pub zone: &'a str,
+    /// Random number that is the same in each retry.
+    pub nonce: u64,
+}
+
+impl Node {
+    /// Proposes a payload. The outcome comes as [`Effect::Completed`].
+    ///
+    /// # Errors
+    /// This member does not lead, or can't take the proposal now.
+    pub fn propose(
+        &mut self,
+        now: Micros,
+        proposal: Proposal,
+        kind: ProposalKind,
+    ) -> Result<(), NodeError> {
+        let state_machine = self.leader_state()?.state_machine;
+        if let Some(outcome) = state_machine.outcome(&proposal.id) {
+            let completed = Effect::Completed {
+                id: proposal.id,
+                outcome: outcome.clone(),
+            };
+            self.outputs.push(Output::Effect(completed));
+            return Ok(());
+        }
+        if state_machine.is_under_way(&proposal.id) {
+            return Ok(());
+        }
+        // The proposal would only conflict. A change that a former leader began may wait for a lease.
+        if state_machine.change.is_some() {
+            return Err(NodeError::ChangeInProgress);
+        }
+        let command = match kind {
+            ProposalKind::Change => Command::Propose(proposal),
+            ProposalKind::Storage => Command::Store(proposal),
+        };
+        self.raft.propose(&command)?;
+        self.advance(now);
+        Ok(())
+    }
+
+    /// Requests a confirmation that this member leads, after which what it read is known to be current. The answer comes as
+    /// [`Output::ReadsConfirmed`] or [`Output::ReadsRejected`].
+    ///
+    /// # Errors
+    /// This member does not lead, or too many reads wait.
+    pub fn confirm_read(&mut self, now: Micros, read: u64) -> Result<(), NodeError> {
+        self.leader_state()?;
+        self.reads.add_read(read)?;
+        self.advance(now);
+        Ok(())
+    }
+
+    /// Adds a member, or replaces the one of its name, whose process has ended or lost its disk. Returns the raft node id once it is
+    /// a member; until then the request is to be retried.
+    ///
+    /// # Errors
+    /// This member does not lead, or something else has to end first.
+    pub fn add_member(
+        &mut self,
+        now: Micros,
+        request: &JoinRequest<'_>,
+    ) -> Result<Option<u64>, NodeError> {
+        let LeaderState {
+            lease_table,
+            state_machine,
+        } = self.leader_state()?;
+        let mut changes = Vec::new();
+        if let Some(former) = state_machine.members.get(request.name) {
+            let is_own_name = former.id == self.id();
+            if former.join_nonce == request.nonce && !is_own_name {
+                return Ok(Some(former.id));
+            }
+            if is_own_name || !lease_table.is_unresponsive(now, former.id) {
+                return Err(NodeError::NameInUse);
+            }
+            changes.push(ConfigurationChange::Remove(former.id));
+        }
+        let id = state_machine.next_id;
+        changes.push(ConfigurationChange::AddLearner(id));
+        let command = Command::AddMember {
+            name: request.name.to_owned(),
+            member: Member {
+                id,
+                address: request.address.to_owned(),
+                zone: request.zone.to_owned(),
+                join_nonce: request.nonce,
+            },
+        };
+        self.raft.propose_configuration(&changes, Some(&command))?;
+        self.advance(now);
+        Ok(None)
+    }
+
+    /// Removes a member. Returns if it is removed; until then, while it may still decide, the request is to be retried.
+    ///
+    /// # Errors
+    /// This member does not lead, or is the one to be removed.
+    pub fn remove_member(&mut self, now: Micros, name: &str) -> Result<bool, NodeError> {
+        let state_machine = self.leader_state()?.state_machine;
+        let Some(id) = state_machine.members.get(name).map(|member| member.id) else {
+            return Ok(true);
+        };
+        if id == self.id() {
+            return Err(NodeError::CannotRemoveLeader);
+        }
+        let may_be_removed = self
+            .lease_table
+            .as_mut()
+            .is_some_and(|table| table.begin_removal(now, id));
+        if may_be_removed {
+            let command = Command::RemoveMember {
+                name: name.to_owned(),
+                id,
+            };
+            self.raft
+                .propose_configuration(&[ConfigurationChange::Remove(id)], Some(&command))?;
+        }
+        self.advance(now);
+        Ok(false)
+    }
+
+    /// Transfers leadership to a voter: to the preferred one, or to an active one.
+    ///
+    /// # Errors
+    /// This member does not lead, or no other voter is active.
+    pub fn transfer_leadership(
+        &mut self,
+        now: Micros,
+        preferred: Option<u64>,
+    ) -> Result<(), NodeError> {
+        self.leader_state()?;
+        let others = self.other_voters();
+        let to = preferred
+            .filter(|id| others.contains(id))
+            .or_else(|| {
+                others
+                    .iter()
+                    .copied()
+                    .find(|id| self.raft.is_recently_active(*id))
+            })
+            .ok_or(NodeError::NoOtherVoter)?;
+        self.raft.transfer_leadership(to);
+        self.advance(now);
+        Ok(())
+    }
+
+    fn leader_state(&self) -> Result<LeaderState<'_>, NodeError> {
+        match (&self.lease_table, &self.state_machine) {
+            (Some(lease_table), Some(state_machine)) => Ok(LeaderState {
+                lease_table,
+                state_machine,
+            }),
+            _ => Err(NodeError::NotLeader),
+        }
+    }
+}
+
+/// State that exists while a node leads.
+struct LeaderState<'a> {
+    lease_table: &'a LeaseTable,
+    state_machine: &'a StateMachine,
+}
--- /dev/null
+++ b/crates/cluster/src/simulation/mod.rs
@@ -0,0 +1,485 @@
+//! Simulation of a cluster in virtual time: clocks that drift, links that delay, lose and are cut, processes that pause, die and
+//! restart, disks that are slow or restored from a copy. A judge looks at each decision that any instance could make.
+//!
+//! The same seed gives the same run.
+
+mod event_queue;
+mod faults;
+mod instance;
+mod judge;
+mod network;
+
+use std::collections::BTreeMap;
+
+use crate::command::{Member, Proposal};
+use crate::error::NodeError;
+use crate::member_lease::{Lease, Validation};
+use crate::message::Message;
+use crate::node::{JoinRequest, Node, NodeConfig, ProposalKind, TICK};
+use crate::output::Output;
+use crate::persistence::PersistedState;
+use crate::rules::{Micros, Rules};
+use crate::state_machine::{Effect, Phase, StateMachine, Version};
+
+use event_queue::{Event, EventQueue};
+use instance::{Disk, Instance};
+use judge::Judge;
+use network::{Link, Network};
+
+pub use instance::DiskCopy;
+pub use judge::{ChangeProgress, Completion, Violation};
+pub use network::{Environment, Traffic};
+
+/// True time at the begin of a simulation.
+const START: Micros = 1_000_000;
+/// Interval at which the judge looks at all instances.
+const SAMPLE_INTERVAL: Micros = 10_000;
+/// Interval at which an instance looks at its clock.
+const CLOCK_INTERVAL: Micros = 20_000;
+/// Time within which an instance has to be able to join.
+const JOIN_TIMEOUT: Micros = 60_000_000;
+
+/// A simulated cluster. Instances are given by their index.
+pub struct Simulation {
+    /// True time.
+    pub now: Micros,
+    environment: Environment,
+    instances: Vec<Instance>,
+    events: EventQueue,
+    random: fastrand::Rng,
+    network: Network,
+    judge: Judge,
+    /// All messages sent.
+    pub traffic: Traffic,
+    /// Members that detected their amnesia.
+    pub detected_amnesia: u64,
+    /// Planted fault: no instance looks at the end of its lease.
+    pub ignore_lease_expiry: bool,
+    /// Planted fault: a restored disk counts as confirmed.
+    pub trust_restored_disks: bool,
+}
+
+impl Simulation {
+    /// Creates a cluster with instances spread over zones. The first one bootstraps the cluster, the others join.
+    ///
+    /// # Panics
+    /// An instance can't join, which is a fault of the program.
+    pub fn new(
+        count: usize,
+        zones: usize,
+        rules: &Rules,
+        environment: Environment,
+        seed: u64,
+    ) -> Self {
+        let mut random = fastrand::Rng::with_seed(seed);
+        let instances = (0..count)
+            .map(|index| {
+                let clock_error = draw_clock_error(&mut random, environment.clock_drift_ppm);
+                Instance::new(index, zones, clock_error, environment.write_duration)
+            })
+            .collect();
+        let mut simulation = Simulation {
+            now: START,
+            environment,
+            instances,
+            events: EventQueue::default(),
+            random,
+            network: Network::default(),
+            judge: Judge::default(),
+            traffic: Traffic::default(),
+            detected_amnesia: 0,
+            ignore_lease_expiry: false,
+            trust_restored_disks: false,
+        };
+        simulation.bootstrap(format!("{seed:x}"), rules);
+        for index in 1..count {
+            simulation.join(index);
+        }
+        simulation
+    }
+
+    fn bootstrap(&mut self, cluster_id: String, rules: &Rules) {
+        let first = &mut self.instances[0];
+        first.id = 1;
+        let member = Member {
+            id: first.id,
+            address: first.name.clone(),
+            zone: first.zone.clone(),
+            join_nonce: 0,
+        };
+        let name = first.name.clone();
+        let state_machine = StateMachine::bootstrap(cluster_id, rules.clone(), name, member, 0, 0);
+        first.disk = Disk {
+            state: PersistedState::bootstrap(&state_machine, String::new(), first.id),
+            snapshot_index: 1,
+        };
+        self.start(0);
+        self.events.push(self.now + SAMPLE_INTERVAL, Event::Sample);
+    }
+
+    /// Joins an instance, or joins it again with an empty disk.
+    ///
+    /// # Panics
+    /// It can't join within a minute.
+    pub fn join(&mut self, index: usize) {
+        let end = self.now + JOIN_TIMEOUT;
+        let nonce = self.random.u64(1..);
+        loop {
+            assert!(self.now < end, "{} can't join", self.instances[index].name);
+            if let Some(id) = self.request_join(index, nonce) {
+                let instance = &mut self.instances[index];
+                instance.id = id;
+                instance.disk = Disk::default();
+                instance.start = 0;
+                self.start(index);
+                return;
+            }
+            self.run(TICK);
+        }
+    }
+
+    fn request_join(&mut self, index: usize, nonce: u64) -> Option<u64> {
+        let leader = self.leader()?;
+        let name = self.instances[index].name.clone();
+        let zone = self.instances[index].zone.clone();
+        let clock = self.clock(leader);
+        let request = JoinRequest {
+            name: &name,
+            address: &name,
+            zone: &zone,
+            nonce,
+        };
+        let node = self.instances[leader].node.as_mut();
+        let joined = node.map(|node| node.add_member(clock, &request));
+        self.process_outputs(leader);
+        joined?.ok()?
+    }
+
+    /// Starts the process of an instance with the state on its disk.
+    ///
+    /// # Panics
+    /// The state can't be read, which is a fault of the program.
+    pub fn start(&mut self, index: usize) {
+        let clock = self.clock(index);
+        let seed = self.random.u64(..);
+        let instance = &mut self.instances[index];
+        instance.start += 1;
+        instance.held_events.clear();
+        instance.is_paused = false;
+        let is_restored = std::mem::take(&mut instance.is_disk_restored);
+        let config = NodeConfig {
+            id: instance.id,
+            process_start: instance.start,
+            is_disk_confirmed: !is_restored || self.trust_restored_disks,
+            seed,
+        };
+        let node = Node::new(&config, &instance.disk.state, clock);
+        instance.node = Some(node.expect("the state can be read"));
+        self.schedule_tick(index);
+        self.process_outputs(index);
+    }
+
+    fn schedule_tick(&mut self, index: usize) {
+        let tick = Event::Tick {
+            instance: index,
+            start: self.instances[index].start,
+        };
+        self.events.push(self.now, tick);
+    }
+
+    /// Reports if an instance's process runs and is not paused.
+    pub fn is_running(&self, index: usize) -> bool {
+        self.instances[index].is_running()
+    }
+
+    /// Returns the node of an instance whose process runs or is paused.
+    pub fn node(&self, index: usize) -> Option<&Node> {
+        self.instances[index].node.as_ref()
+    }
+
+    /// Returns the number of instances.
+    pub fn count(&self) -> usize {
+        self.instances.len()
+    }
+
+    /// Returns the leader, the one of the newest term if several consider themselves it.
+    pub fn leader(&self) -> Option<usize> {
+        (0..self.instances.len())
+            .filter(|index| self.is_running(*index))
+            .filter(|index| self.node(*index).is_some_and(Node::is_leader))
+            .max_by_key(|index| self.node(*index).map(Node::term))
+    }
+
+    /// Returns the violations that the judge has seen.
+    pub fn violations(&self) -> &[Violation] {
+        &self.judge.violations
+    }
+
+    /// Returns the progress of all proposed changes, by id.
+    pub fn changes(&self) -> &BTreeMap<String, ChangeProgress> {
+        &self.judge.changes
+    }
+
+    /// Proposes a change to the leader.
+    ///
+    /// # Errors
+    /// There is no leader, or it can't take the proposal.
+    pub fn propose_change(&mut self, id: &str) -> Result<(), NodeError> {
+        let leader = self.leader().ok_or(NodeError::NotLeader)?;
+        let clock = self.clock(leader);
+        let node = self.instances[leader].node.as_mut();
+        let node = node.ok_or(NodeError::NotLeader)?;
+        let proposal = Proposal {
+            id: id.to_owned(),
+            base_revision: node.state_machine().map_or(0, |state| state.revision),
+            payload: String::new(),
+        };
+        node.propose(clock, proposal, ProposalKind::Change)?;
+        self.judge.record_proposal(self.now, id);
+        self.process_outputs(leader);
+        Ok(())
+    }
+
+    /// Removes a member by the leader; returns if it is removed.
+    ///
+    /// # Errors
+    /// As [`Node::remove_member`].
+    pub fn remove_member(&mut self, index: usize) -> Result<bool, NodeError> {
+        let leader = self.leader().ok_or(NodeError::NotLeader)?;
+        let clock = self.clock(leader);
+        let name = self.instances[index].name.clone();
+        let node = self.instances[leader].node.as_mut();
+        let node = node.ok_or(NodeError::NotLeader)?;
+        let removed = node.remove_member(clock, &name);
+        self.process_outputs(leader);
+        removed
+    }
+
+    /// Lets time pass.
+    pub fn run(&mut self, duration: Micros) {
+        self.run_until(self.now + duration, |_| false);
+    }
+
+    /// Lets time pass until a condition holds, or until the end; returns if the condition holds.
+    pub fn run_until(&mut self, end: Micros, holds: impl Fn(&Simulation) -> bool) -> bool {
+        while let Some(due) = self.events.pop_until(end) {
+            self.now = self.now.max(due.at);
+            let is_sample = matches!(due.event, Event::Sample);
+            self.process(due.event);
+            if is_sample && holds(self) {
+                return true;
+            }
+        }
+        self.now = self.now.max(end);
+        holds(self)
+    }
+
+    fn process(&mut self, event: Event) {
+        match event {
+            Event::Sample => {
+                (0..self.instances.len()).for_each(|index| self.judge_permission(index));
+                self.judge.record_leases(self.now, &self.running_leases());
+                self.events.push(self.now + SAMPLE_INTERVAL, Event::Sample);
+            }
+            Event::Tick { instance, start } => self.process_tick(instance, start),
+            Event::Deliver { to, from, message } => self.deliver(to, from, message),
+            Event::Validated {
+                instance,
+                start,
+                change,
+            } => self.finish_validation(instance, start, change),
+        }
+    }
+
+    fn process_tick(&mut self, index: usize, start: u32) {
+        if self.instances[index].start != start || !self.is_running(index) {
+            return;
+        }
+        self.call_node(index, |node, clock| node.tick(clock));
+        self.process_outputs(index);
+        let tick = Event::Tick {
+            instance: index,
+            start,
+        };
+        self.events.push(self.now + CLOCK_INTERVAL, tick);
+    }
+
+    fn deliver(&mut self, to: usize, from: u64, message: Message) {
+        let receiver = &mut self.instances[to];
+        if receiver.is_paused {
+            let event = Event::Deliver { to, from, message };
+            receiver.held_events.push(event);
+            return;
+        }
+        self.call_node(to, |node, clock| node.receive(clock, from, message));
+        self.process_outputs(to);
+    }
+
+    fn finish_validation(&mut self, index: usize, start: u32, change: String) {
+        let instance = &mut self.instances[index];
+        if instance.start != start {
+            return;
+        }
+        if instance.is_paused {
+            instance.held_events.push(Event::Validated {
+                instance: index,
+                start,
+                change,
+            });
+            return;
+        }
+        let validation = Validation {
+            change,
+            fault: instance.validation_fault.clone(),
+        };
+        self.call_node(index, |node, clock| {
+            node.change_validated(clock, validation)
+        });
+        self.process_outputs(index);
+    }
+
+    /// Carries out what an instance's node asks for.
+    fn process_outputs(&mut self, index: usize) {
+        loop {
+            let Some(node) = &mut self.instances[index].node else {
+                return;
+            };
+            let outputs = node.take_outputs();
+            if outputs.is_empty() {
+                break;
+            }
+            for output in outputs {
+                self.process_output(index, output);
+            }
+        }
+        self.judge_permission(index);
+    }
+
+    fn process_output(&mut self, index: usize, output: Output) {
+        match output {
+            Output::Persist(persist) => self.instances[index].write(self.now, persist),
+            Output::Send { to, message } => self.send(index, to, message),
+            Output::Effect(effect) => self.process_effect(index, effect),
+            Output::Restore { state_machine, .. } => self.process_restore(index, state_machine),
+            Output::SnapshotNeeded => {
+                self.call_node(index, |node, clock| node.compact(clock, String::new()));
+            }
+            // The process goes on without a node until the test lets it join anew.
+            Output::AmnesiaDetected { .. } => {
+                self.detected_amnesia += 1;
+                self.instances[index].node = None;
+            }
+            Output::LeaseChanged(_) | Output::ReadsConfirmed(_) | Output::ReadsRejected(_) => {}
+        }
+    }
+
+    fn process_effect(&mut self, index: usize, effect: Effect) {
+        match effect {
+            Effect::Validate(proposal) => {
+                let longest = self.environment.validation_duration;
+                let end = self.now + self.random.u64(..=longest);
+                self.schedule_validation(index, end, proposal.id);
+            }
+            Effect::Fence(proposal) => {
+                self.call_node(index, |node, clock| node.change_fenced(clock, &proposal.id));
+            }
+            Effect::Activate { version, .. } => {
+                self.call_node(index, |node, clock| node.version_served(clock, version));
+            }
+            Effect::Completed { id, outcome } => {
+                self.judge.record_outcome(self.now, &id, outcome);
+            }
+            Effect::Store(_) | Effect::MembersChanged => {}
+        }
+    }
+
+    fn process_restore(&mut self, index: usize, state_machine: StateMachine) {
+        let version = state_machine.version;
+        self.call_node(index, |node, clock| node.version_served(clock, version));
+        let Some(change) = state_machine.change else {
+            return;
+        };
+        let id = change.proposal.id;
+        match change.phase {
+            Phase::Fencing => self.call_node(index, |node, clock| node.change_fenced(clock, &id)),
+            Phase::Validating => self.schedule_validation(index, self.now, id),
+        }
+    }
+
+    fn schedule_validation(&mut self, index: usize, at: Micros, change: String) {
+        let event = Event::Validated {
+            instance: index,
+            start: self.instances[index].start,
+            change,
+        };
+        self.events.push(at, event);
+    }
+
+    fn send(&mut self, from: usize, to_id: u64, message: Message) {
+        self.traffic.count(&message);
+        let receiver = self
+            .instances
+            .iter()
+            .position(|instance| instance.id == to_id);
+        let Some(to) = receiver else { return };
+        let link = Link { from, to };
+        let delay = self
+            .network
+            .draw_delay(link, &self.environment, &mut self.random);
+        let Some(delay) = delay else { return };
+        let sender = &self.instances[from];
+        let departure = sender.writes_done_at.max(self.now);
+        let event = Event::Deliver {
+            to,
+            from: sender.id,
+            message,
+        };
+        self.events.push(departure + delay, event);
+    }
+
+    fn clock(&self, index: usize) -> Micros {
+        self.instances[index].clock(self.now)
+    }
+
+    /// Calls an instance's node, if its process exists, with the time of its clock.
+    fn call_node(&mut self, index: usize, call: impl FnOnce(&mut Node, Micros)) {
+        let clock = self.clock(index);
+        if let Some(node) = &mut self.instances[index].node {
+            call(node, clock);
+        }
+    }
+
+    /// Returns the version under which an instance could decide now.
+    pub fn permitted_version(&self, index: usize) -> Option<Version> {
+        let node = self.node(index).filter(|_| self.is_running(index))?;
+        if self.ignore_lease_expiry
+            && let Some(lease) = node.lease().current()
+        {
+            return Some(lease.version);
+        }
+        node.lease().may_decide(self.clock(index)).ok()
+    }
+
+    fn judge_permission(&mut self, index: usize) {
+        if let Some(version) = self.permitted_version(index) {
+            let name = &self.instances[index].name;
+            self.judge.record_permission(self.now, name, version);
+        }
+    }
+
+    fn running_leases(&self) -> Vec<Lease> {
+        self.instances
+            .iter()
+            .filter(|instance| !instance.is_paused)
+            .filter_map(|instance| instance.node.as_ref()?.lease().current())
+            .collect()
+    }
+}
+
+/// Draws the deviation of a clock's rate, in parts per million.
+fn draw_clock_error(random: &mut fastrand::Rng, drift_ppm: u32) -> i64 {
+    match i64::from(drift_ppm) {
+        0 => 0,
+        drift => random.i64(-drift..=drift),
+    }
+}
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -1,10 +1,10 @@
-//! Model checking of fence, lease, change and recovery: every order of reports, grants, losses, elections, crashes and clocks
+//! Model checking of lease, lease, change and recovery: every order of reports, grants, losses, elections, crashes and clocks
 //! within a bound, and planted faults that must be found.
-use cluster::fence::{Fence, Grant, Report, Span};
-use cluster::machine::{
-    Command, Effect, Machine, Member, Micros, Proposal, Rules, Version, WhenCutOff,
-};
-use cluster::warden::Warden;
+use cluster::command::{Command, Member, Proposal};
+use cluster::lease_table::{AddressedGrant, LeaseTable};
+use cluster::member_lease::{Grant, LeaseDuration, MemberLease, Report, Validation};
+use cluster::rules::{Micros, PartitionPolicy, Rules};
+use cluster::state_machine::{Effect, Phase, StateMachine, Version};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,14 +45,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Instance {
-    fence: Fence,
+    lease: MemberLease,
     applied: usize,
     start: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leader {
-    warden: Warden,
+    lease_table: LeaseTable,
     /// How far it knows the log; one that leads in earnest knows all of it.
     applied: usize,
     /// Reports that a majority has let it answer.
@@ -69,7 +69,7 @@
         to: usize,
         seq: u64,
         version: Version,
-        span: Span,
+        duration: LeaseDuration,
     },
 }
 
@@ -117,7 +117,7 @@
 }
 
 struct Cluster {
-    mode: WhenCutOff,
+    mode: PartitionPolicy,
     fault: Fault,
     budget: Budget,
     begin: Begin,
@@ -127,19 +127,19 @@
     fn rules(&self) -> Rules {
         Rules {
             lease: 1000,
-            short: 500,
-            drift: 500_000,
-            deadline: 100_000,
-            when_cut_off: self.mode,
+            change_lease: 500,
+            clock_drift_ppm: 500_000,
+            change_deadline: 100_000,
+            partition_policy: self.mode,
             voters: 1,
         }
     }
 
-    fn warden_rules(&self) -> Rules {
+    fn lease_table_rules(&self) -> Rules {
         match self.fault {
             // As long as the slow clock's lease by the fast one, which is too short by the drift.
             Fault::NoDrift => Rules {
-                drift: 0,
+                clock_drift_ppm: 0,
                 ..self.rules()
             },
             _ => self.rules(),
@@ -152,19 +152,26 @@
 
     fn lead(&self, world: &World, at: usize) -> Leader {
         let machine = after(&world.log);
-        let mut warden = Warden::new(Self::clock(at, world.now), &machine, &self.warden_rules());
+        let mut lease_table = LeaseTable::new(
+            Self::clock(at, world.now),
+            &machine,
+            &self.lease_table_rules(),
+        );
         if self.fault == Fault::Trusting {
-            machine.members.values().for_each(|m| warden.came(m.id));
+            machine
+                .members
+                .values()
+                .for_each(|m| lease_table.member_added(m.id));
         }
         Leader {
-            warden,
+            lease_table,
             applied: world.log.len(),
             confirmed: BTreeMap::new(),
         }
     }
 
     /// A leader with what it knows of the log. One that is elected has applied all of it.
-    fn leader(world: &mut World, at: usize) -> Option<(&mut Leader, Machine)> {
+    fn leader(world: &mut World, at: usize) -> Option<(&mut Leader, StateMachine)> {
         let all = world.log.len();
         let leader = world.leaders[at].as_mut()?;
         if at == world.elected {
@@ -178,9 +185,9 @@
         let clock = Self::clock(at, now);
         for effect in effects {
             match effect {
-                Effect::Check(p) => instance.fence.checked(clock, &p.id, None),
-                Effect::Close(p) => instance.fence.close(&p.id),
-                Effect::Open(version, _) => instance.fence.carried(version),
+                Effect::Validate(p) => accept(&mut instance.lease, clock, p.id),
+                Effect::Fence(p) => instance.lease.fence(&p.id),
+                Effect::Activate { version, .. } => instance.lease.serve_version(version),
                 _ => {}
             }
         }
@@ -216,8 +223,8 @@
             }
             Act::Report(i) => {
                 world.budget.reports[*i] = world.budget.reports[*i].checked_sub(1)?;
-                let report = world.instances[*i].fence.report(Self::clock(*i, now));
-                let key = report.seq << 1 | *i as u64;
+                let report = world.instances[*i].lease.next_report(Self::clock(*i, now));
+                let key = report.sequence << 1 | *i as u64;
                 world.mail.insert(Message::Report { from: *i, seq: key });
                 world.reports.insert(key, (*i, report));
             }
@@ -231,27 +238,27 @@
                         let clock = Self::clock(*to, now);
                         let (leader, machine) = Self::leader(world, *to)?;
                         leader
-                            .warden
-                            .report(clock, from as u64 + 1, &report, &machine);
+                            .lease_table
+                            .record_report(clock, from as u64 + 1, &report, &machine);
                     }
                     Message::Grant {
                         to,
                         seq,
                         version,
-                        span,
+                        duration,
                     } => {
-                        let fence = &mut world.instances[*to].fence;
+                        let lease = &mut world.instances[*to].lease;
                         let mut grant = Grant {
-                            seq: *seq,
+                            report_sequence: *seq,
                             version: *version,
-                            span: *span,
+                            duration: *duration,
                         };
                         if self.fault == Fault::AnyGrant {
                             // As if it answered the newest report.
-                            let report = fence.clone().report(Self::clock(*to, now));
-                            grant.seq = report.seq - 1;
+                            let report = lease.clone().next_report(Self::clock(*to, now));
+                            grant.report_sequence = report.sequence - 1;
                         }
-                        if !fence.granted(&grant) {
+                        if !lease.accept_grant(&grant) {
                             return None;
                         }
                     }
@@ -265,9 +272,9 @@
                 instance.applied += 1;
                 Self::obey(instance, *i, now, effects);
                 if self.fault == Fault::OpenedAtOnce
-                    && let Command::Close { .. } = command
+                    && let Command::Fence { .. } = command
                 {
-                    instance.fence.carried(machine.version + 1);
+                    instance.lease.serve_version(machine.version + 1);
                 }
             }
             Act::Confirm(i) => {
@@ -275,10 +282,10 @@
                     return None;
                 }
                 let (leader, _) = Self::leader(world, *i)?;
-                if !leader.warden.is_asked() {
+                if !leader.lease_table.has_pending_reports() {
                     return None;
                 }
-                leader.confirmed = leader.warden.ask();
+                leader.confirmed = leader.lease_table.take_pending_reports();
             }
             Act::Grant(i) => {
                 let clock = Self::clock(*i, now);
@@ -287,13 +294,20 @@
                     return None;
                 }
                 let asked = std::mem::take(&mut leader.confirmed);
-                for (to, g) in leader.warden.confirmed(clock, &asked, &machine) {
-                    let (to, seq, version, span) = (to as usize - 1, g.seq, g.version, g.span);
+                for AddressedGrant { to, grant } in
+                    leader.lease_table.grant_leases(clock, &asked, &machine)
+                {
+                    let (to, seq, version, duration) = (
+                        to as usize - 1,
+                        grant.report_sequence,
+                        grant.version,
+                        grant.duration,
+                    );
                     world.mail.insert(Message::Grant {
                         to,
                         seq,
                         version,
-                        span,
+                        duration,
                     });
                 }
             }
@@ -303,7 +317,7 @@
                 }
                 let clock = Self::clock(*i, now);
                 let (leader, machine) = Self::leader(world, *i)?;
-                let command = leader.warden.step(clock, &machine)?;
+                let command = leader.lease_table.next_command(clock, &machine)?;
                 world.log.push(command);
             }
             Act::Change => {
@@ -314,10 +328,10 @@
                     return None;
                 }
                 let id = format!("c{}", world.budget.changes);
-                let base = machine.entry;
+                let base_revision = machine.revision;
                 world.log.push(Command::Propose(Proposal {
                     id,
-                    base,
+                    base_revision,
                     payload: String::new(),
                 }));
             }
@@ -334,13 +348,17 @@
                 let instance = &mut world.instances[*i];
                 let machine = after(&world.log[..instance.applied]);
                 instance.start += 1;
-                instance.fence = Fence::new(self.rules().lease, self.rules().short, instance.start);
-                instance.fence.carried(machine.version);
+                instance.lease = MemberLease::new(
+                    self.rules().lease,
+                    self.rules().change_lease,
+                    instance.start,
+                );
+                instance.lease.serve_version(machine.version);
                 if let Some(change) = &machine.change {
                     let (id, phase) = (change.proposal.id.clone(), change.phase);
-                    instance.fence.checked(Self::clock(*i, now), &id, None);
-                    if phase == cluster::machine::Phase::Closing {
-                        instance.fence.close(&id);
+                    accept(&mut instance.lease, Self::clock(*i, now), id.clone());
+                    if phase == Phase::Fencing {
+                        instance.lease.fence(&id);
                     }
                 }
                 // What led there leads no more, until it is elected anew.
@@ -348,10 +366,10 @@
             }
             Act::Decide(i) => {
                 let clock = Self::clock(*i, now);
-                let fence = &world.instances[*i].fence;
-                let version = match (self.fault, fence.right()) {
-                    (Fault::LeaseIgnored, Some((version, _))) => version,
-                    _ => fence.may_decide(clock).ok()?,
+                let lease = &world.instances[*i].lease;
+                let version = match (self.fault, lease.current()) {
+                    (Fault::LeaseIgnored, Some(held)) => held.version,
+                    _ => lease.may_decide(clock).ok()?,
                 };
                 if version == world.newest {
                     return None;
@@ -366,23 +384,32 @@
     }
 }
 
-fn start() -> Machine {
+/// The instance can take the change.
+fn accept(lease: &mut MemberLease, now: Micros, change: String) {
+    let validation = Validation {
+        change,
+        fault: None,
+    };
+    lease.record_validation(now, validation);
+}
+
+fn start() -> StateMachine {
     let rules = Rules {
         lease: 1000,
-        short: 500,
-        drift: 500_000,
-        deadline: 100_000,
-        when_cut_off: WhenCutOff::Refuse,
+        change_lease: 500,
+        clock_drift_ppm: 500_000,
+        change_deadline: 100_000,
+        partition_policy: PartitionPolicy::Reject,
         voters: 1,
     };
     let member = |id| Member {
         id,
         address: String::new(),
         zone: String::new(),
-        drawn: 0,
+        join_nonce: 0,
     };
-    let mut machine = Machine::found("m".into(), rules, NAMES[0].into(), member(1), 0, 0);
-    machine.apply(&Command::Join {
+    let mut machine = StateMachine::bootstrap("m".into(), rules, NAMES[0].into(), member(1), 0, 0);
+    machine.apply(&Command::AddMember {
         name: NAMES[1].into(),
         member: member(2),
     });
@@ -390,7 +417,7 @@
 }
 
 /// What the log comes to.
-fn after(log: &[Command]) -> Machine {
+fn after(log: &[Command]) -> StateMachine {
     let mut machine = start();
     log.iter().for_each(|c| drop(machine.apply(c)));
     machine
@@ -402,10 +429,10 @@
 
     fn init_states(&self) -> Vec<World> {
         let instance = || {
-            let mut fence = Fence::new(self.rules().lease, self.rules().short, 1);
-            fence.carried(0);
+            let mut lease = MemberLease::new(self.rules().lease, self.rules().change_lease, 1);
+            lease.serve_version(0);
             Instance {
-                fence,
+                lease,
                 applied: 0,
                 start: 1,
             }
@@ -432,7 +459,7 @@
         start()
             .members
             .values()
-            .for_each(|m| leader.warden.came(m.id));
+            .for_each(|m| leader.lease_table.member_added(m.id));
         world.leaders[first] = Some(leader);
         // Both have a lease to begin with.
         self.reported(&mut world, &[0, 1], first);
@@ -441,7 +468,7 @@
             world
                 .instances
                 .iter()
-                .all(|i| i.fence.may_decide(0).is_ok())
+                .all(|i| i.lease.may_decide(0).is_ok())
         );
         match self.begin {
             Begin::Proposed => {}
@@ -506,7 +533,7 @@
 
 fn check(
     name: &str,
-    mode: WhenCutOff,
+    mode: PartitionPolicy,
     fault: Fault,
     budget: Budget,
     begin: Begin,
@@ -563,7 +590,7 @@
         crashes: 1,
         ..LAPSES
     };
-    for mode in [WhenCutOff::Refuse, WhenCutOff::Serve] {
+    for mode in [PartitionPolicy::Reject, PartitionPolicy::Serve] {
         let plays = [
             ("all are heard", whole),
             ("elections", elections),
@@ -612,27 +639,37 @@
     };
     for (mode, fault, budget, begin) in [
         (
-            WhenCutOff::Refuse,
+            PartitionPolicy::Reject,
             Fault::LeaseIgnored,
             lapses,
             Begin::Proposed,
         ),
-        (WhenCutOff::Refuse, Fault::NoDrift, lapses, Begin::Proposed),
         (
-            WhenCutOff::Refuse,
+            PartitionPolicy::Reject,
+            Fault::NoDrift,
+            lapses,
+            Begin::Proposed,
+        ),
+        (
+            PartitionPolicy::Reject,
             Fault::OpenedAtOnce,
             whole,
             Begin::Proposed,
         ),
         (
-            WhenCutOff::Refuse,
+            PartitionPolicy::Reject,
             Fault::Trusting,
             elected,
             Begin::Proposed,
         ),
-        (WhenCutOff::Refuse, Fault::Unconfirmed, led, Begin::Deposed),
         (
-            WhenCutOff::Serve,
+            PartitionPolicy::Reject,
+            Fault::Unconfirmed,
+            led,
+            Begin::Deposed,
+        ),
+        (
+            PartitionPolicy::Serve,
             Fault::AnyGrant,
             late,
             Begin::GrantOnItsWay,
--- a/crates/cluster/tests/stored_forms.rs
+++ b/crates/cluster/tests/stored_forms.rs
@@ -1,6 +1,8 @@
 //! What members store and agree on has the form that the version before wrote, and is read from it.
-use cluster::machine::{Command, Machine, Member, Proposal, Reason, Rules, WhenCutOff};
-use cluster::node::found;
+use cluster::command::{AbortReason, Command, Member, Proposal};
+use cluster::persistence::PersistedState;
+use cluster::rules::{PartitionPolicy, Rules};
+use cluster::state_machine::StateMachine;
 
 const RECORDED: &str = include_str!("fixtures/stored_forms.txt");
 
@@ -8,13 +10,13 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn rules(when_cut_off: WhenCutOff) -> Rules {
+fn rules(partition_policy: PartitionPolicy) -> Rules {
     Rules {
         lease: 15_000_000,
-        short: 3_000_000,
-        drift: 20_000,
-        deadline: 60_000_000,
-        when_cut_off,
+        change_lease: 3_000_000,
+        clock_drift_ppm: 20_000,
+        change_deadline: 60_000_000,
+        partition_policy,
         voters: 3,
     }
 }
@@ -24,47 +26,47 @@
         id,
         address: format!("127.0.0.1:{id}"),
         zone: "east".into(),
-        drawn: id * 7,
+        join_nonce: id * 7,
     }
 }
 
 fn proposal(id: &str, base: u64) -> Proposal {
     Proposal {
         id: id.into(),
-        base,
+        base_revision: base,
         payload: "{\"x\":1}".into(),
     }
 }
 
 fn commands() -> Vec<Command> {
-    let why = vec![Reason {
-        by: "b".into(),
-        why: "no listener".into(),
+    let reasons = vec![AbortReason {
+        member: "b".into(),
+        detail: "no listener".into(),
     }];
     vec![
-        Command::Join {
+        Command::AddMember {
             name: "b".into(),
             member: member(2),
         },
-        Command::Join {
+        Command::AddMember {
             name: "c".into(),
             member: member(3),
         },
         Command::Propose(proposal("c1", 4)),
-        Command::Close {
+        Command::Fence {
             change: "c1".into(),
         },
-        Command::Open {
+        Command::Activate {
             change: "c1".into(),
         },
         Command::Propose(proposal("c2", 5)),
-        Command::GiveUp {
+        Command::Abort {
             change: "c2".into(),
-            why,
+            reasons,
         },
-        Command::Note(proposal("n1", 5)),
+        Command::Store(proposal("n1", 5)),
         Command::Propose(proposal("c3", 1)),
-        Command::Leave {
+        Command::RemoveMember {
             name: "c".into(),
             id: 3,
         },
@@ -72,10 +74,10 @@
     ]
 }
 
-fn machine() -> Machine {
-    Machine::found(
+fn machine() -> StateMachine {
+    StateMachine::bootstrap(
         "00ff".into(),
-        rules(WhenCutOff::Refuse),
+        rules(PartitionPolicy::Reject),
         "a".into(),
         member(1),
         9,
@@ -96,11 +98,11 @@
     written += &format!("state {}\n", serde_json::to_string(&machine).unwrap());
     written += &format!(
         "rules {}\n",
-        serde_json::to_string(&rules(WhenCutOff::Serve)).unwrap()
+        serde_json::to_string(&rules(PartitionPolicy::Serve)).unwrap()
     );
-    let saved = found(&machine, "the service's state".into(), 1);
+    let saved = PersistedState::bootstrap(&machine, "the service's state".into(), 1);
     written += &format!("snapshot {}\n", hex(&saved.snapshot.unwrap()));
-    written += &format!("hard {}\n", hex(&saved.hard.unwrap()));
+    written += &format!("hard {}\n", hex(&saved.hard_state.unwrap()));
     assert_eq!(
         written, RECORDED,
         "stored forms differ; they are now:\n{written}"
@@ -120,6 +122,6 @@
         machine.apply(&serde_json::from_str(text).unwrap());
     }
     assert_eq!(of("command ").len(), commands().len());
-    let recorded: Machine = serde_json::from_str(of("state ")[0]).unwrap();
+    let recorded: StateMachine = serde_json::from_str(of("state ")[0]).unwrap();
     assert_eq!(machine, recorded);
 }
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -12,8 +12,10 @@
 use std::thread;
 use std::time::Duration;
 
-use cluster::machine::{Outcome, Phase, Proposal, Rules, Version};
-use cluster::node::Kind;
+use cluster::command::Proposal;
+use cluster::message::MessageKind;
+use cluster::rules::Rules;
+use cluster::state_machine::{Outcome, Phase, Version};
 use cluster_runtime::member::{self, Said, Settings, Told};
 use cluster_runtime::post::Counts;
 use cluster_runtime::right::Right;
@@ -29,8 +31,8 @@
 /// Versions of which a member remembers when it served them.
 const REMEMBERED: usize = 256;
 
-/// Messages and bytes by kind, in the order of [`Kind::ALL`].
-pub type Kinds = [[u64; 2]; Kind::COUNT];
+/// Messages and bytes by kind, in the order of [`MessageKind::ALL`].
+pub type Kinds = [[u64; 2]; MessageKind::COUNT];
 
 /// One hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -267,7 +269,7 @@
         ..Look::default()
     };
     for member in members {
-        for kind in 0..Kind::COUNT {
+        for kind in 0..MessageKind::COUNT {
             let (out, incoming) = (
                 member.counts.out[kind].so_far(),
                 member.counts.incoming[kind].so_far(),
@@ -339,11 +341,11 @@
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .restored = state.len();
-                self.entry = machine.entry;
+                self.entry = machine.revision;
                 self.serves(machine.version);
                 let change = machine.change.map(|c| (c.proposal.id, c.phase));
                 self.say(Said::Restored(machine.version, change.clone()));
-                if let Some((id, Phase::Checking)) = change {
+                if let Some((id, Phase::Validating)) = change {
                     self.say(Said::Checked(id, Ok(())));
                 }
             }
@@ -376,14 +378,14 @@
         let (tell, told) = oneshot::channel();
         let proposal = Proposal {
             id: format!("{id}.0"),
-            base: self.entry,
+            base_revision: self.entry,
             payload,
         };
         self.say(Said::Propose(proposal, false, tell));
         let said = self.said.clone();
         tokio::spawn(async move {
             let answer = match told.await {
-                Ok(Ok(Outcome::InEffect(version))) => Said::Answered(id, Ok(version.to_string())),
+                Ok(Ok(Outcome::Activated(version))) => Said::Answered(id, Ok(version.to_string())),
                 Ok(Ok(other)) => Said::Answered(id, Err(format!("{other:?}"))),
                 _ => Said::Unanswered(id),
             };
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::machine::{Micros, Rules, WhenCutOff};
-use cluster::node::Kind;
-use cluster::sim::{Sim, World};
+use cluster::message::MessageKind;
+use cluster::rules::{Micros, PartitionPolicy, Rules};
+use cluster::simulation::{Environment, Simulation};
 use cluster_runtime::clock;
 use cluster_runtime::status::Status;
 use rustix::process::{Resource, getrlimit};
@@ -47,10 +47,10 @@
 pub fn rules() -> Rules {
     Rules {
         lease: 15_000_000,
-        short: 3_000_000,
-        drift: 20_000,
-        deadline: 60_000_000,
-        when_cut_off: WhenCutOff::Refuse,
+        change_lease: 3_000_000,
+        clock_drift_ppm: 20_000,
+        change_deadline: 60_000_000,
+        partition_policy: PartitionPolicy::Reject,
         voters: VOTERS,
     }
 }
@@ -306,10 +306,10 @@
 pub(super) fn own(kinds: &Kinds) -> [f64; 2] {
     let mut kinds = *kinds;
     for kind in [
-        Kind::Heartbeat,
-        Kind::HeartbeatAnswer,
-        Kind::Confirmation,
-        Kind::ConfirmationAnswer,
+        MessageKind::Heartbeat,
+        MessageKind::HeartbeatResponse,
+        MessageKind::ReadIndex,
+        MessageKind::ReadIndexResponse,
     ] {
         kinds[kind as usize] = [0, 0];
     }
@@ -642,7 +642,7 @@
         put(format!("messages {way} /s member"), messages / span / count);
         put(format!("bytes {way} /s member"), bytes / span / count);
     }
-    for kind in Kind::ALL {
+    for kind in MessageKind::ALL {
         let [messages, bytes] = out[kind as usize];
         put(format!("{} /s", kind.name()), messages as f64 / span);
         put(format!("{} bytes /s", kind.name()), bytes as f64 / span);
@@ -691,7 +691,7 @@
         let (rest, all) = (of(idle.0), of(changed.0));
         [0, 1].map(|i| (all[i] - rest[i] / idle.1 * changed.1) / changes)
     };
-    let kind = |kind: Kind| move |kinds: &Kinds| kinds[kind as usize].map(|n| n as f64);
+    let kind = |kind: MessageKind| move |kinds: &Kinds| kinds[kind as usize].map(|n| n as f64);
     let mut put = |name: &str, value: f64| _ = point.figures.insert(name.into(), value);
     let [messages, bytes] = each(&total);
     put("change messages", messages);
@@ -701,7 +701,7 @@
     let [messages, bytes] = each(&own);
     put("change own messages", messages);
     put("change own bytes", bytes);
-    for k in Kind::ALL {
+    for k in MessageKind::ALL {
         let [messages, bytes] = each(&kind(k));
         put(&format!("change {}", k.name()), messages);
         if messages >= 1.0 {
@@ -1029,7 +1029,7 @@
             .filter_map(|l| l.strip_prefix(&name)?.split_once("\"} "))
         {
             let spoilt = || io::Error::other(format!("{name}{kind} {value}: no kind and number"));
-            let kind = Kind::ALL
+            let kind = MessageKind::ALL
                 .into_iter()
                 .find(|k| k.name() == kind)
                 .ok_or_else(spoilt)?;
@@ -1187,43 +1187,51 @@
     seed: u64,
 ) -> Result<Point, String> {
     let second = 1_000_000;
-    let mut sim = Sim::new(members, ZONES, rules, World::default(), seed);
+    let mut sim = Simulation::new(members, ZONES, rules, Environment::default(), seed);
     let end = sim.now + 300 * second;
-    if !sim.until(end, |s| (0..s.count()).all(|i| s.decides(i).is_some())) {
+    if !sim.run_until(end, |s| {
+        (0..s.count()).all(|i| s.permitted_version(i).is_some())
+    }) {
         return Err("not all may decide".into());
     }
     let period = rules.lease / 5;
     sim.run(4 * period);
-    let (sent, kinds) = (sim.sent, sim.kinds);
+    let sent = sim.traffic;
     sim.run(8 * period);
     let span = (8 * period) as f64 / 1e6;
     let mut point = Point::default();
     point.sizes.insert("members".into(), members as f64);
     let mut put = |name: String, value: f64| _ = point.figures.insert(name, value);
     let rest = [
-        (sim.sent.0 - sent.0) as f64 / span,
-        (sim.sent.1 - sent.1) as f64 / span,
+        (sim.traffic.messages - sent.messages) as f64 / span,
+        (sim.traffic.bytes - sent.bytes) as f64 / span,
     ];
     put("messages out /s member".into(), rest[0] / members as f64);
     put("bytes out /s member".into(), rest[1] / members as f64);
-    for kind in Kind::ALL {
-        let n = sim.kinds[kind as usize] - kinds[kind as usize];
+    for kind in MessageKind::ALL {
+        let n = sim.traffic.messages_by_kind[kind as usize] - sent.messages_by_kind[kind as usize];
         put(format!("{} /s", kind.name()), n as f64 / span);
     }
-    let (sent, began) = (sim.sent, sim.now);
+    let (sent, began) = (sim.traffic, sim.now);
     let mut everywhere = Vec::new();
     for n in 0..changes {
         let id = format!("c{n}");
         let end = sim.now + 120 * second;
-        while sim.change(&id).is_err() && sim.now < end {
+        while sim.propose_change(&id).is_err() && sim.now < end {
             sim.run(10_000);
         }
-        if !sim.until(end, |s| {
-            s.played.get(&id).is_some_and(|p| p.everywhere.is_some())
+        if !sim.run_until(end, |s| {
+            s.changes()
+                .get(&id)
+                .is_some_and(|p| p.everywhere_at.is_some())
         }) {
             return Err(format!("{id} is not in force everywhere"));
         }
-        if let Some((Some(at), asked)) = sim.played.get(&id).map(|p| (p.everywhere, p.asked)) {
+        if let Some((Some(at), asked)) = sim
+            .changes()
+            .get(&id)
+            .map(|p| (p.everywhere_at, p.proposed_at))
+        {
             everywhere.push((at - asked) as f64 / 1000.0);
         }
         sim.run(second);
@@ -1233,7 +1241,7 @@
         let n = changes as f64;
         put(
             "change messages".into(),
-            ((sim.sent.0 - sent.0) as f64 - rest[0] * span) / n,
+            ((sim.traffic.messages - sent.messages) as f64 - rest[0] * span) / n,
         );
         put("change everywhere ms".into(), median(&everywhere));
     }
--- a/crates/lab/src/capacity/restarts.rs
+++ b/crates/lab/src/capacity/restarts.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::node::Kind;
+use cluster::message::MessageKind;
 
 use super::members::{Cluster, Play, Role, between, each, fits, own, tenth};
 use super::{Point, Sweep, target};
@@ -30,7 +30,8 @@
 /// Waits until the names of members that are gone for good are free: nothing of them is heard any more for a lease.
 fn forget(how: &Play) {
     thread::sleep(
-        Duration::from_micros(how.rules.surely(how.rules.lease)) + Duration::from_secs(1),
+        Duration::from_micros(how.rules.with_drift_margin(how.rules.lease))
+            + Duration::from_secs(1),
     );
 }
 
@@ -110,8 +111,11 @@
     put("messages with heartbeats and confirmations", sum(&out, 0));
     put("bytes with heartbeats and confirmations", sum(&out, 1));
     put("span s", span);
-    put("snapshots", out[Kind::Snapshot as usize][0] as f64);
-    put("snapshot bytes", out[Kind::Snapshot as usize][1] as f64);
+    put("snapshots", out[MessageKind::Snapshot as usize][0] as f64);
+    put(
+        "snapshot bytes",
+        out[MessageKind::Snapshot as usize][1] as f64,
+    );
     put("voters cpu ms", voters_us as f64 / 1000.0);
     Ok(())
 }
@@ -295,8 +299,11 @@
     let mut put = |what: &str, value: f64| _ = point.figures.insert(what.into(), value);
     put("caught up s", took.as_secs_f64());
     put("caught up bytes", own(&out)[1] - idle.bytes * span);
-    put("snapshots", out[Kind::Snapshot as usize][0] as f64);
-    put("snapshot bytes", out[Kind::Snapshot as usize][1] as f64);
+    put("snapshots", out[MessageKind::Snapshot as usize][0] as f64);
+    put(
+        "snapshot bytes",
+        out[MessageKind::Snapshot as usize][1] as f64,
+    );
     put(
         "leader cpu ms",
         us(&after).saturating_sub(us(&before)) as f64 / 1000.0,
--- a/crates/lab/src/service/pace.rs
+++ b/crates/lab/src/service/pace.rs
@@ -8,8 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::machine::{Outcome, Rules};
-use cluster::sim::{Sim, World};
+use cluster::rules::Rules;
+use cluster::simulation::{Completion, Environment, Simulation};
+use cluster::state_machine::Outcome;
 use serde_json::Value;
 
 use super::changes::{Ledger, Play, Seen, begin, body, client, judge, server, tables};
@@ -213,19 +214,19 @@
     seed: u64,
 ) -> Result<Row, String> {
     let second = 1_000_000;
-    let mut sim = Sim::new(instances, 3, rules, World::default(), seed);
-    let all = |s: &Sim| (0..s.count()).all(|i| s.decides(i).is_some());
+    let mut sim = Simulation::new(instances, 3, rules, Environment::default(), seed);
+    let all = |s: &Simulation| (0..s.count()).all(|i| s.permitted_version(i).is_some());
     let end = sim.now + 120 * second;
-    if !sim.until(end, all) {
+    if !sim.run_until(end, all) {
         return Err("not all may decide".into());
     }
     sim.run(10 * second);
-    let before = sim.sent;
+    let before = sim.traffic;
     sim.run(10 * second);
     let each = 10.0 * instances as f64;
     let idle = [
-        (sim.sent.0 - before.0) as f64 / each,
-        (sim.sent.1 - before.1) as f64 / each,
+        (sim.traffic.messages - before.messages) as f64 / each,
+        (sim.traffic.bytes - before.bytes) as f64 / each,
     ];
     let leader = sim.leader().ok_or("nobody leads")?;
     let others: Vec<usize> = (0..instances).filter(|i| *i != leader).collect();
@@ -243,24 +244,30 @@
     for n in 0..changes {
         let id = format!("c{n}");
         let end = sim.now + 120 * second;
-        while sim.change(&id).is_err() && sim.now < end {
+        while sim.propose_change(&id).is_err() && sim.now < end {
             sim.run(10_000);
         }
-        sim.until(end, |s| {
-            s.played.get(&id).is_some_and(|p| p.ended.is_some())
+        sim.run_until(end, |s| {
+            s.changes().get(&id).is_some_and(|p| p.completion.is_some())
         });
         match sim
-            .played
+            .changes()
             .get(&id)
-            .and_then(|p| Some((p.asked, p.ended.clone()?)))
+            .and_then(|p| Some((p.proposed_at, p.completion.clone()?)))
         {
-            Some((asked, (at, Outcome::InEffect(_)))) => times.push((at - asked) as f64 / 1000.0),
+            Some((
+                proposed_at,
+                Completion {
+                    at,
+                    outcome: Outcome::Activated(_),
+                },
+            )) => times.push((at - proposed_at) as f64 / 1000.0),
             other => return Err(format!("{id}: {other:?}")),
         }
         sim.run(second);
     }
     let mut row = Row::of(format!("{instances} in virtual time"), fare.name(), &times);
     row.idle = Some(idle);
-    row.broken = sim.broken.iter().map(|b| format!("{b:?}")).collect();
+    row.broken = sim.violations().iter().map(|b| format!("{b:?}")).collect();
     Ok(row)
 }
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -148,10 +148,10 @@
 }
 
 /// As the unit of time of all that members do; a small one, so that a test does not wait.
-fn quick() -> cluster::machine::Rules {
-    cluster::machine::Rules {
+fn quick() -> cluster::rules::Rules {
+    cluster::rules::Rules {
         lease: 2_000_000,
-        short: 1_500_000,
+        change_lease: 1_500_000,
         ..rules()
     }
 }
