--- a/crates/admin-api/src/answers.rs
+++ b/crates/admin-api/src/answers.rs
@@ -1,6 +1,6 @@
 //! The bodies of answers and of calls that are no part of a tenant's document.
 
-use config_store::Entry;
+use config_store::AuditEntry;
 use multi_tenant::document::Tenant;
 use multi_tenant::plane::TenantStatus;
 use schemars::JsonSchema;
@@ -126,12 +126,12 @@
 
 impl Line {
     /// An entry as it is told to somebody: of a change of several tenants, one tenant hears of itself.
-    pub fn of(number: u64, entry: Entry, who: &Who) -> Self {
+    pub fn of(number: u64, entry: AuditEntry, who: &Who) -> Self {
         let oversees = who.oversees();
         Line {
             number,
             at_ms: entry.at_ms,
-            by: By::from(&entry.by),
+            by: By::from(&entry.author),
             action: entry.action,
             tenant: who.tenant.clone().or(entry.subject),
             detail: entry.detail,
--- a/crates/admin-api/src/desk.rs
+++ b/crates/admin-api/src/desk.rs
@@ -7,7 +7,9 @@
 use std::path::{Path, PathBuf};
 
 use config_parser::{Fault, Form};
-use config_store::{Author, Each, Keep, State, Store, StoreError, Write, snapshot};
+use config_store::{
+    Author, DocumentVisitor, Retention, Store, StoreError, StoreState, Transaction, snapshot,
+};
 use multi_tenant::catalog::{Catalog, Name, Parts};
 use multi_tenant::check;
 use multi_tenant::document::{Service, Tenant};
@@ -53,7 +55,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Agreed {
     /// What is stored.
-    pub write: Write,
+    pub write: Transaction,
     /// What changes for which tenants.
     pub tenants: Vec<Changed>,
 }
@@ -205,9 +207,9 @@
     /// What a reader tells, and what it returns.
     fn of<T>(
         parts: Parts,
-        read: impl FnOnce(Each<'_>) -> Result<T, StoreError>,
+        read: impl FnOnce(DocumentVisitor<'_>) -> Result<T, StoreError>,
     ) -> Result<(T, Self), StoreError> {
-        let form = Form::of::<Tenant>().map_err(StoreError::Database)?;
+        let form = Form::of::<Tenant>().map_err(StoreError::Unavailable)?;
         let mut loaded = Loaded {
             catalog: Catalog::new(&Service::default()),
             parts,
@@ -242,7 +244,7 @@
 /// What a new snapshot holds. The desk goes on meanwhile.
 pub struct Snapshot {
     directory: PathBuf,
-    state: State,
+    state: StoreState,
     catalog: Catalog,
 }
 
@@ -255,13 +257,17 @@
         let mut damaged = None;
         let documents = self.catalog.iter().map(|read| {
             let (rev, tenant) = read.map_err(|e| {
-                let what = StoreError::Damaged(e.to_string());
+                let what = StoreError::Corrupted(e.to_string());
                 damaged = Some(e.tenant);
                 what
             })?;
-            let document =
-                serde_json::to_value(&tenant).map_err(|e| StoreError::Database(e.to_string()))?;
-            Ok((scope(&tenant.name), rev, document))
+            let document = serde_json::to_value(&tenant)
+                .map_err(|e| StoreError::Unavailable(e.to_string()))?;
+            Ok(snapshot::SnapshotDocument {
+                scope: scope(&tenant.name),
+                revision: rev,
+                document,
+            })
         });
         let written = snapshot::write(&self.directory, &self.state, documents);
         written.map_err(|e| (e, damaged))
@@ -291,12 +297,12 @@
     pub fn open(file: &Service, read_only: bool, now_ms: u64) -> Result<Self, String> {
         let durable = file.state.as_ref().ok_or("state: it is missing")?;
         let directory = PathBuf::from(&durable.directory);
-        let keep = Keep {
+        let keep = Retention {
             versions: durable.keep_versions,
-            ..Keep::default()
+            ..Retention::default()
         };
         let opened = Store::open(&directory, keep).and_then(|(store, state)| {
-            let ((), loaded) = Loaded::of(Parts::default(), |each| store.documents(each))?;
+            let ((), loaded) = Loaded::of(Parts::default(), |each| store.visit_documents(each))?;
             Ok((loaded, store, state))
         });
         let (loaded, store, state, why) = match opened {
@@ -321,12 +327,13 @@
     pub fn with(
         file: &Service,
         store: Option<Store>,
-        state: State,
+        state: StoreState,
         read_only: Option<String>,
         directory: PathBuf,
         now_ms: u64,
     ) -> Result<Self, String> {
-        let stored = |each: Each<'_>| store.as_ref().map_or(Ok(()), |s| s.documents(each));
+        let stored =
+            |each: DocumentVisitor<'_>| store.as_ref().map_or(Ok(()), |s| s.visit_documents(each));
         let ((), loaded) = Loaded::of(Parts::default(), stored).map_err(|e| e.to_string())?;
         Desk::over(file, store, (state, loaded), read_only, directory, now_ms)
     }
@@ -334,7 +341,7 @@
     fn over(
         file: &Service,
         store: Option<Store>,
-        (state, loaded): (State, Loaded),
+        (state, loaded): (StoreState, Loaded),
         read_only: Option<String>,
         directory: PathBuf,
         now_ms: u64,
@@ -345,7 +352,7 @@
             read_only,
             directory,
             version: state.version,
-            entry: state.entry,
+            entry: state.last_entry,
             stale: true,
             tokens: tokens(state.tokens)?,
             catalog: Catalog::new(&Service::default()),
@@ -421,8 +428,8 @@
     /// It can't be read or stored, or does not fit the file; then what was here is served no more.
     pub fn replace(&mut self, file: &Service, text: &str) -> Result<(), String> {
         let store = self.store.as_mut().ok_or("the state is read-only")?;
-        let state = config_store::replace(store, text.as_bytes()).map_err(|e| e.to_string())?;
-        (self.version, self.entry, self.stale) = (state.version, state.entry, true);
+        let state = config_store::restore(store, text.as_bytes()).map_err(|e| e.to_string())?;
+        (self.version, self.entry, self.stale) = (state.version, state.last_entry, true);
         self.tokens = tokens(state.tokens)?;
         self.load(file)
     }
@@ -432,7 +439,7 @@
         let store = self.store.as_ref().ok_or("the state is read-only")?;
         let parts = std::mem::take(&mut self.parts);
         let ((), loaded) =
-            Loaded::of(parts, |each| store.documents(each)).map_err(|e| e.to_string())?;
+            Loaded::of(parts, |each| store.visit_documents(each)).map_err(|e| e.to_string())?;
         self.go_over(file, loaded)
     }
 
@@ -452,10 +459,10 @@
         for payload in payloads {
             self.take(&Agreed::read(payload)?).map_err(|p| p.detail)?;
         }
-        let write = Write {
-            base: self.entry,
+        let write = Transaction {
+            base_entry: self.entry,
             at_ms: now_ms,
-            by: Author {
+            author: Author {
                 id: "restore".into(),
                 name: "canvascart cluster restore".into(),
             },
@@ -465,7 +472,7 @@
             edits: Vec::new(),
             tokens: Vec::new(),
             reply: None,
-            skip_to: Some(version),
+            minimum_version: Some(version),
         };
         self.commit(&write).map_err(|e| e.to_string())?;
         self.catalog = self.framed(file)?;
@@ -478,7 +485,7 @@
     }
 
     /// The documents of a change that was agreed on, as they are read.
-    fn edits(&self, write: &Write) -> Result<Vec<(String, Option<Tenant>)>, String> {
+    fn edits(&self, write: &Transaction) -> Result<Vec<(String, Option<Tenant>)>, String> {
         let mut edits = Vec::new();
         for (scope, document) in &write.edits {
             let Some(name) = tenant_of(scope) else {
@@ -511,7 +518,7 @@
             let rev = self
                 .store
                 .as_ref()
-                .map_or(Ok(0), |s| s.next_rev(&scope(name)))?;
+                .map_or(Ok(0), |s| s.next_revision(&scope(name)))?;
             match tenant {
                 Some(tenant) => next.put(&mut self.parts, tenant, rev),
                 None => next.remove(name),
@@ -532,10 +539,10 @@
         if let Some(why) = &self.read_only {
             return Err(format!("nothing can be stored here: {why}"));
         }
-        if agreed.write.base != self.entry {
+        if agreed.write.base_entry != self.entry {
             return Err(format!(
                 "it was made on entry {}, and here is {}",
-                agreed.write.base, self.entry
+                agreed.write.base_entry, self.entry
             ));
         }
         let edits = self.edits(&agreed.write)?;
@@ -562,7 +569,7 @@
     /// It can't be stored, or does not fit.
     pub fn take(&mut self, agreed: &Agreed) -> Result<Stored, Problem> {
         let write = &agreed.write;
-        if write.base < self.entry {
+        if write.base_entry < self.entry {
             return Ok(Stored {
                 prepared: None,
                 happened: None,
@@ -603,8 +610,8 @@
             version: self.version,
             at_ms: write.at_ms,
             by: By {
-                id: write.by.id.clone(),
-                name: write.by.name.clone(),
+                id: write.author.id.clone(),
+                name: write.author.name.clone(),
             },
             action: write.action.clone(),
             tenants: agreed.tenants.clone(),
@@ -631,10 +638,10 @@
                 Some(serde_json::to_value(t).map_err(|e| e.to_string())?),
             ))
         };
-        let write = Write {
-            base: 0,
+        let write = Transaction {
+            base_entry: 0,
             at_ms: now_ms,
-            by: program(),
+            author: program(),
             action: "start".into(),
             subject: None,
             detail: None,
@@ -645,7 +652,7 @@
                 .collect::<Result<_, String>>()?,
             tokens: vec![(id, Some(token))],
             reply: None,
-            skip_to: None,
+            minimum_version: None,
         };
         self.commit(&write).map_err(|e| e.to_string())?;
         let added = |t: (String, Option<Value>)| Some((t.0, t.1?));
@@ -706,9 +713,9 @@
             |(id, t): (&String, &Token)| (id.clone(), serde_json::to_value(t).unwrap_or_default());
         lags.then(|| Snapshot {
             directory: self.directory.clone(),
-            state: State {
+            state: StoreState {
                 version: self.version,
-                entry: self.entry,
+                last_entry: self.entry,
                 tokens: self.tokens.iter().map(token).collect(),
             },
             catalog: self.catalog.clone(),
@@ -969,10 +976,10 @@
             }
             .into());
         }
-        let write = Write {
-            base: self.entry,
+        let write = Transaction {
+            base_entry: self.entry,
             at_ms: call.now_ms,
-            by: Author {
+            author: Author {
                 id: call.who.id.clone(),
                 name: call.who.name.clone(),
             },
@@ -989,7 +996,7 @@
                 .map(|(name, d)| (scope(&name), d))
                 .collect(),
             reply: kept(call, &reply)?,
-            skip_to: None,
+            minimum_version: None,
         };
         let agreed = Agreed {
             write,
@@ -1031,10 +1038,10 @@
             .body
             .as_object_mut()
             .and_then(|body| body.remove("token"));
-        let write = Write {
-            base: self.entry,
+        let write = Transaction {
+            base_entry: self.entry,
             at_ms: call.now_ms,
-            by: Author {
+            author: Author {
                 id: call.who.id.clone(),
                 name: call.who.name.clone(),
             },
@@ -1044,7 +1051,7 @@
             edits: Vec::new(),
             tokens: vec![(id.to_owned(), stored)],
             reply: kept(call, &reply)?,
-            skip_to: None,
+            minimum_version: None,
         };
         let agreed = Agreed {
             write,
@@ -1077,13 +1084,13 @@
         ending.map(|(id, _)| id.clone()).collect()
     }
 
-    fn commit(&mut self, write: &Write) -> Result<(), StoreError> {
+    fn commit(&mut self, write: &Transaction) -> Result<(), StoreError> {
         let store = self
             .store
             .as_mut()
-            .ok_or_else(|| StoreError::Database("the state is read-only".into()))?;
+            .ok_or_else(|| StoreError::Unavailable("the state is read-only".into()))?;
         let entry = store.commit(write)?;
-        (self.entry, self.version) = (write.base + 1, entry.version.unwrap_or(self.version));
+        (self.entry, self.version) = (write.base_entry + 1, entry.version.unwrap_or(self.version));
         self.stale = true;
         Ok(())
     }
--- a/crates/admin-api/src/events.rs
+++ b/crates/admin-api/src/events.rs
@@ -1,6 +1,6 @@
 //! What streams of events tell: versions that have taken effect, and how tenants fare.
 
-use config_store::Entry;
+use config_store::AuditEntry;
 use serde_json::{Value, json};
 
 use crate::access::Who;
@@ -23,13 +23,13 @@
 
 impl Happened {
     /// What a log entry tells of it, to those who join later.
-    pub fn of(entry: &Entry, name: impl Fn(&str) -> Option<String>) -> Option<Self> {
-        let changed = |e: &config_store::Edited| {
+    pub fn of(entry: &AuditEntry, name: impl Fn(&str) -> Option<String>) -> Option<Self> {
+        let changed = |e: &config_store::DocumentEdit| {
             Some(Changed {
                 name: name(&e.scope)?,
-                rev: e.rev,
+                rev: e.revision,
                 added: false,
-                removed: e.gone,
+                removed: e.deleted,
                 pool: false,
                 servers: false,
                 limits: false,
@@ -38,7 +38,7 @@
         Some(Happened {
             version: entry.version?,
             at_ms: entry.at_ms,
-            by: By::from(&entry.by),
+            by: By::from(&entry.author),
             action: entry.action.clone(),
             tenants: entry.edits.iter().filter_map(changed).collect(),
         })
--- a/crates/admin-api/src/problem.rs
+++ b/crates/admin-api/src/problem.rs
@@ -139,7 +139,7 @@
 impl From<StoreError> for Problem {
     fn from(error: StoreError) -> Self {
         match error {
-            StoreError::Full => Problem::full("nothing has changed; make room and try again"),
+            StoreError::DiskFull => Problem::full("nothing has changed; make room and try again"),
             e => {
                 tracing::error!(error = %e, "the store has failed");
                 Problem::internal("the store has failed; the log says why")
--- a/crates/admin-api/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -391,7 +391,7 @@
             let note = agreed.write.edits.is_empty();
             let proposal = Proposal {
                 id: format!("{id}.{round}"),
-                base: agreed.write.base,
+                base: agreed.write.base_entry,
                 payload: agreed.write_down(),
             };
             match together
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use config_store::{Entry, Row};
+use config_store::{AuditEntry, DocumentRevision};
 use serde_json::Value;
 
 use crate::access::Needs;
@@ -28,11 +28,11 @@
     Page { items, next }
 }
 
-fn version(number: u64, entry: Entry, tenants: Vec<String>, gone: bool) -> Version {
+fn version(number: u64, entry: AuditEntry, tenants: Vec<String>, gone: bool) -> Version {
     Version {
         number,
         at_ms: entry.at_ms,
-        by: By::from(&entry.by),
+        by: By::from(&entry.author),
         action: entry.action,
         detail: entry.detail,
         tenants,
@@ -43,7 +43,7 @@
 /// The service's versions, the newest first.
 pub fn all(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.limit()?;
-    let one = |(number, entry): (u64, Entry)| {
+    let one = |(number, entry): (u64, AuditEntry)| {
         let tenants = entry
             .edits
             .iter()
@@ -71,9 +71,9 @@
     let mut items = Vec::new();
     for (rev, row) in rows {
         // A log that was cut short leaves revisions whose makers are not known any more.
-        let unknown = || Entry {
+        let unknown = || AuditEntry {
             at_ms: 0,
-            by: config_store::Author {
+            author: config_store::Author {
                 id: String::new(),
                 name: "not kept".into(),
             },
@@ -82,9 +82,9 @@
             detail: None,
             version: None,
             edits: Vec::new(),
-            skipped: false,
+            follows_version_gap: false,
         };
-        let entry = store.line(row.entry)?.unwrap_or_else(unknown);
+        let entry = store.audit_entry(row.audit_entry)?.unwrap_or_else(unknown);
         items.push(version(rev, entry, Vec::new(), row.document.is_none()));
     }
     Ok(Reply::of(page(items, limit, |v: &Version| v.number)).into())
@@ -100,9 +100,9 @@
     }
 }
 
-fn revision(desk: &Desk, tenant: &str, rev: u64) -> Result<Row, Problem> {
+fn revision(desk: &Desk, tenant: &str, rev: u64) -> Result<DocumentRevision, Problem> {
     let found = desk.store()?.revision(&scope(tenant), rev)?;
-    let newer = rev >= desk.store()?.next_rev(&scope(tenant))?;
+    let newer = rev >= desk.store()?.next_revision(&scope(tenant))?;
     found.ok_or_else(|| match newer {
         true => Problem::not_found(format!("there is no revision {rev} of \"{tenant}\"")),
         false => Problem::gone(format!(
@@ -133,13 +133,13 @@
 }
 
 fn at(desk: &Desk, version: u64) -> Result<Vec<(String, Value)>, Problem> {
-    let documents = desk
-        .store()?
-        .at(version)?
-        .ok_or_else(|| match version > desk.version() {
-            true => Problem::not_found(format!("there is no version {version}")),
-            false => Problem::gone(format!("version {version} is not kept any more")),
-        })?;
+    let documents =
+        desk.store()?
+            .documents_at(version)?
+            .ok_or_else(|| match version > desk.version() {
+                true => Problem::not_found(format!("there is no version {version}")),
+                false => Problem::gone(format!("version {version} is not kept any more")),
+            })?;
     Ok(documents
         .into_iter()
         .filter_map(|(s, d)| Some((tenant_of(&s)?, d)))
@@ -170,7 +170,7 @@
 /// What differs between two revisions of a tenant.
 pub fn diff_of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
     let name = seen(call)?;
-    let now = desk.store()?.next_rev(&scope(name))? - 1;
+    let now = desk.store()?.next_revision(&scope(name))? - 1;
     let (from, to) = two(call, now)?;
     let (a, b) = (
         revision(desk, name, from)?.document,
@@ -247,7 +247,7 @@
         (Some(own), _) => Some(own.as_str()),
         (None, asked) => asked,
     };
-    let lines = desk.store()?.audit(subject, below(call)?, limit + 1)?;
+    let lines = desk.store()?.audit_log(subject, below(call)?, limit + 1)?;
     let items = lines
         .into_iter()
         .map(|(n, entry)| Line::of(n, entry, &call.who))
--- a/crates/admin-api/tests/held.rs
+++ b/crates/admin-api/tests/held.rs
@@ -6,7 +6,7 @@
 
 use admin_api::{Desk, Problem, snapshot_rest};
 use config_parser::Fault;
-use config_store::{Keep, Store};
+use config_store::{Retention, Store};
 use multi_tenant::catalog::{Catalog, Difference};
 use multi_tenant::document::Service;
 use serde_json::{Value, json};
@@ -18,9 +18,9 @@
 
 /// A desk over what was exported.
 fn of_export(file: &Service, text: &str, directory: &Directory) -> Desk {
-    let keep = Keep {
+    let keep = Retention {
         versions: KEEP,
-        ..Keep::default()
+        ..Retention::default()
     };
     let path = directory.path().join("exported");
     let (mut store, _) = Store::open(&path, keep).unwrap();
@@ -185,8 +185,8 @@
 fn an_older_snapshot_serves_a_start_beside_a_damaged_store_and_is_written_the_same() {
     let it = Caller::new(&["model"]);
     let path = it.directory.path();
-    std::fs::write(path.join(config_store::FILE), "no store").unwrap();
-    std::fs::write(path.join(config_store::snapshot::FILE), SNAPSHOT).unwrap();
+    std::fs::write(path.join(config_store::FILE_NAME), "no store").unwrap();
+    std::fs::write(path.join(config_store::snapshot::FILE_NAME), SNAPSHOT).unwrap();
     let mut service = file(&[]);
     let durable = json!({ "directory": path.display().to_string() });
     service.state = Some(serde_json::from_value(durable).unwrap());
@@ -214,7 +214,7 @@
         .write()
         .map_err(|(e, _)| e)
         .unwrap();
-    let written = std::fs::read(path.join(config_store::snapshot::FILE)).unwrap();
+    let written = std::fs::read(path.join(config_store::snapshot::FILE_NAME)).unwrap();
     assert_eq!(
         (written.as_slice(), bytes),
         (SNAPSHOT, SNAPSHOT.len() as u64)
--- a/crates/admin-api/tests/service/mod.rs
+++ b/crates/admin-api/tests/service/mod.rs
@@ -4,7 +4,7 @@
 
 use admin_api::operations::{Act, OPERATIONS};
 use admin_api::{Call, Desk, Outcome, Problem, Reply, Role, Who};
-use config_store::{Keep, Store};
+use config_store::{Retention, Store};
 use multi_tenant::document::Service;
 use redb::Database;
 use redb::backends::InMemoryBackend;
@@ -62,11 +62,11 @@
             std::env::temp_dir().join(format!("canvascart-desk-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&directory).unwrap();
         let memory = || Ok(Database::builder().create_with_backend(InMemoryBackend::new())?);
-        let keep = Keep {
+        let keep = Retention {
             versions,
-            ..Keep::default()
+            ..Retention::default()
         };
-        let (store, state) = Store::with(Box::new(memory), keep).unwrap();
+        let (store, state) = Store::with_opener(Box::new(memory), keep).unwrap();
         let desk = Desk::with(
             &file(names),
             Some(store),
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -83,7 +83,7 @@
     yes: bool,
 ) -> Result<(), String> {
     let named = |e: String| format!("{}: {e}", directory.display());
-    if !directory.join(config_store::log::LOG_FILE).exists() {
+    if !directory.join(config_store::raft_log::FILE_NAME).exists() {
         return Err(named(
             "it is no member's directory; to begin from a backup give --backup FILE".into(),
         ));
--- a/crates/canvascart/src/state.rs
+++ b/crates/canvascart/src/state.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use config_store::{Author, Keep, Store, StoreError, Write};
+use config_store::{Author, Retention, Store, StoreError, Transaction};
 
 /// The store is not there, damaged, open elsewhere, or another program's.
 const OF_NO_USE: u8 = 3;
@@ -67,10 +67,10 @@
 }
 
 fn check(directory: &Path) -> Result<(), StoreError> {
-    let (mut store, state) = Store::open_existing(directory, Keep::default())?;
-    store.check()?;
+    let (mut store, state) = Store::open_existing(directory, Retention::default())?;
+    store.verify()?;
     let mut documents = 0;
-    store.documents(&mut |_, _, _| documents += 1)?;
+    store.visit_documents(&mut |_, _, _| documents += 1)?;
     println!(
         "{}: good: version {}, {} documents, {} tokens",
         directory.display(),
@@ -82,7 +82,7 @@
 }
 
 fn export(directory: &Path, output: Option<&Path>) -> Result<(), StoreError> {
-    let (store, _) = Store::open_existing(directory, Keep::default())?;
+    let (store, _) = Store::open_existing(directory, Retention::default())?;
     match output {
         Some(file) => {
             let mut to = BufWriter::new(File::create(file)?);
@@ -99,7 +99,7 @@
 }
 
 fn import(directory: &Path, file: &Path) -> Result<(), StoreError> {
-    let (mut store, _) = Store::open(directory, Keep::default())?;
+    let (mut store, _) = Store::open(directory, Retention::default())?;
     if file == Path::new("-") {
         config_store::import(&mut store, stdin().lock())
     } else {
@@ -108,17 +108,17 @@
 }
 
 fn token(directory: &Path) -> Result<(), StoreError> {
-    let (mut store, state) = Store::open_existing(directory, Keep::default())?;
+    let (mut store, state) = Store::open_existing(directory, Retention::default())?;
     let now_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
     let (id, whole, token) = ::admin_api::operator("canvascart store token", now_ms)
-        .map_err(|p| StoreError::Database(p.detail))?;
-    store.commit(&Write {
-        base: state.entry,
+        .map_err(|p| StoreError::Unavailable(p.detail))?;
+    store.commit(&Transaction {
+        base_entry: state.last_entry,
         at_ms: now_ms,
-        by: Author {
+        author: Author {
             id: "store".into(),
             name: "canvascart store".into(),
         },
@@ -128,7 +128,7 @@
         edits: Vec::new(),
         tokens: vec![(id, Some(token))],
         reply: None,
-        skip_to: None,
+        minimum_version: None,
     })?;
     println!("{whole}");
     Ok(())
--- a/crates/cluster-runtime/src/kept.rs
+++ b/crates/cluster-runtime/src/kept.rs
@@ -5,7 +5,7 @@
 use cluster::machine::Machine;
 use cluster::node::{Saved, found};
 use cluster::salvage::Salvage;
-use config_store::log::{Append, Log, Logged};
+use config_store::raft_log::{LogBatch, LogContents, RaftLog};
 use serde::{Deserialize, Serialize};
 
 /// Who a member is, as its log has it.
@@ -18,7 +18,7 @@
 
 /// What a member's directory tells while its process does not run.
 pub struct Kept {
-    log: Log,
+    log: RaftLog,
     saved: Saved,
     identity: Option<Identity>,
 }
@@ -29,7 +29,7 @@
     /// # Errors
     /// It can't be had, or is damaged.
     pub fn open(directory: &Path) -> Result<Self, String> {
-        let (log, logged) = Log::open(directory).map_err(|e| e.to_string())?;
+        let (log, logged) = RaftLog::open(directory).map_err(|e| e.to_string())?;
         let identity = logged
             .identity
             .as_deref()
@@ -85,26 +85,26 @@
     format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..))
 }
 
-pub(crate) fn saved(logged: &Logged) -> Saved {
+pub(crate) fn saved(logged: &LogContents) -> Saved {
     Saved {
         snapshot: logged.snapshot.clone(),
         entries: logged.entries.clone(),
-        hard: logged.hard.clone(),
+        hard: logged.hard_state.clone(),
         acknowledged: logged.acknowledged.clone(),
     }
 }
 
 pub(crate) fn put_identity(
-    log: &mut Log,
+    log: &mut RaftLog,
     identity: &Identity,
     saved: &Saved,
 ) -> Result<(), String> {
     let identity = serde_json::to_vec(identity).map_err(|e| e.to_string())?;
-    let append = Append {
+    let append = LogBatch {
         snapshot: saved.snapshot.as_deref().map(|s| (1, s)),
-        hard: saved.hard.as_deref(),
+        hard_state: saved.hard.as_deref(),
         identity: Some(&identity),
-        ..Append::default()
+        ..LogBatch::default()
     };
-    log.append(append).map_err(|e| e.to_string())
+    log.write(append).map_err(|e| e.to_string())
 }
--- a/crates/cluster-runtime/src/member.rs
+++ b/crates/cluster-runtime/src/member.rs
@@ -10,7 +10,7 @@
 use cluster::fence::Until;
 use cluster::machine::{Effect, Machine, Member, Micros, Outcome, Phase, Proposal, Rules, Version};
 use cluster::node::{Kind, Node, Output, Persist, Refusal, Saved, TICK, found};
-use config_store::log::{Append, Log, Logged};
+use config_store::raft_log::{LogBatch, LogContents, RaftLog};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
@@ -124,7 +124,7 @@
 /// A member that can be driven.
 pub struct Driven {
     settings: Settings,
-    log: Log,
+    log: RaftLog,
     post: Post,
     messages: mpsc::Receiver<Message>,
     to: mpsc::UnboundedSender<Told>,
@@ -185,7 +185,7 @@
     right: Arc<Right>,
     begin: Beginning,
 ) -> Result<Driven, String> {
-    let (log, logged) = Log::open(&settings.directory).map_err(|e| e.to_string())?;
+    let (log, logged) = RaftLog::open(&settings.directory).map_err(|e| e.to_string())?;
     let at = |e: io::Error| format!("{}: {e}", settings.address);
     let listener = TcpListener::bind(&settings.address).await.map_err(at)?;
     let address = listener.local_addr().map_err(at)?.to_string();
@@ -198,7 +198,7 @@
         to,
         from,
         right,
-        starts: logged.starts,
+        starts: logged.start_count,
         begin: Some(begin),
         identity: None,
         node: None,
@@ -229,7 +229,7 @@
     }
 
     /// Goes on as the member that the log tells of, if it tells of one.
-    fn remember(&mut self, logged: &Logged) -> Result<(), String> {
+    fn remember(&mut self, logged: &LogContents) -> Result<(), String> {
         let Some(bytes) = &logged.identity else {
             return Ok(());
         };
@@ -732,17 +732,17 @@
                 hard,
                 acknowledged,
             }) => {
-                let append = Append {
+                let append = LogBatch {
                     snapshot: snapshot.as_ref().map(|(n, s)| (*n, s.as_slice())),
-                    whole,
+                    discard_following: whole,
                     entries: &entries,
-                    hard: hard.as_deref(),
+                    hard_state: hard.as_deref(),
                     identity: None,
                     acknowledged: acknowledged.as_deref(),
                 };
                 fail::fail_point!("cluster-log"); // a slow disk
                 self.log
-                    .append(append)
+                    .write(append)
                     .map_err(|e| format!("the log: {e}"))?;
             }
             Output::Send(to, message) => self.write_to(to, Body::Node(to, message)),
--- a/crates/cluster-runtime/tests/links.rs
+++ b/crates/cluster-runtime/tests/links.rs
@@ -5,7 +5,7 @@
 use cluster_runtime::frame::{ANSWER, Key, OPENING, opened, opening};
 use cluster_runtime::message::{Body, Message, Sender};
 use cluster_runtime::post::Post;
-use config_store::log::{Append, Log, Logged};
+use config_store::raft_log::{LogBatch, LogContents, RaftLog};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -101,80 +101,87 @@
     let directory = std::env::temp_dir().join(format!("canvascart-log-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&directory); // of an earlier run
     let entry = |n: u64, text: &str| (n, text.as_bytes().to_vec());
-    let (mut log, logged) = Log::open(&directory).unwrap();
+    let (mut log, logged) = RaftLog::open(&directory).unwrap();
     assert_eq!(
         logged,
-        Logged {
-            starts: 1,
-            ..Logged::default()
+        LogContents {
+            start_count: 1,
+            ..LogContents::default()
         }
     );
     assert!(
-        Log::open(&directory).is_err(),
+        RaftLog::open(&directory).is_err(),
         "one process has it at a time"
     );
-    let snapshot = Append {
+    let snapshot = LogBatch {
         snapshot: Some((1, b"s")),
         identity: Some(b"me"),
-        ..Append::default()
+        ..LogBatch::default()
     };
-    log.append(snapshot).unwrap();
+    log.write(snapshot).unwrap();
     let entries = [entry(2, "two"), entry(3, "three"), entry(4, "four")];
-    log.append(Append {
+    log.write(LogBatch {
         entries: &entries,
-        hard: Some(b"h"),
-        ..Append::default()
+        hard_state: Some(b"h"),
+        ..LogBatch::default()
     })
     .unwrap();
-    log.append(Append {
+    log.write(LogBatch {
         entries: &[entry(3, "other")],
-        ..Append::default()
+        ..LogBatch::default()
     })
     .unwrap();
     drop(log);
-    let (mut log, logged) = Log::open(&directory).unwrap();
-    let texts = |l: &Logged| -> Vec<String> {
+    let (mut log, logged) = RaftLog::open(&directory).unwrap();
+    let texts = |l: &LogContents| -> Vec<String> {
         l.entries
             .iter()
             .map(|e| String::from_utf8(e.clone()).unwrap())
             .collect()
     };
     assert_eq!(
-        (texts(&logged), logged.starts),
+        (texts(&logged), logged.start_count),
         (vec!["two".into(), "other".into()], 2)
     );
     assert_eq!(
-        (logged.hard.as_deref(), logged.identity.as_deref()),
+        (logged.hard_state.as_deref(), logged.identity.as_deref()),
         (Some(&b"h"[..]), Some(&b"me"[..]))
     );
     // Shortened, it begins after the snapshot; another's snapshot takes everything.
-    log.append(Append {
+    log.write(LogBatch {
         snapshot: Some((2, b"t")),
-        ..Append::default()
+        ..LogBatch::default()
     })
     .unwrap();
     drop(log);
-    let (mut log, logged) = Log::open(&directory).unwrap();
+    let (mut log, logged) = RaftLog::open(&directory).unwrap();
     assert_eq!(
         (texts(&logged), logged.snapshot.as_deref()),
         (vec!["other".into()], Some(&b"t"[..]))
     );
-    log.append(Append {
+    log.write(LogBatch {
         snapshot: Some((9, b"u")),
-        whole: true,
-        ..Append::default()
+        discard_following: true,
+        ..LogBatch::default()
     })
     .unwrap();
-    log.append(Append {
+    log.write(LogBatch {
         entries: &[entry(10, "ten")],
-        ..Append::default()
+        ..LogBatch::default()
     })
     .unwrap();
     drop(log);
-    let (log, logged) = Log::open(&directory).unwrap();
+    let (log, logged) = RaftLog::open(&directory).unwrap();
     assert_eq!(texts(&logged), ["ten"]);
     drop(log);
-    std::fs::write(directory.join(config_store::log::LOG_FILE), b"no database").unwrap();
-    assert!(Log::open(&directory).is_err(), "a damaged one is told of");
+    std::fs::write(
+        directory.join(config_store::raft_log::FILE_NAME),
+        b"no database",
+    )
+    .unwrap();
+    assert!(
+        RaftLog::open(&directory).is_err(),
+        "a damaged one is told of"
+    );
     std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/crates/config-store/src/error.rs
+++ b/crates/config-store/src/error.rs
@@ -1,74 +1,103 @@
-//! What can be wrong with a store.
+//! Errors of the store and of the raft log file.
 
 use std::io;
 
-/// What is wrong with a store, and what to do about it.
+/// Failure of a store operation; the message names the operator's next step.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is none.
+    /// No store exists at this path.
     #[error("{0}: there is no store")]
     Missing(String),
-    /// Another process has it open.
+    /// Another process holds the file's lock.
     #[error("the store is open in another process; end that one first")]
     Locked,
-    /// A newer program has written it.
+    /// A newer program wrote the file.
     #[error(
         "the store has format {found}, and this program knows none beyond {known}: use the program that wrote it, or \
          export there and import here"
     )]
-    Newer {
-        /// The store's format.
+    NewerFormat {
+        /// Format version of the file.
         found: u64,
-        /// The newest that this program knows.
+        /// Newest format version that this program reads.
         known: u64,
     },
-    /// What it holds is not what was written.
+    /// A checksum or a reference between records does not match.
     #[error(
         "the store is damaged: {0}; put a copy of it aside, then bring back a backup or import an export (canvascart store \
          import), or serve the last known good state with --read-only-state"
     )]
-    Damaged(String),
-    /// The disk is full.
+    Corrupted(String),
+    /// The disk is full; the transaction was not applied.
     #[error("the disk is full; nothing has changed")]
-    Full,
-    /// The write was made for another state than there is.
+    DiskFull,
+    /// The transaction was built on another state than the stored one.
     #[error("the store has moved on: entry {found}, not {expected}")]
-    MovedOn {
-        /// The last entry of the log.
+    Conflict {
+        /// Number of the stored last audit entry.
         found: u64,
-        /// The one that the write was made for.
+        /// Number of the audit entry that the transaction was built on.
         expected: u64,
     },
-    /// What is to be read is no export, or does not fit.
-    #[error("line {line}: {what}")]
+    /// An import failed at a line.
+    #[error("line {line}: {source}")]
     Import {
-        /// The line, from 1.
+        /// Line number, from 1; 0 for the import as a whole.
         line: usize,
-        /// What is wrong.
-        what: String,
+        /// Reason of the failure.
+        source: ImportError,
     },
-    /// The system says no.
+    /// The operating system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The database says no.
+    /// The database library reported an error.
     #[error("{0}")]
-    Database(String),
+    Database(#[source] Box<redb::Error>),
+    /// A record could not be encoded as JSON.
+    #[error("{0}")]
+    Encoding(#[source] serde_json::Error),
+    /// The database stayed closed after an earlier failure.
+    #[error("it could not be opened anew")]
+    Closed,
+    /// The caller can't use the store, for the given reason.
+    #[error("{0}")]
+    Unavailable(String),
+}
+
+/// Reason that a line of an export is rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum ImportError {
+    /// The target store has contents.
+    #[error("the store is not empty: import into a new directory")]
+    StoreNotEmpty,
+    /// The line is not a record of an export.
+    #[error("{0}")]
+    Malformed(#[source] serde_json::Error),
+    /// A header stands after the first line.
+    #[error("only the first line says the format")]
+    MisplacedHeader,
+    /// The first line is not a header.
+    #[error("this is no export of a store")]
+    MissingHeader,
+    /// The input has no line.
+    #[error("there is nothing in it")]
+    Empty,
 }
 
 impl From<redb::Error> for StoreError {
     fn from(error: redb::Error) -> Self {
         match error {
-            redb::Error::Io(e) if e.kind() == io::ErrorKind::StorageFull => StoreError::Full,
+            redb::Error::Io(e) if e.kind() == io::ErrorKind::StorageFull => StoreError::DiskFull,
             redb::Error::Io(e) if e.kind() == io::ErrorKind::InvalidData => {
-                StoreError::Damaged(e.to_string())
+                StoreError::Corrupted(e.to_string())
             }
             redb::Error::Io(e) => StoreError::Io(e),
             redb::Error::DatabaseAlreadyOpen => StoreError::Locked,
-            redb::Error::Corrupted(what) => StoreError::Damaged(what),
+            redb::Error::Corrupted(reason) => StoreError::Corrupted(reason),
             redb::Error::TableTypeMismatch { .. } | redb::Error::TableDoesNotExist(_) => {
-                StoreError::Damaged(error.to_string())
+                StoreError::Corrupted(error.to_string())
             }
-            other => StoreError::Database(other.to_string()),
+            other => StoreError::Database(Box::new(other)),
         }
     }
 }
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,28 +1,42 @@
-//! Versions of documents that survive the process: what was acknowledged is there after a crash, whole.
+//! Durable store of versioned configuration documents: an acknowledged transaction survives a crash, complete or not at all.
 //!
-//! A store holds documents by scope (`tenant/north`), each with its revisions, a log of who changed what, tokens and the
-//! replies that repeated writes get. A write is one transaction: all of it is there afterwards or none. It knows nothing
-//! of what the documents mean and reads no clock.
+//! A store holds documents by scope (`tenant/north`) with their revisions, an audit log, tokens, and the replies of writes
+//! with an idempotency key. The store does not interpret documents and reads no clock.
 //!
-//! - [`Store`]: the present documents and all kept versions; [`Write`]: what one change does.
-//! - [`StoreError`]: what is wrong, and what to do about it.
-//! - [`log::Log`]: the log of a cluster's member, in a file of its own.
-//! - [`snapshot`]: the last known good documents in a file of their own, for a start beside a damaged store.
+//! - [`Store`]: queries, and commits of a [`Transaction`]; [`Retention`] bounds the history.
+//! - [`StoreError`]: failures, each with the operator's next step.
+//! - [`export()`], [`import`], [`restore`]: the contents as text.
+//! - [`snapshot`]: the last known good documents in a separate file, for a start beside a damaged store.
+//! - [`raft_log::RaftLog`]: the replicated log of a cluster member, in a separate file.
+#![deny(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::type_complexity,
+    clippy::struct_excessive_bools
+)]
 
-mod dump;
+mod audit;
+mod checksum;
+mod commit;
+mod corruption;
 mod error;
-mod format;
-pub mod log;
-mod read;
+mod export;
+mod integrity;
+mod migration;
+mod queries;
+pub mod raft_log;
 mod record;
+mod retention;
 pub mod snapshot;
 mod store;
+mod tables;
+mod transaction;
 
-pub use dump::{export, import, replace};
 pub use error::StoreError;
-pub use format::FORMAT;
-pub use record::{Author, Edited, Entry, Row, State};
-pub use store::{Each, Keep, Opener, Store, Write};
-
-/// The store's file in its directory.
-pub const FILE: &str = "state.redb";
+pub use export::{export, import, restore};
+pub use record::{AuditEntry, Author, DocumentEdit, DocumentRevision, DocumentVisitor, StoreState};
+pub use retention::Retention;
+pub use store::{FILE_NAME, Opener, Store};
+pub use tables::FORMAT_VERSION;
+pub use transaction::Transaction;
--- a/crates/config-store/src/record.rs
+++ b/crates/config-store/src/record.rs
@@ -1,86 +1,96 @@
-//! What a store keeps.
+//! Records as the store returns them, with their JSON forms.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Who changed something.
+/// Callback for documents, one at a time: scope, revision, document.
+pub type DocumentVisitor<'a> = &'a mut dyn FnMut(&str, u64, Value);
+
+/// Originator of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Author {
-    /// The token's id, or the program's name.
+    /// Token id, or the program's name.
     pub id: String,
-    /// What people call it.
+    /// Display name.
     pub name: String,
 }
 
-/// A line of the audit log: who did what, when.
+/// Entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
-    /// When, in Unix time.
+pub struct AuditEntry {
+    /// Unix time of the change, in ms.
     pub at_ms: u64,
-    /// Who.
-    pub by: Author,
-    /// What was done, such as `server.drain`.
+    /// Originator of the change.
+    #[serde(rename = "by")]
+    pub author: Author,
+    /// Name of the action, such as `server.drain`.
     pub action: String,
-    /// The tenant that it was done to, if it was one.
+    /// Tenant that the action concerns, if it concerns one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub subject: Option<String>,
-    /// More about it.
+    /// Free text about the action.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// The version that came of it; none where no document changed.
+    /// Version that the change produced; `None` if no document changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// Versions before it were skipped, as they may have been given where nothing is known of them any more.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub skipped: bool,
-    /// The documents that changed.
+    /// The versions between the previous one and this one were skipped, as a lost log may have assigned them.
+    #[serde(
+        rename = "skipped",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    pub follows_version_gap: bool,
+    /// Documents that changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub edits: Vec<Edited>,
+    pub edits: Vec<DocumentEdit>,
 }
 
-impl Entry {
-    /// The names that it concerns, each once: its subject's, and those that its documents' scopes end in.
-    pub fn names(&self) -> BTreeSet<&str> {
+impl AuditEntry {
+    /// Returns the names that index this entry, each once: its subject, and the last parts of its documents' scopes.
+    pub fn index_names(&self) -> BTreeSet<&str> {
         let edited = self
             .edits
             .iter()
-            .filter_map(|e| e.scope.split_once('/').map(|(_, name)| name));
+            .filter_map(|edit| edit.scope.split_once('/').map(|(_, name)| name));
         self.subject.as_deref().into_iter().chain(edited).collect()
     }
 }
 
-/// A document that changed.
+/// Change of one document, in an audit entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Edited {
-    /// Which.
+pub struct DocumentEdit {
+    /// Scope of the document.
     pub scope: String,
-    /// Its revision afterwards.
-    pub rev: u64,
-    /// It is gone.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub gone: bool,
+    /// Revision that the change produced.
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    /// The change deleted the document.
+    #[serde(rename = "gone", default, skip_serializing_if = "std::ops::Not::not")]
+    pub deleted: bool,
 }
 
 /// One revision of a document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
-    /// The version that it came with.
+pub struct DocumentRevision {
+    /// Version that introduced the revision.
     pub version: u64,
-    /// Its line in the audit log.
-    pub entry: u64,
-    /// The document; none where it was taken away.
+    /// Number of its audit entry.
+    #[serde(rename = "entry")]
+    pub audit_entry: u64,
+    /// Document; `None` for a deletion.
     pub document: Option<Value>,
 }
 
-/// All that is there now, but for the documents: those are read one by one.
+/// Current state without the documents, which are visited one at a time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
-    /// The version; 0 before the first.
+pub struct StoreState {
+    /// Current version; 0 before the first.
     pub version: u64,
-    /// The last entry of the audit log; 0 before the first.
-    pub entry: u64,
-    /// The tokens by id.
+    /// Number of the last audit entry; 0 before the first.
+    pub last_entry: u64,
+    /// Tokens by id.
     pub tokens: BTreeMap<String, Value>,
 }
--- a/crates/config-store/src/snapshot.rs
+++ b/crates/config-store/src/snapshot.rs
@@ -1,7 +1,9 @@
-//! The last known good documents in a file of their own, which a start beside a damaged store can serve from.
+//! Snapshot of the last known good documents in a separate file, for a start beside a damaged store.
 //!
-//! It is written aside and renamed, so that there is always a whole one. It lags behind the store: it is for a start with
-//! `--read-only-state` alone, and holds no tokens' secrets beyond their hashes. Both ways the documents pass one by one.
+//! The file is written aside and renamed, so that a complete one is always there. It lags behind the store: it serves starts
+//! with `--read-only-state` alone. Of a token it holds the hash, never the secret. Documents are streamed both ways.
+//!
+//! Form: a CRC-32 (little-endian), then a JSON object.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,52 +12,60 @@
 use std::io::{self, BufReader, BufWriter, Read as _, Seek as _, SeekFrom, Write};
 use std::path::Path;
 
-use serde::de::{DeserializeSeed, MapAccess, Visitor};
+use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, Visitor};
 use serde::ser::{Error as _, SerializeMap as _};
 use serde::{Deserializer, Serialize, Serializer};
 use serde_json::Value;
 
 use crate::error::StoreError;
-use crate::format::FORMAT;
-use crate::record::State;
-use crate::store::Each;
+use crate::record::{DocumentVisitor, StoreState};
+use crate::tables::FORMAT_VERSION;
 
-/// Its name in the store's directory.
-pub const FILE: &str = "last-good.snapshot";
+/// Name of the snapshot file in the store's directory.
+pub const FILE_NAME: &str = "last-good.snapshot";
 
-/// Bytes of the checksum before it.
-const SUM: u64 = 4;
+/// Length of the checksum before the JSON, in bytes.
+const CHECKSUM_BYTES: usize = size_of::<u32>();
 
-/// A document as it is told to [`write()`]: scope, revision, document.
-pub type Document = (String, u64, Value);
+/// Document to write, with its scope and revision number.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SnapshotDocument {
+    /// Scope of the document.
+    pub scope: String,
+    /// Revision number.
+    pub revision: u64,
+    /// Content.
+    pub document: Value,
+}
 
 #[derive(Serialize)]
-#[serde(bound = "I: Iterator<Item = Result<Document, StoreError>>")]
+#[serde(bound = "I: Iterator<Item = Result<SnapshotDocument, StoreError>>")]
 struct Snapshot<'s, I> {
     format: u64,
     version: u64,
-    entry: u64,
-    documents: Documents<'s, I>,
+    #[serde(rename = "entry")]
+    last_entry: u64,
+    documents: DocumentStream<'s, I>,
     tokens: &'s BTreeMap<String, Value>,
 }
 
-/// Documents that are made as they are written.
-struct Documents<'s, I> {
-    all: RefCell<I>,
-    /// Why one of them can't be had.
-    failed: &'s Cell<Option<StoreError>>,
+/// Serializes documents as the iterator yields them.
+struct DocumentStream<'s, I> {
+    documents: RefCell<I>,
+    /// Receives the iterator's error, which serde can only carry as text.
+    failure: &'s Cell<Option<StoreError>>,
 }
 
-impl<I: Iterator<Item = Result<Document, StoreError>>> Serialize for Documents<'_, I> {
+impl<I: Iterator<Item = Result<SnapshotDocument, StoreError>>> Serialize for DocumentStream<'_, I> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut map = serializer.serialize_map(None)?;
-        for document in &mut *self.all.borrow_mut() {
+        for document in &mut *self.documents.borrow_mut() {
             match document {
-                Ok((scope, rev, document)) => map.serialize_entry(&scope, &(rev, document))?,
-                Err(e) => {
-                    let what = S::Error::custom(&e);
-                    self.failed.set(Some(e));
-                    return Err(what);
+                Ok(d) => map.serialize_entry(&d.scope, &(d.revision, d.document))?,
+                Err(error) => {
+                    let reported = S::Error::custom(&error);
+                    self.failure.set(Some(error));
+                    return Err(reported);
                 }
             }
         }
@@ -63,162 +73,194 @@
     }
 }
 
-/// Sums up and counts what passes.
-struct Summed<W> {
-    to: W,
-    sum: crc32fast::Hasher,
-    bytes: u64,
+/// Writer that computes the checksum and the length of what passes.
+struct ChecksumWriter<W> {
+    inner: W,
+    checksum: crc32fast::Hasher,
+    length_bytes: u64,
 }
 
-impl<W: Write> Write for Summed<W> {
+impl<W: Write> ChecksumWriter<W> {
+    fn new(inner: W) -> Self {
+        ChecksumWriter {
+            inner,
+            checksum: crc32fast::Hasher::new(),
+            length_bytes: 0,
+        }
+    }
+}
+
+impl<W: Write> Write for ChecksumWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let n = self.to.write(bytes)?;
-        self.sum.update(&bytes[..n]);
-        self.bytes += n as u64;
-        Ok(n)
+        let written = self.inner.write(bytes)?;
+        self.checksum.update(&bytes[..written]);
+        self.length_bytes += written as u64;
+        Ok(written)
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.to.flush()
+        self.inner.flush()
     }
 }
 
-/// Writes it, with these documents in the order of their scopes; returns how many bytes it has.
+/// Writes a snapshot with documents in the order of their scopes; returns the file's length in bytes.
 ///
 /// # Errors
-/// What the system says, or why a document can't be had; the one that was there is there still.
+/// The iterator's error, or the file can't be written. The previous snapshot stays.
 pub fn write(
     directory: &Path,
-    state: &State,
-    documents: impl Iterator<Item = Result<Document, StoreError>>,
+    state: &StoreState,
+    documents: impl Iterator<Item = Result<SnapshotDocument, StoreError>>,
 ) -> Result<u64, StoreError> {
-    let aside = directory.join(format!("{FILE}.new"));
-    let mut file = File::create(&aside)?;
-    file.write_all(&[0; SUM as usize])?;
-    let mut to = Summed {
-        to: BufWriter::new(file),
-        sum: crc32fast::Hasher::new(),
-        bytes: SUM,
-    };
-    let failed = Cell::new(None);
+    let partial = directory.join(format!("{FILE_NAME}.new"));
+    let mut file = File::create(&partial)?;
+    file.write_all(&[0; CHECKSUM_BYTES])?;
+    let mut writer = ChecksumWriter::new(BufWriter::new(file));
+    let failure = Cell::new(None);
     let snapshot = Snapshot {
-        format: FORMAT,
+        format: FORMAT_VERSION,
         version: state.version,
-        entry: state.entry,
-        documents: Documents {
-            all: RefCell::new(documents),
-            failed: &failed,
+        last_entry: state.last_entry,
+        documents: DocumentStream {
+            documents: RefCell::new(documents),
+            failure: &failure,
         },
         tokens: &state.tokens,
     };
-    let written = serde_json::to_writer(&mut to, &snapshot);
+    let serialized = serde_json::to_writer(&mut writer, &snapshot);
     drop(snapshot);
-    if let Some(e) = failed.take() {
-        return Err(e);
+    if let Some(error) = failure.take() {
+        return Err(error);
     }
-    written.map_err(io::Error::from)?;
-    let mut file = to.to.into_inner().map_err(io::IntoInnerError::into_error)?;
+    serialized.map_err(io::Error::from)?;
+    let mut file = writer
+        .inner
+        .into_inner()
+        .map_err(io::IntoInnerError::into_error)?;
     file.seek(SeekFrom::Start(0))?;
-    file.write_all(&to.sum.finalize().to_le_bytes())?;
+    file.write_all(&writer.checksum.finalize().to_le_bytes())?;
     file.sync_all()?;
-    fs::rename(&aside, directory.join(FILE))?;
-    Ok(to.bytes)
+    fs::rename(&partial, directory.join(FILE_NAME))?;
+    Ok(CHECKSUM_BYTES as u64 + writer.length_bytes)
 }
 
-/// Reads it; the documents are told one by one, and none of one whose checksum does not fit.
+/// Reads a snapshot and visits its documents, none if the checksum does not match.
 ///
 /// # Errors
-/// There is none, or it is damaged.
-pub fn read(directory: &Path, each: Each<'_>) -> Result<State, StoreError> {
-    let path = directory.join(FILE);
-    let name = || path.display().to_string();
+/// [`StoreError::Missing`], [`StoreError::Corrupted`] or [`StoreError::NewerFormat`]; the file can't be read.
+pub fn read(directory: &Path, visit: DocumentVisitor<'_>) -> Result<StoreState, StoreError> {
+    let path = directory.join(FILE_NAME);
     if !path.exists() {
-        return Err(StoreError::Missing(name()));
+        return Err(StoreError::Missing(path.display().to_string()));
     }
     let mut file = BufReader::new(File::open(&path)?);
-    let damaged = |what: String| StoreError::Damaged(format!("{}: {what}", name()));
-    let unfit = || StoreError::Damaged(format!("the checksum of {} does not fit", name()));
-    let mut sum = [0; SUM as usize];
-    match file.read_exact(&mut sum) {
-        Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Err(unfit()),
-        read => read?,
+    verify_checksum(&mut file, &path)?;
+    file.seek(SeekFrom::Start(CHECKSUM_BYTES as u64))?;
+    let malformed =
+        |e: serde_json::Error| StoreError::Corrupted(format!("{}: {e}", path.display()));
+    let mut json = serde_json::Deserializer::from_reader(file);
+    let header = SnapshotSeed(visit)
+        .deserialize(&mut json)
+        .map_err(malformed)?;
+    json.end().map_err(malformed)?;
+    if header.format > FORMAT_VERSION {
+        return Err(StoreError::NewerFormat {
+            found: header.format,
+            known: FORMAT_VERSION,
+        });
     }
-    let mut found = Summed {
-        to: io::sink(),
-        sum: crc32fast::Hasher::new(),
-        bytes: SUM,
-    };
-    io::copy(&mut file, &mut found)?;
-    if found.sum.finalize() != u32::from_le_bytes(sum) {
-        return Err(unfit());
+    Ok(header.state)
+}
+
+fn verify_checksum(file: &mut BufReader<File>, path: &Path) -> Result<(), StoreError> {
+    let mismatch =
+        || StoreError::Corrupted(format!("the checksum of {} does not fit", path.display()));
+    let mut expected = [0; CHECKSUM_BYTES];
+    match file.read_exact(&mut expected) {
+        Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Err(mismatch()),
+        read => read?,
     }
-    file.seek(SeekFrom::Start(SUM))?;
-    let mut text = serde_json::Deserializer::from_reader(file);
-    let (format, state) = Reading(each)
-        .deserialize(&mut text)
-        .map_err(|e| damaged(e.to_string()))?;
-    text.end().map_err(|e| damaged(e.to_string()))?;
-    if format > FORMAT {
-        Err(StoreError::Newer {
-            found: format,
-            known: FORMAT,
-        })
-    } else {
-        Ok(state)
+    let mut found = ChecksumWriter::new(io::sink());
+    io::copy(file, &mut found)?;
+    if found.checksum.finalize() != u32::from_le_bytes(expected) {
+        return Err(mismatch());
     }
+    Ok(())
+}
+
+/// Content of a snapshot without its documents.
+struct SnapshotHeader {
+    format: u64,
+    state: StoreState,
 }
 
-/// Reads a snapshot: its format and what it says, but for the documents, which are told.
-struct Reading<'e>(Each<'e>);
+/// Deserializes a snapshot and visits its documents.
+struct SnapshotSeed<'e>(DocumentVisitor<'e>);
 
-impl<'de> DeserializeSeed<'de> for Reading<'_> {
-    type Value = (u64, State);
+impl<'de> DeserializeSeed<'de> for SnapshotSeed<'_> {
+    type Value = SnapshotHeader;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Self::Value, D::Error> {
         deserializer.deserialize_map(self)
     }
 }
 
-impl<'de> Visitor<'de> for Reading<'_> {
-    type Value = (u64, State);
+/// Fields of a snapshot that were read so far.
+#[derive(Default)]
+struct SnapshotFields {
+    format: Option<u64>,
+    version: Option<u64>,
+    last_entry: Option<u64>,
+    tokens: Option<BTreeMap<String, Value>>,
+    has_documents: bool,
+}
+
+impl SnapshotFields {
+    fn into_header<E: serde::de::Error>(self) -> Result<SnapshotHeader, E> {
+        let missing = |key: &str| E::custom(format!("{key} is missing"));
+        if !self.has_documents {
+            return Err(missing("documents"));
+        }
+        let state = StoreState {
+            version: self.version.ok_or_else(|| missing("version"))?,
+            last_entry: self.last_entry.ok_or_else(|| missing("entry"))?,
+            tokens: self.tokens.ok_or_else(|| missing("tokens"))?,
+        };
+        let format = self.format.ok_or_else(|| missing("format"))?;
+        Ok(SnapshotHeader { format, state })
+    }
+}
+
+impl<'de> Visitor<'de> for SnapshotSeed<'_> {
+    type Value = SnapshotHeader;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a snapshot")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
-        let (mut format, mut version, mut entry, mut tokens) = (None, None, None, None);
-        let mut documents = false;
-        let missing = |key: &str| serde::de::Error::custom(format!("{key} is missing"));
+        let mut fields = SnapshotFields::default();
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
-                "format" => format = Some(map.next_value()?),
-                "version" => version = Some(map.next_value()?),
-                "entry" => entry = Some(map.next_value()?),
-                "tokens" => tokens = Some(map.next_value()?),
+                "format" => fields.format = Some(map.next_value()?),
+                "version" => fields.version = Some(map.next_value()?),
+                "entry" => fields.last_entry = Some(map.next_value()?),
+                "tokens" => fields.tokens = Some(map.next_value()?),
                 "documents" => {
-                    documents = true;
-                    map.next_value_seed(Told(&mut *self.0))?;
+                    fields.has_documents = true;
+                    map.next_value_seed(DocumentsSeed(&mut *self.0))?;
                 }
-                _ => _ = map.next_value::<serde::de::IgnoredAny>()?,
+                _ => _ = map.next_value::<IgnoredAny>()?,
             }
         }
-        if !documents {
-            return Err(missing("documents"));
-        }
-        let state = State {
-            version: version.ok_or_else(|| missing("version"))?,
-            entry: entry.ok_or_else(|| missing("entry"))?,
-            tokens: tokens.ok_or_else(|| missing("tokens"))?,
-        };
-        Ok((format.ok_or_else(|| missing("format"))?, state))
+        fields.into_header()
     }
 }
 
-/// Tells the documents of a snapshot.
-struct Told<'e>(Each<'e>);
+/// Visits the documents of a snapshot.
+struct DocumentsSeed<'e>(DocumentVisitor<'e>);
 
-impl<'de> DeserializeSeed<'de> for Told<'_> {
+impl<'de> DeserializeSeed<'de> for DocumentsSeed<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -226,7 +268,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Told<'_> {
+impl<'de> Visitor<'de> for DocumentsSeed<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -234,8 +276,8 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        while let Some((scope, (rev, document))) = map.next_entry::<String, (u64, Value)>()? {
-            (self.0)(&scope, rev, document);
+        while let Some((scope, (revision, document))) = map.next_entry::<String, (u64, Value)>()? {
+            (self.0)(&scope, revision, document);
         }
         Ok(())
     }
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -1,369 +1,308 @@
-//! The store: opened, written in whole transactions, and opened anew after a failure.
+//! The store: queries, commits, and recovery of the database after a failed commit.
 
+use std::collections::BTreeMap;
 use std::fs::File;
 use std::io::ErrorKind;
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
-use redb::{Database, ReadableTable as _, WriteTransaction};
-use serde::{Deserialize, Serialize};
+use redb::Database;
 use serde_json::Value;
 
-use crate::FILE;
+use crate::commit::commit;
+use crate::corruption::catch_corruption;
 use crate::error::StoreError;
-use crate::format::{
-    AUDIT, AUDIT_OF, HEADS, REPLIES, REPLY_ORDER, ROWS, TOKENS, VERSIONS, pack, prepare, unpack,
-};
-use crate::record::{Author, Edited, Entry, Row, State};
+use crate::integrity;
+use crate::migration::prepare;
+use crate::queries;
+use crate::record::{AuditEntry, DocumentEdit, DocumentRevision, DocumentVisitor, StoreState};
+use crate::retention::Retention;
+use crate::transaction::Transaction;
 
-/// Opens the database: a file, or what a test puts in its place.
-pub type Opener = Box<dyn Fn() -> Result<Database, StoreError> + Send>;
-
-/// Hears of documents, one by one: scope, revision, document.
-pub type Each<'a> = &'a mut dyn FnMut(&str, u64, Value);
-
-/// How much of the past is kept. What is beyond it goes with later writes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keep {
-    /// Versions that can be gone back to.
-    pub versions: u64,
-    /// Lines of the audit log.
-    pub audit: u64,
-    /// Replies to writes that may be repeated.
-    pub replies: u64,
-    /// How long such a reply is kept, in ms.
-    pub reply_ms: u64,
-}
-
-impl Default for Keep {
-    fn default() -> Self {
-        Keep {
-            versions: 1000,
-            audit: 100_000,
-            replies: 10_000,
-            reply_ms: 24 * 3600 * 1000,
-        }
-    }
-}
+/// Name of the store's file in its directory.
+pub const FILE_NAME: &str = "state.redb";
 
-/// Bytes of pages that the database keeps in memory: who holds the present documents does so beside it, the past is read rarely.
-const CACHE: usize = 4 << 20;
+/// Size of the database's page cache, in bytes. Small, as callers hold the current documents and rarely read the history.
+const CACHE_BYTES: usize = 4 << 20;
 
-/// One write makes so many old things go at most, so that no write takes long.
-const GOING: usize = 64;
-
-/// What one change does. All of it is there afterwards, or none.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Write {
-    /// The last line of the audit log that it was made on.
-    pub base: u64,
-    /// When, in Unix time.
-    pub at_ms: u64,
-    /// Who.
-    pub by: Author,
-    /// What is done.
-    pub action: String,
-    /// The tenant that it is done to, if it is one.
-    pub subject: Option<String>,
-    /// More about it.
-    pub detail: Option<String>,
-    /// Documents by scope; none takes one away.
-    pub edits: Vec<(String, Option<Value>)>,
-    /// Tokens by id; none takes one away.
-    pub tokens: Vec<(String, Option<Value>)>,
-    /// The reply that a repetition of this write gets, by key.
-    pub reply: Option<(String, Value)>,
-    /// It makes this version, if the next would be an earlier one: versions in between may have been given where nothing is known
-    /// of them any more.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub skip_to: Option<u64>,
-}
+/// Opens the database: a file, or a test's storage.
+pub type Opener = Box<dyn Fn() -> Result<Database, StoreError> + Send>;
 
-/// Documents, their versions, the audit log, tokens and replies.
+/// Documents with their revisions, the audit log, tokens and replies.
 pub struct Store {
     opener: Opener,
-    /// None after a failure, until it could be opened anew.
+    /// `None` after a failure, until the database is reopened.
     database: Option<Database>,
-    keep: Keep,
-    pub(crate) version: u64,
-    pub(crate) entry: u64,
+    retention: Retention,
+    version: u64,
+    last_entry: u64,
 }
 
 impl Store {
-    /// Opens the store of a directory, or makes one.
+    /// Opens the store of a directory, or creates one.
     ///
     /// # Errors
-    /// It can't be had, is damaged, or a newer program has written it.
-    pub fn open(directory: &Path, keep: Keep) -> Result<(Self, State), StoreError> {
+    /// The store is locked, corrupted or of a newer format, or the system reports an error.
+    pub fn open(directory: &Path, retention: Retention) -> Result<(Self, StoreState), StoreError> {
         std::fs::create_dir_all(directory)?;
-        let file = directory.join(FILE);
+        let file = directory.join(FILE_NAME);
         if !file.exists() {
-            make(directory, &file)?;
+            create(directory, &file)?;
         }
-        Store::with(
-            Box::new(move || Ok(Database::builder().set_cache_size(CACHE).open(&file)?)),
-            keep,
-        )
+        let opener = move || {
+            Ok(Database::builder()
+                .set_cache_size(CACHE_BYTES)
+                .open(&file)?)
+        };
+        Store::with_opener(Box::new(opener), retention)
     }
 
-    /// Opens the store of a directory that must be there.
+    /// Opens the existing store of a directory.
     ///
     /// # Errors
-    /// As [`Store::open`]; there is none.
-    pub fn open_existing(directory: &Path, keep: Keep) -> Result<(Self, State), StoreError> {
-        let file = directory.join(FILE);
-        if !file.exists() {
+    /// As [`Store::open`]; [`StoreError::Missing`] if there is none.
+    pub fn open_existing(
+        directory: &Path,
+        retention: Retention,
+    ) -> Result<(Self, StoreState), StoreError> {
+        if !directory.join(FILE_NAME).exists() {
             return Err(StoreError::Missing(directory.display().to_string()));
         }
-        Store::open(directory, keep)
+        Store::open(directory, retention)
     }
 
-    /// Opens a store as the opener does it.
+    /// Opens a store through an opener, which is called again after a failed commit.
     ///
     /// # Errors
     /// As [`Store::open`].
-    pub fn with(opener: Opener, keep: Keep) -> Result<(Self, State), StoreError> {
+    pub fn with_opener(
+        opener: Opener,
+        retention: Retention,
+    ) -> Result<(Self, StoreState), StoreError> {
         let mut store = Store {
             opener,
             database: None,
-            keep,
+            retention,
             version: 0,
-            entry: 0,
+            last_entry: 0,
         };
-        let state = store.reopen()?;
+        let state = store.reload()?;
         Ok((store, state))
     }
 
-    /// Opens the database anew and reads what is there. What a damaged file makes the database stumble over is told of as
-    /// damage.
-    fn reopen(&mut self) -> Result<State, StoreError> {
-        self.close(); // lets go of its lock first
-        let (database, state) = guard(|| {
+    /// Reopens the database and reads the state, after a failure or a change by other means than [`Store::commit`].
+    ///
+    /// # Errors
+    /// As [`Store::open`].
+    pub fn reload(&mut self) -> Result<StoreState, StoreError> {
+        self.close(); // releases the lock
+        let (database, state) = catch_corruption(|| {
             let database = (self.opener)()?;
             prepare(&database)?;
-            let state = crate::read::state(&database)?;
+            let state = queries::state(&database)?;
             Ok((database, state))
         })?;
-        (self.version, self.entry) = (state.version, state.entry);
+        self.version = state.version;
+        self.last_entry = state.last_entry;
         self.database = Some(database);
         Ok(state)
     }
 
-    /// Closes the database; one that is damaged may stumble over that, too.
+    /// Closes the database; a corrupted one may panic on that, which changes nothing.
     fn close(&mut self) {
         let database = self.database.take();
-        let _ = guard(|| {
+        let _ = catch_corruption(|| {
             drop(database);
             Ok(())
         });
     }
 
-    /// Reads anew what is there, after it was changed in another way than by [`Store::commit`].
-    ///
-    /// # Errors
-    /// As [`Store::open`].
-    pub fn look_again(&mut self) -> Result<State, StoreError> {
-        self.reopen()
-    }
-
     pub(crate) fn database(&self) -> Result<&Database, StoreError> {
-        self.database
-            .as_ref()
-            .ok_or_else(|| StoreError::Database("it could not be opened anew".into()))
-    }
-
-    pub(crate) fn database_mut(&mut self) -> Result<&mut Database, StoreError> {
-        self.database
-            .as_mut()
-            .ok_or_else(|| StoreError::Database("it could not be opened anew".into()))
+        self.database.as_ref().ok_or(StoreError::Closed)
     }
 
-    /// The present version; 0 before the first.
+    /// Returns the current version; 0 before the first.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The last line of the audit log; 0 before the first.
-    pub fn entry(&self) -> u64 {
-        self.entry
+    /// Returns the number of the last audit entry; 0 before the first.
+    pub fn last_entry(&self) -> u64 {
+        self.last_entry
     }
 
-    /// Carries a write out; once this returns it survives a crash.
+    /// Commits a transaction. It survives a crash once this returns.
+    ///
+    /// Where an error leaves open whether the transaction was applied, the database is reopened to find out.
     ///
     /// # Errors
-    /// Nothing of it is there. Where the system leaves open whether it is, the store is opened anew to see.
-    pub fn commit(&mut self, write: &Write) -> Result<Entry, StoreError> {
+    /// [`StoreError::Conflict`] if the transaction was built on another state; otherwise why it was not applied.
+    pub fn commit(&mut self, transaction: &Transaction) -> Result<AuditEntry, StoreError> {
         if self.database.is_none() {
-            self.reopen()?;
+            self.reload()?;
         }
-        if write.base != self.entry {
-            return Err(StoreError::MovedOn {
-                found: self.entry,
-                expected: write.base,
+        if transaction.base_entry != self.last_entry {
+            return Err(StoreError::Conflict {
+                found: self.last_entry,
+                expected: transaction.base_entry,
             });
         }
-        let entry = self.entry_of(write)?;
-        let failed = match guard(|| self.put(write, &entry)) {
-            Ok(()) => {
-                self.entry += 1;
-                self.version = entry.version.unwrap_or(self.version);
-                return Ok(entry);
-            }
-            Err(e) => e,
-        };
-        self.reopen()?;
-        if self.entry == write.base {
-            Err(failed)
-        } else {
-            Ok(entry)
+        let entry = self.audit_entry_for(transaction)?;
+        let committed =
+            catch_corruption(|| commit(self.database()?, transaction, &entry, &self.retention));
+        if let Err(error) = committed {
+            self.reload()?;
+            let applied = self.last_entry != transaction.base_entry;
+            return if applied { Ok(entry) } else { Err(error) };
         }
+        self.last_entry += 1;
+        self.version = entry.version.unwrap_or(self.version);
+        Ok(entry)
     }
 
-    /// The line of the audit log that a write makes.
-    fn entry_of(&self, write: &Write) -> Result<Entry, StoreError> {
-        let edited = |(scope, document): &(String, Option<Value>)| {
-            Ok(Edited {
-                scope: scope.clone(),
-                rev: self.next_rev(scope)?,
-                gone: document.is_none(),
-            })
-        };
+    /// Builds the audit entry of a transaction.
+    fn audit_entry_for(&self, transaction: &Transaction) -> Result<AuditEntry, StoreError> {
         let next = self.version + 1;
-        let skipped = write.skip_to.is_some_and(|to| to > next);
-        let version = match write.skip_to {
-            Some(to) => Some(to.max(next)),
-            None => (!write.edits.is_empty()).then_some(next),
+        let version = match transaction.minimum_version {
+            Some(minimum) => Some(minimum.max(next)),
+            None => (!transaction.edits.is_empty()).then_some(next),
         };
-        Ok(Entry {
-            at_ms: write.at_ms,
-            by: write.by.clone(),
-            action: write.action.clone(),
-            subject: write.subject.clone(),
-            detail: write.detail.clone(),
+        let mut edits = Vec::with_capacity(transaction.edits.len());
+        for (scope, document) in &transaction.edits {
+            edits.push(DocumentEdit {
+                scope: scope.clone(),
+                revision: self.next_revision(scope)?,
+                deleted: document.is_none(),
+            });
+        }
+        Ok(AuditEntry {
+            at_ms: transaction.at_ms,
+            author: transaction.author.clone(),
+            action: transaction.action.clone(),
+            subject: transaction.subject.clone(),
+            detail: transaction.detail.clone(),
             version,
-            skipped,
-            edits: write
-                .edits
-                .iter()
-                .map(edited)
-                .collect::<Result<_, StoreError>>()?,
+            follows_version_gap: transaction
+                .minimum_version
+                .is_some_and(|minimum| minimum > next),
+            edits,
         })
     }
 
-    fn put(&self, write: &Write, entry: &Entry) -> Result<(), StoreError> {
-        let number = self.entry + 1;
-        let transaction = self.database()?.begin_write()?;
-        {
-            let (mut rows, mut heads) = (
-                transaction.open_table(ROWS)?,
-                transaction.open_table(HEADS)?,
-            );
-            for (edit, (scope, document)) in entry.edits.iter().zip(&write.edits) {
-                let row = Row {
-                    version: entry.version.unwrap_or_default(),
-                    entry: number,
-                    document: document.clone(),
-                };
-                rows.insert((scope.as_str(), edit.rev), pack(&row)?.as_slice())?;
-                heads.insert(scope.as_str(), edit.rev)?;
-            }
-            let mut tokens = transaction.open_table(TOKENS)?;
-            for (id, token) in &write.tokens {
-                match token {
-                    Some(token) => tokens.insert(id.as_str(), pack(token)?.as_slice())?,
-                    None => tokens.remove(id.as_str())?,
-                };
-            }
-            transaction
-                .open_table(AUDIT)?
-                .insert(number, pack(entry)?.as_slice())?;
-            let mut of = transaction.open_table(AUDIT_OF)?;
-            for name in entry.names() {
-                of.insert((name, number), ())?;
-            }
-            drop(of);
-            if let Some((key, reply)) = &write.reply {
-                transaction
-                    .open_table(REPLIES)?
-                    .insert(key.as_str(), pack(reply)?.as_slice())?;
-                transaction
-                    .open_table(REPLY_ORDER)?
-                    .insert(number, (write.at_ms, key.as_str()))?;
-            }
-            if let Some(version) = entry.version {
-                transaction.open_table(VERSIONS)?.insert(version, number)?;
-            }
-            drop((rows, heads));
-            self.forget(&transaction, number, write.at_ms)?;
-        }
-        Ok(transaction.commit()?)
+    /// Visits the current documents in the order of their scopes, with one of them in memory at a time.
+    ///
+    /// # Errors
+    /// The store can't be read; earlier documents were visited.
+    pub fn visit_documents(&self, visit: DocumentVisitor<'_>) -> Result<(), StoreError> {
+        catch_corruption(|| queries::visit_documents(self.database()?, visit))
     }
 
-    /// Lets go of what is older than is kept.
-    fn forget(&self, t: &WriteTransaction, number: u64, now_ms: u64) -> Result<(), StoreError> {
-        let (mut versions, mut rows) = (t.open_table(VERSIONS)?, t.open_table(ROWS)?);
-        let (mut heads, mut audit) = (t.open_table(HEADS)?, t.open_table(AUDIT)?);
-        let mut of = t.open_table(AUDIT_OF)?;
-        for _ in 0..GOING {
-            if redb::ReadableTableMetadata::len(&versions)? <= self.keep.versions {
-                break;
-            }
-            let mut oldest = versions.iter()?;
-            let (Some(first), Some(next)) = (oldest.next(), oldest.next()) else {
-                break;
-            };
-            // What the next version changed is in use no longer as it was before.
-            let (first, next) = (first?.0.value(), next?.1.value());
-            drop(oldest);
-            let what = || format!("line {next} of the audit log");
-            let line = audit
-                .get(next)?
-                .ok_or_else(|| StoreError::Damaged(format!("{} is missing", what())))?;
-            let entry: Entry = unpack(line.value(), &what)?;
-            for edit in &entry.edits {
-                rows.remove((edit.scope.as_str(), edit.rev - 1))?;
-                if edit.gone {
-                    rows.remove((edit.scope.as_str(), edit.rev))?;
-                    if heads
-                        .get(edit.scope.as_str())?
-                        .is_some_and(|rev| rev.value() == edit.rev)
-                    {
-                        heads.remove(edit.scope.as_str())?;
-                    }
-                }
-            }
-            versions.remove(first)?;
-        }
-        // A line that a kept version points to stays, however long the log.
-        let oldest = versions.first()?.map_or(number, |(_, line)| line.value());
-        let until = oldest.min((number + 1).saturating_sub(self.keep.audit));
-        for _ in 0..GOING {
-            let first = audit.first()?.map(|(n, _)| n.value());
-            let Some(first) = first.filter(|first| *first < until) else {
-                break;
-            };
-            let entry: Entry = match audit.remove(first)? {
-                Some(line) => unpack(line.value(), &|| format!("line {first} of the audit log"))?,
-                None => break,
-            };
-            for name in entry.names() {
-                of.remove((name, first))?;
-            }
+    /// Returns the current revision number and document of a scope.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn document(&self, scope: &str) -> Result<Option<(u64, Value)>, StoreError> {
+        let latest = self.next_revision(scope)? - 1;
+        if latest == 0 {
+            return Ok(None);
         }
-        let (mut order, mut replies) = (t.open_table(REPLY_ORDER)?, t.open_table(REPLIES)?);
-        for _ in 0..GOING {
-            let many = redb::ReadableTableMetadata::len(&order)? > self.keep.replies;
-            let first = order
-                .first()?
-                .map(|(n, v)| (n.value(), v.value().0, v.value().1.to_owned()));
-            let Some((n, at_ms, key)) = first else { break };
-            if !many && now_ms.saturating_sub(at_ms) <= self.keep.reply_ms {
-                break;
-            }
-            replies.remove(key.as_str())?;
-            order.remove(n)?;
+        let document = self
+            .revision(scope, latest)?
+            .and_then(|found| found.document);
+        Ok(document.map(|document| (latest, document)))
+    }
+
+    /// Returns the revision number that the next change of a scope gets.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn next_revision(&self, scope: &str) -> Result<u64, StoreError> {
+        catch_corruption(|| queries::next_revision(self.database()?, scope))
+    }
+
+    /// Returns one revision of a document.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn revision(
+        &self,
+        scope: &str,
+        revision: u64,
+    ) -> Result<Option<DocumentRevision>, StoreError> {
+        queries::revision(self.database()?, scope, revision)
+    }
+
+    /// Returns at most `limit` revisions of a document below one, the newest first, each with its number.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn history(
+        &self,
+        scope: &str,
+        below: u64,
+        limit: usize,
+    ) -> Result<Vec<(u64, DocumentRevision)>, StoreError> {
+        queries::history(self.database()?, scope, below, limit)
+    }
+
+    /// Returns the documents at a version by scope; `None` if the version is not retained.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn documents_at(
+        &self,
+        version: u64,
+    ) -> Result<Option<BTreeMap<String, Value>>, StoreError> {
+        queries::documents_at(self.database()?, version)
+    }
+
+    /// Returns at most `limit` retained versions below one, the newest first, each with its number.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn versions(&self, below: u64, limit: usize) -> Result<Vec<(u64, AuditEntry)>, StoreError> {
+        queries::versions(self.database()?, below, limit)
+    }
+
+    /// Returns one entry of the audit log.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn audit_entry(&self, number: u64) -> Result<Option<AuditEntry>, StoreError> {
+        queries::audit_entry(self.database()?, number)
+    }
+
+    /// Returns at most `limit` audit entries below one, the newest first, each with its number; with a name only the entries
+    /// that concern it ([`AuditEntry::index_names`]).
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn audit_log(
+        &self,
+        name: Option<&str>,
+        below: u64,
+        limit: usize,
+    ) -> Result<Vec<(u64, AuditEntry)>, StoreError> {
+        match name {
+            Some(name) => queries::audit_log_of(self.database()?, name, below, limit),
+            None => queries::audit_log(self.database()?, below, limit),
         }
-        Ok(())
+    }
+
+    /// Returns the stored reply of an idempotency key.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn reply(&self, key: &str) -> Result<Option<Value>, StoreError> {
+        queries::reply(self.database()?, key)
+    }
+
+    /// Verifies everything that the store holds: page checksums, record checksums, and references between records.
+    ///
+    /// # Errors
+    /// The first inconsistency, or the store can't be read.
+    pub fn verify(&mut self) -> Result<(), StoreError> {
+        let database = self.database.as_mut().ok_or(StoreError::Closed)?;
+        catch_corruption(|| integrity::verify(database))
     }
 }
 
@@ -373,34 +312,14 @@
     }
 }
 
-/// Makes a store under another name first: a process that ends meanwhile leaves none, and not half of one.
-fn make(directory: &Path, file: &Path) -> Result<(), StoreError> {
-    let aside = directory.join(format!("{FILE}.new"));
-    match std::fs::remove_file(&aside) {
+/// Creates a store under another name and renames it: a crash leaves no partial store.
+fn create(directory: &Path, file: &Path) -> Result<(), StoreError> {
+    let partial = directory.join(format!("{FILE_NAME}.new"));
+    match std::fs::remove_file(&partial) {
         Err(e) if e.kind() != ErrorKind::NotFound => return Err(e.into()),
         _ => {}
     }
-    prepare(&Database::create(&aside)?)?;
-    std::fs::rename(&aside, file)?;
+    prepare(&Database::create(&partial)?)?;
+    std::fs::rename(&partial, file)?;
     Ok(File::open(directory)?.sync_all()?)
 }
-
-/// Runs what the database may stumble over where its file is damaged.
-pub(crate) fn guard<T>(run: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
-    let damaged = |_| StoreError::Damaged("its pages do not fit each other".into());
-    catch_unwind(AssertUnwindSafe(run)).map_err(damaged)?
-}
-
-impl State {
-    /// What is there once an entry's write has been carried out, but for the documents.
-    pub fn follow(&mut self, write: &Write, entry: &Entry) {
-        self.entry = write.base + 1;
-        self.version = entry.version.unwrap_or(self.version);
-        for (id, token) in &write.tokens {
-            match token {
-                Some(token) => drop(self.tokens.insert(id.clone(), token.clone())),
-                None => drop(self.tokens.remove(id)),
-            }
-        }
-    }
-}
--- a/crates/config-store/tests/disk/mod.rs
+++ b/crates/config-store/tests/disk/mod.rs
@@ -23,14 +23,14 @@
 
 #[derive(Debug)]
 enum Op {
-    Write(usize, Vec<u8>),
+    Transaction(usize, Vec<u8>),
     Length(usize),
 }
 
 fn apply(image: &mut Vec<u8>, op: &Op) {
     match op {
         Op::Length(length) => image.resize(*length, 0),
-        Op::Write(at, bytes) => {
+        Op::Transaction(at, bytes) => {
             image.resize(image.len().max(at + bytes.len()), 0);
             image[*at..at + bytes.len()].copy_from_slice(bytes);
         }
@@ -85,15 +85,15 @@
         for op in &inner.pending {
             match (end, op) {
                 (End::Killed, op) => apply(&mut image, op),
-                (End::PowerCut, Op::Write(at, bytes)) if rng.bool() => {
+                (End::PowerCut, Op::Transaction(at, bytes)) if rng.bool() => {
                     let kept = if rng.bool() {
                         bytes.len()
                     } else {
                         rng.usize(..=bytes.len())
                     };
-                    apply(&mut image, &Op::Write(*at, bytes[..kept].to_vec()));
+                    apply(&mut image, &Op::Transaction(*at, bytes[..kept].to_vec()));
                 }
-                (End::PowerCut, Op::Write(..)) => {}
+                (End::PowerCut, Op::Transaction(..)) => {}
                 // A file's length goes with its log of changes, in order.
                 (End::PowerCut, op) => apply(&mut image, op),
             }
@@ -123,7 +123,7 @@
             return Ok(());
         };
         let length = match &op {
-            Op::Write(at, bytes) => at + bytes.len(),
+            Op::Transaction(at, bytes) => at + bytes.len(),
             Op::Length(length) => *length,
         };
         if inner.room.is_some_and(|room| length as u64 > room) {
@@ -159,6 +159,6 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.step(Some(Op::Write(offset as usize, data.to_vec())))
+        self.step(Some(Op::Transaction(offset as usize, data.to_vec())))
     }
 }
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -6,16 +6,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use config_store::{Author, Keep, Store, StoreError, Write, export, import, snapshot};
+use config_store::snapshot::SnapshotDocument;
+use config_store::{Author, Retention, Store, StoreError, Transaction, export, import, snapshot};
 use disk::{Disk, End};
 use fastrand::Rng;
 use serde_json::{Value, json};
 
-fn write(base: u64, edits: Vec<(String, Option<Value>)>) -> Write {
-    Write {
-        base,
+fn write(base: u64, edits: Vec<(String, Option<Value>)>) -> Transaction {
+    Transaction {
+        base_entry: base,
         at_ms: 1000 + base,
-        by: Author {
+        author: Author {
             id: "t".into(),
             name: "test".into(),
         },
@@ -25,14 +26,14 @@
         edits,
         tokens: Vec::new(),
         reply: None,
-        skip_to: None,
+        minimum_version: None,
     }
 }
 
 /// A change of two documents, a token and a reply at once, all with the same number.
-fn fourfold(base: u64, n: u64) -> Write {
+fn fourfold(base: u64, n: u64) -> Transaction {
     let body = json!({ "n": n, "filling": "x".repeat(300 + (n as usize * 97) % 3000) });
-    Write {
+    Transaction {
         tokens: vec![("key".into(), Some(json!(n)))],
         reply: Some((format!("reply-{n}"), json!(n))),
         ..write(
@@ -46,12 +47,12 @@
 fn documents(store: &Store) -> BTreeMap<String, (u64, Value)> {
     let mut all = BTreeMap::new();
     let each = &mut |scope: &str, rev, document| _ = all.insert(scope.to_owned(), (rev, document));
-    store.documents(each).unwrap();
+    store.visit_documents(each).unwrap();
     all
 }
 
 /// What number stands in a store: the same everywhere.
-fn number(store: &Store, state: &config_store::State) -> u64 {
+fn number(store: &Store, state: &config_store::StoreState) -> u64 {
     let n = |v: Option<&(u64, Value)>| v.map_or(0, |(_, v)| v["n"].as_u64().unwrap());
     let there = documents(store);
     let (a, b) = (there.get("a"), there.get("b"));
@@ -73,14 +74,14 @@
 }
 
 /// Writes until the disk ends; returns how many writes were acknowledged.
-fn write_until_end(disk: &Disk, keep: Keep, most: u64) -> u64 {
-    let Ok((mut store, state)) = Store::with(disk.opener(), keep) else {
+fn write_until_end(disk: &Disk, keep: Retention, most: u64) -> u64 {
+    let Ok((mut store, state)) = Store::with_opener(disk.opener(), keep) else {
         return 0;
     };
     let mut acknowledged = number(&store, &state);
     while acknowledged < most {
         let next = acknowledged + 1;
-        if store.commit(&fourfold(store.entry(), next)).is_err() {
+        if store.commit(&fourfold(store.last_entry(), next)).is_err() {
             break;
         }
         acknowledged = next;
@@ -91,15 +92,15 @@
 #[test]
 fn a_process_that_ends_at_any_write_boundary_leaves_one_whole_version() {
     const WRITES: u64 = 12;
-    let keep = Keep {
+    let keep = Retention {
         versions: 4,
-        audit: 4,
+        audit_entries: 4,
         replies: 4,
-        reply_ms: u64::MAX,
+        reply_ttl_ms: u64::MAX,
     };
     let made = || {
         let disk = Disk::default();
-        drop(Store::with(disk.opener(), keep).unwrap());
+        drop(Store::with_opener(disk.opener(), keep).unwrap());
         disk
     };
     let untouched = made();
@@ -114,17 +115,20 @@
                 let disk = made();
                 disk.end_at(at);
                 let acknowledged = write_until_end(&disk, keep, WRITES);
-                let (mut store, state) = Store::with(disk.after(end, &mut rng).opener(), keep)
-                    .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
+                let (mut store, state) =
+                    Store::with_opener(disk.after(end, &mut rng).opener(), keep)
+                        .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
                 let there = number(&store, &state);
                 assert!(
                     (acknowledged..=acknowledged + 1).contains(&there),
                     "boundary {at}, {end:?}, seed {seed}: {there} after {acknowledged} were acknowledged"
                 );
                 store
-                    .check()
+                    .verify()
                     .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
-                store.commit(&fourfold(store.entry(), there + 1)).unwrap();
+                store
+                    .commit(&fourfold(store.last_entry(), there + 1))
+                    .unwrap();
                 ends.fetch_add(1, Ordering::Relaxed);
             }
         }
@@ -147,12 +151,12 @@
 fn old_versions_are_what_they_were_as_long_as_they_are_kept() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
-        let keep = Keep {
+        let keep = Retention {
             versions: 8,
-            audit: 12,
-            ..Keep::default()
+            audit_entries: 12,
+            ..Retention::default()
         };
-        let (mut store, mut state) = Store::with(Disk::default().opener(), keep).unwrap();
+        let (mut store, mut state) = Store::with_opener(Disk::default().opener(), keep).unwrap();
         let mut was: Vec<BTreeMap<String, Value>> = vec![BTreeMap::new()];
         for n in 0..60 {
             let mut now = was.last().unwrap().clone();
@@ -164,9 +168,9 @@
                 now.insert(scope.clone(), json!(n));
                 Some(json!(n))
             };
-            let write = write(store.entry(), vec![(scope, edit)]);
+            let write = write(store.last_entry(), vec![(scope, edit)]);
             let entry = store.commit(&write).unwrap();
-            state.follow(&write, &entry);
+            state.apply(&write, &entry);
             was.push(now);
         }
         let newest = was.len() as u64 - 1;
@@ -174,7 +178,7 @@
             let kept = version > newest - keep.versions;
             let expected = kept.then(|| was[version as usize].clone());
             assert_eq!(
-                store.at(version).unwrap(),
+                store.documents_at(version).unwrap(),
                 expected,
                 "seed {seed}, version {version}"
             );
@@ -184,17 +188,17 @@
             keep.versions
         );
         assert_eq!(
-            store.audit(None, u64::MAX, 100).unwrap().len() as u64,
-            keep.audit
+            store.audit_log(None, u64::MAX, 100).unwrap().len() as u64,
+            keep.audit_entries
         );
-        store.check().unwrap();
+        store.verify().unwrap();
         // What follows the writes in memory is what a new start reads.
         let bytes = {
             let mut bytes = Vec::new();
             export(&store, &mut bytes).unwrap();
             bytes
         };
-        let (mut copy, _) = Store::with(Disk::default().opener(), keep).unwrap();
+        let (mut copy, _) = Store::with_opener(Disk::default().opener(), keep).unwrap();
         import(&mut copy, bytes.as_slice()).unwrap();
         let mut again = Vec::new();
         export(&copy, &mut again).unwrap();
@@ -208,7 +212,7 @@
             .map(|(s, (_, d))| (s, d))
             .collect();
         assert_eq!(
-            (copy.at(state.version).unwrap().unwrap(), &there),
+            (copy.documents_at(state.version).unwrap().unwrap(), &there),
             (there.clone(), was.last().unwrap())
         );
         assert_eq!(documents(&store), documents(&copy));
@@ -218,22 +222,22 @@
 #[test]
 fn a_full_disk_changes_nothing_and_room_helps() {
     let disk = Disk::default();
-    let (mut store, _) = Store::with(disk.opener(), Keep::default()).unwrap();
+    let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
     store.commit(&fourfold(0, 1)).unwrap();
     disk.set_room(Some(disk.length()));
     let mut n = 1;
     let full = loop {
-        match store.commit(&fourfold(store.entry(), n + 1)) {
+        match store.commit(&fourfold(store.last_entry(), n + 1)) {
             Ok(_) => n += 1,
             Err(e) => break e,
         }
         assert!(n < 10_000);
     };
-    assert!(matches!(full, StoreError::Full), "{full}");
+    assert!(matches!(full, StoreError::DiskFull), "{full}");
     assert_eq!(store.version(), n);
     disk.set_room(None);
-    store.commit(&fourfold(store.entry(), n + 1)).unwrap();
-    assert_eq!(store.at(n).unwrap().unwrap()["a"]["n"], n);
+    store.commit(&fourfold(store.last_entry(), n + 1)).unwrap();
+    assert_eq!(store.documents_at(n).unwrap().unwrap()["a"]["n"], n);
 }
 
 /// A directory that goes with the test.
@@ -260,28 +264,32 @@
     let directory = Directory::new("alone");
     let path = &directory.0;
     assert!(matches!(
-        Store::open_existing(path, Keep::default()),
+        Store::open_existing(path, Retention::default()),
         Err(StoreError::Missing(_))
     ));
     // Left by a process that was killed while it made the store.
-    std::fs::write(path.join(format!("{}.new", config_store::FILE)), "half").unwrap();
-    let (store, _) = Store::open(path, Keep::default()).unwrap();
+    std::fs::write(
+        path.join(format!("{}.new", config_store::FILE_NAME)),
+        "half",
+    )
+    .unwrap();
+    let (store, _) = Store::open(path, Retention::default()).unwrap();
     assert!(matches!(
-        Store::open(path, Keep::default()),
+        Store::open(path, Retention::default()),
         Err(StoreError::Locked)
     ));
     drop(store);
-    let newer = redb::Database::open(path.join(config_store::FILE)).unwrap();
+    let newer = redb::Database::open(path.join(config_store::FILE_NAME)).unwrap();
     let change = newer.begin_write().unwrap();
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
     change
         .open_table(meta)
         .unwrap()
-        .insert("format", config_store::FORMAT + 1)
+        .insert("format", config_store::FORMAT_VERSION + 1)
         .unwrap();
     change.commit().unwrap();
     drop(newer);
-    let said = Store::open(path, Keep::default())
+    let said = Store::open(path, Retention::default())
         .err()
         .unwrap()
         .to_string();
@@ -293,14 +301,14 @@
 fn an_older_store_is_brought_to_the_new_format_whole_or_not_at_all() {
     let older = || {
         let disk = Disk::default();
-        let (mut store, _) = Store::with(disk.opener(), Keep::default()).unwrap();
+        let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
         for n in 0..30 {
             let scope = format!("tenant/{}", ["x", "y"][n % 2]);
             let edits = vec![(scope, Some(json!(n))), ("tenant/z".into(), Some(json!(n)))];
             store
-                .commit(&Write {
+                .commit(&Transaction {
                     subject: None,
-                    ..write(store.entry(), edits)
+                    ..write(store.last_entry(), edits)
                 })
                 .unwrap();
         }
@@ -320,20 +328,20 @@
         disk
     };
     let good = |disk: &Disk| {
-        let (mut store, state) = Store::with(disk.opener(), Keep::default()).unwrap();
+        let (mut store, state) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
         assert_eq!((state.version, documents(&store).len()), (30, 3));
-        let of = |name| store.audit(Some(name), u64::MAX, 100).unwrap().len();
+        let of = |name| store.audit_log(Some(name), u64::MAX, 100).unwrap().len();
         assert_eq!([of("x"), of("y"), of("z"), of("tenant/x")], [15, 15, 30, 0]);
         assert_eq!(
             store
-                .audit(Some("x"), 20, 3)
+                .audit_log(Some("x"), 20, 3)
                 .unwrap()
                 .iter()
                 .map(|(n, _)| *n)
                 .collect::<Vec<_>>(),
             [19, 17, 15]
         );
-        store.check().unwrap();
+        store.verify().unwrap();
     };
     let disk = older();
     let before = disk.operations();
@@ -343,7 +351,7 @@
     for at in 1..=whole {
         let disk = older();
         disk.end_at(before + at);
-        let _ = Store::with(disk.opener(), Keep::default()).map(drop); // it ends somewhere in there
+        let _ = Store::with_opener(disk.opener(), Retention::default()).map(drop); // it ends somewhere in there
         good(&disk.after(End::PowerCut, &mut rng));
     }
 }
@@ -352,28 +360,34 @@
 fn damage_anywhere_is_told_of_or_does_no_harm_and_the_snapshot_is_there() {
     let directory = Directory::new("damage");
     let path = &directory.0;
-    let (mut store, mut state) = Store::open(path, Keep::default()).unwrap();
+    let (mut store, mut state) = Store::open(path, Retention::default()).unwrap();
     for n in 1..=20 {
-        let write = fourfold(store.entry(), n);
+        let write = fourfold(store.last_entry(), n);
         let entry = store.commit(&write).unwrap();
-        state.follow(&write, &entry);
+        state.apply(&write, &entry);
     }
     let all = documents(&store);
     drop(store);
-    let told = all
-        .iter()
-        .map(|(scope, (rev, d))| Ok((scope.clone(), *rev, d.clone())));
+    let told = all.iter().map(|(scope, (rev, d))| {
+        Ok(SnapshotDocument {
+            scope: scope.clone(),
+            revision: *rev,
+            document: d.clone(),
+        })
+    });
     let bytes = snapshot::write(path, &state, told).unwrap();
     assert_eq!(
         bytes,
-        std::fs::metadata(path.join(snapshot::FILE)).unwrap().len()
+        std::fs::metadata(path.join(snapshot::FILE_NAME))
+            .unwrap()
+            .len()
     );
     let mut kept = BTreeMap::new();
     let read = snapshot::read(path, &mut |s, rev, d| {
         _ = kept.insert(s.to_owned(), (rev, d))
     });
     assert_eq!((read.unwrap(), &kept), (state.clone(), &all));
-    let file = path.join(config_store::FILE);
+    let file = path.join(config_store::FILE_NAME);
     let whole = std::fs::read(&file).unwrap();
     let mut rng = Rng::with_seed(7);
     let (mut told, mut unharmed) = (0, 0);
@@ -383,8 +397,8 @@
         let end = (at + 512).min(bytes.len());
         bytes[at..end].iter_mut().for_each(|b| *b = rng.u8(..));
         std::fs::write(&file, &bytes).unwrap();
-        let opened = Store::open_existing(path, Keep::default())
-            .and_then(|(mut store, found)| store.check().map(|()| (documents(&store), found)));
+        let opened = Store::open_existing(path, Retention::default())
+            .and_then(|(mut store, found)| store.verify().map(|()| (documents(&store), found)));
         match opened {
             Ok((there, found)) => {
                 assert_eq!(
@@ -401,12 +415,12 @@
         }
     }
     assert!(told > 0 && unharmed > 0, "{told} told, {unharmed} unharmed");
-    let text = std::fs::read(path.join(snapshot::FILE)).unwrap();
-    std::fs::write(path.join(snapshot::FILE), &text[..text.len() - 1]).unwrap();
+    let text = std::fs::read(path.join(snapshot::FILE_NAME)).unwrap();
+    std::fs::write(path.join(snapshot::FILE_NAME), &text[..text.len() - 1]).unwrap();
     let told = &mut |_: &str, _, _| panic!("told of a snapshot that is damaged");
     assert!(matches!(
         snapshot::read(path, told),
-        Err(StoreError::Damaged(_))
+        Err(StoreError::Corrupted(_))
     ));
 }
 
@@ -414,23 +428,32 @@
 fn a_snapshot_that_cannot_be_made_leaves_the_one_that_was_there() {
     let directory = Directory::new("half");
     let path = &directory.0;
-    let state = config_store::State {
+    let state = config_store::StoreState {
         version: 1,
-        entry: 1,
-        ..config_store::State::default()
+        last_entry: 1,
+        ..config_store::StoreState::default()
+    };
+    let good = || {
+        Ok(SnapshotDocument {
+            scope: "a".to_owned(),
+            revision: 1,
+            document: json!(1),
+        })
     };
-    let good = || Ok(("a".to_owned(), 1, json!(1)));
     snapshot::write(path, &state, [good()].into_iter()).unwrap();
-    let before = std::fs::read(path.join(snapshot::FILE)).unwrap();
-    let spoiled = [good(), Err(StoreError::Damaged("b".into()))].into_iter();
+    let before = std::fs::read(path.join(snapshot::FILE_NAME)).unwrap();
+    let spoiled = [good(), Err(StoreError::Corrupted("b".into()))].into_iter();
     let failed = snapshot::write(
         path,
-        &config_store::State {
+        &config_store::StoreState {
             version: 2,
             ..state
         },
         spoiled,
     );
-    assert!(matches!(failed, Err(StoreError::Damaged(what)) if what == "b"));
-    assert_eq!(std::fs::read(path.join(snapshot::FILE)).unwrap(), before);
+    assert!(matches!(failed, Err(StoreError::Corrupted(what)) if what == "b"));
+    assert_eq!(
+        std::fs::read(path.join(snapshot::FILE_NAME)).unwrap(),
+        before
+    );
 }
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1111,8 +1111,8 @@
     }
     let state = fleet.state(leader).to_owned();
     drop(fleet);
-    let (_, logged) =
-        config_store::log::Log::open(&state).map_err(|e| io::Error::other(e.to_string()))?;
+    let (_, logged) = config_store::raft_log::RaftLog::open(&state)
+        .map_err(|e| io::Error::other(e.to_string()))?;
     let proposes = |e: &&Vec<u8>| e.windows(11).any(|w| w == b"{\"propose\":");
     let entry = logged
         .entries
