--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,28 +1,40 @@
-//! Fair shares of one process between the tenants that it carries.
+//! Fair sharing of one process between the tenants that it carries.
 //!
-//! Tenants share what the process has: sockets, requests in flight, buffered bytes, time of the event loop, and the
-//! connections of servers that two tenants have in common. This crate says who may have how much, at once and without
-//! a queue: what is over a tenant's share is turned away, and the decision module refuses it. It holds no sockets and
-//! reads no clock; time comes in as milliseconds on one clock that never runs backwards.
+//! Tenants share the process's client connections, requests in flight, buffered bytes and event-loop time, and the
+//! connections to servers that several tenants use. This crate decides how much each tenant gets. It decides at once:
+//! a request over its tenant's share is rejected, never queued. It performs no I/O and reads no clock; time comes in as
+//! milliseconds of one monotonic clock.
 //!
-//! - [`Stock`]: things held for a while and given back, such as sockets.
-//! - [`Flow`]: work that is done and gone, such as time of the event loop.
-//! - [`Shares`]: all of a process's stocks and its flow, by tenant; what a front asks.
+//! - [`ResourcePool`]: resources that are acquired and released, such as connections.
+//! - [`ProcessorSharing`]: work that cannot be given back, such as event-loop time.
+//! - [`TenantLimiter`]: all resources of a process by tenant; the interface for a proxy's front end.
 //!
-//! Shares follow weights among the tenants that have asked lately. Nothing that is free is kept from a tenant, but for
-//! what others have used lately and a small part for newcomers (`docs/design/tenancy.md`).
+//! Shares follow weights among the recently active tenants. What active tenants leave unused is lent to others, except
+//! for recent peaks and a small reserve for idle tenants (`docs/design/tenancy.md`).
+#![deny(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::type_complexity,
+    clippy::struct_excessive_bools
+)]
 
-mod flow;
-mod shares;
-mod stock;
+mod processor_sharing;
+mod resource;
+mod resource_pool;
+mod shared_server;
+mod tenant_limiter;
 
-pub use flow::{Flow, Terms as FlowTerms};
-pub use shares::{Caps, Limits, Refusal, Resource, Shares, Use};
-pub use stock::{Lack, Stock};
+pub use processor_sharing::{ProcessorSharing, RateQuota};
+pub use resource::{
+    ProcessCapacity, Rejection, RejectionCounts, Resource, TenantQuota, TenantUsage,
+};
+pub use resource_pool::{DenialReason, ResourcePool};
+pub use tenant_limiter::TenantLimiter;
 
-/// A point in time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// A tenant's place in the tables, from 0. A place may be used again once its tenant has given back all it held.
+/// Index of a tenant in the tables, from 0. An index may be reused once its former tenant has released all it held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Tenant(pub usize);
+pub struct TenantId(pub usize);
--- a/crates/lab/src/service/tenants.rs
+++ b/crates/lab/src/service/tenants.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fair_share::{Caps, Limits, Shares, Tenant};
+use fair_share::{ProcessCapacity, TenantId, TenantLimiter, TenantQuota};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -255,24 +255,24 @@
 
 /// What the account takes for a request, in ns.
 fn admission(tenants: usize) -> f64 {
-    let limits = Limits {
-        sockets: 4096,
-        in_flight: 2048,
-        bytes: 64 << 20,
-        time: 0.85,
-        turning: 0.1,
-        newcomers: 0.0625,
+    let capacity = ProcessCapacity {
+        client_connections: 4096,
+        in_flight_requests: 2048,
+        buffered_bytes: 64 << 20,
+        processing_time_ratio: 0.85,
+        rejection_time_ratio: 0.1,
+        idle_reserve_ratio: 0.0625,
     };
-    let mut shares = Shares::new(limits);
-    (0..tenants).for_each(|n| shares.set(0.0, Tenant(n), &Caps::default()));
+    let mut limiter = TenantLimiter::new(capacity);
+    (0..tenants).for_each(|n| limiter.set_quota(0.0, TenantId(n), &TenantQuota::default()));
     let active = (tenants / 10).max(1);
     let rounds = 200_000;
     let began = Instant::now();
     for n in 0..rounds {
-        let (now, tenant) = (n as f64 * 0.05, Tenant(n % active));
-        if shares.begin(now, tenant, 500).is_ok() {
-            shares.spent(now, tenant, 0.02);
-            shares.end(tenant, 500, 20.0);
+        let (now, tenant) = (n as f64 * 0.05, TenantId(n % active));
+        if limiter.begin_request(now, tenant, 500).is_ok() {
+            limiter.charge_processing(now, tenant, 0.02);
+            limiter.end_request(tenant, 500, 20.0);
         }
     }
     began.elapsed().as_nanos() as f64 / rounds as f64
--- a/crates/lab/src/shares/mod.rs
+++ b/crates/lab/src/shares/mod.rs
@@ -8,7 +8,7 @@
 
 use std::collections::VecDeque;
 
-use fair_share::{FlowTerms, Stock, Tenant};
+use fair_share::{RateQuota, ResourcePool, TenantId};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution as _, Exp};
@@ -110,11 +110,11 @@
         ("fixed parts", |w, all| Box::new(Split::new(w, all))),
         ("moving threshold", |w, all| Box::new(Moving::new(w, all))),
         ("claims", |w, all| {
-            let mut stock = Stock::new(all, 1.0 / 16.0);
+            let mut pool = ResourcePool::new(all, 1.0 / 16.0);
             w.iter()
                 .enumerate()
-                .for_each(|(i, w)| stock.set(Tenant(i), *w, u64::MAX));
-            Box::new(stock)
+                .for_each(|(i, w)| pool.set_quota(TenantId(i), *w, u64::MAX));
+            Box::new(pool)
         }),
     ];
     ways.iter()
@@ -122,13 +122,13 @@
         .collect()
 }
 
-impl Holding for Stock {
+impl Holding for ResourcePool {
     fn take(&mut self, now: f64, tenant: usize) -> bool {
-        Stock::take(self, now, Tenant(tenant), 1).is_ok()
+        self.acquire(now, TenantId(tenant), 1).is_ok()
     }
 
     fn give(&mut self, tenant: usize) {
-        Stock::give(self, Tenant(tenant), 1);
+        self.release(TenantId(tenant), 1);
     }
 }
 
@@ -446,11 +446,11 @@
 }
 
 /// The terms by which [`Virtual`] shares time.
-fn terms(weight: f64, burst: f64) -> FlowTerms {
-    FlowTerms {
+fn terms(weight: f64, burst: f64) -> RateQuota {
+    RateQuota {
         weight,
         burst,
-        cap: 1.0,
+        max_rate_ratio: 1.0,
     }
 }
 
--- a/crates/lab/src/shares/rivals.rs
+++ b/crates/lab/src/shares/rivals.rs
@@ -1,6 +1,6 @@
-//! The ways that are played against each other. What the product uses stands in `tenancy`; the others are here alone.
+//! The ways that are played against each other. What the product uses stands in `fair-share`; the others are here alone.
 
-use fair_share::{Flow, Tenant};
+use fair_share::{ProcessorSharing, TenantId};
 
 use super::{Gate, Holding, terms};
 
@@ -143,26 +143,26 @@
 }
 
 /// Backlogs by virtual time, as the product does it.
-pub struct Virtual(Flow);
+pub struct Virtual(ProcessorSharing);
 
 impl Virtual {
     pub fn new(weights: &[f64], rate: f64, burst: f64) -> Self {
-        let mut flow = Flow::new(rate);
+        let mut server = ProcessorSharing::new(rate);
         weights
             .iter()
             .enumerate()
-            .for_each(|(i, w)| flow.set(0.0, Tenant(i), terms(*w, burst)));
-        Virtual(flow)
+            .for_each(|(i, w)| server.set_quota(0.0, TenantId(i), terms(*w, burst)));
+        Virtual(server)
     }
 }
 
 impl Gate for Virtual {
     fn admit(&mut self, now: f64, tenant: usize) -> bool {
-        self.0.admit(now, Tenant(tenant)).is_ok()
+        self.0.admit(now, TenantId(tenant)).is_ok()
     }
 
     fn charge(&mut self, now: f64, tenant: usize, work: f64) {
-        self.0.charge(now, Tenant(tenant), work);
+        self.0.charge(now, TenantId(tenant), work);
     }
 }
 
--- a/crates/multi-tenant/src/book.rs
+++ b/crates/multi-tenant/src/book.rs
@@ -6,7 +6,9 @@
 use std::task::Waker;
 use std::time::Duration;
 
-use fair_share::{Caps, Limits, Millis, Shares, Tenant, Use};
+use fair_share::{
+    Millis, ProcessCapacity, RejectionCounts, TenantId, TenantLimiter, TenantQuota, TenantUsage,
+};
 use proxy_core::account::Account;
 use rustix::time::{ClockId, clock_gettime};
 use tokio::sync::Notify;
@@ -27,7 +29,7 @@
     /// The thread's time on a core, in ms, when the present work began: time on a core, so that nobody pays for what the
     /// system let others do meanwhile.
     works_since: Cell<Millis>,
-    shares: RefCell<Shares>,
+    shares: RefCell<TenantLimiter>,
     /// For each tenant the connections that wait to be read, and the listeners that wait to take up another.
     waiting: RefCell<Vec<[VecDeque<Waker>; 2]>>,
     /// How many of these queues have some.
@@ -45,16 +47,16 @@
 /// What a tenant has done, without what it holds.
 struct Past {
     time: Millis,
-    refused: Option<Box<[u64; 5]>>,
+    refused: Option<Box<RejectionCounts>>,
 }
 
 impl Book {
     /// A book for a process that has so much.
-    pub fn new(limits: Limits) -> Rc<Self> {
+    pub fn new(capacity: ProcessCapacity) -> Rc<Self> {
         Rc::new(Book {
             start: Instant::now(),
             works_since: Cell::new(thread_time()),
-            shares: RefCell::new(Shares::new(limits)),
+            shares: RefCell::new(TenantLimiter::new(capacity)),
             waiting: RefCell::default(),
             queues_waiting: Cell::new(0),
             some_wait: Notify::new(),
@@ -70,7 +72,7 @@
     }
 
     /// Opens an account; it is closed when the last holder lets go of it and all it held is given back.
-    pub fn open(self: &Rc<Self>, caps: &Caps) -> Rc<Holder> {
+    pub fn open(self: &Rc<Self>, quota: &TenantQuota) -> Rc<Holder> {
         let mut places = self.places.borrow_mut();
         let free = places
             .iter()
@@ -81,8 +83,10 @@
             self.waiting.borrow_mut().push(Default::default());
         }
         places[free] = true;
-        let tenant = Tenant(free);
-        self.shares.borrow_mut().set(self.now(), tenant, caps);
+        let tenant = TenantId(free);
+        self.shares
+            .borrow_mut()
+            .set_quota(self.now(), tenant, quota);
         Rc::new(Holder {
             book: self.clone(),
             tenant,
@@ -92,17 +96,17 @@
     }
 
     /// The account of a tenant that wakes: the one that it had if anybody holds that still, or one that goes on from there.
-    pub fn resume(self: &Rc<Self>, name: &Name, caps: &Caps) -> Rc<Holder> {
+    pub fn resume(self: &Rc<Self>, name: &Name, quota: &TenantQuota) -> Rc<Holder> {
         if let Some(holder) = self.held(name) {
-            holder.set(caps);
+            holder.set(quota);
             return holder;
         }
-        let holder = self.open(caps);
+        let holder = self.open(quota);
         if let Some(past) = self.past.borrow_mut().remove(name) {
             let refused = past.refused.map_or([0; 5], |r| *r);
             self.shares
                 .borrow_mut()
-                .resume(holder.tenant, past.time, refused);
+                .restore_counters(holder.tenant, past.time, refused);
         }
         holder.name.replace(Some(name.clone()));
         self.open
@@ -117,19 +121,19 @@
     }
 
     /// What a tenant holds and has done, whether it has an account now or not.
-    pub fn used_by(&self, name: &str) -> Use {
+    pub fn used_by(&self, name: &str) -> TenantUsage {
         if let Some(holder) = self.held(name) {
             return holder.used();
         }
         let past = self.past.borrow();
         let Some(past) = past.get(name) else {
-            return Use::default();
+            return TenantUsage::default();
         };
         let refused = past.refused.as_ref().map_or([0; 5], |r| **r);
-        Use {
-            time: past.time,
-            refused,
-            ..Use::default()
+        TenantUsage {
+            event_loop_time: past.time,
+            rejections: refused,
+            ..TenantUsage::default()
         }
     }
 
@@ -148,13 +152,13 @@
 
     /// Servers with limits that several tenants use.
     pub fn share_server(&self, server: u64, connections: u64, members: &[(Rc<Holder>, f64)]) {
-        let members: Vec<(Tenant, f64)> = members
+        let members: Vec<(TenantId, f64)> = members
             .iter()
             .map(|(h, weight)| (h.tenant, *weight))
             .collect();
         self.shares
             .borrow_mut()
-            .share_server(server, connections, &members);
+            .set_shared_server(server, connections, &members);
     }
 
     /// Lets waiting connections be read as their tenants' accounts allow; runs for as long as the process.
@@ -166,7 +170,7 @@
             self.round.set(self.round.get() + 1);
             let places = self.waiting.borrow().len();
             let woken = (0..places)
-                .filter(|place| self.next_turn(Tenant(*place)))
+                .filter(|place| self.next_turn(TenantId(*place)))
                 .count();
             // Whoever is ready goes before the next round, and what has come in meanwhile is looked for.
             if woken > 0 {
@@ -178,21 +182,21 @@
     }
 
     /// Whether a tenant's account lets something of this kind go on.
-    fn may(&self, tenant: Tenant, wish: Wish) -> bool {
+    fn may(&self, tenant: TenantId, wish: Wish) -> bool {
         let (mut shares, now) = (self.shares.borrow_mut(), self.now());
         match wish {
-            Wish::Read => shares.may_read(now, tenant).is_ok(),
-            Wish::Accept => shares.may_accept(now, tenant).is_ok(),
+            Wish::Read => shares.check_read(now, tenant).is_ok(),
+            Wish::Accept => shares.check_accept(now, tenant).is_ok(),
         }
     }
 
     /// Wakes one connection and one listener of a tenant, if its account lets them go on; tells whether it did.
-    fn next_turn(&self, tenant: Tenant) -> bool {
+    fn next_turn(&self, tenant: TenantId) -> bool {
         let read = self.wake(tenant, Wish::Read);
         self.wake(tenant, Wish::Accept) || read
     }
 
-    fn wake(&self, tenant: Tenant, wish: Wish) -> bool {
+    fn wake(&self, tenant: TenantId, wish: Wish) -> bool {
         if self.queues_waiting.get() == 0 {
             return false;
         }
@@ -217,7 +221,7 @@
         true
     }
 
-    fn wait(&self, tenant: Tenant, wish: Wish, waker: &Waker) {
+    fn wait(&self, tenant: TenantId, wish: Wish, waker: &Waker) {
         let mut waiting = self.waiting.borrow_mut();
         let queue = waiting
             .get_mut(tenant.0)
@@ -255,7 +259,7 @@
 /// One tenant's account.
 pub struct Holder {
     book: Rc<Book>,
-    tenant: Tenant,
+    tenant: TenantId,
     /// The round that it is in, and the time that it may still take in it.
     turn: Cell<(u64, Millis)>,
     /// Whose it is, if it is a tenant's that is still there.
@@ -282,16 +286,16 @@
     }
 
     /// Changes its terms; what it holds it keeps.
-    pub fn set(&self, caps: &Caps) {
+    pub fn set(&self, quota: &TenantQuota) {
         self.book
             .shares
             .borrow_mut()
-            .set(self.book.now(), self.tenant, caps);
+            .set_quota(self.book.now(), self.tenant, quota);
     }
 
     /// What it holds and has done.
-    pub fn used(&self) -> Use {
-        self.book.shares.borrow().used(self.tenant)
+    pub fn used(&self) -> TenantUsage {
+        self.book.shares.borrow().usage(self.tenant)
     }
 
     /// It gets nothing new from here on.
@@ -303,7 +307,9 @@
 impl Drop for Holder {
     fn drop(&mut self) {
         if let Some(name) = self.name.take() {
-            let Use { time, refused, .. } = self.used();
+            let used = self.used();
+            let time = used.event_loop_time;
+            let refused = used.rejections;
             self.book.open.borrow_mut().remove(&name);
             let refused = refused.iter().any(|n| *n > 0).then(|| Box::new(refused));
             if time > 0.0 || refused.is_some() {
@@ -338,24 +344,30 @@
         self.book
             .shares
             .borrow_mut()
-            .connect(self.book.now(), self.tenant)
-            .map_err(|r| r.wait)
+            .acquire_client_connection(self.book.now(), self.tenant)
+            .map_err(|rejection| rejection.retry_after)
     }
 
     fn disconnect(&self) {
-        self.book.shares.borrow_mut().disconnect(self.tenant);
+        self.book
+            .shares
+            .borrow_mut()
+            .release_client_connection(self.tenant);
     }
 
     fn begin(&self, bytes: u64) -> Result<(), Millis> {
         self.book
             .shares
             .borrow_mut()
-            .begin(self.book.now(), self.tenant, bytes)
-            .map_err(|r| r.wait)
+            .begin_request(self.book.now(), self.tenant, bytes)
+            .map_err(|rejection| rejection.retry_after)
     }
 
     fn end(&self, bytes: u64, held: Millis) {
-        self.book.shares.borrow_mut().end(self.tenant, bytes, held);
+        self.book
+            .shares
+            .borrow_mut()
+            .end_request(self.tenant, bytes, held);
     }
 
     fn works(&self) {
@@ -368,9 +380,9 @@
         self.turn.set((self.book.round.get(), left));
         let mut shares = self.book.shares.borrow_mut();
         if turning_away {
-            shares.turned_away(now, self.tenant, ms);
+            shares.charge_rejecting(now, self.tenant, ms);
         } else {
-            shares.spent(now, self.tenant, ms);
+            shares.charge_processing(now, self.tenant, ms);
         }
         drop(shares);
         if left > 0.0 {
@@ -390,7 +402,7 @@
         self.book
             .shares
             .borrow_mut()
-            .to_server(self.book.now(), self.tenant, server)
+            .acquire_server_connection(self.book.now(), self.tenant, server)
             .is_ok()
     }
 
@@ -398,6 +410,6 @@
         self.book
             .shares
             .borrow_mut()
-            .from_server(self.tenant, server);
+            .release_server_connection(self.tenant, server);
     }
 }
--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -12,7 +12,7 @@
 
 use balancer::{Class, Discovery, Effect, Prices, Rating, Settings, ZoneId};
 use endpoint_discovery::{Told, Update};
-use fair_share::{Caps, Limits};
+use fair_share::{ProcessCapacity, TenantQuota};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{StatusCode, Uri};
 use proxy_core::account::Account;
@@ -169,13 +169,13 @@
 
     /// The same, where all that is decided passes a gate. It opens with the versions that [`Plane::open_at`] tells.
     pub fn behind(process: &document::Process, follow: Follow, gate: Option<Rc<Gate>>) -> Rc<Self> {
-        let book = Book::new(Limits {
-            sockets: process.sockets,
-            in_flight: process.in_flight,
-            bytes: process.bytes.0 as u64,
-            time: process.loop_share.0,
-            turning: process.turning_share.0,
-            newcomers: process.newcomers.0,
+        let book = Book::new(ProcessCapacity {
+            client_connections: process.sockets,
+            in_flight_requests: process.in_flight,
+            buffered_bytes: process.bytes.0 as u64,
+            processing_time_ratio: process.loop_share.0,
+            rejection_time_ratio: process.turning_share.0,
+            idle_reserve_ratio: process.newcomers.0,
         });
         spawn_local(book.clone().give_turns());
         let plane = Rc::new_cyclic(|myself| Plane {
@@ -627,13 +627,13 @@
 }
 
 /// A tenant's limits as the shares take them.
-fn caps(limits: &document::Limits) -> Caps {
-    Caps {
+fn caps(limits: &document::Limits) -> TenantQuota {
+    TenantQuota {
         weight: limits.weight,
-        sockets: limits.sockets.unwrap_or(u64::MAX),
-        in_flight: limits.in_flight.unwrap_or(u64::MAX),
-        bytes: limits.bytes.map_or(u64::MAX, |b| b.0 as u64),
-        time: limits.loop_share.map_or(1.0, |s| s.0),
+        max_client_connections: limits.sockets.unwrap_or(u64::MAX),
+        max_in_flight_requests: limits.in_flight.unwrap_or(u64::MAX),
+        max_buffered_bytes: limits.bytes.map_or(u64::MAX, |b| b.0 as u64),
+        max_processing_time_ratio: limits.loop_share.map_or(1.0, |s| s.0),
         burst: limits.burst.0,
     }
 }
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -539,11 +539,11 @@
             ],
             fleet: None,
             former_pools: 0,
-            sockets: used.sockets,
-            in_flight: used.in_flight,
-            bytes: used.bytes,
-            loop_ms: used.time,
-            refused: used.refused,
+            sockets: used.client_connections,
+            in_flight: used.in_flight_requests,
+            bytes: used.buffered_bytes,
+            loop_ms: used.event_loop_time,
+            refused: used.rejections,
         }
     }
 
@@ -622,10 +622,10 @@
         servers,
         fleet: followed,
         former_pools: live.former.iter().filter(|f| f.is_alive()).count(),
-        sockets: used.sockets,
-        in_flight: used.in_flight,
-        bytes: used.bytes,
-        loop_ms: used.time,
-        refused: used.refused,
+        sockets: used.client_connections,
+        in_flight: used.in_flight_requests,
+        bytes: used.buffered_bytes,
+        loop_ms: used.event_loop_time,
+        refused: used.rejections,
     }
 }
