--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -88,7 +88,7 @@
     /// The residents.
     tenants: RefCell<BTreeMap<Name, Live>>,
     /// Who is resident, and who waits to be.
-    residents: RefCell<tenant_activation::ResidentSet<Name>>,
+    residents: RefCell<tenant_activation::ActiveTenants<Name>>,
     turns: Rc<Turns>,
     /// What is kept of tenants at rest beside their documents.
     digests: RefCell<Digests>,
@@ -186,7 +186,7 @@
                 ..Service::default()
             }))),
             tenants: RefCell::default(),
-            residents: RefCell::new(tenant_activation::ResidentSet::new(residents::terms(
+            residents: RefCell::new(tenant_activation::ActiveTenants::new(residents::terms(
                 process,
             ))),
             turns: Turns::new(),
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -12,7 +12,7 @@
 use schemars::JsonSchema;
 use serde::Serialize;
 use settings::number_of;
-use tenant_activation::{Admission, Terms, Wait};
+use tenant_activation::{Activation, ActivationLimits, Deferral};
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::sleep;
 
@@ -43,14 +43,14 @@
 
 const DAMAGED: Missing = Missing::Plain(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
 
-/// The bounds of the resident set.
-pub(super) fn terms(process: &Process) -> Terms {
-    Terms {
-        most: process.resident_tenants as usize,
-        rest_after: process.rest_after.0,
-        least_stay: LEAST_STAY,
-        hold: HOLD,
-        most_waiting: MOST_WAITING,
+/// Bounds of the active tenants.
+pub(super) fn terms(process: &Process) -> ActivationLimits {
+    ActivationLimits {
+        max_active: process.resident_tenants as usize,
+        idle_timeout: process.rest_after.0,
+        min_active_time: LEAST_STAY,
+        retry_grace_period: HOLD,
+        max_waiting: MOST_WAITING,
     }
 }
 
@@ -173,13 +173,13 @@
         let admission = {
             let tenants = self.tenants.borrow();
             let may_rest = |other: &Name| tenants.get(other).is_some_and(Live::may_rest);
-            self.residents.borrow_mut().ask(now, name, may_rest)
+            self.residents.borrow_mut().activate(now, name, may_rest)
         };
         match admission {
-            Err(Wait { span, .. }) => Err(Missing::Later(span)),
-            Ok(Admission::Resident) => resident.ok_or(NO_TENANT),
-            Ok(Admission::Woken) => self.wake(name),
-            Ok(Admission::InPlaceOf(other)) => {
+            Err(Deferral { retry_after, .. }) => Err(Missing::Later(retry_after)),
+            Ok(Activation::AlreadyActive) => resident.ok_or(NO_TENANT),
+            Ok(Activation::Activated) => self.wake(name),
+            Ok(Activation::ActivatedByEvicting(other)) => {
                 self.put_to_rest(&other);
                 self.wake(name)
             }
@@ -193,12 +193,12 @@
             Some(Ok((_, tenant))) => tenant,
             Some(Err(e)) => {
                 tracing::error!(error = %e, "a tenant can't be served until it is changed");
-                self.residents.borrow_mut().forget(name);
+                self.residents.borrow_mut().remove(name);
                 self.damaged.borrow_mut().insert(name.clone());
                 return Err(DAMAGED);
             }
             None => {
-                self.residents.borrow_mut().forget(name);
+                self.residents.borrow_mut().remove(name);
                 return Err(NO_TENANT);
             }
         };
@@ -212,7 +212,7 @@
     fn start(&self, name: &Name, tenant: Tenant, digest: Digest) -> Rc<Pool> {
         let account = self.book.resume(name, &caps(&tenant.limits));
         // Another draw each time, or the first request after each rest would go the same way.
-        let wakes = self.residents.borrow().counts().wakes;
+        let wakes = self.residents.borrow().counters().activations;
         let seed = self.seed ^ number_of(name) ^ wakes.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let running = self.pool(&tenant, &account, seed, 0);
         let born = |s: &crate::document::Server| {
@@ -299,7 +299,7 @@
     /// A tenant is no more.
     pub(super) fn remove(&self, name: &str) {
         let name: Name = name.into();
-        self.residents.borrow_mut().forget(&name);
+        self.residents.borrow_mut().remove(&name);
         self.digests.borrow_mut().take(&name);
         self.damaged.borrow_mut().remove(&name);
         self.book.forget(&name);
@@ -443,11 +443,11 @@
     /// Says so where those that stay whatever happens take the others' places.
     pub(super) fn warn_of_pinned(&self) {
         let residents = self.residents.borrow();
-        let (pinned, places) = (residents.pinned(), residents.places());
-        if pinned > 0 && pinned + places > residents.most() {
+        let (pinned, places) = (residents.pinned_count(), residents.unpinned_capacity());
+        if pinned > 0 && pinned + places > residents.max_active() {
             tracing::warn!(
                 pinned,
-                resident_tenants = residents.most(),
+                resident_tenants = residents.max_active(),
                 "tenants whose lists are followed take more than their part of resident-tenants"
             );
         }
@@ -477,7 +477,9 @@
         let rests = {
             let tenants = self.tenants.borrow();
             let may_rest = |name: &Name| tenants.get(name).is_some_and(Live::may_rest);
-            self.residents.borrow_mut().rest(now, RESTS, may_rest)
+            self.residents
+                .borrow_mut()
+                .deactivate_idle(now, RESTS, may_rest)
         };
         rests.iter().for_each(|name| self.put_to_rest(name));
         self.digests.borrow_mut().expire(now);
@@ -571,16 +573,16 @@
     /// How many are resident, and what has come of it.
     pub fn residency(&self) -> Residency {
         let (residents, digests) = (self.residents.borrow(), self.digests.borrow());
-        let counts = residents.counts();
+        let counters = residents.counters();
         Residency {
             tenants: self.routes.borrow().catalog().len(),
             resident: residents.len(),
-            pinned: residents.pinned(),
-            waiting: residents.waiting(),
-            wakes: counts.wakes,
-            rests: counts.rests,
-            evictions: counts.evictions,
-            refused: counts.refused,
+            pinned: residents.pinned_count(),
+            waiting: residents.waiting_count(),
+            wakes: counters.activations,
+            rests: counters.deactivations,
+            evictions: counters.evictions,
+            refused: counters.deferrals,
             damaged: self.damaged.borrow().len(),
             remembered: digests.entries(),
             forgotten: digests.dropped(),
--- a/crates/tenant-activation/tests/properties.rs
+++ b/crates/tenant-activation/tests/properties.rs
@@ -1,37 +1,38 @@
-//! However tenants ask: never more residents than places, nobody with work is put out, everybody gets a turn, all is bounded.
+//! Properties of activation for any order of requests: limits hold, no tenant with work is evicted, and every tenant that
+//! retries is activated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use tenant_activation::{Admission, Millis, ResidentSet, Terms};
+use tenant_activation::{Activation, ActivationLimits, ActiveTenants, Millis};
 
-const TERMS: Terms = Terms {
-    most: 8,
-    rest_after: 5_000.0,
-    least_stay: 250.0,
-    hold: 2_000.0,
-    most_waiting: 32,
+const LIMITS: ActivationLimits = ActivationLimits {
+    max_active: 8,
+    idle_timeout: 5_000.0,
+    min_active_time: 250.0,
+    retry_grace_period: 2_000.0,
+    max_waiting: 32,
 };
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u16),
-    /// Something of a resident's is under way, for so many ms.
+    Request(u16),
+    /// An active tenant has work for this time in ms.
     Work(u16, u16),
-    Pass(u16),
-    Rest,
-    Forget(u16),
+    Wait(u16),
+    DeactivateIdle,
+    Remove(u16),
     Pin(u16),
     Unpin(u16),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (0..60u16).prop_map(Step::Ask),
-        3 => (0..60u16, 1..2000u16).prop_map(|(who, ms)| Step::Work(who, ms)),
-        4 => (1..1500u16).prop_map(Step::Pass),
-        1 => Just(Step::Rest),
-        1 => (0..60u16).prop_map(Step::Forget),
+        8 => (0..60u16).prop_map(Step::Request),
+        3 => (0..60u16, 1..2000u16).prop_map(|(tenant, ms)| Step::Work(tenant, ms)),
+        4 => (1..1500u16).prop_map(Step::Wait),
+        1 => Just(Step::DeactivateIdle),
+        1 => (0..60u16).prop_map(Step::Remove),
         1 => (0..60u16).prop_map(Step::Pin),
         1 => (0..60u16).prop_map(Step::Unpin),
     ]
@@ -39,189 +40,241 @@
 
 proptest! {
     #[test]
-    fn the_bound_holds_and_nobody_with_work_is_put_out(steps in prop::collection::vec(step(), 1..400)) {
-        let mut set = ResidentSet::new(TERMS);
-        let (mut now, mut here, mut pinned) = (0.0, BTreeSet::new(), BTreeSet::new());
-        let mut busy: BTreeMap<u16, Millis> = BTreeMap::new();
-        let mut since: BTreeMap<u16, Millis> = BTreeMap::new();
+    fn the_limit_holds_and_no_tenant_with_work_is_evicted(steps in prop::collection::vec(step(), 1..400)) {
+        let mut tenants = ActiveTenants::new(LIMITS);
+        let mut now = 0.0;
+        let mut active = BTreeSet::new();
+        let mut pinned = BTreeSet::new();
+        let mut busy_until: BTreeMap<u16, Millis> = BTreeMap::new();
+        let mut activated_at: BTreeMap<u16, Millis> = BTreeMap::new();
         for step in steps {
-            let works = |who: &u16, now: Millis| busy.get(who).is_some_and(|until| *until > now);
+            let is_busy = |tenant: &u16, now: Millis| busy_until.get(tenant).is_some_and(|until| *until > now);
             match step {
-                Step::Ask(who) => {
-                    let had = here.contains(&who) || pinned.contains(&who);
-                    match set.ask(now, &who, |other| !works(other, now)) {
-                        Ok(Admission::Resident) => prop_assert!(had),
-                        Ok(Admission::Woken) => prop_assert!(!had && here.insert(who)),
-                        Ok(Admission::InPlaceOf(other)) => {
-                            prop_assert!(!had && here.remove(&other) && here.insert(who));
-                            prop_assert!(!works(&other, now), "{other} had work");
-                            prop_assert!(now - since[&other] >= TERMS.least_stay, "{other} had just come");
+                Step::Request(tenant) => {
+                    let was_active = active.contains(&tenant) || pinned.contains(&tenant);
+                    match tenants.activate(now, &tenant, |other| !is_busy(other, now)) {
+                        Ok(Activation::AlreadyActive) => prop_assert!(was_active),
+                        Ok(Activation::Activated) => prop_assert!(!was_active && active.insert(tenant)),
+                        Ok(Activation::ActivatedByEvicting(other)) => {
+                            prop_assert!(!was_active && active.remove(&other) && active.insert(tenant));
+                            prop_assert!(!is_busy(&other, now), "{other} had work");
+                            prop_assert!(now - activated_at[&other] >= LIMITS.min_active_time, "{other} was activated a moment ago");
                         }
-                        Err(wait) => {
-                            prop_assert!(!had && wait.span >= 1.0 && wait.span <= 10_000.0);
-                            // Each place has somebody in it, or somebody before it in the line who was told to come.
-                            prop_assert!(here.len() + set.waiting() > set.places(), "nobody is in its way");
+                        Err(deferral) => {
+                            prop_assert!(!was_active && deferral.retry_after >= 1.0 && deferral.retry_after <= 10_000.0);
+                            // All capacity is in use or due to tenants earlier in the queue.
+                            prop_assert!(active.len() + tenants.waiting_count() > tenants.unpinned_capacity(), "capacity is free");
                         }
                     }
-                    if !had && here.contains(&who) {
-                        since.insert(who, now);
+                    if !was_active && active.contains(&tenant) {
+                        activated_at.insert(tenant, now);
                     }
                 }
-                Step::Work(who, ms) => {
-                    if here.contains(&who) {
-                        busy.insert(who, now + f64::from(ms));
+                Step::Work(tenant, ms) => {
+                    if active.contains(&tenant) {
+                        busy_until.insert(tenant, now + f64::from(ms));
                     }
                 }
-                Step::Pass(ms) => now += f64::from(ms),
-                Step::Rest => {
-                    for who in set.rest(now, 4, |other| !works(other, now)) {
-                        prop_assert!(here.remove(&who) && !works(&who, now));
+                Step::Wait(ms) => now += f64::from(ms),
+                Step::DeactivateIdle => {
+                    for tenant in tenants.deactivate_idle(now, 4, |other| !is_busy(other, now)) {
+                        prop_assert!(active.remove(&tenant) && !is_busy(&tenant, now));
                     }
                 }
-                Step::Forget(who) => {
-                    set.forget(&who);
-                    here.remove(&who);
-                    pinned.remove(&who);
-                    busy.remove(&who);
+                Step::Remove(tenant) => {
+                    tenants.remove(&tenant);
+                    active.remove(&tenant);
+                    pinned.remove(&tenant);
+                    busy_until.remove(&tenant);
                 }
-                Step::Pin(who) => {
-                    set.pin(&who);
-                    here.remove(&who);
-                    pinned.insert(who);
+                Step::Pin(tenant) => {
+                    tenants.pin(&tenant);
+                    active.remove(&tenant);
+                    pinned.insert(tenant);
                 }
-                Step::Unpin(who) => {
-                    set.unpin(now, &who);
-                    if pinned.remove(&who) {
-                        here.insert(who);
-                        since.insert(who, now);
+                Step::Unpin(tenant) => {
+                    tenants.unpin(now, &tenant);
+                    if pinned.remove(&tenant) {
+                        active.insert(tenant);
+                        activated_at.insert(tenant, now);
                     }
                 }
             }
-            prop_assert_eq!(set.len(), here.len() + pinned.len());
-            prop_assert!(here.iter().chain(&pinned).all(|who| set.has(who)));
-            prop_assert!(set.waiting() <= TERMS.most_waiting);
+            prop_assert_eq!(tenants.len(), active.len() + pinned.len());
+            prop_assert!(active.iter().chain(&pinned).all(|tenant| tenants.contains(tenant)));
+            prop_assert!(tenants.waiting_count() <= LIMITS.max_waiting);
         }
     }
 
-    /// With nobody pinned and each resident idle at some moment of each 300 ms, who comes back when told has a place after as many
-    /// stays as there are tenants before it for each place, and one more, whatever those do that never wait as told.
+    /// With no tenant pinned and each active one idle at some moment of every 300 ms, a tenant that retries as told is
+    /// activated after as many turnovers as there are tenants before it for each unit of capacity, and one more, whatever
+    /// tenants do that ignore their retry times.
     #[test]
-    fn each_that_comes_back_as_told_gets_a_place_in_time(
-        seed in 0..u64::MAX, patient in 1..24usize, greedy in 1..40usize, most in 1..6usize
+    fn every_tenant_that_retries_as_told_is_activated_in_bounded_time(
+        seed in 0..u64::MAX, patient in 1..24usize, greedy in 1..40usize, max_active in 1..6usize
     ) {
-        let terms = Terms { most, most_waiting: 256, ..TERMS };
-        let mut set = ResidentSet::new(terms);
+        let limits = ActivationLimits { max_active, max_waiting: 256, ..LIMITS };
+        let mut tenants = ActiveTenants::new(limits);
         let mut state = seed | 1;
-        let mut draw = move |n: u64| {
+        let mut random_below = move |bound: u64| {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            (state >> 33) % n
+            (state >> 33) % bound
         };
-        let mut due: BTreeMap<usize, (Millis, Millis)> = (0..patient).map(|who| (who, (0.0, 0.0))).collect();
-        let mut served = BTreeSet::new();
-        let works = |who: &usize, now: Millis| (now as u64 + *who as u64 * 37) % 300 < 200;
-        // Each turn of the line: it has stayed, its work ends, and its tenant comes, at most.
-        let turn = terms.least_stay + 300.0;
-        let ahead = (patient + greedy).div_ceil(most) as f64 + 1.0;
-        let bound = ahead * (turn + terms.hold) + 10_000.0;
+        let mut retry_at: BTreeMap<usize, Millis> = (0..patient).map(|tenant| (tenant, 0.0)).collect();
+        let mut activated = BTreeSet::new();
+        let is_busy = |tenant: &usize, now: Millis| (now as u64 + *tenant as u64 * 37) % 300 < 200;
+        // Upper bound of one turnover: minimum active time, end of the work, and retry of the next tenant.
+        let turnover = limits.min_active_time + 300.0;
+        let ahead = (patient + greedy).div_ceil(max_active) as f64 + 1.0;
+        let bound = ahead * (turnover + limits.retry_grace_period) + 10_000.0;
         let mut now = 0.0;
-        while now < bound && served.len() < patient {
-            // Others ask all the time, in whatever order, and stay as long as they are let.
+        while now < bound && activated.len() < patient {
+            // Greedy tenants request all the time, in any order.
             for _ in 0..8 {
-                let who = 1000 + draw(greedy as u64) as usize;
-                let _ = set.ask(now, &who, |other| !works(other, now));
+                let tenant = 1000 + random_below(greedy as u64) as usize;
+                let _ = tenants.activate(now, &tenant, |other| !is_busy(other, now));
             }
-            for (who, (at, _)) in &mut due {
-                if *at > now || served.contains(who) {
+            for (tenant, at) in &mut retry_at {
+                if *at > now || activated.contains(tenant) {
                     continue;
                 }
-                match set.ask(now, who, |other| !works(other, now)) {
-                    Ok(_) => _ = served.insert(*who),
-                    // As told, or a little later.
-                    Err(wait) => *at = now + wait.span + draw(200) as f64,
+                match tenants.activate(now, tenant, |other| !is_busy(other, now)) {
+                    Ok(_) => _ = activated.insert(*tenant),
+                    // It retries as told or a little later.
+                    Err(deferral) => *at = now + deferral.retry_after + random_below(200) as f64,
                 }
             }
             now += 10.0;
-            prop_assert!(set.len() <= most);
+            prop_assert!(tenants.len() <= max_active);
         }
-        prop_assert_eq!(served.len(), patient, "after {} ms", bound);
+        prop_assert_eq!(activated.len(), patient, "after {} ms", bound);
     }
 }
 
 #[test]
-fn who_is_idle_longest_goes_first_and_the_first_that_asked_comes_first() {
-    let terms = Terms { most: 2, ..TERMS };
-    let mut set = ResidentSet::new(terms);
+fn the_least_recently_used_is_evicted_first_and_the_first_queued_is_activated_first() {
+    let limits = ActivationLimits {
+        max_active: 2,
+        ..LIMITS
+    };
+    let mut tenants = ActiveTenants::new(limits);
     let idle = |_: &&str| true;
-    assert_eq!(set.ask(0.0, &"a", idle), Ok(Admission::Woken));
-    assert_eq!(set.ask(1.0, &"b", idle), Ok(Admission::Woken));
-    assert_eq!(set.ask(2.0, &"a", idle), Ok(Admission::Resident));
-    // Both have just come.
-    let first = set.ask(10.0, &"c", idle).unwrap_err();
-    assert!(first.in_line && first.span >= 240.0, "{first:?}");
+    assert_eq!(tenants.activate(0.0, &"a", idle), Ok(Activation::Activated));
+    assert_eq!(tenants.activate(1.0, &"b", idle), Ok(Activation::Activated));
+    assert_eq!(
+        tenants.activate(2.0, &"a", idle),
+        Ok(Activation::AlreadyActive)
+    );
+    // Both were activated too recently to be evicted.
+    let first = tenants.activate(10.0, &"c", idle).unwrap_err();
+    assert!(first.is_queued && first.retry_after >= 240.0, "{first:?}");
+    assert_eq!(
+        tenants.activate(11.0, &"c", idle).unwrap_err().retry_after,
+        first.retry_after,
+        "its position is the same"
+    );
+    tenants.activate(20.0, &"d", idle).unwrap_err();
+    tenants.activate(30.0, &"e", idle).unwrap_err();
+    assert_eq!(
+        (tenants.waiting_count(), tenants.counters().deferrals),
+        (3, 4)
+    );
+    // The capacity of two is due to the two tenants before it, even though they are not retrying.
+    assert_eq!(
+        tenants
+            .activate(300.0, &"e", idle)
+            .map_err(|deferral| deferral.is_queued),
+        Err(true)
+    );
+    assert_eq!(
+        tenants.activate(300.0, &"d", idle),
+        Ok(Activation::ActivatedByEvicting("b"))
+    );
+    assert_eq!(
+        tenants.activate(300.0, &"c", idle),
+        Ok(Activation::ActivatedByEvicting("a"))
+    );
+    assert_eq!(tenants.waiting_count(), 1);
+    // A tenant with work is not deactivated, however long ago its last request was.
     assert_eq!(
-        set.ask(11.0, &"c", idle).unwrap_err().span,
-        first.span,
-        "its turn is the same"
-    );
-    set.ask(20.0, &"d", idle).unwrap_err();
-    set.ask(30.0, &"e", idle).unwrap_err();
-    assert_eq!((set.waiting(), set.counts().refused), (3, 4));
-    // One more than there are places for: two stand before it, whether they are here or not.
-    assert_eq!(set.ask(300.0, &"e", idle).map_err(|w| w.in_line), Err(true));
-    assert_eq!(set.ask(300.0, &"d", idle), Ok(Admission::InPlaceOf("b")));
-    assert_eq!(set.ask(300.0, &"c", idle), Ok(Admission::InPlaceOf("a")));
-    assert_eq!(set.waiting(), 1);
-    // One with something under way stays however long it is idle otherwise.
+        tenants.activate(700.0, &"e", |tenant| *tenant != "d"),
+        Ok(Activation::ActivatedByEvicting("c"))
+    );
+    assert_eq!(
+        tenants.deactivate_idle(9_000.0, 9, |tenant| *tenant != "d"),
+        ["e"]
+    );
     assert_eq!(
-        set.ask(700.0, &"e", |who| *who != "d"),
-        Ok(Admission::InPlaceOf("c"))
+        tenants.deactivate_idle(9_100.0, 9, idle),
+        [""; 0],
+        "it counts as used when it was found busy"
     );
-    assert_eq!(set.rest(9_000.0, 9, |who| *who != "d"), ["e"]);
-    assert_eq!(set.rest(9_100.0, 9, idle), [""; 0], "it was seen in use");
-    assert_eq!(set.rest(14_001.0, 9, idle), ["d"]);
+    assert_eq!(tenants.deactivate_idle(14_001.0, 9, idle), ["d"]);
     assert_eq!(
         (
-            set.counts().wakes,
-            set.counts().rests,
-            set.counts().evictions
+            tenants.counters().activations,
+            tenants.counters().deactivations,
+            tenants.counters().evictions
         ),
         (5, 5, 3)
     );
 }
 
 #[test]
-fn a_turn_that_nobody_comes_for_is_the_next_ones() {
-    let mut set = ResidentSet::new(Terms { most: 1, ..TERMS });
+fn an_unclaimed_queue_position_expires_in_favour_of_the_next() {
+    let mut tenants = ActiveTenants::new(ActivationLimits {
+        max_active: 1,
+        ..LIMITS
+    });
     let idle = |_: &u32| true;
-    assert_eq!(set.ask(0.0, &0, idle), Ok(Admission::Woken));
-    let told = set.ask(1.0, &1, idle).unwrap_err().span;
-    set.ask(2.0, &2, idle).unwrap_err();
-    // The first never comes: its turn is kept for a while after the time that it was told, and no longer.
-    let kept = 1.0 + told + TERMS.hold;
+    assert_eq!(tenants.activate(0.0, &0, idle), Ok(Activation::Activated));
+    let retry_after = tenants.activate(1.0, &1, idle).unwrap_err().retry_after;
+    tenants.activate(2.0, &2, idle).unwrap_err();
+    // The first never retries: its position is kept for the grace period after its retry time.
+    let expiry = 1.0 + retry_after + LIMITS.retry_grace_period;
     assert!(
-        set.ask(kept, &2, idle).is_err(),
-        "it is the first one's still"
+        tenants.activate(expiry, &2, idle).is_err(),
+        "the position of the first is still kept"
+    );
+    assert_eq!(
+        tenants.activate(expiry + 1.0, &2, idle),
+        Ok(Activation::ActivatedByEvicting(0))
     );
-    assert_eq!(set.ask(kept + 1.0, &2, idle), Ok(Admission::InPlaceOf(0)));
     assert!(
-        set.ask(kept + 2.0, &1, idle).unwrap_err().in_line,
-        "it stands at the end now"
+        tenants
+            .activate(expiry + 2.0, &1, idle)
+            .unwrap_err()
+            .is_queued,
+        "it is queued anew"
     );
 }
 
 #[test]
-fn pinned_ones_leave_an_eighth_of_the_places_to_others() {
-    let mut set = ResidentSet::new(TERMS);
-    (100..120).for_each(|who| set.pin(&who));
-    assert_eq!((set.len(), set.pinned(), set.places()), (20, 20, 1));
-    assert_eq!(set.ask(0.0, &1, |_| true), Ok(Admission::Woken));
-    assert_eq!(set.ask(300.0, &2, |_| true), Ok(Admission::InPlaceOf(1)));
+fn pinned_tenants_leave_an_eighth_of_the_capacity_to_others() {
+    let mut tenants = ActiveTenants::new(LIMITS);
+    (100..120).for_each(|tenant| tenants.pin(&tenant));
+    assert_eq!(
+        (
+            tenants.len(),
+            tenants.pinned_count(),
+            tenants.unpinned_capacity()
+        ),
+        (20, 20, 1)
+    );
+    assert_eq!(
+        tenants.activate(0.0, &1, |_| true),
+        Ok(Activation::Activated)
+    );
+    assert_eq!(
+        tenants.activate(300.0, &2, |_| true),
+        Ok(Activation::ActivatedByEvicting(1))
+    );
     assert!(
-        set.rest(1e6, 99, |_| true) == [2] && set.len() == 20,
-        "those stay whatever happens"
+        tenants.deactivate_idle(1e6, 99, |_| true) == [2] && tenants.len() == 20,
+        "pinned tenants stay active"
     );
-    (100..115).for_each(|who| set.unpin(1e6, &who));
-    // Fewer places than there are residents: the oldest go with the next look.
-    assert_eq!((set.places(), set.len()), (3, 20));
-    assert_eq!(set.rest(1e6, 99, |_| true).len(), 12);
+    (100..115).for_each(|tenant| tenants.unpin(1e6, &tenant));
+    // More tenants are active than the capacity allows: the least recently used are deactivated.
+    assert_eq!((tenants.unpinned_capacity(), tenants.len()), (3, 20));
+    assert_eq!(tenants.deactivate_idle(1e6, 99, |_| true).len(), 12);
 }
