--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -107,7 +107,7 @@
 
     /// What the module holds against servers, and what cold ones may still be sent.
     pub fn standing(&self, now: Millis) -> HealthSnapshot {
-        self.balancer.borrow().standing(now)
+        self.balancer.borrow().health_snapshot(now)
     }
 }
 
@@ -228,7 +228,7 @@
             Input::Unadmitted { id, wait, answer } => self.unadmitted(id, wait, answer),
             Input::Gone(id) => {
                 if self.close(id, GONE).is_some() {
-                    self.handle(Event::ClientGone(id));
+                    self.handle(Event::ClientDisconnected(id));
                 }
             }
             Input::Ended {
@@ -352,7 +352,7 @@
         }
         if let Some(answer) = self.close(id, FAILED) {
             let _ = answer.send(Answer::Failed); // a client that has left needs none
-            self.handle(Event::ClientGone(id));
+            self.handle(Event::ClientDisconnected(id));
         }
     }
 
@@ -420,7 +420,7 @@
             });
         }
         if upload.is_some_and(|u| u.is_lost()) && self.close(request, GONE).is_some() {
-            self.handle(Event::ClientGone(request));
+            self.handle(Event::ClientDisconnected(request));
         }
         if self.live.get(&request).is_some_and(|l| l.passing) {
             let code = match outcome {
@@ -477,7 +477,11 @@
 
     /// What is held now.
     fn held(&self) -> Held {
-        let (listed, avoided) = self.known.balancer.borrow().fleet(self.parts.clock.now());
+        let endpoints = self
+            .known
+            .balancer
+            .borrow()
+            .endpoint_counts(self.parts.clock.now());
         let current = self
             .live
             .values()
@@ -485,8 +489,8 @@
             .count();
         Held {
             current,
-            listed,
-            avoided,
+            listed: endpoints.listed,
+            avoided: endpoints.ejected,
         }
     }
 
