--- a/crates/cluster-runtime/src/member.rs
+++ b/crates/cluster-runtime/src/member.rs
@@ -896,7 +896,7 @@
                 address: m.address.clone(),
                 votes: voters.contains(&m.id),
                 version: seen.version,
-                heard_ms: seen.last_heard.map(|h| now.saturating_sub(h) / 1000),
+                heard_ms: seen.last_report_at.map(|h| now.saturating_sub(h) / 1000),
                 holds_ms: match seen.latest_expiry {
                     Some(LeaseExpiry::Never) => Some(-1),
                     Some(LeaseExpiry::At(until)) if until > now => {
--- a/crates/cluster-runtime/tests/wire_fixtures.rs
+++ b/crates/cluster-runtime/tests/wire_fixtures.rs
@@ -27,7 +27,7 @@
         message::Message::Report(Report {
             sequence: (3 << 32) + 9,
             version: closed.map(|_| 12),
-            holds_no_lease: closed.is_none(),
+            has_no_lease: closed.is_none(),
             validation: checked
                 .map(|(change, why)| (change.to_owned(), why.map(str::to_owned)).into()),
             fenced_change: closed.map(str::to_owned),
--- a/crates/cluster/src/lease_table.rs
+++ b/crates/cluster/src/lease_table.rs
@@ -23,7 +23,7 @@
     latest_expiry: Option<LeaseExpiry>,
     /// Sequence of the newest report.
     last_sequence: u64,
-    last_heard: Option<Micros>,
+    last_report_at: Option<Micros>,
     version: Option<Version>,
     validation: Option<Validation>,
     fenced_change: Option<String>,
@@ -36,7 +36,7 @@
         MemberRecord {
             latest_expiry,
             last_sequence: 0,
-            last_heard: None,
+            last_report_at: None,
             version: None,
             validation: None,
             fenced_change: None,
@@ -93,7 +93,7 @@
     /// Name of the member.
     pub name: String,
     /// Moment of its last report.
-    pub last_heard: Option<Micros>,
+    pub last_report_at: Option<Micros>,
     /// Latest possible end of its lease.
     pub latest_expiry: Option<LeaseExpiry>,
 }
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberObservation {
     /// Moment of its last report.
-    pub last_heard: Option<Micros>,
+    pub last_report_at: Option<Micros>,
     /// Latest possible end of its lease.
     pub latest_expiry: Option<LeaseExpiry>,
     /// Version that it last reported.
@@ -133,12 +133,12 @@
         table
     }
 
-    /// Returns the longest lease that a member may hold of which this leader knows nothing.
+    /// Returns the latest end of a lease that a member may hold without this leader's knowledge.
     ///
     /// A former leader answered no report that was made after this one was elected: it confirmed its leadership with a quorum after
     /// each report, and that quorum had not voted yet. So leases that it granted end within a lease of the election. Leases without
     /// end are over once a change is fenced, as each member has accepted it before.
-    fn longest_unknown_lease(&self, state_machine: &StateMachine) -> LeaseExpiry {
+    fn latest_unknown_expiry(&self, state_machine: &StateMachine) -> LeaseExpiry {
         let is_fencing = state_machine.change_phase() == Some(Phase::Fencing);
         match self.rules.partition_policy {
             PartitionPolicy::Serve if !is_fencing => LeaseExpiry::Never,
@@ -151,7 +151,7 @@
 
     /// Adds and drops records, as members were added or removed.
     pub fn update_members(&mut self, state_machine: &StateMachine) {
-        let longest = self.longest_unknown_lease(state_machine);
+        let unknown_expiry = self.latest_unknown_expiry(state_machine);
         let member_ids: BTreeSet<u64> = state_machine
             .members
             .values()
@@ -161,14 +161,14 @@
         for id in member_ids {
             self.records
                 .entry(id)
-                .or_insert_with(|| MemberRecord::new(Some(longest)));
+                .or_insert_with(|| MemberRecord::new(Some(unknown_expiry)));
         }
     }
 
     /// Records that a member was added under a raft node id never given before: it holds no lease yet.
     pub fn member_added(&mut self, id: u64) {
         let record = self.records.get_mut(&id);
-        if let Some(record) = record.filter(|record| record.last_heard.is_none()) {
+        if let Some(record) = record.filter(|record| record.last_report_at.is_none()) {
             record.latest_expiry = None;
         }
     }
@@ -189,11 +189,11 @@
             return;
         }
         record.last_sequence = report.sequence;
-        record.last_heard = Some(now);
+        record.last_report_at = Some(now);
         record.version = report.version;
         record.validation.clone_from(&report.validation);
         record.fenced_change.clone_from(&report.fenced_change);
-        if report.holds_no_lease {
+        if report.has_no_lease {
             record.latest_expiry = None;
         } else if let Some(change) = &state_machine.change
             && record.has_accepted(change)
@@ -291,7 +291,7 @@
             let is_blocking = !is_done && !record.is_expired(now);
             is_blocking.then(|| BlockingMember {
                 name: name.clone(),
-                last_heard: record.last_heard,
+                last_report_at: record.last_report_at,
                 latest_expiry: record.latest_expiry,
             })
         };
@@ -410,7 +410,7 @@
     }
 
     /// Ends granting leases to a member that is to be removed. Returns if it may be removed, as it surely decides nothing any more.
-    /// Where partitioned members go on serving, the request to remove one is the operator's statement that it has ended.
+    /// Where partitioned members go on serving, the operator who removes one states that its process has ended.
     pub fn begin_removal(&mut self, now: Micros, id: u64) -> bool {
         let Some(record) = self.records.get_mut(&id) else {
             return true;
@@ -424,13 +424,13 @@
         let lease = self.rules.with_drift_margin(self.rules.lease);
         self.records
             .get(&id)
-            .is_none_or(|record| record.last_heard.unwrap_or(self.leader_since) + lease <= now)
+            .is_none_or(|record| record.last_report_at.unwrap_or(self.leader_since) + lease <= now)
     }
 
     /// Returns the leader's knowledge of a member.
     pub fn observation(&self, id: u64) -> Option<MemberObservation> {
         self.records.get(&id).map(|record| MemberObservation {
-            last_heard: record.last_heard,
+            last_report_at: record.last_report_at,
             latest_expiry: record.latest_expiry,
             version: record.version,
         })
--- a/crates/cluster/src/member_lease.rs
+++ b/crates/cluster/src/member_lease.rs
@@ -66,7 +66,7 @@
     pub version: Option<Version>,
     /// Set if the member has no lease, or an expired one.
     #[serde(rename = "holds_nothing")]
-    pub holds_no_lease: bool,
+    pub has_no_lease: bool,
     /// Last validation of a change.
     #[serde(rename = "checked")]
     pub validation: Option<Validation>,
@@ -205,10 +205,10 @@
     pub fn next_report(&mut self, now: Micros) -> Report {
         self.last_sequence += 1;
         // The rest of a lease at fencing continues under the next version, so it counts as held.
-        let holds_no_lease = self
+        let has_no_lease = self
             .expiry
             .is_none_or(|expiry| expiry <= LeaseExpiry::At(now));
-        if holds_no_lease {
+        if has_no_lease {
             self.expiry = None;
             self.first_valid_report = self.last_sequence;
         }
@@ -222,7 +222,7 @@
         Report {
             sequence: self.last_sequence,
             version: self.version,
-            holds_no_lease,
+            has_no_lease,
             validation: self.validation.clone(),
             fenced_change: self.fenced_change.clone(),
         }
--- a/crates/cluster/src/node/compaction.rs
+++ b/crates/cluster/src/node/compaction.rs
@@ -45,7 +45,7 @@
     }
 
     /// Records the state at the present position, until the application has provided its own.
-    pub fn begin(
+    pub fn request_state(
         &mut self,
         state_machine: StateMachine,
         position: LogPosition,
--- a/crates/cluster/src/node/requests.rs
+++ b/crates/cluster/src/node/leader_requests.rs
@@ -9,28 +9,7 @@
 
 use super::Node;
 use super::raft_adapter::ConfigurationChange;
-
-/// Kind of a proposal.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProposalKind {
-    /// A change, which every member validates and which becomes a version.
-    Change,
-    /// A payload that influences no decision and is only stored.
-    Storage,
-}
-
-/// Request of a process to become a member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct JoinRequest<'a> {
-    /// Name of the member.
-    pub name: &'a str,
-    /// Address on which it listens for other members.
-    pub address: &'a str,
-    /// Availability zone.
-    pub zone: &'a str,
-    /// Random number that is the same in each retry.
-    pub nonce: u64,
-}
+use super::request::{JoinRequest, ProposalKind};
 
 impl Node {
     /// Proposes a payload. The outcome comes as [`Effect::Completed`].
@@ -52,7 +31,7 @@
             self.outputs.push(Output::Effect(completed));
             return Ok(());
         }
-        if state_machine.is_under_way(&proposal.id) {
+        if state_machine.is_in_progress(&proposal.id) {
             return Ok(());
         }
         // The proposal would only conflict. A change that a former leader began may wait for a lease.
--- a/crates/cluster/src/node/leases.rs
+++ b/crates/cluster/src/node/leases.rs
@@ -18,7 +18,7 @@
 impl Node {
     /// Records the application's validation of a change, and reports it.
     pub fn change_validated(&mut self, now: Micros, validation: Validation) {
-        if self.is_change_under_way(&validation.change) {
+        if self.is_change_in_progress(&validation.change) {
             self.lease.record_validation(now, validation);
             self.announce_lease();
             self.send_report(now);
@@ -28,7 +28,7 @@
 
     /// Records that nothing is decided any more under the present version, as a change takes effect, and reports it.
     pub fn change_fenced(&mut self, now: Micros, change: &str) {
-        if self.is_change_under_way(change) {
+        if self.is_change_in_progress(change) {
             self.lease.fence(change);
             self.announce_lease();
             self.send_report(now);
@@ -52,10 +52,10 @@
         self.advance(now);
     }
 
-    fn is_change_under_way(&self, change: &str) -> bool {
+    fn is_change_in_progress(&self, change: &str) -> bool {
         self.state_machine
             .as_ref()
-            .is_some_and(|state_machine| state_machine.is_under_way(change))
+            .is_some_and(|state_machine| state_machine.is_in_progress(change))
     }
 
     /// Reports if it is time to, or a new leader is known: a new leader knows nothing of this member.
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -5,11 +5,12 @@
 
 mod compaction;
 mod disk_identity;
+mod leader_requests;
 mod leases;
 mod raft_adapter;
 mod read_confirmation;
 mod replication;
-mod requests;
+mod request;
 mod voter_placement;
 
 use std::collections::BTreeMap;
@@ -32,7 +33,7 @@
 use raft_adapter::{RaftAdapter, Role};
 use read_confirmation::ReadConfirmation;
 
-pub use requests::{JoinRequest, ProposalKind};
+pub use request::{JoinRequest, ProposalKind};
 
 /// Interval of raft's ticks.
 pub const TICK: Micros = 100_000;
--- a/crates/cluster/src/node/raft_adapter.rs
+++ b/crates/cluster/src/node/raft_adapter.rs
@@ -245,7 +245,8 @@
             Some(command) => encode_command(command)?,
             None => Vec::new(),
         };
-        let singles: Vec<ConfChangeSingle> = changes.iter().map(|c| (*c).into()).collect();
+        let singles: Vec<ConfChangeSingle> =
+            changes.iter().map(|change| (*change).into()).collect();
         let mut change = ConfChangeV2::default();
         change.set_changes(singles.into());
         self.raw
--- a/crates/cluster/src/node/read_confirmation.rs
+++ b/crates/cluster/src/node/read_confirmation.rs
@@ -51,7 +51,7 @@
     }
 
     /// Begins a round; returns its number.
-    pub fn begin(&mut self, reports: ReportSequences) -> u64 {
+    pub fn begin_round(&mut self, reports: ReportSequences) -> u64 {
         self.last_round += 1;
         self.round = Some(Round {
             number: self.last_round,
--- a/crates/cluster/src/node/replication.rs
+++ b/crates/cluster/src/node/replication.rs
@@ -167,7 +167,7 @@
         if self.reads.is_running() || !is_needed {
             return;
         }
-        let round = self.reads.begin(table.take_pending_reports());
+        let round = self.reads.begin_round(table.take_pending_reports());
         self.raft.request_read_index(round);
     }
 
@@ -328,7 +328,7 @@
         self.raft.log().snapshot_requested();
         let configuration = self.raft.configuration();
         self.compaction
-            .begin(state_machine.clone(), self.applied, configuration);
+            .request_state(state_machine.clone(), self.applied, configuration);
         self.outputs.push(Output::SnapshotNeeded);
     }
 }
--- a/crates/cluster/src/simulation/faults.rs
+++ b/crates/cluster/src/simulation/faults.rs
@@ -32,7 +32,7 @@
     /// Pauses the process of an instance, or resumes it with all messages that came meanwhile.
     pub fn pause(&mut self, index: usize, is_paused: bool) {
         self.instances[index].is_paused = is_paused;
-        for event in std::mem::take(&mut self.instances[index].held_events) {
+        for event in std::mem::take(&mut self.instances[index].deferred_events) {
             self.events.push(self.now, event);
         }
         self.schedule_tick(index);
--- a/crates/cluster/src/simulation/instance.rs
+++ b/crates/cluster/src/simulation/instance.rs
@@ -75,7 +75,7 @@
     pub clock_error_ppm: i64,
     pub is_paused: bool,
     /// Events that came while the process was paused.
-    pub held_events: Vec<Event>,
+    pub deferred_events: Vec<Event>,
     /// Fault that the instance finds in each change.
     pub validation_fault: Option<String>,
     /// Duration of a write.
@@ -97,7 +97,7 @@
             start: 0,
             clock_error_ppm,
             is_paused: false,
-            held_events: Vec::new(),
+            deferred_events: Vec::new(),
             validation_fault: None,
             write_duration,
             writes_done_at: 0,
--- a/crates/cluster/src/simulation/mod.rs
+++ b/crates/cluster/src/simulation/mod.rs
@@ -164,7 +164,7 @@
         let seed = self.random.u64(..);
         let instance = &mut self.instances[index];
         instance.start += 1;
-        instance.held_events.clear();
+        instance.deferred_events.clear();
         instance.is_paused = false;
         let is_restored = std::mem::take(&mut instance.is_disk_restored);
         let config = NodeConfig {
@@ -308,7 +308,7 @@
         let receiver = &mut self.instances[to];
         if receiver.is_paused {
             let event = Event::Deliver { to, from, message };
-            receiver.held_events.push(event);
+            receiver.deferred_events.push(event);
             return;
         }
         self.call_node(to, |node, clock| node.receive(clock, from, message));
@@ -321,7 +321,7 @@
             return;
         }
         if instance.is_paused {
-            instance.held_events.push(Event::Validated {
+            instance.deferred_events.push(Event::Validated {
                 instance: index,
                 start,
                 change,
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -171,7 +171,7 @@
     }
 
     /// Reports if the change with this id is under way.
-    pub fn is_under_way(&self, id: &str) -> bool {
+    pub fn is_in_progress(&self, id: &str) -> bool {
         self.change
             .as_ref()
             .is_some_and(|change| change.proposal.id == id)
@@ -204,7 +204,8 @@
     }
 
     fn begin_change(&mut self, proposal: &Proposal) -> Vec<Effect> {
-        let is_duplicate = self.outcome(&proposal.id).is_some() || self.is_under_way(&proposal.id);
+        let is_duplicate =
+            self.outcome(&proposal.id).is_some() || self.is_in_progress(&proposal.id);
         if is_duplicate {
             return Vec::new();
         }
