--- a/crates/admin-api/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -392,7 +392,7 @@
             let note = agreed.write.edits.is_empty();
             let proposal = Proposal {
                 id: format!("{id}.{round}"),
-                base_revision: agreed.write.base,
+                base_revision: agreed.write.base_entry,
                 payload: agreed.write_down(),
             };
             match together
--- a/crates/cluster-runtime/src/member.rs
+++ b/crates/cluster-runtime/src/member.rs
@@ -16,7 +16,7 @@
 use cluster::persistence::{Persist, PersistedState};
 use cluster::rules::{Micros, Rules};
 use cluster::state_machine::{Effect, Outcome, Phase, StateMachine, Version};
-use config_store::log::{Append, Log, Logged};
+use config_store::raft_log::{LogBatch, LogContents, RaftLog};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
@@ -130,7 +130,7 @@
 /// A member that can be driven.
 pub struct Driven {
     settings: Settings,
-    log: Log,
+    log: RaftLog,
     post: Post,
     messages: mpsc::Receiver<Message>,
     to: mpsc::UnboundedSender<Told>,
@@ -191,7 +191,7 @@
     right: Arc<Right>,
     begin: Beginning,
 ) -> Result<Driven, String> {
-    let (log, logged) = Log::open(&settings.directory).map_err(|e| e.to_string())?;
+    let (log, logged) = RaftLog::open(&settings.directory).map_err(|e| e.to_string())?;
     let at = |e: io::Error| format!("{}: {e}", settings.address);
     let listener = TcpListener::bind(&settings.address).await.map_err(at)?;
     let address = listener.local_addr().map_err(at)?.to_string();
@@ -204,7 +204,7 @@
         to,
         from,
         right,
-        starts: logged.starts,
+        starts: logged.start_count,
         begin: Some(begin),
         identity: None,
         node: None,
@@ -235,7 +235,7 @@
     }
 
     /// Goes on as the member that the log tells of, if it tells of one.
-    fn remember(&mut self, logged: &Logged) -> Result<(), String> {
+    fn remember(&mut self, logged: &LogContents) -> Result<(), String> {
         let Some(bytes) = &logged.identity else {
             return Ok(());
         };
@@ -771,17 +771,17 @@
                 hard_state,
                 acknowledged,
             }) => {
-                let append = Append {
+                let append = LogBatch {
                     snapshot: snapshot.as_ref().map(|s| (s.index, s.bytes.as_slice())),
-                    whole: replaces_log,
+                    discard_following: replaces_log,
                     entries: &entries,
-                    hard: hard_state.as_deref(),
+                    hard_state: hard_state.as_deref(),
                     identity: None,
                     acknowledged: acknowledged.as_deref(),
                 };
                 fail::fail_point!("cluster-log"); // a slow disk
                 self.log
-                    .append(append)
+                    .write(append)
                     .map_err(|e| format!("the log: {e}"))?;
             }
             Output::Send { to, message } => self.write_to(to, Body::Node(to, message)),
