--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -30,6 +30,8 @@
 const SLOT_CUT: f64 = 0.95;
 /// Own slots below which proxies share all slots, for exponentially distributed latencies.
 const MIN_OWN_SLOTS: f64 = 8.0;
+/// Mean square of exponentially distributed latencies over their mean.
+const EXPONENTIAL_SQUARE: f64 = 2.0;
 /// Slots of this proxy on each endpoint where proxies share all slots.
 const POOLED_SLOTS: f64 = 1.0;
 /// Window at the start.
@@ -42,6 +44,8 @@
 const WINDOW_CUT: f64 = 0.9;
 /// Growth of the window for a good response, less below the initial window.
 const WINDOW_STEP: f64 = 0.5;
+/// Free requests of the window below which it counts as used.
+const UNUSED_WINDOW: f64 = 2.0;
 /// Fraction of the latency objective from which a response is a sign of crowding.
 const LATE_FRACTION: f64 = 0.5;
 /// Multiple of the uncrowded latency from which a response is a sign of crowding.
@@ -134,12 +138,12 @@
         let own = self.mean_slots * f64::from(listed) / f64::from(settings.proxy_count);
         !settings.gossip_enabled
             && settings.proxy_count > 1
-            && own < MIN_OWN_SLOTS * squared_relative / 2.0
+            && own < MIN_OWN_SLOTS * squared_relative / EXPONENTIAL_SQUARE
     }
 
     /// Adapts the window to a response. Only a window that is nearly used grows.
     pub fn adapt_window(&mut self, good: bool, in_flight: usize, endpoints: usize) {
-        let used = in_flight as f64 + 2.0 > self.window;
+        let used = in_flight as f64 + UNUSED_WINDOW > self.window;
         let step = if used {
             WINDOW_STEP * (self.window / INITIAL_WINDOW).min(1.0)
         } else {
--- a/crates/balancer/src/endpoint_selection.rs
+++ b/crates/balancer/src/endpoint_selection.rs
@@ -20,6 +20,14 @@
 const MAX_CANDIDATES_PER_BAND: usize = 8;
 /// Multiple of its expected latency before the latency objective from which a request is urgent.
 const URGENT_LATENCY_FACTOR: f64 = 1.5;
+/// Ticks that are added to that: the next check may come this much later.
+const URGENT_TICKS: f64 = 2.0;
+/// Least hash in the logarithm of an affinity score.
+const MIN_HASH: f64 = 1e-12;
+/// Bias of the exponent of a 64-bit float.
+const EXPONENT_BIAS: f64 = 1023.0;
+/// Range of the mantissa of a 64-bit float.
+const MANTISSA_RANGE: f64 = (1u64 << 52) as f64;
 /// Faster slots below which there is nothing to wait for.
 const NO_SLOTS: f64 = 0.01;
 
@@ -77,12 +85,13 @@
         score_a.total_cmp(&self.affinity_score(b, key))
     }
 
-    /// Weighted rendezvous hashing; the exponent and mantissa of a float stand in for its logarithm.
+    /// Returns the score of an endpoint for a key by weighted rendezvous hashing; the lowest wins. The bits of a float,
+    /// exponent and mantissa, stand in for its logarithm.
     fn affinity_score(&self, index: usize, key: u64) -> f64 {
         let endpoint = &self.endpoints[index];
-        let hash = unit_hash(endpoint.entry.id.0, key) + 1e-12;
-        let log2 = hash.to_bits() as f64 / (1u64 << 52) as f64;
-        (1023.0 - log2) * endpoint.affinity_factor
+        let hash = unit_hash(endpoint.entry.id.0, key) + MIN_HASH;
+        let biased_log2 = hash.to_bits() as f64 / MANTISSA_RANGE;
+        (EXPONENT_BIAS - biased_log2) * endpoint.affinity_factor
     }
 
     /// Selects the endpoint that a request goes to now. With `warming_only` the window is full, and only endpoints
@@ -121,7 +130,7 @@
     ) -> Selection<'a> {
         let idempotent = request.idempotency == Idempotency::Idempotent;
         let idempotent_missing = now - self.last_idempotent_at > MAX_BACKOFF;
-        let lead = URGENT_LATENCY_FACTOR * self.expected_latency(request) + 2.0 * TICK;
+        let lead = URGENT_LATENCY_FACTOR * self.expected_latency(request) + URGENT_TICKS * TICK;
         Selection {
             request,
             now,
--- a/crates/balancer/src/latency_estimator.rs
+++ b/crates/balancer/src/latency_estimator.rs
@@ -35,6 +35,14 @@
 const MIN_RELATIVE_LATENCY: f64 = 0.2;
 /// Fraction of its latency objective that is assumed as the latency of a class without responses.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 1.0 / 4.0;
+/// Least relative latency of an endpoint in divisions.
+const MIN_ENDPOINT_LATENCY: f64 = 0.05;
+/// Least mean latency in divisions.
+const MIN_MEAN: Millis = 0.01;
+/// Least work of a request relative to the mean of its class.
+const MIN_RELATIVE_WORK: f64 = 0.05;
+/// Largest work of a request relative to the mean of its class.
+const MAX_RELATIVE_WORK: f64 = 50.0;
 /// Weight of a class without responses in the mean over classes.
 const UNSEEN_CLASS_WEIGHT: f64 = 0.01;
 /// Requests over which the expected work of a class is averaged.
@@ -90,9 +98,12 @@
         self.baseline.is_finite()
     }
 
-    /// Returns the mean latency of an uncrowded endpoint with so many cores.
+    /// Returns the mean latency of an uncrowded endpoint with so many cores: one core adds half a service time of
+    /// waiting, more cores less.
     pub fn uncrowded_latency(&self, cores: f64) -> Millis {
-        self.baseline.max(self.service_time * (1.0 + 0.5 / cores))
+        let waiting_fraction = 0.5 / cores;
+        self.baseline
+            .max(self.service_time * (1.0 + waiting_fraction))
     }
 
     fn update_baseline(&mut self, latency: Millis, isolated: bool) {
@@ -120,9 +131,14 @@
 }
 
 impl AffinityGain {
+    /// Least ratio.
     const MIN_RATIO: f64 = 1.1;
+    /// Largest ratio.
     const MAX_RATIO: f64 = 8.0;
+    /// Ratio before any response.
     const INITIAL_RATIO: f64 = 2.0;
+    /// Least mean in the ratio.
+    const MIN_MEAN: f64 = 0.01;
 
     fn new(enabled: bool) -> Self {
         AffinityGain {
@@ -140,7 +156,7 @@
             &mut self.away
         };
         mean.add(relative_latency.min(MAX_SAMPLE), CLASS_SAMPLES);
-        let ratio = self.away.mean / self.at_home.mean.max(0.01);
+        let ratio = self.away.mean / self.at_home.mean.max(Self::MIN_MEAN);
         self.ratio = ratio.clamp(Self::MIN_RATIO, Self::MAX_RATIO);
     }
 }
@@ -236,14 +252,14 @@
             expected_work
         };
         work.add(sample, WORK_SAMPLES);
-        (expected_work / work.mean).clamp(0.05, 50.0)
+        (expected_work / work.mean).clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK)
     }
 
     /// Learns from a response; `endpoint` is the relative latency of its endpoint.
     pub fn observe(&mut self, endpoint: &mut Ewma, sample: &LatencySample) {
         let class_mean = self.by_class[sample.class].mean;
         if self.affinity.enabled {
-            let expected = endpoint.mean.max(0.05) * class_mean;
+            let expected = endpoint.mean.max(MIN_ENDPOINT_LATENCY) * class_mean;
             let relative = sample.latency * sample.capacity_fraction / expected;
             self.affinity.add(relative, sample.at_home);
         }
@@ -253,13 +269,13 @@
             1.0
         };
         let factor = home_factor / sample.capacity_fraction;
-        let relative = (sample.latency / (class_mean.max(0.01) * factor)).min(MAX_SAMPLE);
-        let deviation = (relative / endpoint.mean.max(0.05)).min(SILENCE_MULTIPLE);
+        let relative = (sample.latency / (class_mean.max(MIN_MEAN) * factor)).min(MAX_SAMPLE);
+        let deviation = (relative / endpoint.mean.max(MIN_ENDPOINT_LATENCY)).min(SILENCE_MULTIPLE);
         self.squared_relative
             .add(deviation * deviation, SQUARE_SAMPLES);
         endpoint.add(relative, ENDPOINT_SAMPLES);
         if sample.capacity_fraction >= 1.0 {
-            let of_class = sample.latency / (endpoint.mean.max(0.05) * factor);
+            let of_class = sample.latency / (endpoint.mean.max(MIN_ENDPOINT_LATENCY) * factor);
             self.by_class[sample.class].add(of_class, CLASS_SAMPLES);
             self.observe_machine_type(sample, relative);
         }
@@ -333,7 +349,7 @@
             weight = weight + class.weight + UNSEEN_CLASS_WEIGHT;
         }
         self.mean = if weight > 0.0 {
-            (sum / weight).max(0.01)
+            (sum / weight).max(MIN_MEAN)
         } else {
             1.0
         };
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -16,8 +16,9 @@
 
 /// Longest ejection in intervals between two requests of this proxy to the endpoint, if that is longer.
 const MAX_BACKOFF_INTERVALS: f64 = 4.0;
-/// Random variation of an ejection, as factors of its length.
+/// Least random factor on the length of an ejection.
 const MIN_JITTER: f64 = 0.75;
+/// Span of that factor.
 const JITTER_SPAN: f64 = 0.5;
 /// Factor by which an ejection for one class is longer, as each trial may cost a request.
 const CLASS_EJECTION_FACTOR: f64 = 4.0;
@@ -27,7 +28,7 @@
 const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
 /// Failure mean above which an endpoint is ejected where others hardly fail.
 const MIN_FAILURE_LIMIT: f64 = 0.4;
-/// Probability of a row of failures that is taken for no chance.
+/// Probability of a row of failures below which it is not taken for chance.
 const CHANCE_LIMIT: f64 = 1e-4;
 /// Largest baseline that excuses failures.
 const MAX_BASELINE: f64 = 0.5;
@@ -39,13 +40,18 @@
 const NOTABLE_FAILURE_MEAN: f64 = 0.2;
 /// Fraction of ejected endpoints above which ejections are not believed.
 const PANIC_FRACTION: f64 = 0.9;
-/// The same while fewer than this fraction of attempts succeed.
+/// The same while few attempts succeed.
 const PANIC_FRACTION_LOW_SUCCESS: f64 = 0.5;
+/// Fraction of successful attempts below which few succeed.
 const PANIC_SUCCESS_MEAN: f64 = 0.5;
 /// Attempts over which success is averaged.
 const SUCCESS_SAMPLES: f64 = 100.0;
 /// Baseline below which one silent attempt shows that the endpoint hangs.
 const HANG_BASELINE: f64 = 0.003;
+/// Least baseline in formulas.
+const MIN_BASELINE: f64 = 1e-9;
+/// Least arrival rate, per ms, in formulas.
+const MIN_ARRIVAL_RATE: f64 = 1e-9;
 
 /// Result of an attempt as a sample of its endpoint's health.
 pub(crate) struct HealthSample {
@@ -59,7 +65,7 @@
     pub jitter: f64,
 }
 
-/// How often an endpoint meets the proxies.
+/// Frequency of the proxies' requests to an endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct Exposure {
     /// Interval between two requests of this proxy to one endpoint.
@@ -71,7 +77,7 @@
 impl Exposure {
     /// Computes the interval from the number of listed endpoints and the arrival rate at this proxy.
     pub fn new(listed: u32, arrivals_per_ms: f64, proxy_count: u32) -> Self {
-        let interval = f64::from(listed) / arrivals_per_ms.max(1e-9);
+        let interval = f64::from(listed) / arrivals_per_ms.max(MIN_ARRIVAL_RATE);
         Exposure {
             interval: interval.min(MAX_BACKOFF),
             proxy_count,
@@ -187,7 +193,7 @@
 /// too: the mean after a row of failures too long for chance. So resets on a path that all endpoints share say
 /// nothing against one of them.
 fn failure_limit(baseline: f64) -> f64 {
-    let row = CHANCE_LIMIT.ln() / baseline.clamp(1e-9, MAX_BASELINE).ln();
+    let row = CHANCE_LIMIT.ln() / baseline.clamp(MIN_BASELINE, MAX_BASELINE).ln();
     MIN_FAILURE_LIMIT.max(1.0 - (1.0 - FAILURE_WEIGHT).powf(row))
 }
 
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -11,11 +11,14 @@
 const LOAD_FRACTION: f64 = 0.6;
 /// Fraction of the overload window for which tokens are kept: saved ones could all be spent at once.
 const SAVING_FRACTION: f64 = 0.5;
-/// Least and largest cost of a request, in requests of mean work.
+/// Least cost of a request, in requests of mean work.
 const MIN_COST: f64 = 0.25;
+/// Largest cost of a request, in requests of mean work.
 const MAX_COST: f64 = 8.0;
 /// Fraction of the load of an overload window that one request may bring.
 const MAX_REQUEST_FRACTION: f64 = 0.25;
+/// Least random number in the draw of a largest cost.
+const MIN_DRAW: f64 = 1e-9;
 
 /// Slow start of an endpoint, as this proxy sees it.
 pub(crate) struct SlowStart {
@@ -36,7 +39,7 @@
 /// Draws the largest cost that is allowed for one token: a request of `c` times the mean work may go with a chance
 /// of 1/c, as saving tokens for it would take one of many proxies too long.
 fn draw_max_cost(rng: &mut fastrand::Rng) -> f64 {
-    1.0 / (rng.f64() + 1e-9)
+    1.0 / (rng.f64() + MIN_DRAW)
 }
 
 /// Returns the cost of a request in requests of mean work, within bounds.
--- a/crates/balancer/src/speed_bands.rs
+++ b/crates/balancer/src/speed_bands.rs
@@ -6,6 +6,8 @@
 const BAND_COUNT: usize = 48;
 /// Ratio of speeds between neighbouring bands; finer differences are noise.
 const BAND_RATIO: f64 = 1.2;
+/// Least cost of an endpoint in its logarithm.
+const MIN_COST: f64 = 1e-9;
 /// Slots below which a sum is a rounding residue.
 const SLOT_RESIDUE: f64 = 1e-6;
 
@@ -65,7 +67,7 @@
     /// Returns the band of an endpoint with this cost: its latency relative to the mean.
     pub fn band_of(&self, cost: f64) -> usize {
         let middle = BAND_COUNT as f64 / 2.0;
-        let position = cost.max(1e-9).ln() * self.bands_per_ln + middle + 0.5;
+        let position = cost.max(MIN_COST).ln() * self.bands_per_ln + middle + 0.5;
         position.clamp(0.0, BAND_COUNT as f64 - 1.0) as usize
     }
 
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -8,6 +8,9 @@
 use crate::timing::{ANSWER_LEAD, TICK};
 use crate::types::{Millis, Outcome, RequestId};
 
+/// Ticks before the end of its usefulness at which the timer for a request's final answer is set.
+const ANSWER_TIMER_TICKS: f64 = 1.5;
+
 impl State {
     /// Checks the attempts in flight, the latest first.
     pub fn check_in_flight(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -35,7 +38,7 @@
         let request = &self.requests[&id];
         let answered = request.status.finished || request.status.response_started;
         let useful_until = self.useful_until(request);
-        if !answered && now + 1.5 * TICK > useful_until {
+        if !answered && now + ANSWER_TIMER_TICKS * TICK > useful_until {
             out.push(Action::Timer {
                 token: id.0 + 1,
                 at: useful_until - ANSWER_LEAD,
