--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings for tests, a checker of the four rules, and a small world that drives a Balancer.
+//! Settings for tests, a harness that drives a `Balancer`, and a checker of the four rules.
 #![allow(dead_code)] // each test file uses its own part
 use balancer::*;
 use std::collections::{BTreeMap, HashMap};
@@ -19,7 +19,7 @@
     window: 2000.0,
 };
 
-/// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that tell the size.
+/// Three classes (idempotent, not idempotent, with an idempotency key per cell), pushed lists, weights that are capacity.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
         proxy_index: 0,
@@ -91,13 +91,13 @@
     }
 }
 
-/// A Balancer whose timers are kept and fired by harness.
+/// `Balancer` with simulated time and timers.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    /// Of how many keys `run` asks in turn; 0 if requests have none.
+    /// Number of keys that requests of `run` have in turn; 0 if they have none.
     pub keys: u64,
-    /// What the n-th answer tells of its server's load.
+    /// Load report of the n-th response.
     pub load: fn(usize) -> LoadReport,
     timers: Vec<(Millis, u64)>,
 }
@@ -120,7 +120,7 @@
         harness
     }
 
-    /// Hands in an event at the present time; returns what is to be done, timers aside.
+    /// Handles an event at the present time; returns all actions but timers.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -133,7 +133,7 @@
         out
     }
 
-    /// Lets time pass with nothing but timers.
+    /// Advances the time with no events but timers.
     pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut out = vec![];
@@ -151,8 +151,8 @@
         out
     }
 
-    /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` of one depends on its server and on
-    /// how many are there already. Returns request and server of each send, and the servers of those still out.
+    /// Offers non-idempotent requests, one every `every` ms for `span` ms; `latency` depends on the endpoint and on the
+    /// requests in flight there. Returns request and endpoint of each attempt, and the endpoints of those in flight.
     pub fn run(
         &mut self,
         span: u64,
@@ -163,7 +163,7 @@
         (all.into_iter().map(|(_, id, to)| (id, to)).collect(), still)
     }
 
-    /// The same, with the time of each send.
+    /// The same, with the time of each attempt.
     pub fn run_timed(
         &mut self,
         span: u64,
@@ -171,7 +171,7 @@
         latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(Millis, u64, u64)>, Vec<u64>) {
         let mut all = vec![];
-        let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // until when, and its latency
+        let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // request, endpoint, end, latency
         let mut answers = 0;
         for step in 0..span {
             let mut actions = self.advance(1.0);
@@ -204,7 +204,7 @@
         (all, out.iter().map(|o| o.1).collect())
     }
 
-    /// Serves requests one after the other, each in `latency(server)`, so that speeds are learnt.
+    /// Serves requests one after the other, each in `latency(endpoint)`, so that latencies are learned.
     pub fn train(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
         for id in first..first + count {
             let sent = forwarded(&self.handle(request(id, 0, 2000.0)));
@@ -218,7 +218,7 @@
     }
 }
 
-/// Request and server of each send.
+/// Returns request and endpoint of each attempt.
 pub fn forwarded(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
         Action::Forward {
@@ -229,51 +229,51 @@
     actions.iter().filter_map(pick).collect()
 }
 
-struct Sent {
+struct SentAttempt {
     server: u64,
     at: Millis,
     over: bool,
     ran: bool,
 }
 
-struct Owed {
+struct PendingRequest {
     class: usize,
     due: Millis,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
     answered: bool,
 }
 
-/// Watches every event and action of one proxy and notes each breach of the four rules.
+/// Watches all events and actions of one proxy and records each violation of the four rules.
 pub struct Checker {
     settings: Settings,
     servers: HashMap<u64, (Endpoint, Option<Millis>)>,
-    owed: BTreeMap<u64, Owed>,
+    pending: BTreeMap<u64, PendingRequest>,
     cold: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Checker {
     pub fn new(settings: Settings, work: Millis) -> Self {
-        let (servers, owed, cold, breaches) = Default::default();
+        let (servers, pending, cold, violations) = Default::default();
         Checker {
             settings,
             servers,
-            owed,
+            pending,
             cold,
             work,
-            breaches,
+            violations,
         }
     }
 
-    /// The proxy was killed: nothing is owed any more.
+    /// Forgets all requests, as the proxy was killed.
     pub fn restart(&mut self) {
-        self.owed.clear();
+        self.pending.clear();
         self.servers.clear();
     }
 
-    fn breach(&mut self, now: Millis, text: String) {
-        self.breaches.push(format!("at {now:.1}: {text}"));
+    fn violation(&mut self, now: Millis, text: String) {
+        self.violations.push(format!("at {now:.1}: {text}"));
     }
 
     pub fn event(&mut self, now: Millis, event: &Event) {
@@ -298,7 +298,7 @@
                         .get(&e.id.0)
                         .is_some_and(|s| s.0.started_at != e.started_at)
                     {
-                        self.cold.remove(&e.id.0); // a new process has its own budget
+                        self.cold.remove(&e.id.0); // a new process has a new budget
                     }
                     self.servers.insert(e.id.0, (e.clone(), told));
                 }
@@ -316,13 +316,13 @@
                 timeout: budget,
                 ..
             } => {
-                let owed = Owed {
+                let pending = PendingRequest {
                     class: class.0,
                     due: now + budget,
                     sent: vec![],
                     answered: false,
                 };
-                self.owed.insert(id.0, owed);
+                self.pending.insert(id.0, pending);
             }
             Event::AttemptEnded {
                 request,
@@ -331,7 +331,7 @@
                 request_finished: closed,
                 ..
             } => {
-                if let Some(o) = self.owed.get_mut(&request.0) {
+                if let Some(o) = self.pending.get_mut(&request.0) {
                     o.answered |= closed;
                     if let Some(s) = o.sent.get_mut(*attempt as usize) {
                         (s.over, s.ran) = (true, outcome.may_have_run());
@@ -339,7 +339,7 @@
                 }
             }
             Event::ClientDisconnected(id) => {
-                if let Some(o) = self.owed.get_mut(&id.0) {
+                if let Some(o) = self.pending.get_mut(&id.0) {
                     o.answered = true;
                 }
             }
@@ -353,8 +353,8 @@
                 request, endpoint, ..
             } => self.sent(now, request.0, endpoint.0),
             Action::Reject { request, .. } => {
-                let Some(o) = self.owed.get(&request.0) else {
-                    return self.breach(now, format!("refused {request:?}, which is not held"));
+                let Some(o) = self.pending.get(&request.0) else {
+                    return self.violation(now, format!("refused {request:?}, which is not held"));
                 };
                 let ran = o.sent.iter().any(|s| !s.over || s.ran);
                 let allowed = match self.settings.classes[o.class].idempotency {
@@ -366,7 +366,7 @@
                     _ => !ran,
                 };
                 if !allowed {
-                    self.breach(now, format!("refused {request:?}, which may have run"));
+                    self.violation(now, format!("refused {request:?}, which may have run"));
                 }
                 self.answered(now, request.0);
             }
@@ -376,22 +376,22 @@
     }
 
     fn answered(&mut self, now: Millis, id: u64) {
-        match self.owed.get_mut(&id) {
+        match self.pending.get_mut(&id) {
             Some(o) if !o.answered => o.answered = true,
-            _ => self.breach(now, format!("a second answer for {id}")),
+            _ => self.violation(now, format!("a second answer for {id}")),
         }
     }
 
     fn sent(&mut self, now: Millis, id: u64, to: u64) {
         let limits = self.settings.limits;
         let Some((server, told)) = self.servers.get(&to).cloned() else {
-            return self.breach(now, format!("sent to {to}, which no list named"));
+            return self.violation(now, format!("sent to {to}, which no list named"));
         };
         if told.is_some_and(|t| now > t) {
-            self.breach(now, format!("sent to {to}, told to drain or gone"));
+            self.violation(now, format!("sent to {to}, told to drain or gone"));
         }
-        let Some(o) = self.owed.get(&id) else {
-            return self.breach(now, format!("sent {id}, which is not held"));
+        let Some(o) = self.pending.get(&id) else {
+            return self.violation(now, format!("sent {id}, which is not held"));
         };
         let effect = self.settings.classes[o.class].idempotency;
         let out = o.sent.iter().any(|s| !s.over);
@@ -433,8 +433,8 @@
             _ => {}
         }
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
-        texts.into_iter().for_each(|t| self.breach(now, t));
-        self.owed.get_mut(&id).unwrap().sent.push(Sent {
+        texts.into_iter().for_each(|t| self.violation(now, t));
+        self.pending.get_mut(&id).unwrap().sent.push(SentAttempt {
             server: to,
             at: now,
             over: false,
@@ -444,7 +444,7 @@
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
             sent.retain(|t| *t > now - limits.overload_window);
-            // If every proxy did the same: sure capacity over the window, plus one request each for chance.
+            // If all proxies did the same: guaranteed capacity over the window, plus one request each for chance.
             let age = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
             let part =
                 limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age;
@@ -452,7 +452,7 @@
             let alike = f64::from(self.settings.proxy_count);
             let push = (sent.len() as f64 - 1.0) * alike * self.work;
             if push > budget {
-                self.breach(
+                self.violation(
                     now,
                     format!("pushed cold {to}: {push:.0} ms of work against {budget:.0}"),
                 );
@@ -460,20 +460,20 @@
         }
     }
 
-    /// Looks for answers overdue.
-    pub fn look(&mut self, now: Millis) {
+    /// Checks for overdue answers.
+    pub fn check_overdue(&mut self, now: Millis) {
         let slack = 20.0;
         let late: Vec<u64> = self
-            .owed
+            .pending
             .iter()
             .filter(|(_, o)| !o.answered && now > o.due + slack)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.owed.get_mut(&id).unwrap().answered = true;
-            self.breach(now, format!("no answer for {id} in time"));
+            self.pending.get_mut(&id).unwrap().answered = true;
+            self.violation(now, format!("no answer for {id} in time"));
         }
-        self.owed
+        self.pending
             .retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
     }
 }
--- a/crates/balancer/tests/health_snapshot.rs
+++ b/crates/balancer/tests/health_snapshot.rs
@@ -1,11 +1,12 @@
-//! What a module knew of servers goes over to the next one, and nothing of a server that is another process by then.
+//! Health snapshots: ejections and slow start budgets are restored in the next instance, except for endpoints whose
+//! process is another one by then.
 mod common;
 use balancer::*;
 use common::*;
 
 const SECOND: u64 = 2;
 
-fn servers(since: Option<Millis>) -> Vec<Endpoint> {
+fn endpoints(since: Option<Millis>) -> Vec<Endpoint> {
     (1..5)
         .map(|id| {
             if id == SECOND {
@@ -20,8 +21,13 @@
         .collect()
 }
 
-/// A new module at that time, told a list and what another one knew.
-fn next(now: Millis, list: Vec<Endpoint>, known: Option<HealthSnapshot>, proxies: u32) -> Harness {
+/// Starts an instance at a time, with a list and a snapshot of another one.
+fn next_instance(
+    now: Millis,
+    list: Vec<Endpoint>,
+    known: Option<HealthSnapshot>,
+    proxies: u32,
+) -> Harness {
     let mut harness = Harness::new(settings(proxies), Vec::new());
     harness.advance(now - harness.now);
     harness.handle(full_update(list));
@@ -31,8 +37,8 @@
     harness
 }
 
-/// Of so many requests one after the other, how many go to the second server.
-fn to_second(harness: &mut Harness, many: u64) -> usize {
+/// Counts the attempts at the second endpoint, of so many requests one after the other.
+fn attempts_at_second(harness: &mut Harness, many: u64) -> usize {
     let mut hits = 0;
     for id in 5000..5000 + many {
         let sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
@@ -42,9 +48,9 @@
     hits
 }
 
-/// A module that has closed the second server.
-fn closed() -> Harness {
-    let mut harness = Harness::new(settings(1), servers(None));
+/// Returns an instance that has ejected the second endpoint.
+fn with_second_ejected() -> Harness {
+    let mut harness = Harness::new(settings(1), endpoints(None));
     harness.train(0, 40, |_| 20.0);
     for id in 1000..1200 {
         let sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
@@ -59,7 +65,7 @@
 
 #[test]
 fn an_ejection_is_restored_in_the_next_instance() {
-    let before = closed();
+    let before = with_second_ejected();
     let (now, known) = (before.now, before.balancer.health_snapshot(before.now));
     let second = known
         .endpoints
@@ -73,30 +79,33 @@
         "{second:?}"
     );
     assert_eq!(
-        to_second(&mut next(now, servers(None), Some(known.clone()), 1), 40),
+        attempts_at_second(
+            &mut next_instance(now, endpoints(None), Some(known.clone()), 1),
+            40
+        ),
         0
     );
     assert!(
-        to_second(&mut next(now, servers(None), None, 1), 40) > 0,
+        attempts_at_second(&mut next_instance(now, endpoints(None), None, 1), 40) > 0,
         "without it is like the others"
     );
-    // Handed on unused it is the same.
-    let again = next(now, servers(None), Some(known.clone()), 1);
+    // An unused snapshot stays the same.
+    let again = next_instance(now, endpoints(None), Some(known.clone()), 1);
     assert_eq!(again.balancer.health_snapshot(now), known);
-    // Another process under the same name: nothing is held against it.
-    let restarted = next(now, servers(Some(now - 1e6)), Some(known.clone()), 1);
+    // Another process under the same name has no ejection.
+    let restarted = next_instance(now, endpoints(Some(now - 1e6)), Some(known.clone()), 1);
     let of_it = restarted.balancer.health_snapshot(now);
     assert!(
         of_it.endpoints.iter().all(|s| s.overall.is_none()),
         "{of_it:?}"
     );
-    // One that is gone by then is no server.
-    let fewer = servers(None)
+    // An endpoint that is not listed by then is left out.
+    let fewer = endpoints(None)
         .into_iter()
         .filter(|s| s.id != EndpointId(SECOND))
         .collect();
     assert_eq!(
-        next(now, fewer, Some(known), 1)
+        next_instance(now, fewer, Some(known), 1)
             .balancer
             .health_snapshot(now)
             .endpoints,
@@ -106,10 +115,10 @@
 
 #[test]
 fn a_slow_start_budget_is_restored_in_the_next_instance() {
-    let cold = servers(Some(1000.0));
-    let mut first = next(1000.0, cold.clone(), None, 1);
+    let cold = endpoints(Some(1000.0));
+    let mut first = next_instance(1000.0, cold.clone(), None, 1);
     first.advance(200.0);
-    to_second(&mut first, 400);
+    attempts_at_second(&mut first, 400);
     let (now, known) = (first.now, first.balancer.health_snapshot(first.now));
     let budget = known
         .endpoints
@@ -118,12 +127,15 @@
         .expect("it is cold");
     assert!(budget.tokens < 1.0, "it has been used up: {budget:?}");
     assert_eq!(
-        to_second(&mut next(now, cold.clone(), Some(known.clone()), 1), 100),
+        attempts_at_second(
+            &mut next_instance(now, cold.clone(), Some(known.clone()), 1),
+            100
+        ),
         0,
         "no second budget"
     );
-    // Among twice as many proxies it has half of what was left.
-    let among_two = next(now, cold.clone(), Some(known.clone()), 2)
+    // Among twice as many proxies it has half of the remaining budget.
+    let among_two = next_instance(now, cold.clone(), Some(known.clone()), 2)
         .balancer
         .health_snapshot(now);
     let part = among_two
@@ -135,8 +147,8 @@
         (part.tokens - budget.tokens / 2.0).abs() < 1e-9,
         "{part:?}, {budget:?}"
     );
-    // It is warm in time all the same, and then there is nothing to say of it.
-    let mut later = next(now, cold, Some(known), 1);
+    // It still warms up in time, and then there is nothing to keep.
+    let mut later = next_instance(now, cold, Some(known), 1);
     later.advance(20_000.0);
     assert_eq!(later.balancer.health_snapshot(later.now).endpoints, []);
 }
--- a/crates/balancer/tests/many_proxies.rs
+++ b/crates/balancer/tests/many_proxies.rs
@@ -1,22 +1,28 @@
-//! Many proxies side by side, each a module of its own: what they may do apart must hold for their sum.
+//! Many proxies side by side, each with its own instance of the module: limits must hold for their sum.
 mod common;
 use balancer::*;
 use common::*;
 
-const LATENCY: Millis = 40.0; // of an answer on a warm server: two cores of it do 50 a second
+/// Latency at a warm endpoint, whose two cores serve 50 requests a second.
+const LATENCY: Millis = 40.0;
 
-/// When proxies hear how many they are.
+/// Time at which proxies learn how many there are.
 #[derive(Clone, Copy, PartialEq)]
-enum Told {
+enum ProxyCountKnown {
     AtStart,
-    /// Each starts as if it were alone, and hears of the others afterwards.
+    /// Each starts as if it were alone, and learns of the others afterwards.
     Later,
     Never,
 }
 
-/// Sends that each of the servers, all just started, got in each step of 100 ms, over all proxies, each asked for
-/// something every 25 ms.
-fn play(proxies: u32, servers: u64, steps: usize, told: Told) -> Vec<Vec<u32>> {
+/// Returns the attempts that each endpoint, all just started, got in each step of 100 ms, over all proxies, which get a
+/// request every 25 ms each.
+fn attempts_per_step(
+    proxies: u32,
+    servers: u64,
+    steps: usize,
+    known: ProxyCountKnown,
+) -> Vec<Vec<u32>> {
     let list = |since| {
         (0..servers)
             .map(|id| Endpoint {
@@ -27,7 +33,7 @@
     };
     let mut counts = vec![vec![0; steps]; servers as usize];
     for proxy_index in 0..proxies {
-        let settings = if told == Told::AtStart {
+        let settings = if known == ProxyCountKnown::AtStart {
             Settings {
                 proxy_index,
                 ..settings(proxies)
@@ -36,8 +42,8 @@
             settings(1)
         };
         let mut harness = Harness::seeded(settings, list(None), u64::from(proxy_index));
-        harness.train(0, 50, |_| LATENCY); // what its kind takes when it is warm
-        if told == Told::Later {
+        harness.train(0, 50, |_| LATENCY); // latency of its machine type when warm
+        if known == ProxyCountKnown::Later {
             harness.handle(Event::ProxyCount {
                 proxy_index,
                 proxy_count: proxies,
@@ -52,10 +58,10 @@
     counts
 }
 
-/// The first step at which a server was pushed over, if one was.
+/// Returns the first endpoint that was overloaded, if any, and the step.
 ///
-/// A server starts at a fifth of its 50 a second and is pushed over by three times what it can do for 2 s.
-fn pushed_over(counts: &[Vec<u32>]) -> Option<(usize, usize)> {
+/// An endpoint starts with a fifth of its 50 requests a second and is overloaded by three times its capacity for 2 s.
+fn first_overload(counts: &[Vec<u32>]) -> Option<(usize, usize)> {
     counts.iter().enumerate().find_map(|(id, count)| {
         let over = count.windows(20).enumerate().find(|(at, window)| {
             let age = *at as f64 * 100.0;
@@ -71,9 +77,9 @@
     let proxies = [1, 1, 2, 3, 7, 20, 60, 100, 200, 200, 200];
     let servers = [1, 1000, 3, 12, 100, 29, 60, 60, 1, 8, 60];
     for (proxies, servers) in proxies.into_iter().zip(servers) {
-        let counts = play(proxies, servers, 40, Told::AtStart);
+        let counts = attempts_per_step(proxies, servers, 40, ProxyCountKnown::AtStart);
         assert_eq!(
-            pushed_over(&counts),
+            first_overload(&counts),
             None,
             "{proxies} proxies, {servers} servers"
         );
@@ -83,15 +89,15 @@
 #[test]
 fn proxies_that_learn_the_proxy_count_later_divide_slow_start_budgets() {
     for (proxies, servers) in [(2, 3), (12, 8), (60, 60)] {
-        let counts = play(proxies, servers, 40, Told::Later);
+        let counts = attempts_per_step(proxies, servers, 40, ProxyCountKnown::Later);
         assert_eq!(
-            pushed_over(&counts),
+            first_overload(&counts),
             None,
             "{proxies} proxies, {servers} servers"
         );
     }
-    // Without a word each reckons as if it were alone.
-    assert!(pushed_over(&play(12, 8, 40, Told::Never)).is_some());
+    // Otherwise each uses the budget of a single proxy.
+    assert!(first_overload(&attempts_per_step(12, 8, 40, ProxyCountKnown::Never)).is_some());
 }
 
 #[test]
@@ -110,11 +116,11 @@
 
 #[test]
 fn many_proxies_together_use_warming_endpoints() {
-    // Each proxy's part of a cold server is less than a send a second; their sum is not nothing.
+    // Each proxy's part of a warming endpoint is less than a request a second, but not their sum.
     for proxies in [20, 100, 200] {
-        let counts = play(proxies, 30, 40, Told::AtStart);
+        let counts = attempts_per_step(proxies, 30, 40, ProxyCountKnown::AtStart);
         let sent: u32 = counts.iter().flatten().sum();
-        // 30 servers do 10 a second cold and 26 after four seconds: 2,160 in all.
+        // 30 endpoints serve 10 a second when cold and 26 after four seconds: 2,160 in all.
         assert!(sent >= 500, "{proxies} proxies sent {sent} in four seconds");
     }
 }
--- a/crates/balancer/tests/operations.rs
+++ b/crates/balancer/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators change under way: settings, and requests and answers too large to be kept.
+//! Changed settings, streamed requests and streamed responses.
 mod common;
 use balancer::*;
 use common::*;
@@ -14,7 +14,7 @@
     let base = settings(1);
     let mut harness = Harness::new(base.clone(), (1..5).map(endpoint).collect());
     harness.train(0, 40, |_| 20.0);
-    // Safe when it came: it goes again, though its class must not run twice by now.
+    // Idempotent on arrival: it is retried, though its class is not idempotent by now.
     let first = forwarded(&harness.handle(request(1000, 0, 2000.0)));
     assert_eq!(first.len(), 1);
     harness.handle(change(&base, |s| {
@@ -26,7 +26,7 @@
         1,
         "as it began"
     );
-    // One that comes now may have run with its first attempt, and is failed.
+    // One that arrives now may have run with its first attempt, and fails.
     assert_eq!(
         forwarded(&harness.handle(request(1001, 0, 2000.0))).len(),
         1
@@ -35,7 +35,7 @@
         harness.handle(attempt_ended(1001, 0, 5.0, Outcome::Error)),
         [Action::Fail(RequestId(1001))]
     );
-    // And one that surely never ran has no attempt left: it is refused.
+    // One that never ran has no attempt left and is rejected.
     assert_eq!(
         forwarded(&harness.handle(request(1002, 0, 2000.0))).len(),
         1
@@ -67,7 +67,7 @@
         "the new class is served"
     );
     harness.handle(attempt_ended(1000, 0, 20.0, Outcome::Served));
-    harness.handle(change(&base, |s| s.classes.truncate(1))); // would leave the others without a meaning
+    harness.handle(change(&base, |s| s.classes.truncate(1))); // would void the indices of the others
     assert_eq!(forwarded(&harness.handle(request(1001, 3, 900.0))).len(), 1);
     harness.advance(200.0);
 }
@@ -99,7 +99,7 @@
         body_complete: false,
     };
     assert_eq!(forwarded(&harness.handle(streams)).len(), 1);
-    // However long its client takes: no server is blamed, and it is not given up.
+    // However long its client takes, no endpoint is blamed, and it is not given up.
     assert_eq!(harness.advance(10_000.0), []);
     assert_eq!(
         harness.balancer.endpoint_counts(harness.now),
@@ -168,7 +168,7 @@
         1,
         "the next one goes"
     );
-    // A slow reader: nothing is given up, and the end brings no second slot.
+    // A slow reader: nothing is given up, and the end releases no second slot.
     harness.handle(attempt_ended(all[1], 0, 900.0, Outcome::Served));
     assert_eq!(
         forwarded(&harness.handle(attempt_ended(all[1], 0, 900.0, Outcome::Served))).len(),
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The four rules over seeded random but legal event streams, watched by an independent checker.
+//! The four rules over seeded random but valid event streams, watched by an independent checker.
 mod common;
 use balancer::*;
 use common::*;
@@ -9,7 +9,7 @@
     Message(Vec<u8>),
 }
 
-/// A small random world around one proxy. It is no model of servers: it only makes legal event streams.
+/// Random surroundings of one proxy. They are no model of endpoints: they only make valid event streams.
 struct World {
     rng: fastrand::Rng,
     now: Millis,
@@ -62,7 +62,7 @@
                 Action::Broadcast(bytes) => {
                     assert!(bytes.len() <= 256);
                     if self.rng.f64() < 0.5 {
-                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer said the like
+                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer had sent the same
                     }
                 }
                 Action::Subscribe | Action::FetchEndpoints => {
@@ -137,7 +137,7 @@
                 (self.list[k].state, self.list[k].started_at) =
                     (EndpointState::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
-                entries.push(self.list[k].clone()); // a repeated line does no harm
+                entries.push(self.list[k].clone()); // a repeated entry does no harm
             }
             4 => {
                 return self.handle(Event::EndpointUpdate {
@@ -198,16 +198,16 @@
                     }
                 }
             }
-            self.checker.look(self.now);
+            self.checker.check_overdue(self.now);
         }
-        self.checker.breaches
+        self.checker.violations
     }
 
     fn step(&mut self) {
         match self.rng.u32(0..400) {
             0..6 => self.change_list(),
             6 => {
-                // Killed and started again: nothing of what it held comes back.
+                // Killed and started again: its requests are lost.
                 self.balancer = Balancer::new(self.settings.clone(), self.next);
                 self.checker.restart();
                 self.ends.clear();
@@ -303,11 +303,11 @@
 fn the_four_rules_hold_over_random_events() {
     for (v, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
-            let breaches = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
+            let violations = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
             assert!(
-                breaches.is_empty(),
+                violations.is_empty(),
                 "variant {v}, seed {seed}: {:?}",
-                &breaches[..breaches.len().min(3)]
+                &violations[..violations.len().min(3)]
             );
         }
     }
@@ -341,7 +341,7 @@
     );
 }
 
-/// The checker must be able to fail: each rule is broken on purpose and seen.
+/// The checker must be able to fail: each rule is broken on purpose.
 #[test]
 fn the_checker_sees_broken_rules() {
     caught(
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,71 +1,77 @@
-//! What many proxies together send to servers that have just started, with traffic that comes unevenly, requests of unlike work, and
-//! proxies that know nothing yet: within a server's budget of N requests of mean work, and 2 √N + 2 more for chance.
+//! Slow start over many proxies, with uneven traffic, requests of different work, and proxies without estimates: together
+//! they stay within an endpoint's budget of N requests of mean work, and 2 √N + 2 more for chance.
 mod common;
 use balancer::*;
 use common::*;
 
-/// Work of the two classes on one core, the part of the second, and the cores of a server.
+/// Work of the two classes on one core.
 const WORK: [Millis; 2] = [16.0, 96.0];
+/// Fraction of requests of the second class.
 const HEAVY: f64 = 0.3;
+/// Cores of an endpoint.
 const CORES: f64 = 2.0;
 
 fn mean_work() -> Millis {
     WORK[0] * (1.0 - HEAVY) + WORK[1] * HEAVY
 }
 
-/// How requests come to each proxy.
+/// Arrival pattern at each proxy.
 #[derive(Clone, Copy, Debug)]
 enum Traffic {
     Even,
-    /// Little, and then much at all of them at once, after so many ms.
+    /// Few requests, and after so many ms many at all proxies at once.
     Burst(u64),
-    /// A tenth of the proxies has nearly all of it.
+    /// A tenth of the proxies gets nearly all requests.
     Skewed,
-    /// Only requests of the heavy class, from the start of the servers on.
+    /// Only requests of the heavy class.
     Heavy,
 }
 
-/// What a proxy knows when the servers start.
+/// Knowledge of a proxy when the endpoints start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Knows {
+enum Knowledge {
     All,
-    /// It has just started itself, with a list that is new to it.
+    /// It has just started itself.
     Nothing,
-    /// It starts this long after the servers did.
+    /// It starts this long after the endpoints.
     Later(u64),
-    /// It hears only now how many others there are.
+    /// It learns only now how many proxies there are.
     Alone,
 }
 
-struct Play {
+struct Scenario {
     proxies: u32,
     warm: u64,
     cold: u64,
     limits: Limits,
     traffic: Traffic,
-    knows: fn(u32) -> Knows,
+    knowledge: fn(u32) -> Knowledge,
     seed: u64,
 }
 
 const SPAN: u64 = 11_000;
 const STEP: u64 = 50;
 
-/// Requests of mean work that each cold server got in each step, over all proxies.
-fn play(p: &Play) -> Vec<Vec<f64>> {
+/// Returns the requests of mean work that each warming endpoint got in each step, over all proxies.
+fn attempts_per_step(p: &Scenario) -> Vec<Vec<f64>> {
     let steps = (SPAN / STEP) as usize;
     let mut sums = vec![vec![0.0; steps + 1]; p.cold as usize];
     for proxy_index in 0..p.proxies {
         let mut chance = fastrand::Rng::with_seed(p.seed * 1_000_003 + u64::from(proxy_index));
-        let knows = (p.knows)(proxy_index);
-        let told = if knows == Knows::Alone { 1 } else { p.proxies };
+        let knowledge = (p.knowledge)(proxy_index);
+        let told = if knowledge == Knowledge::Alone {
+            1
+        } else {
+            p.proxies
+        };
         let settings = Settings {
             proxy_index: if told == 1 { 0 } else { proxy_index },
             limits: p.limits,
             ..settings(told)
         };
         let warm: Vec<Endpoint> = (0..p.warm).map(endpoint).collect();
-        let begin = match knows {
-            Knows::Later(after) => after,
+        let begin = match knowledge {
+            Knowledge::Later(after) => after,
             _ => 0,
         };
         let all = |now: Millis| {
@@ -76,7 +82,7 @@
             });
             warm.iter().cloned().chain(cold).collect::<Vec<_>>()
         };
-        let mut harness = if matches!(knows, Knows::All | Knows::Alone) {
+        let mut harness = if matches!(knowledge, Knowledge::All | Knowledge::Alone) {
             let mut harness = Harness::seeded(settings, warm.clone(), chance.u64(..));
             learn(&mut harness, &mut chance);
             if told != p.proxies {
@@ -95,7 +101,7 @@
         let many = match p.traffic {
             Traffic::Skewed if proxy_index % 10 == 0 => 200.0,
             Traffic::Skewed => 0.5,
-            _ => 60.0, // more than its one slot on the one warm server can bear
+            _ => 60.0, // more than its one slot on the one warm endpoint can serve
         };
         let mut out: Vec<(Millis, u64, Millis)> = vec![];
         for at in begin..SPAN {
@@ -130,7 +136,7 @@
     sums
 }
 
-/// What its servers take is known to a proxy that has served for a while.
+/// Lets a proxy learn the latencies of its endpoints.
 fn learn(harness: &mut Harness, chance: &mut fastrand::Rng) {
     for id in 0..120 {
         let heavy = chance.f64() < HEAVY;
@@ -144,13 +150,13 @@
     }
 }
 
-/// The largest part that a server got of its budget with what is put down to chance; when, and of what budget.
-fn worst(p: &Play, sums: &[Vec<f64>]) -> (f64, u64, f64) {
+/// Returns the largest fraction that an endpoint got of its budget with the allowance for chance; when, and the budget.
+fn worst(p: &Scenario, sums: &[Vec<f64>]) -> (f64, u64, f64) {
     let l = &p.limits;
     let window = (l.overload_window as u64 / STEP) as usize;
     let mut worst = (0.0, 0, 0.0);
     for server in sums {
-        // It is judged while it is cold.
+        // Only while it is warming up.
         let cold = (l.warm_up as u64 / STEP) as usize;
         for (from, sent) in server[..cold.min(server.len())].windows(window).enumerate() {
             let age = (from as u64 * STEP) as f64 / l.warm_up;
@@ -176,8 +182,8 @@
     }
 }
 
-/// Plays all traffics under all limits with so many proxies.
-fn holds(proxies: &[u32], knows: fn(u32) -> Knows) {
+/// Checks all traffic patterns under all limits with so many proxies.
+fn check_budgets(proxies: &[u32], knowledge: fn(u32) -> Knowledge) {
     let all = [
         limits(0.12, 23_000.0, 3.0, 1000.0),
         limits(0.3, 9000.0, 3.0, 3000.0),
@@ -194,16 +200,16 @@
             ] {
                 for seed in 0..(60 / u64::from(proxies)).clamp(1, 4) {
                     let (warm, cold) = (1, 3);
-                    let p = Play {
+                    let p = Scenario {
                         proxies,
                         warm,
                         cold,
                         limits,
                         traffic,
-                        knows,
+                        knowledge,
                         seed,
                     };
-                    let (part, at, budget) = worst(&p, &play(&p));
+                    let (part, at, budget) = worst(&p, &attempts_per_step(&p));
                     largest = part.max(largest);
                     if part > 1.0 {
                         broken.push(format!(
@@ -223,34 +229,34 @@
 
 #[test]
 fn proxies_with_estimates_stay_within_the_budget() {
-    holds(&[1, 5, 20, 30, 300], |_| Knows::All);
+    check_budgets(&[1, 5, 20, 30, 300], |_| Knowledge::All);
 }
 
 #[test]
 fn proxies_that_mostly_have_just_started_stay_within_the_budget() {
-    holds(&[5, 20, 30, 300], |proxy_index| {
+    check_budgets(&[5, 20, 30, 300], |proxy_index| {
         if proxy_index % 10 < 3 {
-            Knows::All
+            Knowledge::All
         } else {
-            Knows::Nothing
+            Knowledge::Nothing
         }
     });
 }
 
 #[test]
 fn proxies_that_start_one_after_the_other_stay_within_the_budget() {
-    holds(&[5, 20, 30], |proxy_index| {
-        Knows::Later(u64::from(proxy_index % 7) * 500)
+    check_budgets(&[5, 20, 30], |proxy_index| {
+        Knowledge::Later(u64::from(proxy_index % 7) * 500)
     });
 }
 
 #[test]
 fn proxies_that_learn_the_proxy_count_late_stay_within_the_budget() {
-    holds(&[5, 20, 30], |proxy_index| {
+    check_budgets(&[5, 20, 30], |proxy_index| {
         if proxy_index % 2 == 0 {
-            Knows::Alone
+            Knowledge::Alone
         } else {
-            Knows::All
+            Knowledge::All
         }
     });
 }
