--- a/crates/balancer/tests/source_rules.rs
+++ b/crates/balancer/tests/source_rules.rs
@@ -91,6 +91,8 @@
             "rng.u",
             "Action::Forward {",
             "Action::Reject {",
+            "Action::Fail(",
+            "Action::Timer {",
         ] {
             assert!(
                 !text.contains(word),
@@ -100,6 +102,21 @@
     }
 }
 
+/// Only the encoding of messages has constants that are no policy.
+#[test]
+fn nothing_outside_the_policy_has_constants() {
+    for (name, text) in FILES
+        .iter()
+        .filter(|(name, _)| DECIDE_NOTHING.contains(name) && *name != "gossip_message")
+    {
+        let constant = text
+            .lines()
+            .map(|line| line.trim_start().trim_start_matches("pub(crate) "))
+            .find(|line| line.starts_with("const ") && !line.starts_with("const fn"));
+        assert_eq!(constant, None, "{name} is to decide nothing");
+    }
+}
+
 #[test]
 fn the_interface_is_named_at_the_top() {
     let head: String = ROOT.lines().take(8).collect();
