--- a/crates/balancer/src/forwarding.rs
+++ b/crates/balancer/src/forwarding.rs
@@ -28,7 +28,7 @@
     pub fn forward_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
         let mut places = vec![0usize; self.queue.lanes()];
         let mut failed_selections = 0;
-        while self.queue.len() > 0 && failed_selections < MAX_FAILED_SELECTIONS {
+        while !self.queue.is_empty() && failed_selections < MAX_FAILED_SELECTIONS {
             let window_full = self.is_window_full();
             if window_full && self.open_while_warming == 0 {
                 return;
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -105,7 +105,7 @@
     /// Adapts the slots of machine types to their latencies.
     fn review_machine_types(&mut self) {
         let pooled = self.is_pooled();
-        let short_of_slots = self.queue.len() > 0 && !pooled;
+        let short_of_slots = !self.queue.is_empty() && !pooled;
         for index in 0..self.latency.machine_types() {
             let machine_type = self.latency.of_machine_type(index);
             if !machine_type.is_sampled() {
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -26,6 +26,12 @@
 const FAILURE_WEIGHT: f64 = 0.3;
 /// Weight of a failed connection attempt: no process answers, so one ejects the endpoint.
 const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
+/// Weight of a successful attempt.
+const SUCCESS_WEIGHT: f64 = FAILURE_WEIGHT / 2.0;
+/// Fraction of the limit for ejection below which the failure mean ends probation.
+const PROBATION_LIMIT_FRACTION: f64 = 0.5;
+/// Factor on the backoff for each further ejection.
+const BACKOFF_FACTOR: f64 = 2.0;
 /// Failure mean above which an endpoint is ejected where others hardly fail.
 const MIN_FAILURE_LIMIT: f64 = 0.4;
 /// Probability of a row of failures below which it is not taken for chance.
@@ -129,13 +135,13 @@
 
     fn eject(&mut self, now: Millis, span: Millis) {
         self.ejected_until = now + span;
-        self.backoff = (2.0 * self.backoff).min(MAX_BACKOFF);
+        self.backoff = (BACKOFF_FACTOR * self.backoff).min(MAX_BACKOFF);
         self.on_probation = true;
     }
 
     fn record_success(&mut self, now: Millis, limit: f64) {
-        self.failure_mean *= 1.0 - FAILURE_WEIGHT / 2.0;
-        self.on_probation &= self.failure_mean > limit / 2.0;
+        self.failure_mean *= 1.0 - SUCCESS_WEIGHT;
+        self.on_probation &= self.failure_mean > PROBATION_LIMIT_FRACTION * limit;
         if !self.on_probation {
             self.backoff = MIN_BACKOFF;
         }
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -53,6 +53,11 @@
         self.queued
     }
 
+    /// Returns true if no request is queued.
+    pub fn is_empty(&self) -> bool {
+        self.queued == 0
+    }
+
     /// Returns the number of lanes.
     pub fn lanes(&self) -> usize {
         self.lanes.len()
--- a/crates/balancer/src/threshold.rs
+++ b/crates/balancer/src/threshold.rs
@@ -2,8 +2,8 @@
 //!
 //! Symbols and formula numbers are those of the paper that `docs/design.md` names.
 
-/// Returns the number of queued requests up to which waiting beats a slower slot: the largest τ in 0..=m(R−1) for
-/// which (3.3) is negative.
+/// Returns the number of queued requests up to which waiting beats a slower slot: the largest τ in 0..=m(R−1) for which
+/// (3.3) is negative.
 ///
 /// `m` is the number of faster slots, `rho` their utilization, `ratio` the speed of the faster slots over that of the
 /// slower one.
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -19,7 +19,8 @@
     window: 2000.0,
 };
 
-/// Three classes (idempotent, not idempotent, with an idempotency key per cell), pushed lists, weights that are capacity.
+/// Three classes (idempotent, not idempotent, with an idempotency key per cell), pushed lists, weights that are
+/// capacity.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
         proxy_index: 0,
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start over many proxies, with uneven traffic, requests of different work, and proxies without estimates: together
-//! they stay within an endpoint's budget of N requests of mean work, and 2 √N + 2 more for chance.
+//! Slow start over many proxies, with uneven traffic, requests of different work, and proxies without estimates:
+//! together they stay within an endpoint's budget of N requests of mean work, and 2 √N + 2 more for chance.
 mod common;
 use balancer::*;
 use common::*;
