--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use cluster_runtime::status::Status;
+use cluster_runtime::status::{MessageTotals, Status};
 use multi_tenant::plane::{Residency, TenantStatus};
 
 /// What an instance is told to have been turned away for, as [`TenantStatus::refused`] has it.
@@ -129,7 +129,7 @@
             "cluster_decides",
             "gauge",
             "1 while this instance may decide requests.",
-            flag(s.decides.is_some()),
+            flag(s.deciding_version.is_some()),
         );
         text.one(
             "cluster_leads",
@@ -161,7 +161,7 @@
             "Members of the cluster.",
             s.members.len() as f64,
         );
-        let votes = s.members.iter().filter(|m| m.votes).count();
+        let votes = s.members.iter().filter(|m| m.is_voter).count();
         text.one(
             "cluster_voters",
             "gauge",
@@ -180,37 +180,37 @@
             "cluster_changes_total",
             "counter",
             help,
-            ends.into_iter().zip(s.changes.map(|n| n as f64)),
+            ends.into_iter()
+                .zip([s.changes.in_effect as f64, s.changes.aborted as f64]),
         );
-        let sent = |of: usize| {
+        let sent = |of: fn(&MessageTotals) -> u64| {
             s.sent
                 .iter()
-                .map(move |(kind, n)| (format!("kind=\"{}\"", escaped(kind)), n[of] as f64))
+                .map(move |(kind, n)| (format!("kind=\"{}\"", escaped(kind)), of(n) as f64))
         };
         text.put(
             "cluster_messages_total",
             "counter",
             "Messages sent to other instances.",
-            sent(0),
+            sent(|totals| totals.messages),
         );
         text.put(
             "cluster_message_bytes_total",
             "counter",
             "Bytes of these.",
-            sent(1),
+            sent(|totals| totals.bytes),
         );
-        let [_, _, dropped, rubbish] = s.messages.map(|n| n as f64);
         text.one(
             "cluster_messages_dropped_total",
             "counter",
             "Messages that could not go in time.",
-            dropped,
+            s.connections.messages_dropped as f64,
         );
         text.one(
             "cluster_links_refused_total",
             "counter",
             "Links that were ended as rubbish came by them.",
-            rubbish,
+            s.connections.connections_rejected as f64,
         );
         text.one(
             "gate_waited_total",
--- a/crates/admin-api/src/start.rs
+++ b/crates/admin-api/src/start.rs
@@ -65,7 +65,7 @@
             let facts = Facts {
                 joined: status.id != 0,
                 led: status.leader.is_some(),
-                current: open.is_some() && status.decides == open,
+                current: open.is_some() && status.deciding_version == open,
                 tenants,
                 unknown,
             };
@@ -101,7 +101,9 @@
             .may(crate::access::Needs::Oversee)?;
         let report = together.start.with(|start, now| start.report(now));
         let status = together.status().await;
-        let (name, fenced) = status.map(|s| (s.name, s.fenced)).unwrap_or_default();
+        let (name, fenced) = status
+            .map(|s| (s.name, s.fenced_reason))
+            .unwrap_or_default();
         Ok(Reply::of(
             json!({ "name": name, "fenced": fenced, "start": report }),
         ))
--- a/crates/admin-api/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -8,7 +8,7 @@
 
 use cluster::machine::{Outcome as Ended, Phase, Proposal, Reason};
 use cluster::node::Refusal;
-use cluster_runtime::member::{Said, Told};
+use cluster_runtime::member::{MemberCommand, MemberEvent, PendingChange};
 use cluster_runtime::status::Status;
 use config_parser::Fault;
 use multi_tenant::document::Service;
@@ -37,7 +37,7 @@
 
 /// What the API has where it is one of many instances.
 pub struct Together {
-    said: mpsc::UnboundedSender<Said>,
+    said: mpsc::UnboundedSender<MemberCommand>,
     /// Reads that wait to be known to be current.
     reads: Mutex<BTreeMap<u64, oneshot::Sender<bool>>>,
     next_read: AtomicU64,
@@ -103,7 +103,7 @@
 
 impl Together {
     /// A part that speaks to this member.
-    pub fn new(said: mpsc::UnboundedSender<Said>, file: Service, start: Starting) -> Self {
+    pub fn new(said: mpsc::UnboundedSender<MemberCommand>, file: Service, start: Starting) -> Self {
         let deadline = file.cluster.as_ref().map_or(0.0, |c| c.deadline.0);
         Together {
             said,
@@ -124,12 +124,12 @@
             .listeners = file.listeners;
     }
 
-    fn say(&self, said: Said) {
+    fn say(&self, said: MemberCommand) {
         let _ = self.said.send(said); // a member that has ended answers nothing
     }
 
     /// Asks the member something, and waits for the answer.
-    async fn ask<T>(&self, said: impl FnOnce(oneshot::Sender<T>) -> Said) -> Option<T> {
+    async fn ask<T>(&self, said: impl FnOnce(oneshot::Sender<T>) -> MemberCommand) -> Option<T> {
         let (tell, told) = oneshot::channel();
         self.say(said(tell));
         told.await.ok()
@@ -143,7 +143,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(number, tell);
-        self.say(Said::Confirm(number));
+        self.say(MemberCommand::ConfirmRead(number));
         told.await.unwrap_or(false)
     }
 
@@ -152,7 +152,15 @@
         let patience = if writes { self.patience } else { READ };
         let text = serde_json::to_string(passed).map_err(|e| Problem::internal(e.to_string()))?;
         let id = new_id()?;
-        let given = timeout(patience, self.ask(|tell| Said::Call(id, text, tell))).await;
+        let given = timeout(
+            patience,
+            self.ask(|reply| MemberCommand::Call {
+                id,
+                payload: text,
+                reply,
+            }),
+        )
+        .await;
         let lost = || {
             Problem::no_leader(
                 "no instance leads, or none that can be reached; it may have been done or not",
@@ -160,7 +168,7 @@
         };
         let text = match given {
             Ok(Some(Ok(text))) => text,
-            Ok(Some(Err(why))) => return Err(Problem::busy(why)),
+            Ok(Some(Err(why))) => return Err(Problem::busy(why.to_string())),
             Ok(None) => return Err(Problem::no_leader("this instance is ending")),
             Err(_) => return Err(lost()),
         };
@@ -193,39 +201,45 @@
 
     /// How the cluster looks from here.
     pub async fn status(&self) -> Option<Status> {
-        self.ask(Said::Status).await
+        self.ask(MemberCommand::ReportStatus).await
     }
 }
 
 impl Api {
     /// Does what the member tells, in its order, for as long as there is one.
-    pub async fn follow(self: Arc<Self>, mut told: mpsc::UnboundedReceiver<Told>) {
+    pub async fn follow(self: Arc<Self>, mut told: mpsc::UnboundedReceiver<MemberEvent>) {
         let Some(together) = self.together() else {
             return;
         };
         while let Some(told) = told.recv().await {
             match told {
-                Told::Check(proposal) => self.check(together, proposal),
-                Told::Members(me, members) => self.give(Order::Among(me, members)),
-                Told::GivenUp => self.give(Order::HoldOff(BTreeMap::new())),
-                Told::Close(proposal) => {
+                MemberEvent::CheckProposal(proposal) => self.check(together, proposal),
+                MemberEvent::MembersChanged { index, count } => {
+                    self.give(Order::Among(index, count));
+                }
+                MemberEvent::ProposalAborted => self.give(Order::HoldOff(BTreeMap::new())),
+                MemberEvent::CloseVersion(proposal) => {
                     if too_early() {
-                        together.say(Said::Closed(proposal.id.clone()));
+                        together.say(MemberCommand::VersionClosed {
+                            proposal: proposal.id.clone(),
+                        });
                         fail::fail_point!("closed-late"); // and goes on deciding
                     }
                     if self.order(Order::Close).await {
-                        together.say(Said::Closed(proposal.id));
+                        together.say(MemberCommand::VersionClosed {
+                            proposal: proposal.id,
+                        });
                     }
                 }
-                Told::Open(version, proposal) => {
+                MemberEvent::ActivateVersion { version, proposal } => {
                     if let Err(e) = self.open(version, &proposal).await {
                         // It decides nothing from here on: its gate stays closed.
                         tracing::error!(version, error = e, "a version can't be served here");
                         continue;
                     }
-                    together.say(Said::Opened(version));
+                    together.say(MemberCommand::VersionActivated(version));
                 }
-                Told::Note(proposal) => {
+                MemberEvent::StoreEntry(proposal) => {
                     let taken =
                         Agreed::read(&proposal.payload).map(|a| self.desk().take(&a).map(drop));
                     if let Err(e) | Ok(Err(Problem { detail: e, .. })) = taken {
@@ -233,7 +247,7 @@
                     }
                     self.stored();
                 }
-                Told::Restore(machine, state) => {
+                MemberEvent::RestoreState { machine, state } => {
                     match self.restore(together, machine.entry, &state).await {
                         Ok(()) => {
                             let version = machine.version;
@@ -242,8 +256,14 @@
                             if let Some((_, Phase::Closing)) = change {
                                 self.order(Order::Close).await;
                             }
-                            let told = change.as_ref().map(|(p, phase)| (p.id.clone(), *phase));
-                            together.say(Said::Restored(version, told));
+                            let pending = change.as_ref().map(|(proposal, phase)| PendingChange {
+                                id: proposal.id.clone(),
+                                phase: *phase,
+                            });
+                            together.say(MemberCommand::StateRestored {
+                                version,
+                                change: pending,
+                            });
                             if let Some((proposal, Phase::Checking)) = change {
                                 self.check(together, proposal);
                             }
@@ -253,37 +273,38 @@
                         }
                     }
                 }
-                Told::Save => {
+                MemberEvent::ExportState => {
                     let exported = self.desk().export();
                     match exported {
-                        Ok(state) => together.say(Said::Saved(state)),
+                        Ok(state) => together.say(MemberCommand::StateExported(state)),
                         Err(e) => tracing::error!(error = e, "the state can't be written down"),
                     }
                 }
-                Told::Read(number, good) => {
+                MemberEvent::ReadCompleted { read, is_current } => {
                     let waits = together
                         .reads
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .remove(&number);
-                    let _ = waits.map(|w| w.send(good)); // who asked may have left
+                        .remove(&read);
+                    let _ = waits.map(|w| w.send(is_current)); // who asked may have left
                 }
-                Told::Call(id, text) => {
+                MemberEvent::CallReceived { id, payload } => {
                     let api = self.clone();
                     tokio::spawn(async move {
-                        let answer = api.obey(&id, &text).await;
+                        let answer = api.obey(&id, &payload).await;
                         if let Some(together) = api.together() {
                             together.say(match answer {
-                                Some(given) => Said::Answered(
+                                Some(given) => MemberCommand::CallAnswered {
                                     id,
-                                    serde_json::to_string(&given).map_err(|e| e.to_string()),
-                                ),
-                                None => Said::Unanswered(id),
+                                    answer: serde_json::to_string(&given)
+                                        .map_err(|e| e.to_string().into()),
+                                },
+                                None => MemberCommand::CallUnanswered { id },
                             });
                         }
                     });
                 }
-                Told::Ended(why) => {
+                MemberEvent::Stopped { reason: why } => {
                     tracing::error!(why, "is no member any more, and decides nothing");
                     self.desk().close(&why);
                 }
@@ -313,7 +334,10 @@
                 Err(why)
             }
         };
-        together.say(Said::Checked(proposal.id, can));
+        together.say(MemberCommand::ProposalChecked {
+            proposal: proposal.id,
+            rejection: can.err(),
+        });
     }
 
     async fn open(&self, version: u64, proposal: &Proposal) -> Result<(), String> {
@@ -395,7 +419,11 @@
                 payload: agreed.write_down(),
             };
             match together
-                .ask(|tell| Said::Propose(proposal, note, tell))
+                .ask(|reply| MemberCommand::Propose {
+                    proposal,
+                    is_note: note,
+                    reply,
+                })
                 .await?
             {
                 Ok(Ended::InEffect(_) | Ended::Stored) => return Some(Given::Reply(reply)),
@@ -474,7 +502,13 @@
             }
             Joint::StepDown => {
                 let to = passed.body["to"].as_str().map(str::to_owned);
-                match together.ask(|tell| Said::StepDown(to, tell)).await? {
+                match together
+                    .ask(|reply| MemberCommand::StepDown {
+                        successor: to,
+                        reply,
+                    })
+                    .await?
+                {
                     Ok(()) => Some(Given::Reply(Reply::of(json!({ "stepped-down": true })))),
                     Err(e) => refused(e),
                 }
@@ -496,7 +530,10 @@
                 let end = tokio::time::Instant::now() + together.patience;
                 while tokio::time::Instant::now() < end {
                     match together
-                        .ask(|tell| Said::Remove(name.clone(), tell))
+                        .ask(|reply| MemberCommand::RemoveMember {
+                            name: name.clone(),
+                            reply,
+                        })
                         .await?
                     {
                         Ok(true) => {
@@ -543,7 +580,7 @@
         self.desk()
             .who(passed.authorization.as_deref(), passed.now_ms)?
             .may(crate::access::Needs::Operate)?;
-        let doubted = timeout(STATUS, together.ask(Said::Vouch)).await;
+        let doubted = timeout(STATUS, together.ask(MemberCommand::TrustDisk)).await;
         match doubted {
             Ok(Some(doubted)) => Ok(Reply::of(json!({ "doubted": doubted }))),
             _ => Err(Problem::conflict("this instance is no member yet")),
--- a/crates/admin-api/tests/unit/figures.rs
+++ b/crates/admin-api/tests/unit/figures.rs
@@ -8,12 +8,12 @@
         name: "a".into(),
         leader: Some("a".into()),
         version: 7,
-        decides: Some(7),
-        changes: [3, 1],
-        messages: [5, 600, 0, 2],
+        deciding_version: Some(7),
+        changes: [3, 1].into(),
+        connections: [5, 600, 0, 2].into(),
         sent: [
-            ("report".to_owned(), [4, 500]),
-            ("append answer".to_owned(), [1, 100]),
+            ("report".to_owned(), [4, 500].into()),
+            ("append answer".to_owned(), [1, 100].into()),
         ]
         .into(),
         ..Status::default()
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -10,8 +10,10 @@
 
 use ::admin_api::Api;
 use ::cluster::machine::{self, Micros, Rules};
-use cluster_runtime::member::{self, Said, Settings, Told};
-use cluster_runtime::right::Right;
+use cluster_runtime::lease::SharedLease;
+use cluster_runtime::member::{
+    InitialState, InitialStateError, MemberCommand, MemberEvent, MemberRuntime, Settings,
+};
 use multi_tenant::document::{Cluster, Service, WhenCutOff, WhenListUnknown};
 use proxy_core::gate::{Gate, Terms};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -24,8 +26,8 @@
 const KEY: usize = 16;
 
 /// The gate that an instance's decisions pass.
-pub fn gate(cluster: &Cluster, right: Arc<Right>) -> Rc<Gate> {
-    let changed = right.changed();
+pub fn gate(cluster: &Cluster, lease: Arc<SharedLease>) -> Rc<Gate> {
+    let changed = lease.changed();
     let terms = Terms {
         hold: Duration::from_secs_f64(cluster.hold.0 / 1000.0),
         retry: cluster.retry_after.0,
@@ -33,7 +35,7 @@
         seed: fastrand::u64(..),
     };
     Gate::new(
-        Box::new(move |version| right.may_decide(version)),
+        Box::new(move |version| lease.may_decide(version)),
         changed,
         terms,
     )
@@ -95,16 +97,23 @@
 pub fn join(
     file: &Service,
     api: &Arc<Api>,
-    hears: UnboundedReceiver<Said>,
-    right: Arc<Right>,
-) -> Result<UnboundedReceiver<Told>, String> {
+    hears: UnboundedReceiver<MemberCommand>,
+    lease: Arc<SharedLease>,
+) -> Result<UnboundedReceiver<MemberEvent>, String> {
     let (Some(cluster), Some(state)) = (&file.cluster, &file.state) else {
         return Err("cluster: it needs [state]".into());
     };
     let settings = settings(cluster, &state.directory)?;
     let (tells, told) = unbounded_channel();
     let (founder, founded) = (api.clone(), file.clone());
-    let begin = Box::new(move || founder.desk().found(&founded, unix_ms()));
+    let begin = Box::new(move || {
+        let (version, entry, state) = founder.desk().found(&founded, unix_ms())?;
+        Ok::<_, InitialStateError>(InitialState {
+            version,
+            entry,
+            state,
+        })
+    });
     let (opened, waits) = std::sync::mpsc::channel();
     let run = move || {
         let runtime = match tokio::runtime::Builder::new_current_thread()
@@ -115,12 +124,12 @@
             Err(e) => return drop(opened.send(Err(e.to_string()))),
         };
         runtime.block_on(async {
-            match member::open(settings, tells, hears, right, begin).await {
+            match MemberRuntime::open(settings, tells, hears, lease, begin).await {
                 Ok(driven) => {
                     let _ = opened.send(Ok(())); // who started it waits
                     driven.run().await;
                 }
-                Err(e) => _ = opened.send(Err(e)),
+                Err(e) => _ = opened.send(Err(e.to_string())),
             }
         });
     };
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -6,7 +6,7 @@
 use ::admin_api::{Backup, Desk};
 use ::cluster::machine::{Machine, Member};
 use ::cluster::salvage::next_era;
-use cluster_runtime::kept::{Kept, new_cluster};
+use cluster_runtime::storage::{Owner, StorageError, StoredMember, new_cluster_id};
 use multi_tenant::document::{Cluster, Service};
 use serde_json::Value;
 
@@ -83,14 +83,15 @@
     yes: bool,
 ) -> Result<(), String> {
     let named = |e: String| format!("{}: {e}", directory.display());
+    let unreadable = |e: StorageError| named(e.to_string());
     if !directory.join(config_store::log::LOG_FILE).exists() {
         return Err(named(
             "it is no member's directory; to begin from a backup give --backup FILE".into(),
         ));
     }
-    let mut kept = Kept::open(directory).map_err(named)?;
-    let (old, name) = kept
-        .identity()
+    let mut kept = StoredMember::open(directory).map_err(unreadable)?;
+    let Owner { cluster: old, name } = kept
+        .owner()
         .ok_or_else(|| named("its member has never joined".into()))?;
     let (old, name) = (old.to_owned(), name.to_owned());
     if name != cluster.instance {
@@ -99,7 +100,7 @@
             cluster.instance
         )));
     }
-    let salvage = kept.salvage().map_err(named)?;
+    let salvage = kept.recover().map_err(unreadable)?;
     let before = &salvage.machine;
     let version = next_era(before.version);
     println!("survivor        {name}, of the cluster {old}");
@@ -153,8 +154,9 @@
     let (version, entry, state) =
         desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
     let member = member(cluster, before.next_id);
-    let machine = before.anew(new_cluster(), name.clone(), member, version, entry);
-    kept.begin_anew(&machine, &name, state).map_err(named)?;
+    let machine = before.anew(new_cluster_id(), name.clone(), member, version, entry);
+    kept.found_cluster(&machine, &name, state)
+        .map_err(unreadable)?;
     done(&machine);
     Ok(())
 }
@@ -184,8 +186,9 @@
         return Ok(());
     }
     let named = |e: String| format!("{}: {e}", directory.display());
-    let mut kept = Kept::open(directory).map_err(named)?;
-    if kept.identity().is_some() {
+    let unreadable = |e: StorageError| named(e.to_string());
+    let mut kept = StoredMember::open(directory).map_err(unreadable)?;
+    if kept.owner().is_some() {
         return Err(named(
             "it is a member's: begin from a backup in an empty directory".into(),
         ));
@@ -205,14 +208,15 @@
     let rules = super::settings(cluster, &directory.display().to_string())?.rules;
     let name = cluster.instance.clone();
     let machine = Machine::found(
-        new_cluster(),
+        new_cluster_id(),
         rules,
         name.clone(),
         member(cluster, 1),
         version,
         entry,
     );
-    kept.begin_anew(&machine, &name, state).map_err(named)?;
+    kept.found_cluster(&machine, &name, state)
+        .map_err(unreadable)?;
     done(&machine);
     Ok(())
 }
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -9,8 +9,8 @@
 
 use ::admin_api::{Api, Desk, Order, Starting, Together};
 use ::endpoint_discovery::Keys;
-use cluster_runtime::member::Said;
-use cluster_runtime::right::Right;
+use cluster_runtime::lease::SharedLease;
+use cluster_runtime::member::MemberCommand;
 use multi_tenant::check;
 use multi_tenant::document::Service;
 use multi_tenant::plan::Plan;
@@ -149,7 +149,7 @@
     /// Where the API listens, if it does.
     address: Option<SocketAddr>,
     /// The cluster's member, where there is one.
-    member: Option<UnboundedSender<Said>>,
+    member: Option<UnboundedSender<MemberCommand>>,
 }
 
 async fn serve(service: Service, arguments: &Arguments, demo: Option<&Demo>) -> Result<u8, String> {
@@ -159,19 +159,22 @@
         int: on(SignalKind::interrupt())?,
         hup: on(SignalKind::hangup())?,
     };
-    let right = service.cluster.as_ref().map(|_| Arc::new(Right::default()));
+    let lease = service
+        .cluster
+        .as_ref()
+        .map(|_| Arc::new(SharedLease::default()));
     let gate = service
         .cluster
         .as_ref()
-        .zip(right.clone())
-        .map(|(c, right)| cluster::gate(c, right));
+        .zip(lease.clone())
+        .map(|(c, lease)| cluster::gate(c, lease));
     let plane = Plane::behind(&service.process, lists(), gate);
     let mut administration = match &service.state {
         Some(_) => Some(administer(
             &plane,
             &service,
             arguments.read_only_state,
-            right,
+            lease,
         )?),
         None => {
             plane.apply(&service)?;
@@ -240,7 +243,7 @@
 async fn end_among(
     plane: &Plane,
     orders: &mut UnboundedReceiver<Order>,
-    member: &UnboundedSender<Said>,
+    member: &UnboundedSender<MemberCommand>,
 ) {
     let drained = plane.drain();
     tokio::pin!(drained);
@@ -250,7 +253,7 @@
             Some(order) = orders.recv() => order.obey(plane),
         }
     }
-    let _ = member.send(Said::Rest); // one that has ended rests already
+    let _ = member.send(MemberCommand::BeginShutdown); // one that has ended rests already
     tokio::time::sleep(PARTING).await;
 }
 
@@ -322,7 +325,7 @@
     plane: &Rc<Plane>,
     file: &Service,
     read_only: bool,
-    right: Option<Arc<Right>>,
+    lease: Option<Arc<SharedLease>>,
 ) -> Result<Administration, String> {
     let (began, now_ms) = (Instant::now(), unix_ms());
     let desk = Desk::open(file, read_only, now_ms)?;
@@ -336,7 +339,7 @@
     let (version, tenants) = (desk.version(), desk.catalog().len());
     tracing::info!(version, tenants, "the state is in effect");
     let (said, hears) = unbounded_channel();
-    let member = right.as_ref().map(|_| said.clone());
+    let member = lease.as_ref().map(|_| said.clone());
     let start = file
         .cluster
         .as_ref()
@@ -346,8 +349,8 @@
         .zip(start)
         .map(|(said, start)| Together::new(said, file.clone(), start));
     let (api, orders) = Api::among(desk, together);
-    let told = match (&file.cluster, right) {
-        (Some(_), Some(right)) => Some(cluster::join(file, &api, hears, right)?),
+    let told = match (&file.cluster, lease) {
+        (Some(_), Some(lease)) => Some(cluster::join(file, &api, hears, lease)?),
         _ => None,
     };
     let mut listens = None;
--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -370,7 +370,7 @@
     fleet.ready().unwrap(); // at that listener
     assert_eq!(limit(&fleet, lags), 2040);
     let log = fleet.log(lags);
-    assert!(log.contains("goes on from a snapshot of the log"), "{log}");
+    assert!(log.contains("restored from snapshot"), "{log}");
     let figures = fleet
         .line(lags)
         .unwrap()
--- /dev/null
+++ b/crates/cluster-runtime/src/lease.rs
@@ -0,0 +1,78 @@
+//! Lease of a member, shared between the thread that drives the member and the thread that serves requests.
+//!
+//! [`SharedLease`] is written by the member's event loop and read without a lock for each decision. It grants nothing itself: the
+//! `cluster` package decides who holds which lease.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use cluster::fence::Until;
+use cluster::machine::{Micros, Version};
+use tokio::sync::Notify;
+
+use crate::clock;
+
+/// Stored expiry of a member without a lease.
+const NO_LEASE: Micros = 0;
+/// Stored expiry of a lease without an end.
+const NEVER_EXPIRES: Micros = u64::MAX;
+
+/// Lease for one version of the configuration.
+#[derive(Debug, Default)]
+pub struct SharedLease {
+    /// First moment at which nothing may be decided, by [`clock::now`].
+    expires_at: AtomicU64,
+    version: AtomicU64,
+    changed: Arc<Notify>,
+}
+
+impl SharedLease {
+    /// Returns the notification that is triggered by each change of the lease.
+    pub fn changed(&self) -> Arc<Notify> {
+        self.changed.clone()
+    }
+
+    /// Replaces the lease; `None` revokes it.
+    pub fn replace(&self, lease: Option<(Version, Until)>) {
+        if lease.is_none() && ignores_revocation() {
+            return;
+        }
+        match lease {
+            None => self.expires_at.store(NO_LEASE, Ordering::SeqCst),
+            Some((version, Until::Forever)) => self.store(version, NEVER_EXPIRES),
+            Some((version, Until::Before(expires_at))) => self.store(version, expires_at),
+        }
+        self.changed.notify_waiters();
+    }
+
+    /// Invariant: there is no lease while the version changes, so a reader that sees the new expiry also sees the new version.
+    fn store(&self, version: Version, expires_at: Micros) {
+        if self.version.load(Ordering::SeqCst) != version {
+            self.expires_at.store(NO_LEASE, Ordering::SeqCst);
+            self.version.store(version, Ordering::SeqCst);
+        }
+        self.expires_at.store(expires_at, Ordering::SeqCst);
+    }
+
+    /// Returns the moment of a decision under `version`, or `None` if it may not be taken.
+    pub fn may_decide(&self, version: Version) -> Option<Micros> {
+        let expires_at = self.expires_at.load(Ordering::SeqCst);
+        let is_granted = expires_at > NO_LEASE && self.version.load(Ordering::SeqCst) == version;
+        // The clock is read after the lease, so that the lease held at the returned moment.
+        let now = clock::now();
+        let is_valid = is_granted && (now < expires_at || ignores_expiry());
+        is_valid.then_some(now)
+    }
+}
+
+/// Fault injected by tests: an expired lease counts as running.
+fn ignores_expiry() -> bool {
+    fail::fail_point!("lease-ignored", |_| true);
+    false
+}
+
+/// Fault injected by tests: a revoked lease is kept.
+fn ignores_revocation() -> bool {
+    fail::fail_point!("right-kept", |_| true);
+    false
+}
--- a/crates/cluster-runtime/src/lib.rs
+++ b/crates/cluster-runtime/src/lib.rs
@@ -1,17 +1,25 @@
-//! The I/O of a cluster's member: links to the others, its log on disk, its clock, and the loop that drives it.
+//! I/O of a cluster member: connections to the other members, its log on disk, its clock, and the event loop that drives it.
 //!
-//! - [`member`]: opens a member and drives it; the application is told what to do, in order, and says when it is done.
-//! - [`post::Post`]: one link out to each member, framed and sealed by [`frame`], and all links in.
-//! - [`right::Right`]: the member's right to decide, looked at for each decision.
+//! - [`member::MemberRuntime`]: opens a member and drives it; the application receives events and answers with commands.
+//! - [`transport::Transport`]: connections between members, with the handshake and frames of [`frame`] and the encoding of [`message`].
+//! - [`lease::SharedLease`]: the lease of the member, checked for each decision.
+//! - [`storage::StoredMember`]: the directory of a member whose process does not run.
 //!
-//! It decides nothing: what is agreed on, and who may decide, is the cluster's part's.
+//! It decides nothing: agreement and leases are the work of the `cluster` package.
+#![deny(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::type_complexity,
+    clippy::struct_excessive_bools
+)]
 
 pub mod clock;
 pub mod frame;
-pub mod kept;
-mod mark;
+pub mod heartbeat;
+pub mod lease;
 pub mod member;
 pub mod message;
-pub mod post;
-pub mod right;
 pub mod status;
+pub mod storage;
+pub mod transport;
--- /dev/null
+++ b/crates/cluster-runtime/src/member/discovery.rs
@@ -0,0 +1,114 @@
+//! Discovery of an existing cluster before a member has joined, and agreement on who founds a new one. Without I/O.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use cluster::machine::Micros;
+
+/// Interval between two attempts of a member that has not joined.
+const ATTEMPT_INTERVAL: Micros = 300_000;
+/// Interval between two attempts of a member without a leader.
+const LEADERLESS_INTERVAL: Micros = 4 * ATTEMPT_INTERVAL;
+
+/// Name and address of a member.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct PeerAddress {
+    pub name: String,
+    pub address: String,
+}
+
+/// Answer of a member to a discovery request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct DiscoveryReply {
+    pub leader: Option<PeerAddress>,
+    /// Names that the member's settings list, its own included.
+    pub names: Vec<String>,
+}
+
+/// Next step of a member that has not joined.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) enum DiscoveryStep {
+    /// All listed members answer, none knows a cluster, and this one is to found it.
+    FoundCluster,
+    /// A leader is known and can be asked to join.
+    Join(PeerAddress),
+    /// No leader is known yet.
+    Wait,
+}
+
+/// Discovery state of one member.
+pub(super) struct Discovery {
+    own_name: String,
+    /// Names that the settings list, with the own one, sorted.
+    names: Vec<String>,
+    replies: BTreeMap<String, DiscoveryReply>,
+    next_attempt_at: Micros,
+    /// Number that tells the leader if a join request is repeated by the same process.
+    pub join_number: u64,
+}
+
+impl Discovery {
+    pub(super) fn new<'a>(own_name: &str, peers: impl Iterator<Item = &'a String>) -> Self {
+        let mut names: BTreeSet<String> = peers.cloned().collect();
+        names.insert(own_name.to_owned());
+        Discovery {
+            own_name: own_name.to_owned(),
+            names: names.into_iter().collect(),
+            replies: BTreeMap::new(),
+            next_attempt_at: 0,
+            join_number: fastrand::u64(1..),
+        }
+    }
+
+    /// Returns the names that the settings list, with the own one.
+    pub(super) fn names(&self) -> &[String] {
+        &self.names
+    }
+
+    /// Returns true if an attempt of a member that has not joined is due, and schedules the next one.
+    pub(super) fn begin_attempt(&mut self, now: Micros) -> bool {
+        self.begin_attempt_every(now, ATTEMPT_INTERVAL)
+    }
+
+    /// Returns true if an attempt of a member without a leader is due, and schedules the next one.
+    pub(super) fn begin_leaderless_attempt(&mut self, now: Micros) -> bool {
+        self.begin_attempt_every(now, LEADERLESS_INTERVAL)
+    }
+
+    fn begin_attempt_every(&mut self, now: Micros, interval: Micros) -> bool {
+        let is_due = now >= self.next_attempt_at;
+        if is_due {
+            self.next_attempt_at = now + interval;
+        }
+        is_due
+    }
+
+    /// Records the answer of a member.
+    pub(super) fn record(&mut self, name: String, reply: DiscoveryReply) {
+        self.replies.insert(name, reply);
+    }
+
+    /// Forgets all answers and starts again at once, as a new process.
+    pub(super) fn restart(&mut self) {
+        self.next_attempt_at = 0;
+        self.join_number = fastrand::u64(1..);
+        self.replies.clear();
+    }
+
+    /// Decides the next step from the answers so far.
+    pub(super) fn next_step(&self) -> DiscoveryStep {
+        let is_first_by_name = self.names.first() == Some(&self.own_name);
+        if is_first_by_name && self.names.iter().all(|name| self.agrees_to_found(name)) {
+            return DiscoveryStep::FoundCluster;
+        }
+        let leader = self.replies.values().find_map(|reply| reply.leader.clone());
+        leader.map_or(DiscoveryStep::Wait, DiscoveryStep::Join)
+    }
+
+    fn agrees_to_found(&self, name: &str) -> bool {
+        if name == self.own_name {
+            return true;
+        }
+        let reply = self.replies.get(name);
+        reply.is_some_and(|reply| reply.leader.is_none() && reply.names == self.names)
+    }
+}
--- /dev/null
+++ b/crates/cluster-runtime/src/member/joining.rs
@@ -0,0 +1,145 @@
+//! Start of a member: from its stored identity, by joining a cluster, by founding one, or anew after its disk was restored.
+
+use cluster::machine::{Machine, Member};
+use cluster::node::{Node, Saved, found};
+use config_store::log::Logged;
+
+use super::discovery::DiscoveryStep;
+use super::error::MemberError;
+use super::runtime::{JoinedMember, MemberRuntime};
+use crate::clock;
+use crate::message::Body;
+use crate::storage::{Identity, new_cluster_id, read_identity, saved_state, write_identity};
+
+/// Id of the member that founds a cluster.
+const FOUNDER_ID: u64 = 1;
+
+impl MemberRuntime {
+    /// Starts as the member that the log identifies, if any.
+    pub(super) fn start_from_log(&mut self, logged: &Logged) -> Result<(), MemberError> {
+        let Some(identity) = read_identity(logged)? else {
+            return Ok(());
+        };
+        if identity.name != self.settings.name {
+            return Err(MemberError::ForeignDirectory {
+                owner: identity.name,
+                name: self.settings.name.clone(),
+            });
+        }
+        self.start_node(identity, &saved_state(logged))
+    }
+
+    /// Starts as a member that has just joined the cluster under this id.
+    pub(super) fn start_joined(&mut self, cluster: String, id: u64) -> Result<(), MemberError> {
+        let identity = Identity {
+            cluster,
+            id,
+            name: self.settings.name.clone(),
+        };
+        let saved = Saved::default();
+        write_identity(&mut self.log, &identity, &saved)?;
+        self.start_node(identity, &saved)
+    }
+
+    fn start_node(&mut self, identity: Identity, saved: &Saved) -> Result<(), MemberError> {
+        let mut node = Node::new(
+            identity.id,
+            saved,
+            self.starts,
+            self.heartbeat.is_disk_fresh(),
+            fastrand::u64(..),
+            clock::now(),
+        )?;
+        node.keep(self.settings.log_entries);
+        tracing::info!(
+            name = identity.name,
+            id = identity.id,
+            cluster = identity.cluster,
+            "member started"
+        );
+        self.joined = Some(JoinedMember { identity, node });
+        Ok(())
+    }
+
+    /// Makes one attempt to join or found a cluster.
+    pub(super) fn attempt_to_join(&mut self) -> Result<(), MemberError> {
+        match self.discovery.next_step() {
+            DiscoveryStep::FoundCluster => return self.found_cluster(),
+            DiscoveryStep::Join(leader) => {
+                let request = Body::Join {
+                    zone: self.settings.zone.clone(),
+                    drawn: self.discovery.join_number,
+                };
+                self.send_to(&leader.name, &leader.address, request);
+            }
+            DiscoveryStep::Wait => {}
+        }
+        self.send_discovery_requests();
+        Ok(())
+    }
+
+    /// Asks all members that the settings list for a cluster and its leader.
+    pub(super) fn send_discovery_requests(&mut self) {
+        let names = self.discovery.names().to_vec();
+        for (name, address) in self.settings.peers.clone() {
+            let request = Body::Ask {
+                names: names.clone(),
+            };
+            self.send_to(&name, &address, request);
+        }
+    }
+
+    fn found_cluster(&mut self) -> Result<(), MemberError> {
+        let Some(provide_initial_state) = self.provide_initial_state.take() else {
+            return Ok(());
+        };
+        let initial = provide_initial_state().map_err(MemberError::InitialState)?;
+        let name = self.settings.name.clone();
+        let founder = Member {
+            id: FOUNDER_ID,
+            address: self.address.clone(),
+            zone: self.settings.zone.clone(),
+            drawn: self.discovery.join_number,
+        };
+        let machine = Machine::found(
+            new_cluster_id(),
+            self.settings.rules.clone(),
+            name.clone(),
+            founder,
+            initial.version,
+            initial.entry,
+        );
+        let identity = Identity {
+            cluster: machine.cluster.clone(),
+            id: FOUNDER_ID,
+            name,
+        };
+        let saved = found(&machine, initial.state, FOUNDER_ID);
+        write_identity(&mut self.log, &identity, &saved)?;
+        let version = initial.version;
+        tracing::info!(cluster = identity.cluster, version, "cluster founded");
+        self.start_node(identity, &saved)
+    }
+
+    /// Gives up the membership because the disk holds an older copy of the log: this member never votes under its id again and joins
+    /// as a new one.
+    pub(super) fn rejoin_with_empty_log(
+        &mut self,
+        last_entry: u64,
+        acknowledged: u64,
+    ) -> Result<(), MemberError> {
+        tracing::error!(
+            last_entry,
+            acknowledged,
+            "log on disk is older than what this member has acknowledged, as in a restored copy; joining anew"
+        );
+        self.log.clear().map_err(MemberError::Log)?;
+        self.lease.replace(None);
+        self.joined = None;
+        self.was_disk_restored = true;
+        self.discovery.restart();
+        self.abort_proposals_unless_leader();
+        self.calls.abandon_all();
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/cluster-runtime/src/member/runtime.rs
@@ -0,0 +1,260 @@
+//! Event loop of a member, and the state that its handlers share.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use cluster::machine::Micros;
+use cluster::node::Node;
+use config_store::log::Log;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{MissedTickBehavior, interval};
+
+use super::call_table::CallTable;
+use super::command::{MemberCommand, ProposalResult};
+use super::discovery::{Discovery, PeerAddress};
+use super::error::MemberError;
+use super::event::MemberEvent;
+use super::settings::{ProvideInitialState, Settings};
+use crate::clock;
+use crate::frame::Key;
+use crate::heartbeat::ProcessHeartbeat;
+use crate::lease::SharedLease;
+use crate::message::{Body, Message, Sender};
+use crate::status::ChangeTotals;
+use crate::storage::{Identity, StorageError};
+use crate::transport::{Transport, TransportCounters};
+
+/// Interval between two ticks of the node.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Messages handled in one turn, before their outputs are written to disk together.
+const MAX_MESSAGES_PER_TURN: usize = 256;
+/// Received messages that wait for the event loop at most.
+const MAX_RECEIVED_MESSAGES: usize = 4 * MAX_MESSAGES_PER_TURN;
+
+/// Identity and node of a member that has joined.
+pub(super) struct JoinedMember {
+    pub identity: Identity,
+    pub node: Node,
+}
+
+/// Member of a cluster with its I/O.
+pub struct MemberRuntime {
+    pub(super) settings: Settings,
+    pub(super) log: Log,
+    pub(super) transport: Transport,
+    received: mpsc::Receiver<Message>,
+    events: mpsc::UnboundedSender<MemberEvent>,
+    commands: mpsc::UnboundedReceiver<MemberCommand>,
+    pub(super) lease: Arc<SharedLease>,
+    /// Times that the log was opened, this one included.
+    pub(super) starts: u32,
+    pub(super) provide_initial_state: Option<ProvideInitialState>,
+    /// Address on which this member listens.
+    pub(super) address: String,
+    /// `None` before this member has joined.
+    pub(super) joined: Option<JoinedMember>,
+    pub(super) discovery: Discovery,
+    /// Addresses of senders that the membership does not list yet, by id.
+    pub(super) unlisted_senders: BTreeMap<u64, PeerAddress>,
+    /// Callers that wait for the result of a proposal, by its id.
+    pub(super) proposals: BTreeMap<String, Vec<oneshot::Sender<ProposalResult>>>,
+    pub(super) calls: CallTable,
+    /// Finished changes that this member has seen.
+    pub(super) changes: ChangeTotals,
+    pub(super) heartbeat: ProcessHeartbeat,
+    pub(super) was_disk_restored: bool,
+    /// Cluster to which other members belong, if it is not this member's.
+    pub(super) foreign_cluster: Option<String>,
+    pub(super) next_foreign_notice_at: Micros,
+}
+
+/// Revokes the lease when the member ends, also by a panic.
+struct RevokeOnDrop(Arc<SharedLease>);
+
+impl Drop for RevokeOnDrop {
+    fn drop(&mut self) {
+        self.0.replace(None);
+    }
+}
+
+impl MemberRuntime {
+    /// Opens the log and listens for other members; the member does nothing until [`MemberRuntime::run`].
+    ///
+    /// # Errors
+    /// The log or the address is not available, or the directory belongs to another member.
+    pub async fn open(
+        settings: Settings,
+        events: mpsc::UnboundedSender<MemberEvent>,
+        commands: mpsc::UnboundedReceiver<MemberCommand>,
+        lease: Arc<SharedLease>,
+        provide_initial_state: ProvideInitialState,
+    ) -> Result<Self, MemberError> {
+        let (log, logged) = Log::open(&settings.directory).map_err(StorageError::from)?;
+        let listen_error = |source| MemberError::Listen {
+            address: settings.address.clone(),
+            source,
+        };
+        let listener = TcpListener::bind(&settings.address)
+            .await
+            .map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?.to_string();
+        tracing::info!(address, "listening for members");
+        let key = Key::new(&settings.cluster, &settings.key);
+        let (received_sender, received) = mpsc::channel(MAX_RECEIVED_MESSAGES);
+        let mut runtime = MemberRuntime {
+            transport: Transport::new(key, listener, received_sender),
+            received,
+            events,
+            commands,
+            lease,
+            starts: logged.starts,
+            provide_initial_state: Some(provide_initial_state),
+            address,
+            joined: None,
+            discovery: Discovery::new(&settings.name, settings.peers.keys()),
+            unlisted_senders: BTreeMap::new(),
+            proposals: BTreeMap::new(),
+            calls: CallTable::default(),
+            changes: ChangeTotals::default(),
+            heartbeat: ProcessHeartbeat::read(&settings.directory),
+            was_disk_restored: false,
+            foreign_cluster: None,
+            next_foreign_notice_at: 0,
+            log,
+            settings,
+        };
+        runtime.start_from_log(&logged)?;
+        Ok(runtime)
+    }
+
+    /// Returns the counters of the transport.
+    pub fn counters(&self) -> Arc<TransportCounters> {
+        self.transport.counters().clone()
+    }
+
+    /// Runs the member until the application has dropped its channels, or the disk fails.
+    pub async fn run(mut self) {
+        let revoke = RevokeOnDrop(self.lease.clone());
+        let result = self.run_event_loop().await;
+        drop(revoke);
+        let reason = match result {
+            Ok(()) => "the service is ending".to_owned(),
+            Err(e) => e.to_string(),
+        };
+        self.notify(MemberEvent::Stopped { reason });
+    }
+
+    async fn run_event_loop(&mut self) -> Result<(), MemberError> {
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        self.process_outputs()?;
+        loop {
+            tokio::select! {
+                message = self.received.recv() => match message {
+                    Some(message) => self.handle_messages(message)?,
+                    None => return Ok(()),
+                },
+                command = self.commands.recv() => match command {
+                    Some(command) => self.handle_command(command),
+                    None => return Ok(()),
+                },
+                _ = ticks.tick() => self.tick()?,
+            }
+            self.process_outputs()?;
+        }
+    }
+
+    /// Handles a message and those that wait behind it, up to the limit of a turn.
+    fn handle_messages(&mut self, first: Message) -> Result<(), MemberError> {
+        self.handle_message(first)?;
+        for _ in 0..MAX_MESSAGES_PER_TURN {
+            let Ok(message) = self.received.try_recv() else {
+                break;
+            };
+            self.handle_message(message)?;
+        }
+        Ok(())
+    }
+
+    fn tick(&mut self) -> Result<(), MemberError> {
+        let now = clock::now();
+        self.heartbeat.write_if_due(now);
+        if let Some(joined) = &mut self.joined {
+            joined.node.tick(now);
+            // Without a leader, the other members may have moved to another cluster; their answers tell.
+            let is_leaderless = joined.node.leader().is_none();
+            if is_leaderless && self.discovery.begin_leaderless_attempt(now) {
+                self.send_discovery_requests();
+            }
+        } else if self.discovery.begin_attempt(now) {
+            self.attempt_to_join()?;
+        }
+        self.route_calls(now);
+        Ok(())
+    }
+
+    pub(super) fn node(&self) -> Option<&Node> {
+        let joined = self.joined.as_ref()?;
+        Some(&joined.node)
+    }
+
+    /// Returns the id of this member's cluster.
+    pub(super) fn cluster_id(&self) -> Option<&str> {
+        let joined = self.joined.as_ref()?;
+        Some(&joined.identity.cluster)
+    }
+
+    /// Returns the leader, if it is known and listed.
+    pub(super) fn leader(&self) -> Option<PeerAddress> {
+        let leader = self.node()?.leader()?;
+        self.listed_member(leader)
+    }
+
+    /// Returns this member as the sender of messages.
+    pub(super) fn sender(&self) -> Sender {
+        let identity = self.joined.as_ref().map(|joined| &joined.identity);
+        Sender {
+            name: self.settings.name.clone(),
+            address: self.address.clone(),
+            id: identity.map_or(0, |identity| identity.id),
+            cluster: identity.map_or_else(String::new, |identity| identity.cluster.clone()),
+        }
+    }
+
+    /// Sends a message to a member; the address in the settings takes precedence over the one it announces.
+    pub(super) fn send_to(&mut self, name: &str, announced_address: &str, body: Body) {
+        let message = Message {
+            from: self.sender(),
+            body,
+        };
+        let configured_address = self.settings.peers.get(name);
+        let address = configured_address.map_or(announced_address, String::as_str);
+        self.transport.send(name, address, &message);
+    }
+
+    /// Sends a message to the member with this id; dropped if its address is not known.
+    pub(super) fn send_to_id(&mut self, id: u64, body: Body) {
+        let peer = self
+            .listed_member(id)
+            .or_else(|| self.unlisted_senders.get(&id).cloned());
+        if let Some(peer) = peer {
+            self.send_to(&peer.name, &peer.address, body);
+        }
+    }
+
+    /// Reports an event to the application; dropped once the application has gone.
+    pub(super) fn notify(&self, event: MemberEvent) {
+        let _ = self.events.send(event);
+    }
+
+    fn listed_member(&self, id: u64) -> Option<PeerAddress> {
+        let machine = self.node()?.machine()?;
+        let (name, member) = machine.members.iter().find(|(_, member)| member.id == id)?;
+        Some(PeerAddress {
+            name: name.clone(),
+            address: member.address.clone(),
+        })
+    }
+}
--- a/crates/cluster-runtime/src/message.rs
+++ b/crates/cluster-runtime/src/message.rs
@@ -1,72 +1,112 @@
-//! What members write to each other.
+//! Messages between members and their encoding, without I/O.
+//!
+//! Messages of the replicated log are encoded as raw bytes behind a short prefix, all others as JSON. Serialized names are part of the
+//! protocol between versions.
 
 use cluster::node::{self, Kind};
 use serde::{Deserialize, Serialize};
 
-/// A message, with who wrote it.
+/// First byte of an encoded log message.
+const LOG_ENCODING: u8 = 1;
+/// First byte of a message encoded as JSON.
+const JSON_ENCODING: u8 = 2;
+
+/// Message with its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Who wrote it.
+    /// Member that sent it.
     pub from: Sender,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
 
-/// Who writes.
+/// Sender of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens for other members.
     pub address: String,
-    /// Its number; 0 before it is a member.
+    /// Id of the member; 0 before it has joined.
     pub id: u64,
-    /// The cluster's own id; empty before it is a member.
+    /// Id of its cluster; empty before it has joined.
     pub cluster: String,
 }
 
-/// What a message says.
+/// Reason why a join request is rejected, as text from the leader.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+#[error("{0}")]
+#[serde(transparent)]
+pub struct JoinError(String);
+
+impl From<String> for JoinError {
+    fn from(reason: String) -> Self {
+        JoinError(reason)
+    }
+}
+
+impl From<&str> for JoinError {
+    fn from(reason: &str) -> Self {
+        JoinError(reason.to_owned())
+    }
+}
+
+/// Reason why a call has failed, as text from the member that handled it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+#[error("{0}")]
+#[serde(transparent)]
+pub struct CallError(String);
+
+impl From<String> for CallError {
+    fn from(reason: String) -> Self {
+        CallError(reason)
+    }
+}
+
+impl From<&str> for CallError {
+    fn from(reason: &str) -> Self {
+        CallError(reason.to_owned())
+    }
+}
+
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// From one member's part to another's, by its number.
+    /// Message of the cluster protocol for the member with this id.
     Node(u64, node::Message),
-    /// One that is no member asks whether there is a cluster, and who leads it.
+    /// Discovery request: asks for the leader of an existing cluster.
     Ask {
-        /// The members that its file names, with its own name, so that those who found a cluster mean the same one.
+        /// Names of the members that the sender's settings list, its own included; founders must agree on them.
         names: Vec<String>,
     },
-    /// The answer.
+    /// Answer to a discovery request.
     Tell {
-        /// The name and address of the one that leads, if it is known.
+        /// Name and address of the leader, if known.
         leader: Option<(String, String)>,
-        /// The names of those that the file names, where there is no cluster yet.
+        /// Names of the members that the sender's settings list, its own included.
         names: Vec<String>,
     },
-    /// It wants to join.
+    /// Request to join the cluster.
     Join {
-        /// Where it stands.
+        /// Zone of the joining member.
         zone: String,
-        /// What it drew; it asks again with the same.
+        /// Number drawn by the joining process; a repeated request carries the same.
         #[serde(default)]
         drawn: u64,
     },
-    /// It has joined, under this number; or why it has not.
-    Joined(Result<u64, String>),
-    /// A call for the one that leads, by its id.
+    /// Result of a join request: the new member's id.
+    Joined(Result<u64, JoinError>),
+    /// Call for the leader: id and payload.
     Call(String, String),
-    /// Whoever wrote is of another cluster than this one.
+    /// Notice that the receiver belongs to another cluster than the sender, whose id this is.
     Foreign(String),
-    /// Its answer.
-    Reply(String, Result<String, String>),
+    /// Answer to a call: id and result.
+    Reply(String, Result<String, CallError>),
 }
 
-/// The first byte of a message: the log's own messages go as they are, all others as JSON.
-const LOG: u8 = 1;
-const JSON: u8 = 2;
-
 impl Message {
-    /// What it is about.
+    /// Returns the kind by which the message is counted.
     pub fn kind(&self) -> Kind {
         match &self.body {
             Body::Node(_, message) => message.kind(),
@@ -74,41 +114,52 @@
         }
     }
 
-    /// The message's bytes.
+    /// Encodes the message.
     pub fn write(&self) -> Vec<u8> {
         if let Body::Node(to, node::Message::Log(log)) = &self.body
             && let Ok(from) = serde_json::to_vec(&self.from)
         {
-            let mut bytes = vec![LOG];
-            bytes.extend((from.len() as u32).to_le_bytes());
-            bytes.extend(from);
-            bytes.extend(to.to_le_bytes());
-            bytes.extend(log);
-            return bytes;
+            return encode_log(&from, *to, log);
         }
-        let mut bytes = vec![JSON];
-        // Names and numbers alone: nothing in it fails to be written.
+        let mut bytes = vec![JSON_ENCODING];
+        // Infallible: strings and numbers written to memory.
         let _ = serde_json::to_writer(&mut bytes, &(&self.from, &self.body));
         bytes
     }
 
-    /// A message from its bytes; none if it is no message.
+    /// Decodes a message; `None` if the bytes are not one.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        let (kind, rest) = bytes.split_first()?;
-        if *kind == JSON {
-            let (from, body) = serde_json::from_slice(rest).ok()?;
-            return Some(Message { from, body });
+        let (encoding, encoded) = bytes.split_first()?;
+        match *encoding {
+            JSON_ENCODING => {
+                let (from, body) = serde_json::from_slice(encoded).ok()?;
+                Some(Message { from, body })
+            }
+            LOG_ENCODING => decode_log(encoded),
+            _ => None,
         }
-        if *kind != LOG {
-            return None;
-        }
-        let (length, rest) = rest.split_first_chunk::<4>()?;
-        let (from, rest) = rest.split_at_checked(u32::from_le_bytes(*length) as usize)?;
-        let (to, log) = rest.split_first_chunk::<8>()?;
-        let body = Body::Node(u64::from_le_bytes(*to), node::Message::Log(log.to_vec()));
-        Some(Message {
-            from: serde_json::from_slice(from).ok()?,
-            body,
-        })
     }
 }
+
+fn encode_log(from: &[u8], to: u64, log: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![LOG_ENCODING];
+    bytes.extend((from.len() as u32).to_le_bytes());
+    bytes.extend(from);
+    bytes.extend(to.to_le_bytes());
+    bytes.extend(log);
+    bytes
+}
+
+fn decode_log(encoded: &[u8]) -> Option<Message> {
+    let (from_length, rest) = encoded.split_first_chunk::<4>()?;
+    let from_length = u32::from_le_bytes(*from_length) as usize;
+    let (from, rest) = rest.split_at_checked(from_length)?;
+    let (to, log) = rest.split_first_chunk::<8>()?;
+    let from = serde_json::from_slice(from).ok()?;
+    let to = u64::from_le_bytes(*to);
+    let log = node::Message::Log(log.to_vec());
+    Some(Message {
+        from,
+        body: Body::Node(to, log),
+    })
+}
--- a/crates/cluster-runtime/src/status.rs
+++ b/crates/cluster-runtime/src/status.rs
@@ -1,88 +1,178 @@
-//! How a cluster looks from one of its members.
+//! Status of the cluster as one of its members sees it, for the administration API and metrics.
+//!
+//! Serialized names are part of the administration API; this module alone maps them to the terms of the code.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How the cluster looks from one member.
+/// The cluster as one member sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
-    /// This member's name, and its number.
+    /// Name of this member.
     pub name: String,
-    /// As above.
+    /// Id of this member; 0 before it has joined.
     pub id: u64,
-    /// The cluster's own id.
+    /// Id of the cluster; empty before this member has joined.
     pub cluster: String,
-    /// Who leads.
+    /// Name of the leader, if known.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
-    /// The term of leading, and how far the log is applied.
+    /// Current term.
     pub term: u64,
-    /// As above.
+    /// Index of the last applied log entry.
     pub applied: u64,
-    /// The version in effect.
+    /// Version in effect.
     pub version: u64,
-    /// What this member decides under; none if it is fenced.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub decides: Option<u64>,
-    /// Why it is fenced.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub fenced: Option<String>,
-    /// The members.
+    /// Version under which this member may decide; none while it is fenced.
+    #[serde(rename = "decides", skip_serializing_if = "Option::is_none", default)]
+    pub deciding_version: Option<u64>,
+    /// Reason why this member is fenced.
+    #[serde(rename = "fenced", skip_serializing_if = "Option::is_none", default)]
+    pub fenced_reason: Option<String>,
+    /// Members of the cluster.
     pub members: Vec<MemberStatus>,
-    /// The change under way.
+    /// Configuration change in progress.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub change: Option<ChangeStatus>,
-    /// It does not know yet whether its disk is its newest, and votes for nobody.
-    #[serde(default)]
-    pub unproven: bool,
-    /// Its disk was found to have been put back from a copy since the start, and it has joined anew.
+    /// Set until it is known that the disk holds the newest log of this member; it does not vote until then.
+    #[serde(rename = "unproven", default)]
+    pub is_disk_unverified: bool,
+    /// Set once the disk was found to be an older copy and this member has joined anew.
+    #[serde(rename = "put-back", default)]
+    pub was_disk_restored: bool,
+    /// Totals over all connections since the start.
+    #[serde(rename = "messages")]
+    pub connections: ConnectionTotals,
+    /// Messages sent by kind; kinds without a message are left out.
     #[serde(default)]
-    pub put_back: bool,
-    /// Messages sent, their bytes, messages dropped, and links ended for rubbish.
-    pub messages: [u64; 4],
-    /// Messages sent and their bytes, by kind; kinds of which nothing was sent are left out.
+    pub sent: BTreeMap<String, MessageTotals>,
+    /// Finished configuration changes that this member has seen since the start.
     #[serde(default)]
-    pub sent: BTreeMap<String, [u64; 2]>,
-    /// Changes whose end was heard of here since the start: in effect, and given up.
-    #[serde(default)]
-    pub changes: [u64; 2],
+    pub changes: ChangeTotals,
+}
+
+/// Totals over all connections; serialized as an array in the order of the fields.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "[u64; 4]", into = "[u64; 4]")]
+pub struct ConnectionTotals {
+    /// Messages sent.
+    pub messages_sent: u64,
+    /// Bytes of the messages sent, with their frames.
+    pub bytes_sent: u64,
+    /// Messages dropped because they could not be sent in time.
+    pub messages_dropped: u64,
+    /// Inbound connections closed because of invalid data.
+    pub connections_rejected: u64,
+}
+
+impl From<[u64; 4]> for ConnectionTotals {
+    fn from(totals: [u64; 4]) -> Self {
+        let [
+            messages_sent,
+            bytes_sent,
+            messages_dropped,
+            connections_rejected,
+        ] = totals;
+        ConnectionTotals {
+            messages_sent,
+            bytes_sent,
+            messages_dropped,
+            connections_rejected,
+        }
+    }
+}
+
+impl From<ConnectionTotals> for [u64; 4] {
+    fn from(totals: ConnectionTotals) -> Self {
+        [
+            totals.messages_sent,
+            totals.bytes_sent,
+            totals.messages_dropped,
+            totals.connections_rejected,
+        ]
+    }
+}
+
+/// Messages and their bytes; serialized as an array in the order of the fields.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "[u64; 2]", into = "[u64; 2]")]
+pub struct MessageTotals {
+    /// Number of messages.
+    pub messages: u64,
+    /// Bytes of the messages, with their frames.
+    pub bytes: u64,
 }
 
-/// One member, as the one that leads sees it.
+impl From<[u64; 2]> for MessageTotals {
+    fn from([messages, bytes]: [u64; 2]) -> Self {
+        MessageTotals { messages, bytes }
+    }
+}
+
+impl From<MessageTotals> for [u64; 2] {
+    fn from(totals: MessageTotals) -> Self {
+        [totals.messages, totals.bytes]
+    }
+}
+
+/// Finished configuration changes; serialized as an array in the order of the fields.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "[u64; 2]", into = "[u64; 2]")]
+pub struct ChangeTotals {
+    /// Changes that took effect.
+    pub in_effect: u64,
+    /// Changes that were aborted.
+    pub aborted: u64,
+}
+
+impl From<[u64; 2]> for ChangeTotals {
+    fn from([in_effect, aborted]: [u64; 2]) -> Self {
+        ChangeTotals { in_effect, aborted }
+    }
+}
+
+impl From<ChangeTotals> for [u64; 2] {
+    fn from(totals: ChangeTotals) -> Self {
+        [totals.in_effect, totals.aborted]
+    }
+}
+
+/// One member as the leader sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its number.
+    /// Id of the member.
     pub id: u64,
-    /// Where it stands.
+    /// Zone of the member.
     pub zone: String,
-    /// Where it listens.
+    /// Address on which the member listens for other members.
     pub address: String,
-    /// Whether it has a vote.
-    pub votes: bool,
-    /// The version that it serves, as it last said.
+    /// Set if the member is a voter.
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
+    /// Version that the member serves, as it last reported.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub version: Option<u64>,
-    /// When it was last heard, in ms.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub heard_ms: Option<u64>,
-    /// For so long it may still decide at most, in ms; none if it surely does not, and -1 if until it says otherwise.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub holds_ms: Option<i64>,
+    /// Age of the last report of the member, in milliseconds.
+    #[serde(rename = "heard-ms", skip_serializing_if = "Option::is_none", default)]
+    pub last_report_age_ms: Option<u64>,
+    /// Upper bound of the remaining lease of the member, in milliseconds; none without a lease, -1 for one without an end.
+    #[serde(rename = "holds-ms", skip_serializing_if = "Option::is_none", default)]
+    pub lease_remaining_ms: Option<i64>,
 }
 
-/// A change under way.
+/// Configuration change in progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ChangeStatus {
-    /// Its id.
+    /// Id of the change.
     pub id: String,
-    /// `checking` or `closing`.
+    /// Phase of the change: `checking` or `closing`.
     pub phase: String,
-    /// The members that it waits for.
+    /// Names of the members that the change waits for.
     pub waits_for: Vec<String>,
 }
--- a/crates/cluster-runtime/tests/links.rs
+++ b/crates/cluster-runtime/tests/links.rs
@@ -2,9 +2,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cluster_runtime::frame::{ANSWER, Key, OPENING, opened, opening};
+use cluster_runtime::frame::{ANSWER_BYTES, Key, OPENING_BYTES, opened, opening};
 use cluster_runtime::message::{Body, Message, Sender};
-use cluster_runtime::post::Post;
+use cluster_runtime::transport::Transport;
 use config_store::log::{Append, Log, Logged};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
@@ -26,43 +26,53 @@
     }
 }
 
-async fn post(key: &Key) -> (Post, mpsc::Receiver<Message>, String) {
+async fn transport(key: &Key) -> (Transport, mpsc::Receiver<Message>, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (put, messages) = mpsc::channel(64);
-    (Post::new(key.clone(), listener, put), messages, address)
+    (
+        Transport::new(key.clone(), listener, put),
+        messages,
+        address,
+    )
 }
 
 #[tokio::test]
 async fn messages_come_in_order_also_after_a_link_was_lost() {
     let key = Key::new("c", b"0123456789abcdef");
-    let (mut here, _, _) = post(&key).await;
-    let (there, mut messages, address) = post(&key).await;
+    let (mut here, _, _) = transport(&key).await;
+    let (there, mut messages, address) = transport(&key).await;
     for n in [1, 100_000, 3] {
         here.send("b", &address, &message(n));
         assert_eq!(messages.recv().await.unwrap(), message(n));
     }
-    assert_eq!(here.counts().sent.load(Ordering::Relaxed), 3);
+    assert_eq!(here.counters().messages_sent.load(Ordering::Relaxed), 3);
     // Nobody is there: what is for it is dropped, and nothing waits.
     here.send("nobody", "127.0.0.1:1", &message(1));
-    while here.counts().dropped.load(Ordering::Relaxed) == 0 {
+    while here.counters().messages_dropped.load(Ordering::Relaxed) == 0 {
         tokio::task::yield_now().await;
     }
     here.send("b", &address, &message(7));
     assert_eq!(messages.recv().await.unwrap(), message(7));
-    assert_eq!(there.counts().rubbish.load(Ordering::Relaxed), 0);
+    assert_eq!(
+        there
+            .counters()
+            .connections_rejected
+            .load(Ordering::Relaxed),
+        0
+    );
 }
 
 #[tokio::test]
 async fn a_message_that_is_changed_played_again_or_too_long_ends_its_link() {
     let key = Key::new("c", b"0123456789abcdef");
-    let (there, mut messages, address) = post(&key).await;
+    let (there, mut messages, address) = transport(&key).await;
     for (n, how) in ["changed", "again", "long"].iter().enumerate() {
         let mut stream = TcpStream::connect(&address).await.unwrap();
         let drawn = [7; 16];
-        let said: [u8; OPENING] = opening(&key, drawn);
+        let said: [u8; OPENING_BYTES] = opening(&key, drawn);
         stream.write_all(&said).await.unwrap();
-        let mut answer = [0; ANSWER];
+        let mut answer = [0; ANSWER_BYTES];
         stream.read_exact(&mut answer).await.unwrap();
         let mut sealer = opened(&key, drawn, &answer).unwrap();
         let mut bytes = message(5).write();
@@ -89,7 +99,12 @@
             .await
             .unwrap();
         assert!(matches!(closed, Ok(0) | Err(_)), "{how}");
-        while there.counts().rubbish.load(Ordering::Relaxed) as usize <= n {
+        while there
+            .counters()
+            .connections_rejected
+            .load(Ordering::Relaxed) as usize
+            <= n
+        {
             tokio::task::yield_now().await;
         }
     }
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -14,10 +14,12 @@
 
 use cluster::machine::{Outcome, Phase, Proposal, Rules, Version};
 use cluster::node::Kind;
-use cluster_runtime::member::{self, Said, Settings, Told};
-use cluster_runtime::post::Counts;
-use cluster_runtime::right::Right;
+use cluster_runtime::lease::SharedLease;
+use cluster_runtime::member::{
+    InitialState, MemberCommand, MemberEvent, MemberRuntime, PendingChange, Settings,
+};
 use cluster_runtime::status::Status;
+use cluster_runtime::transport::TransportCounters;
 use rustix::process::{Pid, Signal, kill_process};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
@@ -125,10 +127,10 @@
 }
 
 struct Member {
-    right: Arc<Right>,
-    counts: Arc<Counts>,
+    lease: Arc<SharedLease>,
+    counters: Arc<TransportCounters>,
     seen: Arc<Mutex<Seen>>,
-    said: mpsc::UnboundedSender<Said>,
+    said: mpsc::UnboundedSender<MemberCommand>,
 }
 
 /// Runs members as it is told, a line of JSON at a time, and answers each with a line, until nothing more comes.
@@ -182,24 +184,31 @@
         Order::Look => Ok(Reply::Look(Box::new(look(members)))),
         Order::Status => {
             let (tell, told) = oneshot::channel();
-            let _ = first(members)?.send(Said::Status(tell)); // one that has ended drops the question
+            let _ = first(members)?.send(MemberCommand::ReportStatus(tell)); // one that has ended drops the question
             told.await
                 .map(|s| Reply::Status(Box::new(s)))
                 .map_err(|e| e.to_string())
         }
         Order::Change(id, bytes) => {
             let (tell, told) = oneshot::channel();
-            let _ = first(members)?.send(Said::Call(id, "x".repeat(bytes), tell)); // as above
+            let _ = first(members)?.send(MemberCommand::Call {
+                id,
+                payload: "x".repeat(bytes),
+                reply: tell,
+            }); // as above
             match timeout(LONG, told).await {
                 Ok(Ok(Ok(_))) => Ok(Reply::Done),
-                Ok(Ok(Err(why))) => Err(why),
+                Ok(Ok(Err(why))) => Err(why.to_string()),
                 Ok(Err(e)) => Err(e.to_string()),
                 Err(_) => Err("a change had no end in time".into()),
             }
         }
         Order::StepDown => {
             let (tell, told) = oneshot::channel();
-            let _ = first(members)?.send(Said::StepDown(None, tell)); // as above
+            let _ = first(members)?.send(MemberCommand::StepDown {
+                successor: None,
+                reply: tell,
+            }); // as above
             told.await
                 .map_err(|e| e.to_string())?
                 .map(|()| Reply::Done)
@@ -226,11 +235,19 @@
     };
     let (tells, told) = mpsc::unbounded_channel();
     let (said, hears) = mpsc::unbounded_channel();
-    let right = Arc::new(Right::default());
+    let lease = Arc::new(SharedLease::default());
     let bytes = spec.state_bytes;
-    let begin = Box::new(move || Ok((1, 1, "x".repeat(bytes))));
-    let driven = member::open(settings, tells, hears, right.clone(), begin).await?;
-    let counts = driven.counts();
+    let begin = Box::new(move || {
+        Ok(InitialState {
+            version: 1,
+            entry: 1,
+            state: "x".repeat(bytes),
+        })
+    });
+    let driven = MemberRuntime::open(settings, tells, hears, lease.clone(), begin)
+        .await
+        .map_err(|e| e.to_string())?;
+    let counters = driven.counters();
     tokio::spawn(driven.run());
     let seen = Arc::new(Mutex::new(Seen {
         name: one.name.clone(),
@@ -246,8 +263,8 @@
     };
     tokio::spawn(application.follow(told));
     Ok(Member {
-        right,
-        counts,
+        lease,
+        counters,
         seen,
         said,
     })
@@ -269,15 +286,15 @@
     for member in members {
         for kind in 0..Kind::COUNT {
             let (out, incoming) = (
-                member.counts.out[kind].so_far(),
-                member.counts.incoming[kind].so_far(),
+                <[u64; 2]>::from(member.counters.sent_by_kind[kind].totals()),
+                <[u64; 2]>::from(member.counters.received_by_kind[kind].totals()),
             );
             (0..2).for_each(|i| look.out[kind][i] += out[i]);
             (0..2).for_each(|i| look.incoming[kind][i] += incoming[i]);
         }
         look.dropped += member
-            .counts
-            .dropped
+            .counters
+            .messages_dropped
             .load(std::sync::atomic::Ordering::Relaxed);
         let mut seen = member
             .seen
@@ -286,7 +303,7 @@
             .clone();
         seen.decides = seen
             .version
-            .is_some_and(|v| member.right.may_decide(v).is_some());
+            .is_some_and(|v| member.lease.may_decide(v).is_some());
         look.members.push(seen);
     }
     look
@@ -294,7 +311,7 @@
 
 /// The application's side: it can take every change, and does what it is told at once.
 struct Application {
-    said: mpsc::UnboundedSender<Said>,
+    said: mpsc::UnboundedSender<MemberCommand>,
     seen: Arc<Mutex<Seen>>,
     state_bytes: usize,
     /// How much is stored.
@@ -305,13 +322,13 @@
 }
 
 impl Application {
-    async fn follow(mut self, mut told: mpsc::UnboundedReceiver<Told>) {
+    async fn follow(mut self, mut told: mpsc::UnboundedReceiver<MemberEvent>) {
         while let Some(told) = told.recv().await {
             self.told(told);
         }
     }
 
-    fn say(&self, said: Said) {
+    fn say(&self, said: MemberCommand) {
         let _ = self.said.send(said); // a member that has ended says so
     }
 
@@ -324,54 +341,75 @@
         seen.served.push((version, cluster_runtime::clock::now()));
     }
 
-    fn told(&mut self, told: Told) {
+    fn told(&mut self, told: MemberEvent) {
         match told {
-            Told::Check(proposal) => self.say(Said::Checked(proposal.id, Ok(()))),
-            Told::Close(proposal) => self.say(Said::Closed(proposal.id)),
-            Told::Open(version, _) => {
+            MemberEvent::CheckProposal(proposal) => self.say(MemberCommand::ProposalChecked {
+                proposal: proposal.id,
+                rejection: None,
+            }),
+            MemberEvent::CloseVersion(proposal) => self.say(MemberCommand::VersionClosed {
+                proposal: proposal.id,
+            }),
+            MemberEvent::ActivateVersion { version, .. } => {
                 self.entry += 1;
                 self.serves(version);
-                self.say(Said::Opened(version));
+                self.say(MemberCommand::VersionActivated(version));
             }
-            Told::Note(_) => self.entry += 1,
-            Told::Restore(machine, state) => {
+            MemberEvent::StoreEntry(_) => self.entry += 1,
+            MemberEvent::RestoreState { machine, state } => {
                 self.seen
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .restored = state.len();
                 self.entry = machine.entry;
                 self.serves(machine.version);
-                let change = machine.change.map(|c| (c.proposal.id, c.phase));
-                self.say(Said::Restored(machine.version, change.clone()));
-                if let Some((id, Phase::Checking)) = change {
-                    self.say(Said::Checked(id, Ok(())));
+                let change = machine.change.map(|c| PendingChange {
+                    id: c.proposal.id,
+                    phase: c.phase,
+                });
+                self.say(MemberCommand::StateRestored {
+                    version: machine.version,
+                    change: change.clone(),
+                });
+                if let Some(change) = change
+                    && change.phase == Phase::Checking
+                {
+                    self.say(MemberCommand::ProposalChecked {
+                        proposal: change.id,
+                        rejection: None,
+                    });
                 }
             }
-            Told::Save => self.say(Said::Saved("x".repeat(self.state_bytes))),
+            MemberEvent::ExportState => {
+                self.say(MemberCommand::StateExported("x".repeat(self.state_bytes)))
+            }
             // As the API does: who leads makes sure that it does before it decides a call.
-            Told::Call(id, text) => {
+            MemberEvent::CallReceived { id, payload: text } => {
                 self.next_read += 1;
                 self.reads.insert(self.next_read, (id, text));
-                self.say(Said::Confirm(self.next_read));
+                self.say(MemberCommand::ConfirmRead(self.next_read));
             }
-            Told::Read(number, good) => {
+            MemberEvent::ReadCompleted {
+                read: number,
+                is_current: good,
+            } => {
                 if let Some((id, text)) = self.reads.remove(&number) {
                     self.decide(id, text, good);
                 }
             }
-            Told::Ended(why) => {
+            MemberEvent::Stopped { reason: why } => {
                 self.seen
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .ended = Some(why);
             }
-            Told::Members(..) | Told::GivenUp => {}
+            MemberEvent::MembersChanged { .. } | MemberEvent::ProposalAborted => {}
         }
     }
 
     fn decide(&self, id: String, payload: String, leads: bool) {
         if !leads {
-            return self.say(Said::Unanswered(id));
+            return self.say(MemberCommand::CallUnanswered { id });
         }
         let (tell, told) = oneshot::channel();
         let proposal = Proposal {
@@ -379,13 +417,23 @@
             base: self.entry,
             payload,
         };
-        self.say(Said::Propose(proposal, false, tell));
+        self.say(MemberCommand::Propose {
+            proposal,
+            is_note: false,
+            reply: tell,
+        });
         let said = self.said.clone();
         tokio::spawn(async move {
             let answer = match told.await {
-                Ok(Ok(Outcome::InEffect(version))) => Said::Answered(id, Ok(version.to_string())),
-                Ok(Ok(other)) => Said::Answered(id, Err(format!("{other:?}"))),
-                _ => Said::Unanswered(id),
+                Ok(Ok(Outcome::InEffect(version))) => MemberCommand::CallAnswered {
+                    id,
+                    answer: Ok(version.to_string()),
+                },
+                Ok(Ok(other)) => MemberCommand::CallAnswered {
+                    id,
+                    answer: Err(format!("{other:?}").into()),
+                },
+                _ => MemberCommand::CallUnanswered { id },
             };
             let _ = said.send(answer); // a member that has ended answers nothing
         });
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -389,7 +389,14 @@
             group.start()?;
         }
         let end = Instant::now() + PATIENCE + PATIENCE_EACH * members as u32;
-        while cluster.status()?.members.iter().filter(|m| m.votes).count() < voters {
+        while cluster
+            .status()?
+            .members
+            .iter()
+            .filter(|m| m.is_voter)
+            .count()
+            < voters
+        {
             cluster.wait(end, stop, "those who vote")?;
         }
         for (_, group) in &mut cluster.groups[voters..] {
--- a/crates/lab/src/service/fleet.rs
+++ b/crates/lab/src/service/fleet.rs
@@ -190,7 +190,7 @@
                 match (value["message"].as_str(), address) {
                     (Some("listens"), Some(_)) => said.public = address,
                     (Some("the administration API listens"), Some(_)) => said.admin = address,
-                    (Some("the cluster's links listen"), Some(_)) => said.links = address,
+                    (Some("listening for members"), Some(_)) => said.links = address,
                     _ => {}
                 }
                 said.last.push(line);
