--- a/crates/admin-api/src/start.rs
+++ b/crates/admin-api/src/start.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use startup::{Facts, Phase, Start, Terms, Verdict};
+use startup::{Conditions, Membership, Phase, Readiness, StartupSequence, StartupSettings};
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
@@ -19,21 +19,21 @@
 /// A start, as the API's thread and its callers share it.
 pub struct Starting {
     began: Instant,
-    start: Mutex<Start>,
+    start: Mutex<StartupSequence>,
 }
 
 impl Starting {
     /// A process that began then, and has read its store.
-    pub fn new(began: Instant, terms: Terms) -> Self {
-        let mut start = Start::new(0, terms);
-        start.stored(micros(began));
+    pub fn new(began: Instant, settings: StartupSettings) -> Self {
+        let mut start = StartupSequence::new(0, settings);
+        start.store_opened(micros(began));
         Starting {
             began,
             start: Mutex::new(start),
         }
     }
 
-    fn with<T>(&self, look: impl FnOnce(&mut Start, u64) -> T) -> T {
+    fn with<T>(&self, look: impl FnOnce(&mut StartupSequence, u64) -> T) -> T {
         let now = micros(self.began);
         look(
             &mut self.start.lock().unwrap_or_else(PoisonError::into_inner),
@@ -56,32 +56,34 @@
         loop {
             let (tell, told) = oneshot::channel();
             self.give(Order::Known(tell));
-            let Ok((open, tenants, unknown)) = told.await else {
+            let Ok((open, _tenants, unknown)) = told.await else {
                 return;
             };
             let Some(status) = together.status().await else {
                 return;
             };
-            let facts = Facts {
-                joined: status.id != 0,
-                led: status.leader.is_some(),
-                current: open.is_some() && status.deciding_version == open,
-                tenants,
-                unknown,
+            let conditions = Conditions {
+                membership: Membership::new(status.id != 0, status.leader.is_some()),
+                is_policy_current: open.is_some() && status.deciding_version == open,
+                unknown_lists: unknown,
             };
-            let (verdict, report) = together
+            let (readiness, report) = together
                 .start
-                .with(|start, now| (start.look(now, facts), start.report(now)));
+                .with(|start, now| (start.update(now, conditions), start.report(now)));
             if report.phase != last {
                 last = report.phase;
                 let waits_for = report.waits_for.as_str();
-                tracing::info!(phase = report.phase.name(), waits_for, "the start");
+                tracing::info!(
+                    phase = report.phase.name(),
+                    waits_for,
+                    "startup phase entered"
+                );
             }
-            match verdict {
-                Verdict::Wait => sleep(LOOK).await,
-                Verdict::Take => break,
-                Verdict::TakeUnsure => {
-                    let lists = report.unsure.join(", ");
+            match readiness {
+                Readiness::NotReady => sleep(LOOK).await,
+                Readiness::Ready => break,
+                Readiness::ReadyWithUnknownLists => {
+                    let lists = report.unknown_lists.join(", ");
                     tracing::warn!(
                         lists,
                         "takes requests though some tenants' lists are not known: theirs are refused"
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -42,12 +42,12 @@
 }
 
 /// What an instance's start goes by.
-pub fn start(cluster: &Cluster) -> startup::Terms {
-    startup::Terms {
-        list_wait: micros(cluster.list_wait.0),
-        when_list_unknown: match cluster.when_list_unknown {
-            WhenListUnknown::Serve => startup::WhenUnknown::Serve,
-            WhenListUnknown::Refuse => startup::WhenUnknown::Refuse,
+pub fn start(cluster: &Cluster) -> startup::StartupSettings {
+    startup::StartupSettings {
+        list_timeout: micros(cluster.list_wait.0),
+        unknown_list_policy: match cluster.when_list_unknown {
+            WhenListUnknown::Serve => startup::UnknownListPolicy::Serve,
+            WhenListUnknown::Refuse => startup::UnknownListPolicy::Reject,
         },
     }
 }
