--- a/crates/admin-api/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -6,8 +6,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cluster::machine::{Outcome as Ended, Phase, Proposal, Reason};
-use cluster::node::Refusal;
+use cluster::command::{AbortReason, Proposal};
+use cluster::error::NodeError;
+use cluster::member_lease::Validation;
+use cluster::node::ProposalKind;
+use cluster::state_machine::{Outcome as Ended, Phase};
 use cluster_runtime::member::{MemberCommand, MemberEvent, PendingChange};
 use cluster_runtime::status::Status;
 use config_parser::Fault;
@@ -213,21 +216,21 @@
         };
         while let Some(told) = told.recv().await {
             match told {
-                MemberEvent::CheckProposal(proposal) => self.check(together, proposal),
+                MemberEvent::ValidateChange(proposal) => self.check(together, proposal),
                 MemberEvent::MembersChanged { index, count } => {
                     self.give(Order::Among(index, count));
                 }
-                MemberEvent::ProposalAborted => self.give(Order::HoldOff(BTreeMap::new())),
-                MemberEvent::CloseVersion(proposal) => {
+                MemberEvent::ChangeAborted => self.give(Order::HoldOff(BTreeMap::new())),
+                MemberEvent::FenceVersion(proposal) => {
                     if too_early() {
-                        together.say(MemberCommand::VersionClosed {
-                            proposal: proposal.id.clone(),
+                        together.say(MemberCommand::ChangeFenced {
+                            change: proposal.id.clone(),
                         });
                         fail::fail_point!("closed-late"); // and goes on deciding
                     }
                     if self.order(Order::Close).await {
-                        together.say(MemberCommand::VersionClosed {
-                            proposal: proposal.id,
+                        together.say(MemberCommand::ChangeFenced {
+                            change: proposal.id,
                         });
                     }
                 }
@@ -237,9 +240,9 @@
                         tracing::error!(version, error = e, "a version can't be served here");
                         continue;
                     }
-                    together.say(MemberCommand::VersionActivated(version));
+                    together.say(MemberCommand::VersionServed(version));
                 }
-                MemberEvent::StoreEntry(proposal) => {
+                MemberEvent::StorePayload(proposal) => {
                     let taken =
                         Agreed::read(&proposal.payload).map(|a| self.desk().take(&a).map(drop));
                     if let Err(e) | Ok(Err(Problem { detail: e, .. })) = taken {
@@ -248,12 +251,12 @@
                     self.stored();
                 }
                 MemberEvent::RestoreState { machine, state } => {
-                    match self.restore(together, machine.entry, &state).await {
+                    match self.restore(together, machine.revision, &state).await {
                         Ok(()) => {
                             let version = machine.version;
                             self.order(|done| Order::OpenAt(version, done)).await;
                             let change = machine.change.map(|c| (c.proposal, c.phase));
-                            if let Some((_, Phase::Closing)) = change {
+                            if let Some((_, Phase::Fencing)) = change {
                                 self.order(Order::Close).await;
                             }
                             let pending = change.as_ref().map(|(proposal, phase)| PendingChange {
@@ -264,7 +267,7 @@
                                 version,
                                 change: pending,
                             });
-                            if let Some((proposal, Phase::Checking)) = change {
+                            if let Some((proposal, Phase::Validating)) = change {
                                 self.check(together, proposal);
                             }
                         }
@@ -334,10 +337,10 @@
                 Err(why)
             }
         };
-        together.say(MemberCommand::ProposalChecked {
-            proposal: proposal.id,
-            rejection: can.err(),
-        });
+        together.say(MemberCommand::ChangeValidated(Validation {
+            change: proposal.id,
+            fault: can.err(),
+        }));
     }
 
     async fn open(&self, version: u64, proposal: &Proposal) -> Result<(), String> {
@@ -412,23 +415,26 @@
                 }
                 Err(problem) => return Some(problem.into()),
             };
-            let note = agreed.write.edits.is_empty();
+            let kind = match agreed.write.edits.is_empty() {
+                true => ProposalKind::Storage,
+                false => ProposalKind::Change,
+            };
             let proposal = Proposal {
                 id: format!("{id}.{round}"),
-                base: agreed.write.base,
+                base_revision: agreed.write.base_entry,
                 payload: agreed.write_down(),
             };
             match together
                 .ask(|reply| MemberCommand::Propose {
                     proposal,
-                    is_note: note,
+                    kind,
                     reply,
                 })
                 .await?
             {
-                Ok(Ended::InEffect(_) | Ended::Stored) => return Some(Given::Reply(reply)),
-                Ok(Ended::GivenUp(why)) => return Some(given_up(&why).into()),
-                Ok(Ended::Overtaken) => {}
+                Ok(Ended::Activated(_) | Ended::Stored) => return Some(Given::Reply(reply)),
+                Ok(Ended::Aborted(why)) => return Some(given_up(&why).into()),
+                Ok(Ended::Conflict) => {}
                 Err(_) => return None,
             }
         }
@@ -475,8 +481,8 @@
         if let Err(problem) = may {
             return Some(problem.into());
         }
-        let refused = |e: Refusal| match e {
-            Refusal::NotLeading(_) => None,
+        let refused = |e: NodeError| match e {
+            NodeError::NotLeader => None,
             e => Some(Given::from(Problem::conflict(e.to_string()))),
         };
         match joint {
@@ -503,7 +509,7 @@
             Joint::StepDown => {
                 let to = passed.body["to"].as_str().map(str::to_owned);
                 match together
-                    .ask(|reply| MemberCommand::StepDown {
+                    .ask(|reply| MemberCommand::TransferLeadership {
                         successor: to,
                         reply,
                     })
@@ -540,10 +546,7 @@
                             return Some(Given::Reply(Reply::of(json!({ "removed": name }))));
                         }
                         Ok(false) => {}
-                        Err(Refusal::Wait(why)) if why != "another member comes or goes" => {
-                            return Some(Problem::conflict(why).into());
-                        }
-                        Err(Refusal::Wait(_)) => {}
+                        Err(NodeError::MembershipChangeInProgress) => {}
                         Err(e) => return refused(e),
                     }
                     sleep(AGAIN).await;
@@ -580,7 +583,7 @@
         self.desk()
             .who(passed.authorization.as_deref(), passed.now_ms)?
             .may(crate::access::Needs::Operate)?;
-        let doubted = timeout(STATUS, together.ask(MemberCommand::TrustDisk)).await;
+        let doubted = timeout(STATUS, together.ask(MemberCommand::ConfirmDisk)).await;
         match doubted {
             Ok(Some(doubted)) => Ok(Reply::of(json!({ "doubted": doubted }))),
             _ => Err(Problem::conflict("this instance is no member yet")),
@@ -599,10 +602,10 @@
     Problem::not_found("this service is not one of a cluster's instances")
 }
 
-fn given_up(why: &[Reason]) -> Problem {
-    let one = |r: &Reason| match r.by.is_empty() {
-        true => r.why.clone(),
-        false => format!("{}: {}", r.by, r.why),
+fn given_up(why: &[AbortReason]) -> Problem {
+    let one = |r: &AbortReason| match r.member.is_empty() {
+        true => r.detail.clone(),
+        false => format!("{}: {}", r.member, r.detail),
     };
     let all: Vec<String> = why.iter().map(one).collect();
     Problem::given_up(format!("it has taken hold nowhere: {}", all.join("; ")))
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -253,7 +253,7 @@
             Some(order) = orders.recv() => order.obey(plane),
         }
     }
-    let _ = member.send(MemberCommand::BeginShutdown); // one that has ended rests already
+    let _ = member.send(MemberCommand::ReleaseLease); // one that has ended rests already
     tokio::time::sleep(PARTING).await;
 }
 
--- a/crates/cluster-runtime/src/clock.rs
+++ b/crates/cluster-runtime/src/clock.rs
@@ -1,6 +1,6 @@
 //! Clock by which leases are measured.
 
-use cluster::machine::Micros;
+use cluster::rules::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
 /// Returns the time since the boot of the machine, suspension included. It is never set back and goes on while the process is stopped.
--- a/crates/cluster-runtime/src/heartbeat.rs
+++ b/crates/cluster-runtime/src/heartbeat.rs
@@ -6,7 +6,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cluster::machine::Micros;
+use cluster::rules::Micros;
 
 use crate::clock;
 
--- a/crates/cluster-runtime/src/lease.rs
+++ b/crates/cluster-runtime/src/lease.rs
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use cluster::fence::Until;
-use cluster::machine::{Micros, Version};
+use cluster::member_lease::{Lease, LeaseExpiry};
+use cluster::rules::Micros;
+use cluster::state_machine::Version;
 use tokio::sync::Notify;
 
 use crate::clock;
@@ -33,24 +34,27 @@
     }
 
     /// Replaces the lease; `None` revokes it.
-    pub fn replace(&self, lease: Option<(Version, Until)>) {
+    pub fn replace(&self, lease: Option<Lease>) {
         if lease.is_none() && ignores_revocation() {
             return;
         }
         match lease {
             None => self.expires_at.store(NO_LEASE, Ordering::SeqCst),
-            Some((version, Until::Forever)) => self.store(version, NEVER_EXPIRES),
-            Some((version, Until::Before(expires_at))) => self.store(version, expires_at),
+            Some(lease) => self.store(lease),
         }
         self.changed.notify_waiters();
     }
 
     /// Invariant: there is no lease while the version changes, so a reader that sees the new expiry also sees the new version.
-    fn store(&self, version: Version, expires_at: Micros) {
-        if self.version.load(Ordering::SeqCst) != version {
+    fn store(&self, lease: Lease) {
+        if self.version.load(Ordering::SeqCst) != lease.version {
             self.expires_at.store(NO_LEASE, Ordering::SeqCst);
-            self.version.store(version, Ordering::SeqCst);
+            self.version.store(lease.version, Ordering::SeqCst);
         }
+        let expires_at = match lease.expiry {
+            LeaseExpiry::At(expires_at) => expires_at,
+            LeaseExpiry::Never => NEVER_EXPIRES,
+        };
         self.expires_at.store(expires_at, Ordering::SeqCst);
     }
 
--- a/crates/cluster-runtime/src/member/call_routing.rs
+++ b/crates/cluster-runtime/src/member/call_routing.rs
@@ -1,7 +1,7 @@
 //! Routing of calls to the leader, and of answers back to the callers.
 
-use cluster::machine::Micros;
 use cluster::node::Node;
+use cluster::rules::Micros;
 
 use super::call_table::Caller;
 use super::command::CallResult;
@@ -29,7 +29,7 @@
 
     /// Passes a call on to the application, once for all its callers. Ignored unless this member leads: the caller retries.
     pub(super) fn accept_call(&mut self, id: String, payload: String, caller: Caller) {
-        let is_leader = self.node().is_some_and(Node::leads);
+        let is_leader = self.node().is_some_and(Node::is_leader);
         if !is_leader || !self.calls.has_capacity() {
             return;
         }
@@ -55,7 +55,7 @@
     }
 
     fn address_of(&self, name: &str) -> Option<String> {
-        let member = self.node()?.machine()?.members.get(name)?;
+        let member = self.node()?.state_machine()?.members.get(name)?;
         Some(member.address.clone())
     }
 }
--- a/crates/cluster-runtime/src/member/call_table.rs
+++ b/crates/cluster-runtime/src/member/call_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cluster::machine::Micros;
+use cluster::rules::Micros;
 use tokio::sync::oneshot;
 
 use super::command::CallResult;
--- a/crates/cluster-runtime/src/member/command.rs
+++ b/crates/cluster-runtime/src/member/command.rs
@@ -1,14 +1,17 @@
 //! Commands that the application gives to its member.
 
-use cluster::machine::{Outcome, Phase, Proposal, Version};
-use cluster::node::Refusal;
+use cluster::command::Proposal;
+use cluster::error::NodeError;
+use cluster::member_lease::Validation;
+use cluster::node::ProposalKind;
+use cluster::state_machine::{Outcome, Phase, Version};
 use tokio::sync::oneshot;
 
 use crate::message::CallError;
 use crate::status::Status;
 
 /// Result of a proposal.
-pub type ProposalResult = Result<Outcome, Refusal>;
+pub type ProposalResult = Result<Outcome, NodeError>;
 /// Answer to a call for the leader.
 pub type CallResult = Result<String, CallError>;
 
@@ -24,20 +27,15 @@
 /// Command of the application. A reply channel that is dropped unanswered means that the member has stopped or has not joined yet.
 #[derive(Debug)]
 pub enum MemberCommand {
-    /// A proposal has been validated.
-    ProposalChecked {
-        /// Id of the proposal.
-        proposal: String,
-        /// Reason against the proposal; none if it can be taken.
-        rejection: Option<String>,
-    },
+    /// A change has been validated.
+    ChangeValidated(Validation),
     /// Decisions under the present version have stopped.
-    VersionClosed {
-        /// Id of the proposal for which they stopped.
-        proposal: String,
+    ChangeFenced {
+        /// Id of the change for which they stopped.
+        change: String,
     },
     /// A version is served.
-    VersionActivated(Version),
+    VersionServed(Version),
     /// A restored snapshot is served.
     StateRestored {
         /// Version of the snapshot.
@@ -59,12 +57,12 @@
         /// Id of the call.
         id: String,
     },
-    /// Proposes a change or an entry.
+    /// Proposes a change or a payload to store.
     Propose {
         /// Proposal.
         proposal: Proposal,
-        /// Set for an entry that changes no version.
-        is_note: bool,
+        /// Kind of the proposal.
+        kind: ProposalKind,
         /// Receives the result once it is agreed.
         reply: oneshot::Sender<ProposalResult>,
     },
@@ -80,7 +78,7 @@
         reply: oneshot::Sender<CallResult>,
     },
     /// Announces a graceful shutdown: this member decides nothing any more, and no change has to wait for it.
-    BeginShutdown,
+    ReleaseLease,
     /// Asks for the status of the cluster.
     ReportStatus(oneshot::Sender<Status>),
     /// Removes a member.
@@ -88,15 +86,15 @@
         /// Name of the member.
         name: String,
         /// Receives true once the member is removed, false while it is still leaving.
-        reply: oneshot::Sender<Result<bool, Refusal>>,
+        reply: oneshot::Sender<Result<bool, NodeError>>,
     },
     /// Accepts the disk of this member as its newest, on the word of an operator; the reply is true if that was in doubt.
-    TrustDisk(oneshot::Sender<bool>),
+    ConfirmDisk(oneshot::Sender<bool>),
     /// Transfers leadership.
-    StepDown {
+    TransferLeadership {
         /// Name of the new leader; any member if none.
         successor: Option<String>,
         /// Receives the result.
-        reply: oneshot::Sender<Result<(), Refusal>>,
+        reply: oneshot::Sender<Result<(), NodeError>>,
     },
 }
--- a/crates/cluster-runtime/src/member/command_handler.rs
+++ b/crates/cluster-runtime/src/member/command_handler.rs
@@ -1,7 +1,10 @@
 //! Handling of the application's commands.
 
-use cluster::machine::{Micros, Phase, Proposal, Version};
-use cluster::node::{Node, Refusal};
+use cluster::command::Proposal;
+use cluster::error::NodeError;
+use cluster::node::{Node, ProposalKind};
+use cluster::rules::Micros;
+use cluster::state_machine::{Phase, Version};
 use tokio::sync::oneshot;
 
 use super::command::{MemberCommand, PendingChange, ProposalResult};
@@ -22,35 +25,34 @@
             MemberCommand::CallAnswered { id, answer } => self.answer_call(&id, &answer),
             MemberCommand::CallUnanswered { id } => _ = self.calls.take_callers(&id),
             MemberCommand::ReportStatus(reply) => _ = reply.send(self.status(now)),
-            MemberCommand::ProposalChecked {
-                proposal,
-                rejection,
-            } => self.with_node(|node| node.checked(now, &proposal, rejection)),
-            MemberCommand::VersionClosed { proposal } => {
-                self.with_node(|node| node.closed(now, &proposal));
+            MemberCommand::ChangeValidated(validation) => {
+                self.with_node(|node| node.change_validated(now, validation));
+            }
+            MemberCommand::ChangeFenced { change } => {
+                self.with_node(|node| node.change_fenced(now, &change));
             }
-            MemberCommand::VersionActivated(version) => {
-                self.with_node(|node| node.carried(now, version));
+            MemberCommand::VersionServed(version) => {
+                self.with_node(|node| node.version_served(now, version));
             }
             MemberCommand::StateRestored { version, change } => {
                 self.with_node(|node| state_restored(node, now, version, change));
             }
             MemberCommand::StateExported(state) => {
-                self.with_node(|node| node.shorten(now, state));
+                self.with_node(|node| node.compact(now, state));
             }
-            MemberCommand::BeginShutdown => self.with_node(|node| node.rest(now)),
+            MemberCommand::ReleaseLease => self.with_node(|node| node.release_lease(now)),
             MemberCommand::ConfirmRead(read) => self.confirm_read(now, read),
             MemberCommand::Propose {
                 proposal,
-                is_note,
+                kind,
                 reply,
-            } => self.propose(now, proposal, is_note, reply),
-            MemberCommand::TrustDisk(reply) => self.with_node(|node| trust_disk(node, reply)),
+            } => self.propose(now, proposal, kind, reply),
+            MemberCommand::ConfirmDisk(reply) => self.with_node(|node| confirm_disk(node, reply)),
             MemberCommand::RemoveMember { name, reply } => {
-                self.with_node(|node| _ = reply.send(node.leave(now, &name)));
+                self.with_node(|node| _ = reply.send(node.remove_member(now, &name)));
             }
-            MemberCommand::StepDown { successor, reply } => {
-                self.with_node(|node| step_down(node, now, successor, reply));
+            MemberCommand::TransferLeadership { successor, reply } => {
+                self.with_node(|node| transfer_leadership(node, now, successor, reply));
             }
         }
     }
@@ -66,7 +68,7 @@
         let Some(joined) = &mut self.joined else {
             return;
         };
-        if joined.node.confirm(now, read).is_err() {
+        if joined.node.confirm_read(now, read).is_err() {
             self.notify(MemberEvent::ReadCompleted {
                 read,
                 is_current: false,
@@ -78,14 +80,14 @@
         &mut self,
         now: Micros,
         proposal: Proposal,
-        is_note: bool,
+        kind: ProposalKind,
         reply: oneshot::Sender<ProposalResult>,
     ) {
         let Some(joined) = &mut self.joined else {
             return;
         };
         let id = proposal.id.clone();
-        match joined.node.propose(now, proposal, is_note) {
+        match joined.node.propose(now, proposal, kind) {
             Ok(()) => self.proposals.entry(id).or_default().push(reply),
             Err(e) => _ = reply.send(Err(e)),
         }
@@ -93,29 +95,29 @@
 }
 
 fn state_restored(node: &mut Node, now: Micros, version: Version, change: Option<PendingChange>) {
-    node.carried(now, version);
+    node.version_served(now, version);
     if let Some(change) = change
-        && change.phase == Phase::Closing
+        && change.phase == Phase::Fencing
     {
-        node.closed(now, &change.id);
+        node.change_fenced(now, &change.id);
     }
 }
 
-fn trust_disk(node: &mut Node, reply: oneshot::Sender<bool>) {
-    let was_in_doubt = !node.is_proven();
-    node.vouch();
+fn confirm_disk(node: &mut Node, reply: oneshot::Sender<bool>) {
+    let was_in_doubt = !node.is_disk_confirmed();
+    node.confirm_disk();
     let _ = reply.send(was_in_doubt); // the caller may have left
 }
 
-fn step_down(
+fn transfer_leadership(
     node: &mut Node,
     now: Micros,
     successor: Option<String>,
-    reply: oneshot::Sender<Result<(), Refusal>>,
+    reply: oneshot::Sender<Result<(), NodeError>>,
 ) {
     let successor_id = successor.and_then(|name| {
-        let member = node.machine()?.members.get(&name)?;
+        let member = node.state_machine()?.members.get(&name)?;
         Some(member.id)
     });
-    let _ = reply.send(node.step_down(now, successor_id)); // the caller may have left
+    let _ = reply.send(node.transfer_leadership(now, successor_id)); // the caller may have left
 }
--- a/crates/cluster-runtime/src/member/discovery.rs
+++ b/crates/cluster-runtime/src/member/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cluster::machine::Micros;
+use cluster::rules::Micros;
 
 /// Interval between two attempts of a member that has not joined.
 const ATTEMPT_INTERVAL: Micros = 300_000;
@@ -43,7 +43,7 @@
     replies: BTreeMap<String, DiscoveryReply>,
     next_attempt_at: Micros,
     /// Number that tells the leader if a join request is repeated by the same process.
-    pub join_number: u64,
+    pub join_nonce: u64,
 }
 
 impl Discovery {
@@ -55,7 +55,7 @@
             names: names.into_iter().collect(),
             replies: BTreeMap::new(),
             next_attempt_at: 0,
-            join_number: fastrand::u64(1..),
+            join_nonce: fastrand::u64(1..),
         }
     }
 
@@ -90,7 +90,7 @@
     /// Forgets all answers and starts again at once, as a new process.
     pub(super) fn restart(&mut self) {
         self.next_attempt_at = 0;
-        self.join_number = fastrand::u64(1..);
+        self.join_nonce = fastrand::u64(1..);
         self.replies.clear();
     }
 
--- a/crates/cluster-runtime/src/member/error.rs
+++ b/crates/cluster-runtime/src/member/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use cluster::node::Refusal;
+use cluster::error::PersistedStateError;
 use config_store::StoreError;
 
 use super::settings::InitialStateError;
@@ -35,7 +35,7 @@
     Log(#[source] StoreError),
     /// The node can't start from the stored state.
     #[error(transparent)]
-    Node(#[from] Refusal),
+    PersistedState(#[from] PersistedStateError),
     /// The application has no initial state for a new cluster.
     #[error("{0}")]
     InitialState(#[source] InitialStateError),
--- a/crates/cluster-runtime/src/member/event.rs
+++ b/crates/cluster-runtime/src/member/event.rs
@@ -1,16 +1,17 @@
 //! Events that a member reports to its application.
 
-use cluster::machine::{Machine, Proposal, Version};
+use cluster::command::Proposal;
+use cluster::state_machine::{StateMachine, Version};
 
 /// Event for the application. Events are to be handled in the order in which they arrive; each names the
 /// [`MemberCommand`](super::command::MemberCommand) that acknowledges it, if any.
 #[derive(Debug)]
 pub enum MemberEvent {
-    /// A proposal is to be validated; acknowledged by `ProposalChecked`.
-    CheckProposal(Proposal),
-    /// Decisions under the present version are to stop; acknowledged by `VersionClosed`.
-    CloseVersion(Proposal),
-    /// A version is in effect and is to be served; acknowledged by `VersionActivated`.
+    /// A change is to be validated; acknowledged by `ChangeValidated`.
+    ValidateChange(Proposal),
+    /// Decisions under the present version are to stop for a change; acknowledged by `ChangeFenced`.
+    FenceVersion(Proposal),
+    /// A version is in effect and is to be served; acknowledged by `VersionServed`.
     ActivateVersion {
         /// New version.
         version: Version,
@@ -24,14 +25,14 @@
         /// Number of members.
         count: u32,
     },
-    /// A proposal that was to be checked was aborted.
-    ProposalAborted,
-    /// An entry that changes no version is to be stored.
-    StoreEntry(Proposal),
+    /// A change that was to be validated was aborted.
+    ChangeAborted,
+    /// A payload that influences no decision is to be stored.
+    StorePayload(Proposal),
     /// The state of the application is to be replaced if it is older; acknowledged by `StateRestored`.
     RestoreState {
         /// State of the cluster at the snapshot.
-        machine: Machine,
+        machine: StateMachine,
         /// State of the application at the snapshot.
         state: String,
     },
--- a/crates/cluster-runtime/src/member/joining.rs
+++ b/crates/cluster-runtime/src/member/joining.rs
@@ -1,23 +1,25 @@
 //! Start of a member: from its stored identity, by joining a cluster, by founding one, or anew after its disk was restored.
 
-use cluster::machine::{Machine, Member};
-use cluster::node::{Node, Saved, found};
-use config_store::log::Logged;
+use cluster::command::Member;
+use cluster::node::{Node, NodeConfig};
+use cluster::persistence::PersistedState;
+use cluster::state_machine::StateMachine;
+use config_store::raft_log::LogContents;
 
 use super::discovery::DiscoveryStep;
 use super::error::MemberError;
 use super::runtime::{JoinedMember, MemberRuntime};
 use crate::clock;
 use crate::message::Body;
-use crate::storage::{Identity, new_cluster_id, read_identity, saved_state, write_identity};
+use crate::storage::{Identity, new_cluster_id, persisted_state, read_identity, write_identity};
 
 /// Id of the member that founds a cluster.
 const FOUNDER_ID: u64 = 1;
 
 impl MemberRuntime {
     /// Starts as the member that the log identifies, if any.
-    pub(super) fn start_from_log(&mut self, logged: &Logged) -> Result<(), MemberError> {
-        let Some(identity) = read_identity(logged)? else {
+    pub(super) fn start_from_log(&mut self, contents: &LogContents) -> Result<(), MemberError> {
+        let Some(identity) = read_identity(contents)? else {
             return Ok(());
         };
         if identity.name != self.settings.name {
@@ -26,7 +28,7 @@
                 name: self.settings.name.clone(),
             });
         }
-        self.start_node(identity, &saved_state(logged))
+        self.start_node(identity, &persisted_state(contents))
     }
 
     /// Starts as a member that has just joined the cluster under this id.
@@ -36,21 +38,24 @@
             id,
             name: self.settings.name.clone(),
         };
-        let saved = Saved::default();
-        write_identity(&mut self.log, &identity, &saved)?;
-        self.start_node(identity, &saved)
+        let persisted = PersistedState::default();
+        write_identity(&mut self.log, &identity, &persisted)?;
+        self.start_node(identity, &persisted)
     }
 
-    fn start_node(&mut self, identity: Identity, saved: &Saved) -> Result<(), MemberError> {
-        let mut node = Node::new(
-            identity.id,
-            saved,
-            self.starts,
-            self.heartbeat.is_disk_fresh(),
-            fastrand::u64(..),
-            clock::now(),
-        )?;
-        node.keep(self.settings.log_entries);
+    fn start_node(
+        &mut self,
+        identity: Identity,
+        persisted: &PersistedState,
+    ) -> Result<(), MemberError> {
+        let config = NodeConfig {
+            id: identity.id,
+            process_start: self.starts,
+            is_disk_confirmed: self.heartbeat.is_disk_fresh(),
+            seed: fastrand::u64(..),
+        };
+        let mut node = Node::new(&config, persisted, clock::now())?;
+        node.set_compaction_threshold(self.settings.log_entries);
         tracing::info!(
             name = identity.name,
             id = identity.id,
@@ -68,7 +73,7 @@
             DiscoveryStep::Join(leader) => {
                 let request = Body::Join {
                     zone: self.settings.zone.clone(),
-                    drawn: self.discovery.join_number,
+                    drawn: self.discovery.join_nonce,
                 };
                 self.send_to(&leader.name, &leader.address, request);
             }
@@ -99,9 +104,9 @@
             id: FOUNDER_ID,
             address: self.address.clone(),
             zone: self.settings.zone.clone(),
-            drawn: self.discovery.join_number,
+            join_nonce: self.discovery.join_nonce,
         };
-        let machine = Machine::found(
+        let state_machine = StateMachine::bootstrap(
             new_cluster_id(),
             self.settings.rules.clone(),
             name.clone(),
@@ -110,27 +115,27 @@
             initial.entry,
         );
         let identity = Identity {
-            cluster: machine.cluster.clone(),
+            cluster: state_machine.cluster_id.clone(),
             id: FOUNDER_ID,
             name,
         };
-        let saved = found(&machine, initial.state, FOUNDER_ID);
-        write_identity(&mut self.log, &identity, &saved)?;
+        let persisted = PersistedState::bootstrap(&state_machine, initial.state, FOUNDER_ID);
+        write_identity(&mut self.log, &identity, &persisted)?;
         let version = initial.version;
         tracing::info!(cluster = identity.cluster, version, "cluster founded");
-        self.start_node(identity, &saved)
+        self.start_node(identity, &persisted)
     }
 
     /// Gives up the membership because the disk holds an older copy of the log: this member never votes under its id again and joins
     /// as a new one.
     pub(super) fn rejoin_with_empty_log(
         &mut self,
-        last_entry: u64,
-        acknowledged: u64,
+        last_index: u64,
+        acknowledged_index: u64,
     ) -> Result<(), MemberError> {
         tracing::error!(
-            last_entry,
-            acknowledged,
+            last_index,
+            acknowledged_index,
             "log on disk is older than what this member has acknowledged, as in a restored copy; joining anew"
         );
         self.log.clear().map_err(MemberError::Log)?;
--- a/crates/cluster-runtime/src/member/message_handler.rs
+++ b/crates/cluster-runtime/src/member/message_handler.rs
@@ -1,7 +1,9 @@
 //! Handling of messages from other members.
 
-use cluster::machine::Micros;
-use cluster::node::{self, Refusal};
+use cluster::error::NodeError;
+use cluster::message;
+use cluster::node::JoinRequest;
+use cluster::rules::Micros;
 
 use super::call_table::Caller;
 use super::discovery::{DiscoveryReply, PeerAddress};
@@ -51,7 +53,13 @@
         Ok(())
     }
 
-    fn handle_node_message(&mut self, now: Micros, from: Sender, to: u64, message: node::Message) {
+    fn handle_node_message(
+        &mut self,
+        now: Micros,
+        from: Sender,
+        to: u64,
+        message: message::Message,
+    ) {
         let Some(joined) = &mut self.joined else {
             return;
         };
@@ -60,7 +68,7 @@
             return;
         }
         let is_listed = node
-            .machine()
+            .state_machine()
             .is_some_and(|machine| machine.name_of(from.id).is_some());
         if !is_listed {
             let address = PeerAddress {
@@ -88,17 +96,20 @@
         self.send_to(&from.name, &from.address, reply);
     }
 
-    fn handle_join_request(&mut self, now: Micros, from: &Sender, zone: &str, join_number: u64) {
+    fn handle_join_request(&mut self, now: Micros, from: &Sender, zone: &str, nonce: u64) {
         let Some(joined) = &mut self.joined else {
             return;
         };
-        let result = joined
-            .node
-            .join(now, &from.name, &from.address, zone, join_number);
-        let reply = match result {
+        let request = JoinRequest {
+            name: &from.name,
+            address: &from.address,
+            zone,
+            nonce,
+        };
+        let reply = match joined.node.add_member(now, &request) {
             Ok(Some(id)) => Ok(id),
             // No answer: the member repeats its request.
-            Ok(None) | Err(Refusal::NotLeading(_)) => return,
+            Ok(None) | Err(NodeError::NotLeader) => return,
             Err(e) => Err(JoinError::from(e.to_string())),
         };
         self.send_to(&from.name, &from.address, Body::Joined(reply));
--- a/crates/cluster-runtime/src/member/runtime.rs
+++ b/crates/cluster-runtime/src/member/runtime.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cluster::machine::Micros;
 use cluster::node::Node;
-use config_store::log::Log;
+use cluster::rules::Micros;
+use config_store::raft_log::RaftLog;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
@@ -42,7 +42,7 @@
 /// Member of a cluster with its I/O.
 pub struct MemberRuntime {
     pub(super) settings: Settings,
-    pub(super) log: Log,
+    pub(super) log: RaftLog,
     pub(super) transport: Transport,
     received: mpsc::Receiver<Message>,
     events: mpsc::UnboundedSender<MemberEvent>,
@@ -91,7 +91,7 @@
         lease: Arc<SharedLease>,
         provide_initial_state: ProvideInitialState,
     ) -> Result<Self, MemberError> {
-        let (log, logged) = Log::open(&settings.directory).map_err(StorageError::from)?;
+        let (log, contents) = RaftLog::open(&settings.directory).map_err(StorageError::from)?;
         let listen_error = |source| MemberError::Listen {
             address: settings.address.clone(),
             source,
@@ -109,7 +109,7 @@
             events,
             commands,
             lease,
-            starts: logged.starts,
+            starts: contents.start_count,
             provide_initial_state: Some(provide_initial_state),
             address,
             joined: None,
@@ -125,7 +125,7 @@
             log,
             settings,
         };
-        runtime.start_from_log(&logged)?;
+        runtime.start_from_log(&contents)?;
         Ok(runtime)
     }
 
@@ -250,7 +250,7 @@
     }
 
     fn listed_member(&self, id: u64) -> Option<PeerAddress> {
-        let machine = self.node()?.machine()?;
+        let machine = self.node()?.state_machine()?;
         let (name, member) = machine.members.iter().find(|(_, member)| member.id == id)?;
         Some(PeerAddress {
             name: name.clone(),
--- a/crates/cluster-runtime/src/member/settings.rs
+++ b/crates/cluster-runtime/src/member/settings.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use cluster::machine::{Rules, Version};
+use cluster::rules::Rules;
+use cluster::state_machine::Version;
 
 /// Settings of one member, from the operator's configuration.
 #[derive(Clone)]
--- a/crates/cluster-runtime/src/member/status_report.rs
+++ b/crates/cluster-runtime/src/member/status_report.rs
@@ -2,9 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use cluster::fence::Until;
-use cluster::machine::{Change, Machine, Member, Micros, Phase};
-use cluster::node::{Kind, Node};
+use cluster::command::Member;
+use cluster::member_lease::LeaseExpiry;
+use cluster::message::MessageKind;
+use cluster::node::Node;
+use cluster::rules::Micros;
+use cluster::state_machine::{Change, Phase, StateMachine};
 
 use super::runtime::MemberRuntime;
 use crate::status::{ChangeStatus, MemberStatus, MessageTotals, Status};
@@ -36,16 +39,15 @@
     }
 
     fn add_node_status(&self, status: &mut Status, node: &Node, now: Micros) {
-        let (term, applied) = node.position();
-        status.term = term;
-        status.applied = applied;
-        status.is_disk_unverified = !node.is_proven();
+        status.term = node.term();
+        status.applied = node.applied_index();
+        status.is_disk_unconfirmed = !node.is_disk_confirmed();
         status.leader = self.leader().map(|leader| leader.name);
-        match node.fence().may_decide(now) {
+        match node.lease().may_decide(now) {
             Ok(version) => status.deciding_version = Some(version),
             Err(reason) => status.fenced_reason = Some(self.fenced_reason(&reason.to_string())),
         }
-        if let Some(machine) = node.machine() {
+        if let Some(machine) = node.state_machine() {
             add_machine_status(status, node, machine, now);
         }
     }
@@ -61,7 +63,7 @@
 }
 
 fn sent_by_kind(counters: &TransportCounters) -> BTreeMap<String, MessageTotals> {
-    Kind::ALL
+    MessageKind::ALL
         .into_iter()
         .map(|kind| {
             let totals = counters.sent_by_kind[kind as usize].totals();
@@ -71,7 +73,7 @@
         .collect()
 }
 
-fn add_machine_status(status: &mut Status, node: &Node, machine: &Machine, now: Micros) {
+fn add_machine_status(status: &mut Status, node: &Node, machine: &StateMachine, now: Micros) {
     let voters = node.voters();
     status.version = machine.version;
     status.members = machine
@@ -89,36 +91,46 @@
 }
 
 fn member_status(name: &str, member: &Member, node: &Node, now: Micros) -> MemberStatus {
-    let seen = node.warden().and_then(|leases| leases.seen(member.id));
-    let (last_report_at, lease_end, version) = seen.unwrap_or_default();
+    let observation = node
+        .lease_table()
+        .and_then(|table| table.observation(member.id))
+        .unwrap_or_default();
     MemberStatus {
         name: name.to_owned(),
         id: member.id,
         zone: member.zone.clone(),
         address: member.address.clone(),
         is_voter: false,
-        version,
-        last_report_age_ms: last_report_at.map(|at| now.saturating_sub(at) / 1000),
-        lease_remaining_ms: lease_end.and_then(|end| lease_remaining_ms(end, now)),
+        version: observation.version,
+        last_report_age_ms: observation
+            .last_report_at
+            .map(|at| now.saturating_sub(at) / 1000),
+        lease_remaining_ms: observation
+            .latest_expiry
+            .and_then(|expiry| lease_remaining_ms(expiry, now)),
     }
 }
 
-fn lease_remaining_ms(lease_end: Until, now: Micros) -> Option<i64> {
-    match lease_end {
-        Until::Forever => Some(UNLIMITED_LEASE_MS),
-        Until::Before(end) if end > now => Some(((end - now) / 1000) as i64),
-        Until::Before(_) => None,
+fn lease_remaining_ms(expiry: LeaseExpiry, now: Micros) -> Option<i64> {
+    match expiry {
+        LeaseExpiry::Never => Some(UNLIMITED_LEASE_MS),
+        LeaseExpiry::At(end) if end > now => Some(((end - now) / 1000) as i64),
+        LeaseExpiry::At(_) => None,
     }
 }
 
 fn change_status(change: &Change, node: &Node, now: Micros) -> ChangeStatus {
     let phase = match change.phase {
-        Phase::Checking => "checking",
-        Phase::Closing => "closing",
+        Phase::Validating => "checking",
+        Phase::Fencing => "closing",
     };
     ChangeStatus {
         id: change.proposal.id.clone(),
         phase: phase.to_owned(),
-        waits_for: node.waits(now).into_iter().map(|wait| wait.name).collect(),
+        waits_for: node
+            .blocking_members(now)
+            .into_iter()
+            .map(|member| member.name)
+            .collect(),
     }
 }
--- a/crates/cluster-runtime/src/message.rs
+++ b/crates/cluster-runtime/src/message.rs
@@ -3,7 +3,7 @@
 //! Messages of the replicated log are encoded as raw bytes behind a short prefix, all others as JSON. Serialized names are part of the
 //! protocol between versions.
 
-use cluster::node::{self, Kind};
+use cluster::message::{self, MessageKind};
 use serde::{Deserialize, Serialize};
 
 /// First byte of an encoded log message.
@@ -74,7 +74,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
     /// Message of the cluster protocol for the member with this id.
-    Node(u64, node::Message),
+    Node(u64, message::Message),
     /// Discovery request: asks for the leader of an existing cluster.
     Ask {
         /// Names of the members that the sender's settings list, its own included; founders must agree on them.
@@ -107,16 +107,16 @@
 
 impl Message {
     /// Returns the kind by which the message is counted.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> MessageKind {
         match &self.body {
             Body::Node(_, message) => message.kind(),
-            _ => Kind::Other,
+            _ => MessageKind::Other,
         }
     }
 
     /// Encodes the message.
     pub fn write(&self) -> Vec<u8> {
-        if let Body::Node(to, node::Message::Log(log)) = &self.body
+        if let Body::Node(to, message::Message::Raft(log)) = &self.body
             && let Ok(from) = serde_json::to_vec(&self.from)
         {
             return encode_log(&from, *to, log);
@@ -157,7 +157,7 @@
     let (to, log) = rest.split_first_chunk::<8>()?;
     let from = serde_json::from_slice(from).ok()?;
     let to = u64::from_le_bytes(*to);
-    let log = node::Message::Log(log.to_vec());
+    let log = message::Message::Raft(log.to_vec());
     Some(Message {
         from,
         body: Body::Node(to, log),
--- a/crates/cluster-runtime/src/status.rs
+++ b/crates/cluster-runtime/src/status.rs
@@ -38,7 +38,7 @@
     pub change: Option<ChangeStatus>,
     /// Set until it is known that the disk holds the newest log of this member; it does not vote until then.
     #[serde(rename = "unproven", default)]
-    pub is_disk_unverified: bool,
+    pub is_disk_unconfirmed: bool,
     /// Set once the disk was found to be an older copy and this member has joined anew.
     #[serde(rename = "put-back", default)]
     pub was_disk_restored: bool,
--- a/crates/cluster-runtime/src/storage.rs
+++ b/crates/cluster-runtime/src/storage.rs
@@ -1,15 +1,16 @@
 //! Stored state of a member: its identity and its log.
 //!
 //! [`StoredMember`] opens the directory of a member whose process does not run, for recovery. The functions below it are shared with
-//! the running member. The format of the log belongs to `config_store::log`, that of its entries to `cluster`.
+//! the running member. The format of the log belongs to `config_store::raft_log`, that of its entries to `cluster`.
 
 use std::path::Path;
 
-use cluster::machine::Machine;
-use cluster::node::{Refusal, Saved, found};
-use cluster::salvage::Salvage;
+use cluster::error::PersistedStateError;
+use cluster::log_recovery::{RecoveredLog, recover_log};
+use cluster::persistence::PersistedState;
+use cluster::state_machine::StateMachine;
 use config_store::StoreError;
-use config_store::log::{Append, Log, Logged};
+use config_store::raft_log::{LogBatch, LogContents, RaftLog};
 use serde::{Deserialize, Serialize};
 
 /// Index of the first snapshot of a log.
@@ -26,7 +27,7 @@
     Identity(#[from] serde_json::Error),
     /// The entries of the log can't be decoded.
     #[error(transparent)]
-    Entries(#[from] Refusal),
+    Entries(#[from] PersistedStateError),
 }
 
 /// Identity of a member as its log holds it.
@@ -48,8 +49,8 @@
 
 /// Directory of a member whose process does not run.
 pub struct StoredMember {
-    log: Log,
-    saved: Saved,
+    log: RaftLog,
+    persisted: PersistedState,
     identity: Option<Identity>,
 }
 
@@ -59,11 +60,11 @@
     /// # Errors
     /// The log is damaged, written by a newer version, or open in another process.
     pub fn open(directory: &Path) -> Result<Self, StorageError> {
-        let (log, logged) = Log::open(directory)?;
-        let identity = read_identity(&logged)?;
+        let (log, contents) = RaftLog::open(directory)?;
+        let identity = read_identity(&contents)?;
         Ok(StoredMember {
             log,
-            saved: saved_state(&logged),
+            persisted: persisted_state(&contents),
             identity,
         })
     }
@@ -81,8 +82,8 @@
     ///
     /// # Errors
     /// The log can't be decoded, or holds no state of the cluster.
-    pub fn recover(&self) -> Result<Salvage, StorageError> {
-        Ok(cluster::salvage::salvage(&self.saved)?)
+    pub fn recover(&self) -> Result<RecoveredLog, StorageError> {
+        Ok(recover_log(&self.persisted)?)
     }
 
     /// Replaces the log by that of a new cluster whose only member is `name`.
@@ -91,19 +92,22 @@
     /// The log can't be written; it then holds what it held before, or nothing.
     pub fn found_cluster(
         &mut self,
-        machine: &Machine,
+        state_machine: &StateMachine,
         name: &str,
-        state: String,
+        application_state: String,
     ) -> Result<(), StorageError> {
-        let id = machine.members.get(name).map_or(0, |member| member.id);
-        let saved = found(machine, state, id);
+        let id = state_machine
+            .members
+            .get(name)
+            .map_or(0, |member| member.id);
+        let persisted = PersistedState::bootstrap(state_machine, application_state, id);
         let identity = Identity {
-            cluster: machine.cluster.clone(),
+            cluster: state_machine.cluster_id.clone(),
             id,
             name: name.to_owned(),
         };
         self.log.clear()?;
-        write_identity(&mut self.log, &identity, &saved)
+        write_identity(&mut self.log, &identity, &persisted)
     }
 }
 
@@ -113,36 +117,36 @@
 }
 
 /// Parses the identity in a log, if there is one.
-pub(crate) fn read_identity(logged: &Logged) -> Result<Option<Identity>, StorageError> {
-    let Some(bytes) = &logged.identity else {
+pub(crate) fn read_identity(contents: &LogContents) -> Result<Option<Identity>, StorageError> {
+    let Some(bytes) = &contents.identity else {
         return Ok(None);
     };
     Ok(Some(serde_json::from_slice(bytes)?))
 }
 
 /// Returns the part of a log that the cluster's node starts from.
-pub(crate) fn saved_state(logged: &Logged) -> Saved {
-    Saved {
-        snapshot: logged.snapshot.clone(),
-        entries: logged.entries.clone(),
-        hard: logged.hard.clone(),
-        acknowledged: logged.acknowledged.clone(),
+pub(crate) fn persisted_state(contents: &LogContents) -> PersistedState {
+    PersistedState {
+        snapshot: contents.snapshot.clone(),
+        entries: contents.entries.clone(),
+        hard_state: contents.hard_state.clone(),
+        acknowledged: contents.acknowledged.clone(),
     }
 }
 
 /// Writes the identity and the first state of a new member in one step.
 pub(crate) fn write_identity(
-    log: &mut Log,
+    log: &mut RaftLog,
     identity: &Identity,
-    saved: &Saved,
+    persisted: &PersistedState,
 ) -> Result<(), StorageError> {
     let identity = serde_json::to_vec(identity)?;
-    let snapshot = saved.snapshot.as_deref();
-    log.append(Append {
+    let snapshot = persisted.snapshot.as_deref();
+    log.write(LogBatch {
         snapshot: snapshot.map(|bytes| (FIRST_SNAPSHOT_INDEX, bytes)),
-        hard: saved.hard.as_deref(),
+        hard_state: persisted.hard_state.as_deref(),
         identity: Some(&identity),
-        ..Append::default()
+        ..LogBatch::default()
     })?;
     Ok(())
 }
--- a/crates/cluster-runtime/src/transport/counters.rs
+++ b/crates/cluster-runtime/src/transport/counters.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use cluster::node::Kind;
+use cluster::message::MessageKind;
 
 use crate::status::{ConnectionTotals, MessageTotals};
 
@@ -17,10 +17,10 @@
     pub messages_dropped: AtomicU64,
     /// Inbound connections closed because of invalid data.
     pub connections_rejected: AtomicU64,
-    /// Messages sent, in the order of [`Kind::ALL`].
-    pub sent_by_kind: [Traffic; Kind::COUNT],
-    /// Messages received, in the order of [`Kind::ALL`].
-    pub received_by_kind: [Traffic; Kind::COUNT],
+    /// Messages sent, in the order of [`MessageKind::ALL`].
+    pub sent_by_kind: [Traffic; MessageKind::COUNT],
+    /// Messages received, in the order of [`MessageKind::ALL`].
+    pub received_by_kind: [Traffic; MessageKind::COUNT],
 }
 
 impl TransportCounters {
@@ -35,7 +35,7 @@
     }
 
     /// Counts a message of `bytes` bytes that was sent.
-    pub(super) fn add_sent(&self, kind: Kind, bytes: usize) {
+    pub(super) fn add_sent(&self, kind: MessageKind, bytes: usize) {
         self.messages_sent.fetch_add(1, Ordering::Relaxed);
         self.bytes_sent.fetch_add(bytes as u64, Ordering::Relaxed);
         self.sent_by_kind[kind as usize].add(bytes);
--- a/crates/cluster-runtime/src/transport/outbound.rs
+++ b/crates/cluster-runtime/src/transport/outbound.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cluster::node::Kind;
+use cluster::message::MessageKind;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -20,7 +20,7 @@
 
 /// Encoded message with the kind by which it is counted.
 pub(super) struct EncodedMessage {
-    pub kind: Kind,
+    pub kind: MessageKind,
     pub bytes: Vec<u8>,
 }
 
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -12,8 +12,12 @@
 use std::thread;
 use std::time::Duration;
 
-use cluster::machine::{Outcome, Phase, Proposal, Rules, Version};
-use cluster::node::Kind;
+use cluster::command::Proposal;
+use cluster::member_lease::Validation;
+use cluster::message::MessageKind;
+use cluster::node::ProposalKind;
+use cluster::rules::Rules;
+use cluster::state_machine::{Outcome, Phase, Version};
 use cluster_runtime::lease::SharedLease;
 use cluster_runtime::member::{
     InitialState, MemberCommand, MemberEvent, MemberRuntime, PendingChange, Settings,
@@ -31,8 +35,8 @@
 /// Versions of which a member remembers when it served them.
 const REMEMBERED: usize = 256;
 
-/// Messages and bytes by kind, in the order of [`Kind::ALL`].
-pub type Kinds = [[u64; 2]; Kind::COUNT];
+/// Messages and bytes by kind, in the order of [`MessageKind::ALL`].
+pub type Kinds = [[u64; 2]; MessageKind::COUNT];
 
 /// One hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -205,7 +209,7 @@
         }
         Order::StepDown => {
             let (tell, told) = oneshot::channel();
-            let _ = first(members)?.send(MemberCommand::StepDown {
+            let _ = first(members)?.send(MemberCommand::TransferLeadership {
                 successor: None,
                 reply: tell,
             }); // as above
@@ -284,7 +288,7 @@
         ..Look::default()
     };
     for member in members {
-        for kind in 0..Kind::COUNT {
+        for kind in 0..MessageKind::COUNT {
             let (out, incoming) = (
                 <[u64; 2]>::from(member.counters.sent_by_kind[kind].totals()),
                 <[u64; 2]>::from(member.counters.received_by_kind[kind].totals()),
@@ -332,6 +336,13 @@
         let _ = self.said.send(said); // a member that has ended says so
     }
 
+    fn accept(&self, change: String) {
+        self.say(MemberCommand::ChangeValidated(Validation {
+            change,
+            fault: None,
+        }));
+    }
+
     fn serves(&self, version: Version) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.version = Some(version);
@@ -343,25 +354,22 @@
 
     fn told(&mut self, told: MemberEvent) {
         match told {
-            MemberEvent::CheckProposal(proposal) => self.say(MemberCommand::ProposalChecked {
-                proposal: proposal.id,
-                rejection: None,
-            }),
-            MemberEvent::CloseVersion(proposal) => self.say(MemberCommand::VersionClosed {
-                proposal: proposal.id,
+            MemberEvent::ValidateChange(proposal) => self.accept(proposal.id),
+            MemberEvent::FenceVersion(proposal) => self.say(MemberCommand::ChangeFenced {
+                change: proposal.id,
             }),
             MemberEvent::ActivateVersion { version, .. } => {
                 self.entry += 1;
                 self.serves(version);
-                self.say(MemberCommand::VersionActivated(version));
+                self.say(MemberCommand::VersionServed(version));
             }
-            MemberEvent::StoreEntry(_) => self.entry += 1,
+            MemberEvent::StorePayload(_) => self.entry += 1,
             MemberEvent::RestoreState { machine, state } => {
                 self.seen
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .restored = state.len();
-                self.entry = machine.entry;
+                self.entry = machine.revision;
                 self.serves(machine.version);
                 let change = machine.change.map(|c| PendingChange {
                     id: c.proposal.id,
@@ -372,12 +380,9 @@
                     change: change.clone(),
                 });
                 if let Some(change) = change
-                    && change.phase == Phase::Checking
+                    && change.phase == Phase::Validating
                 {
-                    self.say(MemberCommand::ProposalChecked {
-                        proposal: change.id,
-                        rejection: None,
-                    });
+                    self.accept(change.id);
                 }
             }
             MemberEvent::ExportState => {
@@ -403,7 +408,7 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .ended = Some(why);
             }
-            MemberEvent::MembersChanged { .. } | MemberEvent::ProposalAborted => {}
+            MemberEvent::MembersChanged { .. } | MemberEvent::ChangeAborted => {}
         }
     }
 
@@ -414,18 +419,18 @@
         let (tell, told) = oneshot::channel();
         let proposal = Proposal {
             id: format!("{id}.0"),
-            base: self.entry,
+            base_revision: self.entry,
             payload,
         };
         self.say(MemberCommand::Propose {
             proposal,
-            is_note: false,
+            kind: ProposalKind::Change,
             reply: tell,
         });
         let said = self.said.clone();
         tokio::spawn(async move {
             let answer = match told.await {
-                Ok(Ok(Outcome::InEffect(version))) => MemberCommand::CallAnswered {
+                Ok(Ok(Outcome::Activated(version))) => MemberCommand::CallAnswered {
                     id,
                     answer: Ok(version.to_string()),
                 },
