--- a/crates/canvascart/src/fleet.rs
+++ b/crates/canvascart/src/fleet.rs
@@ -3,9 +3,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ::endpoint_discovery::{Entry, Keys, Limits, State, Told, is_name};
+use ::endpoint_discovery::{
+    EndpointRecord, EndpointState, KeySpace, ListChange, WatchLimits, is_valid_endpoint_name,
+};
 use clap::Subcommand;
-use etcd::{Failed, Listed, Plain, Registry, Settings, Update};
+use etcd::{DiscoveryUpdate, Failed, Listed, Plain, Registry, Settings};
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -45,7 +47,7 @@
 }
 
 fn name(text: &str) -> Result<String, String> {
-    if is_name(text) {
+    if is_valid_endpoint_name(text) {
         Ok(text.to_owned())
     } else {
         Err("letters, digits and . _ - : alone, 128 at most".into())
@@ -120,7 +122,7 @@
         user,
         ..Settings::new(arguments.endpoints)
     };
-    let keys = Keys::new(&arguments.prefix, &arguments.pool);
+    let keys = KeySpace::new(&arguments.prefix, &arguments.pool);
     let done = crate::block_on(act(arguments.command, settings, keys, arguments.pool))?;
     Ok(done.map_or_else(
         |failed| {
@@ -135,7 +137,12 @@
     ))
 }
 
-async fn act(command: Command, settings: Settings, keys: Keys, pool: String) -> Result<(), Failed> {
+async fn act(
+    command: Command,
+    settings: Settings,
+    keys: KeySpace,
+    pool: String,
+) -> Result<(), Failed> {
     if let Command::Watch { most } = command {
         watch(settings, keys, pool, most).await;
         return Ok(());
@@ -154,17 +161,17 @@
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default()
                 .as_millis() as u64;
-            let entry = Entry {
-                size,
+            let entry = EndpointRecord {
+                capacity: size,
                 zone,
-                kind,
-                born_ms: Some(born_ms),
-                ..Entry::at(address)
+                machine_type: kind,
+                started_at_ms: Some(born_ms),
+                ..EndpointRecord::new(address)
             };
             register(&mut registry, &name, &entry, Duration::from_secs(ttl)).await
         }
-        Command::Drain { name } => registry.set_state(&name, State::Draining).await,
-        Command::Resume { name } => registry.set_state(&name, State::Up).await,
+        Command::Drain { name } => registry.set_state(&name, EndpointState::Draining).await,
+        Command::Resume { name } => registry.set_state(&name, EndpointState::Up).await,
         Command::Deregister { name } => registry.deregister(&name).await,
         Command::List { json } => {
             list(&registry.list().await?, json);
@@ -179,7 +186,7 @@
 async fn register(
     registry: &mut Registry<Plain>,
     name: &str,
-    entry: &Entry,
+    entry: &EndpointRecord,
     ttl: Duration,
 ) -> Result<(), Failed> {
     let on = |kind| signal(kind).map_err(|e| Failed::Refused(format!("signals: {e}")));
@@ -235,7 +242,7 @@
                 let zone = entry.zone.as_deref().unwrap_or("-");
                 println!(
                     "{name}  {}  {state}  size {}  zone {zone}  lease {lease:x}",
-                    entry.address, entry.size
+                    entry.address, entry.capacity
                 );
             }
             Err(why) if as_json => {
@@ -246,7 +253,7 @@
     }
 }
 
-async fn watch(settings: Settings, keys: Keys, pool: String, most: Option<usize>) {
+async fn watch(settings: Settings, keys: KeySpace, pool: String, most: Option<usize>) {
     let (to, mut updates) = mpsc::unbounded_channel();
     let seed = fastrand::u64(..);
     tokio::spawn(etcd::follow(
@@ -254,28 +261,32 @@
         settings,
         pool,
         keys,
-        Limits::default(),
+        WatchLimits::default(),
         seed,
         to,
     ));
     let mut left = most.unwrap_or(usize::MAX);
     while let (true, Some(update)) = (left > 0, updates.recv().await) {
         match update {
-            Update::Told(Told::Whole(all)) => println!("{}", json!({ "whole": all.len() })),
-            Update::Told(Told::Is(s)) => {
+            DiscoveryUpdate::List(ListChange::Complete(all)) => {
+                println!("{}", json!({ "whole": all.len() }))
+            }
+            DiscoveryUpdate::List(ListChange::Upserted(s)) => {
                 println!(
                     "{}",
-                    json!({ "is": s.name, "born-ms": s.born_ms, "entry": s.entry })
+                    json!({ "is": s.name, "born-ms": s.started_at_ms, "entry": s.record })
                 );
             }
-            Update::Told(Told::Gone(name)) => println!("{}", json!({ "gone": name })),
-            Update::Status(status) => {
-                let [servers, quarantined, held] = status.servers;
+            DiscoveryUpdate::List(ListChange::Removed(name)) => {
+                println!("{}", json!({ "gone": name }))
+            }
+            DiscoveryUpdate::Status(status) => {
+                let counts = status.endpoints;
                 println!(
                     "{}",
                     json!({
-                        "state": status.phase.to_string(), "revision": status.revision, "servers": servers,
-                        "quarantined": quarantined, "held": held,
+                        "state": status.phase.to_string(), "revision": status.revision, "servers": counts.total,
+                        "quarantined": counts.quarantined, "held": counts.retained,
                     })
                 );
             }
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ::admin_api::{Api, Desk, Order, Starting, Together};
-use ::endpoint_discovery::Keys;
+use ::endpoint_discovery::KeySpace;
 use cluster_runtime::member::Said;
 use cluster_runtime::right::Right;
 use multi_tenant::check;
@@ -261,9 +261,10 @@
     Box::new(move |tenant, settings, seed| {
         let (to, updates) = tokio::sync::mpsc::unbounded_channel();
         let pool = settings.pool.clone().unwrap_or_else(|| tenant.name.clone());
-        let keys = Keys::new(&settings.prefix, &pool);
-        let mut limits = ::endpoint_discovery::Limits::default();
-        (limits.rules.guard, limits.rules.hold) = (settings.guard.0, settings.hold.0 as u64);
+        let keys = KeySpace::new(&settings.prefix, &pool);
+        let mut limits = ::endpoint_discovery::WatchLimits::default();
+        limits.table.mass_expiry_ratio = settings.guard.0;
+        limits.table.retention_ms = settings.hold.0 as u64;
         let user = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
             Ok(text) => text.trim().split_once(':').map(|(n, p)| (n.to_owned(), p.to_owned())),
             Err(e) => {
--- a/crates/canvascart/tests/fleet.rs
+++ b/crates/canvascart/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use endpoint_discovery::{Entry, Keys, State};
+use endpoint_discovery::{EndpointRecord, EndpointState, KeySpace};
 use etcd::api::PutRequest;
 use etcd_fake::{Net, Standin};
 use hosted::sockets::{Backend, Deed, Gate, ok, wait_for};
@@ -28,21 +28,23 @@
         Etcd { runtime, standin }
     }
 
-    fn put(&self, pool: &str, name: &str, server: &Backend, state: State) {
-        let entry = Entry {
-            size: 8.0,
+    fn put(&self, pool: &str, name: &str, server: &Backend, state: EndpointState) {
+        let entry = EndpointRecord {
+            capacity: 8.0,
             state,
-            born_ms: Some(1),
-            ..Entry::at(server.address)
+            started_at_ms: Some(1),
+            ..EndpointRecord::new(server.address)
         };
-        let key = Keys::new("/canvascart/v1", pool).of(name).into_bytes();
+        let key = KeySpace::new("/canvascart/v1", pool)
+            .endpoint_key(name)
+            .into_bytes();
         let _on = self.runtime.enter();
         self.standin.store(|s| {
             s.put(
                 0,
                 &PutRequest {
                     key,
-                    value: entry.text().into_bytes(),
+                    value: entry.to_json().into_bytes(),
                     ..PutRequest::default()
                 },
             )
@@ -51,7 +53,9 @@
     }
 
     fn delete(&self, pool: &str, name: &str) {
-        let key = Keys::new("/canvascart/v1", pool).of(name).into_bytes();
+        let key = KeySpace::new("/canvascart/v1", pool)
+            .endpoint_key(name)
+            .into_bytes();
         let request = etcd::api::DeleteRangeRequest {
             key,
             ..Default::default()
@@ -74,7 +78,7 @@
 fn removals_end_new_work_at_once_and_silence_ends_none() {
     let etcd = Etcd::new();
     let (a, b) = (says("a"), says("b"));
-    etcd.put("north", "a", &a, State::Up);
+    etcd.put("north", "a", &a, EndpointState::Up);
     let public = listener("public", "127.0.0.1:0", "host", "");
     let config = [public, tenant("north", &etcd.table(), &[])].concat();
     let service = Running::start("etcd", &config);
@@ -88,7 +92,7 @@
         } else {
             ("a", &a, "b")
         };
-        etcd.put("north", name, server, State::Up);
+        etcd.put("north", name, server, EndpointState::Up);
         if n % 3 == 0 {
             // Cut off while it goes, and compacted, so that the removal itself is never told.
             (0..3).for_each(|m| etcd.standin.cut(m));
@@ -116,7 +120,7 @@
         );
     }
     // Etcd goes quiet, and a server dies: its healthy neighbour goes on.
-    etcd.put("north", "b", &b, State::Up);
+    etcd.put("north", "b", &b, EndpointState::Up);
     let status = |service: &Running| {
         service
             .logged("the list's state")
@@ -148,7 +152,7 @@
         Backend::new(Deed::Hold(gate.clone(), ok("held"))),
         says("fresh"),
     );
-    etcd.put("north", "held", &held, State::Up);
+    etcd.put("north", "held", &held, EndpointState::Up);
     // A checkout is waited for until its deadline only where a late answer is worth something; else until its aim, which a lookup
     // that is held at the server before the drain is told takes as well.
     let late = tenant("north", &etcd.table(), &[])
@@ -170,8 +174,8 @@
         }
         !held.seen().is_empty()
     });
-    etcd.put("north", "fresh", &fresh, State::Up);
-    etcd.put("north", "held", &held, State::Draining);
+    etcd.put("north", "fresh", &fresh, EndpointState::Up);
+    etcd.put("north", "held", &held, EndpointState::Draining);
     wait_for("work goes elsewhere", || {
         Client::new(at).get("north.example", "").text() == "fresh"
     });
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use endpoint_discovery::{Entry, Keys};
+use endpoint_discovery::{EndpointRecord, KeySpace};
 use etcd::api::PutRequest;
 use etcd_fake::{Net, Standin};
 use lab::net::Mode;
@@ -30,13 +30,15 @@
     };
     let mut fleet = Fleet::new(&command(), 5, &terms, &directory.0).unwrap();
     (0..5).for_each(|i| fleet.start(i).unwrap());
-    let key = Keys::new("/canvascart/v1", "b").of("s").into_bytes();
+    let key = KeySpace::new("/canvascart/v1", "b")
+        .endpoint_key("s")
+        .into_bytes();
     etcd.store(|s| {
         s.put(
             0,
             &PutRequest {
                 key,
-                value: Entry::at(at).text().into_bytes(),
+                value: EndpointRecord::new(at).to_json().into_bytes(),
                 ..PutRequest::default()
             },
         )
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -1,20 +1,43 @@
-//! Follows a fleet's list through a store of revisions, such as etcd: what of what the store says is to be believed, and when.
+//! Endpoint list of a pool, followed through a revisioned store such as etcd.
 //!
-//! It holds no sockets and reads no clock. What the store says comes in as [`Event`]s with their time; out come [`Command`]s
-//! to the connection and changes of the list. It never gives out a server that it was told is gone, and it drops no server
-//! because the store went quiet.
+//! The package decides which of the store's answers to apply. It has no sockets and reads no clock: answers come in as
+//! [`Event`]s with their time; [`Command`]s to the connection and changes of the list come out. An endpoint that the store
+//! deleted never reappears through an older state, and no endpoint is removed because the store is unreachable.
 //!
-//! - [`Follower`]: the state machine; [`Status`]: what operators see of it.
-//! - [`Entry`]: a server as its value in the store has it; [`Keys`]: where its key is.
-//! - [`Server`]: a server as the list has it.
+//! - [`EndpointWatcher`]: the watch state machine; [`Status`]: its state for operators.
+//! - [`EndpointRecord`]: an endpoint's value in the store; [`KeySpace`]: its key.
+//! - [`Endpoint`]: an endpoint of the list; [`ListChange`]: a change of the list.
+#![deny(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::type_complexity,
+    clippy::struct_excessive_bools
+)]
 
-mod entry;
-mod follower;
+mod backoff;
+mod event;
+mod flapping;
+mod key_space;
+mod key_value;
+mod lease_expiry;
+mod limits;
+mod list;
+mod record;
+mod snapshot;
+mod staleness;
+mod status;
 mod table;
+mod time;
+mod tombstone;
+mod watcher;
 
-pub use entry::{Entry, Invalid, Keys, State, VERSION, is_name, range_end};
-pub use follower::{Command, Event, Follower, Header, Limits, Note, Phase, Status, Update};
-pub use table::{Change, Kv, Rules, Server, Told};
-
-/// A point in time or a span, in milliseconds on one clock that never runs backwards.
-pub type Millis = u64;
+pub use event::{Command, Event, Header, Notice, TableNotice};
+pub use key_space::{KeySpace, is_valid_endpoint_name, range_end};
+pub use key_value::{KeyChange, KeyValue};
+pub use limits::{BackoffLimits, TableLimits, WatchLimits};
+pub use list::{Endpoint, EndpointCounts, ListChange};
+pub use record::{EndpointRecord, EndpointState, RECORD_VERSION, RecordError};
+pub use status::{DiscoveryUpdate, Phase, Status};
+pub use time::Millis;
+pub use watcher::EndpointWatcher;
--- a/crates/endpoint-discovery/src/table.rs
+++ b/crates/endpoint-discovery/src/table.rs
@@ -1,563 +1,457 @@
-//! The table of servers: which of the store's entries are believed, which are held, which are gone for good.
+//! Endpoint table: decides which records of the store are applied, retained, or ignored.
+//!
+//! Invariant: a record that is not newer than its endpoint's deletion is never applied.
 
 use std::collections::BTreeMap;
 
-use crate::Millis;
-use crate::entry::{Entry, Keys, State};
+use crate::event::TableNotice;
+use crate::flapping::{FlapDamping, ReturnDecision};
+use crate::key_space::KeySpace;
+use crate::key_value::{KeyChange, KeyValue};
+use crate::lease_expiry::LeaseExpiries;
+use crate::limits::TableLimits;
+use crate::list::{Endpoint, EndpointCounts, ListChange};
+use crate::record::{EndpointRecord, EndpointState};
+use crate::time::{EventTime, Millis};
+use crate::tombstone::{Tombstone, Tombstones};
 
-/// A key and its value, as the store has them.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kv {
-    /// The key.
-    pub key: Vec<u8>,
-    /// Its value.
-    pub value: Vec<u8>,
-    /// The revision of its last change.
-    pub mod_revision: i64,
-    /// The revision that made it; another one after it was deleted and made again.
-    pub create_revision: i64,
-    /// The lease that it goes with; 0 for none.
-    pub lease: i64,
-}
+/// Modification revision that no record of the store has.
+const UNKNOWN_REVISION: i64 = -1;
 
-/// A change of a key.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Change {
-    /// It has a value.
-    Put(Kv),
-    /// It is gone.
-    Delete {
-        /// The key.
-        key: Vec<u8>,
-        /// The revision at which it went.
-        revision: i64,
-    },
+/// Results of table operations, in order.
+#[derive(Debug, Default)]
+pub struct TableEffects {
+    /// Changes of the list.
+    pub changes: Vec<ListChange>,
+    /// Notices for the log.
+    pub notices: Vec<TableNotice>,
 }
 
-impl Change {
-    /// The key.
-    pub fn key(&self) -> &[u8] {
-        match self {
-            Change::Put(kv) => &kv.key,
-            Change::Delete { key, .. } => key,
-        }
-    }
-
-    /// The revision.
-    pub fn revision(&self) -> i64 {
-        match self {
-            Change::Put(kv) => kv.mod_revision,
-            Change::Delete { revision, .. } => *revision,
-        }
-    }
-}
-
-/// A server as the list has it.
+/// Endpoint of the list with its key's revisions.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
-    /// Its name.
-    pub name: String,
-    /// What its value says.
-    pub entry: Entry,
-    /// When its process started, in Unix time in ms; 0 for long ago.
-    pub born_ms: u64,
-}
-
-/// A change of the list.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    /// The first whole list.
-    Whole(Vec<Server>),
-    /// A server joins, or is other than it was.
-    Is(Server),
-    /// A server is gone.
-    Gone(String),
-}
-
-/// What is known of a server that is in the list.
-#[derive(Clone, Debug, PartialEq)]
-struct Known {
-    entry: Entry,
-    born_ms: u64,
+struct TableEntry {
+    record: EndpointRecord,
+    started_at_ms: u64,
     mod_revision: i64,
     create_revision: i64,
     lease: i64,
-    /// Its present value can't be read; the entry is the last good one.
+    /// The present value is invalid; `record` is the last valid one.
     quarantined: bool,
-    /// Its lease ended with many others at this time and revision: it stays until it is let go.
-    held: Option<(Millis, i64)>,
-}
-
-/// What is remembered of a server that is gone.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Tombstone {
-    /// The revision at which it went, and the one that had made its key.
-    gone: i64,
-    made: i64,
-    at: Millis,
-    /// The store's past has changed since: revisions say nothing any more.
-    turned: bool,
+    /// Present after a mass lease expiry, until the endpoint is released or returns.
+    retained: Option<Retained>,
 }
 
-/// Servers that are held back because they come and go.
-#[derive(Clone, Debug, PartialEq)]
-struct Flapping {
-    /// When it came back, of late.
-    returns: Vec<Millis>,
-    /// What is to be told of it, if it stays, and since when.
-    waits: Option<(Millis, Kv)>,
-}
-
-/// What the table did with something, for the log.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Did {
-    /// A value can't be read; the server's last good one stays, if there was one.
-    Quarantined(String, String),
-    /// So many leases ended together that their servers are held.
-    Held(usize),
-    /// Held servers were let go.
-    LetGo(usize),
-    /// A server comes and goes; it is taken back when it has stayed for a while.
-    Flaps(String),
-    /// There are more servers than are kept.
-    TooMany(String),
-    /// An entry that went before a backup was taken, and came back with it.
-    Ghost(String),
+impl TableEntry {
+    /// Checks whether a deletion of the key would be a lease expiry: an endpoint that leaves on purpose drains first.
+    fn is_leased(&self) -> bool {
+        self.lease != 0 && self.record.state == EndpointState::Up && self.retained.is_none()
+    }
 }
 
-/// What the table goes by.
+/// Retention of an endpoint whose lease expired with many others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
-    /// Servers at most.
-    pub most: usize,
-    /// When more than this part of all servers with leases lose them within `together`, they are held.
-    pub guard: f64,
-    /// As above.
-    pub together: Millis,
-    /// How long they are held.
-    pub hold: Millis,
-    /// A server that has come back so often within `flap_span` must stay for `flap_stay` before it is taken back.
-    pub flaps: usize,
-    /// As above.
-    pub flap_span: Millis,
-    /// As above.
-    pub flap_stay: Millis,
-    /// Tombstones at most, and how long each is kept at least.
-    pub tombstones: usize,
-    /// As above.
-    pub tombstone_span: Millis,
+struct Retained {
+    since: Millis,
+    deleted_revision: i64,
 }
 
-impl Default for Rules {
-    fn default() -> Self {
-        Rules {
-            most: 20_000,
-            guard: 0.5,
-            together: 2000,
-            hold: 60_000,
-            flaps: 4,
-            flap_span: 60_000,
-            flap_stay: 10_000,
-            tombstones: 20_000,
-            tombstone_span: 600_000,
-        }
-    }
+/// Deletion of an endpoint's key.
+struct Deletion {
+    name: String,
+    revision: i64,
 }
 
-/// A server's lease ended; many together may be held.
-const FEW: usize = 2;
-
-/// All servers.
+/// Endpoints of a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
-    keys: Keys,
-    rules: Rules,
-    known: BTreeMap<String, Known>,
-    tombstones: BTreeMap<String, Tombstone>,
-    flapping: BTreeMap<String, Flapping>,
-    /// When servers went of late because their leases ended.
-    ended: Vec<Millis>,
-    /// The revision of the last word to let go of held servers.
-    released: i64,
-    first: bool,
+pub struct EndpointTable {
+    keys: KeySpace,
+    max_endpoints: usize,
+    retention_ms: u64,
+    entries: BTreeMap<String, TableEntry>,
+    tombstones: Tombstones,
+    flapping: FlapDamping,
+    lease_expiries: LeaseExpiries,
+    /// Revision of the last release of retained endpoints.
+    released_revision: i64,
+    has_snapshot: bool,
 }
 
-impl Table {
-    /// An empty table.
-    pub fn new(keys: Keys, rules: Rules) -> Self {
-        Table {
+impl EndpointTable {
+    /// Builds an empty table.
+    pub fn new(keys: KeySpace, limits: &TableLimits) -> Self {
+        EndpointTable {
             keys,
-            rules,
-            known: BTreeMap::new(),
-            tombstones: BTreeMap::new(),
-            flapping: BTreeMap::new(),
-            ended: Vec::new(),
-            released: 0,
-            first: true,
+            max_endpoints: limits.max_endpoints,
+            retention_ms: limits.retention_ms,
+            entries: BTreeMap::new(),
+            tombstones: Tombstones::new(limits),
+            flapping: FlapDamping::new(limits),
+            lease_expiries: LeaseExpiries::new(limits),
+            released_revision: 0,
+            has_snapshot: false,
         }
     }
 
-    /// Servers that are in the list, how many of them are quarantined, and how many held.
-    pub fn counts(&self) -> [usize; 3] {
-        let count = |f: fn(&Known) -> bool| self.known.values().filter(|k| f(k)).count();
-        [
-            self.known.len(),
-            count(|k| k.quarantined),
-            count(|k| k.held.is_some()),
-        ]
+    /// Returns the numbers of endpoints.
+    pub fn counts(&self) -> EndpointCounts {
+        let count = |matches: fn(&TableEntry) -> bool| {
+            self.entries.values().filter(|entry| matches(entry)).count()
+        };
+        EndpointCounts {
+            total: self.entries.len(),
+            quarantined: count(|entry| entry.quarantined),
+            retained: count(|entry| entry.retained.is_some()),
+        }
     }
 
-    /// The servers of the list.
-    pub fn servers(&self) -> Vec<Server> {
-        let server = |(name, k): (&String, &Known)| Server {
+    /// Returns the endpoints in the order of their names.
+    pub fn endpoints(&self) -> Vec<Endpoint> {
+        let endpoint = |(name, entry): (&String, &TableEntry)| Endpoint {
             name: name.clone(),
-            entry: k.entry.clone(),
-            born_ms: k.born_ms,
+            record: entry.record.clone(),
+            started_at_ms: entry.started_at_ms,
         };
-        self.known.iter().map(server).collect()
+        self.entries.iter().map(endpoint).collect()
     }
 
-    /// When something is due by itself.
-    pub fn next(&self) -> Option<Millis> {
-        let held = self
-            .known
-            .values()
-            .filter_map(|k| k.held.map(|(at, _)| at + self.rules.hold));
-        let waits = self
-            .flapping
-            .values()
-            .filter_map(|f| f.waits.as_ref().map(|w| w.0 + self.rules.flap_stay));
-        held.chain(waits).min()
+    /// Returns the time at which [`EndpointTable::advance`] has something to do.
+    pub fn next_due(&self) -> Option<Millis> {
+        let retained = self.entries.values().filter_map(|entry| entry.retained);
+        retained
+            .map(|retained| retained.since + self.retention_ms)
+            .chain(self.flapping.next_due())
+            .min()
     }
 
-    /// Takes what is due.
-    pub fn advance(&mut self, now: Millis, unix_ms: u64, told: &mut Vec<Told>, did: &mut Vec<Did>) {
-        let over = |k: &Known| k.held.is_some_and(|(at, _)| now >= at + self.rules.hold);
-        let over: Vec<String> = self
-            .known
-            .iter()
-            .filter(|(_, k)| over(k))
-            .map(|(n, _)| n.clone())
-            .collect();
-        self.let_go(now, over, told, did);
-        let stay = self.rules.flap_stay;
-        let due = |f: &Flapping| f.waits.as_ref().is_some_and(|w| now >= w.0 + stay);
-        let due: Vec<String> = self
-            .flapping
-            .iter()
-            .filter(|(_, f)| due(f))
-            .map(|(n, _)| n.clone())
-            .collect();
-        for name in due {
-            let waits = self.flapping.get_mut(&name).and_then(|f| f.waits.take());
-            if let Some((_, kv)) = waits {
-                self.take(now, unix_ms, &name, &kv, told, did);
-            }
+    /// Removes endpoints whose retention has ended, and adds flapping endpoints that have stayed.
+    pub fn advance(&mut self, time: EventTime, effects: &mut TableEffects) {
+        let retention_ms = self.retention_ms;
+        self.remove_retained(time.now, effects, |retained| {
+            time.now >= retained.since + retention_ms
+        });
+        for (name, key_value) in self.flapping.take_due(time.now) {
+            self.apply_value(time, &name, &key_value, effects);
         }
-        let span = self.rules.flap_span;
-        self.flapping
-            .retain(|_, f| f.waits.is_some() || f.returns.last().is_some_and(|r| now < r + span));
+        self.flapping.forget_settled(time.now);
     }
 
-    /// Takes changes that came together, each newer than all before.
-    pub fn changes(
+    /// Applies changes of one answer, each newer than all changes before.
+    pub fn apply_changes(
         &mut self,
-        now: Millis,
-        unix_ms: u64,
-        changes: &[Change],
-        told: &mut Vec<Told>,
-        did: &mut Vec<Did>,
+        time: EventTime,
+        changes: &[KeyChange],
+        effects: &mut TableEffects,
     ) {
-        let mut gone: Vec<(String, i64)> = Vec::new();
+        let mut deletions: Vec<Deletion> = Vec::new();
         for change in changes {
-            if change.key() == self.keys.release().as_bytes() {
-                if let Change::Put(kv) = change {
-                    self.release(now, kv.mod_revision, told, did);
+            if change.key() == self.keys.release_key().as_bytes() {
+                if let KeyChange::Put(key_value) = change {
+                    self.release(time.now, key_value.mod_revision, effects);
                 }
                 continue;
             }
-            let Some(name) = self.keys.name(change.key()).map(str::to_owned) else {
+            let Some(name) = self.keys.endpoint_name(change.key()).map(str::to_owned) else {
                 continue;
             };
             match change {
-                Change::Delete { revision, .. } => gone.push((name, *revision)),
-                Change::Put(kv) => {
-                    // In the order of the store, where one key changes twice.
-                    if gone.iter().any(|(n, _)| *n == name) {
-                        self.delete(now, std::mem::take(&mut gone), told, did);
+                KeyChange::Delete { revision, .. } => deletions.push(Deletion {
+                    name,
+                    revision: *revision,
+                }),
+                KeyChange::Put(key_value) => {
+                    // Deletions are collected to see a mass expiry, but one key's changes stay in order.
+                    if deletions.iter().any(|deletion| deletion.name == name) {
+                        self.delete(time.now, std::mem::take(&mut deletions), effects);
                     }
-                    self.put(now, unix_ms, &name, kv, told, did);
+                    self.apply_put(time, &name, key_value, effects);
                 }
             }
         }
-        self.delete(now, gone, told, did);
+        self.delete(time.now, deletions, effects);
     }
 
-    /// Takes the whole list as it is at a revision: what it lacks is gone.
-    pub fn whole(
+    /// Applies a complete snapshot at a revision: endpoints that it lacks are deleted.
+    pub fn apply_snapshot(
         &mut self,
-        now: Millis,
-        unix_ms: u64,
-        at: i64,
-        kvs: &[Kv],
-        told: &mut Vec<Told>,
-        did: &mut Vec<Did>,
+        time: EventTime,
+        revision: i64,
+        key_values: &[KeyValue],
+        effects: &mut TableEffects,
     ) {
-        let mut seen: BTreeMap<String, &Kv> = BTreeMap::new();
-        for kv in kvs {
-            if kv.key == self.keys.release().as_bytes() {
-                self.released = self.released.max(kv.mod_revision);
-            } else if let Some(name) = self.keys.name(&kv.key) {
-                seen.insert(name.to_owned(), kv);
-            }
-        }
-        let first = std::mem::replace(&mut self.first, false);
-        let mut changes = Vec::new();
-        let missing = self.known.keys().filter(|n| !seen.contains_key(*n));
-        let missing: Vec<(String, i64)> = missing.map(|n| (n.clone(), at)).collect();
-        // Removals first: nothing is told to be up beside one that is gone.
-        self.delete(now, missing, &mut changes, did);
-        self.flapping.values_mut().for_each(|f| f.waits = None);
-        for (name, kv) in seen {
-            self.put(
-                now,
-                if first { 0 } else { unix_ms },
-                &name,
-                kv,
-                &mut changes,
-                did,
-            );
+        let present = self.index_snapshot(key_values);
+        let is_first = !std::mem::replace(&mut self.has_snapshot, true);
+        let missing = self
+            .entries
+            .keys()
+            .filter(|name| !present.contains_key(*name))
+            .map(|name| Deletion {
+                name: name.clone(),
+                revision,
+            });
+        let missing: Vec<Deletion> = missing.collect();
+        let mut snapshot_effects = TableEffects::default();
+        // Removals come first: a new endpoint is never listed beside one that it replaces.
+        self.delete(time.now, missing, &mut snapshot_effects);
+        self.flapping.cancel_all();
+        let arrival = EventTime {
+            now: time.now,
+            // Endpoints of the first list started at an unknown time.
+            unix_ms: if is_first { 0 } else { time.unix_ms },
+        };
+        for (name, key_value) in present {
+            self.apply_put(arrival, &name, key_value, &mut snapshot_effects);
         }
-        if first {
-            told.push(Told::Whole(self.servers()));
+        if is_first {
+            effects.changes.push(ListChange::Complete(self.endpoints()));
         } else {
-            told.extend(changes);
+            effects.changes.append(&mut snapshot_effects.changes);
+        }
+        effects.notices.append(&mut snapshot_effects.notices);
+        self.release(time.now, self.released_revision, effects);
+    }
+
+    /// Indexes a snapshot by endpoint name, and notes its release key.
+    fn index_snapshot<'s>(&mut self, key_values: &'s [KeyValue]) -> BTreeMap<String, &'s KeyValue> {
+        let mut present = BTreeMap::new();
+        for key_value in key_values {
+            if key_value.key == self.keys.release_key().as_bytes() {
+                self.released_revision = self.released_revision.max(key_value.mod_revision);
+            } else if let Some(name) = self.keys.endpoint_name(&key_value.key) {
+                present.insert(name.to_owned(), key_value);
+            }
         }
-        let revision = self.released;
-        self.release(now, revision, told, did);
+        present
     }
 
-    fn put(
+    /// Applies a value unless it is applied already, outdated, or its endpoint is flapping.
+    fn apply_put(
         &mut self,
-        now: Millis,
-        unix_ms: u64,
+        time: EventTime,
         name: &str,
-        kv: &Kv,
-        told: &mut Vec<Told>,
-        did: &mut Vec<Did>,
+        key_value: &KeyValue,
+        effects: &mut TableEffects,
     ) {
-        if let Some(known) = self.known.get(name)
-            && known.mod_revision == kv.mod_revision
-            && known.held.is_none()
+        if let Some(entry) = self.entries.get(name)
+            && entry.mod_revision == key_value.mod_revision
+            && entry.retained.is_none()
         {
-            return; // it is as it was
+            return;
         }
-        if let Some(stone) = self.tombstones.get(name) {
-            // What went does not come back by being read from an older state of the store, or from a backup.
-            let old = if stone.turned {
-                kv.create_revision == stone.made
-            } else {
-                kv.mod_revision <= stone.gone
-            };
-            if old {
-                did.push(Did::Ghost(name.to_owned()));
-                return;
-            }
-            let span = self.rules.flap_span;
-            let none = || Flapping {
-                returns: Vec::new(),
-                waits: None,
-            };
-            let flapping = self.flapping.entry(name.to_owned()).or_insert_with(none);
-            if let Some((_, waits)) = &mut flapping.waits {
-                *waits = kv.clone();
+        if let Some(tombstone) = self.tombstones.get(name) {
+            if tombstone.covers(key_value) {
+                effects
+                    .notices
+                    .push(TableNotice::OutdatedRecord(name.to_owned()));
                 return;
             }
-            flapping.returns.retain(|r| now < r + span);
-            flapping.returns.push(now);
-            let many = flapping.returns.len();
-            if many >= self.rules.flaps {
-                flapping.returns.drain(..many - self.rules.flaps);
-                flapping.waits = Some((now, kv.clone()));
-                did.push(Did::Flaps(name.to_owned()));
-                return;
+            match self.flapping.record_return(time.now, name, key_value) {
+                ReturnDecision::Admit => {}
+                ReturnDecision::AlreadyDelayed => return,
+                ReturnDecision::Delay => {
+                    effects.notices.push(TableNotice::Flapping(name.to_owned()));
+                    return;
+                }
             }
         }
-        self.take(now, unix_ms, name, kv, told, did);
+        self.apply_value(time, name, key_value, effects);
     }
 
-    /// Takes a value over.
-    fn take(
+    fn apply_value(
         &mut self,
-        now: Millis,
-        unix_ms: u64,
+        time: EventTime,
         name: &str,
-        kv: &Kv,
-        told: &mut Vec<Told>,
-        did: &mut Vec<Did>,
+        key_value: &KeyValue,
+        effects: &mut TableEffects,
     ) {
-        let entry = match Entry::read(&kv.value) {
-            Ok(entry) => entry,
-            Err(e) => {
-                did.push(Did::Quarantined(name.to_owned(), e.to_string()));
-                if let Some(known) = self.known.get_mut(name) {
-                    (known.quarantined, known.mod_revision, known.lease) =
-                        (true, kv.mod_revision, kv.lease);
-                    known.held = None;
-                }
+        let record = match EndpointRecord::parse(&key_value.value) {
+            Ok(record) => record,
+            Err(error) => {
+                self.quarantine(name, key_value);
+                effects.notices.push(TableNotice::Quarantined {
+                    name: name.to_owned(),
+                    reason: error.to_string(),
+                });
                 return;
             }
         };
-        if entry.state == State::Gone {
-            return self.bury(now, name, kv.mod_revision, kv.create_revision, told);
+        if record.state == EndpointState::Removed {
+            let tombstone = Tombstone {
+                deleted_revision: key_value.mod_revision,
+                create_revision: key_value.create_revision,
+                at: time.now,
+                predates_rollback: false,
+            };
+            self.remove(name, tombstone, effects);
+            return;
         }
-        if !self.known.contains_key(name) && self.known.len() >= self.rules.most {
-            did.push(Did::TooMany(name.to_owned()));
+        if !self.entries.contains_key(name) && self.entries.len() >= self.max_endpoints {
+            effects
+                .notices
+                .push(TableNotice::LimitExceeded(name.to_owned()));
             return;
         }
-        // Made again, or elsewhere, is another process; it is cold from when it says, or from now.
-        let same = self.known.get(name).filter(|k| {
-            k.create_revision == kv.create_revision && k.entry.address == entry.address
-        });
-        let born_ms = match (entry.born_ms, same) {
-            (Some(born), _) => born,
-            (None, Some(known)) => known.born_ms,
-            (None, None) => unix_ms,
-        };
-        let known = Known {
-            entry: entry.clone(),
-            born_ms,
-            mod_revision: kv.mod_revision,
-            create_revision: kv.create_revision,
-            lease: kv.lease,
+        self.insert(time, name, key_value, record, effects);
+    }
+
+    /// Keeps the last valid record of an endpoint whose value is invalid.
+    fn quarantine(&mut self, name: &str, key_value: &KeyValue) {
+        if let Some(entry) = self.entries.get_mut(name) {
+            entry.quarantined = true;
+            entry.mod_revision = key_value.mod_revision;
+            entry.lease = key_value.lease;
+            entry.retained = None;
+        }
+    }
+
+    fn insert(
+        &mut self,
+        time: EventTime,
+        name: &str,
+        key_value: &KeyValue,
+        record: EndpointRecord,
+        effects: &mut TableEffects,
+    ) {
+        let started_at_ms = self.start_time(time, name, key_value, &record);
+        let entry = TableEntry {
+            record: record.clone(),
+            started_at_ms,
+            mod_revision: key_value.mod_revision,
+            create_revision: key_value.create_revision,
+            lease: key_value.lease,
             quarantined: false,
-            held: None,
+            retained: None,
         };
         self.tombstones.remove(name);
-        let old = self.known.insert(name.to_owned(), known);
-        if old.is_none_or(|old| old.entry != entry || old.born_ms != born_ms) {
-            told.push(Told::Is(Server {
+        let previous = self.entries.insert(name.to_owned(), entry);
+        let is_unchanged = previous.is_some_and(|previous| {
+            previous.record == record && previous.started_at_ms == started_at_ms
+        });
+        if !is_unchanged {
+            effects.changes.push(ListChange::Upserted(Endpoint {
                 name: name.to_owned(),
-                entry,
-                born_ms,
+                record,
+                started_at_ms,
             }));
         }
     }
 
-    /// Takes servers whose keys are gone, all at once.
-    fn delete(
-        &mut self,
-        now: Millis,
-        gone: Vec<(String, i64)>,
-        told: &mut Vec<Told>,
-        did: &mut Vec<Did>,
-    ) {
-        // Who leaves on purpose says so first, and who drains gets nothing new anyway: what is left are leases that ended.
-        let leased = |k: &&Known| k.lease != 0 && k.entry.state == State::Up && k.held.is_none();
-        let ends = gone
-            .iter()
-            .filter(|(name, _)| self.known.get(name).as_ref().is_some_and(leased))
-            .count();
-        let (together, guard) = (self.rules.together, self.rules.guard);
-        self.ended.retain(|at| now < at + together);
-        let all = self.known.values().filter(leased).count() + self.ended.len();
-        let lost = ends + self.ended.len();
-        let hold = ends > 0 && lost > FEW && lost as f64 > guard * all as f64;
-        let mut held = 0;
-        for (name, revision) in gone {
-            if let Some(flapping) = self.flapping.get_mut(&name) {
-                flapping.waits = None;
-            }
-            let Some(known) = self.known.get_mut(&name) else {
-                // It went before it was taken back.
-                if let Some(stone) = self.tombstones.get_mut(&name) {
-                    stone.gone = stone.gone.max(revision);
-                }
+    /// Returns the start of an endpoint's process: as recorded, as known of the same process, or now.
+    fn start_time(
+        &self,
+        time: EventTime,
+        name: &str,
+        key_value: &KeyValue,
+        record: &EndpointRecord,
+    ) -> u64 {
+        if let Some(recorded) = record.started_at_ms {
+            return recorded;
+        }
+        // A key that was created again, or another address, means another process.
+        let same_process = self.entries.get(name).filter(|entry| {
+            entry.create_revision == key_value.create_revision
+                && entry.record.address == record.address
+        });
+        same_process.map_or(time.unix_ms, |entry| entry.started_at_ms)
+    }
+
+    /// Deletes endpoints together; those of a mass lease expiry are retained.
+    fn delete(&mut self, now: Millis, deletions: Vec<Deletion>, effects: &mut TableEffects) {
+        let is_leased = |deletion: &&Deletion| {
+            let entry = self.entries.get(&deletion.name);
+            entry.is_some_and(TableEntry::is_leased)
+        };
+        let expiring = deletions.iter().filter(is_leased).count();
+        let leased = self.entries.values().filter(|e| e.is_leased()).count();
+        let is_mass_expiry = self.lease_expiries.is_mass_expiry(now, expiring, leased);
+        let mut retained_count = 0;
+        for Deletion { name, revision } in deletions {
+            self.flapping.cancel(&name);
+            let Some(entry) = self.entries.get_mut(&name) else {
+                // The endpoint was deleted before, and its return was delayed.
+                self.tombstones.raise_deleted_revision(&name, revision);
                 continue;
             };
-            if known.held.is_some() {
+            if entry.retained.is_some() {
                 continue;
             }
-            let ended = leased(&&*known);
-            if hold && ended && revision > self.released {
-                known.held = Some((now, revision));
-                held += 1;
+            let lease_expired = entry.is_leased();
+            if is_mass_expiry && lease_expired && revision > self.released_revision {
+                entry.retained = Some(Retained {
+                    since: now,
+                    deleted_revision: revision,
+                });
+                retained_count += 1;
                 continue;
             }
-            if ended {
-                self.ended.push(now);
+            let create_revision = entry.create_revision;
+            if lease_expired {
+                self.lease_expiries.record(now);
             }
-            let made = known.create_revision;
-            self.bury(now, &name, revision, made, told);
+            let tombstone = Tombstone {
+                deleted_revision: revision,
+                create_revision,
+                at: now,
+                predates_rollback: false,
+            };
+            self.remove(&name, tombstone, effects);
         }
-        if held > 0 {
-            did.push(Did::Held(held));
+        if retained_count > 0 {
+            effects.notices.push(TableNotice::Retained(retained_count));
         }
     }
 
-    fn release(&mut self, now: Millis, revision: i64, told: &mut Vec<Told>, did: &mut Vec<Did>) {
-        self.released = self.released.max(revision);
-        let older = |k: &Known| k.held.is_some_and(|(_, gone)| gone <= revision);
-        let go: Vec<String> = self
-            .known
-            .iter()
-            .filter(|(_, k)| older(k))
-            .map(|(n, _)| n.clone())
-            .collect();
-        self.let_go(now, go, told, did);
+    /// Removes the endpoints that were retained up to a revision.
+    fn release(&mut self, now: Millis, revision: i64, effects: &mut TableEffects) {
+        self.released_revision = self.released_revision.max(revision);
+        self.remove_retained(now, effects, |retained| {
+            retained.deleted_revision <= revision
+        });
     }
 
-    fn let_go(
+    fn remove_retained(
         &mut self,
         now: Millis,
-        names: Vec<String>,
-        told: &mut Vec<Told>,
-        did: &mut Vec<Did>,
+        effects: &mut TableEffects,
+        is_over: impl Fn(&Retained) -> bool,
     ) {
-        if !names.is_empty() {
-            did.push(Did::LetGo(names.len()));
+        let mut over = Vec::new();
+        for (name, entry) in &self.entries {
+            let Some(retained) = entry.retained.filter(&is_over) else {
+                continue;
+            };
+            let tombstone = Tombstone {
+                deleted_revision: retained.deleted_revision,
+                create_revision: entry.create_revision,
+                at: now,
+                predates_rollback: false,
+            };
+            over.push((name.clone(), tombstone));
         }
-        for name in names {
-            let held = self
-                .known
-                .get(&name)
-                .and_then(|k| Some((k.held?.1, k.create_revision)));
-            if let Some((gone, made)) = held {
-                self.bury(now, &name, gone, made, told);
-            }
+        if !over.is_empty() {
+            effects
+                .notices
+                .push(TableNotice::RetentionEnded(over.len()));
+        }
+        for (name, tombstone) in over {
+            self.remove(&name, tombstone, effects);
         }
     }
 
-    fn bury(&mut self, now: Millis, name: &str, gone: i64, made: i64, told: &mut Vec<Told>) {
-        if self.known.remove(name).is_some() {
-            told.push(Told::Gone(name.to_owned()));
+    fn remove(&mut self, name: &str, tombstone: Tombstone, effects: &mut TableEffects) {
+        if self.entries.remove(name).is_some() {
+            effects.changes.push(ListChange::Removed(name.to_owned()));
         }
-        self.tombstones.insert(
-            name.to_owned(),
-            Tombstone {
-                gone,
-                made,
-                at: now,
-                turned: false,
-            },
-        );
-        if self.tombstones.len() > self.rules.tombstones {
-            let oldest = self
-                .tombstones
-                .iter()
-                .min_by_key(|(_, t)| t.at)
-                .map(|(n, _)| n.clone());
-            oldest.map(|n| self.tombstones.remove(&n));
-        }
-        let span = self.rules.tombstone_span;
-        self.tombstones.retain(|_, t| now < t.at + span);
+        self.tombstones.insert(name, tombstone);
     }
 
-    /// The store's past is another than it was: a backup was brought back, whose revisions begin lower. What is gone stays gone
-    /// until its key is written anew, which shows in another revision than the one that it had.
-    pub fn turn_back(&mut self) {
-        self.known.values_mut().for_each(|k| k.mod_revision = -1);
-        self.tombstones.values_mut().for_each(|t| t.turned = true);
-        self.released = 0;
+    /// Prepares for the snapshot of a store that was rolled back to a backup, whose revisions begin lower.
+    ///
+    /// A deleted endpoint stays deleted until its key is created again.
+    pub fn store_rolled_back(&mut self) {
+        for entry in self.entries.values_mut() {
+            entry.mod_revision = UNKNOWN_REVISION;
+        }
+        self.tombstones.store_rolled_back();
+        self.released_revision = 0;
     }
 }
--- a/crates/endpoint-discovery/tests/model.rs
+++ b/crates/endpoint-discovery/tests/model.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use endpoint_discovery::{Change, Command, Event, Follower, Header, Keys, Kv, Limits, Phase, Told};
+use endpoint_discovery::{
+    BackoffLimits, Command, EndpointWatcher, Event, Header, KeyChange, KeySpace, KeyValue,
+    ListChange, Phase, WatchLimits,
+};
 use stateright::{Checker, Model, Property};
 
 const NAMES: [&str; 2] = ["a", "b"];
@@ -29,7 +32,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct World {
-    follower: Follower,
+    follower: EndpointWatcher,
     now: u64,
     /// What each revision did: which server, and whether it is there afterwards. The first is revision 2.
     history: Vec<(usize, bool)>,
@@ -97,13 +100,15 @@
     there
 }
 
-fn kv(name: usize, made: i64) -> Kv {
+fn kv(name: usize, made: i64) -> KeyValue {
     let value = format!(
         r#"{{"address":"127.0.0.1:{}","born-ms":{made}}}"#,
         9000 + name
     );
-    let key = Keys::new("/f", "p").of(NAMES[name]).into_bytes();
-    Kv {
+    let key = KeySpace::new("/f", "p")
+        .endpoint_key(NAMES[name])
+        .into_bytes();
+    KeyValue {
         key,
         value: value.into_bytes(),
         mod_revision: made,
@@ -136,15 +141,15 @@
             let (name, up) = world.history[(r - 2) as usize];
             let kv = kv(name, r);
             if up {
-                Change::Put(kv)
+                KeyChange::Put(kv)
             } else {
-                Change::Delete {
+                KeyChange::Delete {
                     key: kv.key,
                     revision: r,
                 }
             }
         });
-        let changes: Vec<Change> = changes.collect();
+        let changes: Vec<KeyChange> = changes.collect();
         if changes.is_empty() {
             return;
         }
@@ -161,8 +166,8 @@
     fn obey(&self, world: &mut World, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Connect { endpoint, .. } => {
-                    (world.line, world.wanted) = (None, Some(endpoint % 2))
+                Command::Connect { member, .. } => {
+                    (world.line, world.wanted) = (None, Some(member % 2))
                 }
                 Command::List { .. } => {
                     let Some(member) = world.line.as_ref().map(|l| l.member) else {
@@ -176,7 +181,7 @@
                     if let Some(line) = &mut world.line {
                         line.queue.push(Event::Page {
                             header,
-                            kvs,
+                            key_values: kvs,
                             more: false,
                         });
                     }
@@ -190,14 +195,16 @@
                         continue;
                     };
                     if from <= compacted {
-                        line.queue.push(Event::Cancelled { compacted });
+                        line.queue.push(Event::Cancelled {
+                            compact_revision: compacted,
+                        });
                     } else {
-                        line.queue.push(Event::Watching(header));
+                        line.queue.push(Event::WatchEstablished(header));
                         line.watch = Some(from);
                         self.push(world);
                     }
                 }
-                Command::Ask => {
+                Command::RequestProgress => {
                     let Some(member) = world.line.as_ref().map(|l| l.member) else {
                         continue;
                     };
@@ -206,14 +213,16 @@
                         line.queue.push(Event::Progress(header));
                     }
                 }
-                Command::Tell(Told::Whole(all)) => {
-                    world.pool = all.into_iter().map(|s| (s.name, s.born_ms)).collect();
+                Command::Publish(ListChange::Complete(all)) => {
+                    world.pool = all.into_iter().map(|s| (s.name, s.started_at_ms)).collect();
+                }
+                Command::Publish(ListChange::Upserted(s)) => {
+                    _ = world.pool.insert(s.name, s.started_at_ms)
                 }
-                Command::Tell(Told::Is(s)) => _ = world.pool.insert(s.name, s.born_ms),
-                Command::Tell(Told::Gone(name)) => _ = world.pool.remove(&name),
-                Command::Note(note) => {
-                    world.resynced |= matches!(note, endpoint_discovery::Note::Compacted(_));
-                    world.refused |= matches!(note, endpoint_discovery::Note::Lagging { .. });
+                Command::Publish(ListChange::Removed(name)) => _ = world.pool.remove(&name),
+                Command::Notice(note) => {
+                    world.resynced |= matches!(note, endpoint_discovery::Notice::Compacted(_));
+                    world.refused |= matches!(note, endpoint_discovery::Notice::Lagging { .. });
                 }
             }
         }
@@ -223,9 +232,9 @@
         // What an event tells of servers that are gone, as anybody would read it.
         if let Event::Changes { changes, .. } = &event {
             for change in changes {
-                if let Change::Delete { key, revision } = change {
-                    let name = Keys::new("/f", "p")
-                        .name(key)
+                if let KeyChange::Delete { key, revision } = change {
+                    let name = KeySpace::new("/f", "p")
+                        .endpoint_name(key)
                         .unwrap_or_default()
                         .to_owned();
                     let gone = world.gone.entry(name).or_default();
@@ -246,16 +255,19 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let mut limits = Limits {
-            jitter: false,
-            turned_back: u64::MAX / 2,
-            ..Limits::default()
+        let mut limits = WatchLimits {
+            backoff: BackoffLimits {
+                jitter: false,
+                ..BackoffLimits::default()
+            },
+            rollback_ms: u64::MAX / 2,
+            ..WatchLimits::default()
         };
         if self.lies {
-            limits.rules.tombstones = 0;
+            limits.table.max_tombstones = 0;
         }
         let mut world = World {
-            follower: Follower::new(Keys::new("/f", "p"), limits, 1),
+            follower: EndpointWatcher::new(KeySpace::new("/f", "p"), limits, 1),
             now: 0,
             history: vec![(0, true), (1, true)],
             compacted: 0,
@@ -295,7 +307,7 @@
                 actions.push(Act::Cut);
             }
         }
-        if world.budget.timers > 0 && world.follower.next().is_some() {
+        if world.budget.timers > 0 && world.follower.next_due().is_some() {
             actions.push(Act::Timer);
         }
     }
@@ -335,10 +347,10 @@
             Act::Cut => {
                 world.line = None;
                 world.budget.cuts -= 1;
-                self.hear(&mut world, Event::Lost);
+                self.hear(&mut world, Event::ConnectionLost);
             }
             Act::Timer => {
-                world.now = world.now.max(world.follower.next()?);
+                world.now = world.now.max(world.follower.next_due()?);
                 world.budget.timers -= 1;
                 self.hear(&mut world, Event::Timer);
             }
--- a/crates/etcd-fake/tests/follow.rs
+++ b/crates/etcd-fake/tests/follow.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use endpoint_discovery::{Limits, Phase};
+use endpoint_discovery::{BackoffLimits, Phase, WatchLimits};
 use etcd_fake::{Net, Standin};
 use play::{Play, delete, put, quick, run};
 
@@ -65,8 +65,8 @@
         let standin = Standin::start(2).await.unwrap();
         put(&standin, "a", 1);
         put(&standin, "b", 1);
-        let limits = Limits {
-            turned_back: 1500,
+        let limits = WatchLimits {
+            rollback_ms: 1500,
             ..quick()
         };
         let mut play = Play::follow(&standin, limits).await;
@@ -118,8 +118,8 @@
         standin.slow_lists(Duration::from_millis(20));
         let mut play = Play::follow(
             &standin,
-            Limits {
-                silence: 2000,
+            WatchLimits {
+                silence_timeout_ms: 2000,
                 ..quick()
             },
         )
@@ -182,10 +182,14 @@
     run(async {
         let standin = Standin::start(1).await.unwrap();
         put(&standin, "a", 1);
-        let backoff = (1000, 2000);
+        let backoff = BackoffLimits {
+            initial_ms: 1000,
+            max_ms: 2000,
+            ..BackoffLimits::default()
+        };
         let mut all = Vec::new();
         for _ in 0..50 {
-            all.push(Play::follow(&standin, Limits { backoff, ..quick() }).await);
+            all.push(Play::follow(&standin, WatchLimits { backoff, ..quick() }).await);
         }
         for play in &mut all {
             play.until("it watches", |p| p.phase() == Phase::Watching)
--- a/crates/etcd-fake/tests/play/mod.rs
+++ b/crates/etcd-fake/tests/play/mod.rs
@@ -3,9 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use endpoint_discovery::{Keys, Limits, Phase, Rules, Server, Told};
+use endpoint_discovery::{
+    BackoffLimits, Endpoint, KeySpace, ListChange, Phase, TableLimits, WatchLimits,
+};
 use etcd::api::{DeleteRangeRequest, PutRequest};
-use etcd::{Plain, Settings, Update};
+use etcd::{DiscoveryUpdate, Plain, Settings};
 use etcd_fake::Standin;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -13,8 +15,8 @@
 /// No wait takes longer, however loaded the machine.
 const LIMIT: Duration = Duration::from_secs(30);
 
-pub fn keys() -> Keys {
-    Keys::new("/canvascart/v1", "pool")
+pub fn keys() -> KeySpace {
+    KeySpace::new("/canvascart/v1", "pool")
 }
 
 /// A server's value; its birth tells which making of it this is.
@@ -24,7 +26,7 @@
 
 pub fn put_request(name: &str, value: Vec<u8>) -> PutRequest {
     PutRequest {
-        key: keys().of(name).into_bytes(),
+        key: keys().endpoint_key(name).into_bytes(),
         value,
         ..PutRequest::default()
     }
@@ -32,7 +34,7 @@
 
 pub fn delete_request(name: &str) -> DeleteRangeRequest {
     DeleteRangeRequest {
-        key: keys().of(name).into_bytes(),
+        key: keys().endpoint_key(name).into_bytes(),
         ..DeleteRangeRequest::default()
     }
 }
@@ -45,19 +47,23 @@
     standin.store(|s| s.delete(0, &delete_request(name)));
 }
 
-/// Limits whose spans are short, so that tests are. Flapping is on purpose here, and not held back.
-pub fn quick() -> Limits {
-    Limits {
-        ask: 100,
-        silence: 300,
-        stale: 400,
-        backoff: (20, 200),
-        turned_back: 60_000,
-        rules: Rules {
-            flaps: usize::MAX,
-            ..Rules::default()
+/// WatchLimits whose spans are short, so that tests are. Flapping is on purpose here, and not held back.
+pub fn quick() -> WatchLimits {
+    WatchLimits {
+        progress_interval_ms: 100,
+        silence_timeout_ms: 300,
+        staleness_ms: 400,
+        backoff: BackoffLimits {
+            initial_ms: 20,
+            max_ms: 200,
+            ..BackoffLimits::default()
         },
-        ..Limits::default()
+        rollback_ms: 60_000,
+        table: TableLimits {
+            flap_count: usize::MAX,
+            ..TableLimits::default()
+        },
+        ..WatchLimits::default()
     }
 }
 
@@ -70,8 +76,8 @@
 }
 
 pub struct Play {
-    updates: mpsc::UnboundedReceiver<Update>,
-    up: BTreeMap<String, Server>,
+    updates: mpsc::UnboundedReceiver<DiscoveryUpdate>,
+    up: BTreeMap<String, Endpoint>,
     phase: Phase,
     pub held: usize,
     /// The making of each server that it was last told is gone.
@@ -80,11 +86,15 @@
 }
 
 impl Play {
-    pub async fn follow(standin: &Standin, limits: Limits) -> Self {
+    pub async fn follow(standin: &Standin, limits: WatchLimits) -> Self {
         Play::follow_as(standin, limits, None).await
     }
 
-    pub async fn follow_as(standin: &Standin, limits: Limits, user: Option<(&str, &str)>) -> Self {
+    pub async fn follow_as(
+        standin: &Standin,
+        limits: WatchLimits,
+        user: Option<(&str, &str)>,
+    ) -> Self {
         let user = user.map(|(name, password)| (name.to_owned(), password.to_owned()));
         let settings = Settings {
             endpoints: standin.endpoints(),
@@ -112,14 +122,16 @@
         }
     }
 
-    fn take(&mut self, update: Update) {
+    fn take(&mut self, update: DiscoveryUpdate) {
         match update {
-            Update::Status(status) => (self.phase, self.held) = (status.phase, status.servers[2]),
-            Update::Told(Told::Whole(all)) => {
+            DiscoveryUpdate::Status(status) => {
+                (self.phase, self.held) = (status.phase, status.endpoints.retained)
+            }
+            DiscoveryUpdate::List(ListChange::Complete(all)) => {
                 self.up = all.into_iter().map(|s| (s.name.clone(), s)).collect();
             }
-            Update::Told(Told::Is(server)) => {
-                let made = server.born_ms;
+            DiscoveryUpdate::List(ListChange::Upserted(server)) => {
+                let made = server.started_at_ms;
                 if let Some(gone) = self.gone.get(&server.name) {
                     assert!(
                         made > *gone,
@@ -129,9 +141,9 @@
                 }
                 self.up.insert(server.name.clone(), server);
             }
-            Update::Told(Told::Gone(name)) => {
+            DiscoveryUpdate::List(ListChange::Removed(name)) => {
                 let server = self.up.remove(&name).expect("only who is there goes");
-                self.gone.insert(name.clone(), server.born_ms);
+                self.gone.insert(name.clone(), server.started_at_ms);
                 self.missing.insert(name);
             }
         }
@@ -163,7 +175,7 @@
         self.up.keys().cloned().collect()
     }
 
-    pub fn server(&self, name: &str) -> Option<&Server> {
+    pub fn server(&self, name: &str) -> Option<&Endpoint> {
         self.up.get(name)
     }
 
--- a/crates/etcd-fake/tests/registry.rs
+++ b/crates/etcd-fake/tests/registry.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use endpoint_discovery::{Entry, Limits, State};
+use endpoint_discovery::{EndpointRecord, EndpointState, WatchLimits};
 use etcd::{Failed, Plain, Registry, Settings};
 use etcd_fake::{Net, Standin};
 use play::{Play, keys, quick, run};
@@ -14,8 +14,8 @@
         .unwrap()
 }
 
-fn entry(port: u16) -> Entry {
-    Entry::at(([127, 0, 0, 1], port).into())
+fn entry(port: u16) -> EndpointRecord {
+    EndpointRecord::new(([127, 0, 0, 1], port).into())
 }
 
 #[test]
@@ -40,14 +40,20 @@
             ..play::put_request("n1", text.into())
         };
         standin.store(|s| s.put(0, &put).unwrap());
-        registry.set_state("n1", State::Draining).await.unwrap();
+        registry
+            .set_state("n1", EndpointState::Draining)
+            .await
+            .unwrap();
         let draining = |p: &Play| {
             p.server("n1")
-                .is_some_and(|s| s.entry.state == State::Draining)
+                .is_some_and(|s| s.record.state == EndpointState::Draining)
         };
         play.until("it drains", draining).await;
         let listed = registry.list().await.unwrap();
-        assert_eq!(listed[0].entry.as_ref().unwrap().rest["rack"], "r7");
+        assert_eq!(
+            listed[0].entry.as_ref().unwrap().unknown_fields["rack"],
+            "r7"
+        );
         assert_eq!(listed[0].lease, registration.lease);
         registry.deregister("n1").await.unwrap();
         play.until("it leaves", |p| p.names().is_empty()).await;
@@ -57,7 +63,7 @@
             Err(Failed::NotThere("n1".into()))
         );
         assert_eq!(
-            registry.set_state("n1", State::Up).await,
+            registry.set_state("n1", EndpointState::Up).await,
             Err(Failed::NotThere("n1".into()))
         );
     });
@@ -116,8 +122,8 @@
         })
         .await;
         // Without the guard they are gone at once.
-        let mut limits: Limits = quick();
-        limits.rules.guard = 1.0;
+        let mut limits: WatchLimits = quick();
+        limits.table.mass_expiry_ratio = 1.0;
         let mut bare = Play::follow(&standin, limits).await;
         bare.until("the list", |p| p.names() == ["s7"]).await;
     });
--- a/crates/etcd/src/follow.rs
+++ b/crates/etcd/src/follow.rs
@@ -3,7 +3,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use endpoint_discovery::{
-    Change, Command, Event, Follower, Header, Keys, Kv, Note, Status, Update, range_end,
+    Command, DiscoveryUpdate, EndpointWatcher, Event, Header, KeyChange, KeySpace, Notice, Status,
+    WatchLimits, range_end,
 };
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -28,14 +29,14 @@
     connect: C,
     settings: Settings,
     pool: String,
-    keys: Keys,
-    limits: endpoint_discovery::Limits,
+    keys: KeySpace,
+    limits: WatchLimits,
     seed: u64,
-    to: mpsc::UnboundedSender<Update>,
+    to: mpsc::UnboundedSender<DiscoveryUpdate>,
 ) {
     let start = Instant::now();
     let (events, mut heard) = mpsc::channel(16);
-    let mut follower = Follower::new(keys.clone(), limits, seed);
+    let mut follower = EndpointWatcher::new(keys.clone(), limits, seed);
     let mut line: Option<Line> = None;
     let mut calls: Option<(Instant, usize)> = None;
     let mut number = 0u64;
@@ -47,16 +48,16 @@
         follower.handle(now, unix_ms(), event, &mut out);
         for command in out.drain(..) {
             match command {
-                Command::Connect { endpoint, at: ms } => {
+                Command::Connect { member, at: ms } => {
                     line = None;
-                    calls = Some((at(ms), endpoint));
+                    calls = Some((at(ms), member));
                 }
-                Command::Tell(told) => {
-                    if to.send(Update::Told(told)).is_err() {
+                Command::Publish(told) => {
+                    if to.send(DiscoveryUpdate::List(told)).is_err() {
                         return;
                     }
                 }
-                Command::Note(note) => log(&pool, &note),
+                Command::Notice(note) => log(&pool, &note),
                 command => {
                     if let Some(line) = &line {
                         let _ = line.commands.send(command); // one that has ended says so itself
@@ -67,14 +68,14 @@
         let status = follower.status(now);
         if told_status
             .as_ref()
-            .is_none_or(|s: &Status| (s.phase, s.servers) != (status.phase, status.servers))
+            .is_none_or(|s: &Status| (s.phase, s.endpoints) != (status.phase, status.endpoints))
         {
             told_status = Some(status.clone());
-            if to.send(Update::Status(status)).is_err() {
+            if to.send(DiscoveryUpdate::Status(status)).is_err() {
                 return;
             }
         }
-        let alarm = follower.next().map(at);
+        let alarm = follower.next_due().map(at);
         event = loop {
             tokio::select! {
                 () = to.closed() => return,
@@ -108,46 +109,52 @@
         .as_millis() as u64
 }
 
-fn log(pool: &str, note: &Note) {
+fn log(pool: &str, note: &Notice) {
     match note {
-        Note::Phase(phase) => tracing::info!(pool, %phase, "the list's state"),
-        Note::Stale(_) => {
+        Notice::Phase(phase) => tracing::info!(pool, %phase, "the list's state"),
+        Notice::Stale(_) => {
             tracing::warn!(
                 pool,
                 "the list is stale: etcd says nothing; servers stay as they are"
             );
         }
-        Note::Compacted(revision) => {
+        Notice::Compacted(revision) => {
             tracing::warn!(
                 pool,
                 revision,
                 "changes were missed, as etcd has compacted them; the list is read anew"
             );
         }
-        Note::Lagging { has, known } => {
+        Notice::Lagging {
+            member_revision,
+            known_revision,
+        } => {
             tracing::warn!(
                 pool,
-                has,
-                known,
+                has = member_revision,
+                known = known_revision,
                 "a member of etcd lags behind what is known; another one is asked"
             );
         }
-        Note::OtherCluster(cluster) => {
+        Notice::OtherCluster(cluster) => {
             tracing::error!(
                 pool,
                 cluster,
                 "another etcd cluster answers; nothing of it is taken"
             );
         }
-        Note::TurnedBack { has, known } => {
+        Notice::RolledBack {
+            member_revision,
+            known_revision,
+        } => {
             tracing::error!(
                 pool,
-                has,
-                known,
+                has = member_revision,
+                known = known_revision,
                 "etcd has gone back, as after a backup; its list is taken"
             );
         }
-        Note::Did(what) => tracing::warn!(pool, what, "servers"),
+        Notice::Table(notice) => tracing::warn!(pool, what = notice.to_string(), "servers"),
     }
 }
 
@@ -170,7 +177,7 @@
         connect: C,
         endpoint: String,
         settings: &Settings,
-        keys: &Keys,
+        keys: &KeySpace,
         number: u64,
         events: Events,
     ) -> Self {
@@ -191,7 +198,7 @@
                     let why =
                         failed.map_or_else(|e| e.to_string(), |r| r.err().unwrap_or_default());
                     tracing::debug!(endpoint, why, "etcd can't be reached");
-                    teller.tell(Event::Lost).await;
+                    teller.tell(Event::ConnectionLost).await;
                     return;
                 }
             };
@@ -206,7 +213,7 @@
             };
             if let Err(why) = session.run(told, &teller).await {
                 tracing::debug!(endpoint, why, "etcd is lost");
-                teller.tell(Event::Lost).await;
+                teller.tell(Event::ConnectionLost).await;
             }
         });
         Line { commands, task }
@@ -234,7 +241,7 @@
 
 struct Session {
     member: Member,
-    keys: Keys,
+    keys: KeySpace,
     page: i64,
     watch: Option<Watch>,
 }
@@ -255,15 +262,15 @@
             let event = tokio::select! {
                 command = commands.recv() => match command {
                     None => return Ok(()),
-                    Some(Command::List { from, revision }) => {
+                    Some(Command::List { start_key, revision }) => {
                         self.watch = None;
-                        self.list(from, revision).await?
+                        self.list(start_key, revision).await?
                     }
                     Some(Command::Watch(from)) => {
                         self.open(from).await?;
                         continue;
                     }
-                    Some(Command::Ask) => {
+                    Some(Command::RequestProgress) => {
                         let ask = RequestUnion::ProgressRequest(WatchProgressRequest {});
                         if let Some(watch) = &self.watch {
                             // A full queue is a peer that does not read; its silence ends it.
@@ -288,7 +295,7 @@
     async fn list(&mut self, from: Vec<u8>, revision: i64) -> Result<Event, String> {
         let request = RangeRequest {
             key: from,
-            range_end: range_end(self.keys.all()),
+            range_end: range_end(self.keys.pool_prefix()),
             limit: self.page,
             revision,
             ..RangeRequest::default()
@@ -307,7 +314,7 @@
                     let kvs = answer.kvs.into_iter().map(kv).collect();
                     return Ok(Event::Page {
                         header: header(answer.header),
-                        kvs,
+                        key_values: kvs,
                         more: answer.more,
                     });
                 }
@@ -329,8 +336,8 @@
     async fn open(&mut self, from: i64) -> Result<(), String> {
         self.watch = None;
         let create = WatchCreateRequest {
-            key: self.keys.all().as_bytes().to_vec(),
-            range_end: range_end(self.keys.all()),
+            key: self.keys.pool_prefix().as_bytes().to_vec(),
+            range_end: range_end(self.keys.pool_prefix()),
             start_revision: from,
             progress_notify: true,
             fragment: true,
@@ -360,8 +367,8 @@
     })
 }
 
-pub(crate) fn kv(kv: KeyValue) -> Kv {
-    Kv {
+pub(crate) fn kv(kv: KeyValue) -> endpoint_discovery::KeyValue {
+    endpoint_discovery::KeyValue {
         key: kv.key,
         value: kv.value,
         mod_revision: kv.mod_revision,
@@ -375,11 +382,11 @@
     let header = header(answer.header);
     if answer.canceled {
         return Event::Cancelled {
-            compacted: answer.compact_revision,
+            compact_revision: answer.compact_revision,
         };
     }
     if answer.created {
-        return Event::Watching(header);
+        return Event::WatchEstablished(header);
     }
     if answer.events.is_empty() && !answer.fragment {
         return Event::Progress(header);
@@ -388,12 +395,12 @@
         let deleted = e.r#type == event::EventType::Delete as i32;
         let it = kv(e.kv?);
         Some(if deleted {
-            Change::Delete {
+            KeyChange::Delete {
                 key: it.key,
                 revision: it.mod_revision,
             }
         } else {
-            Change::Put(it)
+            KeyChange::Put(it)
         })
     };
     let changes = answer.events.into_iter().filter_map(change).collect();
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,7 +1,7 @@
 //! etcd's published v3 API, as far as a fleet's list needs it.
 //!
 //! - [`api`]: the messages and services, made from `proto/etcd.proto`.
-//! - [`follow`]: carries out a [`endpoint_discovery::Follower`]'s commands, and tells what the list becomes.
+//! - [`follow`]: carries out a [`endpoint_discovery::EndpointWatcher`]'s commands, and tells what the list becomes.
 //! - [`Registry`]: registers servers with leases, drains them and takes them away; for `canvascart fleet`.
 //!
 //! It decides nothing about what to believe: the follower does.
@@ -22,6 +22,6 @@
 }
 
 pub use connect::{Connect, Plain, Settings};
-pub use endpoint_discovery::Update;
+pub use endpoint_discovery::DiscoveryUpdate;
 pub use follow::follow;
 pub use registry::{Failed, Listed, Registration, Registry};
--- a/crates/etcd/src/registry.rs
+++ b/crates/etcd/src/registry.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use endpoint_discovery::{Entry, Keys, State, range_end};
+use endpoint_discovery::{EndpointRecord, EndpointState, KeySpace, range_end};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 use tokio_stream::wrappers::ReceiverStream;
@@ -66,7 +66,7 @@
     /// Its name.
     pub name: String,
     /// Its value, or why it is none.
-    pub entry: Result<Entry, String>,
+    pub entry: Result<EndpointRecord, String>,
     /// The revision of its last change.
     pub revision: i64,
     /// Its lease; 0 for none.
@@ -86,7 +86,7 @@
 pub struct Registry<C> {
     connect: C,
     settings: Settings,
-    keys: Keys,
+    keys: KeySpace,
     member: Member,
 }
 
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// None does.
-    pub async fn connect(connect: C, settings: Settings, keys: Keys) -> Result<Self, Failed> {
+    pub async fn connect(connect: C, settings: Settings, keys: KeySpace) -> Result<Self, Failed> {
         let member = any(&connect, &settings).await?;
         Ok(Registry {
             connect,
@@ -133,11 +133,11 @@
     /// etcd can't be asked.
     pub async fn list(&self) -> Result<Vec<Listed>, Failed> {
         let mut all = Vec::new();
-        let (mut from, mut revision) = (self.keys.servers().as_bytes().to_vec(), 0);
+        let (mut from, mut revision) = (self.keys.endpoint_prefix().as_bytes().to_vec(), 0);
         loop {
             let request = RangeRequest {
                 key: from.clone(),
-                range_end: range_end(self.keys.servers()),
+                range_end: range_end(self.keys.endpoint_prefix()),
                 limit: self.settings.page,
                 revision,
                 ..RangeRequest::default()
@@ -161,8 +161,8 @@
 
     fn listed(&self, kv: &KeyValue) -> Option<Listed> {
         Some(Listed {
-            name: self.keys.name(&kv.key)?.to_owned(),
-            entry: Entry::read(&kv.value).map_err(|e| e.to_string()),
+            name: self.keys.endpoint_name(&kv.key)?.to_owned(),
+            entry: EndpointRecord::parse(&kv.value).map_err(|e| e.to_string()),
             revision: kv.mod_revision,
             lease: kv.lease,
         })
@@ -170,7 +170,7 @@
 
     async fn get(&self, name: &str) -> Result<Option<KeyValue>, Failed> {
         let request = RangeRequest {
-            key: self.keys.of(name).into_bytes(),
+            key: self.keys.endpoint_key(name).into_bytes(),
             ..RangeRequest::default()
         };
         Ok(Self::call(self.kv().range(self.member.request(request)))
@@ -186,7 +186,7 @@
     pub async fn register(
         &self,
         name: &str,
-        entry: &Entry,
+        entry: &EndpointRecord,
         ttl: Duration,
     ) -> Result<Registration, Failed> {
         let grant = LeaseGrantRequest {
@@ -202,14 +202,17 @@
         for _ in 0..TRIES {
             let now = self.get(name).await?;
             let mut entry = entry.clone();
-            if let Some(old) = now.as_ref().and_then(|kv| Entry::read(&kv.value).ok()) {
-                if old.address != entry.address && old.state != State::Gone {
+            if let Some(old) = now
+                .as_ref()
+                .and_then(|kv| EndpointRecord::parse(&kv.value).ok())
+            {
+                if old.address != entry.address && old.state != EndpointState::Removed {
                     self.revoke(registration.lease).await?;
                     return Err(Failed::Taken(name.to_owned()));
                 }
                 // What others have written there stays.
-                for (key, value) in old.rest {
-                    entry.rest.entry(key).or_insert(value);
+                for (key, value) in old.unknown_fields {
+                    entry.unknown_fields.entry(key).or_insert(value);
                 }
             }
             let revision = now.map_or(0, |kv| kv.mod_revision);
@@ -228,10 +231,10 @@
         &self,
         name: &str,
         revision: i64,
-        entry: &Entry,
+        entry: &EndpointRecord,
         lease: i64,
     ) -> Result<bool, Failed> {
-        let key = self.keys.of(name).into_bytes();
+        let key = self.keys.endpoint_key(name).into_bytes();
         let compare = Compare {
             result: CompareResult::Equal as i32,
             target: CompareTarget::Mod as i32,
@@ -240,7 +243,7 @@
         };
         let put = PutRequest {
             key,
-            value: entry.text().into_bytes(),
+            value: entry.to_json().into_bytes(),
             lease,
             ..PutRequest::default()
         };
@@ -304,14 +307,14 @@
     ///
     /// # Errors
     /// It is not there, or etcd can't be asked.
-    pub async fn set_state(&self, name: &str, state: State) -> Result<(), Failed> {
+    pub async fn set_state(&self, name: &str, state: EndpointState) -> Result<(), Failed> {
         for _ in 0..TRIES {
             let kv = self
                 .get(name)
                 .await?
                 .ok_or_else(|| Failed::NotThere(name.to_owned()))?;
-            let mut entry =
-                Entry::read(&kv.value).map_err(|e| Failed::Refused(format!("{name}: {e}")))?;
+            let mut entry = EndpointRecord::parse(&kv.value)
+                .map_err(|e| Failed::Refused(format!("{name}: {e}")))?;
             entry.state = state;
             if self.put_if(name, kv.mod_revision, &entry, kv.lease).await? {
                 return Ok(());
@@ -325,13 +328,13 @@
     /// # Errors
     /// It is not there, or etcd can't be asked.
     pub async fn deregister(&self, name: &str) -> Result<(), Failed> {
-        match self.set_state(name, State::Gone).await {
+        match self.set_state(name, EndpointState::Removed).await {
             // A value that can't be read goes without a word.
             Ok(()) | Err(Failed::Refused(_)) => {}
             Err(e) => return Err(e),
         }
         let request = DeleteRangeRequest {
-            key: self.keys.of(name).into_bytes(),
+            key: self.keys.endpoint_key(name).into_bytes(),
             ..DeleteRangeRequest::default()
         };
         Self::call(self.kv().delete_range(self.member.request(request))).await?;
@@ -344,7 +347,7 @@
     /// etcd can't be asked.
     pub async fn release(&self) -> Result<(), Failed> {
         let put = PutRequest {
-            key: self.keys.release().as_bytes().to_vec(),
+            key: self.keys.release_key().as_bytes().to_vec(),
             value: b"{}".to_vec(),
             ..PutRequest::default()
         };
--- a/crates/lab/src/followers.rs
+++ b/crates/lab/src/followers.rs
@@ -10,9 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use endpoint_discovery::{Entry, Keys, Limits, Phase, Told};
+use endpoint_discovery::{BackoffLimits, EndpointRecord, KeySpace, ListChange, Phase, WatchLimits};
 use etcd::api::{DeleteRangeRequest, PutRequest};
-use etcd::{Plain, Settings, Update};
+use etcd::{DiscoveryUpdate, Plain, Settings};
 use etcd_fake::Standin;
 use hdrhistogram::Histogram;
 use tokio::runtime::Runtime;
@@ -27,19 +27,19 @@
 /// Followers that come back together.
 const MANY: usize = 100;
 
-fn keys() -> Keys {
-    Keys::new("/canvascart/v1", "t")
+fn keys() -> KeySpace {
+    KeySpace::new("/canvascart/v1", "t")
 }
 
 fn put(standin: &Standin, name: &str, address: SocketAddr) {
-    let entry = Entry {
-        size: 16.0,
-        born_ms: Some(1),
-        ..Entry::at(address)
+    let entry = EndpointRecord {
+        capacity: 16.0,
+        started_at_ms: Some(1),
+        ..EndpointRecord::new(address)
     };
     let request = PutRequest {
-        key: keys().of(name).into_bytes(),
-        value: entry.text().into_bytes(),
+        key: keys().endpoint_key(name).into_bytes(),
+        value: entry.to_json().into_bytes(),
         ..PutRequest::default()
     };
     standin.store(|s| _ = s.put(0, &request)); // without a lease it can't be refused
@@ -47,7 +47,7 @@
 
 fn delete(standin: &Standin, name: &str) {
     let request = DeleteRangeRequest {
-        key: keys().of(name).into_bytes(),
+        key: keys().endpoint_key(name).into_bytes(),
         ..DeleteRangeRequest::default()
     };
     standin.store(|s| _ = s.delete(0, &request));
@@ -75,7 +75,11 @@
         .build()
 }
 
-fn follow(standin: &Standin, limits: Limits, seed: u64) -> mpsc::UnboundedReceiver<Update> {
+fn follow(
+    standin: &Standin,
+    limits: WatchLimits,
+    seed: u64,
+) -> mpsc::UnboundedReceiver<DiscoveryUpdate> {
     let (to, updates) = mpsc::unbounded_channel();
     let settings = Settings::new(standin.endpoints());
     tokio::spawn(etcd::follow(
@@ -101,9 +105,13 @@
         (0..servers).for_each(|n| put(&standin, &format!("s{n:05}"), address));
         let id = std::process::id();
         let (cpu, mb, began) = (cpu_seconds(id), resident_mb(id), Instant::now());
-        let no_wait = Limits {
-            backoff: (0, 1000),
-            ..Limits::default()
+        let no_wait = WatchLimits {
+            backoff: BackoffLimits {
+                initial_ms: 0,
+                max_ms: 1000,
+                ..BackoffLimits::default()
+            },
+            ..WatchLimits::default()
         };
         let mut updates = follow(&standin, no_wait, 1);
         let mut measured = Size {
@@ -112,10 +120,10 @@
         };
         while let Some(update) = updates.recv().await {
             match update {
-                Update::Told(Told::Whole(_)) => {
+                DiscoveryUpdate::List(ListChange::Complete(_)) => {
                     measured.listed_ms = began.elapsed().as_secs_f64() * 1000.0
                 }
-                Update::Status(status) if status.phase == Phase::Watching => break,
+                DiscoveryUpdate::Status(status) if status.phase == Phase::Watching => break,
                 _ => {}
             }
         }
@@ -137,7 +145,7 @@
                         .recv()
                         .await
                         .ok_or_else(|| io::Error::other("the follower has ended"))?;
-                    if matches!(update, Update::Told(_)) {
+                    if matches!(update, DiscoveryUpdate::List(_)) {
                         break;
                     }
                 }
@@ -158,17 +166,20 @@
         let standin = Standin::start(1).await?;
         put(&standin, "a", SocketAddr::from(([127, 0, 0, 1], 9)));
         // A first wait of up to 2 s, as the operators of a large fleet would set it.
-        let limits = Limits {
-            jitter,
-            backoff: (2000, 8000),
-            ..Limits::default()
+        let limits = WatchLimits {
+            backoff: BackoffLimits {
+                initial_ms: 2000,
+                max_ms: 8000,
+                jitter,
+            },
+            ..WatchLimits::default()
         };
         let mut all: Vec<_> = (0..MANY)
             .map(|n| follow(&standin, limits, n as u64))
             .collect();
         for updates in &mut all {
             while let Some(update) = updates.recv().await {
-                if matches!(update, Update::Status(s) if s.phase == Phase::Watching) {
+                if matches!(update, DiscoveryUpdate::Status(s) if s.phase == Phase::Watching) {
                     break;
                 }
             }
--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use balancer::{Class, Costs, Discovery, Idempotency, Settings, WeightMeaning, ZoneId};
-use endpoint_discovery::{Told, Update};
+use endpoint_discovery::{DiscoveryUpdate, ListChange};
 use fair_share::{Caps, Limits};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{StatusCode, Uri};
@@ -72,7 +72,7 @@
 }
 
 /// Follows a tenant's list as these settings say, under a seed, for as long as somebody listens.
-pub type Follow = Box<dyn Fn(&Tenant, &document::Fleet, u64) -> UnboundedReceiver<Update>>;
+pub type Follow = Box<dyn Fn(&Tenant, &document::Fleet, u64) -> UnboundedReceiver<DiscoveryUpdate>>;
 
 struct Open {
     address: SocketAddr,
@@ -567,20 +567,20 @@
     }
 
     /// Takes what has become of a list that is followed, and tells all its pools.
-    fn hear(&mut self, update: Update) {
+    fn hear(&mut self, update: DiscoveryUpdate) {
         let Some(followed) = &mut self.followed else {
             return;
         };
         let changed = match update {
-            Update::Status(status) => {
+            DiscoveryUpdate::Status(status) => {
                 followed.status = Some(status);
                 return;
             }
-            Update::Told(Told::Whole(all)) => {
+            DiscoveryUpdate::List(ListChange::Complete(all)) => {
                 followed.hosts = Some(all.iter().map(|s| (s.name.clone(), host(s))).collect());
                 return self.tell();
             }
-            Update::Told(Told::Is(server)) => {
+            DiscoveryUpdate::List(ListChange::Upserted(server)) => {
                 let host = host(&server);
                 followed
                     .hosts
@@ -588,7 +588,7 @@
                     .insert(server.name, host.clone());
                 host
             }
-            Update::Told(Told::Gone(name)) => {
+            DiscoveryUpdate::List(ListChange::Removed(name)) => {
                 let Some(host) = followed.hosts.as_mut().and_then(|h| h.remove(&name)) else {
                     return;
                 };
@@ -607,22 +607,22 @@
 }
 
 /// A server of a list that is followed, as the module takes it.
-fn host(server: &endpoint_discovery::Server) -> Host {
-    let entry = &server.entry;
+fn host(server: &endpoint_discovery::Endpoint) -> Host {
+    let record = &server.record;
     Host {
         host: server.name.clone(),
-        dial: Some(entry.address),
-        site: entry.zone.clone(),
-        class: entry.kind.clone(),
+        dial: Some(record.address),
+        site: record.zone.clone(),
+        class: record.machine_type.clone(),
         block: None,
-        health: if entry.state == endpoint_discovery::State::Up {
+        health: if record.state == endpoint_discovery::EndpointState::Up {
             "up"
         } else {
             "draining"
         }
         .into(),
-        share: Some(entry.size),
-        born_ms: server.born_ms as f64,
+        share: Some(record.capacity),
+        born_ms: server.started_at_ms as f64,
     }
 }
 
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -612,8 +612,8 @@
         .map(|s| FleetStatus {
             state: s.phase.to_string(),
             revision: s.revision,
-            quarantined: s.servers[1],
-            held: s.servers[2],
+            quarantined: s.endpoints.quarantined,
+            held: s.endpoints.retained,
         });
     TenantStatus {
         name: name.to_string(),
