--- a/crates/canvascart/src/drill.rs
+++ b/crates/canvascart/src/drill.rs
@@ -77,7 +77,7 @@
 
 impl Port {
     fn address(&self) -> Result<String, String> {
-        let settings = self.properties.read()?.drills;
+        let settings = self.properties.read()?.fault_injection;
         if let Some(at) = &self.at {
             return Ok(at.clone());
         }
@@ -89,7 +89,7 @@
             .rsplit_once(':')
             .map(|(host, _)| host)
             .ok_or("NODE_LISTEN is not HOST:PORT")?;
-        host_and_port(&format!("{host}:{port}"))
+        host_and_port(&format!("{host}:{port}")).map_err(|e| e.to_string())
     }
 }
 
@@ -109,7 +109,7 @@
         Command::Stop { port, class } => (port, Method::DELETE, json!({"class": class})),
     };
     let address = port.address()?;
-    let secret = Secret::new(&port.secret)?;
+    let secret = Secret::new(&port.secret).map_err(|e| e.to_string())?;
     let mut bearer = HeaderValue::from_bytes(&[b"Bearer ", secret.bytes()].concat())
         .map_err(|_| "the secret can't stand in a header")?;
     bearer.set_sensitive(true);
--- a/crates/canvascart/src/main.rs
+++ b/crates/canvascart/src/main.rs
@@ -20,7 +20,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use settings::properties::Features;
+use settings::properties::FeatureSettings;
 
 /// Tools for those who run and use the proxy.
 #[derive(Parser)]
@@ -76,11 +76,11 @@
 }
 
 impl Properties {
-    fn read(&self) -> Result<Features, String> {
-        let read = |file: &Path| Features::read(file).map_err(|e| e.to_string());
+    fn read(&self) -> Result<FeatureSettings, String> {
+        let read = |file: &Path| FeatureSettings::read(file).map_err(|e| e.to_string());
         self.properties
             .as_deref()
-            .map_or_else(|| Ok(Features::default()), read)
+            .map_or_else(|| Ok(FeatureSettings::default()), read)
     }
 }
 
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -8,7 +8,7 @@
     Action, Balancer, CellId, ClassId, Endpoint, EndpointId, Event, Key, MachineTypeId, Millis,
     Outcome, RequestId, TenantId, ZoneId,
 };
-use settings::{Names, index_of, number_of};
+use settings::{Names, PlatformSettings, intern, stable_hash};
 
 /// Between two requests: they come alone, so that none waits for another.
 const STEP: Millis = 50.0;
@@ -47,7 +47,7 @@
         let given = given.ok_or("the capture's settings are missing")?;
         let given =
             serde_json::from_str(given).map_err(|e| format!("the capture's settings: {e}"))?;
-        let (settings, names) = settings::parse(&given);
+        let PlatformSettings { settings, names } = PlatformSettings::from_json(&given);
         if settings.proxy_index >= settings.proxy_count {
             return Err("the capture's settings: the proxy's number is off".into());
         }
@@ -76,7 +76,7 @@
     }
 
     fn backend(&mut self, server: &Server) -> Endpoint {
-        let id = EndpointId(number_of(&server.name));
+        let id = EndpointId(stable_hash(&server.name));
         if !self.servers.iter().any(|(known, _)| *known == id) {
             self.servers.push((id, server.name.clone()));
         }
@@ -86,11 +86,11 @@
             zone: server
                 .site
                 .as_ref()
-                .map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32)),
+                .map(|z| ZoneId(intern(&mut self.names.zones, z) as u32)),
             machine_type: server
                 .class
                 .as_ref()
-                .map(|k| MachineTypeId(index_of(&mut self.names.kinds, k) as u32)),
+                .map(|k| MachineTypeId(intern(&mut self.names.machine_types, k) as u32)),
             cell: server.block.map(CellId),
             state: server.state,
             weight: server.share.unwrap_or(1.0),
@@ -115,7 +115,7 @@
             id,
             class: ClassId(class),
             tenant: tenant.map(TenantId),
-            key: then.sid.as_ref().map(|sid| Key(number_of(sid))),
+            key: then.sid.as_ref().map(|sid| Key(stable_hash(sid))),
             timeout: budget,
             expected_work: None,
             body_complete: true,
--- a/crates/multi-tenant/src/plan.rs
+++ b/crates/multi-tenant/src/plan.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use settings::number_of;
+use settings::stable_hash;
 
 use crate::catalog::{Catalog, Difference};
 use crate::document::{Listener, Server, State, Tenant};
@@ -151,7 +151,7 @@
                     .servers
                     .iter()
                     .filter(comes)
-                    .map(|s| (number_of(&s.name), s.warm));
+                    .map(|s| (stable_hash(&s.name), s.warm));
                 brought.insert(name.clone(), comes.collect());
             }
         }
--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -21,7 +21,7 @@
 use proxy_core::service::{self, Feed, Host, Missing, Process, Router, Running, Terms};
 use schemars::JsonSchema;
 use serde::Serialize;
-use settings::{Connections, Names, index_of};
+use settings::{ConnectionSettings, Names, intern};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
@@ -660,7 +660,7 @@
     let zone = rules
         .zone
         .as_deref()
-        .map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
+        .map(|z| ZoneId(intern(&mut names.zones, z) as u32));
     let settings = Settings {
         proxy_index: 0,
         proxy_count: 1,
@@ -684,9 +684,9 @@
             max_attempts: rules.max_attempts,
         },
     };
-    let connections = Connections {
-        dial_timeout: rules.dial_timeout.0,
-        idle_close: rules.idle_close.0,
+    let connections = ConnectionSettings {
+        connect_timeout: rules.dial_timeout.0,
+        idle_timeout: rules.idle_close.0,
     };
     Terms {
         settings,
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -11,7 +11,7 @@
 use proxy_core::service::{self, Feed, Missing};
 use schemars::JsonSchema;
 use serde::Serialize;
-use settings::number_of;
+use settings::stable_hash;
 use tenant_activation::{Activation, ActivationLimits, Deferral};
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::sleep;
@@ -213,13 +213,13 @@
         let account = self.book.resume(name, &caps(&tenant.limits));
         // Another draw each time, or the first request after each rest would go the same way.
         let wakes = self.residents.borrow().counters().activations;
-        let seed = self.seed ^ number_of(name) ^ wakes.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let seed = self.seed ^ stable_hash(name) ^ wakes.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let running = self.pool(&tenant, &account, seed, 0);
         let born = |s: &crate::document::Server| {
             if s.warm {
                 0.0
             } else {
-                digest.born(number_of(&s.name))
+                digest.born(stable_hash(&s.name))
             }
         };
         let mut live = Live {
@@ -269,7 +269,7 @@
     fn digest(&self, live: &Live) -> Digest {
         let (now, unix) = (self.process.now(), self.process.unix_now());
         let cold = live.document.rules.cold.0;
-        let born = |s: &crate::document::Server| (number_of(&s.name), live.births.of(&s.name));
+        let born = |s: &crate::document::Server| (stable_hash(&s.name), live.births.of(&s.name));
         let young = |(_, born): &(u64, f64)| *born > 0.0 && unix - born < cold;
         let born: Vec<_> = live
             .document
--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -11,8 +11,8 @@
 
 use ::capture::{Field, Head, News, Record, Server, Tried};
 use balancer::{ClassId, EndpointId, EndpointState, Millis, Outcome, TenantId, UpdateScope};
-use settings::properties::Capture as Settings;
-use settings::{Names, number_of};
+use settings::properties::CaptureSettings as Settings;
+use settings::{Names, stable_hash};
 
 use crate::clock::Clock;
 use crate::hosts::Host;
@@ -79,7 +79,7 @@
             segment: 0,
         };
         let files = settings
-            .dir
+            .directory
             .as_deref()
             .map(|dir| Files::start(dir, &head))
             .transpose()?;
@@ -337,7 +337,7 @@
         let mut lines = format!("{news}\n");
         for host in hosts {
             let (id, line) = (
-                EndpointId(number_of(&host.host)),
+                EndpointId(stable_hash(&host.host)),
                 format!("{}\n", server(host)),
             );
             lines.push_str(&line);
--- a/crates/proxy-core/src/config.rs
+++ b/crates/proxy-core/src/config.rs
@@ -5,8 +5,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use settings::change::Terms;
-use settings::{Connections, number_of};
+use settings::{ConnectionSettings, ReloadableSettings, stable_hash};
 
 /// The file as it stands; unknown keys are passed over.
 #[derive(Deserialize)]
@@ -61,8 +60,8 @@
     pub peers: Option<PeerAddresses>,
     /// The list of backends as last seen, in discovery's form; perhaps old, perhaps nothing.
     pub known: Value,
-    pub terms: Terms,
-    pub connections: Connections,
+    pub terms: ReloadableSettings,
+    pub connections: ConnectionSettings,
     pub started: Started,
 }
 
@@ -75,18 +74,22 @@
 /// What a file at SIGHUP can change.
 pub struct Change {
     pub discovery: SocketAddr,
-    pub terms: Terms,
-    pub connections: Connections,
+    pub terms: ReloadableSettings,
+    pub connections: ConnectionSettings,
 }
 
 /// Reads a file that has been put in the place of the one that the process started with: all of it is good, or none of
 /// it counts. The message of an error names the file, the key and the reason.
-pub fn read_change(path: &Path, started: &Started, now: &Terms) -> Result<Change, String> {
+pub fn read_change(
+    path: &Path,
+    started: &Started,
+    now: &ReloadableSettings,
+) -> Result<Change, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     change(&text, started, now).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn change(text: &str, started: &Started, now: &Terms) -> Result<Change, String> {
+fn change(text: &str, started: &Started, now: &ReloadableSettings) -> Result<Change, String> {
     if text.trim().is_empty() {
         return Err("the file is empty".into());
     }
@@ -99,7 +102,7 @@
         return Err(format!("{key}: the key is missing"));
     }
     let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
-    let terms = now.followed_by(&file.settings).map_err(|e| e.to_string())?;
+    let terms = now.reload(&file.settings).map_err(|e| e.to_string())?;
     if terms.settings.proxy_index >= terms.settings.proxy_count {
         return Err(format!(
             "settings.myNumber: {} of {}",
@@ -108,7 +111,7 @@
     }
     Ok(Change {
         discovery: file.discovery,
-        connections: settings::connections(&file.settings),
+        connections: ConnectionSettings::from_json(&file.settings),
         terms,
     })
 }
@@ -134,8 +137,8 @@
     if !file.settings.is_object() {
         return Err("'settings' is no object".into());
     }
-    let connections = settings::connections(&file.settings);
-    let terms = Terms::new(file.settings);
+    let connections = ConnectionSettings::from_json(&file.settings);
+    let terms = ReloadableSettings::from_json(file.settings);
     let (settings, names) = (&terms.settings, &terms.names);
     if settings.classes.is_empty() || names.classes.iter().any(String::is_empty) {
         return Err("'settings' has no named classes".into());
@@ -181,7 +184,7 @@
 fn seed(value: &Value) -> Option<u64> {
     match value {
         Value::String(text) => {
-            Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| number_of(text)))
+            Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text)))
         }
         other => other.as_u64(),
     }
@@ -202,9 +205,9 @@
         assert_eq!((config.seed, config.sockets), (0x8c1f, 512));
         assert_eq!(
             config.connections,
-            Connections {
-                dial_timeout: 120.0,
-                idle_close: 30_000.0
+            ConnectionSettings {
+                connect_timeout: 120.0,
+                idle_timeout: 30_000.0
             }
         );
         assert_eq!(config.terms.names.classes, ["page"]);
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -13,7 +13,7 @@
     MachineTypeId, Millis, Outcome, RequestId, UpdateScope, ZoneId,
 };
 use rustc_hash::FxHashMap;
-use settings::{Names, index_of, number_of};
+use settings::{Names, intern, stable_hash};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
@@ -539,7 +539,7 @@
 
     /// Notes where a backend is, and whether something new may go there.
     fn backend(&mut self, host: Host) -> balancer::Endpoint {
-        let id = EndpointId(number_of(&host.host));
+        let id = EndpointId(stable_hash(&host.host));
         let state = host.state();
         if let Some(address) = host.dial {
             let same = |e: &Rc<Endpoint>| e.address == address && e.born_ms == host.born_ms;
@@ -558,10 +558,10 @@
             id,
             zone: host
                 .site
-                .map(|z| ZoneId(index_of(&mut self.names.zones, &z) as u32)),
+                .map(|z| ZoneId(intern(&mut self.names.zones, &z) as u32)),
             machine_type: host
                 .class
-                .map(|k| MachineTypeId(index_of(&mut self.names.kinds, &k) as u32)),
+                .map(|k| MachineTypeId(intern(&mut self.names.machine_types, &k) as u32)),
             cell: host.block.map(CellId),
             state,
             weight: host.share.unwrap_or(1.0),
@@ -715,7 +715,7 @@
 
 /// The number by which accounts know the server at an address, the same for all tenants.
 pub fn server_number(address: SocketAddr) -> u64 {
-    number_of(&address.to_string())
+    stable_hash(&address.to_string())
 }
 
 /// Tells how an attempt ended, exactly once: an attempt that dies on the way may have run.
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -16,7 +16,7 @@
 
 use hyper::Request;
 use settings::Names;
-use settings::properties::{Figures as Settings, Format};
+use settings::properties::{MetricsFormat as Format, MetricsSettings as Settings};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::inbox::GONE;
@@ -72,7 +72,8 @@
 
 impl Figures {
     pub fn new(settings: &Settings, names: &Names) -> io::Result<Rc<Self>> {
-        let targets = usize::from(settings.file.is_some()) + usize::from(settings.udp.is_some());
+        let targets =
+            usize::from(settings.file.is_some()) + usize::from(settings.udp_address.is_some());
         let most = [MOST / targets.max(1)];
         let mut outlets = Vec::new();
         if let Some(file) = &settings.file {
@@ -81,9 +82,14 @@
                 0,
             ));
         }
-        if let Some(to) = settings.udp {
+        if let Some(to) = settings.udp_address {
             outlets.push((
-                Outlet::start("figures.udp", &most, settings.batch_bytes, to_udp(to)?)?,
+                Outlet::start(
+                    "figures.udp",
+                    &most,
+                    settings.max_datagram_bytes,
+                    to_udp(to)?,
+                )?,
                 0,
             ));
         }
@@ -95,7 +101,7 @@
             format: settings.format,
             classes: RefCell::new(escaped(&names.classes)),
             tenants: RefCell::new(escaped(&names.tenants)),
-            flush: settings.flush,
+            flush: settings.flush_interval,
             state: RefCell::default(),
             outlets,
         }))
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -7,8 +7,7 @@
 use balancer::{ClassId, Idempotency, Key, TenantId};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
-use settings::change::Terms;
-use settings::{Names, number_of};
+use settings::{Names, ReloadableSettings, stable_hash};
 
 use crate::account::Account;
 use crate::capture::Capture;
@@ -45,7 +44,7 @@
 pub struct Pool {
     pub(crate) inbox: Inbox,
     /// The settings in service.
-    pub(crate) terms: RefCell<Rc<Terms>>,
+    pub(crate) terms: RefCell<Rc<ReloadableSettings>>,
     /// Whether the module has a list, and what else says whether clients are taken.
     pub(crate) life: Rc<Life>,
     pub(crate) counts: Rc<Counts>,
@@ -86,18 +85,18 @@
         headers: &HeaderMap,
     ) -> Result<Asked, (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
-        let Terms {
+        let ReloadableSettings {
             settings,
             names,
-            open,
-            known,
+            accepted_classes,
+            accepted_tenants,
             ..
         } = &**self.terms.borrow();
         let class = names
             .classes
             .iter()
             .position(|c| c == class_of(uri))
-            .filter(|c| open[*c]);
+            .filter(|c| accepted_classes[*c]);
         let class = class.ok_or((StatusCode::NOT_FOUND, "no such class"))?;
         let wanted = if settings.classes[class].idempotency == Idempotency::Idempotent {
             Method::GET
@@ -127,7 +126,7 @@
                     .tenants
                     .iter()
                     .position(|t| t == name)
-                    .filter(|t| known[*t]);
+                    .filter(|t| accepted_tenants[*t]);
                 Some(TenantId(tenant.ok_or(bad("no such tenant"))?))
             }
             None => return Err(bad("X-Tenant-Id is missing")),
@@ -151,7 +150,7 @@
         };
         let patience = Duration::from_secs_f64(patience);
         let hint = number("x-cost")?.map(|us| us / 1000.0);
-        let key = sid(uri).map(|s| Key(number_of(s)));
+        let key = sid(uri).map(|s| Key(stable_hash(s)));
         Ok(Asked {
             class: ClassId(class),
             tenant,
--- a/crates/proxy-core/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -47,9 +47,9 @@
 /// The drills and their side port, if the settings have both a secret and a port.
 fn drills(
     config: &Config,
-    features: &properties::Features,
+    features: &properties::FeatureSettings,
 ) -> io::Result<(Option<Rc<Drills>>, Option<TcpListener>)> {
-    let settings = &features.drills;
+    let settings = &features.fault_injection;
     let (Some(secret), Some(port)) = (&settings.secret, settings.port) else {
         return Ok((None, None));
     };
@@ -57,7 +57,7 @@
     let side_port = frontend::listen((config.listen.ip(), port).into())?;
     let classes = config.terms.names.classes.clone();
     // Chance of their own: the module's draws stay as they are.
-    let drills = Drills::new(secret.clone(), settings.most, classes, !config.seed);
+    let drills = Drills::new(secret.clone(), settings.max_duration, classes, !config.seed);
     Ok((Some(drills), Some(side_port)))
 }
 
@@ -83,7 +83,7 @@
         };
         self.place.move_to(change.discovery);
         self.upstreams.set(&change.connections);
-        if change.terms.given == now.given {
+        if change.terms.source == now.source {
             return;
         }
         // The module hears of it before the first request that comes under it.
@@ -91,7 +91,12 @@
             .put(Input::Settings(Box::new(change.terms.settings.clone())));
         pool.counts.name(&change.terms.names.classes);
         pool.features.rename(&change.terms.names);
-        let classes = change.terms.names.classes.iter().zip(&change.terms.open);
+        let classes = change
+            .terms
+            .names
+            .classes
+            .iter()
+            .zip(&change.terms.accepted_classes);
         let open: Vec<&str> = classes
             .filter(|(_, open)| **open)
             .map(|(name, _)| name.as_str())
@@ -107,7 +112,11 @@
     move |e| format!("{what} on {address}: {e}")
 }
 
-async fn run(config: Config, path: PathBuf, features: properties::Features) -> Result<(), String> {
+async fn run(
+    config: Config,
+    path: PathBuf,
+    features: properties::FeatureSettings,
+) -> Result<(), String> {
     let at = |what: &str| {
         let what = what.to_owned();
         move |e: io::Error| format!("{what}: {e}")
@@ -132,7 +141,7 @@
     let capture = if features.capture.enabled {
         let (node, given, names) = (
             &config.name,
-            config.terms.given.to_string(),
+            config.terms.source.to_string(),
             config.terms.names.clone(),
         );
         let capture = Capture::new(&features.capture, node, config.seed, &given, names, clock)?;
@@ -214,9 +223,9 @@
     // The module sends to a backend only while it has a free slot there, but clients come as they like: most
     // of the budget is theirs. Beyond `most` an eighth more are let in, only to be refused.
     let most = budget * 5 / 8;
-    let figures = if features.figures.enabled {
+    let figures = if features.metrics.enabled {
         let figures =
-            Figures::new(&features.figures, &config.terms.names).map_err(at("the figures"))?;
+            Figures::new(&features.metrics, &config.terms.names).map_err(at("the figures"))?;
         spawn_local(figures.clone().follow());
         Some(figures)
     } else {
@@ -313,7 +322,7 @@
 /// What the command line asks for.
 enum Asked {
     /// A proxy with these features.
-    Proxy(Box<properties::Features>),
+    Proxy(Box<properties::FeatureSettings>),
     /// A text on standard output, and nothing else.
     Text(String),
 }
@@ -325,9 +334,11 @@
         return Ok(Asked::Proxy(Box::default()));
     };
     match (flag.to_str(), arguments.next(), arguments.next()) {
-        (Some("--properties"), Some(file), None) => properties::Features::read(Path::new(&file))
-            .map(|f| Asked::Proxy(f.into()))
-            .map_err(|e| e.to_string()),
+        (Some("--properties"), Some(file), None) => {
+            properties::FeatureSettings::read(Path::new(&file))
+                .map(|f| Asked::Proxy(f.into()))
+                .map_err(|e| e.to_string())
+        }
         (Some("--help" | "-h"), None, None) => Ok(Asked::Text(HELP.into())),
         (Some("--version" | "-V"), None, None) => Ok(Asked::Text(format!(
             "canvascart-proxy {}\n",
--- a/crates/proxy-core/src/service.rs
+++ b/crates/proxy-core/src/service.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use balancer::{Balancer, HealthSnapshot, Millis, Settings, UpdateScope};
-use settings::{Connections, Names, change};
+use settings::{ConnectionSettings, Names, ReloadableSettings};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{JoinError, spawn_local};
@@ -52,7 +52,7 @@
     /// The names that go with it.
     pub names: Names,
     /// What concerns connections to servers.
-    pub connections: Connections,
+    pub connections: ConnectionSettings,
     /// What the module's draws come from.
     pub seed: u64,
 }
@@ -222,7 +222,10 @@
             ended(end);
         });
         let features = Features::default();
-        let terms = RefCell::new(Rc::new(change::Terms::of(terms.settings, terms.names)));
+        let terms = RefCell::new(Rc::new(ReloadableSettings::fixed(
+            terms.settings,
+            terms.names,
+        )));
         let pool = Pool {
             inbox: inbox.clone(),
             terms,
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -298,7 +298,7 @@
 impl Upstreams {
     /// `sockets` is the budget of connections, which pools of one process share.
     pub fn new(
-        connections: &settings::Connections,
+        connections: &settings::ConnectionSettings,
         sockets: Arc<Semaphore>,
         account: Option<Rc<dyn Account>>,
         counts: Rc<Counts>,
@@ -318,11 +318,11 @@
     }
 
     /// The settings have changed.
-    pub fn set(&self, connections: &settings::Connections) {
+    pub fn set(&self, connections: &settings::ConnectionSettings) {
         let span = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3.6e6) / 1000.0);
-        self.dial_timeout.set(span(connections.dial_timeout));
+        self.dial_timeout.set(span(connections.connect_timeout));
         self.idle_limit
-            .set(span(connections.idle_close * IDLE_PART));
+            .set(span(connections.idle_timeout * IDLE_PART));
     }
 
     /// Adds a backend's process to those whose idle connections are looked after.
--- a/crates/proxy-core/tests/rest.rs
+++ b/crates/proxy-core/tests/rest.rs
@@ -7,7 +7,7 @@
 use balancer::{Class, Costs, Discovery, Idempotency, Limits, Millis, Settings, WeightMeaning};
 use proxy_core::account::Account;
 use proxy_core::service::{Host, Process, Terms};
-use settings::{Connections, Names};
+use settings::{ConnectionSettings, Names};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -78,9 +78,9 @@
     Terms {
         settings,
         names,
-        connections: Connections {
-            dial_timeout: 250.0,
-            idle_close: 1000.0,
+        connections: ConnectionSettings {
+            connect_timeout: 250.0,
+            idle_timeout: 1000.0,
         },
         seed: 1,
     }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -11,7 +11,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use rustc_hash::FxHashMap;
 
-use settings::{Names, index_of, number_of};
+use settings::{Names, PlatformSettings, intern, stable_hash};
 
 /// Whether this version reads messages of that name.
 pub fn known(name: &str) -> bool {
@@ -134,7 +134,7 @@
         let seed = fields.optional_whole("randomSeed")?.unwrap_or(0);
         let params =
             serde_json::from_str(fields.text("params")?).map_err(|e| format!("settings: {e}"))?;
-        let (settings, names) = settings::parse(&params);
+        let PlatformSettings { settings, names } = PlatformSettings::from_json(&params);
         Ok(Instance {
             balancer: Balancer::new(settings, seed),
             names,
@@ -150,14 +150,14 @@
         let at = |e: String| format!("line {line}: {e}");
         let fields = Fields::new(text).map_err(at)?;
         let name = fields.text("backend").map_err(at)?;
-        let id = number_of(name);
+        let id = stable_hash(name);
         self.backends.entry(id).or_insert_with(|| name.to_owned());
         let zone = fields
             .get("failureDomain")
-            .map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32));
+            .map(|z| ZoneId(intern(&mut self.names.zones, z) as u32));
         let kind = fields
             .get("shape")
-            .map(|k| MachineTypeId(index_of(&mut self.names.kinds, k) as u32));
+            .map(|k| MachineTypeId(intern(&mut self.names.machine_types, k) as u32));
         Ok(Endpoint {
             id: EndpointId(id),
             zone,
