--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The four rules over seeded random but legal event streams, watched by an independent checker.
+//! The four rules over seeded random but valid event streams, watched by an independent checker.
 mod common;
 use balancer::*;
 use common::*;
@@ -9,7 +9,7 @@
     Message(Vec<u8>),
 }
 
-/// A small random world around one proxy. It is no model of servers: it only makes legal event streams.
+/// Random surroundings of one proxy. They are no model of endpoints: they only make valid event streams.
 struct World {
     rng: fastrand::Rng,
     now: Millis,
@@ -26,7 +26,7 @@
 impl World {
     fn new(seed: u64, settings: Settings, tamper: fn(&mut Vec<Action>)) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let list = (0..rng.u64(0..14)).map(server).collect();
+        let list = (0..rng.u64(0..14)).map(endpoint).collect();
         World {
             balancer: Balancer::new(settings.clone(), seed),
             checker: Checker::new(settings.clone(), 60.0),
@@ -41,7 +41,7 @@
         }
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.checker.event(self.now, &event);
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -62,7 +62,7 @@
                 Action::Broadcast(bytes) => {
                     assert!(bytes.len() <= 256);
                     if self.rng.f64() < 0.5 {
-                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer said the like
+                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer had sent the same
                     }
                 }
                 Action::Subscribe | Action::FetchEndpoints => {
@@ -76,7 +76,7 @@
                     } else {
                         vec![]
                     };
-                    self.give(Event::EndpointUpdate {
+                    self.handle(Event::EndpointUpdate {
                         scope,
                         endpoints: entries,
                     });
@@ -117,7 +117,7 @@
             0 => {
                 let fresh = Endpoint {
                     started_at: Some(self.now),
-                    ..server(100 + self.next)
+                    ..endpoint(100 + self.next)
                 };
                 self.list.push(fresh.clone());
                 entries.push(fresh);
@@ -137,10 +137,10 @@
                 (self.list[k].state, self.list[k].started_at) =
                     (EndpointState::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
-                entries.push(self.list[k].clone()); // a repeated line does no harm
+                entries.push(self.list[k].clone()); // a repeated entry does no harm
             }
             4 => {
-                return self.give(Event::EndpointUpdate {
+                return self.handle(Event::EndpointUpdate {
                     scope: UpdateScope::Failed,
                     endpoints: vec![],
                 });
@@ -148,10 +148,10 @@
             _ => {
                 self.list.retain(|b| b.state != EndpointState::Removed);
                 let entries = self.list.clone();
-                return self.give(full(entries));
+                return self.handle(full_update(entries));
             }
         }
-        self.give(Event::EndpointUpdate {
+        self.handle(Event::EndpointUpdate {
             scope: UpdateScope::Delta,
             endpoints: entries,
         });
@@ -160,7 +160,7 @@
     fn run(mut self, span: Millis) -> Vec<String> {
         let end = self.now + span;
         let entries = self.list.clone();
-        self.give(Event::EndpointUpdate {
+        self.handle(Event::EndpointUpdate {
             scope: UpdateScope::Cached,
             endpoints: entries,
         });
@@ -179,8 +179,8 @@
                 let (at, due) = self.due.swap_remove(i);
                 self.now = self.now.max(at);
                 match due {
-                    Due::Timer(token) => self.give(Event::Timer(token)),
-                    Due::Message(bytes) => self.give(Event::Gossip { from: 1, bytes }),
+                    Due::Timer(token) => self.handle(Event::Timer(token)),
+                    Due::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
                         let Some(e) = self.ends.get_mut(&id) else {
                             continue;
@@ -188,7 +188,7 @@
                         e.2 |= outcome == Outcome::Served;
                         let closed = e.2;
                         let request = RequestId(id);
-                        self.give(Event::AttemptEnded {
+                        self.handle(Event::AttemptEnded {
                             request,
                             attempt,
                             latency,
@@ -198,35 +198,35 @@
                     }
                 }
             }
-            self.checker.look(self.now);
+            self.checker.check_overdue(self.now);
         }
-        self.checker.breaches
+        self.checker.violations
     }
 
     fn step(&mut self) {
         match self.rng.u32(0..400) {
             0..6 => self.change_list(),
             6 => {
-                // Killed and started again: nothing of what it held comes back.
+                // Killed and started again: its requests are lost.
                 self.balancer = Balancer::new(self.settings.clone(), self.next);
                 self.checker.restart();
                 self.ends.clear();
                 self.due.clear();
                 let entries = self.list.clone();
-                self.give(Event::EndpointUpdate {
+                self.handle(Event::EndpointUpdate {
                     scope: UpdateScope::Cached,
                     endpoints: entries,
                 });
             }
-            7..10 => self.give(Event::Gossip {
+            7..10 => self.handle(Event::Gossip {
                 from: self.next as u32 % 9,
                 bytes: vec![1, 0, 9, 3],
             }),
-            10..14 => self.give(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
+            10..14 => self.handle(attempt_ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
                     self.ends.get_mut(&id).unwrap().2 = true;
-                    self.give(Event::ClientGone(RequestId(id)));
+                    self.handle(Event::ClientDisconnected(RequestId(id)));
                     self.ends.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
@@ -239,7 +239,7 @@
                 let id = RequestId(self.next);
                 self.ends.insert(self.next, (self.now + budget, 0, false));
                 self.next += 1;
-                self.give(Event::Request {
+                self.handle(Event::Request {
                     id,
                     class: ClassId(class),
                     tenant,
@@ -300,14 +300,14 @@
 }
 
 #[test]
-fn the_four_rules_hold_over_random_streams() {
+fn the_four_rules_hold_over_random_events() {
     for (v, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
-            let breaches = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
+            let violations = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
             assert!(
-                breaches.is_empty(),
+                violations.is_empty(),
                 "variant {v}, seed {seed}: {:?}",
-                &breaches[..breaches.len().min(3)]
+                &violations[..violations.len().min(3)]
             );
         }
     }
@@ -316,13 +316,13 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut hand = Hand::new(settings(4), (0..9).map(server).collect());
+        let mut harness = Harness::new(settings(4), (0..9).map(endpoint).collect());
         let mut all = vec![];
         for id in 0..200 {
-            all.extend(hand.give(request(id, id as usize % 3, 1500.0)));
-            all.extend(hand.pass(7.0));
+            all.extend(harness.handle(request(id, id as usize % 3, 1500.0)));
+            all.extend(harness.advance(7.0));
             if id >= 8 {
-                all.extend(hand.give(ended(id - 8, 0, 56.0, Outcome::Served)));
+                all.extend(harness.handle(attempt_ended(id - 8, 0, 56.0, Outcome::Served)));
             }
         }
         all
@@ -341,7 +341,7 @@
     );
 }
 
-/// The checker must be able to fail: each rule is broken on purpose and seen.
+/// The checker must be able to fail: each rule is broken on purpose.
 #[test]
 fn the_checker_sees_broken_rules() {
     caught(
@@ -375,11 +375,8 @@
     caught(
         |out| {
             for a in out.iter_mut() {
-                if let Action::Forward {
-                    endpoint: backend, ..
-                } = a
-                {
-                    backend.0 = if backend.0 >= 100 { backend.0 } else { 1 };
+                if let Action::Forward { endpoint, .. } = a {
+                    endpoint.0 = if endpoint.0 >= 100 { endpoint.0 } else { 1 };
                 }
             }
         },
@@ -387,7 +384,8 @@
     );
     caught(
         |out| {
-            let cold = |a: &&Action| matches!(a, Action::Forward { endpoint: backend, .. } if backend.0 >= 100);
+            let cold =
+                |a: &&Action| matches!(a, Action::Forward { endpoint, .. } if endpoint.0 >= 100);
             if let Some(a) = out.iter().find(cold).cloned() {
                 out.extend(std::iter::repeat_n(a, 40));
             }
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -4,9 +4,10 @@
 use std::path::{Path, PathBuf};
 
 use ::admin_api::{Backup, Desk};
-use ::cluster::machine::{Machine, Member};
-use ::cluster::salvage::next_era;
-use cluster_runtime::kept::{Kept, new_cluster};
+use ::cluster::command::Member;
+use ::cluster::log_recovery::{next_era, restart_with_one_member};
+use ::cluster::state_machine::StateMachine;
+use cluster_runtime::storage::{Owner, StorageError, StoredMember, new_cluster_id};
 use multi_tenant::document::{Cluster, Service};
 use serde_json::Value;
 
@@ -83,14 +84,15 @@
     yes: bool,
 ) -> Result<(), String> {
     let named = |e: String| format!("{}: {e}", directory.display());
-    if !directory.join(config_store::log::LOG_FILE).exists() {
+    let unreadable = |e: StorageError| named(e.to_string());
+    if !directory.join(config_store::raft_log::FILE_NAME).exists() {
         return Err(named(
             "it is no member's directory; to begin from a backup give --backup FILE".into(),
         ));
     }
-    let mut kept = Kept::open(directory).map_err(named)?;
-    let (old, name) = kept
-        .identity()
+    let mut kept = StoredMember::open(directory).map_err(unreadable)?;
+    let Owner { cluster: old, name } = kept
+        .owner()
         .ok_or_else(|| named("its member has never joined".into()))?;
     let (old, name) = (old.to_owned(), name.to_owned());
     if name != cluster.instance {
@@ -99,8 +101,8 @@
             cluster.instance
         )));
     }
-    let salvage = kept.salvage().map_err(named)?;
-    let before = &salvage.machine;
+    let salvage = kept.recover().map_err(unreadable)?;
+    let before = &salvage.state_machine;
     let version = next_era(before.version);
     println!("survivor        {name}, of the cluster {old}");
     println!(
@@ -109,17 +111,17 @@
     );
     println!(
         "log             up to entry {}, term {}",
-        salvage.position.1, salvage.position.0
+        salvage.last_index, salvage.term
     );
-    println!("known agreed    up to entry {}", salvage.agreed);
+    println!("known agreed    up to entry {}", salvage.committed_index);
     println!(
         "taken besides   {} entries that may have been acknowledged",
-        salvage.unsure
+        salvage.uncommitted_entries
     );
     println!(
         "given up        {}",
         salvage
-            .under_way
+            .aborted_change
             .as_deref()
             .unwrap_or("no change was under way")
     );
@@ -139,22 +141,24 @@
     );
     println!(
         "may be missing  whatever was acknowledged after entry {} without this member",
-        salvage.position.1
+        salvage.last_index
     );
     if !yes {
         println!("nothing was changed: say --yes to do it");
         return Ok(());
     }
     let mut desk = Desk::open(file, false, unix_ms())?;
-    if desk.entry() < salvage.state.1 {
-        desk.replace(file, &salvage.state.0)?;
+    if desk.entry() < salvage.application_revision {
+        desk.replace(file, &salvage.application_state)?;
     }
-    let detail = format!("the cluster {old} up to entry {}", salvage.position.1);
+    let detail = format!("the cluster {old} up to entry {}", salvage.last_index);
     let (version, entry, state) =
         desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
     let member = member(cluster, before.next_id);
-    let machine = before.anew(new_cluster(), name.clone(), member, version, entry);
-    kept.begin_anew(&machine, &name, state).map_err(named)?;
+    let cluster_id = new_cluster_id();
+    let machine = restart_with_one_member(before, cluster_id, name.clone(), member, version, entry);
+    kept.found_cluster(&machine, &name, state)
+        .map_err(unreadable)?;
     done(&machine);
     Ok(())
 }
@@ -184,8 +188,9 @@
         return Ok(());
     }
     let named = |e: String| format!("{}: {e}", directory.display());
-    let mut kept = Kept::open(directory).map_err(named)?;
-    if kept.identity().is_some() {
+    let unreadable = |e: StorageError| named(e.to_string());
+    let mut kept = StoredMember::open(directory).map_err(unreadable)?;
+    if kept.owner().is_some() {
         return Err(named(
             "it is a member's: begin from a backup in an empty directory".into(),
         ));
@@ -204,15 +209,16 @@
     let (version, entry, state) = desk.salvage(file, &[], version, detail, unix_ms())?;
     let rules = super::settings(cluster, &directory.display().to_string())?.rules;
     let name = cluster.instance.clone();
-    let machine = Machine::found(
-        new_cluster(),
+    let machine = StateMachine::bootstrap(
+        new_cluster_id(),
         rules,
         name.clone(),
         member(cluster, 1),
         version,
         entry,
     );
-    kept.begin_anew(&machine, &name, state).map_err(named)?;
+    kept.found_cluster(&machine, &name, state)
+        .map_err(unreadable)?;
     done(&machine);
     Ok(())
 }
@@ -222,14 +228,14 @@
         id,
         address: cluster.address.clone(),
         zone: cluster.zone.clone(),
-        drawn: 0,
+        join_nonce: 0,
     }
 }
 
-fn done(machine: &Machine) {
+fn done(machine: &StateMachine) {
     println!(
         "done            the cluster is {} from here on; start this instance",
-        machine.cluster
+        machine.cluster_id
     );
     println!(
         "others          join it with empty state directories; with those of before they are refused"
