--- a/crates/cluster/src/simulation/event_queue.rs
+++ b/crates/cluster/src/simulation/event_queue.rs
@@ -6,11 +6,11 @@
 use crate::message::Message;
 use crate::rules::Micros;
 
-/// An event of the simulation. Instances are given by their index.
+/// An event of the simulation. Members are given by their index.
 pub(super) enum Event {
-    /// An instance looks at its clock.
+    /// A member looks at its clock.
     Tick {
-        instance: usize,
+        member: usize,
         /// Number of the process start for which the event holds.
         start: u32,
     },
@@ -21,13 +21,13 @@
         from: u64,
         message: Message,
     },
-    /// An instance has validated a change.
+    /// A member has validated a change.
     Validated {
-        instance: usize,
+        member: usize,
         start: u32,
         change: String,
     },
-    /// The judge looks at all instances.
+    /// The judge looks at all members.
     Sample,
 }
 
--- a/crates/cluster/src/simulation/judge.rs
+++ b/crates/cluster/src/simulation/judge.rs
@@ -1,4 +1,4 @@
-//! Judgement of a simulated cluster: no instance may decide under a former version; and the times that changes take.
+//! Judgement of a simulated cluster: no member may decide under a former version; and the times that changes take.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 /// Violations that are kept.
 const MAX_VIOLATIONS: usize = 16;
 
-/// A moment at which an instance could decide under a former version.
+/// A moment at which a member could decide under a former version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// True time.
     pub at: Micros,
-    /// Name of the instance.
-    pub instance: String,
+    /// Name of the member.
+    pub member: String,
     /// Version under which it could decide.
     pub version: Version,
-    /// Newest version under which any instance could decide before.
+    /// Newest version under which any member could decide before.
     pub newest_version: Version,
 }
 
@@ -38,7 +38,7 @@
     pub proposed_at: Micros,
     /// End of the change; none while it is under way.
     pub completion: Option<Completion>,
-    /// Moment from which on no instance can decide under an earlier version.
+    /// Moment from which on no member can decide under an earlier version.
     pub everywhere_at: Option<Micros>,
 }
 
@@ -51,12 +51,12 @@
 }
 
 impl Judge {
-    /// Records that an instance could decide under a version.
-    pub fn record_permission(&mut self, at: Micros, instance: &str, version: Version) {
+    /// Records that a member could decide under a version.
+    pub fn record_permission(&mut self, at: Micros, member: &str, version: Version) {
         if version < self.newest_version && self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(Violation {
                 at,
-                instance: instance.to_owned(),
+                member: member.to_owned(),
                 version,
                 newest_version: self.newest_version,
             });
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Records which changes are in effect everywhere, by the leases of all running instances.
+    /// Records which changes are in effect everywhere, by the leases of all running members.
     pub fn record_leases(&mut self, now: Micros, leases: &[Lease]) {
         for progress in self.changes.values_mut() {
             let Some(completion) = &progress.completion else {
--- a/crates/cluster/src/simulation/instance.rs
+++ b/crates/cluster/src/simulation/member.rs
@@ -1,4 +1,4 @@
-//! A simulated instance: its process, clock and disk.
+//! A simulated member: its process, clock and disk.
 
 use crate::node::Node;
 use crate::persistence::{Persist, PersistedState};
@@ -45,7 +45,7 @@
     }
 }
 
-/// Copy of an instance's disk at some moment.
+/// Copy of a member's disk at some moment.
 pub struct DiskCopy {
     pub(super) id: u64,
     pub(super) disk: Disk,
@@ -58,11 +58,11 @@
     }
 }
 
-/// A simulated instance.
-pub(super) struct Instance {
+/// A simulated member.
+pub(super) struct SimulatedMember {
     pub name: String,
     pub zone: String,
-    /// Raft node id; 0 before the instance has joined.
+    /// Raft node id; 0 before the member has joined.
     pub id: u64,
     /// The running process.
     pub node: Option<Node>,
@@ -76,7 +76,7 @@
     pub is_paused: bool,
     /// Events that came while the process was paused.
     pub deferred_events: Vec<Event>,
-    /// Fault that the instance finds in each change.
+    /// Fault that the member finds in each change.
     pub validation_fault: Option<String>,
     /// Duration of a write.
     pub write_duration: Micros,
@@ -84,10 +84,10 @@
     pub writes_done_at: Micros,
 }
 
-impl Instance {
-    /// Creates an instance that has not joined yet.
+impl SimulatedMember {
+    /// Creates a member that has not joined yet.
     pub fn new(index: usize, zones: usize, clock_error_ppm: i64, write_duration: Micros) -> Self {
-        Instance {
+        SimulatedMember {
             name: format!("i{index}"),
             zone: format!("z{}", index % zones.max(1)),
             id: 0,
@@ -109,7 +109,7 @@
         self.node.is_some() && !self.is_paused
     }
 
-    /// Returns the time of the instance's clock.
+    /// Returns the time of the member's clock.
     pub fn clock(&self, now: Micros) -> Micros {
         let rate = MILLION + self.clock_error_ppm;
         (now as u128 * rate as u128 / MILLION as u128) as Micros
--- a/crates/cluster/src/simulation/mod.rs
+++ b/crates/cluster/src/simulation/mod.rs
@@ -1,12 +1,12 @@
 //! Simulation of a cluster in virtual time: clocks that drift, links that delay, lose and are cut, processes that pause, die and
-//! restart, disks that are slow or restored from a copy. A judge looks at each decision that any instance could make.
+//! restart, disks that are slow or restored from a copy. A judge looks at each decision that any member could make.
 //!
 //! The same seed gives the same run.
 
 mod event_queue;
 mod faults;
-mod instance;
 mod judge;
+mod member;
 mod network;
 
 use std::collections::BTreeMap;
@@ -22,29 +22,29 @@
 use crate::state_machine::{Effect, Phase, StateMachine, Version};
 
 use event_queue::{Event, EventQueue};
-use instance::{Disk, Instance};
 use judge::Judge;
+use member::{Disk, SimulatedMember};
 use network::{Link, Network};
 
-pub use instance::DiskCopy;
 pub use judge::{ChangeProgress, Completion, Violation};
+pub use member::DiskCopy;
 pub use network::{Environment, Traffic};
 
 /// True time at the begin of a simulation.
 const START: Micros = 1_000_000;
-/// Interval at which the judge looks at all instances.
+/// Interval at which the judge looks at all members.
 const SAMPLE_INTERVAL: Micros = 10_000;
-/// Interval at which an instance looks at its clock.
+/// Interval at which a member looks at its clock.
 const CLOCK_INTERVAL: Micros = 20_000;
-/// Time within which an instance has to be able to join.
+/// Time within which a member has to be able to join.
 const JOIN_TIMEOUT: Micros = 60_000_000;
 
-/// A simulated cluster. Instances are given by their index.
+/// A simulated cluster. Members are given by their index.
 pub struct Simulation {
     /// True time.
     pub now: Micros,
     environment: Environment,
-    instances: Vec<Instance>,
+    members: Vec<SimulatedMember>,
     events: EventQueue,
     random: fastrand::Rng,
     network: Network,
@@ -53,17 +53,17 @@
     pub traffic: Traffic,
     /// Members that detected their amnesia.
     pub detected_amnesia: u64,
-    /// Planted fault: no instance looks at the end of its lease.
+    /// Planted fault: no member looks at the end of its lease.
     pub ignore_lease_expiry: bool,
     /// Planted fault: a restored disk counts as confirmed.
     pub trust_restored_disks: bool,
 }
 
 impl Simulation {
-    /// Creates a cluster with instances spread over zones. The first one bootstraps the cluster, the others join.
+    /// Creates a cluster with members spread over zones. The first one bootstraps the cluster, the others join.
     ///
     /// # Panics
-    /// An instance can't join, which is a fault of the program.
+    /// A member can't join, which is a fault of the program.
     pub fn new(
         count: usize,
         zones: usize,
@@ -72,16 +72,16 @@
         seed: u64,
     ) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let instances = (0..count)
+        let members = (0..count)
             .map(|index| {
                 let clock_error = draw_clock_error(&mut random, environment.clock_drift_ppm);
-                Instance::new(index, zones, clock_error, environment.write_duration)
+                SimulatedMember::new(index, zones, clock_error, environment.write_duration)
             })
             .collect();
         let mut simulation = Simulation {
             now: START,
             environment,
-            instances,
+            members,
             events: EventQueue::default(),
             random,
             network: Network::default(),
@@ -99,7 +99,7 @@
     }
 
     fn bootstrap(&mut self, cluster_id: String, rules: &Rules) {
-        let first = &mut self.instances[0];
+        let first = &mut self.members[0];
         first.id = 1;
         let member = Member {
             id: first.id,
@@ -117,7 +117,7 @@
         self.events.push(self.now + SAMPLE_INTERVAL, Event::Sample);
     }
 
-    /// Joins an instance, or joins it again with an empty disk.
+    /// Joins a member, or joins it again with an empty disk.
     ///
     /// # Panics
     /// It can't join within a minute.
@@ -125,12 +125,12 @@
         let end = self.now + JOIN_TIMEOUT;
         let nonce = self.random.u64(1..);
         loop {
-            assert!(self.now < end, "{} can't join", self.instances[index].name);
+            assert!(self.now < end, "{} can't join", self.members[index].name);
             if let Some(id) = self.request_join(index, nonce) {
-                let instance = &mut self.instances[index];
-                instance.id = id;
-                instance.disk = Disk::default();
-                instance.start = 0;
+                let member = &mut self.members[index];
+                member.id = id;
+                member.disk = Disk::default();
+                member.start = 0;
                 self.start(index);
                 return;
             }
@@ -140,8 +140,8 @@
 
     fn request_join(&mut self, index: usize, nonce: u64) -> Option<u64> {
         let leader = self.leader()?;
-        let name = self.instances[index].name.clone();
-        let zone = self.instances[index].zone.clone();
+        let name = self.members[index].name.clone();
+        let zone = self.members[index].zone.clone();
         let clock = self.clock(leader);
         let request = JoinRequest {
             name: &name,
@@ -149,62 +149,62 @@
             zone: &zone,
             nonce,
         };
-        let node = self.instances[leader].node.as_mut();
+        let node = self.members[leader].node.as_mut();
         let joined = node.map(|node| node.add_member(clock, &request));
         self.process_outputs(leader);
         joined?.ok()?
     }
 
-    /// Starts the process of an instance with the state on its disk.
+    /// Starts the process of a member with the state on its disk.
     ///
     /// # Panics
     /// The state can't be read, which is a fault of the program.
     pub fn start(&mut self, index: usize) {
         let clock = self.clock(index);
         let seed = self.random.u64(..);
-        let instance = &mut self.instances[index];
-        instance.start += 1;
-        instance.deferred_events.clear();
-        instance.is_paused = false;
-        let is_restored = std::mem::take(&mut instance.is_disk_restored);
+        let member = &mut self.members[index];
+        member.start += 1;
+        member.deferred_events.clear();
+        member.is_paused = false;
+        let is_restored = std::mem::take(&mut member.is_disk_restored);
         let config = NodeConfig {
-            id: instance.id,
-            process_start: instance.start,
+            id: member.id,
+            process_start: member.start,
             is_disk_confirmed: !is_restored || self.trust_restored_disks,
             seed,
         };
-        let node = Node::new(&config, &instance.disk.state, clock);
-        instance.node = Some(node.expect("the state can be read"));
+        let node = Node::new(&config, &member.disk.state, clock);
+        member.node = Some(node.expect("the state can be read"));
         self.schedule_tick(index);
         self.process_outputs(index);
     }
 
     fn schedule_tick(&mut self, index: usize) {
         let tick = Event::Tick {
-            instance: index,
-            start: self.instances[index].start,
+            member: index,
+            start: self.members[index].start,
         };
         self.events.push(self.now, tick);
     }
 
-    /// Reports if an instance's process runs and is not paused.
+    /// Reports if a member's process runs and is not paused.
     pub fn is_running(&self, index: usize) -> bool {
-        self.instances[index].is_running()
+        self.members[index].is_running()
     }
 
-    /// Returns the node of an instance whose process runs or is paused.
+    /// Returns the node of a member whose process runs or is paused.
     pub fn node(&self, index: usize) -> Option<&Node> {
-        self.instances[index].node.as_ref()
+        self.members[index].node.as_ref()
     }
 
-    /// Returns the number of instances.
+    /// Returns the number of members.
     pub fn count(&self) -> usize {
-        self.instances.len()
+        self.members.len()
     }
 
     /// Returns the leader, the one of the newest term if several consider themselves it.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.instances.len())
+        (0..self.members.len())
             .filter(|index| self.is_running(*index))
             .filter(|index| self.node(*index).is_some_and(Node::is_leader))
             .max_by_key(|index| self.node(*index).map(Node::term))
@@ -227,7 +227,7 @@
     pub fn propose_change(&mut self, id: &str) -> Result<(), NodeError> {
         let leader = self.leader().ok_or(NodeError::NotLeader)?;
         let clock = self.clock(leader);
-        let node = self.instances[leader].node.as_mut();
+        let node = self.members[leader].node.as_mut();
         let node = node.ok_or(NodeError::NotLeader)?;
         let proposal = Proposal {
             id: id.to_owned(),
@@ -247,8 +247,8 @@
     pub fn remove_member(&mut self, index: usize) -> Result<bool, NodeError> {
         let leader = self.leader().ok_or(NodeError::NotLeader)?;
         let clock = self.clock(leader);
-        let name = self.instances[index].name.clone();
-        let node = self.instances[leader].node.as_mut();
+        let name = self.members[index].name.clone();
+        let node = self.members[leader].node.as_mut();
         let node = node.ok_or(NodeError::NotLeader)?;
         let removed = node.remove_member(clock, &name);
         self.process_outputs(leader);
@@ -277,35 +277,35 @@
     fn process(&mut self, event: Event) {
         match event {
             Event::Sample => {
-                (0..self.instances.len()).for_each(|index| self.judge_permission(index));
+                (0..self.members.len()).for_each(|index| self.judge_permission(index));
                 self.judge.record_leases(self.now, &self.running_leases());
                 self.events.push(self.now + SAMPLE_INTERVAL, Event::Sample);
             }
-            Event::Tick { instance, start } => self.process_tick(instance, start),
+            Event::Tick { member, start } => self.process_tick(member, start),
             Event::Deliver { to, from, message } => self.deliver(to, from, message),
             Event::Validated {
-                instance,
+                member,
                 start,
                 change,
-            } => self.finish_validation(instance, start, change),
+            } => self.finish_validation(member, start, change),
         }
     }
 
     fn process_tick(&mut self, index: usize, start: u32) {
-        if self.instances[index].start != start || !self.is_running(index) {
+        if self.members[index].start != start || !self.is_running(index) {
             return;
         }
         self.call_node(index, |node, clock| node.tick(clock));
         self.process_outputs(index);
         let tick = Event::Tick {
-            instance: index,
+            member: index,
             start,
         };
         self.events.push(self.now + CLOCK_INTERVAL, tick);
     }
 
     fn deliver(&mut self, to: usize, from: u64, message: Message) {
-        let receiver = &mut self.instances[to];
+        let receiver = &mut self.members[to];
         if receiver.is_paused {
             let event = Event::Deliver { to, from, message };
             receiver.deferred_events.push(event);
@@ -316,13 +316,13 @@
     }
 
     fn finish_validation(&mut self, index: usize, start: u32, change: String) {
-        let instance = &mut self.instances[index];
-        if instance.start != start {
+        let member = &mut self.members[index];
+        if member.start != start {
             return;
         }
-        if instance.is_paused {
-            instance.deferred_events.push(Event::Validated {
-                instance: index,
+        if member.is_paused {
+            member.deferred_events.push(Event::Validated {
+                member: index,
                 start,
                 change,
             });
@@ -330,7 +330,7 @@
         }
         let validation = Validation {
             change,
-            fault: instance.validation_fault.clone(),
+            fault: member.validation_fault.clone(),
         };
         self.call_node(index, |node, clock| {
             node.change_validated(clock, validation)
@@ -338,10 +338,10 @@
         self.process_outputs(index);
     }
 
-    /// Carries out what an instance's node asks for.
+    /// Carries out what a member's node asks for.
     fn process_outputs(&mut self, index: usize) {
         loop {
-            let Some(node) = &mut self.instances[index].node else {
+            let Some(node) = &mut self.members[index].node else {
                 return;
             };
             let outputs = node.take_outputs();
@@ -357,7 +357,7 @@
 
     fn process_output(&mut self, index: usize, output: Output) {
         match output {
-            Output::Persist(persist) => self.instances[index].write(self.now, persist),
+            Output::Persist(persist) => self.members[index].write(self.now, persist),
             Output::Send { to, message } => self.send(index, to, message),
             Output::Effect(effect) => self.process_effect(index, effect),
             Output::Restore { state_machine, .. } => self.process_restore(index, state_machine),
@@ -367,7 +367,7 @@
             // The process goes on without a node until the test lets it join anew.
             Output::AmnesiaDetected { .. } => {
                 self.detected_amnesia += 1;
-                self.instances[index].node = None;
+                self.members[index].node = None;
             }
             Output::LeaseChanged(_) | Output::ReadsConfirmed(_) | Output::ReadsRejected(_) => {}
         }
@@ -408,8 +408,8 @@
 
     fn schedule_validation(&mut self, index: usize, at: Micros, change: String) {
         let event = Event::Validated {
-            instance: index,
-            start: self.instances[index].start,
+            member: index,
+            start: self.members[index].start,
             change,
         };
         self.events.push(at, event);
@@ -417,17 +417,14 @@
 
     fn send(&mut self, from: usize, to_id: u64, message: Message) {
         self.traffic.count(&message);
-        let receiver = self
-            .instances
-            .iter()
-            .position(|instance| instance.id == to_id);
+        let receiver = self.members.iter().position(|member| member.id == to_id);
         let Some(to) = receiver else { return };
         let link = Link { from, to };
         let delay = self
             .network
             .draw_delay(link, &self.environment, &mut self.random);
         let Some(delay) = delay else { return };
-        let sender = &self.instances[from];
+        let sender = &self.members[from];
         let departure = sender.writes_done_at.max(self.now);
         let event = Event::Deliver {
             to,
@@ -438,18 +435,18 @@
     }
 
     fn clock(&self, index: usize) -> Micros {
-        self.instances[index].clock(self.now)
+        self.members[index].clock(self.now)
     }
 
-    /// Calls an instance's node, if its process exists, with the time of its clock.
+    /// Calls a member's node, if its process exists, with the time of its clock.
     fn call_node(&mut self, index: usize, call: impl FnOnce(&mut Node, Micros)) {
         let clock = self.clock(index);
-        if let Some(node) = &mut self.instances[index].node {
+        if let Some(node) = &mut self.members[index].node {
             call(node, clock);
         }
     }
 
-    /// Returns the version under which an instance could decide now.
+    /// Returns the version under which a member could decide now.
     pub fn permitted_version(&self, index: usize) -> Option<Version> {
         let node = self.node(index).filter(|_| self.is_running(index))?;
         if self.ignore_lease_expiry
@@ -462,16 +459,16 @@
 
     fn judge_permission(&mut self, index: usize) {
         if let Some(version) = self.permitted_version(index) {
-            let name = &self.instances[index].name;
+            let name = &self.members[index].name;
             self.judge.record_permission(self.now, name, version);
         }
     }
 
     fn running_leases(&self) -> Vec<Lease> {
-        self.instances
+        self.members
             .iter()
-            .filter(|instance| !instance.is_paused)
-            .filter_map(|instance| instance.node.as_ref()?.lease().current())
+            .filter(|member| !member.is_paused)
+            .filter_map(|member| member.node.as_ref()?.lease().current())
             .collect()
     }
 }
--- a/crates/cluster/src/simulation/network.rs
+++ b/crates/cluster/src/simulation/network.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// A direction between two instances, by their indexes.
+/// A direction between two members, by their indexes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
     pub from: usize,
