--- a/crates/cluster/src/command.rs
+++ b/crates/cluster/src/command.rs
@@ -11,7 +11,7 @@
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Random number drawn by the joining process. A repeated join with the same nonce is a retry, not a lost disk.
+    /// Random number drawn by the joining member. A repeated join with the same nonce is a retry, not a lost disk.
     #[serde(default, rename = "drawn")]
     pub join_nonce: u64,
 }
@@ -83,7 +83,7 @@
         /// Id of the change.
         change: String,
     },
-    /// Aborts a change, which then has no effect anywhere.
+    /// Aborts a change, which then has no effect anywhere. Has no effect itself once the change is fencing.
     #[serde(rename = "give-up")]
     Abort {
         /// Id of the change.
--- a/crates/cluster/src/lease_table.rs
+++ b/crates/cluster/src/lease_table.rs
@@ -410,7 +410,7 @@
     }
 
     /// Ends granting leases to a member that is to be removed. Returns if it may be removed, as it surely decides nothing any more.
-    /// Under [`PartitionPolicy::Serve`] an unlimited lease does not keep a member: its operator states that its process has ended.
+    /// Under [`PartitionPolicy::Serve`] an unlimited lease does not keep a member: its operator states that the member has stopped.
     pub fn begin_removal(&mut self, now: Micros, id: u64) -> bool {
         let Some(record) = self.records.get_mut(&id) else {
             return true;
--- a/crates/cluster/src/log_recovery.rs
+++ b/crates/cluster/src/log_recovery.rs
@@ -33,11 +33,11 @@
     pub committed_index: u64,
     /// Number of entries after `committed_index`. They are applied, as a leader may have acknowledged them.
     pub uncommitted_entries: u64,
-    /// Id of a change that was under way; it is aborted.
+    /// Id of a change that was under way. It is dropped in either phase, as no quorum is left to complete it.
     pub aborted_change: Option<String>,
 }
 
-/// Reads the log of a member whose process does not run.
+/// Reads the log of a member that does not run.
 ///
 /// # Errors
 /// The state is damaged, or the member has never received the cluster's state.
--- a/crates/cluster/src/member_lease.rs
+++ b/crates/cluster/src/member_lease.rs
@@ -59,7 +59,7 @@
 /// A member's report to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Number of the report, increasing over all starts of the member's process.
+    /// Number of the report, increasing over all starts of the member.
     #[serde(rename = "seq")]
     pub sequence: u64,
     /// Version that the member serves; none before it has one.
@@ -105,13 +105,14 @@
 /// Reason for which a member may not decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum LeaseError {
-    /// The member does not know the current version yet.
+    /// The member has no lease: it does not know the current version yet, has released its lease, or has reported that its lease
+    /// expired ([`MemberLease::next_report`] clears it).
     #[error("it does not know yet which version is current")]
     NoCurrentVersion,
     /// The member is fenced, as a change is about to take effect.
     #[error("a change is about to take hold")]
     Fenced,
-    /// The lease has expired.
+    /// The lease has expired, and the member has not made a report since.
     #[error("its lease has run out: it hears nothing of the one that leads, or there is none")]
     Expired,
 }
@@ -142,8 +143,8 @@
 }
 
 impl MemberLease {
-    /// Creates a member's state without a lease. `start` counts the starts of the member's process, so that no two reports have
-    /// one sequence number.
+    /// Creates a member's state without a lease. `start` counts the starts of the member, so that no two reports have one
+    /// sequence number.
     pub fn new(regular_duration: Micros, change_duration: Micros, start: u32) -> Self {
         let last_sequence = u64::from(start) << 32;
         MemberLease {
@@ -202,6 +203,9 @@
     }
 
     /// Creates the next report.
+    ///
+    /// An expired lease is cleared here, as the report says that the member has none and binds it. From then on
+    /// [`MemberLease::may_decide`] fails with [`LeaseError::NoCurrentVersion`] in place of [`LeaseError::Expired`].
     pub fn next_report(&mut self, now: Micros) -> Report {
         self.last_sequence += 1;
         // The rest of a lease at fencing continues under the next version, so it counts as held.
@@ -257,7 +261,8 @@
     /// the moment of the decision.
     ///
     /// # Errors
-    /// The member may not decide.
+    /// The member may not decide. An expired lease is [`LeaseError::Expired`] up to the next report and
+    /// [`LeaseError::NoCurrentVersion`] after it.
     pub fn may_decide(&self, now: Micros) -> Result<Version, LeaseError> {
         if self.fenced_change.is_some() {
             return Err(LeaseError::Fenced);
--- a/crates/cluster/src/node/disk_identity.rs
+++ b/crates/cluster/src/node/amnesia_check.rs
@@ -12,13 +12,13 @@
 /// Interval at which a member asks the voters to confirm its disk.
 const CHECK_INTERVAL: Micros = 200_000;
 
-/// Knowledge of this member's own disk, and of what other members have acknowledged.
-pub(crate) struct DiskIdentity {
+/// Check of this member's own disk, and its knowledge of what other members have acknowledged.
+pub(crate) struct AmnesiaCheck {
     own_id: u64,
     is_confirmed: bool,
     /// Voters that know of nothing that this member has forgotten.
     confirmed_by: BTreeSet<u64>,
-    /// Newest term in which this member may have given a vote that it has forgotten.
+    /// Newest term in which this member may have given a vote that it has forgotten, as far as its confirmation tells.
     last_forgettable_vote_term: u64,
     next_check: Micros,
     /// Indexes that other members have acknowledged to this one while it led, by raft node id. Their disks may be restored later.
@@ -26,7 +26,7 @@
     has_amnesia: bool,
 }
 
-impl DiskIdentity {
+impl AmnesiaCheck {
     /// Creates the state of a member that has started.
     pub fn new(
         own_id: u64,
@@ -34,7 +34,7 @@
         acknowledged: BTreeMap<u64, u64>,
         now: Micros,
     ) -> Self {
-        DiskIdentity {
+        AmnesiaCheck {
             own_id,
             is_confirmed,
             confirmed_by: BTreeSet::new(),
@@ -82,8 +82,11 @@
             .all(|id| *id == self.own_id || self.confirmed_by.contains(id));
     }
 
-    /// Confirms the disk by a leader's entry. The leader was elected without this member's vote, but the member may have voted in
-    /// that term before it forgot.
+    /// Confirms the disk by a committed entry of a leader's term. The leader was elected without this member's vote, but the member
+    /// may have voted in that term before it forgot.
+    ///
+    /// Open: a later term that a voter's reply named is overwritten, so a vote forgotten in that term is not excluded any more. It
+    /// takes a leader that does not know yet of the later term; nothing here proves that none can be.
     pub fn confirm_by_leader(&mut self, term: u64) {
         self.is_confirmed = true;
         self.last_forgettable_vote_term = term;
--- a/crates/cluster/src/node/leader_requests.rs
+++ b/crates/cluster/src/node/leader_requests.rs
@@ -59,8 +59,8 @@
         Ok(())
     }
 
-    /// Adds a member, or replaces the one of its name, whose process has ended or lost its disk. Returns the raft node id once it is
-    /// a member; until then the request is to be retried.
+    /// Adds a member, or replaces the one of its name, which has stopped or lost its disk. Returns the raft node id once it is a
+    /// member; until then the request is to be retried.
     ///
     /// # Errors
     /// This member does not lead, or something else has to end first.
@@ -164,7 +164,7 @@
     }
 }
 
-/// State that exists while a node leads.
+/// State that exists while a member leads.
 struct LeaderState<'a> {
     lease_table: &'a LeaseTable,
     state_machine: &'a StateMachine,
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -3,13 +3,13 @@
 //! The module does no I/O and reads no clock: moments and messages come in by calls, and [`Output`]s tell the caller what to do, in
 //! order. After each call the caller carries out [`Node::take_outputs`].
 
+mod amnesia_check;
 mod compaction;
-mod disk_identity;
 mod leader_requests;
-mod leases;
 mod raft_adapter;
 mod read_confirmation;
 mod replication;
+mod reporting;
 mod request;
 mod voter_placement;
 
@@ -28,8 +28,8 @@
 use crate::rules::Micros;
 use crate::state_machine::StateMachine;
 
+use amnesia_check::AmnesiaCheck;
 use compaction::Compaction;
-use disk_identity::DiskIdentity;
 use raft_adapter::{RaftAdapter, Role};
 use read_confirmation::ReadConfirmation;
 
@@ -37,21 +37,21 @@
 
 /// Interval of raft's ticks.
 pub const TICK: Micros = 100_000;
-/// Ticks after which lost time is not made up for, so that a process that stood still does not begin an election at once.
+/// Ticks after which lost time is not made up for, so that a member that was suspended does not begin an election at once.
 const MAX_LATE_TICKS: u64 = 3;
 /// Odd constant by which the seeds of members are spread (2^64 divided by the golden ratio).
 const SEED_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Identity and start conditions of a node.
+/// Identity of a member, and the conditions of its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeConfig {
     /// Raft node id.
     pub id: u64,
-    /// Number of this start of the member's process.
+    /// Number of this start of the member.
     pub process_start: u32,
     /// Set if the disk is known to be the member's newest. Otherwise the member votes for nobody until others have confirmed it.
     pub is_disk_confirmed: bool,
-    /// Seed of the node's random draws.
+    /// Seed of the member's random draws.
     pub seed: u64,
 }
 
@@ -75,14 +75,14 @@
     reads: ReadConfirmation,
     next_voter_check: Micros,
 
-    disk: DiskIdentity,
+    amnesia_check: AmnesiaCheck,
     compaction: Compaction,
     random: fastrand::Rng,
     outputs: Vec<Output>,
 }
 
 impl Node {
-    /// Creates a node from its persisted state, which is empty for a member that has just joined.
+    /// Creates a member from its persisted state, which is empty if it has just joined.
     ///
     /// # Errors
     /// The persisted state is damaged.
@@ -114,7 +114,7 @@
             lease_table: None,
             reads: ReadConfirmation::default(),
             next_voter_check: now,
-            disk: DiskIdentity::new(config.id, is_disk_confirmed, acknowledged, now),
+            amnesia_check: AmnesiaCheck::new(config.id, is_disk_confirmed, acknowledged, now),
             compaction: Compaction::new(),
             random: fastrand::Rng::with_seed(seed),
             outputs: Vec::new(),
@@ -190,23 +190,23 @@
         &self.lease
     }
 
-    /// Reports if the disk is known to be the member's newest, so that the member may vote.
+    /// Reports if the disk is known to be the member's newest, or no other voter could remember more, so that the member may vote.
     pub fn is_disk_confirmed(&self) -> bool {
-        self.disk.is_trusted(&self.raft.voters())
+        self.amnesia_check.is_trusted(&self.raft.voters())
     }
 
     /// Confirms by an operator's decision that the disk is the member's newest, where the voters that could do so are lost.
     pub fn confirm_disk(&mut self) {
-        self.disk.confirm_by_operator();
+        self.amnesia_check.confirm_by_operator();
     }
 
     /// Processes the passing of time. To be called each [`TICK`], or as often as possible.
     pub fn tick(&mut self, now: Micros) {
-        if self.disk.has_amnesia() {
+        if self.amnesia_check.has_amnesia() {
             return;
         }
         self.tick_raft(now);
-        if self.disk.begin_check(now) {
+        if self.amnesia_check.begin_check(now) {
             self.send_disk_checks();
         }
         self.report_if_due(now);
@@ -236,7 +236,7 @@
 
     /// Processes a message.
     pub fn receive(&mut self, now: Micros, from: u64, message: Message) {
-        if self.disk.has_amnesia() {
+        if self.amnesia_check.has_amnesia() {
             return;
         }
         match message {
@@ -250,7 +250,7 @@
     }
 
     fn answer_disk_check(&mut self, from: u64) {
-        let acknowledged = self.disk.acknowledged_by(from);
+        let acknowledged = self.amnesia_check.acknowledged_by(from);
         let reply = DiskCheckReply {
             acknowledged_index: acknowledged.max(self.raft.matched_index(from)),
             term: self.raft.term(),
@@ -263,12 +263,13 @@
         if reply.acknowledged_index > self.raft.last_index() {
             self.detect_amnesia(reply.acknowledged_index);
         } else {
-            self.disk.record_reply(from, reply, &self.raft.voters());
+            self.amnesia_check
+                .record_reply(from, reply, &self.raft.voters());
         }
     }
 
     fn detect_amnesia(&mut self, acknowledged_index: u64) {
-        if !self.disk.record_amnesia() {
+        if !self.amnesia_check.record_amnesia() {
             return;
         }
         self.lease.release();
--- a/crates/cluster/src/node/raft_adapter.rs
+++ b/crates/cluster/src/node/raft_adapter.rs
@@ -62,13 +62,13 @@
     }
 }
 
-/// One member's raft node.
+/// One member's node of the raft library.
 pub(crate) struct RaftAdapter {
     raw: RawNode<RaftLog>,
 }
 
 impl RaftAdapter {
-    /// Creates a raft node whose state machine is at `applied_index`.
+    /// Creates the node of a member whose state machine is at `applied_index`.
     pub fn new(id: u64, log: RaftLog, applied_index: u64) -> Result<Self, PersistedStateError> {
         let config = Config {
             id,
@@ -113,7 +113,7 @@
         Some(self.raw.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
-    /// Returns the ids of the voters in ascending order.
+    /// Returns the raft node ids of the voters in ascending order.
     pub fn voters(&self) -> Vec<u64> {
         let configuration = self.raw.raft.prs().conf();
         let mut ids: Vec<u64> = configuration.voters().ids().iter().collect();
--- a/crates/cluster/src/node/replication.rs
+++ b/crates/cluster/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of a node's log: raft messages, persistence, application of committed entries, snapshots, and the leader's duties.
+//! Replication of a member's log: raft messages, persistence, application of committed entries, snapshots, and the leader's duties.
 
 use raft::eraftpb::{Entry, MessageType, Snapshot};
 use raft::{Ready, StateRole};
@@ -72,9 +72,9 @@
                 self.detect_amnesia(message.commit);
                 false
             }
-            MessageType::MsgRequestVote | MessageType::MsgRequestPreVote => {
-                self.disk.may_vote(message.term, &self.raft.voters())
-            }
+            MessageType::MsgRequestVote | MessageType::MsgRequestPreVote => self
+                .amnesia_check
+                .may_vote(message.term, &self.raft.voters()),
             // Raft would vote for this member.
             MessageType::MsgTimeoutNow => self.is_disk_confirmed(),
             _ => true,
@@ -88,14 +88,14 @@
             evidence.message_type,
             MessageType::MsgAppend | MessageType::MsgHeartbeat
         );
-        if self.disk.is_confirmed() || !is_from_leader {
+        if self.amnesia_check.is_confirmed() || !is_from_leader {
             return;
         }
         let has_entry = self.raft.term() == evidence.term
             && self.raft.committed_index() >= evidence.commit
             && self.raft.term_of_entry(evidence.commit) == Some(evidence.term);
         if has_entry {
-            self.disk.confirm_by_leader(evidence.term);
+            self.amnesia_check.confirm_by_leader(evidence.term);
         }
     }
 
@@ -243,7 +243,7 @@
             return None;
         }
         let matched = self.raft.matched_indexes_of_others();
-        self.disk.record_acknowledged(matched)
+        self.amnesia_check.record_acknowledged(matched)
     }
 
     fn send_raft_messages(&mut self, messages: Vec<raft::eraftpb::Message>) {
--- a/crates/cluster/src/node/leases.rs
+++ b/crates/cluster/src/node/reporting.rs
@@ -1,4 +1,6 @@
-//! A node's lease: reports to the leader, grants, and the steps of a change that the application has completed.
+//! The member's side of leases: reports to the leader, accepted grants, and the steps of a change that the application has completed.
+//!
+//! Granting is the leader's part and lies in [`LeaseTable`](crate::lease_table::LeaseTable).
 
 use crate::member_lease::{Grant, Report, Validation};
 use crate::message::Message;
@@ -44,7 +46,7 @@
         self.advance(now);
     }
 
-    /// Releases the lease, as the process ends, and reports it.
+    /// Releases the lease, as the member stops, and reports it.
     pub fn release_lease(&mut self, now: Micros) {
         self.lease.release();
         self.announce_lease();
--- a/crates/cluster/src/node/request.rs
+++ b/crates/cluster/src/node/request.rs
@@ -1,4 +1,4 @@
-//! Parameters of requests to a node.
+//! Parameters of requests to a member.
 
 /// Kind of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     Storage,
 }
 
-/// Request of a process to become a member.
+/// Request to become a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JoinRequest<'a> {
     /// Name of the member.
--- a/crates/cluster/src/node/voter_placement.rs
+++ b/crates/cluster/src/node/voter_placement.rs
@@ -1,4 +1,4 @@
-//! Choice of the voters: as many as the rules say, over as many zones as possible, none of them lost for good.
+//! Choice of the voters: as many as the rules say, over as many zones as possible, none of them unresponsive.
 
 use std::collections::BTreeMap;
 
@@ -62,7 +62,7 @@
         }
         let spreads_zones = best.is_some_and(|candidate| candidate.voters_in_zone == 0)
             && self.voters.iter().any(|id| self.shares_zone(*id));
-        promotion.filter(|_| self.lost_voter().is_some() || spreads_zones)
+        promotion.filter(|_| self.unresponsive_voter().is_some() || spreads_zones)
     }
 
     fn best_candidate(&self) -> Option<Candidate> {
@@ -70,7 +70,7 @@
             .members
             .values()
             .filter(|member| !self.voters.contains(&member.id))
-            .filter(|member| self.raft.is_caught_up(member.id) && !self.is_lost(member.id))
+            .filter(|member| self.raft.is_caught_up(member.id) && !self.is_unresponsive(member.id))
             .map(|member| Candidate {
                 voters_in_zone: self.voters_in_zone(Some(&member.zone)),
                 id: member.id,
@@ -78,19 +78,22 @@
             .min()
     }
 
-    /// Returns the voter to demote: a lost one, one of a zone with several, or any but the leader.
+    /// Returns the voter to demote: an unresponsive one, one of a zone with several, or any but the leader.
     fn redundant_voter(&self) -> Option<u64> {
         let newest_first = || self.voters.iter().rev().copied();
-        self.lost_voter()
+        self.unresponsive_voter()
             .or_else(|| newest_first().find(|id| self.shares_zone(*id)))
             .or_else(|| newest_first().find(|id| *id != self.raft.id()))
     }
 
-    fn lost_voter(&self) -> Option<u64> {
-        self.voters.iter().copied().find(|id| self.is_lost(*id))
+    fn unresponsive_voter(&self) -> Option<u64> {
+        self.voters
+            .iter()
+            .copied()
+            .find(|id| self.is_unresponsive(*id))
     }
 
-    fn is_lost(&self, id: u64) -> bool {
+    fn is_unresponsive(&self, id: u64) -> bool {
         id != self.raft.id() && self.lease_table.is_unresponsive(self.now, id)
     }
 
@@ -102,7 +105,7 @@
     fn voters_in_zone(&self, zone: Option<&str>) -> usize {
         self.voters
             .iter()
-            .filter(|id| !self.is_lost(**id) && self.zone_of(**id) == zone)
+            .filter(|id| !self.is_unresponsive(**id) && self.zone_of(**id) == zone)
             .count()
     }
 
--- a/crates/cluster/src/output.rs
+++ b/crates/cluster/src/output.rs
@@ -12,7 +12,7 @@
     Persist(Persist),
     /// Send a message; it may get lost.
     Send {
-        /// Raft node id of the receiver.
+        /// Raft node id of the receiving member.
         to: u64,
         /// The message.
         message: Message,
--- a/crates/cluster/src/persistence.rs
+++ b/crates/cluster/src/persistence.rs
@@ -1,4 +1,4 @@
-//! State of a member that outlasts its process. The module does no I/O: the caller writes [`Persist`] and reads [`PersistedState`].
+//! State of a member that outlasts a restart. The module does no I/O: the caller writes [`Persist`] and reads [`PersistedState`].
 
 use raft::eraftpb::{ConfState, HardState};
 
--- a/crates/cluster/src/rules.rs
+++ b/crates/cluster/src/rules.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A duration, or a moment of one member's clock, in microseconds.
+/// Microseconds: a duration, or a moment of one member's clock, which has no relation to another member's clock.
 pub type Micros = u64;
 
 const MILLION: u64 = 1_000_000;
@@ -19,19 +19,19 @@
     Serve,
 }
 
-/// Rules of a cluster. They never change after it is founded.
+/// Rules of a cluster. They never change after it is founded. All durations are stored in microseconds, under keys without a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
-    /// Duration of a lease, from the report that it answers.
+    /// Duration of a lease in microseconds, from the report that it answers.
     pub lease: Micros,
-    /// Duration of a lease of a member that has accepted a change under way. It bounds how long the others decide nothing while
-    /// they wait for a member that has stopped, and should outlast an election.
+    /// Duration in microseconds of the lease of a member that has accepted a change under way. It bounds how long the others decide
+    /// nothing while they wait for a member that has stopped, and should outlast an election.
     #[serde(rename = "short")]
     pub change_lease: Micros,
     /// Largest deviation of any clock's rate from true time, in parts per million.
     #[serde(rename = "drift")]
     pub clock_drift_ppm: u32,
-    /// Duration after which an undecided change is aborted.
+    /// Duration in microseconds after which a change that is still being validated is aborted.
     #[serde(rename = "deadline")]
     pub change_deadline: Micros,
     /// Behaviour of a member that no longer hears from a leader.
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -19,6 +19,10 @@
 const MAX_ABORT_REASONS: usize = 64;
 
 /// Phase of a change under way.
+///
+/// Invariant: a change can be aborted only while validating. Once fencing, it can only be activated: each member with a lease has
+/// accepted it, and members may already have ended deciding. Only recovery from a lost quorum
+/// ([`recover_log`](crate::log_recovery::recover_log)) drops a fencing change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// Members validate the change and still decide under the present version.
@@ -243,6 +247,7 @@
         effects
     }
 
+    /// Aborts a change that is still being validated. An abort of a fencing change has no effect; see [`Phase`].
     fn abort_change(&mut self, id: &str, reasons: &[AbortReason]) -> Vec<Effect> {
         if self.take_change(id, Phase::Validating).is_none() {
             return Vec::new();
