--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of lease, lease, change and recovery: every order of reports, grants, losses, elections, crashes and clocks
-//! within a bound, and planted faults that must be found.
+//! Model checking of member leases, the lease table and changes: every order of reports, grants, losses, elections, crashes and
+//! clock ticks within a bound, and planted faults that must be found.
 use cluster::command::{Command, Member, Proposal};
 use cluster::lease_table::{AddressedGrant, LeaseTable};
 use cluster::member_lease::{Grant, LeaseDuration, MemberLease, Report, Validation};
@@ -9,16 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const NAMES: [&str; 2] = ["a", "b"];
-/// States that are looked at in one play; more would take the machine's memory.
-const MOST: usize = 6_000_000;
-/// Clocks that are as far apart as the rules allow: the first runs fast, the second slow.
-const PACE: [Micros; 2] = [1500, 500];
+/// Bound of the states of one run; more would exhaust the memory.
+const MAX_STATES: usize = 6_000_000;
+/// Clock units per tick. The clocks deviate as far as the rules allow: the first runs fast, the second slow.
+const CLOCK_RATES: [Micros; 2] = [1500, 500];
 
-/// What may still happen, and how often.
+/// Remaining number of events of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Budget {
     ticks: u8,
-    /// Of each instance.
+    /// By member.
     reports: [u8; 2],
     elections: u8,
     crashes: u8,
@@ -29,22 +29,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// An instance does not look at its lease.
-    LeaseIgnored,
-    /// The new version opens once it is decided, and not once all have closed.
-    OpenedAtOnce,
-    /// The leader waits for a lease as if clocks did not differ.
-    NoDrift,
-    /// A grant is taken whatever report it answers.
-    AnyGrant,
-    /// A leader grants without asking whether it still leads.
-    Unconfirmed,
-    /// A new leader takes it that nobody holds anything.
-    Trusting,
+    /// A member ignores the expiry of its lease.
+    IgnoredLeaseExpiry,
+    /// A member activates the new version when the change is fenced, before all members are fenced.
+    ActivatedWhenFenced,
+    /// The leader waits for the end of a lease without a margin for clock drift.
+    NoDriftMargin,
+    /// A member accepts a grant whatever report it answers.
+    StaleGrantAccepted,
+    /// A leader grants leases without confirming its leadership.
+    UnconfirmedLeadership,
+    /// A new leader assumes that no member has a lease.
+    NoLeaseAssumed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Instance {
+struct SimulatedMember {
     lease: MemberLease,
     applied: usize,
     start: u32,
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leader {
     lease_table: LeaseTable,
-    /// How far it knows the log; one that leads in earnest knows all of it.
+    /// Number of log entries that it has applied; the elected leader has applied all of them.
     applied: usize,
-    /// Reports that a majority has let it answer.
+    /// Reports that came before its last confirmation of leadership and may be answered.
     confirmed: BTreeMap<u64, u64>,
 }
 
@@ -74,71 +74,71 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ClusterState {
     now: u64,
     log: Vec<Command>,
-    instances: [Instance; 2],
-    /// Where the log's leader is; others may still take themselves for it.
+    members: [SimulatedMember; 2],
+    /// Member that leads. Deposed ones may still consider themselves the leader.
     elected: usize,
     leaders: [Option<Leader>; 2],
-    mail: BTreeSet<Message>,
+    messages_in_flight: BTreeSet<Message>,
     reports: BTreeMap<u64, (usize, Report)>,
     budget: Budget,
-    /// The newest version that anybody has decided under.
-    newest: Version,
-    broken: bool,
-    done: bool,
+    /// Newest version under which a member has decided.
+    newest_version: Version,
+    is_violated: bool,
+    is_activated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Tick,
     Report(usize),
     Deliver(Message, usize),
     Apply(usize),
     Confirm(usize),
     Grant(usize),
-    Say(usize),
-    Change,
+    Propose(usize),
+    BeginChange,
     Elect(usize),
     Crash(usize),
     Decide(usize),
 }
 
-/// How a play begins. What a fault needs to show is often a long way from the start, so that some begin on that way.
+/// InitialState state of a run. Some faults show only many steps after the start; their runs begin closer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Begin {
+enum InitialState {
     /// A change is proposed.
     Proposed,
-    /// The second has led, the first was elected since, and a change is proposed there.
+    /// The second member has led, the first was elected since, and a change is proposed to it.
     Deposed,
-    /// A grant for the second is on its way, and a change is proposed.
-    GrantOnItsWay,
+    /// A grant to the second member is in flight, and a change is proposed.
+    GrantInFlight,
 }
 
-struct Cluster {
-    mode: PartitionPolicy,
+struct ClusterModel {
+    policy: PartitionPolicy,
     fault: Fault,
     budget: Budget,
-    begin: Begin,
+    initial: InitialState,
 }
 
-impl Cluster {
+impl ClusterModel {
     fn rules(&self) -> Rules {
         Rules {
             lease: 1000,
             change_lease: 500,
             clock_drift_ppm: 500_000,
             change_deadline: 100_000,
-            partition_policy: self.mode,
+            partition_policy: self.policy,
             voters: 1,
         }
     }
 
     fn lease_table_rules(&self) -> Rules {
         match self.fault {
-            // As long as the slow clock's lease by the fast one, which is too short by the drift.
-            Fault::NoDrift => Rules {
+            // Without the margin, the leader waits too short for a member with a slower clock.
+            Fault::NoDriftMargin => Rules {
                 clock_drift_ppm: 0,
                 ..self.rules()
             },
@@ -147,99 +147,104 @@
     }
 
     fn clock(of: usize, now: u64) -> Micros {
-        now * PACE[of]
+        now * CLOCK_RATES[of]
     }
 
-    fn lead(&self, world: &World, at: usize) -> Leader {
-        let machine = after(&world.log);
+    fn new_leader(&self, state: &ClusterState, at: usize) -> Leader {
+        let state_machine = state_after(&state.log);
         let mut lease_table = LeaseTable::new(
-            Self::clock(at, world.now),
-            &machine,
+            Self::clock(at, state.now),
+            &state_machine,
             &self.lease_table_rules(),
         );
-        if self.fault == Fault::Trusting {
-            machine
+        if self.fault == Fault::NoLeaseAssumed {
+            state_machine
                 .members
                 .values()
                 .for_each(|m| lease_table.member_added(m.id));
         }
         Leader {
             lease_table,
-            applied: world.log.len(),
+            applied: state.log.len(),
             confirmed: BTreeMap::new(),
         }
     }
 
-    /// A leader with what it knows of the log. One that is elected has applied all of it.
-    fn leader(world: &mut World, at: usize) -> Option<(&mut Leader, StateMachine)> {
-        let all = world.log.len();
-        let leader = world.leaders[at].as_mut()?;
-        if at == world.elected {
+    /// Returns a leader and its state machine. The elected one has applied the whole log.
+    fn leader_state(state: &mut ClusterState, at: usize) -> Option<(&mut Leader, StateMachine)> {
+        let all = state.log.len();
+        let leader = state.leaders[at].as_mut()?;
+        if at == state.elected {
             leader.applied = all;
         }
-        let machine = after(&world.log[..leader.applied]);
-        Some((leader, machine))
+        let state_machine = state_after(&state.log[..leader.applied]);
+        Some((leader, state_machine))
     }
 
-    fn obey(instance: &mut Instance, at: usize, now: u64, effects: Vec<Effect>) {
+    fn process_effects(member: &mut SimulatedMember, at: usize, now: u64, effects: Vec<Effect>) {
         let clock = Self::clock(at, now);
         for effect in effects {
             match effect {
-                Effect::Validate(p) => accept(&mut instance.lease, clock, p.id),
-                Effect::Fence(p) => instance.lease.fence(&p.id),
-                Effect::Activate { version, .. } => instance.lease.serve_version(version),
+                Effect::Validate(p) => accept(&mut member.lease, clock, p.id),
+                Effect::Fence(p) => member.lease.fence(&p.id),
+                Effect::Activate { version, .. } => member.lease.serve_version(version),
                 _ => {}
             }
         }
     }
 
-    /// These report to the one that leads, which answers.
-    fn reported(&self, world: &mut World, who: &[usize], leader: usize) {
+    /// Delivers reports of these members to the leader, which grants leases.
+    fn exchange_reports(&self, state: &mut ClusterState, who: &[usize], leader: usize) {
         who.iter()
-            .for_each(|i| _ = self.act(world, &Act::Report(*i)));
-        let reports: Vec<Message> = world.mail.iter().cloned().collect();
+            .for_each(|i| _ = self.apply_action(state, &Action::Report(*i)));
+        let reports: Vec<Message> = state.messages_in_flight.iter().cloned().collect();
         reports
             .into_iter()
-            .for_each(|l| _ = self.act(world, &Act::Deliver(l, leader)));
-        [Act::Confirm(leader), Act::Grant(leader)]
+            .for_each(|l| _ = self.apply_action(state, &Action::Deliver(l, leader)));
+        [Action::Confirm(leader), Action::Grant(leader)]
             .iter()
-            .for_each(|a| _ = self.act(world, a));
+            .for_each(|a| _ = self.apply_action(state, a));
     }
 
-    /// All grants that are on their way come.
-    fn granted(&self, world: &mut World) {
-        let grants: Vec<Message> = world.mail.iter().cloned().collect();
+    /// Delivers all grants in flight.
+    fn deliver_grants(&self, state: &mut ClusterState) {
+        let grants: Vec<Message> = state.messages_in_flight.iter().cloned().collect();
         grants
             .into_iter()
-            .for_each(|l| _ = self.act(world, &Act::Deliver(l, 0)));
+            .for_each(|l| _ = self.apply_action(state, &Action::Deliver(l, 0)));
     }
 
-    fn act(&self, world: &mut World, act: &Act) -> Option<()> {
-        let now = world.now;
-        match act {
-            Act::Tick => {
-                world.budget.ticks = world.budget.ticks.checked_sub(1)?;
-                world.now += 1;
+    fn apply_action(&self, state: &mut ClusterState, action: &Action) -> Option<()> {
+        let now = state.now;
+        match action {
+            Action::Tick => {
+                state.budget.ticks = state.budget.ticks.checked_sub(1)?;
+                state.now += 1;
             }
-            Act::Report(i) => {
-                world.budget.reports[*i] = world.budget.reports[*i].checked_sub(1)?;
-                let report = world.instances[*i].lease.next_report(Self::clock(*i, now));
+            Action::Report(i) => {
+                state.budget.reports[*i] = state.budget.reports[*i].checked_sub(1)?;
+                let report = state.members[*i].lease.next_report(Self::clock(*i, now));
                 let key = report.sequence << 1 | *i as u64;
-                world.mail.insert(Message::Report { from: *i, seq: key });
-                world.reports.insert(key, (*i, report));
+                state
+                    .messages_in_flight
+                    .insert(Message::Report { from: *i, seq: key });
+                state.reports.insert(key, (*i, report));
             }
-            Act::Deliver(message, to) => {
-                if !world.mail.remove(message) {
+            Action::Deliver(message, to) => {
+                if !state.messages_in_flight.remove(message) {
                     return None;
                 }
                 match message {
                     Message::Report { seq, .. } => {
-                        let (from, report) = world.reports.remove(seq)?;
+                        let (from, report) = state.reports.remove(seq)?;
                         let clock = Self::clock(*to, now);
-                        let (leader, machine) = Self::leader(world, *to)?;
-                        leader
-                            .lease_table
-                            .record_report(clock, from as u64 + 1, &report, &machine);
+                        let (leader, state_machine) = Self::leader_state(state, *to)?;
+                        leader.lease_table.record_report(
+                            clock,
+                            from as u64 + 1,
+                            &report,
+                            &state_machine,
+                        );
                     }
                     Message::Grant {
                         to,
@@ -247,13 +252,13 @@
                         version,
                         duration,
                     } => {
-                        let lease = &mut world.instances[*to].lease;
+                        let lease = &mut state.members[*to].lease;
                         let mut grant = Grant {
                             report_sequence: *seq,
                             version: *version,
                             duration: *duration,
                         };
-                        if self.fault == Fault::AnyGrant {
+                        if self.fault == Fault::StaleGrantAccepted {
                             // As if it answered the newest report.
                             let report = lease.clone().next_report(Self::clock(*to, now));
                             grant.report_sequence = report.sequence - 1;
@@ -264,38 +269,40 @@
                     }
                 }
             }
-            Act::Apply(i) => {
-                let instance = &mut world.instances[*i];
-                let command = world.log.get(instance.applied)?;
-                let mut machine = after(&world.log[..instance.applied]);
-                let effects = machine.apply(command);
-                instance.applied += 1;
-                Self::obey(instance, *i, now, effects);
-                if self.fault == Fault::OpenedAtOnce
+            Action::Apply(i) => {
+                let member = &mut state.members[*i];
+                let command = state.log.get(member.applied)?;
+                let mut state_machine = state_after(&state.log[..member.applied]);
+                let effects = state_machine.apply(command);
+                member.applied += 1;
+                Self::process_effects(member, *i, now, effects);
+                if self.fault == Fault::ActivatedWhenFenced
                     && let Command::Fence { .. } = command
                 {
-                    instance.lease.serve_version(machine.version + 1);
+                    member.lease.serve_version(state_machine.version + 1);
                 }
             }
-            Act::Confirm(i) => {
-                if *i != world.elected && self.fault != Fault::Unconfirmed {
+            Action::Confirm(i) => {
+                if *i != state.elected && self.fault != Fault::UnconfirmedLeadership {
                     return None;
                 }
-                let (leader, _) = Self::leader(world, *i)?;
+                let (leader, _) = Self::leader_state(state, *i)?;
                 if !leader.lease_table.has_pending_reports() {
                     return None;
                 }
                 leader.confirmed = leader.lease_table.take_pending_reports();
             }
-            Act::Grant(i) => {
+            Action::Grant(i) => {
                 let clock = Self::clock(*i, now);
-                let (leader, machine) = Self::leader(world, *i)?;
+                let (leader, state_machine) = Self::leader_state(state, *i)?;
                 if leader.confirmed.is_empty() {
                     return None;
                 }
-                let asked = std::mem::take(&mut leader.confirmed);
+                let confirmed_reports = std::mem::take(&mut leader.confirmed);
                 for AddressedGrant { to, grant } in
-                    leader.lease_table.grant_leases(clock, &asked, &machine)
+                    leader
+                        .lease_table
+                        .grant_leases(clock, &confirmed_reports, &state_machine)
                 {
                     let (to, seq, version, duration) = (
                         to as usize - 1,
@@ -303,7 +310,7 @@
                         grant.version,
                         grant.duration,
                     );
-                    world.mail.insert(Message::Grant {
+                    state.messages_in_flight.insert(Message::Grant {
                         to,
                         seq,
                         version,
@@ -311,80 +318,78 @@
                     });
                 }
             }
-            Act::Say(i) => {
-                if *i != world.elected {
-                    return None; // what it says gets lost
+            Action::Propose(i) => {
+                if *i != state.elected {
+                    return None; // A deposed leader's proposals are lost.
                 }
                 let clock = Self::clock(*i, now);
-                let (leader, machine) = Self::leader(world, *i)?;
-                let command = leader.lease_table.next_command(clock, &machine)?;
-                world.log.push(command);
+                let (leader, state_machine) = Self::leader_state(state, *i)?;
+                let command = leader.lease_table.next_command(clock, &state_machine)?;
+                state.log.push(command);
             }
-            Act::Change => {
-                world.budget.changes = world.budget.changes.checked_sub(1)?;
-                let at = world.elected;
-                let (_, machine) = Self::leader(world, at)?;
-                if machine.change.is_some() {
+            Action::BeginChange => {
+                state.budget.changes = state.budget.changes.checked_sub(1)?;
+                let at = state.elected;
+                let (_, state_machine) = Self::leader_state(state, at)?;
+                if state_machine.change.is_some() {
                     return None;
                 }
-                let id = format!("c{}", world.budget.changes);
-                let base_revision = machine.revision;
-                world.log.push(Command::Propose(Proposal {
+                let id = format!("c{}", state.budget.changes);
+                let base_revision = state_machine.revision;
+                state.log.push(Command::Propose(Proposal {
                     id,
                     base_revision,
                     payload: String::new(),
                 }));
             }
-            Act::Elect(i) => {
-                world.budget.elections = world.budget.elections.checked_sub(1)?;
-                if *i == world.elected {
+            Action::Elect(i) => {
+                state.budget.elections = state.budget.elections.checked_sub(1)?;
+                if *i == state.elected {
                     return None;
                 }
-                world.elected = *i;
-                world.leaders[*i] = Some(self.lead(world, *i));
+                state.elected = *i;
+                state.leaders[*i] = Some(self.new_leader(state, *i));
             }
-            Act::Crash(i) => {
-                world.budget.crashes = world.budget.crashes.checked_sub(1)?;
-                let instance = &mut world.instances[*i];
-                let machine = after(&world.log[..instance.applied]);
-                instance.start += 1;
-                instance.lease = MemberLease::new(
-                    self.rules().lease,
-                    self.rules().change_lease,
-                    instance.start,
-                );
-                instance.lease.serve_version(machine.version);
-                if let Some(change) = &machine.change {
+            Action::Crash(i) => {
+                state.budget.crashes = state.budget.crashes.checked_sub(1)?;
+                let member = &mut state.members[*i];
+                let state_machine = state_after(&state.log[..member.applied]);
+                member.start += 1;
+                member.lease =
+                    MemberLease::new(self.rules().lease, self.rules().change_lease, member.start);
+                member.lease.serve_version(state_machine.version);
+                if let Some(change) = &state_machine.change {
                     let (id, phase) = (change.proposal.id.clone(), change.phase);
-                    accept(&mut instance.lease, Self::clock(*i, now), id.clone());
+                    accept(&mut member.lease, Self::clock(*i, now), id.clone());
                     if phase == Phase::Fencing {
-                        instance.lease.fence(&id);
+                        member.lease.fence(&id);
                     }
                 }
-                // What led there leads no more, until it is elected anew.
-                world.leaders[*i] = None;
+                // A restarted member does not lead until it is elected again.
+                state.leaders[*i] = None;
             }
-            Act::Decide(i) => {
+            Action::Decide(i) => {
                 let clock = Self::clock(*i, now);
-                let lease = &world.instances[*i].lease;
+                let lease = &state.members[*i].lease;
                 let version = match (self.fault, lease.current()) {
-                    (Fault::LeaseIgnored, Some(held)) => held.version,
+                    (Fault::IgnoredLeaseExpiry, Some(held)) => held.version,
                     _ => lease.may_decide(clock).ok()?,
                 };
-                if version == world.newest {
+                if version == state.newest_version {
                     return None;
                 }
-                // Nor before anybody has decided under the new one: from its opening on the old one is over.
-                world.broken |= version < world.newest || version < after(&world.log).version;
-                world.newest = world.newest.max(version);
-                world.done |= world.newest == 1;
+                // A decision under a former version is a violation from the activation of the next one on.
+                state.is_violated |=
+                    version < state.newest_version || version < state_after(&state.log).version;
+                state.newest_version = state.newest_version.max(version);
+                state.is_activated |= state.newest_version == 1;
             }
         }
         Some(())
     }
 }
 
-/// The instance can take the change.
+/// Records that a member accepts a change.
 fn accept(lease: &mut MemberLease, now: Micros, change: String) {
     let validation = Validation {
         change,
@@ -393,7 +398,7 @@
     lease.record_validation(now, validation);
 }
 
-fn start() -> StateMachine {
+fn initial_state_machine() -> StateMachine {
     let rules = Rules {
         lease: 1000,
         change_lease: 500,
@@ -408,160 +413,166 @@
         zone: String::new(),
         join_nonce: 0,
     };
-    let mut machine = StateMachine::bootstrap("m".into(), rules, NAMES[0].into(), member(1), 0, 0);
-    machine.apply(&Command::AddMember {
+    let mut state_machine =
+        StateMachine::bootstrap("m".into(), rules, NAMES[0].into(), member(1), 0, 0);
+    state_machine.apply(&Command::AddMember {
         name: NAMES[1].into(),
         member: member(2),
     });
-    machine
+    state_machine
 }
 
-/// What the log comes to.
-fn after(log: &[Command]) -> StateMachine {
-    let mut machine = start();
-    log.iter().for_each(|c| drop(machine.apply(c)));
-    machine
+/// Returns the state after all entries of a log.
+fn state_after(log: &[Command]) -> StateMachine {
+    let mut state_machine = initial_state_machine();
+    log.iter().for_each(|c| drop(state_machine.apply(c)));
+    state_machine
 }
 
-impl Model for Cluster {
-    type State = World;
-    type Action = Act;
+impl Model for ClusterModel {
+    type State = ClusterState;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let instance = || {
+    fn init_states(&self) -> Vec<ClusterState> {
+        let member = || {
             let mut lease = MemberLease::new(self.rules().lease, self.rules().change_lease, 1);
             lease.serve_version(0);
-            Instance {
+            SimulatedMember {
                 lease,
                 applied: 0,
                 start: 1,
             }
         };
-        let mut world = World {
+        let mut state = ClusterState {
             now: 0,
             log: Vec::new(),
-            instances: [instance(), instance()],
+            members: [member(), member()],
             elected: 0,
             leaders: [None, None],
-            mail: BTreeSet::new(),
+            messages_in_flight: BTreeSet::new(),
             reports: BTreeMap::new(),
             budget: Budget {
                 reports: [1; 2],
                 ..self.budget
             },
-            newest: 0,
-            broken: false,
-            done: false,
+            newest_version: 0,
+            is_violated: false,
+            is_activated: false,
         };
-        let first = usize::from(self.begin == Begin::Deposed);
-        world.elected = first;
-        let mut leader = self.lead(&world, first);
-        start()
+        let first = usize::from(self.initial == InitialState::Deposed);
+        state.elected = first;
+        let mut leader = self.new_leader(&state, first);
+        initial_state_machine()
             .members
             .values()
             .for_each(|m| leader.lease_table.member_added(m.id));
-        world.leaders[first] = Some(leader);
-        // Both have a lease to begin with.
-        self.reported(&mut world, &[0, 1], first);
-        self.granted(&mut world);
-        assert!(
-            world
-                .instances
-                .iter()
-                .all(|i| i.lease.may_decide(0).is_ok())
-        );
-        match self.begin {
-            Begin::Proposed => {}
-            Begin::Deposed => {
-                world.budget.elections = 1;
-                let _ = self.act(&mut world, &Act::Elect(0));
+        state.leaders[first] = Some(leader);
+        // Both members begin with a lease.
+        self.exchange_reports(&mut state, &[0, 1], first);
+        self.deliver_grants(&mut state);
+        assert!(state.members.iter().all(|i| i.lease.may_decide(0).is_ok()));
+        match self.initial {
+            InitialState::Proposed => {}
+            InitialState::Deposed => {
+                state.budget.elections = 1;
+                let _ = self.apply_action(&mut state, &Action::Elect(0));
             }
-            Begin::GrantOnItsWay => {
-                world.budget.reports = [0, 1];
-                self.reported(&mut world, &[1], first);
+            InitialState::GrantInFlight => {
+                state.budget.reports = [0, 1];
+                self.exchange_reports(&mut state, &[1], first);
             }
         }
-        world.budget = Budget {
+        state.budget = Budget {
             changes: 1,
             ..self.budget
         };
-        let _ = self.act(&mut world, &Act::Change);
-        world.budget = self.budget;
-        vec![world]
+        let _ = self.apply_action(&mut state, &Action::BeginChange);
+        state.budget = self.budget;
+        vec![state]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        acts.extend([Act::Tick, Act::Change]);
+    fn actions(&self, state: &ClusterState, actions: &mut Vec<Action>) {
+        actions.extend([Action::Tick, Action::BeginChange]);
         for i in 0..2 {
-            acts.extend([Act::Report(i), Act::Decide(i), Act::Elect(i), Act::Crash(i)]);
-            // Where a former leader is the matter, the second hears nothing of the log.
-            if self.begin != Begin::Deposed || i == 0 {
-                acts.push(Act::Apply(i));
+            actions.extend([
+                Action::Report(i),
+                Action::Decide(i),
+                Action::Elect(i),
+                Action::Crash(i),
+            ]);
+            // With a deposed leader, the second member receives no log entries.
+            if self.initial != InitialState::Deposed || i == 0 {
+                actions.push(Action::Apply(i));
             }
-            if world.leaders[i].is_some() {
-                acts.extend([Act::Confirm(i), Act::Grant(i), Act::Say(i)]);
+            if state.leaders[i].is_some() {
+                actions.extend([Action::Confirm(i), Action::Grant(i), Action::Propose(i)]);
             }
         }
-        for message in &world.mail {
+        for message in &state.messages_in_flight {
             match message {
-                Message::Grant { .. } => acts.push(Act::Deliver(message.clone(), 0)),
+                Message::Grant { .. } => actions.push(Action::Deliver(message.clone(), 0)),
                 Message::Report { from, .. } => {
-                    let there = (0..2).filter(|l| world.leaders[*l].is_some());
-                    // There, too, the second reports to it, and the first to the one elected.
-                    let there = there.filter(|l| self.begin != Begin::Deposed || l == from);
-                    acts.extend(there.map(|l| Act::Deliver(message.clone(), l)));
+                    let leaders = (0..2).filter(|l| state.leaders[*l].is_some());
+                    // With a deposed leader, each member reports to itself: the second is the deposed leader, the first
+                    // the elected one.
+                    let leaders =
+                        leaders.filter(|l| self.initial != InitialState::Deposed || l == from);
+                    actions.extend(leaders.map(|l| Action::Deliver(message.clone(), l)));
                 }
             }
         }
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
-        let mut next = world.clone();
-        self.act(&mut next, &act)?;
+    fn next_state(&self, state: &ClusterState, action: Action) -> Option<ClusterState> {
+        let mut next = state.clone();
+        self.apply_action(&mut next, &action)?;
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody decides under a former version", |_, w: &World| {
-                !w.broken
+            Property::always(
+                "no member decides under a former version",
+                |_, w: &ClusterState| !w.is_violated,
+            ),
+            Property::sometimes("a change takes effect", |_, w: &ClusterState| {
+                w.is_activated
             }),
-            Property::sometimes("a change takes hold", |_, w: &World| w.done),
         ]
     }
 }
 
 fn check(
     name: &str,
-    mode: PartitionPolicy,
+    policy: PartitionPolicy,
     fault: Fault,
     budget: Budget,
-    begin: Begin,
+    initial: InitialState,
 ) -> (usize, bool, bool) {
-    let model = Cluster {
-        mode,
+    let model = ClusterModel {
+        policy,
         fault,
         budget,
-        begin,
+        initial,
     };
     let cores = std::thread::available_parallelism().map_or(2, usize::from);
     let checker = model
         .checker()
         .threads(cores)
-        .target_state_count(MOST)
+        .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
-    let broken = checker
-        .discovery("nobody decides under a former version")
+    let is_violated = checker
+        .discovery("no member decides under a former version")
         .is_some();
-    let done = checker.discovery("a change takes hold").is_some();
+    let is_activated = checker.discovery("a change takes effect").is_some();
     let (states, unique) = (checker.state_count(), checker.unique_state_count());
     assert!(
-        states < MOST,
-        "{name}: the play is too large to be looked at whole"
+        states < MAX_STATES,
+        "{name}: too many states to explore all of them"
     );
-    println!("{name}, {mode:?}: {states} states, {unique} unique, broken: {broken}");
-    (unique, broken, done)
+    println!("{name}, {policy:?}: {states} states, {unique} unique, violated: {is_violated}");
+    (unique, is_violated, is_activated)
 }
 
 const LAPSES: Budget = Budget {
@@ -573,7 +584,7 @@
 };
 
 #[test]
-fn nobody_decides_under_a_former_version() {
+fn no_member_decides_under_a_former_version() {
     let whole = Budget {
         ticks: 1,
         reports: [2, 2],
@@ -590,25 +601,26 @@
         crashes: 1,
         ..LAPSES
     };
-    for mode in [PartitionPolicy::Reject, PartitionPolicy::Serve] {
-        let plays = [
-            ("all are heard", whole),
+    for policy in [PartitionPolicy::Reject, PartitionPolicy::Serve] {
+        let runs = [
+            ("all members report", whole),
             ("elections", elections),
             ("crashes", crashes),
         ];
-        for (name, budget) in plays {
-            let (states, broken, done) = check(name, mode, Fault::None, budget, Begin::Proposed);
-            assert!(!broken && states > 1_000, "{name}, {mode:?}");
-            // Without the other's word a change takes hold only where its lease runs out.
+        for (name, budget) in runs {
+            let (states, is_violated, is_activated) =
+                check(name, policy, Fault::None, budget, InitialState::Proposed);
+            assert!(!is_violated && states > 1_000, "{name}, {policy:?}");
+            // Without a report of the other member a change takes effect only once its lease has expired.
             assert!(
-                done || name != "all are heard",
-                "{name}, {mode:?}: no change can take hold"
+                is_activated || name != "all members report",
+                "{name}, {policy:?}: no change takes effect"
             );
         }
     }
 }
 
-/// Each planted fault is found, and without it the same play breaks nothing.
+/// Each planted fault is found. A run that begins close to its fault has no violation without it.
 #[test]
 fn planted_faults_are_found() {
     let lapses = Budget {
@@ -637,55 +649,55 @@
         reports: [0, 2],
         ..whole
     };
-    for (mode, fault, budget, begin) in [
+    for (policy, fault, budget, initial) in [
         (
             PartitionPolicy::Reject,
-            Fault::LeaseIgnored,
+            Fault::IgnoredLeaseExpiry,
             lapses,
-            Begin::Proposed,
+            InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::NoDrift,
+            Fault::NoDriftMargin,
             lapses,
-            Begin::Proposed,
+            InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::OpenedAtOnce,
+            Fault::ActivatedWhenFenced,
             whole,
-            Begin::Proposed,
+            InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::Trusting,
+            Fault::NoLeaseAssumed,
             elected,
-            Begin::Proposed,
+            InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::Unconfirmed,
+            Fault::UnconfirmedLeadership,
             led,
-            Begin::Deposed,
+            InitialState::Deposed,
         ),
         (
             PartitionPolicy::Serve,
-            Fault::AnyGrant,
+            Fault::StaleGrantAccepted,
             late,
-            Begin::GrantOnItsWay,
+            InitialState::GrantInFlight,
         ),
     ] {
-        let (_, broken, _) = check(&format!("{fault:?}"), mode, fault, budget, begin);
-        assert!(broken, "{fault:?} was not found");
-        if begin != Begin::Proposed {
-            let (_, broken, _) = check(
+        let (_, is_violated, _) = check(&format!("{fault:?}"), policy, fault, budget, initial);
+        assert!(is_violated, "{fault:?} was not found");
+        if initial != InitialState::Proposed {
+            let (_, is_violated, _) = check(
                 &format!("without {fault:?}"),
-                mode,
+                policy,
                 Fault::None,
                 budget,
-                begin,
+                initial,
             );
-            assert!(!broken, "the play of {fault:?} without it");
+            assert!(!is_violated, "violation without {fault:?}");
         }
     }
 }
