--- a/crates/config-store/src/corruption.rs
+++ b/crates/config-store/src/corruption.rs
@@ -11,9 +11,6 @@
 pub fn catch_corruption<T>(
     operation: impl FnOnce() -> Result<T, StoreError>,
 ) -> Result<T, StoreError> {
-    catch_unwind(AssertUnwindSafe(operation)).unwrap_or_else(|_| {
-        Err(StoreError::Corrupted(
-            "its pages do not fit each other".into(),
-        ))
-    })
+    catch_unwind(AssertUnwindSafe(operation))
+        .unwrap_or_else(|_| Err(StoreError::Corrupted("its pages are inconsistent".into())))
 }
--- a/crates/config-store/src/error.rs
+++ b/crates/config-store/src/error.rs
@@ -32,7 +32,7 @@
     #[error("the disk is full; nothing has changed")]
     DiskFull,
     /// The transaction was built on another state than the stored one.
-    #[error("the store has moved on: entry {found}, not {expected}")]
+    #[error("the store has changed: its last audit entry is {found}, not {expected}")]
     Conflict {
         /// Number of the stored last audit entry.
         found: u64,
@@ -57,7 +57,7 @@
     #[error("{0}")]
     Encoding(#[source] serde_json::Error),
     /// The database stayed closed after an earlier failure.
-    #[error("it could not be opened anew")]
+    #[error("the store could not be reopened after a failure")]
     Closed,
     /// The caller can't use the store, for the given reason.
     #[error("{0}")]
@@ -74,13 +74,13 @@
     #[error("{0}")]
     Malformed(#[source] serde_json::Error),
     /// A header stands after the first line.
-    #[error("only the first line says the format")]
+    #[error("a header is valid in the first line only")]
     MisplacedHeader,
     /// The first line is not a header.
-    #[error("this is no export of a store")]
+    #[error("the first line is no header of an export")]
     MissingHeader,
     /// The input has no line.
-    #[error("there is nothing in it")]
+    #[error("the input is empty")]
     Empty,
 }
 
--- a/crates/config-store/src/integrity.rs
+++ b/crates/config-store/src/integrity.rs
@@ -15,7 +15,7 @@
 /// The first inconsistency, as [`StoreError::Corrupted`], or the database can't be read.
 pub fn verify(database: &mut Database) -> Result<(), StoreError> {
     if !database.check_integrity()? {
-        return Err(corrupted("the database had to be repaired; look again"));
+        return Err(corrupted("the database was repaired; check it again"));
     }
     queries::state(database)?;
     queries::visit_documents(database, &mut |_, _, _| {})?;
@@ -50,7 +50,7 @@
             if index.get((name, number))?.is_none() {
                 let described = describe_audit_entry(number);
                 return Err(corrupted(format!(
-                    "{described} is not among those of {name}"
+                    "{described} is missing from the index under {name}"
                 )));
             }
             expected_length += 1;
@@ -58,7 +58,7 @@
     }
     if index.len()? != expected_length {
         return Err(corrupted(
-            "lines of the audit log are named that are not there",
+            "the index of the audit log names entries that are missing",
         ));
     }
     Ok(())
@@ -76,7 +76,7 @@
         let follows_gap = expected.is_some_and(|expected| expected != version);
         if follows_gap && !entry.follows_version_gap {
             return Err(corrupted(format!(
-                "before version {version} one is missing"
+                "the version before {version} is missing"
             )));
         }
         expected = Some(version + 1);
--- a/crates/config-store/src/tables.rs
+++ b/crates/config-store/src/tables.rs
@@ -102,5 +102,5 @@
 
 /// Names an audit entry in messages.
 pub fn describe_audit_entry(number: u64) -> String {
-    format!("line {number} of the audit log")
+    format!("entry {number} of the audit log")
 }
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -24,6 +24,8 @@
 mod limits;
 mod list;
 mod record;
+mod rollback;
+mod silence;
 mod snapshot;
 mod staleness;
 mod status;
--- a/crates/endpoint-discovery/src/staleness.rs
+++ b/crates/endpoint-discovery/src/staleness.rs
@@ -1,9 +1,9 @@
-//! Staleness of the list, silence of the connection, and members that answer from an older state.
+//! Staleness: the time for which the list is out of sync with the store.
 
 use crate::limits::WatchLimits;
 use crate::time::Millis;
 
-/// Time for which the list is out of sync with the store.
+/// Synchronization of the list with the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Staleness {
     limit_ms: u64,
@@ -57,100 +57,3 @@
         since
     }
 }
-
-/// Silence of the connection.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Silence {
-    progress_interval_ms: u64,
-    timeout_ms: u64,
-    last_event: Millis,
-    last_request: Millis,
-}
-
-impl Silence {
-    /// Builds the state before the first connection.
-    pub fn new(limits: &WatchLimits) -> Self {
-        Silence {
-            progress_interval_ms: limits.progress_interval_ms,
-            timeout_ms: limits.silence_timeout_ms,
-            last_event: 0,
-            last_request: 0,
-        }
-    }
-
-    /// Returns true on the first call, unless something was recorded before.
-    pub fn take_start(&mut self) -> bool {
-        let is_start = self.last_event == 0 && self.last_request == 0;
-        if is_start {
-            self.last_request = 1;
-        }
-        is_start
-    }
-
-    /// Records an event of the connection.
-    pub fn record_event(&mut self, now: Millis) {
-        self.last_event = now;
-    }
-
-    /// Records a request of progress, or another request that is answered.
-    pub fn record_request(&mut self, now: Millis) {
-        self.last_request = now;
-    }
-
-    /// Returns the time at which the connection counts as lost.
-    pub fn timeout_at(&self) -> Millis {
-        self.last_event + self.timeout_ms
-    }
-
-    /// Returns the time at which progress is requested.
-    pub fn progress_request_at(&self) -> Millis {
-        self.last_event.max(self.last_request) + self.progress_interval_ms
-    }
-}
-
-/// Reaction to a member that answers from an older state than the known one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LagReaction {
-    /// The member may catch up.
-    Wait,
-    /// Another member is tried.
-    SwitchMember,
-    /// The store was rolled back: its state is applied.
-    AcceptRollback,
-}
-
-/// Time for which every answer has come from an older state.
-#[derive(Clone, Debug, PartialEq)]
-pub struct RollbackDetection {
-    silence_timeout_ms: u64,
-    rollback_ms: u64,
-    older_since: Option<Millis>,
-}
-
-impl RollbackDetection {
-    /// Builds the detection without history.
-    pub fn new(limits: &WatchLimits) -> Self {
-        RollbackDetection {
-            silence_timeout_ms: limits.silence_timeout_ms,
-            rollback_ms: limits.rollback_ms,
-            older_since: None,
-        }
-    }
-
-    /// Records an answer from an older state, and decides what to do.
-    pub fn record_older_answer(&mut self, now: Millis) -> LagReaction {
-        let since = *self.older_since.get_or_insert(now);
-        if now >= since + self.rollback_ms {
-            LagReaction::AcceptRollback
-        } else if now >= since + self.silence_timeout_ms {
-            LagReaction::SwitchMember
-        } else {
-            LagReaction::Wait
-        }
-    }
-
-    /// Records an answer from a current state.
-    pub fn reset(&mut self) {
-        self.older_since = None;
-    }
-}
