--- a/crates/sim-adapter/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -1,8 +1,8 @@
-//! The adapter on small texts.
+//! The adapter's program on short inputs.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn wirehost(input: &str) -> (bool, String, String) {
+fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_canvascart-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -28,29 +28,29 @@
 }
 
 #[test]
-fn an_empty_batch_and_the_end() {
+fn an_empty_batch_and_an_empty_input_are_accepted() {
     assert_eq!(
-        wirehost("FRAME\tts=1.5\nGO\n"),
+        run_adapter("FRAME\tts=1.5\nGO\n"),
         (true, "EOR\n".into(), String::new())
     );
-    assert_eq!(wirehost(""), (true, String::new(), String::new()));
+    assert_eq!(run_adapter(""), (true, String::new(), String::new()));
 }
 
 #[test]
-fn a_request_is_sent_and_a_failed_unsafe_one_is_not_sent_again() {
+fn a_request_is_forwarded_and_a_failed_non_idempotent_one_is_not_retried() {
     let input = format!(
         "FRAME\tts=10\n{}ARRIVAL\ti=0\trid=r-x\ttierClass=odd\ttimeBudget=900\nGO\n\
          FRAME\tts=40\nOUTCOME\ti=0\trid=r-x\tbackend=b.one\tlatency=30\tsendNo=0\treason=never-heard-of\nGO\n",
         start(0)
     );
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
     assert!(
         replies[0].contains("SUBMIT_TO\ti=0\trid=r-x\tbackend=b."),
         "{out}"
     );
-    // The unknown effect counts as unsafe and the unknown outcome as one that may have run.
+    // The unknown effect counts as not idempotent, and after the unknown outcome the request may have run.
     assert!(replies[1].contains("REPORT_FAILURE\ti=0\trid=r-x"), "{out}");
     assert!(
         !replies[1].contains("SUBMIT_TO") && !replies[1].contains("TURN_AWAY"),
@@ -59,19 +59,19 @@
 }
 
 #[test]
-fn unknown_messages_fields_and_instances_are_skipped() {
+fn unknown_messages_fields_and_proxies_are_ignored() {
     let input = format!(
         "FRAME\tts=10\tmore=1\n{}NOVELTY\ti=0\tx=1\nITEM\tq=1\nDEADLINE_HIT\ti=9\tkeyBack=0\n\
          ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\tcolour=red\nGO\n",
         start(0)
     );
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     assert!(out.contains("rid=r-1"), "{out}");
 }
 
-/// Serves so many requests one after the other, each of which tells of such a load, then asks for ten at once.
-fn sent_at_once_after(load: &str) -> usize {
+/// Completes 40 requests one after the other, each with a load report, and returns how many of ten at once are forwarded.
+fn forwarded_at_once_after(load_report: &str) -> usize {
     let params = PARAMS.replace("\"nInstances\":1", "\"nInstances\":32");
     let mut input = format!("FRAME\tts=10\n{}GO\n", start(0).replace(PARAMS, &params));
     let ask = |n: usize| format!("ARRIVAL\ti=0\trid=r-{n}\ttierClass=odd\ttimeBudget=900\n");
@@ -79,12 +79,12 @@
         let (at, end) = (20 + 100 * n, 60 + 100 * n);
         input += &format!("FRAME\tts={at}\n{}GO\nFRAME\tts={end}\n", ask(n));
         input += &format!(
-            "OUTCOME\ti=0\trid=r-{n}\tbackend=b.one\tlatency=40\tsendNo=0\tclosed=1\treason=completed\tfeedback={load}\nGO\n"
+            "OUTCOME\ti=0\trid=r-{n}\tbackend=b.one\tlatency=40\tsendNo=0\tclosed=1\treason=completed\tfeedback={load_report}\nGO\n"
         );
     }
     let burst: String = (100..110).map(ask).collect();
     input += &format!("FRAME\tts=5000\n{burst}GO\n");
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     out.split("EOR\n")
         .nth(81)
@@ -94,17 +94,15 @@
 }
 
 #[test]
-fn what_outcomes_tell_of_a_crowd_narrows_the_window() {
-    // No more than one is out at a time, so that good answers don't widen the first window; two servers have room for two.
-    let (calm, crowded) = (
-        sent_at_once_after("failed_ps:0,busy_reqs:2"),
-        sent_at_once_after("busy_reqs:30,pending:1"),
-    );
-    assert_eq!((calm, crowded), (2, 1));
+fn load_reports_of_overload_reduce_the_concurrency_limit() {
+    // Only one request is in flight at a time, so the initial concurrency limit does not grow; two endpoints admit two.
+    let normal = forwarded_at_once_after("failed_ps:0,busy_reqs:2");
+    let overloaded = forwarded_at_once_after("busy_reqs:30,pending:1");
+    assert_eq!((normal, overloaded), (2, 1));
 }
 
 #[test]
-fn malformed_lines_end_it_with_their_number() {
+fn a_malformed_line_ends_the_session_with_its_number() {
     for (line, at) in [
         (
             "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=soon\n",
@@ -130,14 +128,14 @@
             "line 7",
         ),
     ] {
-        let (ok, _, err) = wirehost(&format!("FRAME\tts=10\n{}{line}GO\n", start(0)));
+        let (ok, _, err) = run_adapter(&format!("FRAME\tts=10\n{}{line}GO\n", start(0)));
         assert!(!ok, "accepted {line}");
         assert!(err.contains(at), "{line}: {err}");
     }
 }
 
 #[test]
-fn a_restart_forgets_and_instances_do_not_touch_each_other() {
+fn a_restart_forgets_requests_and_proxies_are_independent() {
     let ask =
         |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
     let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), ask(1, "r-1"));
@@ -154,18 +152,21 @@
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    assert_eq!(of_one(&wirehost(&alone).1), of_one(&wirehost(&both).1));
+    assert_eq!(
+        of_one(&run_adapter(&alone).1),
+        of_one(&run_adapter(&both).1)
+    );
     let again = format!(
         "{alone}FRAME\tts=20\nCRASH_NOW\ti=1\n{}OUTCOME\ti=1\trid=r-1\tbackend=b.one\tsendNo=0\treason=completed\nGO\n",
         start(1)
     );
-    let (ok, out, err) = wirehost(&again);
+    let (ok, out, err) = run_adapter(&again);
     assert!(ok, "{err}");
     assert!(!out.split("EOR\n").nth(1).unwrap().contains("r-1"), "{out}");
 }
 
 #[test]
-fn odd_numbers_neither_panic_nor_pass() {
+fn extreme_numbers_cause_no_panic_and_a_non_number_is_rejected() {
     for (from, to) in [
         ("\"nInstances\":1", "\"nInstances\":1e18"),
         ("\"myNumber\":0", "\"myNumber\":-4"),
@@ -180,7 +181,7 @@
              FRAME\tts=2000\nDEADLINE_HIT\ti=0\tkeyBack=0\nGO\n",
             start(0).replace(from, to)
         );
-        let (ok, out, err) = wirehost(&input);
+        let (ok, out, err) = run_adapter(&input);
         assert!(ok, "{to}: {err}");
         assert!(!out.contains("EXCEPTION"), "{to}: {out}");
     }
@@ -188,11 +189,11 @@
         "FRAME\tts=10\n{}DEADLINE_HIT\ti=0\tkeyBack=NaN\nGO\n",
         start(0)
     );
-    assert!(!wirehost(&input).0, "a token that is no number");
+    assert!(!run_adapter(&input).0, "a token that is no number");
 }
 
 #[test]
-fn a_kill_and_a_start_in_one_batch_and_an_answer_with_a_hang_up() {
+fn a_crash_and_a_start_in_one_batch_and_late_messages_about_old_requests() {
     let ask = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
     let end =
         "OUTCOME\ti=0\trid=r-1\tbackend=b.one\tlatency=9\tsendNo=0\tclosed=1\treason=completed\n";
@@ -203,7 +204,7 @@
         start(0),
         ask.replace("r-1", "r-2")
     );
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
     assert!(
