--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -12,13 +12,13 @@
 //! # Terms
 //!
 //! A *member* is one participant of the cluster, from its join to its removal, over all restarts. It has a name, which a later member
-//! may take over, and a *raft node id*, which is never given twice. [`Node`](node::Node) is the code that one start of a member runs.
-//! Some texts for operators say "instance" for a member; they stay as they are.
+//! may take over, and a *raft node id*, which is never given twice. Its *process* is what one start of it runs, with one
+//! [`Node`](node::Node). Some texts for operators say "instance" for a member; they stay as they are.
 //!
 //! # Stored names
 //!
-//! Logs, snapshots and messages keep the names under which the first release wrote them. Serde attributes on the types map them;
-//! nothing else knows them. `tests/stored_forms.rs` holds the forms.
+//! Logs, snapshots and messages keep the names under which they were first written. Serde attributes on the types map them.
+//! `tests/stored_forms.rs` holds the forms.
 //!
 //! | type | stored name: term |
 //! | --- | --- |
