--- a/crates/sim-adapter/src/protocol/fields.rs
+++ b/crates/sim-adapter/src/protocol/fields.rs
@@ -45,6 +45,7 @@
         Some(field.value)
     }
 
+    /// Returns a text.
     pub fn text(&self, name: &'static str) -> Result<&'a str, LineError> {
         self.optional_text(name)
             .ok_or(LineError::MissingField { name })
--- a/crates/sim-adapter/src/protocol/message.rs
+++ b/crates/sim-adapter/src/protocol/message.rs
@@ -96,11 +96,14 @@
 
 /// Parameters with which a proxy starts.
 pub struct StartParameters {
+    /// Seed of the decision module.
     pub random_seed: u64,
+    /// The platform's settings object.
     pub settings: Value,
 }
 
 impl StartParameters {
+    /// Reads the parameters.
     pub fn from_fields(fields: &Fields) -> Result<Self, LineError> {
         let random_seed = fields.optional_integer("randomSeed")?.unwrap_or(0);
         let settings = fields.text("params")?;
@@ -136,16 +139,24 @@
 
 /// Entry of the endpoint list.
 pub struct EndpointEntry<'a> {
+    /// Name of the endpoint.
     pub name: &'a str,
+    /// Zone, if known.
     pub zone: Option<&'a str>,
+    /// Machine type, if known.
     pub machine_type: Option<&'a str>,
+    /// Cell, if known.
     pub cell: Option<CellId>,
+    /// Lifecycle state.
     pub state: EndpointState,
+    /// Weight; 1 if the entry has none.
     pub weight: f64,
+    /// Time at which the endpoint started, if known.
     pub started_at: Option<Millis>,
 }
 
 impl<'a> EndpointEntry<'a> {
+    /// Reads an entry.
     pub fn from_fields(fields: &Fields<'a>) -> Result<Self, LineError> {
         Ok(EndpointEntry {
             name: fields.text("backend")?,
@@ -170,12 +181,17 @@
 
 /// A request that has arrived.
 pub struct RequestArrival<'a> {
+    /// Name of the request.
     pub name: &'a str,
     /// Index of its class in the settings.
     pub class: usize,
+    /// Name of its tenant, if any.
     pub tenant: Option<&'a str>,
+    /// Affinity key, if any.
     pub key: Option<Key>,
+    /// Time for which the client waits.
     pub timeout: Millis,
+    /// Expected work on a standard core, if known.
     pub expected_work: Option<Millis>,
 }
 
@@ -201,13 +217,18 @@
 
 /// End of an attempt.
 pub struct AttemptEnd {
+    /// Number of the attempt, from 0.
     pub attempt: u32,
+    /// Time since the attempt was sent.
     pub latency: Millis,
+    /// Result of the attempt.
     pub outcome: Outcome,
+    /// True if the request is finished.
     pub request_finished: bool,
 }
 
 impl AttemptEnd {
+    /// Reads the end of an attempt.
     pub fn from_fields(fields: &Fields) -> Result<Self, LineError> {
         Ok(AttemptEnd {
             attempt: attempt(fields)?,
@@ -267,11 +288,14 @@
 
 /// Message from another proxy.
 pub struct GossipMessage {
+    /// Index of the sender.
     pub from: u32,
+    /// Encoded message.
     pub bytes: Vec<u8>,
 }
 
 impl GossipMessage {
+    /// Reads a message.
     pub fn from_fields(fields: &Fields) -> Result<Self, LineError> {
         let text = fields.text("msg")?;
         let bytes = if text == EMPTY_GOSSIP {
--- a/crates/sim-adapter/src/protocol/reply.rs
+++ b/crates/sim-adapter/src/protocol/reply.rs
@@ -22,6 +22,7 @@
 }
 
 impl<'a> ReplyWriter<'a> {
+    /// Creates a writer for a proxy.
     pub fn new(replies: &'a mut String, proxy: u64) -> Self {
         ReplyWriter { replies, proxy }
     }
@@ -36,6 +37,7 @@
         self.replies.truncate(len);
     }
 
+    /// Forwards a request to an endpoint, with the time after which to give the attempt up.
     pub fn forward(&mut self, request: &str, endpoint: Option<&str>, timeout: Option<Millis>) {
         let proxy = self.proxy;
         let endpoint = endpoint.unwrap_or(UNKNOWN_ENDPOINT);
@@ -45,17 +47,20 @@
         self.end_with_time("maxWait", timeout);
     }
 
+    /// Rejects a request, with the time after which the client may retry.
     pub fn reject(&mut self, request: &str, retry_after: Option<Millis>) {
         let proxy = self.proxy;
         self.write(format_args!("TURN_AWAY\ti={proxy}\trid={request}"));
         self.end_with_time("retryAfter", retry_after);
     }
 
+    /// Reports that a request failed.
     pub fn fail(&mut self, request: &str) {
         let proxy = self.proxy;
         self.write(format_args!("REPORT_FAILURE\ti={proxy}\trid={request}\n"));
     }
 
+    /// Sets a timer.
     pub fn set_timer(&mut self, token: u64, at: Millis) {
         let proxy = self.proxy;
         self.write(format_args!(
@@ -63,6 +68,7 @@
         ));
     }
 
+    /// Sends a message to all other proxies.
     pub fn broadcast(&mut self, bytes: &[u8]) {
         let proxy = self.proxy;
         let text = if bytes.is_empty() {
@@ -75,11 +81,13 @@
         ));
     }
 
+    /// Subscribes to endpoint list updates.
     pub fn subscribe(&mut self) {
         let proxy = self.proxy;
         self.write(format_args!("SUBSCRIBE\ti={proxy}\tactive=1\n"));
     }
 
+    /// Fetches the complete endpoint list.
     pub fn fetch_endpoints(&mut self) {
         let proxy = self.proxy;
         self.write(format_args!("RELOAD\ti={proxy}\n"));
--- a/crates/sim-adapter/src/session.rs
+++ b/crates/sim-adapter/src/session.rs
@@ -33,6 +33,7 @@
 }
 
 impl<R: BufRead, W: Write> Session<R, W> {
+    /// Creates a session without proxies.
     pub fn new(input: R, output: W) -> Self {
         Session {
             lines: input.lines(),
--- a/crates/sim-adapter/src/simulated_proxy.rs
+++ b/crates/sim-adapter/src/simulated_proxy.rs
@@ -25,7 +25,9 @@
 
 /// An item of the list that follows a message.
 pub struct ListItem {
+    /// Number of its line.
     pub line: usize,
+    /// Its fields, not yet split.
     pub text: String,
 }
 
