--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a store promises: whole versions whatever ends the process, old versions as they were, and errors that say what to do.
+//! Durability of commits across crashes, stability of retained versions, and errors that name the next step.
 mod disk;
 
 use std::collections::BTreeMap;
@@ -30,8 +30,8 @@
     }
 }
 
-/// A change of two documents, a token and a reply at once, all with the same number.
-fn fourfold(base: u64, n: u64) -> Transaction {
+/// A transaction of two documents, a token and a reply, all with the same number.
+fn numbered_transaction(base: u64, n: u64) -> Transaction {
     let body = json!({ "n": n, "filling": "x".repeat(300 + (n as usize * 97) % 3000) });
     Transaction {
         tokens: vec![("key".into(), Some(json!(n)))],
@@ -51,7 +51,7 @@
     all
 }
 
-/// What number stands in a store: the same everywhere.
+/// Returns the number of the last transaction, and checks that every record carries it.
 fn number(store: &Store, state: &config_store::StoreState) -> u64 {
     let n = |v: Option<&(u64, Value)>| v.map_or(0, |(_, v)| v["n"].as_u64().unwrap());
     let there = documents(store);
@@ -73,15 +73,18 @@
     found
 }
 
-/// Writes until the disk ends; returns how many writes were acknowledged.
-fn write_until_end(disk: &Disk, keep: Retention, most: u64) -> u64 {
-    let Ok((mut store, state)) = Store::with_opener(disk.opener(), keep) else {
+/// Commits until the disk fails; returns the number of acknowledged transactions.
+fn write_until_end(disk: &Disk, retention: Retention, most: u64) -> u64 {
+    let Ok((mut store, state)) = Store::with_opener(disk.opener(), retention) else {
         return 0;
     };
     let mut acknowledged = number(&store, &state);
     while acknowledged < most {
         let next = acknowledged + 1;
-        if store.commit(&fourfold(store.last_entry(), next)).is_err() {
+        if store
+            .commit(&numbered_transaction(store.last_entry(), next))
+            .is_err()
+        {
             break;
         }
         acknowledged = next;
@@ -90,9 +93,9 @@
 }
 
 #[test]
-fn a_process_that_ends_at_any_write_boundary_leaves_one_whole_version() {
+fn a_crash_at_any_write_boundary_leaves_one_complete_version() {
     const WRITES: u64 = 12;
-    let keep = Retention {
+    let retention = Retention {
         versions: 4,
         audit_entries: 4,
         replies: 4,
@@ -100,12 +103,12 @@
     };
     let made = || {
         let disk = Disk::default();
-        drop(Store::with_opener(disk.opener(), keep).unwrap());
+        drop(Store::with_opener(disk.opener(), retention).unwrap());
         disk
     };
     let untouched = made();
     let before = untouched.operations();
-    assert_eq!(write_until_end(&untouched, keep, WRITES), WRITES);
+    assert_eq!(write_until_end(&untouched, retention, WRITES), WRITES);
     let boundaries = untouched.operations();
     let ends = AtomicU64::new(0);
     let kill = &|at: u64| {
@@ -114,9 +117,9 @@
                 let mut rng = Rng::with_seed(at * 100 + seed);
                 let disk = made();
                 disk.end_at(at);
-                let acknowledged = write_until_end(&disk, keep, WRITES);
+                let acknowledged = write_until_end(&disk, retention, WRITES);
                 let (mut store, state) =
-                    Store::with_opener(disk.after(end, &mut rng).opener(), keep)
+                    Store::with_opener(disk.after(end, &mut rng).opener(), retention)
                         .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
                 let there = number(&store, &state);
                 assert!(
@@ -127,7 +130,7 @@
                     .verify()
                     .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
                 store
-                    .commit(&fourfold(store.last_entry(), there + 1))
+                    .commit(&numbered_transaction(store.last_entry(), there + 1))
                     .unwrap();
                 ends.fetch_add(1, Ordering::Relaxed);
             }
@@ -148,18 +151,19 @@
 }
 
 #[test]
-fn old_versions_are_what_they_were_as_long_as_they_are_kept() {
+fn retained_versions_do_not_change() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
-        let keep = Retention {
+        let retention = Retention {
             versions: 8,
             audit_entries: 12,
             ..Retention::default()
         };
-        let (mut store, mut state) = Store::with_opener(Disk::default().opener(), keep).unwrap();
-        let mut was: Vec<BTreeMap<String, Value>> = vec![BTreeMap::new()];
+        let (mut store, mut state) =
+            Store::with_opener(Disk::default().opener(), retention).unwrap();
+        let mut expected_versions: Vec<BTreeMap<String, Value>> = vec![BTreeMap::new()];
         for n in 0..60 {
-            let mut now = was.last().unwrap().clone();
+            let mut now = expected_versions.last().unwrap().clone();
             let scope = ["x", "y", "z"][rng.usize(..3)].to_owned();
             let edit = if now.contains_key(&scope) && rng.u8(..4) == 0 {
                 now.remove(&scope);
@@ -171,12 +175,12 @@
             let write = write(store.last_entry(), vec![(scope, edit)]);
             let entry = store.commit(&write).unwrap();
             state.apply(&write, &entry);
-            was.push(now);
+            expected_versions.push(now);
         }
-        let newest = was.len() as u64 - 1;
+        let newest = expected_versions.len() as u64 - 1;
         for version in 0..=newest {
-            let kept = version > newest - keep.versions;
-            let expected = kept.then(|| was[version as usize].clone());
+            let kept = version > newest - retention.versions;
+            let expected = kept.then(|| expected_versions[version as usize].clone());
             assert_eq!(
                 store.documents_at(version).unwrap(),
                 expected,
@@ -185,11 +189,11 @@
         }
         assert_eq!(
             store.versions(u64::MAX, 100).unwrap().len() as u64,
-            keep.versions
+            retention.versions
         );
         assert_eq!(
             store.audit_log(None, u64::MAX, 100).unwrap().len() as u64,
-            keep.audit_entries
+            retention.audit_entries
         );
         store.verify().unwrap();
         // What follows the writes in memory is what a new start reads.
@@ -198,7 +202,7 @@
             export(&store, &mut bytes).unwrap();
             bytes
         };
-        let (mut copy, _) = Store::with_opener(Disk::default().opener(), keep).unwrap();
+        let (mut copy, _) = Store::with_opener(Disk::default().opener(), retention).unwrap();
         import(&mut copy, bytes.as_slice()).unwrap();
         let mut again = Vec::new();
         export(&copy, &mut again).unwrap();
@@ -213,21 +217,21 @@
             .collect();
         assert_eq!(
             (copy.documents_at(state.version).unwrap().unwrap(), &there),
-            (there.clone(), was.last().unwrap())
+            (there.clone(), expected_versions.last().unwrap())
         );
         assert_eq!(documents(&store), documents(&copy));
     }
 }
 
 #[test]
-fn a_full_disk_changes_nothing_and_room_helps() {
+fn a_full_disk_rejects_commits_until_there_is_space() {
     let disk = Disk::default();
     let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
-    store.commit(&fourfold(0, 1)).unwrap();
+    store.commit(&numbered_transaction(0, 1)).unwrap();
     disk.set_room(Some(disk.length()));
     let mut n = 1;
     let full = loop {
-        match store.commit(&fourfold(store.last_entry(), n + 1)) {
+        match store.commit(&numbered_transaction(store.last_entry(), n + 1)) {
             Ok(_) => n += 1,
             Err(e) => break e,
         }
@@ -236,11 +240,13 @@
     assert!(matches!(full, StoreError::DiskFull), "{full}");
     assert_eq!(store.version(), n);
     disk.set_room(None);
-    store.commit(&fourfold(store.last_entry(), n + 1)).unwrap();
+    store
+        .commit(&numbered_transaction(store.last_entry(), n + 1))
+        .unwrap();
     assert_eq!(store.documents_at(n).unwrap().unwrap()["a"]["n"], n);
 }
 
-/// A directory that goes with the test.
+/// Temporary directory of a test.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -260,7 +266,7 @@
 }
 
 #[test]
-fn a_store_that_is_missing_open_elsewhere_or_newer_is_left_alone() {
+fn a_missing_locked_or_newer_store_is_refused() {
     let directory = Directory::new("alone");
     let path = &directory.0;
     assert!(matches!(
@@ -296,9 +302,9 @@
     assert!(said.contains("use the program that wrote it"), "{said}");
 }
 
-/// A store as the program of format 1 wrote it: without the table of whom a line concerns.
+/// A store of format 1 has no index of the audit log.
 #[test]
-fn an_older_store_is_brought_to_the_new_format_whole_or_not_at_all() {
+fn migration_of_an_older_format_is_atomic() {
     let older = || {
         let disk = Disk::default();
         let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
@@ -357,40 +363,40 @@
 }
 
 #[test]
-fn damage_anywhere_is_told_of_or_does_no_harm_and_the_snapshot_is_there() {
+fn corruption_is_detected_or_harmless_and_the_snapshot_stays_readable() {
     let directory = Directory::new("damage");
     let path = &directory.0;
     let (mut store, mut state) = Store::open(path, Retention::default()).unwrap();
     for n in 1..=20 {
-        let write = fourfold(store.last_entry(), n);
+        let write = numbered_transaction(store.last_entry(), n);
         let entry = store.commit(&write).unwrap();
         state.apply(&write, &entry);
     }
     let all = documents(&store);
     drop(store);
-    let told = all.iter().map(|(scope, (rev, d))| {
+    let stored = all.iter().map(|(scope, (rev, d))| {
         Ok(SnapshotDocument {
             scope: scope.clone(),
             revision: *rev,
             document: d.clone(),
         })
     });
-    let bytes = snapshot::write(path, &state, told).unwrap();
+    let bytes = snapshot::write(path, &state, stored).unwrap();
     assert_eq!(
         bytes,
         std::fs::metadata(path.join(snapshot::FILE_NAME))
             .unwrap()
             .len()
     );
-    let mut kept = BTreeMap::new();
+    let mut visited = BTreeMap::new();
     let read = snapshot::read(path, &mut |s, rev, d| {
-        _ = kept.insert(s.to_owned(), (rev, d))
+        _ = visited.insert(s.to_owned(), (rev, d))
     });
-    assert_eq!((read.unwrap(), &kept), (state.clone(), &all));
+    assert_eq!((read.unwrap(), &visited), (state.clone(), &all));
     let file = path.join(config_store::FILE_NAME);
     let whole = std::fs::read(&file).unwrap();
     let mut rng = Rng::with_seed(7);
-    let (mut told, mut unharmed) = (0, 0);
+    let (mut detected, mut unharmed) = (0, 0);
     for _ in 0..60 {
         let mut bytes = whole.clone();
         let at = rng.usize(..bytes.len());
@@ -410,22 +416,25 @@
             }
             Err(e) => {
                 assert!(!e.to_string().is_empty());
-                told += 1;
+                detected += 1;
             }
         }
     }
-    assert!(told > 0 && unharmed > 0, "{told} told, {unharmed} unharmed");
+    assert!(
+        detected > 0 && unharmed > 0,
+        "{detected} detected, {unharmed} unharmed"
+    );
     let text = std::fs::read(path.join(snapshot::FILE_NAME)).unwrap();
     std::fs::write(path.join(snapshot::FILE_NAME), &text[..text.len() - 1]).unwrap();
-    let told = &mut |_: &str, _, _| panic!("told of a snapshot that is damaged");
+    let visit = &mut |_: &str, _, _| panic!("told of a snapshot that is damaged");
     assert!(matches!(
-        snapshot::read(path, told),
+        snapshot::read(path, visit),
         Err(StoreError::Corrupted(_))
     ));
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_made_leaves_the_one_that_was_there() {
+fn a_failed_snapshot_keeps_the_previous_one() {
     let directory = Directory::new("half");
     let path = &directory.0;
     let state = config_store::StoreState {
@@ -442,14 +451,14 @@
     };
     snapshot::write(path, &state, [good()].into_iter()).unwrap();
     let before = std::fs::read(path.join(snapshot::FILE_NAME)).unwrap();
-    let spoiled = [good(), Err(StoreError::Corrupted("b".into()))].into_iter();
+    let documents = [good(), Err(StoreError::Corrupted("b".into()))].into_iter();
     let failed = snapshot::write(
         path,
         &config_store::StoreState {
             version: 2,
             ..state
         },
-        spoiled,
+        documents,
     );
     assert!(matches!(failed, Err(StoreError::Corrupted(what)) if what == "b"));
     assert_eq!(
--- a/crates/endpoint-discovery/tests/model.rs
+++ b/crates/endpoint-discovery/tests/model.rs
@@ -1,4 +1,4 @@
-//! Model checking of the follower against a store of two members: every order of writes, lag, compaction, cuts and deliveries
+//! Model checking of the watcher against a store of two members: every order of writes, lag, compaction, cuts and deliveries
 //! within a bound.
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -21,9 +21,9 @@
     timers: u8,
 }
 
-/// A connection to a member, and what is on its way to the follower.
+/// A connection to a member, and what is on its way to the watcher.
 #[derive(Clone, Debug, PartialEq)]
-struct Line {
+struct Connection {
     member: usize,
     queue: Vec<Event>,
     /// The next revision that the watch tells, if there is one.
@@ -32,19 +32,19 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct World {
-    follower: EndpointWatcher,
+    watcher: EndpointWatcher,
     now: u64,
     /// What each revision did: which server, and whether it is there afterwards. The first is revision 2.
     history: Vec<(usize, bool)>,
     compacted: i64,
     /// How far each member has come.
     applied: [i64; 2],
-    line: Option<Line>,
+    connection: Option<Connection>,
     /// The member that is to be connected to.
-    wanted: Option<usize>,
+    requested_member: Option<usize>,
     /// What the pool has: the revision that made each server.
     pool: BTreeMap<String, u64>,
-    /// The newest revision at which the follower was told of each server that it is gone.
+    /// The newest revision at which the watcher was told of each server that it is gone.
     gone: BTreeMap<String, i64>,
     budget: Budget,
     resynced: bool,
@@ -61,7 +61,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Write(usize),
     Apply(usize),
     Compact,
@@ -71,8 +71,8 @@
     Timer,
 }
 
-/// A store that lets the follower know how far the member is. With `lies` a lagging member says that it is not, and the
-/// follower remembers nobody who is gone: the two ways in which it keeps the dead away are both taken from it.
+/// A store that lets the watcher know how far the member is. With `lies` a lagging member says that it is not, and the
+/// watcher remembers nobody who is gone: the two ways in which it keeps the dead away are both taken from it.
 struct Store {
     budget: Budget,
     lies: bool,
@@ -83,7 +83,7 @@
 }
 
 /// The servers at a revision, with the one that made each.
-fn at(world: &World, revision: i64) -> BTreeMap<usize, i64> {
+fn endpoints_at(world: &World, revision: i64) -> BTreeMap<usize, i64> {
     let mut there = BTreeMap::new();
     for (i, (name, up)) in world
         .history
@@ -132,8 +132,10 @@
 
     /// What a member sends once it has come further.
     fn push(&self, world: &mut World) {
-        let Some(line) = &world.line else { return };
-        let (member, Some(next)) = (line.member, line.watch) else {
+        let Some(connection) = &world.connection else {
+            return;
+        };
+        let (member, Some(next)) = (connection.member, connection.watch) else {
             return;
         };
         let until = world.applied[member];
@@ -154,32 +156,34 @@
             return;
         }
         let header = self.header(world, member);
-        let Some(line) = &mut world.line else { return };
-        line.watch = Some(until.max(next - 1) + 1);
-        line.queue.push(Event::Changes {
+        let Some(connection) = &mut world.connection else {
+            return;
+        };
+        connection.watch = Some(until.max(next - 1) + 1);
+        connection.queue.push(Event::Changes {
             header,
             changes,
             fragment: false,
         });
     }
 
-    fn obey(&self, world: &mut World, commands: Vec<Command>) {
+    fn execute(&self, world: &mut World, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Connect { member, .. } => {
-                    (world.line, world.wanted) = (None, Some(member % 2))
+                    (world.connection, world.requested_member) = (None, Some(member % 2))
                 }
                 Command::List { .. } => {
-                    let Some(member) = world.line.as_ref().map(|l| l.member) else {
+                    let Some(member) = world.connection.as_ref().map(|l| l.member) else {
                         continue;
                     };
                     let header = self.header(world, member);
-                    let kvs = at(world, world.applied[member])
+                    let kvs = endpoints_at(world, world.applied[member])
                         .into_iter()
                         .map(|(n, made)| kv(n, made))
                         .collect();
-                    if let Some(line) = &mut world.line {
-                        line.queue.push(Event::Page {
+                    if let Some(connection) = &mut world.connection {
+                        connection.queue.push(Event::Page {
                             header,
                             key_values: kvs,
                             more: false,
@@ -187,30 +191,30 @@
                     }
                 }
                 Command::Watch(from) => {
-                    let Some(member) = world.line.as_ref().map(|l| l.member) else {
+                    let Some(member) = world.connection.as_ref().map(|l| l.member) else {
                         continue;
                     };
                     let (header, compacted) = (self.header(world, member), world.compacted);
-                    let Some(line) = &mut world.line else {
+                    let Some(connection) = &mut world.connection else {
                         continue;
                     };
                     if from <= compacted {
-                        line.queue.push(Event::Cancelled {
+                        connection.queue.push(Event::Cancelled {
                             compact_revision: compacted,
                         });
                     } else {
-                        line.queue.push(Event::WatchEstablished(header));
-                        line.watch = Some(from);
+                        connection.queue.push(Event::WatchEstablished(header));
+                        connection.watch = Some(from);
                         self.push(world);
                     }
                 }
                 Command::RequestProgress => {
-                    let Some(member) = world.line.as_ref().map(|l| l.member) else {
+                    let Some(member) = world.connection.as_ref().map(|l| l.member) else {
                         continue;
                     };
                     let header = self.header(world, member);
-                    if let Some(line) = &mut world.line {
-                        line.queue.push(Event::Progress(header));
+                    if let Some(connection) = &mut world.connection {
+                        connection.queue.push(Event::Progress(header));
                     }
                 }
                 Command::Publish(ListChange::Complete(all)) => {
@@ -228,7 +232,7 @@
         }
     }
 
-    fn hear(&self, world: &mut World, event: Event) {
+    fn deliver(&self, world: &mut World, event: Event) {
         // What an event tells of servers that are gone, as anybody would read it.
         if let Event::Changes { changes, .. } = &event {
             for change in changes {
@@ -244,15 +248,15 @@
         }
         let mut commands = Vec::new();
         world
-            .follower
+            .watcher
             .handle(world.now, world.now, event, &mut commands);
-        self.obey(world, commands);
+        self.execute(world, commands);
     }
 }
 
 impl Model for Store {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
         let mut limits = WatchLimits {
@@ -267,92 +271,96 @@
             limits.table.max_tombstones = 0;
         }
         let mut world = World {
-            follower: EndpointWatcher::new(KeySpace::new("/f", "p"), limits, 1),
+            watcher: EndpointWatcher::new(KeySpace::new("/f", "p"), limits, 1),
             now: 0,
             history: vec![(0, true), (1, true)],
             compacted: 0,
             applied: [3, 3],
-            line: None,
-            wanted: None,
+            connection: None,
+            requested_member: None,
             pool: BTreeMap::new(),
             gone: BTreeMap::new(),
             budget: self.budget,
             resynced: false,
             refused: false,
         };
-        self.hear(&mut world, Event::Timer);
+        self.deliver(&mut world, Event::Timer);
         vec![world]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Act>) {
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         if world.budget.writes > 0 {
-            actions.extend((0..NAMES.len()).map(Act::Write));
+            actions.extend((0..NAMES.len()).map(Action::Write));
         }
         actions.extend(
             (0..2)
                 .filter(|m| world.applied[*m] < revision(world))
-                .map(Act::Apply),
+                .map(Action::Apply),
         );
         if world.budget.compactions > 0 && world.compacted < revision(world) {
-            actions.push(Act::Compact);
+            actions.push(Action::Compact);
         }
-        if world.wanted.is_some() {
-            actions.push(Act::Connect);
+        if world.requested_member.is_some() {
+            actions.push(Action::Connect);
         }
-        if let Some(line) = &world.line {
-            if !line.queue.is_empty() {
-                actions.push(Act::Deliver);
+        if let Some(connection) = &world.connection {
+            if !connection.queue.is_empty() {
+                actions.push(Action::Deliver);
             }
             if world.budget.cuts > 0 {
-                actions.push(Act::Cut);
+                actions.push(Action::Cut);
             }
         }
-        if world.budget.timers > 0 && world.follower.next_due().is_some() {
-            actions.push(Act::Timer);
+        if world.budget.timers > 0 && world.watcher.next_due().is_some() {
+            actions.push(Action::Timer);
         }
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
+    fn next_state(&self, world: &World, act: Action) -> Option<World> {
         let mut world = world.clone();
         match act {
-            Act::Write(name) => {
-                let there = at(&world, revision(&world)).contains_key(&name);
+            Action::Write(name) => {
+                let there = endpoints_at(&world, revision(&world)).contains_key(&name);
                 world.history.push((name, !there));
                 world.budget.writes -= 1;
             }
-            Act::Apply(member) => {
+            Action::Apply(member) => {
                 world.applied[member] += 1;
-                if world.line.as_ref().is_some_and(|l| l.member == member) {
+                if world
+                    .connection
+                    .as_ref()
+                    .is_some_and(|l| l.member == member)
+                {
                     self.push(&mut world);
                 }
             }
-            Act::Compact => {
+            Action::Compact => {
                 // What a member has not applied it can't have compacted.
                 world.compacted = world.applied[0].max(world.applied[1]);
                 world.budget.compactions -= 1;
             }
-            Act::Connect => {
-                let member = world.wanted.take()?;
-                world.line = Some(Line {
+            Action::Connect => {
+                let member = world.requested_member.take()?;
+                world.connection = Some(Connection {
                     member,
                     queue: Vec::new(),
                     watch: None,
                 });
-                self.hear(&mut world, Event::Connected);
+                self.deliver(&mut world, Event::Connected);
             }
-            Act::Deliver => {
-                let event = world.line.as_mut().map(|l| l.queue.remove(0))?;
-                self.hear(&mut world, event);
+            Action::Deliver => {
+                let event = world.connection.as_mut().map(|l| l.queue.remove(0))?;
+                self.deliver(&mut world, event);
             }
-            Act::Cut => {
-                world.line = None;
+            Action::Cut => {
+                world.connection = None;
                 world.budget.cuts -= 1;
-                self.hear(&mut world, Event::ConnectionLost);
+                self.deliver(&mut world, Event::ConnectionLost);
             }
-            Act::Timer => {
-                world.now = world.now.max(world.follower.next_due()?);
+            Action::Timer => {
+                world.now = world.now.max(world.watcher.next_due()?);
                 world.budget.timers -= 1;
-                self.hear(&mut world, Event::Timer);
+                self.deliver(&mut world, Event::Timer);
             }
         }
         Some(world)
@@ -370,11 +378,11 @@
             ),
             Property::always("in step it has what the store has", |_, w: &World| {
                 let quiet = w
-                    .line
+                    .connection
                     .as_ref()
                     .is_some_and(|l| l.queue.is_empty() && w.applied[l.member] == revision(w));
-                let in_step = w.follower.status(w.now).phase == Phase::Watching;
-                let store: BTreeMap<String, u64> = at(w, revision(w))
+                let in_step = w.watcher.status(w.now).phase == Phase::Watching;
+                let store: BTreeMap<String, u64> = endpoints_at(w, revision(w))
                     .into_iter()
                     .map(|(n, made)| (NAMES[n].to_owned(), made as u64))
                     .collect();
@@ -383,7 +391,7 @@
             Property::always(
                 "it never lacks a server that was there all the time",
                 |_, w: &World| {
-                    let listed = w.follower.status(w.now).phase != Phase::Listing;
+                    let listed = w.watcher.status(w.now).phase != Phase::Listing;
                     let steady =
                         |n: usize| w.history.iter().filter(|(name, _)| *name == n).count() == 1;
                     !listed
@@ -408,7 +416,7 @@
 }
 
 #[test]
-fn the_follower_keeps_its_promises_in_every_order() {
+fn the_watcher_keeps_its_invariants_in_every_order() {
     let mut states = 0;
     // Each bound on its own is small; together they cover what one alone leaves out.
     for budget in [
@@ -471,7 +479,7 @@
     assert!(states > 20_000, "{states}");
 }
 
-/// A follower that took a lagging member's word and forgot who is gone would bring the dead back: the checker finds it.
+/// A watcher that trusts a lagging member and keeps no tombstones would restore deleted endpoints: the checker finds it.
 #[test]
 fn a_planted_fault_is_found() {
     let budget = Budget {
@@ -490,7 +498,7 @@
     println!("{found:?}");
     let steps = found.expect("the planted fault").into_actions();
     assert!(
-        steps.contains(&Act::Cut) && steps.contains(&Act::Compact),
+        steps.contains(&Action::Cut) && steps.contains(&Action::Compact),
         "{steps:?}"
     );
 }
--- a/crates/endpoint-discovery/tests/record.rs
+++ b/crates/endpoint-discovery/tests/record.rs
@@ -2,7 +2,7 @@
 use endpoint_discovery::{EndpointRecord, EndpointState, KeySpace, range_end};
 
 #[test]
-fn unknown_fields_are_kept_and_bad_values_told_of() {
+fn unknown_fields_are_preserved_and_invalid_values_rejected() {
     let text = r#"{"v":3,"address":"127.0.0.1:9","rack":"r7","size":2.0,"nested":{"a":[1]}}"#;
     let record = EndpointRecord::parse(text.as_bytes()).unwrap();
     assert_eq!(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn keys_are_of_servers_of_the_pool_alone() {
+fn only_endpoint_keys_of_the_pool_have_a_name() {
     let keys = KeySpace::new("/canvascart/", "north");
     assert_eq!(keys.endpoint_key("n1"), "/canvascart/north/servers/n1");
     assert_eq!(
--- a/crates/endpoint-discovery/tests/watcher.rs
+++ b/crates/endpoint-discovery/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! Hard cases of following a store, one at a time.
+//! Failure cases of the watch, one at a time.
 use endpoint_discovery::{
     BackoffLimits, Command, EndpointCounts, EndpointWatcher, Event, Header, KeyChange, KeySpace,
     KeyValue, ListChange, Notice, Phase, WatchLimits,
@@ -6,12 +6,12 @@
 
 const CLUSTER: u64 = 1;
 
-struct Play {
-    follower: EndpointWatcher,
+struct Harness {
+    watcher: EndpointWatcher,
     now: u64,
-    /// What the last event led to.
-    out: Vec<Command>,
-    up: std::collections::BTreeMap<String, u64>,
+    /// Commands of the last event.
+    commands: Vec<Command>,
+    listed: std::collections::BTreeMap<String, u64>,
 }
 
 fn keys() -> KeySpace {
@@ -43,7 +43,7 @@
     }
 }
 
-impl Play {
+impl Harness {
     fn new() -> Self {
         let limits = WatchLimits {
             backoff: BackoffLimits {
@@ -52,79 +52,79 @@
             },
             ..WatchLimits::default()
         };
-        let mut play = Play {
-            follower: EndpointWatcher::new(keys(), limits, 1),
+        let mut harness = Harness {
+            watcher: EndpointWatcher::new(keys(), limits, 1),
             now: 1,
-            out: Vec::new(),
-            up: Default::default(),
+            commands: Vec::new(),
+            listed: Default::default(),
         };
-        play.hear(Event::Timer);
-        play
+        harness.handle(Event::Timer);
+        harness
     }
 
-    /// One that watches these servers from a revision on.
+    /// Harness whose watch is established at a revision with these endpoints.
     fn watching(kvs: Vec<KeyValue>, revision: i64) -> Self {
-        let mut play = Play::new();
-        play.hear(Event::Connected);
-        play.hear(Event::Page {
+        let mut harness = Harness::new();
+        harness.handle(Event::Connected);
+        harness.handle(Event::Page {
             header: header(revision),
             key_values: kvs,
             more: false,
         });
-        play.hear(Event::WatchEstablished(header(revision)));
-        assert_eq!(play.phase(), Phase::Watching);
-        play
+        harness.handle(Event::WatchEstablished(header(revision)));
+        assert_eq!(harness.phase(), Phase::Watching);
+        harness
     }
 
-    fn hear(&mut self, event: Event) {
-        self.out.clear();
-        self.follower
-            .handle(self.now, 1_000_000 + self.now, event, &mut self.out);
-        for command in &self.out {
+    fn handle(&mut self, event: Event) {
+        self.commands.clear();
+        self.watcher
+            .handle(self.now, 1_000_000 + self.now, event, &mut self.commands);
+        for command in &self.commands {
             match command {
                 Command::Publish(ListChange::Complete(all)) => {
-                    self.up = all
+                    self.listed = all
                         .iter()
                         .map(|s| (s.name.clone(), s.started_at_ms))
                         .collect();
                 }
                 Command::Publish(ListChange::Upserted(s)) => {
-                    _ = self.up.insert(s.name.clone(), s.started_at_ms)
+                    _ = self.listed.insert(s.name.clone(), s.started_at_ms)
                 }
-                Command::Publish(ListChange::Removed(name)) => _ = self.up.remove(name),
+                Command::Publish(ListChange::Removed(name)) => _ = self.listed.remove(name),
                 _ => {}
             }
         }
     }
 
     fn changes(&mut self, revision: i64, changes: Vec<KeyChange>) {
-        self.hear(Event::Changes {
+        self.handle(Event::Changes {
             header: header(revision),
             changes,
             fragment: false,
         });
     }
 
-    /// Lets time pass, with its timers.
-    fn pass(&mut self, span: u64) {
+    /// Advances time and fires the timers that are due.
+    fn advance(&mut self, span: u64) {
         let end = self.now + span;
-        while let Some(next) = self.follower.next_due().filter(|n| *n <= end) {
+        while let Some(next) = self.watcher.next_due().filter(|n| *n <= end) {
             self.now = next.max(self.now + 1);
-            self.hear(Event::Timer);
+            self.handle(Event::Timer);
         }
         self.now = end;
     }
 
     fn phase(&self) -> Phase {
-        self.follower.status(self.now).phase
+        self.watcher.status(self.now).phase
     }
 
-    fn has(&self, name: &str) -> bool {
-        self.up.contains_key(name)
+    fn lists(&self, name: &str) -> bool {
+        self.listed.contains_key(name)
     }
 
-    fn noted(&self, f: impl Fn(&Notice) -> bool) -> bool {
-        self.out
+    fn has_notice(&self, f: impl Fn(&Notice) -> bool) -> bool {
+        self.commands
             .iter()
             .any(|c| matches!(c, Command::Notice(n) if f(n)))
     }
@@ -138,7 +138,7 @@
     }
 }
 
-fn three(lease: i64) -> Vec<KeyValue> {
+fn three_endpoints(lease: i64) -> Vec<KeyValue> {
     ["a", "b", "c"]
         .iter()
         .enumerate()
@@ -147,41 +147,47 @@
 }
 
 #[test]
-fn a_removal_is_told_at_once_and_a_return_is_cold() {
-    let mut play = Play::watching(three(0), 10);
+fn a_removal_is_published_at_once_and_a_return_restarts_the_endpoint() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
     assert_eq!(
-        play.up["a"], 0,
+        harness.listed["a"], 0,
         "who was there at the first list started long ago"
     );
-    play.changes(11, vec![delete("a", 11)]);
-    assert!(!play.has("a") && play.has("b"));
-    play.now += 500;
-    play.changes(12, vec![KeyChange::Put(kv("a", 12, 12, 0, ""))]);
-    assert_eq!(play.up["a"], 1_000_000 + play.now, "it has just started");
-    play.changes(
+    harness.changes(11, vec![delete("a", 11)]);
+    assert!(!harness.lists("a") && harness.lists("b"));
+    harness.now += 500;
+    harness.changes(12, vec![KeyChange::Put(kv("a", 12, 12, 0, ""))]);
+    assert_eq!(
+        harness.listed["a"],
+        1_000_000 + harness.now,
+        "it has just started"
+    );
+    harness.changes(
         13,
         vec![KeyChange::Put(kv("b", 13, 2, 0, r#","state":"gone""#))],
     );
     assert!(
-        !play.has("b"),
+        !harness.lists("b"),
         "who says that it leaves is gone before its key is"
     );
 }
 
 #[test]
-fn what_was_missed_by_a_compaction_is_found_by_the_next_list() {
-    let mut play = Play::watching(three(0), 10);
-    play.hear(Event::ConnectionLost);
-    assert!(play.has("a"), "silence drops nobody");
-    play.hear(Event::Connected);
-    assert_eq!(play.out, [Command::Watch(11)]);
-    play.hear(Event::Cancelled {
+fn changes_missed_by_a_compaction_are_in_the_next_snapshot() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
+    harness.handle(Event::ConnectionLost);
+    assert!(harness.lists("a"), "silence drops nobody");
+    harness.handle(Event::Connected);
+    assert_eq!(harness.commands, [Command::Watch(11)]);
+    harness.handle(Event::Cancelled {
         compact_revision: 40,
     });
-    assert!(play.noted(|n| *n == Notice::Compacted(40)) && play.phase() == Phase::Resyncing);
-    assert!(play.has("a"));
+    assert!(
+        harness.has_notice(|n| *n == Notice::Compacted(40)) && harness.phase() == Phase::Resyncing
+    );
+    assert!(harness.lists("a"));
     // A page at a time, at one revision.
-    play.hear(Event::Page {
+    harness.handle(Event::Page {
         header: header(50),
         key_values: vec![kv("b", 2, 2, 0, "")],
         more: true,
@@ -189,25 +195,25 @@
     let mut from = keys().endpoint_key("b").into_bytes();
     from.push(0);
     assert_eq!(
-        play.out,
+        harness.commands,
         [Command::List {
             start_key: from,
             revision: 50
         }]
     );
-    play.hear(Event::PageCompacted);
+    harness.handle(Event::PageCompacted);
     assert!(
-        matches!(play.out[0], Command::List { revision: 0, .. }),
+        matches!(harness.commands[0], Command::List { revision: 0, .. }),
         "it begins anew"
     );
     let d = kv("d", 45, 45, 0, "");
-    play.hear(Event::Page {
+    harness.handle(Event::Page {
         header: header(51),
         key_values: vec![kv("b", 2, 2, 0, ""), d],
         more: false,
     });
-    let told: Vec<&Command> = play
-        .out
+    let told: Vec<&Command> = harness
+        .commands
         .iter()
         .filter(|c| matches!(c, Command::Publish(_)))
         .collect();
@@ -215,79 +221,79 @@
         matches!(told[0], Command::Publish(ListChange::Removed(n)) if n == "a"),
         "removals come first: {told:?}"
     );
-    assert_eq!(play.up.keys().collect::<Vec<_>>(), ["b", "d"]);
-    assert!(play.out.contains(&Command::Watch(52)));
+    assert_eq!(harness.listed.keys().collect::<Vec<_>>(), ["b", "d"]);
+    assert!(harness.commands.contains(&Command::Watch(52)));
 }
 
 #[test]
-fn a_lagging_member_brings_nobody_back_and_a_backup_does_after_a_while_but_not_the_dead() {
-    let mut play = Play::watching(three(0), 10);
-    play.changes(11, vec![delete("a", 11)]);
-    play.hear(Event::Cancelled {
+fn a_lagging_member_is_rejected_and_a_rollback_accepted_without_deleted_endpoints() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
+    harness.changes(11, vec![delete("a", 11)]);
+    harness.handle(Event::Cancelled {
         compact_revision: 20,
     });
     let old = || Event::Page {
         header: header(9),
-        key_values: three(0),
+        key_values: three_endpoints(0),
         more: false,
     };
-    play.hear(old());
+    harness.handle(old());
     assert!(
-        play.noted(|n| *n
+        harness.has_notice(|n| *n
             == Notice::Lagging {
                 member_revision: 9,
                 known_revision: 11
             })
-            && !play.has("a")
+            && !harness.lists("a")
     );
     let mut turned = false;
     for _ in 0..40 {
-        play.pass(1000);
-        play.hear(Event::Connected);
-        play.hear(old());
-        turned |= play.noted(|n| matches!(n, Notice::RolledBack { .. }));
-        assert!(!play.has("a"));
+        harness.advance(1000);
+        harness.handle(Event::Connected);
+        harness.handle(old());
+        turned |= harness.has_notice(|n| matches!(n, Notice::RolledBack { .. }));
+        assert!(!harness.lists("a"));
         if turned {
             break;
         }
     }
     assert!(turned, "all that there is has an older state");
     assert!(
-        play.noted(
+        harness.has_notice(
             |n| matches!(n, Notice::Table(text) if text.to_string().starts_with("a is gone"))
         ),
         "{:?}",
-        play.out
+        harness.commands
     );
-    assert!(play.has("b") && !play.has("a"));
-    play.hear(Event::WatchEstablished(header(9)));
+    assert!(harness.lists("b") && !harness.lists("a"));
+    harness.handle(Event::WatchEstablished(header(9)));
     // Made anew in the store's new past, it is another server.
-    play.changes(10, vec![delete("a", 10)]);
-    play.changes(11, vec![KeyChange::Put(kv("a", 11, 11, 0, ""))]);
-    assert!(play.has("a"));
+    harness.changes(10, vec![delete("a", 10)]);
+    harness.changes(11, vec![KeyChange::Put(kv("a", 11, 11, 0, ""))]);
+    assert!(harness.lists("a"));
 }
 
 #[test]
-fn a_backup_is_noticed_by_a_watch_that_waits_for_a_future_that_does_not_come() {
-    let mut play = Play::watching(three(0), 10);
-    play.changes(11, vec![delete("a", 11)]);
-    play.hear(Event::ConnectionLost);
+fn an_established_watch_detects_a_rollback() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
+    harness.changes(11, vec![delete("a", 11)]);
+    harness.handle(Event::ConnectionLost);
     let (mut lists, mut members) = (0, 0);
     for _ in 0..60 {
-        play.pass(1000);
-        play.hear(Event::Connected);
+        harness.advance(1000);
+        harness.handle(Event::Connected);
         members += 1;
-        if play.out.contains(&Command::Watch(12)) {
-            play.hear(Event::WatchEstablished(header(9)));
+        if harness.commands.contains(&Command::Watch(12)) {
+            harness.handle(Event::WatchEstablished(header(9)));
             for _ in 0..3 {
-                play.pass(1000);
-                if matches!(play.out.last(), Some(Command::RequestProgress)) {
-                    play.hear(Event::Progress(header(9)));
+                harness.advance(1000);
+                if matches!(harness.commands.last(), Some(Command::RequestProgress)) {
+                    harness.handle(Event::Progress(header(9)));
                 }
             }
         }
-        lists += play
-            .out
+        lists += harness
+            .commands
             .iter()
             .filter(|c| matches!(c, Command::List { .. }))
             .count();
@@ -296,13 +302,13 @@
         }
     }
     assert!(members > 2, "other members were asked first");
-    play.hear(Event::Page {
+    harness.handle(Event::Page {
         header: header(9),
-        key_values: three(0),
+        key_values: three_endpoints(0),
         more: false,
     });
     assert!(
-        play.noted(|n| matches!(
+        harness.has_notice(|n| matches!(
             n,
             Notice::RolledBack {
                 member_revision: 9,
@@ -310,20 +316,20 @@
             }
         )),
         "{:?}",
-        play.out
+        harness.commands
     );
-    assert!(play.has("b") && !play.has("a"));
+    assert!(harness.lists("b") && !harness.lists("a"));
 }
 
 #[test]
-fn another_store_at_the_same_address_is_not_believed() {
-    let mut play = Play::watching(three(0), 10);
-    play.hear(Event::ConnectionLost);
-    play.hear(Event::Connected);
-    play.hear(Event::Cancelled {
+fn answers_of_another_cluster_are_dropped() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
+    harness.handle(Event::ConnectionLost);
+    harness.handle(Event::Connected);
+    harness.handle(Event::Cancelled {
         compact_revision: 0,
     });
-    play.hear(Event::Page {
+    harness.handle(Event::Page {
         header: Header {
             cluster: 2,
             revision: 99,
@@ -331,85 +337,94 @@
         key_values: Vec::new(),
         more: false,
     });
-    assert!(play.noted(|n| *n == Notice::OtherCluster(2)));
-    assert_eq!(play.up.len(), 3);
+    assert!(harness.has_notice(|n| *n == Notice::OtherCluster(2)));
+    assert_eq!(harness.listed.len(), 3);
 }
 
 #[test]
-fn silence_is_noticed_told_of_and_drops_nobody() {
-    let mut play = Play::watching(three(7), 10);
-    play.pass(1000);
-    assert_eq!(play.out, [Command::RequestProgress]);
-    play.hear(Event::Progress(header(15)));
-    assert_eq!(play.follower.status(play.now).revision, 15);
-    play.pass(2999);
-    assert_eq!(play.phase(), Phase::Watching);
-    play.pass(10);
+fn silence_leads_to_a_reconnect_and_removes_no_endpoint() {
+    let mut harness = Harness::watching(three_endpoints(7), 10);
+    harness.advance(1000);
+    assert_eq!(harness.commands, [Command::RequestProgress]);
+    harness.handle(Event::Progress(header(15)));
+    assert_eq!(harness.watcher.status(harness.now).revision, 15);
+    harness.advance(2999);
+    assert_eq!(harness.phase(), Phase::Watching);
+    harness.advance(10);
     assert!(
-        play.out
+        harness
+            .commands
             .iter()
             .any(|c| matches!(c, Command::Connect { member: 1, .. })),
         "{:?}",
-        play.out
+        harness.commands
+    );
+    harness.advance(20_000);
+    let status = harness.watcher.status(harness.now);
+    assert!(
+        status.phase == Phase::Stale && status.stale_since.is_some() && harness.listed.len() == 3
     );
-    play.pass(20_000);
-    let status = play.follower.status(play.now);
-    assert!(status.phase == Phase::Stale && status.stale_since.is_some() && play.up.len() == 3);
-    play.hear(Event::Connected);
+    harness.handle(Event::Connected);
     assert_eq!(
-        play.out.last(),
+        harness.commands.last(),
         Some(&Command::Watch(16)),
         "what was told by progress need not be told again"
     );
 }
 
 #[test]
-fn fragments_are_one_change_and_what_comes_twice_is_no_news() {
-    let mut play = Play::watching(three(0), 10);
+fn fragments_are_applied_together_and_known_changes_ignored() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
     let part = |changes, fragment| Event::Changes {
         header: header(30),
         changes,
         fragment,
     };
-    play.hear(part(vec![delete("a", 11)], true));
-    assert!(play.has("a"), "the rest is still to come");
-    play.hear(Event::ConnectionLost);
-    play.hear(Event::Connected);
+    harness.handle(part(vec![delete("a", 11)], true));
+    assert!(harness.lists("a"), "the rest is still to come");
+    harness.handle(Event::ConnectionLost);
+    harness.handle(Event::Connected);
     assert_eq!(
-        play.out.last(),
+        harness.commands.last(),
         Some(&Command::Watch(11)),
         "half of an answer is none"
     );
-    play.hear(Event::WatchEstablished(header(30)));
-    play.hear(part(vec![delete("a", 11)], true));
-    play.hear(part(vec![KeyChange::Put(kv("a", 12, 12, 0, ""))], false));
+    harness.handle(Event::WatchEstablished(header(30)));
+    harness.handle(part(vec![delete("a", 11)], true));
+    harness.handle(part(vec![KeyChange::Put(kv("a", 12, 12, 0, ""))], false));
     assert!(
-        play.has("a") && play.follower.status(play.now).revision == 12,
+        harness.lists("a") && harness.watcher.status(harness.now).revision == 12,
         "the header was ahead of the changes"
     );
-    play.changes(30, vec![delete("a", 11), delete("b", 13)]);
-    assert!(play.has("a") && !play.has("b"));
+    harness.changes(30, vec![delete("a", 11), delete("b", 13)]);
+    assert!(harness.lists("a") && !harness.lists("b"));
 }
 
 #[test]
-fn a_value_that_cannot_be_read_concerns_its_server_alone() {
-    let mut play = Play::watching(three(0), 10);
+fn an_invalid_value_quarantines_its_endpoint_alone() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
     let mut bad = kv("a", 11, 1, 0, "");
     bad.value = b"{".to_vec();
     let mut new = kv("z", 12, 12, 0, "");
     new.value = b"\xff".to_vec();
-    play.changes(12, vec![KeyChange::Put(bad), KeyChange::Put(new)]);
-    assert!(play.has("a") && !play.has("z"));
-    assert_eq!(play.follower.status(play.now).endpoints, counts(3, 1, 0));
-    play.changes(
+    harness.changes(12, vec![KeyChange::Put(bad), KeyChange::Put(new)]);
+    assert!(harness.lists("a") && !harness.lists("z"));
+    assert_eq!(
+        harness.watcher.status(harness.now).endpoints,
+        counts(3, 1, 0)
+    );
+    harness.changes(
         13,
         vec![KeyChange::Put(kv("a", 13, 1, 0, r#","size":3.0"#))],
     );
-    assert_eq!(play.follower.status(play.now).endpoints, counts(3, 0, 0));
+    assert_eq!(
+        harness.watcher.status(harness.now).endpoints,
+        counts(3, 0, 0)
+    );
 }
 
 #[test]
-fn leases_that_end_together_do_not_empty_the_list() {
+fn a_mass_lease_expiry_does_not_empty_the_list() {
     let names: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
     let all = || {
         names
@@ -419,64 +434,64 @@
             .collect::<Vec<_>>()
     };
     // One by one in separate answers: after half of them the others are held.
-    let mut play = Play::watching(all(), 10);
+    let mut harness = Harness::watching(all(), 10);
     for (i, name) in names.iter().enumerate() {
-        play.now += 50;
-        play.changes(11 + i as i64, vec![delete(name, 11 + i as i64)]);
+        harness.now += 50;
+        harness.changes(11 + i as i64, vec![delete(name, 11 + i as i64)]);
     }
     assert_eq!(
         (
-            play.up.len(),
-            play.follower.status(play.now).endpoints.retained
+            harness.listed.len(),
+            harness.watcher.status(harness.now).endpoints.retained
         ),
         (5, 5)
     );
     // Who comes back is taken, others are let go after a minute.
-    play.changes(30, vec![KeyChange::Put(kv("s9", 30, 30, 6, ""))]);
-    play.pass(59_000);
-    assert_eq!(play.up.len(), 5);
-    play.pass(2000);
-    assert_eq!(play.up.keys().collect::<Vec<_>>(), ["s9"]);
+    harness.changes(30, vec![KeyChange::Put(kv("s9", 30, 30, 6, ""))]);
+    harness.advance(59_000);
+    assert_eq!(harness.listed.len(), 5);
+    harness.advance(2000);
+    assert_eq!(harness.listed.keys().collect::<Vec<_>>(), ["s9"]);
     // All in one answer: all are held, until an operator says otherwise.
-    let mut play = Play::watching(all(), 10);
-    play.changes(11, names.iter().map(|n| delete(n, 11)).collect());
-    assert_eq!(play.up.len(), 10);
+    let mut harness = Harness::watching(all(), 10);
+    harness.changes(11, names.iter().map(|n| delete(n, 11)).collect());
+    assert_eq!(harness.listed.len(), 10);
     let release = KeyValue {
         key: keys().release_key().into(),
         ..kv("x", 12, 12, 0, "")
     };
-    play.changes(12, vec![KeyChange::Put(release)]);
-    assert!(play.up.is_empty());
+    harness.changes(12, vec![KeyChange::Put(release)]);
+    assert!(harness.listed.is_empty());
     // Without leases, or on purpose, nothing is held.
-    let mut play = Play::watching(all(), 10);
+    let mut harness = Harness::watching(all(), 10);
     let gone = names
         .iter()
         .enumerate()
         .map(|(i, n)| KeyChange::Put(kv(n, 11 + i as i64, i as i64 + 1, 5, r#","state":"gone""#)));
-    play.changes(20, gone.collect());
-    assert!(play.up.is_empty());
+    harness.changes(20, gone.collect());
+    assert!(harness.listed.is_empty());
 }
 
 #[test]
-fn a_server_that_comes_and_goes_must_stay_before_it_is_taken_back() {
-    let mut play = Play::watching(three(0), 10);
+fn a_flapping_endpoint_must_stay_before_it_is_added_back() {
+    let mut harness = Harness::watching(three_endpoints(0), 10);
     let mut revision = 10;
     for n in 0..8 {
-        play.now += 1000;
-        play.changes(revision + 1, vec![delete("a", revision + 1)]);
-        assert!(!play.has("a"), "a removal is never held back");
-        play.changes(
+        harness.now += 1000;
+        harness.changes(revision + 1, vec![delete("a", revision + 1)]);
+        assert!(!harness.lists("a"), "a removal is never held back");
+        harness.changes(
             revision + 2,
             vec![KeyChange::Put(kv("a", revision + 2, revision + 2, 0, ""))],
         );
         revision += 2;
-        assert_eq!(play.has("a"), n < 3, "return {n}");
+        assert_eq!(harness.lists("a"), n < 3, "return {n}");
     }
-    play.pass(9000);
-    assert!(!play.has("a"));
-    play.hear(Event::Progress(header(revision)));
-    play.pass(1500);
-    assert!(play.has("a") && play.has("b"));
+    harness.advance(9000);
+    assert!(!harness.lists("a"));
+    harness.handle(Event::Progress(header(revision)));
+    harness.advance(1500);
+    assert!(harness.lists("a") && harness.lists("b"));
 }
 
 proptest::proptest! {
@@ -487,15 +502,15 @@
     /// Whatever the store says in whatever order: no panic, bounded tables, and nothing up whose removal at a newer revision
     /// was told while the past stayed the same.
     #[test]
-    fn no_word_of_the_store_breaks_it(
-        words in proptest::collection::vec((0..8u8, 0..6usize, 0..40i64, 0..3i64, 0..4000u64), 1..80),
+    fn any_sequence_of_events_keeps_the_list_consistent(
+        steps in proptest::collection::vec((0..8u8, 0..6usize, 0..40i64, 0..3i64, 0..4000u64), 1..80),
     ) {
-        let mut play = Play::new();
+        let mut harness = Harness::new();
         let names = ["a", "b", "c", "d", "e", "f"];
-        for (what, name, revision, lease, wait) in words {
-            play.now += wait;
+        for (kind, name, revision, lease, wait) in steps {
+            harness.now += wait;
             let put = kv(names[name], revision, revision, lease, if revision % 7 == 3 { "," } else { "" });
-            let event = match what {
+            let event = match kind {
                 0 => Event::Timer,
                 1 => Event::Connected,
                 2 => Event::Page { header: header(revision), key_values: vec![put], more: lease == 1 },
@@ -505,10 +520,10 @@
                 6 => Event::Cancelled { compact_revision: revision },
                 _ => Event::ConnectionLost,
             };
-            play.hear(event);
-            let held: Vec<String> = play.follower.endpoints().into_iter().map(|s| s.name).collect();
-            proptest::prop_assert_eq!(&held, &play.up.keys().cloned().collect::<Vec<_>>(), "what was told is what is there");
-            proptest::prop_assert!(play.follower.next_due().is_none_or(|n| n > play.now) || play.out.len() < 50);
+            harness.handle(event);
+            let names_listed: Vec<String> = harness.watcher.endpoints().into_iter().map(|s| s.name).collect();
+            proptest::prop_assert_eq!(&names_listed, &harness.listed.keys().cloned().collect::<Vec<_>>(), "what was told is what is there");
+            proptest::prop_assert!(harness.watcher.next_due().is_none_or(|n| n > harness.now) || harness.commands.len() < 50);
         }
     }
 }
