--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -17,7 +17,8 @@
         /// however long the connection takes.
         start_by: Option<Millis>,
     },
-    /// Final answer: the request is rejected; the client may safely retry.
+    /// Final answer: the request is rejected; the client may safely retry. This does not say that it had no effect: an
+    /// attempt may have run if the request is idempotent, or if all endpoints drop repeats by its idempotency key.
     Reject {
         /// Identifies the request.
         request: RequestId,
@@ -37,6 +38,6 @@
     Broadcast(Vec<u8>),
     /// Subscribe to endpoint list updates.
     Subscribe,
-    /// Fetch the complete endpoint list once.
+    /// Fetch the complete endpoint list once. Part of the interface that callers implement; not emitted at present.
     FetchEndpoints,
 }
--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: accepts, queues or rejects requests on arrival, and sheds queued requests that can't be of use any more.
+//! Admission: accepts, queues or rejects requests on arrival, and sheds queued requests that
+//! can't get a response in time any more.
 
 use crate::action::Action;
 use crate::queue::Position;
@@ -10,7 +11,7 @@
 /// Fraction of the latency objective that an idempotent request may expect to be queued where proxies share slots:
 /// behind a longer queue it would only be rejected later.
 const MAX_QUEUED_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Fraction of its expected latency before the end of its usefulness at which a queued request is shed.
+/// Fraction of its expected latency before its answer is due at which a queued request is shed.
 const SHED_LATENCY_FRACTION: f64 = 0.5;
 
 /// Request that has arrived.
@@ -52,7 +53,7 @@
         self.requests.insert(arrival.id, request);
         let too_late = arrival.timeout < DEADLINE_MARGIN;
         if too_late || idempotent && self.is_queue_too_long(arrival.class) {
-            self.answer(arrival.id, out);
+            self.reject_or_fail(arrival.id, out);
         } else {
             self.enqueue(arrival.id, Position::Back);
         }
@@ -108,23 +109,23 @@
         self.is_pooled() && delay > MAX_QUEUED_OBJECTIVE_FRACTION * objective
     }
 
-    /// Answers queued requests that can't be of use any more.
+    /// Answers queued requests that can't get a response in time any more.
     pub fn shed_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
         for lane in 0..self.queue.lanes() {
-            let is_useless = |id: &RequestId| {
+            let is_hopeless = |id: &RequestId| {
                 let request = self.requests.get(id);
                 request
                     .is_some_and(|request| request.status.queued && self.is_too_late(request, now))
             };
-            let useless: Vec<RequestId> = self.queue.entries(lane).filter(is_useless).collect();
-            for id in useless {
-                self.answer(id, out);
+            let hopeless: Vec<RequestId> = self.queue.entries(lane).filter(is_hopeless).collect();
+            for id in hopeless {
+                self.reject_or_fail(id, out);
             }
         }
     }
 
     fn is_too_late(&self, request: &Request, now: Millis) -> bool {
         let lead = DEADLINE_MARGIN.max(SHED_LATENCY_FRACTION * self.expected_latency(request));
-        now + lead > self.useful_until(request)
+        now + lead > self.answer_by(request)
     }
 }
--- a/crates/balancer/src/attempts.rs
+++ b/crates/balancer/src/attempts.rs
@@ -145,7 +145,7 @@
         if in_time && may_repeat(request, now) && self.retries.try_take() {
             self.enqueue(id.request, Position::Front);
         } else {
-            self.answer(id.request, out);
+            self.reject_or_fail(id.request, out);
         }
     }
 
@@ -173,7 +173,7 @@
         self.in_flight
             .remove(id.request, ended.was_silent(), ended.to_warming_endpoint);
         self.release_slot(&ended, end.outcome, now);
-        self.outliers.record_success(end.outcome == Outcome::Served);
+        self.outliers.record_attempt(end.outcome == Outcome::Served);
         match end.outcome {
             Outcome::Served => self.learn_from_response(&ended, end.latency, now),
             Outcome::NotSent | Outcome::Cancelled => {}
--- a/crates/balancer/src/availability.rs
+++ b/crates/balancer/src/availability.rs
@@ -30,8 +30,8 @@
 }
 
 impl State {
-    /// Recomputes the slots of an endpoint.
-    pub fn update_slots(&mut self, index: usize) {
+    /// Recomputes the slots of an endpoint, and its factor in the choice of homes.
+    pub fn refresh_slots(&mut self, index: usize) {
         let pooled = self.is_pooled();
         let endpoint = &mut self.endpoints[index];
         let weight = if self.settings.weight_meaning == WeightMeaning::Capacity {
@@ -40,7 +40,7 @@
             1.0
         };
         // A weight is cores times speed, in units of a core of the slowest machine type.
-        let cores = weight * self.latency.core_speed(endpoint.machine_type);
+        let cores = weight * self.latency.relative_service_time(endpoint.machine_type);
         let owners = Owners {
             proxy_index: self.settings.proxy_index,
             proxy_count: self.settings.proxy_count,
@@ -51,8 +51,9 @@
         endpoint.affinity_factor = 1.0 / capacity.max(MIN_AFFINITY_CAPACITY);
     }
 
-    /// Recomputes the cost of an endpoint that has this fraction of its capacity.
-    pub fn update_cost(&mut self, index: usize, capacity_fraction: f64, now: Millis) {
+    /// Recomputes the cost and speed band of an endpoint that has this fraction of its capacity, records the fraction
+    /// for slow start, and recomputes whether it is open.
+    pub fn refresh_endpoint(&mut self, index: usize, capacity_fraction: f64, now: Millis) {
         let endpoint = &mut self.endpoints[index];
         let latency = self.latency.endpoint_estimate(
             endpoint.relative_latency,
@@ -100,7 +101,7 @@
         let health = &endpoint.health;
         let ejected = health.overall().is_ejected(now) || peers_confirm_ejection(endpoint, now);
         let believed = !self.outliers.is_panicking() || health.is_overloaded();
-        endpoint.is_listed() && !(ejected && believed)
+        endpoint.accepts_requests() && !(ejected && believed)
     }
 
     /// Finds a free slot at an endpoint.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -5,10 +5,10 @@
 use crate::attempts::{AttemptEnd, AttemptId};
 use crate::event::Event;
 use crate::health_snapshot::HealthSnapshot;
-use crate::maintenance::TICK_TOKEN;
 use crate::settings::Settings;
 use crate::state::State;
-use crate::types::{EndpointState, Millis, RequestId};
+use crate::timing::{TICK_TOKEN, answer_timer_request};
+use crate::types::{EndpointState, Millis};
 
 /// Decisions of one proxy.
 pub struct Balancer {
@@ -72,9 +72,9 @@
             Event::BodyDiscarded(id) => state.discard_body(id),
             Event::ClientDisconnected(id) => state.finish(id),
             Event::Timer(TICK_TOKEN) => state.tick(now, out),
-            Event::Timer(token) => state.answer(RequestId(token - 1), out),
-            Event::QuotaRejected { id, retry_after } => {
-                state.reject_by_quota(id, retry_after, out);
+            Event::Timer(token) => state.reject_or_fail(answer_timer_request(token), out),
+            Event::ProcessShareExceeded { id, retry_after } => {
+                state.reject_over_process_share(id, retry_after, out);
             }
             Event::Gossip { from, bytes } => state.receive_gossip(from as usize, &bytes, now),
             Event::Settings(settings) => state.update_settings(*settings, now),
@@ -134,9 +134,9 @@
             .endpoints
             .iter()
             .filter(|endpoint| endpoint.entry.state != EndpointState::Removed);
-        let ejected = listed
-            .clone()
-            .filter(|endpoint| endpoint.is_listed() && endpoint.health.overall().is_ejected(now));
+        let ejected = listed.clone().filter(|endpoint| {
+            endpoint.accepts_requests() && endpoint.health.overall().is_ejected(now)
+        });
         EndpointCounts {
             ejected: ejected.count(),
             listed: listed.count(),
@@ -153,6 +153,6 @@
 fn affects_queue(event: &Event) -> bool {
     !matches!(
         event,
-        Event::QuotaRejected { .. } | Event::LoadReport { .. } | Event::Gossip { .. }
+        Event::ProcessShareExceeded { .. } | Event::LoadReport { .. } | Event::Gossip { .. }
     )
 }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -94,7 +94,8 @@
     pub affinity_factor: f64,
     /// Queued requests of its keys.
     pub affinity_queue: AffinityQueue,
-    /// It has a free slot for requests of its keys.
+    /// It has a free slot, as of the last update. Requests of its keys may always take it, others while it is open in
+    /// a speed band.
     pub has_free_slot: bool,
     /// It is open although it is warming up.
     pub open_while_warming: bool,
@@ -129,7 +130,7 @@
     }
 
     /// Returns true if the list says that it accepts requests.
-    pub fn is_listed(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.unavailable_since.is_none()
     }
 
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -36,9 +36,9 @@
     /// Takes over an update of the endpoint list.
     pub fn update_endpoints(&mut self, scope: UpdateScope, entries: Vec<Endpoint>, now: Millis) {
         if scope == UpdateScope::Failed {
-            let delay = now + RESUBSCRIBE_DELAY + RESUBSCRIBE_SPREAD * self.rng.f64();
+            let retry_at = now + RESUBSCRIBE_DELAY + RESUBSCRIBE_SPREAD * self.rng.f64();
             self.subscription.active = false;
-            self.subscription.retry_at = delay;
+            self.subscription.retry_at = retry_at;
             return;
         }
         let mut changed: Vec<usize> = entries
@@ -51,8 +51,8 @@
         self.update_totals();
         for index in changed {
             self.start_if_restarted(index, now);
-            self.update_slots(index);
-            self.update_cost(index, self.capacity_fraction(index, now), now);
+            self.refresh_slots(index);
+            self.refresh_endpoint(index, self.capacity_fraction(index, now), now);
         }
     }
 
@@ -66,7 +66,8 @@
         } else {
             endpoint.unavailable_since.or(Some(now))
         };
-        let first_seen_starting = entry.started_at.is_some() && !endpoint.slow_start.is_started();
+        let first_seen_starting =
+            entry.started_at.is_some() && !endpoint.slow_start.is_start_named();
         endpoint.restarted |= endpoint.entry.started_at != entry.started_at || first_seen_starting;
         endpoint.machine_type = entry
             .machine_type
@@ -111,13 +112,13 @@
         let mut weight = 0.0;
         let mut count = 0;
         for endpoint in &self.endpoints {
-            if endpoint.is_listed() {
+            if endpoint.accepts_requests() {
                 weight += endpoint.entry.weight;
                 count += 1;
             }
         }
-        self.listed.weight = f64::max(weight, MIN_TOTAL_WEIGHT);
-        self.listed.count = count;
+        self.accepting.weight = f64::max(weight, MIN_TOTAL_WEIGHT);
+        self.accepting.count = count;
     }
 
     /// Begins slow start of a new process, and forgets the failures of the former one.
--- a/crates/balancer/src/endpoint_selection.rs
+++ b/crates/balancer/src/endpoint_selection.rs
@@ -37,7 +37,7 @@
     now: Millis,
     /// The window is full: only endpoints that a slow start budget limits come into question.
     warming_only: bool,
-    /// It may go to an endpoint on probation.
+    /// It may go to an endpoint on probation: it is idempotent, or no idempotent request has arrived for long.
     may_probe: bool,
     /// It goes to any open endpoint, as its latency objective is near.
     urgent: bool,
@@ -73,7 +73,7 @@
         let believed = !self.outliers.is_panicking();
         let is_up = |endpoint: &EndpointRecord| {
             let ejected = endpoint.health.overall().is_ejected(now);
-            endpoint.is_listed() && !(ejected && believed)
+            endpoint.accepts_requests() && !(ejected && believed)
         };
         (0..self.endpoints.len())
             .filter(|&index| is_up(&self.endpoints[index]))
@@ -153,7 +153,7 @@
             endpoint.drops_repeats_of(first, bounds.scope)
                 && self.bands.is_open(*index)
                 && limited
-                && self.suits(*index, selection.request, selection.now)
+                && self.may_receive(*index, selection.request, selection.now)
         };
         (0..self.endpoints.len())
             .filter(accepts)
@@ -185,13 +185,13 @@
         }
         let has_slot = selection.urgent || endpoint.has_free_slot || selection.home.is_some();
         has_slot
-            && (selection.may_probe || self.is_proved(endpoint))
-            && self.suits(index, selection.request, selection.now)
+            && (selection.may_probe || self.accepts_non_probes(endpoint))
+            && self.may_receive(index, selection.request, selection.now)
     }
 
-    /// Returns true if an endpoint is not on probation, or if that can't be probed with idempotent requests, as these
-    /// are what it does not answer.
-    fn is_proved(&self, endpoint: &EndpointRecord) -> bool {
+    /// Returns true if an endpoint accepts requests that may not serve as probes: it is not on probation, ejections are
+    /// not believed (panic), or idempotent classes are what it fails, so that they can't probe it.
+    fn accepts_non_probes(&self, endpoint: &EndpointRecord) -> bool {
         let classes = self.settings.classes.iter();
         let idempotent_on_probation = || {
             classes
@@ -205,13 +205,14 @@
             || idempotent_on_probation()
     }
 
-    /// Returns true if an endpoint may get a request: its first one of it, its class not ejected there, and not too
-    /// heavy for an endpoint that is warming up.
-    pub fn suits(&self, index: usize, request: &Request, now: Millis) -> bool {
+    /// Returns true if an endpoint may get an attempt of a request: it had none of it, is not ejected for its class,
+    /// and neither the bound on one request's load nor the slow start budget forbids it.
+    pub fn may_receive(&self, index: usize, request: &Request, now: Millis) -> bool {
         let endpoint = &self.endpoints[index];
         let slow_start = &endpoint.slow_start;
-        let too_heavy =
-            || slow_start.is_too_heavy(self.expected_latency(request), &self.settings.limits);
+        let exceeds_load = || {
+            slow_start.exceeds_request_load(self.expected_latency(request), &self.settings.limits)
+        };
         let too_costly = || {
             slow_start.is_warming()
                 && slow_start.is_too_costly(self.slow_start_cost(index, request))
@@ -220,7 +221,7 @@
             && !self
                 .outliers
                 .is_ejected_for(&endpoint.health, request.class, now)
-            && !too_heavy()
+            && !exceeds_load()
             && !too_costly()
     }
 
@@ -295,7 +296,7 @@
         }
         let proxies = f64::from(self.settings.proxy_count);
         let home_rate =
-            self.arrivals.per_ms() * proxies * endpoint.entry.weight / self.listed.weight;
+            self.arrivals.per_ms() * proxies * endpoint.entry.weight / self.accepting.weight;
         let utilization = home_rate * self.latency.mean() / (endpoint.slots.total * home_speed);
         let tau = threshold(
             endpoint.slots.total,
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -30,13 +30,14 @@
         timeout: Millis,
         /// Expected work on a standard core, if known.
         expected_work: Option<Millis>,
-        /// True if the whole body has arrived. Otherwise it is streamed to the endpoint, and
+        /// True if the whole body has arrived from the client. Otherwise it is streamed to the endpoint, and
         /// [`Event::BodyComplete`] follows.
         body_complete: bool,
     },
-    /// The front end rejects a request as its tenant exceeds its share of the process. The request gets its one
-    /// final answer and puts no load on endpoints.
-    QuotaRejected {
+    /// The front end refuses a request as its tenant exceeds its share of the process; not to be confused with a
+    /// tenant's [quota](crate::Tenant::quota_per_second). The request is rejected at once and puts no load on
+    /// endpoints.
+    ProcessShareExceeded {
         /// Identifies the request.
         id: RequestId,
         /// Time after which the front end expects to have capacity.
--- a/crates/balancer/src/forwarding.rs
+++ b/crates/balancer/src/forwarding.rs
@@ -94,14 +94,14 @@
         };
         let queue = &mut self.endpoints[endpoint].affinity_queue.requests;
         queue.retain(is_queued);
-        let suits =
-            |request: &Request| !request.may_have_run() && self.suits(endpoint, request, now);
+        let may_receive =
+            |request: &Request| !request.may_have_run() && self.may_receive(endpoint, request, now);
         let priority = |id: &RequestId| self.priority_of(&self.requests[id], now);
         self.endpoints[endpoint]
             .affinity_queue
             .requests
             .iter()
-            .filter(|id| suits(&self.requests[id]))
+            .filter(|id| may_receive(&self.requests[id]))
             .max_by(|a, b| priority(a).total_cmp(&priority(b)))
             .copied()
     }
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -20,7 +20,7 @@
 const INTERVAL_WEIGHT: f64 = 0.1;
 /// Fraction of the mean latency within which peers must report for an endpoint to count as idle.
 const IDLE_INTERVAL_FRACTION: f64 = 0.3;
-/// Number of peers whose ejections count where this proxy sees no progress.
+/// Number of peers whose ejections count where this proxy has seen no response for a while.
 const EJECTING_PEERS: u32 = 2;
 
 /// Report of a peer.
@@ -164,7 +164,8 @@
     }
 }
 
-/// Returns true if several peers have ejected an endpoint that makes no progress for this proxy either.
+/// Returns true if several peers have ejected an endpoint that has not responded to this proxy for a while. An endpoint
+/// to which this proxy has sent nothing for that time counts as such too.
 pub(crate) fn peers_confirm_ejection(endpoint: &EndpointRecord, now: Millis) -> bool {
     endpoint.ejecting_peers >= EJECTING_PEERS && endpoint.health.stalled_for(now) > STALE_AFTER
 }
--- a/crates/balancer/src/gossip_message.rs
+++ b/crates/balancer/src/gossip_message.rs
@@ -53,7 +53,7 @@
     let zone_byte = zone.map_or(UNKNOWN_ZONE, |zone| zone.0 as u8);
     let mut bytes = vec![VERSION, zone_byte, 0];
     let is_ejected = |endpoint: &&EndpointRecord| {
-        endpoint.health.overall().is_ejected(now) && endpoint.is_listed()
+        endpoint.health.overall().is_ejected(now) && endpoint.accepts_requests()
     };
     for endpoint in endpoints.iter().filter(is_ejected).take(MAX_EJECTED) {
         bytes.extend(name(endpoint));
--- a/crates/balancer/src/health_snapshot.rs
+++ b/crates/balancer/src/health_snapshot.rs
@@ -34,9 +34,10 @@
     pub failure_mean: f64,
     /// End of the ejection, on the module's clock.
     pub ejected_until: Millis,
-    /// Length of the next ejection.
+    /// Base for the length of the next ejection, before it is extended and varied.
     pub backoff: Millis,
-    /// True if the endpoint is back and on probation: it gets one request at a time.
+    /// True from the ejection until the endpoint has responded well for a while. Once the ejection is over, it gets one
+    /// request at a time.
     pub on_probation: bool,
 }
 
--- a/crates/balancer/src/latency_estimator.rs
+++ b/crates/balancer/src/latency_estimator.rs
@@ -335,8 +335,9 @@
         expected_latency * relative.max(MIN_RELATIVE_LATENCY) / self.service_time(machine_type)
     }
 
-    /// Returns the speed of a core relative to the slowest machine type, at most 1.
-    pub fn core_speed(&self, machine_type: usize) -> f64 {
+    /// Returns the service time of a machine type as a fraction of the longest one, at most 1: the inverse of a core's
+    /// speed relative to the slowest machine type.
+    pub fn relative_service_time(&self, machine_type: usize) -> f64 {
         (self.machine_types[machine_type].service_time / self.max_service_time).min(1.0)
     }
 
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -4,12 +4,9 @@
 use crate::action::Action;
 use crate::slow_start::Refill;
 use crate::state::State;
-use crate::timing::{REVIEW_TICKS, TICK};
+use crate::timing::{REVIEW_TICKS, TICK, TICK_TOKEN};
 use crate::types::Millis;
 
-/// Token of the maintenance timer.
-pub(crate) const TICK_TOKEN: u64 = 0;
-
 /// Reviews in which the slots of every endpoint are recomputed once; they change slowly.
 const SLOT_REVIEWS: u64 = 8;
 
@@ -67,11 +64,11 @@
         let review = self.ticks / REVIEW_TICKS;
         for index in 0..self.endpoints.len() {
             if index as u64 % SLOT_REVIEWS == review % SLOT_REVIEWS {
-                self.update_slots(index);
+                self.refresh_slots(index);
             }
             let capacity_fraction = self.capacity_fraction(index, now);
             self.refill_slow_start(index, capacity_fraction, now);
-            self.update_cost(index, capacity_fraction, now);
+            self.refresh_endpoint(index, capacity_fraction, now);
         }
     }
 
@@ -80,13 +77,13 @@
         let mut slots = 0.0;
         let mut relative_latency = 0.0;
         for endpoint in &self.endpoints {
-            if endpoint.is_listed() {
+            if endpoint.accepts_requests() {
                 slots += endpoint.slots.total;
                 let machine_type = self.latency.of_machine_type(endpoint.machine_type);
                 relative_latency += machine_type.relative.mean;
             }
         }
-        let count = f64::from(self.listed.count.max(1));
+        let count = f64::from(self.accepting.count.max(1));
         self.concurrency.review_mean_slots(slots / count);
         self.latency.review_mean_endpoint(relative_latency, count);
     }
@@ -96,7 +93,7 @@
         let listed: Vec<_> = self
             .endpoints
             .iter()
-            .filter(|endpoint| endpoint.is_listed())
+            .filter(|endpoint| endpoint.accepts_requests())
             .map(|endpoint| &endpoint.health)
             .collect();
         self.outliers.review(&listed, now);
@@ -130,7 +127,7 @@
         let service_time = self.latency.service_time(endpoint.machine_type);
         let refill = Refill {
             limits: &self.settings.limits,
-            capacity: self.concurrency.nominal_requests(endpoint) / service_time,
+            requests_per_ms: self.concurrency.nominal_requests(endpoint) / service_time,
             capacity_fraction,
             proxy_count: self.settings.proxy_count,
         };
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -4,6 +4,19 @@
 //! Health is judged from a mean of failures against a baseline: the fraction that fails at healthy endpoints too. An
 //! ejection lasts for a backoff that doubles with each failed return. If nearly all endpoints look unhealthy, ejections
 //! are not believed (panic threshold). Attempts and their timeouts are handled elsewhere.
+//!
+//! Where an endpoint is ejected and how it returns:
+//!
+//! | event | place | effect |
+//! | --- | --- | --- |
+//! | failure mean above its limit | `Health::record` | ejection, for all classes or for one |
+//! | silent attempt that shows a hang | `stall_detection`, `HealthRecord::eject_hanging` | ejection for all classes |
+//! | ejected by several peers, no response here | `gossip::peers_confirm_ejection` | not open, without an ejection here |
+//! | end of the ejection | `Health::is_ejected` | open again on probation, one request at a time (`availability`) |
+//! | late response, failure mean below its limit | `Health::record_success` | the ejection ends at once |
+//! | failure mean well below its limit | `Health::record_success` | end of probation, least backoff |
+//! | start of a new process | `endpoint_list`, `HealthRecord::reset` | all is forgotten |
+//! | panic | `OutlierDetector::review`, `availability` | ejections don't count, except for overload |
 
 use crate::ewma::Ewma;
 use crate::health_snapshot::Ejection;
@@ -11,7 +24,8 @@
 
 /// First backoff.
 pub(crate) const MIN_BACKOFF: Millis = 250.0;
-/// Longest backoff: a recovered endpoint is found within this span.
+/// Longest backoff. An ejection may last longer: its length is the backoff, extended for rare requests, for a single
+/// class and by a random factor.
 pub(crate) const MAX_BACKOFF: Millis = 4000.0;
 
 /// Longest ejection in intervals between two requests of this proxy to the endpoint, if that is longer.
@@ -81,9 +95,9 @@
 }
 
 impl Exposure {
-    /// Computes the interval from the number of listed endpoints and the arrival rate at this proxy.
-    pub fn new(listed: u32, arrivals_per_ms: f64, proxy_count: u32) -> Self {
-        let interval = f64::from(listed) / arrivals_per_ms.max(MIN_ARRIVAL_RATE);
+    /// Computes the interval from the number of endpoints that accept requests and the arrival rate at this proxy.
+    pub fn new(endpoints: u32, arrivals_per_ms: f64, proxy_count: u32) -> Self {
+        let interval = f64::from(endpoints) / arrivals_per_ms.max(MIN_ARRIVAL_RATE);
         Exposure {
             interval: interval.min(MAX_BACKOFF),
             proxy_count,
@@ -128,7 +142,7 @@
         self.ejected_until > now
     }
 
-    /// Returns true from an ejection until the endpoint has proved itself.
+    /// Returns true from an ejection until responses have lowered the failure mean enough.
     pub fn is_on_probation(&self) -> bool {
         self.on_probation
     }
@@ -327,7 +341,7 @@
         self.panic
     }
 
-    /// Returns the fraction of listed endpoints that are ejected for a class.
+    /// Returns the fraction of endpoints accepting requests that are ejected for a class.
     pub fn ejected_fraction(&self, class: usize) -> f64 {
         self.ejected_fraction_by_class[class]
     }
@@ -344,8 +358,9 @@
         in_flight > 1 || self.baseline < HANG_BASELINE
     }
 
-    /// Counts the result of an attempt in the success of all attempts.
-    pub fn record_success(&mut self, served: bool) {
+    /// Counts an ended attempt in the mean success of all attempts, on which panic depends. Every outcome but a served
+    /// one counts as no success, cancelled and unsent attempts included.
+    pub fn record_attempt(&mut self, served: bool) {
         self.success_mean += (f64::from(u8::from(served)) - self.success_mean) / SUCCESS_SAMPLES;
     }
 
@@ -367,18 +382,18 @@
         );
     }
 
-    /// Recomputes baselines, ejected fractions and the panic state from the listed endpoints.
-    pub fn review(&mut self, listed: &[&HealthRecord], now: Millis) {
+    /// Recomputes baselines, ejected fractions and the panic state from the endpoints that accept requests.
+    pub fn review(&mut self, accepting: &[&HealthRecord], now: Millis) {
         for (class, baseline) in self.baseline_by_class.iter_mut().enumerate() {
-            *baseline = baseline_of(listed.iter().map(|record| &record.by_class[class]));
+            *baseline = baseline_of(accepting.iter().map(|record| &record.by_class[class]));
         }
-        self.baseline = baseline_of(listed.iter().map(|record| &record.overall));
-        let count = listed.len() as f64 + 0.01;
+        self.baseline = baseline_of(accepting.iter().map(|record| &record.overall));
+        let count = accepting.len() as f64 + 0.01;
         for (class, fraction) in self.ejected_fraction_by_class.iter_mut().enumerate() {
             let ejected = |record: &&&HealthRecord| record.by_class[class].is_ejected(now);
-            *fraction = listed.iter().filter(ejected).count() as f64 / count;
+            *fraction = accepting.iter().filter(ejected).count() as f64 / count;
         }
-        let failing = listed
+        let failing = accepting
             .iter()
             .filter(|record| record.is_ejected_for_failures(now))
             .count() as f64;
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -1,4 +1,5 @@
-//! Queue of requests without an attempt, by class and quota, the oldest first; and their priority.
+//! Queue of requests that await their first attempt or a retry, by class and quota; and their priority. New requests
+//! are queued oldest first, retries before them.
 //!
 //! Which endpoint a request goes to, and whether it may go yet, is decided elsewhere.
 
--- a/crates/balancer/src/reconfiguration.rs
+++ b/crates/balancer/src/reconfiguration.rs
@@ -57,8 +57,8 @@
             let endpoint = &mut self.endpoints[index];
             endpoint.slots.ownership = None;
             endpoint.slow_start.divide(former_count, proxy_count);
-            self.update_slots(index);
-            self.update_cost(index, self.capacity_fraction(index, now), now);
+            self.refresh_slots(index);
+            self.refresh_endpoint(index, self.capacity_fraction(index, now), now);
         }
     }
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -32,7 +32,7 @@
 
 /// State of a request's body.
 pub(crate) struct Body {
-    /// The last byte has been received from the client.
+    /// The whole body had arrived with the request, or its last byte has been sent to an endpoint since.
     pub complete: bool,
     /// The whole body can be sent again.
     pub replayable: bool,
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,4 +1,14 @@
 //! Retries: which requests may be sent again, within which budget, and when an attempt is given up for a retry.
+//!
+//! Where a retry is decided:
+//!
+//! | question | place |
+//! | --- | --- |
+//! | does idempotency allow another attempt, and is one left | `may_repeat` |
+//! | is there time and budget for one | `attempts`, `State::end_attempt` |
+//! | how long repeats are dropped, and by which endpoints | `deduplication` |
+//! | which endpoint gets it | `endpoint_selection`, `State::select_for_repeat` |
+//! | when an attempt times out early for one | `forwarding`, `State::attempt_timeout`; `LostResponses` |
 
 use crate::ewma::Ewma;
 use crate::request::Request;
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: limits requests to an endpoint whose process has just started, over all proxies together.
 //!
-//! Each proxy has a token bucket per warming endpoint, which refills with its equal part of what the endpoint can
+//! Each proxy has a token bucket per warming endpoint, which refills with its equal part of the load that the endpoint
 //! is guaranteed to process. Endpoint selection asks the bucket; it is spent when a request is forwarded.
 
 use crate::health_snapshot::SlowStartBudget;
@@ -22,18 +22,18 @@
 
 /// Slow start of an endpoint, as this proxy sees it.
 pub(crate) struct SlowStart {
-    /// Its process was seen starting.
-    started: bool,
+    /// The endpoint list has named a start of its process. Never cleared, however old the process is.
+    start_named: bool,
     capacity_fraction: f64,
     budget: SlowStartBudget,
 }
 
 /// Returns the fraction of its capacity that an endpoint is guaranteed to have: it warms up at least linearly.
 pub(crate) fn capacity_fraction(started_at: Option<Millis>, limits: &Limits, now: Millis) -> f64 {
-    let age = started_at.map_or(1.0, |started_at| {
+    let warm_up_fraction = started_at.map_or(1.0, |started_at| {
         ((now - started_at) / limits.warm_up).clamp(0.0, 1.0)
     });
-    limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age
+    limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * warm_up_fraction
 }
 
 /// Draws the largest cost that is allowed for one token: a request of `c` times the mean work may go with a chance
@@ -51,7 +51,7 @@
     /// Creates the state of an endpoint that has been up for long.
     pub fn new(now: Millis) -> Self {
         SlowStart {
-            started: false,
+            start_named: false,
             capacity_fraction: 1.0,
             budget: SlowStartBudget {
                 tokens: 0.0,
@@ -63,25 +63,25 @@
 
     /// Starts with a new process. The random budget keeps proxies from all sending their first request at once.
     pub fn start(&mut self, now: Millis, rng: &mut fastrand::Rng) {
-        self.started = true;
+        self.start_named = true;
         self.budget.tokens = rng.f64();
         self.budget.updated_at = now;
         self.budget.max_cost = draw_max_cost(rng);
     }
 
-    /// Returns true if the process was seen starting.
-    pub fn is_started(&self) -> bool {
-        self.started
+    /// Returns true if the endpoint list has named a start of the process, however long ago.
+    pub fn is_start_named(&self) -> bool {
+        self.start_named
     }
 
-    /// Returns true while requests are limited.
+    /// Returns true while the budget limits requests, as of the last update of the capacity fraction.
     pub fn is_warming(&self) -> bool {
         self.is_warming_at(self.capacity_fraction)
     }
 
-    /// Returns true if requests are limited at a fraction of the capacity.
+    /// Returns true if the budget limits requests at a fraction of the capacity.
     pub fn is_warming_at(&self, capacity_fraction: f64) -> bool {
-        self.started && capacity_fraction < 1.0
+        self.start_named && capacity_fraction < 1.0
     }
 
     /// Returns the fraction of its capacity that the endpoint is guaranteed to have, as of the last update.
@@ -104,13 +104,15 @@
         cost > self.budget.tokens.max(self.budget.max_cost)
     }
 
-    /// Returns true if a request of this latency is too heavy for an endpoint that has just started.
-    pub fn is_too_heavy(&self, expected_latency: Millis, limits: &Limits) -> bool {
+    /// Returns true if a request of this latency would bring more of an overload window's load than one request may.
+    /// Holds for every endpoint whose start the list has named, also after its warm-up; from then on with the load
+    /// that overloads it at full capacity.
+    pub fn exceeds_request_load(&self, expected_latency: Millis, limits: &Limits) -> bool {
         let window_load = MAX_REQUEST_FRACTION
             * limits.overload_multiple
             * self.capacity_fraction
             * limits.overload_window;
-        self.started && expected_latency > window_load
+        self.start_named && expected_latency > window_load
     }
 
     /// Takes a request's cost off the budget.
@@ -123,16 +125,19 @@
         self.budget.max_cost = draw_max_cost(rng);
     }
 
-    /// Refills the budget. `capacity` is in requests of mean work per ms at full capacity.
+    /// Refills the budget; a full one loses its excess.
     pub fn refill(&mut self, now: Millis, refill: &Refill, rng: &mut fastrand::Rng) {
         let limits = refill.limits;
-        let rate =
-            LOAD_FRACTION * limits.overload_multiple * refill.capacity_fraction * refill.capacity
-                / f64::from(refill.proxy_count);
+        let rate = LOAD_FRACTION
+            * limits.overload_multiple
+            * refill.capacity_fraction
+            * refill.requests_per_ms
+            / f64::from(refill.proxy_count);
         let budget = &mut self.budget;
         budget.tokens += rate * (now - budget.updated_at);
         let excess = budget.tokens - 1.0 - rate * SAVING_FRACTION * limits.overload_window;
         if excess > 0.0 {
+            // Whole tokens expire, as if spent: the fraction left over still differs between proxies.
             budget.tokens -= excess.ceil();
             budget.max_cost = draw_max_cost(rng);
         }
@@ -153,12 +158,12 @@
         now: Millis,
     ) -> Option<SlowStartBudget> {
         let warming = started_at.is_some_and(|started_at| now - started_at < limits.warm_up);
-        (warming && self.started).then_some(self.budget)
+        (warming && self.start_named).then_some(self.budget)
     }
 
-    /// Restores the budget of a snapshot by a number of proxies, if the process was seen starting.
+    /// Restores the budget of a snapshot by a number of proxies, if the list has named a start of the process.
     pub fn restore(&mut self, budget: SlowStartBudget, former_proxy_count: u32, proxy_count: u32) {
-        if self.started {
+        if self.start_named {
             self.budget = budget;
             self.divide(former_proxy_count.max(1), proxy_count.max(1));
         }
@@ -170,7 +175,7 @@
     /// Limits that every proxy observes.
     pub limits: &'a Limits,
     /// Requests of mean work that the endpoint processes per ms at full capacity.
-    pub capacity: f64,
+    pub requests_per_ms: f64,
     /// Fraction of the capacity that it is guaranteed to have.
     pub capacity_fraction: f64,
     /// Number of proxies.
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -43,7 +43,7 @@
     /// Restores a snapshot for endpoints that are known by now. Health of a former process of an endpoint is void.
     pub fn restore_health(&mut self, snapshot: &HealthSnapshot, now: Millis) {
         for index in self.restore_records(snapshot) {
-            self.update_cost(index, self.capacity_fraction(index, now), now);
+            self.refresh_endpoint(index, self.capacity_fraction(index, now), now);
         }
     }
 
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -1,14 +1,14 @@
-//! Stall detection: finds attempts that stay silent for too long and endpoints that hang, and answers requests whose
-//! attempt can't be of use any more.
+//! Stall detection: finds attempts that stay silent for too long and endpoints that hang, and sets timers for the
+//! final answers of requests in flight.
 
 use crate::action::Action;
 use crate::latency_estimator::SILENCE_MULTIPLE;
 use crate::request::{Attempt, AttemptState, Request};
 use crate::state::State;
-use crate::timing::{ANSWER_LEAD, TICK};
+use crate::timing::{ANSWER_LEAD, TICK, answer_timer_token};
 use crate::types::{Millis, Outcome, RequestId};
 
-/// Ticks before the end of its usefulness at which the timer for a request's final answer is set.
+/// Ticks before a request's answer is due at which the timer for its final answer is set.
 const ANSWER_TIMER_TICKS: f64 = 1.5;
 
 impl State {
@@ -37,11 +37,11 @@
         }
         let request = &self.requests[&id];
         let answered = request.status.finished || request.status.response_started;
-        let useful_until = self.useful_until(request);
-        if !answered && now + ANSWER_TIMER_TICKS * TICK > useful_until {
+        let answer_by = self.answer_by(request);
+        if !answered && now + ANSWER_TIMER_TICKS * TICK > answer_by {
             out.push(Action::Timer {
-                token: id.0 + 1,
-                at: useful_until - ANSWER_LEAD,
+                token: answer_timer_token(id),
+                at: answer_by - ANSWER_LEAD,
             });
         }
     }
@@ -80,16 +80,4 @@
         request.attempts[attempt].state = AttemptState::Silent;
         self.update_availability(index, now);
     }
-
-    /// Returns the time at which a request stops being of use: at its latency objective, unless a late response earns
-    /// something and there is room for it.
-    pub fn useful_until(&self, request: &Request) -> Millis {
-        let class = &self.settings.classes[request.class];
-        let crowded = request.status.queued && self.queue.len() > self.in_flight.counted();
-        if class.late_weight_fraction > 0.0 && !crowded {
-            request.deadline
-        } else {
-            request.objective_at.min(request.deadline)
-        }
-    }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,4 +1,6 @@
-//! State of the decision module: the parts that its rules keep, and bookkeeping over several of them. Decides nothing.
+//! State of the decision module: the parts that its rules keep, with queries and bookkeeping over several of them.
+//!
+//! The decisions are methods of [`State`] too, but stand in the modules of their rules; none is in this file.
 
 use rustc_hash::FxHashMap;
 
@@ -19,7 +21,7 @@
 use crate::types::{EndpointId, Millis, RequestId};
 
 /// Totals over the endpoints that accept requests according to the list.
-pub(crate) struct ListedTotals {
+pub(crate) struct AcceptingTotals {
     /// Number of endpoints.
     pub count: u32,
     /// Sum of their weights.
@@ -49,8 +51,8 @@
     pub endpoints: Vec<EndpointRecord>,
     /// Index of each endpoint.
     pub endpoint_index: FxHashMap<EndpointId, usize>,
-    /// Totals over listed endpoints.
-    pub listed: ListedTotals,
+    /// Totals over the endpoints that accept requests.
+    pub accepting: AcceptingTotals,
     /// Subscription to the endpoint list.
     pub subscription: Subscription,
     /// Open endpoints by speed.
@@ -102,7 +104,7 @@
             ticks: 0,
             endpoints: Vec::new(),
             endpoint_index: FxHashMap::default(),
-            listed: ListedTotals {
+            accepting: AcceptingTotals {
                 count: 0,
                 weight: 0.0,
             },
@@ -144,7 +146,7 @@
     pub fn is_pooled(&self) -> bool {
         self.concurrency.is_pooled(
             &self.settings,
-            self.listed.count,
+            self.accepting.count,
             self.latency.squared_relative(),
         )
     }
@@ -154,10 +156,10 @@
         self.is_pooled() && self.concurrency.is_window_full(self.in_flight.counted())
     }
 
-    /// Returns how often an endpoint meets the proxies.
+    /// Returns the frequency at which the proxies send requests to one endpoint.
     pub fn exposure(&self) -> Exposure {
         Exposure::new(
-            self.listed.count,
+            self.accepting.count,
             self.arrivals.per_ms(),
             self.settings.proxy_count,
         )
--- a/crates/balancer/src/tenant_quota.rs
+++ b/crates/balancer/src/tenant_quota.rs
@@ -1,6 +1,7 @@
 //! Tenant quotas: which requests keep their full priority weight.
 //!
 //! A request beyond its tenant's quota is not rejected for that; it only counts less when requests compete.
+//! A tenant's share of the process is enforced elsewhere, by the front end ([`crate::Event::ProcessShareExceeded`]).
 
 use crate::settings::Tenant;
 use crate::types::Millis;
--- a/crates/balancer/src/timing.rs
+++ b/crates/balancer/src/timing.rs
@@ -1,6 +1,6 @@
-//! Periods and safety margins that several rules share.
+//! Periods, safety margins and timer tokens that several rules share.
 
-use crate::types::Millis;
+use crate::types::{Millis, RequestId};
 
 /// Period of the maintenance timer, which checks queued requests and attempts in flight.
 pub(crate) const TICK: Millis = 20.0;
@@ -8,8 +8,21 @@
 /// Margin before a deadline within which no attempt is started: the next check could come too late.
 pub(crate) const DEADLINE_MARGIN: Millis = 2.0 * TICK + 5.0;
 
-/// Time before the end of its usefulness at which a request in flight gets its final answer.
+/// Time before its answer is due at which a request in flight gets its final answer.
 pub(crate) const ANSWER_LEAD: Millis = 6.0;
 
 /// Ticks between reviews of all endpoints.
 pub(crate) const REVIEW_TICKS: u64 = 5;
+
+/// Token of the maintenance timer.
+pub(crate) const TICK_TOKEN: u64 = 0;
+
+/// Returns the token of the timer for a request's final answer; never [`TICK_TOKEN`].
+pub(crate) fn answer_timer_token(id: RequestId) -> u64 {
+    id.0 + 1
+}
+
+/// Returns the request of an answer timer's token.
+pub(crate) fn answer_timer_request(token: u64) -> RequestId {
+    RequestId(token - 1)
+}
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -101,7 +101,8 @@
     Delta,
     /// Complete list: endpoints that it lacks are removed.
     Full,
-    /// Complete list as stored before a restart, possibly stale.
+    /// Complete list as stored before a restart, possibly stale. Handled like [`UpdateScope::Delta`]: it removes
+    /// nothing.
     Cached,
     /// The update failed; the previous list stays in force.
     Failed,
--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -523,7 +523,7 @@
             let wait = self.rng.f64() * 300.0;
             return self.handle(
                 proxy,
-                Event::QuotaRejected {
+                Event::ProcessShareExceeded {
                     id,
                     retry_after: wait,
                 },
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -69,7 +69,7 @@
         for n in 0..50 {
             balancer.handle(
                 0.0,
-                Event::QuotaRejected {
+                Event::ProcessShareExceeded {
                     id: RequestId(n),
                     retry_after: 100.0,
                 },
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -274,7 +274,7 @@
             pending: None,
         };
         self.live.insert(id, live);
-        self.handle(Event::QuotaRejected {
+        self.handle(Event::ProcessShareExceeded {
             id,
             retry_after: wait,
         });
