--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -103,8 +103,8 @@
 
     /// Returns true if proxies share all slots and the queue takes too long for a request of a class.
     fn is_queue_too_long(&self, class: ClassId) -> bool {
-        let delay =
-            self.queue.len() as f64 * self.latency.mean_endpoint() / self.concurrency.window();
+        let delay = self.queue.len() as f64 * self.latency.mean_endpoint()
+            / self.concurrency.window_requests();
         let objective = self.settings.classes[class.0].latency_objective;
         self.is_pooled() && delay > MAX_QUEUED_OBJECTIVE_FRACTION * objective
     }
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -102,7 +102,7 @@
 /// Concurrency limits of this proxy.
 pub(crate) struct ConcurrencyLimit {
     machine_types: Vec<MachineTypeSlots>,
-    window: f64,
+    window_requests: f64,
     mean_slots: f64,
 }
 
@@ -111,7 +111,7 @@
     pub fn new() -> Self {
         ConcurrencyLimit {
             machine_types: vec![MachineTypeSlots::new()],
-            window: INITIAL_WINDOW,
+            window_requests: INITIAL_WINDOW,
             mean_slots: 1.0,
         }
     }
@@ -123,13 +123,13 @@
     }
 
     /// Returns the requests that this proxy may have in flight where proxies share all slots.
-    pub fn window(&self) -> f64 {
-        self.window
+    pub fn window_requests(&self) -> f64 {
+        self.window_requests
     }
 
     /// Returns true if the window has no room for another request.
     pub fn is_window_full(&self, in_flight: usize) -> bool {
-        in_flight >= self.window as usize
+        in_flight >= self.window_requests as usize
     }
 
     /// Returns true if proxies share all slots, as this proxy's own are too few: then waits are long, in proportion
@@ -143,18 +143,18 @@
 
     /// Adapts the window to a response. Only a window that is nearly used grows.
     pub fn adapt_window(&mut self, good: bool, in_flight: usize, endpoints: usize) {
-        let used = in_flight as f64 + UNUSED_WINDOW > self.window;
+        let used = in_flight as f64 + UNUSED_WINDOW > self.window_requests;
         let step = if used {
-            WINDOW_STEP * (self.window / INITIAL_WINDOW).min(1.0)
+            WINDOW_STEP * (self.window_requests / INITIAL_WINDOW).min(1.0)
         } else {
             0.0
         };
         let window = if good {
-            self.window + step
+            self.window_requests + step
         } else {
-            self.window * WINDOW_CUT
+            self.window_requests * WINDOW_CUT
         };
-        self.window = window.clamp(MIN_WINDOW, endpoints.max(MIN_WINDOW_BOUND) as f64);
+        self.window_requests = window.clamp(MIN_WINDOW, endpoints.max(MIN_WINDOW_BOUND) as f64);
     }
 
     /// Takes over the mean slots of listed endpoints.
--- a/crates/balancer/src/endpoint_selection.rs
+++ b/crates/balancer/src/endpoint_selection.rs
@@ -259,7 +259,7 @@
     ) -> bool {
         // Of all pooled slots this proxy's window is what comes free for it.
         let window_fraction = if selection.warming_only {
-            (self.concurrency.window() / faster.slots).min(1.0)
+            (self.concurrency.window_requests() / faster.slots).min(1.0)
         } else {
             1.0
         };
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -44,7 +44,7 @@
         retry_after: Millis,
     },
     /// The last byte of a streamed body has been sent to an endpoint: the endpoint can process the request from now
-    /// on.
+    /// on. Until then the module times no attempt of the request; the caller ends an upload that stalls.
     BodyComplete {
         /// Identifies the request.
         id: RequestId,
@@ -95,7 +95,8 @@
         latency: Millis,
         /// Result of the attempt.
         outcome: Outcome,
-        /// True if the request is finished.
+        /// True if the request is finished. Must be true once [`Event::ResponseStarted`] was given for the request and
+        /// its response has ended, however it ended: this is all that keeps the request from a retry then.
         request_finished: bool,
     },
     /// The client has disconnected; no answer is due any more.
--- a/crates/balancer/src/health_snapshot.rs
+++ b/crates/balancer/src/health_snapshot.rs
@@ -1,5 +1,5 @@
 //! Endpoint health that outlives an instance of the decision module: ejections and slow start budgets. Latency
-//! estimates are not part of it; they are learned anew.
+//! estimates are not part of it; they are learned anew. Snapshots are taken and restored by `health_transfer`.
 
 use crate::types::{ClassId, EndpointId, Millis};
 
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/health_transfer.rs
@@ -1,4 +1,5 @@
-//! Taking and restoring health snapshots. Decides nothing.
+//! Transfer of endpoint health between instances of the module: takes health snapshots of the state and restores
+//! them. Decides nothing. The snapshot's types are in `health_snapshot`.
 
 use crate::endpoint::EndpointRecord;
 use crate::health_snapshot::{EndpointHealth, HealthSnapshot};
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -4,33 +4,45 @@
 //! proxy sees, each with its time, and carry out the [`Action`]s that it returns. All chance comes from one seed.
 //!
 //! Interface: `types`, `settings`, `health_snapshot`, `event`, `action`. Each rule is a module with its constants;
-//! `deploy/balancer.toml` names them all under `policy`. A module knows only those above it in this list:
+//! `deploy/balancer.toml` names them all under `policy`.
 //!
-//! | module | rule |
+//! A module imports only modules above it in this list, and only those marked with a star decide;
+//! `tests/source_rules.rs` enforces both. Most rules are methods of `State`: their calls go upward in the list too, but
+//! imports can't show that and no test holds it.
+//!
+//! | module | content |
 //! | --- | --- |
-//! | `timing` | periods and margins that several rules share |
-//! | `threshold` | forward to a slower endpoint now, or wait |
-//! | `speed_bands` | which endpoints count as equally fast |
-//! | `arrival_rate`, `tenant_quota` | arrivals, quotas |
-//! | `latency_estimator` | latencies per class, machine type and endpoint |
-//! | `outlier_detection` | ejection, backoff, probation, panic threshold |
-//! | `slow_start` | requests to an endpoint that is warming up |
-//! | `concurrency_limit` | slots per endpoint, window of requests in flight |
-//! | `retry` | repeats, retry budget, lost responses |
-//! | `queue` | priority of queued requests |
-//! | `gossip` | validity and frequency of reports between proxies |
-//! | `availability` | cost of an endpoint, and whether it is open |
-//! | `endpoint_selection` | endpoint for a request |
-//! | `forwarding` | order of queued requests, attempt timeouts |
-//! | `final_answer` | rejection or failure, Retry-After |
-//! | `attempts` | consequences of an attempt's progress and end |
-//! | `stall_detection` | silent attempts, hanging endpoints |
-//! | `admission` | acceptance on arrival, load shedding |
-//! | `endpoint_list` | additions, drains, removals, subscription |
-//! | `peer_reports` | exchange of reports with other proxies |
-//! | `reconfiguration` | new settings, number of proxies |
-//! | `maintenance` | ticks and reviews |
-//! | `balancer` | dispatch of events |
+//! | `types`, `settings`, `health_snapshot`, `event`, `action` | interface |
+//! | `hash`, `ewma` | hash of two numbers, exponentially weighted mean |
+//! | `timing`* | periods, margins and timer tokens that several rules share |
+//! | `threshold`* | forward to a slower endpoint now, or wait |
+//! | `speed_bands`* | which endpoints count as equally fast |
+//! | `arrival_rate`*, `tenant_quota`* | arrivals, quotas |
+//! | `latency_estimator`* | latencies per class, machine type and endpoint |
+//! | `outlier_detection`* | ejection, backoff, probation, panic threshold |
+//! | `slow_start`* | requests to an endpoint that is warming up |
+//! | `endpoint` | record of an endpoint |
+//! | `concurrency_limit`* | slots per endpoint, window of requests in flight |
+//! | `request` | record of a request and its attempts |
+//! | `retry`* | repeats, retry budget, lost responses |
+//! | `queue`* | priority of queued requests |
+//! | `in_flight` | attempts in flight and slots they take |
+//! | `gossip_message` | encoding of reports between proxies |
+//! | `gossip`* | validity and frequency of reports between proxies |
+//! | `state` | all state, on which the rules below work |
+//! | `availability`* | cost of an endpoint, and whether it is open |
+//! | `endpoint_selection`* | endpoint for a request |
+//! | `forwarding`* | order of queued requests, attempt timeouts |
+//! | `final_answer`* | rejection or failure, when it is due, Retry-After |
+//! | `attempts`* | consequences of an attempt's progress and end |
+//! | `stall_detection`* | silent attempts, hanging endpoints |
+//! | `admission`* | acceptance on arrival, load shedding |
+//! | `endpoint_list`* | additions, drains, removals, subscription |
+//! | `peer_reports`* | exchange of reports with other proxies |
+//! | `reconfiguration`* | new settings, number of proxies |
+//! | `health_transfer` | taking and restoring health snapshots |
+//! | `maintenance`* | ticks and reviews |
+//! | `balancer`* | dispatch of events |
 
 #![deny(
     clippy::too_many_lines,
@@ -58,6 +70,7 @@
 mod gossip_message;
 mod hash;
 mod health_snapshot;
+mod health_transfer;
 mod in_flight;
 mod latency_estimator;
 mod maintenance;
@@ -69,7 +82,6 @@
 mod retry;
 mod settings;
 mod slow_start;
-mod snapshot;
 mod speed_bands;
 mod stall_detection;
 mod state;
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -17,6 +17,7 @@
 //! | failure mean well below its limit | `Health::record_success` | end of probation, least backoff |
 //! | start of a new process | `endpoint_list`, `HealthRecord::reset` | all is forgotten |
 //! | panic | `OutlierDetector::review`, `availability` | ejections don't count, except for overload |
+//! | nearly all ejected for one class | `OutlierDetector::is_ejected_for` | ejections for that class don't count |
 
 use crate::ewma::Ewma;
 use crate::health_snapshot::Ejection;
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -69,7 +69,11 @@
 
 /// Returns the bounds on repeats for a request with an idempotency key that may have run.
 pub(crate) fn deduplication(request: &Request) -> Option<Deduplication> {
-    let Idempotency::IdempotencyKey { scope, window } = request.idempotency else {
+    let Idempotency::IdempotencyKey {
+        scope,
+        deduplication_window,
+    } = request.idempotency
+    else {
         return None;
     };
     let first = request
@@ -79,7 +83,7 @@
     Some(Deduplication {
         endpoint: first.endpoint,
         scope,
-        until: first.sent_at + window,
+        until: first.sent_at + deduplication_window,
     })
 }
 
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Checks a request in flight. While its body is streamed no endpoint can have processed it.
+    /// Checks a request in flight. While its body is streamed no endpoint can have processed it, and the caller watches
+    /// the upload; the check begins with [`Event::BodyComplete`](crate::Event::BodyComplete).
     fn check_request(&mut self, id: RequestId, now: Millis, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -53,31 +54,41 @@
             / self.capacity_fraction(attempt.endpoint, now)
     }
 
-    /// Blames the endpoint of a silent attempt, ejects it if it hangs, and releases the slot for other classes.
+    /// Handles an attempt that has become silent: judges its endpoint, ejects it if it hangs, and releases the slot.
     fn record_silence(&mut self, id: RequestId, attempt: usize, now: Millis) {
         let request = &self.requests[&id];
         let class = request.class;
-        let expected_latency = self.expected_latency(request);
-        let silent = &request.attempts[attempt];
-        let silence = self.silence_limit(request, silent, now);
-        let index = silent.endpoint;
-        let to_warming_endpoint = silent.to_warming_endpoint;
-        let endpoint = &self.endpoints[index];
-        let hangs = self.outliers.silence_shows_hang(endpoint.in_flight.own)
-            && !endpoint.health.overall().is_ejected(now)
-            && endpoint.health.stalled_for(now) > silence;
-        self.judge_endpoint(index, class, Outcome::TimedOut, now);
-        let exposure = self.exposure();
-        let endpoint = &mut self.endpoints[index];
+        let least_ejection = SILENCE_MULTIPLE * self.expected_latency(request);
+        let endpoint = request.attempts[attempt].endpoint;
+        let hangs = self.silence_shows_hang(request, &request.attempts[attempt], now);
+        self.judge_endpoint(endpoint, class, Outcome::TimedOut, now);
         if hangs {
-            let least = SILENCE_MULTIPLE * expected_latency;
-            endpoint.health.eject_hanging(now, exposure, least);
+            // Follows the judgement, which may just have ejected the endpoint: then this replaces its ejection by one
+            // from the doubled backoff, and doubles that again.
+            let exposure = self.exposure();
+            let health = &mut self.endpoints[endpoint].health;
+            health.eject_hanging(now, exposure, least_ejection);
         }
-        endpoint.in_flight.remove_own();
-        self.in_flight.record_silence(to_warming_endpoint);
+        self.release_silent_attempt(id, attempt);
+        self.update_availability(endpoint, now);
+    }
+
+    /// Returns true if silence of an attempt shows that its endpoint hangs, and it is not ejected yet.
+    fn silence_shows_hang(&self, request: &Request, silent: &Attempt, now: Millis) -> bool {
+        let endpoint = &self.endpoints[silent.endpoint];
+        let health = &endpoint.health;
+        self.outliers.silence_shows_hang(endpoint.in_flight.own)
+            && !health.overall().is_ejected(now)
+            && health.stalled_for(now) > self.silence_limit(request, silent, now)
+    }
+
+    /// Marks an attempt as silent, and releases its slot at the endpoint and in the window.
+    fn release_silent_attempt(&mut self, id: RequestId, attempt: usize) {
         let request = self.requests.get_mut(&id);
-        let request = request.expect("the request was found above");
-        request.attempts[attempt].state = AttemptState::Silent;
-        self.update_availability(index, now);
+        let request = request.expect("only requests in progress have attempts");
+        let attempt = &mut request.attempts[attempt];
+        attempt.state = AttemptState::Silent;
+        self.endpoints[attempt.endpoint].in_flight.remove_own();
+        self.in_flight.record_silence(attempt.to_warming_endpoint);
     }
 }
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -47,7 +47,7 @@
         /// Endpoints that know of each other's attempts.
         scope: DeduplicationScope,
         /// Time for which repeats are dropped, from the send of the first attempt that may have run.
-        window: Millis,
+        deduplication_window: Millis,
     },
     /// It must never run twice.
     NonIdempotent,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -16,7 +16,7 @@
 
 pub const KEYED: Idempotency = Idempotency::IdempotencyKey {
     scope: DeduplicationScope::Cell,
-    window: 2000.0,
+    deduplication_window: 2000.0,
 };
 
 /// Three classes (idempotent, not idempotent, with an idempotency key per cell), pushed lists, weights that are
@@ -414,7 +414,7 @@
             (
                 Idempotency::IdempotencyKey {
                     scope: group,
-                    window,
+                    deduplication_window: window,
                 },
                 Some(first),
             ) => {
--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -140,7 +140,7 @@
 fn base(proxies: u32) -> Settings {
     let keyed = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
-        window: 900.0,
+        deduplication_window: 900.0,
     };
     Settings {
         proxy_index: 0,
@@ -221,13 +221,13 @@
     polled.limits.max_attempts = 2;
     polled.classes[2].idempotency = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Zone,
-        window: 300.0,
+        deduplication_window: 300.0,
     };
     polled.classes[0].objective_work_multiple = 2.0;
     polled.classes.push(class(
         Idempotency::IdempotencyKey {
             scope: DeduplicationScope::All,
-            window: 600.0,
+            deduplication_window: 600.0,
         },
         700.0,
     ));
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -284,7 +284,7 @@
     one.classes.remove(0);
     one.classes[1].idempotency = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Zone,
-        window: 300.0,
+        deduplication_window: 300.0,
     };
     all.push(one);
     let mut late = settings(4);
@@ -293,7 +293,7 @@
         .for_each(|c| c.late_weight_fraction = 0.3);
     late.classes[2].idempotency = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::All,
-        window: 600.0,
+        deduplication_window: 600.0,
     };
     all.push(late);
     all
--- a/crates/balancer/tests/source_rules.rs
+++ b/crates/balancer/tests/source_rules.rs
@@ -19,7 +19,7 @@
     "in_flight",
     "gossip_message",
     "state",
-    "snapshot",
+    "health_transfer",
 ];
 
 /// The files that the deploy file names as the policy.
@@ -173,7 +173,7 @@
     ("endpoint_list", include_str!("../src/endpoint_list.rs")),
     ("peer_reports", include_str!("../src/peer_reports.rs")),
     ("reconfiguration", include_str!("../src/reconfiguration.rs")),
-    ("snapshot", include_str!("../src/snapshot.rs")),
+    ("health_transfer", include_str!("../src/health_transfer.rs")),
     ("maintenance", include_str!("../src/maintenance.rs")),
     ("balancer", include_str!("../src/balancer.rs")),
 ];
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -105,7 +105,7 @@
         "deduplicated" => match deduplication_scope(class) {
             Some(scope) => Idempotency::IdempotencyKey {
                 scope,
-                window: number(class, "window", 0.0),
+                deduplication_window: number(class, "window", 0.0),
             },
             None => Idempotency::NonIdempotent,
         },
