--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -19,14 +19,14 @@
             .sum::<usize>()
     };
     // Four are in flight for 60 ms each: in half the objective of 800 ms about 27 are forwarded.
-    let refused = ask(&mut harness, 1000, 60, 0);
+    let rejected = ask(&mut harness, 1000, 60, 0);
     assert!(
-        (20..=40).contains(&refused),
-        "{refused} of 60 lookups at once"
+        (20..=40).contains(&rejected),
+        "{rejected} of 60 idempotent requests rejected"
     );
     assert_eq!(
         ask(&mut harness, 2000, 10, 1),
         0,
-        "what must not run twice is worth its wait"
+        "non-idempotent requests are queued"
     );
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -3,18 +3,18 @@
 use balancer::*;
 use std::collections::{BTreeMap, HashMap};
 
-pub fn class(effect: Idempotency, aim: Millis) -> Class {
+pub fn class(idempotency: Idempotency, latency_objective: Millis) -> Class {
     Class {
-        latency_objective: aim,
-        deadline: 2.5 * aim,
+        latency_objective,
+        deadline: 2.5 * latency_objective,
         objective_work_multiple: 0.0,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
-        idempotency: effect,
+        idempotency,
     }
 }
 
-pub const KEYED: Idempotency = Idempotency::IdempotencyKey {
+pub const WITH_IDEMPOTENCY_KEY: Idempotency = Idempotency::IdempotencyKey {
     scope: DeduplicationScope::Cell,
     deduplication_window: 2000.0,
 };
@@ -29,7 +29,7 @@
         classes: vec![
             class(Idempotency::Idempotent, 800.0),
             class(Idempotency::NonIdempotent, 1200.0),
-            class(KEYED, 800.0),
+            class(WITH_IDEMPOTENCY_KEY, 800.0),
         ],
         tenants: vec![],
         over_quota_weight_fraction: 0.1,
@@ -69,26 +69,26 @@
     }
 }
 
-pub fn request(id: u64, class: usize, budget: Millis) -> Event {
+pub fn request(id: u64, class: usize, timeout: Millis) -> Event {
     Event::Request {
         id: RequestId(id),
         class: ClassId(class),
         tenant: None,
         key: None,
-        timeout: budget,
+        timeout,
         expected_work: None,
         body_complete: true,
     }
 }
 
 pub fn attempt_ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
-    let closed = outcome == Outcome::Served;
+    let request_finished = outcome == Outcome::Served;
     Event::AttemptEnded {
         request: RequestId(id),
         attempt,
         latency,
         outcome,
-        request_finished: closed,
+        request_finished,
     }
 }
 
@@ -104,11 +104,11 @@
 }
 
 impl Harness {
-    pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
-        Harness::seeded(settings, servers, 7)
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Harness::seeded(settings, endpoints, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Endpoint>, seed: u64) -> Self {
+    pub fn seeded(settings: Settings, endpoints: Vec<Endpoint>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed);
         let mut harness = Harness {
             balancer,
@@ -117,7 +117,7 @@
             load: |_| LoadReport::default(),
             timers: vec![],
         };
-        harness.handle(full_update(servers));
+        harness.handle(full_update(endpoints));
         harness
     }
 
@@ -231,37 +231,39 @@
 }
 
 struct SentAttempt {
-    server: u64,
+    endpoint: u64,
     at: Millis,
-    over: bool,
-    ran: bool,
+    ended: bool,
+    may_have_run: bool,
 }
 
 struct PendingRequest {
     class: usize,
-    due: Millis,
-    sent: Vec<SentAttempt>,
+    deadline: Millis,
+    attempts: Vec<SentAttempt>,
     answered: bool,
 }
 
 /// Watches all events and actions of one proxy and records each violation of the four rules.
 pub struct Checker {
     settings: Settings,
-    servers: HashMap<u64, (Endpoint, Option<Millis>)>,
+    /// Each endpoint's entry, and the time at which its drain or removal was announced.
+    endpoints: HashMap<u64, (Endpoint, Option<Millis>)>,
     pending: BTreeMap<u64, PendingRequest>,
-    cold: HashMap<u64, Vec<Millis>>,
+    /// Times of recent attempts at each warming endpoint.
+    attempts_while_warming: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
     pub violations: Vec<String>,
 }
 
 impl Checker {
     pub fn new(settings: Settings, work: Millis) -> Self {
-        let (servers, pending, cold, violations) = Default::default();
+        let (endpoints, pending, attempts_while_warming, violations) = Default::default();
         Checker {
             settings,
-            servers,
+            endpoints,
             pending,
-            cold,
+            attempts_while_warming,
             work,
             violations,
         }
@@ -270,7 +272,7 @@
     /// Forgets all requests, as the proxy was killed.
     pub fn restart(&mut self) {
         self.pending.clear();
-        self.servers.clear();
+        self.endpoints.clear();
     }
 
     fn violation(&mut self, now: Millis, text: String) {
@@ -288,23 +290,24 @@
                 endpoints: entries,
             } => {
                 for e in entries {
-                    let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == EndpointState::Up {
+                    let old = self.endpoints.get(&e.id.0).and_then(|s| s.1);
+                    let unavailable_since = if e.state == EndpointState::Up {
                         None
                     } else {
                         old.or(Some(now))
                     };
                     if self
-                        .servers
+                        .endpoints
                         .get(&e.id.0)
                         .is_some_and(|s| s.0.started_at != e.started_at)
                     {
-                        self.cold.remove(&e.id.0); // a new process has a new budget
+                        self.attempts_while_warming.remove(&e.id.0); // a new process has a new budget
                     }
-                    self.servers.insert(e.id.0, (e.clone(), told));
+                    self.endpoints
+                        .insert(e.id.0, (e.clone(), unavailable_since));
                 }
                 if *scope == UpdateScope::Full {
-                    for (id, s) in &mut self.servers {
+                    for (id, s) in &mut self.endpoints {
                         if !entries.iter().any(|e| e.id.0 == *id) {
                             s.1 = s.1.or(Some(now));
                         }
@@ -312,15 +315,12 @@
                 }
             }
             Event::Request {
-                id,
-                class,
-                timeout: budget,
-                ..
+                id, class, timeout, ..
             } => {
                 let pending = PendingRequest {
                     class: class.0,
-                    due: now + budget,
-                    sent: vec![],
+                    deadline: now + timeout,
+                    attempts: vec![],
                     answered: false,
                 };
                 self.pending.insert(id.0, pending);
@@ -329,13 +329,13 @@
                 request,
                 attempt,
                 outcome,
-                request_finished: closed,
+                request_finished,
                 ..
             } => {
                 if let Some(o) = self.pending.get_mut(&request.0) {
-                    o.answered |= closed;
-                    if let Some(s) = o.sent.get_mut(*attempt as usize) {
-                        (s.over, s.ran) = (true, outcome.may_have_run());
+                    o.answered |= request_finished;
+                    if let Some(s) = o.attempts.get_mut(*attempt as usize) {
+                        (s.ended, s.may_have_run) = (true, outcome.may_have_run());
                     }
                 }
             }
@@ -355,9 +355,12 @@
             } => self.sent(now, request.0, endpoint.0),
             Action::Reject { request, .. } => {
                 let Some(o) = self.pending.get(&request.0) else {
-                    return self.violation(now, format!("refused {request:?}, which is not held"));
+                    return self.violation(
+                        now,
+                        format!("rejected {request:?}, which is not in progress"),
+                    );
                 };
-                let ran = o.sent.iter().any(|s| !s.over || s.ran);
+                let ran = o.attempts.iter().any(|s| !s.ended || s.may_have_run);
                 let allowed = match self.settings.classes[o.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey {
@@ -367,7 +370,7 @@
                     _ => !ran,
                 };
                 if !allowed {
-                    self.violation(now, format!("refused {request:?}, which may have run"));
+                    self.violation(now, format!("rejected {request:?}, which may have run"));
                 }
                 self.answered(now, request.0);
             }
@@ -385,18 +388,18 @@
 
     fn sent(&mut self, now: Millis, id: u64, to: u64) {
         let limits = self.settings.limits;
-        let Some((server, told)) = self.servers.get(&to).cloned() else {
+        let Some((entry, unavailable_since)) = self.endpoints.get(&to).cloned() else {
             return self.violation(now, format!("sent to {to}, which no list named"));
         };
-        if told.is_some_and(|t| now > t) {
+        if unavailable_since.is_some_and(|t| now > t) {
             self.violation(now, format!("sent to {to}, told to drain or gone"));
         }
         let Some(o) = self.pending.get(&id) else {
-            return self.violation(now, format!("sent {id}, which is not held"));
+            return self.violation(now, format!("sent {id}, which is not in progress"));
         };
-        let effect = self.settings.classes[o.class].idempotency;
-        let out = o.sent.iter().any(|s| !s.over);
-        let ran = o.sent.iter().find(|s| !s.over || s.ran);
+        let idempotency = self.settings.classes[o.class].idempotency;
+        let out = o.attempts.iter().any(|s| !s.ended);
+        let ran = o.attempts.iter().find(|s| !s.ended || s.may_have_run);
         let mut wrong = vec![];
         if o.answered {
             wrong.push("after its answer");
@@ -404,58 +407,65 @@
         if out {
             wrong.push("twice at once");
         }
-        if o.sent.len() as u32 >= limits.max_attempts {
+        if o.attempts.len() as u32 >= limits.max_attempts {
             wrong.push("too often");
         }
-        match (effect, ran) {
+        match (idempotency, ran) {
             (Idempotency::NonIdempotent, Some(_)) => {
                 wrong.push("again though it must never run twice")
             }
             (
                 Idempotency::IdempotencyKey {
-                    scope: group,
-                    deduplication_window: window,
+                    scope,
+                    deduplication_window,
                 },
                 Some(first),
             ) => {
-                let other = &self.servers[&first.server].0;
-                let same = match group {
+                let other = &self.endpoints[&first.endpoint].0;
+                let same = match scope {
                     DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => other.zone == server.zone,
-                    DeduplicationScope::Cell => other.cell == server.cell,
+                    DeduplicationScope::Zone => other.zone == entry.zone,
+                    DeduplicationScope::Cell => other.cell == entry.cell,
                 };
                 if !same {
-                    wrong.push("outside the group that drops its repeat");
+                    wrong.push("outside the scope that drops its repeat");
                 }
-                if now > first.at + window {
-                    wrong.push("after its repeat is forgotten");
+                if now > first.at + deduplication_window {
+                    wrong.push("after its deduplication window");
                 }
             }
             _ => {}
         }
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
         texts.into_iter().for_each(|t| self.violation(now, t));
-        self.pending.get_mut(&id).unwrap().sent.push(SentAttempt {
-            server: to,
-            at: now,
-            over: false,
-            ran: true,
-        });
-        if let Some(since) = server.started_at.filter(|s| now - s < limits.warm_up) {
-            let sent = self.cold.entry(to).or_default();
+        self.pending
+            .get_mut(&id)
+            .unwrap()
+            .attempts
+            .push(SentAttempt {
+                endpoint: to,
+                at: now,
+                ended: false,
+                may_have_run: true,
+            });
+        if let Some(since) = entry.started_at.filter(|s| now - s < limits.warm_up) {
+            let sent = self.attempts_while_warming.entry(to).or_default();
             sent.push(now);
             sent.retain(|t| *t > now - limits.overload_window);
             // If all proxies did the same: guaranteed capacity over the window, plus one request each for chance.
-            let age = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
-            let part =
-                limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age;
-            let budget = limits.overload_multiple * part * server.weight * limits.overload_window;
-            let alike = f64::from(self.settings.proxy_count);
-            let push = (sent.len() as f64 - 1.0) * alike * self.work;
-            if push > budget {
+            let warm_up_fraction = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
+            let capacity_fraction = limits.initial_capacity_fraction
+                + (1.0 - limits.initial_capacity_fraction) * warm_up_fraction;
+            let budget = limits.overload_multiple
+                * capacity_fraction
+                * entry.weight
+                * limits.overload_window;
+            let proxies = f64::from(self.settings.proxy_count);
+            let work = (sent.len() as f64 - 1.0) * proxies * self.work;
+            if work > budget {
                 self.violation(
                     now,
-                    format!("pushed cold {to}: {push:.0} ms of work against {budget:.0}"),
+                    format!("pushed cold {to}: {work:.0} ms of work against {budget:.0}"),
                 );
             }
         }
@@ -467,7 +477,7 @@
         let late: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(_, o)| !o.answered && now > o.due + slack)
+            .filter(|(_, o)| !o.answered && now > o.deadline + slack)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
@@ -475,7 +485,7 @@
             self.violation(now, format!("no answer for {id} in time"));
         }
         self.pending
-            .retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
+            .retain(|_, o| !o.answered || o.attempts.iter().any(|s| !s.ended));
     }
 }
 
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -33,9 +33,9 @@
     let mut harness = Harness::new(told, (1..=10).map(endpoint).collect());
     harness.train(0, 300, |_| 40.0);
     let (sent, _) = harness.run(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
-    // Six slots, 40 ms each, for 20 s: none is given up.
+    // Six slots, 40 ms each, for 20 s: none may be lost.
     let taken = sent.iter().filter(|s| s.1 > 7).count();
-    assert!(taken >= 2900, "the healthy took {taken}");
+    assert!(taken >= 2900, "{taken} went to the healthy endpoints");
 }
 
 #[test]
@@ -66,8 +66,11 @@
             100.0 + 300.0 * before as f64
         }
     });
-    let held = out.iter().filter(|&&to| to > 10).count();
-    assert!(held >= 12, "four servers of four cores each hold {held}");
+    let in_flight = out.iter().filter(|&&to| to > 10).count();
+    assert!(
+        in_flight >= 12,
+        "{in_flight} in flight at four endpoints of four cores each"
+    );
 }
 
 #[test]
@@ -92,7 +95,7 @@
     let later = burst(&mut harness, 2000, 20).len();
     assert!(
         (8..=9).contains(&later),
-        "all of them once the kind is measured: {later}"
+        "all of them once the machine type has responses: {later}"
     );
 }
 
@@ -119,7 +122,7 @@
     // Before any message has arrived, and with 480 requests for about 50 slots at once.
     let (most, all) = (*at.iter().max().unwrap(), at.iter().sum::<u32>());
     assert!((20..=200).contains(&all), "{all} sent in all: {at:?}");
-    assert!(most <= 20, "{most} at one server: {at:?}");
+    assert!(most <= 20, "{most} at one endpoint: {at:?}");
 }
 
 #[test]
@@ -143,12 +146,12 @@
         let sent = burst(&mut harness, 0, 30);
         assert!(
             sent.len() <= 20,
-            "a small part of the fleet only: {}",
+            "only a small part of the endpoints: {}",
             sent.len()
         );
         without += usize::from(sent.is_empty());
     }
-    assert!(without <= 2, "{without} of 50 proxies have no server");
+    assert!(without <= 2, "{without} of 50 proxies own no slot");
 }
 
 #[test]
@@ -179,7 +182,10 @@
     }
     // Fractional slots are rounded at random, so that some endpoints have two.
     let shared = holders.values().filter(|n| **n > 1).count();
-    assert!(shared <= 40, "{shared} of 160 servers are held by several");
+    assert!(
+        shared <= 40,
+        "{shared} of 160 endpoints are shared by several proxies"
+    );
 }
 
 #[test]
@@ -221,20 +227,20 @@
     };
     // A request each 8 ms that takes 120 ms anywhere: 15 at a time.
     let calm = out_at_once(|_, _| 120.0);
-    assert!(calm >= 14, "{calm} are out at once");
+    assert!(calm >= 14, "{calm} are in flight at once");
     // One core each: a further request slows all others there.
     let crowded = out_at_once(|_, before| 120.0 * (1.0 + before as f64));
-    assert!(crowded <= 10, "{crowded} are out at once");
+    assert!(crowded <= 10, "{crowded} are in flight at once");
 }
 
 #[test]
 fn the_first_responses_of_a_machine_type_set_no_baseline() {
     // Under load the shortest requests end first; as a baseline they would make usual latencies look crowded.
-    let kind = |id| Endpoint {
+    let two_cores = |id| Endpoint {
         machine_type: Some(MachineTypeId(u32::from(id > 6))),
         ..endpoint(id)
     };
-    let mut harness = Harness::new(settings(1), (1..=12).map(kind).collect());
+    let mut harness = Harness::new(settings(1), (1..=12).map(two_cores).collect());
     let ended = std::cell::Cell::new(0);
     let (sent, _) = harness.run(6000, 4, |to, before| {
         ended.set(ended.get() + u32::from(to <= 6));
@@ -261,14 +267,14 @@
         zone: Some(ZoneId(zone)),
         ..settings(proxies)
     };
-    let servers: Vec<Endpoint> = (1..=40)
+    let endpoints: Vec<Endpoint> = (1..=40)
         .map(|id| Endpoint {
             weight: 8.0,
             ..endpoint(id)
         })
         .collect();
-    let word = |proxy_index, zone| {
-        let mut other = Harness::new(told(2, proxy_index, zone), servers.clone());
+    let report = |proxy_index, zone| {
+        let mut other = Harness::new(told(2, proxy_index, zone), endpoints.clone());
         let actions: Vec<Action> = (0..50).flat_map(|_| other.advance(20.0)).collect();
         actions.into_iter().find_map(|a| match a {
             Action::Broadcast(bytes) => Some(bytes),
@@ -277,11 +283,11 @@
     };
     // All endpoints and this proxy are in zone 0. The other proxy owns slots only if it is there too.
     let mut shares = [0, 1].map(|zone| {
-        let mut harness = Harness::new(told(2, 0, 0), servers.clone());
+        let mut harness = Harness::new(told(2, 0, 0), endpoints.clone());
         harness.train(0, 400, |_| 40.0);
-        let bytes = word(1, zone).expect("it tells");
+        let bytes = report(1, zone).expect("it broadcasts a report");
         for _ in 0..80 {
-            harness.advance(20.0); // each server's slots are looked at again
+            harness.advance(20.0); // the slots of all endpoints are reviewed
             harness.handle(Event::Gossip {
                 from: 1,
                 bytes: bytes.clone(),
@@ -292,6 +298,6 @@
     let [together, alone] = [0, 1].map(|i| burst(&mut shares[i], 10_000, 600).len());
     assert!(
         alone > together,
-        "{alone} slots are free where the other stands elsewhere, {together} together"
+        "{alone} own slots with the other proxy in another zone, {together} in the same"
     );
 }
--- a/crates/balancer/tests/concurrency_window.rs
+++ b/crates/balancer/tests/concurrency_window.rs
@@ -64,7 +64,7 @@
         .map(|id| forwarded(&harness.handle(ask(id))).len())
         .sum();
     // Its equal part of about 104 slots is under three.
-    assert!((4..=9).contains(&sent), "{sent} out at once");
+    assert!((4..=9).contains(&sent), "{sent} in flight at once");
 }
 
 #[test]
@@ -84,7 +84,11 @@
             harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
         }
     }
-    assert!(reached.len() >= 15, "only {} of 29 servers", reached.len());
+    assert!(
+        reached.len() >= 15,
+        "only {} of 29 endpoints",
+        reached.len()
+    );
 }
 
 #[test]
@@ -99,8 +103,14 @@
         still.len()
     };
     let (good, late) = (out_at_once(200.0), out_at_once(1100.0));
-    assert!(good >= 12, "answers in good time widen it: {good}");
-    assert!(late <= 6, "late ones, of 1200 ms, do not: {late}");
+    assert!(
+        good >= 12,
+        "responses within the latency objective let it grow: {good}"
+    );
+    assert!(
+        late <= 6,
+        "responses near the objective of 1200 ms don't: {late}"
+    );
 }
 
 #[test]
@@ -128,7 +138,7 @@
     // One in ten is in flight for 0.8 s, which is 40 requests: four at any time, as many as the initial window.
     assert!(
         held <= 8,
-        "{held} of 400 were held with nearly all servers idle"
+        "{held} of 400 were queued with nearly all endpoints idle"
     );
 }
 
@@ -138,7 +148,7 @@
     let (out, _) = with_slow_endpoints(0, 24, 400.0);
     assert!(
         out <= 2,
-        "{out} out among servers that take ten times as long as when calm"
+        "{out} in flight at endpoints that take ten times the uncrowded latency"
     );
 }
 
@@ -152,14 +162,14 @@
                 in_flight: Some(20.0),
                 queued: Some(0.0),
             }) as fn(usize) -> LoadReport,
-            "in harness",
+            "in flight",
         ),
         (
             |_| LoadReport {
                 in_flight: None,
                 queued: Some(20.0),
             },
-            "waiting alone",
+            "queued only",
         ),
     ] {
         assert!(out(load) <= 2, "{why}: {}", out(load));
@@ -167,21 +177,21 @@
     for (load, why) in [
         (
             (|_| LoadReport::default()) as fn(usize) -> LoadReport,
-            "nothing is told",
+            "no report",
         ),
         (
             |_| LoadReport {
                 in_flight: Some(4.0),
                 queued: Some(9.0),
             },
-            "few in harness go before those that wait",
+            "few in flight count, whatever is queued",
         ),
         (
             |_| LoadReport {
                 in_flight: None,
                 queued: Some(3.0),
             },
-            "few wait",
+            "few queued",
         ),
     ] {
         assert!(out(load) >= 6, "{why}: {}", out(load));
@@ -190,25 +200,22 @@
 
 #[test]
 fn a_load_report_is_converted_to_requests_per_core() {
-    let told = |in_hand, waiting| LoadReport {
-        in_flight: in_hand,
-        queued: waiting,
-    };
+    let told = |in_flight, queued| LoadReport { in_flight, queued };
     assert_eq!(told(None, None).per_core(2.0), None);
     assert_eq!(
         told(Some(6.0), Some(40.0)).per_core(2.0),
         Some(3.0),
-        "what is in harness goes first"
+        "requests in flight count if reported"
     );
     assert_eq!(
         told(None, Some(6.0)).per_core(2.0),
         Some(4.0),
-        "and those in work beside"
+        "one request per core is added to the queued ones"
     );
     assert_eq!(
         told(None, Some(0.0)).per_core(2.0),
         Some(0.0),
-        "none may be in work"
+        "an empty queue says nothing of requests in flight"
     );
 }
 
@@ -216,5 +223,5 @@
 fn endpoints_slow_for_their_type_do_not_reduce_the_window() {
     // Keys whose home is a slow endpoint keep going there.
     let (_, sent) = with_slow_endpoints(97, 16, 500.0);
-    assert!(sent >= 95, "{sent} of 100 went out");
+    assert!(sent >= 95, "{sent} of 100 were forwarded");
 }
--- a/crates/balancer/tests/endpoint_list.rs
+++ b/crates/balancer/tests/endpoint_list.rs
@@ -18,7 +18,7 @@
     let sent = burst(&mut harness, 0, 20);
     assert!(
         sent.is_empty(),
-        "a cold server of one in eight proxies: {sent:?}"
+        "one of eight proxies has no budget yet for a warming endpoint: {sent:?}"
     );
 }
 
@@ -40,12 +40,12 @@
 
 #[test]
 fn invalid_weights_do_no_harm() {
-    let odd = |rating| Endpoint {
-        weight: rating,
+    let odd = |weight| Endpoint {
+        weight,
         ..endpoint(3)
     };
-    for rating in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
-        let mut harness = Harness::new(settings(3), vec![odd(rating), endpoint(4)]);
+    for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
+        let mut harness = Harness::new(settings(3), vec![odd(weight), endpoint(4)]);
         burst(&mut harness, 0, 9);
         let out = harness.advance(4000.0);
         assert!(final_answers(&out) <= 9);
--- a/crates/balancer/tests/endpoint_selection.rs
+++ b/crates/balancer/tests/endpoint_selection.rs
@@ -19,16 +19,20 @@
     let fast = sent.iter().filter(|s| s.1 == 1).count();
     assert!(
         fast > 0 && sent[..fast].iter().all(|s| s.1 == 1),
-        "the fast server fills first: {sent:?}"
+        "the fast endpoint gets requests first: {sent:?}"
     );
-    assert!(sent.len() < 30, "some are held");
+    assert!(sent.len() < 30, "some are queued");
     assert!(
         sent.iter().any(|s| s.1 == 2),
         "a long queue spills over to the slow one: {sent:?}"
     );
     // The threshold lets the first queued request go only when the queue has grown.
     let spilled = 1000 + fast as u64;
-    assert_eq!(sent[fast], (spilled, 2), "the oldest goes: {sent:?}");
+    assert_eq!(
+        sent[fast],
+        (spilled, 2),
+        "the oldest is forwarded: {sent:?}"
+    );
     let mut again = Harness::new(
         settings(1),
         vec![
@@ -42,7 +46,7 @@
     again.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
     again.advance(300.0);
     let short = burst(&mut again, 1000, fast as u64 + 3);
-    assert_eq!(short.len(), fast, "a short queue is held: {short:?}");
+    assert_eq!(short.len(), fast, "a short queue waits: {short:?}");
 }
 
 #[test]
@@ -82,25 +86,25 @@
     // One of 100 proxies; a release has left 24 warm endpoints, which are crowded, and 36 warming ones.
     let mut harness = Harness::new(settings(100), (0..24).map(endpoint).collect());
     harness.run(6000, 60, |_, _| 30.0);
-    let cold = |id| Endpoint {
+    let warming = |id| Endpoint {
         started_at: Some(7000.0),
         ..endpoint(id)
     };
     harness.handle(full_update(
-        (0..24).map(endpoint).chain((24..60).map(cold)).collect(),
+        (0..24).map(endpoint).chain((24..60).map(warming)).collect(),
     ));
     let (sent, _) = harness.run(5000, 30, |to, _| if to < 24 { 700.0 } else { 150.0 });
     let helped = sent.iter().filter(|s| s.1 >= 24).count();
     assert!(
         helped >= 10,
-        "{helped} of {} went to a cold server",
+        "{helped} of {} went to a warming endpoint",
         sent.len()
     );
     // A core serves 33 a second, a warming one 0.4 of that; three times as many for 5 s overload it.
     let part = 36.0 * 2.0 * 33.0 * 0.4 * 3.0 * 5.0 / 100.0;
     assert!(
         (helped as f64) < part,
-        "{helped} is more than this proxy's part, {part}"
+        "{helped} is more than this proxy's part of the capacity, {part}"
     );
 }
 
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         final_answers(&harness.advance(1190.0)),
         0,
-        "its aim is 1200 ms"
+        "its latency objective is 1200 ms"
     );
     assert_eq!(final_answers(&harness.advance(10.0)), 1);
 }
@@ -46,21 +46,21 @@
         out.iter().filter_map(wait).collect::<Vec<_>>()
     };
     assert!(waits(None, 20).iter().all(Option::is_none));
-    let told: Vec<Millis> = waits(Some(900.0), 20).into_iter().flatten().collect();
+    let retry_afters: Vec<Millis> = waits(Some(900.0), 20).into_iter().flatten().collect();
     assert!(
-        told.len() >= 10 && told.iter().all(|w| (1.0..=900.0).contains(w)),
-        "{told:?}"
+        retry_afters.len() >= 10 && retry_afters.iter().all(|w| (1.0..=900.0).contains(w)),
+        "{retry_afters:?}"
     );
     // A longer queue means a later retry, up to the bound.
     assert_eq!(waits(Some(900.0), 200)[0], Some(900.0));
 }
 
 #[test]
-fn rejections_by_quota_name_different_retry_afters() {
-    let final_answers = |most: Option<f64>| -> Vec<Option<f64>> {
+fn rejections_beyond_the_process_share_name_different_retry_afters() {
+    let retry_afters = |max_retry_after: Option<f64>| -> Vec<Option<f64>> {
         let mut balancer = Balancer::new(
             Settings {
-                max_retry_after: most,
+                max_retry_after,
                 ..settings(1)
             },
             1,
@@ -76,13 +76,13 @@
                 &mut out,
             );
         }
-        let refused = |a: &Action| match a {
+        let retry_after = |a: &Action| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
-        out.iter().filter_map(refused).collect()
+        out.iter().filter_map(retry_after).collect()
     };
-    let named: Vec<f64> = final_answers(Some(1000.0)).into_iter().flatten().collect();
+    let named: Vec<f64> = retry_afters(Some(1000.0)).into_iter().flatten().collect();
     assert_eq!(named.len(), 50);
     assert!(
         named.iter().all(|ms| (100.0..200.0).contains(ms)),
@@ -93,11 +93,11 @@
         "{named:?}"
     );
     assert!(
-        final_answers(Some(120.0))
+        retry_afters(Some(120.0))
             .iter()
             .flatten()
             .all(|ms| (60.0..120.0).contains(ms)),
         "no longer than allowed"
     );
-    assert_eq!(final_answers(None), [None; 50]);
+    assert_eq!(retry_afters(None), [None; 50]);
 }
--- a/crates/balancer/tests/health_snapshot.rs
+++ b/crates/balancer/tests/health_snapshot.rs
@@ -60,7 +60,7 @@
         }
         harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
     }
-    panic!("the second server was never asked");
+    panic!("the second endpoint was never ejected");
 }
 
 #[test]
@@ -71,7 +71,7 @@
         .endpoints
         .iter()
         .find(|s| s.id == EndpointId(SECOND))
-        .expect("something is known of it");
+        .expect("the snapshot names it");
     assert!(
         second
             .overall
@@ -115,8 +115,8 @@
 
 #[test]
 fn a_slow_start_budget_is_restored_in_the_next_instance() {
-    let cold = endpoints(Some(1000.0));
-    let mut first = next_instance(1000.0, cold.clone(), None, 1);
+    let warming = endpoints(Some(1000.0));
+    let mut first = next_instance(1000.0, warming.clone(), None, 1);
     first.advance(200.0);
     attempts_at_second(&mut first, 400);
     let (now, known) = (first.now, first.balancer.health_snapshot(first.now));
@@ -124,31 +124,31 @@
         .endpoints
         .iter()
         .find_map(|s| s.slow_start)
-        .expect("it is cold");
-    assert!(budget.tokens < 1.0, "it has been used up: {budget:?}");
+        .expect("it is warming up");
+    assert!(budget.tokens < 1.0, "it has been spent: {budget:?}");
     assert_eq!(
         attempts_at_second(
-            &mut next_instance(now, cold.clone(), Some(known.clone()), 1),
+            &mut next_instance(now, warming.clone(), Some(known.clone()), 1),
             100
         ),
         0,
         "no second budget"
     );
     // Among twice as many proxies it has half of the remaining budget.
-    let among_two = next_instance(now, cold.clone(), Some(known.clone()), 2)
+    let among_two = next_instance(now, warming.clone(), Some(known.clone()), 2)
         .balancer
         .health_snapshot(now);
     let part = among_two
         .endpoints
         .iter()
         .find_map(|s| s.slow_start)
-        .expect("it is cold");
+        .expect("it is warming up");
     assert!(
         (part.tokens - budget.tokens / 2.0).abs() < 1e-9,
         "{part:?}, {budget:?}"
     );
     // It still warms up in time, and then there is nothing to keep.
-    let mut later = next_instance(now, cold, Some(known), 1);
+    let mut later = next_instance(now, warming, Some(known), 1);
     later.advance(20_000.0);
     assert_eq!(later.balancer.health_snapshot(later.now).endpoints, []);
 }
--- a/crates/balancer/tests/many_proxies.rs
+++ b/crates/balancer/tests/many_proxies.rs
@@ -19,19 +19,19 @@
 /// request every 25 ms each.
 fn attempts_per_step(
     proxies: u32,
-    servers: u64,
+    endpoints: u64,
     steps: usize,
     known: ProxyCountKnown,
 ) -> Vec<Vec<u32>> {
     let list = |since| {
-        (0..servers)
+        (0..endpoints)
             .map(|id| Endpoint {
                 started_at: since,
                 ..endpoint(id)
             })
             .collect()
     };
-    let mut counts = vec![vec![0; steps]; servers as usize];
+    let mut counts = vec![vec![0; steps]; endpoints as usize];
     for proxy_index in 0..proxies {
         let settings = if known == ProxyCountKnown::AtStart {
             Settings {
@@ -75,25 +75,25 @@
 #[test]
 fn warming_endpoints_are_not_overloaded_by_any_number_of_proxies() {
     let proxies = [1, 1, 2, 3, 7, 20, 60, 100, 200, 200, 200];
-    let servers = [1, 1000, 3, 12, 100, 29, 60, 60, 1, 8, 60];
-    for (proxies, servers) in proxies.into_iter().zip(servers) {
-        let counts = attempts_per_step(proxies, servers, 40, ProxyCountKnown::AtStart);
+    let endpoints = [1, 1000, 3, 12, 100, 29, 60, 60, 1, 8, 60];
+    for (proxies, endpoints) in proxies.into_iter().zip(endpoints) {
+        let counts = attempts_per_step(proxies, endpoints, 40, ProxyCountKnown::AtStart);
         assert_eq!(
             first_overload(&counts),
             None,
-            "{proxies} proxies, {servers} servers"
+            "{proxies} proxies, {endpoints} endpoints"
         );
     }
 }
 
 #[test]
 fn proxies_that_learn_the_proxy_count_later_divide_slow_start_budgets() {
-    for (proxies, servers) in [(2, 3), (12, 8), (60, 60)] {
-        let counts = attempts_per_step(proxies, servers, 40, ProxyCountKnown::Later);
+    for (proxies, endpoints) in [(2, 3), (12, 8), (60, 60)] {
+        let counts = attempts_per_step(proxies, endpoints, 40, ProxyCountKnown::Later);
         assert_eq!(
             first_overload(&counts),
             None,
-            "{proxies} proxies, {servers} servers"
+            "{proxies} proxies, {endpoints} endpoints"
         );
     }
     // Otherwise each uses the budget of a single proxy.
@@ -110,7 +110,10 @@
             proxy_count: proxies,
         });
         let (sent, _) = harness.run_timed(500, 25, |_, _| LATENCY);
-        assert!(!sent.is_empty(), "it goes on as {proxy_index} of {proxies}");
+        assert!(
+            !sent.is_empty(),
+            "it still forwards as {proxy_index} of {proxies}"
+        );
     }
 }
 
@@ -120,7 +123,7 @@
     for proxies in [20, 100, 200] {
         let counts = attempts_per_step(proxies, 30, 40, ProxyCountKnown::AtStart);
         let sent: u32 = counts.iter().flatten().sum();
-        // 30 endpoints serve 10 a second when cold and 26 after four seconds: 2,160 in all.
+        // 30 endpoints serve 10 a second at their start and 26 after four seconds: 2,160 in all.
         assert!(sent >= 500, "{proxies} proxies sent {sent} in four seconds");
     }
 }
--- a/crates/balancer/tests/operations.rs
+++ b/crates/balancer/tests/operations.rs
@@ -24,7 +24,7 @@
     assert_eq!(
         forwarded(&harness.handle(attempt_ended(1000, 0, 5.0, Outcome::Error))).len(),
         1,
-        "as it began"
+        "retried by the rules of its arrival"
     );
     // One that arrives now may have run with its first attempt, and fails.
     assert_eq!(
@@ -40,9 +40,9 @@
         forwarded(&harness.handle(request(1002, 0, 2000.0))).len(),
         1
     );
-    let refused = harness.handle(attempt_ended(1002, 0, 5.0, Outcome::Overloaded));
+    let rejection = harness.handle(attempt_ended(1002, 0, 5.0, Outcome::Overloaded));
     assert_eq!(
-        refused,
+        rejection,
         [Action::Reject {
             request: RequestId(1002),
             retry_after: None
@@ -82,23 +82,23 @@
         class,
         tenant,
         key,
-        timeout: budget,
-        expected_work: hint,
+        timeout,
+        expected_work,
         ..
     } = request(1000, 1, 2000.0)
     else {
         unreachable!("a request");
     };
-    let streams = Event::Request {
+    let streamed = Event::Request {
         id,
         class,
         tenant,
         key,
-        timeout: budget,
-        expected_work: hint,
+        timeout,
+        expected_work,
         body_complete: false,
     };
-    assert_eq!(forwarded(&harness.handle(streams)).len(), 1);
+    assert_eq!(forwarded(&harness.handle(streamed)).len(), 1);
     // However long its client takes, no endpoint is blamed, and it is not given up.
     assert_eq!(harness.advance(10_000.0), []);
     assert_eq!(
@@ -116,7 +116,7 @@
     assert_eq!(
         final_answers(&harness.advance(300.0)),
         1,
-        "now its aim is past"
+        "its latency objective has passed since the complete body"
     );
 }
 
@@ -129,9 +129,9 @@
         1
     );
     harness.handle(Event::BodyDiscarded(RequestId(1000)));
-    let refused = harness.handle(attempt_ended(1000, 0, 5.0, Outcome::ConnectFailed));
+    let rejection = harness.handle(attempt_ended(1000, 0, 5.0, Outcome::ConnectFailed));
     assert_eq!(
-        refused,
+        rejection,
         [Action::Reject {
             request: RequestId(1000),
             retry_after: None
@@ -153,22 +153,22 @@
         "its slots are taken: {}",
         all.len()
     );
-    let begun = |id: u64, worked| Event::ResponseStarted {
+    let response_started = |id: u64, processing_done| Event::ResponseStarted {
         request: RequestId(id),
         attempt: 0,
-        processing_done: worked,
+        processing_done,
     };
     assert_eq!(
-        forwarded(&harness.handle(begun(all[0], false))).len(),
+        forwarded(&harness.handle(response_started(all[0], false))).len(),
         0,
-        "a stream that is still being made"
+        "the endpoint is still processing: its slot is taken"
     );
     assert_eq!(
-        forwarded(&harness.handle(begun(all[1], true))).len(),
+        forwarded(&harness.handle(response_started(all[1], true))).len(),
         1,
-        "the next one goes"
+        "processing has ended: the next request is forwarded"
     );
-    // A slow reader: nothing is given up, and the end releases no second slot.
+    // The client reads slowly: nothing is ejected or answered, and the end of the transfer releases no second slot.
     harness.handle(attempt_ended(all[1], 0, 900.0, Outcome::Served));
     assert_eq!(
         forwarded(&harness.handle(attempt_ended(all[1], 0, 900.0, Outcome::Served))).len(),
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -7,7 +7,7 @@
 fn train_class(harness: &mut Harness, class: usize, first: u64, count: u64, latency: Millis) {
     for id in first..first + count {
         let sent = forwarded(&harness.handle(request(id, class, 2000.0)));
-        assert_eq!(sent.len(), 1, "an idle server takes it");
+        assert_eq!(sent.len(), 1, "an idle endpoint gets it");
         harness.advance(latency);
         harness.handle(attempt_ended(id, 0, latency, Outcome::Served));
     }
@@ -19,27 +19,27 @@
     harness: &mut Harness,
     first: u64,
     steps: u64,
-    gone: u64,
+    dead: u64,
 ) -> (usize, usize) {
-    let (mut wrong, mut unserved) = (0, 0);
+    let (mut failed, mut unserved) = (0, 0);
     for id in first..first + steps {
         let mut sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
         let mut attempt = 0;
         while let Some(&(_, to)) = sent.first() {
-            let (latency, outcome) = if to < gone {
+            let (latency, outcome) = if to < dead {
                 (0.1, Outcome::ConnectFailed)
             } else {
                 (30.0, Outcome::Served)
             };
-            wrong += usize::from(to < gone);
+            failed += usize::from(to < dead);
             harness.advance(latency);
             sent = forwarded(&harness.handle(attempt_ended(id, attempt, latency, outcome)));
             attempt += 1;
-            unserved += usize::from(to < gone && sent.is_empty());
+            unserved += usize::from(to < dead && sent.is_empty());
         }
         harness.advance(30.0);
     }
-    (wrong, unserved)
+    (failed, unserved)
 }
 
 #[test]
@@ -63,7 +63,7 @@
     later.extend(burst(&mut harness, 2000, 2));
     assert!(
         later.iter().all(|s| s.1 != 1),
-        "still sent to the silent server: {later:?}"
+        "still forwarded to the hanging endpoint: {later:?}"
     );
 }
 
@@ -92,7 +92,7 @@
     }
     assert!(
         (2..8).contains(&failed),
-        "{failed} of 60 went to the failing server"
+        "{failed} of 60 went to the failing endpoint"
     );
 }
 
@@ -118,7 +118,7 @@
     }
     assert!(
         tries < 60,
-        "{tries} tries within a second at four full servers"
+        "{tries} attempts within a second at four overloaded endpoints"
     );
 }
 
@@ -145,10 +145,13 @@
             }
         }
     }
-    assert!(lost <= 5, "{lost} of 150 went on to where they are ignored");
+    assert!(
+        lost <= 5,
+        "{lost} of 150 were still forwarded to the endpoint that ignores them"
+    );
     assert!(
         other >= 20,
-        "only {other} of 150 of the other class went there"
+        "only {other} of 150 of the other class were forwarded there"
     );
 }
 
@@ -173,7 +176,7 @@
     }
     assert!(
         held < 20,
-        "{held} of 2000 found no server open, one at a time on nine"
+        "{held} of 2000 were queued, though one at a time is in flight at nine endpoints"
     );
 }
 
@@ -181,7 +184,7 @@
 fn a_failing_endpoint_is_ejected_amid_common_failures() {
     let mut harness = Harness::new(settings(1), (1..=9).map(endpoint).collect());
     harness.train(0, 200, |_| 40.0);
-    let (mut ill, mut others) = (0, 0);
+    let (mut at_failing, mut others) = (0, 0);
     for id in 1000..3000 {
         let sent = forwarded(&harness.handle(request(id, 1, 3000.0)));
         harness.advance(20.0);
@@ -189,10 +192,10 @@
             continue;
         };
         if id >= 2000 {
-            (ill, others) = if to == 1 {
-                (ill + 1, others)
+            (at_failing, others) = if to == 1 {
+                (at_failing + 1, others)
             } else {
-                (ill, others + 1)
+                (at_failing, others + 1)
             };
         }
         let broken = to == 1 && id >= 2000 || id % 8 == 3;
@@ -208,8 +211,8 @@
         ));
     }
     assert!(
-        ill < 20 && others > 900,
-        "{ill} of 1000 went to the broken server, {others} elsewhere"
+        at_failing < 20 && others > 900,
+        "{at_failing} of 1000 went to the failing endpoint, {others} elsewhere"
     );
 }
 
@@ -244,7 +247,7 @@
     // A third overflows in any case; with the fast endpoints ejected in turn it is more than half.
     assert!(
         slow * 5 < late.len() * 2,
-        "{slow} of {} went to the slow servers",
+        "{slow} of {} went to the slow endpoints",
         late.len()
     );
 }
@@ -253,16 +256,16 @@
 fn a_proxy_with_few_requests_rarely_tries_dead_endpoints() {
     // One of 100 proxies, with a stale list in which 30 of 60 endpoints are dead.
     let mut harness = Harness::new(settings(100), (0..60).map(endpoint).collect());
-    requests_past_dead_endpoints(&mut harness, 0, 200, 0); // sound so far
+    requests_past_dead_endpoints(&mut harness, 0, 200, 0); // all healthy so far
     let (first, _) = requests_past_dead_endpoints(&mut harness, 1000, 120, 30);
     let (later, unserved) = requests_past_dead_endpoints(&mut harness, 2000, 240, 30);
     assert!(
         first >= 20,
-        "they have to be met to be known, but only {first} sends met one"
+        "only {first} attempts at dead endpoints before they are known"
     );
     assert!(
         later <= 48,
-        "{later} of 240 requests met a server that was gone before"
+        "{later} of 240 requests were forwarded to an endpoint known to be dead"
     );
     assert_eq!(unserved, 0);
 }
@@ -276,6 +279,6 @@
         harness.handle(request(id, 1, 3000.0));
         harness.handle(attempt_ended(id, 0, 5.0, Outcome::Error));
     }
-    harness.advance(9000.0); // its closings are over, and no request that may be repeated has come for long
+    harness.advance(9000.0); // its ejections are over, and no idempotent request has arrived for long
     assert_eq!(burst(&mut harness, 2000, 1), [(2000, 1)]);
 }
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -14,7 +14,7 @@
     let sent = harness.handle(request(1000, 0, 2000.0));
     assert!(
         forwarded(&sent).len() == 1 && timeout(&sent).is_none(),
-        "an answer may just take long: {sent:?}"
+        "no early timeout while no responses get lost: {sent:?}"
     );
     harness.handle(attempt_ended(1000, 0, 20.0, Outcome::Served));
     for id in 1001..1021 {
@@ -23,7 +23,7 @@
         harness.handle(attempt_ended(id, 0, 2000.0, Outcome::TimedOut));
         harness.advance(500.0);
     }
-    let mut again = 0;
+    let mut retried = 0;
     for id in 2000..2400 {
         let sent = harness.handle(request(id, 0, 2000.0));
         let Some(span) = timeout(&sent).filter(|_| id % 10 == 0) else {
@@ -31,19 +31,22 @@
             harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
             continue;
         };
-        assert!(span < 400.0, "half its aim: {span}");
+        assert!(span < 400.0, "at most half the latency objective: {span}");
         harness.advance(span);
         let then = harness.handle(attempt_ended(id, 0, span, Outcome::TimedOut));
-        again += forwarded(&then)
+        retried += forwarded(&then)
             .iter()
             .filter(|s| s.0 == id && s.1 != forwarded(&sent)[0].1)
             .count();
         harness.handle(attempt_ended(id, 1, 20.0, Outcome::Served));
     }
-    assert!(again >= 30, "{again} of 40 were tried elsewhere at once");
+    assert!(
+        retried >= 30,
+        "{retried} of 40 were retried at another endpoint at once"
+    );
     let sent = harness.handle(request(3000, 1, 3000.0));
     assert!(
         forwarded(&sent).len() == 1 && timeout(&sent).is_none(),
-        "it must never run twice: {sent:?}"
+        "no early timeout for a non-idempotent request: {sent:?}"
     );
 }
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -41,8 +41,8 @@
 
 struct Scenario {
     proxies: u32,
-    warm: u64,
-    cold: u64,
+    warm_endpoints: u64,
+    warming_endpoints: u64,
     limits: Limits,
     traffic: Traffic,
     knowledge: fn(u32) -> Knowledge,
@@ -55,37 +55,37 @@
 /// Returns the requests of mean work that each warming endpoint got in each step, over all proxies.
 fn attempts_per_step(p: &Scenario) -> Vec<Vec<f64>> {
     let steps = (SPAN / STEP) as usize;
-    let mut sums = vec![vec![0.0; steps + 1]; p.cold as usize];
+    let mut sums = vec![vec![0.0; steps + 1]; p.warming_endpoints as usize];
     for proxy_index in 0..p.proxies {
         let mut chance = fastrand::Rng::with_seed(p.seed * 1_000_003 + u64::from(proxy_index));
         let knowledge = (p.knowledge)(proxy_index);
-        let told = if knowledge == Knowledge::Alone {
+        let known_proxies = if knowledge == Knowledge::Alone {
             1
         } else {
             p.proxies
         };
         let settings = Settings {
-            proxy_index: if told == 1 { 0 } else { proxy_index },
+            proxy_index: if known_proxies == 1 { 0 } else { proxy_index },
             limits: p.limits,
-            ..settings(told)
+            ..settings(known_proxies)
         };
-        let warm: Vec<Endpoint> = (0..p.warm).map(endpoint).collect();
+        let warm: Vec<Endpoint> = (0..p.warm_endpoints).map(endpoint).collect();
         let begin = match knowledge {
             Knowledge::Later(after) => after,
             _ => 0,
         };
         let all = |now: Millis| {
-            let since = Some(now - begin as f64);
-            let cold = (0..p.cold).map(|k| Endpoint {
-                started_at: since,
+            let started_at = Some(now - begin as f64);
+            let warming = (0..p.warming_endpoints).map(|k| Endpoint {
+                started_at,
                 ..endpoint(1000 + k)
             });
-            warm.iter().cloned().chain(cold).collect::<Vec<_>>()
+            warm.iter().cloned().chain(warming).collect::<Vec<_>>()
         };
         let mut harness = if matches!(knowledge, Knowledge::All | Knowledge::Alone) {
             let mut harness = Harness::seeded(settings, warm.clone(), chance.u64(..));
             learn(&mut harness, &mut chance);
-            if told != p.proxies {
+            if known_proxies != p.proxies {
                 harness.handle(Event::ProxyCount {
                     proxy_index,
                     proxy_count: p.proxies,
@@ -117,9 +117,9 @@
                 actions.extend(harness.handle(request(id, usize::from(heavy), 3000.0)));
             }
             let now = harness.now;
-            let (over, still) = out.into_iter().partition::<Vec<_>, _>(|o| o.0 <= now);
-            out = still;
-            for (_, id, latency) in over {
+            let (ended, in_flight) = out.into_iter().partition::<Vec<_>, _>(|o| o.0 <= now);
+            out = in_flight;
+            for (_, id, latency) in ended {
                 actions.extend(harness.handle(attempt_ended(id, 0, latency, Outcome::Served)));
             }
             for (id, to) in forwarded(&actions) {
@@ -155,14 +155,19 @@
     let l = &p.limits;
     let window = (l.overload_window as u64 / STEP) as usize;
     let mut worst = (0.0, 0, 0.0);
-    for server in sums {
+    for endpoint in sums {
         // Only while it is warming up.
-        let cold = (l.warm_up as u64 / STEP) as usize;
-        for (from, sent) in server[..cold.min(server.len())].windows(window).enumerate() {
-            let age = (from as u64 * STEP) as f64 / l.warm_up;
-            let warmth =
-                (l.initial_capacity_fraction + (1.0 - l.initial_capacity_fraction) * age).min(1.0);
-            let n = l.overload_multiple * warmth * CORES / mean_work() * l.overload_window;
+        let warm_up_steps = (l.warm_up as u64 / STEP) as usize;
+        for (from, sent) in endpoint[..warm_up_steps.min(endpoint.len())]
+            .windows(window)
+            .enumerate()
+        {
+            let warm_up_fraction = (from as u64 * STEP) as f64 / l.warm_up;
+            let capacity_fraction = (l.initial_capacity_fraction
+                + (1.0 - l.initial_capacity_fraction) * warm_up_fraction)
+                .min(1.0);
+            let n =
+                l.overload_multiple * capacity_fraction * CORES / mean_work() * l.overload_window;
             let part = sent.iter().sum::<f64>() / (n + 2.0 * n.sqrt() + 2.0);
             if part > worst.0 {
                 worst = (part, from as u64 * STEP, n);
@@ -172,12 +177,17 @@
     worst
 }
 
-fn limits(start_capacity: f64, cold: Millis, fall_multiple: f64, fall: Millis) -> Limits {
+fn limits(
+    initial_capacity_fraction: f64,
+    warm_up: Millis,
+    overload_multiple: f64,
+    overload_window: Millis,
+) -> Limits {
     Limits {
-        initial_capacity_fraction: start_capacity,
-        warm_up: cold,
-        overload_multiple: fall_multiple,
-        overload_window: fall,
+        initial_capacity_fraction,
+        warm_up,
+        overload_multiple,
+        overload_window,
         max_attempts: 4,
     }
 }
@@ -199,11 +209,10 @@
                 Traffic::Heavy,
             ] {
                 for seed in 0..(60 / u64::from(proxies)).clamp(1, 4) {
-                    let (warm, cold) = (1, 3);
                     let p = Scenario {
                         proxies,
-                        warm,
-                        cold,
+                        warm_endpoints: 1,
+                        warming_endpoints: 3,
                         limits,
                         traffic,
                         knowledge,
@@ -223,7 +232,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
     assert!(
         largest > 0.4,
-        "{largest}: what is played asks little of them"
+        "at most {largest} of a budget was used: the scenarios don't test it"
     );
 }
 
