--- a/crates/balancer/src/availability.rs
+++ b/crates/balancer/src/availability.rs
@@ -18,8 +18,8 @@
 const BORROWED_SLOT_BANDS: usize = 3;
 /// Part of a slot that must be free for a request on another proxy's slot.
 const BORROWED_SLOT_MARGIN: f64 = 0.5;
-/// Least capacity in the choice of homes.
-const MIN_AFFINITY_CAPACITY: f64 = 1e-6;
+/// Least available weight in the choice of homes.
+const MIN_AVAILABLE_WEIGHT: f64 = 1e-6;
 
 /// Free slot at an endpoint.
 struct FreeSlot {
@@ -47,8 +47,8 @@
             zones: self.gossip.zones(),
         };
         self.concurrency.resize(endpoint, cores, pooled, &owners);
-        let capacity = endpoint.entry.weight * endpoint.slow_start.capacity_fraction();
-        endpoint.affinity_factor = 1.0 / capacity.max(MIN_AFFINITY_CAPACITY);
+        let available_weight = endpoint.entry.weight * endpoint.slow_start.capacity_fraction();
+        endpoint.affinity_factor = 1.0 / available_weight.max(MIN_AVAILABLE_WEIGHT);
     }
 
     /// Recomputes the cost and speed band of an endpoint that has this fraction of its capacity, records the fraction
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -4,7 +4,7 @@
 //!
 //! | question | place |
 //! | --- | --- |
-//! | does idempotency allow another attempt, and is one left | `may_repeat` |
+//! | do idempotency and body allow another attempt, and is one left | `may_repeat` |
 //! | is there time and budget for one | `attempts`, `State::end_attempt` |
 //! | how long repeats are dropped, and by which endpoints | `deduplication` |
 //! | which endpoint gets it | `endpoint_selection`, `State::select_for_repeat` |
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -62,9 +62,9 @@
     pub initial_capacity_fraction: f64,
     /// Span after which a started endpoint has its full capacity at the latest.
     pub warm_up: Millis,
-    /// Multiple of its current capacity above which a warming endpoint is overloaded...
+    /// Multiple of its current capacity: a warming endpoint that gets more for the overload window is overloaded.
     pub overload_multiple: f64,
-    /// ...if the excess lasts for this span.
+    /// Span for which load above that multiple overloads a warming endpoint.
     pub overload_window: Millis,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -22,7 +22,8 @@
 
 /// Slow start of an endpoint, as this proxy sees it.
 pub(crate) struct SlowStart {
-    /// The endpoint list has named a start of its process. Never cleared, however old the process is.
+    /// The endpoint list has named a start of its process or shown a new one. Never cleared, however old the process
+    /// is.
     start_named: bool,
     capacity_fraction: f64,
     budget: SlowStartBudget,
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -60,7 +60,7 @@
         let class = request.class;
         let least_ejection = SILENCE_MULTIPLE * self.expected_latency(request);
         let endpoint = request.attempts[attempt].endpoint;
-        let hangs = self.silence_shows_hang(request, &request.attempts[attempt], now);
+        let hangs = self.shows_hang(request, &request.attempts[attempt], now);
         self.judge_endpoint(endpoint, class, Outcome::TimedOut, now);
         if hangs {
             // Follows the judgement, which may just have ejected the endpoint: then this replaces its ejection by one
@@ -74,7 +74,7 @@
     }
 
     /// Returns true if silence of an attempt shows that its endpoint hangs, and it is not ejected yet.
-    fn silence_shows_hang(&self, request: &Request, silent: &Attempt, now: Millis) -> bool {
+    fn shows_hang(&self, request: &Request, silent: &Attempt, now: Millis) -> bool {
         let endpoint = &self.endpoints[silent.endpoint];
         let health = &endpoint.health;
         self.outliers.silence_shows_hang(endpoint.in_flight.own)
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -13,19 +13,19 @@
 fn an_idempotent_request_behind_a_long_queue_is_rejected_on_arrival() {
     let mut harness = Harness::new(settings(100), (0..24).map(endpoint).collect());
     harness.train(0, 50, |_| 60.0);
-    let ask = |harness: &mut Harness, first: u64, n: u64, class| {
+    let rejected_of = |harness: &mut Harness, first: u64, n: u64, class| {
         (first..first + n)
             .map(|id| final_answers(&harness.handle(request(id, class, 3000.0))))
             .sum::<usize>()
     };
     // Four are in flight for 60 ms each: in half the objective of 800 ms about 27 are forwarded.
-    let rejected = ask(&mut harness, 1000, 60, 0);
+    let rejected = rejected_of(&mut harness, 1000, 60, 0);
     assert!(
         (20..=40).contains(&rejected),
         "{rejected} of 60 idempotent requests rejected"
     );
     assert_eq!(
-        ask(&mut harness, 2000, 10, 1),
+        rejected_of(&mut harness, 2000, 10, 1),
         0,
         "non-idempotent requests are queued"
     );
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -26,11 +26,11 @@
 
 #[test]
 fn a_few_slow_endpoints_take_no_slots_from_others_of_their_type() {
-    let told = Settings {
+    let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(1)
     };
-    let mut harness = Harness::new(told, (1..=10).map(endpoint).collect());
+    let mut harness = Harness::new(with_gossip, (1..=10).map(endpoint).collect());
     harness.train(0, 300, |_| 40.0);
     let (sent, _) = harness.run(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
     // Six slots, 40 ms each, for 20 s: none may be lost.
@@ -41,7 +41,7 @@
 #[test]
 fn queueing_at_single_cores_takes_no_slots_from_other_machine_types() {
     // Single cores that hold two requests look slow, so that others seem to have few cores.
-    let told = Settings {
+    let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(2)
     };
@@ -57,7 +57,7 @@
         })
         .chain((11..=14).map(big))
         .collect();
-    let mut harness = Harness::new(told, list);
+    let mut harness = Harness::new(with_gossip, list);
     // A second request at a single core waits for the first.
     let (_, out) = harness.run(60_000, 1, |to, before| {
         if to > 10 {
@@ -76,7 +76,7 @@
 #[test]
 fn an_unmeasured_machine_type_gets_half_its_slots() {
     // Endpoints that are crowded from the start must not pass for uncrowded.
-    let told = Settings {
+    let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(1)
     };
@@ -84,12 +84,17 @@
         weight: 8.0,
         ..endpoint(1)
     }];
-    let first = burst(&mut Harness::new(told.clone(), list.clone()), 1000, 20).len();
+    let first = burst(
+        &mut Harness::new(with_gossip.clone(), list.clone()),
+        1000,
+        20,
+    )
+    .len();
     assert!(
         (4..=6).contains(&first),
         "half of 8.8 slots at first: {first}"
     );
-    let mut harness = Harness::new(told, list);
+    let mut harness = Harness::new(with_gossip, list);
     harness.train(0, 30, |_| 50.0);
     harness.advance(2000.0);
     let later = burst(&mut harness, 2000, 20).len();
@@ -261,7 +266,7 @@
 #[test]
 fn slots_are_divided_anew_when_a_proxy_reports_its_zone() {
     // The cached count of own slots must not outlive the zones that it was counted by.
-    let told = |proxies, proxy_index, zone| Settings {
+    let with_gossip = |proxies, proxy_index, zone| Settings {
         gossip_enabled: true,
         proxy_index,
         zone: Some(ZoneId(zone)),
@@ -274,7 +279,7 @@
         })
         .collect();
     let report = |proxy_index, zone| {
-        let mut other = Harness::new(told(2, proxy_index, zone), endpoints.clone());
+        let mut other = Harness::new(with_gossip(2, proxy_index, zone), endpoints.clone());
         let actions: Vec<Action> = (0..50).flat_map(|_| other.advance(20.0)).collect();
         actions.into_iter().find_map(|a| match a {
             Action::Broadcast(bytes) => Some(bytes),
@@ -283,7 +288,7 @@
     };
     // All endpoints and this proxy are in zone 0. The other proxy owns slots only if it is there too.
     let mut shares = [0, 1].map(|zone| {
-        let mut harness = Harness::new(told(2, 0, 0), endpoints.clone());
+        let mut harness = Harness::new(with_gossip(2, 0, 0), endpoints.clone());
         harness.train(0, 400, |_| 40.0);
         let bytes = report(1, zone).expect("it broadcasts a report");
         for _ in 0..80 {
--- a/crates/balancer/tests/concurrency_window.rs
+++ b/crates/balancer/tests/concurrency_window.rs
@@ -51,7 +51,7 @@
         (0..40).map(endpoint).collect(),
     );
     harness.advance(500.0);
-    let ask = |id| Event::Request {
+    let request_event = |id| Event::Request {
         id: RequestId(id),
         class: ClassId(1),
         tenant: None,
@@ -61,7 +61,7 @@
         body_complete: true,
     };
     let sent: usize = (0..200)
-        .map(|id| forwarded(&harness.handle(ask(id))).len())
+        .map(|id| forwarded(&harness.handle(request_event(id))).len())
         .sum();
     // Its equal part of about 104 slots is under three.
     assert!((4..=9).contains(&sent), "{sent} in flight at once");
@@ -200,20 +200,20 @@
 
 #[test]
 fn a_load_report_is_converted_to_requests_per_core() {
-    let told = |in_flight, queued| LoadReport { in_flight, queued };
-    assert_eq!(told(None, None).per_core(2.0), None);
+    let report = |in_flight, queued| LoadReport { in_flight, queued };
+    assert_eq!(report(None, None).per_core(2.0), None);
     assert_eq!(
-        told(Some(6.0), Some(40.0)).per_core(2.0),
+        report(Some(6.0), Some(40.0)).per_core(2.0),
         Some(3.0),
         "requests in flight count if reported"
     );
     assert_eq!(
-        told(None, Some(6.0)).per_core(2.0),
+        report(None, Some(6.0)).per_core(2.0),
         Some(4.0),
         "one request per core is added to the queued ones"
     );
     assert_eq!(
-        told(None, Some(0.0)).per_core(2.0),
+        report(None, Some(0.0)).per_core(2.0),
         Some(0.0),
         "an empty queue says nothing of requests in flight"
     );
--- a/crates/balancer/tests/endpoint_selection.rs
+++ b/crates/balancer/tests/endpoint_selection.rs
@@ -61,7 +61,7 @@
             },
             (0..12).map(endpoint).collect(),
         );
-        let ask = |id, key| Event::Request {
+        let request_with_key = |id, key| Event::Request {
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
@@ -72,7 +72,7 @@
         };
         let mut homes = vec![];
         for key in 1..9 {
-            homes.push(forwarded(&harness.handle(ask(key, key)))[0].1);
+            homes.push(forwarded(&harness.handle(request_with_key(key, key)))[0].1);
             harness.handle(attempt_ended(key, 0, 0.0, Outcome::Served));
         }
         homes
--- a/crates/balancer/tests/health_snapshot.rs
+++ b/crates/balancer/tests/health_snapshot.rs
@@ -60,7 +60,7 @@
         }
         harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
     }
-    panic!("the second endpoint was never ejected");
+    panic!("no attempt was forwarded to the second endpoint");
 }
 
 #[test]
