--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -30,20 +30,21 @@
         timeout: Millis,
         /// Expected work on a standard core, if known.
         expected_work: Option<Millis>,
-        /// True if the whole body has arrived. Otherwise it is streamed to the endpoint, and
+        /// True if the whole body has arrived from the client. Otherwise it is streamed to the endpoint, and
         /// [`Event::BodyComplete`] follows.
         body_complete: bool,
     },
-    /// The front end rejects a request as its tenant exceeds its share of the process. The request gets its one
-    /// final answer and puts no load on endpoints.
-    QuotaRejected {
+    /// The front end refuses a request as its tenant exceeds its share of the process; not to be confused with a
+    /// tenant's [quota](crate::Tenant::quota_per_second). The request is rejected at once and puts no load on
+    /// endpoints.
+    ProcessShareExceeded {
         /// Identifies the request.
         id: RequestId,
         /// Time after which the front end expects to have capacity.
         retry_after: Millis,
     },
     /// The last byte of a streamed body has been sent to an endpoint: the endpoint can process the request from now
-    /// on.
+    /// on. Until then the module times no attempt of the request; the caller ends an upload that stalls.
     BodyComplete {
         /// Identifies the request.
         id: RequestId,
@@ -94,7 +95,8 @@
         latency: Millis,
         /// Result of the attempt.
         outcome: Outcome,
-        /// True if the request is finished.
+        /// True if the request is finished. Must be true once [`Event::ResponseStarted`] was given for the request and
+        /// its response has ended, however it ended: this is all that keeps the request from a retry then.
         request_finished: bool,
     },
     /// The client has disconnected; no answer is due any more.
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,4 +1,14 @@
 //! Retries: which requests may be sent again, within which budget, and when an attempt is given up for a retry.
+//!
+//! Where a retry is decided:
+//!
+//! | question | place |
+//! | --- | --- |
+//! | do idempotency and body allow another attempt, and is one left | `may_repeat` |
+//! | is there time and budget for one | `attempts`, `State::end_attempt` |
+//! | how long repeats are dropped, and by which endpoints | `deduplication` |
+//! | which endpoint gets it | `endpoint_selection`, `State::select_for_repeat` |
+//! | when an attempt times out early for one | `forwarding`, `State::attempt_timeout`; `LostResponses` |
 
 use crate::ewma::Ewma;
 use crate::request::Request;
@@ -59,7 +69,11 @@
 
 /// Returns the bounds on repeats for a request with an idempotency key that may have run.
 pub(crate) fn deduplication(request: &Request) -> Option<Deduplication> {
-    let Idempotency::IdempotencyKey { scope, window } = request.idempotency else {
+    let Idempotency::IdempotencyKey {
+        scope,
+        deduplication_window,
+    } = request.idempotency
+    else {
         return None;
     };
     let first = request
@@ -69,7 +83,7 @@
     Some(Deduplication {
         endpoint: first.endpoint,
         scope,
-        until: first.sent_at + window,
+        until: first.sent_at + deduplication_window,
     })
 }
 
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -26,22 +26,22 @@
 
 #[test]
 fn a_few_slow_endpoints_take_no_slots_from_others_of_their_type() {
-    let told = Settings {
+    let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(1)
     };
-    let mut harness = Harness::new(told, (1..=10).map(endpoint).collect());
+    let mut harness = Harness::new(with_gossip, (1..=10).map(endpoint).collect());
     harness.train(0, 300, |_| 40.0);
     let (sent, _) = harness.run(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
-    // Six slots, 40 ms each, for 20 s: none is given up.
+    // Six slots, 40 ms each, for 20 s: none may be lost.
     let taken = sent.iter().filter(|s| s.1 > 7).count();
-    assert!(taken >= 2900, "the healthy took {taken}");
+    assert!(taken >= 2900, "{taken} went to the healthy endpoints");
 }
 
 #[test]
 fn queueing_at_single_cores_takes_no_slots_from_other_machine_types() {
     // Single cores that hold two requests look slow, so that others seem to have few cores.
-    let told = Settings {
+    let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(2)
     };
@@ -57,7 +57,7 @@
         })
         .chain((11..=14).map(big))
         .collect();
-    let mut harness = Harness::new(told, list);
+    let mut harness = Harness::new(with_gossip, list);
     // A second request at a single core waits for the first.
     let (_, out) = harness.run(60_000, 1, |to, before| {
         if to > 10 {
@@ -66,14 +66,17 @@
             100.0 + 300.0 * before as f64
         }
     });
-    let held = out.iter().filter(|&&to| to > 10).count();
-    assert!(held >= 12, "four servers of four cores each hold {held}");
+    let in_flight = out.iter().filter(|&&to| to > 10).count();
+    assert!(
+        in_flight >= 12,
+        "{in_flight} in flight at four endpoints of four cores each"
+    );
 }
 
 #[test]
 fn an_unmeasured_machine_type_gets_half_its_slots() {
     // Endpoints that are crowded from the start must not pass for uncrowded.
-    let told = Settings {
+    let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(1)
     };
@@ -81,18 +84,23 @@
         weight: 8.0,
         ..endpoint(1)
     }];
-    let first = burst(&mut Harness::new(told.clone(), list.clone()), 1000, 20).len();
+    let first = burst(
+        &mut Harness::new(with_gossip.clone(), list.clone()),
+        1000,
+        20,
+    )
+    .len();
     assert!(
         (4..=6).contains(&first),
         "half of 8.8 slots at first: {first}"
     );
-    let mut harness = Harness::new(told, list);
+    let mut harness = Harness::new(with_gossip, list);
     harness.train(0, 30, |_| 50.0);
     harness.advance(2000.0);
     let later = burst(&mut harness, 2000, 20).len();
     assert!(
         (8..=9).contains(&later),
-        "all of them once the kind is measured: {later}"
+        "all of them once the machine type has responses: {later}"
     );
 }
 
@@ -119,7 +127,7 @@
     // Before any message has arrived, and with 480 requests for about 50 slots at once.
     let (most, all) = (*at.iter().max().unwrap(), at.iter().sum::<u32>());
     assert!((20..=200).contains(&all), "{all} sent in all: {at:?}");
-    assert!(most <= 20, "{most} at one server: {at:?}");
+    assert!(most <= 20, "{most} at one endpoint: {at:?}");
 }
 
 #[test]
@@ -143,12 +151,12 @@
         let sent = burst(&mut harness, 0, 30);
         assert!(
             sent.len() <= 20,
-            "a small part of the fleet only: {}",
+            "only a small part of the endpoints: {}",
             sent.len()
         );
         without += usize::from(sent.is_empty());
     }
-    assert!(without <= 2, "{without} of 50 proxies have no server");
+    assert!(without <= 2, "{without} of 50 proxies own no slot");
 }
 
 #[test]
@@ -179,7 +187,10 @@
     }
     // Fractional slots are rounded at random, so that some endpoints have two.
     let shared = holders.values().filter(|n| **n > 1).count();
-    assert!(shared <= 40, "{shared} of 160 servers are held by several");
+    assert!(
+        shared <= 40,
+        "{shared} of 160 endpoints are shared by several proxies"
+    );
 }
 
 #[test]
@@ -221,20 +232,20 @@
     };
     // A request each 8 ms that takes 120 ms anywhere: 15 at a time.
     let calm = out_at_once(|_, _| 120.0);
-    assert!(calm >= 14, "{calm} are out at once");
+    assert!(calm >= 14, "{calm} are in flight at once");
     // One core each: a further request slows all others there.
     let crowded = out_at_once(|_, before| 120.0 * (1.0 + before as f64));
-    assert!(crowded <= 10, "{crowded} are out at once");
+    assert!(crowded <= 10, "{crowded} are in flight at once");
 }
 
 #[test]
 fn the_first_responses_of_a_machine_type_set_no_baseline() {
     // Under load the shortest requests end first; as a baseline they would make usual latencies look crowded.
-    let kind = |id| Endpoint {
+    let two_cores = |id| Endpoint {
         machine_type: Some(MachineTypeId(u32::from(id > 6))),
         ..endpoint(id)
     };
-    let mut harness = Harness::new(settings(1), (1..=12).map(kind).collect());
+    let mut harness = Harness::new(settings(1), (1..=12).map(two_cores).collect());
     let ended = std::cell::Cell::new(0);
     let (sent, _) = harness.run(6000, 4, |to, before| {
         ended.set(ended.get() + u32::from(to <= 6));
@@ -255,20 +266,20 @@
 #[test]
 fn slots_are_divided_anew_when_a_proxy_reports_its_zone() {
     // The cached count of own slots must not outlive the zones that it was counted by.
-    let told = |proxies, proxy_index, zone| Settings {
+    let with_gossip = |proxies, proxy_index, zone| Settings {
         gossip_enabled: true,
         proxy_index,
         zone: Some(ZoneId(zone)),
         ..settings(proxies)
     };
-    let servers: Vec<Endpoint> = (1..=40)
+    let endpoints: Vec<Endpoint> = (1..=40)
         .map(|id| Endpoint {
             weight: 8.0,
             ..endpoint(id)
         })
         .collect();
-    let word = |proxy_index, zone| {
-        let mut other = Harness::new(told(2, proxy_index, zone), servers.clone());
+    let report = |proxy_index, zone| {
+        let mut other = Harness::new(with_gossip(2, proxy_index, zone), endpoints.clone());
         let actions: Vec<Action> = (0..50).flat_map(|_| other.advance(20.0)).collect();
         actions.into_iter().find_map(|a| match a {
             Action::Broadcast(bytes) => Some(bytes),
@@ -277,11 +288,11 @@
     };
     // All endpoints and this proxy are in zone 0. The other proxy owns slots only if it is there too.
     let mut shares = [0, 1].map(|zone| {
-        let mut harness = Harness::new(told(2, 0, 0), servers.clone());
+        let mut harness = Harness::new(with_gossip(2, 0, 0), endpoints.clone());
         harness.train(0, 400, |_| 40.0);
-        let bytes = word(1, zone).expect("it tells");
+        let bytes = report(1, zone).expect("it broadcasts a report");
         for _ in 0..80 {
-            harness.advance(20.0); // each server's slots are looked at again
+            harness.advance(20.0); // the slots of all endpoints are reviewed
             harness.handle(Event::Gossip {
                 from: 1,
                 bytes: bytes.clone(),
@@ -292,6 +303,6 @@
     let [together, alone] = [0, 1].map(|i| burst(&mut shares[i], 10_000, 600).len());
     assert!(
         alone > together,
-        "{alone} slots are free where the other stands elsewhere, {together} together"
+        "{alone} own slots with the other proxy in another zone, {together} in the same"
     );
 }
