--- a/crates/canvascart/tests/source_rules.rs
+++ b/crates/canvascart/tests/source_rules.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 /// Packages under these rules; docs/ROADMAP.md lists the others.
-const FINISHED: [&str; 0] = [];
+const FINISHED: [&str; 2] = ["cluster-runtime", "startup"];
 
 const MAX_LINES: usize = 500;
 
