--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/health_transfer.rs
@@ -1,4 +1,5 @@
-//! Taking and restoring health snapshots. Decides nothing.
+//! Transfer of endpoint health between instances of the module: takes health snapshots of the state and restores
+//! them. Decides nothing. The snapshot's types are in `health_snapshot`.
 
 use crate::endpoint::EndpointRecord;
 use crate::health_snapshot::{EndpointHealth, HealthSnapshot};
@@ -43,7 +44,7 @@
     /// Restores a snapshot for endpoints that are known by now. Health of a former process of an endpoint is void.
     pub fn restore_health(&mut self, snapshot: &HealthSnapshot, now: Millis) {
         for index in self.restore_records(snapshot) {
-            self.update_cost(index, self.capacity_fraction(index, now), now);
+            self.refresh_endpoint(index, self.capacity_fraction(index, now), now);
         }
     }
 
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -4,6 +4,20 @@
 //! Health is judged from a mean of failures against a baseline: the fraction that fails at healthy endpoints too. An
 //! ejection lasts for a backoff that doubles with each failed return. If nearly all endpoints look unhealthy, ejections
 //! are not believed (panic threshold). Attempts and their timeouts are handled elsewhere.
+//!
+//! Where an endpoint is ejected and how it returns:
+//!
+//! | event | place | effect |
+//! | --- | --- | --- |
+//! | failure mean above its limit | `Health::record` | ejection, for all classes or for one |
+//! | silent attempt that shows a hang | `stall_detection`, `HealthRecord::eject_hanging` | ejection for all classes |
+//! | ejected by several peers, no response here | `gossip::peers_confirm_ejection` | not open, without an ejection here |
+//! | end of the ejection | `Health::is_ejected` | open again on probation, one request at a time (`availability`) |
+//! | late response, failure mean below its limit | `Health::record_success` | the ejection ends at once |
+//! | failure mean well below its limit | `Health::record_success` | end of probation, least backoff |
+//! | start of a new process | `endpoint_list`, `HealthRecord::reset` | all is forgotten |
+//! | panic | `OutlierDetector::review`, `availability` | ejections don't count, except for overload |
+//! | nearly all ejected for one class | `OutlierDetector::is_ejected_for` | ejections for that class don't count |
 
 use crate::ewma::Ewma;
 use crate::health_snapshot::Ejection;
@@ -11,13 +25,15 @@
 
 /// First backoff.
 pub(crate) const MIN_BACKOFF: Millis = 250.0;
-/// Longest backoff: a recovered endpoint is found within this span.
+/// Longest backoff. An ejection may last longer: its length is the backoff, extended for rare requests, for a single
+/// class and by a random factor.
 pub(crate) const MAX_BACKOFF: Millis = 4000.0;
 
 /// Longest ejection in intervals between two requests of this proxy to the endpoint, if that is longer.
 const MAX_BACKOFF_INTERVALS: f64 = 4.0;
-/// Random variation of an ejection, as factors of its length.
+/// Least random factor on the length of an ejection.
 const MIN_JITTER: f64 = 0.75;
+/// Span of that factor.
 const JITTER_SPAN: f64 = 0.5;
 /// Factor by which an ejection for one class is longer, as each trial may cost a request.
 const CLASS_EJECTION_FACTOR: f64 = 4.0;
@@ -25,9 +41,15 @@
 const FAILURE_WEIGHT: f64 = 0.3;
 /// Weight of a failed connection attempt: no process answers, so one ejects the endpoint.
 const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
+/// Weight of a successful attempt.
+const SUCCESS_WEIGHT: f64 = FAILURE_WEIGHT / 2.0;
+/// Fraction of the limit for ejection below which the failure mean ends probation.
+const PROBATION_LIMIT_FRACTION: f64 = 0.5;
+/// Factor on the backoff for each further ejection.
+const BACKOFF_FACTOR: f64 = 2.0;
 /// Failure mean above which an endpoint is ejected where others hardly fail.
 const MIN_FAILURE_LIMIT: f64 = 0.4;
-/// Probability of a row of failures that is taken for no chance.
+/// Probability of a row of failures below which it is not taken for chance.
 const CHANCE_LIMIT: f64 = 1e-4;
 /// Largest baseline that excuses failures.
 const MAX_BASELINE: f64 = 0.5;
@@ -39,13 +61,18 @@
 const NOTABLE_FAILURE_MEAN: f64 = 0.2;
 /// Fraction of ejected endpoints above which ejections are not believed.
 const PANIC_FRACTION: f64 = 0.9;
-/// The same while fewer than this fraction of attempts succeed.
+/// The same while few attempts succeed.
 const PANIC_FRACTION_LOW_SUCCESS: f64 = 0.5;
+/// Fraction of successful attempts below which few succeed.
 const PANIC_SUCCESS_MEAN: f64 = 0.5;
 /// Attempts over which success is averaged.
 const SUCCESS_SAMPLES: f64 = 100.0;
 /// Baseline below which one silent attempt shows that the endpoint hangs.
 const HANG_BASELINE: f64 = 0.003;
+/// Least baseline in formulas.
+const MIN_BASELINE: f64 = 1e-9;
+/// Least arrival rate, per ms, in formulas.
+const MIN_ARRIVAL_RATE: f64 = 1e-9;
 
 /// Result of an attempt as a sample of its endpoint's health.
 pub(crate) struct HealthSample {
@@ -59,7 +86,7 @@
     pub jitter: f64,
 }
 
-/// How often an endpoint meets the proxies.
+/// Frequency of the proxies' requests to an endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct Exposure {
     /// Interval between two requests of this proxy to one endpoint.
@@ -69,9 +96,9 @@
 }
 
 impl Exposure {
-    /// Computes the interval from the number of listed endpoints and the arrival rate at this proxy.
-    pub fn new(listed: u32, arrivals_per_ms: f64, proxy_count: u32) -> Self {
-        let interval = f64::from(listed) / arrivals_per_ms.max(1e-9);
+    /// Computes the interval from the number of endpoints that accept requests and the arrival rate at this proxy.
+    pub fn new(endpoints: u32, arrivals_per_ms: f64, proxy_count: u32) -> Self {
+        let interval = f64::from(endpoints) / arrivals_per_ms.max(MIN_ARRIVAL_RATE);
         Exposure {
             interval: interval.min(MAX_BACKOFF),
             proxy_count,
@@ -116,20 +143,20 @@
         self.ejected_until > now
     }
 
-    /// Returns true from an ejection until the endpoint has proved itself.
+    /// Returns true from an ejection until responses have lowered the failure mean enough.
     pub fn is_on_probation(&self) -> bool {
         self.on_probation
     }
 
     fn eject(&mut self, now: Millis, span: Millis) {
         self.ejected_until = now + span;
-        self.backoff = (2.0 * self.backoff).min(MAX_BACKOFF);
+        self.backoff = (BACKOFF_FACTOR * self.backoff).min(MAX_BACKOFF);
         self.on_probation = true;
     }
 
     fn record_success(&mut self, now: Millis, limit: f64) {
-        self.failure_mean *= 1.0 - FAILURE_WEIGHT / 2.0;
-        self.on_probation &= self.failure_mean > limit / 2.0;
+        self.failure_mean *= 1.0 - SUCCESS_WEIGHT;
+        self.on_probation &= self.failure_mean > PROBATION_LIMIT_FRACTION * limit;
         if !self.on_probation {
             self.backoff = MIN_BACKOFF;
         }
@@ -187,7 +214,7 @@
 /// too: the mean after a row of failures too long for chance. So resets on a path that all endpoints share say
 /// nothing against one of them.
 fn failure_limit(baseline: f64) -> f64 {
-    let row = CHANCE_LIMIT.ln() / baseline.clamp(1e-9, MAX_BASELINE).ln();
+    let row = CHANCE_LIMIT.ln() / baseline.clamp(MIN_BASELINE, MAX_BASELINE).ln();
     MIN_FAILURE_LIMIT.max(1.0 - (1.0 - FAILURE_WEIGHT).powf(row))
 }
 
@@ -315,7 +342,7 @@
         self.panic
     }
 
-    /// Returns the fraction of listed endpoints that are ejected for a class.
+    /// Returns the fraction of endpoints accepting requests that are ejected for a class.
     pub fn ejected_fraction(&self, class: usize) -> f64 {
         self.ejected_fraction_by_class[class]
     }
@@ -332,8 +359,9 @@
         in_flight > 1 || self.baseline < HANG_BASELINE
     }
 
-    /// Counts the result of an attempt in the success of all attempts.
-    pub fn record_success(&mut self, served: bool) {
+    /// Counts an ended attempt in the mean success of all attempts, on which panic depends. Every outcome but a served
+    /// one counts as no success, cancelled and unsent attempts included.
+    pub fn record_attempt(&mut self, served: bool) {
         self.success_mean += (f64::from(u8::from(served)) - self.success_mean) / SUCCESS_SAMPLES;
     }
 
@@ -355,18 +383,18 @@
         );
     }
 
-    /// Recomputes baselines, ejected fractions and the panic state from the listed endpoints.
-    pub fn review(&mut self, listed: &[&HealthRecord], now: Millis) {
+    /// Recomputes baselines, ejected fractions and the panic state from the endpoints that accept requests.
+    pub fn review(&mut self, accepting: &[&HealthRecord], now: Millis) {
         for (class, baseline) in self.baseline_by_class.iter_mut().enumerate() {
-            *baseline = baseline_of(listed.iter().map(|record| &record.by_class[class]));
+            *baseline = baseline_of(accepting.iter().map(|record| &record.by_class[class]));
         }
-        self.baseline = baseline_of(listed.iter().map(|record| &record.overall));
-        let count = listed.len() as f64 + 0.01;
+        self.baseline = baseline_of(accepting.iter().map(|record| &record.overall));
+        let count = accepting.len() as f64 + 0.01;
         for (class, fraction) in self.ejected_fraction_by_class.iter_mut().enumerate() {
             let ejected = |record: &&&HealthRecord| record.by_class[class].is_ejected(now);
-            *fraction = listed.iter().filter(ejected).count() as f64 / count;
+            *fraction = accepting.iter().filter(ejected).count() as f64 / count;
         }
-        let failing = listed
+        let failing = accepting
             .iter()
             .filter(|record| record.is_ejected_for_failures(now))
             .count() as f64;
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -1,4 +1,5 @@
-//! Queue of requests without an attempt, by class and quota, the oldest first; and their priority.
+//! Queue of requests that await their first attempt or a retry, by class and quota; and their priority. New requests
+//! are queued oldest first, retries before them.
 //!
 //! Which endpoint a request goes to, and whether it may go yet, is decided elsewhere.
 
@@ -53,6 +54,11 @@
         self.queued
     }
 
+    /// Returns true if no request is queued.
+    pub fn is_empty(&self) -> bool {
+        self.queued == 0
+    }
+
     /// Returns the number of lanes.
     pub fn lanes(&self) -> usize {
         self.lanes.len()
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -1,13 +1,16 @@
-//! Stall detection: finds attempts that stay silent for too long and endpoints that hang, and answers requests whose
-//! attempt can't be of use any more.
+//! Stall detection: finds attempts that stay silent for too long and endpoints that hang, and sets timers for the
+//! final answers of requests in flight.
 
 use crate::action::Action;
 use crate::latency_estimator::SILENCE_MULTIPLE;
 use crate::request::{Attempt, AttemptState, Request};
 use crate::state::State;
-use crate::timing::{ANSWER_LEAD, TICK};
+use crate::timing::{ANSWER_LEAD, TICK, answer_timer_token};
 use crate::types::{Millis, Outcome, RequestId};
 
+/// Ticks before a request's answer is due at which the timer for its final answer is set.
+const ANSWER_TIMER_TICKS: f64 = 1.5;
+
 impl State {
     /// Checks the attempts in flight, the latest first.
     pub fn check_in_flight(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -17,7 +20,8 @@
         }
     }
 
-    /// Checks a request in flight. While its body is streamed no endpoint can have processed it.
+    /// Checks a request in flight. While its body is streamed no endpoint can have processed it, and the caller watches
+    /// the upload; the check begins with [`Event::BodyComplete`](crate::Event::BodyComplete).
     fn check_request(&mut self, id: RequestId, now: Millis, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -34,11 +38,11 @@
         }
         let request = &self.requests[&id];
         let answered = request.status.finished || request.status.response_started;
-        let useful_until = self.useful_until(request);
-        if !answered && now + 1.5 * TICK > useful_until {
+        let answer_by = self.answer_by(request);
+        if !answered && now + ANSWER_TIMER_TICKS * TICK > answer_by {
             out.push(Action::Timer {
-                token: id.0 + 1,
-                at: useful_until - ANSWER_LEAD,
+                token: answer_timer_token(id),
+                at: answer_by - ANSWER_LEAD,
             });
         }
     }
@@ -50,43 +54,41 @@
             / self.capacity_fraction(attempt.endpoint, now)
     }
 
-    /// Blames the endpoint of a silent attempt, ejects it if it hangs, and releases the slot for other classes.
+    /// Handles an attempt that has become silent: judges its endpoint, ejects it if it hangs, and releases the slot.
     fn record_silence(&mut self, id: RequestId, attempt: usize, now: Millis) {
         let request = &self.requests[&id];
         let class = request.class;
-        let expected_latency = self.expected_latency(request);
-        let silent = &request.attempts[attempt];
-        let silence = self.silence_limit(request, silent, now);
-        let index = silent.endpoint;
-        let to_warming_endpoint = silent.to_warming_endpoint;
-        let endpoint = &self.endpoints[index];
-        let hangs = self.outliers.silence_shows_hang(endpoint.in_flight.own)
-            && !endpoint.health.overall().is_ejected(now)
-            && endpoint.health.stalled_for(now) > silence;
-        self.judge_endpoint(index, class, Outcome::TimedOut, now);
-        let exposure = self.exposure();
-        let endpoint = &mut self.endpoints[index];
+        let least_ejection = SILENCE_MULTIPLE * self.expected_latency(request);
+        let endpoint = request.attempts[attempt].endpoint;
+        let hangs = self.shows_hang(request, &request.attempts[attempt], now);
+        self.judge_endpoint(endpoint, class, Outcome::TimedOut, now);
         if hangs {
-            let least = SILENCE_MULTIPLE * expected_latency;
-            endpoint.health.eject_hanging(now, exposure, least);
+            // Follows the judgement, which may just have ejected the endpoint: then this replaces its ejection by one
+            // from the doubled backoff, and doubles that again.
+            let exposure = self.exposure();
+            let health = &mut self.endpoints[endpoint].health;
+            health.eject_hanging(now, exposure, least_ejection);
         }
-        endpoint.in_flight.remove_own();
-        self.in_flight.record_silence(to_warming_endpoint);
-        let request = self.requests.get_mut(&id);
-        let request = request.expect("the request was found above");
-        request.attempts[attempt].state = AttemptState::Silent;
-        self.update_availability(index, now);
+        self.release_silent_attempt(id, attempt);
+        self.update_availability(endpoint, now);
     }
 
-    /// Returns the time at which a request stops being of use: at its latency objective, unless a late response earns
-    /// something and there is room for it.
-    pub fn useful_until(&self, request: &Request) -> Millis {
-        let class = &self.settings.classes[request.class];
-        let crowded = request.status.queued && self.queue.len() > self.in_flight.counted();
-        if class.late_weight_fraction > 0.0 && !crowded {
-            request.deadline
-        } else {
-            request.objective_at.min(request.deadline)
-        }
+    /// Returns true if silence of an attempt shows that its endpoint hangs, and it is not ejected yet.
+    fn shows_hang(&self, request: &Request, silent: &Attempt, now: Millis) -> bool {
+        let endpoint = &self.endpoints[silent.endpoint];
+        let health = &endpoint.health;
+        self.outliers.silence_shows_hang(endpoint.in_flight.own)
+            && !health.overall().is_ejected(now)
+            && health.stalled_for(now) > self.silence_limit(request, silent, now)
+    }
+
+    /// Marks an attempt as silent, and releases its slot at the endpoint and in the window.
+    fn release_silent_attempt(&mut self, id: RequestId, attempt: usize) {
+        let request = self.requests.get_mut(&id);
+        let request = request.expect("only requests in progress have attempts");
+        let attempt = &mut request.attempts[attempt];
+        attempt.state = AttemptState::Silent;
+        self.endpoints[attempt.endpoint].in_flight.remove_own();
+        self.in_flight.record_silence(attempt.to_warming_endpoint);
     }
 }
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -47,7 +47,7 @@
         /// Endpoints that know of each other's attempts.
         scope: DeduplicationScope,
         /// Time for which repeats are dropped, from the send of the first attempt that may have run.
-        window: Millis,
+        deduplication_window: Millis,
     },
     /// It must never run twice.
     NonIdempotent,
@@ -101,7 +101,8 @@
     Delta,
     /// Complete list: endpoints that it lacks are removed.
     Full,
-    /// Complete list as stored before a restart, possibly stale.
+    /// Complete list as stored before a restart, possibly stale. Handled like [`UpdateScope::Delta`]: it removes
+    /// nothing.
     Cached,
     /// The update failed; the previous list stays in force.
     Failed,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,25 +1,26 @@
-//! Settings for tests, a checker of the four rules, and a small world that drives a Balancer.
+//! Settings for tests, a harness that drives a `Balancer`, and a checker of the four rules.
 #![allow(dead_code)] // each test file uses its own part
 use balancer::*;
 use std::collections::{BTreeMap, HashMap};
 
-pub fn class(effect: Idempotency, aim: Millis) -> Class {
+pub fn class(idempotency: Idempotency, latency_objective: Millis) -> Class {
     Class {
-        latency_objective: aim,
-        deadline: 2.5 * aim,
+        latency_objective,
+        deadline: 2.5 * latency_objective,
         objective_work_multiple: 0.0,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
-        idempotency: effect,
+        idempotency,
     }
 }
 
-pub const KEYED: Idempotency = Idempotency::IdempotencyKey {
+pub const WITH_IDEMPOTENCY_KEY: Idempotency = Idempotency::IdempotencyKey {
     scope: DeduplicationScope::Cell,
-    window: 2000.0,
+    deduplication_window: 2000.0,
 };
 
-/// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that tell the size.
+/// Three classes (idempotent, not idempotent, with an idempotency key per cell), pushed lists, weights that are
+/// capacity.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
         proxy_index: 0,
@@ -28,7 +29,7 @@
         classes: vec![
             class(Idempotency::Idempotent, 800.0),
             class(Idempotency::NonIdempotent, 1200.0),
-            class(KEYED, 800.0),
+            class(WITH_IDEMPOTENCY_KEY, 800.0),
         ],
         tenants: vec![],
         over_quota_weight_fraction: 0.1,
@@ -68,46 +69,46 @@
     }
 }
 
-pub fn request(id: u64, class: usize, budget: Millis) -> Event {
+pub fn request(id: u64, class: usize, timeout: Millis) -> Event {
     Event::Request {
         id: RequestId(id),
         class: ClassId(class),
         tenant: None,
         key: None,
-        timeout: budget,
+        timeout,
         expected_work: None,
         body_complete: true,
     }
 }
 
 pub fn attempt_ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
-    let closed = outcome == Outcome::Served;
+    let request_finished = outcome == Outcome::Served;
     Event::AttemptEnded {
         request: RequestId(id),
         attempt,
         latency,
         outcome,
-        request_finished: closed,
+        request_finished,
     }
 }
 
-/// A Balancer whose timers are kept and fired by harness.
+/// `Balancer` with simulated time and timers.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    /// Of how many keys `run` asks in turn; 0 if requests have none.
+    /// Number of keys that requests of `run` have in turn; 0 if they have none.
     pub keys: u64,
-    /// What the n-th answer tells of its server's load.
+    /// Load report of the n-th response.
     pub load: fn(usize) -> LoadReport,
     timers: Vec<(Millis, u64)>,
 }
 
 impl Harness {
-    pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
-        Harness::seeded(settings, servers, 7)
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Harness::seeded(settings, endpoints, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Endpoint>, seed: u64) -> Self {
+    pub fn seeded(settings: Settings, endpoints: Vec<Endpoint>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed);
         let mut harness = Harness {
             balancer,
@@ -116,11 +117,11 @@
             load: |_| LoadReport::default(),
             timers: vec![],
         };
-        harness.handle(full_update(servers));
+        harness.handle(full_update(endpoints));
         harness
     }
 
-    /// Hands in an event at the present time; returns what is to be done, timers aside.
+    /// Handles an event at the present time; returns all actions but timers.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -133,7 +134,7 @@
         out
     }
 
-    /// Lets time pass with nothing but timers.
+    /// Advances the time with no events but timers.
     pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut out = vec![];
@@ -151,8 +152,8 @@
         out
     }
 
-    /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` of one depends on its server and on
-    /// how many are there already. Returns request and server of each send, and the servers of those still out.
+    /// Offers non-idempotent requests, one every `every` ms for `span` ms; `latency` depends on the endpoint and on the
+    /// requests in flight there. Returns request and endpoint of each attempt, and the endpoints of those in flight.
     pub fn run(
         &mut self,
         span: u64,
@@ -163,7 +164,7 @@
         (all.into_iter().map(|(_, id, to)| (id, to)).collect(), still)
     }
 
-    /// The same, with the time of each send.
+    /// The same, with the time of each attempt.
     pub fn run_timed(
         &mut self,
         span: u64,
@@ -171,7 +172,7 @@
         latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(Millis, u64, u64)>, Vec<u64>) {
         let mut all = vec![];
-        let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // until when, and its latency
+        let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // request, endpoint, end, latency
         let mut answers = 0;
         for step in 0..span {
             let mut actions = self.advance(1.0);
@@ -204,7 +205,7 @@
         (all, out.iter().map(|o| o.1).collect())
     }
 
-    /// Serves requests one after the other, each in `latency(server)`, so that speeds are learnt.
+    /// Serves requests one after the other, each in `latency(endpoint)`, so that latencies are learned.
     pub fn train(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
         for id in first..first + count {
             let sent = forwarded(&self.handle(request(id, 0, 2000.0)));
@@ -218,7 +219,7 @@
     }
 }
 
-/// Request and server of each send.
+/// Returns request and endpoint of each attempt.
 pub fn forwarded(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
         Action::Forward {
@@ -229,51 +230,53 @@
     actions.iter().filter_map(pick).collect()
 }
 
-struct Sent {
-    server: u64,
+struct SentAttempt {
+    endpoint: u64,
     at: Millis,
-    over: bool,
-    ran: bool,
+    ended: bool,
+    may_have_run: bool,
 }
 
-struct Owed {
+struct PendingRequest {
     class: usize,
-    due: Millis,
-    sent: Vec<Sent>,
+    deadline: Millis,
+    attempts: Vec<SentAttempt>,
     answered: bool,
 }
 
-/// Watches every event and action of one proxy and notes each breach of the four rules.
+/// Watches all events and actions of one proxy and records each violation of the four rules.
 pub struct Checker {
     settings: Settings,
-    servers: HashMap<u64, (Endpoint, Option<Millis>)>,
-    owed: BTreeMap<u64, Owed>,
-    cold: HashMap<u64, Vec<Millis>>,
+    /// Each endpoint's entry, and the time at which its drain or removal was announced.
+    endpoints: HashMap<u64, (Endpoint, Option<Millis>)>,
+    pending: BTreeMap<u64, PendingRequest>,
+    /// Times of recent attempts at each warming endpoint.
+    attempts_while_warming: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Checker {
     pub fn new(settings: Settings, work: Millis) -> Self {
-        let (servers, owed, cold, breaches) = Default::default();
+        let (endpoints, pending, attempts_while_warming, violations) = Default::default();
         Checker {
             settings,
-            servers,
-            owed,
-            cold,
+            endpoints,
+            pending,
+            attempts_while_warming,
             work,
-            breaches,
+            violations,
         }
     }
 
-    /// The proxy was killed: nothing is owed any more.
+    /// Forgets all requests, as the proxy was killed.
     pub fn restart(&mut self) {
-        self.owed.clear();
-        self.servers.clear();
+        self.pending.clear();
+        self.endpoints.clear();
     }
 
-    fn breach(&mut self, now: Millis, text: String) {
-        self.breaches.push(format!("at {now:.1}: {text}"));
+    fn violation(&mut self, now: Millis, text: String) {
+        self.violations.push(format!("at {now:.1}: {text}"));
     }
 
     pub fn event(&mut self, now: Millis, event: &Event) {
@@ -287,23 +290,24 @@
                 endpoints: entries,
             } => {
                 for e in entries {
-                    let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == EndpointState::Up {
+                    let old = self.endpoints.get(&e.id.0).and_then(|s| s.1);
+                    let unavailable_since = if e.state == EndpointState::Up {
                         None
                     } else {
                         old.or(Some(now))
                     };
                     if self
-                        .servers
+                        .endpoints
                         .get(&e.id.0)
                         .is_some_and(|s| s.0.started_at != e.started_at)
                     {
-                        self.cold.remove(&e.id.0); // a new process has its own budget
+                        self.attempts_while_warming.remove(&e.id.0); // a new process has a new budget
                     }
-                    self.servers.insert(e.id.0, (e.clone(), told));
+                    self.endpoints
+                        .insert(e.id.0, (e.clone(), unavailable_since));
                 }
                 if *scope == UpdateScope::Full {
-                    for (id, s) in &mut self.servers {
+                    for (id, s) in &mut self.endpoints {
                         if !entries.iter().any(|e| e.id.0 == *id) {
                             s.1 = s.1.or(Some(now));
                         }
@@ -311,35 +315,32 @@
                 }
             }
             Event::Request {
-                id,
-                class,
-                timeout: budget,
-                ..
+                id, class, timeout, ..
             } => {
-                let owed = Owed {
+                let pending = PendingRequest {
                     class: class.0,
-                    due: now + budget,
-                    sent: vec![],
+                    deadline: now + timeout,
+                    attempts: vec![],
                     answered: false,
                 };
-                self.owed.insert(id.0, owed);
+                self.pending.insert(id.0, pending);
             }
             Event::AttemptEnded {
                 request,
                 attempt,
                 outcome,
-                request_finished: closed,
+                request_finished,
                 ..
             } => {
-                if let Some(o) = self.owed.get_mut(&request.0) {
-                    o.answered |= closed;
-                    if let Some(s) = o.sent.get_mut(*attempt as usize) {
-                        (s.over, s.ran) = (true, outcome.may_have_run());
+                if let Some(o) = self.pending.get_mut(&request.0) {
+                    o.answered |= request_finished;
+                    if let Some(s) = o.attempts.get_mut(*attempt as usize) {
+                        (s.ended, s.may_have_run) = (true, outcome.may_have_run());
                     }
                 }
             }
             Event::ClientDisconnected(id) => {
-                if let Some(o) = self.owed.get_mut(&id.0) {
+                if let Some(o) = self.pending.get_mut(&id.0) {
                     o.answered = true;
                 }
             }
@@ -353,10 +354,13 @@
                 request, endpoint, ..
             } => self.sent(now, request.0, endpoint.0),
             Action::Reject { request, .. } => {
-                let Some(o) = self.owed.get(&request.0) else {
-                    return self.breach(now, format!("refused {request:?}, which is not held"));
+                let Some(o) = self.pending.get(&request.0) else {
+                    return self.violation(
+                        now,
+                        format!("rejected {request:?}, which is not in progress"),
+                    );
                 };
-                let ran = o.sent.iter().any(|s| !s.over || s.ran);
+                let ran = o.attempts.iter().any(|s| !s.ended || s.may_have_run);
                 let allowed = match self.settings.classes[o.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey {
@@ -366,7 +370,7 @@
                     _ => !ran,
                 };
                 if !allowed {
-                    self.breach(now, format!("refused {request:?}, which may have run"));
+                    self.violation(now, format!("rejected {request:?}, which may have run"));
                 }
                 self.answered(now, request.0);
             }
@@ -376,26 +380,26 @@
     }
 
     fn answered(&mut self, now: Millis, id: u64) {
-        match self.owed.get_mut(&id) {
+        match self.pending.get_mut(&id) {
             Some(o) if !o.answered => o.answered = true,
-            _ => self.breach(now, format!("a second answer for {id}")),
+            _ => self.violation(now, format!("a second answer for {id}")),
         }
     }
 
     fn sent(&mut self, now: Millis, id: u64, to: u64) {
         let limits = self.settings.limits;
-        let Some((server, told)) = self.servers.get(&to).cloned() else {
-            return self.breach(now, format!("sent to {to}, which no list named"));
+        let Some((entry, unavailable_since)) = self.endpoints.get(&to).cloned() else {
+            return self.violation(now, format!("sent to {to}, which no list named"));
         };
-        if told.is_some_and(|t| now > t) {
-            self.breach(now, format!("sent to {to}, told to drain or gone"));
+        if unavailable_since.is_some_and(|t| now > t) {
+            self.violation(now, format!("sent to {to}, told to drain or gone"));
         }
-        let Some(o) = self.owed.get(&id) else {
-            return self.breach(now, format!("sent {id}, which is not held"));
+        let Some(o) = self.pending.get(&id) else {
+            return self.violation(now, format!("sent {id}, which is not in progress"));
         };
-        let effect = self.settings.classes[o.class].idempotency;
-        let out = o.sent.iter().any(|s| !s.over);
-        let ran = o.sent.iter().find(|s| !s.over || s.ran);
+        let idempotency = self.settings.classes[o.class].idempotency;
+        let out = o.attempts.iter().any(|s| !s.ended);
+        let ran = o.attempts.iter().find(|s| !s.ended || s.may_have_run);
         let mut wrong = vec![];
         if o.answered {
             wrong.push("after its answer");
@@ -403,78 +407,85 @@
         if out {
             wrong.push("twice at once");
         }
-        if o.sent.len() as u32 >= limits.max_attempts {
+        if o.attempts.len() as u32 >= limits.max_attempts {
             wrong.push("too often");
         }
-        match (effect, ran) {
+        match (idempotency, ran) {
             (Idempotency::NonIdempotent, Some(_)) => {
                 wrong.push("again though it must never run twice")
             }
             (
                 Idempotency::IdempotencyKey {
-                    scope: group,
-                    window,
+                    scope,
+                    deduplication_window,
                 },
                 Some(first),
             ) => {
-                let other = &self.servers[&first.server].0;
-                let same = match group {
+                let other = &self.endpoints[&first.endpoint].0;
+                let same = match scope {
                     DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => other.zone == server.zone,
-                    DeduplicationScope::Cell => other.cell == server.cell,
+                    DeduplicationScope::Zone => other.zone == entry.zone,
+                    DeduplicationScope::Cell => other.cell == entry.cell,
                 };
                 if !same {
-                    wrong.push("outside the group that drops its repeat");
+                    wrong.push("outside the scope that drops its repeat");
                 }
-                if now > first.at + window {
-                    wrong.push("after its repeat is forgotten");
+                if now > first.at + deduplication_window {
+                    wrong.push("after its deduplication window");
                 }
             }
             _ => {}
         }
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
-        texts.into_iter().for_each(|t| self.breach(now, t));
-        self.owed.get_mut(&id).unwrap().sent.push(Sent {
-            server: to,
-            at: now,
-            over: false,
-            ran: true,
-        });
-        if let Some(since) = server.started_at.filter(|s| now - s < limits.warm_up) {
-            let sent = self.cold.entry(to).or_default();
+        texts.into_iter().for_each(|t| self.violation(now, t));
+        self.pending
+            .get_mut(&id)
+            .unwrap()
+            .attempts
+            .push(SentAttempt {
+                endpoint: to,
+                at: now,
+                ended: false,
+                may_have_run: true,
+            });
+        if let Some(since) = entry.started_at.filter(|s| now - s < limits.warm_up) {
+            let sent = self.attempts_while_warming.entry(to).or_default();
             sent.push(now);
             sent.retain(|t| *t > now - limits.overload_window);
-            // If every proxy did the same: sure capacity over the window, plus one request each for chance.
-            let age = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
-            let part =
-                limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age;
-            let budget = limits.overload_multiple * part * server.weight * limits.overload_window;
-            let alike = f64::from(self.settings.proxy_count);
-            let push = (sent.len() as f64 - 1.0) * alike * self.work;
-            if push > budget {
-                self.breach(
+            // If all proxies did the same: guaranteed capacity over the window, plus one request each for chance.
+            let warm_up_fraction = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
+            let capacity_fraction = limits.initial_capacity_fraction
+                + (1.0 - limits.initial_capacity_fraction) * warm_up_fraction;
+            let budget = limits.overload_multiple
+                * capacity_fraction
+                * entry.weight
+                * limits.overload_window;
+            let proxies = f64::from(self.settings.proxy_count);
+            let work = (sent.len() as f64 - 1.0) * proxies * self.work;
+            if work > budget {
+                self.violation(
                     now,
-                    format!("pushed cold {to}: {push:.0} ms of work against {budget:.0}"),
+                    format!("pushed cold {to}: {work:.0} ms of work against {budget:.0}"),
                 );
             }
         }
     }
 
-    /// Looks for answers overdue.
-    pub fn look(&mut self, now: Millis) {
+    /// Checks for overdue answers.
+    pub fn check_overdue(&mut self, now: Millis) {
         let slack = 20.0;
         let late: Vec<u64> = self
-            .owed
+            .pending
             .iter()
-            .filter(|(_, o)| !o.answered && now > o.due + slack)
+            .filter(|(_, o)| !o.answered && now > o.deadline + slack)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.owed.get_mut(&id).unwrap().answered = true;
-            self.breach(now, format!("no answer for {id} in time"));
+            self.pending.get_mut(&id).unwrap().answered = true;
+            self.violation(now, format!("no answer for {id} in time"));
         }
-        self.owed
-            .retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
+        self.pending
+            .retain(|_, o| !o.answered || o.attempts.iter().any(|s| !s.ended));
     }
 }
 
--- a/crates/balancer/tests/source_rules.rs
+++ b/crates/balancer/tests/source_rules.rs
@@ -19,7 +19,7 @@
     "in_flight",
     "gossip_message",
     "state",
-    "snapshot",
+    "health_transfer",
 ];
 
 /// The files that the deploy file names as the policy.
@@ -91,6 +91,8 @@
             "rng.u",
             "Action::Forward {",
             "Action::Reject {",
+            "Action::Fail(",
+            "Action::Timer {",
         ] {
             assert!(
                 !text.contains(word),
@@ -100,6 +102,21 @@
     }
 }
 
+/// Only the encoding of messages has constants that are no policy.
+#[test]
+fn nothing_outside_the_policy_has_constants() {
+    for (name, text) in FILES
+        .iter()
+        .filter(|(name, _)| DECIDE_NOTHING.contains(name) && *name != "gossip_message")
+    {
+        let constant = text
+            .lines()
+            .map(|line| line.trim_start().trim_start_matches("pub(crate) "))
+            .find(|line| line.starts_with("const ") && !line.starts_with("const fn"));
+        assert_eq!(constant, None, "{name} is to decide nothing");
+    }
+}
+
 #[test]
 fn the_interface_is_named_at_the_top() {
     let head: String = ROOT.lines().take(8).collect();
@@ -156,7 +173,7 @@
     ("endpoint_list", include_str!("../src/endpoint_list.rs")),
     ("peer_reports", include_str!("../src/peer_reports.rs")),
     ("reconfiguration", include_str!("../src/reconfiguration.rs")),
-    ("snapshot", include_str!("../src/snapshot.rs")),
+    ("health_transfer", include_str!("../src/health_transfer.rs")),
     ("maintenance", include_str!("../src/maintenance.rs")),
     ("balancer", include_str!("../src/balancer.rs")),
 ];
