--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -18,7 +18,8 @@
         start_by: Option<Millis>,
     },
     /// Final answer: the request is rejected; the client may safely retry. This does not say that it had no effect: an
-    /// attempt may have run if the request is idempotent, or if all endpoints drop repeats by its idempotency key.
+    /// attempt may have run if the request is idempotent, or if all endpoints drop repeats by its idempotency key,
+    /// within the key's deduplication window.
     Reject {
         /// Identifies the request.
         request: RequestId,
--- a/crates/balancer/src/attempts.rs
+++ b/crates/balancer/src/attempts.rs
@@ -118,7 +118,9 @@
         }
     }
 
-    /// Handles the end of an attempt: the request is finished, queued for a retry, or answered.
+    /// Handles the end of an attempt: the request is finished, queued for a retry, or answered. Of the outcome only
+    /// [`Outcome::may_have_run`] counts for a retry. A response that has begun prevents one by `request_finished` alone. There is
+    /// time for a retry until the deadline; where late responses earn nothing it may still be shed by `answer_by`.
     pub fn end_attempt(
         &mut self,
         id: AttemptId,
--- a/crates/balancer/src/endpoint_selection.rs
+++ b/crates/balancer/src/endpoint_selection.rs
@@ -68,7 +68,8 @@
 }
 
 impl State {
-    /// Returns the home of a key: the endpoint that its requests prefer, the same at all proxies.
+    /// Returns the home of a key: the endpoint that its requests prefer, the same at all proxies. Unlike in `availability`, peers'
+    /// ejections don't count here, nor in a panic those for overload.
     pub fn home_of(&self, key: Key, now: Millis) -> Option<usize> {
         let believed = !self.outliers.is_panicking();
         let is_up = |endpoint: &EndpointRecord| {
--- a/crates/balancer/src/final_answer.rs
+++ b/crates/balancer/src/final_answer.rs
@@ -6,7 +6,7 @@
 //! | cause | decided in | answer |
 //! | --- | --- | --- |
 //! | the client's timeout is too short for an attempt | `admission`, on arrival | `reject_or_fail` |
-//! | idempotent, and the queue takes too long | `admission`, on arrival | `reject_or_fail` |
+//! | idempotent, and the queue takes too long, where proxies share slots without gossip | `admission`, on arrival | `reject_or_fail` |
 //! | queued, and too late for a response by `answer_by` | `admission`, each tick | `reject_or_fail` |
 //! | an attempt has failed and no retry is allowed | `attempts`, at its end | `reject_or_fail` |
 //! | in flight until shortly before `answer_by` | `stall_detection`, by a timer | `reject_or_fail` |
@@ -22,7 +22,7 @@
 /// Least Retry-After of a rejection beyond the process share.
 const MIN_SHARE_RETRY: Millis = 1.0;
 
-/// Returns true if a client may safely retry a request.
+/// Returns true if a client may safely retry a request. With an idempotency key this holds within its deduplication window.
 fn is_retry_safe(request: &Request) -> bool {
     match request.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: ejects endpoints that fail or stay silent, as a whole or for one class, and brings them back
-//! one request at a time.
+//! Outlier detection: ejects endpoints that fail or stay silent, as a whole or for one class, and brings them back:
+//! as a whole one request at a time, for a class at once.
 //!
 //! Health is judged from a mean of failures against a baseline: the fraction that fails at healthy endpoints too. An
 //! ejection lasts for a backoff that doubles with each failed return. If nearly all endpoints look unhealthy, ejections
@@ -15,8 +15,8 @@
 //! | end of the ejection | `Health::is_ejected` | open again on probation, one request at a time (`availability`) |
 //! | late response, failure mean below its limit | `Health::record_success` | the ejection ends at once |
 //! | failure mean well below its limit | `Health::record_success` | end of probation, least backoff |
-//! | start of a new process | `endpoint_list`, `HealthRecord::reset` | all is forgotten |
-//! | panic | `OutlierDetector::review`, `availability` | ejections don't count, except for overload |
+//! | start of a new process | `endpoint_list`, `HealthRecord::reset` | failures and ejections are forgotten |
+//! | panic | `OutlierDetector::review`, `availability` | ejections as a whole don't count, except for overload; probation and class ejections do |
 //! | nearly all ejected for one class | `OutlierDetector::is_ejected_for` | ejections for that class don't count |
 
 use crate::ewma::Ewma;
@@ -243,7 +243,7 @@
         self.by_class.resize(classes, Health::new(now));
     }
 
-    /// Forgets all failures.
+    /// Forgets failures and ejections. The last rejection for overload stays.
     pub fn reset(&mut self, now: Millis) {
         self.overall = Health::new(now);
         self.by_class.fill(Health::new(now));
--- a/crates/balancer/src/timing.rs
+++ b/crates/balancer/src/timing.rs
@@ -5,7 +5,8 @@
 /// Period of the maintenance timer, which checks queued requests and attempts in flight.
 pub(crate) const TICK: Millis = 20.0;
 
-/// Margin before a deadline within which no attempt is started: the next check could come too late.
+/// Margin before a deadline for admission, shedding and retries: the next check could come too late. A queued request may still be
+/// forwarded up to one tick inside it.
 pub(crate) const DEADLINE_MARGIN: Millis = 2.0 * TICK + 5.0;
 
 /// Time before its answer is due at which a request in flight gets its final answer.
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -46,7 +46,8 @@
     IdempotencyKey {
         /// Endpoints that know of each other's attempts.
         scope: DeduplicationScope,
-        /// Time for which repeats are dropped, from the send of the first attempt that may have run.
+        /// Time for which repeats are dropped, from the send of the first attempt that may have run; for a streamed body, from the
+        /// send of its last byte.
         deduplication_window: Millis,
     },
     /// It must never run twice.
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -15,7 +15,8 @@
     /// Too many reads wait for confirmation.
     #[error("too many calls wait")]
     TooManyReads,
-    /// A member of the joining member's name is connected, or its lease may still hold.
+    /// A member of the joining member's name has reported within a lease and its drift margin. An unlimited lease of that member is not
+    /// waited for: under `PartitionPolicy::Serve` the joining side has to know that the former process has ended.
     #[error("an instance of this name is heard, or was a short while ago")]
     NameInUse,
     /// The leader can't remove itself.
--- a/crates/cluster/src/output.rs
+++ b/crates/cluster/src/output.rs
@@ -19,7 +19,8 @@
     },
     /// Apply the effect of a committed command.
     Effect(Effect),
-    /// Replace the application's state by a snapshot's.
+    /// Replace the application's state by a snapshot's. A change that the state machine holds is to be validated, or fenced where its
+    /// phase says so, as its effect was in an entry that this member never saw.
     Restore {
         /// State machine at the snapshot.
         state_machine: StateMachine,
--- a/crates/cluster/src/rules.rs
+++ b/crates/cluster/src/rules.rs
@@ -14,7 +14,8 @@
     #[default]
     #[serde(rename = "refuse")]
     Reject,
-    /// The member goes on serving; a change waits for it, and is aborted at its deadline.
+    /// The member goes on serving under a lease without end; a change waits for it, and is aborted at its deadline. A member that has
+    /// accepted a change holds a change lease only, until it is granted an unlimited one again.
     #[serde(rename = "serve")]
     Serve,
 }
@@ -31,7 +32,8 @@
     /// Largest deviation of any clock's rate from true time, in parts per million.
     #[serde(rename = "drift")]
     pub clock_drift_ppm: u32,
-    /// Duration in microseconds after which a change that is still being validated is aborted.
+    /// Duration in microseconds after which a change that is still being validated is aborted. Each leader counts from when it first
+    /// sees the change.
     #[serde(rename = "deadline")]
     pub change_deadline: Micros,
     /// Behaviour of a member that no longer hears from a leader.
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -64,7 +64,8 @@
 pub enum Effect {
     /// Validate a change and report the result.
     Validate(Proposal),
-    /// End deciding under the present version and report it.
+    /// End deciding under the present version, then call [`Node::change_fenced`](crate::node::Node::change_fenced): until then the
+    /// lease stays.
     Fence(Proposal),
     /// Switch to a version.
     Activate {
