--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -33,18 +33,20 @@
         "the same call at another instance is the same call"
     );
     let status = fleet.status(3).unwrap();
-    let members = status["leader"]["members"].as_array().unwrap();
-    assert_eq!(members.len(), 5);
+    assert_eq!(status["leader"]["members"].as_array().unwrap().len(), 5);
     // One of another zone gets its vote before the one that it replaces loses it.
     fleet
         .wait("three that vote", |f| voters(f).len() == 3)
         .unwrap();
-    assert!(
-        members
-            .iter()
-            .all(|m| m["version"] == status["leader"]["version"]),
-        "{status}"
-    );
+    // The leader knows a member's version from its last report: a change is in effect before the next one.
+    let same_version = |f: &Fleet| {
+        let status = f.status(3).unwrap();
+        let members = status["leader"]["members"].as_array().unwrap().clone();
+        let version = &status["leader"]["version"];
+        members.len() == 5 && members.iter().all(|m| m["version"] == *version)
+    };
+    let known = fleet.wait("all report one version", same_version);
+    assert!(known.is_ok(), "{}", fleet.status(3).unwrap());
 }
 
 #[test]
@@ -218,7 +220,7 @@
     let led = |f: &Fleet| f.status(others[2]).unwrap()["leader"]["name"].is_string();
     fleet
         .wait("another leads", |f| led(f) && under_way(f))
-        .unwrap();
+        .unwrap_or_else(|e| panic!("{e}: {votes:?}, then {}", fleet.status(others[2]).unwrap()));
     assert_eq!(
         set(&fleet, others[2], 2002, "").0,
         200,
@@ -274,7 +276,7 @@
                 .call("POST", "/v1/cluster/step-down", "", &body); // until it has caught up
             f.leader() == Some(first)
         })
-        .unwrap();
+        .unwrap_or_else(|e| panic!("{e}: {}", fleet.status(other).unwrap()));
     assert_eq!(set(&fleet, first, 2002, "").0, 200);
     assert_eq!(limit(&fleet, other), 2002);
 }
