--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -10,7 +10,7 @@
 use lab::service::changes::{Known, Ledger, Planted, Play, judge, now, play, server};
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
-use together::{Directory, SOON, command, fleet, limit, set, voters};
+use together::{Directory, SOON, command, fleet, limit, set, settled_voters, voters};
 
 #[test]
 fn a_change_at_any_instance_is_seen_at_each() {
@@ -195,8 +195,8 @@
         5,
         &SOON.replace("2 s", "4 s").replace("8 s", "16 s"),
     );
+    let votes = settled_voters(&fleet);
     let leader = fleet.leader().unwrap();
-    let votes = voters(&fleet);
     let mut others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
     others.sort_by_key(|i| votes.contains(i)); // one without a vote is held back, so that another can lead
     fleet.isolate(others[0], Mode::Hold);
@@ -236,7 +236,10 @@
 #[test]
 fn one_that_led_and_lost_what_it_proposed_takes_changes_when_it_leads_again() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    // Its lease outlasts the choice of another leader: one that is not heard for a lease loses its vote.
+    let terms = SOON.replace("2 s", "6 s").replace("8 s", "16 s");
+    let fleet = fleet(&directory, 5, &terms);
+    settled_voters(&fleet);
     let first = fleet.leader().unwrap();
     let other = (0..5).find(|i| *i != first).unwrap();
     fleet.isolate(first, Mode::Cut);
--- a/crates/canvascart/tests/together/mod.rs
+++ b/crates/canvascart/tests/together/mod.rs
@@ -83,3 +83,19 @@
         .filter(|i| votes.contains(fleet.name(*i)))
         .collect()
 }
+
+/// Waits until three members in three zones have a vote, and returns them. Before that votes still move: a member of
+/// another zone gets its vote before the one that it replaces loses it.
+pub fn settled_voters(fleet: &Fleet) -> Vec<usize> {
+    let one_in_each_zone = |fleet: &Fleet| {
+        let status = fleet.status(0).unwrap();
+        let members = status["leader"]["members"].as_array();
+        let voting = members.into_iter().flatten().filter(|m| m["votes"] == true);
+        let zones: Vec<&str> = voting.filter_map(|m| m["zone"].as_str()).collect();
+        zones.len() == 3 && BTreeSet::from_iter(&zones).len() == 3
+    };
+    fleet
+        .wait("a voter in each zone", one_in_each_zone)
+        .unwrap();
+    voters(fleet)
+}
