--- a/crates/proxy/tests/settings_any.rs
+++ b/crates/proxy/tests/settings_any.rs
@@ -242,9 +242,9 @@
     }
     assert!(names.len() > 15, "{names:?}");
     let parts = [
-        "canvascart-proxy",
-        "wirehost",
-        "engine",
+        "proxy",
+        "sim-adapter",
+        "proxy-core",
         "settings",
         "capture",
         "client",
