--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -181,7 +181,7 @@
             "counter",
             help,
             ends.into_iter()
-                .zip([s.changes.in_effect as f64, s.changes.aborted as f64]),
+                .zip([s.changes.activated as f64, s.changes.aborted as f64]),
         );
         let sent = |of: fn(&MessageTotals) -> u64| {
             s.sent
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -86,7 +86,7 @@
         key,
         directory: Path::new(directory).to_owned(),
         rules,
-        log_entries: cluster.log_entries,
+        compaction_threshold: cluster.log_entries,
     })
 }
 
@@ -110,7 +110,7 @@
         let (version, entry, state) = founder.desk().found(&founded, unix_ms())?;
         Ok::<_, InitialStateError>(InitialState {
             version,
-            entry,
+            revision: entry,
             state,
         })
     });
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -5,7 +5,7 @@
 
 use ::admin_api::{Backup, Desk};
 use ::cluster::command::Member;
-use ::cluster::log_recovery::{next_era, restart_with_one_member};
+use ::cluster::log_recovery::{next_epoch, restart_with_one_member};
 use ::cluster::state_machine::StateMachine;
 use cluster_runtime::storage::{Owner, StorageError, StoredMember, new_cluster_id};
 use multi_tenant::document::{Cluster, Service};
@@ -103,7 +103,7 @@
     }
     let salvage = kept.recover().map_err(unreadable)?;
     let before = &salvage.state_machine;
-    let version = next_era(before.version);
+    let version = next_epoch(before.version);
     println!("survivor        {name}, of the cluster {old}");
     println!(
         "version         {} before, {version} afterwards",
@@ -173,7 +173,7 @@
     let at = |e: String| format!("{}: {e}", backup.display());
     let text = std::fs::read_to_string(backup).map_err(|e| at(e.to_string()))?;
     let backup = Backup::read(&text).map_err(at)?;
-    let version = next_era(backup.version);
+    let version = next_epoch(backup.version);
     println!(
         "backup          of the cluster {}, made at {} (Unix time, ms)",
         backup.cluster, backup.at_ms
--- a/crates/cluster-runtime/src/member/joining.rs
+++ b/crates/cluster-runtime/src/member/joining.rs
@@ -55,7 +55,7 @@
             seed: fastrand::u64(..),
         };
         let mut node = Node::new(&config, persisted, clock::now())?;
-        node.set_compaction_threshold(self.settings.log_entries);
+        node.set_compaction_threshold(self.settings.compaction_threshold);
         tracing::info!(
             name = identity.name,
             id = identity.id,
@@ -112,7 +112,7 @@
             name.clone(),
             founder,
             initial.version,
-            initial.entry,
+            initial.revision,
         );
         let identity = Identity {
             cluster: state_machine.cluster_id.clone(),
--- a/crates/cluster-runtime/src/member/output_handler.rs
+++ b/crates/cluster-runtime/src/member/output_handler.rs
@@ -97,7 +97,7 @@
 
     fn finish_proposal(&mut self, id: &str, outcome: &Outcome) {
         match outcome {
-            Outcome::Activated(_) => self.changes.in_effect += 1,
+            Outcome::Activated(_) => self.changes.activated += 1,
             Outcome::Aborted(_) => {
                 self.changes.aborted += 1;
                 self.notify(MemberEvent::ChangeAborted);
--- a/crates/cluster-runtime/src/member/settings.rs
+++ b/crates/cluster-runtime/src/member/settings.rs
@@ -26,7 +26,7 @@
     /// Rules of the cluster, used if this member founds it.
     pub rules: Rules,
     /// Number of entries after which the log is compacted.
-    pub log_entries: u64,
+    pub compaction_threshold: u64,
 }
 
 /// Application state with which a cluster is founded.
@@ -34,7 +34,7 @@
     /// Version of the configuration in effect.
     pub version: Version,
     /// Number of entries that the application has stored.
-    pub entry: u64,
+    pub revision: u64,
     /// Exported state of the application.
     pub state: String,
 }
--- a/crates/cluster-runtime/src/status.rs
+++ b/crates/cluster-runtime/src/status.rs
@@ -122,20 +122,20 @@
 #[serde(from = "[u64; 2]", into = "[u64; 2]")]
 pub struct ChangeTotals {
     /// Changes that took effect.
-    pub in_effect: u64,
+    pub activated: u64,
     /// Changes that were aborted.
     pub aborted: u64,
 }
 
 impl From<[u64; 2]> for ChangeTotals {
-    fn from([in_effect, aborted]: [u64; 2]) -> Self {
-        ChangeTotals { in_effect, aborted }
+    fn from([activated, aborted]: [u64; 2]) -> Self {
+        ChangeTotals { activated, aborted }
     }
 }
 
 impl From<ChangeTotals> for [u64; 2] {
     fn from(totals: ChangeTotals) -> Self {
-        [totals.in_effect, totals.aborted]
+        [totals.activated, totals.aborted]
     }
 }
 
--- a/crates/cluster/src/log_recovery.rs
+++ b/crates/cluster/src/log_recovery.rs
@@ -10,9 +10,9 @@
 use crate::persistence::PersistedState;
 use crate::state_machine::{Effect, StateMachine, Version};
 
-/// Versions of one era. A recovered cluster begins the next era, so that no version is used twice as long as fewer were given
+/// Versions of one epoch. A recovered cluster begins the next epoch, so that no version is used twice as long as fewer were given
 /// since the survivor's newest.
-pub const VERSIONS_PER_ERA: Version = 1_000_000;
+pub const VERSIONS_PER_EPOCH: Version = 1_000_000;
 
 /// Content of one member's log.
 #[derive(Clone, Debug, PartialEq)]
@@ -93,9 +93,9 @@
         .collect()
 }
 
-/// Returns the first version of the era after the one of `version`.
-pub fn next_era(version: Version) -> Version {
-    (version / VERSIONS_PER_ERA + 1) * VERSIONS_PER_ERA
+/// Returns the first version of the epoch after the one of `version`.
+pub fn next_epoch(version: Version) -> Version {
+    (version / VERSIONS_PER_EPOCH + 1) * VERSIONS_PER_EPOCH
 }
 
 /// Creates the state of a new cluster that continues from a recovered one with a single member. Raft node ids of the former
--- a/crates/cluster/src/simulation/judge.rs
+++ b/crates/cluster/src/simulation/judge.rs
@@ -39,7 +39,7 @@
     /// End of the change; none while it is under way.
     pub completion: Option<Completion>,
     /// Moment from which on no member can decide under an earlier version.
-    pub everywhere_at: Option<Micros>,
+    pub effective_everywhere_at: Option<Micros>,
 }
 
 /// Judge of a simulated cluster.
@@ -71,7 +71,7 @@
             .or_insert(ChangeProgress {
                 proposed_at: at,
                 completion: None,
-                everywhere_at: None,
+                effective_everywhere_at: None,
             });
     }
 
@@ -97,7 +97,7 @@
                 .iter()
                 .all(|lease| lease.version >= version || lease.expiry < LeaseExpiry::At(now));
             if is_everywhere {
-                progress.everywhere_at.get_or_insert(now);
+                progress.effective_everywhere_at.get_or_insert(now);
             }
         }
     }
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -235,7 +235,7 @@
         key: b"the lab's own key, on loopback alone".to_vec(),
         directory,
         rules: spec.rules.clone(),
-        log_entries: spec.log_entries,
+        compaction_threshold: spec.log_entries,
     };
     let (tells, told) = mpsc::unbounded_channel();
     let (said, hears) = mpsc::unbounded_channel();
@@ -244,7 +244,7 @@
     let begin = Box::new(move || {
         Ok(InitialState {
             version: 1,
-            entry: 1,
+            revision: 1,
             state: "x".repeat(bytes),
         })
     });
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1230,14 +1230,14 @@
         if !sim.run_until(end, |s| {
             s.changes()
                 .get(&id)
-                .is_some_and(|p| p.everywhere_at.is_some())
+                .is_some_and(|p| p.effective_everywhere_at.is_some())
         }) {
             return Err(format!("{id} is not in force everywhere"));
         }
         if let Some((Some(at), asked)) = sim
             .changes()
             .get(&id)
-            .map(|p| (p.everywhere_at, p.proposed_at))
+            .map(|p| (p.effective_everywhere_at, p.proposed_at))
         {
             everywhere.push((at - asked) as f64 / 1000.0);
         }
