--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -16,10 +16,10 @@
 
 use crate::clock::Clock;
 use crate::hosts::Host;
+use crate::line_writer::LineWriter;
 use crate::log::{self, CAPTURE};
 use crate::message::Outgoing;
 use crate::note;
-use crate::outlet::Outlet;
 
 const SEGMENTS: usize = 4;
 const SEGMENT: usize = 192 << 10;
@@ -33,7 +33,7 @@
 const FILES: usize = 16;
 
 /// What is known of a request until it ends.
-pub struct Pending {
+pub struct PendingRecord {
     class: ClassId,
     tenant: Option<TenantId>,
     deadline: u64,
@@ -41,9 +41,9 @@
     tried: Vec<(Rc<str>, Option<Outcome>)>,
 }
 
-impl Pending {
+impl PendingRecord {
     /// Notes how an attempt ended.
-    pub fn ended(&mut self, attempt: u32, outcome: Outcome) {
+    pub fn attempt_ended(&mut self, attempt: u32, outcome: Outcome) {
         if let Some(tried) = self.tried.get_mut(attempt as usize) {
             tried.1 = Some(outcome);
         }
@@ -55,7 +55,7 @@
     /// Those of the settings in service.
     names: RefCell<Rc<Names>>,
     clock: Clock,
-    outlet: Outlet,
+    outlet: LineWriter,
     ring: RefCell<Ring>,
 }
 
@@ -94,14 +94,19 @@
     }
 
     /// The settings have changed, and with them the names.
-    pub fn rename(&self, names: &Names) {
+    pub fn update_names(&self, names: &Names) {
         self.names.replace(Rc::new(names.clone()));
     }
 
     /// A request has come in.
-    pub fn begin(&self, class: ClassId, tenant: Option<TenantId>, patience: Duration) -> Pending {
+    pub fn start_record(
+        &self,
+        class: ClassId,
+        tenant: Option<TenantId>,
+        patience: Duration,
+    ) -> PendingRecord {
         let (seq, tried) = (self.ring.borrow().seq, Vec::new());
-        Pending {
+        PendingRecord {
             class,
             tenant,
             deadline: patience.as_millis() as u64,
@@ -111,7 +116,7 @@
     }
 
     /// An attempt goes out.
-    pub fn sent(&self, pending: &mut Pending, backend: EndpointId) {
+    pub fn attempt_started(&self, pending: &mut PendingRecord, backend: EndpointId) {
         let ring = self.ring.borrow();
         // What is sent to is on the list, or has just left it.
         let name = ring
@@ -122,7 +127,7 @@
     }
 
     /// A request has ended.
-    pub fn end(&self, pending: &Pending, message: &Outgoing, code: u16) {
+    pub fn finish_record(&self, pending: &PendingRecord, message: &Outgoing, code: u16) {
         let tried = pending.tried.iter().map(|(name, end)| Tried {
             server: Cow::from(&**name),
             end: *end,
@@ -138,7 +143,7 @@
     }
 
     /// The front end has turned a request away that the module never saw.
-    pub fn turned_away(&self, pending: &Pending, message: &Outgoing, code: u16) {
+    pub fn record_rejected(&self, pending: &PendingRecord, message: &Outgoing, code: u16) {
         let names = self.names.borrow().clone();
         self.put(&record(&names, pending, message, None, code));
     }
@@ -156,7 +161,7 @@
     }
 
     /// The list has changed.
-    pub fn news(&self, scope: UpdateScope, seq: Option<u64>, hosts: &[Host]) {
+    pub fn list_updated(&self, scope: UpdateScope, seq: Option<u64>, hosts: &[Host]) {
         let mut ring = self.ring.borrow_mut();
         let lines = ring.news(
             &News {
@@ -200,7 +205,7 @@
 
 fn record<'a>(
     names: &'a Names,
-    pending: &'a Pending,
+    pending: &'a PendingRecord,
     message: &'a Outgoing,
     tried: Option<Vec<Tried<'a>>>,
     code: u16,
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -45,24 +45,24 @@
 const MOST: usize = 4 << 20; // bytes of an object
 
 /// Where discovery is; a new configuration may name another address.
-pub struct Place {
+pub struct DiscoveryAddress {
     address: Cell<SocketAddr>,
     moved: Notify,
 }
 
-impl Place {
+impl DiscoveryAddress {
     pub fn new(address: SocketAddr) -> Rc<Self> {
-        Rc::new(Place {
+        Rc::new(DiscoveryAddress {
             address: Cell::new(address),
             moved: Notify::new(),
         })
     }
 
-    pub fn address(&self) -> SocketAddr {
+    pub fn get(&self) -> SocketAddr {
         self.address.get()
     }
 
-    pub fn move_to(&self, address: SocketAddr) {
+    pub fn set(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.moved.notify_one();
         }
@@ -71,7 +71,7 @@
 
 /// The watch and what it knows of the list's version.
 pub struct Discovery {
-    place: Rc<Place>,
+    place: Rc<DiscoveryAddress>,
     inbox: Inbox,
     /// Version of the list that the driver has.
     seq: Option<u64>,
@@ -86,7 +86,7 @@
 
 impl Discovery {
     /// `seed` spreads the calls of proxies that fail at the same time.
-    pub fn new(place: Rc<Place>, inbox: Inbox, seed: u64) -> Self {
+    pub fn new(place: Rc<DiscoveryAddress>, inbox: Inbox, seed: u64) -> Self {
         let backoff = Backoff::new(seed);
         Discovery {
             place,
@@ -180,7 +180,7 @@
                 if handles.len() == CALLS {
                     handles.remove(1).inspect(AbortHandle::abort);
                 }
-                handles.push_back(calls.spawn_local(get(self.place.address(), query.to_owned())));
+                handles.push_back(calls.spawn_local(get(self.place.get(), query.to_owned())));
                 next = Instant::now() + again;
             }
             let answer = tokio::select! {
@@ -230,7 +230,7 @@
 }
 
 /// Asks for the whole list once.
-pub async fn fetch(address: SocketAddr, inbox: Inbox) {
+pub async fn fetch_list(address: SocketAddr, inbox: Inbox) {
     let list = timeout(SILENCE, async {
         let body = get(address, String::new()).await?.rest().await?;
         serde_json::from_slice::<List>(&body).map_err(|e| format!("a broken list: {e}"))
--- a/crates/proxy-core/src/drills.rs
+++ b/crates/proxy-core/src/drills.rs
@@ -42,7 +42,7 @@
 
 /// What befalls an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Deed {
+enum Fault {
     Delay(Duration),
     Abort,
 }
@@ -76,15 +76,15 @@
 }
 
 struct Drill {
-    deed: Deed,
+    deed: Fault,
     share: Share,
     until: Instant,
     name: Rc<str>,
 }
 
 /// What a request of a drill's share meets.
-pub struct Hit {
-    deed: Deed,
+pub struct SelectedFault {
+    deed: Fault,
     /// The drill's name.
     pub name: Rc<str>,
 }
@@ -142,7 +142,7 @@
     }
 
     /// Whether a drill of this class acts on a request that has its answer. `id` is what the request is called.
-    pub fn meet(&self, class: usize, id: Option<&HeaderValue>) -> Option<Hit> {
+    pub fn select(&self, class: usize, id: Option<&HeaderValue>) -> Option<SelectedFault> {
         let hit = self.draw(class)?;
         let id = id.and_then(|id| id.to_str().ok());
         log::each(format_args!("drill={} id={}", hit.name, Field(id)));
@@ -150,7 +150,7 @@
     }
 
     /// Whether a request of this class is of a drill's share.
-    fn draw(&self, class: usize) -> Option<Hit> {
+    fn draw(&self, class: usize) -> Option<SelectedFault> {
         let mut running = self.running.borrow_mut();
         let slot = running.get_mut(class)?;
         let drill = slot.as_mut()?;
@@ -160,15 +160,15 @@
             return None;
         }
         let hit = drill.share.draw(&mut self.chance.borrow_mut());
-        hit.then(|| Hit {
+        hit.then(|| SelectedFault {
             deed: drill.deed,
             name: drill.name.clone(),
         })
     }
 
     /// Lets a drill act on an answer.
-    pub async fn act(&self, hit: &Hit, answer: Response<Inbound>) -> Response<Inbound> {
-        let Deed::Delay(delay) = hit.deed else {
+    pub async fn apply(&self, hit: &SelectedFault, answer: Response<Inbound>) -> Response<Inbound> {
+        let Fault::Delay(delay) = hit.deed else {
             return plain(StatusCode::INTERNAL_SERVER_ERROR, "a drill").map(Inbound::from);
         };
         let end = self.end.notified();
@@ -205,11 +205,11 @@
             span.ok_or_else(|| bad(format!("'{what}' is no span such as 400ms or 120s")))
         };
         let deed = match (&asked.delay, asked.abort) {
-            (Some(delay), false) => Deed::Delay(span("delay", delay)?),
-            (None, true) => Deed::Abort,
+            (Some(delay), false) => Fault::Delay(span("delay", delay)?),
+            (None, true) => Fault::Abort,
             _ => return Err(bad("one of a delay and an abort is wanted")),
         };
-        if matches!(deed, Deed::Delay(delay) if delay < Duration::from_millis(1) || delay > DELAY_MOST)
+        if matches!(deed, Fault::Delay(delay) if delay < Duration::from_millis(1) || delay > DELAY_MOST)
         {
             return Err(bad(format!(
                 "'delay' is not from 1ms to {}s",
@@ -235,8 +235,8 @@
             ));
         }
         let name = match deed {
-            Deed::Delay(delay) => format!("{}-delay-{}ms", asked.class, delay.as_millis()),
-            Deed::Abort => format!("{}-abort", asked.class),
+            Fault::Delay(delay) => format!("{}-delay-{}ms", asked.class, delay.as_millis()),
+            Fault::Abort => format!("{}-abort", asked.class),
         };
         let cut = if lasts < asked_for {
             ", cut to the limit"
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -18,19 +18,19 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::account::{self, Account};
-use crate::capture::{Capture, Pending};
+use crate::capture::{Capture, PendingRecord};
 use crate::clock::Clock;
-use crate::discovery::{self, Place};
+use crate::discovery::{self, DiscoveryAddress};
 use crate::gate::{Ticket, stamp};
 use crate::hosts::Host;
 use crate::inbox::{Answer, Arrival, FAILED, GONE, Inbox, Input, REFUSED, SERVED};
-use crate::lifecycle::Life;
+use crate::lifecycle::SharedLifecycle;
 use crate::load;
 use crate::message::{Outgoing, Reply};
 use crate::note;
 use crate::peers::Peers;
 use crate::upstream::{Attempt, Endpoint, News, Upstreams, Wanted};
-use crate::vars::{Counts, End, Held};
+use crate::vars::{Counters, Gauges, RequestEnd};
 
 /// What the client is told has to be on its way this long before the client gives up, whatever happens.
 const LAST_RESORT: Duration = Duration::from_millis(4);
@@ -54,7 +54,7 @@
     /// Its answer has begun, and is still on its way.
     passing: bool,
     /// What the capture knows of it, if there is one.
-    pending: Option<Pending>,
+    pending: Option<PendingRecord>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -71,7 +71,7 @@
     pub upstreams: Rc<Upstreams>,
     pub peers: Option<Rc<Peers>>,
     /// Where lists are asked for, in a pool whose module asks for them.
-    pub discovery: Option<Rc<Place>>,
+    pub discovery: Option<Rc<DiscoveryAddress>>,
     /// The pool's place at the gate, in a process that acts as one with others.
     pub gate: Option<Rc<Ticket>>,
     /// The account that the pool's work is put on, in a process of many tenants.
@@ -81,8 +81,8 @@
     /// Told when the module wants a watch.
     pub watch: Rc<Notify>,
     /// Told once discovery has told the list.
-    pub life: Rc<Life>,
-    pub counts: Rc<Counts>,
+    pub life: Rc<SharedLifecycle>,
+    pub counts: Rc<Counters>,
 }
 
 /// What is seen of a driver from outside, between its turns: whether anything is under way, and what its module knows then.
@@ -321,10 +321,10 @@
                     .parts
                     .capture
                     .as_ref()
-                    .map(|c| c.begin(class, tenant, patience)),
+                    .map(|c| c.start_record(class, tenant, patience)),
             },
         );
-        self.parts.counts.took(class.0);
+        self.parts.counts.request_accepted(class.0);
         self.due.push(Reverse((last, Due::LastResort(id))));
         self.handle(Event::Request {
             id,
@@ -405,7 +405,7 @@
         };
         live.out -= 1;
         if let Some(pending) = &mut live.pending {
-            pending.ended(attempt, outcome);
+            pending.attempt_ended(attempt, outcome);
         }
         let was_open = live.answer.is_some();
         let upload = live.message.body.upload().cloned();
@@ -461,36 +461,36 @@
         let open = std::mem::take(&mut live.passing) || answer.is_some();
         if let (Some(class), true) = (live.class, open) {
             let end = match code {
-                SERVED => End::Answered,
-                REFUSED => End::Deferred,
-                GONE => End::Abandoned,
-                _ => End::Errored,
+                SERVED => RequestEnd::Answered,
+                REFUSED => RequestEnd::Deferred,
+                GONE => RequestEnd::Abandoned,
+                _ => RequestEnd::Errored,
             };
-            self.parts.counts.ended(class.0, end);
+            self.parts.counts.request_ended(class.0, end);
         }
         if let (Some(capture), Some(pending)) = (&self.parts.capture, live.pending.take()) {
-            capture.end(&pending, &live.message, code);
+            capture.finish_record(&pending, &live.message, code);
         }
         self.forget(id);
         answer
     }
 
     /// What is held now.
-    fn held(&self) -> Held {
+    fn held(&self) -> Gauges {
         let endpoints = self
             .known
             .balancer
             .borrow()
             .endpoint_counts(self.parts.clock.now());
-        let current = self
+        let in_flight = self
             .live
             .values()
             .filter(|l| l.class.is_some() && (l.answer.is_some() || l.passing))
             .count();
-        Held {
-            current,
-            listed: endpoints.listed,
-            avoided: endpoints.ejected,
+        Gauges {
+            in_flight,
+            listed_endpoints: endpoints.listed,
+            ejected_endpoints: endpoints.ejected,
         }
     }
 
@@ -516,7 +516,7 @@
             .as_ref()
             .filter(|_| scope != UpdateScope::Failed)
         {
-            capture.news(scope, seq, &hosts);
+            capture.list_updated(scope, seq, &hosts);
         }
         let whole = matches!(scope, UpdateScope::Full | UpdateScope::Cached);
         let entries: Vec<balancer::Endpoint> =
@@ -535,7 +535,7 @@
         match scope {
             UpdateScope::Cached if !some => {}
             UpdateScope::Full | UpdateScope::Cached => {
-                self.parts.life.tell(|life, _| life.listed())
+                self.parts.life.update(|life, _| life.mark_list_received())
             }
             UpdateScope::Delta | UpdateScope::Failed => {}
         }
@@ -621,8 +621,8 @@
             Action::Subscribe => self.parts.watch.notify_one(),
             Action::FetchEndpoints => {
                 if let Some(place) = &self.parts.discovery {
-                    tokio::task::spawn_local(discovery::fetch(
-                        place.address(),
+                    tokio::task::spawn_local(discovery::fetch_list(
+                        place.get(),
                         self.parts.inbox.clone(),
                     ));
                 }
@@ -650,7 +650,7 @@
         live.attempts += 1;
         live.out += 1;
         if let (Some(capture), Some(pending)) = (&self.parts.capture, &mut live.pending) {
-            capture.sent(pending, backend);
+            capture.attempt_started(pending, backend);
         }
         let Some(endpoint) = self
             .endpoints
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -20,10 +20,10 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::inbox::GONE;
+use crate::line_writer::{LineWriter, write_whole};
 use crate::log::{self, FIGURES, FIGURES_MOST as MOST};
 use crate::message::class_of;
 use crate::note;
-use crate::outlet::{Outlet, write_whole};
 
 /// From so many bytes on the threads get to work before the flush.
 const EARLY: usize = 32 << 10;
@@ -60,17 +60,17 @@
 }
 
 /// The proxy's figures.
-pub struct Figures {
+pub struct MetricsExporter {
     format: Format,
     classes: RefCell<Vec<String>>,
     tenants: RefCell<Vec<String>>,
     flush: Duration,
     state: RefCell<State>,
     /// Where they go: a thread and its lane.
-    outlets: Vec<(Outlet, usize)>,
+    outlets: Vec<(LineWriter, usize)>,
 }
 
-impl Figures {
+impl MetricsExporter {
     pub fn new(settings: &Settings, names: &Names) -> io::Result<Rc<Self>> {
         let targets =
             usize::from(settings.file.is_some()) + usize::from(settings.udp_address.is_some());
@@ -78,13 +78,13 @@
         let mut outlets = Vec::new();
         if let Some(file) = &settings.file {
             outlets.push((
-                Outlet::start("figures.file", &most, FILE_BATCH, to_file(file.clone()))?,
+                LineWriter::start("figures.file", &most, FILE_BATCH, to_file(file.clone()))?,
                 0,
             ));
         }
         if let Some(to) = settings.udp_address {
             outlets.push((
-                Outlet::start(
+                LineWriter::start(
                     "figures.udp",
                     &most,
                     settings.max_datagram_bytes,
@@ -97,7 +97,7 @@
             outlets.push((log::behind_thread()?.clone(), FIGURES));
         }
         let escaped = |names: &[String]| all_tags(settings.format, names);
-        Ok(Rc::new(Figures {
+        Ok(Rc::new(MetricsExporter {
             format: settings.format,
             classes: RefCell::new(escaped(&names.classes)),
             tenants: RefCell::new(escaped(&names.tenants)),
@@ -108,13 +108,17 @@
     }
 
     /// The settings have changed, and with them the names.
-    pub fn rename(&self, names: &Names) {
+    pub fn update_names(&self, names: &Names) {
         self.classes.replace(all_tags(self.format, &names.classes));
         self.tenants.replace(all_tags(self.format, &names.tenants));
     }
 
     /// A request has come in; `None` for what is none of a class's.
-    pub fn begin<B>(self: &Rc<Self>, request: &Request<B>, names: &Names) -> Option<Flight> {
+    pub fn start_request<B>(
+        self: &Rc<Self>,
+        request: &Request<B>,
+        names: &Names,
+    ) -> Option<InFlightRequest> {
         let uri = request.uri();
         if uri.path() == "/up" {
             return None;
@@ -130,7 +134,7 @@
         );
         *self.state.borrow_mut().inflight.entry(who).or_default() += 1;
         let (drill, ended) = (RefCell::default(), Cell::new(false));
-        Some(Flight {
+        Some(InFlightRequest {
             figures: self.clone(),
             who,
             began: Instant::now(),
@@ -295,17 +299,17 @@
 }
 
 /// A request under way. Where it is dropped before its end, its client has left.
-pub struct Flight {
-    figures: Rc<Figures>,
+pub struct InFlightRequest {
+    figures: Rc<MetricsExporter>,
     who: Who,
     began: Instant,
     drill: RefCell<Option<Rc<str>>>,
     ended: Cell<bool>,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// A drill acts on its answer.
-    pub fn drilled(&self, drill: &Rc<str>) {
+    pub fn set_drill(&self, drill: &Rc<str>) {
         self.drill.replace(Some(drill.clone()));
     }
 
@@ -321,7 +325,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         if !self.ended.get() {
             self.end(GONE);
@@ -388,15 +392,15 @@
 
     const LONG: Duration = Duration::from_secs(30);
 
-    /// Figures that go out by a thread of the test's.
-    fn figures_by(format: Format, outlet: Outlet) -> (Rc<Figures>, Names) {
+    /// MetricsExporter that go out by a thread of the test's.
+    fn figures_by(format: Format, outlet: LineWriter) -> (Rc<MetricsExporter>, Names) {
         let names = Names {
             classes: vec!["lookup".into(), "check out,x".into()],
             tenants: vec!["biblio-estrie".into()],
             ..Names::default()
         };
         let escaped = |names: &[String]| all_tags(format, names);
-        let figures = Rc::new(Figures {
+        let figures = Rc::new(MetricsExporter {
             format,
             classes: RefCell::new(escaped(&names.classes)),
             tenants: RefCell::new(escaped(&names.tenants)),
@@ -408,27 +412,32 @@
     }
 
     /// Figures whose lines the test gets.
-    fn figures(format: Format) -> (Rc<Figures>, Receiver<String>, Names) {
+    fn figures(format: Format) -> (Rc<MetricsExporter>, Receiver<String>, Names) {
         let (out, lines) = channel();
         let write = move |bytes: &[u8]| {
             let _ = out.send(String::from_utf8(bytes.to_vec()).expect("text"));
         };
         let (figures, names) = figures_by(
             format,
-            Outlet::start("test", &[MOST], 1, write).expect("a thread"),
+            LineWriter::start("test", &[MOST], 1, write).expect("a thread"),
         );
         (figures, lines, names)
     }
 
-    fn begin(figures: &Rc<Figures>, names: &Names, path: &str, tenant: &str) -> Option<Flight> {
+    fn begin(
+        figures: &Rc<MetricsExporter>,
+        names: &Names,
+        path: &str,
+        tenant: &str,
+    ) -> Option<InFlightRequest> {
         let request = Request::get(path)
             .header("x-tenant-id", tenant)
             .body(())
             .expect("a request");
-        figures.begin(&request, names)
+        figures.start_request(&request, names)
     }
 
-    fn all(figures: &Figures, lines: &Receiver<String>) -> Vec<String> {
+    fn all(figures: &MetricsExporter, lines: &Receiver<String>) -> Vec<String> {
         figures.finish(LONG);
         lines.try_iter().map(|l| l.trim_end().to_owned()).collect()
     }
@@ -443,7 +452,7 @@
         }
         let open = begin(&figures, &names, "/lookup?sid=1", "biblio-estrie");
         let drilled = begin(&figures, &names, "/evil,code:1|c", "nobody").expect("a request");
-        drilled.drilled(&"lookup-abort".into());
+        drilled.set_drill(&"lookup-abort".into());
         drilled.end(500);
         assert!(begin(&figures, &names, "/up", "nobody").is_none());
         let said = all(&figures, &lines);
@@ -526,7 +535,7 @@
             let _ = out.send(String::from_utf8(bytes.to_vec()).expect("text"));
             let _ = held.recv();
         };
-        let outlet = Outlet::start("test", &[700], 1, write).expect("a thread");
+        let outlet = LineWriter::start("test", &[700], 1, write).expect("a thread");
         let (figures, names) = figures_by(Format::Statsd, outlet.clone());
         let end = |code| {
             begin(&figures, &names, "/lookup", "nobody")
--- a/crates/proxy-core/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -29,17 +29,17 @@
 
 use crate::account::{self, Account};
 use crate::connection::{Client, Gated, IDLE, READS};
-use crate::figures::Flight;
+use crate::figures::InFlightRequest;
 use crate::gate::{Gate, stamp};
 use crate::guard::Guard;
 use crate::inbox::{Answer, Arrival, Inbox, Input, REFUSED};
-use crate::lifecycle::{Idle, Life};
+use crate::lifecycle::{IdleConnection, SharedLifecycle};
 use crate::message::{Content, Outgoing, plain, strip, target};
 use crate::note;
 use crate::pool::{Asked, Pool};
 use crate::stream::{self, Inbound, KEPT, Kept, Payload, Room, Share, Upload};
 use crate::upstream::{Upstreams, is_quiet};
-use crate::vars::End;
+use crate::vars::RequestEnd;
 
 /// One that has a request may neither read nor write for this span, beyond the longest deadline.
 const STUCK: Duration = Duration::from_secs(10);
@@ -151,13 +151,13 @@
     most: usize,
     /// The next number of a connection or a request, shared by all listeners of a process.
     next: Rc<Cell<u64>>,
-    life: Rc<Life>,
+    life: Rc<SharedLifecycle>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
     left: Notify,
 }
 
 impl<R: Router> Frontend<R> {
-    pub fn new(router: R, most: usize, next: Rc<Cell<u64>>, life: Rc<Life>) -> Rc<Self> {
+    pub fn new(router: R, most: usize, next: Rc<Cell<u64>>, life: Rc<SharedLifecycle>) -> Rc<Self> {
         Rc::new(Frontend {
             router,
             most,
@@ -173,7 +173,7 @@
         let tidier = AbortOnDrop(spawn_local(self.clone().tidy()).abort_handle());
         tokio::pin!(stop);
         loop {
-            let accepts = self.life.ask(|life, now| life.accepts(now));
+            let accepts = self.life.read(|life, now| life.accepts_connections(now));
             tokio::select! {
                 biased;
                 () = &mut stop => break,
@@ -181,13 +181,13 @@
                 () = self.life.changed(), if !accepts => {}
             }
         }
-        self.life.tell(|life, now| life.leave(now));
+        self.life.update(|life, now| life.begin_shutdown(now));
         let came = Instant::now();
-        while self.life.ask(|life, now| life.accepts(now)) {
+        while self.life.read(|life, now| life.accepts_connections(now)) {
             let _ = timeout(QUIET, self.clone().accept(&listener)).await;
         }
         // What waits in a queue that others share is theirs; one's own is emptied.
-        if !self.life.ask(|life, _| life.is_shared()) {
+        if !self.life.read(|life, _| life.is_shared()) {
             let end = Instant::now() + LINGER;
             while Instant::now() < end
                 && timeout(QUIET, self.clone().accept(&listener)).await.is_ok()
@@ -207,17 +207,17 @@
 
     /// Whether some connection has a request, or may be about to have one.
     fn holds(&self) -> bool {
-        self.life.ask(|life, now| {
+        self.life.read(|life, now| {
             let held = |c: &Rc<Client>| {
-                c.busy.get() || c.begun.get().is_some() || !life.may_close(now, self.idle(c))
+                c.busy.get() || c.begun.get().is_some() || !life.should_close(now, self.idle(c))
             };
             self.clients.borrow().values().any(held)
         })
     }
 
-    fn idle(&self, client: &Client) -> Idle {
-        Idle {
-            since: self.life.time(client.since.get()),
+    fn idle(&self, client: &Client) -> IdleConnection {
+        IdleConnection {
+            since: self.life.clock_time(client.since.get()),
             used: client.used.get(),
         }
     }
@@ -225,13 +225,13 @@
     /// Closes connections that are no longer kept, for as long as the listener is served.
     async fn tidy(self: Rc<Self>) {
         loop {
-            if self.life.ask(|life, _| life.keeps()) {
+            if self.life.read(|life, _| life.keeps_connections()) {
                 self.life.changed().await;
                 continue;
             }
-            self.life.ask(|life, now| {
+            self.life.read(|life, now| {
                 for client in self.clients.borrow().values().filter(|c| !c.busy.get()) {
-                    if life.may_close(now, self.idle(client)) {
+                    if life.should_close(now, self.idle(client)) {
                         client.close.notify_one();
                     }
                 }
@@ -318,8 +318,8 @@
                     .as_ref()
                     .ok()
                     .and_then(|p| p.features.figures.as_ref().map(|f| (f, p)));
-                let flight =
-                    figures.and_then(|(f, pool)| f.begin(&request, &pool.terms.borrow().names));
+                let flight = figures
+                    .and_then(|(f, pool)| f.start_request(&request, &pool.terms.borrow().names));
                 let mut response = match &pool {
                     _ if request.uri().path() == "/up" && !over => front.up().map(Inbound::from),
                     Ok(pool) if closed.is_some() => {
@@ -334,7 +334,9 @@
                             .await
                     }
                 };
-                let closes = over || client.is_overrun() || !front.life.ask(|life, _| life.keeps());
+                let closes = over
+                    || client.is_overrun()
+                    || !front.life.read(|life, _| life.keeps_connections());
                 if closes {
                     response
                         .headers_mut()
@@ -459,7 +461,7 @@
         request: Request<Incoming>,
         client: &Client,
         by: Instant,
-        flight: Option<&Flight>,
+        flight: Option<&InFlightRequest>,
     ) -> Response<Inbound> {
         let (head, body) = request.into_parts();
         let asked = match pool.read(&head.method, &head.uri, &head.headers) {
@@ -478,8 +480,9 @@
         // What passes through takes memory for as long as it does.
         let place = upload.as_ref().map(|_| pool.room.take());
         if matches!(place, Some(None)) {
-            pool.counts.took(asked.class.0);
-            pool.counts.ended(asked.class.0, End::Deferred);
+            pool.counts.request_accepted(asked.class.0);
+            pool.counts
+                .request_ended(asked.class.0, RequestEnd::Deferred);
             upload.into_iter().for_each(drain);
             return self.refused(pool, FULL).await;
         }
@@ -507,7 +510,7 @@
         let longest = self.router.longest();
         asked.patience = self
             .life
-            .ask(|life, now| life.patience(now, asked.patience, longest));
+            .read(|life, now| life.request_timeout(now, asked.patience, longest));
         let deadline = Instant::now() + asked.patience;
         let decided = way.as_ref().map(|_| Rc::new(Cell::new(None)));
         let mut pool = pool.clone();
@@ -567,13 +570,13 @@
         let Some(drills) = &pool.features.drills else {
             return response;
         };
-        let Some(hit) = drills.meet(class.0, named.as_ref()) else {
+        let Some(hit) = drills.select(class.0, named.as_ref()) else {
             return response;
         };
         if let Some(flight) = flight {
-            flight.drilled(&hit.name);
+            flight.set_drill(&hit.name);
         }
-        drills.act(&hit, response).await
+        drills.apply(&hit, response).await
     }
 
     /// Finds the pool of a request anew that was not decided yet when a change took hold.
@@ -721,13 +724,14 @@
     let (head, _) = request.into_parts();
     let asked = pool.read(&head.method, &head.uri, &head.headers).ok();
     if let Some(asked) = &asked {
-        pool.counts.took(asked.class.0);
-        pool.counts.ended(asked.class.0, End::Deferred);
+        pool.counts.request_accepted(asked.class.0);
+        pool.counts
+            .request_ended(asked.class.0, RequestEnd::Deferred);
     }
     if let (Some(capture), Some(asked)) = (&pool.features.capture, asked) {
-        let pending = capture.begin(asked.class, asked.tenant, asked.patience);
+        let pending = capture.start_record(asked.class, asked.tenant, asked.patience);
         let (method, uri, headers, body) = (head.method, head.uri, head.headers, Payload::empty());
-        capture.turned_away(
+        capture.record_rejected(
             &pending,
             &Outgoing {
                 method,
--- a/crates/proxy-core/src/inbox.rs
+++ b/crates/proxy-core/src/inbox.rs
@@ -13,7 +13,7 @@
 use crate::gate::Decided;
 use crate::hosts::Host;
 use crate::message::{Outgoing, Reply};
-use crate::vars::Held;
+use crate::vars::Gauges;
 
 /// The codes of the final answers.
 pub const SERVED: u16 = 200;
@@ -65,7 +65,7 @@
     /// What another module knew of the servers that this one was told.
     Standing(Box<HealthSnapshot>),
     /// What is held now is asked for.
-    Ask(oneshot::Sender<Held>),
+    Ask(oneshot::Sender<Gauges>),
     /// Nothing new comes any more: what is held is ended, and then the driver.
     Retire,
 }
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -37,12 +37,12 @@
     /// An operator sends clients away; nothing restarts.
     LameDuck,
     /// It has had SIGTERM, and ends what it has.
-    Leaving,
+    ShuttingDown,
 }
 
 /// A connection of a client, between two of its requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Idle {
+pub struct IdleConnection {
     /// Since when.
     pub since: Millis,
     /// It has had an answer.
@@ -71,13 +71,13 @@
     }
 
     /// It has a list of servers to send to.
-    pub fn listed(&mut self) {
+    pub fn mark_list_received(&mut self) {
         self.listed = true;
     }
 
     /// Clients are sent away, or no longer. To say the same again changes nothing, and a process that leaves can't be
     /// called back: then the answer is `false`.
-    pub fn lame_duck(&mut self, now: Millis, on: bool) -> bool {
+    pub fn set_lame_duck(&mut self, now: Millis, on: bool) -> bool {
         if self.left.is_some() {
             return on; // it sends them away already
         }
@@ -86,14 +86,14 @@
     }
 
     /// SIGTERM, also during a drain.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn begin_shutdown(&mut self, now: Millis) {
         self.left = self.left.or(Some(now));
     }
 
     /// Where it stands. A drain before the list is there holds, and so does the start: it is not up either way.
     pub fn phase(&self) -> Phase {
         match (self.left, self.lame, self.listed) {
-            (Some(_), ..) => Phase::Leaving,
+            (Some(_), ..) => Phase::ShuttingDown,
             (_, Some(_), _) => Phase::LameDuck,
             (.., false) => Phase::Starting,
             _ => Phase::Serving,
@@ -107,7 +107,7 @@
 
     /// Whether new connections are taken. On a listener that other processes share, a process without a list leaves
     /// them to those, and so does one that leaves; on its own it answers that it is not up.
-    pub fn accepts(&self, now: Millis) -> bool {
+    pub fn accepts_connections(&self, now: Millis) -> bool {
         match self.left {
             Some(left) => !self.shared && now - left < LINGER,
             None => !self.shared || self.listed,
@@ -120,13 +120,13 @@
     }
 
     /// Whether a connection outlives its answer.
-    pub fn keeps(&self) -> bool {
+    pub fn keeps_connections(&self) -> bool {
         matches!(self.phase(), Phase::Starting | Phase::Serving)
     }
 
     /// How long a request that has come now is waited for, whose client would wait so long, where the longest deadline is this
     /// one.
-    pub fn patience(&self, now: Millis, wanted: Duration, longest: Duration) -> Duration {
+    pub fn request_timeout(&self, now: Millis, wanted: Duration, longest: Duration) -> Duration {
         let Some(left) = self.left.filter(|left| now - left > LATE) else {
             return wanted;
         };
@@ -135,7 +135,7 @@
     }
 
     /// Whether an idle connection closes now.
-    pub fn may_close(&self, now: Millis, idle: Idle) -> bool {
+    pub fn should_close(&self, now: Millis, idle: IdleConnection) -> bool {
         let Some(turned) = self.left.into_iter().chain(self.lame).reduce(f64::min) else {
             return false;
         };
@@ -147,16 +147,16 @@
 }
 
 /// A process's lifecycle with its clock, for the parts that follow it.
-pub struct Life {
+pub struct SharedLifecycle {
     clock: Clock,
     state: RefCell<Lifecycle>,
     changed: Notify,
 }
 
-impl Life {
+impl SharedLifecycle {
     /// The lifecycle of a process that has just started.
     pub fn new(clock: Clock, shared: bool) -> Self {
-        Life {
+        SharedLifecycle {
             clock,
             state: RefCell::new(Lifecycle::new(shared)),
             changed: Notify::new(),
@@ -164,12 +164,12 @@
     }
 
     /// The state as it is now, and the time.
-    pub fn ask<T>(&self, about: impl FnOnce(&Lifecycle, Millis) -> T) -> T {
+    pub fn read<T>(&self, about: impl FnOnce(&Lifecycle, Millis) -> T) -> T {
         about(&self.state.borrow(), self.clock.now())
     }
 
     /// Changes the state, and tells those who wait.
-    pub fn tell<T>(&self, news: impl FnOnce(&mut Lifecycle, Millis) -> T) -> T {
+    pub fn update<T>(&self, news: impl FnOnce(&mut Lifecycle, Millis) -> T) -> T {
         let said = news(&mut self.state.borrow_mut(), self.clock.now());
         self.changed.notify_waiters();
         said
@@ -181,7 +181,7 @@
     }
 
     /// The time of an instant on the process's clock.
-    pub fn time(&self, at: tokio::time::Instant) -> Millis {
+    pub fn clock_time(&self, at: tokio::time::Instant) -> Millis {
         self.clock.at(at)
     }
 
--- a/crates/proxy-core/src/outlet.rs
+++ b/crates/proxy-core/src/line_writer.rs
@@ -53,9 +53,9 @@
 
 /// A writer thread and the buffers before it.
 #[derive(Clone)]
-pub struct Outlet(Arc<Shared>);
+pub struct LineWriter(Arc<Shared>);
 
-impl Outlet {
+impl LineWriter {
     /// Starts a thread that gives `write` whole lines, those of the first lane first. `most` bounds each lane's
     /// bytes, `batch` those of a write, where one line is no longer than that.
     pub fn start(
@@ -80,7 +80,7 @@
             more: Condvar::new(),
             idle: Condvar::new(),
         });
-        let outlet = Outlet(shared.clone());
+        let outlet = LineWriter(shared.clone());
         std::thread::Builder::new()
             .name(name.into())
             .spawn(move || {
@@ -197,7 +197,7 @@
             out.send(bytes.to_vec()).expect("the test listens");
             let _ = held.recv(); // holds the thread until the gate is gone
         };
-        let outlet = Outlet::start("test", &[100, 8], 4, write).expect("a thread");
+        let outlet = LineWriter::start("test", &[100, 8], 4, write).expect("a thread");
         outlet.put(1, b"first\n");
         outlet.wake();
         assert_eq!(written.recv_timeout(LONG).expect("a write"), b"first\n");
@@ -228,7 +228,7 @@
     fn a_write_takes_whole_lines_within_its_bound() {
         let (out, written) = channel();
         let write = move |bytes: &[u8]| out.send(bytes.to_vec()).expect("the test listens");
-        let outlet = Outlet::start("test", &[100], 8, write).expect("a thread");
+        let outlet = LineWriter::start("test", &[100], 8, write).expect("a thread");
         for line in ["12\n", "345\n", "6\n", "789012\n"] {
             outlet.put(0, line.as_bytes());
         }
--- a/crates/proxy-core/src/log.rs
+++ b/crates/proxy-core/src/log.rs
@@ -6,7 +6,7 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use crate::outlet::{Outlet, write_whole};
+use crate::line_writer::{LineWriter, write_whole};
 
 /// Bytes that wait for a standard error that is not read: of the log's own lines, of a capture, of figures.
 const LOG_MOST: usize = 64 << 10;
@@ -20,7 +20,7 @@
 pub const FIGURES: usize = 2;
 
 /// Standard error behind a thread of its own, where a feature writes there.
-static OUTLET: OnceLock<Outlet> = OnceLock::new();
+static OUTLET: OnceLock<LineWriter> = OnceLock::new();
 
 /// The program's name, before each line.
 static NAME: OnceLock<&str> = OnceLock::new();
@@ -82,14 +82,14 @@
 }
 
 /// From here on a thread writes to standard error, and nothing else waits for its reader.
-pub fn behind_thread() -> std::io::Result<&'static Outlet> {
+pub fn behind_thread() -> std::io::Result<&'static LineWriter> {
     if let Some(outlet) = OUTLET.get() {
         return Ok(outlet);
     }
     // Where nobody reads any more, it is lost.
     let write = |lines: &[u8]| write_whole(&mut std::io::stderr(), lines).unwrap_or_default();
     let most = [LOG_MOST, CAPTURE_MOST, FIGURES_MOST];
-    let outlet = Outlet::start("stderr", &most, BATCH, write)?;
+    let outlet = LineWriter::start("stderr", &most, BATCH, write)?;
     Ok(OUTLET.get_or_init(|| outlet))
 }
 
--- a/crates/proxy-core/src/ops.rs
+++ b/crates/proxy-core/src/ops.rs
@@ -22,13 +22,13 @@
 use tokio::time::{sleep, timeout};
 
 use crate::inbox::{Inbox, Input};
-use crate::lifecycle::{Life, Phase};
+use crate::lifecycle::{Phase, SharedLifecycle};
 use crate::message::plain;
 use crate::note;
-use crate::vars::{Counts, Held};
+use crate::vars::{Counters, Gauges};
 
 /// Callers that are served at once; one more, and the one that has been there longest is let go.
-pub const CALLERS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// A call has to be whole and answered within this span: who has waited 1 s has left.
 const CALL: Duration = Duration::from_secs(2);
 /// Bytes of a call's head.
@@ -39,13 +39,13 @@
 const PAUSE: Duration = Duration::from_millis(10);
 
 /// What the door needs of the other parts.
-pub struct Door {
-    pub life: Rc<Life>,
-    pub counts: Rc<Counts>,
+pub struct OperationsListener {
+    pub life: Rc<SharedLifecycle>,
+    pub counts: Rc<Counters>,
     pub inbox: Inbox,
 }
 
-impl Door {
+impl OperationsListener {
     /// Serves for as long as the process runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> Infallible {
         let callers: RefCell<VecDeque<JoinHandle<()>>> = RefCell::default();
@@ -54,7 +54,7 @@
                 Ok((stream, _)) => {
                     let mut callers = callers.borrow_mut();
                     callers.retain(|c| !c.is_finished());
-                    if callers.len() >= CALLERS
+                    if callers.len() >= MAX_CONNECTIONS
                         && let Some(oldest) = callers.pop_front()
                     {
                         oldest.abort();
@@ -117,7 +117,7 @@
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
-        let (code, text) = match self.life.ask(|life, _| life.phase()) {
+        let (code, text) = match self.life.read(|life, _| life.phase()) {
             Phase::Serving => (StatusCode::OK, "serving\n"),
             Phase::Starting => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -127,13 +127,13 @@
                 StatusCode::SERVICE_UNAVAILABLE,
                 "lame duck: clients are sent away\n",
             ),
-            Phase::Leaving => (StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
+            Phase::ShuttingDown => (StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
         };
         plain(code, text)
     }
 
     fn lame_duck(&self, on: bool) -> Response<Full<Bytes>> {
-        if !self.life.tell(|life, now| life.lame_duck(now, on)) {
+        if !self.life.update(|life, now| life.set_lame_duck(now, on)) {
             return plain(
                 StatusCode::CONFLICT,
                 "the process leaves: it takes no clients any more\n",
@@ -144,12 +144,12 @@
     }
 
     async fn vars(&self) -> Response<Full<Bytes>> {
-        let (tell, told) = oneshot::channel::<Held>();
+        let (tell, told) = oneshot::channel::<Gauges>();
         self.inbox.put(Input::Ask(tell));
         let Ok(held) = told.await else {
             return plain(StatusCode::INTERNAL_SERVER_ERROR, "the driver has ended\n");
         };
-        let mut response = Response::new(Full::new(self.counts.text(held).into()));
+        let mut response = Response::new(Full::new(self.counts.prometheus_text(held).into()));
         let kind = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
         response.headers_mut().insert(header::CONTENT_TYPE, kind);
         response
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -12,29 +12,29 @@
 use crate::account::Account;
 use crate::capture::Capture;
 use crate::drills::Drills;
-use crate::figures::Figures;
+use crate::figures::MetricsExporter;
 use crate::inbox::{Inbox, Input};
-use crate::lifecycle::Life;
+use crate::lifecycle::SharedLifecycle;
 use crate::message::{class_of, sid};
 use crate::stream::Room;
-use crate::vars::Counts;
+use crate::vars::Counters;
 
 /// The features that have a part in how requests are answered; each is there only where it is on.
 #[derive(Clone, Default)]
 pub(crate) struct Features {
     pub(crate) capture: Option<Rc<Capture>>,
     pub(crate) drills: Option<Rc<Drills>>,
-    pub(crate) figures: Option<Rc<Figures>>,
+    pub(crate) figures: Option<Rc<MetricsExporter>>,
 }
 
 impl Features {
     /// The settings have changed, and with them the names. Drills act on the classes of the start.
     pub(crate) fn rename(&self, names: &Names) {
         if let Some(capture) = &self.capture {
-            capture.rename(names);
+            capture.update_names(names);
         }
         if let Some(figures) = &self.figures {
-            figures.rename(names);
+            figures.update_names(names);
         }
     }
 }
@@ -46,8 +46,8 @@
     /// The settings in service.
     pub(crate) terms: RefCell<Rc<ReloadableSettings>>,
     /// Whether the module has a list, and what else says whether clients are taken.
-    pub(crate) life: Rc<Life>,
-    pub(crate) counts: Rc<Counts>,
+    pub(crate) life: Rc<SharedLifecycle>,
+    pub(crate) counts: Rc<Counters>,
     /// Memory for what passes through.
     pub(crate) room: Rc<Room>,
     pub(crate) features: Features,
--- a/crates/proxy-core/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -21,14 +21,14 @@
 use crate::config::Config;
 use crate::drills::Drills;
 use crate::driver::{Driver, Parts};
-use crate::figures::Figures;
+use crate::figures::MetricsExporter;
 use crate::frontend::{Frontend, One};
 use crate::inbox::{Inbox, Input};
-use crate::lifecycle::Life;
-use crate::ops::{self, Door};
+use crate::lifecycle::SharedLifecycle;
+use crate::ops::{self, OperationsListener};
 use crate::pool::{Features, Pool};
 use crate::stream::Room;
-use crate::vars::Counts;
+use crate::vars::Counters;
 use crate::{config, discovery, frontend, hosts, inherited, log, note, peers, upstream};
 
 /// Descriptors for all but clients and backends: standard streams, runtime, signals, listener, UDP, watch; and
@@ -65,7 +65,7 @@
 struct Reload {
     path: PathBuf,
     started: config::Started,
-    place: Rc<discovery::Place>,
+    place: Rc<discovery::DiscoveryAddress>,
     pool: Rc<Pool>,
     upstreams: Rc<upstream::Upstreams>,
 }
@@ -76,12 +76,12 @@
         let pool = &self.pool;
         let now = pool.terms.borrow().clone();
         let change = config::read_change(&self.path, &self.started, &now);
-        pool.counts.read(change.is_ok());
+        pool.counts.configuration_read(change.is_ok());
         let change = match change {
             Ok(change) => change,
             Err(e) => return note!("the new configuration is of no use: {e}"),
         };
-        self.place.move_to(change.discovery);
+        self.place.set(change.discovery);
         self.upstreams.set(&change.connections);
         if change.terms.source == now.source {
             return;
@@ -89,7 +89,7 @@
         // The module hears of it before the first request that comes under it.
         pool.inbox
             .put(Input::Settings(Box::new(change.terms.settings.clone())));
-        pool.counts.name(&change.terms.names.classes);
+        pool.counts.register_classes(&change.terms.names.classes);
         pool.features.rename(&change.terms.names);
         let classes = change
             .terms
@@ -135,9 +135,9 @@
         None => None,
     };
     let clock = Clock::default();
-    let life = Rc::new(Life::new(clock, config.inherited.is_some()));
-    let counts = Rc::new(Counts::default());
-    counts.name(&config.terms.names.classes);
+    let life = Rc::new(SharedLifecycle::new(clock, config.inherited.is_some()));
+    let counts = Rc::new(Counters::default());
+    counts.register_classes(&config.terms.names.classes);
     let capture = if features.capture.enabled {
         let (node, given, names) = (
             &config.name,
@@ -160,7 +160,12 @@
         }
         None => None,
     };
-    let own = RESERVE + if door.is_some() { ops::CALLERS + 1 } else { 0 };
+    let own = RESERVE
+        + if door.is_some() {
+            ops::MAX_CONNECTIONS + 1
+        } else {
+            0
+        };
     // Where the system allows fewer descriptors than the file says, its word holds.
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let allowed = allowed
@@ -177,7 +182,7 @@
         room.clone(),
     ));
     let watch = Rc::new(Notify::new());
-    let place = discovery::Place::new(config.discovery);
+    let place = discovery::DiscoveryAddress::new(config.discovery);
     let parts = Parts {
         gate: None,
         clock,
@@ -224,8 +229,8 @@
     // of the budget is theirs. Beyond `most` an eighth more are let in, only to be refused.
     let most = budget * 5 / 8;
     let figures = if features.metrics.enabled {
-        let figures =
-            Figures::new(&features.metrics, &config.terms.names).map_err(at("the figures"))?;
+        let figures = MetricsExporter::new(&features.metrics, &config.terms.names)
+            .map_err(at("the figures"))?;
         spawn_local(figures.clone().follow());
         Some(figures)
     } else {
@@ -234,7 +239,7 @@
     if let Some(listener) = door {
         let address = listener.local_addr().map_err(at("the operators' door"))?;
         note!("operators' door on {address}");
-        let door = Door {
+        let door = OperationsListener {
             life: life.clone(),
             counts: counts.clone(),
             inbox: inbox.clone(),
--- a/crates/proxy-core/src/service.rs
+++ b/crates/proxy-core/src/service.rs
@@ -20,11 +20,11 @@
 use crate::frontend::{self, Frontend};
 use crate::gate::{Gate, Ticket};
 use crate::inbox::{Inbox, Input};
-use crate::lifecycle::Life;
+use crate::lifecycle::SharedLifecycle;
 use crate::pool::{Features, Pool};
 use crate::stream::Room;
 use crate::upstream::Upstreams;
-use crate::vars::Counts;
+use crate::vars::Counters;
 
 pub use crate::driver::server_number;
 pub use crate::frontend::{Missing, Router};
@@ -179,8 +179,8 @@
         ended: impl FnOnce(Result<(), JoinError>) + 'static,
     ) -> Running {
         let (inbox, inputs) = Inbox::new();
-        let counts = Rc::new(Counts::default());
-        counts.name(&terms.names.classes);
+        let counts = Rc::new(Counters::default());
+        counts.register_classes(&terms.names.classes);
         let sockets = self.sockets.clone();
         let upstreams = Upstreams::new(
             &terms.connections,
@@ -190,7 +190,7 @@
             self.room.clone(),
         );
         let upstreams = Rc::new(upstreams);
-        let life = Rc::new(Life::new(self.clock, false));
+        let life = Rc::new(SharedLifecycle::new(self.clock, false));
         let gate = self.gate.clone().map(Ticket::new);
         let parts = Parts {
             gate: gate.clone(),
@@ -255,8 +255,8 @@
         most: usize,
         stop: impl Future<Output = ()>,
     ) {
-        let life = Rc::new(Life::new(self.clock, false));
-        life.tell(|life, _| life.listed()); // its pools have lists, or answer for themselves
+        let life = Rc::new(SharedLifecycle::new(self.clock, false));
+        life.update(|life, _| life.mark_list_received()); // its pools have lists, or answer for themselves
         Frontend::new(router, most, self.next.clone(), life)
             .serve(listener, stop)
             .await;
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -28,7 +28,7 @@
 use crate::account::{self, Account};
 use crate::message::{Content, Outgoing, Reply, strip};
 use crate::stream::{self, KEPT, Outbound, Passing, Piece, Room, Upload};
-use crate::vars::Counts;
+use crate::vars::Counters;
 
 /// A pooled connection is retired after this part of the span after which a backend closes it.
 const IDLE_PART: f64 = 0.7;
@@ -133,7 +133,7 @@
 #[derive(Default)]
 struct Meter {
     /// Told of each request whose last byte has been written.
-    counts: Rc<Counts>,
+    counts: Rc<Counters>,
     /// What must still hold when the first byte is written; there is none between requests.
     gate: RefCell<Option<Gate>>,
     begun: Cell<bool>,
@@ -213,7 +213,7 @@
         self.begun.set(self.begun.get() || !bytes.is_empty());
         self.follow(bytes);
         if self.complete() && !self.counted.replace(true) {
-            self.counts.sent();
+            self.counts.attempt_sent();
         }
     }
 
@@ -288,7 +288,7 @@
     sockets: Arc<Semaphore>,
     /// Whose work it is, in a process of many tenants.
     account: Option<Rc<dyn Account>>,
-    counts: Rc<Counts>,
+    counts: Rc<Counters>,
     /// Memory for what passes through.
     room: Rc<Room>,
     /// Asked to close an idle connection when the budget has run out.
@@ -301,7 +301,7 @@
         connections: &settings::ConnectionSettings,
         sockets: Arc<Semaphore>,
         account: Option<Rc<dyn Account>>,
-        counts: Rc<Counts>,
+        counts: Rc<Counters>,
         room: Rc<Room>,
     ) -> Self {
         let upstreams = Upstreams {
--- a/crates/proxy-core/src/vars.rs
+++ b/crates/proxy-core/src/vars.rs
@@ -6,7 +6,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     Answered,
     Deferred,
     Errored,
@@ -24,7 +24,7 @@
 
 /// What is counted. A class that vanishes from the settings keeps its counts.
 #[derive(Default)]
-pub struct Counts {
+pub struct Counters {
     groups: RefCell<Vec<Group>>,
     /// Attempts whose last byte has been written to a server.
     sends: Cell<u64>,
@@ -34,18 +34,18 @@
 
 /// What is held now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Gauges {
     /// Requests taken and not ended.
-    pub current: usize,
+    pub in_flight: usize,
     /// Servers in the list.
-    pub listed: usize,
+    pub listed_endpoints: usize,
     /// Those of them that get nothing now.
-    pub avoided: usize,
+    pub ejected_endpoints: usize,
 }
 
-impl Counts {
+impl Counters {
     /// The classes that there are, in the order of their numbers; new ones begin at 0.
-    pub fn name(&self, classes: &[String]) {
+    pub fn register_classes(&self, classes: &[String]) {
         let mut groups = self.groups.borrow_mut();
         for name in &classes[groups.len().min(classes.len())..] {
             groups.push(Group {
@@ -56,32 +56,32 @@
     }
 
     /// A request of this class has been taken.
-    pub fn took(&self, class: usize) {
+    pub fn request_accepted(&self, class: usize) {
         if let Some(group) = self.groups.borrow_mut().get_mut(class) {
             group.taken += 1;
         }
     }
 
     /// One that was taken has ended.
-    pub fn ended(&self, class: usize, end: End) {
+    pub fn request_ended(&self, class: usize, end: RequestEnd) {
         if let Some(group) = self.groups.borrow_mut().get_mut(class) {
             group.ended[end as usize] += 1;
         }
     }
 
     /// An attempt has been written whole.
-    pub fn sent(&self) {
+    pub fn attempt_sent(&self) {
         self.sends.set(self.sends.get() + 1);
     }
 
     /// A file has been read at SIGHUP, and taken or turned down.
-    pub fn read(&self, taken: bool) {
+    pub fn configuration_read(&self, taken: bool) {
         let count = if taken { &self.loaded } else { &self.invalid };
         count.set(count.get() + 1);
     }
 
     /// All of it as Prometheus text.
-    pub fn text(&self, held: Held) -> String {
+    pub fn prometheus_text(&self, gauges: Gauges) -> String {
         let mut text = String::with_capacity(2048);
         let groups = self.groups.borrow();
         let mut labelled = |name: &str, value: &dyn Fn(&Group) -> u64| {
@@ -95,16 +95,22 @@
                 );
             }
         };
-        labelled("node_answered", &|g| g.ended[End::Answered as usize]);
-        labelled("node_deferred", &|g| g.ended[End::Deferred as usize]);
-        labelled("node_errored", &|g| g.ended[End::Errored as usize]);
-        labelled("node_abandoned", &|g| g.ended[End::Abandoned as usize]);
+        labelled("node_answered", &|g| g.ended[RequestEnd::Answered as usize]);
+        labelled("node_deferred", &|g| g.ended[RequestEnd::Deferred as usize]);
+        labelled("node_errored", &|g| g.ended[RequestEnd::Errored as usize]);
+        labelled("node_abandoned", &|g| {
+            g.ended[RequestEnd::Abandoned as usize]
+        });
         labelled("node_taken", &|g| g.taken);
         for (name, kind, value) in [
             ("node_sends", "counter", self.sends.get()),
-            ("node_current", "gauge", held.current as u64),
-            ("node_cluster_size", "gauge", held.listed as u64),
-            ("node_cluster_unhealthy", "gauge", held.avoided as u64),
+            ("node_current", "gauge", gauges.in_flight as u64),
+            ("node_cluster_size", "gauge", gauges.listed_endpoints as u64),
+            (
+                "node_cluster_unhealthy",
+                "gauge",
+                gauges.ejected_endpoints as u64,
+            ),
             ("node_conf_loaded", "counter", self.loaded.get()),
             ("node_conf_invalid", "counter", self.invalid.get()),
         ] {
@@ -128,19 +134,19 @@
 
     #[test]
     fn every_class_is_there_from_the_start_and_keeps_its_counts() {
-        let counts = Counts::default();
-        counts.name(&["lookup".into(), "a \"b\"\\\n".into()]);
-        counts.took(0);
-        counts.ended(0, End::Deferred);
-        counts.sent();
-        counts.read(true);
-        counts.read(false);
-        counts.name(&["lookup".into(), "a \"b\"\\\n".into(), "renewal".into()]);
-        counts.took(7); // of no class
-        let text = counts.text(Held {
-            current: 3,
-            listed: 9,
-            avoided: 1,
+        let counts = Counters::default();
+        counts.register_classes(&["lookup".into(), "a \"b\"\\\n".into()]);
+        counts.request_accepted(0);
+        counts.request_ended(0, RequestEnd::Deferred);
+        counts.attempt_sent();
+        counts.configuration_read(true);
+        counts.configuration_read(false);
+        counts.register_classes(&["lookup".into(), "a \"b\"\\\n".into(), "renewal".into()]);
+        counts.request_accepted(7); // of no class
+        let text = counts.prometheus_text(Gauges {
+            in_flight: 3,
+            listed_endpoints: 9,
+            ejected_endpoints: 1,
         });
         for line in [
             "# TYPE node_answered counter",
--- a/crates/proxy-core/tests/layers.rs
+++ b/crates/proxy-core/tests/layers.rs
@@ -5,7 +5,7 @@
 const LAYERS: [&str; 30] = [
     "backoff",
     "objects",
-    "outlet",
+    "line_writer",
     "log",
     "clock",
     "gate",
--- a/crates/proxy-core/tests/unit/frontend.rs
+++ b/crates/proxy-core/tests/unit/frontend.rs
@@ -61,7 +61,7 @@
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("an address");
         let account = Rc::new(Shut::default());
-        let life = Rc::new(Life::new(Clock::default(), false));
+        let life = Rc::new(SharedLifecycle::new(Clock::default(), false));
         let front = Frontend::new(Nowhere(account.clone()), 10, Rc::default(), life);
         spawn_local(front.serve(listener, std::future::pending()));
         let client = TcpStream::connect(address).await.expect("it accepts");
--- a/crates/proxy/tests/crossings_clients.rs
+++ b/crates/proxy/tests/crossings_clients.rs
@@ -1,14 +1,14 @@
 //! Clients that leave while their request waits, is on its way out or is about to be tried again; and what comes behind a request.
+mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
-mod steered;
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
+use scripted_peer::*;
 use sockets::*;
-use steered::*;
 
 fn status(answer: Option<Message>) -> u16 {
     answer.expect("an answer").status()
--- a/crates/proxy/tests/crossings_floods.rs
+++ b/crates/proxy/tests/crossings_floods.rs
@@ -1,15 +1,15 @@
 //! Descriptors that idle clients fill, clients that send much and go, and many processes that start at once.
+mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
-mod steered;
 
 use std::io::Write;
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
+use scripted_peer::*;
 use sockets::*;
-use steered::*;
 
 fn status(answer: Option<Message>) -> u16 {
     answer.expect("an answer").status()
--- a/crates/proxy/tests/crossings_servers.rs
+++ b/crates/proxy/tests/crossings_servers.rs
@@ -1,16 +1,16 @@
 //! Connections to servers and what comes on them: spoilt while at rest, late, never up, reset, without an end; and attempts that may
 //! not begin any more.
+mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
-mod steered;
 
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
+use scripted_peer::*;
 use sockets::*;
-use steered::*;
 
 fn status(answer: Option<Message>) -> u16 {
     answer.expect("an answer").status()
--- a/crates/proxy/tests/crossings_shutdown.rs
+++ b/crates/proxy/tests/crossings_shutdown.rs
@@ -1,15 +1,15 @@
 //! SIGTERM at each place: before the list, with requests queued, half read, sent to a server that hangs; and what clients send then.
+mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
-mod steered;
 
 use std::io::Write;
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
+use scripted_peer::*;
 use sockets::*;
-use steered::*;
 
 fn status(answer: Option<Message>) -> u16 {
     answer.expect("an answer").status()
--- a/crates/proxy/tests/crossings_watch.rs
+++ b/crates/proxy/tests/crossings_watch.rs
@@ -1,12 +1,12 @@
 //! What comes between two lines of a watch on the list: silence, cuts, failed calls, another address, a drain.
+mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
-mod steered;
 
 use std::time::{Duration, Instant};
 
+use scripted_peer::*;
 use sockets::*;
-use steered::*;
 
 /// A change counts as told so long after discovery had it and could be reached.
 const TOLD: Duration = Duration::from_secs(6);
--- a/crates/proxy/tests/loads.rs
+++ b/crates/proxy/tests/loads.rs
@@ -1,14 +1,14 @@
 //! What servers tell of their load with their answers.
+mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
-mod steered;
 
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
+use scripted_peer::*;
 use sockets::*;
-use steered::*;
 
 /// One of 32 proxies before four servers of one core, which have told of such a load with forty answers. Then four clients
 /// send something at once. Returns who was asked before any of it was answered.
