--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -15,7 +15,7 @@
     InitialState, InitialStateError, MemberCommand, MemberEvent, MemberRuntime, Settings,
 };
 use multi_tenant::document::{Cluster, Service, WhenCutOff, WhenListUnknown};
-use proxy_core::gate::{Gate, Terms};
+use proxy_core::gate::{Gate, GateSettings};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 use crate::serve::unix_ms;
@@ -28,16 +28,16 @@
 /// The gate that an instance's decisions pass.
 pub fn gate(cluster: &Cluster, lease: Arc<SharedLease>) -> Rc<Gate> {
     let changed = lease.changed();
-    let terms = Terms {
-        hold: Duration::from_secs_f64(cluster.hold.0 / 1000.0),
-        retry: cluster.retry_after.0,
-        stamps: cluster.stamps,
+    let settings = GateSettings {
+        max_wait: Duration::from_secs_f64(cluster.hold.0 / 1000.0),
+        retry_after: cluster.retry_after.0,
+        send_stamps: cluster.stamps,
         seed: fastrand::u64(..),
     };
     Gate::new(
         Box::new(move |version| lease.may_decide(version)),
         changed,
-        terms,
+        settings,
     )
 }
 
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -112,7 +112,7 @@
         );
         return Ok(0);
     }
-    proxy_core::service::log_as("canvascart");
+    proxy_core::service::set_log_name("canvascart");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/multi-tenant/src/book.rs
+++ b/crates/multi-tenant/src/book.rs
@@ -9,7 +9,7 @@
 use fair_share::{
     Millis, ProcessCapacity, RejectionCounts, TenantId, TenantLimiter, TenantQuota, TenantUsage,
 };
-use proxy_core::account::Account;
+use proxy_core::account::TenantAccount;
 use rustix::time::{ClockId, clock_gettime};
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -339,8 +339,8 @@
     }
 }
 
-impl Account for Holder {
-    fn connect(&self) -> Result<(), Millis> {
+impl TenantAccount for Holder {
+    fn acquire_client_connection(&self) -> Result<(), Millis> {
         self.book
             .shares
             .borrow_mut()
@@ -348,14 +348,14 @@
             .map_err(|rejection| rejection.retry_after)
     }
 
-    fn disconnect(&self) {
+    fn release_client_connection(&self) {
         self.book
             .shares
             .borrow_mut()
             .release_client_connection(self.tenant);
     }
 
-    fn begin(&self, bytes: u64) -> Result<(), Millis> {
+    fn begin_request(&self, bytes: u64) -> Result<(), Millis> {
         self.book
             .shares
             .borrow_mut()
@@ -363,18 +363,18 @@
             .map_err(|rejection| rejection.retry_after)
     }
 
-    fn end(&self, bytes: u64, held: Millis) {
+    fn end_request(&self, bytes: u64, held: Millis) {
         self.book
             .shares
             .borrow_mut()
             .end_request(self.tenant, bytes, held);
     }
 
-    fn works(&self) {
+    fn begin_work(&self) {
         self.book.works_since.set(thread_time());
     }
 
-    fn worked(&self, turning_away: bool) {
+    fn end_work(&self, turning_away: bool) {
         let (now, ms) = (self.book.now(), thread_time() - self.book.works_since.get());
         let left = self.left() - ms;
         self.turn.set((self.book.round.get(), left));
@@ -398,7 +398,7 @@
         self.may_now(Wish::Accept, waker)
     }
 
-    fn visit(&self, server: u64) -> bool {
+    fn acquire_endpoint_connection(&self, server: u64) -> bool {
         self.book
             .shares
             .borrow_mut()
@@ -406,7 +406,7 @@
             .is_ok()
     }
 
-    fn leave(&self, server: u64) {
+    fn release_endpoint_connection(&self, server: u64) {
         self.book
             .shares
             .borrow_mut()
--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/plane.rs
@@ -15,10 +15,12 @@
 use fair_share::{ProcessCapacity, TenantQuota};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{StatusCode, Uri};
-use proxy_core::account::Account;
+use proxy_core::account::TenantAccount;
 use proxy_core::gate::Gate;
 use proxy_core::pool::Pool;
-use proxy_core::service::{self, Feed, Host, Missing, Process, Router, Running, Terms};
+use proxy_core::service::{
+    self, EndpointFeed, Host, PoolSettings, Process, RouteError, Router, RunningPool,
+};
 use schemars::JsonSchema;
 use serde::Serialize;
 use settings::{ConnectionSettings, Names, intern};
@@ -43,9 +45,9 @@
 struct Live {
     document: Tenant,
     account: Rc<Holder>,
-    running: Running,
+    running: RunningPool,
     /// Pools of earlier versions that still end what they have; they hear of drains and ends of servers, too.
-    former: Vec<Feed>,
+    former: Vec<EndpointFeed>,
     births: Births,
     /// Its list, where that is followed.
     followed: Option<Followed>,
@@ -179,7 +181,7 @@
         });
         spawn_local(book.clone().give_turns());
         let plane = Rc::new_cyclic(|myself| Plane {
-            process: Rc::new(Process::new(process.server_sockets as usize).behind(gate)),
+            process: Rc::new(Process::new(process.server_sockets as usize).with_gate(gate)),
             book,
             routes: RefCell::new(Routes::of(&Catalog::new(&Service {
                 process: process.clone(),
@@ -396,7 +398,7 @@
         });
     }
 
-    fn pool(&self, tenant: &Tenant, account: &Rc<Holder>, seed: u64, number: u64) -> Running {
+    fn pool(&self, tenant: &Tenant, account: &Rc<Holder>, seed: u64, number: u64) -> RunningPool {
         let (plane, name) = (self.myself.clone(), tenant.name.clone());
         let seed = seed.wrapping_add(number);
         let mut terms = terms(tenant, seed);
@@ -419,11 +421,11 @@
         let running = self.pool(&live.document, &live.account, live.seed, live.pools);
         live.pools += 1;
         self.longest
-            .set(self.longest.get().max(running.pool.patience()));
+            .set(self.longest.get().max(running.pool.max_timeout()));
         let old = std::mem::replace(&mut live.running, running);
-        old.end();
+        old.stop_deciding();
         live.former.push(old.feed);
-        live.former.retain(Feed::is_alive);
+        live.former.retain(EndpointFeed::is_alive);
     }
 
     /// These servers, by tenant, get nothing new from here on, though the present version has them; all others as it says. A change
@@ -469,7 +471,7 @@
                 .iter()
                 .filter(|f| f.is_alive())
                 .chain([&live.running.feed]);
-            pools.for_each(|feed| feed.among(me, instances));
+            pools.for_each(|feed| feed.set_proxy_count(me, instances));
         }
     }
 
@@ -562,8 +564,8 @@
         self.former
             .iter()
             .filter(|f| f.is_alive())
-            .for_each(|f| f.whole(hosts.clone()));
-        self.running.feed.whole(hosts);
+            .for_each(|f| f.replace_all(hosts.clone()));
+        self.running.feed.replace_all(hosts);
     }
 
     /// Takes what has become of a list that is followed, and tells all its pools.
@@ -601,8 +603,8 @@
         self.former
             .iter()
             .filter(|f| f.is_alive())
-            .for_each(|f| f.changed(vec![changed.clone()]));
-        self.running.feed.changed(vec![changed]);
+            .for_each(|f| f.update(vec![changed.clone()]));
+        self.running.feed.update(vec![changed]);
     }
 }
 
@@ -639,7 +641,7 @@
 }
 
 /// A tenant's document as its decision module takes it.
-fn terms(tenant: &Tenant, seed: u64) -> Terms {
+fn terms(tenant: &Tenant, seed: u64) -> PoolSettings {
     let class = |c: &document::Class| Class {
         latency_objective: c.aim.0,
         deadline: c.deadline.0,
@@ -688,7 +690,7 @@
         connect_timeout: rules.dial_timeout.0,
         idle_timeout: rules.idle_close.0,
     };
-    Terms {
+    PoolSettings {
         settings,
         names,
         connections,
@@ -703,10 +705,10 @@
     strangers: Rc<Holder>,
 }
 
-const NO_TENANT: Missing = Missing::Plain(StatusCode::NOT_FOUND, "no such tenant");
+const NO_TENANT: RouteError = RouteError::Status(StatusCode::NOT_FOUND, "no such tenant");
 
 impl Router for Way {
-    fn pool(&self, uri: &Uri, headers: &HeaderMap, turn: bool) -> Result<Rc<Pool>, Missing> {
+    fn pool(&self, uri: &Uri, headers: &HeaderMap, turn: bool) -> Result<Rc<Pool>, RouteError> {
         let routes = self.plane.routes.borrow();
         // A target in absolute form names the host itself (RFC 9112, 3.2.2).
         let host = uri.host().or_else(|| once(headers, &hyper::header::HOST));
@@ -721,17 +723,17 @@
         self.plane.pool_of(&name, may_wake, turn)
     }
 
-    fn turn(&self) -> impl Future<Output = ()> {
+    fn wait_for_turn(&self) -> impl Future<Output = ()> {
         self.plane.turns.clone().take()
     }
 
-    fn strangers(&self) -> Option<Rc<dyn Account>> {
+    fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>> {
         let routes = self.plane.routes.borrow();
         let owner = routes.owner(&self.listener).and_then(|name| {
             let tenants = self.plane.tenants.borrow();
             tenants.get(name).map(|live| live.account.clone())
         });
-        let account: Rc<dyn Account> = owner.unwrap_or_else(|| self.strangers.clone());
+        let account: Rc<dyn TenantAccount> = owner.unwrap_or_else(|| self.strangers.clone());
         Some(account)
     }
 
@@ -743,16 +745,16 @@
         self.plane.process.gate()
     }
 
-    fn longest(&self) -> Duration {
+    fn max_deadline(&self) -> Duration {
         self.plane.longest.get()
     }
 
-    fn make_room(&self) {
+    fn close_idle_connections(&self) {
         self.plane
             .tenants
             .borrow()
             .values()
-            .for_each(|live| live.running.make_room());
+            .for_each(|live| live.running.close_idle_connection());
     }
 }
 
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/plane/residents.rs
@@ -8,7 +8,7 @@
 use balancer::Millis;
 use hyper::StatusCode;
 use proxy_core::pool::Pool;
-use proxy_core::service::{self, Feed, Missing};
+use proxy_core::service::{self, EndpointFeed, RouteError};
 use schemars::JsonSchema;
 use serde::Serialize;
 use settings::stable_hash;
@@ -41,7 +41,7 @@
 /// Tenants at rest that are read for one status.
 const MOST_READ: usize = 256;
 
-const DAMAGED: Missing = Missing::Plain(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
+const DAMAGED: RouteError = RouteError::Status(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
 
 /// Bounds of the active tenants.
 pub(super) fn terms(process: &Process) -> ActivationLimits {
@@ -139,11 +139,11 @@
     /// Whether it can be put to rest, and no request notices.
     fn may_rest(&self) -> bool {
         self.followed.is_none()
-            && self.running.is_still()
-            && !self.former.iter().any(Feed::is_alive)
+            && self.running.is_idle()
+            && !self.former.iter().any(EndpointFeed::is_alive)
             // One of which there is more to say than is kept stays; a small one never is.
             && (self.document.servers.len() < digest::MOST_OF_ONE
-                || self.running.standing().endpoints.len() <= digest::MOST_OF_ONE)
+                || self.running.health_snapshot().endpoints.len() <= digest::MOST_OF_ONE)
     }
 }
 
@@ -154,20 +154,20 @@
         name: &Name,
         may_wake: bool,
         turn: bool,
-    ) -> Result<Rc<Pool>, Missing> {
+    ) -> Result<Rc<Pool>, RouteError> {
         let resident = self
             .tenants
             .borrow()
             .get(name)
             .map(|live| live.running.pool.clone());
         if !may_wake {
-            return resident.ok_or(Missing::Later(LEAST_STAY)); // nor is it kept awake by that
+            return resident.ok_or(RouteError::RetryAfter(LEAST_STAY)); // nor is it kept awake by that
         }
         if resident.is_none() && self.damaged.borrow().contains(name) {
             return Err(DAMAGED);
         }
         if resident.is_none() && !turn && !self.turns.try_take() {
-            return Err(Missing::Turn);
+            return Err(RouteError::NeedsTurn);
         }
         let now = self.process.now();
         let admission = {
@@ -176,7 +176,7 @@
             self.residents.borrow_mut().activate(now, name, may_rest)
         };
         match admission {
-            Err(Deferral { retry_after, .. }) => Err(Missing::Later(retry_after)),
+            Err(Deferral { retry_after, .. }) => Err(RouteError::RetryAfter(retry_after)),
             Ok(Activation::AlreadyActive) => resident.ok_or(NO_TENANT),
             Ok(Activation::Activated) => self.wake(name),
             Ok(Activation::ActivatedByEvicting(other)) => {
@@ -187,7 +187,7 @@
     }
 
     /// Makes a tenant's pool out of what is held of it, in this turn: no version comes between.
-    fn wake(&self, name: &Name) -> Result<Rc<Pool>, Missing> {
+    fn wake(&self, name: &Name) -> Result<Rc<Pool>, RouteError> {
         let tenant = self.routes.borrow().catalog().get(name);
         let tenant = match tenant {
             Some(Ok((_, tenant))) => tenant,
@@ -241,10 +241,10 @@
         self.attend(&mut live);
         live.tell();
         if !digest.standing.endpoints.is_empty() {
-            live.running.feed.resume(digest.standing);
+            live.running.feed.restore_health(digest.standing);
         }
         let pool = live.running.pool.clone();
-        self.longest.set(self.longest.get().max(pool.patience()));
+        self.longest.set(self.longest.get().max(pool.max_timeout()));
         let limited = self.join_servers(name, &live.document);
         self.tenants.borrow_mut().insert(name.clone(), live);
         let catalog = self.catalog();
@@ -278,7 +278,7 @@
             .map(born)
             .filter(young)
             .collect();
-        let standing = live.running.standing();
+        let standing = live.running.health_snapshot();
         let ejected = standing
             .endpoints
             .iter()
@@ -307,9 +307,9 @@
             return;
         };
         // Its servers get nothing new; what is under way there ends, and with it the pool.
-        live.running.end();
-        live.running.feed.whole(Vec::new());
-        live.former.iter().for_each(|f| f.whole(Vec::new()));
+        live.running.stop_deciding();
+        live.running.feed.replace_all(Vec::new());
+        live.former.iter().for_each(|f| f.replace_all(Vec::new()));
         self.leave_servers(&name, &live.document);
     }
 
@@ -437,7 +437,7 @@
         };
         let members: Vec<_> = users.filter_map(member).collect();
         self.book
-            .share_server(service::server_number(at), connections, &members);
+            .share_server(service::endpoint_number(at), connections, &members);
     }
 
     /// Says so where those that stay whatever happens take the others' places.
@@ -487,7 +487,7 @@
         self.longest.set(
             tenants
                 .values()
-                .map(|live| live.running.pool.patience())
+                .map(|live| live.running.pool.max_timeout())
                 .max()
                 .unwrap_or_default(),
         );
@@ -566,7 +566,7 @@
         self.tenants
             .borrow()
             .get(name)
-            .map(|live| live.running.standing())
+            .map(|live| live.running.health_snapshot())
             .unwrap_or_default()
     }
 
--- a/crates/multi-tenant/tests/residents.rs
+++ b/crates/multi-tenant/tests/residents.rs
@@ -13,7 +13,7 @@
 use multi_tenant::document::{Fleet, Process, State, Tenant};
 use multi_tenant::plan::Prepared;
 use multi_tenant::plane::Plane;
-use proxy_core::service::{Missing, Router};
+use proxy_core::service::{RouteError, Router};
 use stage::{Backend, ask, local, plane, server, tenant};
 use tokio::time::sleep;
 
@@ -24,11 +24,11 @@
 }
 
 /// Finds a tenant's pool as a front does.
-async fn pool(way: &impl Router, name: &str) -> Result<Rc<proxy_core::pool::Pool>, Missing> {
+async fn pool(way: &impl Router, name: &str) -> Result<Rc<proxy_core::pool::Pool>, RouteError> {
     let uri = "/lookup".parse().expect("a target");
     match way.pool(&uri, &named(name), false) {
-        Err(Missing::Turn) => {
-            way.turn().await;
+        Err(RouteError::NeedsTurn) => {
+            way.wait_for_turn().await;
             way.pool(&uri, &named(name), true)
         }
         found => found,
@@ -68,7 +68,7 @@
         let held = pool(&way, "t00007").await.expect("it wakes");
         assert!(matches!(
             pool(&way, "nobody").await,
-            Err(Missing::Plain(StatusCode::NOT_FOUND, _))
+            Err(RouteError::Status(StatusCode::NOT_FOUND, _))
         ));
         assert_eq!(names(&plane), ["t00007"]);
         let status = plane.status_of("t00007").expect("it is there");
@@ -119,19 +119,28 @@
         }
         sleep(Duration::from_secs(1)).await;
         // All have something under way.
-        let Err(Missing::Later(wait)) = pool(&way, "t00010").await else {
+        let Err(RouteError::RetryAfter(wait)) = pool(&way, "t00010").await else {
             panic!("there is no place")
         };
         assert!((1.0..=10_000.0).contains(&wait), "{wait}");
-        assert!(matches!(pool(&way, "t00011").await, Err(Missing::Later(_))));
+        assert!(matches!(
+            pool(&way, "t00011").await,
+            Err(RouteError::RetryAfter(_))
+        ));
         assert_eq!(
             (plane.residency().resident, plane.residency().waiting),
             (4, 2)
         );
         drop(held.swap_remove(1));
         // The one that asked first gets the place that has come free, whoever else asks.
-        assert!(matches!(pool(&way, "t00012").await, Err(Missing::Later(_))));
-        assert!(matches!(pool(&way, "t00011").await, Err(Missing::Later(_))));
+        assert!(matches!(
+            pool(&way, "t00012").await,
+            Err(RouteError::RetryAfter(_))
+        ));
+        assert!(matches!(
+            pool(&way, "t00011").await,
+            Err(RouteError::RetryAfter(_))
+        ));
         drop(pool(&way, "t00010").await.expect("it is its turn"));
         assert_eq!(names(&plane), ["t00000", "t00002", "t00003", "t00010"]);
         let figures = plane.residency();
@@ -235,7 +244,7 @@
         plane.go_over(next).expect("it can be carried out");
         assert!(matches!(
             pool(&way, "t00002").await,
-            Err(Missing::Plain(StatusCode::NOT_FOUND, _))
+            Err(RouteError::Status(StatusCode::NOT_FOUND, _))
         ));
         change(&mut parts, &tenant(2, &[]));
         drop(pool(&way, "t00002").await.expect("it is back"));
@@ -278,14 +287,18 @@
                 held.push(pool);
                 false
             }
-            Err(why) => why == Missing::Turn,
+            Err(why) => why == RouteError::NeedsTurn,
         });
         assert!(
             waits.is_some_and(|n| n < 10),
             "turns are bounded: {waits:?}"
         );
         for name in ["t00010", "t00011", "t00012"] {
-            assert_eq!(find(name, false).err(), Some(Missing::Turn), "{name}");
+            assert_eq!(
+                find(name, false).err(),
+                Some(RouteError::NeedsTurn),
+                "{name}"
+            );
         }
         // Meanwhile one has another list and other classes, one is gone, and one goes and comes back as another.
         let mut parts = Parts::default();
@@ -318,12 +331,12 @@
             ("t00011", None),
             ("t00012", Some(vec![("s0", true, true), ("s1", true, true)])),
         ] {
-            way.turn().await;
+            way.wait_for_turn().await;
             let found = find(name, true);
             assert_eq!(found.is_ok(), servers.is_some(), "{name}");
             if let Err(why) = found {
                 assert!(
-                    matches!(why, Missing::Plain(StatusCode::NOT_FOUND, _)),
+                    matches!(why, RouteError::Status(StatusCode::NOT_FOUND, _)),
                     "{name}: {why:?}"
                 );
             }
@@ -379,7 +392,7 @@
             let found = pool(&way, "t00001").await.err();
             assert_eq!(
                 found,
-                Some(Missing::Plain(
+                Some(RouteError::Status(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "unavailable"
                 ))
--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::hosts::Host;
 use crate::log::{self, CAPTURE};
-use crate::message::Outgoing;
+use crate::message::OutboundRequest;
 use crate::note;
 use crate::outlet::Outlet;
 
@@ -122,7 +122,7 @@
     }
 
     /// A request has ended.
-    pub fn end(&self, pending: &Pending, message: &Outgoing, code: u16) {
+    pub fn end(&self, pending: &Pending, message: &OutboundRequest, code: u16) {
         let tried = pending.tried.iter().map(|(name, end)| Tried {
             server: Cow::from(&**name),
             end: *end,
@@ -138,7 +138,7 @@
     }
 
     /// The front end has turned a request away that the module never saw.
-    pub fn turned_away(&self, pending: &Pending, message: &Outgoing, code: u16) {
+    pub fn turned_away(&self, pending: &Pending, message: &OutboundRequest, code: u16) {
         let names = self.names.borrow().clone();
         self.put(&record(&names, pending, message, None, code));
     }
@@ -201,7 +201,7 @@
 fn record<'a>(
     names: &'a Names,
     pending: &'a Pending,
-    message: &'a Outgoing,
+    message: &'a OutboundRequest,
     tried: Option<Vec<Tried<'a>>>,
     code: u16,
 ) -> Record<'a> {
--- a/crates/proxy-core/src/clock.rs
+++ b/crates/proxy-core/src/clock.rs
@@ -29,7 +29,7 @@
 impl Clock {
     /// The time on the module's clock.
     pub fn now(&self) -> Millis {
-        self.at(Instant::now())
+        self.time_of(Instant::now())
     }
 
     /// Unix time at the start.
@@ -38,17 +38,18 @@
     }
 
     /// An instant on the module's clock.
-    pub fn at(&self, instant: Instant) -> Millis {
+    pub fn time_of(&self, instant: Instant) -> Millis {
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
     /// The instant of a time on the module's clock.
-    pub fn instant(&self, at: Millis) -> Instant {
+    pub fn instant_of(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64(at.clamp(0.0, 1e12) / 1000.0)
     }
 
     /// A server's start on the module's clock, from Unix time in ms; `None` if long ago.
-    pub fn born(&self, born_ms: f64) -> Option<Millis> {
-        (born_ms.is_finite() && born_ms > 0.0).then_some(born_ms - self.unix_start)
+    pub fn start_time(&self, started_unix_ms: f64) -> Option<Millis> {
+        (started_unix_ms.is_finite() && started_unix_ms > 0.0)
+            .then_some(started_unix_ms - self.unix_start)
     }
 }
--- a/crates/proxy-core/src/connection.rs
+++ b/crates/proxy-core/src/connection.rs
@@ -13,237 +13,246 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::account::Account;
-use crate::guard::Guard;
+use crate::account::TenantAccount;
+use crate::framing::FramingValidator;
 
 /// A request must be whole this long after its first byte, and as much later as its body takes: a client may take 2 s for
 /// its head.
-const HEAD: Duration = Duration::from_millis(2500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// And a connection's first one this long after the connection came: a peer that sends no proper request is owed an
 /// error or a close within 3 s.
-const FIRST_HEAD: Duration = Duration::from_millis(2800);
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
 /// A connection may stand idle for so long; it has to be 2 s at least.
-pub const IDLE: Duration = Duration::from_millis(2500);
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// What is known of a connection.
-pub struct Client {
-    pub busy: Cell<bool>,
+pub struct ClientConnection {
+    pub active: Cell<bool>,
     /// It has had an answer. Before that its first request may be on the way at any moment.
-    pub used: Cell<bool>,
-    pub since: Cell<Instant>,
+    pub answered_before: Cell<bool>,
+    pub idle_since: Cell<Instant>,
     /// When the head that is coming in began.
-    pub begun: Cell<Option<Instant>>,
+    pub head_started: Cell<Option<Instant>>,
     /// When something was last read or written.
-    pub moved: Cell<Instant>,
-    pub close: Notify,
+    pub last_io: Cell<Instant>,
+    pub close_requested: Notify,
     /// On whose account it is, in a process of many tenants.
-    pub account: RefCell<Option<Rc<dyn Account>>>,
+    pub account: RefCell<Option<Rc<dyn TenantAccount>>>,
     /// Its latest request was turned away: what is still done for it is work of that kind.
-    pub turning_away: Cell<bool>,
+    pub rejecting: Cell<bool>,
     /// Requests that have been read to their end, and those that have their answer.
-    ended: Cell<u64>,
-    answered: Cell<u64>,
+    requests_read: Cell<u64>,
+    requests_answered: Cell<u64>,
     /// What came behind a request that has no answer yet.
-    ahead: RefCell<Vec<u8>>,
+    pipelined: RefCell<Vec<u8>>,
     /// Who is to look again once there is an answer.
-    reader: RefCell<Option<Waker>>,
+    read_waker: RefCell<Option<Waker>>,
     /// More came behind it than is kept: the connection ends with its answer.
-    overrun: Cell<bool>,
+    overflowed: Cell<bool>,
 }
 
-impl Client {
+impl ClientConnection {
     /// A connection that has just come.
-    pub fn new(account: Option<Rc<dyn Account>>) -> Self {
-        Client {
-            busy: Cell::new(false),
-            used: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            begun: Cell::new(None),
-            moved: Cell::new(Instant::now()),
-            close: Notify::new(),
+    pub fn new(account: Option<Rc<dyn TenantAccount>>) -> Self {
+        ClientConnection {
+            active: Cell::new(false),
+            answered_before: Cell::new(false),
+            idle_since: Cell::new(Instant::now()),
+            head_started: Cell::new(None),
+            last_io: Cell::new(Instant::now()),
+            close_requested: Notify::new(),
             account: RefCell::new(account),
-            turning_away: Cell::new(false),
-            ended: Cell::new(0),
-            answered: Cell::new(0),
-            ahead: RefCell::default(),
-            reader: RefCell::default(),
-            overrun: Cell::new(false),
+            rejecting: Cell::new(false),
+            requests_read: Cell::new(0),
+            requests_answered: Cell::new(0),
+            pipelined: RefCell::default(),
+            read_waker: RefCell::default(),
+            overflowed: Cell::new(false),
         }
     }
 
     /// Whether nothing is known to have come that has not been read.
-    pub fn is_caught_up(&self) -> bool {
-        self.ahead.borrow().is_empty()
+    pub fn pipelined_is_empty(&self) -> bool {
+        self.pipelined.borrow().is_empty()
     }
 
     /// Whether more came behind a request than is kept.
-    pub fn is_overrun(&self) -> bool {
-        self.overrun.get()
+    pub fn has_overflowed(&self) -> bool {
+        self.overflowed.get()
     }
 
     /// When the connection has to be looked at again, if nothing happens until then.
-    pub fn due(&self) -> Instant {
-        match self.begun.get() {
-            _ if self.busy.get() => Instant::now() + IDLE,
-            Some(begun) => self.whole_by(begun),
-            None => self.since.get().max(self.moved.get()) + IDLE,
+    pub fn next_check(&self) -> Instant {
+        match self.head_started.get() {
+            _ if self.active.get() => Instant::now() + IDLE_TIMEOUT,
+            Some(head_started) => self.receive_deadline(head_started),
+            None => self.idle_since.get().max(self.last_io.get()) + IDLE_TIMEOUT,
         }
     }
 
     /// When a request that began then has to be whole, whatever time its body's length takes left out.
-    pub fn whole_by(&self, begun: Instant) -> Instant {
-        let first = if self.used.get() {
-            begun + HEAD
+    pub fn receive_deadline(&self, head_started: Instant) -> Instant {
+        let first = if self.answered_before.get() {
+            head_started + HEAD_TIMEOUT
         } else {
-            self.since.get() + FIRST_HEAD
+            self.idle_since.get() + FIRST_HEAD_TIMEOUT
         };
-        first.min(begun + HEAD)
+        first.min(head_started + HEAD_TIMEOUT)
     }
 
-    fn wrote(&self, written: &Poll<io::Result<usize>>) {
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(1..))) {
-            self.moved.set(Instant::now());
+            self.last_io.set(Instant::now());
         }
     }
 
     /// Its request has its answer.
-    pub fn rest(&self) {
-        self.busy.set(false);
-        self.answered.set(self.answered.get() + 1);
-        self.since.set(Instant::now());
-        if let Some(reader) = self.reader.take().filter(|_| !self.is_caught_up()) {
-            reader.wake();
+    pub fn request_answered(&self) {
+        self.active.set(false);
+        self.requests_answered.set(self.requests_answered.get() + 1);
+        self.idle_since.set(Instant::now());
+        if let Some(read_waker) = self
+            .read_waker
+            .take()
+            .filter(|_| !self.pipelined_is_empty())
+        {
+            read_waker.wake();
         }
     }
 
     /// Puts the connection on the account of the tenant that its latest request names.
-    pub fn belongs_to(&self, account: &Rc<dyn Account>) -> Result<(), f64> {
-        let mut own = self.account.borrow_mut();
-        if own.as_ref().is_some_and(|o| Rc::ptr_eq(o, account)) {
+    pub fn assign_account(&self, account: &Rc<dyn TenantAccount>) -> Result<(), f64> {
+        let mut assigned = self.account.borrow_mut();
+        if assigned.as_ref().is_some_and(|a| Rc::ptr_eq(a, account)) {
             return Ok(());
         }
-        account.connect()?;
-        if let Some(old) = own.replace(account.clone()) {
-            old.disconnect();
+        account.acquire_client_connection()?;
+        if let Some(previous) = assigned.replace(account.clone()) {
+            previous.release_client_connection();
         }
         Ok(())
     }
 
     /// Runs the connection's future and puts each turn on the account that it has then.
-    pub async fn work<F: Future>(&self, future: F) -> F::Output {
+    pub async fn run_accounted<F: Future>(&self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
             if let Some(account) = &*self.account.borrow() {
-                account.works();
+                account.begin_work();
             }
-            let turn = future.as_mut().poll(cx);
+            let result = future.as_mut().poll(cx);
             if let Some(account) = &*self.account.borrow() {
-                account.worked(self.turning_away.get());
+                account.end_work(self.rejecting.get());
             }
-            turn
+            result
         })
         .await
     }
 }
 
-impl Drop for Client {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         if let Some(account) = self.account.get_mut() {
-            account.disconnect();
+            account.release_client_connection();
         }
     }
 }
 
 /// Bytes behind a request that are kept while it has no answer.
-const AHEAD: usize = 64 << 10;
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
 /// Reads of bytes that are not served, in one turn.
-pub const READS: usize = 4;
+pub const MAX_READS_PER_POLL: usize = 4;
 
 /// A client's socket, which is read only while its account lets it. The HTTP library gets one request at a time: with bytes of
 /// a further one in its hands it would no longer look whether the client is still there.
-pub struct Gated {
+pub struct ClientSocket {
     pub stream: Rc<RefCell<TcpStream>>,
-    pub client: Rc<Client>,
-    pub guard: Guard,
+    pub client: Rc<ClientConnection>,
+    pub framing: FramingValidator,
 }
 
-impl AsyncRead for Gated {
+impl AsyncRead for ClientSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
         buf: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
         // The rest of a request that has been let in is read whatever the account says: it holds what the account lacks.
-        let let_in = self.client.busy.get() && !self.client.turning_away.get();
-        let waits = |account: &Rc<dyn Account>| !let_in && !account.may_read(cx.waker());
-        if self.client.account.borrow().as_ref().is_some_and(waits) {
+        let admitted = self.client.active.get() && !self.client.rejecting.get();
+        let must_wait =
+            |account: &Rc<dyn TenantAccount>| !admitted && !account.may_read(cx.waker());
+        if self.client.account.borrow().as_ref().is_some_and(must_wait) {
             return Poll::Pending;
         }
-        if self.client.ended.get() > self.client.answered.get() {
-            return self.look_ahead(cx);
+        if self.client.requests_read.get() > self.client.requests_answered.get() {
+            return self.read_pipelined(cx);
         }
         let before = buf.filled().len();
-        let kept = std::mem::take(&mut *self.client.ahead.borrow_mut());
-        let read = if kept.is_empty() && self.client.overrun.get() {
+        let pipelined = std::mem::take(&mut *self.client.pipelined.borrow_mut());
+        let read = if pipelined.is_empty() && self.client.overflowed.get() {
             return Poll::Ready(Ok(())); // what comes now has a gap before it
-        } else if kept.is_empty() {
+        } else if pipelined.is_empty() {
             Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf)
         } else {
-            let now = kept.len().min(buf.remaining());
-            buf.put_slice(&kept[..now]);
+            let now = pipelined.len().min(buf.remaining());
+            buf.put_slice(&pipelined[..now]);
             self.client
-                .ahead
+                .pipelined
                 .borrow_mut()
-                .extend_from_slice(&kept[now..]);
+                .extend_from_slice(&pipelined[now..]);
             Poll::Ready(Ok(()))
         };
         if buf.filled().len() > before {
-            match self.guard.feed(&buf.filled()[before..]) {
+            match self.framing.feed(&buf.filled()[before..]) {
                 // What it gets from here on would be read in two ways: the connection ends.
-                Err(what) => {
+                Err(error) => {
                     buf.set_filled(before);
-                    return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, what)));
+                    return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, error)));
                 }
-                Ok((taken, ended)) => {
+                Ok((taken, request_ended)) => {
                     self.client
-                        .ahead
+                        .pipelined
                         .borrow_mut()
                         .splice(..0, buf.filled()[before + taken..].iter().copied());
                     buf.set_filled(before + taken);
                     self.client
-                        .ended
-                        .set(self.client.ended.get() + u64::from(ended));
+                        .requests_read
+                        .set(self.client.requests_read.get() + u64::from(request_ended));
                 }
             }
             let now = Instant::now();
-            self.client.moved.set(now);
-            if !self.client.busy.get() && self.client.begun.get().is_none() && self.guard.in_head()
+            self.client.last_io.set(now);
+            if !self.client.active.get()
+                && self.client.head_started.get().is_none()
+                && self.framing.in_head()
             {
-                self.client.begun.set(Some(now));
+                self.client.head_started.set(Some(now));
             }
         }
         read
     }
 }
 
-impl Gated {
+impl ClientSocket {
     /// Reads what comes behind a request that has no answer yet. Its client's end is all that is told of it.
-    fn look_ahead(&self, cx: &mut Context) -> Poll<io::Result<()>> {
+    fn read_pipelined(&self, cx: &mut Context) -> Poll<io::Result<()>> {
         let mut bytes = [0; 4 << 10];
-        for _ in 0..READS {
+        for _ in 0..MAX_READS_PER_POLL {
             let mut buf = ReadBuf::new(&mut bytes);
             match Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut buf) {
                 Poll::Ready(Ok(())) if !buf.filled().is_empty() => {
-                    self.client.moved.set(Instant::now());
-                    let mut ahead = self.client.ahead.borrow_mut();
-                    let room = AHEAD.saturating_sub(ahead.len()).min(buf.filled().len());
-                    ahead.extend_from_slice(&buf.filled()[..room]);
+                    self.client.last_io.set(Instant::now());
+                    let mut pipelined = self.client.pipelined.borrow_mut();
+                    let room = MAX_PIPELINED_BYTES
+                        .saturating_sub(pipelined.len())
+                        .min(buf.filled().len());
+                    pipelined.extend_from_slice(&buf.filled()[..room]);
                     self.client
-                        .overrun
-                        .set(self.client.overrun.get() || room < buf.filled().len());
+                        .overflowed
+                        .set(self.client.overflowed.get() || room < buf.filled().len());
                 }
                 Poll::Pending => {
-                    self.client.reader.replace(Some(cx.waker().clone()));
+                    self.client.read_waker.replace(Some(cx.waker().clone()));
                     return Poll::Pending;
                 }
                 end => return end,
@@ -254,10 +263,10 @@
     }
 }
 
-impl AsyncWrite for Gated {
+impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, bytes);
-        self.client.wrote(&written);
+        self.client.record_write(&written);
         written
     }
 
@@ -275,7 +284,7 @@
         parts: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, parts);
-        self.client.wrote(&written);
+        self.client.record_write(&written);
         written
     }
 
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -19,10 +19,10 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::backoff::Backoff;
-use crate::hosts::List;
+use crate::hosts::HostList;
 use crate::inbox::{Inbox, Input};
+use crate::json_stream::{ObjectSplitter, StreamItem};
 use crate::note;
-use crate::objects::{Objects, Part};
 
 /// A watch sends an empty line every 2 s. One that has brought neither such a line nor a whole object for this span
 /// hangs on a dead machine or has fallen silent, and is opened anew.
@@ -31,7 +31,7 @@
 /// pushed, a watch that falls silent is given up after 2.5 s; then come a first wait of 75 ms at most and a call, which is
 /// answered at once. A call that hangs adds [`AGAIN`], one that fails a wait: 2.5 + 0.075 + 0.35 + 0.15 + 0.3 + 0.375 =
 /// 3.75 s after one call that hangs and three that fail. One that opens and then says nothing is given up after another
-/// 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The longest wait is [`crate::backoff::MOST`].
+/// 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The longest wait is [`crate::backoff::MAX_DELAY`].
 const SILENCE: Duration = Duration::from_millis(2500);
 const CONNECT: Duration = Duration::from_secs(1);
 /// Where lists are pushed, an agent of this machine's own answers at once or not at all. While it has not answered, it is
@@ -107,7 +107,7 @@
             if std::mem::take(&mut self.spoke) {
                 self.backoff.reset();
             }
-            let wait = self.backoff.wait();
+            let wait = self.backoff.next_delay();
             note!("discovery: {error}; again in {} ms", wait.as_millis());
             tokio::select! {
                 () = sleep(wait) => {}
@@ -126,7 +126,7 @@
             asked.notified().await;
             let error = self.watch_while_there().await;
             note!("discovery: {error}");
-            self.inbox.put(Input::no_list());
+            self.inbox.send(Input::list_failed());
         }
     }
 
@@ -158,9 +158,9 @@
                 Err(_) => return "the watch is silent".into(),
                 Ok(Err(e)) => return e,
                 Ok(Ok(None)) => return "the watch has ended".into(),
-                Ok(Ok(Some(Part::Beat))) => self.spoke = true,
+                Ok(Ok(Some(StreamItem::Heartbeat))) => self.spoke = true,
                 // What can't be read leaves a gap: only a new watch from the last good one fills it.
-                Ok(Ok(Some(Part::Object(object)))) => {
+                Ok(Ok(Some(StreamItem::Object(object)))) => {
                     if let Err(e) = self.take(&object) {
                         return e;
                     }
@@ -200,7 +200,7 @@
     }
 
     fn take(&mut self, object: &[u8]) -> Result<(), String> {
-        let list: List =
+        let list: HostList =
             serde_json::from_slice(object).map_err(|e| format!("a broken list: {e}"))?;
         let anew = std::mem::take(&mut self.fresh) && list.whole;
         if !anew
@@ -220,7 +220,7 @@
         } else {
             UpdateScope::Delta
         };
-        self.inbox.put(Input::List {
+        self.inbox.send(Input::EndpointList {
             scope,
             seq: Some(list.seq),
             hosts: list.entries(),
@@ -233,11 +233,11 @@
 pub async fn fetch(address: SocketAddr, inbox: Inbox) {
     let list = timeout(SILENCE, async {
         let body = get(address, String::new()).await?.rest().await?;
-        serde_json::from_slice::<List>(&body).map_err(|e| format!("a broken list: {e}"))
+        serde_json::from_slice::<HostList>(&body).map_err(|e| format!("a broken list: {e}"))
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         Ok(list) => {
-            inbox.put(Input::List {
+            inbox.send(Input::EndpointList {
                 scope: UpdateScope::Full,
                 seq: Some(list.seq),
                 hosts: list.entries(),
@@ -245,7 +245,7 @@
         }
         Err(e) => {
             note!("discovery: {e}");
-            inbox.put(Input::no_list());
+            inbox.send(Input::list_failed());
         }
     }
 }
@@ -253,7 +253,7 @@
 /// An answer's body, object by object.
 struct Stream {
     body: hyper::body::Incoming,
-    objects: Objects,
+    objects: ObjectSplitter,
     /// Ends the connection with the answer.
     _connection: JoinSet<()>,
     _sender: http1::SendRequest<Empty<Bytes>>,
@@ -261,15 +261,15 @@
 
 impl Stream {
     /// The next part; `None` at the end.
-    async fn next(&mut self) -> Result<Option<Part>, String> {
+    async fn next(&mut self) -> Result<Option<StreamItem>, String> {
         loop {
-            if let Some(part) = self.objects.part()? {
+            if let Some(part) = self.objects.next_item()? {
                 return Ok(Some(part));
             }
             let Some(data) = more(&mut self.body).await? else {
                 return Ok(None);
             };
-            if self.objects.held() + data.len() > MOST {
+            if self.objects.buffered() + data.len() > MOST {
                 return Err("a list over the size".into());
             }
             self.objects.feed(&data);
@@ -327,7 +327,7 @@
     }
     Ok(Stream {
         body: answer.into_body(),
-        objects: Objects::default(),
+        objects: ObjectSplitter::default(),
         _connection: task,
         _sender: sender,
     })
--- a/crates/proxy-core/src/drills.rs
+++ b/crates/proxy-core/src/drills.rs
@@ -23,8 +23,8 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::message::plain;
-use crate::stream::Inbound;
+use crate::message::text_response;
+use crate::stream::ResponseBody;
 use crate::{log, note};
 
 /// Connections to the side port at once; more are closed unanswered.
@@ -167,9 +167,10 @@
     }
 
     /// Lets a drill act on an answer.
-    pub async fn act(&self, hit: &Hit, answer: Response<Inbound>) -> Response<Inbound> {
+    pub async fn act(&self, hit: &Hit, answer: Response<ResponseBody>) -> Response<ResponseBody> {
         let Deed::Delay(delay) = hit.deed else {
-            return plain(StatusCode::INTERNAL_SERVER_ERROR, "a drill").map(Inbound::from);
+            return text_response(StatusCode::INTERNAL_SERVER_ERROR, "a drill")
+                .map(ResponseBody::from);
         };
         let end = self.end.notified();
         if !self.ended.get() {
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -17,50 +17,53 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::account::{self, Account};
+use crate::account::{self, TenantAccount};
 use crate::capture::{Capture, Pending};
 use crate::clock::Clock;
 use crate::discovery::{self, Place};
-use crate::gate::{Ticket, stamp};
+use crate::gate::{PoolGate, insert_stamp};
 use crate::hosts::Host;
-use crate::inbox::{Answer, Arrival, FAILED, GONE, Inbox, Input, REFUSED, SERVED};
+use crate::inbox::{
+    Answer, Inbox, IncomingRequest, Input, STATUS_CLIENT_CLOSED, STATUS_FAILED, STATUS_REJECTED,
+    STATUS_SERVED,
+};
 use crate::lifecycle::Life;
-use crate::load;
-use crate::message::{Outgoing, Reply};
+use crate::load_report;
+use crate::message::{EndpointResponse, OutboundRequest};
 use crate::note;
 use crate::peers::Peers;
-use crate::upstream::{Attempt, Endpoint, News, Upstreams, Wanted};
+use crate::upstream::{Attempt, AttemptEvent, CancelSignal, Endpoint, Upstreams};
 use crate::vars::{Counts, End, Held};
 
 /// What the client is told has to be on its way this long before the client gives up, whatever happens.
-const LAST_RESORT: Duration = Duration::from_millis(4);
-const SWEEP: Duration = Duration::from_secs(1); // between looks at idle connections
+const ANSWER_MARGIN: Duration = Duration::from_millis(4);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1); // between looks at idle connections
 /// A pool that has had nothing to do for so long rests, where it may: by then the module's averages and slots stand still.
-const REST: Duration = Duration::from_secs(10);
+const SLEEP_AFTER: Duration = Duration::from_secs(10);
 /// The module's ticks that a pool makes up for when it is woken: as many as it takes to look over all servers once.
-const WAKING: usize = 5;
+const CATCH_UP_TICKS: usize = 5;
 
 /// A request that lacks its answer or has attempts out.
-struct Live {
+struct ActiveRequest {
     /// `None` for one that was not read.
     class: Option<ClassId>,
-    answer: Option<oneshot::Sender<Answer>>,
+    response_sender: Option<oneshot::Sender<Answer>>,
     /// Whether an attempt may still begin for it.
-    wanted: Rc<Wanted>,
-    message: Rc<Outgoing>,
+    cancel: Rc<CancelSignal>,
+    outbound: Rc<OutboundRequest>,
     deadline: Instant,
     attempts: u32,
-    out: u32,
+    attempts_in_flight: u32,
     /// Its answer has begun, and is still on its way.
-    passing: bool,
+    streaming: bool,
     /// What the capture knows of it, if there is one.
-    pending: Option<Pending>,
+    capture_entry: Option<Pending>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(u64),
-    LastResort(RequestId),
+enum Timer {
+    Balancer(u64),
+    AnswerDeadline(RequestId),
 }
 
 /// What the driver needs of the other parts.
@@ -73,318 +76,340 @@
     /// Where lists are asked for, in a pool whose module asks for them.
     pub discovery: Option<Rc<Place>>,
     /// The pool's place at the gate, in a process that acts as one with others.
-    pub gate: Option<Rc<Ticket>>,
+    pub gate: Option<Rc<PoolGate>>,
     /// The account that the pool's work is put on, in a process of many tenants.
-    pub account: Option<Rc<dyn Account>>,
+    pub account: Option<Rc<dyn TenantAccount>>,
     /// Whether it may rest: with nothing to do it has no timer, so that thousands of idle pools take no time.
-    pub rests: bool,
+    pub may_sleep: bool,
     /// Told when the module wants a watch.
-    pub watch: Rc<Notify>,
+    pub subscribe: Rc<Notify>,
     /// Told once discovery has told the list.
-    pub life: Rc<Life>,
+    pub lifecycle: Rc<Life>,
     pub counts: Rc<Counts>,
 }
 
 /// What is seen of a driver from outside, between its turns: whether anything is under way, and what its module knows then.
-pub struct Known {
+pub struct DriverState {
     /// It holds no request, nor has it attempts out.
-    still: Cell<bool>,
+    idle: Cell<bool>,
     balancer: RefCell<Balancer>,
 }
 
-impl Known {
+impl DriverState {
     pub fn new(balancer: Balancer) -> Rc<Self> {
-        Rc::new(Known {
-            still: Cell::new(true),
+        Rc::new(DriverState {
+            idle: Cell::new(true),
             balancer: RefCell::new(balancer),
         })
     }
 
     /// Whether it holds no request and has no attempt out.
-    pub fn is_still(&self) -> bool {
-        self.still.get()
+    pub fn is_idle(&self) -> bool {
+        self.idle.get()
     }
 
     /// What the module holds against servers, and what cold ones may still be sent.
-    pub fn standing(&self, now: Millis) -> HealthSnapshot {
+    pub fn health_snapshot(&self, now: Millis) -> HealthSnapshot {
         self.balancer.borrow().health_snapshot(now)
     }
 }
 
 /// Runs the module on what comes in.
 pub struct Driver {
-    known: Rc<Known>,
+    state: Rc<DriverState>,
     names: Names,
     parts: Parts,
     endpoints: FxHashMap<EndpointId, Rc<Endpoint>>,
-    live: FxHashMap<RequestId, Live>,
-    due: BinaryHeap<Reverse<(Instant, Due)>>,
+    requests: FxHashMap<RequestId, ActiveRequest>,
+    timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     actions: Vec<Action>,
     retired: bool,
     /// Discovery has told a whole list.
-    listed: bool,
+    has_full_list: bool,
     /// What stands for the message of a request that was not read.
-    nothing: Rc<Outgoing>,
+    empty_request: Rc<OutboundRequest>,
 }
 
 impl Driver {
     pub fn new(balancer: Balancer, names: Names, parts: Parts) -> Self {
         Driver {
-            known: Known::new(balancer),
+            state: DriverState::new(balancer),
             names,
             parts,
             endpoints: FxHashMap::default(),
-            live: FxHashMap::default(),
-            due: BinaryHeap::new(),
+            requests: FxHashMap::default(),
+            timers: BinaryHeap::new(),
             actions: Vec::new(),
             retired: false,
-            listed: false,
-            nothing: Rc::new(Outgoing::nothing()),
+            has_full_list: false,
+            empty_request: Rc::new(OutboundRequest::empty()),
         }
     }
 
     /// What is seen of it from outside.
-    pub fn known(&self) -> Rc<Known> {
-        self.known.clone()
+    pub fn state(&self) -> Rc<DriverState> {
+        self.state.clone()
     }
 
     /// Takes inputs and timers for as long as the process runs, or until the pool is retired and all is answered.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
-        let mut sweep = Instant::now() + SWEEP;
+        let mut next_sweep = Instant::now() + SWEEP_INTERVAL;
         // Setting a timer that is due before all others wakes the runtime by a system call. So it is set anew only
         // for an earlier time, and when it has fired; it may fire before anything is due.
-        let mut alarm = pin!(sleep_until(sweep));
+        let mut wakeup = pin!(sleep_until(next_sweep));
         let mut fired = false;
-        let mut busy = Instant::now();
+        let mut last_active = Instant::now();
         loop {
-            if self.parts.rests && self.may_rest(&mut busy) {
+            if self.parts.may_sleep && self.has_been_idle(&mut last_active) {
                 let Some(input) = inputs.recv().await else {
                     return;
                 };
-                self.wake();
-                self.take(input);
-                self.known.still.set(self.live.is_empty());
-                (busy, fired) = (Instant::now(), true);
+                self.catch_up();
+                self.handle_input(input);
+                self.state.idle.set(self.requests.is_empty());
+                (last_active, fired) = (Instant::now(), true);
             }
             let next = self
-                .due
+                .timers
                 .peek()
-                .map_or(sweep, |Reverse((at, _))| (*at).min(sweep));
-            if std::mem::take(&mut fired) || next < alarm.deadline() {
-                alarm.as_mut().reset(next);
+                .map_or(next_sweep, |Reverse((at, _))| (*at).min(next_sweep));
+            if std::mem::take(&mut fired) || next < wakeup.deadline() {
+                wakeup.as_mut().reset(next);
             }
             tokio::select! {
                 biased;
-                () = alarm.as_mut() => fired = true,
+                () = wakeup.as_mut() => fired = true,
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
             }
             let now = Instant::now();
-            while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-                let Some(Reverse((_, due))) = self.due.pop() else {
+            while self
+                .timers
+                .peek()
+                .is_some_and(|Reverse((at, _))| *at <= now)
+            {
+                let Some(Reverse((_, timer))) = self.timers.pop() else {
                     break;
                 };
-                match due {
-                    Due::Module(token) => self.handle(Event::Timer(token)),
-                    Due::LastResort(id) => self.last_resort(id),
+                match timer {
+                    Timer::Balancer(token) => self.handle(Event::Timer(token)),
+                    Timer::AnswerDeadline(id) => self.fail_at_deadline(id),
                 }
             }
-            self.known.still.set(self.live.is_empty());
-            if self.retired && self.live.is_empty() {
+            self.state.idle.set(self.requests.is_empty());
+            if self.retired && self.requests.is_empty() {
                 return self.endpoints.values().for_each(|e| e.set_open(false));
             }
-            if now >= sweep {
-                self.parts.upstreams.sweep();
-                sweep = now + SWEEP;
+            if now >= next_sweep {
+                self.parts.upstreams.close_expired();
+                next_sweep = now + SWEEP_INTERVAL;
             }
         }
     }
 
     /// Whether a pool that was last seen busy then has had nothing to do since, for long enough.
-    fn may_rest(&self, busy: &mut Instant) -> bool {
-        if !self.live.is_empty() {
-            *busy = Instant::now();
+    fn has_been_idle(&self, last_active: &mut Instant) -> bool {
+        if !self.requests.is_empty() {
+            *last_active = Instant::now();
         }
-        busy.elapsed() >= REST && !self.parts.upstreams.has_idle()
+        last_active.elapsed() >= SLEEP_AFTER && !self.parts.upstreams.has_idle()
     }
 
     /// The module hears of the time that has passed, before it hears of anything else.
-    fn wake(&mut self) {
-        for _ in 0..WAKING {
-            for Reverse((_, due)) in std::mem::take(&mut self.due) {
+    fn catch_up(&mut self) {
+        for _ in 0..CATCH_UP_TICKS {
+            for Reverse((_, timer)) in std::mem::take(&mut self.timers) {
                 // Requests have none left: nothing but the module's own tick means anything.
-                if let Due::Module(token) = due {
+                if let Timer::Balancer(token) = timer {
                     self.handle(Event::Timer(token));
                 }
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(arrival) => self.request(*arrival),
-            Input::Unadmitted { id, wait, answer } => self.unadmitted(id, wait, answer),
-            Input::Gone(id) => {
-                if self.close(id, GONE).is_some() {
+            Input::Request(incoming) => self.start_request(*incoming),
+            Input::NotAdmitted {
+                id,
+                delay,
+                response_sender,
+            } => self.reject_not_admitted(id, delay, response_sender),
+            Input::ClientDisconnected(id) => {
+                if self.close(id, STATUS_CLIENT_CLOSED).is_some() {
                     self.handle(Event::ClientDisconnected(id));
                 }
             }
-            Input::Ended {
+            Input::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
-                reply,
+                response,
             } => {
-                self.ended(request, attempt, latency, outcome, reply);
+                self.attempt_ended(request, attempt, latency, outcome, response);
             }
-            Input::Whole(id) => self.whole(id),
-            Input::Began {
+            Input::BodyComplete(id) => self.body_complete(id),
+            Input::ResponseStarted {
                 request,
                 attempt,
-                reply,
-            } => self.began(request, attempt, reply),
-            Input::List { scope, seq, hosts } => self.list(scope, seq, hosts),
+                response,
+            } => self.response_started(request, attempt, response),
+            Input::EndpointList { scope, seq, hosts } => self.update_endpoints(scope, seq, hosts),
             Input::Datagram { from, bytes } => self.handle(Event::Gossip { from, bytes }),
-            Input::Proxies { me, proxies } => self.handle(Event::ProxyCount {
-                proxy_index: me,
-                proxy_count: proxies,
+            Input::ProxyCount { index, count } => self.handle(Event::ProxyCount {
+                proxy_index: index,
+                proxy_count: count,
             }),
             Input::Settings(settings) => self.handle(Event::Settings(settings)),
-            Input::Standing(standing) => self.handle(Event::HealthRestored(standing)),
-            Input::Ask(tell) => {
-                let _ = tell.send(self.held()); // who asked may have left
+            Input::HealthRestored(snapshot) => self.handle(Event::HealthRestored(snapshot)),
+            Input::ActiveCounts(sender) => {
+                let _ = sender.send(self.active_counts()); // who asked may have left
             }
             Input::Retire => self.retired = true,
         }
     }
 
-    fn unadmitted(&mut self, id: RequestId, wait: Millis, answer: oneshot::Sender<Answer>) {
-        let live = Live {
+    fn reject_not_admitted(
+        &mut self,
+        id: RequestId,
+        delay: Millis,
+        response_sender: oneshot::Sender<Answer>,
+    ) {
+        let active = ActiveRequest {
             class: None,
-            answer: Some(answer),
-            wanted: Rc::default(),
-            message: self.nothing.clone(),
+            response_sender: Some(response_sender),
+            cancel: Rc::default(),
+            outbound: self.empty_request.clone(),
             deadline: Instant::now(),
             attempts: 0,
-            out: 0,
-            passing: false,
-            pending: None,
+            attempts_in_flight: 0,
+            streaming: false,
+            capture_entry: None,
         };
-        self.live.insert(id, live);
+        self.requests.insert(id, active);
         self.handle(Event::ProcessShareExceeded {
             id,
-            retry_after: wait,
+            retry_after: delay,
         });
     }
 
-    fn request(&mut self, arrival: Arrival) {
-        let Arrival {
+    fn start_request(&mut self, incoming: IncomingRequest) {
+        let IncomingRequest {
             id,
             class,
             tenant,
             key,
-            hint,
-            patience,
+            work_hint,
+            timeout,
             deadline,
-            mut message,
-            answer,
-            decided,
-        } = arrival;
+            mut outbound,
+            response_sender,
+            decision,
+        } = incoming;
         if let Some(gate) = &self.parts.gate {
             let Some(now) = gate.decide() else {
-                let _ = answer.send(Answer::Again(Box::new(message))); // its client may have left
+                let _ = response_sender.send(Answer::Undecided(Box::new(outbound))); // its client may have left
                 return;
             };
-            decided.inspect(|d| d.set(Some(now)));
-            if gate.stamps() {
-                stamp(&mut message.headers, now);
+            decision.inspect(|d| d.set(Some(now)));
+            if gate.send_stamps() {
+                insert_stamp(&mut outbound.headers, now);
             }
         }
-        let last = deadline - LAST_RESORT;
-        let whole = message.body.upload().is_none();
-        let budget = last.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        self.live.insert(
+        let answer_deadline = deadline - ANSWER_MARGIN;
+        let is_complete = outbound.body.upload().is_none();
+        let remaining = answer_deadline
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64()
+            * 1000.0;
+        self.requests.insert(
             id,
-            Live {
+            ActiveRequest {
                 class: Some(class),
-                answer: Some(answer),
-                wanted: Rc::default(),
-                message: Rc::new(message),
+                response_sender: Some(response_sender),
+                cancel: Rc::default(),
+                outbound: Rc::new(outbound),
                 deadline,
                 attempts: 0,
-                out: 0,
-                passing: false,
-                pending: self
+                attempts_in_flight: 0,
+                streaming: false,
+                capture_entry: self
                     .parts
                     .capture
                     .as_ref()
-                    .map(|c| c.begin(class, tenant, patience)),
+                    .map(|c| c.begin(class, tenant, timeout)),
             },
         );
         self.parts.counts.took(class.0);
-        self.due.push(Reverse((last, Due::LastResort(id))));
+        self.timers
+            .push(Reverse((answer_deadline, Timer::AnswerDeadline(id))));
         self.handle(Event::Request {
             id,
             class,
             tenant,
             key,
-            timeout: budget,
-            expected_work: hint,
-            body_complete: whole,
+            timeout: remaining,
+            expected_work: work_hint,
+            body_complete: is_complete,
         });
     }
 
     /// Answers a request that nobody else has answered in time. It may have run, so it has failed.
-    fn last_resort(&mut self, id: RequestId) {
-        let coming = |l: &Live| {
-            l.message
+    fn fail_at_deadline(&mut self, id: RequestId) {
+        let body_incomplete = |l: &ActiveRequest| {
+            l.outbound
                 .body
                 .upload()
-                .is_some_and(|u| u.is_touched() && !u.is_passed())
+                .is_some_and(|u| u.is_partly_sent() && !u.is_complete())
         };
-        if self.live.get(&id).is_some_and(|l| {
-            coming(l) && l.out > 0 || l.deadline > Instant::now() + 2 * LAST_RESORT
+        if self.requests.get(&id).is_some_and(|l| {
+            body_incomplete(l) && l.attempts_in_flight > 0
+                || l.deadline > Instant::now() + 2 * ANSWER_MARGIN
         }) {
             return; // its time has not begun, or has begun anew
         }
-        if let Some(answer) = self.close(id, FAILED) {
-            let _ = answer.send(Answer::Failed); // a client that has left needs none
+        if let Some(response_sender) = self.close(id, STATUS_FAILED) {
+            let _ = response_sender.send(Answer::Failed); // a client that has left needs none
             self.handle(Event::ClientDisconnected(id));
         }
     }
 
     /// A request that was still coming in has gone out whole: its time begins.
-    fn whole(&mut self, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else {
+    fn body_complete(&mut self, id: RequestId) {
+        let Some(active) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(upload) = live.message.body.upload() else {
+        let Some(upload) = active.outbound.body.upload() else {
             return;
         };
-        live.deadline = Instant::now() + upload.patience;
-        let last = live.deadline - LAST_RESORT;
-        let budget = last.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        self.due.push(Reverse((last, Due::LastResort(id))));
+        active.deadline = Instant::now() + upload.timeout;
+        let answer_deadline = active.deadline - ANSWER_MARGIN;
+        let remaining = answer_deadline
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64()
+            * 1000.0;
+        self.timers
+            .push(Reverse((answer_deadline, Timer::AnswerDeadline(id))));
         self.handle(Event::BodyComplete {
             id,
-            timeout: budget,
+            timeout: remaining,
         });
     }
 
     /// The client owns an answer that has begun: it is neither cut at the deadline nor made anew.
-    fn began(&mut self, request: RequestId, attempt: u32, reply: Reply) {
-        let Some(live) = self.live.get_mut(&request) else {
+    fn response_started(&mut self, request: RequestId, attempt: u32, response: EndpointResponse) {
+        let Some(active) = self.requests.get_mut(&request) else {
             return;
         };
-        let Some(answer) = live.answer.take() else {
+        let Some(response_sender) = active.response_sender.take() else {
             return;
         }; // who reads the answer's body sees that nobody wants it
-        live.wanted.end();
-        live.passing = true;
-        let _ = answer.send(Answer::Served(reply)); // likewise, if the client has just left
+        active.cancel.cancel();
+        active.streaming = true;
+        let _ = response_sender.send(Answer::Served(response)); // likewise, if the client has just left
         self.handle(Event::ResponseStarted {
             request,
             attempt,
@@ -392,41 +417,46 @@
         });
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         request: RequestId,
         attempt: u32,
         latency: Millis,
         outcome: Outcome,
-        reply: Option<Reply>,
+        response: Option<EndpointResponse>,
     ) {
-        let Some(live) = self.live.get_mut(&request) else {
+        let Some(active) = self.requests.get_mut(&request) else {
             return;
         };
-        live.out -= 1;
-        if let Some(pending) = &mut live.pending {
-            pending.ended(attempt, outcome);
+        active.attempts_in_flight -= 1;
+        if let Some(capture_entry) = &mut active.capture_entry {
+            capture_entry.ended(attempt, outcome);
         }
-        let was_open = live.answer.is_some();
-        let upload = live.message.body.upload().cloned();
-        if upload.as_ref().is_some_and(|u| u.is_touched()) {
+        let was_open = active.response_sender.is_some();
+        let upload = active.outbound.body.upload().cloned();
+        if upload.as_ref().is_some_and(|u| u.is_partly_sent()) {
             self.handle(Event::BodyDiscarded(request));
         }
-        if let Some(load) = reply.as_ref().and_then(|r| load::told(&r.headers)) {
+        if let Some(load) = response
+            .as_ref()
+            .and_then(|r| load_report::parse(&r.headers))
+        {
             self.handle(Event::LoadReport {
                 request,
                 attempt,
                 load,
             });
         }
-        if upload.is_some_and(|u| u.is_lost()) && self.close(request, GONE).is_some() {
+        if upload.is_some_and(|u| u.is_client_lost())
+            && self.close(request, STATUS_CLIENT_CLOSED).is_some()
+        {
             self.handle(Event::ClientDisconnected(request));
         }
-        if self.live.get(&request).is_some_and(|l| l.passing) {
+        if self.requests.get(&request).is_some_and(|l| l.streaming) {
             let code = match outcome {
-                Outcome::Served => SERVED,
-                Outcome::Cancelled => GONE,
-                _ => FAILED,
+                Outcome::Served => STATUS_SERVED,
+                Outcome::Cancelled => STATUS_CLIENT_CLOSED,
+                _ => STATUS_FAILED,
             };
             self.close(request, code);
             return self.handle(Event::AttemptEnded {
@@ -437,13 +467,13 @@
                 request_finished: true,
             });
         }
-        if let (Outcome::Served, Some(reply)) = (outcome, reply)
-            && let Some(answer) = self.close(request, SERVED)
+        if let (Outcome::Served, Some(response)) = (outcome, response)
+            && let Some(response_sender) = self.close(request, STATUS_SERVED)
         {
-            let _ = answer.send(Answer::Served(reply)); // else the client has just left
+            let _ = response_sender.send(Answer::Served(response)); // else the client has just left
         }
         let closed = !was_open || outcome == Outcome::Served;
-        self.forget(request);
+        self.remove_if_done(request);
         self.handle(Event::AttemptEnded {
             request,
             attempt,
@@ -455,37 +485,39 @@
 
     /// Takes the right to answer a request, with this code; from here on nothing more begins for it.
     fn close(&mut self, id: RequestId, code: u16) -> Option<oneshot::Sender<Answer>> {
-        let live = self.live.get_mut(&id)?;
-        live.wanted.end();
-        let answer = live.answer.take();
-        let open = std::mem::take(&mut live.passing) || answer.is_some();
-        if let (Some(class), true) = (live.class, open) {
+        let active = self.requests.get_mut(&id)?;
+        active.cancel.cancel();
+        let response_sender = active.response_sender.take();
+        let open = std::mem::take(&mut active.streaming) || response_sender.is_some();
+        if let (Some(class), true) = (active.class, open) {
             let end = match code {
-                SERVED => End::Answered,
-                REFUSED => End::Deferred,
-                GONE => End::Abandoned,
+                STATUS_SERVED => End::Answered,
+                STATUS_REJECTED => End::Deferred,
+                STATUS_CLIENT_CLOSED => End::Abandoned,
                 _ => End::Errored,
             };
             self.parts.counts.ended(class.0, end);
         }
-        if let (Some(capture), Some(pending)) = (&self.parts.capture, live.pending.take()) {
-            capture.end(&pending, &live.message, code);
+        if let (Some(capture), Some(capture_entry)) =
+            (&self.parts.capture, active.capture_entry.take())
+        {
+            capture.end(&capture_entry, &active.outbound, code);
         }
-        self.forget(id);
-        answer
+        self.remove_if_done(id);
+        response_sender
     }
 
     /// What is held now.
-    fn held(&self) -> Held {
+    fn active_counts(&self) -> Held {
         let endpoints = self
-            .known
+            .state
             .balancer
             .borrow()
             .endpoint_counts(self.parts.clock.now());
         let current = self
-            .live
+            .requests
             .values()
-            .filter(|l| l.class.is_some() && (l.answer.is_some() || l.passing))
+            .filter(|l| l.class.is_some() && (l.response_sender.is_some() || l.streaming))
             .count();
         Held {
             current,
@@ -494,22 +526,20 @@
         }
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self
-            .live
-            .get(&id)
-            .is_some_and(|l| l.answer.is_none() && !l.passing && l.out == 0)
-        {
-            self.live.remove(&id);
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|l| {
+            l.response_sender.is_none() && !l.streaming && l.attempts_in_flight == 0
+        }) {
+            self.requests.remove(&id);
         }
     }
 
-    fn list(&mut self, scope: UpdateScope, seq: Option<u64>, hosts: Vec<Host>) {
+    fn update_endpoints(&mut self, scope: UpdateScope, seq: Option<u64>, hosts: Vec<Host>) {
         // A remembered list is older than one that discovery has told.
-        if scope == UpdateScope::Cached && self.listed {
+        if scope == UpdateScope::Cached && self.has_full_list {
             return;
         }
-        self.listed |= scope == UpdateScope::Full;
+        self.has_full_list |= scope == UpdateScope::Full;
         if let Some(capture) = self
             .parts
             .capture
@@ -518,10 +548,12 @@
         {
             capture.news(scope, seq, &hosts);
         }
-        let whole = matches!(scope, UpdateScope::Full | UpdateScope::Cached);
-        let entries: Vec<balancer::Endpoint> =
-            hosts.into_iter().map(|host| self.backend(host)).collect();
-        if whole {
+        let is_full = matches!(scope, UpdateScope::Full | UpdateScope::Cached);
+        let entries: Vec<balancer::Endpoint> = hosts
+            .into_iter()
+            .map(|host| self.update_endpoint(host))
+            .collect();
+        if is_full {
             let listed: rustc_hash::FxHashSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             for (_, endpoint) in self.endpoints.iter().filter(|(id, _)| !listed.contains(id)) {
                 endpoint.set_open(false);
@@ -535,18 +567,18 @@
         match scope {
             UpdateScope::Cached if !some => {}
             UpdateScope::Full | UpdateScope::Cached => {
-                self.parts.life.tell(|life, _| life.listed())
+                self.parts.lifecycle.tell(|lifecycle, _| lifecycle.listed())
             }
             UpdateScope::Delta | UpdateScope::Failed => {}
         }
     }
 
     /// Notes where a backend is, and whether something new may go there.
-    fn backend(&mut self, host: Host) -> balancer::Endpoint {
+    fn update_endpoint(&mut self, host: Host) -> balancer::Endpoint {
         let id = EndpointId(stable_hash(&host.host));
         let state = host.state();
         if let Some(address) = host.dial {
-            let same = |e: &Rc<Endpoint>| e.address == address && e.born_ms == host.born_ms;
+            let same = |e: &Rc<Endpoint>| e.address == address && e.started_unix_ms == host.born_ms;
             if !self.endpoints.get(&id).is_some_and(same) {
                 let endpoint = Endpoint::new(address, host.born_ms);
                 self.parts.upstreams.add(&endpoint);
@@ -569,14 +601,14 @@
             cell: host.block.map(CellId),
             state,
             weight: host.share.unwrap_or(1.0),
-            started_at: self.parts.clock.born(host.born_ms),
+            started_at: self.parts.clock.start_time(host.born_ms),
         }
     }
 
     fn handle(&mut self, event: Event) {
         let now = self.parts.clock.now();
         let mut actions = std::mem::take(&mut self.actions);
-        self.known
+        self.state
             .balancer
             .borrow_mut()
             .handle(now, event, &mut actions);
@@ -590,35 +622,37 @@
         match action {
             Action::Forward {
                 request,
-                endpoint: backend,
+                endpoint: endpoint_id,
                 timeout,
-                start_by: begin_by,
+                start_by: latest_start,
             } => {
-                self.send(request, backend, timeout, begin_by);
+                self.forward(request, endpoint_id, timeout, latest_start);
             }
             Action::Reject {
                 request,
                 retry_after,
             } => {
-                if let Some(answer) = self.close(request, REFUSED) {
-                    let _ = answer.send(Answer::Refused(retry_after));
+                if let Some(response_sender) = self.close(request, STATUS_REJECTED) {
+                    let _ = response_sender.send(Answer::Rejected(retry_after));
                 }
             }
             Action::Fail(request) => {
-                if let Some(answer) = self.close(request, FAILED) {
-                    let _ = answer.send(Answer::Failed);
+                if let Some(response_sender) = self.close(request, STATUS_FAILED) {
+                    let _ = response_sender.send(Answer::Failed);
                 }
             }
             Action::Timer { token, at } => {
-                self.due
-                    .push(Reverse((self.parts.clock.instant(at), Due::Module(token))));
+                self.timers.push(Reverse((
+                    self.parts.clock.instant_of(at),
+                    Timer::Balancer(token),
+                )));
             }
             Action::Broadcast(bytes) => {
                 if let Some(peers) = &self.parts.peers {
-                    peers.tell(&bytes);
+                    peers.broadcast(&bytes);
                 }
             }
-            Action::Subscribe => self.parts.watch.notify_one(),
+            Action::Subscribe => self.parts.subscribe.notify_one(),
             Action::FetchEndpoints => {
                 if let Some(place) = &self.parts.discovery {
                     tokio::task::spawn_local(discovery::fetch(
@@ -630,142 +664,149 @@
         }
     }
 
-    fn send(
+    fn forward(
         &mut self,
         request: RequestId,
-        backend: EndpointId,
+        endpoint_id: EndpointId,
         timeout: Option<Millis>,
-        begin_by: Option<Millis>,
+        latest_start: Option<Millis>,
     ) {
-        let Some(live) = self.live.get_mut(&request) else {
+        let Some(active) = self.requests.get_mut(&request) else {
             return note!("a send for a request that is not held");
         };
-        let mut report = Report {
+        let mut report = AttemptReport {
             inbox: self.parts.inbox.clone(),
             request,
-            attempt: live.attempts,
-            sent: Instant::now(),
-            told: false,
+            attempt: active.attempts,
+            started_at: Instant::now(),
+            finished: false,
         };
-        live.attempts += 1;
-        live.out += 1;
-        if let (Some(capture), Some(pending)) = (&self.parts.capture, &mut live.pending) {
-            capture.sent(pending, backend);
+        active.attempts += 1;
+        active.attempts_in_flight += 1;
+        if let (Some(capture), Some(capture_entry)) =
+            (&self.parts.capture, &mut active.capture_entry)
+        {
+            capture.sent(capture_entry, endpoint_id);
         }
         let Some(endpoint) = self
             .endpoints
-            .get(&backend)
-            .filter(|e| live.wanted.holds() && e.is_open())
+            .get(&endpoint_id)
+            .filter(|e| active.cancel.is_active() && e.is_open())
         else {
-            return report.tell(Outcome::NotSent, None);
+            return report.finish(Outcome::NotSent, None);
         };
-        let until = timeout.map_or(live.deadline, |t| {
-            live.deadline
-                .min(report.sent + Duration::from_secs_f64(t.clamp(0.0, 1e9) / 1000.0))
+        let deadline = timeout.map_or(active.deadline, |t| {
+            active
+                .deadline
+                .min(report.started_at + Duration::from_secs_f64(t.clamp(0.0, 1e9) / 1000.0))
         });
         let upstreams = self.parts.upstreams.clone();
-        let (wanted, message) = (live.wanted.clone(), live.message.clone());
-        let before = begin_by.map(|at| self.parts.clock.instant(at));
+        let (cancel, outbound) = (active.cancel.clone(), active.outbound.clone());
+        let start_by = latest_start.map(|at| self.parts.clock.instant_of(at));
         let attempt = Attempt {
             endpoint: endpoint.clone(),
-            wanted,
-            message,
-            until,
-            before,
+            cancel,
+            outbound,
+            deadline,
+            start_by,
         };
         let Some(account) = &self.parts.account else {
             tokio::task::spawn_local(async move {
-                upstreams.attempt(attempt, |news| report.pass(news)).await;
+                upstreams
+                    .attempt(attempt, |event| report.handle_event(event))
+                    .await;
             });
             return;
         };
-        let Some(visit) = Visit::begin(account, attempt.endpoint.address) else {
-            return report.tell(Outcome::Overloaded, None); // the module tries elsewhere, or later
+        let Some(permit) = EndpointPermit::acquire(account, attempt.endpoint.address) else {
+            return report.finish(Outcome::Overloaded, None); // the module tries elsewhere, or later
         };
-        tokio::task::spawn_local(account::on(account.clone(), async move {
-            let mut visit = Some(visit);
-            let told = |news| {
-                if matches!(news, News::Ended(..)) {
-                    visit = None; // before the module hears of it, lest it send the next one into a full house
+        tokio::task::spawn_local(account::run_accounted(account.clone(), async move {
+            let mut permit = Some(permit);
+            let on_event = |event| {
+                if matches!(event, AttemptEvent::Ended(..)) {
+                    permit = None; // before the module hears of it, lest it send the next one into a full house
                 }
-                report.pass(news);
+                report.handle_event(event);
             };
-            upstreams.attempt(attempt, told).await;
+            upstreams.attempt(attempt, on_event).await;
         }));
     }
 }
 
 /// A place at a server that other tenants use, too; given back when dropped.
-struct Visit {
-    account: Rc<dyn Account>,
-    server: u64,
+struct EndpointPermit {
+    account: Rc<dyn TenantAccount>,
+    endpoint: u64,
 }
 
-impl Visit {
-    fn begin(account: &Rc<dyn Account>, address: SocketAddr) -> Option<Self> {
-        let server = server_number(address);
-        account.visit(server).then(|| Visit {
-            account: account.clone(),
-            server,
-        })
+impl EndpointPermit {
+    fn acquire(account: &Rc<dyn TenantAccount>, address: SocketAddr) -> Option<Self> {
+        let endpoint = endpoint_number(address);
+        account
+            .acquire_endpoint_connection(endpoint)
+            .then(|| EndpointPermit {
+                account: account.clone(),
+                endpoint,
+            })
     }
 }
 
-impl Drop for Visit {
+impl Drop for EndpointPermit {
     fn drop(&mut self) {
-        self.account.leave(self.server);
+        self.account.release_endpoint_connection(self.endpoint);
     }
 }
 
 /// The number by which accounts know the server at an address, the same for all tenants.
-pub fn server_number(address: SocketAddr) -> u64 {
+pub fn endpoint_number(address: SocketAddr) -> u64 {
     stable_hash(&address.to_string())
 }
 
 /// Tells how an attempt ended, exactly once: an attempt that dies on the way may have run.
-struct Report {
+struct AttemptReport {
     inbox: Inbox,
     request: RequestId,
     attempt: u32,
-    sent: Instant,
-    told: bool,
+    started_at: Instant,
+    finished: bool,
 }
 
-impl Report {
-    fn pass(&mut self, news: News) {
+impl AttemptReport {
+    fn handle_event(&mut self, event: AttemptEvent) {
         let (request, attempt) = (self.request, self.attempt);
-        match news {
-            News::Whole => {
-                self.sent = Instant::now();
-                self.inbox.put(Input::Whole(request));
+        match event {
+            AttemptEvent::BodyComplete => {
+                self.started_at = Instant::now();
+                self.inbox.send(Input::BodyComplete(request));
             }
-            News::Began(reply) => self.inbox.put(Input::Began {
+            AttemptEvent::ResponseStarted(response) => self.inbox.send(Input::ResponseStarted {
                 request,
                 attempt,
-                reply,
+                response,
             }),
-            News::Ended(outcome, reply) => self.tell(outcome, reply),
+            AttemptEvent::Ended(outcome, response) => self.finish(outcome, response),
         }
     }
 
-    fn tell(&mut self, outcome: Outcome, reply: Option<Reply>) {
-        self.told = true;
-        let latency = self.sent.elapsed().as_secs_f64() * 1000.0;
+    fn finish(&mut self, outcome: Outcome, response: Option<EndpointResponse>) {
+        self.finished = true;
+        let latency = self.started_at.elapsed().as_secs_f64() * 1000.0;
         let (request, attempt) = (self.request, self.attempt);
-        self.inbox.put(Input::Ended {
+        self.inbox.send(Input::AttemptEnded {
             request,
             attempt,
             latency,
             outcome,
-            reply,
+            response,
         });
     }
 }
 
-impl Drop for Report {
+impl Drop for AttemptReport {
     fn drop(&mut self) {
-        if !self.told {
-            self.tell(Outcome::Reset, None);
+        if !self.finished {
+            self.finish(Outcome::Reset, None);
         }
     }
 }
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -19,9 +19,9 @@
 use settings::properties::{MetricsFormat as Format, MetricsSettings as Settings};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::inbox::GONE;
+use crate::inbox::STATUS_CLIENT_CLOSED;
 use crate::log::{self, FIGURES, FIGURES_MOST as MOST};
-use crate::message::class_of;
+use crate::message::class_name;
 use crate::note;
 use crate::outlet::{Outlet, write_whole};
 
@@ -125,7 +125,7 @@
             .get("x-tenant-id")
             .and_then(|v| v.to_str().ok());
         let who = (
-            place(&names.classes, class_of(uri)),
+            place(&names.classes, class_name(uri)),
             tenant.and_then(|tenant| place(&names.tenants, tenant)),
         );
         *self.state.borrow_mut().inflight.entry(who).or_default() += 1;
@@ -324,7 +324,7 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.end(GONE);
+            self.end(STATUS_CLIENT_CLOSED);
         }
     }
 }
--- a/crates/proxy-core/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -27,52 +27,57 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::account::{self, Account};
-use crate::connection::{Client, Gated, IDLE, READS};
+use crate::account::{self, TenantAccount};
+use crate::connection::{ClientConnection, ClientSocket, IDLE_TIMEOUT, MAX_READS_PER_POLL};
 use crate::figures::Flight;
-use crate::gate::{Gate, stamp};
-use crate::guard::Guard;
-use crate::inbox::{Answer, Arrival, Inbox, Input, REFUSED};
+use crate::framing::FramingValidator;
+use crate::gate::{Gate, insert_stamp};
+use crate::inbox::{Answer, Inbox, IncomingRequest, Input, STATUS_REJECTED};
 use crate::lifecycle::{Idle, Life};
-use crate::message::{Content, Outgoing, plain, strip, target};
+use crate::message::{
+    OutboundRequest, ResponseContent, origin_form, strip_hop_by_hop, text_response,
+};
 use crate::note;
-use crate::pool::{Asked, Pool};
-use crate::stream::{self, Inbound, KEPT, Kept, Payload, Room, Share, Upload};
-use crate::upstream::{Upstreams, is_quiet};
+use crate::pool::{Pool, RequestHead};
+use crate::stream::{
+    self, BodyBuffer, BodyMemory, MAX_BUFFERED_BYTES, MemoryPermit, RequestContent, ResponseBody,
+    Upload,
+};
+use crate::upstream::{Upstreams, has_no_unread_input};
 use crate::vars::End;
 
 /// One that has a request may neither read nor write for this span, beyond the longest deadline.
-const STUCK: Duration = Duration::from_secs(10);
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 /// The rest of a body that nobody wants is read for so long, lest its client miss the answer.
-const DRAIN: Duration = Duration::from_secs(3);
-const HEAD_SIZE: usize = 64 << 10;
-const BACKLOG: u32 = 1024;
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_HEAD_BYTES: usize = 64 << 10;
+const LISTEN_BACKLOG: u32 = 1024;
 /// Once no more connections are awaited, the accept queue counts as empty once nothing comes for this span.
-const QUIET: Duration = Duration::from_millis(20);
+const ACCEPT_QUEUE_IDLE: Duration = Duration::from_millis(20);
 /// A bound on that, should they never cease to come.
-const LINGER: Duration = Duration::from_millis(500);
+const MAX_ACCEPT_DRAIN: Duration = Duration::from_millis(500);
 /// Between looks at idle connections while none is kept.
-const LOOK: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// What the last answers may take to go out, after the longest deadline.
-const FINISH: Duration = Duration::from_millis(200);
+const FINISH_MARGIN: Duration = Duration::from_millis(200);
 /// A connection asked to close that neither reads nor writes for this span is cut.
-const CUT: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Span within which a new connection's first request is waited for when sockets run short.
-const FIRST: Duration = Duration::from_secs(2);
+const FIRST_REQUEST_WAIT: Duration = Duration::from_secs(2);
 /// Ms after which there may be memory for another body.
-const FULL: f64 = 500.0;
+const MEMORY_RETRY_AFTER_MS: f64 = 500.0;
 /// Wait after a failed accept, lest it spin.
-const PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// There is no pool for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Missing {
+pub enum RouteError {
     /// The answer says why.
-    Plain(StatusCode, &'static str),
+    Status(StatusCode, &'static str),
     /// There may be one after so many ms; the request is refused.
-    Later(f64),
-    /// There is one for whoever has had a turn ([`Router::turn`]).
-    Turn,
+    RetryAfter(f64),
+    /// There is one for whoever has had a turn ([`Router::wait_for_turn`]).
+    NeedsTurn,
 }
 
 /// Finds the pool of a request.
@@ -81,15 +86,15 @@
     ///
     /// # Errors
     /// There is none now.
-    fn pool(&self, uri: &Uri, headers: &HeaderMap, turn: bool) -> Result<Rc<Pool>, Missing>;
+    fn pool(&self, uri: &Uri, headers: &HeaderMap, had_turn: bool) -> Result<Rc<Pool>, RouteError>;
 
     /// Waits for one turn of those in which pools are made.
-    fn turn(&self) -> impl Future<Output = ()> {
+    fn wait_for_turn(&self) -> impl Future<Output = ()> {
         std::future::ready(())
     }
 
     /// The account of connections that have not named a tenant yet, in a process of many.
-    fn strangers(&self) -> Option<Rc<dyn Account>>;
+    fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>>;
 
     /// Whether requests can be served.
     fn is_up(&self) -> bool;
@@ -100,47 +105,47 @@
     }
 
     /// The longest wait that any client is ready for.
-    fn longest(&self) -> Duration;
+    fn max_deadline(&self) -> Duration;
 
     /// Descriptors have run out: close what can be spared.
-    fn make_room(&self);
+    fn close_idle_connections(&self);
 }
 
-impl Missing {
-    fn answer(self) -> Response<Inbound> {
+impl RouteError {
+    fn into_response(self) -> Response<ResponseBody> {
         match self {
-            Missing::Plain(status, text) => plain(status, text).map(Inbound::from),
-            Missing::Later(wait) => finished(Ok(Answer::Refused(Some(wait)))),
-            Missing::Turn => finished(Ok(Answer::Refused(None))), // it has had one: nobody says so
+            RouteError::Status(status, text) => text_response(status, text).map(ResponseBody::from),
+            RouteError::RetryAfter(delay) => final_response(Ok(Answer::Rejected(Some(delay)))),
+            RouteError::NeedsTurn => final_response(Ok(Answer::Rejected(None))), // it has had one: nobody says so
         }
     }
 }
 
 /// One pool for all requests, as the platform's proxy has it.
-pub struct One {
+pub struct SinglePool {
     pub pool: Rc<Pool>,
     pub upstreams: Rc<Upstreams>,
 }
 
-impl Router for One {
-    fn pool(&self, _: &Uri, _: &HeaderMap, _: bool) -> Result<Rc<Pool>, Missing> {
+impl Router for SinglePool {
+    fn pool(&self, _: &Uri, _: &HeaderMap, _: bool) -> Result<Rc<Pool>, RouteError> {
         Ok(self.pool.clone())
     }
 
-    fn strangers(&self) -> Option<Rc<dyn Account>> {
+    fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>> {
         None
     }
 
     fn is_up(&self) -> bool {
-        self.pool.life.is_up()
+        self.pool.lifecycle.is_up()
     }
 
-    fn longest(&self) -> Duration {
-        self.pool.longest()
+    fn max_deadline(&self) -> Duration {
+        self.pool.max_deadline()
     }
 
-    fn make_room(&self) {
-        self.upstreams.close_idle();
+    fn close_idle_connections(&self) {
+        self.upstreams.close_longest_idle();
     }
 }
 
@@ -148,213 +153,232 @@
 pub struct Frontend<R> {
     router: R,
     /// Connections that are served; the few beyond it are only refused.
-    most: usize,
+    max_connections: usize,
     /// The next number of a connection or a request, shared by all listeners of a process.
-    next: Rc<Cell<u64>>,
-    life: Rc<Life>,
-    clients: RefCell<BTreeMap<u64, Rc<Client>>>,
-    left: Notify,
+    next_id: Rc<Cell<u64>>,
+    lifecycle: Rc<Life>,
+    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    connection_closed: Notify,
 }
 
 impl<R: Router> Frontend<R> {
-    pub fn new(router: R, most: usize, next: Rc<Cell<u64>>, life: Rc<Life>) -> Rc<Self> {
+    pub fn new(
+        router: R,
+        max_connections: usize,
+        next_id: Rc<Cell<u64>>,
+        lifecycle: Rc<Life>,
+    ) -> Rc<Self> {
         Rc::new(Frontend {
             router,
-            most,
-            next,
-            life,
+            max_connections,
+            next_id,
+            lifecycle,
             clients: RefCell::default(),
-            left: Notify::new(),
+            connection_closed: Notify::new(),
         })
     }
 
     /// Accepts and serves until `stop`, then finishes what has been taken.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
-        let tidier = AbortOnDrop(spawn_local(self.clone().tidy()).abort_handle());
+        let close_task = AbortOnDrop(spawn_local(self.clone().close_unkept()).abort_handle());
         tokio::pin!(stop);
         loop {
-            let accepts = self.life.ask(|life, now| life.accepts(now));
+            let accepts = self.lifecycle.ask(|lifecycle, now| lifecycle.accepts(now));
             tokio::select! {
                 biased;
                 () = &mut stop => break,
                 () = self.clone().accept(&listener), if accepts => {}
-                () = self.life.changed(), if !accepts => {}
+                () = self.lifecycle.changed(), if !accepts => {}
             }
         }
-        self.life.tell(|life, now| life.leave(now));
-        let came = Instant::now();
-        while self.life.ask(|life, now| life.accepts(now)) {
-            let _ = timeout(QUIET, self.clone().accept(&listener)).await;
+        self.lifecycle.tell(|lifecycle, now| lifecycle.leave(now));
+        let drain_started = Instant::now();
+        while self.lifecycle.ask(|lifecycle, now| lifecycle.accepts(now)) {
+            let _ = timeout(ACCEPT_QUEUE_IDLE, self.clone().accept(&listener)).await;
         }
         // What waits in a queue that others share is theirs; one's own is emptied.
-        if !self.life.ask(|life, _| life.is_shared()) {
-            let end = Instant::now() + LINGER;
+        if !self.lifecycle.ask(|lifecycle, _| lifecycle.is_shared()) {
+            let end = Instant::now() + MAX_ACCEPT_DRAIN;
             while Instant::now() < end
-                && timeout(QUIET, self.clone().accept(&listener)).await.is_ok()
+                && timeout(ACCEPT_QUEUE_IDLE, self.clone().accept(&listener))
+                    .await
+                    .is_ok()
             {}
         }
         drop(listener);
-        let end = came + LINGER + self.router.longest() + FINISH;
-        while self.holds() {
+        let end = drain_started + MAX_ACCEPT_DRAIN + self.router.max_deadline() + FINISH_MARGIN;
+        while self.has_active_connections() {
             if Instant::now() >= end {
                 note!("ended with connections open");
                 break;
             }
-            let _ = timeout(LOOK, self.left.notified()).await;
+            let _ = timeout(CHECK_INTERVAL, self.connection_closed.notified()).await;
         }
-        drop(tidier);
+        drop(close_task);
     }
 
     /// Whether some connection has a request, or may be about to have one.
-    fn holds(&self) -> bool {
-        self.life.ask(|life, now| {
-            let held = |c: &Rc<Client>| {
-                c.busy.get() || c.begun.get().is_some() || !life.may_close(now, self.idle(c))
+    fn has_active_connections(&self) -> bool {
+        self.lifecycle.ask(|lifecycle, now| {
+            let is_active = |c: &Rc<ClientConnection>| {
+                c.active.get()
+                    || c.head_started.get().is_some()
+                    || !lifecycle.may_close(now, self.idle_state(c))
             };
-            self.clients.borrow().values().any(held)
+            self.clients.borrow().values().any(is_active)
         })
     }
 
-    fn idle(&self, client: &Client) -> Idle {
+    fn idle_state(&self, client: &ClientConnection) -> Idle {
         Idle {
-            since: self.life.time(client.since.get()),
-            used: client.used.get(),
+            since: self.lifecycle.time(client.idle_since.get()),
+            used: client.answered_before.get(),
         }
     }
 
     /// Closes connections that are no longer kept, for as long as the listener is served.
-    async fn tidy(self: Rc<Self>) {
+    async fn close_unkept(self: Rc<Self>) {
         loop {
-            if self.life.ask(|life, _| life.keeps()) {
-                self.life.changed().await;
+            if self.lifecycle.ask(|lifecycle, _| lifecycle.keeps()) {
+                self.lifecycle.changed().await;
                 continue;
             }
-            self.life.ask(|life, now| {
-                for client in self.clients.borrow().values().filter(|c| !c.busy.get()) {
-                    if life.may_close(now, self.idle(client)) {
-                        client.close.notify_one();
+            self.lifecycle.ask(|lifecycle, now| {
+                for client in self.clients.borrow().values().filter(|c| !c.active.get()) {
+                    if lifecycle.may_close(now, self.idle_state(client)) {
+                        client.close_requested.notify_one();
                     }
                 }
             });
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
         // Over the budget only a few are let in, to be refused; the rest wait until one has left.
-        if self.clients.borrow().len() >= self.most + self.most / 8 {
-            self.close_idle(1, FIRST);
-            let _ = timeout(PAUSE, self.left.notified()).await;
+        if self.clients.borrow().len() >= self.max_connections + self.max_connections / 8 {
+            self.close_idle(1, FIRST_REQUEST_WAIT);
+            let _ = timeout(ACCEPT_RETRY_DELAY, self.connection_closed.notified()).await;
             return;
         }
         // In a process of many tenants, connections come in turns like all else, and are on the account that they come on.
-        let account = self.router.strangers();
+        let account = self.router.unassigned_account();
         let accepted = match &account {
             None => listener.accept().await,
             Some(account) => {
-                account::turn(account).await;
+                account::wait_to_accept(account).await;
                 let accepted = listener.accept().await;
-                account.works();
-                if accepted.is_ok() && account.connect().is_err() {
+                account.begin_work();
+                if accepted.is_ok() && account.acquire_client_connection().is_err() {
                     drop(accepted); // it is closed; nothing has been read from it
-                    return account.worked(true);
+                    return account.end_work(true);
                 }
-                account.worked(false);
+                account.end_work(false);
                 accepted
             }
         };
         match accepted {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true); // slower without, no worse
-                if self.clients.borrow().len() >= self.most * 7 / 8 {
-                    self.close_idle(1, FIRST);
+                if self.clients.borrow().len() >= self.max_connections * 7 / 8 {
+                    self.close_idle(1, FIRST_REQUEST_WAIT);
                 }
-                let id = self.next.replace(self.next.get() + 1);
-                let client = Rc::new(Client::new(account));
+                let id = self.next_id.replace(self.next_id.get() + 1);
+                let client = Rc::new(ClientConnection::new(account));
                 self.clients.borrow_mut().insert(id, client.clone());
                 spawn_local(async move {
                     if client.account.borrow().is_some() {
-                        client.work(self.connection(stream, &client)).await;
+                        client.run_accounted(self.connection(stream, &client)).await;
                     } else {
                         self.connection(stream, &client).await;
                     }
                     self.clients.borrow_mut().remove(&id);
-                    self.left.notify_waiters();
+                    self.connection_closed.notify_waiters();
                 });
             }
             // Out of descriptors or the like: make room, wait a moment, go on.
             Err(e) => {
                 note!("accept: {e}");
-                self.router.make_room();
-                self.close_idle(1, FIRST);
-                sleep(PAUSE).await;
+                self.router.close_idle_connections();
+                self.close_idle(1, FIRST_REQUEST_WAIT);
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 
     /// Asks up to `most` connections that stand between requests to close, those idle longest first. One that
     /// has had no request yet is spared for a while: to close it would lose the request on its way.
-    fn close_idle(&self, most: usize, spare: Duration) {
+    fn close_idle(&self, max_count: usize, spare: Duration) {
         let clients = self.clients.borrow();
-        let idle =
-            |c: &&Rc<Client>| !c.busy.get() && (c.used.get() || c.since.get().elapsed() >= spare);
-        let mut idle: Vec<&Rc<Client>> = clients.values().filter(idle).collect();
-        idle.sort_by_key(|c| c.since.get());
+        let idle = |c: &&Rc<ClientConnection>| {
+            !c.active.get() && (c.answered_before.get() || c.idle_since.get().elapsed() >= spare)
+        };
+        let mut idle: Vec<&Rc<ClientConnection>> = clients.values().filter(idle).collect();
+        idle.sort_by_key(|c| c.idle_since.get());
         idle.into_iter()
-            .take(most)
-            .for_each(|c| c.close.notify_one());
+            .take(max_count)
+            .for_each(|c| c.close_requested.notify_one());
     }
 
-    async fn connection(self: &Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
-        let over = self.clients.borrow().len() > self.most;
+    async fn connection(self: &Rc<Self>, stream: TcpStream, client: &Rc<ClientConnection>) {
+        let over_limit = self.clients.borrow().len() > self.max_connections;
         let stream = Rc::new(RefCell::new(stream));
         let service = service_fn(|request| {
-            let (front, client) = (self.clone(), client.clone());
+            let (frontend, client) = (self.clone(), client.clone());
             async move {
-                client.busy.set(true);
-                let by = client.whole_by(client.begun.take().unwrap_or_else(Instant::now));
-                let (pool, closed) = front.find(&request).await;
+                client.active.set(true);
+                let receive_deadline = client
+                    .receive_deadline(client.head_started.take().unwrap_or_else(Instant::now));
+                let (pool, gate_delay) = frontend.find_pool(&request).await;
                 let figures = pool
                     .as_ref()
                     .ok()
                     .and_then(|p| p.features.figures.as_ref().map(|f| (f, p)));
-                let flight =
-                    figures.and_then(|(f, pool)| f.begin(&request, &pool.terms.borrow().names));
+                let flight = figures
+                    .and_then(|(f, pool)| f.begin(&request, &pool.reloadable.borrow().names));
                 let mut response = match &pool {
-                    _ if request.uri().path() == "/up" && !over => front.up().map(Inbound::from),
-                    Ok(pool) if closed.is_some() => {
-                        front.refused(pool, closed.unwrap_or_default()).await
+                    _ if request.uri().path() == "/up" && !over_limit => {
+                        frontend.up_response().map(ResponseBody::from)
+                    }
+                    Ok(pool) if gate_delay.is_some() => {
+                        frontend.reject(pool, gate_delay.unwrap_or_default()).await
+                    }
+                    Err(_) if gate_delay.is_some() => {
+                        final_response(Ok(Answer::Rejected(gate_delay)))
+                    }
+                    Err(error) => error.into_response(),
+                    Ok(pool) if over_limit => {
+                        reject_over_limit(pool, request).map(ResponseBody::from)
                     }
-                    Err(_) if closed.is_some() => finished(Ok(Answer::Refused(closed))),
-                    Err(missing) => missing.answer(),
-                    Ok(pool) if over => turn_away(pool, request).map(Inbound::from),
                     Ok(pool) => {
-                        front
-                            .respond(pool, request, &client, by, flight.as_ref())
+                        frontend
+                            .respond(pool, request, &client, receive_deadline, flight.as_ref())
                             .await
                     }
                 };
-                let closes = over || client.is_overrun() || !front.life.ask(|life, _| life.keeps());
-                if closes {
+                let close_after = over_limit
+                    || client.has_overflowed()
+                    || !frontend.lifecycle.ask(|lifecycle, _| lifecycle.keeps());
+                if close_after {
                     response
                         .headers_mut()
                         .insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
-                client.used.set(true);
-                client.since.set(Instant::now());
+                client.answered_before.set(true);
+                client.idle_since.set(Instant::now());
                 let code = response.status().as_u16();
                 let end = move || flight.into_iter().for_each(|f| f.end(code));
                 match response.body_mut() {
-                    Inbound::Stream(_, done) => {
-                        *done = Some(Box::new(move || {
+                    ResponseBody::Streamed(_, on_done) => {
+                        *on_done = Some(Box::new(move || {
                             end();
-                            client.rest();
+                            client.request_answered();
                         }));
                     }
-                    Inbound::Whole(_) => {
+                    ResponseBody::Buffered(_) => {
                         end();
-                        if !closes {
-                            client.rest();
+                        if !close_after {
+                            client.request_answered();
                         }
                     }
                 }
@@ -362,88 +386,94 @@
             }
         });
         let connection = http1::Builder::new()
-            .max_buf_size(HEAD_SIZE)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(
-                TokioIo::new(Gated {
+                TokioIo::new(ClientSocket {
                     stream: stream.clone(),
                     client: client.clone(),
-                    guard: Guard::default(),
+                    framing: FramingValidator::default(),
                 }),
                 service,
             );
         // What it holds is let go of before the last bytes are read out: a client that left has left at once.
-        let answered = {
+        let finished = {
             tokio::pin!(connection);
-            let mut cut: Option<Instant> = None;
-            let mut not_before = Instant::now();
+            let mut close_deadline: Option<Instant> = None;
+            let mut next_close_attempt = Instant::now();
             loop {
-                let wait = cut.unwrap_or_else(|| client.due()).max(not_before);
+                let wake_at = close_deadline
+                    .unwrap_or_else(|| client.next_check())
+                    .max(next_close_attempt);
                 let close = tokio::select! {
                     biased; // what has come in counts before a wish to close
                     // Malformed HTTP has been answered by hyper; a client that left needs nothing.
                     _ = connection.as_mut() => break true,
-                    () = client.close.notified() => true,
-                    () = sleep_until(wait) => {
-                        let (now, moved) = (Instant::now(), client.moved.get());
-                        if let Some(at) = cut {
+                    () = client.close_requested.notified() => true,
+                    () = sleep_until(wake_at) => {
+                        let (now, last_io) = (Instant::now(), client.last_io.get());
+                        if let Some(at) = close_deadline {
                             // An answer that nobody reads would hold its socket for ever.
-                            if !client.busy.get() && moved + CUT <= now {
+                            if !client.active.get() && last_io + CLOSE_TIMEOUT <= now {
                                 break false;
                             }
-                            cut = Some((moved + CUT).max(at + LOOK));
+                            close_deadline = Some((last_io + CLOSE_TIMEOUT).max(at + CHECK_INTERVAL));
                         }
-                        if client.busy.get() && moved + STUCK + self.router.longest() <= now {
+                        if client.active.get() && last_io + STALLED_CLIENT_TIMEOUT + self.router.max_deadline() <= now {
                             break false;
                         }
-                        let late = cut.is_none() && client.due() <= now;
-                        if late && client.begun.get().is_some() {
+                        let timed_out = close_deadline.is_none() && client.next_check() <= now;
+                        if timed_out && client.head_started.get().is_some() {
                             break false; // its head is late
                         }
-                        late
+                        timed_out
                     }
                 };
-                if !close || cut.is_some() || client.begun.get().is_some() {
+                if !close || close_deadline.is_some() || client.head_started.get().is_some() {
                     continue;
                 }
                 // A request that has come in but has not been read yet would be lost. It is read next, unless its
                 // tenant's account holds it back: then the connection is looked at again after a while, and not kept for
                 // ever.
                 let now = Instant::now();
-                if client.is_caught_up() && is_quiet(&stream.borrow()) || client.due() + IDLE <= now
+                if client.pipelined_is_empty() && has_no_unread_input(&stream.borrow())
+                    || client.next_check() + IDLE_TIMEOUT <= now
                 {
                     connection.as_mut().graceful_shutdown();
-                    cut = Some(now + CUT);
+                    close_deadline = Some(now + CLOSE_TIMEOUT);
                 } else {
-                    not_before = now + LOOK;
+                    next_close_attempt = now + CHECK_INTERVAL;
                 }
             }
         };
-        if answered && self.clients.borrow().len() < self.most * 7 / 8 {
-            linger(&stream).await;
+        if finished && self.clients.borrow().len() < self.max_connections * 7 / 8 {
+            drain_socket(&stream).await;
         }
     }
 
     /// Finds a request's pool, once it has passed the gate; tells the span in ms to wait where that is closed.
-    async fn find<B>(&self, request: &Request<B>) -> (Result<Rc<Pool>, Missing>, Option<f64>) {
-        let mut turn = false;
+    async fn find_pool<B>(
+        &self,
+        request: &Request<B>,
+    ) -> (Result<Rc<Pool>, RouteError>, Option<f64>) {
+        let mut had_turn = false;
         loop {
-            let closed = match self.router.gate().filter(|_| request.uri().path() != "/up") {
-                Some(gate) => gate.pass().await.err(),
+            let gate_delay = match self.router.gate().filter(|_| request.uri().path() != "/up") {
+                Some(gate) => gate.wait_until_open().await.err(),
                 None => None,
             };
             // After the gate and in the same turn, so that the routes are those of the version that it let pass under.
-            let pool = self.router.pool(request.uri(), request.headers(), turn);
-            if turn || pool.as_ref().err() != Some(&Missing::Turn) {
-                return (pool, closed);
+            let pool = self.router.pool(request.uri(), request.headers(), had_turn);
+            if had_turn || pool.as_ref().err() != Some(&RouteError::NeedsTurn) {
+                return (pool, gate_delay);
             }
-            self.router.turn().await;
-            turn = true;
+            self.router.wait_for_turn().await;
+            had_turn = true;
         }
     }
 
-    fn up(&self) -> Response<Full<Bytes>> {
-        let up = self.router.is_up() && self.life.is_up();
-        plain(
+    fn up_response(&self) -> Response<Full<Bytes>> {
+        let up = self.router.is_up() && self.lifecycle.is_up();
+        text_response(
             if up {
                 StatusCode::OK
             } else {
@@ -457,99 +487,100 @@
         &self,
         pool: &Rc<Pool>,
         request: Request<Incoming>,
-        client: &Client,
-        by: Instant,
+        client: &ClientConnection,
+        receive_deadline: Instant,
         flight: Option<&Flight>,
-    ) -> Response<Inbound> {
+    ) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
-        let asked = match pool.read(&head.method, &head.uri, &head.headers) {
-            Ok(asked) => asked,
-            Err((status, text)) => return plain(status, text).map(Inbound::from),
-        };
-        let _stay = match self.admit(pool, client, &head.headers, &body) {
-            Ok(stay) => stay,
-            Err(wait) => return self.refused(pool, wait).await,
+        let parsed = match pool.parse_head(&head.method, &head.uri, &head.headers) {
+            Ok(parsed) => parsed,
+            Err((status, text)) => return text_response(status, text).map(ResponseBody::from),
         };
-        let (body, _kept) = match receive(body, asked.patience, by, &pool.room).await {
-            Ok(body) => body,
-            Err((status, text)) => return plain(status, text).map(Inbound::from),
+        let _admitted = match self.admit(pool, client, &head.headers, &body) {
+            Ok(admitted) => admitted,
+            Err(delay) => return self.reject(pool, delay).await,
         };
+        let (body, _memory) =
+            match read_body(body, parsed.timeout, receive_deadline, &pool.body_memory).await {
+                Ok(body) => body,
+                Err((status, text)) => return text_response(status, text).map(ResponseBody::from),
+            };
         let upload = body.upload().cloned();
         // What passes through takes memory for as long as it does.
-        let place = upload.as_ref().map(|_| pool.room.take());
-        if matches!(place, Some(None)) {
-            pool.counts.took(asked.class.0);
-            pool.counts.ended(asked.class.0, End::Deferred);
-            upload.into_iter().for_each(drain);
-            return self.refused(pool, FULL).await;
+        let slot = upload.as_ref().map(|_| pool.body_memory.try_stream_slot());
+        if matches!(slot, Some(None)) {
+            pool.counts.took(parsed.class.0);
+            pool.counts.ended(parsed.class.0, End::Deferred);
+            upload.into_iter().for_each(drain_upload);
+            return self.reject(pool, MEMORY_RETRY_AFTER_MS).await;
         }
         // What its pool is found by, where that may have to be done anew.
-        let way = self
+        let routing_input = self
             .router
             .gate()
             .map(|_| (head.method.clone(), head.uri.clone(), head.headers.clone()));
         let mut headers = head.headers;
-        strip(&mut headers);
-        let named = pool
+        strip_hop_by_hop(&mut headers);
+        let request_id = pool
             .features
             .drills
             .as_ref()
             .and_then(|_| headers.get("x-request-id").cloned());
-        let mut message = Outgoing {
+        let mut outbound = OutboundRequest {
             method: head.method,
-            uri: target(&head.uri),
+            uri: origin_form(&head.uri),
             headers,
             body,
         };
-        let mut asked = asked;
+        let mut parsed = parsed;
         // A request's time counts from its last byte. One that comes late in a process that leaves has its answer before
         // the process is killed.
-        let longest = self.router.longest();
-        asked.patience = self
-            .life
-            .ask(|life, now| life.patience(now, asked.patience, longest));
-        let deadline = Instant::now() + asked.patience;
-        let decided = way.as_ref().map(|_| Rc::new(Cell::new(None)));
+        let max_deadline = self.router.max_deadline();
+        parsed.timeout = self
+            .lifecycle
+            .ask(|lifecycle, now| lifecycle.patience(now, parsed.timeout, max_deadline));
+        let deadline = Instant::now() + parsed.timeout;
+        let decision = routing_input.as_ref().map(|_| Rc::new(Cell::new(None)));
         let mut pool = pool.clone();
-        let class = asked.class;
+        let class = parsed.class;
         let answer = loop {
-            let id = RequestId(self.next.replace(self.next.get() + 1));
-            let (answer, answered) = oneshot::channel();
-            let Asked {
+            let id = RequestId(self.next_id.replace(self.next_id.get() + 1));
+            let (response_sender, receiver) = oneshot::channel();
+            let RequestHead {
                 class,
                 tenant,
                 key,
-                hint,
-                patience,
-            } = asked;
-            pool.inbox.put(Input::Request(Box::new(Arrival {
+                work_hint,
+                timeout,
+            } = parsed;
+            pool.inbox.send(Input::Request(Box::new(IncomingRequest {
                 id,
                 class,
                 tenant,
                 key,
-                hint,
-                patience,
+                work_hint,
+                timeout,
                 deadline,
-                message,
-                answer,
-                decided: decided.clone(),
+                outbound,
+                response_sender,
+                decision: decision.clone(),
             })));
             // Hyper drops this future when the client leaves.
-            let mut leaves = Leaves {
+            let mut disconnect_guard = DisconnectGuard {
                 inbox: &pool.inbox,
                 id,
-                waits: true,
+                armed: true,
             };
-            let answer = answered.await;
-            leaves.waits = false;
-            drop(leaves);
-            match (answer, &way) {
-                (Ok(Answer::Again(back)), Some(way)) => {
-                    message = *back;
-                    match self.ask_anew(&pool, way).await {
-                        Ok(anew) => (pool, asked) = anew,
+            let answer = receiver.await;
+            disconnect_guard.armed = false;
+            drop(disconnect_guard);
+            match (answer, &routing_input) {
+                (Ok(Answer::Undecided(returned)), Some(routing_input)) => {
+                    outbound = *returned;
+                    match self.reroute(&pool, routing_input).await {
+                        Ok(rerouted) => (pool, parsed) = rerouted,
                         Err(response) => {
-                            upload.into_iter().for_each(drain);
+                            upload.into_iter().for_each(drain_upload);
                             return response;
                         }
                     }
@@ -557,17 +588,17 @@
                 (answer, _) => break answer,
             }
         };
-        upload.into_iter().for_each(drain);
-        let mut response = finished(answer);
-        if let (Some(decided), Some(gate)) = (decided.and_then(|d| d.get()), self.router.gate())
-            && gate.stamps()
+        upload.into_iter().for_each(drain_upload);
+        let mut response = final_response(answer);
+        if let (Some(decision), Some(gate)) = (decision.and_then(|d| d.get()), self.router.gate())
+            && gate.send_stamps()
         {
-            stamp(response.headers_mut(), decided);
+            insert_stamp(response.headers_mut(), decision);
         }
         let Some(drills) = &pool.features.drills else {
             return response;
         };
-        let Some(hit) = drills.meet(class.0, named.as_ref()) else {
+        let Some(hit) = drills.meet(class.0, request_id.as_ref()) else {
             return response;
         };
         if let Some(flight) = flight {
@@ -577,31 +608,31 @@
     }
 
     /// Finds the pool of a request anew that was not decided yet when a change took hold.
-    async fn ask_anew(
+    async fn reroute(
         &self,
-        before: &Rc<Pool>,
+        previous: &Rc<Pool>,
         (method, uri, headers): &(Method, Uri, HeaderMap),
-    ) -> Result<(Rc<Pool>, Asked), Response<Inbound>> {
+    ) -> Result<(Rc<Pool>, RequestHead), Response<ResponseBody>> {
         if let Some(gate) = self.router.gate()
-            && let Err(wait) = gate.pass().await
+            && let Err(delay) = gate.wait_until_open().await
         {
-            return Err(self.refused(before, wait).await);
+            return Err(self.reject(previous, delay).await);
         }
-        let error = |(status, text)| plain(status, text).map(Inbound::from);
+        let error = |(status, text)| text_response(status, text).map(ResponseBody::from);
         let pool = self
             .router
             .pool(uri, headers, true)
-            .map_err(Missing::answer)?;
-        let asked = pool.read(method, uri, headers).map_err(error)?;
-        let same = match (&pool.account, &before.account) {
+            .map_err(RouteError::into_response)?;
+        let parsed = pool.parse_head(method, uri, headers).map_err(error)?;
+        let same_account = match (&pool.account, &previous.account) {
             (Some(now), Some(then)) => Rc::ptr_eq(now, then),
             _ => true,
         };
         // It stands on another tenant's account by now: that one may have no room.
-        if same {
-            Ok((pool, asked))
+        if same_account {
+            Ok((pool, parsed))
         } else {
-            Err(self.refused(&pool, FULL).await)
+            Err(self.reject(&pool, MEMORY_RETRY_AFTER_MS).await)
         }
     }
 
@@ -609,15 +640,15 @@
     fn admit(
         &self,
         pool: &Rc<Pool>,
-        client: &Client,
+        client: &ClientConnection,
         headers: &HeaderMap,
         body: &Incoming,
-    ) -> Result<Option<Stay>, f64> {
+    ) -> Result<Option<AdmittedRequest>, f64> {
         let Some(account) = &pool.account else {
             return Ok(None);
         };
-        client.turning_away.set(true);
-        client.belongs_to(account)?;
+        client.rejecting.set(true);
+        client.assign_account(account)?;
         let head: usize = headers
             .iter()
             .map(|(name, value)| name.as_str().len() + value.len())
@@ -625,34 +656,38 @@
         let body = body
             .size_hint()
             .exact()
-            .unwrap_or(KEPT as u64)
-            .min(KEPT as u64);
+            .unwrap_or(MAX_BUFFERED_BYTES as u64)
+            .min(MAX_BUFFERED_BYTES as u64);
         let bytes = head as u64 + body;
-        account.begin(bytes)?;
-        client.turning_away.set(false);
-        Ok(Some(Stay {
+        account.begin_request(bytes)?;
+        client.rejecting.set(false);
+        Ok(Some(AdmittedRequest {
             account: account.clone(),
             bytes,
-            since: Instant::now(),
+            started: Instant::now(),
         }))
     }
 
     /// The module's own refusal of a request that there is no room for. Its body is not read, so that hyper closes the
     /// connection where there is one.
-    async fn refused(&self, pool: &Rc<Pool>, wait: f64) -> Response<Inbound> {
-        let id = RequestId(self.next.replace(self.next.get() + 1));
-        let (answer, answered) = oneshot::channel();
-        pool.inbox.put(Input::Unadmitted { id, wait, answer });
-        finished(answered.await)
+    async fn reject(&self, pool: &Rc<Pool>, delay: f64) -> Response<ResponseBody> {
+        let id = RequestId(self.next_id.replace(self.next_id.get() + 1));
+        let (response_sender, receiver) = oneshot::channel();
+        pool.inbox.send(Input::NotAdmitted {
+            id,
+            delay,
+            response_sender,
+        });
+        final_response(receiver.await)
     }
 }
 
-/// Reads out what a client still sends on a connection whose sending side is shut, until its end or for [`CUT`] at most: a
+/// Reads out what a client still sends on a connection whose sending side is shut, until its end or for [`CLOSE_TIMEOUT`] at most: a
 /// close over unread bytes resets the connection, and an answer that is still on its way goes with it.
-async fn linger(stream: &RefCell<TcpStream>) {
-    let out = poll_fn(|cx| {
+async fn drain_socket(stream: &RefCell<TcpStream>) {
+    let drained = poll_fn(|cx| {
         let mut bytes = [0; 4 << 10];
-        for _ in 0..READS {
+        for _ in 0..MAX_READS_PER_POLL {
             let mut buf = ReadBuf::new(&mut bytes);
             match Pin::new(&mut *stream.borrow_mut()).poll_read(cx, &mut buf) {
                 Poll::Ready(Ok(())) if !buf.filled().is_empty() => {}
@@ -663,41 +698,41 @@
         cx.waker().wake_by_ref();
         Poll::Pending
     });
-    let _ = timeout(CUT, out).await; // then it is reset, as its client sends without an end
+    let _ = timeout(CLOSE_TIMEOUT, drained).await; // then it is reset, as its client sends without an end
 }
 
 /// Reads a body, or as much of it as is kept; the rest passes through. It has to be whole by then, and by as much later
 /// as so much of it takes.
-async fn receive(
+async fn read_body(
     mut body: Incoming,
-    patience: Duration,
-    by: Instant,
-    room: &Room,
-) -> Result<(Payload, Share), (StatusCode, &'static str)> {
+    timeout: Duration,
+    receive_deadline: Instant,
+    body_memory: &BodyMemory,
+) -> Result<(RequestContent, MemoryPermit), (StatusCode, &'static str)> {
     let too_large = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     let length = body.size_hint().exact();
     if body.is_end_stream() {
-        return Ok((Payload::empty(), None));
+        return Ok((RequestContent::empty(), None));
     }
-    if length.is_some_and(|n| n > stream::MOST) {
+    if length.is_some_and(|n| n > stream::MAX_BODY_BYTES) {
         return Err(too_large);
     }
-    let (mut kept, mut size, mut share) = (Kept::default(), 0, None);
+    let (mut buffer, mut size, mut permit) = (BodyBuffer::default(), 0, None);
     loop {
-        match timeout_at(by + stream::span(size), body.frame()).await {
+        match timeout_at(receive_deadline + stream::transfer_time(size), body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 let Ok(data) = frame.into_data() else {
                     continue;
                 }; // trailers go no further
                 size += data.len();
-                kept.add(data, length);
+                buffer.add(data, length);
                 // One that comes slowly would hold a server's slot for as long: it is waited for while there is memory.
-                if size > KEPT && !room.keeps(size, &mut share) {
-                    let upload = Upload::new(kept.whole(), length, body, patience);
-                    return Ok((Payload::Stream(upload), share));
+                if size > MAX_BUFFERED_BYTES && !body_memory.try_buffer(size, &mut permit) {
+                    let upload = Upload::new(buffer.into_bytes(), length, body, timeout);
+                    return Ok((RequestContent::Streamed(upload), permit));
                 }
             }
-            Ok(None) => return Ok((Payload::Whole(kept.whole()), share)),
+            Ok(None) => return Ok((RequestContent::Buffered(buffer.into_bytes()), permit)),
             Ok(Some(Err(_))) => return Err((StatusCode::BAD_REQUEST, "the body is malformed")),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body came too late")),
         }
@@ -706,39 +741,40 @@
 
 /// Reads what is left of a body whose request has its answer: a client that still writes would miss the answer if the
 /// connection closed under it.
-fn drain(upload: Rc<Upload>) {
-    let Some(mut rest) = upload.abandon() else {
+fn drain_upload(upload: Rc<Upload>) {
+    let Some(mut rest) = upload.take_rest() else {
         return;
     };
     spawn_local(async move {
         let all = async { while let Some(Ok(_)) = rest.frame().await {} };
-        let _ = timeout(DRAIN, all).await;
+        let _ = timeout(DRAIN_TIMEOUT, all).await;
     });
 }
 
 /// Refuses a request on a connection over the budget; the module never sees it.
-fn turn_away(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
+fn reject_over_limit(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let (head, _) = request.into_parts();
-    let asked = pool.read(&head.method, &head.uri, &head.headers).ok();
-    if let Some(asked) = &asked {
-        pool.counts.took(asked.class.0);
-        pool.counts.ended(asked.class.0, End::Deferred);
+    let parsed = pool.parse_head(&head.method, &head.uri, &head.headers).ok();
+    if let Some(parsed) = &parsed {
+        pool.counts.took(parsed.class.0);
+        pool.counts.ended(parsed.class.0, End::Deferred);
     }
-    if let (Some(capture), Some(asked)) = (&pool.features.capture, asked) {
-        let pending = capture.begin(asked.class, asked.tenant, asked.patience);
-        let (method, uri, headers, body) = (head.method, head.uri, head.headers, Payload::empty());
+    if let (Some(capture), Some(parsed)) = (&pool.features.capture, parsed) {
+        let pending = capture.begin(parsed.class, parsed.tenant, parsed.timeout);
+        let (method, uri, headers, body) =
+            (head.method, head.uri, head.headers, RequestContent::empty());
         capture.turned_away(
             &pending,
-            &Outgoing {
+            &OutboundRequest {
                 method,
                 uri,
                 headers,
                 body,
             },
-            REFUSED,
+            STATUS_REJECTED,
         );
     }
-    plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
+    text_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
 }
 
 /// Ends a task with the scope that started it.
@@ -751,55 +787,59 @@
 }
 
 /// A request on its tenant's account, until it has its answer or its client has left.
-struct Stay {
-    account: Rc<dyn Account>,
+struct AdmittedRequest {
+    account: Rc<dyn TenantAccount>,
     bytes: u64,
-    since: Instant,
+    started: Instant,
 }
 
-impl Drop for Stay {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         self.account
-            .end(self.bytes, self.since.elapsed().as_secs_f64() * 1000.0);
+            .end_request(self.bytes, self.started.elapsed().as_secs_f64() * 1000.0);
     }
 }
 
 /// Tells the driver when the client leaves before its answer.
-struct Leaves<'a> {
+struct DisconnectGuard<'a> {
     inbox: &'a Inbox,
     id: RequestId,
-    waits: bool,
+    armed: bool,
 }
 
-impl Drop for Leaves<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if self.waits {
-            self.inbox.put(Input::Gone(self.id));
+        if self.armed {
+            self.inbox.send(Input::ClientDisconnected(self.id));
         }
     }
 }
 
 /// The module's final answer, as the client gets it.
-fn finished(answer: Result<Answer, oneshot::error::RecvError>) -> Response<Inbound> {
+fn final_response(answer: Result<Answer, oneshot::error::RecvError>) -> Response<ResponseBody> {
     match answer {
         Ok(Answer::Served(reply)) => {
             let mut response = Response::new(match reply.body {
-                Content::Whole(body) => Inbound::from(body),
-                Content::Stream(passing) => Inbound::Stream(passing, None),
+                ResponseContent::Buffered(body) => ResponseBody::from(body),
+                ResponseContent::Streamed(stream) => ResponseBody::Streamed(stream, None),
             });
             *response.headers_mut() = reply.headers;
             response
         }
-        Ok(Answer::Refused(after)) => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again");
-            if let Some(after) = after.and_then(|ms| format!("{:.3}", ms / 1000.0).parse().ok()) {
-                response.headers_mut().insert(header::RETRY_AFTER, after);
+        Ok(Answer::Rejected(retry_after)) => {
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "try again");
+            if let Some(retry_after) =
+                retry_after.and_then(|ms| format!("{:.3}", ms / 1000.0).parse().ok())
+            {
+                response
+                    .headers_mut()
+                    .insert(header::RETRY_AFTER, retry_after);
             }
-            response.map(Inbound::from)
+            response.map(ResponseBody::from)
         }
         // One that was not decided is asked anew by whoever can.
-        Ok(Answer::Failed | Answer::Again(_)) | Err(_) => {
-            plain(StatusCode::BAD_GATEWAY, "failed").map(Inbound::from)
+        Ok(Answer::Failed | Answer::Undecided(_)) | Err(_) => {
+            text_response(StatusCode::BAD_GATEWAY, "failed").map(ResponseBody::from)
         }
     }
 }
@@ -813,7 +853,7 @@
     };
     socket.set_reuseaddr(true)?; // a restart finds old connections in TIME_WAIT
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 #[cfg(test)]
--- a/crates/proxy-core/src/gate.rs
+++ b/crates/proxy-core/src/gate.rs
@@ -12,14 +12,14 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Tells on answers, and on requests to servers, what they were decided under: the version, and the moment in us.
-pub const DECIDED: HeaderName = HeaderName::from_static("x-canvascart-decided");
+pub const DECISION_HEADER: HeaderName = HeaderName::from_static("x-canvascart-decided");
 
 /// The moment of a decision under a version, if one may be made now.
-pub type Right = Box<dyn Fn(u64) -> Option<u64>>;
+pub type DecisionClock = Box<dyn Fn(u64) -> Option<u64>>;
 
 /// What a request was decided under, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decided {
+pub struct DecisionStamp {
     /// The version.
     pub version: u64,
     /// The moment, by the clock of whoever gives the right.
@@ -28,68 +28,72 @@
 
 /// How a gate does what it does.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct GateSettings {
     /// A request waits for so long at most for a change to take hold; one that comes later meanwhile is refused at once.
-    pub hold: Duration,
+    pub max_wait: Duration,
     /// A refused client is asked to come again after so long.
-    pub retry: Millis,
+    pub retry_after: Millis,
     /// Whether answers and requests to servers tell what they were decided under.
-    pub stamps: bool,
+    pub send_stamps: bool,
     /// What chance is drawn from.
     pub seed: u64,
 }
 
 /// The gate.
 pub struct Gate {
-    right: Right,
-    terms: Terms,
+    decision_clock: DecisionClock,
+    settings: GateSettings,
     version: Cell<Option<u64>>,
     /// Since when nothing is decided, as a change is about to take hold.
-    closing: Cell<Option<Instant>>,
+    closed_since: Cell<Option<Instant>>,
     /// When the last version opened.
-    opened: Cell<Option<Instant>>,
+    opened_at: Cell<Option<Instant>>,
     changed: Arc<Notify>,
     counts: Cell<[u64; 2]>,
-    chance: RefCell<fastrand::Rng>,
+    rng: RefCell<fastrand::Rng>,
 }
 
 impl Gate {
     /// A gate that is closed. `changed` tells that the right to decide has changed.
-    pub fn new(right: Right, changed: Arc<Notify>, terms: Terms) -> Rc<Self> {
+    pub fn new(
+        decision_clock: DecisionClock,
+        changed: Arc<Notify>,
+        settings: GateSettings,
+    ) -> Rc<Self> {
         Rc::new(Gate {
-            right,
-            terms,
+            decision_clock,
+            settings,
             version: Cell::new(None),
-            closing: Cell::new(None),
-            opened: Cell::new(None),
+            closed_since: Cell::new(None),
+            opened_at: Cell::new(None),
             changed,
             counts: Cell::new([0; 2]),
-            chance: RefCell::new(fastrand::Rng::with_seed(terms.seed)),
+            rng: RefCell::new(fastrand::Rng::with_seed(settings.seed)),
         })
     }
 
     /// Nothing is decided from here on, as a change is about to take hold.
     pub fn close(&self) {
-        self.closing
-            .set(self.closing.get().or(Some(Instant::now())));
+        self.closed_since
+            .set(self.closed_since.get().or(Some(Instant::now())));
     }
 
     /// This version is served from here on.
     pub fn open(&self, version: u64) {
         self.version.set(Some(version));
-        self.closing.set(None);
-        self.opened.set(Some(Instant::now()));
+        self.closed_since.set(None);
+        self.opened_at.set(Some(Instant::now()));
         self.changed.notify_waiters();
     }
 
     /// The decision that may be made now.
-    pub fn decide(&self) -> Option<Decided> {
+    pub fn decide(&self) -> Option<DecisionStamp> {
         let version = self
             .version
             .get()
-            .filter(|_| self.closing.get().is_none())?;
-        let at = (self.right)(version)?;
-        Some(Decided { version, at })
+            .filter(|_| self.closed_since.get().is_none())?;
+        let at = (self.decision_clock)(version)?;
+        Some(DecisionStamp { version, at })
     }
 
     /// Whether decisions are made.
@@ -102,13 +106,13 @@
         self.counts.get()
     }
 
-    pub(crate) fn stamps(&self) -> bool {
-        self.terms.stamps
+    pub(crate) fn send_stamps(&self) -> bool {
+        self.settings.send_stamps
     }
 
-    fn count(&self, which: usize) {
+    fn count(&self, index: usize) {
         let mut counts = self.counts.get();
-        counts[which] += 1;
+        counts[index] += 1;
         self.counts.set(counts);
     }
 
@@ -116,71 +120,71 @@
     ///
     /// # Errors
     /// The request is refused: the span in ms after which to come again.
-    pub async fn pass(&self) -> Result<(), Millis> {
+    pub async fn wait_until_open(&self) -> Result<(), Millis> {
         if self.is_open() {
             return Ok(());
         }
         // A version that has just opened may lack its right for a moment; one that is cut off lacks it for long, and refuses at once.
-        let end = match (self.closing.get(), self.opened.get()) {
-            (Some(since), _) => since + self.terms.hold,
-            (None, Some(opened)) => opened + self.terms.hold / 4,
+        let deadline = match (self.closed_since.get(), self.opened_at.get()) {
+            (Some(since), _) => since + self.settings.max_wait,
+            (None, Some(opened_at)) => opened_at + self.settings.max_wait / 4,
             (None, None) => Instant::now(),
         };
-        self.wait(end).await
+        self.wait_until(deadline).await
     }
 
-    async fn wait(&self, end: Instant) -> Result<(), Millis> {
+    async fn wait_until(&self, deadline: Instant) -> Result<(), Millis> {
         self.count(0);
         loop {
             let changed = self.changed.notified();
             if self.is_open() {
                 return Ok(());
             }
-            if Instant::now() >= end || timeout_at(end, changed).await.is_err() {
+            if Instant::now() >= deadline || timeout_at(deadline, changed).await.is_err() {
                 self.count(1);
                 // Spread, so that those who are refused together do not come again together.
-                return Err(self.terms.retry * (0.75 + 0.5 * self.chance.borrow_mut().f64()));
+                return Err(self.settings.retry_after * (0.75 + 0.5 * self.rng.borrow_mut().f64()));
             }
         }
     }
 }
 
 /// A pool's place at the gate.
-pub struct Ticket {
+pub struct PoolGate {
     gate: Rc<Gate>,
     /// Whether the pool serves the present version; one of a former version decides nothing new.
-    current: Cell<bool>,
+    active: Cell<bool>,
 }
 
-impl Ticket {
+impl PoolGate {
     pub(crate) fn new(gate: Rc<Gate>) -> Rc<Self> {
-        Rc::new(Ticket {
+        Rc::new(PoolGate {
             gate,
-            current: Cell::new(true),
+            active: Cell::new(true),
         })
     }
 
-    pub(crate) fn end(&self) {
-        self.current.set(false);
+    pub(crate) fn deactivate(&self) {
+        self.active.set(false);
     }
 
-    pub(crate) fn decide(&self) -> Option<Decided> {
-        if self.current.get() {
+    pub(crate) fn decide(&self) -> Option<DecisionStamp> {
+        if self.active.get() {
             self.gate.decide()
         } else {
             None
         }
     }
 
-    pub(crate) fn stamps(&self) -> bool {
-        self.gate.stamps()
+    pub(crate) fn send_stamps(&self) -> bool {
+        self.gate.send_stamps()
     }
 }
 
 /// Tells what a request was decided under.
-pub(crate) fn stamp(headers: &mut HeaderMap, decided: Decided) {
+pub(crate) fn insert_stamp(headers: &mut HeaderMap, decided: DecisionStamp) {
     if let Ok(value) = format!("{} {}", decided.version, decided.at).parse() {
-        headers.insert(DECIDED, value);
+        headers.insert(DECISION_HEADER, value);
     }
 }
 
@@ -188,57 +192,63 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms {
-        hold: Duration::from_millis(100),
-        retry: 1000.0,
-        stamps: false,
+    const SETTINGS: GateSettings = GateSettings {
+        max_wait: Duration::from_millis(100),
+        retry_after: 1000.0,
+        send_stamps: false,
         seed: 1,
     };
 
     #[tokio::test(start_paused = true)]
-    async fn requests_wait_for_a_change_for_a_moment_and_are_then_refused_at_once() {
-        let held = Rc::new(Cell::new(true));
-        let right = held.clone();
+    async fn requests_wait_briefly_for_a_new_version_and_are_then_rejected_at_once() {
+        let has_lease = Rc::new(Cell::new(true));
+        let lease = has_lease.clone();
         let gate = Gate::new(
-            Box::new(move |_| right.get().then_some(7)),
+            Box::new(move |_| lease.get().then_some(7)),
             Arc::default(),
-            TERMS,
+            SETTINGS,
+        );
+        assert!(
+            gate.wait_until_open().await.is_err(),
+            "it has no version yet"
         );
-        assert!(gate.pass().await.is_err(), "it has no version yet");
         gate.open(3);
-        assert_eq!(gate.decide(), Some(Decided { version: 3, at: 7 }));
+        assert_eq!(gate.decide(), Some(DecisionStamp { version: 3, at: 7 }));
         gate.close();
-        let begun = Instant::now();
-        let (passed, ()) = tokio::join!(gate.pass(), async {
+        let started = Instant::now();
+        let (result, ()) = tokio::join!(gate.wait_until_open(), async {
             tokio::time::sleep(Duration::from_millis(40)).await;
             gate.open(4);
         });
-        assert!(passed.is_ok() && begun.elapsed() == Duration::from_millis(40));
+        assert!(result.is_ok() && started.elapsed() == Duration::from_millis(40));
         gate.close();
         tokio::time::sleep(Duration::from_millis(99)).await;
-        let begun = Instant::now();
-        let wait = gate.pass().await.expect_err("it is refused");
-        assert!((750.0..=1250.0).contains(&wait) && begun.elapsed() <= Duration::from_millis(2));
-        let begun = Instant::now();
+        let started = Instant::now();
+        let retry_after = gate.wait_until_open().await.expect_err("it is refused");
+        assert!(
+            (750.0..=1250.0).contains(&retry_after)
+                && started.elapsed() <= Duration::from_millis(2)
+        );
+        let started = Instant::now();
         assert!(
-            gate.pass().await.is_err() && begun.elapsed().is_zero(),
+            gate.wait_until_open().await.is_err() && started.elapsed().is_zero(),
             "later ones are refused at once"
         );
         gate.open(5);
-        held.set(false);
+        has_lease.set(false);
         assert!(
-            gate.pass().await.is_err() && !gate.is_open(),
+            gate.wait_until_open().await.is_err() && !gate.is_open(),
             "without the right nothing is decided"
         );
     }
 
     #[test]
-    fn a_pool_of_a_former_version_decides_nothing() {
-        let gate = Gate::new(Box::new(|_| Some(1)), Arc::default(), TERMS);
+    fn the_pool_of_an_earlier_version_decides_nothing() {
+        let gate = Gate::new(Box::new(|_| Some(1)), Arc::default(), SETTINGS);
         gate.open(1);
-        let ticket = Ticket::new(gate);
-        assert!(ticket.decide().is_some());
-        ticket.end();
-        assert_eq!(ticket.decide(), None);
+        let pool_gate = PoolGate::new(gate);
+        assert!(pool_gate.decide().is_some());
+        pool_gate.deactivate();
+        assert_eq!(pool_gate.decide(), None);
     }
 }
--- a/crates/proxy-core/src/hosts.rs
+++ b/crates/proxy-core/src/hosts.rs
@@ -31,7 +31,7 @@
 
 impl Host {
     /// Reads what can be read: one odd entry must not hide what the rest of the list says.
-    fn read(entry: &Value) -> Option<Self> {
+    fn parse(entry: &Value) -> Option<Self> {
         let text = |key: &str| entry[key].as_str().map(str::to_owned);
         let Some(host) = text("host") else {
             note!("discovery: an entry without a name");
@@ -65,24 +65,24 @@
 
 /// The whole list or what has changed.
 #[derive(Debug, Deserialize)]
-pub struct List {
+pub struct HostList {
     pub seq: u64,
     pub whole: bool,
     hosts: Vec<Value>,
 }
 
-impl List {
+impl HostList {
     pub fn entries(&self) -> Vec<Host> {
-        self.hosts.iter().filter_map(Host::read).collect()
+        self.hosts.iter().filter_map(Host::parse).collect()
     }
 }
 
 /// Reads the list that the configuration remembers; a broken one is as good as none.
-pub fn remembered(known: &Value) -> Option<(u64, Vec<Host>)> {
-    if known.is_null() {
+pub fn parse_cached(cached: &Value) -> Option<(u64, Vec<Host>)> {
+    if cached.is_null() {
         return None;
     }
-    match List::deserialize(known) {
+    match HostList::deserialize(cached) {
         Ok(list) => Some((list.seq, list.entries())),
         Err(e) => {
             note!("the remembered list is of no use: {e}");
--- a/crates/proxy-core/src/inbox.rs
+++ b/crates/proxy-core/src/inbox.rs
@@ -10,48 +10,48 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::gate::Decided;
+use crate::gate::DecisionStamp;
 use crate::hosts::Host;
-use crate::message::{Outgoing, Reply};
+use crate::message::{EndpointResponse, OutboundRequest};
 use crate::vars::Held;
 
 /// The codes of the final answers.
-pub const SERVED: u16 = 200;
-pub const REFUSED: u16 = 503;
-pub const FAILED: u16 = 502;
+pub const STATUS_SERVED: u16 = 200;
+pub const STATUS_REJECTED: u16 = 503;
+pub const STATUS_FAILED: u16 = 502;
 /// The code of a request whose client left before its answer.
-pub const GONE: u16 = 499;
+pub const STATUS_CLIENT_CLOSED: u16 = 499;
 
 /// What happens outside the module.
 pub enum Input {
     /// A whole request has been read.
-    Request(Box<Arrival>),
+    Request(Box<IncomingRequest>),
     /// A request whose tenant is over its share, so that it is not read further. There may be room after so many ms.
-    Unadmitted {
+    NotAdmitted {
         id: RequestId,
-        wait: Millis,
-        answer: oneshot::Sender<Answer>,
+        delay: Millis,
+        response_sender: oneshot::Sender<Answer>,
     },
     /// Its client has left.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// The last byte of a request that was still coming in has gone out.
-    Whole(RequestId),
+    BodyComplete(RequestId),
     /// An answer too large to be kept has begun.
-    Began {
+    ResponseStarted {
         request: RequestId,
         attempt: u32,
-        reply: Reply,
+        response: EndpointResponse,
     },
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         request: RequestId,
         attempt: u32,
         latency: Millis,
         outcome: Outcome,
-        reply: Option<Reply>,
+        response: Option<EndpointResponse>,
     },
     /// News of the list, with discovery's version of it.
-    List {
+    EndpointList {
         scope: UpdateScope,
         seq: Option<u64>,
         hosts: Vec<Host>,
@@ -61,19 +61,19 @@
     /// The settings have changed.
     Settings(Box<Settings>),
     /// This proxy's number among others that share its servers, and how many there are.
-    Proxies { me: u32, proxies: u32 },
+    ProxyCount { index: u32, count: u32 },
     /// What another module knew of the servers that this one was told.
-    Standing(Box<HealthSnapshot>),
+    HealthRestored(Box<HealthSnapshot>),
     /// What is held now is asked for.
-    Ask(oneshot::Sender<Held>),
+    ActiveCounts(oneshot::Sender<Held>),
     /// Nothing new comes any more: what is held is ended, and then the driver.
     Retire,
 }
 
 impl Input {
     /// A list that was asked for and did not come.
-    pub fn no_list() -> Self {
-        Input::List {
+    pub fn list_failed() -> Self {
+        Input::EndpointList {
             scope: UpdateScope::Failed,
             seq: None,
             hosts: Vec::new(),
@@ -82,30 +82,30 @@
 }
 
 /// A client's request.
-pub struct Arrival {
+pub struct IncomingRequest {
     pub id: RequestId,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: Option<Key>,
-    pub hint: Option<Millis>,
+    pub work_hint: Option<Millis>,
     /// How long the client waits in all.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// When the client gives up.
     pub deadline: Instant,
-    pub message: Outgoing,
-    pub answer: oneshot::Sender<Answer>,
+    pub outbound: OutboundRequest,
+    pub response_sender: oneshot::Sender<Answer>,
     /// What it was decided under, where that is told.
-    pub decided: Option<Rc<Cell<Option<Decided>>>>,
+    pub decision: Option<Rc<Cell<Option<DecisionStamp>>>>,
 }
 
 /// The one final answer.
 pub enum Answer {
-    Served(Reply),
+    Served(EndpointResponse),
     /// Trying again is harmless, after a while if one is named.
-    Refused(Option<Millis>),
+    Rejected(Option<Millis>),
     Failed,
     /// It was not decided, as it came to a pool of a former version or while nothing is decided: it is to be asked anew.
-    Again(Box<Outgoing>),
+    Undecided(Box<OutboundRequest>),
 }
 
 /// Where all parts put what they have seen.
@@ -120,7 +120,7 @@
         (Inbox(sender), receiver)
     }
 
-    pub fn put(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.0.send(input); // fails only while the process ends
     }
 }
--- a/crates/proxy-core/src/objects.rs
+++ b/crates/proxy-core/src/json_stream.rs
@@ -3,29 +3,29 @@
 
 /// A part of the stream.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum StreamItem {
     /// An object, whole.
     Object(Vec<u8>),
     /// A line end between objects: whoever writes is still there.
-    Beat,
+    Heartbeat,
 }
 
 /// What has come of a stream and has not been given out yet.
 #[derive(Debug, Default)]
-pub struct Objects {
+pub struct ObjectSplitter {
     buffer: Vec<u8>,
     /// How far the buffer has been looked at.
-    seen: usize,
+    scanned: usize,
     /// Objects and lists that are open at that place.
     depth: u32,
     /// Whether that place is inside a text, and behind a backslash there.
-    text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
-impl Objects {
+impl ObjectSplitter {
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
@@ -38,24 +38,24 @@
     ///
     /// # Errors
     /// What comes is no object: nothing after it can be trusted.
-    pub fn part(&mut self) -> Result<Option<Part>, String> {
-        while let Some(&byte) = self.buffer.get(self.seen) {
-            self.seen += 1;
+    pub fn next_item(&mut self) -> Result<Option<StreamItem>, String> {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            self.scanned += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.text => self.escaped = true,
-                b'"' if self.depth > 0 => self.text = !self.text,
-                _ if self.text => {}
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' if self.depth > 0 => self.in_string = !self.in_string,
+                _ if self.in_string => {}
                 b'{' | b'[' if self.depth > 0 || byte == b'{' => self.depth += 1,
                 b'}' | b']' if self.depth > 0 => {
                     self.depth -= 1;
                     if self.depth == 0 {
-                        return Ok(Some(Part::Object(self.take())));
+                        return Ok(Some(StreamItem::Object(self.take_scanned())));
                     }
                 }
                 b'\n' if self.depth == 0 => {
-                    self.take();
-                    return Ok(Some(Part::Beat));
+                    self.take_scanned();
+                    return Ok(Some(StreamItem::Heartbeat));
                 }
                 b' ' | b'\t' | b'\r' if self.depth == 0 => {}
                 _ if self.depth > 0 => {}
@@ -65,9 +65,9 @@
         Ok(None)
     }
 
-    fn take(&mut self) -> Vec<u8> {
-        let rest = self.buffer.split_off(self.seen);
-        self.seen = 0;
+    fn take_scanned(&mut self) -> Vec<u8> {
+        let rest = self.buffer.split_off(self.scanned);
+        self.scanned = 0;
         std::mem::replace(&mut self.buffer, rest)
     }
 }
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -182,7 +182,7 @@
 
     /// The time of an instant on the process's clock.
     pub fn time(&self, at: tokio::time::Instant) -> Millis {
-        self.clock.at(at)
+        self.clock.time_of(at)
     }
 
     /// Waits for the next change.
--- a/crates/proxy-core/src/load.rs
+++ b/crates/proxy-core/src/load_report.rs
@@ -5,11 +5,11 @@
 use serde::Deserialize;
 
 /// Its header.
-const NAME: &str = "x-server-load";
+const HEADER: &str = "x-server-load";
 
 /// Either of the two names that the protocol's pages have for each.
 #[derive(Deserialize)]
-struct Told {
+struct RawReport {
     #[serde(alias = "busy_reqs")]
     inflight: Option<f64>,
     #[serde(alias = "pending")]
@@ -17,12 +17,12 @@
 }
 
 /// What an answer's head tells; none where there is no report, or one that can't be read.
-pub fn told(headers: &HeaderMap) -> Option<LoadReport> {
-    let told: Told = serde_json::from_slice(headers.get(NAME)?.as_bytes()).ok()?;
+pub fn parse(headers: &HeaderMap) -> Option<LoadReport> {
+    let raw: RawReport = serde_json::from_slice(headers.get(HEADER)?.as_bytes()).ok()?;
     let count = |n: Option<f64>| n.filter(|n| n.is_finite() && *n >= 0.0);
-    let load = LoadReport {
-        in_flight: count(told.inflight),
-        queued: count(told.queue),
+    let report = LoadReport {
+        in_flight: count(raw.inflight),
+        queued: count(raw.queue),
     };
-    (load != LoadReport::default()).then_some(load)
+    (report != LoadReport::default()).then_some(report)
 }
--- a/crates/proxy-core/src/message.rs
+++ b/crates/proxy-core/src/message.rs
@@ -6,27 +6,27 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use tokio::time::Instant;
 
-use crate::stream::{Outbound, Passing, Payload};
+use crate::stream::{RequestBody, RequestContent, ResponseStream};
 
 /// A client's request in the form in which it goes on.
-pub struct Outgoing {
+pub struct OutboundRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Payload,
+    pub body: RequestContent,
 }
 
 /// A backend's answer.
-pub struct Reply {
+pub struct EndpointResponse {
     pub headers: HeaderMap,
-    pub body: Content,
+    pub body: ResponseContent,
 }
 
 /// The body of a backend's answer.
-pub enum Content {
-    Whole(Bytes),
+pub enum ResponseContent {
+    Buffered(Bytes),
     /// It is still coming in.
-    Stream(Passing),
+    Streamed(ResponseStream),
 }
 
 /// The query parameter `sid`, as it came.
@@ -38,8 +38,8 @@
 }
 
 /// Takes out the headers that concern one connection alone, and the length, which is set anew.
-pub fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
@@ -59,20 +59,20 @@
         HeaderName::from_static("keep-alive"),
         HeaderName::from_static("proxy-connection"),
     ];
-    for name in named.iter().chain(&fixed) {
+    for name in listed.iter().chain(&fixed) {
         headers.remove(name);
     }
 }
 
-impl Outgoing {
+impl OutboundRequest {
     /// What stands for a message that is not read.
-    pub fn nothing() -> Self {
+    pub fn empty() -> Self {
         let (method, uri) = (Method::GET, Uri::default());
-        Outgoing {
+        OutboundRequest {
             method,
             uri,
             headers: HeaderMap::new(),
-            body: Payload::empty(),
+            body: RequestContent::empty(),
         }
     }
 
@@ -82,12 +82,12 @@
     }
 
     /// The request for one attempt; `X-Timeout` tells how long this proxy will wait.
-    pub fn request(&self, until: Instant) -> Option<Request<Outbound>> {
+    pub fn attempt_request(&self, deadline: Instant) -> Option<Request<RequestBody>> {
         let mut request = Request::new(self.body.outbound());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = until
+        let left = deadline
             .saturating_duration_since(Instant::now())
             .as_secs_f64();
         let left = HeaderValue::from_str(&format!("{left:.3}")).ok()?;
@@ -97,7 +97,7 @@
 }
 
 /// The name of a request's class.
-pub fn class_of(uri: &Uri) -> &str {
+pub fn class_name(uri: &Uri) -> &str {
     uri.path()
         .trim_start_matches('/')
         .split('/')
@@ -106,13 +106,13 @@
 }
 
 /// Path and query alone, as they came, also of a request in absolute form.
-pub fn target(uri: &Uri) -> Uri {
+pub fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query()
         .map_or_else(Uri::default, |p| Uri::from(p.clone()))
 }
 
 /// An answer of the proxy's own.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+pub fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
@@ -123,7 +123,7 @@
     use super::*;
 
     #[test]
-    fn headers_of_one_connection_go_no_further() {
+    fn hop_by_hop_headers_are_removed() {
         let mut headers = HeaderMap::new();
         for (name, value) in [
             ("connection", "x-own, close"),
@@ -133,7 +133,7 @@
         ] {
             headers.insert(name, HeaderValue::from_static(value));
         }
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         assert_eq!(headers.len(), 1);
         assert!(headers.contains_key("x-kept"));
     }
--- a/crates/proxy-core/src/ops.rs
+++ b/crates/proxy-core/src/ops.rs
@@ -23,7 +23,7 @@
 
 use crate::inbox::{Inbox, Input};
 use crate::lifecycle::{Life, Phase};
-use crate::message::plain;
+use crate::message::text_response;
 use crate::note;
 use crate::vars::{Counts, Held};
 
@@ -90,10 +90,10 @@
         let wanted = match head.uri.path() {
             "/_ready" | "/_vars" => Method::GET,
             "/_lameduck/on" | "/_lameduck/off" => Method::PUT,
-            _ => return plain(StatusCode::NOT_FOUND, "no such call\n"),
+            _ => return text_response(StatusCode::NOT_FOUND, "no such call\n"),
         };
         if head.method != wanted {
-            let mut response = plain(
+            let mut response = text_response(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "not the method of this call\n",
             );
@@ -104,10 +104,12 @@
         match timeout(CALL, Limited::new(body, BODY).collect()).await {
             Ok(Ok(_)) => {}
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-                return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+                return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+            }
+            Ok(Err(_)) => return text_response(StatusCode::BAD_REQUEST, "the body is malformed\n"),
+            Err(_) => {
+                return text_response(StatusCode::REQUEST_TIMEOUT, "the body came too late\n");
             }
-            Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body is malformed\n"),
-            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body came too late\n"),
         }
         match head.uri.path() {
             "/_ready" => self.ready(),
@@ -129,25 +131,25 @@
             ),
             Phase::Leaving => (StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
         };
-        plain(code, text)
+        text_response(code, text)
     }
 
     fn lame_duck(&self, on: bool) -> Response<Full<Bytes>> {
         if !self.life.tell(|life, now| life.lame_duck(now, on)) {
-            return plain(
+            return text_response(
                 StatusCode::CONFLICT,
                 "the process leaves: it takes no clients any more\n",
             );
         }
         note!("lame duck {}", if on { "on" } else { "off" });
-        plain(StatusCode::OK, if on { "on\n" } else { "off\n" })
+        text_response(StatusCode::OK, if on { "on\n" } else { "off\n" })
     }
 
     async fn vars(&self) -> Response<Full<Bytes>> {
         let (tell, told) = oneshot::channel::<Held>();
-        self.inbox.put(Input::Ask(tell));
+        self.inbox.send(Input::ActiveCounts(tell));
         let Ok(held) = told.await else {
-            return plain(StatusCode::INTERNAL_SERVER_ERROR, "the driver has ended\n");
+            return text_response(StatusCode::INTERNAL_SERVER_ERROR, "the driver has ended\n");
         };
         let mut response = Response::new(Full::new(self.counts.text(held).into()));
         let kind = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
--- a/crates/proxy-core/src/peers.rs
+++ b/crates/proxy-core/src/peers.rs
@@ -9,7 +9,7 @@
 use crate::inbox::{Inbox, Input};
 use crate::note;
 
-const MOST: usize = 256; // bytes of a message, by the protocol
+const MAX_MESSAGE_BYTES: usize = 256; // bytes of a message, by the protocol
 
 /// Sends to the other proxies.
 pub struct Peers {
@@ -27,8 +27,8 @@
     }
 
     /// Tells every other proxy. What the socket can't take at once is lost, as on the way.
-    pub fn tell(&self, bytes: &[u8]) {
-        if bytes.len() > MOST {
+    pub fn broadcast(&self, bytes: &[u8]) {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             note!("a message of {} bytes is not sent", bytes.len());
         } else if let Err(e) = self.socket.try_send_to(bytes, self.addresses.all) {
             note!("peers: {e}");
@@ -36,14 +36,14 @@
     }
 
     /// Hands on what the others send; a datagram from elsewhere or over the size is dropped.
-    pub async fn listen(self: Rc<Self>, inbox: Inbox) {
-        let mut buffer = [0; MOST + 1];
+    pub async fn receive(self: Rc<Self>, inbox: Inbox) {
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((size, from)) => match self.addresses.peers.iter().position(|p| *p == from) {
-                    Some(number) if size <= MOST => {
-                        inbox.put(Input::Datagram {
-                            from: number as u32,
+                    Some(index) if size <= MAX_MESSAGE_BYTES => {
+                        inbox.send(Input::Datagram {
+                            from: index as u32,
                             bytes: buffer[..size].to_vec(),
                         });
                     }
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -9,14 +9,14 @@
 use hyper::{Method, StatusCode, Uri};
 use settings::{Names, ReloadableSettings, stable_hash};
 
-use crate::account::Account;
+use crate::account::TenantAccount;
 use crate::capture::Capture;
 use crate::drills::Drills;
 use crate::figures::Figures;
 use crate::inbox::{Inbox, Input};
 use crate::lifecycle::Life;
-use crate::message::{class_of, sid};
-use crate::stream::Room;
+use crate::message::{class_name, sid};
+use crate::stream::BodyMemory;
 use crate::vars::Counts;
 
 /// The features that have a part in how requests are answered; each is there only where it is on.
@@ -29,7 +29,7 @@
 
 impl Features {
     /// The settings have changed, and with them the names. Drills act on the classes of the start.
-    pub(crate) fn rename(&self, names: &Names) {
+    pub(crate) fn update_names(&self, names: &Names) {
         if let Some(capture) = &self.capture {
             capture.rename(names);
         }
@@ -44,82 +44,86 @@
 pub struct Pool {
     pub(crate) inbox: Inbox,
     /// The settings in service.
-    pub(crate) terms: RefCell<Rc<ReloadableSettings>>,
+    pub(crate) reloadable: RefCell<Rc<ReloadableSettings>>,
     /// Whether the module has a list, and what else says whether clients are taken.
-    pub(crate) life: Rc<Life>,
+    pub(crate) lifecycle: Rc<Life>,
     pub(crate) counts: Rc<Counts>,
     /// Memory for what passes through.
-    pub(crate) room: Rc<Room>,
+    pub(crate) body_memory: Rc<BodyMemory>,
     pub(crate) features: Features,
     /// The tenant's account, in a process of many.
-    pub(crate) account: Option<Rc<dyn Account>>,
+    pub(crate) account: Option<Rc<dyn TenantAccount>>,
     /// Whether a request must have the headers that the platform's protocol asks for. Otherwise one that names no time-out
     /// has its class's deadline, and one may go without a number.
-    pub(crate) strict: bool,
+    pub(crate) requires_headers: bool,
 }
 
 impl Drop for Pool {
     fn drop(&mut self) {
-        self.inbox.put(Input::Retire);
+        self.inbox.send(Input::Retire);
     }
 }
 
 impl Pool {
     /// The longest wait that a client is ready for.
-    pub(crate) fn longest(&self) -> Duration {
-        let terms = self.terms.borrow();
-        let longest = terms
+    pub(crate) fn max_deadline(&self) -> Duration {
+        let reloadable = self.reloadable.borrow();
+        let max_deadline = reloadable
             .settings
             .classes
             .iter()
             .map(|c| c.deadline)
             .fold(0.0, f64::max);
-        Duration::from_secs_f64(longest.min(1e6) / 1000.0)
+        Duration::from_secs_f64(max_deadline.min(1e6) / 1000.0)
     }
 
     /// Reads what the module has to know; what can't be right goes no further.
-    pub(crate) fn read(
+    pub(crate) fn parse_head(
         &self,
         method: &Method,
         uri: &Uri,
         headers: &HeaderMap,
-    ) -> Result<Asked, (StatusCode, &'static str)> {
-        let bad = |text| (StatusCode::BAD_REQUEST, text);
+    ) -> Result<RequestHead, (StatusCode, &'static str)> {
+        let bad_request = |text| (StatusCode::BAD_REQUEST, text);
         let ReloadableSettings {
             settings,
             names,
             accepted_classes,
             accepted_tenants,
             ..
-        } = &**self.terms.borrow();
+        } = &**self.reloadable.borrow();
         let class = names
             .classes
             .iter()
-            .position(|c| c == class_of(uri))
+            .position(|c| c == class_name(uri))
             .filter(|c| accepted_classes[*c]);
         let class = class.ok_or((StatusCode::NOT_FOUND, "no such class"))?;
-        let wanted = if settings.classes[class].idempotency == Idempotency::Idempotent {
+        let expected_method = if settings.classes[class].idempotency == Idempotency::Idempotent {
             Method::GET
         } else {
             Method::POST
         };
-        if *method != wanted {
+        if *method != expected_method {
             return Err((
                 StatusCode::METHOD_NOT_ALLOWED,
                 "not the method of this class",
             ));
         }
-        let keyed = matches!(
+        let needs_key = matches!(
             settings.classes[class].idempotency,
             Idempotency::IdempotencyKey { .. }
         );
-        if keyed != one(headers, "idempotency-key")?.is_some() && *method == Method::POST {
-            return Err(bad("Idempotency-Key does not fit the class"));
+        if needs_key != single_header(headers, "idempotency-key")?.is_some()
+            && *method == Method::POST
+        {
+            return Err(bad_request("Idempotency-Key does not fit the class"));
         }
-        if one(headers, "x-request-id")?.is_none_or(str::is_empty) && self.strict {
-            return Err(bad("X-Request-ID is missing"));
+        if single_header(headers, "x-request-id")?.is_none_or(str::is_empty)
+            && self.requires_headers
+        {
+            return Err(bad_request("X-Request-ID is missing"));
         }
-        let tenant = match one(headers, "x-tenant-id")? {
+        let tenant = match single_header(headers, "x-tenant-id")? {
             _ if names.tenants.is_empty() => None,
             Some(name) => {
                 let tenant = names
@@ -127,12 +131,12 @@
                     .iter()
                     .position(|t| t == name)
                     .filter(|t| accepted_tenants[*t]);
-                Some(TenantId(tenant.ok_or(bad("no such tenant"))?))
+                Some(TenantId(tenant.ok_or(bad_request("no such tenant"))?))
             }
-            None => return Err(bad("X-Tenant-Id is missing")),
+            None => return Err(bad_request("X-Tenant-Id is missing")),
         };
         let number = |name: &'static str| -> Result<Option<f64>, _> {
-            let Some(text) = one(headers, name)? else {
+            let Some(text) = single_header(headers, name)? else {
                 return Ok(None);
             };
             let number = text
@@ -140,38 +144,38 @@
                 .parse::<f64>()
                 .ok()
                 .filter(|x| x.is_finite() && *x >= 0.0);
-            number.map(Some).ok_or(bad("a header is no number"))
+            number.map(Some).ok_or(bad_request("a header is no number"))
         };
-        let most = settings.classes[class].deadline / 1000.0;
-        let patience = match number("x-timeout")? {
-            Some(patience) => patience.min(most),
-            None if self.strict => return Err(bad("X-Timeout is missing")),
-            None => most,
+        let max_timeout = settings.classes[class].deadline / 1000.0;
+        let timeout = match number("x-timeout")? {
+            Some(timeout) => timeout.min(max_timeout),
+            None if self.requires_headers => return Err(bad_request("X-Timeout is missing")),
+            None => max_timeout,
         };
-        let patience = Duration::from_secs_f64(patience);
-        let hint = number("x-cost")?.map(|us| us / 1000.0);
+        let timeout = Duration::from_secs_f64(timeout);
+        let work_hint = number("x-cost")?.map(|us| us / 1000.0);
         let key = sid(uri).map(|s| Key(stable_hash(s)));
-        Ok(Asked {
+        Ok(RequestHead {
             class: ClassId(class),
             tenant,
             key,
-            hint,
-            patience,
+            work_hint,
+            timeout,
         })
     }
 }
 
 /// What a request's head says.
-pub(crate) struct Asked {
+pub(crate) struct RequestHead {
     pub(crate) class: ClassId,
     pub(crate) tenant: Option<TenantId>,
     pub(crate) key: Option<Key>,
-    pub(crate) hint: Option<f64>,
-    pub(crate) patience: Duration,
+    pub(crate) work_hint: Option<f64>,
+    pub(crate) timeout: Duration,
 }
 
 /// A header that may stand once.
-fn one<'a>(
+fn single_header<'a>(
     headers: &'a HeaderMap,
     name: &str,
 ) -> Result<Option<&'a str>, (StatusCode, &'static str)> {
--- a/crates/proxy-core/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -22,12 +22,12 @@
 use crate::drills::Drills;
 use crate::driver::{Driver, Parts};
 use crate::figures::Figures;
-use crate::frontend::{Frontend, One};
+use crate::frontend::{Frontend, SinglePool};
 use crate::inbox::{Inbox, Input};
 use crate::lifecycle::Life;
 use crate::ops::{self, Door};
 use crate::pool::{Features, Pool};
-use crate::stream::Room;
+use crate::stream::BodyMemory;
 use crate::vars::Counts;
 use crate::{config, discovery, frontend, hosts, inherited, log, note, peers, upstream};
 
@@ -74,7 +74,7 @@
     /// Reads the file and goes over to it, or stays with what holds now.
     fn read(&self) {
         let pool = &self.pool;
-        let now = pool.terms.borrow().clone();
+        let now = pool.reloadable.borrow().clone();
         let change = config::read_change(&self.path, &self.started, &now);
         pool.counts.read(change.is_ok());
         let change = match change {
@@ -82,15 +82,15 @@
             Err(e) => return note!("the new configuration is of no use: {e}"),
         };
         self.place.move_to(change.discovery);
-        self.upstreams.set(&change.connections);
+        self.upstreams.configure(&change.connections);
         if change.terms.source == now.source {
             return;
         }
         // The module hears of it before the first request that comes under it.
         pool.inbox
-            .put(Input::Settings(Box::new(change.terms.settings.clone())));
+            .send(Input::Settings(Box::new(change.terms.settings.clone())));
         pool.counts.name(&change.terms.names.classes);
-        pool.features.rename(&change.terms.names);
+        pool.features.update_names(&change.terms.names);
         let classes = change
             .terms
             .names
@@ -102,7 +102,7 @@
             .map(|(name, _)| name.as_str())
             .collect();
         note!("new settings are in service; classes: {}", open.join(", "));
-        pool.terms.replace(Rc::new(change.terms));
+        pool.reloadable.replace(Rc::new(change.terms));
     }
 }
 
@@ -155,7 +155,7 @@
         Some(addresses) => {
             let on = format!("peers on {}", addresses.listen);
             let peers = peers::Peers::bind(addresses).await.map_err(at(&on))?;
-            spawn_local(peers.clone().listen(inbox.clone()));
+            spawn_local(peers.clone().receive(inbox.clone()));
             Some(peers)
         }
         None => None,
@@ -168,13 +168,13 @@
         .unwrap_or(usize::MAX);
     let budget = config.sockets.min(allowed).saturating_sub(own).max(LEAST);
     let sockets = Arc::new(Semaphore::new(budget / 4));
-    let room = Room::new(config.memory);
+    let body_memory = BodyMemory::new(config.memory);
     let upstreams = Rc::new(upstream::Upstreams::new(
         &config.connections,
         sockets,
         None,
         counts.clone(),
-        room.clone(),
+        body_memory.clone(),
     ));
     let watch = Rc::new(Notify::new());
     let place = discovery::Place::new(config.discovery);
@@ -187,27 +187,27 @@
         peers,
         discovery: Some(place.clone()),
         account: None,
-        rests: false,
-        watch: watch.clone(),
-        life: life.clone(),
+        may_sleep: false,
+        subscribe: watch.clone(),
+        lifecycle: life.clone(),
         counts: counts.clone(),
     };
     let pushed = config.terms.settings.discovery == balancer::Discovery::Pushed;
     let balancer = Balancer::new(config.terms.settings.clone(), config.seed);
     let driver = spawn_local(Driver::new(balancer, config.terms.names.clone(), parts).run(inputs));
     // The module's time begins with its first event.
-    inbox.put(Input::List {
+    inbox.send(Input::EndpointList {
         scope: UpdateScope::Cached,
         seq: None,
         hosts: Vec::new(),
     });
-    if let Some((seq, hosts)) = hosts::remembered(&config.known) {
+    if let Some((seq, hosts)) = hosts::parse_cached(&config.known) {
         let inbox = inbox.clone();
         spawn_local(async move {
             for _ in 0..PATIENCE.0 {
                 tokio::time::sleep(PATIENCE.1).await;
             }
-            inbox.put(Input::List {
+            inbox.send(Input::EndpointList {
                 scope: UpdateScope::Cached,
                 seq: Some(seq),
                 hosts,
@@ -246,16 +246,16 @@
         drills: drills.clone(),
         figures: figures.clone(),
     };
-    let terms = RefCell::new(Rc::new(config.terms));
+    let reloadable = RefCell::new(Rc::new(config.terms));
     let pool = Rc::new(Pool {
         inbox,
-        terms,
-        life: life.clone(),
+        reloadable,
+        lifecycle: life.clone(),
         counts: counts.clone(),
-        room,
+        body_memory,
         features,
         account: None,
-        strict: true,
+        requires_headers: true,
     });
     let reload = Reload {
         path,
@@ -269,7 +269,12 @@
             reload.read(); // signals that came in a burst are one, and the file is the newest
         }
     });
-    let front = Frontend::new(One { pool, upstreams }, most, Rc::default(), life.clone());
+    let front = Frontend::new(
+        SinglePool { pool, upstreams },
+        most,
+        Rc::default(),
+        life.clone(),
+    );
     let address = listener.local_addr().map_err(at("the listener"))?;
     note!("{} listens on {address}", config.name);
     if let (Some(drills), Some(side_port)) = (&drills, side_port) {
--- a/crates/proxy-core/src/service.rs
+++ b/crates/proxy-core/src/service.rs
@@ -14,39 +14,39 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{JoinError, spawn_local};
 
-use crate::account::{self, Account};
+use crate::account::{self, TenantAccount};
 use crate::clock::Clock;
-use crate::driver::{Driver, Known, Parts};
+use crate::driver::{Driver, DriverState, Parts};
 use crate::frontend::{self, Frontend};
-use crate::gate::{Gate, Ticket};
+use crate::gate::{Gate, PoolGate};
 use crate::inbox::{Inbox, Input};
 use crate::lifecycle::Life;
 use crate::pool::{Features, Pool};
-use crate::stream::Room;
+use crate::stream::BodyMemory;
 use crate::upstream::Upstreams;
 use crate::vars::Counts;
 
-pub use crate::driver::server_number;
-pub use crate::frontend::{Missing, Router};
+pub use crate::driver::endpoint_number;
+pub use crate::frontend::{RouteError, Router};
 pub use crate::hosts::Host;
 
 /// Bytes of memory that bodies passing through are reckoned from.
-const MEMORY: usize = 256 << 20;
+const BODY_MEMORY_BYTES: usize = 256 << 20;
 
 /// What all pools and listeners of a process share.
 pub struct Process {
     clock: Clock,
     /// The budget of connections to servers.
     sockets: Arc<Semaphore>,
-    next: Rc<Cell<u64>>,
+    next_id: Rc<Cell<u64>>,
     /// Memory for what passes through.
-    room: Rc<Room>,
+    body_memory: Rc<BodyMemory>,
     /// The gate, where the process acts as one with others.
     gate: Option<Rc<Gate>>,
 }
 
 /// What a pool is told at its start.
-pub struct Terms {
+pub struct PoolSettings {
     /// What the module decides by.
     pub settings: Settings,
     /// The names that go with it.
@@ -58,52 +58,52 @@
 }
 
 /// A pool that runs. Requests reach it while somebody holds its [`Pool`]; afterwards it ends what it has.
-pub struct Running {
+pub struct RunningPool {
     /// What routers hand out.
     pub pool: Rc<Pool>,
     /// Where its list is told, for as long as it runs.
-    pub feed: Feed,
+    pub feed: EndpointFeed,
     upstreams: Rc<Upstreams>,
-    gate: Option<Rc<Ticket>>,
-    known: Rc<Known>,
+    gate: Option<Rc<PoolGate>>,
+    driver_state: Rc<DriverState>,
     clock: Clock,
 }
 
-impl Running {
+impl RunningPool {
     /// Whether nothing is under way and nobody else holds the pool: it can be let go of, and no request notices.
-    pub fn is_still(&self) -> bool {
-        Rc::strong_count(&self.pool) == 1 && self.known.is_still()
+    pub fn is_idle(&self) -> bool {
+        Rc::strong_count(&self.pool) == 1 && self.driver_state.is_idle()
     }
 
     /// What its module holds against servers, and what cold ones may still be sent.
-    pub fn standing(&self) -> HealthSnapshot {
-        self.known.standing(self.clock.now())
+    pub fn health_snapshot(&self) -> HealthSnapshot {
+        self.driver_state.health_snapshot(self.clock.now())
     }
 
     /// It is a former version's from here on: it decides nothing new.
-    pub fn end(&self) {
+    pub fn stop_deciding(&self) {
         if let Some(gate) = &self.gate {
-            gate.end();
+            gate.deactivate();
         }
     }
 
     /// Closes the connection to a server that has stood idle longest.
-    pub fn make_room(&self) {
-        self.upstreams.close_idle();
+    pub fn close_idle_connection(&self) {
+        self.upstreams.close_longest_idle();
     }
 }
 
 /// Tells a pool's module which servers there are.
 #[derive(Clone)]
-pub struct Feed {
+pub struct EndpointFeed {
     inbox: Inbox,
     alive: Weak<()>,
 }
 
-impl Feed {
+impl EndpointFeed {
     /// The whole list: what it lacks has left.
-    pub fn whole(&self, hosts: Vec<Host>) {
-        self.inbox.put(Input::List {
+    pub fn replace_all(&self, hosts: Vec<Host>) {
+        self.inbox.send(Input::EndpointList {
             scope: UpdateScope::Full,
             seq: None,
             hosts,
@@ -111,8 +111,8 @@
     }
 
     /// Lines that have changed; all others stand.
-    pub fn changed(&self, hosts: Vec<Host>) {
-        self.inbox.put(Input::List {
+    pub fn update(&self, hosts: Vec<Host>) {
+        self.inbox.send(Input::EndpointList {
             scope: UpdateScope::Delta,
             seq: None,
             hosts,
@@ -120,13 +120,13 @@
     }
 
     /// What another module knew of the servers of the list that was told before.
-    pub fn resume(&self, standing: HealthSnapshot) {
-        self.inbox.put(Input::Standing(Box::new(standing)));
+    pub fn restore_health(&self, snapshot: HealthSnapshot) {
+        self.inbox.send(Input::HealthRestored(Box::new(snapshot)));
     }
 
     /// So many processes share the servers, and this one has this number among them.
-    pub fn among(&self, me: u32, proxies: u32) {
-        self.inbox.put(Input::Proxies { me, proxies });
+    pub fn set_proxy_count(&self, index: u32, count: u32) {
+        self.inbox.send(Input::ProxyCount { index, count });
     }
 
     /// Whether the pool still runs.
@@ -142,15 +142,15 @@
         Process {
             clock: Clock::default(),
             sockets,
-            next: Rc::default(),
-            room: Room::new(MEMORY),
+            next_id: Rc::default(),
+            body_memory: BodyMemory::new(BODY_MEMORY_BYTES),
             gate: None,
         }
     }
 
     /// All that its pools decide passes this gate.
     #[must_use]
-    pub fn behind(mut self, gate: Option<Rc<Gate>>) -> Self {
+    pub fn with_gate(mut self, gate: Option<Rc<Gate>>) -> Self {
         self.gate = gate;
         self
     }
@@ -174,24 +174,24 @@
     /// once it was retired and all was answered.
     pub fn start(
         &self,
-        terms: Terms,
-        account: Option<Rc<dyn Account>>,
+        settings: PoolSettings,
+        account: Option<Rc<dyn TenantAccount>>,
         ended: impl FnOnce(Result<(), JoinError>) + 'static,
-    ) -> Running {
+    ) -> RunningPool {
         let (inbox, inputs) = Inbox::new();
         let counts = Rc::new(Counts::default());
-        counts.name(&terms.names.classes);
+        counts.name(&settings.names.classes);
         let sockets = self.sockets.clone();
         let upstreams = Upstreams::new(
-            &terms.connections,
+            &settings.connections,
             sockets,
             account.clone(),
             counts.clone(),
-            self.room.clone(),
+            self.body_memory.clone(),
         );
         let upstreams = Rc::new(upstreams);
-        let life = Rc::new(Life::new(self.clock, false));
-        let gate = self.gate.clone().map(Ticket::new);
+        let lifecycle = Rc::new(Life::new(self.clock, false));
+        let gate = self.gate.clone().map(PoolGate::new);
         let parts = Parts {
             gate: gate.clone(),
             clock: self.clock,
@@ -201,48 +201,48 @@
             peers: None,
             discovery: None,
             account: account.clone(),
-            rests: true,
-            watch: Rc::new(Notify::new()),
-            life: life.clone(),
+            may_sleep: true,
+            subscribe: Rc::new(Notify::new()),
+            lifecycle: lifecycle.clone(),
             counts: counts.clone(),
         };
-        let balancer = Balancer::new(terms.settings.clone(), terms.seed);
-        let driver = Driver::new(balancer, terms.names.clone(), parts);
-        let known = driver.known();
+        let balancer = Balancer::new(settings.settings.clone(), settings.seed);
+        let driver = Driver::new(balancer, settings.names.clone(), parts);
+        let driver_state = driver.state();
         let driver = driver.run(inputs);
-        let runs = Rc::new(());
-        let alive = Rc::downgrade(&runs);
+        let running_token = Rc::new(());
+        let alive = Rc::downgrade(&running_token);
         let driver = match account.clone() {
-            Some(account) => spawn_local(account::on(account, driver)),
+            Some(account) => spawn_local(account::run_accounted(account, driver)),
             None => spawn_local(driver),
         };
         spawn_local(async move {
             let end = driver.await;
-            drop(runs);
+            drop(running_token);
             ended(end);
         });
         let features = Features::default();
-        let terms = RefCell::new(Rc::new(ReloadableSettings::fixed(
-            terms.settings,
-            terms.names,
+        let reloadable = RefCell::new(Rc::new(ReloadableSettings::fixed(
+            settings.settings,
+            settings.names,
         )));
         let pool = Pool {
             inbox: inbox.clone(),
-            terms,
-            life,
+            reloadable,
+            lifecycle,
             counts,
-            room: self.room.clone(),
+            body_memory: self.body_memory.clone(),
             features,
             account,
-            strict: false,
+            requires_headers: false,
         };
-        let feed = Feed { inbox, alive };
-        Running {
+        let feed = EndpointFeed { inbox, alive };
+        RunningPool {
             pool: Rc::new(pool),
             feed,
             upstreams,
             gate,
-            known,
+            driver_state,
             clock: self.clock,
         }
     }
@@ -252,12 +252,12 @@
         &self,
         listener: TcpListener,
         router: R,
-        most: usize,
+        max_connections: usize,
         stop: impl Future<Output = ()>,
     ) {
-        let life = Rc::new(Life::new(self.clock, false));
-        life.tell(|life, _| life.listed()); // its pools have lists, or answer for themselves
-        Frontend::new(router, most, self.next.clone(), life)
+        let lifecycle = Rc::new(Life::new(self.clock, false));
+        lifecycle.tell(|lifecycle, _| lifecycle.listed()); // its pools have lists, or answer for themselves
+        Frontend::new(router, max_connections, self.next_id.clone(), lifecycle)
             .serve(listener, stop)
             .await;
     }
@@ -266,12 +266,12 @@
 impl Pool {
     /// Whether its module has a list.
     pub fn is_ready(&self) -> bool {
-        self.life.is_up()
+        self.lifecycle.is_up()
     }
 
     /// The longest wait that its clients are ready for.
-    pub fn patience(&self) -> Duration {
-        self.longest()
+    pub fn max_timeout(&self) -> Duration {
+        self.max_deadline()
     }
 }
 
@@ -284,6 +284,6 @@
 }
 
 /// The name that lines of the log begin with.
-pub fn log_as(name: &'static str) {
+pub fn set_log_name(name: &'static str) {
     crate::log::set_name(name);
 }
