--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -25,36 +25,38 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-use crate::account::{self, Account};
-use crate::message::{Content, Outgoing, Reply, strip};
-use crate::stream::{self, KEPT, Outbound, Passing, Piece, Room, Upload};
+use crate::account::{self, TenantAccount};
+use crate::message::{EndpointResponse, OutboundRequest, ResponseContent, strip_hop_by_hop};
+use crate::stream::{
+    self, BodyMemory, MAX_BUFFERED_BYTES, RequestBody, ResponsePiece, ResponseStream, Upload,
+};
 use crate::vars::Counts;
 
 /// A pooled connection is retired after this part of the span after which a backend closes it.
-const IDLE_PART: f64 = 0.7;
+const IDLE_FRACTION: f64 = 0.7;
 /// A second answer is taken to come within this span; a later one is seen only if no request has gone out before it.
-const SETTLE: Duration = Duration::from_millis(20);
+const SETTLE_TIME: Duration = Duration::from_millis(20);
 /// Longest wait until a connection is ready for its next request.
-const READY: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
 /// An answer that has begun and of which nothing has come for this span is given up.
-const SILENT: Duration = Duration::from_secs(10);
+const RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes of a connection's buffer, and the most that the head of an answer may have.
-const BUFFER: usize = 32 << 10;
+const CONNECTION_BUFFER_BYTES: usize = 32 << 10;
 
 /// One process of a backend at one address. A restart or a new address makes a new one.
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub born_ms: f64,
+    pub started_unix_ms: f64,
     /// Drains, is gone or has been replaced: nothing new is written to it.
     closed: Cell<bool>,
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl Endpoint {
-    pub fn new(address: SocketAddr, born_ms: f64) -> Rc<Self> {
+    pub fn new(address: SocketAddr, started_unix_ms: f64) -> Rc<Self> {
         Rc::new(Endpoint {
             address,
-            born_ms,
+            started_unix_ms,
             closed: Cell::new(false),
             idle: RefCell::default(),
         })
@@ -74,19 +76,19 @@
 
     /// An idle connection: of those on which a second answer would have come by now the one used last, as it is the least
     /// likely to have been closed; else the one that has rested longest.
-    fn rested(&self) -> Option<Idle> {
+    fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let settled = idle
             .iter()
-            .rposition(|i| i.since.elapsed() >= SETTLE)
+            .rposition(|i| i.since.elapsed() >= SETTLE_TIME)
             .unwrap_or(0);
         (!idle.is_empty()).then(|| idle.remove(settled))
     }
 
     /// Puts a clean connection by for the next request.
-    fn keep(&self, connection: Connection) {
+    fn keep_idle(&self, connection: Connection) {
         if self.is_open() {
-            self.idle.borrow_mut().push(Idle {
+            self.idle.borrow_mut().push(IdleConnection {
                 connection,
                 since: Instant::now(),
             });
@@ -94,22 +96,22 @@
     }
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
 /// A connection to a backend; dropping it closes the socket.
 struct Connection {
-    sender: SendRequest<Outbound>,
-    meter: Rc<Meter>,
+    sender: SendRequest<RequestBody>,
+    tracker: Rc<WriteTracker>,
     stream: Rc<RefCell<TcpStream>>,
-    driver: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.task.abort();
     }
 }
 
@@ -117,12 +119,12 @@
     /// Whether a request may be written to it: the backend has neither closed it nor said anything unasked.
     /// The runtime may not have seen its end yet, so the socket itself is asked.
     fn is_alive(&self) -> bool {
-        is_quiet(&self.stream.borrow()) && self.sender.is_ready()
+        has_no_unread_input(&self.stream.borrow()) && self.sender.is_ready()
     }
 }
 
 /// Whether the other side has neither said anything that has not been read nor closed.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn has_no_unread_input(stream: &TcpStream) -> bool {
     match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Err(e) => e.kind() == io::ErrorKind::WouldBlock,
         Ok(_) => false,
@@ -131,17 +133,17 @@
 
 /// Follows the bytes of a request onto the socket, and holds the first one back where it may not go.
 #[derive(Default)]
-struct Meter {
+struct WriteTracker {
     /// Told of each request whose last byte has been written.
     counts: Rc<Counts>,
     /// What must still hold when the first byte is written; there is none between requests.
-    gate: RefCell<Option<Gate>>,
+    condition: RefCell<Option<SendCondition>>,
     begun: Cell<bool>,
-    denied: Cell<bool>,
+    blocked: Cell<bool>,
     /// How much of the blank line that ends the head has been seen.
-    blank: Cell<usize>,
+    blank_line_matched: Cell<usize>,
     /// Bytes of the body still to be written, of one that is kept.
-    left: Cell<usize>,
+    body_left: Cell<usize>,
     /// A body that is not kept.
     upload: RefCell<Option<Rc<Upload>>>,
     counted: Cell<bool>,
@@ -149,107 +151,119 @@
 
 /// The backend must still take work and the request still lack its answer: either may have changed while the
 /// connection came up.
-struct Gate {
+struct SendCondition {
     endpoint: Rc<Endpoint>,
-    wanted: Rc<Wanted>,
+    cancel: Rc<CancelSignal>,
     /// A first byte goes out before this, if ever.
-    before: Option<Instant>,
+    start_by: Option<Instant>,
 }
 
-impl Gate {
+impl SendCondition {
     fn is_open(&self) -> bool {
         self.endpoint.is_open()
-            && self.wanted.holds()
-            && self.before.is_none_or(|b| Instant::now() < b)
+            && self.cancel.is_active()
+            && self.start_by.is_none_or(|b| Instant::now() < b)
     }
 }
 
 /// Whether an attempt may still begin for a request: until it has its answer or its client has gone.
 #[derive(Default)]
-pub struct Wanted {
-    over: Cell<bool>,
-    ended: Notify,
+pub struct CancelSignal {
+    cancelled: Cell<bool>,
+    notify: Notify,
 }
 
-impl Wanted {
-    pub fn holds(&self) -> bool {
-        !self.over.get()
+impl CancelSignal {
+    pub fn is_active(&self) -> bool {
+        !self.cancelled.get()
     }
 
     /// Nothing more begins for it.
-    pub fn end(&self) {
-        self.over.set(true);
-        self.ended.notify_waiters();
+    pub fn cancel(&self) {
+        self.cancelled.set(true);
+        self.notify.notify_waiters();
     }
 
-    async fn ended(&self) {
-        while self.holds() {
-            self.ended.notified().await;
+    async fn cancelled(&self) {
+        while self.is_active() {
+            self.notify.notified().await;
         }
     }
 }
 
-const BLANK: &[u8] = b"\r\n\r\n";
+const BLANK_LINE: &[u8] = b"\r\n\r\n";
 
-impl Meter {
-    fn start(&self, gate: Gate, body: usize, upload: Option<Rc<Upload>>) {
-        self.gate.replace(Some(gate));
+impl WriteTracker {
+    fn start(&self, condition: SendCondition, body: usize, upload: Option<Rc<Upload>>) {
+        self.condition.replace(Some(condition));
         self.upload.replace(upload);
         self.counted.set(false);
         self.begun.set(false);
-        self.denied.set(false);
-        self.blank.set(0);
-        self.left.set(body);
+        self.blocked.set(false);
+        self.blank_line_matched.set(0);
+        self.body_left.set(body);
     }
 
     /// Whether a write may go on.
-    fn admit(&self) -> bool {
-        let go = self.begun.get() || self.gate.borrow().as_ref().is_some_and(Gate::is_open);
-        self.denied.set(!go);
-        go
-    }
-
-    fn wrote(&self, bytes: &[u8]) {
+    fn may_write(&self) -> bool {
+        let allowed = self.begun.get()
+            || self
+                .condition
+                .borrow()
+                .as_ref()
+                .is_some_and(SendCondition::is_open);
+        self.blocked.set(!allowed);
+        allowed
+    }
+
+    fn record_write(&self, bytes: &[u8]) {
         self.begun.set(self.begun.get() || !bytes.is_empty());
-        self.follow(bytes);
-        if self.complete() && !self.counted.replace(true) {
+        self.track(bytes);
+        if self.is_complete() && !self.counted.replace(true) {
             self.counts.sent();
         }
     }
 
-    fn follow(&self, bytes: &[u8]) {
+    fn track(&self, bytes: &[u8]) {
         let mut rest = bytes;
-        while self.blank.get() < BLANK.len() {
+        while self.blank_line_matched.get() < BLANK_LINE.len() {
             let Some((&byte, after)) = rest.split_first() else {
                 return;
             };
             rest = after;
-            let seen = self.blank.get();
-            self.blank.set(if byte == BLANK[seen] {
+            let seen = self.blank_line_matched.get();
+            self.blank_line_matched.set(if byte == BLANK_LINE[seen] {
                 seen + 1
             } else {
                 usize::from(byte == b'\r')
             });
         }
-        self.left.set(self.left.get().saturating_sub(rest.len()));
+        self.body_left
+            .set(self.body_left.get().saturating_sub(rest.len()));
     }
 
     /// Whether the request's last byte has been written: from then on it may have run. Of a body that is not kept the
     /// last byte counts as written once the connection has it.
-    fn complete(&self) -> bool {
-        let passed = self.upload.borrow().as_ref().is_none_or(|u| u.is_passed());
-        self.blank.get() == BLANK.len() && self.left.get() == 0 && passed
+    fn is_complete(&self) -> bool {
+        let upload_complete = self
+            .upload
+            .borrow()
+            .as_ref()
+            .is_none_or(|u| u.is_complete());
+        self.blank_line_matched.get() == BLANK_LINE.len()
+            && self.body_left.get() == 0
+            && upload_complete
     }
 }
 
 /// The socket under a connection, with its meter. It holds its part of the budget of sockets.
-struct Metered {
+struct TrackedStream {
     stream: Rc<RefCell<TcpStream>>,
-    meter: Rc<Meter>,
+    tracker: Rc<WriteTracker>,
     _permit: OwnedSemaphorePermit,
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for TrackedStream {
     // The stream's own way: after a short read it waits for news and does not ask the system once more.
     fn poll_read(
         self: Pin<&mut Self>,
@@ -260,14 +274,14 @@
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for TrackedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if !self.meter.admit() {
+        if !self.tracker.may_write() {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, bytes);
         if let Poll::Ready(Ok(n)) = written {
-            self.meter.wrote(&bytes[..n]);
+            self.tracker.record_write(&bytes[..n]);
         }
         written
     }
@@ -283,14 +297,14 @@
 
 /// What all attempts share: time-outs and the budget of sockets.
 pub struct Upstreams {
-    dial_timeout: Cell<Duration>,
+    connect_timeout: Cell<Duration>,
     idle_limit: Cell<Duration>,
     sockets: Arc<Semaphore>,
     /// Whose work it is, in a process of many tenants.
-    account: Option<Rc<dyn Account>>,
+    account: Option<Rc<dyn TenantAccount>>,
     counts: Rc<Counts>,
     /// Memory for what passes through.
-    room: Rc<Room>,
+    body_memory: Rc<BodyMemory>,
     /// Asked to close an idle connection when the budget has run out.
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
 }
@@ -300,29 +314,30 @@
     pub fn new(
         connections: &settings::ConnectionSettings,
         sockets: Arc<Semaphore>,
-        account: Option<Rc<dyn Account>>,
+        account: Option<Rc<dyn TenantAccount>>,
         counts: Rc<Counts>,
-        room: Rc<Room>,
+        body_memory: Rc<BodyMemory>,
     ) -> Self {
         let upstreams = Upstreams {
-            dial_timeout: Cell::default(),
+            connect_timeout: Cell::default(),
             idle_limit: Cell::default(),
             sockets,
             account,
             counts,
-            room,
+            body_memory,
             endpoints: RefCell::default(),
         };
-        upstreams.set(connections);
+        upstreams.configure(connections);
         upstreams
     }
 
     /// The settings have changed.
-    pub fn set(&self, connections: &settings::ConnectionSettings) {
-        let span = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3.6e6) / 1000.0);
-        self.dial_timeout.set(span(connections.connect_timeout));
+    pub fn configure(&self, connections: &settings::ConnectionSettings) {
+        let duration = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3.6e6) / 1000.0);
+        self.connect_timeout
+            .set(duration(connections.connect_timeout));
         self.idle_limit
-            .set(span(connections.idle_timeout * IDLE_PART));
+            .set(duration(connections.idle_timeout * IDLE_FRACTION));
     }
 
     /// Adds a backend's process to those whose idle connections are looked after.
@@ -331,11 +346,12 @@
     }
 
     /// Closes connections that have stood idle for too long, and forgets processes that are done with.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
-        let fresh = |i: &Idle| now - i.since < self.idle_limit.get() && i.connection.is_alive();
+        let is_usable =
+            |i: &IdleConnection| now - i.since < self.idle_limit.get() && i.connection.is_alive();
         self.endpoints.borrow_mut().retain(|e| {
-            e.idle.borrow_mut().retain(fresh);
+            e.idle.borrow_mut().retain(is_usable);
             Rc::strong_count(e) > 1
         });
     }
@@ -349,7 +365,7 @@
     }
 
     /// Closes the connection that has stood idle longest, whosever it is.
-    pub fn close_idle(&self) {
+    pub fn close_longest_idle(&self) {
         let endpoints = self.endpoints.borrow();
         let oldest = |e: &Rc<Endpoint>| e.idle.borrow().first().map(|i| i.since);
         if let Some(e) = endpoints
@@ -365,24 +381,30 @@
     async fn connection(
         &self,
         endpoint: &Rc<Endpoint>,
-        dialled: &Cell<bool>,
+        connect_attempted: &Cell<bool>,
     ) -> io::Result<Connection> {
         loop {
-            let Some(idle) = endpoint.rested() else { break };
+            let Some(idle) = endpoint.take_idle() else {
+                break;
+            };
             if idle.since.elapsed() < self.idle_limit.get() && idle.connection.is_alive() {
                 return Ok(idle.connection);
             }
         }
         timeout(
-            self.dial_timeout.get(),
-            self.open(endpoint.address, dialled),
+            self.connect_timeout.get(),
+            self.connect(endpoint.address, connect_attempted),
         )
         .await?
     }
 
-    async fn open(&self, address: SocketAddr, dialled: &Cell<bool>) -> io::Result<Connection> {
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        connect_attempted: &Cell<bool>,
+    ) -> io::Result<Connection> {
         if self.sockets.available_permits() == 0 {
-            self.close_idle();
+            self.close_longest_idle();
         }
         let permit = self
             .sockets
@@ -390,111 +412,116 @@
             .acquire_owned()
             .await
             .map_err(io::Error::other)?;
-        dialled.set(true);
+        connect_attempted.set(true);
         let stream = TcpStream::connect(address)
             .await
-            .inspect_err(|e| dialled.set(!is_short(e)))?;
+            .inspect_err(|e| connect_attempted.set(!is_resource_shortage(e)))?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(RefCell::new(stream));
-        let meter = Rc::new(Meter {
+        let tracker = Rc::new(WriteTracker {
             counts: self.counts.clone(),
-            ..Meter::default()
+            ..WriteTracker::default()
         });
-        let io = Metered {
+        let io = TrackedStream {
             stream: stream.clone(),
-            meter: meter.clone(),
+            tracker: tracker.clone(),
             _permit: permit,
         };
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(CONNECTION_BUFFER_BYTES)
             .handshake(TokioIo::new(io))
             .await
             .map_err(io::Error::other)?;
-        let work = async move {
+        let connection_work = async move {
             let _ = connection.await; // errors show at the request
         };
-        let driver = match &self.account {
-            None => tokio::task::spawn_local(work),
-            Some(account) => tokio::task::spawn_local(account::on(account.clone(), work)),
+        let task = match &self.account {
+            None => tokio::task::spawn_local(connection_work),
+            Some(account) => {
+                tokio::task::spawn_local(account::run_accounted(account.clone(), connection_work))
+            }
         };
         Ok(Connection {
             sender,
-            meter,
+            tracker,
             stream,
-            driver,
+            task,
         })
     }
 
     /// Makes one attempt and tells how it goes, its end last and exactly once; `report` gets that before the connection
     /// is pooled.
-    pub async fn attempt(&self, attempt: Attempt, mut report: impl FnMut(News)) {
+    pub async fn attempt(&self, attempt: Attempt, mut report: impl FnMut(AttemptEvent)) {
         let Attempt {
             endpoint,
-            wanted,
-            message,
-            until,
-            before,
+            cancel,
+            outbound,
+            deadline,
+            start_by,
         } = attempt;
         // Whatever goes wrong before the request's last byte is written proves that it never ran.
-        let dialled = Cell::new(false);
+        let connect_attempted = Cell::new(false);
         let mut connection = {
-            let mut dial = pin!(timeout_at(until, self.connection(&endpoint, &dialled)));
+            let mut connecting = pin!(timeout_at(
+                deadline,
+                self.connection(&endpoint, &connect_attempted)
+            ));
             tokio::select! {
                 biased;
-                dial = &mut dial => match dial {
+                connecting = &mut connecting => match connecting {
                     Ok(Ok(connection)) => connection,
-                    Ok(Err(_)) | Err(_) if dialled.get() => {
-                        return report(News::Ended(Outcome::ConnectFailed, None));
+                    Ok(Err(_)) | Err(_) if connect_attempted.get() => {
+                        return report(AttemptEvent::Ended(Outcome::ConnectFailed, None));
                     }
-                    Ok(Err(_)) | Err(_) => return report(News::Ended(Outcome::NotSent, None)),
+                    Ok(Err(_)) | Err(_) => return report(AttemptEvent::Ended(Outcome::NotSent, None)),
                 },
                 // Its place is free at once. What the server has paid for by now is kept for others.
-                () = wanted.ended() => {
-                    report(News::Ended(Outcome::NotSent, None));
-                    if let Ok(Ok(connection)) = dial.await {
-                        endpoint.keep(connection);
+                () = cancel.cancelled() => {
+                    report(AttemptEvent::Ended(Outcome::NotSent, None));
+                    if let Ok(Ok(connection)) = connecting.await {
+                        endpoint.keep_idle(connection);
                     }
                     return;
                 }
             }
         };
-        let gate = Gate {
+        let condition = SendCondition {
             endpoint: endpoint.clone(),
-            wanted,
-            before,
+            cancel,
+            start_by,
         };
-        if !gate.is_open() {
-            report(News::Ended(Outcome::NotSent, None));
-            return endpoint.keep(connection);
+        if !condition.is_open() {
+            report(AttemptEvent::Ended(Outcome::NotSent, None));
+            return endpoint.keep_idle(connection);
         }
-        let Some(request) = message.request(until) else {
-            return report(News::Ended(Outcome::NotSent, None));
+        let Some(request) = outbound.attempt_request(deadline) else {
+            return report(AttemptEvent::Ended(Outcome::NotSent, None));
         };
-        let (meter, upload) = (connection.meter.clone(), message.body.upload().cloned());
-        let left = if upload.is_some() {
+        let (tracker, upload) = (connection.tracker.clone(), outbound.body.upload().cloned());
+        let body_left = if upload.is_some() {
             0
         } else {
             request.body().size_hint().exact().unwrap_or(0) as usize
         };
-        meter.start(gate, left, upload.clone());
-        let until = Cell::new(until);
-        let answer = {
+        tracker.start(condition, body_left, upload.clone());
+        let deadline = Cell::new(deadline);
+        let result = {
             let mut exchange = pin!(exchange(&mut connection.sender, request));
             loop {
-                let coming = upload.as_ref().filter(|u| !u.is_passed());
-                let end = coming.map_or(until.get(), |u| u.stalls_at());
-                let whole = async {
+                let coming = upload.as_ref().filter(|u| !u.is_complete());
+                let end = coming.map_or(deadline.get(), |u| u.stalls_at());
+                let body_complete = async {
                     match coming {
-                        Some(upload) => upload.whole().await,
+                        Some(upload) => upload.wait_until_complete().await,
                         None => pending().await,
                     }
                 };
                 tokio::select! {
                     biased;
-                    answer = &mut exchange => break Some(answer),
-                    () = whole => {
-                        until.set(Instant::now() + upload.as_ref().map_or(Duration::ZERO, |u| u.patience));
-                        report(News::Whole);
+                    result = &mut exchange => break Some(result),
+                    () = body_complete => {
+                        deadline.set(Instant::now() + upload.as_ref().map_or(Duration::ZERO, |u| u.timeout));
+                        report(AttemptEvent::BodyComplete);
                     }
                     () = sleep_until(end) => {
                         if coming.is_none_or(|u| u.stalls_at() <= Instant::now()) {
@@ -504,51 +531,61 @@
                 }
             }
         };
-        let keep = match answer {
-            Some(Ok(Got::Whole(outcome, reply, keep))) => {
-                report(News::Ended(outcome, reply));
-                keep && meter.complete()
+        let keep = match result {
+            Some(Ok(ExchangeResult::Complete(outcome, response, keep))) => {
+                report(AttemptEvent::Ended(outcome, response));
+                keep && tracker.is_complete()
             }
-            Some(Ok(Got::Large(large))) => {
-                let (sender, passing) = Passing::new(large.length);
-                report(News::Began(Reply {
+            Some(Ok(ExchangeResult::Large(large))) => {
+                let (sender, response_stream) = ResponseStream::new(large.length);
+                report(AttemptEvent::ResponseStarted(EndpointResponse {
                     headers: large.headers,
-                    body: Content::Stream(passing),
+                    body: ResponseContent::Streamed(response_stream),
                 }));
-                let outcome =
-                    pass_on(large.first, large.rest, large.length, &self.room, sender).await;
-                report(News::Ended(outcome, None));
-                outcome == Outcome::Served && meter.complete()
+                let outcome = stream_response(
+                    large.first_chunks,
+                    large.rest,
+                    large.length,
+                    &self.body_memory,
+                    sender,
+                )
+                .await;
+                report(AttemptEvent::Ended(outcome, None));
+                outcome == Outcome::Served && tracker.is_complete()
             }
-            Some(Err(_)) if meter.denied.get() && !meter.begun.get() => {
-                return report(News::Ended(Outcome::NotSent, None));
+            Some(Err(_)) if tracker.blocked.get() && !tracker.begun.get() => {
+                return report(AttemptEvent::Ended(Outcome::NotSent, None));
             }
-            Some(Err(_)) | None if !meter.complete() => {
-                return report(News::Ended(Outcome::ConnectFailed, None));
+            Some(Err(_)) | None if !tracker.is_complete() => {
+                return report(AttemptEvent::Ended(Outcome::ConnectFailed, None));
             }
-            Some(Err(_)) => return report(News::Ended(Outcome::Reset, None)),
+            Some(Err(_)) => return report(AttemptEvent::Ended(Outcome::Reset, None)),
             // The connection is dropped, never used again.
-            None => return report(News::Ended(Outcome::TimedOut, None)),
+            None => return report(AttemptEvent::Ended(Outcome::TimedOut, None)),
         };
-        meter.gate.replace(None);
-        let ready = keep && matches!(timeout(READY, connection.sender.ready()).await, Ok(Ok(())));
+        tracker.condition.replace(None);
+        let ready = keep
+            && matches!(
+                timeout(READY_TIMEOUT, connection.sender.ready()).await,
+                Ok(Ok(()))
+            );
         if ready {
-            endpoint.keep(connection);
+            endpoint.keep_idle(connection);
         }
     }
 }
 
 /// Whether a connection could not even be tried, as this process or its machine has run short of something.
-fn is_short(error: &io::Error) -> bool {
+fn is_resource_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [
+    let shortages = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
         Errno::NOMEM,
         Errno::ADDRNOTAVAIL,
     ];
-    short
+    shortages
         .iter()
         .any(|e| error.raw_os_error() == Some(e.raw_os_error()))
 }
@@ -556,65 +593,70 @@
 /// What one attempt is to do.
 pub struct Attempt {
     pub endpoint: Rc<Endpoint>,
-    pub wanted: Rc<Wanted>,
-    pub message: Rc<Outgoing>,
+    pub cancel: Rc<CancelSignal>,
+    pub outbound: Rc<OutboundRequest>,
     /// It is given up then.
-    pub until: Instant,
+    pub deadline: Instant,
     /// It begins before this, if at all.
-    pub before: Option<Instant>,
+    pub start_by: Option<Instant>,
 }
 
 /// What an attempt tells.
-pub enum News {
+pub enum AttemptEvent {
     /// The last byte of a request that was still coming in has gone out.
-    Whole,
+    BodyComplete,
     /// An answer too large to be kept has begun.
-    Began(Reply),
+    ResponseStarted(EndpointResponse),
     /// How it ended, with the answer if that is whole.
-    Ended(Outcome, Option<Reply>),
+    Ended(Outcome, Option<EndpointResponse>),
 }
 
 /// What an exchange comes to.
-enum Got {
+enum ExchangeResult {
     /// The flag says whether the connection may be kept.
-    Whole(Outcome, Option<Reply>, bool),
-    Large(Large),
+    Complete(Outcome, Option<EndpointResponse>, bool),
+    Large(LargeResponse),
 }
 
 /// A good answer that is too large to be kept.
-struct Large {
+struct LargeResponse {
     headers: HeaderMap,
     length: Option<u64>,
-    first: Vec<Bytes>,
+    first_chunks: Vec<Bytes>,
     rest: Incoming,
 }
 
 /// Sends a request and reads the whole answer, or as much of it as is kept.
 async fn exchange(
-    sender: &mut SendRequest<Outbound>,
-    request: Request<Outbound>,
-) -> Result<Got, String> {
-    let answer = sender
+    sender: &mut SendRequest<RequestBody>,
+    request: Request<RequestBody>,
+) -> Result<ExchangeResult, String> {
+    let response = sender
         .send_request(request)
         .await
         .map_err(|e| e.to_string())?;
-    let (head, mut body) = answer.into_parts();
+    let (head, mut body) = response.into_parts();
     // The connection's end delimits a body where the head says that it closes, and a server that dies resets it. Without
     // that word a body may be cut short and nobody could tell.
     let length = body.size_hint().exact();
-    let named = |value: &HeaderValue| {
+    let has_close = |value: &HeaderValue| {
         value.to_str().is_ok_and(|v| {
             v.split(',')
                 .any(|part| part.trim().eq_ignore_ascii_case("close"))
         })
     };
     let closes = head.version == Version::HTTP_10
-        || head.headers.get_all(header::CONNECTION).iter().any(named);
-    let told = length.is_some() || head.headers.contains_key(header::TRANSFER_ENCODING);
-    let delimited = told || closes;
-    let (mut parts, mut size) = (Vec::new(), 0);
+        || head
+            .headers
+            .get_all(header::CONNECTION)
+            .iter()
+            .any(has_close);
+    let has_explicit_length =
+        length.is_some() || head.headers.contains_key(header::TRANSFER_ENCODING);
+    let delimited = has_explicit_length || closes;
+    let (mut chunks, mut size) = (Vec::new(), 0);
     let large = loop {
-        if size > KEPT || length.is_some_and(|n| n > KEPT as u64) {
+        if size > MAX_BUFFERED_BYTES || length.is_some_and(|n| n > MAX_BUFFERED_BYTES as u64) {
             break true;
         }
         let Some(frame) = body.frame().await else {
@@ -622,10 +664,10 @@
         };
         if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
             size += data.len();
-            parts.push(data);
+            chunks.push(data);
         }
     };
-    let unseen = head
+    let not_processed = head
         .headers
         .get("x-not-processed")
         .is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
@@ -633,33 +675,33 @@
     Ok(match head.status {
         StatusCode::OK if !delimited => return Err("the answer's length is not told".into()),
         StatusCode::OK => {
-            strip(&mut headers);
+            strip_hop_by_hop(&mut headers);
             if large {
-                return Ok(Got::Large(Large {
+                return Ok(ExchangeResult::Large(LargeResponse {
                     headers,
                     length,
-                    first: parts,
+                    first_chunks: chunks,
                     rest: body,
                 }));
             }
-            let body = if parts.len() == 1 {
-                parts.remove(0)
+            let body = if chunks.len() == 1 {
+                chunks.remove(0)
             } else {
-                parts.concat().into()
+                chunks.concat().into()
             };
-            Got::Whole(
+            ExchangeResult::Complete(
                 Outcome::Served,
-                Some(Reply {
+                Some(EndpointResponse {
                     headers,
-                    body: Content::Whole(body),
+                    body: ResponseContent::Buffered(body),
                 }),
-                told,
+                has_explicit_length,
             )
         }
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => {
-            Got::Whole(Outcome::Overloaded, None, !large)
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
+            ExchangeResult::Complete(Outcome::Overloaded, None, !large)
         }
-        status => Got::Whole(
+        status => ExchangeResult::Complete(
             Outcome::Error,
             None,
             !large && status != StatusCode::SWITCHING_PROTOCOLS,
@@ -668,22 +710,22 @@
 }
 
 /// Passes a large answer on as it comes, no faster than its client reads.
-async fn pass_on(
-    first: Vec<Bytes>,
+async fn stream_response(
+    first_chunks: Vec<Bytes>,
     mut rest: Incoming,
     length: Option<u64>,
-    room: &Room,
-    to: mpsc::Sender<Piece>,
+    body_memory: &BodyMemory,
+    pieces: mpsc::Sender<ResponsePiece>,
 ) -> Outcome {
-    let _place = room.wait().await;
+    let _slot = body_memory.stream_slot().await;
     let mut passed = 0;
-    let mut first = first.into_iter();
-    let whole = |passed| length == Some(passed);
+    let mut first_chunks = first_chunks.into_iter();
+    let is_whole = |passed| length == Some(passed);
     loop {
-        let data = match first.next() {
+        let data = match first_chunks.next() {
             Some(data) => data,
             None => tokio::select! {
-                frame = timeout(SILENT, rest.frame()) => match frame {
+                frame = timeout(RESPONSE_IDLE_TIMEOUT, rest.frame()) => match frame {
                     Ok(Some(Ok(frame))) => match frame.into_data() {
                         Ok(data) => data,
                         Err(_) => continue, // trailers go no further
@@ -691,19 +733,19 @@
                     Ok(None) => break,
                     Ok(Some(Err(_))) | Err(_) => return Outcome::Reset,
                 },
-                () = to.closed(), if !whole(passed) => return Outcome::Cancelled,
+                () = pieces.closed(), if !is_whole(passed) => return Outcome::Cancelled,
             },
         };
         passed += data.len() as u64;
-        if passed > stream::MOST {
+        if passed > stream::MAX_BODY_BYTES {
             return Outcome::Reset; // it has no end
         }
-        if to.send(Piece::Data(data)).await.is_err() && !whole(passed) {
+        if pieces.send(ResponsePiece::Data(data)).await.is_err() && !is_whole(passed) {
             return Outcome::Cancelled; // its client has left
         }
     }
     // One that was told its length needs no word of the end.
-    if to.send(Piece::End).await.is_ok() || whole(passed) {
+    if pieces.send(ResponsePiece::End).await.is_ok() || is_whole(passed) {
         Outcome::Served
     } else {
         Outcome::Cancelled
--- a/crates/proxy-core/tests/backoff.rs
+++ b/crates/proxy-core/tests/backoff.rs
@@ -2,21 +2,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use proxy_core::backoff::{Backoff, MOST};
+use proxy_core::backoff::{Backoff, MAX_DELAY};
 
 /// When a caller calls that is turned away at once each time, for five seconds.
-fn calls(seed: u64) -> Vec<Duration> {
-    let (mut backoff, mut at, mut calls) = (Backoff::new(seed), Duration::ZERO, Vec::new());
+fn call_times(seed: u64) -> Vec<Duration> {
+    let (mut backoff, mut at, mut call_times) = (Backoff::new(seed), Duration::ZERO, Vec::new());
     while at < Duration::from_secs(5) {
-        calls.push(at);
-        at += backoff.wait();
+        call_times.push(at);
+        at += backoff.next_delay();
     }
-    calls
+    call_times
 }
 
 #[test]
-fn callers_that_are_turned_away_together_come_back_apart_and_seldom() {
-    let all: Vec<Vec<Duration>> = (0..48).map(|n| calls(n * 0x9e37_79b9)).collect();
+fn rejected_callers_spread_their_retries() {
+    let all: Vec<Vec<Duration>> = (0..48).map(|n| call_times(n * 0x9e37_79b9)).collect();
     assert!(
         all.iter().all(|c| (14..=28).contains(&c.len())),
         "seldom, and not for ever"
@@ -28,17 +28,21 @@
     }
     assert!(slots.values().all(|n| *n <= 12), "{slots:?}");
     assert_ne!(all[0], all[1]);
-    assert_eq!(calls(7), calls(7), "chance comes from the seed alone");
+    assert_eq!(
+        call_times(7),
+        call_times(7),
+        "chance comes from the seed alone"
+    );
 }
 
 #[test]
-fn no_wait_is_longer_than_what_the_six_seconds_allow_for() {
+fn delays_stay_within_their_bounds() {
     for seed in 0..200 {
         let mut backoff = Backoff::new(seed);
-        let first: Duration = (0..3).map(|_| backoff.wait()).sum();
+        let first: Duration = (0..3).map(|_| backoff.next_delay()).sum();
         assert!(first <= Duration::from_millis(75 + 150 + 300), "{first:?}");
-        assert!((0..50).all(|_| backoff.wait() <= MOST));
+        assert!((0..50).all(|_| backoff.next_delay() <= MAX_DELAY));
         backoff.reset();
-        assert!(backoff.wait() <= Duration::from_millis(75));
+        assert!(backoff.next_delay() <= Duration::from_millis(75));
     }
 }
--- a/crates/proxy-core/tests/guard.rs
+++ b/crates/proxy-core/tests/framing.rs
@@ -1,39 +1,40 @@
 //! What two readers could see differently, and where requests end.
-use proxy_core::guard::Guard;
+use proxy_core::framing::FramingValidator;
 
-const GOOD: &str = "\r\nGET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\n\n\n\r\n:\
+const VALID_REQUESTS: &str = "\r\nGET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\n\n\n\r\n:\
     POST /c HTTP/1.1\r\ntransfer-encoding:  Chunked \r\n\r\n5;x=\"y\"\r\n\n\r\n\n:\r\n0\r\nX: 1\r\n\r\n\
     GET /d HTTP/1.0\r\nContent-Length: 0\r\n\r\nGET /e HTTP/1.1\r\n\r\n";
 
 /// Feeds all of it, request by request; returns how many have ended.
-fn feed(guard: &mut Guard, mut bytes: &[u8]) -> Result<usize, &'static str> {
-    let mut ends = 0;
+fn feed(validator: &mut FramingValidator, mut bytes: &[u8]) -> Result<usize, &'static str> {
+    let mut ended_requests = 0;
     while !bytes.is_empty() {
-        let (taken, ended) = guard.feed(bytes)?;
+        let (taken, ended) = validator.feed(bytes)?;
         assert!(
             taken > 0 && (ended || taken == bytes.len()),
             "it stops at a request's end alone"
         );
-        ends += usize::from(ended);
+        ended_requests += usize::from(ended);
         bytes = &bytes[taken..];
     }
-    Ok(ends)
+    Ok(ended_requests)
 }
 
 #[test]
-fn requests_are_followed_however_they_are_cut() {
-    for cut in 1..GOOD.len() {
-        let mut guard = Guard::default();
-        let ends = feed(&mut guard, &GOOD.as_bytes()[..cut]).expect("it is good")
-            + feed(&mut guard, &GOOD.as_bytes()[cut..]).expect("it is good");
-        assert_eq!(ends, 5, "cut at {cut}");
-        assert!(guard.is_between());
+fn request_boundaries_are_found_for_any_chunking() {
+    for cut in 1..VALID_REQUESTS.len() {
+        let mut validator = FramingValidator::default();
+        let ended_requests = feed(&mut validator, &VALID_REQUESTS.as_bytes()[..cut])
+            .expect("it is good")
+            + feed(&mut validator, &VALID_REQUESTS.as_bytes()[cut..]).expect("it is good");
+        assert_eq!(ended_requests, 5, "cut at {cut}");
+        assert!(validator.is_between_requests());
     }
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_is_seen_also_behind_good_requests() {
-    for (text, wanted) in [
+fn ambiguous_framing_is_rejected_also_after_valid_requests() {
+    for (text, expected_error) in [
         ("GET / HTTP/1.1\nHost: x\r\n\r\n", "a line feed alone"),
         ("GET / HTTP/1.1\r\nHost: x\r\n\n", "a line feed alone"),
         (
@@ -78,18 +79,18 @@
             "no size of a chunk",
         ),
     ] {
-        for before in ["", GOOD] {
-            let all = format!("{before}{text}");
+        for prefix in ["", VALID_REQUESTS] {
+            let input = format!("{prefix}{text}");
             assert_eq!(
-                feed(&mut Guard::default(), all.as_bytes()),
-                Err(wanted),
+                feed(&mut FramingValidator::default(), input.as_bytes()),
+                Err(expected_error),
                 "{text}"
             );
-            let mut guard = Guard::default();
-            let mut each = all.as_bytes().iter().map(|b| feed(&mut guard, &[*b]));
+            let mut validator = FramingValidator::default();
+            let mut results = input.as_bytes().iter().map(|b| feed(&mut validator, &[*b]));
             assert_eq!(
-                each.find(Result::is_err),
-                Some(Err(wanted)),
+                results.find(Result::is_err),
+                Some(Err(expected_error)),
                 "{text}, byte by byte"
             );
         }
--- a/crates/proxy-core/tests/load.rs
+++ b/crates/proxy-core/tests/load_report.rs
@@ -2,40 +2,40 @@
 use balancer::LoadReport;
 use hyper::HeaderMap;
 use hyper::header::HeaderValue;
-use proxy_core::load::told;
+use proxy_core::load_report::parse;
 
-fn of(value: &str) -> Option<LoadReport> {
+fn parse_value(value: &str) -> Option<LoadReport> {
     let mut headers = HeaderMap::new();
     headers.insert("x-server-load", HeaderValue::from_str(value).unwrap());
-    told(&headers)
+    parse(&headers)
 }
 
 #[test]
-fn what_is_in_hand_and_what_waits_is_read_by_either_name() {
-    let load = |in_hand, waiting| {
+fn requests_in_flight_and_queued_are_read_by_either_name() {
+    let load = |in_flight, queued| {
         Some(LoadReport {
-            in_flight: in_hand,
-            queued: waiting,
+            in_flight: in_flight,
+            queued: queued,
         })
     };
     assert_eq!(
-        of(r#"{"inflight":7,"queue":2,"util":0.61}"#),
+        parse_value(r#"{"inflight":7,"queue":2,"util":0.61}"#),
         load(Some(7.0), Some(2.0))
     );
     assert_eq!(
-        of(r#"{"pending":0,"busy_reqs":17.858}"#),
+        parse_value(r#"{"pending":0,"busy_reqs":17.858}"#),
         load(Some(17.858), Some(0.0))
     );
     assert_eq!(
-        of(r#"{"failed_ps":0.5,"pending":3}"#),
+        parse_value(r#"{"failed_ps":0.5,"pending":3}"#),
         load(None, Some(3.0))
     );
 }
 
 #[test]
-fn a_report_that_is_not_there_or_spoilt_tells_nothing() {
-    assert_eq!(told(&HeaderMap::new()), None);
-    for spoilt in [
+fn missing_and_malformed_reports_are_ignored() {
+    assert_eq!(parse(&HeaderMap::new()), None);
+    for invalid in [
         "",
         "7",
         "{}",
@@ -44,10 +44,10 @@
         r#"{"inflight":1"#,
         r#"{"queue":-1}"#,
     ] {
-        assert_eq!(of(spoilt), None, "{spoilt}");
+        assert_eq!(parse_value(invalid), None, "{invalid}");
     }
     assert_eq!(
-        of(r#"{"inflight":-3,"queue":4}"#),
+        parse_value(r#"{"inflight":-3,"queue":4}"#),
         Some(LoadReport {
             in_flight: None,
             queued: Some(4.0)
--- a/crates/proxy-core/tests/rest.rs
+++ b/crates/proxy-core/tests/rest.rs
@@ -5,42 +5,42 @@
 use std::time::Duration;
 
 use balancer::{Class, Costs, Discovery, Idempotency, Limits, Millis, Settings, WeightMeaning};
-use proxy_core::account::Account;
-use proxy_core::service::{Host, Process, Terms};
+use proxy_core::account::TenantAccount;
+use proxy_core::service::{Host, PoolSettings, Process};
 use settings::{ConnectionSettings, Names};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
 /// Counts how often its pool has had a turn.
 #[derive(Default)]
-struct Turns(Cell<u64>);
+struct PollCounter(Cell<u64>);
 
-impl Account for Turns {
-    fn connect(&self) -> Result<(), Millis> {
+impl TenantAccount for PollCounter {
+    fn acquire_client_connection(&self) -> Result<(), Millis> {
         Ok(())
     }
-    fn disconnect(&self) {}
-    fn begin(&self, _: u64) -> Result<(), Millis> {
+    fn release_client_connection(&self) {}
+    fn begin_request(&self, _: u64) -> Result<(), Millis> {
         Ok(())
     }
-    fn end(&self, _: u64, _: Millis) {}
-    fn works(&self) {
+    fn end_request(&self, _: u64, _: Millis) {}
+    fn begin_work(&self) {
         self.0.set(self.0.get() + 1);
     }
-    fn worked(&self, _: bool) {}
+    fn end_work(&self, _: bool) {}
     fn may_read(&self, _: &Waker) -> bool {
         true
     }
     fn may_accept(&self, _: &Waker) -> bool {
         true
     }
-    fn visit(&self, _: u64) -> bool {
+    fn acquire_endpoint_connection(&self, _: u64) -> bool {
         true
     }
-    fn leave(&self, _: u64) {}
+    fn release_endpoint_connection(&self, _: u64) {}
 }
 
-fn terms() -> Terms {
+fn pool_settings() -> PoolSettings {
     let class = Class {
         latency_objective: 100.0,
         deadline: 1000.0,
@@ -75,7 +75,7 @@
         classes: vec!["lookup".into()],
         ..Names::default()
     };
-    Terms {
+    PoolSettings {
         settings,
         names,
         connections: ConnectionSettings {
@@ -86,7 +86,7 @@
     }
 }
 
-fn server() -> Host {
+fn endpoint() -> Host {
     Host {
         host: "a".into(),
         dial: "127.0.0.1:9".parse().ok(),
@@ -100,38 +100,38 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_pool_without_work_rests_and_wakes_for_what_it_is_told() {
+async fn an_idle_pool_sleeps_and_wakes_for_endpoint_updates() {
     let run = async {
-        let turns = Rc::new(Turns::default());
+        let polls = Rc::new(PollCounter::default());
         let ended = Rc::new(Cell::new(false));
-        let tell = ended.clone();
+        let on_end = ended.clone();
         let process = Process::new(16);
-        let running = process.start(terms(), Some(turns.clone()), move |end| {
-            tell.set(end.is_ok())
+        let running = process.start(pool_settings(), Some(polls.clone()), move |end| {
+            on_end.set(end.is_ok())
         });
-        running.feed.whole(vec![server()]);
+        running.feed.replace_all(vec![endpoint()]);
         sleep(Duration::from_secs(5)).await;
         assert!(running.pool.is_ready());
         assert!(
-            turns.0.get() > 100,
+            polls.0.get() > 100,
             "the module's tick runs at first: {}",
-            turns.0.get()
+            polls.0.get()
         );
         sleep(Duration::from_secs(10)).await;
         for _ in 0..3 {
-            let rested = turns.0.get();
+            let polls_when_idle = polls.0.get();
             sleep(Duration::from_secs(3600)).await;
-            assert_eq!(turns.0.get(), rested, "an idle hour took turns");
-            running.feed.whole(vec![server()]);
+            assert_eq!(polls.0.get(), polls_when_idle, "an idle hour took turns");
+            running.feed.replace_all(vec![endpoint()]);
             sleep(Duration::from_secs(5)).await;
             assert!(
-                turns.0.get() > rested + 100,
+                polls.0.get() > polls_when_idle + 100,
                 "it has woken: its tick runs again"
             );
             assert!(
-                turns.0.get() < rested + 2 * 5000 / 20 + 20,
+                polls.0.get() < polls_when_idle + 2 * 5000 / 20 + 20,
                 "and only one: {}",
-                turns.0.get() - rested
+                polls.0.get() - polls_when_idle
             );
             sleep(Duration::from_secs(10)).await;
         }
--- a/crates/proxy-core/tests/unit/frontend.rs
+++ b/crates/proxy-core/tests/unit/frontend.rs
@@ -6,53 +6,53 @@
 
 /// An account that takes connections and never lets them be read; it counts the turns that are spent on them.
 #[derive(Default)]
-struct Shut(Cell<u64>);
+struct NeverReadable(Cell<u64>);
 
-impl Account for Shut {
-    fn connect(&self) -> Result<(), f64> {
+impl TenantAccount for NeverReadable {
+    fn acquire_client_connection(&self) -> Result<(), f64> {
         Ok(())
     }
-    fn disconnect(&self) {}
-    fn begin(&self, _: u64) -> Result<(), f64> {
+    fn release_client_connection(&self) {}
+    fn begin_request(&self, _: u64) -> Result<(), f64> {
         Ok(())
     }
-    fn end(&self, _: u64, _: f64) {}
-    fn works(&self) {
+    fn end_request(&self, _: u64, _: f64) {}
+    fn begin_work(&self) {
         self.0.set(self.0.get() + 1);
     }
-    fn worked(&self, _: bool) {}
+    fn end_work(&self, _: bool) {}
     fn may_read(&self, _: &std::task::Waker) -> bool {
         false
     }
     fn may_accept(&self, _: &std::task::Waker) -> bool {
         true
     }
-    fn visit(&self, _: u64) -> bool {
+    fn acquire_endpoint_connection(&self, _: u64) -> bool {
         true
     }
-    fn leave(&self, _: u64) {}
+    fn release_endpoint_connection(&self, _: u64) {}
 }
 
-struct Nowhere(Rc<Shut>);
+struct NoPools(Rc<NeverReadable>);
 
-impl Router for Nowhere {
-    fn pool(&self, _: &Uri, _: &HeaderMap, _: bool) -> Result<Rc<Pool>, Missing> {
-        Err(Missing::Plain(StatusCode::NOT_FOUND, "nothing"))
+impl Router for NoPools {
+    fn pool(&self, _: &Uri, _: &HeaderMap, _: bool) -> Result<Rc<Pool>, RouteError> {
+        Err(RouteError::Status(StatusCode::NOT_FOUND, "nothing"))
     }
-    fn strangers(&self) -> Option<Rc<dyn Account>> {
+    fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>> {
         Some(self.0.clone())
     }
     fn is_up(&self) -> bool {
         true
     }
-    fn longest(&self) -> Duration {
+    fn max_deadline(&self) -> Duration {
         Duration::ZERO
     }
-    fn make_room(&self) {}
+    fn close_idle_connections(&self) {}
 }
 
 #[test]
-fn bytes_that_an_account_holds_back_cost_no_turns_and_do_not_keep_a_connection() {
+fn connections_blocked_by_an_account_are_not_polled_in_a_loop_and_are_closed() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -60,10 +60,10 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let account = Rc::new(Shut::default());
-        let life = Rc::new(Life::new(Clock::default(), false));
-        let front = Frontend::new(Nowhere(account.clone()), 10, Rc::default(), life);
-        spawn_local(front.serve(listener, std::future::pending()));
+        let account = Rc::new(NeverReadable::default());
+        let lifecycle = Rc::new(Life::new(Clock::default(), false));
+        let frontend = Frontend::new(NoPools(account.clone()), 10, Rc::default(), lifecycle);
+        spawn_local(frontend.serve(listener, std::future::pending()));
         let client = TcpStream::connect(address).await.expect("it accepts");
         client.writable().await.expect("it is up");
         client
--- a/crates/proxy-core/tests/unit/upstream.rs
+++ b/crates/proxy-core/tests/unit/upstream.rs
@@ -1,49 +1,52 @@
 //! Of what the module keeps to itself.
 use super::*;
 
-fn started(body: usize) -> (Meter, Rc<Endpoint>, Rc<Wanted>) {
+fn started_tracker(body: usize) -> (WriteTracker, Rc<Endpoint>, Rc<CancelSignal>) {
     let endpoint = Endpoint::new("127.0.0.1:1".parse().expect("an address"), 0.0);
-    let wanted = Rc::new(Wanted::default());
-    let meter = Meter::default();
-    meter.start(
-        Gate {
+    let cancel = Rc::new(CancelSignal::default());
+    let tracker = WriteTracker::default();
+    tracker.start(
+        SendCondition {
             endpoint: endpoint.clone(),
-            wanted: wanted.clone(),
-            before: None,
+            cancel: cancel.clone(),
+            start_by: None,
         },
         body,
         None,
     );
-    (meter, endpoint, wanted)
+    (tracker, endpoint, cancel)
 }
 
 #[test]
-fn a_request_is_complete_with_its_last_byte_however_it_is_cut() {
+fn a_request_is_complete_with_its_last_byte_for_any_chunking() {
     let text = b"POST /x HTTP/1.1\r\nA: b\r\n\r\n\r\n\r\nbody";
     for cut in 1..text.len() {
-        let (meter, ..) = started(8);
-        meter.wrote(&text[..cut]);
-        assert!(meter.begun.get() && !meter.complete(), "cut at {cut}");
-        meter.wrote(&text[cut..]);
-        assert!(meter.complete(), "cut at {cut}");
+        let (tracker, ..) = started_tracker(8);
+        tracker.record_write(&text[..cut]);
+        assert!(
+            tracker.begun.get() && !tracker.is_complete(),
+            "cut at {cut}"
+        );
+        tracker.record_write(&text[cut..]);
+        assert!(tracker.is_complete(), "cut at {cut}");
     }
 }
 
 #[test]
-fn the_first_byte_waits_for_an_open_backend_and_a_wanted_request() {
-    let (meter, endpoint, _) = started(0);
+fn the_first_byte_needs_an_open_endpoint_and_an_unanswered_request() {
+    let (tracker, endpoint, _) = started_tracker(0);
     endpoint.set_open(false);
-    assert!(!meter.admit() && meter.denied.get());
-    let (meter, _, wanted) = started(0);
-    wanted.end();
-    assert!(!meter.admit());
-    let (meter, endpoint, _) = started(0);
-    assert!(meter.admit());
-    meter.wrote(b"G");
+    assert!(!tracker.may_write() && tracker.blocked.get());
+    let (tracker, _, cancel) = started_tracker(0);
+    cancel.cancel();
+    assert!(!tracker.may_write());
+    let (tracker, endpoint, _) = started_tracker(0);
+    assert!(tracker.may_write());
+    tracker.record_write(b"G");
     endpoint.set_open(false); // what has begun is finished
-    assert!(meter.admit());
+    assert!(tracker.may_write());
     assert!(
-        !Meter::default().admit(),
+        !WriteTracker::default().may_write(),
         "nothing is written between requests"
     );
 }
