--- a/crates/canvascart/tests/admin.rs
+++ b/crates/canvascart/tests/admin.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use hosted::sockets::{Backend, Deed, Gate, ok, wait_for};
+use hosted::sockets::{Backend, BackendAction, Latch, ok, wait_for};
 use hosted::{Client, Running, listener, says, tenant};
 
 /// A directory that goes with the test.
@@ -93,9 +93,9 @@
 #[test]
 fn changes_take_effect_while_requests_run_and_outlast_the_process() {
     let directory = Directory::new("effect");
-    let gate = Gate::default();
+    let gate = Latch::default();
     let (held, fresh, other) = (
-        Backend::new(Deed::Hold(gate.clone(), ok("held"))),
+        Backend::new(BackendAction::Hold(gate.clone(), ok("held"))),
         says("fresh"),
         says("other's"),
     );
@@ -172,8 +172,8 @@
     );
 
     // A tenant that goes: who asks for it learns nothing, and what it had under way is answered.
-    let gate = Gate::default();
-    let slow = Backend::new(Deed::Hold(gate.clone(), ok("last")));
+    let gate = Latch::default();
+    let slow = Backend::new(BackendAction::Hold(gate.clone(), ok("last")));
     admin.ok(&[
         "server",
         "put",
--- a/crates/canvascart/tests/capture.rs
+++ b/crates/canvascart/tests/capture.rs
@@ -18,7 +18,7 @@
 /// A proxy with these settings and one backend, up.
 fn proxy(backend: &Backend, setup: &Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[backend]));
+    discovery.publish(&all_up(&[backend]));
     let proxy = Proxy::up(&discovery, setup);
     (discovery, proxy)
 }
@@ -60,10 +60,10 @@
 /// What a busy little day with one server leaves behind.
 fn one_server_day() -> String {
     let backend = Backend::with(|request| match request.id() {
-        "r-full" => Deed::Write(empty("503 Busy\r\nX-Not-Processed: 1")),
-        "r-error" => Deed::Write(empty("500 Oops")),
-        "r-cut" => Deed::WriteAndClose(String::new()),
-        _ => Deed::Write(ok("")),
+        "r-full" => BackendAction::Write(empty("503 Busy\r\nX-Not-Processed: 1")),
+        "r-error" => BackendAction::Write(empty("500 Oops")),
+        "r-cut" => BackendAction::WriteAndClose(String::new()),
+        _ => BackendAction::Write(ok("")),
     });
     let (discovery, proxy) = proxy(&backend, &setup(ON));
     let mut client = Client::new(&proxy);
@@ -101,7 +101,7 @@
         );
     }
     // The server moves on: a new one takes its place.
-    discovery.say(&list(2, true, &[host("s-new", backend.address, "up", 0)]));
+    discovery.publish(&list(2, true, &[host("s-new", backend.address, "up", 0)]));
     let mut n = 0;
     wait_for("the new list", || {
         n += 1;
@@ -183,7 +183,7 @@
 
 #[test]
 fn with_one_server_clients_that_come_at_once_make_no_difference_either() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, &setup(ON));
     std::thread::scope(|scope| {
         for c in 0..8 {
@@ -270,7 +270,7 @@
 
 #[test]
 fn off_means_off() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     for properties in [
         None,
         Some("capture.enabled = false\ncapture.dir = /no/such/dir\n".to_owned()),
@@ -302,11 +302,11 @@
 
 #[test]
 fn each_request_has_its_line_however_it_ended_and_none_can_forge_one() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-left" | "r-held" => Deed::Hold(held.clone(), ok("")),
-        _ => Deed::Write(ok("")),
+        "r-left" | "r-held" => BackendAction::Hold(held.clone(), ok("")),
+        _ => BackendAction::Write(ok("")),
     });
     let (_discovery, proxy) = proxy(&backend, &setup(ON));
     let mut client = Client::new(&proxy);
@@ -327,7 +327,7 @@
     let mut left = Client::new(&proxy);
     left.send(&submit("r-left", "5", "x"));
     wait_for("the request", || backend.seen().len() == 2);
-    left.leave();
+    left.shutdown_write();
     assert!(left.is_closed());
     // One that ends after the signal follows the ring.
     let mut late = Client::new(&proxy);
@@ -352,7 +352,7 @@
 
 #[test]
 fn a_refusal_before_the_module_has_its_line_too() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let few = Setup {
         sockets: 64,
         ..setup(ON)
@@ -380,16 +380,16 @@
 
 #[test]
 fn a_standard_error_that_nobody_reads_holds_nobody_up() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("held")),
-        _ => Deed::Write(ok("")),
+        "r-held" => BackendAction::Hold(held.clone(), ok("held")),
+        _ => BackendAction::Write(ok("")),
     });
     let (_discovery, mut proxy) = proxy(
         &backend,
         &Setup {
-            unread: true,
+            leave_stderr_unread: true,
             ..setup(ON)
         },
     );
@@ -420,7 +420,7 @@
     gate.open();
     assert_eq!(busy.answer().expect("an answer").text(), "held");
     assert!(proxy.wait().success());
-    let log = proxy.read_at_last();
+    let log = proxy.read_remaining_stderr();
     assert!(
         log.lines().any(|l| l.starts_with("r r-0 page")),
         "its beginning is in the pipe"
@@ -433,7 +433,7 @@
 
 #[test]
 fn segments_go_to_files_and_an_unwritable_directory_harms_nothing() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let dir = std::env::temp_dir().join(format!("canvascart-proxy-capture-{}", std::process::id()));
     std::fs::create_dir(&dir).unwrap();
     let on = format!("{ON}capture.dir = {}\n", dir.display());
--- a/crates/canvascart/tests/client.rs
+++ b/crates/canvascart/tests/client.rs
@@ -11,14 +11,14 @@
 
 /// A stub that gives these answers in turn, the last one for ever.
 fn stub(answers: &[&str]) -> Backend {
-    let answers: Vec<Deed> = answers
+    let answers: Vec<BackendAction> = answers
         .iter()
-        .map(|a| Deed::Write((*a).to_owned()))
+        .map(|a| BackendAction::Write((*a).to_owned()))
         .collect();
     with(answers)
 }
 
-fn with(deeds: Vec<Deed>) -> Backend {
+fn with(deeds: Vec<BackendAction>) -> Backend {
     let next = AtomicUsize::new(0);
     Backend::with(move |_| deeds[next.fetch_add(1, Ordering::SeqCst).min(deeds.len() - 1)].clone())
 }
@@ -117,14 +117,14 @@
 fn a_checkout_that_may_have_run_is_never_sent_again() {
     let cut = ok("0123456789").replace("0123456789", "01234");
     for deed in [
-        Deed::Write(empty("500 Oops")),
-        Deed::Write(empty("502 Bad")),
-        Deed::Write(empty("504 Late")),
-        Deed::WriteAndClose(String::new()),
-        Deed::WriteAndClose(cut),
-        Deed::Write(ok(&"x".repeat((64 << 10) + 1))),
+        BackendAction::Write(empty("500 Oops")),
+        BackendAction::Write(empty("502 Bad")),
+        BackendAction::Write(empty("504 Late")),
+        BackendAction::WriteAndClose(String::new()),
+        BackendAction::WriteAndClose(cut),
+        BackendAction::Write(ok(&"x".repeat((64 << 10) + 1))),
     ] {
-        let stub = with(vec![deed, Deed::Write(ok("twice"))]);
+        let stub = with(vec![deed, BackendAction::Write(ok("twice"))]);
         let run = client(&target(stub.address), &["checkout"]);
         assert_eq!(
             (run.status.code(), stub.seen().len()),
@@ -146,9 +146,9 @@
 #[test]
 fn a_lookup_goes_again_after_a_broken_connection_and_an_error() {
     let stub = with(vec![
-        Deed::WriteAndClose(String::new()),
-        Deed::Write(empty("502 Bad")),
-        Deed::Write(ok(&"x".repeat(64 << 10))),
+        BackendAction::WriteAndClose(String::new()),
+        BackendAction::Write(empty("502 Bad")),
+        BackendAction::Write(ok(&"x".repeat(64 << 10))),
     ]);
     let run = client(
         &(target(stub.address) + "client.mark_retries = false"),
@@ -195,8 +195,8 @@
         "it gave up at once"
     );
     // Silence ends with the deadline, and so does a connection that never comes up.
-    let gate = Gate::default();
-    let silent = with(vec![Deed::Hold(gate.clone(), ok("late"))]);
+    let gate = Latch::default();
+    let silent = with(vec![BackendAction::Hold(gate.clone(), ok("late"))]);
     let (full, _fill) = full_listener();
     for address in [silent.address, full.local_addr().unwrap()] {
         let run = client(
--- a/crates/canvascart/tests/drills.rs
+++ b/crates/canvascart/tests/drills.rs
@@ -21,7 +21,7 @@
 /// A proxy with these settings and one backend, up.
 fn proxy(backend: &Backend, properties: &str) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[backend]));
+    discovery.publish(&all_up(&[backend]));
     let proxy = Proxy::up(&discovery, &setup(properties));
     (discovery, proxy)
 }
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_share_of_one_class_is_aborted_and_the_module_sees_every_request() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--abort", "--share", "10%", "--for", "120s",
@@ -109,7 +109,7 @@
 
 #[test]
 fn a_share_is_delayed_until_the_drill_is_stopped() {
-    let backend = Backend::new(Deed::Write(ok("whole")));
+    let backend = Backend::new(BackendAction::Write(ok("whole")));
     let (_discovery, proxy) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--delay", "20ms", "--share", "20%", "--for", "120s",
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_span_over_the_limit_is_cut_to_it_and_the_drill_ends_by_itself() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, &format!("{ON}drills.max_seconds = 1\n"));
     let start = [
         "start", "--class", "page", "--abort", "--share", "100%", "--for", "1h",
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_wrong_secret_and_bad_values_are_refused_and_logged_without_the_secret() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--abort", "--share", "100%", "--for", "1h",
@@ -232,14 +232,14 @@
             .status(),
         200
     );
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
     let log = proxy.log.lock().unwrap().clone();
     assert!(!log.contains("opensesam"), "{log}");
 }
 
 #[test]
 fn a_restart_ends_every_drill_and_lets_held_answers_go() {
-    let backend = Backend::new(Deed::Write(ok("held")));
+    let backend = Backend::new(BackendAction::Write(ok("held")));
     let (discovery, mut first) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--delay", "60s", "--share", "100%", "--for", "120s",
@@ -275,7 +275,7 @@
 
 #[test]
 fn the_side_port_opens_only_with_both_secret_and_port() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     for properties in [
         "",
         "drills.secret = opensesame\n",
@@ -294,7 +294,7 @@
 
 #[test]
 fn the_side_port_bounds_what_it_takes() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, ON);
     let port = side_port(&proxy);
     let open = || {
--- a/crates/canvascart/tests/figures.rs
+++ b/crates/canvascart/tests/figures.rs
@@ -11,15 +11,15 @@
 const ON: &str = "figures.enabled = true\nfigures.flush_ms = 20\n";
 
 /// A proxy with these settings and one backend, up.
-fn proxy(backend: &Backend, properties: &str, unread: bool) -> (Discovery, Proxy) {
+fn proxy(backend: &Backend, properties: &str, leave_stderr_unread: bool) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[backend]));
+    discovery.publish(&all_up(&[backend]));
     let properties = Some(properties.to_owned());
     let proxy = Proxy::up(
         &discovery,
         &Setup {
             properties,
-            unread,
+            leave_stderr_unread,
             ..Setup::default()
         },
     );
@@ -74,7 +74,7 @@
 
 #[test]
 fn they_go_to_standard_error_and_none_is_lost_at_the_end() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy(
         &backend,
         "figures.enabled = true\nfigures.flush_ms = 600000\n",
@@ -131,7 +131,7 @@
 
 #[test]
 fn off_means_off() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let file = path("off");
     let named = format!(
         "figures.enabled = false\nfigures.file = {}\nfigures.flush_ms = 1\n",
@@ -149,7 +149,7 @@
 
 #[test]
 fn they_arrive_by_udp_in_datagrams_within_the_bound() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let collector = UdpSocket::bind("127.0.0.1:0").unwrap();
     collector.set_read_timeout(Some(LIMIT)).unwrap();
     let to = collector.local_addr().unwrap();
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_collector_that_is_gone_changes_no_answer() {
-    let backend = Backend::new(Deed::Write(ok("whole")));
+    let backend = Backend::new(BackendAction::Write(ok("whole")));
     let closed = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -212,7 +212,7 @@
 
 #[test]
 fn they_go_to_a_file_and_one_that_cannot_be_written_is_logged_once() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let file = path("file");
     let (_discovery, mut first) = proxy(
         &backend,
@@ -261,13 +261,13 @@
 
 #[test]
 fn a_standard_error_that_nobody_reads_holds_nobody_up_and_the_lost_are_counted() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy(&backend, ON, true);
     let mut client = Client::new(&proxy);
     // More than a pipe and the buffer hold.
     served(&mut client, 6000);
     let mut lines = proxy
-        .unread
+        .unread_stderr
         .take()
         .expect("nobody else reads")
         .map_while(Result::ok);
@@ -300,7 +300,7 @@
 
 #[test]
 fn what_a_drill_affects_carries_its_tag() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let on =
         "figures.enabled = true\nfigures.flush_ms = 600000\ndrills.secret = s\ndrills.port = 0\n";
     let (_discovery, mut proxy) = proxy(&backend, on, false);
@@ -340,7 +340,7 @@
             .unwrap()
             .contains("drill=page-delay-60000ms id=r-left")
     });
-    left.leave();
+    left.shutdown_write();
     assert!(left.is_closed());
     let log = end(&mut proxy);
     let gone = "class:page,tenant:acme,code:499,drill:page-delay-60000ms";
--- a/crates/canvascart/tests/fleet.rs
+++ b/crates/canvascart/tests/fleet.rs
@@ -8,7 +8,7 @@
 use endpoint_discovery::{EndpointRecord, EndpointState, KeySpace};
 use etcd::api::PutRequest;
 use etcd_fake::{Net, Standin};
-use hosted::sockets::{Backend, Deed, Gate, ok, wait_for};
+use hosted::sockets::{Backend, BackendAction, Latch, ok, wait_for};
 use hosted::{Client, Running, listener, says, tenant};
 
 /// A stand-in on a runtime of its own.
@@ -147,9 +147,9 @@
 #[test]
 fn a_request_at_a_server_that_drains_or_goes_gets_its_answer() {
     let etcd = Etcd::new();
-    let gate = Gate::default();
+    let gate = Latch::default();
     let (held, fresh) = (
-        Backend::new(Deed::Hold(gate.clone(), ok("held"))),
+        Backend::new(BackendAction::Hold(gate.clone(), ok("held"))),
         says("fresh"),
     );
     etcd.put("north", "held", &held, EndpointState::Up);
--- a/crates/canvascart/tests/hosted/mod.rs
+++ b/crates/canvascart/tests/hosted/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use sockets::{Backend, Deed, LIMIT, Message, ok, read_message, wait_for};
+use sockets::{Backend, BackendAction, LIMIT, Message, ok, read_message, wait_for};
 
 const CLASSES: &str = r#"
 [[tenant.class]]
@@ -181,5 +181,5 @@
 }
 
 pub fn says(text: &'static str) -> Backend {
-    Backend::new(Deed::Write(ok(text)))
+    Backend::new(BackendAction::Write(ok(text)))
 }
--- a/crates/canvascart/tests/serve.rs
+++ b/crates/canvascart/tests/serve.rs
@@ -5,7 +5,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
 
-use hosted::sockets::{Backend, Deed, Gate, Message, ok, wait_for};
+use hosted::sockets::{Backend, BackendAction, Latch, Message, ok, wait_for};
 use hosted::{Client, Running, listener, says, tenant};
 
 #[test]
@@ -64,9 +64,9 @@
 
 #[test]
 fn a_change_of_one_tenant_takes_effect_while_requests_run_and_touches_no_other() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let (held, fresh, other) = (
-        Backend::new(Deed::Hold(gate.clone(), ok("held"))),
+        Backend::new(BackendAction::Hold(gate.clone(), ok("held"))),
         says("fresh"),
         says("other's"),
     );
@@ -118,8 +118,8 @@
     );
 
     // A tenant goes while a request of its is under way.
-    let gate = Gate::default();
-    let slow = Backend::new(Deed::Hold(gate.clone(), ok("slow")));
+    let gate = Latch::default();
+    let slow = Backend::new(BackendAction::Hold(gate.clone(), ok("slow")));
     let with_slow = tenant("north", "", &[("slow", slow.address)]);
     service.change(
         &[public.clone(), with_slow, south.clone()].concat(),
@@ -191,9 +191,9 @@
 
 #[test]
 fn a_tenant_whose_servers_hang_is_refused_beyond_its_share_and_others_are_served() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let (hangs, other) = (
-        Backend::new(Deed::Hold(gate.clone(), ok("late"))),
+        Backend::new(BackendAction::Hold(gate.clone(), ok("late"))),
         says("other's"),
     );
     let config = [
--- a/crates/proxy-core/tests/sockets/mod.rs
+++ b/crates/proxy-core/tests/sockets/mod.rs
@@ -85,25 +85,25 @@
 
 /// What a backend does with a request.
 #[derive(Clone)]
-pub enum Deed {
+pub enum BackendAction {
     /// Writes these bytes and keeps the connection.
     Write(String),
     /// Writes these bytes and closes.
     WriteAndClose(String),
     /// Says nothing until the gate opens, then writes these bytes.
-    Hold(Gate, String),
+    Hold(Latch, String),
 }
 
 /// Something that opens once.
 #[derive(Clone, Default)]
-pub struct Gate(Arc<AtomicUsize>);
+pub struct Latch(Arc<AtomicUsize>);
 
-impl Gate {
+impl Latch {
     pub fn open(&self) {
         self.0.store(1, Ordering::SeqCst);
     }
 
-    pub fn pass(&self) {
+    pub fn wait_until_open(&self) {
         self.wait();
     }
 
@@ -130,38 +130,38 @@
     pub address: SocketAddr,
     seen: Seen,
     /// Connections that have come, and those of them that have ended.
-    pub came: Arc<AtomicUsize>,
-    pub ended: Arc<AtomicUsize>,
+    pub opened: Arc<AtomicUsize>,
+    pub closed: Arc<AtomicUsize>,
 }
 
 impl Backend {
-    pub fn new(deed: Deed) -> Self {
-        Backend::with(move |_| deed.clone())
+    pub fn new(action: BackendAction) -> Self {
+        Backend::with(move |_| action.clone())
     }
 
-    pub fn with(deed: impl Fn(&Message) -> Deed + Send + Sync + 'static) -> Self {
+    pub fn with(action: impl Fn(&Message) -> BackendAction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (seen, came, ended) = (Seen::default(), Arc::default(), Arc::default());
+        let (seen, opened, closed) = (Seen::default(), Arc::default(), Arc::default());
         let backend = Backend {
             address,
             seen,
-            came,
-            ended,
+            opened,
+            closed,
         };
-        let (seen, came, ended) = (
+        let (seen, opened, closed) = (
             backend.seen.clone(),
-            backend.came.clone(),
-            backend.ended.clone(),
+            backend.opened.clone(),
+            backend.closed.clone(),
         );
-        let deed = Arc::new(deed);
+        let action = Arc::new(action);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (seen, ended, deed) = (seen.clone(), ended.clone(), deed.clone());
-                came.fetch_add(1, Ordering::SeqCst);
+                let (seen, closed, action) = (seen.clone(), closed.clone(), action.clone());
+                opened.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
-                    backend_connection(stream.expect("a connection"), &seen, &*deed);
-                    ended.fetch_add(1, Ordering::SeqCst);
+                    backend_connection(stream.expect("a connection"), &seen, &*action);
+                    closed.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
@@ -172,27 +172,27 @@
         self.seen.lock().expect("no panic").clone()
     }
 
-    pub fn ended(&self) -> usize {
-        self.ended.load(Ordering::SeqCst)
+    pub fn closed_count(&self) -> usize {
+        self.closed.load(Ordering::SeqCst)
     }
 }
 
-fn backend_connection(stream: TcpStream, seen: &Seen, deed: &dyn Fn(&Message) -> Deed) {
+fn backend_connection(stream: TcpStream, seen: &Seen, action: &dyn Fn(&Message) -> BackendAction) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
     let mut stream = stream;
     while let Some(request) = read_message(&mut reader) {
-        let deed = deed(&request);
+        let action = action(&request);
         seen.lock().expect("no panic").push(request);
         // The proxy may have gone away meanwhile, which is its right.
-        let wrote = match deed {
-            Deed::Write(text) => stream.write_all(text.as_bytes()),
-            Deed::WriteAndClose(text) => {
+        let wrote = match action {
+            BackendAction::Write(text) => stream.write_all(text.as_bytes()),
+            BackendAction::WriteAndClose(text) => {
                 let _ = stream.write_all(text.as_bytes());
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
-            Deed::Hold(gate, text) => {
-                gate.wait();
+            BackendAction::Hold(latch, text) => {
+                latch.wait();
                 stream.write_all(text.as_bytes())
             }
         };
@@ -206,9 +206,9 @@
 pub struct Discovery {
     pub address: SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
-    pub asked: Seen,
+    pub requests: Seen,
     /// Ms from a question to the head of its answer.
-    pub turn: Arc<AtomicUsize>,
+    pub response_delay_ms: Arc<AtomicUsize>,
     _stop: Sender<()>,
 }
 
@@ -216,39 +216,50 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (lines, asked) = (Arc::new(Mutex::new(Vec::new())), Seen::default());
+        let (lines, requests) = (Arc::new(Mutex::new(Vec::new())), Seen::default());
         let (stop, stopped) = channel();
         let stopped = Arc::new(Mutex::new(stopped));
-        let turn = Arc::new(AtomicUsize::new(0));
-        let (told, heard, wait) = (lines.clone(), asked.clone(), turn.clone());
+        let response_delay_ms = Arc::new(AtomicUsize::new(0));
+        let (published, received_requests, wait) =
+            (lines.clone(), requests.clone(), response_delay_ms.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (told, heard, stopped) = (told.clone(), heard.clone(), stopped.clone());
+                let (published, received_requests, stopped) = (
+                    published.clone(),
+                    received_requests.clone(),
+                    stopped.clone(),
+                );
                 let wait = Duration::from_millis(wait.load(Ordering::SeqCst) as u64);
                 thread::spawn(move || {
-                    watch(stream.expect("a connection"), wait, &told, &heard, &stopped)
+                    serve_watch(
+                        stream.expect("a connection"),
+                        wait,
+                        &published,
+                        &received_requests,
+                        &stopped,
+                    )
                 });
             }
         });
         Discovery {
             address,
             lines,
-            asked,
-            turn,
+            requests,
+            response_delay_ms,
             _stop: stop,
         }
     }
 
-    pub fn say(&self, line: &str) {
+    pub fn publish(&self, line: &str) {
         self.lines.lock().expect("no panic").push(line.to_owned());
     }
 }
 
-fn watch(
+fn serve_watch(
     mut stream: TcpStream,
-    turn: Duration,
+    response_delay: Duration,
     lines: &Mutex<Vec<String>>,
-    asked: &Seen,
+    requests: &Seen,
     stop: &Mutex<Receiver<()>>,
 ) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
@@ -256,22 +267,30 @@
         return;
     };
     // A watch that resumes gets only what is said from now on.
-    let resumes = request.first.contains("after=");
-    asked.lock().expect("no panic").push(request);
-    let mut sent = if resumes {
+    let is_resumed = request.first.contains("after=");
+    requests.lock().expect("no panic").push(request);
+    let mut sent = if is_resumed {
         lines.lock().expect("no panic").len()
     } else {
         0
     };
-    thread::sleep(turn);
+    thread::sleep(response_delay);
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let mut silence = 0;
+    let mut idle_rounds = 0;
     loop {
-        let fresh: Vec<String> = lines.lock().expect("no panic")[sent..].to_vec();
-        sent += fresh.len();
-        silence = if fresh.is_empty() { silence + 1 } else { 0 };
-        let beat = if silence % 100 == 99 { "\n" } else { "" };
-        let text = fresh.iter().map(|l| format!("{l}\n")).collect::<String>() + beat;
+        let new_lines: Vec<String> = lines.lock().expect("no panic")[sent..].to_vec();
+        sent += new_lines.len();
+        idle_rounds = if new_lines.is_empty() {
+            idle_rounds + 1
+        } else {
+            0
+        };
+        let heartbeat = if idle_rounds % 100 == 99 { "\n" } else { "" };
+        let text = new_lines
+            .iter()
+            .map(|l| format!("{l}\n"))
+            .collect::<String>()
+            + heartbeat;
         if !text.is_empty() && write!(stream, "{:x}\r\n{text}\r\n", text.len()).is_err() {
             return;
         }
@@ -300,7 +319,7 @@
 }
 
 /// A listening socket that all processes inherit, as the platform holds it.
-pub fn held_listener() -> TcpListener {
+pub fn inheritable_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener)
         .set_cloexec(false)
@@ -312,17 +331,17 @@
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).expect("a port");
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    socket.bind(&any_port.into()).expect("a port");
     socket.listen(0).expect("a queue");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("an address");
-    let mut fill = Vec::new();
+    let mut queued = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-        fill.push(stream);
-        assert!(fill.len() < 100, "the queue never fills");
+        queued.push(stream);
+        assert!(queued.len() < 100, "the queue never fills");
     }
-    (listener, fill)
+    (listener, queued)
 }
 
 /// All backends up, the first version of the list.
@@ -337,91 +356,95 @@
 
 /// What a test may set otherwise.
 pub struct Setup {
-    pub known: String,
+    pub cached_list: String,
     pub sockets: usize,
-    pub idle_close: u32,
-    pub dial_timeout: u32,
+    pub idle_timeout: u32,
+    pub connect_timeout: u32,
     /// Of every class; its aim is four fifths of it.
     pub deadline: u32,
-    pub may_tell: Option<(SocketAddr, SocketAddr)>,
+    pub peer_addresses: Option<(SocketAddr, SocketAddr)>,
     /// How many proxies share the servers, where they can't tell each other anything.
-    pub proxies: u32,
+    pub proxy_count: u32,
     /// Descriptors that the system allows the process.
-    pub descriptors: Option<u32>,
+    pub max_descriptors: Option<u32>,
     /// The text of the features' settings; `None` starts the proxy without the flag.
     pub properties: Option<String>,
     /// Whether standard error is left unread once the proxy listens.
-    pub unread: bool,
+    pub leave_stderr_unread: bool,
     /// Whether the list comes only when asked for.
-    pub asks: bool,
+    pub fetch_list: bool,
     /// Whether there is an operators' door.
-    pub door: bool,
+    pub operations_enabled: bool,
     pub memory_mb: u32,
     /// The clients' listening socket, held by the test.
-    pub held: Option<i32>,
+    pub inherited_socket: Option<i32>,
 }
 
 impl Default for Setup {
     fn default() -> Self {
         Setup {
-            known: "null".into(),
+            cached_list: "null".into(),
             sockets: 256,
-            idle_close: 30_000,
-            dial_timeout: 400,
+            idle_timeout: 30_000,
+            connect_timeout: 400,
             deadline: 5000,
-            may_tell: None,
-            proxies: 1,
-            descriptors: None,
+            peer_addresses: None,
+            proxy_count: 1,
+            max_descriptors: None,
             properties: None,
-            unread: false,
-            asks: false,
-            door: false,
+            leave_stderr_unread: false,
+            fetch_list: false,
+            operations_enabled: false,
             memory_mb: 192,
-            held: None,
+            inherited_socket: None,
         }
     }
 }
 
 pub fn config(discovery: SocketAddr, setup: &Setup) -> String {
-    let tells = setup.may_tell.is_some();
-    let (deadline, aim) = (setup.deadline, setup.deadline / 5 * 4);
-    let peers = setup.may_tell.map_or(String::new(), |(own, other)| {
-        format!(r#""peer_listen":"{own}","peers":["{own}","{other}"],"peers_all":"{other}","#)
+    let has_peers = setup.peer_addresses.is_some();
+    let (deadline, objective) = (setup.deadline, setup.deadline / 5 * 4);
+    let peers = setup.peer_addresses.map_or(String::new(), |(own, peer)| {
+        format!(r#""peer_listen":"{own}","peers":["{own}","{peer}"],"peers_all":"{peer}","#)
     });
-    let door = if setup.door {
+    let operations = if setup.operations_enabled {
         r#""ops":"127.0.0.1:0","#
     } else {
         ""
     };
     format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0",{door}"discovery":"{discovery}","seed":"8c1f30d27a5be964",
+        r#"{{"name":"n0","listen":"127.0.0.1:0",{operations}"discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},{peers}"known":{},
         "settings":{{"zone":"a","zones":["a"],"flavors":["k"],"nInstances":{},"myNumber":0,"discovery":"{}",
         "weightSource":"nominal","accounts":[{{"name":"acme","allowancePerS":1000}}],
-        "classes":[{{"name":"page","effect":"idempotent","promise":{aim},"deadline":{deadline},"worth":1}},
-        {{"name":"submit","effect":"at_most_once","promise":{aim},"deadline":{deadline},"worth":1}},
-        {{"name":"booking","effect":"deduplicated","dedupScope":"cell","window":2500,"promise":{aim},"deadline":{deadline},"worth":1}}],
-        "ceilings":{{"maxAttempts":6,"dialTimeout":{},"idleClose":{},"mayTell":{tells}}},
+        "classes":[{{"name":"page","effect":"idempotent","promise":{objective},"deadline":{deadline},"worth":1}},
+        {{"name":"submit","effect":"at_most_once","promise":{objective},"deadline":{deadline},"worth":1}},
+        {{"name":"booking","effect":"deduplicated","dedupScope":"cell","window":2500,"promise":{objective},"deadline":{deadline},"worth":1}}],
+        "ceilings":{{"maxAttempts":6,"dialTimeout":{},"idleClose":{},"mayTell":{has_peers}}},
         "rules":{{"startCapacity":0.3,"cold":8700,"fall":1500,"fallMultiple":2.5,"drainGrace":500}}}}}}"#,
         setup.memory_mb,
         setup.sockets,
-        setup.known,
-        if tells { 2 } else { setup.proxies },
-        if setup.asks { "on_request" } else { "pushed" },
-        setup.dial_timeout,
-        setup.idle_close,
+        setup.cached_list,
+        if has_peers { 2 } else { setup.proxy_count },
+        if setup.fetch_list {
+            "on_request"
+        } else {
+            "pushed"
+        },
+        setup.connect_timeout,
+        setup.idle_timeout,
     )
 }
 
 /// A proxy before servers at these addresses, all up.
-pub fn proxy_before(servers: &[SocketAddr], setup: &Setup) -> (Discovery, Proxy) {
+pub fn start_proxy_for(endpoints: &[SocketAddr], setup: &Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    let lines: Vec<String> = servers
+    let lines: Vec<String> = endpoints
         .iter()
         .enumerate()
         .map(|(i, s)| host(&format!("s-{i}"), *s, "up", 0))
         .collect();
-    discovery.say(&list(1, true, &lines));
+    discovery.publish(&list(1, true, &lines));
     let proxy = Proxy::up(&discovery, setup);
     (discovery, proxy)
 }
@@ -431,19 +454,19 @@
     child: Child,
     pub address: SocketAddr,
     /// Where operators call, if anywhere.
-    pub door: Option<SocketAddr>,
+    pub operations_address: Option<SocketAddr>,
     pub log: Arc<Mutex<String>>,
     file: std::path::PathBuf,
     properties: Option<std::path::PathBuf>,
     /// Standard error, where it is left unread.
-    pub unread: Option<Lines<BufReader<ChildStderr>>>,
+    pub unread_stderr: Option<Lines<BufReader<ChildStderr>>>,
 }
 
-static COUNT: AtomicUsize = AtomicUsize::new(0);
+static FILE_COUNTER: AtomicUsize = AtomicUsize::new(0);
 
 /// Writes a configuration where the process finds it.
 pub fn config_file(text: &str) -> std::path::PathBuf {
-    let number = COUNT.fetch_add(1, Ordering::SeqCst);
+    let number = FILE_COUNTER.fetch_add(1, Ordering::SeqCst);
     let file = std::env::temp_dir().join(format!(
         "canvascart-proxy-{}-{number}.json",
         std::process::id()
@@ -466,7 +489,7 @@
         let file = config_file(text);
         let properties = setup.properties.as_deref().map(config_file);
         // Whichever program of the package under test runs a proxy.
-        let (program, verb) = match (
+        let (program, subcommand) = match (
             option_env!("CARGO_BIN_EXE_canvascart-proxy"),
             option_env!("CARGO_BIN_EXE_canvascart"),
         ) {
@@ -474,7 +497,7 @@
             (None, Some(program)) => (program, Some("proxy")),
             (None, None) => panic!("the package under test has no program that runs a proxy"),
         };
-        let mut command = match setup.descriptors {
+        let mut command = match setup.max_descriptors {
             Some(limit) => {
                 let mut shell = Command::new("sh");
                 shell.args([
@@ -486,8 +509,8 @@
             }
             None => Command::new(program),
         };
-        command.args(verb);
-        if let Some(descriptor) = setup.held {
+        command.args(subcommand);
+        if let Some(descriptor) = setup.inherited_socket {
             command.env("NODE_SOCKET_FD", descriptor.to_string());
         }
         if let Some(file) = &properties {
@@ -500,32 +523,35 @@
             .expect("the proxy starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log = Arc::new(Mutex::new(String::new()));
-        let mut door = None;
+        let mut operations_address = None;
         let address = lines.by_ref().map_while(Result::ok).find_map(|line| {
             if let Some((_, address)) = line.split_once("operators' door on ") {
-                door = address.parse().ok();
+                operations_address = address.parse().ok();
             }
             line.split_once("listens on ")
                 .map(|(_, address)| address.parse().expect("an address"))
         });
-        let mut unread = Some(lines);
-        if let Some(lines) = unread.take_if(|_| !setup.unread) {
-            let kept = log.clone();
+        let mut unread_stderr = Some(lines);
+        if let Some(lines) = unread_stderr.take_if(|_| !setup.leave_stderr_unread) {
+            let captured_log = log.clone();
             thread::spawn(move || {
                 for line in lines.map_while(Result::ok) {
                     eprintln!("{line}");
-                    kept.lock().expect("no panic").push_str(&(line + "\n"));
+                    captured_log
+                        .lock()
+                        .expect("no panic")
+                        .push_str(&(line + "\n"));
                 }
             });
         }
         Proxy {
             child,
             address: address.expect("the proxy listens"),
-            door,
+            operations_address,
             log,
             file,
             properties,
-            unread,
+            unread_stderr,
         }
     }
 
@@ -543,8 +569,8 @@
     }
 
     /// Reads what has been left unread, up to the end.
-    pub fn read_at_last(&mut self) -> String {
-        let lines = self.unread.take().expect("nobody else reads");
+    pub fn read_remaining_stderr(&mut self) -> String {
+        let lines = self.unread_stderr.take().expect("nobody else reads");
         lines
             .map_while(Result::ok)
             .map(|line| line + "\n")
@@ -552,18 +578,21 @@
     }
 
     /// A call at the operators' door.
-    pub fn call(&self, call: &str) -> Option<Message> {
-        self.knock(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"))
+    pub fn call_operations(&self, call: &str) -> Option<Message> {
+        self.send_to_operations(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"))
     }
 
     /// Any bytes sent there, and what comes back.
-    pub fn knock(&self, text: &str) -> Option<Message> {
-        Client::to(self.door.expect("there is a door")).ask(text)
+    pub fn send_to_operations(&self, text: &str) -> Option<Message> {
+        Client::to(self.operations_address.expect("an operations listener")).ask(text)
     }
 
     /// A figure as it is reported, by its name with labels.
-    pub fn var(&self, name: &str) -> f64 {
-        let text = self.call("GET /_vars").expect("the figures").text();
+    pub fn metric(&self, name: &str) -> f64 {
+        let text = self
+            .call_operations("GET /_vars")
+            .expect("the figures")
+            .text();
         let line = text
             .lines()
             .find_map(|l| l.strip_prefix(name)?.strip_prefix(' ').map(str::to_owned));
@@ -642,7 +671,7 @@
         status.expect("just seen")
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
 }
@@ -688,13 +717,13 @@
     pub fn has_answer(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).expect("a connection");
-        let some = stream.peek(&mut [0; 1]).is_ok();
+        let has_input = stream.peek(&mut [0; 1]).is_ok();
         stream.set_nonblocking(false).expect("a connection");
-        some || !self.0.buffer().is_empty()
+        has_input || !self.0.buffer().is_empty()
     }
 
     /// Ends the sending, as a client that leaves does.
-    pub fn leave(&self) {
+    pub fn shutdown_write(&self) {
         self.0
             .get_ref()
             .shutdown(Shutdown::Write)
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -93,7 +93,7 @@
 
 fn door() -> Setup {
     Setup {
-        door: true,
+        operations_enabled: true,
         ..Setup::default()
     }
 }
@@ -126,7 +126,7 @@
             .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n").as_bytes());
         let _ = stream.write_all(&bytes(LARGE));
     });
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let wanted = bytes(LARGE);
     let readers: Vec<_> = (0..8)
         .map(|n| {
@@ -146,14 +146,14 @@
         proxy.memory_peak_mb()
     );
     wait_for("the count", || {
-        proxy.var("node_answered{group=\"page\"}") == 8.0
+        proxy.metric("node_answered{group=\"page\"}") == 8.0
     });
-    assert_eq!(proxy.var("node_current"), 0.0);
+    assert_eq!(proxy.metric("node_current"), 0.0);
 }
 
 #[test]
 fn an_answer_that_has_begun_outlasts_the_deadline_and_waits_for_its_reader() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let to = server(move |_, _, stream| {
         let body = bytes(300_000);
@@ -161,10 +161,10 @@
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(),
         );
         let _ = stream.write_all(&body[..100_000]);
-        held.pass();
+        held.wait_until_open();
         let _ = stream.write_all(&body[100_000..]);
     });
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &[to],
         &Setup {
             deadline: 400,
@@ -189,7 +189,7 @@
             .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n").as_bytes());
         let _ = stream.write_all(&bytes(size));
     });
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     // More than the server has slots, and none of them reads on.
     let slow: Vec<_> = (0..12)
         .map(|n| {
@@ -201,7 +201,7 @@
             (reader, stream)
         })
         .collect();
-    assert_eq!(proxy.var("node_current"), 12.0);
+    assert_eq!(proxy.metric("node_current"), 12.0);
     let (mut reader, mut stream) = connect(&proxy);
     let asked = Instant::now();
     stream
@@ -214,8 +214,8 @@
         asked.elapsed()
     );
     drop(slow);
-    wait_for("those that left", || proxy.var("node_current") == 0.0);
-    assert_eq!(proxy.var("node_abandoned{group=\"page\"}"), 12.0);
+    wait_for("those that left", || proxy.metric("node_current") == 0.0);
+    assert_eq!(proxy.metric("node_abandoned{group=\"page\"}"), 12.0);
 }
 
 #[test]
@@ -229,7 +229,7 @@
         let _ = stream.shutdown(std::net::Shutdown::Both);
         let _ = reader.read(&mut [0]);
     });
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let (mut reader, mut stream) = connect(&proxy);
     stream
         .write_all(page("r-1").as_bytes())
@@ -237,7 +237,7 @@
     let (head, body) = answer(&mut reader);
     assert!(head.starts_with("HTTP/1.1 200") && body.is_none(), "{head}");
     wait_for("the count", || {
-        proxy.var("node_errored{group=\"page\"}") == 1.0
+        proxy.metric("node_errored{group=\"page\"}") == 1.0
     });
     assert_eq!(seen.try_iter().count(), 1);
 }
@@ -263,7 +263,7 @@
 #[test]
 fn large_requests_pass_through_whichever_way_they_are_delimited() {
     let (to, seen) = taker();
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let sent = bytes(LARGE);
     let (mut reader, mut stream) = connect(&proxy);
     stream
@@ -297,7 +297,7 @@
     let (head, got) = seen.recv_timeout(LIMIT).expect("a request");
     assert!(!head.to_ascii_lowercase().contains("expect"), "{head}");
     assert!(got.as_deref() == Some(&sent[..3_000_000]));
-    assert_eq!(proxy.var("node_sends"), 2.0);
+    assert_eq!(proxy.metric("node_sends"), 2.0);
     assert!(
         proxy.memory_peak_mb() < 40.0,
         "{} MB",
@@ -313,7 +313,7 @@
         .local_addr()
         .unwrap();
     let (to, seen) = taker();
-    let (_discovery, proxy) = proxy_before(&[nobody, to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[nobody, to], &door());
     let sent = bytes(500_000);
     for _ in 0..4 {
         let (mut reader, mut stream) = connect(&proxy);
@@ -335,7 +335,7 @@
         let _ = told.lock().expect("no panic").send(());
         let _ = stream.shutdown(std::net::Shutdown::Both);
     });
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let (mut reader, mut stream) = connect(&proxy);
     stream
         .write_all(upload("submit", &format!("Content-Length: {LARGE}")).as_bytes())
@@ -351,31 +351,31 @@
     );
     let _stream = writer.join();
     assert_eq!(seen.try_iter().count(), 1);
-    assert_eq!(proxy.var("node_sends"), 0.0);
+    assert_eq!(proxy.metric("node_sends"), 0.0);
 }
 
 #[test]
 fn a_client_that_leaves_in_mid_request_leaves_no_whole_one_behind() {
     let (to, seen) = taker();
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let (_reader, mut stream) = connect(&proxy);
     stream
         .write_all(upload("submit", "Content-Length: 8000000").as_bytes())
         .expect("it is taken");
     stream.write_all(&bytes(4_000_000)).expect("it is taken");
-    wait_for("it to go out", || proxy.var("node_current") == 1.0);
+    wait_for("it to go out", || proxy.metric("node_current") == 1.0);
     drop((_reader, stream));
     assert_eq!(seen.recv_timeout(LIMIT).expect("its beginning").1, None);
     wait_for("its end", || {
-        proxy.var("node_abandoned{group=\"submit\"}") == 1.0
+        proxy.metric("node_abandoned{group=\"submit\"}") == 1.0
     });
-    assert_eq!(proxy.var("node_sends"), 0.0);
+    assert_eq!(proxy.metric("node_sends"), 0.0);
 }
 
 #[test]
 fn a_body_over_the_limit_is_refused_before_it_is_read() {
     let (to, seen) = taker();
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let (mut reader, mut stream) = connect(&proxy);
     stream
         .write_all(upload("submit", "Content-Length: 60000000").as_bytes())
@@ -387,7 +387,7 @@
 #[test]
 fn slow_heads_and_bodies_in_small_pieces_are_waited_for() {
     let (to, seen) = taker();
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let (mut reader, mut stream) = connect(&proxy);
     stream
         .write_all(page("r-1").as_bytes())
@@ -431,7 +431,7 @@
         }
         let _ = stream.shutdown(std::net::Shutdown::Write);
     });
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let ask = |id: &str| {
         Client::new(&proxy)
             .ask(&submit(id, "4", "x"))
@@ -450,7 +450,7 @@
 #[test]
 fn requests_that_two_readers_could_see_differently_go_no_further() {
     let (to, seen) = taker();
-    let (_discovery, mut proxy) = proxy_before(&[to], &door());
+    let (_discovery, mut proxy) = start_proxy_for(&[to], &door());
     let good = submit("r-1", "4", "body");
     let chunks = good.replace("Content-Length: 4", "Transfer-Encoding: chunked");
     for text in [
@@ -516,20 +516,20 @@
         200
     );
     assert!(old.is_closed());
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
 }
 
 #[test]
 fn what_there_is_no_memory_for_is_refused_at_once() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let to = server(move |head, reader, stream| {
-        held.pass();
+        held.wait_until_open();
         if body(head, reader).is_some() {
             let _ = stream.write_all(ok("done").as_bytes());
         }
     });
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &[to],
         &Setup {
             memory_mb: 2,
@@ -547,7 +547,7 @@
         })
         .collect();
     wait_for("two refusals", || {
-        proxy.var("node_deferred{group=\"submit\"}") >= 2.0
+        proxy.metric("node_deferred{group=\"submit\"}") >= 2.0
     });
     for (_, stream) in &mut open {
         let _ = stream.write_all(&bytes(10_000));
@@ -574,7 +574,7 @@
 #[test]
 fn a_slow_large_request_takes_no_server_until_it_is_whole() {
     let (to, seen) = taker();
-    let (_discovery, proxy) = proxy_before(&[to], &door());
+    let (_discovery, proxy) = start_proxy_for(&[to], &door());
     let sent = bytes(200_000);
     let (mut reader, mut stream) = connect(&proxy);
     stream
@@ -591,7 +591,7 @@
     );
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        proxy.var("node_current"),
+        proxy.metric("node_current"),
         0.0,
         "it has been handed on before it was whole"
     );
--- a/crates/proxy/tests/compatibility.rs
+++ b/crates/proxy/tests/compatibility.rs
@@ -21,13 +21,13 @@
 
 #[test]
 fn figures_have_the_recorded_names_and_labels() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
@@ -38,7 +38,12 @@
             .status(),
         200
     );
-    let found = names(&proxy.call("GET /_vars").expect("the figures").text());
+    let found = names(
+        &proxy
+            .call_operations("GET /_vars")
+            .expect("the figures")
+            .text(),
+    );
     assert_eq!(
         found, FIGURES,
         "names of figures differ; they are now:\n{found}"
--- a/crates/proxy/tests/crossings_clients.rs
+++ b/crates/proxy/tests/crossings_clients.rs
@@ -48,11 +48,11 @@
 /// A proxy whose only server drains, so that all requests wait.
 fn waiting(peer: &Peer) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[host("s-0", peer.address, "draining", 0)]));
+    discovery.publish(&list(1, true, &[host("s-0", peer.address, "draining", 0)]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            door: true,
+            operations_enabled: true,
             deadline: 20_000,
             ..Setup::default()
         },
@@ -79,16 +79,16 @@
                 &proxy,
                 &format!("{}{behind}", submit(&format!("r-{n}"), "20", "x")),
             );
-            wait_for("it to be taken", || proxy.var("node_current") == 1.0);
+            wait_for("it to be taken", || proxy.metric("node_current") == 1.0);
             open.extend(leaves(stream, how));
-            wait_for("it to be gone", || proxy.var("node_current") == 0.0);
+            wait_for("it to be gone", || proxy.metric("node_current") == 0.0);
         }
         assert_eq!(
-            proxy.var("node_abandoned{group=\"submit\"}"),
+            proxy.metric("node_abandoned{group=\"submit\"}"),
             4.0,
             "{how:?}"
         );
-        discovery.say(&list(2, false, &[host("s-0", peer.address, "up", 0)]));
+        discovery.publish(&list(2, false, &[host("s-0", peer.address, "up", 0)]));
         let mut last = Client::new(&proxy);
         last.send(&submit("r-last", "20", "x"));
         let mut call = peer.next();
@@ -104,14 +104,14 @@
 fn nothing_is_written_for_clients_that_left_while_the_connection_came_up() {
     let (slow, full) = full_listener();
     let discovery = Discovery::new();
-    discovery.say(&list(
+    discovery.publish(&list(
         1,
         true,
         &[host("s-0", slow.local_addr().expect("an address"), "up", 0)],
     ));
     let setup = Setup {
-        door: true,
-        dial_timeout: 30_000,
+        operations_enabled: true,
+        connect_timeout: 30_000,
         deadline: 40_000,
         ..Setup::default()
     };
@@ -120,12 +120,12 @@
     let clients: Vec<TcpStream> = (0..12)
         .map(|n| sends(&proxy, &submit(&format!("r-{n}"), "40", "x")))
         .collect();
-    wait_for("all to be taken", || proxy.var("node_current") == 12.0);
+    wait_for("all to be taken", || proxy.metric("node_current") == 12.0);
     drop(clients);
-    wait_for("all to be gone", || proxy.var("node_current") == 0.0);
+    wait_for("all to be gone", || proxy.metric("node_current") == 0.0);
     let mut last = Client::new(&proxy);
     last.send(&submit("r-last", "40", "x"));
-    wait_for("it to be taken", || proxy.var("node_current") == 1.0);
+    wait_for("it to be taken", || proxy.metric("node_current") == 1.0);
     // Now there is room.
     for _ in &full {
         slow.accept().expect("one that filled the queue");
@@ -144,7 +144,7 @@
     assert_eq!(seen, ["r-last"]);
     assert_eq!(status(last.answer()), 200);
     assert_eq!(
-        proxy.var("node_sends"),
+        proxy.metric("node_sends"),
         1.0,
         "nothing went out for those that left"
     );
@@ -164,7 +164,7 @@
 fn no_further_attempt_begins_for_a_client_that_left_during_the_first() {
     let servers = [Peer::new(), Peer::new()];
     let discovery = Discovery::new();
-    discovery.say(&list(
+    discovery.publish(&list(
         1,
         true,
         &[0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, "up", 0)),
@@ -172,17 +172,17 @@
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
     for (gone, behind) in [String::new(), page("r-behind")].into_iter().enumerate() {
         let stream = sends(&proxy, &format!("{}{behind}", page("r-1")));
         let first = any(&servers);
-        let before = proxy.var("node_sends");
+        let before = proxy.metric("node_sends");
         drop(stream);
-        let left = || proxy.var("node_abandoned{group=\"page\"}");
-        wait_for("it to be gone", || proxy.var("node_current") == 0.0);
+        let left = || proxy.metric("node_abandoned{group=\"page\"}");
+        wait_for("it to be gone", || proxy.metric("node_current") == 0.0);
         assert_eq!(
             left(),
             gone as f64 + 1.0,
@@ -196,16 +196,16 @@
         assert_eq!(call.message.id(), "r-next");
         call.write(&ok(""));
         assert_eq!(status(next.answer()), 200);
-        assert_eq!(proxy.var("node_sends"), before + 1.0);
+        assert_eq!(proxy.metric("node_sends"), before + 1.0);
         assert!(servers.iter().all(|s| s.come().is_none()));
     }
 }
 
 #[test]
 fn requests_that_come_one_behind_the_other_are_answered_in_their_order() {
-    let backend = Backend::with(|m| Deed::Write(ok(m.id())));
+    let backend = Backend::with(|m| BackendAction::Write(ok(m.id())));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(&discovery, &Setup::default());
     let mut client = Client::new(&proxy);
     let all: String = (0..50)
@@ -235,11 +235,11 @@
 fn bytes_that_nobody_reads_do_not_cut_the_last_answer_of_a_connection() {
     let peer = Peer::new();
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[host("s-0", peer.address, "up", 0)]));
+    discovery.publish(&list(1, true, &[host("s-0", peer.address, "up", 0)]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
--- a/crates/proxy/tests/crossings_floods.rs
+++ b/crates/proxy/tests/crossings_floods.rs
@@ -21,20 +21,20 @@
     for setup in [
         Setup {
             sockets: 96,
-            descriptors: Some(96),
-            idle_close: 600_000,
+            max_descriptors: Some(96),
+            idle_timeout: 600_000,
             ..Setup::default()
         },
         Setup {
             sockets: 1024,
-            descriptors: Some(96),
-            idle_close: 600_000,
+            max_descriptors: Some(96),
+            idle_timeout: 600_000,
             ..Setup::default()
         },
     ] {
         let (old, new) = (
-            Backend::new(Deed::Write(ok("old"))),
-            Backend::new(Deed::Write(ok("new"))),
+            Backend::new(BackendAction::Write(ok("old"))),
+            Backend::new(BackendAction::Write(ok("new"))),
         );
         let agent = Peer::new();
         let proxy = Proxy::start(&agent.as_discovery(), &setup);
@@ -88,7 +88,7 @@
             host("s-1", new.address, "up", 0),
         ];
         call.tell(&format!("{}\n", list(2, true, &lines)));
-        wait_for("the drain to act", || old.ended() >= 1);
+        wait_for("the drain to act", || old.closed_count() >= 1);
         assert!(
             back.elapsed() < Duration::from_secs(6),
             "{:?}",
@@ -105,11 +105,11 @@
 
 #[test]
 fn clients_that_send_much_at_once_and_go_leave_nothing_behind() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (_discovery, mut proxy) = proxy_before(
+    let backend = Backend::new(BackendAction::Write(ok("")));
+    let (_discovery, mut proxy) = start_proxy_for(
         &[backend.address],
         &Setup {
-            door: true,
+            operations_enabled: true,
             memory_mb: 64,
             ..Setup::default()
         },
@@ -137,35 +137,35 @@
         }
     }
     wait_for("their end", || {
-        proxy.var("node_current") == 0.0 && proxy.descriptors() < 40
+        proxy.metric("node_current") == 0.0 && proxy.descriptors() < 40
     });
     assert_eq!(status(Client::new(&proxy).ask(&page("r-after"))), 200);
-    assert!(proxy.memory_peak_mb() < 64.0 && proxy.runs());
+    assert!(proxy.memory_peak_mb() < 64.0 && proxy.is_running());
 }
 
 #[test]
 fn of_thirty_processes_that_start_at_once_nine_in_ten_are_ready_within_ten_seconds() {
     const MANY: usize = 30;
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let all = all_up(&[&backend]);
     // Discovery answers slowly; it does not come back to processes that remember a list, and after 3 s to such that remember none.
     for (turn, back, known) in [(1500, 0, false), (0, 0, true), (0, 3000, false)] {
         let discovery = Discovery::new();
         discovery
-            .turn
+            .response_delay_ms
             .store(turn, std::sync::atomic::Ordering::SeqCst);
         let setup = Setup {
-            known: if known { all.clone() } else { "null".into() },
+            cached_list: if known { all.clone() } else { "null".into() },
             ..Setup::default()
         };
         // All at once, each timed from its own start.
         let starts: Vec<_> = (0..MANY)
             .map(|_| {
-                let (address, known) = (discovery.address, setup.known.clone());
+                let (address, cached_list) = (discovery.address, setup.cached_list.clone());
                 thread::spawn(move || {
                     let begun = Instant::now();
                     let setup = Setup {
-                        known,
+                        cached_list,
                         ..Setup::default()
                     };
                     let proxy = Proxy::with(&config(address, &setup));
@@ -185,7 +185,7 @@
             ready(starts)
         } else {
             thread::sleep(Duration::from_millis(back));
-            discovery.say(&all); // before that the watch is open and silent
+            discovery.publish(&all); // before that the watch is open and silent
             ready(starts)
         };
         took.sort();
--- a/crates/proxy/tests/crossings_servers.rs
+++ b/crates/proxy/tests/crossings_servers.rs
@@ -28,7 +28,7 @@
     let whole = ok("another's answer");
     for spoilt in ["HTTP/1.1 200 OK\r\nContent-Le", "\r\n", "x", &whole] {
         let server = Peer::new();
-        let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
+        let (_discovery, proxy) = start_proxy_for(&[server.address], &Setup::default());
         let mut client = Client::new(&proxy);
         client.send(&submit("r-1", "5", "x"));
         let mut first = server.next();
@@ -53,7 +53,7 @@
     // A machine that pauses lets the other connection rest, too: then it is played again.
     let quick = (0..50).any(|_| {
         let server = Peer::new();
-        let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
+        let (_discovery, proxy) = start_proxy_for(&[server.address], &Setup::default());
         let mut clients = [Client::new(&proxy), Client::new(&proxy)];
         let mut calls = Vec::new();
         for (n, client) in clients.iter_mut().enumerate() {
@@ -84,7 +84,7 @@
 #[test]
 fn a_server_that_closes_as_a_request_goes_out_has_it_once_at_most() {
     let server = Peer::new();
-    let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
+    let (_discovery, proxy) = start_proxy_for(&[server.address], &Setup::default());
     let mut client = Client::new(&proxy);
     for n in 0..40 {
         client.send(&submit(&format!("r-{n}"), "5", "x"));
@@ -107,12 +107,12 @@
     let (slow, full) = full_listener();
     let first = Peer::new();
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[host("s-0", first.address, "up", 0)]));
+    discovery.publish(&list(1, true, &[host("s-0", first.address, "up", 0)]));
     // Repeats are dropped for 2.5 s (`window`), and a connection is waited for much longer.
     let setup = Setup {
-        dial_timeout: 30_000,
+        connect_timeout: 30_000,
         deadline: 40_000,
-        door: true,
+        operations_enabled: true,
         ..Setup::default()
     };
     let proxy = Proxy::up(&discovery, &setup);
@@ -120,12 +120,14 @@
     client.send(&booking("r-1", "40"));
     let call = first.next();
     let sent = Instant::now();
-    discovery.say(&list(
+    discovery.publish(&list(
         2,
         false,
         &[host("s-1", slow.local_addr().expect("an address"), "up", 0)],
     ));
-    wait_for("the other server", || proxy.var("node_cluster_size") == 2.0);
+    wait_for("the other server", || {
+        proxy.metric("node_cluster_size") == 2.0
+    });
     call.reset(); // it may have run, and is tried where its repeat is dropped
     thread::sleep((sent + Duration::from_millis(2600)).saturating_duration_since(Instant::now()));
     for _ in &full {
@@ -140,7 +142,7 @@
         read_message(&mut BufReader::new(&stream)).is_none(),
         "it began after its window"
     );
-    assert_eq!(proxy.var("node_sends"), 1.0);
+    assert_eq!(proxy.metric("node_sends"), 1.0);
 }
 
 #[test]
@@ -148,10 +150,10 @@
     let (mute, _full) = full_listener();
     let server = Peer::new();
     let at = [mute.local_addr().expect("an address"), server.address];
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &at,
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
@@ -163,7 +165,7 @@
     }
     let descriptors = || proxy.descriptors();
     wait_for("what hung to be let go", || descriptors() < 30);
-    assert_eq!(proxy.var("node_current"), 0.0);
+    assert_eq!(proxy.metric("node_current"), 0.0);
 }
 
 #[test]
@@ -173,11 +175,11 @@
     // So few sockets that a handful at most go to servers.
     let setup = Setup {
         sockets: 64,
-        door: true,
-        dial_timeout: 200,
+        operations_enabled: true,
+        connect_timeout: 200,
         ..Setup::default()
     };
-    let (_discovery, proxy) = proxy_before(&addresses, &setup);
+    let (_discovery, proxy) = start_proxy_for(&addresses, &setup);
     let mut clients: Vec<Client> = (0..9).map(|_| Client::new(&proxy)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&submit(&format!("r-{n}"), "3", "x"));
@@ -185,10 +187,10 @@
     let mut held = Vec::new();
     wait_for("those that have a socket", || {
         held.extend(servers.iter().filter_map(Peer::come));
-        proxy.var("node_current") == 9.0 - answered(&clients) as f64 && held.len() >= 2
+        proxy.metric("node_current") == 9.0 - answered(&clients) as f64 && held.len() >= 2
     });
     thread::sleep(Duration::from_millis(600)); // three times what a connection may take
-    assert_eq!(proxy.var("node_cluster_unhealthy"), 0.0);
+    assert_eq!(proxy.metric("node_cluster_unhealthy"), 0.0);
     for call in &mut held {
         call.write(&ok(""));
     }
@@ -202,7 +204,7 @@
 #[test]
 fn a_reset_is_no_end_of_an_answer_without_a_length() {
     let server = Peer::new();
-    let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
+    let (_discovery, proxy) = start_proxy_for(&[server.address], &Setup::default());
     for (n, (head, ends, wanted)) in [
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it",
@@ -240,7 +242,7 @@
 #[test]
 fn an_answer_that_has_no_end_has_one_for_the_client() {
     let server = Peer::new();
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &[server.address],
         &Setup {
             memory_mb: 64,
--- a/crates/proxy/tests/crossings_shutdown.rs
+++ b/crates/proxy/tests/crossings_shutdown.rs
@@ -17,7 +17,7 @@
 
 fn proxy_with(servers: &[&Peer], setup: &Setup) -> (Discovery, Proxy) {
     let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
-    proxy_before(&addresses, setup)
+    start_proxy_for(&addresses, setup)
 }
 
 /// Waits until the process has seen the signal and takes no more connections.
@@ -146,9 +146,9 @@
 
 #[test]
 fn what_crosses_the_closing_of_an_idle_connection_is_answered_or_never_sent_on() {
-    let backend = Backend::with(|m| Deed::Write(ok(m.id())));
+    let backend = Backend::with(|m| BackendAction::Write(ok(m.id())));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let mut proxy = Proxy::up(&discovery, &Setup::default());
     let mut clients: Vec<Client> = (0..60).map(|_| Client::new(&proxy)).collect();
     for client in clients.iter_mut().step_by(2) {
--- a/crates/proxy/tests/crossings_watch.rs
+++ b/crates/proxy/tests/crossings_watch.rs
@@ -14,7 +14,7 @@
 /// Idle connections to servers outlast every wait, so that their end is a drain's work.
 fn lasting() -> Setup {
     Setup {
-        idle_close: 600_000,
+        idle_timeout: 600_000,
         ..Setup::default()
     }
 }
@@ -55,12 +55,12 @@
             list(9, true, &[host("s-0", backend.address, "draining", 0)])
         ));
     }
-    wait_for("the drain to act", || backend.ended() == 1);
+    wait_for("the drain to act", || backend.closed_count() == 1);
 }
 
 #[test]
 fn a_list_is_read_however_it_is_laid_out_and_cut() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let agent = Peer::new();
     let proxy = Proxy::start(&agent.as_discovery(), &lasting());
     let mut watch = agent.next();
@@ -76,9 +76,9 @@
     }
     wait_for("/up", || proxy.is_up());
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
-    assert_eq!(backend.ended(), 0, "half a list is no list");
+    assert_eq!(backend.closed_count(), 0, "half a list is no list");
     watch.tell(rest);
-    wait_for("the drain to act", || backend.ended() == 1);
+    wait_for("the drain to act", || backend.closed_count() == 1);
     // Two in one piece, with nothing between them.
     watch.tell(&format!(
         "{}{}",
@@ -94,7 +94,7 @@
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_in_time_whatever_fails_on_the_way() {
     for silence in ["", "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"s-"] {
-        let backend = Backend::new(Deed::Write(ok("")));
+        let backend = Backend::new(BackendAction::Write(ok("")));
         let agent = Peer::new();
         let (_proxy, mut watch) = watched(&agent, &backend);
         watch.tell("\n");
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_watch_that_opens_and_says_nothing_still_leaves_time_for_another() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let agent = Peer::new();
     let (_proxy, _silent) = watched(&agent, &backend);
     let silent = Instant::now();
@@ -129,7 +129,7 @@
 
 #[test]
 fn while_discovery_hangs_it_is_called_often_enough_to_meet_its_return() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let agent = Peer::new();
     let (_proxy, watch) = watched(&agent, &backend);
     watch.reset();
@@ -144,7 +144,7 @@
 
 #[test]
 fn an_answer_that_comes_late_counts_while_others_are_asked_for() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let agent = Peer::new();
     let (proxy, watch) = watched(&agent, &backend);
     watch.close();
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_new_address_is_asked_for_all_it_has_as_it_may_count_anew() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let agents = [Peer::new(), Peer::new()];
     let (proxy, mut watch) = watched(&agents[0], &backend);
     watch.tell(&format!(
@@ -178,21 +178,21 @@
         "{}\n",
         list(4, false, &[host("s-0", backend.address, "draining", 0)])
     ));
-    wait_for("the drain to act", || backend.ended() == 1);
+    wait_for("the drain to act", || backend.closed_count() == 1);
 }
 
 #[test]
 fn a_process_that_starts_sends_nothing_by_an_older_list_than_its_agent_has() {
     let (old, new) = (
-        Backend::new(Deed::Write(ok("old"))),
-        Backend::new(Deed::Write(ok("new"))),
+        Backend::new(BackendAction::Write(ok("old"))),
+        Backend::new(BackendAction::Write(ok("new"))),
     );
     let agent = Peer::new();
-    let known = list(1, true, &[host("s-0", old.address, "up", 0)]);
+    let cached_list = list(1, true, &[host("s-0", old.address, "up", 0)]);
     let proxy = Proxy::start(
         &agent.as_discovery(),
         &Setup {
-            known,
+            cached_list,
             ..Setup::default()
         },
     );
@@ -216,11 +216,11 @@
     let lines = |health: [&str; 2]| {
         [0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, health[i], 0))
     };
-    discovery.say(&list(1, true, &lines(["up", "up"])));
+    discovery.publish(&list(1, true, &lines(["up", "up"])));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
@@ -234,14 +234,14 @@
     };
     let mut health = ["up", "up"];
     health[other] = "draining";
-    discovery.say(&list(2, false, &lines(health)));
-    discovery.say(&list(
+    discovery.publish(&list(2, false, &lines(health)));
+    discovery.publish(&list(
         3,
         false,
         &[host("s-2", servers[other].address, "draining", 0)],
     ));
     wait_for("the drain to be told", || {
-        proxy.var("node_cluster_size") == 3.0
+        proxy.metric("node_cluster_size") == 3.0
     });
     first.write(&empty("503 Full\r\nX-Not-Processed: 1"));
     assert_eq!(status(client.answer()), 503);
--- a/crates/proxy/tests/loads.rs
+++ b/crates/proxy/tests/loads.rs
@@ -15,10 +15,10 @@
 fn asked_at_once_after(load: &str) -> usize {
     let servers: Vec<Peer> = (0..4).map(|_| Peer::new()).collect();
     let addresses: Vec<SocketAddr> = servers.iter().map(|s| s.address).collect();
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &addresses,
         &Setup {
-            proxies: 32,
+            proxy_count: 32,
             ..Setup::default()
         },
     );
--- a/crates/proxy/tests/measure.rs
+++ b/crates/proxy/tests/measure.rs
@@ -32,7 +32,13 @@
 fn calls(proxy: &Proxy, many: usize) -> Vec<Duration> {
     let call = |_| {
         let asked = Instant::now();
-        assert_eq!(proxy.call("GET /_vars").expect("the figures").status(), 200);
+        assert_eq!(
+            proxy
+                .call_operations("GET /_vars")
+                .expect("the figures")
+                .status(),
+            200
+        );
         asked.elapsed()
     };
     (0..many).map(call).collect()
@@ -93,13 +99,15 @@
 }
 
 /// CPU of a proxy for each request of a crowd, in µs.
-fn cost(door: bool) -> f64 {
-    let backends: Vec<Backend> = (0..4).map(|_| Backend::new(Deed::Write(ok("")))).collect();
+fn cost(operations_enabled: bool) -> f64 {
+    let backends: Vec<Backend> = (0..4)
+        .map(|_| Backend::new(BackendAction::Write(ok(""))))
+        .collect();
     let addresses: Vec<SocketAddr> = backends.iter().map(|b| b.address).collect();
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &addresses,
         &Setup {
-            door,
+            operations_enabled,
             ..Setup::default()
         },
     );
@@ -108,8 +116,8 @@
     let (before, count) = (proxy.cpu_seconds(), crowd.got[0].load(Ordering::SeqCst));
     let end = Instant::now() + Duration::from_secs(4);
     while Instant::now() < end {
-        if door {
-            proxy.call("GET /_vars");
+        if operations_enabled {
+            proxy.call_operations("GET /_vars");
         }
         thread::sleep(Duration::from_millis(100));
     }
@@ -142,7 +150,7 @@
             });
         }
     });
-    let (_discovery, proxy) = proxy_before(
+    let (_discovery, proxy) = start_proxy_for(
         &[to],
         &Setup {
             sockets: 1024,
@@ -184,23 +192,26 @@
 
 /// What a crowd got while a proxy was replaced, beside it or one after the other.
 fn replaced(beside: bool) -> [usize; 3] {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
-    let listener = held_listener();
+    discovery.publish(&all_up(&[&backend]));
+    let listener = inheritable_listener();
     let address = listener.local_addr().expect("an address");
     let start = || {
-        let held = Some(listener.as_raw_fd());
+        let inherited_socket = Some(listener.as_raw_fd());
         Proxy::start(
             &discovery,
             &Setup {
-                door: true,
-                held,
+                operations_enabled: true,
+                inherited_socket,
                 ..Setup::default()
             },
         )
     };
-    let ready = |p: &Proxy| p.call("GET /_ready").is_some_and(|m| m.status() == 200);
+    let ready = |p: &Proxy| {
+        p.call_operations("GET /_ready")
+            .is_some_and(|m| m.status() == 200)
+    };
     let mut old = start();
     wait_for("the first", || ready(&old));
     let crowd = Crowd::start(address, 8);
@@ -224,11 +235,11 @@
 #[test]
 #[ignore = "it measures, and wants the machine to itself"]
 fn measure() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (_discovery, idle) = proxy_before(
+    let backend = Backend::new(BackendAction::Write(ok("")));
+    let (_discovery, idle) = start_proxy_for(
         &[backend.address],
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
--- a/crates/proxy/tests/operations.rs
+++ b/crates/proxy/tests/operations.rs
@@ -16,11 +16,11 @@
 /// A proxy with a door and this backend.
 fn proxy_with(backend: &Backend) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[backend]));
+    discovery.publish(&all_up(&[backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            door: true,
+            operations_enabled: true,
             ..Setup::default()
         },
     );
@@ -33,7 +33,7 @@
 
 #[test]
 fn the_door_answers_each_call_and_says_no_to_the_rest() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy_with(&backend);
     let long = format!(
         "GET /_ready HTTP/1.1\r\nX: {}\r\n\r\n",
@@ -55,24 +55,26 @@
         ("\u{1}\u{2}\r\n\r\n", 400),
         (&long, 431),
     ] {
-        assert_eq!(status(proxy.knock(text)), wanted, "{text:.60}");
+        assert_eq!(status(proxy.send_to_operations(text)), wanted, "{text:.60}");
     }
-    let refused = proxy.call("GET /_lameduck/on").expect("an answer");
+    let refused = proxy
+        .call_operations("GET /_lameduck/on")
+        .expect("an answer");
     assert_eq!(
         (refused.header("allow"), refused.header("connection")),
         (Some("PUT"), Some("close"))
     );
     assert!(
-        proxy.is_up() && proxy.runs(),
+        proxy.is_up() && proxy.is_running(),
         "none of it has changed anything"
     );
 }
 
 #[test]
 fn callers_that_say_nothing_hold_nobody_up() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy_with(&backend);
-    let door = proxy.door.expect("a door");
+    let door = proxy.operations_address.expect("a door");
     let silent: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = TcpStream::connect(door).expect("the door is open");
@@ -83,7 +85,7 @@
         })
         .collect();
     let asked = Instant::now();
-    assert_eq!(status(proxy.call("GET /_ready")), 200);
+    assert_eq!(status(proxy.call_operations("GET /_ready")), 200);
     assert!(
         asked.elapsed() < Duration::from_secs(1),
         "{:?}",
@@ -94,17 +96,17 @@
 
 #[test]
 fn the_figures_add_up_after_all_kinds_of_ends() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |m| match m.id() {
-        "r-full" => Deed::Write(empty("503 Full\r\nX-Not-Processed: 1")),
-        "r-bad" => Deed::Write(empty("500 Oops")),
-        "r-held" | "r-left" => Deed::Hold(held.clone(), ok("late")),
-        _ => Deed::Write(ok("")),
+        "r-full" => BackendAction::Write(empty("503 Full\r\nX-Not-Processed: 1")),
+        "r-bad" => BackendAction::Write(empty("500 Oops")),
+        "r-held" | "r-left" => BackendAction::Hold(held.clone(), ok("late")),
+        _ => BackendAction::Write(ok("")),
     });
     let (_discovery, proxy) = proxy_with(&backend);
     assert_eq!(
-        proxy.var("node_answered{group=\"booking\"}"),
+        proxy.metric("node_answered{group=\"booking\"}"),
         0.0,
         "every class from the start"
     );
@@ -114,12 +116,12 @@
         backend.seen().iter().any(|m| m.id() == "r-held")
     });
     leaves.send(&submit("r-left", "20", "x"));
-    wait_for("two held", || proxy.var("node_current") == 2.0);
+    wait_for("two held", || proxy.metric("node_current") == 2.0);
     drop(leaves);
     wait_for("one has left", || {
-        proxy.var("node_abandoned{group=\"submit\"}") == 1.0
+        proxy.metric("node_abandoned{group=\"submit\"}") == 1.0
     });
-    assert_eq!(proxy.var("node_current"), 1.0);
+    assert_eq!(proxy.metric("node_current"), 1.0);
     gate.open();
     assert_eq!(status(holds.answer()), 200);
     let ask = |id: &str| status(Client::new(&proxy).ask(&submit(id, "5", "x")));
@@ -129,7 +131,7 @@
         status(Client::new(&proxy).ask("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")),
         404
     );
-    let var = |name: &str| proxy.var(&format!("node_{name}{{group=\"submit\"}}"));
+    let var = |name: &str| proxy.metric(&format!("node_{name}{{group=\"submit\"}}"));
     assert_eq!(
         (var("answered"), var("deferred"), var("errored")),
         (3.0, 1.0, 1.0)
@@ -138,12 +140,12 @@
         var("taken"),
         var("answered") + var("deferred") + var("errored") + var("abandoned")
     );
-    assert_eq!(proxy.var("node_current"), 0.0);
-    assert_eq!(proxy.var("node_sends"), backend.seen().len() as f64);
+    assert_eq!(proxy.metric("node_current"), 0.0);
+    assert_eq!(proxy.metric("node_sends"), backend.seen().len() as f64);
     assert_eq!(
         (
-            proxy.var("node_cluster_size"),
-            proxy.var("node_conf_loaded")
+            proxy.metric("node_cluster_size"),
+            proxy.metric("node_conf_loaded")
         ),
         (1.0, 0.0)
     );
@@ -151,13 +153,13 @@
 
 #[test]
 fn servers_that_are_closed_are_told_of_and_those_that_drain_or_left_are_not() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (discovery, proxy) = proxy_with(&backend);
     let nobody = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    discovery.say(&list(
+    discovery.publish(&list(
         2,
         false,
         &[
@@ -165,7 +167,7 @@
             host("s-drains", backend.address, "draining", 0),
         ],
     ));
-    wait_for("the list", || proxy.var("node_cluster_size") == 3.0);
+    wait_for("the list", || proxy.metric("node_cluster_size") == 3.0);
     let mut n = 0;
     wait_for("the dead server to be closed", || {
         n += 1;
@@ -173,20 +175,22 @@
             status(Client::new(&proxy).ask(&page(&format!("r-{n}")))),
             200
         );
-        proxy.var("node_cluster_unhealthy") == 1.0
+        proxy.metric("node_cluster_unhealthy") == 1.0
     });
-    discovery.say(&list(3, true, &[host("s-0", backend.address, "up", 0)]));
-    wait_for("those that left", || proxy.var("node_cluster_size") == 1.0);
-    assert_eq!(proxy.var("node_cluster_unhealthy"), 0.0);
+    discovery.publish(&list(3, true, &[host("s-0", backend.address, "up", 0)]));
+    wait_for("those that left", || {
+        proxy.metric("node_cluster_size") == 1.0
+    });
+    assert_eq!(proxy.metric("node_cluster_unhealthy"), 0.0);
 }
 
 #[test]
 fn a_drain_sends_clients_away_and_loses_no_request() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |m| match m.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("late")),
-        _ => Deed::Write(ok("")),
+        "r-held" => BackendAction::Hold(held.clone(), ok("late")),
+        _ => BackendAction::Write(ok("")),
     });
     let (_discovery, mut proxy) = proxy_with(&backend);
     let (mut idle, mut used, mut busy) = (
@@ -202,10 +206,10 @@
         (200, 200)
     );
     busy.send(&page("r-held"));
-    wait_for("one under way", || proxy.var("node_current") == 1.0);
-    assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200);
+    wait_for("one under way", || proxy.metric("node_current") == 1.0);
+    assert_eq!(status(proxy.call_operations("PUT /_lameduck/on")), 200);
     assert!(!proxy.is_up(), "at once");
-    assert_eq!(status(proxy.call("GET /_ready")), 503);
+    assert_eq!(status(proxy.call_operations("GET /_ready")), 503);
     let last = used
         .ask(&page("r-3"))
         .expect("a connection in use is answered");
@@ -230,9 +234,13 @@
     );
     gate.open();
     assert_eq!(busy.answer().expect("its answer").text(), "late");
-    assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200, "said again");
-    assert_eq!(status(proxy.call("PUT /_lameduck/off")), 200);
-    assert!(proxy.is_up() && proxy.runs());
+    assert_eq!(
+        status(proxy.call_operations("PUT /_lameduck/on")),
+        200,
+        "said again"
+    );
+    assert_eq!(status(proxy.call_operations("PUT /_lameduck/off")), 200);
+    assert!(proxy.is_up() && proxy.is_running());
     let mut back = Client::new(&proxy);
     assert_eq!(
         (
@@ -245,21 +253,21 @@
 
 #[test]
 fn a_process_told_to_end_in_a_drain_ends_and_cannot_be_called_back() {
-    let gate = Gate::default();
-    let backend = Backend::new(Deed::Hold(gate.clone(), ok("late")));
+    let gate = Latch::default();
+    let backend = Backend::new(BackendAction::Hold(gate.clone(), ok("late")));
     let (_discovery, mut proxy) = proxy_with(&backend);
     let mut busy = Client::new(&proxy);
     busy.send(&page("r-held"));
-    wait_for("one under way", || proxy.var("node_current") == 1.0);
-    assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200);
+    wait_for("one under way", || proxy.metric("node_current") == 1.0);
+    assert_eq!(status(proxy.call_operations("PUT /_lameduck/on")), 200);
     proxy.terminate();
     wait_for("it leaves", || {
         proxy
-            .call("GET /_ready")
+            .call_operations("GET /_ready")
             .is_some_and(|m| m.text().starts_with("leaving"))
     });
-    assert_eq!(status(proxy.call("PUT /_lameduck/off")), 409);
-    assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200);
+    assert_eq!(status(proxy.call_operations("PUT /_lameduck/off")), 409);
+    assert_eq!(status(proxy.call_operations("PUT /_lameduck/on")), 200);
     gate.open();
     assert_eq!(busy.answer().expect("its answer").text(), "late");
     assert!(proxy.wait().success());
@@ -267,11 +275,11 @@
 
 #[test]
 fn without_an_address_there_is_no_door() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(&discovery, &Setup::default());
-    assert!(proxy.door.is_none() && !proxy.log.lock().unwrap().contains("door"));
+    assert!(proxy.operations_address.is_none() && !proxy.log.lock().unwrap().contains("door"));
     assert_eq!(
         status(Client::new(&proxy).ask("GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")),
         404
@@ -280,19 +288,21 @@
 
 /// A process that takes its clients from a listener that the test holds.
 fn generation(discovery: &Discovery, listener: &std::net::TcpListener) -> Proxy {
-    let held = Some(listener.as_raw_fd());
+    let inherited_socket = Some(listener.as_raw_fd());
     Proxy::start(
         discovery,
         &Setup {
-            door: true,
-            held,
+            operations_enabled: true,
+            inherited_socket,
             ..Setup::default()
         },
     )
 }
 
 fn ready(proxy: &Proxy) -> bool {
-    proxy.call("GET /_ready").is_some_and(|m| m.status() == 200)
+    proxy
+        .call_operations("GET /_ready")
+        .is_some_and(|m| m.status() == 200)
 }
 
 /// Clients that go on asking, each on a connection that it keeps as long as it may.
@@ -361,10 +371,10 @@
 
 #[test]
 fn two_upgrades_in_a_row_lose_no_request() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
-    let listener = held_listener();
+    discovery.publish(&all_up(&[&backend]));
+    let listener = inheritable_listener();
     let mut serves = generation(&discovery, &listener);
     wait_for("the first", || ready(&serves));
     let load = Load::start(listener.local_addr().unwrap(), 4);
@@ -378,7 +388,7 @@
         serves = next;
         load.go_on(50);
         assert!(
-            serves.var("node_answered{group=\"page\"}") > 0.0,
+            serves.metric("node_answered{group=\"page\"}") > 0.0,
             "it takes clients"
         );
     }
@@ -394,20 +404,20 @@
 
 #[test]
 fn a_process_without_a_list_leaves_the_shared_queue_alone_and_may_die() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (discovery, silent) = (Discovery::new(), Discovery::new());
-    discovery.say(&all_up(&[&backend]));
-    let listener = held_listener();
+    discovery.publish(&all_up(&[&backend]));
+    let listener = inheritable_listener();
     let first = generation(&discovery, &listener);
     wait_for("the first", || ready(&first));
     let load = Load::start(listener.local_addr().unwrap(), 2);
     let second = generation(&silent, &listener);
-    assert_eq!(status(second.call("GET /_ready")), 503);
+    assert_eq!(status(second.call_operations("GET /_ready")), 503);
     load.go_on(50);
     for _ in 0..50 {
         assert!(first.is_up(), "it answers for the two");
     }
-    assert_eq!(second.var("node_taken{group=\"page\"}"), 0.0);
+    assert_eq!(second.metric("node_taken{group=\"page\"}"), 0.0);
     second.signal("-KILL");
     load.go_on(50);
     assert_eq!(load.end(), Vec::<String>::new());
@@ -415,10 +425,10 @@
 
 #[test]
 fn what_waits_when_the_old_process_dies_is_the_new_ones() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
-    let listener = held_listener();
+    discovery.publish(&all_up(&[&backend]));
+    let listener = inheritable_listener();
     let address = listener.local_addr().unwrap();
     let mut first = generation(&discovery, &listener);
     wait_for("the first", || ready(&first));
@@ -474,30 +484,30 @@
 
 #[test]
 fn new_settings_are_taken_whole_and_classes_come_and_go() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |m| match m.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("late")),
-        _ => Deed::Write(ok("")),
+        "r-held" => BackendAction::Hold(held.clone(), ok("late")),
+        _ => BackendAction::Write(ok("")),
     });
     let (discovery, mut proxy) = proxy_with(&backend);
     let setup = Setup {
-        door: true,
+        operations_enabled: true,
         ..Setup::default()
     };
     let first = config(discovery.address, &setup);
     let ask = |text: &str| status(Client::new(&proxy).ask(text));
     assert_eq!(ask(&get("notice", "r-1")), 404);
     proxy.reconfigure(&with_class(&first, "notice", "idempotent"));
-    wait_for("the file", || proxy.var("node_conf_loaded") == 1.0);
+    wait_for("the file", || proxy.metric("node_conf_loaded") == 1.0);
     assert_eq!(ask(&get("notice", "r-2")), 200);
-    assert_eq!(proxy.var("node_answered{group=\"notice\"}"), 1.0);
+    assert_eq!(proxy.metric("node_answered{group=\"notice\"}"), 1.0);
     // A stricter effect, for those that come from now on: another method, and no repeats.
     let mut under_way = Client::new(&proxy);
     under_way.send(&get("notice", "r-held"));
-    wait_for("one under way", || proxy.var("node_current") == 1.0);
+    wait_for("one under way", || proxy.metric("node_current") == 1.0);
     proxy.reconfigure(&with_class(&first, "notice", "at_most_once"));
-    wait_for("the file", || proxy.var("node_conf_loaded") == 2.0);
+    wait_for("the file", || proxy.metric("node_conf_loaded") == 2.0);
     assert_eq!(ask(&get("notice", "r-3")), 405);
     assert_eq!(
         ask(&submit("r-4", "5", "x").replace("/submit", "/notice")),
@@ -505,20 +515,20 @@
     );
     // It vanishes; what is under way ends as it began, and its counts stay.
     proxy.reconfigure(&first);
-    wait_for("the file", || proxy.var("node_conf_loaded") == 3.0);
+    wait_for("the file", || proxy.metric("node_conf_loaded") == 3.0);
     assert_eq!(ask(&get("notice", "r-5")), 404);
     gate.open();
     assert_eq!(under_way.answer().expect("its answer").text(), "late");
     wait_for("the count", || {
-        proxy.var("node_answered{group=\"notice\"}") == 3.0
+        proxy.metric("node_answered{group=\"notice\"}") == 3.0
     });
     assert_eq!(ask(&page("r-6")), 200);
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
 }
 
 #[test]
 fn a_broken_file_leaves_all_as_it_was_and_is_named() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (discovery, mut proxy) = proxy_with(&backend);
     let elsewhere = Discovery::new();
     let good = with_class(
@@ -549,7 +559,7 @@
     for (n, (text, word)) in broken.iter().enumerate() {
         proxy.reconfigure(text);
         wait_for("a count", || {
-            proxy.var("node_conf_invalid") == (n + 1) as f64
+            proxy.metric("node_conf_invalid") == (n + 1) as f64
         });
         wait_for(word, || {
             proxy
@@ -562,10 +572,10 @@
         assert_eq!(status(Client::new(&proxy).ask(&get("notice", "r-1"))), 404);
     }
     assert!(
-        elsewhere.asked.lock().unwrap().is_empty(),
+        elsewhere.requests.lock().unwrap().is_empty(),
         "discovery's address is of the file, too"
     );
-    assert_eq!(proxy.var("node_conf_loaded"), 0.0);
+    assert_eq!(proxy.metric("node_conf_loaded"), 0.0);
     // Signals in a burst end with the newest file.
     for n in 0..20 {
         let name = format!("class-{n}");
@@ -582,5 +592,5 @@
         status(Client::new(&proxy).ask(&get("class-18", "r-3"))),
         404
     );
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
 }
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -15,14 +15,14 @@
 /// A proxy with these backends, all up.
 fn proxy_with(backends: &[&Backend]) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&all_up(backends));
+    discovery.publish(&all_up(backends));
     let proxy = Proxy::up(&discovery, &Setup::default());
     (discovery, proxy)
 }
 
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_the_answer() {
-    let backend = Backend::new(Deed::Write(ok("the answer")));
+    let backend = Backend::new(BackendAction::Write(ok("the answer")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut client = Client::new(&proxy);
     let request = "POST /booking/7?sid=a%20b&x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: r-1\r\n\
@@ -57,38 +57,40 @@
     // The connections on both sides are used again.
     assert_eq!(status(client.ask(&page("r-2"))), 200);
     assert_eq!(backend.seen().len(), 2);
-    assert_eq!(backend.came.load(std::sync::atomic::Ordering::SeqCst), 1);
+    assert_eq!(backend.opened.load(std::sync::atomic::Ordering::SeqCst), 1);
 }
 
 #[test]
 fn it_is_up_only_once_it_has_the_list() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
     let proxy = Proxy::start(&discovery, &Setup::default());
-    wait_for("the watch", || !discovery.asked.lock().unwrap().is_empty());
+    wait_for("the watch", || {
+        !discovery.requests.lock().unwrap().is_empty()
+    });
     assert!(!proxy.is_up());
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     wait_for("/up", || proxy.is_up());
 }
 
 #[test]
 fn a_list_that_is_asked_for_is_waited_for_in_turn() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
     discovery
-        .turn
+        .response_delay_ms
         .store(1600, std::sync::atomic::Ordering::SeqCst);
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::start(
         &discovery,
         &Setup {
-            asks: true,
+            fetch_list: true,
             ..Setup::default()
         },
     );
     wait_for("/up", || proxy.is_up());
     assert_eq!(
-        discovery.asked.lock().unwrap().len(),
+        discovery.requests.lock().unwrap().len(),
         1,
         "it went back to the end of the line"
     );
@@ -96,7 +98,7 @@
 
 #[test]
 fn without_discovery_it_serves_from_the_list_it_remembers() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let mut discovery = Discovery::new();
     discovery.address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -105,7 +107,7 @@
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            known: all_up(&[&backend]),
+            cached_list: all_up(&[&backend]),
             ..Setup::default()
         },
     );
@@ -115,17 +117,17 @@
 #[test]
 fn broken_and_stale_news_is_survived_and_a_watch_resumes() {
     let (old, new) = (
-        Backend::new(Deed::Write(ok("old"))),
-        Backend::new(Deed::Write(ok("new"))),
+        Backend::new(BackendAction::Write(ok("old"))),
+        Backend::new(BackendAction::Write(ok("new"))),
     );
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&old]));
+    discovery.publish(&all_up(&[&old]));
     let proxy = Proxy::up(&discovery, &Setup::default());
     // A broken line may hide a change: the watch is taken up again from the last good one.
-    discovery.say(r#"{"seq":2,"whole":false,"hosts":"#);
+    discovery.publish(r#"{"seq":2,"whole":false,"hosts":"#);
     let resumed = || {
         discovery
-            .asked
+            .requests
             .lock()
             .unwrap()
             .iter()
@@ -140,7 +142,7 @@
     ];
     let mut lines: Vec<String> = odd.iter().map(|o| o.to_string()).collect();
     lines.push(host("s-new", new.address, "up", 0));
-    discovery.say(&list(5, true, &lines));
+    discovery.publish(&list(5, true, &lines));
     let text = |id: &str| {
         Client::new(&proxy)
             .ask(&page(id))
@@ -148,7 +150,7 @@
             .text()
     };
     wait_for("the new list", || text("r-1") == "new");
-    discovery.say(&list(4, true, &[host("s-0", old.address, "up", 0)]));
+    discovery.publish(&list(4, true, &[host("s-0", old.address, "up", 0)]));
     wait_for("a line about it", || {
         proxy.log.lock().unwrap().contains("stale")
     });
@@ -158,8 +160,8 @@
 #[test]
 fn at_sighup_the_list_comes_from_the_address_that_the_new_file_names() {
     let (old, new) = (
-        Backend::new(Deed::Write(ok("old"))),
-        Backend::new(Deed::Write(ok("new"))),
+        Backend::new(BackendAction::Write(ok("old"))),
+        Backend::new(BackendAction::Write(ok("new"))),
     );
     let (first, mut proxy) = proxy_with(&[&old]);
     let second = Discovery::new();
@@ -168,10 +170,12 @@
         proxy.log.lock().unwrap().contains("of no use")
     });
     proxy.reconfigure(&config(second.address, &Setup::default()));
-    wait_for("a watch there", || !second.asked.lock().unwrap().is_empty());
+    wait_for("a watch there", || {
+        !second.requests.lock().unwrap().is_empty()
+    });
     drop(first);
     // The new address counts its versions anew.
-    second.say(&list(0, true, &[host("s-new", new.address, "up", 0)]));
+    second.publish(&list(0, true, &[host("s-new", new.address, "up", 0)]));
     let text = |id: &str| {
         Client::new(&proxy)
             .ask(&page(id))
@@ -179,7 +183,7 @@
             .text()
     };
     wait_for("the new list", || text("r-1") == "new");
-    second.say(&list(
+    second.publish(&list(
         1,
         false,
         &[
@@ -188,12 +192,12 @@
         ],
     ));
     wait_for("a change", || text("r-2") == "old");
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
 }
 
 #[test]
 fn bad_requests_get_a_plain_4xx_and_reach_no_backend() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy_with(&[&backend]);
     let good = submit("r-1", "5", "body");
     let cases = [
@@ -238,11 +242,11 @@
         200
     );
     assert_eq!(backend.seen()[0].body.len(), 64 << 10);
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
 }
 
 /// How two backends of which both do the same leave a request that must not run twice.
-fn unsafe_twice(answer: Deed) -> (u16, usize) {
+fn unsafe_twice(answer: BackendAction) -> (u16, usize) {
     let (one, two) = (Backend::new(answer.clone()), Backend::new(answer));
     let (_discovery, proxy) = proxy_with(&[&one, &two]);
     let status = status(Client::new(&proxy).ask(&submit("r-1", "2", "x")));
@@ -253,23 +257,25 @@
 fn what_may_have_run_is_neither_sent_again_nor_refused() {
     let short = ok("0123456789").replace("0123456789", "01234");
     for answer in [
-        Deed::Write(empty("500 Oops")),
+        BackendAction::Write(empty("500 Oops")),
         // 503 and 504 prove nothing by themselves.
-        Deed::Write(empty("503 Busy")),
-        Deed::Write(empty("504 Late")),
-        Deed::Write(empty("503 Busy\r\nX-Not-Processed: 0")),
-        Deed::Write(empty("302 Elsewhere")),
+        BackendAction::Write(empty("503 Busy")),
+        BackendAction::Write(empty("504 Late")),
+        BackendAction::Write(empty("503 Busy\r\nX-Not-Processed: 0")),
+        BackendAction::Write(empty("302 Elsewhere")),
         // Half a body is no answer, and neither is one whose end nobody can tell.
-        Deed::WriteAndClose(short),
-        Deed::WriteAndClose("HTTP/1.1 200 OK\r\n\r\nperhaps all".into()),
-        Deed::WriteAndClose(
+        BackendAction::WriteAndClose(short),
+        BackendAction::WriteAndClose("HTTP/1.1 200 OK\r\n\r\nperhaps all".into()),
+        BackendAction::WriteAndClose(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n".into(),
         ),
-        Deed::WriteAndClose("garbage \u{1}\r\n\r\n".into()),
-        Deed::WriteAndClose(String::new()),
+        BackendAction::WriteAndClose("garbage \u{1}\r\n\r\n".into()),
+        BackendAction::WriteAndClose(String::new()),
     ] {
         let text = match &answer {
-            Deed::Write(text) | Deed::WriteAndClose(text) | Deed::Hold(_, text) => text.clone(),
+            BackendAction::Write(text)
+            | BackendAction::WriteAndClose(text)
+            | BackendAction::Hold(_, text) => text.clone(),
         };
         assert_eq!(unsafe_twice(answer), (502, 1), "{text:.200}");
     }
@@ -278,17 +284,17 @@
 #[test]
 fn what_surely_never_ran_is_tried_elsewhere_and_may_be_refused() {
     for status in ["503 Busy", "504 Late"] {
-        let full = Deed::Write(empty(&format!("{status}\r\nX-Not-Processed: 1")));
+        let full = BackendAction::Write(empty(&format!("{status}\r\nX-Not-Processed: 1")));
         assert_eq!(unsafe_twice(full), (503, 2));
     }
 }
 
 #[test]
 fn a_cut_answer_to_what_may_be_repeated_is_made_good_elsewhere() {
-    let short = Deed::WriteAndClose(ok("0123456789").replace("0123456789", "01234"));
+    let short = BackendAction::WriteAndClose(ok("0123456789").replace("0123456789", "01234"));
     let (cut, whole) = (
         Backend::new(short),
-        Backend::new(Deed::Write(ok("0123456789"))),
+        Backend::new(BackendAction::Write(ok("0123456789"))),
     );
     let (_discovery, proxy) = proxy_with(&[&cut, &whole]);
     let mut n = 0;
@@ -315,13 +321,13 @@
     let (mute, _full) = full_listener();
     let at = mute.local_addr().unwrap();
     for address in [dead, at] {
-        let backend = Backend::new(Deed::Write(ok("")));
+        let backend = Backend::new(BackendAction::Write(ok("")));
         let discovery = Discovery::new();
         let hosts = [
             host("s-0", address, "up", 0),
             host("s-1", backend.address, "up", 0),
         ];
-        discovery.say(&list(1, true, &hosts));
+        discovery.publish(&list(1, true, &hosts));
         let proxy = Proxy::up(&discovery, &Setup::default());
         for n in 0..6 {
             let answer = Client::new(&proxy).ask(&submit(&format!("r-{n}"), "5", "x"));
@@ -333,8 +339,8 @@
 #[test]
 fn nothing_new_goes_to_a_backend_that_drains_is_gone_or_has_moved() {
     let (one, two) = (
-        Backend::new(Deed::Write(ok("one"))),
-        Backend::new(Deed::Write(ok("two"))),
+        Backend::new(BackendAction::Write(ok("one"))),
+        Backend::new(BackendAction::Write(ok("two"))),
     );
     let (discovery, proxy) = proxy_with(&[&one]);
     let text = |id: &str| Client::new(&proxy).ask(&page(id)).map(|m| m.text());
@@ -342,7 +348,7 @@
     let mut seq = 1;
     let mut tell = |lines: &[String], whole: bool| {
         seq += 1;
-        discovery.say(&list(seq, whole, lines));
+        discovery.publish(&list(seq, whole, lines));
     };
     // Drain: the pooled connection goes at once, and later requests go to the other.
     tell(
@@ -352,21 +358,21 @@
         ],
         false,
     );
-    wait_for("the pooled connection's end", || one.ended() == 1);
+    wait_for("the pooled connection's end", || one.closed_count() == 1);
     let before = one.seen().len();
     (0..5).for_each(|n| assert_eq!(text(&format!("r-a{n}")).as_deref(), Some("two")));
     assert_eq!(one.seen().len(), before);
     // Gone from a whole list.
-    let three = Backend::new(Deed::Write(ok("three")));
+    let three = Backend::new(BackendAction::Write(ok("three")));
     tell(&[host("s-2", three.address, "up", 0)], true);
-    wait_for("the pooled connection's end", || two.ended() == 1);
+    wait_for("the pooled connection's end", || two.closed_count() == 1);
     let before = two.seen().len();
     (0..5).for_each(|n| assert_eq!(text(&format!("r-b{n}")).as_deref(), Some("three")));
     assert_eq!(two.seen().len(), before);
     // Restarted at another address.
-    let four = Backend::new(Deed::Write(ok("four")));
+    let four = Backend::new(BackendAction::Write(ok("four")));
     tell(&[host("s-2", four.address, "up", 0)], false);
-    wait_for("the pooled connection's end", || three.ended() == 1);
+    wait_for("the pooled connection's end", || three.closed_count() == 1);
     (0..5).for_each(|n| assert_eq!(text(&format!("r-c{n}")).as_deref(), Some("four")));
 }
 
@@ -374,13 +380,13 @@
 fn a_drain_told_while_the_connection_comes_up_still_counts() {
     let (slow, full) = full_listener();
     let discovery = Discovery::new();
-    discovery.say(&list(
+    discovery.publish(&list(
         1,
         true,
         &[host("s-0", slow.local_addr().unwrap(), "up", 0)],
     ));
     let patient = Setup {
-        dial_timeout: 30_000,
+        connect_timeout: 30_000,
         deadline: 40_000,
         ..Setup::default()
     };
@@ -388,9 +394,9 @@
     let mut first = Client::new(&proxy);
     first.send(&submit("r-first", "40", "x"));
     assert!(proxy.is_up()); // by now the first has most likely been read, and its connection begun
-    let other = Backend::new(Deed::Write(ok("other")));
+    let other = Backend::new(BackendAction::Write(ok("other")));
     let gone = host("s-0", slow.local_addr().unwrap(), "draining", 0);
-    discovery.say(&list(
+    discovery.publish(&list(
         2,
         false,
         &[gone, host("s-1", other.address, "up", 0)],
@@ -418,9 +424,9 @@
 
 #[test]
 fn half_sent_requests_and_unread_connections_give_way_to_others() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
@@ -445,40 +451,40 @@
 
 #[test]
 fn an_idle_connection_is_retired_before_the_backend_closes_it() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            idle_close: 1000,
+            idle_timeout: 1000,
             ..Setup::default()
         },
     );
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
-    wait_for("its end", || backend.ended() == 1);
+    wait_for("its end", || backend.closed_count() == 1);
 }
 
 #[test]
 fn a_connection_that_the_backend_has_closed_is_never_used() {
-    let backend = Backend::new(Deed::WriteAndClose(ok("")));
+    let backend = Backend::new(BackendAction::WriteAndClose(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     for n in 1..20 {
         assert_eq!(
             status(Client::new(&proxy).ask(&submit(&format!("r-{n}"), "5", "x"))),
             200
         );
-        wait_for("the backend's close", || backend.ended() == n);
+        wait_for("the backend's close", || backend.closed_count() == n);
     }
 }
 
 #[test]
 fn a_silent_backend_s_request_fails_in_time_and_its_late_answer_goes_nowhere() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("late")),
-        _ => Deed::Write(ok("prompt")),
+        "r-held" => BackendAction::Hold(held.clone(), ok("late")),
+        _ => BackendAction::Write(ok("prompt")),
     });
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut client = Client::new(&proxy);
@@ -493,15 +499,15 @@
         client.ask(&page("r-next")).expect("an answer").text(),
         "prompt"
     );
-    assert_eq!(backend.came.load(std::sync::atomic::Ordering::SeqCst), 2);
-    wait_for("the connection's end", || backend.ended() == 1);
+    assert_eq!(backend.opened.load(std::sync::atomic::Ordering::SeqCst), 2);
+    wait_for("the connection's end", || backend.closed_count() == 1);
 }
 
 #[test]
 fn nothing_goes_out_for_a_client_that_has_left() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
-    let backend = Backend::with(move |_| Deed::Hold(held.clone(), ok("")));
+    let backend = Backend::with(move |_| BackendAction::Hold(held.clone(), ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     // Enough to fill the backend's slots, so that the last ones wait in the proxy.
     let mut clients: Vec<Client> = (0..12).map(|_| Client::new(&proxy)).collect();
@@ -510,7 +516,7 @@
     }
     wait_for("the first", || !backend.seen().is_empty());
     for client in &mut clients {
-        client.leave();
+        client.shutdown_write();
         assert!(client.is_closed(), "no answer is owed");
     }
     let before = backend.seen().len();
@@ -523,11 +529,11 @@
 
 #[test]
 fn at_sigterm_what_is_taken_is_answered_and_new_connections_are_too() {
-    let gate = Gate::default();
+    let gate = Latch::default();
     let held = gate.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("held")),
-        _ => Deed::Write(ok("prompt")),
+        "r-held" => BackendAction::Hold(held.clone(), ok("held")),
+        _ => BackendAction::Write(ok("prompt")),
     });
     let (_discovery, mut proxy) = proxy_with(&[&backend]);
     let (mut busy, mut idle) = (Client::new(&proxy), Client::new(&proxy));
@@ -556,9 +562,9 @@
 
 #[test]
 fn past_its_budget_of_sockets_every_client_still_gets_an_answer() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     // Once by its own budget, once by the system's limit, where accepting fails.
     for setup in [
         Setup {
@@ -567,7 +573,7 @@
         },
         Setup {
             sockets: 1024,
-            descriptors: Some(24),
+            max_descriptors: Some(24),
             ..Setup::default()
         },
     ] {
@@ -580,7 +586,7 @@
             let status = status(client.answer());
             assert!(status == 200 || status == 503, "{status}");
         }
-        assert!(proxy.runs());
+        assert!(proxy.is_running());
         wait_for("service as before", || {
             Client::new(&proxy)
                 .ask(&page("r-x"))
@@ -591,9 +597,9 @@
 
 #[test]
 fn odd_datagrams_are_survived_and_others_are_told() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_read_timeout(Some(LIMIT)).unwrap();
     // An address of this test's own, so that nobody else takes the port meanwhile.
@@ -605,7 +611,7 @@
     let mut proxy = Proxy::up(
         &discovery,
         &Setup {
-            may_tell: tell,
+            peer_addresses: tell,
             ..Setup::default()
         },
     );
@@ -621,7 +627,7 @@
     let (size, from) = other.recv_from(&mut [0; 512]).expect("this proxy's word");
     assert!(size > 0 && size <= 256 && from == own);
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
-    assert!(proxy.runs());
+    assert!(proxy.is_running());
 }
 
 #[test]
@@ -664,7 +670,7 @@
 
 #[test]
 fn a_client_that_sends_slowly_or_not_at_all_holds_nobody_up() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut slow = TcpStream::connect(proxy.address).unwrap();
     let request = submit("r-slow", "5", "body");
@@ -684,9 +690,9 @@
 
 #[test]
 fn a_peer_that_sends_no_whole_request_is_soon_let_go() {
-    let backend = Backend::new(Deed::Write(ok("")));
+    let backend = Backend::new(BackendAction::Write(ok("")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
--- a/crates/proxy/tests/settings_any.rs
+++ b/crates/proxy/tests/settings_any.rs
@@ -118,11 +118,11 @@
         let mut chance = Chance(seed * 7919 + 13);
         // The first attempt fails with a word that it may have run: what may not be repeated is not.
         let backend = Backend::with(|m| match m.id() {
-            "r-fails" => Deed::Write(empty("500 Oops")),
-            id => Deed::Write(ok(id)),
+            "r-fails" => BackendAction::Write(empty("500 Oops")),
+            id => BackendAction::Write(ok(id)),
         });
         let discovery = Discovery::new();
-        discovery.say(&all_up(&[&backend]));
+        discovery.publish(&all_up(&[&backend]));
         let (text, classes, tenants) = draw(&mut chance, &discovery.address.to_string());
         let mut proxy = Proxy::with(&text);
         wait_for("/up", || proxy.is_up());
--- a/crates/proxy/tests/settings_file.rs
+++ b/crates/proxy/tests/settings_file.rs
@@ -61,9 +61,9 @@
 #[test]
 fn the_file_in_service_is_good() {
     let service = include_str!("../../../deploy/canvascart.properties").to_owned();
-    let backend = Backend::new(Deed::Write(ok("served")));
+    let backend = Backend::new(BackendAction::Write(ok("served")));
     let discovery = Discovery::new();
-    discovery.say(&all_up(&[&backend]));
+    discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
@@ -103,7 +103,7 @@
 
 #[test]
 fn the_example_configuration_starts_a_proxy_that_serves() {
-    let backend = Backend::new(Deed::Write(ok("served")));
+    let backend = Backend::new(BackendAction::Write(ok("served")));
     let example = include_str!("../../../deploy/proxy.example.json");
     let text = example.replace("127.0.0.1:9000", "127.0.0.1:0");
     let text = text.replace("127.0.0.1:9100", &backend.address.to_string());
