--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -18,7 +18,7 @@
 use crate::hosts::Host;
 use crate::line_writer::LineWriter;
 use crate::log::{self, CAPTURE};
-use crate::message::Outgoing;
+use crate::message::OutboundRequest;
 use crate::note;
 
 const SEGMENTS: usize = 4;
@@ -127,7 +127,7 @@
     }
 
     /// A request has ended.
-    pub fn finish_record(&self, pending: &PendingRecord, message: &Outgoing, code: u16) {
+    pub fn finish_record(&self, pending: &PendingRecord, message: &OutboundRequest, code: u16) {
         let tried = pending.tried.iter().map(|(name, end)| Tried {
             server: Cow::from(&**name),
             end: *end,
@@ -143,7 +143,7 @@
     }
 
     /// The front end has turned a request away that the module never saw.
-    pub fn record_rejected(&self, pending: &PendingRecord, message: &Outgoing, code: u16) {
+    pub fn record_rejected(&self, pending: &PendingRecord, message: &OutboundRequest, code: u16) {
         let names = self.names.borrow().clone();
         self.put(&record(&names, pending, message, None, code));
     }
@@ -206,7 +206,7 @@
 fn record<'a>(
     names: &'a Names,
     pending: &'a PendingRecord,
-    message: &'a Outgoing,
+    message: &'a OutboundRequest,
     tried: Option<Vec<Tried<'a>>>,
     code: u16,
 ) -> Record<'a> {
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -19,10 +19,10 @@
 use settings::properties::{MetricsFormat as Format, MetricsSettings as Settings};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::inbox::GONE;
+use crate::inbox::STATUS_CLIENT_CLOSED;
 use crate::line_writer::{LineWriter, write_whole};
 use crate::log::{self, FIGURES, FIGURES_MOST as MOST};
-use crate::message::class_of;
+use crate::message::class_name;
 use crate::note;
 
 /// From so many bytes on the threads get to work before the flush.
@@ -129,7 +129,7 @@
             .get("x-tenant-id")
             .and_then(|v| v.to_str().ok());
         let who = (
-            place(&names.classes, class_of(uri)),
+            place(&names.classes, class_name(uri)),
             tenant.and_then(|tenant| place(&names.tenants, tenant)),
         );
         *self.state.borrow_mut().inflight.entry(who).or_default() += 1;
@@ -328,7 +328,7 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.end(GONE);
+            self.end(STATUS_CLIENT_CLOSED);
         }
     }
 }
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -182,7 +182,7 @@
 
     /// The time of an instant on the process's clock.
     pub fn clock_time(&self, at: tokio::time::Instant) -> Millis {
-        self.clock.at(at)
+        self.clock.time_of(at)
     }
 
     /// Waits for the next change.
