--- a/crates/proxy-core/src/drills.rs
+++ b/crates/proxy-core/src/drills.rs
@@ -167,7 +167,11 @@
     }
 
     /// Lets a drill act on an answer.
-    pub async fn apply(&self, hit: &SelectedFault, answer: Response<ResponseBody>) -> Response<ResponseBody> {
+    pub async fn apply(
+        &self,
+        hit: &SelectedFault,
+        answer: Response<ResponseBody>,
+    ) -> Response<ResponseBody> {
         let Fault::Delay(delay) = hit.deed else {
             return text_response(StatusCode::INTERNAL_SERVER_ERROR, "a drill")
                 .map(ResponseBody::from);
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -566,9 +566,10 @@
         });
         match scope {
             UpdateScope::Cached if !some => {}
-            UpdateScope::Full | UpdateScope::Cached => {
-                self.parts.lifecycle.update(|lifecycle, _| lifecycle.mark_list_received())
-            }
+            UpdateScope::Full | UpdateScope::Cached => self
+                .parts
+                .lifecycle
+                .update(|lifecycle, _| lifecycle.mark_list_received()),
             UpdateScope::Delta | UpdateScope::Failed => {}
         }
     }
--- a/crates/proxy-core/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -183,7 +183,9 @@
         let close_task = AbortOnDrop(spawn_local(self.clone().close_unkept()).abort_handle());
         tokio::pin!(stop);
         loop {
-            let accepts = self.lifecycle.read(|lifecycle, now| lifecycle.accepts_connections(now));
+            let accepts = self
+                .lifecycle
+                .read(|lifecycle, now| lifecycle.accepts_connections(now));
             tokio::select! {
                 biased;
                 () = &mut stop => break,
@@ -191,9 +193,13 @@
                 () = self.lifecycle.changed(), if !accepts => {}
             }
         }
-        self.lifecycle.update(|lifecycle, now| lifecycle.begin_shutdown(now));
+        self.lifecycle
+            .update(|lifecycle, now| lifecycle.begin_shutdown(now));
         let drain_started = Instant::now();
-        while self.lifecycle.read(|lifecycle, now| lifecycle.accepts_connections(now)) {
+        while self
+            .lifecycle
+            .read(|lifecycle, now| lifecycle.accepts_connections(now))
+        {
             let _ = timeout(ACCEPT_QUEUE_IDLE, self.clone().accept(&listener)).await;
         }
         // What waits in a queue that others share is theirs; one's own is emptied.
@@ -239,7 +245,10 @@
     /// Closes connections that are no longer kept, for as long as the listener is served.
     async fn close_unkept(self: Rc<Self>) {
         loop {
-            if self.lifecycle.read(|lifecycle, _| lifecycle.keeps_connections()) {
+            if self
+                .lifecycle
+                .read(|lifecycle, _| lifecycle.keeps_connections())
+            {
                 self.lifecycle.changed().await;
                 continue;
             }
@@ -334,8 +343,9 @@
                     .as_ref()
                     .ok()
                     .and_then(|p| p.features.figures.as_ref().map(|f| (f, p)));
-                let flight = figures
-                    .and_then(|(f, pool)| f.start_request(&request, &pool.reloadable.borrow().names));
+                let flight = figures.and_then(|(f, pool)| {
+                    f.start_request(&request, &pool.reloadable.borrow().names)
+                });
                 let mut response = match &pool {
                     _ if request.uri().path() == "/up" && !over_limit => {
                         frontend.up_response().map(ResponseBody::from)
@@ -358,7 +368,9 @@
                 };
                 let close_after = over_limit
                     || client.has_overflowed()
-                    || !frontend.lifecycle.read(|lifecycle, _| lifecycle.keeps_connections());
+                    || !frontend
+                        .lifecycle
+                        .read(|lifecycle, _| lifecycle.keeps_connections());
                 if close_after {
                     response
                         .headers_mut()
