--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions: the outputs of the decision module, carried out by the caller in their order.
+//! Actions: the outputs of the decision module, which the caller carries out in order.
 
 use crate::types::{EndpointId, Millis, RequestId};
 
@@ -11,26 +11,26 @@
         request: RequestId,
         /// Target of the attempt.
         endpoint: EndpointId,
-        /// Time after which to give the attempt up; `None` leaves it to the client's deadline.
+        /// Time after which to abandon the attempt; `None` if only the client's deadline limits it.
         timeout: Option<Millis>,
-        /// Time by which the attempt must have been sent, or never is: a repeat is dropped only for a limited time,
-        /// however long the connection takes.
+        /// Latest time at which the attempt may be sent. Endpoints drop repeats only for a limited time, so an attempt
+        /// whose connection takes longer must not be sent at all.
         start_by: Option<Millis>,
     },
-    /// Final answer: the request is rejected; the client may safely retry. This does not say that it had no effect: an
+    /// Final answer: the request is rejected; the client may safely retry. The request may still have taken effect: an
     /// attempt may have run if the request is idempotent, or if all endpoints drop repeats by its idempotency key,
     /// within the key's deduplication window.
     Reject {
         /// Identifies the request.
         request: RequestId,
-        /// Time for which the client should wait before it retries.
+        /// Time for which the client should wait before a retry.
         retry_after: Option<Millis>,
     },
-    /// Final answer: the request failed, and may have had its effect.
+    /// Final answer: the request failed, and may have taken effect.
     Fail(RequestId),
-    /// Return [`Event::Timer`](crate::Event::Timer) at a time.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) at the given time.
     Timer {
-        /// Token to return.
+        /// Token of the event.
         token: u64,
         /// Time at which the timer expires.
         at: Millis,
@@ -39,6 +39,6 @@
     Broadcast(Vec<u8>),
     /// Subscribe to endpoint list updates.
     Subscribe,
-    /// Fetch the complete endpoint list once. Part of the interface that callers implement; not emitted at present.
+    /// Fetch the complete endpoint list once. Callers implement this action, but the module currently never emits it.
     FetchEndpoints,
 }
--- a/crates/balancer/src/arrival_rate.rs
+++ b/crates/balancer/src/arrival_rate.rs
@@ -4,8 +4,8 @@
 
 /// Time constant of the average.
 const TIME_CONSTANT: Millis = 2000.0;
-/// Span over which arrivals are counted before they enter the average.
-const COUNTING_SPAN: Millis = 200.0;
+/// Minimum time over which arrivals are counted before they enter the average.
+const MIN_COUNTING_TIME: Millis = 200.0;
 
 /// Estimator of the arrival rate.
 pub(crate) struct ArrivalRate {
@@ -15,7 +15,7 @@
 }
 
 impl ArrivalRate {
-    /// Creates an estimator without arrivals.
+    /// Creates an estimator that has counted no arrivals.
     pub fn new() -> Self {
         ArrivalRate {
             counted: 0.0,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Starts the clock.
+    /// Starts counting at the given time.
     pub fn start(&mut self, now: Millis) {
         self.counted_since = now;
     }
@@ -34,18 +34,18 @@
         self.counted += 1.0;
     }
 
-    /// Updates the average with the arrivals counted since the last update, once they span long enough.
+    /// Updates the average with the arrivals counted since the last update, if enough time has passed.
     pub fn update(&mut self, now: Millis) {
-        let span = now - self.counted_since;
-        if span < COUNTING_SPAN {
+        let elapsed = now - self.counted_since;
+        if elapsed < MIN_COUNTING_TIME {
             return;
         }
         let gain = if self.per_ms == 0.0 {
             1.0
         } else {
-            1.0 - (-span / TIME_CONSTANT).exp()
+            1.0 - (-elapsed / TIME_CONSTANT).exp()
         };
-        self.per_ms += gain * (self.counted / span - self.per_ms);
+        self.per_ms += gain * (self.counted / elapsed - self.per_ms);
         self.counted = 0.0;
         self.counted_since = now;
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Entry point of the decision module: hands each event to the rule that handles it.
+//! Entry point of the decision module: dispatches each event to the rule that handles it.
 
 use crate::action::Action;
 use crate::admission::Arrival;
@@ -10,7 +10,7 @@
 use crate::timing::{TICK_TOKEN, answer_timer_request};
 use crate::types::{EndpointState, Millis};
 
-/// Decisions of one proxy.
+/// Decision module of one proxy.
 pub struct Balancer {
     state: State,
 }
@@ -18,21 +18,22 @@
 /// Numbers of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints in the list, draining ones included.
+    /// Listed endpoints, including those that are draining.
     pub listed: usize,
-    /// Endpoints that accept requests according to the list and are ejected by this proxy.
+    /// Endpoints that accept requests according to the list and that this proxy has ejected.
     pub ejected: usize,
 }
 
 impl Balancer {
-    /// Creates the module of a proxy that knows no endpoints; `seed` is the only source of chance.
+    /// Creates the module of a proxy that knows no endpoints; `seed` is the only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
             state: State::new(settings, seed),
         }
     }
 
-    /// Handles one event and appends the actions to carry out, in order. `now` never runs backwards.
+    /// Handles one event and appends the resulting actions to `out`, in the order in which to carry them out. `now`
+    /// must not decrease between calls.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         let affects_queue = affects_queue(&event);
         self.state.start(now, out);
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Counts listed and ejected endpoints.
+    /// Returns the numbers of listed and ejected endpoints.
     pub fn endpoint_counts(&self, now: Millis) -> EndpointCounts {
         let listed = self
             .state
@@ -143,13 +144,13 @@
         }
     }
 
-    /// Takes a snapshot of what outlives this instance: ejections and slow start budgets.
+    /// Creates a snapshot of the state for the next instance: ejections and slow start budgets.
     pub fn health_snapshot(&self, now: Millis) -> HealthSnapshot {
         self.state.health_snapshot(now)
     }
 }
 
-/// Returns true if queued requests may be forwarded after an event.
+/// Returns true if an event may allow queued requests to be forwarded.
 fn affects_queue(event: &Event) -> bool {
     !matches!(
         event,
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! Endpoints as this proxy knows them: their list entry, and the state that each rule keeps per endpoint. Decides
-//! nothing.
+//! Records of endpoints: the entry in the endpoint list, and the state that each rule keeps per endpoint. Makes no
+//! decisions.
 
 use std::collections::VecDeque;
 
@@ -8,33 +8,33 @@
 use crate::slow_start::SlowStart;
 use crate::types::{DeduplicationScope, Endpoint, Millis, RequestId};
 
-/// Slots of an endpoint: requests that it may hold.
+/// Slots of an endpoint: the number of requests that it may have in flight.
 pub(crate) struct Slots {
-    /// Cores of the endpoint, as its size tells.
+    /// Cores of the endpoint, as derived from its weight.
     pub cores: f64,
-    /// Slots for all proxies together.
+    /// Slots of all proxies together.
     pub total: f64,
-    /// Slots that are this proxy's own.
+    /// Slots that this proxy owns.
     pub own: f64,
-    /// Cached count of own slots.
+    /// Cached number of own slots.
     pub ownership: Option<SlotOwnership>,
 }
 
-/// Number of this proxy's own slots among so many.
+/// Number of slots that this proxy owns, out of all slots of an endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct SlotOwnership {
-    /// Slots of the endpoint.
+    /// All slots of the endpoint.
     pub slots: u32,
-    /// Own ones of them.
+    /// Slots that this proxy owns.
     pub own: u32,
 }
 
-/// Attempts in flight at an endpoint.
+/// Numbers of attempts in flight at an endpoint.
 #[derive(Default)]
 pub(crate) struct InFlightCount {
-    /// Attempts of this proxy, including abandoned ones that are plausibly still processed.
+    /// Attempts of this proxy, including abandoned attempts that the endpoint is assumed to still process.
     pub own: u32,
-    /// Attempts of other proxies, as they report.
+    /// Attempts of other proxies, according to their reports.
     pub peers: u32,
 }
 
@@ -49,60 +49,60 @@
         self.own -= 1;
     }
 
-    /// Returns the attempts of all proxies, as far as this one knows.
+    /// Returns the number of known attempts of all proxies.
     pub fn total(&self) -> u32 {
         self.own.saturating_add(self.peers)
     }
 }
 
-/// Queued requests whose key has its home at an endpoint.
+/// Queued requests whose key has an endpoint as its home.
 #[derive(Default)]
 pub(crate) struct AffinityQueue {
-    /// Requests in their order; some may not be queued any more.
+    /// Requests in queueing order, including some that are no longer queued.
     pub requests: VecDeque<RequestId>,
-    /// Number of those that are.
+    /// Number of requests that are still queued.
     pub queued: u32,
 }
 
-/// Endpoint as this proxy knows it.
+/// State of an endpoint at this proxy.
 pub(crate) struct EndpointRecord {
     /// Entry in the endpoint list.
     pub entry: Endpoint,
-    /// Time at which its drain or removal was announced.
+    /// Time at which the endpoint's drain or removal was announced.
     pub unavailable_since: Option<Millis>,
-    /// The list has just shown a new process.
+    /// True if the list has reported a new process whose slow start has not begun yet.
     pub restarted: bool,
-    /// Index of its machine type; 0 if unknown.
+    /// Index of the machine type; 0 if unknown.
     pub machine_type: usize,
     /// Attempts in flight.
     pub in_flight: InFlightCount,
-    /// Number of other proxies that have ejected it.
+    /// Number of other proxies that have ejected the endpoint.
     pub ejecting_peers: u32,
-    /// Mean latency relative to the means of its requests' classes.
+    /// Mean latency relative to the means of the requests' classes.
     pub relative_latency: Ewma,
     /// Failures and ejections.
     pub health: HealthRecord,
-    /// Slow start.
+    /// Slow start state.
     pub slow_start: SlowStart,
-    /// Slots.
+    /// Slots of the endpoint.
     pub slots: Slots,
-    /// Expected latency relative to the mean of all endpoints, including a delay for zone crossing.
+    /// Expected latency relative to the mean of all endpoints, plus a penalty for crossing zones.
     pub cost: f64,
-    /// Speed band of the cost.
+    /// Speed band that corresponds to the cost.
     pub band: usize,
-    /// Factor on its hash score in the choice of a key's home; the smaller, the more keys.
+    /// Factor on the endpoint's hash score in the choice of a key's home; a smaller factor attracts more keys.
     pub affinity_factor: f64,
-    /// Queued requests of its keys.
+    /// Queued requests whose key has this endpoint as its home.
     pub affinity_queue: AffinityQueue,
-    /// It has a free slot, as of the last update. Requests of its keys may always take it, others while it is open in
-    /// a speed band.
+    /// True if the endpoint has a free slot, as of the last update. Requests whose home is this endpoint may always use
+    /// the slot; other requests may use it while the endpoint is open in a speed band.
     pub has_free_slot: bool,
-    /// It is open although it is warming up.
+    /// True if the endpoint is open while it is warming up.
     pub open_while_warming: bool,
 }
 
 impl EndpointRecord {
-    /// Creates the record of an endpoint that the list has just named.
+    /// Creates the record of a newly listed endpoint.
     pub fn new(entry: Endpoint, classes: usize, now: Millis) -> Self {
         EndpointRecord {
             entry,
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Returns true if the list says that it accepts requests.
+    /// Returns true if the endpoint accepts requests according to the list.
     pub fn accepts_requests(&self) -> bool {
         self.unavailable_since.is_none()
     }
 
-    /// Returns true if it drops repeats of a request whose first attempt went to `first`.
+    /// Returns true if the endpoint drops repeats of a request whose first attempt went to `first`.
     pub fn drops_repeats_of(&self, first: &EndpointRecord, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -16,7 +16,7 @@
         /// Entries of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// A request has arrived; it gets exactly one final answer.
+    /// A request has arrived. It receives exactly one final answer.
     Request {
         /// Identifies the request.
         id: RequestId,
@@ -26,16 +26,16 @@
         tenant: Option<TenantId>,
         /// Affinity key, if any.
         key: Option<Key>,
-        /// Time for which the client waits.
+        /// Time for which the client waits for an answer.
         timeout: Millis,
         /// Expected work on a standard core, if known.
         expected_work: Option<Millis>,
-        /// True if the whole body has arrived from the client. Otherwise it is streamed to the endpoint, and
+        /// True if the complete body has arrived from the client. Otherwise the body is streamed to the endpoint and
         /// [`Event::BodyComplete`] follows.
         body_complete: bool,
     },
-    /// The front end refuses a request as its tenant exceeds its share of the process; not to be confused with a
-    /// tenant's [quota](crate::Tenant::quota_per_second). The request is rejected at once and puts no load on
+    /// The front end rejects a request because its tenant exceeds its share of the process, which is distinct from the
+    /// tenant's [quota](crate::Tenant::quota_per_second). The request is rejected immediately and puts no load on
     /// endpoints.
     ProcessShareExceeded {
         /// Identifies the request.
@@ -43,44 +43,44 @@
         /// Time after which the front end expects to have capacity.
         retry_after: Millis,
     },
-    /// The last byte of a streamed body has been sent to an endpoint: the endpoint can process the request from now
-    /// on. Until then the module times no attempt of the request; the caller ends an upload that stalls.
+    /// The last byte of a streamed body has been sent to an endpoint, which can process the request from now on.
+    /// Until this event the module applies no timeout to attempts of the request; the caller aborts stalled uploads.
     BodyComplete {
         /// Identifies the request.
         id: RequestId,
-        /// Time for which the client waits from now on.
+        /// Time for which the client waits, counted from this event.
         timeout: Millis,
     },
-    /// The sent part of a streamed body is not buffered any more: the request can't be replayed.
+    /// The part of a streamed body that was already sent is no longer buffered: the request can't be replayed.
     BodyDiscarded(RequestId),
-    /// The client has received the beginning of a streamed response: no other answer can be given.
+    /// The client has received the beginning of a streamed response: no other answer is possible.
     ResponseStarted {
         /// Identifies the request.
         request: RequestId,
-        /// Attempt, counted from 0 in the order of sends.
+        /// Index of the attempt, counted from 0 in the order of sends.
         attempt: u32,
-        /// True if the endpoint has finished its work, so that only the transfer to the client remains.
+        /// True if the endpoint has finished processing and only the transfer to the client remains.
         processing_done: bool,
     },
-    /// Settings have changed. Classes and tenants keep their indices, new ones follow them. Properties of the proxy
-    /// itself (index, count, zone, discovery) stay as they were at the start. A request in progress keeps its
-    /// idempotency and its number of attempts.
+    /// Settings have changed. Existing classes and tenants keep their indices; new ones are appended. Properties of the
+    /// proxy itself (index, count, zone, discovery) keep their initial values. A request in progress keeps its
+    /// idempotency and its maximum number of attempts.
     Settings(Box<Settings>),
-    /// Endpoint health from a former instance of the module. Comes after the first endpoint list and before all
+    /// Endpoint health from a previous instance of the module. Must follow the first endpoint list and precede all
     /// requests.
     HealthRestored(Box<HealthSnapshot>),
-    /// The number of proxies has changed; shared capacity is divided anew.
+    /// The number of proxies has changed; shared capacity is redistributed.
     ProxyCount {
         /// Index of this proxy.
         proxy_index: u32,
         /// Number of proxies, at least 1.
         proxy_count: u32,
     },
-    /// The response to an attempt carried a load report; the end of the attempt follows.
+    /// The response to an attempt carried a load report; [`Event::AttemptEnded`] follows.
     LoadReport {
         /// Identifies the request.
         request: RequestId,
-        /// Attempt of the request.
+        /// Index of the attempt.
         attempt: u32,
         /// Reported load.
         load: LoadReport,
@@ -89,17 +89,17 @@
     AttemptEnded {
         /// Identifies the request.
         request: RequestId,
-        /// Attempt of the request.
+        /// Index of the attempt.
         attempt: u32,
         /// Time since the attempt was sent.
         latency: Millis,
         /// Result of the attempt.
         outcome: Outcome,
-        /// True if the request is finished. Must be true once [`Event::ResponseStarted`] was given for the request and
-        /// its response has ended, however it ended: this is all that keeps the request from a retry then.
+        /// True if the request is finished. Must be true if [`Event::ResponseStarted`] preceded for the request and the
+        /// response has ended, successfully or not: only this flag prevents a retry in that case.
         request_finished: bool,
     },
-    /// The client has disconnected; no answer is due any more.
+    /// The client has disconnected and no longer needs an answer.
     ClientDisconnected(RequestId),
     /// A timer set with [`Action::Timer`](crate::Action::Timer) has expired.
     Timer(u64),
--- a/crates/balancer/src/health_snapshot.rs
+++ b/crates/balancer/src/health_snapshot.rs
@@ -1,5 +1,6 @@
-//! Endpoint health that outlives an instance of the decision module: ejections and slow start budgets. Latency
-//! estimates are not part of it; they are learned anew. Snapshots are taken and restored by `health_transfer`.
+//! Endpoint health that is transferred between instances of the decision module: ejections and slow start budgets.
+//! Latency estimates are not part of it; a new instance learns them again. `health_transfer` creates and restores
+//! snapshots.
 
 use crate::types::{ClassId, EndpointId, Millis};
 
@@ -17,37 +18,37 @@
 pub struct EndpointHealth {
     /// Identifies the endpoint.
     pub id: EndpointId,
-    /// Start of its process; the rest is void for a later process.
+    /// Start of the endpoint's process; the other fields don't apply to a later process.
     pub started_at: Option<Millis>,
     /// Ejection for all classes.
     pub overall: Option<Ejection>,
     /// Ejections for single classes.
     pub by_class: Vec<(ClassId, Ejection)>,
-    /// Slow start budget while it is warming up.
+    /// Slow start budget while the endpoint is warming up.
     pub slow_start: Option<SlowStartBudget>,
 }
 
 /// Ejection of an endpoint and its recovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ejection {
-    /// Running mean of failed attempts, as a fraction.
+    /// Moving average of the fraction of failed attempts.
     pub failure_mean: f64,
     /// End of the ejection, on the module's clock.
     pub ejected_until: Millis,
-    /// Base for the length of the next ejection, before it is extended and varied.
+    /// Base duration of the next ejection, before it is extended and jitter is applied.
     pub backoff: Millis,
-    /// True from the ejection until the endpoint has responded well for a while. Once the ejection is over, it gets one
-    /// request at a time.
+    /// True from the ejection until enough attempts have succeeded. Once the ejection is over, the endpoint gets one
+    /// request at a time while this is true.
     pub on_probation: bool,
 }
 
 /// Budget of requests for an endpoint that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartBudget {
-    /// Requests that may be sent at `updated_at`.
+    /// Tokens, in requests of mean work, as of `updated_at`.
     pub tokens: f64,
     /// Time of the last update.
     pub updated_at: Millis,
-    /// Largest cost, in requests of mean work, that is allowed for one token.
+    /// Maximum cost, in requests of mean work, that one token covers.
     pub max_cost: f64,
 }
--- a/crates/balancer/src/health_transfer.rs
+++ b/crates/balancer/src/health_transfer.rs
@@ -1,5 +1,5 @@
-//! Transfer of endpoint health between instances of the module: takes health snapshots of the state and restores
-//! them. Decides nothing. The snapshot's types are in `health_snapshot`.
+//! Transfer of endpoint health between instances of the module: creates health snapshots of the state and restores
+//! them. Makes no decisions. The snapshot's types are in `health_snapshot`.
 
 use crate::endpoint::EndpointRecord;
 use crate::health_snapshot::{EndpointHealth, HealthSnapshot};
@@ -7,7 +7,7 @@
 use crate::types::{ClassId, EndpointState, Millis};
 
 impl State {
-    /// Takes a snapshot of ejections and slow start budgets.
+    /// Creates a snapshot of ejections and slow start budgets.
     pub fn health_snapshot(&self, now: Millis) -> HealthSnapshot {
         let endpoints = self
             .endpoints
@@ -36,12 +36,12 @@
                 .slow_start
                 .snapshot(started_at, &self.settings.limits, now),
         };
-        let notable =
+        let has_content =
             health.overall.is_some() || !health.by_class.is_empty() || health.slow_start.is_some();
-        notable.then_some(health)
+        has_content.then_some(health)
     }
 
-    /// Restores a snapshot for endpoints that are known by now. Health of a former process of an endpoint is void.
+    /// Restores a snapshot for the endpoints that are listed. Health of a previous process of an endpoint is ignored.
     pub fn restore_health(&mut self, snapshot: &HealthSnapshot, now: Millis) {
         for index in self.restore_records(snapshot) {
             self.refresh_endpoint(index, self.capacity_fraction(index, now), now);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,47 +1,47 @@
 //! Decision module of a reverse proxy: decides which endpoint gets which request, and when.
 //!
-//! It has no sockets and no clock: feed a [`Balancer`] through [`Balancer::handle`] with the [`Event`]s that the
-//! proxy sees, each with its time, and carry out the [`Action`]s that it returns. All chance comes from one seed.
+//! The module has no sockets and no clock. The caller passes each [`Event`] with its time to [`Balancer::handle`] and
+//! carries out the [`Action`]s that it returns. All randomness comes from one seed.
 //!
-//! Interface: `types`, `settings`, `health_snapshot`, `event`, `action`. Each rule is a module with its constants;
-//! `deploy/balancer.toml` names them all under `policy`.
+//! Interface: `types`, `settings`, `health_snapshot`, `event`, `action`. Each rule is a module with its own constants;
+//! `deploy/balancer.toml` lists all of these modules under `policy`.
 //!
-//! A module imports only modules above it in this list, and only those marked with a star decide;
-//! `tests/source_rules.rs` enforces both. Most rules are methods of `State`: their calls go upward in the list too, but
-//! imports can't show that and no test holds it.
+//! A module imports only modules that precede it in this table, and only modules marked with a star make decisions;
+//! `tests/source_rules.rs` enforces both. Most rules are methods of `State`. They too call only methods of preceding
+//! modules, but such calls need no import, so no test enforces it.
 //!
 //! | module | content |
 //! | --- | --- |
 //! | `types`, `settings`, `health_snapshot`, `event`, `action` | interface |
-//! | `hash`, `ewma` | hash of two numbers, exponentially weighted mean |
+//! | `hash`, `ewma` | hash of two numbers, exponentially weighted moving average |
 //! | `timing`* | periods, margins and timer tokens that several rules share |
-//! | `threshold`* | forward to a slower endpoint now, or wait |
-//! | `speed_bands`* | which endpoints count as equally fast |
-//! | `arrival_rate`*, `tenant_quota`* | arrivals, quotas |
+//! | `threshold`* | queue length from which a request goes to a slower endpoint instead of waiting |
+//! | `speed_bands`* | groups of endpoints that count as equally fast |
+//! | `arrival_rate`*, `tenant_quota`* | arrival rate, tenant quotas |
 //! | `latency_estimator`* | latencies per class, machine type and endpoint |
 //! | `outlier_detection`* | ejection, backoff, probation, panic threshold |
 //! | `slow_start`* | requests to an endpoint that is warming up |
 //! | `endpoint` | record of an endpoint |
 //! | `concurrency_limit`* | slots per endpoint, window of requests in flight |
 //! | `request` | record of a request and its attempts |
-//! | `retry`* | repeats, retry budget, lost responses |
+//! | `retry`* | permission to retry, retry budget, lost responses |
 //! | `queue`* | priority of queued requests |
-//! | `in_flight` | attempts in flight and slots they take |
+//! | `in_flight` | attempts in flight and the slots that they occupy |
 //! | `gossip_message` | encoding of reports between proxies |
 //! | `gossip`* | validity and frequency of reports between proxies |
-//! | `state` | all state, on which the rules below work |
-//! | `availability`* | cost of an endpoint, and whether it is open |
-//! | `endpoint_selection`* | endpoint for a request |
+//! | `state` | complete state, on which the following rules operate |
+//! | `availability`* | cost and availability of an endpoint |
+//! | `endpoint_selection`* | choice of the endpoint for a request |
 //! | `forwarding`* | order of queued requests, attempt timeouts |
-//! | `final_answer`* | rejection or failure, when it is due, Retry-After |
-//! | `attempts`* | consequences of an attempt's progress and end |
+//! | `final_answer`* | rejection or failure, its due time, Retry-After |
+//! | `attempts`* | effects of an attempt's progress and end |
 //! | `stall_detection`* | silent attempts, hanging endpoints |
-//! | `admission`* | acceptance on arrival, load shedding |
+//! | `admission`* | admission on arrival, load shedding |
 //! | `endpoint_list`* | additions, drains, removals, subscription |
 //! | `peer_reports`* | exchange of reports with other proxies |
 //! | `reconfiguration`* | new settings, number of proxies |
-//! | `health_transfer` | taking and restoring health snapshots |
-//! | `maintenance`* | ticks and reviews |
+//! | `health_transfer` | creation and restoration of health snapshots |
+//! | `maintenance`* | periodic ticks and reviews |
 //! | `balancer`* | dispatch of events |
 
 #![deny(
--- a/crates/balancer/src/queue.rs
+++ b/crates/balancer/src/queue.rs
@@ -1,7 +1,7 @@
-//! Queue of requests that await their first attempt or a retry, by class and quota; and their priority. New requests
-//! are queued oldest first, retries before them.
+//! Queue of requests that wait for their first attempt or for a retry, by class and quota, and priority of requests.
+//! Within a lane, retries precede new requests, which are ordered by arrival.
 //!
-//! Which endpoint a request goes to, and whether it may go yet, is decided elsewhere.
+//! `endpoint_selection` decides which endpoint a request goes to and when.
 
 use std::collections::VecDeque;
 
@@ -13,7 +13,7 @@
 
 /// Fraction of the latency objective over which slack reduces a request's priority.
 const SLACK_SCALE: f64 = 0.5;
-/// Least expected latency in a priority.
+/// Minimum expected latency in the calculation of a priority.
 const MIN_LATENCY: Millis = 0.1;
 
 /// All requests in progress.
@@ -21,17 +21,17 @@
 
 /// Queued requests.
 pub(crate) struct Queue {
-    /// Two lanes per class: within the tenant's quota and beyond it.
+    /// Two lanes per class: for requests within the tenant's quota and for requests beyond it.
     lanes: Vec<VecDeque<RequestId>>,
     queued: usize,
 }
 
-/// Position in the queue for a request.
+/// Position at which a request is queued.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Position {
-    /// Before all others of its lane: a retry.
+    /// At the front of its lane; used for retries.
     Front,
-    /// After all others of its lane.
+    /// At the back of its lane.
     Back,
 }
 
@@ -64,7 +64,7 @@
         self.lanes.len()
     }
 
-    /// Appends a request, or puts it first.
+    /// Adds a request at a position.
     pub fn push(&mut self, id: RequestId, request: &mut Request, position: Position) {
         request.status.queued = true;
         self.queued += 1;
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Takes a request out. Its entry in the lane stays until it is met.
+    /// Removes a request. Its entry in the lane stays until a lookup finds it.
     pub fn remove(&mut self, request: &mut Request) {
         request.status.queued = false;
         self.queued -= 1;
     }
 
-    /// Removes the entry at a place of a lane.
-    pub fn remove_entry(&mut self, lane: usize, place: usize) {
-        self.lanes[lane].remove(place);
+    /// Removes the entry at an index of a lane.
+    pub fn remove_entry(&mut self, lane: usize, index: usize) {
+        self.lanes[lane].remove(index);
     }
 
-    /// Returns the request at a place of a lane; drops entries of requests that are not queued any more.
+    /// Returns the request at an index of a lane, after dropping entries of requests that are no longer queued.
     pub fn request_at(
         &mut self,
         lane: usize,
-        place: usize,
+        index: usize,
         requests: &Requests,
     ) -> Option<RequestId> {
         let lane = &mut self.lanes[lane];
@@ -99,10 +99,10 @@
                 .get(id)
                 .is_none_or(|request| !request.status.queued)
         };
-        while lane.get(place).is_some_and(is_stale) {
-            lane.remove(place);
+        while lane.get(index).is_some_and(is_stale) {
+            lane.remove(index);
         }
-        lane.get(place).copied()
+        lane.get(index).copied()
     }
 
     /// Iterates over the entries of a lane.
@@ -111,8 +111,8 @@
     }
 }
 
-/// Returns the priority of a request: its weight per time that it takes, discounted by its slack. So the weight
-/// decides under overload, and urgency otherwise.
+/// Returns the priority of a request: its priority weight divided by its expected latency, discounted by its slack.
+/// Under overload the weight dominates, otherwise urgency does.
 pub(crate) fn priority(
     request: &Request,
     class_latency: Millis,
@@ -132,7 +132,7 @@
     earned_fraction(request, class, slack, settings) * weight / latency * urgency
 }
 
-/// Returns the fraction of the priority weight that a request with this slack still earns.
+/// Returns the fraction of the priority weight that a request with this slack earns.
 fn earned_fraction(request: &Request, class: &Class, slack: Millis, settings: &Settings) -> f64 {
     let quota_fraction = if request.over_quota {
         settings.over_quota_weight_fraction
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,81 +1,82 @@
-//! Requests in progress and their attempts, as this proxy knows them. Decides nothing.
+//! Records of requests in progress and of their attempts. Makes no decisions.
 
 use crate::types::{Idempotency, LoadReport, Millis};
 
-/// Request without a final answer, or with attempts in flight.
+/// Request that has no final answer yet or has attempts in flight.
 pub(crate) struct Request {
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Rule for repeating it, as of its arrival.
+    /// Constraint on repeating the request, as of its arrival.
     pub idempotency: Idempotency,
-    /// Attempts that it may have, as of its arrival.
+    /// Maximum number of attempts, as of the request's arrival.
     pub max_attempts: usize,
-    /// Expected work relative to the mean of its class.
+    /// Expected work relative to the mean of the class.
     pub relative_work: f64,
-    /// True if it exceeds its tenant's quota.
+    /// True if the request exceeds its tenant's quota.
     pub over_quota: bool,
     /// Time until which a response earns the full priority weight.
     pub objective_at: Millis,
-    /// Time at which its client gives up.
+    /// Time at which the client stops waiting.
     pub deadline: Millis,
-    /// Affinity key, 0 for none.
+    /// Affinity key; 0 if the request has none.
     pub key: u64,
-    /// Index of the endpoint that its key prefers.
+    /// Index of the home of the request's key.
     pub home: Option<usize>,
-    /// State of its body.
+    /// State of the request's body.
     pub body: Body,
     /// Attempts in the order of sends.
     pub attempts: Vec<Attempt>,
-    /// Progress of its processing.
+    /// Progress of the request.
     pub status: Status,
 }
 
 /// State of a request's body.
 pub(crate) struct Body {
-    /// The whole body had arrived with the request, or its last byte has been sent to an endpoint since.
+    /// True if the complete body arrived with the request, or its last byte has been sent to an endpoint.
     pub complete: bool,
-    /// The whole body can be sent again.
+    /// True if the complete body can be sent again.
     pub replayable: bool,
 }
 
-/// Progress of a request. The parts are independent: an answered request may still have an attempt whose response
-/// has begun.
+/// Progress of a request. The flags are independent: a request with a final answer may still have an attempt whose
+/// response has started.
 #[derive(Default)]
 pub(crate) struct Status {
-    /// It is queued for an attempt.
+    /// The request is queued for an attempt.
     pub queued: bool,
     /// The client has received the beginning of a response.
     pub response_started: bool,
-    /// No further answer is due.
+    /// The request needs no further answer.
     pub finished: bool,
 }
 
 /// State of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// Awaiting the response.
+    /// The response is pending.
     InFlight,
-    /// Awaiting the response for so long that the endpoint was blamed and the slot released.
+    /// The response has been pending for so long that it was counted as a failure of the endpoint and the slot was
+    /// released.
     Silent,
-    /// Ended, or its response is complete at the endpoint.
+    /// The attempt has ended, or the endpoint has finished processing it.
     Ended,
 }
 
 /// Attempt of a request.
 pub(crate) struct Attempt {
-    /// Index of its endpoint.
+    /// Index of the attempt's endpoint.
     pub endpoint: usize,
-    /// Time of the send, or of the body's last byte if that came later.
+    /// Time of the send, or of the send of the body's last byte if that was later.
     pub sent_at: Millis,
-    /// State.
+    /// Current state.
     pub state: AttemptState,
-    /// Its endpoint was warming up when it was sent.
+    /// True if the endpoint was warming up at the send.
     pub to_warming_endpoint: bool,
-    /// It found its endpoint idle.
+    /// True if the endpoint was idle at the send.
     pub found_idle: bool,
-    /// Load of its endpoint, as reported with the response.
+    /// Load of the endpoint, as reported with the response.
     pub load: LoadReport,
-    /// It may have had its effect.
+    /// True if the request may have taken effect through this attempt.
     pub may_have_run: bool,
 }
 
@@ -87,12 +88,12 @@
             .any(|attempt| attempt.state != AttemptState::Ended)
     }
 
-    /// Returns true if an attempt may have had its effect.
+    /// Returns true if the request may have taken effect.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
 
-    /// Returns true if an endpoint has had an attempt.
+    /// Returns true if an attempt was sent to the endpoint.
     pub fn was_sent_to(&self, endpoint: usize) -> bool {
         self.attempts
             .iter()
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -2,34 +2,34 @@
 
 use crate::types::{Idempotency, Millis, ZoneId};
 
-/// Class of requests with a common latency objective and priority.
+/// Request class with a latency objective and a priority.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Latency within which a response earns its full priority weight.
+    /// Latency up to which a response earns the full priority weight.
     pub latency_objective: Millis,
-    /// Time for which a client waits at most.
+    /// Maximum time for which a client waits.
     pub deadline: Millis,
     /// Multiple of a request's expected work that is added to the latency objective, up to the deadline.
     pub objective_work_multiple: f64,
     /// Priority weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that a response past the latency objective still earns.
+    /// Fraction of the priority weight that a response earns after the latency objective.
     pub late_weight_fraction: f64,
-    /// Rule for repeating a request.
+    /// Constraint on repeating a request.
     pub idempotency: Idempotency,
 }
 
-/// Tenant and its quota.
+/// Tenant with its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second, over all proxies, that keep their full priority weight.
+    /// Requests per second, summed over all proxies, that keep their full priority weight.
     pub quota_per_second: f64,
 }
 
 /// Delivery of endpoint list updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Updates arrive unrequested.
+    /// Updates arrive without a request.
     Pushed,
     /// Updates arrive only after [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
@@ -43,7 +43,7 @@
     Unspecified,
     /// Capacity, at least approximately.
     Capacity,
-    /// Capacity less the load of some time ago.
+    /// Capacity minus a recent but delayed value of the load.
     AvailableCapacity,
 }
 
@@ -54,19 +54,20 @@
     pub cross_zone: f64,
 }
 
-/// Limits that every proxy observes. Two more hold without a setting: an endpoint that is draining or removed gets
-/// no new attempts, and a request has at most one attempt in flight.
+/// Limits that every proxy observes. Two further limits are not configurable: an endpoint that is draining or removed
+/// gets no new attempts, and a request has at most one attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Fraction of its capacity that a just started endpoint has at least.
+    /// Minimum fraction of its capacity that an endpoint has right after its start.
     pub initial_capacity_fraction: f64,
-    /// Span after which a started endpoint has its full capacity at the latest.
+    /// Maximum time from its start until an endpoint has its full capacity.
     pub warm_up: Millis,
-    /// Multiple of its current capacity: a warming endpoint that gets more for the overload window is overloaded.
+    /// Multiple of its current capacity above which load overloads a warming endpoint, if sustained for the overload
+    /// window.
     pub overload_multiple: f64,
-    /// Span for which load above that multiple overloads a warming endpoint.
+    /// Time for which load above the overload multiple has to last to overload a warming endpoint.
     pub overload_window: Millis,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
 }
 
@@ -83,19 +84,20 @@
     pub classes: Vec<Class>,
     /// Tenants, if any.
     pub tenants: Vec<Tenant>,
-    /// Fraction of its class's priority weight that a request beyond its tenant's quota keeps.
+    /// Fraction of the class's priority weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight_fraction: f64,
-    /// Counts priority weights per unit of work instead of per request.
+    /// Applies priority weights per unit of work instead of per request.
     pub weight_by_work: bool,
     /// Delivery of endpoint list updates.
     pub discovery: Discovery,
     /// Meaning of the weights in the endpoint list.
     pub weight_meaning: WeightMeaning,
-    /// Sends requests with the same key to the same endpoint, which does less work for a key that it knows.
+    /// Sends requests with the same key to the same endpoint, which needs less work for keys that it has processed
+    /// before.
     pub key_affinity: bool,
     /// Allows messages between proxies.
     pub gossip_enabled: bool,
-    /// Longest Retry-After that a rejection may name; `None` if rejections can't name one.
+    /// Maximum Retry-After of a rejection; `None` if rejections carry no Retry-After.
     pub max_retry_after: Option<Millis>,
     /// Costs of attempts.
     pub costs: Costs,
--- a/crates/balancer/src/speed_bands.rs
+++ b/crates/balancer/src/speed_bands.rs
@@ -1,43 +1,44 @@
-//! Speed bands: groups endpoints of similar speed, so that the fastest open one is found without a scan.
+//! Speed bands: groups of endpoints of similar speed, by which the fastest open endpoint is found without a scan.
 //!
-//! Endpoints of one band count as equally fast; which of them is open is decided elsewhere.
+//! Endpoints of one band count as equally fast. An endpoint is open if it may receive requests now, which
+//! `availability` decides.
 
 /// Number of bands.
 const BAND_COUNT: usize = 48;
-/// Ratio of speeds between neighbouring bands; finer differences are noise.
+/// Ratio of speeds between adjacent bands; smaller differences are noise.
 const BAND_RATIO: f64 = 1.2;
-/// Least cost of an endpoint in its logarithm.
+/// Minimum cost of an endpoint whose logarithm is taken.
 const MIN_COST: f64 = 1e-9;
-/// Slots below which a sum is a rounding residue.
+/// Sum of slots below which only rounding errors remain.
 const SLOT_RESIDUE: f64 = 1e-6;
 
 /// Endpoints by speed band.
 pub(crate) struct SpeedBands {
     bands: Vec<Band>,
     bands_per_ln: f64,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
 }
 
-/// One speed band.
+/// Speed band.
 #[derive(Default)]
 pub(crate) struct Band {
     /// Speed relative to the mean of all endpoints.
     pub speed: f64,
-    /// Open endpoints, by index.
+    /// Indices of the open endpoints.
     pub open: Vec<u32>,
-    /// Slots of this proxy at endpoints of the band.
+    /// Own slots of this proxy at endpoints of the band.
     pub slots: f64,
 }
 
-/// Registration of an endpoint.
+/// Contribution of an endpoint to the bands.
 #[derive(Clone, Default)]
-struct Entry {
+struct EndpointEntry {
     slot_band: usize,
     slots: f64,
     open_at: Option<OpenPosition>,
 }
 
-/// Position of an open endpoint.
+/// Position of an open endpoint in its band.
 #[derive(Clone, Copy)]
 struct OpenPosition {
     band: usize,
@@ -45,7 +46,7 @@
 }
 
 impl SpeedBands {
-    /// Creates empty bands, from the fastest to the slowest.
+    /// Creates empty bands, ordered from the fastest to the slowest.
     pub fn new() -> Self {
         let middle = BAND_COUNT as f64 / 2.0;
         let band = |index: usize| Band {
@@ -59,19 +60,19 @@
         }
     }
 
-    /// Iterates over the bands, the fastest first.
+    /// Iterates over the bands, starting with the fastest.
     pub fn iter(&self) -> std::slice::Iter<'_, Band> {
         self.bands.iter()
     }
 
-    /// Returns the band of an endpoint with this cost: its latency relative to the mean.
+    /// Returns the band of an endpoint with this cost, which is its latency relative to the mean.
     pub fn band_of(&self, cost: f64) -> usize {
         let middle = BAND_COUNT as f64 / 2.0;
         let position = cost.max(MIN_COST).ln() * self.bands_per_ln + middle + 0.5;
         position.clamp(0.0, BAND_COUNT as f64 - 1.0) as usize
     }
 
-    /// Returns the band that is slower by so many bands.
+    /// Returns the band `by` bands below, or the slowest band.
     pub fn slower(&self, band: usize, by: usize) -> usize {
         (band + by).min(BAND_COUNT - 1)
     }
@@ -83,7 +84,7 @@
             .is_some_and(|entry| entry.open_at.is_some())
     }
 
-    /// Registers an endpoint: its slots under `slot_band`, itself under `open_band` if it is open.
+    /// Updates an endpoint: adds its slots to `slot_band`, and lists it as open in `open_band` if that is given.
     pub fn update(
         &mut self,
         endpoint: usize,
@@ -91,11 +92,13 @@
         slots: f64,
         open_band: Option<usize>,
     ) {
-        self.entries
-            .resize(self.entries.len().max(endpoint + 1), Entry::default());
+        self.entries.resize(
+            self.entries.len().max(endpoint + 1),
+            EndpointEntry::default(),
+        );
         self.move_slots(endpoint, slot_band, slots);
-        let present = self.entries[endpoint].open_at.map(|at| at.band);
-        if present == open_band {
+        let current = self.entries[endpoint].open_at.map(|at| at.band);
+        if current == open_band {
             return;
         }
         self.close(endpoint);
@@ -106,10 +109,10 @@
 
     fn move_slots(&mut self, endpoint: usize, slot_band: usize, slots: f64) {
         let entry = &mut self.entries[endpoint];
-        let former = &mut self.bands[entry.slot_band].slots;
-        *former -= entry.slots;
-        if *former < SLOT_RESIDUE {
-            *former = 0.0;
+        let previous = &mut self.bands[entry.slot_band].slots;
+        *previous -= entry.slots;
+        if *previous < SLOT_RESIDUE {
+            *previous = 0.0;
         }
         self.bands[slot_band].slots += slots;
         entry.slot_band = slot_band;
--- a/crates/balancer/src/tenant_quota.rs
+++ b/crates/balancer/src/tenant_quota.rs
@@ -1,12 +1,12 @@
-//! Tenant quotas: which requests keep their full priority weight.
+//! Tenant quotas: determine which requests keep their full priority weight.
 //!
-//! A request beyond its tenant's quota is not rejected for that; it only counts less when requests compete.
-//! A tenant's share of the process is enforced elsewhere, by the front end ([`crate::Event::ProcessShareExceeded`]).
+//! A request beyond its tenant's quota is not rejected for that reason; it only has a lower priority among queued
+//! requests. The front end enforces a tenant's share of the process ([`crate::Event::ProcessShareExceeded`]).
 
 use crate::settings::Tenant;
 use crate::types::Millis;
 
-/// Span of quota that a tenant may save up.
+/// Time over which a tenant may accumulate unused quota.
 const BURST: Millis = 1000.0;
 
 /// Token buckets of all tenants.
@@ -15,7 +15,7 @@
 }
 
 impl TenantQuotas {
-    /// Creates buckets with one request for each tenant.
+    /// Creates buckets that hold one request for each tenant.
     pub fn new(tenants: usize) -> Self {
         TenantQuotas {
             tokens: vec![1.0; tenants],
@@ -27,7 +27,7 @@
         self.tokens.resize(tenants, 1.0);
     }
 
-    /// Takes one request off a tenant's quota; returns false if it is used up.
+    /// Takes one request from a tenant's quota; returns false if the quota is used up.
     pub fn try_take(&mut self, tenant: usize) -> bool {
         let Some(tokens) = self.tokens.get_mut(tenant) else {
             return true;
@@ -37,11 +37,11 @@
         within
     }
 
-    /// Refills the buckets for a span; each proxy has an equal part of a quota.
-    pub fn refill(&mut self, span: Millis, tenants: &[Tenant], proxy_count: u32) {
+    /// Refills the buckets for an elapsed time; each proxy has an equal part of a quota.
+    pub fn refill(&mut self, elapsed: Millis, tenants: &[Tenant], proxy_count: u32) {
         for (tokens, tenant) in self.tokens.iter_mut().zip(tenants) {
             let per_ms = tenant.quota_per_second / 1000.0 / f64::from(proxy_count);
-            *tokens = (*tokens + per_ms * span).min(per_ms * BURST + 1.0);
+            *tokens = (*tokens + per_ms * elapsed).min(per_ms * BURST + 1.0);
         }
     }
 }
--- a/crates/balancer/src/threshold.rs
+++ b/crates/balancer/src/threshold.rs
@@ -1,15 +1,15 @@
-//! Threshold of the two-speed queue: forward to a slower endpoint now, or wait for a faster slot.
+//! Threshold of the two-speed queue: decides between forwarding to a slower endpoint now and waiting for a faster slot.
 //!
-//! Symbols and formula numbers are those of the paper that `docs/design.md` names.
+//! Symbols and formula numbers are those of the paper cited in `docs/design.md`.
 
-/// Returns the number of queued requests up to which waiting beats a slower slot: the largest τ in 0..=m(R−1) for which
-/// (3.3) is negative.
+/// Returns the maximum number of queued requests for which waiting is better than a slower slot: the largest τ in
+/// 0..=m(R−1) for which (3.3) is negative.
 ///
-/// `m` is the number of faster slots, `rho` their utilization, `ratio` the speed of the faster slots over that of the
-/// slower one.
+/// `m` is the number of faster slots, `rho` their utilization, and `ratio` (R) the speed of the faster slots divided by
+/// that of the slower slot.
 ///
-/// τ/(1−ρ) + (ρ^τ−1)/(1−ρ)² is the sum of g_k over k < τ, with g_0 = 0 and g_{k+1} = 1 + ρ·g_k. That form
-/// has no division and holds at ρ = 1 too.
+/// The term τ/(1−ρ) + (ρ^τ−1)/(1−ρ)² is computed as the sum of g_k over k < τ, with g_0 = 0 and g_{k+1} = 1 + ρ·g_k.
+/// This form has no division and also holds at ρ = 1.
 pub fn threshold(m: f64, rho: f64, ratio: f64) -> u32 {
     let top = m * (ratio - 1.0);
     let blocking = erlang_b(m, rho);
@@ -27,7 +27,8 @@
     tau
 }
 
-/// Returns the blocking probability of `slots` slots at a utilization, by the stable recursion of Erlang B.
+/// Returns the blocking probability of `slots` slots at a utilization, by the numerically stable recursion of the
+/// Erlang B formula.
 fn erlang_b(slots: f64, utilization: f64) -> f64 {
     let load = slots * utilization;
     let mut blocking = 1.0;
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -1,15 +1,15 @@
 //! Identifiers and descriptions that settings, events and actions share.
 //!
-//! Points in time are milliseconds on one clock that never runs backwards; spans are milliseconds too.
+//! Points in time are milliseconds on one monotonic clock; durations are milliseconds too.
 
-/// A point in time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// Identifies a request; numbered by the caller and never used twice.
+/// Identifies a request; assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Identifies an endpoint. All proxies use the same number for the same endpoint, for instance a hash of its name.
+/// Identifies an endpoint. All proxies use the same number for the same endpoint, for example a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// Identifies a network zone; numbered by the caller.
+/// Identifies a network zone; assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneId(pub u32);
 
-/// Identifies a machine type; numbered by the caller.
+/// Identifies a machine type; assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineTypeId(pub u32);
 
-/// Identifies a cell: a few endpoints that deduplicate requests by idempotency key among themselves.
+/// Identifies a cell: a small group of endpoints that deduplicate requests by idempotency key among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellId(pub u64);
 
@@ -37,20 +37,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key(pub u64);
 
-/// Rule for repeating a request.
+/// Constraint on repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Repeating it has no further effect.
+    /// Repeating the request has no further effect.
     Idempotent,
-    /// It carries an idempotency key, by which endpoints drop repeats for a limited time.
+    /// The request carries an idempotency key, by which endpoints drop repeats for a limited time.
     IdempotencyKey {
-        /// Endpoints that know of each other's attempts.
+        /// Endpoints that recognize repeats of each other's requests.
         scope: DeduplicationScope,
-        /// Time for which repeats are dropped, from the send of the first attempt that may have run; for a streamed body, from the
-        /// send of its last byte.
+        /// Time for which repeats are dropped, counted from the send of the first attempt that may have run; for a
+        /// streamed body, from the send of its last byte.
         deduplication_window: Millis,
     },
-    /// It must never run twice.
+    /// The request must not run more than once.
     NonIdempotent,
 }
 
@@ -70,9 +70,9 @@
 pub enum EndpointState {
     /// Accepts requests.
     Up,
-    /// Finishes requests in flight and accepts no new ones.
+    /// Completes requests in flight and accepts no new ones.
     Draining,
-    /// Not listed any more.
+    /// No longer listed.
     Removed,
 }
 
@@ -91,7 +91,7 @@
     pub state: EndpointState,
     /// Advertised weight; see [`WeightMeaning`](crate::WeightMeaning).
     pub weight: f64,
-    /// Last start of its process; `None` if it has been up for long.
+    /// Time of the last start of the endpoint's process; `None` if it started long ago.
     pub started_at: Option<Millis>,
 }
 
@@ -100,10 +100,10 @@
 pub enum UpdateScope {
     /// Changed entries only.
     Delta,
-    /// Complete list: endpoints that it lacks are removed.
+    /// Complete list: endpoints missing from it are removed.
     Full,
-    /// Complete list as stored before a restart, possibly stale. Handled like [`UpdateScope::Delta`]: it removes
-    /// nothing.
+    /// Complete list as stored before a restart, possibly stale. Handled like [`UpdateScope::Delta`]: no endpoint is
+    /// removed.
     Cached,
     /// The update failed; the previous list stays in force.
     Failed,
@@ -116,7 +116,7 @@
     Served,
     /// The endpoint answered with an error.
     Error,
-    /// The endpoint rejected the request unprocessed, as it is overloaded.
+    /// The endpoint rejected the request without processing it, because it is overloaded.
     Overloaded,
     /// No response within the timeout.
     TimedOut,
@@ -131,7 +131,7 @@
 }
 
 impl Outcome {
-    /// Returns true if the attempt may have had its effect.
+    /// Returns true if the request may have taken effect.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -145,13 +145,13 @@
 pub struct LoadReport {
     /// Requests accepted and not yet answered.
     pub in_flight: Option<f64>,
-    /// Requests queued there.
+    /// Requests queued at the endpoint.
     pub queued: Option<f64>,
 }
 
 impl LoadReport {
-    /// Returns requests per core for an endpoint with `cores` cores; `None` if nothing was reported. Where only
-    /// the queue is reported, each core is assumed to process one request.
+    /// Returns the requests per core of an endpoint with `cores` cores; `None` if nothing was reported. If only the
+    /// queue length is reported, each core is assumed to process one request.
     pub fn per_core(self, cores: f64) -> Option<f64> {
         let queued_per_core = |queued: f64| {
             if queued > 0.0 {
