--- a/crates/balancer/src/forwarding.rs
+++ b/crates/balancer/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding: takes requests from the queue by priority and starts their attempts.
+//! Forwarding: takes requests from the queue in order of priority and starts their attempts.
 
 use crate::action::Action;
 use crate::latency_estimator::SILENCE_MULTIPLE;
@@ -9,57 +9,57 @@
 use crate::timing::{DEADLINE_MARGIN, TICK};
 use crate::types::{Idempotency, LoadReport, Millis, RequestId};
 
-/// Queued requests that are selected without success before forwarding stops for this event.
+/// Number of queued requests without a selected endpoint after which forwarding stops for the current event.
 const MAX_FAILED_SELECTIONS: usize = 6;
-/// Multiple of the expected latency that must be left for a retry when an attempt times out early.
+/// Time that must be left for a retry if an attempt times out early, as a multiple of the expected latency.
 const RETRY_LATENCY_FACTOR: f64 = 2.0;
-/// Place in a lane whose remaining requests are not tried.
+/// Index in a lane that skips the remaining requests of the lane.
 const SKIP_LANE: usize = usize::MAX;
 
 /// Queued request with the highest priority.
-struct Next {
+struct NextRequest {
     id: RequestId,
     lane: usize,
     priority: f64,
 }
 
 impl State {
-    /// Forwards queued requests as long as their selection lets them go, by priority.
+    /// Forwards queued requests in order of priority, as long as endpoints can be selected for them.
     pub fn forward_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let mut places = vec![0usize; self.queue.lanes()];
+        let mut positions = vec![0usize; self.queue.lanes()];
         let mut failed_selections = 0;
         while !self.queue.is_empty() && failed_selections < MAX_FAILED_SELECTIONS {
             let window_full = self.is_window_full();
             if window_full && self.open_while_warming == 0 {
                 return;
             }
-            let Some(next) = self.next_queued(&places, now) else {
+            let Some(next) = self.next_queued(&positions, now) else {
                 return;
             };
-            let place = &mut places[next.lane];
+            let position = &mut positions[next.lane];
             if let Some(endpoint) = self.select_endpoint(next.id, now, window_full) {
-                self.queue.remove_entry(next.lane, *place);
+                self.queue.remove_entry(next.lane, *position);
                 self.forward(next.id, endpoint, now, out);
                 continue;
             }
             failed_selections += 1;
-            // Only with a home or after an attempt do requests of a lane differ in where they may go.
+            // Requests of a lane have different eligible endpoints only if they have a home or an earlier attempt.
             let request = &self.requests[&next.id];
             let differs = request.home.is_some() || !request.attempts.is_empty();
-            *place = if differs { *place + 1 } else { SKIP_LANE };
+            *position = if differs { *position + 1 } else { SKIP_LANE };
         }
     }
 
-    /// Returns the request with the highest priority among those at the given places of the lanes.
-    fn next_queued(&mut self, places: &[usize], now: Millis) -> Option<Next> {
-        let mut best: Option<Next> = None;
-        for (lane, &place) in places.iter().enumerate() {
-            let Some(id) = self.queue.request_at(lane, place, &self.requests) else {
+    /// Returns the request with the highest priority among those at the given indices of the lanes.
+    fn next_queued(&mut self, positions: &[usize], now: Millis) -> Option<NextRequest> {
+        let mut best: Option<NextRequest> = None;
+        for (lane, &position) in positions.iter().enumerate() {
+            let Some(id) = self.queue.request_at(lane, position, &self.requests) else {
                 continue;
             };
             let priority = self.priority_of(&self.requests[&id], now);
             if best.as_ref().is_none_or(|best| priority > best.priority) {
-                best = Some(Next { id, lane, priority });
+                best = Some(NextRequest { id, lane, priority });
             }
         }
         best
@@ -70,7 +70,7 @@
         priority(request, class_latency, now, &self.settings)
     }
 
-    /// Gives the free slots of an endpoint to requests that wait for it as their home, by priority.
+    /// Gives the free slots of an endpoint to queued requests whose home it is, in order of priority.
     pub fn forward_affinity_queue(&mut self, endpoint: usize, now: Millis, out: &mut Vec<Action>) {
         loop {
             let record = &self.endpoints[endpoint];
@@ -128,9 +128,9 @@
 
     fn add_attempt(&mut self, id: RequestId, index: usize, now: Millis) {
         let endpoint = &mut self.endpoints[index];
-        // Without recent reports of other proxies nothing is known of its idleness.
+        // Only recent reports of other proxies show whether the endpoint is idle.
         let idleness_known =
-            self.settings.gossip_enabled && self.gossip.shows_idleness(self.latency.mean());
+            self.settings.gossip_enabled && self.gossip.can_detect_idleness(self.latency.mean());
         let to_warming_endpoint = endpoint.slow_start.is_warming();
         let attempt = Attempt {
             endpoint: index,
@@ -153,8 +153,8 @@
         self.in_flight.add(id, to_warming_endpoint);
     }
 
-    /// Returns the time after which an attempt is given up for a retry: only where responses get lost, and a retry
-    /// is allowed and can still meet the latency objective.
+    /// Returns the time after which an attempt is abandoned in favor of a retry. `None` unless responses get lost, a
+    /// retry is allowed, and the retry can still meet the latency objective.
     fn attempt_timeout(&mut self, id: RequestId, index: usize, now: Millis) -> Option<Millis> {
         let request = &self.requests[&id];
         let expected = self.expected_latency(request);
@@ -166,7 +166,7 @@
         let retry_left = request.attempts.len() < request.max_attempts;
         let end = request.objective_at.min(request.deadline - DEADLINE_MARGIN);
         let in_time = now + silence + RETRY_LATENCY_FACTOR * expected < end;
-        let give_up_early = self.lost_responses.give_up_early(&mut self.rng);
-        (repeatable && retry_left && in_time && give_up_early).then_some(silence)
+        let use_early_timeout = self.lost_responses.use_early_timeout(&mut self.rng);
+        (repeatable && retry_left && in_time && use_early_timeout).then_some(silence)
     }
 }
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,26 +1,26 @@
-//! Gossip: what other proxies report of their attempts in flight and ejected endpoints, how long that holds, and how
-//! often this proxy reports.
+//! Gossip: reports of other proxies about their attempts in flight and ejected endpoints, the lifetime of these
+//! reports, and the frequency of this proxy's own reports.
 
 use rustc_hash::FxHashMap;
 
 use crate::endpoint::EndpointRecord;
-use crate::gossip_message::{self, MAX_BYTES, Message, ShortName};
+use crate::gossip_message::{self, MAX_MESSAGE_BYTES, Message, ShortName};
 use crate::types::{EndpointId, Millis, ZoneId};
 
-/// Age from which a peer's report does not count any more.
+/// Age from which a peer's report is ignored.
 pub(crate) const STALE_AFTER: Millis = 500.0;
 
-/// Longest interval between this proxy's messages.
+/// Maximum interval between this proxy's messages.
 const MAX_INTERVAL: Millis = STALE_AFTER / 2.0;
-/// Largest messages that a proxy may send for each request that it gets, over all peers.
+/// Messages of maximum size that a proxy may send per arriving request, summed over all peers.
 const MESSAGES_PER_REQUEST: f64 = 0.6;
-/// Largest messages that may be saved up.
+/// Messages of maximum size up to which credit accumulates.
 const MAX_SAVED_MESSAGES: f64 = 2.0;
-/// Weight of an interval in the mean interval.
+/// Weight of one interval in the moving average of intervals.
 const INTERVAL_WEIGHT: f64 = 0.1;
-/// Fraction of the mean latency within which peers must report for an endpoint to count as idle.
+/// Maximum mean interval between peers' reports, as a fraction of the mean latency, for an endpoint to count as idle.
 const IDLE_INTERVAL_FRACTION: f64 = 0.3;
-/// Number of peers whose ejections count where this proxy has seen no response for a while.
+/// Number of ejecting peers from which an endpoint without recent responses to this proxy is unavailable.
 const EJECTING_PEERS: u32 = 2;
 
 /// Report of a peer.
@@ -41,7 +41,7 @@
 }
 
 impl Gossip {
-    /// Creates the state of a proxy that has heard of no other.
+    /// Creates the state of a proxy that has received no messages.
     pub fn new(proxy_count: u32) -> Self {
         let mut gossip = Gossip {
             endpoints: FxHashMap::default(),
@@ -55,12 +55,12 @@
         gossip
     }
 
-    /// Starts the clock.
+    /// Starts the interval of the first message.
     pub fn start(&mut self, now: Millis) {
         self.sent_at = now;
     }
 
-    /// Makes an endpoint known to messages.
+    /// Registers an endpoint, so that messages can refer to it.
     pub fn add_endpoint(&mut self, id: EndpointId, index: usize) {
         self.endpoints.insert(ShortName::of(id), index);
     }
@@ -76,18 +76,18 @@
         self.peers.len()
     }
 
-    /// Returns the zones of the proxies, as far as they are known.
+    /// Returns the zones of the proxies; `None` where unknown.
     pub fn zones(&self) -> &[Option<ZoneId>] {
         &self.zones
     }
 
-    /// Decodes a message of a proxy that is known.
+    /// Decodes a message; `None` if the message is invalid or its sender unknown.
     pub fn decode(&self, from: usize, bytes: &[u8]) -> Option<Message> {
         let message = gossip_message::decode(bytes, &self.endpoints)?;
         (from < self.peers.len()).then_some(message)
     }
 
-    /// Replaces the report of a peer; returns the endpoints whose requests in flight may have changed.
+    /// Replaces the report of a peer; returns the endpoints whose number of requests in flight may have changed.
     pub fn receive(
         &mut self,
         from: usize,
@@ -95,7 +95,7 @@
         endpoints: &mut [EndpointRecord],
         now: Millis,
     ) -> Vec<usize> {
-        let mut changed = self.forget(from, endpoints);
+        let mut changed = self.remove_report(from, endpoints);
         for &index in &message.ejected {
             endpoints[index].ejecting_peers += 1;
         }
@@ -124,8 +124,8 @@
             .is_some_and(|report| now - report.received_at > STALE_AFTER)
     }
 
-    /// Forgets the report of a peer; returns the endpoints whose requests in flight may have changed.
-    pub fn forget(&mut self, from: usize, endpoints: &mut [EndpointRecord]) -> Vec<usize> {
+    /// Drops the report of a peer; returns the endpoints whose number of requests in flight may have changed.
+    pub fn remove_report(&mut self, from: usize, endpoints: &mut [EndpointRecord]) -> Vec<usize> {
         let Some(report) = self.peers[from].take() else {
             return Vec::new();
         };
@@ -138,24 +138,25 @@
         report.in_flight
     }
 
-    /// Returns true if peers report often enough to tell an idle endpoint.
-    pub fn shows_idleness(&self, mean_latency: Millis) -> bool {
+    /// Returns true if peers report often enough to detect that an endpoint is idle.
+    pub fn can_detect_idleness(&self, mean_latency: Millis) -> bool {
         self.mean_interval < IDLE_INTERVAL_FRACTION * mean_latency
     }
 
-    /// Adds the message bytes of an arrival to the credit.
+    /// Adds the message bytes earned by an arrival to the credit.
     pub fn add_arrival(&mut self, proxy_count: u32) {
-        let earned = MESSAGES_PER_REQUEST * MAX_BYTES as f64 / f64::from(proxy_count);
-        self.byte_credit = (self.byte_credit + earned).min(MAX_SAVED_MESSAGES * MAX_BYTES as f64);
+        let earned = MESSAGES_PER_REQUEST * MAX_MESSAGE_BYTES as f64 / f64::from(proxy_count);
+        self.byte_credit =
+            (self.byte_credit + earned).min(MAX_SAVED_MESSAGES * MAX_MESSAGE_BYTES as f64);
     }
 
-    /// Returns true if a message on so many attempts in flight is due.
+    /// Returns true if a message that reports `in_flight` attempts is due.
     pub fn is_message_due(&self, in_flight: usize, now: Millis) -> bool {
         let affordable = self.byte_credit >= gossip_message::encoded_bytes(in_flight) as f64;
         affordable || now - self.sent_at > MAX_INTERVAL
     }
 
-    /// Records a message; peers are assumed to report about as often as this proxy does.
+    /// Records the send of a message. Peers are assumed to report about as often as this proxy.
     pub fn record_message(&mut self, in_flight: usize, now: Millis) {
         let interval = now - self.sent_at;
         self.mean_interval += INTERVAL_WEIGHT * (interval - self.mean_interval);
@@ -164,8 +165,8 @@
     }
 }
 
-/// Returns true if several peers have ejected an endpoint that has not responded to this proxy for a while. An endpoint
-/// to which this proxy has sent nothing for that time counts as such too.
+/// Returns true if several peers have ejected an endpoint that has not responded to this proxy recently. This includes
+/// an endpoint to which this proxy has sent no request recently.
 pub(crate) fn peers_confirm_ejection(endpoint: &EndpointRecord, now: Millis) -> bool {
     endpoint.ejecting_peers >= EJECTING_PEERS && endpoint.health.stalled_for(now) > STALE_AFTER
 }
--- a/crates/balancer/src/gossip_message.rs
+++ b/crates/balancer/src/gossip_message.rs
@@ -1,8 +1,8 @@
-//! Encoding of the messages between proxies: attempts in flight and ejected endpoints. Decides nothing.
+//! Encoding of the messages between proxies: attempts in flight and ejected endpoints. Makes no decisions.
 //!
-//! A message is a version, the sender's zone (255 if unknown), the number of ejected endpoints, and then two bytes
-//! per endpoint in little endian: the ejected ones first, then one entry for each attempt in flight. Endpoints are
-//! named by 16 bits of a hash of their number.
+//! A message consists of a version byte, the sender's zone (255 if unknown), the number of ejected endpoints, and a
+//! list of endpoints with two bytes each in little-endian order: first the ejected endpoints, then one entry per
+//! attempt in flight. Endpoints are identified by 16 bits of a hash of their number.
 
 use rustc_hash::FxHashMap;
 
@@ -12,42 +12,42 @@
 
 const VERSION: u8 = 1;
 const UNKNOWN_ZONE: u8 = u8::MAX;
-/// Bytes before the endpoints.
+/// Bytes before the list of endpoints.
 const HEADER_BYTES: usize = 3;
-/// Bytes of an endpoint's name.
+/// Bytes of an endpoint's short name.
 const NAME_BYTES: usize = 2;
-/// Ejected endpoints in a message.
+/// Maximum number of ejected endpoints in a message.
 const MAX_EJECTED: usize = 30;
-/// Bytes of the largest message.
-pub(crate) const MAX_BYTES: usize = 256;
+/// Maximum size of a message.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Endpoint's name in messages.
+/// Identifies an endpoint in messages.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct ShortName(u16);
 
 impl ShortName {
-    /// Returns the name of an endpoint.
+    /// Returns the short name of an endpoint.
     pub fn of(id: EndpointId) -> Self {
         ShortName(mix(id.0) as u16)
     }
 }
 
-/// Message of another proxy, with endpoints by index.
+/// Decoded message of another proxy, with endpoints by index.
 pub(crate) struct Message {
     /// Zone of the sender.
     pub zone: Option<ZoneId>,
-    /// Endpoints that it has ejected.
+    /// Endpoints that the sender has ejected.
     pub ejected: Vec<usize>,
-    /// Endpoints of its attempts in flight, one entry for each.
+    /// Endpoints of the sender's attempts in flight, one entry per attempt.
     pub in_flight: Vec<usize>,
 }
 
-/// Returns the length of a message with so many attempts in flight and no ejected endpoints.
+/// Returns the size of a message with `in_flight` attempts and no ejected endpoints.
 pub(crate) fn encoded_bytes(in_flight: usize) -> usize {
     HEADER_BYTES + NAME_BYTES * in_flight
 }
 
-/// Encodes this proxy's attempts in flight and ejected endpoints, as far as they fit.
+/// Encodes this proxy's attempts in flight and ejected endpoints, up to the maximum size.
 pub(crate) fn encode(zone: Option<ZoneId>, endpoints: &[EndpointRecord], now: Millis) -> Vec<u8> {
     let name = |endpoint: &EndpointRecord| ShortName::of(endpoint.entry.id).0.to_le_bytes();
     let zone_byte = zone.map_or(UNKNOWN_ZONE, |zone| zone.0 as u8);
@@ -60,7 +60,7 @@
         bytes[2] += 1;
     }
     for endpoint in endpoints {
-        let room = ((MAX_BYTES - bytes.len()) / NAME_BYTES) as u32;
+        let room = ((MAX_MESSAGE_BYTES - bytes.len()) / NAME_BYTES) as u32;
         for _ in 0..endpoint.in_flight.own.min(room) {
             bytes.extend(name(endpoint));
         }
@@ -68,7 +68,7 @@
     bytes
 }
 
-/// Decodes a message; `None` if it is of another version. Unknown endpoints are left out.
+/// Decodes a message; `None` if it is too short or of another version. Unknown endpoints are skipped.
 pub(crate) fn decode(bytes: &[u8], endpoints: &FxHashMap<ShortName, usize>) -> Option<Message> {
     if bytes.len() < HEADER_BYTES || bytes[0] != VERSION {
         return None;
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance: checks of queued requests and attempts in flight in each tick, and a review of all estimates
-//! and endpoints every few ticks.
+//! Periodic maintenance: checks queued requests and attempts in flight in each tick, and recomputes all estimates and
+//! endpoints in a review every few ticks.
 
 use crate::action::Action;
 use crate::slow_start::Refill;
@@ -7,12 +7,12 @@
 use crate::timing::{REVIEW_TICKS, TICK, TICK_TOKEN};
 use crate::types::Millis;
 
-/// Reviews in which the slots of every endpoint are recomputed once; they change slowly.
+/// Number of reviews over which the slots of all endpoints are recomputed once, as slots change slowly.
 const SLOT_REVIEWS: u64 = 8;
 
 impl State {
-    /// Starts the clocks with the first event. The first tick comes after a random part of the period, so that
-    /// proxies don't act in step.
+    /// Starts all periodic work at the first event. The first tick follows after a random fraction of the period, so
+    /// that proxies don't act in lockstep.
     pub fn start(&mut self, now: Millis, out: &mut Vec<Action>) {
         if self.ticks > 0 {
             return;
@@ -26,7 +26,7 @@
         });
     }
 
-    /// Does the work of a tick.
+    /// Performs the work of one tick.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         out.push(Action::Timer {
             token: TICK_TOKEN,
@@ -37,7 +37,7 @@
         self.quotas
             .refill(TICK, &self.settings.tenants, self.settings.proxy_count);
         self.release_abandoned(now);
-        self.forget_stale_peers(now);
+        self.remove_stale_reports(now);
         self.shed_queued(now, out);
         self.check_in_flight(now, out);
         if self.ticks % REVIEW_TICKS == 0 {
@@ -47,7 +47,7 @@
         self.send_gossip(now, out);
     }
 
-    /// Releases the slots of abandoned attempts that have plausibly ended.
+    /// Releases the slots of abandoned attempts that are assumed to have ended.
     fn release_abandoned(&mut self, now: Millis) {
         while let Some(index) = self.in_flight.release_abandoned(now) {
             self.endpoints[index].in_flight.remove_own();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Reviews all estimates and endpoints.
+    /// Recomputes all estimates and endpoints.
     fn review(&mut self, now: Millis) {
         self.latency.review_mean();
         self.review_means();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Recomputes slots and latency of a mean listed endpoint.
+    /// Recomputes the mean slots and the mean latency of the endpoints that accept requests.
     fn review_means(&mut self) {
         let mut slots = 0.0;
         let mut relative_latency = 0.0;
@@ -88,7 +88,7 @@
         self.latency.review_mean_endpoint(relative_latency, count);
     }
 
-    /// Recomputes the panic state and the baselines of failures.
+    /// Recomputes the panic state and the baselines of failure fractions.
     fn review_health(&mut self, now: Millis) {
         let listed: Vec<_> = self
             .endpoints
@@ -99,7 +99,7 @@
         self.outliers.review(&listed, now);
     }
 
-    /// Adapts the slots of machine types to their latencies.
+    /// Adjusts the slots of machine types to their latencies.
     fn review_machine_types(&mut self) {
         let pooled = self.is_pooled();
         let short_of_slots = !self.queue.is_empty() && !pooled;
--- a/crates/balancer/src/peer_reports.rs
+++ b/crates/balancer/src/peer_reports.rs
@@ -1,4 +1,4 @@
-//! Exchange of reports with other proxies: what follows from a report for endpoints' availability, and sending.
+//! Exchange of reports with other proxies: effects of received reports on availability, and sending of reports.
 
 use crate::action::Action;
 use crate::gossip_message;
@@ -6,7 +6,7 @@
 use crate::types::Millis;
 
 impl State {
-    /// Takes over a message of another proxy.
+    /// Applies a message of another proxy.
     pub fn receive_gossip(&mut self, from: usize, bytes: &[u8], now: Millis) {
         let Some(message) = self.gossip.decode(from, bytes) else {
             return;
@@ -17,23 +17,23 @@
         }
     }
 
-    /// Forgets reports that are too old.
-    pub fn forget_stale_peers(&mut self, now: Millis) {
+    /// Drops reports that are too old.
+    pub fn remove_stale_reports(&mut self, now: Millis) {
         for from in 0..self.gossip.proxies() {
             if self.gossip.is_stale(from, now) {
-                self.forget_peer(from, now);
+                self.remove_peer_report(from, now);
             }
         }
     }
 
-    /// Forgets the report of another proxy.
-    pub fn forget_peer(&mut self, from: usize, now: Millis) {
-        for index in self.gossip.forget(from, &mut self.endpoints) {
+    /// Drops the report of another proxy.
+    pub fn remove_peer_report(&mut self, from: usize, now: Millis) {
+        for index in self.gossip.remove_report(from, &mut self.endpoints) {
             self.update_availability(index, now);
         }
     }
 
-    /// Sends a message to the other proxies, if one is due.
+    /// Sends a message to the other proxies if one is due.
     pub fn send_gossip(&mut self, now: Millis, out: &mut Vec<Action>) {
         let enabled = self.settings.gossip_enabled && self.settings.proxy_count > 1;
         let in_flight = self.in_flight.occupied();
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,53 +1,53 @@
-//! Retries: which requests may be sent again, within which budget, and when an attempt is given up for a retry.
+//! Retries: which requests may be sent again, the retry budget, and early timeouts where responses get lost.
 //!
 //! Where a retry is decided:
 //!
-//! | question | place |
+//! | decision | function |
 //! | --- | --- |
-//! | do idempotency and body allow another attempt, and is one left | `may_repeat` |
-//! | is there time and budget for one | `attempts`, `State::end_attempt` |
-//! | how long repeats are dropped, and by which endpoints | `deduplication` |
-//! | which endpoint gets it | `endpoint_selection`, `State::select_for_repeat` |
-//! | when an attempt times out early for one | `forwarding`, `State::attempt_timeout`; `LostResponses` |
+//! | idempotency, body and maximum number of attempts allow another attempt | `may_repeat` |
+//! | enough time and retry budget are left | `attempts`, `State::end_attempt` |
+//! | time for which repeats are dropped, and endpoints that drop them | `deduplication` |
+//! | endpoint of the retry | `endpoint_selection`, `State::select_for_repeat` |
+//! | early timeout of an attempt in favor of a retry | `forwarding`, `State::attempt_timeout`; `LostResponses` |
 
 use crate::ewma::Ewma;
 use crate::request::Request;
 use crate::types::{DeduplicationScope, Idempotency, Millis};
 
-/// Retries per arrival: the load that a proxy may add while attempts fail.
+/// Retries per arriving request: limits the load that a proxy adds while attempts fail.
 const RETRIES_PER_ARRIVAL: f64 = 0.15;
-/// Retries that may be saved up.
+/// Maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 20.0;
-/// Retries that are available at the start.
+/// Initial number of retries in the budget.
 const INITIAL_RETRIES: f64 = 2.0;
-/// Fraction of silent attempts without any response above which silence means a lost response.
+/// Fraction of silent attempts that time out above which responses of silent attempts are assumed to be lost.
 const LOST_FRACTION: f64 = 0.5;
-/// Silent attempts over which that fraction is averaged.
+/// Number of silent attempts over which the fraction of lost responses is averaged.
 const LOST_SAMPLES: f64 = 20.0;
-/// Weight of the initial fraction of zero.
+/// Weight of the initial lost fraction of zero, in samples.
 const LOST_INITIAL_WEIGHT: f64 = 5.0;
-/// Fraction of attempts that are awaited all the same, to see if responses still get lost.
+/// Fraction of attempts without an early timeout, which probe whether responses still get lost.
 const LOST_PROBE_FRACTION: f64 = 0.1;
 
-/// Retry budget, filled by arrivals.
+/// Retry budget, refilled by arriving requests.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
 
 impl RetryBudget {
-    /// Creates a budget with a few retries.
+    /// Creates the initial budget.
     pub fn new() -> Self {
         RetryBudget {
             retries: INITIAL_RETRIES,
         }
     }
 
-    /// Adds the part of an arrival.
+    /// Adds the retries earned by one arriving request.
     pub fn add_arrival(&mut self) {
         self.retries = (self.retries + RETRIES_PER_ARRIVAL).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes a retry; returns false if none is left.
+    /// Takes a retry from the budget; returns false if none is left.
     pub fn try_take(&mut self) -> bool {
         let available = self.retries >= 1.0;
         if available {
@@ -57,17 +57,17 @@
     }
 }
 
-/// Bounds on repeats of a request whose idempotency key is known to some endpoints.
+/// Constraints on repeats of a request whose idempotency key some endpoints have recorded.
 pub(crate) struct Deduplication {
-    /// Index of the first endpoint that may have processed the request.
+    /// Index of the endpoint of the first attempt that may have run.
     pub endpoint: usize,
     /// Endpoints that drop repeats.
     pub scope: DeduplicationScope,
-    /// Time until which they do.
+    /// Time until which repeats are dropped.
     pub until: Millis,
 }
 
-/// Returns the bounds on repeats for a request with an idempotency key that may have run.
+/// Returns the constraints on repeats of a request with an idempotency key that may have run.
 pub(crate) fn deduplication(request: &Request) -> Option<Deduplication> {
     let Idempotency::IdempotencyKey {
         scope,
@@ -87,16 +87,16 @@
     })
 }
 
-/// Returns true if another attempt is allowed by the request's idempotency and its number of attempts.
+/// Returns true if the request's idempotency, body and number of attempts allow another attempt.
 pub(crate) fn may_repeat(request: &Request, now: Millis) -> bool {
-    let harmless = request.idempotency == Idempotency::Idempotent || !request.may_have_run();
-    let dropped = || deduplication(request).is_some_and(|bounds| now < bounds.until);
-    (harmless || dropped())
+    let safe_to_repeat = request.idempotency == Idempotency::Idempotent || !request.may_have_run();
+    let is_deduplicated = || deduplication(request).is_some_and(|bounds| now < bounds.until);
+    (safe_to_repeat || is_deduplicated())
         && request.body.replayable
         && request.attempts.len() < request.max_attempts
 }
 
-/// Estimator of responses that get lost on their way.
+/// Estimator of the fraction of responses that get lost in the network.
 pub(crate) struct LostResponses {
     lost_fraction: Ewma,
 }
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Learns from the end of a silent attempt.
+    /// Records the end of a silent attempt.
     pub fn record(&mut self, timed_out: bool) {
         self.lost_fraction
             .add(f64::from(u8::from(timed_out)), LOST_SAMPLES);
     }
 
-    /// Returns true if a silent attempt is to be given up early, as its response is probably lost.
-    pub fn give_up_early(&self, rng: &mut fastrand::Rng) -> bool {
+    /// Returns true if a silent attempt should time out early, as its response is probably lost.
+    pub fn use_early_timeout(&self, rng: &mut fastrand::Rng) -> bool {
         self.lost_fraction.mean > LOST_FRACTION && rng.f64() >= LOST_PROBE_FRACTION
     }
 }
