--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: accepts, queues or rejects requests on arrival, and sheds queued requests that
-//! can't get a response in time any more.
+//! Admission: queues or rejects requests on arrival, and sheds queued requests that can no longer get a response in
+//! time.
 
 use crate::action::Action;
 use crate::queue::Position;
@@ -8,10 +8,10 @@
 use crate::timing::DEADLINE_MARGIN;
 use crate::types::{ClassId, Idempotency, Key, Millis, RequestId, TenantId};
 
-/// Fraction of the latency objective that an idempotent request may expect to be queued where proxies share slots:
-/// behind a longer queue it would only be rejected later.
+/// Maximum expected queueing delay of an idempotent request if proxies share slots, as a fraction of the latency
+/// objective. Behind a longer queue the request would be rejected anyway, only later.
 const MAX_QUEUED_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Fraction of its expected latency before its answer is due at which a queued request is shed.
+/// Time before its answer is due at which a queued request is shed, as a fraction of its expected latency.
 const SHED_LATENCY_FRACTION: f64 = 0.5;
 
 /// Request that has arrived.
@@ -24,11 +24,11 @@
     pub tenant: Option<TenantId>,
     /// Affinity key, if any.
     pub key: Option<Key>,
-    /// Time for which the client waits.
+    /// Time for which the client waits for an answer.
     pub timeout: Millis,
     /// Expected work on a standard core, if known.
     pub expected_work: Option<Millis>,
-    /// The whole body has arrived.
+    /// True if the complete body has arrived.
     pub body_complete: bool,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl State {
-    /// Takes in a request: queues it, or answers it at once if it has no chance.
+    /// Handles a new request: queues it, or answers it immediately if no response is possible in time.
     pub fn admit(&mut self, arrival: &Arrival, now: Millis, out: &mut Vec<Action>) {
         self.arrivals.count();
         self.retries.add_arrival();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns true if proxies share all slots and the queue takes too long for a request of a class.
+    /// Returns true if proxies share all slots and the expected queueing delay is too long for a class.
     fn is_queue_too_long(&self, class: ClassId) -> bool {
         let delay = self.queue.len() as f64 * self.latency.mean_endpoint()
             / self.concurrency.window_requests();
@@ -109,16 +109,16 @@
         self.is_pooled() && delay > MAX_QUEUED_OBJECTIVE_FRACTION * objective
     }
 
-    /// Answers queued requests that can't get a response in time any more.
+    /// Answers queued requests that can no longer get a response in time.
     pub fn shed_queued(&mut self, now: Millis, out: &mut Vec<Action>) {
         for lane in 0..self.queue.lanes() {
-            let is_hopeless = |id: &RequestId| {
+            let is_expired = |id: &RequestId| {
                 let request = self.requests.get(id);
                 request
                     .is_some_and(|request| request.status.queued && self.is_too_late(request, now))
             };
-            let hopeless: Vec<RequestId> = self.queue.entries(lane).filter(is_hopeless).collect();
-            for id in hopeless {
+            let expired: Vec<RequestId> = self.queue.entries(lane).filter(is_expired).collect();
+            for id in expired {
                 self.reject_or_fail(id, out);
             }
         }
--- a/crates/balancer/src/attempts.rs
+++ b/crates/balancer/src/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: what follows from the progress and the end of an attempt, for its request, its slot and the estimates.
+//! Attempts: effects of the progress and the end of an attempt on its request, its slot and the estimates.
 
 use crate::action::Action;
-use crate::concurrency_limit::CrowdingSign;
+use crate::concurrency_limit::CongestionSignal;
 use crate::latency_estimator::LatencySample;
 use crate::outlier_detection::HealthSample;
 use crate::queue::Position;
@@ -11,15 +11,15 @@
 use crate::timing::DEADLINE_MARGIN;
 use crate::types::{LoadReport, Millis, Outcome, RequestId};
 
-/// Multiple of the class's mean latency for which an abandoned attempt is assumed to occupy its slot.
+/// Time for which an abandoned attempt is assumed to occupy its slot, as a multiple of the class's mean latency.
 const ABANDONED_LATENCY_FACTOR: f64 = 2.0;
 
-/// Attempt of a request, counted from 0 in the order of sends.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptId {
     /// Identifies the request.
     pub request: RequestId,
-    /// Index of the attempt.
+    /// Index of the attempt, counted from 0 in the order of sends.
     pub attempt: usize,
 }
 
@@ -29,11 +29,11 @@
     pub latency: Millis,
     /// Result of the attempt.
     pub outcome: Outcome,
-    /// The request is finished.
+    /// True if the request is finished.
     pub request_finished: bool,
 }
 
-/// Attempt as it stood when it ended.
+/// State of an attempt at its end.
 struct EndedAttempt {
     endpoint: usize,
     class: usize,
@@ -59,7 +59,7 @@
             .get_mut(id.attempt)
     }
 
-    /// Notes that a streamed body has been sent completely: its endpoint can process the request from now on.
+    /// Records that a streamed body has been sent completely. The endpoint can process the request from now on.
     pub fn complete_body(&mut self, id: RequestId, timeout: Millis, now: Millis) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -78,22 +78,22 @@
         }
     }
 
-    /// Notes that a body can't be sent again.
+    /// Records that a body can't be sent again.
     pub fn discard_body(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.body.replayable = false;
         }
     }
 
-    /// Takes over a load report.
+    /// Records a load report.
     pub fn record_load(&mut self, id: AttemptId, load: LoadReport) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.load = load;
         }
     }
 
-    /// Notes that the client has received the beginning of a response. If the endpoint has finished its work, the
-    /// attempt ends here: the transfer to the client says nothing of the endpoint, and its slot is free.
+    /// Records that the client has received the beginning of a response. If the endpoint has finished processing, the
+    /// attempt ends here: its slot is free, and the transfer to the client has no bearing on the endpoint's health.
     pub fn start_response(
         &mut self,
         id: AttemptId,
@@ -118,9 +118,10 @@
         }
     }
 
-    /// Handles the end of an attempt: the request is finished, queued for a retry, or answered. Of the outcome only
-    /// [`Outcome::may_have_run`] counts for a retry. A response that has begun prevents one by `request_finished` alone. There is
-    /// time for a retry until the deadline; where late responses earn nothing it may still be shed by `answer_by`.
+    /// Handles the end of an attempt: the request is finished, queued for a retry, or answered. The outcome affects a
+    /// retry only through [`Outcome::may_have_run`]. After the start of a response, only `request_finished` prevents a
+    /// retry. A retry must be able to complete before the deadline; if late responses earn nothing, the queued retry
+    /// may still be shed according to `answer_by`.
     pub fn end_attempt(
         &mut self,
         id: AttemptId,
@@ -151,14 +152,14 @@
         }
     }
 
-    /// Handles the end of a response whose attempt has been concluded before.
+    /// Handles the end of a response whose attempt has already been concluded.
     fn end_response(&mut self, id: AttemptId, end: &AttemptEnd, now: Millis) {
         let request = &self.requests[&id.request];
         let endpoint = request.attempts[id.attempt].endpoint;
         let class = request.class;
         let complete = matches!(end.outcome, Outcome::Served | Outcome::Cancelled);
         if request.status.response_started && !complete {
-            self.judge_endpoint(endpoint, class, end.outcome, now);
+            self.update_endpoint_health(endpoint, class, end.outcome, now);
             self.update_availability(endpoint, now);
         }
         if end.request_finished {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Learns from the result of an attempt, and gives its slot to another request.
+    /// Concludes an attempt: updates estimates and health by its result, and gives its slot to another request.
     fn conclude(&mut self, id: AttemptId, end: &AttemptEnd, now: Millis, out: &mut Vec<Action>) {
         let Some(ended) = self.record_end(id, end.outcome) else {
             return;
@@ -179,8 +180,8 @@
         match end.outcome {
             Outcome::Served => self.learn_from_response(&ended, end.latency, now),
             Outcome::NotSent | Outcome::Cancelled => {}
-            Outcome::TimedOut if ended.was_silent() => {} // judged when it became silent
-            outcome => self.judge_endpoint(endpoint, ended.class, outcome, now),
+            Outcome::TimedOut if ended.was_silent() => {} // counted as a failure when the attempt became silent
+            outcome => self.update_endpoint_health(endpoint, ended.class, outcome, now),
         }
         if end.outcome == Outcome::Overloaded {
             self.adapt_window(false);
@@ -206,8 +207,8 @@
         })
     }
 
-    /// Releases the slot of an attempt. An abandoned one may still occupy its endpoint, so its slot stays taken until
-    /// it has plausibly ended; that of a silent one was released before.
+    /// Releases the slot of an attempt. The endpoint may still be processing an abandoned attempt, so that its slot
+    /// stays occupied until the attempt is assumed to have ended. The slot of a silent attempt was released earlier.
     fn release_slot(&mut self, ended: &EndedAttempt, outcome: Outcome, now: Millis) {
         let timed_out = outcome == Outcome::TimedOut;
         if ended.was_silent() {
@@ -217,8 +218,9 @@
             return;
         }
         if timed_out || outcome == Outcome::Cancelled {
-            let span = ABANDONED_LATENCY_FACTOR * self.latency.of_class(ended.class);
-            self.in_flight.keep_abandoned(ended.endpoint, now + span);
+            let duration = ABANDONED_LATENCY_FACTOR * self.latency.of_class(ended.class);
+            self.in_flight
+                .keep_abandoned(ended.endpoint, now + duration);
         } else {
             self.endpoints[ended.endpoint].in_flight.remove_own();
         }
@@ -239,16 +241,17 @@
         };
         self.latency
             .observe(&mut endpoint.relative_latency, &sample);
-        self.judge_endpoint(ended.endpoint, ended.class, Outcome::Served, now);
+        self.update_endpoint_health(ended.endpoint, ended.class, Outcome::Served, now);
     }
 
-    /// Adapts the window to a response, unless it is bad and its endpoint is slow by itself.
+    /// Adapts the window to a response, except if the response signals congestion and its endpoint is slow compared
+    /// with its machine type.
     fn adapt_window_to_response(&mut self, ended: &EndedAttempt, latency: Millis) {
         let endpoint = &self.endpoints[ended.endpoint];
         let machine_type = endpoint.machine_type;
-        let sign = CrowdingSign {
+        let signal = CongestionSignal {
             latency,
-            uncrowded_latency: self.latency.uncrowded_latency(
+            uncongested_latency: self.latency.uncongested_latency(
                 ended.class,
                 ended.relative_work,
                 machine_type,
@@ -257,23 +260,29 @@
             load: ended.load,
             cores: endpoint.slots.cores,
         };
-        let good = sign.is_good();
+        let uncongested = signal.is_uncongested();
         let typical = self
             .latency
             .is_typical(endpoint.relative_latency, machine_type);
-        if good || typical {
-            self.adapt_window(good);
+        if uncongested || typical {
+            self.adapt_window(uncongested);
         }
     }
 
-    fn adapt_window(&mut self, good: bool) {
-        let in_flight = self.in_flight.counted();
+    fn adapt_window(&mut self, uncongested: bool) {
+        let in_flight = self.in_flight.counted_in_window();
         self.concurrency
-            .adapt_window(good, in_flight, self.endpoints.len());
+            .adapt_window(uncongested, in_flight, self.endpoints.len());
     }
 
-    /// Judges an endpoint by the result of an attempt.
-    pub fn judge_endpoint(&mut self, endpoint: usize, class: usize, outcome: Outcome, now: Millis) {
+    /// Updates an endpoint's health by the result of an attempt.
+    pub fn update_endpoint_health(
+        &mut self,
+        endpoint: usize,
+        class: usize,
+        outcome: Outcome,
+        now: Millis,
+    ) {
         let exposure = self.exposure();
         let sample = HealthSample {
             class,
--- a/crates/balancer/src/availability.rs
+++ b/crates/balancer/src/availability.rs
@@ -1,7 +1,8 @@
-//! Availability of endpoints: the cost of each one, and whether it is open for a request now.
+//! Availability of endpoints: the cost of each endpoint, and whether the endpoint is open, that is, may receive
+//! requests now.
 //!
-//! Brings together what the other rules know of an endpoint: latency, slots, health, slow start and other proxies'
-//! reports. Which open endpoint a request goes to is decided by `endpoint_selection`.
+//! Combines the state that the other rules keep of an endpoint: latency, slots, health, slow start and reports of other
+//! proxies. `endpoint_selection` decides which open endpoint a request goes to.
 
 use crate::concurrency_limit::Owners;
 use crate::endpoint::EndpointRecord;
@@ -12,25 +13,26 @@
 use crate::timing::REVIEW_TICKS;
 use crate::types::Millis;
 
-/// Multiple of the delay that the cost of zone crossing amounts to: latency objectives leave slack.
+/// Factor on the delay that corresponds to the cost of crossing zones, as latency objectives leave slack.
 const ZONE_CROSSING_FACTOR: f64 = 3.0;
-/// Bands by which an endpoint counts slower while it is open on another proxy's slot: both may take it at once.
+/// Number of bands by which an endpoint counts as slower while only another proxy's slot is free, as both proxies may
+/// use the slot at the same time.
 const BORROWED_SLOT_BANDS: usize = 3;
-/// Part of a slot that must be free for a request on another proxy's slot.
+/// Fraction of a slot that must be free for the use of another proxy's slot.
 const BORROWED_SLOT_MARGIN: f64 = 0.5;
-/// Least available weight in the choice of homes.
+/// Minimum available weight in the choice of homes.
 const MIN_AVAILABLE_WEIGHT: f64 = 1e-6;
 
-/// Free slot at an endpoint.
+/// Result of the search for a free slot at an endpoint.
 struct FreeSlot {
-    /// There is one for requests of the endpoint's keys.
+    /// True if a slot is free for requests whose home is the endpoint.
     for_keys: bool,
-    /// Speed band in which the endpoint is open for all requests.
+    /// Speed band in which the endpoint is open for all requests, if it is open.
     open_band: Option<usize>,
 }
 
 impl State {
-    /// Recomputes the slots of an endpoint, and its factor in the choice of homes.
+    /// Recomputes the slots of an endpoint and its factor in the choice of homes.
     pub fn refresh_slots(&mut self, index: usize) {
         let pooled = self.is_pooled();
         let endpoint = &mut self.endpoints[index];
@@ -39,7 +41,7 @@
         } else {
             1.0
         };
-        // A weight is cores times speed, in units of a core of the slowest machine type.
+        // A weight is the number of cores times their speed, in units of a core of the slowest machine type.
         let cores = weight * self.latency.relative_service_time(endpoint.machine_type);
         let owners = Owners {
             proxy_index: self.settings.proxy_index,
@@ -51,8 +53,8 @@
         endpoint.affinity_factor = 1.0 / available_weight.max(MIN_AVAILABLE_WEIGHT);
     }
 
-    /// Recomputes the cost and speed band of an endpoint that has this fraction of its capacity, records the fraction
-    /// for slow start, and recomputes whether it is open.
+    /// Recomputes the cost, speed band and availability of an endpoint that is guaranteed to have this fraction of its
+    /// capacity, and records the fraction for slow start.
     pub fn refresh_endpoint(&mut self, index: usize, capacity_fraction: f64, now: Millis) {
         let endpoint = &mut self.endpoints[index];
         let latency = self.latency.endpoint_estimate(
@@ -62,19 +64,19 @@
         );
         let zone = endpoint.entry.zone;
         let crosses_zones = zone.is_some() && zone != self.settings.zone;
-        let crossing = if crosses_zones {
+        let zone_penalty = if crosses_zones {
             let cost = ZONE_CROSSING_FACTOR * self.settings.costs.cross_zone;
             cost * self.max_latency_objective / self.latency.mean()
         } else {
             0.0
         };
-        endpoint.cost = latency / capacity_fraction + crossing;
+        endpoint.cost = latency / capacity_fraction + zone_penalty;
         endpoint.slow_start.set_capacity_fraction(capacity_fraction);
         endpoint.band = self.bands.band_of(endpoint.cost);
         self.update_availability(index, now);
     }
 
-    /// Recomputes whether an endpoint is open, and in which band.
+    /// Recomputes the availability of an endpoint and the band in which it is open.
     pub fn update_availability(&mut self, index: usize, now: Millis) {
         let endpoint = &self.endpoints[index];
         let band = endpoint.band;
@@ -95,27 +97,27 @@
             .update(index, band, own_slots, free_slot.open_band);
     }
 
-    /// Returns true if an endpoint is listed and not ejected. Panic makes ejected endpoints usable, except those that
-    /// are merely overloaded.
+    /// Returns true if an endpoint accepts requests and is not ejected. During a panic, ejected endpoints are usable
+    /// too, except those whose last failure was a rejection for overload.
     fn is_usable(&self, endpoint: &EndpointRecord, now: Millis) -> bool {
         let health = &endpoint.health;
         let ejected = health.overall().is_ejected(now) || peers_confirm_ejection(endpoint, now);
-        let believed = !self.outliers.is_panicking() || health.is_overloaded();
-        endpoint.accepts_requests() && !(ejected && believed)
+        let ejections_apply = !self.outliers.is_panicking() || health.is_overloaded();
+        endpoint.accepts_requests() && !(ejected && ejections_apply)
     }
 
-    /// Finds a free slot at an endpoint.
+    /// Searches for a free slot at an endpoint.
     fn free_slot(&self, endpoint: &EndpointRecord, usable: bool) -> FreeSlot {
-        let probing = endpoint.health.overall().is_on_probation();
+        let on_probation = endpoint.health.overall().is_on_probation();
         let slow_start = &endpoint.slow_start;
         let allowed = usable
-            && (!probing || endpoint.in_flight.own == 0)
+            && (!on_probation || endpoint.in_flight.own == 0)
             && (!slow_start.is_warming() || slow_start.allows_request());
         let in_flight = f64::from(endpoint.in_flight.total());
         let slots = endpoint.slots.total * slow_start.capacity_fraction();
-        let least_own = if self.settings.key_affinity { 1.0 } else { 0.0 };
+        let min_own_slots = if self.settings.key_affinity { 1.0 } else { 0.0 };
         let own_free =
-            allowed && f64::from(endpoint.in_flight.own) < endpoint.slots.own.max(least_own);
+            allowed && f64::from(endpoint.in_flight.own) < endpoint.slots.own.max(min_own_slots);
         if !self.settings.gossip_enabled {
             return FreeSlot {
                 for_keys: own_free,
@@ -137,9 +139,9 @@
         }
     }
 
-    /// Returns true if this proxy may use other proxies' free slots of an endpoint for now. All proxies see the same
-    /// ones, so each may use them at a random part of the endpoints, drawn anew in each review: about one proxy
-    /// comes for each free slot.
+    /// Returns true if this proxy may currently use other proxies' free slots of an endpoint. All proxies see the same
+    /// free slots, so each proxy may use them only at a random subset of the endpoints, which changes with each review:
+    /// on average one proxy may use each free slot.
     fn may_borrow_slot(&self, endpoint: &EndpointRecord, free_slots: f64) -> bool {
         let chance = free_slots / f64::from(self.settings.proxy_count);
         let review = self.ticks / REVIEW_TICKS;
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint list: additions, changes, drains and removals, and the subscription to updates.
+//! Endpoint list: additions, changes, drains and removals of endpoints, and the subscription to updates.
 
 use crate::action::Action;
 use crate::endpoint::EndpointRecord;
@@ -6,13 +6,13 @@
 use crate::state::State;
 use crate::types::{Endpoint, EndpointState, Millis, UpdateScope};
 
-/// Least delay before a failed subscription is requested again.
+/// Minimum delay before a failed subscription is requested again.
 const RESUBSCRIBE_DELAY: Millis = 500.0;
-/// Random delay on top, so that proxies don't all ask at once.
-const RESUBSCRIBE_SPREAD: Millis = 1500.0;
-/// Weight of an endpoint without a valid one.
+/// Maximum additional random delay, so that proxies don't all subscribe at once.
+const MAX_RESUBSCRIBE_JITTER: Millis = 1500.0;
+/// Weight of an endpoint whose advertised weight is invalid.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Least sum of weights.
+/// Minimum sum of weights, for use as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-6;
 
 fn valid_weight(weight: f64) -> f64 {
@@ -24,7 +24,7 @@
 }
 
 impl State {
-    /// Requests a subscription where updates have to be requested.
+    /// Requests a subscription if updates have to be requested and none is active.
     pub fn subscribe(&mut self, now: Millis, out: &mut Vec<Action>) {
         let on_request = self.settings.discovery == Discovery::OnRequest;
         if on_request && !self.subscription.active && now >= self.subscription.retry_at {
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Takes over an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub fn update_endpoints(&mut self, scope: UpdateScope, entries: Vec<Endpoint>, now: Millis) {
         if scope == UpdateScope::Failed {
-            let retry_at = now + RESUBSCRIBE_DELAY + RESUBSCRIBE_SPREAD * self.rng.f64();
+            let retry_at = now + RESUBSCRIBE_DELAY + MAX_RESUBSCRIBE_JITTER * self.rng.f64();
             self.subscription.active = false;
             self.subscription.retry_at = retry_at;
             return;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes over an entry; returns the index of its endpoint.
+    /// Applies an entry of the list; returns the index of its endpoint.
     fn record_entry(&mut self, mut entry: Endpoint, now: Millis) -> usize {
         entry.weight = valid_weight(entry.weight);
         let index = self.index_of(&entry, now);
@@ -67,7 +67,7 @@
             endpoint.unavailable_since.or(Some(now))
         };
         let first_seen_starting =
-            entry.started_at.is_some() && !endpoint.slow_start.is_start_named();
+            entry.started_at.is_some() && !endpoint.slow_start.is_start_reported();
         endpoint.restarted |= endpoint.entry.started_at != entry.started_at || first_seen_starting;
         endpoint.machine_type = entry
             .machine_type
@@ -81,7 +81,7 @@
         index
     }
 
-    /// Returns the index of an entry's endpoint, which is added if it is new.
+    /// Returns the index of an entry's endpoint; adds the endpoint if it is new.
     fn index_of(&mut self, entry: &Endpoint, now: Millis) -> usize {
         let next = self.endpoints.len();
         let index = *self.endpoint_index.entry(entry.id).or_insert(next);
@@ -94,7 +94,7 @@
         index
     }
 
-    /// Removes the endpoints that a complete list lacks, and adds them to those that have changed.
+    /// Marks endpoints that are missing from a complete list as removed, and adds them to `changed`.
     fn remove_unlisted(&mut self, changed: &mut Vec<usize>, now: Millis) {
         let mut unlisted = vec![true; self.endpoints.len()];
         for &index in changed.iter() {
@@ -121,7 +121,7 @@
         self.accepting.count = count;
     }
 
-    /// Begins slow start of a new process, and forgets the failures of the former one.
+    /// Begins the slow start of a new process, and drops the failures of the previous process.
     fn start_if_restarted(&mut self, index: usize, now: Millis) {
         let endpoint = &mut self.endpoints[index];
         if !endpoint.restarted {
--- a/crates/balancer/src/endpoint_selection.rs
+++ b/crates/balancer/src/endpoint_selection.rs
@@ -1,8 +1,9 @@
-//! Endpoint selection: the endpoint that a request goes to now, or none if it should wait.
+//! Endpoint selection: chooses the endpoint that a request is forwarded to now, or none if the request should wait.
 //!
-//! The fastest open endpoint that accepts the request is the candidate, with random ties. The threshold decides
-//! whether the request goes there or waits for a faster slot (the paper's D policy). A request with an affinity key
-//! prefers its home, which all proxies agree on by rendezvous hashing.
+//! The candidate is the fastest open endpoint that accepts the request; ties are broken at random. The threshold
+//! decides whether the request is forwarded to the candidate or waits for a faster slot (the D policy of the paper that
+//! `threshold` refers to). A request with an affinity key prefers the key's home, on which all proxies agree by
+//! rendezvous hashing.
 
 use crate::endpoint::EndpointRecord;
 use crate::hash::unit_hash;
@@ -16,40 +17,41 @@
 use crate::timing::TICK;
 use crate::types::{Idempotency, Key, Millis, RequestId};
 
-/// Endpoints of a band that are tried for one request.
+/// Maximum number of endpoints of a band that are checked for one request.
 const MAX_CANDIDATES_PER_BAND: usize = 8;
-/// Multiple of its expected latency before the latency objective from which a request is urgent.
+/// Multiple of its expected latency: a request is urgent if less time than this is left until its latency objective.
 const URGENT_LATENCY_FACTOR: f64 = 1.5;
-/// Ticks that are added to that: the next check may come this much later.
+/// Number of ticks added to the time in which a request is urgent, as the next check may follow this much later.
 const URGENT_TICKS: f64 = 2.0;
-/// Least hash in the logarithm of an affinity score.
-const MIN_HASH: f64 = 1e-12;
+/// Offset of the hash whose logarithm is an affinity score; avoids the logarithm of zero.
+const HASH_OFFSET: f64 = 1e-12;
 /// Bias of the exponent of a 64-bit float.
 const EXPONENT_BIAS: f64 = 1023.0;
 /// Range of the mantissa of a 64-bit float.
 const MANTISSA_RANGE: f64 = (1u64 << 52) as f64;
-/// Faster slots below which there is nothing to wait for.
-const NO_SLOTS: f64 = 0.01;
+/// Number of faster slots below which waiting is pointless.
+const MIN_FASTER_SLOTS: f64 = 0.01;
 
-/// Request that needs an endpoint, and the conditions that hold for it.
+/// Request that needs an endpoint, with the conditions of its selection.
 struct Selection<'a> {
     request: &'a Request,
     now: Millis,
-    /// The window is full: only endpoints that a slow start budget limits come into question.
+    /// True if the window is full: only endpoints limited by a slow start budget are eligible.
     warming_only: bool,
-    /// It may go to an endpoint on probation: it is idempotent, or no idempotent request has arrived for long.
+    /// True if the request may go to an endpoint on probation: it is idempotent, or no idempotent request has arrived
+    /// recently.
     may_probe: bool,
-    /// It goes to any open endpoint, as its latency objective is near.
+    /// True if the latency objective is near: the request goes to any open endpoint.
     urgent: bool,
-    /// Home of its key, unless it has been sent there.
+    /// Home of the request's key, unless an attempt was sent there already.
     home: Option<usize>,
 }
 
-/// Slots that are faster than a candidate's.
+/// Slots that are faster than those of a candidate.
 #[derive(Default)]
 struct FasterSlots {
     slots: f64,
-    /// Sum of their speeds.
+    /// Sum of the speeds of the slots.
     speed: f64,
 }
 
@@ -68,13 +70,13 @@
 }
 
 impl State {
-    /// Returns the home of a key: the endpoint that its requests prefer, the same at all proxies. Unlike in `availability`, peers'
-    /// ejections don't count here, nor in a panic those for overload.
+    /// Returns the home of a key: the endpoint that its requests prefer, identical at all proxies. In contrast to
+    /// `availability`, ejections by peers don't count here, and ejections for overload don't count during a panic.
     pub fn home_of(&self, key: Key, now: Millis) -> Option<usize> {
-        let believed = !self.outliers.is_panicking();
+        let ejections_apply = !self.outliers.is_panicking();
         let is_up = |endpoint: &EndpointRecord| {
             let ejected = endpoint.health.overall().is_ejected(now);
-            endpoint.accepts_requests() && !(ejected && believed)
+            endpoint.accepts_requests() && !(ejected && ejections_apply)
         };
         (0..self.endpoints.len())
             .filter(|&index| is_up(&self.endpoints[index]))
@@ -86,17 +88,17 @@
         score_a.total_cmp(&self.affinity_score(b, key))
     }
 
-    /// Returns the score of an endpoint for a key by weighted rendezvous hashing; the lowest wins. The bits of a float,
-    /// exponent and mantissa, stand in for its logarithm.
+    /// Returns the score of an endpoint for a key by weighted rendezvous hashing; the lowest score wins. The exponent
+    /// and mantissa bits of a float approximate its logarithm.
     fn affinity_score(&self, index: usize, key: u64) -> f64 {
         let endpoint = &self.endpoints[index];
-        let hash = unit_hash(endpoint.entry.id.0, key) + MIN_HASH;
+        let hash = unit_hash(endpoint.entry.id.0, key) + HASH_OFFSET;
         let biased_log2 = hash.to_bits() as f64 / MANTISSA_RANGE;
         (EXPONENT_BIAS - biased_log2) * endpoint.affinity_factor
     }
 
-    /// Selects the endpoint that a request goes to now. With `warming_only` the window is full, and only endpoints
-    /// that a slow start budget limits come into question.
+    /// Selects the endpoint that a request is forwarded to now. `warming_only` means that the window is full, and only
+    /// endpoints limited by a slow start budget are eligible.
     pub fn select_endpoint(
         &mut self,
         id: RequestId,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Selects the fastest open endpoint that drops repeats of a request, as long as they are dropped.
+    /// Selects the fastest open endpoint that drops repeats of a request, within the deduplication window.
     fn select_for_repeat(&self, selection: &Selection, bounds: &Deduplication) -> Option<usize> {
         if selection.now >= bounds.until {
             return None;
@@ -161,8 +163,8 @@
             .min_by(|&a, &b| self.endpoints[a].cost.total_cmp(&self.endpoints[b].cost))
     }
 
-    /// Returns the candidate of a band. Ties are broken at random; with a key by its hash, so that requests which
-    /// miss their home meet again.
+    /// Returns the candidate of a band. Ties are broken at random, or by the affinity score for a request with a home,
+    /// so that requests with the same key which can't use their home go to the same endpoint.
     fn candidate(&self, selection: &Selection, band: &Band, start: usize) -> Option<usize> {
         let accepts = |index: &usize| self.accepts(*index, selection);
         if selection.home.is_some() {
@@ -191,7 +193,7 @@
     }
 
     /// Returns true if an endpoint accepts requests that may not serve as probes: it is not on probation, ejections are
-    /// not believed (panic), or idempotent classes are what it fails, so that they can't probe it.
+    /// ignored (panic), or it is on probation for an idempotent class, whose requests thus can't probe it.
     fn accepts_non_probes(&self, endpoint: &EndpointRecord) -> bool {
         let classes = self.settings.classes.iter();
         let idempotent_on_probation = || {
@@ -206,8 +208,9 @@
             || idempotent_on_probation()
     }
 
-    /// Returns true if an endpoint may get an attempt of a request: it had none of it, is not ejected for its class,
-    /// and neither the bound on one request's load nor the slow start budget forbids it.
+    /// Returns true if an endpoint may receive an attempt of a request: it has received no earlier attempt of the
+    /// request, it is not ejected for the request's class, and neither the maximum load of one request nor the slow
+    /// start budget is exceeded.
     pub fn may_receive(&self, index: usize, request: &Request, now: Millis) -> bool {
         let endpoint = &self.endpoints[index];
         let slow_start = &endpoint.slow_start;
@@ -226,14 +229,14 @@
             && !too_costly()
     }
 
-    /// Returns what a request takes of a slow start budget, in requests of mean work.
+    /// Returns the cost of a request for a slow start budget, in requests of mean work.
     pub fn slow_start_cost(&self, index: usize, request: &Request) -> f64 {
         let machine_type = self.endpoints[index].machine_type;
         let expected_latency = self.expected_latency(request);
         slow_start::request_cost(self.latency.work_units(expected_latency, machine_type))
     }
 
-    /// Decides between the candidate, the request's home and waiting.
+    /// Chooses between the candidate, the request's home and waiting.
     fn choose(
         &self,
         selection: &Selection,
@@ -251,14 +254,14 @@
         }
     }
 
-    /// Returns true if a candidate beats waiting for one of the faster slots.
+    /// Returns true if forwarding to the candidate is better than waiting for a faster slot.
     fn beats_waiting(
         &self,
         selection: &Selection,
         candidate_speed: f64,
         faster: &FasterSlots,
     ) -> bool {
-        // Of all pooled slots this proxy's window is what comes free for it.
+        // While slots are pooled, only this proxy's window of them becomes free for its requests.
         let window_fraction = if selection.warming_only {
             (self.concurrency.window_requests() / faster.slots).min(1.0)
         } else {
@@ -267,7 +270,7 @@
         let class = selection.request.class;
         let open_fraction = 1.0 - self.outliers.ejected_fraction(class);
         let faster = faster.scaled(window_fraction).scaled(open_fraction);
-        if faster.slots < NO_SLOTS || selection.urgent {
+        if faster.slots < MIN_FASTER_SLOTS || selection.urgent {
             return true;
         }
         let utilization = self.arrivals.per_ms() * self.latency.mean() / faster.speed;
@@ -275,7 +278,7 @@
         self.queue.len() > threshold(faster.slots, utilization, speed_ratio) as usize
     }
 
-    /// Decides between the candidate, the home and waiting for the home, whose slots are the faster ones.
+    /// Chooses between the candidate, the home and waiting for the home, whose slots count as the faster ones.
     fn choose_with_home(
         &self,
         selection: &Selection,
@@ -286,10 +289,10 @@
         let endpoint = &self.endpoints[home];
         let gain = self.latency.affinity_gain();
         let home_speed = gain / endpoint.cost;
-        // A home slower than elsewhere by more than its gain is crowded by its keys or unhealthy. Leaving it makes work,
-        // so requests that lack slots stay.
-        let crowded = self.queue.len() <= 1 && home_speed * gain < candidate_speed;
-        if crowded {
+        // A home that is slower than the candidate by more than the affinity gain is congested by its keys or
+        // unhealthy. Leaving the home causes extra work, so requests keep to it while slots are scarce.
+        let home_too_slow = self.queue.len() <= 1 && home_speed * gain < candidate_speed;
+        if home_too_slow {
             return Some(candidate);
         }
         if endpoint.has_free_slot {
--- a/crates/balancer/src/final_answer.rs
+++ b/crates/balancer/src/final_answer.rs
@@ -1,28 +1,30 @@
-//! Final answers by the proxy itself: rejection or failure, the time by which one is due, and the time after which a
-//! client should retry.
+//! Final answers that the proxy itself gives: rejection or failure, the time at which an answer is due, and the time
+//! after which a client should retry.
 //!
-//! Where a request is rejected or failed:
+//! A request is rejected or fails in these cases:
 //!
-//! | cause | decided in | answer |
+//! | cause | detected in | answer |
 //! | --- | --- | --- |
 //! | the client's timeout is too short for an attempt | `admission`, on arrival | `reject_or_fail` |
-//! | idempotent, and the queue takes too long, where proxies share slots without gossip | `admission`, on arrival | `reject_or_fail` |
-//! | queued, and too late for a response by `answer_by` | `admission`, each tick | `reject_or_fail` |
-//! | an attempt has failed and no retry is allowed | `attempts`, at its end | `reject_or_fail` |
-//! | in flight until shortly before `answer_by` | `stall_detection`, by a timer | `reject_or_fail` |
-//! | the front end refuses it: beyond the tenant's share of the process | the front end | `reject_over_process_share` |
+//! | the request is idempotent, proxies share slots without gossip, and the queueing delay is too long | `admission`, on arrival | `reject_or_fail` |
+//! | the request is queued, and it is too late for a response by `answer_by` | `admission`, in each tick | `reject_or_fail` |
+//! | an attempt has failed and no retry is allowed | `attempts`, at the end of the attempt | `reject_or_fail` |
+//! | the request is in flight until shortly before `answer_by` | `stall_detection`, by a timer | `reject_or_fail` |
+//! | the front end rejects the request: it exceeds the tenant's share of the process | the front end | `reject_over_process_share` |
 
 use crate::action::Action;
 use crate::request::Request;
 use crate::state::State;
 use crate::types::{DeduplicationScope, Idempotency, Millis, RequestId};
 
-/// Fraction of the longest Retry-After that a rejection beyond the process share names before it is spread.
+/// Maximum Retry-After of a rejection beyond the process share before random spreading, as a fraction of the maximum
+/// Retry-After in the settings.
 const MAX_SHARE_RETRY_FRACTION: f64 = 0.5;
-/// Least Retry-After of a rejection beyond the process share.
+/// Minimum Retry-After of a rejection beyond the process share, before random spreading.
 const MIN_SHARE_RETRY: Millis = 1.0;
 
-/// Returns true if a client may safely retry a request. With an idempotency key this holds within its deduplication window.
+/// Returns true if a client may safely retry a request. For a request with an idempotency key this holds within the
+/// deduplication window.
 fn is_retry_safe(request: &Request) -> bool {
     match request.idempotency {
         Idempotency::Idempotent => true,
@@ -35,8 +37,8 @@
 }
 
 impl State {
-    /// Gives the final answer of a request that has none: a rejection if the client may safely retry, else a failure.
-    /// A rejection does not say that the request had no effect; see [`Action::Reject`].
+    /// Gives the final answer of a request that has none: a rejection if the client may safely retry, otherwise a
+    /// failure. A rejected request may still have taken effect; see [`Action::Reject`].
     pub fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -55,8 +57,8 @@
         self.finish(id);
     }
 
-    /// Rejects a request whose tenant exceeds its share of the process. Clients that are rejected together are asked
-    /// to retry at different times.
+    /// Rejects a request whose tenant exceeds its share of the process. The Retry-After is randomized, so that clients
+    /// that are rejected together retry at different times.
     pub fn reject_over_process_share(
         &mut self,
         id: RequestId,
@@ -64,8 +66,8 @@
         out: &mut Vec<Action>,
     ) {
         let spread = 1.0 + self.rng.f64();
-        let retry_after = self.settings.max_retry_after.map(|longest| {
-            let bound = MAX_SHARE_RETRY_FRACTION * longest;
+        let retry_after = self.settings.max_retry_after.map(|max_wait| {
+            let bound = MAX_SHARE_RETRY_FRACTION * max_wait;
             wait.max(MIN_SHARE_RETRY).min(bound) * spread
         });
         out.push(Action::Reject {
@@ -74,13 +76,14 @@
         });
     }
 
-    /// Returns the time by which a request must have its final answer. That is its deadline, unless a late response
-    /// is not worth waiting for: where late responses earn nothing, and for queued requests while more are queued
-    /// than in flight, it is the latency objective, if that is earlier.
+    /// Returns the time by which a request must have its final answer. This is the deadline, or the end of the latency
+    /// objective if that is earlier and a late response is not worth waiting for: if late responses earn nothing, and
+    /// for queued requests while more requests are queued than in flight.
     pub fn answer_by(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class];
-        let crowded = request.status.queued && self.queue.len() > self.in_flight.counted();
-        if class.late_weight_fraction > 0.0 && !crowded {
+        let overloaded =
+            request.status.queued && self.queue.len() > self.in_flight.counted_in_window();
+        if class.late_weight_fraction > 0.0 && !overloaded {
             request.deadline
         } else {
             request.objective_at.min(request.deadline)
@@ -88,13 +91,13 @@
     }
 
     fn retry_after(&self) -> Option<Millis> {
-        let longest = self.settings.max_retry_after?;
-        let shortest = self.latency.mean().min(longest);
-        Some(self.queueing_delay().clamp(shortest, longest))
+        let max_wait = self.settings.max_retry_after?;
+        let min_wait = self.latency.mean().min(max_wait);
+        Some(self.queueing_delay().clamp(min_wait, max_wait))
     }
 
-    /// Returns the time that the queued requests will take to be forwarded; a client that retries sooner only
-    /// extends it.
+    /// Returns the expected time until all queued requests have been forwarded; a client that retries earlier only
+    /// extends the queue.
     fn queueing_delay(&self) -> Millis {
         let slots: f64 = self.bands.iter().map(|band| band.slots).sum();
         self.queue.len() as f64 * self.latency.mean() / slots.max(1.0)
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -1,10 +1,10 @@
-//! Attempts in flight from this proxy. Decides nothing.
+//! Attempts of this proxy that are in flight. Makes no decisions.
 
 use std::collections::VecDeque;
 
 use crate::types::{Millis, RequestId};
 
-/// Slot that an abandoned attempt still occupies.
+/// Slot that an abandoned attempt is assumed to occupy.
 struct AbandonedSlot {
     endpoint: usize,
     until: Millis,
@@ -14,9 +14,9 @@
 #[derive(Default)]
 pub(crate) struct InFlight {
     requests: Vec<RequestId>,
-    /// Silent ones, which are probably lost.
+    /// Number of silent attempts, which are probably lost.
     silent: usize,
-    /// Others to endpoints that were warming up, which a slow start budget limits.
+    /// Number of other attempts at endpoints that were warming up, which a slow start budget limits.
     to_warming_endpoints: usize,
     abandoned: VecDeque<AbandonedSlot>,
 }
@@ -28,7 +28,7 @@
         self.requests.push(id);
     }
 
-    /// Notes that an attempt has become silent.
+    /// Records that an attempt has become silent.
     pub fn record_silence(&mut self, to_warming_endpoint: bool) {
         self.silent += 1;
         self.to_warming_endpoints -= usize::from(to_warming_endpoint);
@@ -41,12 +41,12 @@
         self.to_warming_endpoints -= usize::from(to_warming_endpoint && !silent);
     }
 
-    /// Keeps the slot of an abandoned attempt until a time.
+    /// Keeps the slot of an abandoned attempt occupied until a time.
     pub fn keep_abandoned(&mut self, endpoint: usize, until: Millis) {
         self.abandoned.push_back(AbandonedSlot { endpoint, until });
     }
 
-    /// Takes the oldest abandoned slot whose time is over; returns its endpoint.
+    /// Releases the oldest abandoned slot if its time has passed; returns its endpoint.
     pub fn release_abandoned(&mut self, now: Millis) -> Option<usize> {
         let oldest = self.abandoned.front()?;
         if oldest.until > now {
@@ -60,13 +60,13 @@
         &self.requests
     }
 
-    /// Returns the attempts that count against the window of this proxy: not the silent ones, and not those that a
-    /// slow start budget limits.
-    pub fn counted(&self) -> usize {
+    /// Returns the number of attempts that count against the window of this proxy: all except silent attempts and
+    /// attempts that a slow start budget limits.
+    pub fn counted_in_window(&self) -> usize {
         self.requests.len() - self.silent - self.to_warming_endpoints
     }
 
-    /// Returns the number of slots taken, abandoned ones included.
+    /// Returns the number of occupied slots, including those of abandoned attempts.
     pub fn occupied(&self) -> usize {
         self.requests.len() + self.abandoned.len()
     }
--- a/crates/balancer/src/latency_estimator.rs
+++ b/crates/balancer/src/latency_estimator.rs
@@ -1,56 +1,57 @@
-//! Latency estimator: smoothed latencies per class, machine type and endpoint.
+//! Latency estimator: moving averages of latencies per class, machine type and endpoint.
 //!
-//! The latency of a class is a mean over all endpoints; that of an endpoint or machine type is relative to its
-//! classes' means. Failures and endpoints that are warming up don't count for their class or machine type. What
-//! follows from an estimate is decided elsewhere.
+//! The latency of a class is a mean over all endpoints; the latency of an endpoint or machine type is relative to the
+//! means of the requests' classes. Failures, and responses of endpoints that are warming up, don't count for a class or
+//! machine type. Other modules decide by these estimates.
 
 use crate::ewma::Ewma;
 use crate::settings::Class;
 use crate::types::Millis;
 
-/// Multiple of the expected latency from which a missing response counts as silence of the endpoint.
+/// Multiple of the expected latency after which an attempt without a response counts as silent.
 pub(crate) const SILENCE_MULTIPLE: f64 = 5.0;
 
-/// Responses over which the latency of an endpoint is averaged.
+/// Number of responses over which the latency of an endpoint is averaged.
 const ENDPOINT_SAMPLES: f64 = 12.0;
-/// Responses over which the latency of a class or machine type is averaged.
+/// Number of responses over which the latency of a class or machine type is averaged.
 const CLASS_SAMPLES: f64 = 100.0;
-/// Responses over which the squared latency is averaged; many, as tails are rare.
+/// Number of responses over which the squared latency is averaged; large, as tail latencies are rare.
 const SQUARE_SAMPLES: f64 = 1000.0;
-/// Initial mean square of relative latencies: that of an exponential distribution.
-const INITIAL_SQUARE: Ewma = Ewma::new(2.0, 0.2 * SQUARE_SAMPLES);
-/// Largest relative latency of one sample.
+/// Initial mean square of relative latencies, which is that of an exponential distribution.
+const INITIAL_MEAN_SQUARE: Ewma = Ewma::new(2.0, 0.2 * SQUARE_SAMPLES);
+/// Upper bound on the relative latency of one sample.
 const MAX_SAMPLE: f64 = 20.0;
-/// Multiple of the machine type's mean that a response counts at most in that mean.
+/// Upper bound on a sample in the mean of its machine type, as a multiple of that mean.
 const OUTLIER_MULTIPLE: f64 = 2.0;
-/// Responses that the machine type's mean counts for in the estimate of an endpoint.
+/// Weight of the machine type's mean in the estimate of an endpoint, in responses.
 const MACHINE_TYPE_WEIGHT: f64 = 6.0;
-/// Responses of a machine type before its latency is compared with its baseline.
+/// Minimum number of responses of a machine type before its latency is compared with a baseline.
 const MIN_BASELINE_SAMPLES: f64 = 3.0 * MACHINE_TYPE_WEIGHT;
-/// Factor by which a baseline may rise in a review: 10 % in 10 s.
+/// Maximum factor by which a baseline rises per review: 10 % in 10 s.
 const BASELINE_RISE: f64 = 1.001;
-/// The same while requests don't share a core, so that latency is service time: a factor of 2 in 0.8 s.
+/// Maximum factor by which a baseline rises per review while requests don't share cores, so that the latency equals the
+/// service time: a factor of 2 in 0.8 s.
 const BASELINE_RISE_ISOLATED: f64 = 1.1;
-/// Least relative latency of a machine type in estimates of service time.
+/// Minimum relative latency of a machine type in estimates of the service time.
 const MIN_RELATIVE_LATENCY: f64 = 0.2;
-/// Fraction of its latency objective that is assumed as the latency of a class without responses.
+/// Assumed latency of a class without responses, as a fraction of its latency objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 1.0 / 4.0;
-/// Least relative latency of an endpoint in divisions.
+/// Minimum relative latency of an endpoint used as a divisor.
 const MIN_ENDPOINT_LATENCY: f64 = 0.05;
-/// Least mean latency in divisions.
+/// Minimum mean latency used as a divisor.
 const MIN_MEAN: Millis = 0.01;
-/// Least work of a request relative to the mean of its class.
+/// Minimum work of a request relative to the mean of its class.
 const MIN_RELATIVE_WORK: f64 = 0.05;
-/// Largest work of a request relative to the mean of its class.
+/// Maximum work of a request relative to the mean of its class.
 const MAX_RELATIVE_WORK: f64 = 50.0;
 /// Weight of a class without responses in the mean over classes.
 const UNSEEN_CLASS_WEIGHT: f64 = 0.01;
-/// Requests over which the expected work of a class is averaged.
+/// Number of requests over which the expected work of a class is averaged.
 const WORK_SAMPLES: f64 = 100.0;
-/// Multiple of the mean that a request's expected work counts at most in that mean.
+/// Upper bound on a request's expected work in the mean of its class, as a multiple of that mean.
 const MAX_WORK_SAMPLE: f64 = 10.0;
 
-/// Latency of a response, with what the estimator has to know of the attempt.
+/// Latency of a response with the properties of the attempt that the estimator needs.
 pub(crate) struct LatencySample {
     /// Index of the class.
     pub class: usize,
@@ -58,11 +59,11 @@
     pub machine_type: usize,
     /// Latency divided by the request's relative work.
     pub latency: Millis,
-    /// Fraction of its capacity that the endpoint had.
+    /// Fraction of its capacity that the endpoint was guaranteed to have.
     pub capacity_fraction: f64,
-    /// The endpoint is the home of the request's key.
+    /// True if the endpoint is the home of the request's key.
     pub at_home: bool,
-    /// The attempt found the endpoint idle.
+    /// True if the endpoint was idle when the attempt was sent.
     pub found_idle: bool,
 }
 
@@ -70,9 +71,9 @@
 pub(crate) struct MachineTypeLatency {
     /// Mean latency relative to the classes' means.
     pub relative: Ewma,
-    /// Mean latency of requests that found an endpoint idle.
+    /// Mean latency of requests sent to an idle endpoint.
     when_idle: Ewma,
-    /// Mean latency of a request that shares no core; infinite until known.
+    /// Mean latency of a request that doesn't share a core; infinite until known.
     service_time: Millis,
     /// Lowest recent mean latency; infinite until known.
     baseline: Millis,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns true if there are enough responses to compare latencies with a baseline.
+    /// Returns true if there are enough responses to compare the latency with a baseline.
     pub fn is_sampled(&self) -> bool {
         self.relative.weight >= MIN_BASELINE_SAMPLES
     }
@@ -98,9 +99,9 @@
         self.baseline.is_finite()
     }
 
-    /// Returns the mean latency of an uncrowded endpoint with so many cores: one core adds half a service time of
-    /// waiting, more cores less.
-    pub fn uncrowded_latency(&self, cores: f64) -> Millis {
+    /// Returns the mean latency of an uncongested endpoint with `cores` cores. Waiting adds half a service time with
+    /// one core, and less with more cores.
+    pub fn uncongested_latency(&self, cores: f64) -> Millis {
         let waiting_fraction = 0.5 / cores;
         self.baseline
             .max(self.service_time * (1.0 + waiting_fraction))
@@ -121,23 +122,23 @@
     }
 }
 
-/// Advantage of an endpoint for keys whose home it is.
+/// Speed-up of requests at the home of their key.
 struct AffinityGain {
     enabled: bool,
     away: Ewma,
     at_home: Ewma,
-    /// Ratio of relative latencies, away over at home.
+    /// Mean relative latency away from home divided by that at home.
     ratio: f64,
 }
 
 impl AffinityGain {
-    /// Least ratio.
+    /// Minimum ratio.
     const MIN_RATIO: f64 = 1.1;
-    /// Largest ratio.
+    /// Maximum ratio.
     const MAX_RATIO: f64 = 8.0;
     /// Ratio before any response.
     const INITIAL_RATIO: f64 = 2.0;
-    /// Least mean in the ratio.
+    /// Minimum mean used as a divisor in the ratio.
     const MIN_MEAN: f64 = 0.01;
 
     fn new(enabled: bool) -> Self {
@@ -161,7 +162,7 @@
     }
 }
 
-/// Estimates of all latencies.
+/// Latency estimates of all classes and machine types.
 pub(crate) struct LatencyEstimator {
     by_class: Vec<Ewma>,
     work_by_class: Vec<Ewma>,
@@ -174,14 +175,14 @@
 }
 
 impl LatencyEstimator {
-    /// Creates an estimator that assumes latencies from the classes' objectives.
+    /// Creates an estimator that derives initial latencies from the classes' latency objectives.
     pub fn new(classes: &[Class], max_latency_objective: Millis, key_affinity: bool) -> Self {
         let mean = (max_latency_objective * INITIAL_OBJECTIVE_FRACTION).max(1.0);
         let mut estimator = LatencyEstimator {
             by_class: Vec::new(),
             work_by_class: Vec::new(),
             machine_types: vec![MachineTypeLatency::new()],
-            squared_relative: INITIAL_SQUARE,
+            squared_relative: INITIAL_MEAN_SQUARE,
             affinity: AffinityGain::new(key_affinity),
             mean,
             mean_endpoint: mean,
@@ -191,7 +192,7 @@
         estimator
     }
 
-    /// Adds the classes that are not known yet.
+    /// Adds new classes; `classes` contains the existing classes too.
     pub fn add_classes(&mut self, classes: &[Class]) {
         let initial =
             |class: &Class| Ewma::new(class.latency_objective * INITIAL_OBJECTIVE_FRACTION, 0.0);
@@ -233,17 +234,17 @@
         self.mean_endpoint
     }
 
-    /// Returns the mean square of latencies over their expected values.
+    /// Returns the mean square of the ratio of latencies to their expected values.
     pub fn squared_relative(&self) -> f64 {
         self.squared_relative.mean
     }
 
-    /// Returns the ratio by which an endpoint is faster for keys whose home it is.
+    /// Returns the factor by which an endpoint is faster for keys whose home it is.
     pub fn affinity_gain(&self) -> f64 {
         self.affinity.ratio
     }
 
-    /// Learns a request's expected work; returns it relative to the mean of its class.
+    /// Records a request's expected work; returns the work relative to the mean of the class.
     pub fn relative_work(&mut self, class: usize, expected_work: Millis) -> f64 {
         let work = &mut self.work_by_class[class];
         let sample = if work.weight > 0.0 {
@@ -255,7 +256,7 @@
         (expected_work / work.mean).clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK)
     }
 
-    /// Learns from a response; `endpoint` is the relative latency of its endpoint.
+    /// Updates the estimates by a response; `endpoint` is the relative latency of its endpoint.
     pub fn observe(&mut self, endpoint: &mut Ewma, sample: &LatencySample) {
         let class_mean = self.by_class[sample.class].mean;
         if self.affinity.enabled {
@@ -292,14 +293,15 @@
         }
     }
 
-    /// Returns the relative latency of an endpoint, judged by its machine type's mean as long as it has few responses.
+    /// Returns the estimated relative latency of an endpoint, which is close to the mean of its machine type as long as
+    /// the endpoint has few responses.
     pub fn endpoint_estimate(&self, endpoint: Ewma, machine_type: usize, warming: bool) -> f64 {
         let machine_type = &self.machine_types[machine_type];
         let prior = machine_type.relative.mean * MACHINE_TYPE_WEIGHT;
         let estimate =
             (endpoint.mean * endpoint.weight + prior) / (endpoint.weight + MACHINE_TYPE_WEIGHT);
         if warming {
-            // The slow start budget keeps it uncrowded, even if others of its machine type are crowded.
+            // The slow start budget keeps the endpoint uncongested, even if others of its machine type are congested.
             estimate.min(machine_type.service_time / self.mean)
         } else {
             estimate
@@ -311,8 +313,8 @@
         endpoint.mean <= OUTLIER_MULTIPLE * self.machine_types[machine_type].relative.mean
     }
 
-    /// Returns the latency of a request at an uncrowded endpoint of a machine type.
-    pub fn uncrowded_latency(
+    /// Returns the latency of a request at an uncongested endpoint of a machine type.
+    pub fn uncongested_latency(
         &self,
         class: usize,
         relative_work: f64,
@@ -322,21 +324,21 @@
         relative * self.by_class[class].mean * relative_work
     }
 
-    /// Returns the service time of a request of mean work, without waits in a crowd.
+    /// Returns the service time of a request of mean work, without waiting times due to congestion.
     pub fn service_time(&self, machine_type: usize) -> Millis {
         let machine_type = &self.machine_types[machine_type];
-        let crowded = self.mean * machine_type.relative.mean.max(MIN_RELATIVE_LATENCY);
-        machine_type.service_time.min(crowded)
+        let congested_latency = self.mean * machine_type.relative.mean.max(MIN_RELATIVE_LATENCY);
+        machine_type.service_time.min(congested_latency)
     }
 
-    /// Returns the latency of a request in units of the service time of mean work.
+    /// Returns the latency of a request in units of the service time of a request of mean work.
     pub fn work_units(&self, expected_latency: Millis, machine_type: usize) -> f64 {
         let relative = self.machine_types[machine_type].relative.mean;
         expected_latency * relative.max(MIN_RELATIVE_LATENCY) / self.service_time(machine_type)
     }
 
-    /// Returns the service time of a machine type as a fraction of the longest one, at most 1: the inverse of a core's
-    /// speed relative to the slowest machine type.
+    /// Returns the service time of a machine type as a fraction of the longest service time, at most 1. This is the
+    /// inverse of the speed of a core relative to the slowest machine type.
     pub fn relative_service_time(&self, machine_type: usize) -> f64 {
         (self.machine_types[machine_type].service_time / self.max_service_time).min(1.0)
     }
@@ -356,14 +358,14 @@
         };
     }
 
-    /// Recomputes the mean over listed endpoints from the mean of their machine types' relative latencies: a sum and
-    /// the number of endpoints.
+    /// Recomputes the mean over listed endpoints from the sum of the relative latencies of their machine types and the
+    /// number of endpoints.
     pub fn review_mean_endpoint(&mut self, relative_sum: f64, endpoints: f64) {
         self.mean_endpoint = self.mean * relative_sum / endpoints;
     }
 
-    /// Updates the baseline of a machine type; `isolated` says that its requests don't share cores. Returns its
-    /// current mean latency.
+    /// Updates the baseline of a machine type; `isolated` means that its requests don't share cores. Returns the
+    /// current mean latency of the machine type.
     pub fn review_machine_type(&mut self, machine_type: usize, isolated: bool) -> Millis {
         let machine_type = &mut self.machine_types[machine_type];
         let latency = machine_type.relative.mean * self.mean;
@@ -371,7 +373,7 @@
         latency
     }
 
-    /// Recomputes the longest service time over machine types.
+    /// Recomputes the maximum service time over all machine types.
     pub fn review_max_service_time(&mut self) {
         let known = self
             .machine_types
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,80 +1,84 @@
-//! Outlier detection: ejects endpoints that fail or stay silent, as a whole or for one class, and brings them back:
-//! as a whole one request at a time, for a class at once.
+//! Outlier detection: ejects endpoints that fail or don't respond, either for all classes or for one class, and returns
+//! them to service: after an ejection for all classes one request at a time, after an ejection for one class
+//! immediately.
 //!
-//! Health is judged from a mean of failures against a baseline: the fraction that fails at healthy endpoints too. An
-//! ejection lasts for a backoff that doubles with each failed return. If nearly all endpoints look unhealthy, ejections
-//! are not believed (panic threshold). Attempts and their timeouts are handled elsewhere.
+//! Health is a moving average of failures, compared with a baseline: the fraction of attempts that fail at healthy
+//! endpoints too. The backoff that determines the length of an ejection doubles with each further ejection. If nearly
+//! all endpoints seem unhealthy, ejections are ignored (panic threshold). `attempts` and `stall_detection` handle
+//! attempts and their timeouts.
 //!
-//! Where an endpoint is ejected and how it returns:
+//! Events that eject an endpoint or end an ejection:
 //!
 //! | event | place | effect |
 //! | --- | --- | --- |
 //! | failure mean above its limit | `Health::record` | ejection, for all classes or for one |
-//! | silent attempt that shows a hang | `stall_detection`, `HealthRecord::eject_hanging` | ejection for all classes |
-//! | ejected by several peers, no response here | `gossip::peers_confirm_ejection` | not open, without an ejection here |
+//! | silent attempt that indicates a hang | `stall_detection`, `HealthRecord::eject_hanging` | ejection for all classes |
+//! | ejected by several peers, no recent response to this proxy | `gossip::peers_confirm_ejection` | not open, without an ejection by this proxy |
 //! | end of the ejection | `Health::is_ejected` | open again on probation, one request at a time (`availability`) |
-//! | late response, failure mean below its limit | `Health::record_success` | the ejection ends at once |
-//! | failure mean well below its limit | `Health::record_success` | end of probation, least backoff |
-//! | start of a new process | `endpoint_list`, `HealthRecord::reset` | failures and ejections are forgotten |
-//! | panic | `OutlierDetector::review`, `availability` | ejections as a whole don't count, except for overload; probation and class ejections do |
-//! | nearly all ejected for one class | `OutlierDetector::is_ejected_for` | ejections for that class don't count |
+//! | late response, failure mean below its limit | `Health::record_success` | the ejection ends immediately |
+//! | failure mean well below its limit | `Health::record_success` | probation ends, backoff returns to its minimum |
+//! | start of a new process | `endpoint_list`, `HealthRecord::reset` | failures and ejections are dropped |
+//! | panic | `OutlierDetector::review`, `availability` | ejections for all classes are ignored, except for overload; probation and ejections for one class stay in effect |
+//! | nearly all endpoints ejected for one class | `OutlierDetector::is_ejected_for` | ejections for that class are ignored |
 
 use crate::ewma::Ewma;
 use crate::health_snapshot::Ejection;
 use crate::types::{Millis, Outcome};
 
-/// First backoff.
+/// Initial backoff.
 pub(crate) const MIN_BACKOFF: Millis = 250.0;
-/// Longest backoff. An ejection may last longer: its length is the backoff, extended for rare requests, for a single
-/// class and by a random factor.
+/// Maximum backoff. An ejection may last longer: the backoff is extended if requests are rare, for an ejection for one
+/// class, and by a random factor.
 pub(crate) const MAX_BACKOFF: Millis = 4000.0;
 
-/// Longest ejection in intervals between two requests of this proxy to the endpoint, if that is longer.
+/// Maximum length of an extended ejection, in intervals between two requests of this proxy to the endpoint.
 const MAX_BACKOFF_INTERVALS: f64 = 4.0;
-/// Least random factor on the length of an ejection.
+/// Minimum random factor on the length of an ejection.
 const MIN_JITTER: f64 = 0.75;
-/// Span of that factor.
-const JITTER_SPAN: f64 = 0.5;
-/// Factor by which an ejection for one class is longer, as each trial may cost a request.
+/// Range of the random factor above its minimum.
+const JITTER_RANGE: f64 = 0.5;
+/// Factor by which an ejection for one class is longer, as each probe may cost a request.
 const CLASS_EJECTION_FACTOR: f64 = 4.0;
-/// Weight of a failed attempt in the failure mean: two in a row eject the endpoint.
+/// Weight of a failed attempt in the failure mean: two consecutive failures eject the endpoint.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Weight of a failed connection attempt: no process answers, so one ejects the endpoint.
+/// Weight of a failed connection attempt in the failure mean: no process is listening, so one failure ejects the
+/// endpoint.
 const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
-/// Weight of a successful attempt.
+/// Weight of a successful attempt in the failure mean.
 const SUCCESS_WEIGHT: f64 = FAILURE_WEIGHT / 2.0;
-/// Fraction of the limit for ejection below which the failure mean ends probation.
+/// Failure mean below which probation ends, as a fraction of the limit for ejection.
 const PROBATION_LIMIT_FRACTION: f64 = 0.5;
-/// Factor on the backoff for each further ejection.
+/// Growth factor of the backoff per further ejection.
 const BACKOFF_FACTOR: f64 = 2.0;
-/// Failure mean above which an endpoint is ejected where others hardly fail.
+/// Failure mean above which an endpoint is ejected if other endpoints hardly fail.
 const MIN_FAILURE_LIMIT: f64 = 0.4;
-/// Probability of a row of failures below which it is not taken for chance.
+/// Probability below which consecutive failures are not attributed to chance.
 const CHANCE_LIMIT: f64 = 1e-4;
-/// Largest baseline that excuses failures.
+/// Upper bound on the baseline in the calculation of the failure limit.
 const MAX_BASELINE: f64 = 0.5;
-/// Responses over which the fraction of failures is averaged.
+/// Number of attempts over which the fraction of failures is averaged.
 const FAILURE_SAMPLES: f64 = 100.0;
-/// Responses of an endpoint before it counts in the baseline.
+/// Minimum number of attempts of an endpoint before it counts in the baseline.
 const MIN_BASELINE_SAMPLES: f64 = 6.0;
-/// Failure mean below which there is nothing to keep in a snapshot: what two responses leave of a failure.
-const NOTABLE_FAILURE_MEAN: f64 = 0.2;
-/// Fraction of ejected endpoints above which ejections are not believed.
+/// Failure mean above which a snapshot includes the endpoint's health; two successes after a failure leave about this
+/// value.
+const MIN_SNAPSHOT_FAILURE_MEAN: f64 = 0.2;
+/// Fraction of ejected endpoints above which ejections are ignored.
 const PANIC_FRACTION: f64 = 0.9;
-/// The same while few attempts succeed.
+/// Fraction of ejected endpoints above which ejections are ignored while few attempts succeed.
 const PANIC_FRACTION_LOW_SUCCESS: f64 = 0.5;
-/// Fraction of successful attempts below which few succeed.
+/// Fraction of successful attempts below which few attempts succeed.
 const PANIC_SUCCESS_MEAN: f64 = 0.5;
-/// Attempts over which success is averaged.
+/// Number of attempts over which success is averaged.
 const SUCCESS_SAMPLES: f64 = 100.0;
-/// Baseline below which one silent attempt shows that the endpoint hangs.
+/// Baseline below which one silent attempt indicates that the endpoint hangs.
 const HANG_BASELINE: f64 = 0.003;
-/// Least baseline in formulas.
+/// Minimum baseline whose logarithm is taken.
 const MIN_BASELINE: f64 = 1e-9;
-/// Least arrival rate, per ms, in formulas.
+/// Minimum arrival rate per millisecond, used as a divisor.
 const MIN_ARRIVAL_RATE: f64 = 1e-9;
 
-/// Result of an attempt as a sample of its endpoint's health.
+/// Sample of an endpoint's health: the result of one attempt.
 pub(crate) struct HealthSample {
     /// Index of the class.
     pub class: usize,
@@ -86,10 +90,10 @@
     pub jitter: f64,
 }
 
-/// Frequency of the proxies' requests to an endpoint.
+/// Rate of the proxies' requests to one endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct Exposure {
-    /// Interval between two requests of this proxy to one endpoint.
+    /// Mean interval between two requests of this proxy to one endpoint, limited by the maximum backoff.
     pub interval: Millis,
     /// Number of proxies.
     pub proxy_count: u32,
@@ -105,9 +109,9 @@
         }
     }
 
-    /// Extends an ejection by a proxy that rarely meets the endpoint: it would return with the very next request and
-    /// lose that too. All proxies together still try the endpoint as often as one alone would, as the factor is at
-    /// most the number of proxies.
+    /// Extends an ejection if this proxy rarely sends requests to the endpoint: otherwise the next request would
+    /// already probe the endpoint and be lost too. The factor is at most the number of proxies, so that all proxies
+    /// together still probe the endpoint as often as a single proxy would.
     fn extend(self, ejection: Millis) -> Millis {
         let factor = (self.interval / MIN_BACKOFF)
             .min(f64::from(self.proxy_count))
@@ -116,7 +120,7 @@
     }
 }
 
-/// Health of an endpoint, as a whole or for one class.
+/// Health of an endpoint, for all classes or for one class.
 #[derive(Clone)]
 pub(crate) struct Health {
     failure_mean: f64,
@@ -148,8 +152,8 @@
         self.on_probation
     }
 
-    fn eject(&mut self, now: Millis, span: Millis) {
-        self.ejected_until = now + span;
+    fn eject(&mut self, now: Millis, length: Millis) {
+        self.ejected_until = now + length;
         self.backoff = (BACKOFF_FACTOR * self.backoff).min(MAX_BACKOFF);
         self.on_probation = true;
     }
@@ -161,7 +165,7 @@
             self.backoff = MIN_BACKOFF;
         }
         if self.failure_mean < limit {
-            // The endpoint was only slow.
+            // The response shows that the endpoint was only slow.
             self.ejected_until = self.ejected_until.min(now);
         }
     }
@@ -190,11 +194,12 @@
         }
     }
 
-    /// Returns what a snapshot keeps, if anything.
+    /// Returns the state for a snapshot, if it differs relevantly from that of a healthy endpoint.
     fn snapshot(&self, now: Millis) -> Option<Ejection> {
-        let notable =
-            self.is_ejected(now) || self.on_probation || self.failure_mean > NOTABLE_FAILURE_MEAN;
-        notable.then_some(Ejection {
+        let relevant = self.is_ejected(now)
+            || self.on_probation
+            || self.failure_mean > MIN_SNAPSHOT_FAILURE_MEAN;
+        relevant.then_some(Ejection {
             failure_mean: self.failure_mean,
             ejected_until: self.ejected_until,
             backoff: self.backoff,
@@ -210,16 +215,16 @@
     }
 }
 
-/// Returns the failure mean above which an endpoint is ejected, if `baseline` of the attempts fail at healthy endpoints
-/// too: the mean after a row of failures too long for chance. So resets on a path that all endpoints share say
-/// nothing against one of them.
+/// Returns the failure mean above which an endpoint is ejected, given the fraction `baseline` of attempts that fail at
+/// healthy endpoints too: the mean after more consecutive failures than chance explains. Thus connection resets on a
+/// network path that all endpoints share don't eject single endpoints.
 fn failure_limit(baseline: f64) -> f64 {
-    let row = CHANCE_LIMIT.ln() / baseline.clamp(MIN_BASELINE, MAX_BASELINE).ln();
-    MIN_FAILURE_LIMIT.max(1.0 - (1.0 - FAILURE_WEIGHT).powf(row))
+    let consecutive_failures = CHANCE_LIMIT.ln() / baseline.clamp(MIN_BASELINE, MAX_BASELINE).ln();
+    MIN_FAILURE_LIMIT.max(1.0 - (1.0 - FAILURE_WEIGHT).powf(consecutive_failures))
 }
 
-/// Health of an endpoint, as a whole and for each class: some endpoints fail or ignore one class and serve the rest,
-/// for instance if a build breaks that class or its own dependency fails.
+/// Health of an endpoint, for all classes and for each class. An endpoint may fail or ignore one class and serve the
+/// others, for example if a build breaks that class or a dependency that only this class uses fails.
 pub(crate) struct HealthRecord {
     overall: Health,
     by_class: Vec<Health>,
@@ -243,18 +248,18 @@
         self.by_class.resize(classes, Health::new(now));
     }
 
-    /// Forgets failures and ejections. The last rejection for overload stays.
+    /// Drops failures and ejections, but keeps the flag of a rejection for overload.
     pub fn reset(&mut self, now: Millis) {
         self.overall = Health::new(now);
         self.by_class.fill(Health::new(now));
     }
 
-    /// Returns the health as a whole.
+    /// Returns the health for all classes.
     pub fn overall(&self) -> &Health {
         &self.overall
     }
 
-    /// Returns the health for each class.
+    /// Returns the health for each class, by class index.
     pub fn by_class(&self) -> &[Health] {
         &self.by_class
     }
@@ -269,40 +274,40 @@
         self.overall.is_ejected(now) && !self.overloaded
     }
 
-    /// Returns the time since the last response, or since the send that ended its idleness.
+    /// Returns the time since the last served response, or since the send that ended an idle period.
     pub fn stalled_for(&self, now: Millis) -> Millis {
         now - self.last_progress
     }
 
-    /// Notes a send to the idle endpoint.
+    /// Records a send to the endpoint while this proxy had no attempts in flight there.
     pub fn end_idleness(&mut self, now: Millis) {
         self.last_progress = now;
     }
 
-    /// Ejects a hanging endpoint for `least` at least.
-    pub fn eject_hanging(&mut self, now: Millis, exposure: Exposure, least: Millis) {
-        let span = exposure.extend(self.overall.backoff).max(least);
-        self.overall.eject(now, span);
+    /// Ejects a hanging endpoint for at min_length `min_length`.
+    pub fn eject_hanging(&mut self, now: Millis, exposure: Exposure, min_length: Millis) {
+        let length = exposure.extend(self.overall.backoff).max(min_length);
+        self.overall.eject(now, length);
     }
 
-    /// Returns the ejection as a whole for a snapshot.
+    /// Returns the ejection for all classes for a snapshot.
     pub fn overall_snapshot(&self, now: Millis) -> Option<Ejection> {
         self.overall.snapshot(now)
     }
 
-    /// Returns the ejections of classes for a snapshot, by class index.
+    /// Returns the ejections for single classes for a snapshot, by class index.
     pub fn class_snapshots(&self, now: Millis) -> impl Iterator<Item = (usize, Ejection)> {
         let snapshot =
             move |(class, health): (usize, &Health)| Some((class, health.snapshot(now)?));
         self.by_class.iter().enumerate().filter_map(snapshot)
     }
 
-    /// Restores the ejection as a whole.
+    /// Restores the ejection for all classes.
     pub fn restore_overall(&mut self, ejection: &Ejection) {
         self.overall.restore(ejection);
     }
 
-    /// Restores the ejection of a class, if there still is one of that index.
+    /// Restores the ejection for a class, if a class with this index still exists.
     pub fn restore_class(&mut self, class: usize, ejection: &Ejection) {
         if let Some(health) = self.by_class.get_mut(class) {
             health.restore(ejection);
@@ -310,7 +315,7 @@
     }
 }
 
-/// Judgement over all endpoints.
+/// Outlier detection over all endpoints.
 pub(crate) struct OutlierDetector {
     baseline: f64,
     baseline_by_class: Vec<f64>,
@@ -331,48 +336,49 @@
         }
     }
 
-    /// Adds new classes.
+    /// Adds state for new classes.
     pub fn resize(&mut self, classes: usize) {
         self.baseline_by_class.resize(classes, 0.0);
         self.ejected_fraction_by_class.resize(classes, 0.0);
     }
 
-    /// Returns true if so many endpoints are ejected that ejections are not believed.
+    /// Returns true if so many endpoints are ejected that ejections are ignored.
     pub fn is_panicking(&self) -> bool {
         self.panic
     }
 
-    /// Returns the fraction of endpoints accepting requests that are ejected for a class.
+    /// Returns the fraction of the endpoints accepting requests that is ejected for a class.
     pub fn ejected_fraction(&self, class: usize) -> f64 {
         self.ejected_fraction_by_class[class]
     }
 
-    /// Returns true if an endpoint is ejected for a class, and ejections for that class are believed.
+    /// Returns true if an endpoint is ejected for a class and ejections for that class are in effect.
     pub fn is_ejected_for(&self, record: &HealthRecord, class: usize, now: Millis) -> bool {
         record.by_class[class].is_ejected(now)
             && self.ejected_fraction_by_class[class] <= PANIC_FRACTION
     }
 
-    /// Returns true if silence of one attempt shows that its endpoint hangs. With nothing else in flight there, it
-    /// is all there is to judge by, and responses lost on a path that all endpoints share look the same.
-    pub fn silence_shows_hang(&self, in_flight: u32) -> bool {
+    /// Returns true if one silent attempt indicates that its endpoint hangs. Without other attempts in flight at the
+    /// endpoint, a response lost on a network path that all endpoints share looks the same, so that the silent attempt
+    /// is no evidence unless the baseline is low.
+    pub fn silence_indicates_hang(&self, in_flight: u32) -> bool {
         in_flight > 1 || self.baseline < HANG_BASELINE
     }
 
-    /// Counts an ended attempt in the mean success of all attempts, on which panic depends. Every outcome but a served
-    /// one counts as no success, cancelled and unsent attempts included.
+    /// Records the end of an attempt in the success mean of all attempts, on which the panic state depends. Every
+    /// outcome other than served counts as a failure here, including cancelled and unsent attempts.
     pub fn record_attempt(&mut self, served: bool) {
         self.success_mean += (f64::from(u8::from(served)) - self.success_mean) / SUCCESS_SAMPLES;
     }
 
-    /// Judges an endpoint by the result of an attempt.
+    /// Updates an endpoint's health by the result of an attempt.
     pub fn record(&self, record: &mut HealthRecord, sample: &HealthSample, exposure: Exposure) {
         if sample.outcome == Outcome::Served {
             record.last_progress = sample.now;
         } else {
             record.overloaded = sample.outcome == Outcome::Overloaded;
         }
-        let jitter = MIN_JITTER + JITTER_SPAN * sample.jitter;
+        let jitter = MIN_JITTER + JITTER_RANGE * sample.jitter;
         let ejection =
             |factor: f64| move |backoff: Millis| exposure.extend(factor * backoff) * jitter;
         record.overall.record(sample, self.baseline, ejection(1.0));
@@ -405,7 +411,7 @@
 }
 
 /// Returns the fraction of attempts that fails at healthy endpoints: the lower quartile over endpoints with enough
-/// responses, so that a few unhealthy ones don't count.
+/// attempts, so that a few unhealthy endpoints have no influence.
 fn baseline_of<'a>(health: impl Iterator<Item = &'a Health>) -> f64 {
     let mut fractions: Vec<f64> = health
         .map(|health| health.failure_fraction)
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -1,4 +1,4 @@
-//! Stall detection: finds attempts that stay silent for too long and endpoints that hang, and sets timers for the
+//! Stall detection: detects attempts without a response for too long and endpoints that hang, and sets timers for the
 //! final answers of requests in flight.
 
 use crate::action::Action;
@@ -8,11 +8,11 @@
 use crate::timing::{ANSWER_LEAD, TICK, answer_timer_token};
 use crate::types::{Millis, Outcome, RequestId};
 
-/// Ticks before a request's answer is due at which the timer for its final answer is set.
+/// Number of ticks before its due time at which the timer for a request's final answer is set.
 const ANSWER_TIMER_TICKS: f64 = 1.5;
 
 impl State {
-    /// Checks the attempts in flight, the latest first.
+    /// Checks the attempts in flight, starting with the latest.
     pub fn check_in_flight(&mut self, now: Millis, out: &mut Vec<Action>) {
         for position in (0..self.in_flight.requests().len()).rev() {
             let id = self.in_flight.requests()[position];
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Checks a request in flight. While its body is streamed no endpoint can have processed it, and the caller watches
-    /// the upload; the check begins with [`Event::BodyComplete`](crate::Event::BodyComplete).
+    /// Checks a request in flight, but not before [`Event::BodyComplete`](crate::Event::BodyComplete): while the body
+    /// is streamed, no endpoint can have processed the request, and the caller monitors the upload.
     fn check_request(&mut self, id: RequestId, now: Millis, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -54,30 +54,31 @@
             / self.capacity_fraction(attempt.endpoint, now)
     }
 
-    /// Handles an attempt that has become silent: judges its endpoint, ejects it if it hangs, and releases the slot.
+    /// Handles an attempt that has become silent: counts a failure of its endpoint, ejects the endpoint if it hangs,
+    /// and releases the slot.
     fn record_silence(&mut self, id: RequestId, attempt: usize, now: Millis) {
         let request = &self.requests[&id];
         let class = request.class;
-        let least_ejection = SILENCE_MULTIPLE * self.expected_latency(request);
+        let min_ejection = SILENCE_MULTIPLE * self.expected_latency(request);
         let endpoint = request.attempts[attempt].endpoint;
-        let hangs = self.shows_hang(request, &request.attempts[attempt], now);
-        self.judge_endpoint(endpoint, class, Outcome::TimedOut, now);
+        let hangs = self.indicates_hang(request, &request.attempts[attempt], now);
+        self.update_endpoint_health(endpoint, class, Outcome::TimedOut, now);
         if hangs {
-            // Follows the judgement, which may just have ejected the endpoint: then this replaces its ejection by one
-            // from the doubled backoff, and doubles that again.
+            // The failure counted above may have just ejected the endpoint. In that case this call replaces the
+            // ejection by one with the doubled backoff, and doubles the backoff again.
             let exposure = self.exposure();
             let health = &mut self.endpoints[endpoint].health;
-            health.eject_hanging(now, exposure, least_ejection);
+            health.eject_hanging(now, exposure, min_ejection);
         }
         self.release_silent_attempt(id, attempt);
         self.update_availability(endpoint, now);
     }
 
-    /// Returns true if silence of an attempt shows that its endpoint hangs, and it is not ejected yet.
-    fn shows_hang(&self, request: &Request, silent: &Attempt, now: Millis) -> bool {
+    /// Returns true if a silent attempt indicates that its endpoint hangs, and the endpoint is not ejected yet.
+    fn indicates_hang(&self, request: &Request, silent: &Attempt, now: Millis) -> bool {
         let endpoint = &self.endpoints[silent.endpoint];
         let health = &endpoint.health;
-        self.outliers.silence_shows_hang(endpoint.in_flight.own)
+        self.outliers.silence_indicates_hang(endpoint.in_flight.own)
             && !health.overall().is_ejected(now)
             && health.stalled_for(now) > self.silence_limit(request, silent, now)
     }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,6 +1,6 @@
-//! State of the decision module: the parts that its rules keep, with queries and bookkeeping over several of them.
+//! State of the decision module, with queries and updates that span several of its parts.
 //!
-//! The decisions are methods of [`State`] too, but stand in the modules of their rules; none is in this file.
+//! Decisions are methods of [`State`] too, but are defined in the modules of their rules; this file contains none.
 
 use rustc_hash::FxHashMap;
 
@@ -28,26 +28,26 @@
     pub weight: f64,
 }
 
-/// Subscription to the endpoint list, where it has to be requested.
+/// Subscription to the endpoint list, used if updates have to be requested.
 #[derive(Default)]
 pub(crate) struct Subscription {
-    /// A subscription was requested and has not failed.
+    /// True if a subscription was requested and has not failed.
     pub active: bool,
-    /// Time before which it is not requested again.
+    /// Earliest time of the next request for a subscription.
     pub retry_at: Millis,
 }
 
 /// State of the decision module.
 pub(crate) struct State {
-    /// Settings in force.
+    /// Current settings.
     pub settings: Settings,
-    /// Longest latency objective of all classes.
+    /// Maximum latency objective over all classes.
     pub max_latency_objective: Millis,
-    /// Only source of chance.
+    /// Only source of randomness.
     pub rng: fastrand::Rng,
     /// Number of maintenance ticks; 0 before the first event.
     pub ticks: u64,
-    /// All endpoints that the list has named, by index.
+    /// All endpoints that have ever been listed, by index.
     pub endpoints: Vec<EndpointRecord>,
     /// Index of each endpoint.
     pub endpoint_index: FxHashMap<EndpointId, usize>,
@@ -57,7 +57,7 @@
     pub subscription: Subscription,
     /// Open endpoints by speed.
     pub bands: SpeedBands,
-    /// Number of endpoints that are open although they are warming up.
+    /// Number of endpoints that are open while they are warming up.
     pub open_while_warming: usize,
     /// Requests in progress.
     pub requests: Requests,
@@ -67,15 +67,15 @@
     pub in_flight: InFlight,
     /// Arrival rate at this proxy.
     pub arrivals: ArrivalRate,
-    /// Arrival of the last idempotent request.
+    /// Arrival time of the last idempotent request.
     pub last_idempotent_at: Millis,
     /// Tenants' quotas.
     pub quotas: TenantQuotas,
     /// Latency estimates.
     pub latency: LatencyEstimator,
-    /// Slots and window.
+    /// Slots of endpoints and window of this proxy.
     pub concurrency: ConcurrencyLimit,
-    /// Judgement over the health of all endpoints.
+    /// Outlier detection over all endpoints.
     pub outliers: OutlierDetector,
     /// Retry budget.
     pub retries: RetryBudget,
@@ -85,7 +85,7 @@
     pub gossip: Gossip,
 }
 
-/// Returns the longest latency objective of all classes.
+/// Returns the maximum latency objective over all classes.
 pub(crate) fn max_latency_objective(classes: &[Class]) -> Millis {
     classes
         .iter()
@@ -151,12 +151,15 @@
         )
     }
 
-    /// Returns true if this proxy may have no more requests in flight, except to warming endpoints.
+    /// Returns true if this proxy may send no further requests, except to warming endpoints.
     pub fn is_window_full(&self) -> bool {
-        self.is_pooled() && self.concurrency.is_window_full(self.in_flight.counted())
+        self.is_pooled()
+            && self
+                .concurrency
+                .is_window_full(self.in_flight.counted_in_window())
     }
 
-    /// Returns the frequency at which the proxies send requests to one endpoint.
+    /// Returns the rate of the proxies' requests to one endpoint.
     pub fn exposure(&self) -> Exposure {
         Exposure::new(
             self.accepting.count,
@@ -179,7 +182,7 @@
         self.queue.push(id, request, position);
     }
 
-    /// Takes a request out of the queue, if it is there.
+    /// Removes a request from the queue, if it is queued.
     pub fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Forgets a request that needs no answer any more, once its attempts have ended.
+    /// Marks a request as needing no further answer, and drops its record once its attempts have ended.
     pub fn finish(&mut self, id: RequestId) {
         self.dequeue(id);
         let Some(request) = self.requests.get_mut(&id) else {
