--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings for tests, a harness that drives a `Balancer`, and a checker of the four rules.
-#![allow(dead_code)] // each test file uses its own part
+//! Test settings, a harness that drives a `Balancer`, and a checker of the invariants.
+#![allow(dead_code)] // each test file uses only some of these items
 use balancer::*;
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,8 +19,8 @@
     deduplication_window: 2000.0,
 };
 
-/// Three classes (idempotent, not idempotent, with an idempotency key per cell), pushed lists, weights that are
-/// capacity.
+/// Returns settings with three classes (idempotent, non-idempotent, with an idempotency key per cell), pushed list
+/// updates, and weights that mean capacity.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
         proxy_index: 0,
@@ -96,7 +96,7 @@
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    /// Number of keys that requests of `run` have in turn; 0 if they have none.
+    /// Number of keys that requests of `run` use in rotation; 0 for requests without a key.
     pub keys: u64,
     /// Load report of the n-th response.
     pub load: fn(usize) -> LoadReport,
@@ -121,7 +121,7 @@
         harness
     }
 
-    /// Handles an event at the present time; returns all actions but timers.
+    /// Handles an event at the current time; returns all actions except timers.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -134,7 +134,7 @@
         out
     }
 
-    /// Advances the time with no events but timers.
+    /// Advances the time, with timers as the only events; returns all actions except timers.
     pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut out = vec![];
@@ -152,19 +152,23 @@
         out
     }
 
-    /// Offers non-idempotent requests, one every `every` ms for `span` ms; `latency` depends on the endpoint and on the
-    /// requests in flight there. Returns request and endpoint of each attempt, and the endpoints of those in flight.
+    /// Sends non-idempotent requests, one every `every` ms for `span` ms; `latency` depends on the endpoint and on the
+    /// number of requests in flight there. Returns request and endpoint of each attempt, and the endpoints of the
+    /// attempts that are still in flight.
     pub fn run(
         &mut self,
         span: u64,
         every: u64,
         latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(u64, u64)>, Vec<u64>) {
-        let (all, still) = self.run_timed(span, every, latency);
-        (all.into_iter().map(|(_, id, to)| (id, to)).collect(), still)
+        let (all, in_flight) = self.run_timed(span, every, latency);
+        (
+            all.into_iter().map(|(_, id, to)| (id, to)).collect(),
+            in_flight,
+        )
     }
 
-    /// The same, with the time of each attempt.
+    /// Like `run`, but also returns the time of each attempt.
     pub fn run_timed(
         &mut self,
         span: u64,
@@ -173,7 +177,7 @@
     ) -> (Vec<(Millis, u64, u64)>, Vec<u64>) {
         let mut all = vec![];
         let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // request, endpoint, end, latency
-        let mut answers = 0;
+        let mut responses = 0;
         for step in 0..span {
             let mut actions = self.advance(1.0);
             if step % every == 0 {
@@ -184,11 +188,11 @@
                 actions.extend(self.handle(event));
             }
             let now = self.now;
-            let (over, still) = out.into_iter().partition::<Vec<_>, _>(|o| o.2 <= now);
-            out = still;
-            for (id, _, _, latency) in over {
-                let load = (self.load)(answers);
-                answers += 1;
+            let (ended, in_flight) = out.into_iter().partition::<Vec<_>, _>(|o| o.2 <= now);
+            out = in_flight;
+            for (id, _, _, latency) in ended {
+                let load = (self.load)(responses);
+                responses += 1;
                 actions.extend(self.handle(Event::LoadReport {
                     request: RequestId(id),
                     attempt: 0,
@@ -205,7 +209,7 @@
         (all, out.iter().map(|o| o.1).collect())
     }
 
-    /// Serves requests one after the other, each in `latency(endpoint)`, so that latencies are learned.
+    /// Serves requests one after the other, each with `latency(endpoint)`, so that the latencies are learned.
     pub fn train(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
         for id in first..first + count {
             let sent = forwarded(&self.handle(request(id, 0, 2000.0)));
@@ -244,7 +248,9 @@
     answered: bool,
 }
 
-/// Watches all events and actions of one proxy and records each violation of the four rules.
+/// Records violations of the invariants in the events and actions of one proxy. Each request gets exactly one final
+/// answer, in time. Attempts respect the request's idempotency and the maximum number of attempts. Only endpoints that
+/// are listed and accept requests get attempts. Warming endpoints are not overloaded.
 pub struct Checker {
     settings: Settings,
     /// Each endpoint's entry, and the time at which its drain or removal was announced.
@@ -269,7 +275,7 @@
         }
     }
 
-    /// Forgets all requests, as the proxy was killed.
+    /// Drops all requests and endpoints, as after a crash of the proxy.
     pub fn restart(&mut self) {
         self.pending.clear();
         self.endpoints.clear();
@@ -290,7 +296,7 @@
                 endpoints: entries,
             } => {
                 for e in entries {
-                    let old = self.endpoints.get(&e.id.0).and_then(|s| s.1);
+                    let old = self.endpoints.get(&e.id.0).and_then(|listed| listed.1);
                     let unavailable_since = if e.state == EndpointState::Up {
                         None
                     } else {
@@ -299,7 +305,7 @@
                     if self
                         .endpoints
                         .get(&e.id.0)
-                        .is_some_and(|s| s.0.started_at != e.started_at)
+                        .is_some_and(|listed| listed.0.started_at != e.started_at)
                     {
                         self.attempts_while_warming.remove(&e.id.0); // a new process has a new budget
                     }
@@ -307,9 +313,9 @@
                         .insert(e.id.0, (e.clone(), unavailable_since));
                 }
                 if *scope == UpdateScope::Full {
-                    for (id, s) in &mut self.endpoints {
+                    for (id, listed) in &mut self.endpoints {
                         if !entries.iter().any(|e| e.id.0 == *id) {
-                            s.1 = s.1.or(Some(now));
+                            listed.1 = listed.1.or(Some(now));
                         }
                     }
                 }
@@ -332,16 +338,16 @@
                 request_finished,
                 ..
             } => {
-                if let Some(o) = self.pending.get_mut(&request.0) {
-                    o.answered |= request_finished;
-                    if let Some(s) = o.attempts.get_mut(*attempt as usize) {
-                        (s.ended, s.may_have_run) = (true, outcome.may_have_run());
+                if let Some(pending) = self.pending.get_mut(&request.0) {
+                    pending.answered |= request_finished;
+                    if let Some(attempt) = pending.attempts.get_mut(*attempt as usize) {
+                        (attempt.ended, attempt.may_have_run) = (true, outcome.may_have_run());
                     }
                 }
             }
             Event::ClientDisconnected(id) => {
-                if let Some(o) = self.pending.get_mut(&id.0) {
-                    o.answered = true;
+                if let Some(pending) = self.pending.get_mut(&id.0) {
+                    pending.answered = true;
                 }
             }
             _ => {}
@@ -352,67 +358,73 @@
         match action {
             Action::Forward {
                 request, endpoint, ..
-            } => self.sent(now, request.0, endpoint.0),
+            } => self.check_forward(now, request.0, endpoint.0),
             Action::Reject { request, .. } => {
-                let Some(o) = self.pending.get(&request.0) else {
+                let Some(pending) = self.pending.get(&request.0) else {
                     return self.violation(
                         now,
                         format!("rejected {request:?}, which is not in progress"),
                     );
                 };
-                let ran = o.attempts.iter().any(|s| !s.ended || s.may_have_run);
-                let allowed = match self.settings.classes[o.class].idempotency {
+                let may_have_run = pending
+                    .attempts
+                    .iter()
+                    .any(|attempt| !attempt.ended || attempt.may_have_run);
+                let allowed = match self.settings.classes[pending.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey {
                         scope: DeduplicationScope::All,
                         ..
                     } => true,
-                    _ => !ran,
+                    _ => !may_have_run,
                 };
                 if !allowed {
                     self.violation(now, format!("rejected {request:?}, which may have run"));
                 }
-                self.answered(now, request.0);
+                self.check_answer(now, request.0);
             }
-            Action::Fail(request) => self.answered(now, request.0),
+            Action::Fail(request) => self.check_answer(now, request.0),
             _ => {}
         }
     }
 
-    fn answered(&mut self, now: Millis, id: u64) {
+    fn check_answer(&mut self, now: Millis, id: u64) {
         match self.pending.get_mut(&id) {
-            Some(o) if !o.answered => o.answered = true,
-            _ => self.violation(now, format!("a second answer for {id}")),
+            Some(pending) if !pending.answered => pending.answered = true,
+            _ => self.violation(now, format!("a second final answer for {id}")),
         }
     }
 
-    fn sent(&mut self, now: Millis, id: u64, to: u64) {
+    fn check_forward(&mut self, now: Millis, id: u64, to: u64) {
         let limits = self.settings.limits;
         let Some((entry, unavailable_since)) = self.endpoints.get(&to).cloned() else {
-            return self.violation(now, format!("sent to {to}, which no list named"));
+            return self.violation(now, format!("sent to {to}, which was never listed"));
         };
         if unavailable_since.is_some_and(|t| now > t) {
-            self.violation(now, format!("sent to {to}, told to drain or gone"));
+            self.violation(now, format!("sent to {to}, which is draining or removed"));
         }
-        let Some(o) = self.pending.get(&id) else {
+        let Some(pending) = self.pending.get(&id) else {
             return self.violation(now, format!("sent {id}, which is not in progress"));
         };
-        let idempotency = self.settings.classes[o.class].idempotency;
-        let out = o.attempts.iter().any(|s| !s.ended);
-        let ran = o.attempts.iter().find(|s| !s.ended || s.may_have_run);
-        let mut wrong = vec![];
-        if o.answered {
-            wrong.push("after its answer");
+        let idempotency = self.settings.classes[pending.class].idempotency;
+        let in_flight = pending.attempts.iter().any(|attempt| !attempt.ended);
+        let first_that_may_have_run = pending
+            .attempts
+            .iter()
+            .find(|attempt| !attempt.ended || attempt.may_have_run);
+        let mut reasons = vec![];
+        if pending.answered {
+            reasons.push("after its final answer");
         }
-        if out {
-            wrong.push("twice at once");
+        if in_flight {
+            reasons.push("while another attempt is in flight");
         }
-        if o.attempts.len() as u32 >= limits.max_attempts {
-            wrong.push("too often");
+        if pending.attempts.len() as u32 >= limits.max_attempts {
+            reasons.push("more often than allowed");
         }
-        match (idempotency, ran) {
+        match (idempotency, first_that_may_have_run) {
             (Idempotency::NonIdempotent, Some(_)) => {
-                wrong.push("again though it must never run twice")
+                reasons.push("again although it must not run twice")
             }
             (
                 Idempotency::IdempotencyKey {
@@ -422,21 +434,21 @@
                 Some(first),
             ) => {
                 let other = &self.endpoints[&first.endpoint].0;
-                let same = match scope {
+                let in_scope = match scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => other.zone == entry.zone,
                     DeduplicationScope::Cell => other.cell == entry.cell,
                 };
-                if !same {
-                    wrong.push("outside the scope that drops its repeat");
+                if !in_scope {
+                    reasons.push("outside the scope that drops its repeats");
                 }
                 if now > first.at + deduplication_window {
-                    wrong.push("after its deduplication window");
+                    reasons.push("after its deduplication window");
                 }
             }
             _ => {}
         }
-        let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
+        let texts: Vec<String> = reasons.iter().map(|w| format!("sent {id} {w}")).collect();
         texts.into_iter().for_each(|t| self.violation(now, t));
         self.pending
             .get_mut(&id)
@@ -448,12 +460,13 @@
                 ended: false,
                 may_have_run: true,
             });
-        if let Some(since) = entry.started_at.filter(|s| now - s < limits.warm_up) {
+        if let Some(started_at) = entry.started_at.filter(|at| now - at < limits.warm_up) {
             let sent = self.attempts_while_warming.entry(to).or_default();
             sent.push(now);
             sent.retain(|t| *t > now - limits.overload_window);
-            // If all proxies did the same: guaranteed capacity over the window, plus one request each for chance.
-            let warm_up_fraction = ((now - since) / limits.warm_up).clamp(0.0, 1.0);
+            // Assumes that all proxies send the same load. The budget is the load that overloads the guaranteed
+            // capacity over the window; one request per proxy is allowed in addition, as forwarding is random.
+            let warm_up_fraction = ((now - started_at) / limits.warm_up).clamp(0.0, 1.0);
             let capacity_fraction = limits.initial_capacity_fraction
                 + (1.0 - limits.initial_capacity_fraction) * warm_up_fraction;
             let budget = limits.overload_multiple
@@ -465,27 +478,30 @@
             if work > budget {
                 self.violation(
                     now,
-                    format!("pushed cold {to}: {work:.0} ms of work against {budget:.0}"),
+                    format!(
+                        "overloaded warming endpoint {to}: {work:.0} ms of work, budget {budget:.0}"
+                    ),
                 );
             }
         }
     }
 
-    /// Checks for overdue answers.
+    /// Records a violation for each overdue answer.
     pub fn check_overdue(&mut self, now: Millis) {
         let slack = 20.0;
         let late: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(_, o)| !o.answered && now > o.deadline + slack)
+            .filter(|(_, pending)| !pending.answered && now > pending.deadline + slack)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
             self.pending.get_mut(&id).unwrap().answered = true;
-            self.violation(now, format!("no answer for {id} in time"));
+            self.violation(now, format!("no final answer for {id} in time"));
         }
-        self.pending
-            .retain(|_, o| !o.answered || o.attempts.iter().any(|s| !s.ended));
+        self.pending.retain(|_, pending| {
+            !pending.answered || pending.attempts.iter().any(|attempt| !attempt.ended)
+        });
     }
 }
 
@@ -496,7 +512,7 @@
         .count()
 }
 
-/// Offers so many non-idempotent requests at once; returns request and endpoint of each attempt.
+/// Sends `n` non-idempotent requests at once; returns request and endpoint of each attempt.
 pub fn burst(harness: &mut Harness, first: u64, n: u64) -> Vec<(u64, u64)> {
     (first..first + n)
         .flat_map(|id| forwarded(&harness.handle(request(id, 1, 3000.0))))
--- a/crates/balancer/tests/decision_trace.rs
+++ b/crates/balancer/tests/decision_trace.rs
@@ -1,8 +1,8 @@
-//! Holds every decision to the recorded ones, bit for bit.
+//! Regression test: all decisions must be bit-for-bit identical to recorded ones.
 //!
-//! Each trace drives one or more balancers through a seeded world that produces every kind of event. A hash over
-//! all actions, with their times, has to equal the one in `fixtures/decision_trace.txt`, which was recorded from the
-//! version before the module was split. A change that is meant to alter decisions records new hashes and says so.
+//! Each trace drives one or more balancers through a seeded simulation that produces every kind of event. The hash over
+//! all actions and their times has to equal the hash in `fixtures/decision_trace.txt`, which was recorded before the
+//! module was split into files. A change that alters decisions on purpose has to record new hashes and state so.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -10,7 +10,7 @@
 
 const RECORDED: &str = include_str!("fixtures/decision_trace.txt");
 
-/// FNV-1a over 64 bits: needs no dependency and does not change between releases of the standard library.
+/// 64-bit FNV-1a hash: needs no dependency and does not change between releases of the standard library.
 struct Fnv(u64);
 
 impl Fnv {
@@ -37,15 +37,15 @@
         match action {
             Action::Forward {
                 request,
-                endpoint: backend,
+                endpoint: target,
                 timeout,
-                start_by: begin_by,
+                start_by: latest_start,
             } => {
                 self.byte(1);
                 self.number(request.0);
-                self.number(backend.0);
+                self.number(target.0);
                 self.optional(*timeout);
-                self.optional(*begin_by);
+                self.optional(*latest_start);
             }
             Action::Reject {
                 request,
@@ -81,19 +81,19 @@
         self.byte(u8::from(ejection.on_probation));
     }
 
-    fn standing(&mut self, standing: &HealthSnapshot) {
-        self.number(u64::from(standing.proxy_count));
-        for server in &standing.endpoints {
-            self.number(server.id.0);
-            self.optional(server.started_at);
-            self.byte(u8::from(server.overall.is_some()));
-            server.overall.iter().for_each(|e| self.ejection(e));
-            for (class, ejection) in &server.by_class {
+    fn snapshot(&mut self, snapshot: &HealthSnapshot) {
+        self.number(u64::from(snapshot.proxy_count));
+        for endpoint in &snapshot.endpoints {
+            self.number(endpoint.id.0);
+            self.optional(endpoint.started_at);
+            self.byte(u8::from(endpoint.overall.is_some()));
+            endpoint.overall.iter().for_each(|e| self.ejection(e));
+            for (class, ejection) in &endpoint.by_class {
                 self.number(class.0 as u64);
                 self.ejection(ejection);
             }
-            self.byte(u8::from(server.slow_start.is_some()));
-            if let Some(budget) = &server.slow_start {
+            self.byte(u8::from(endpoint.slow_start.is_some()));
+            if let Some(budget) = &endpoint.slow_start {
                 self.float(budget.tokens);
                 self.float(budget.updated_at);
                 self.float(budget.max_cost);
@@ -102,38 +102,38 @@
     }
 }
 
-/// What a trace plays.
+/// Parameters of a simulation.
 struct Scenario {
     name: &'static str,
     settings: Settings,
-    /// Balancers that are simulated; the settings may name more.
+    /// Number of simulated balancers; the settings may specify a larger number of proxies.
     proxies: usize,
-    servers: u64,
-    /// Mean time between two arrivals over all balancers.
+    endpoints: u64,
+    /// Mean time between two arrivals, over all balancers.
     arrival_ms: f64,
-    span_ms: f64,
+    duration_ms: f64,
     seeds: std::ops::Range<u64>,
     faults: Faults,
 }
 
-/// Faults that a world has besides a few outliers.
+/// Faults that a simulation injects in addition to a few outliers.
 #[derive(Clone, Copy, PartialEq)]
 enum Faults {
     None,
-    /// For some seconds most answers get lost, whatever endpoint they come from.
-    LostAnswers,
+    /// For some seconds most responses get lost, regardless of the endpoint.
+    LostResponses,
     /// For some seconds nearly all endpoints fail.
     NearlyAllFail,
 }
 
-fn class(effect: Idempotency, aim: Millis) -> Class {
+fn class(kind: Idempotency, objective: Millis) -> Class {
     Class {
-        latency_objective: aim,
-        deadline: 2.5 * aim,
+        latency_objective: objective,
+        deadline: 2.5 * objective,
         objective_work_multiple: 0.0,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
-        idempotency: effect,
+        idempotency: kind,
     }
 }
 
@@ -175,42 +175,43 @@
         name: "own-slots",
         settings: base(4),
         proxies: 4,
-        servers: 12,
+        endpoints: 12,
         arrival_ms: 1.6,
-        span_ms: 8_000.0,
+        duration_ms: 8_000.0,
         seeds: 0..12,
         faults: Faults::None,
     };
-    let mut told = base(9);
-    told.gossip_enabled = true;
-    told.key_affinity = true;
-    told.max_retry_after = Some(1200.0);
+    let mut gossip_settings = base(9);
+    gossip_settings.gossip_enabled = true;
+    gossip_settings.key_affinity = true;
+    gossip_settings.max_retry_after = Some(1200.0);
     let gossip = Scenario {
         name: "gossip",
-        settings: told,
+        settings: gossip_settings,
         proxies: 9,
-        servers: 14,
+        endpoints: 14,
         arrival_ms: 1.5,
-        ..own_like()
+        ..base_scenario()
     };
-    let mut few = base(30);
-    few.classes
+    let mut pooled_settings = base(30);
+    pooled_settings
+        .classes
         .iter_mut()
         .for_each(|c| c.late_weight_fraction = 0.3);
-    few.max_retry_after = Some(2000.0);
+    pooled_settings.max_retry_after = Some(2000.0);
     let pooled = Scenario {
         name: "pooled",
-        settings: few,
+        settings: pooled_settings,
         proxies: 30,
-        servers: 16,
+        endpoints: 16,
         arrival_ms: 1.2,
-        ..own_like()
+        ..base_scenario()
     };
-    let mut polled = base(3);
-    polled.discovery = Discovery::OnRequest;
-    polled.weight_meaning = WeightMeaning::Unspecified;
-    polled.weight_by_work = true;
-    polled.tenants = vec![
+    let mut tenant_settings = base(3);
+    tenant_settings.discovery = Discovery::OnRequest;
+    tenant_settings.weight_meaning = WeightMeaning::Unspecified;
+    tenant_settings.weight_by_work = true;
+    tenant_settings.tenants = vec![
         Tenant {
             quota_per_second: 120.0,
         },
@@ -218,13 +219,13 @@
             quota_per_second: 30.0,
         },
     ];
-    polled.limits.max_attempts = 2;
-    polled.classes[2].idempotency = Idempotency::IdempotencyKey {
+    tenant_settings.limits.max_attempts = 2;
+    tenant_settings.classes[2].idempotency = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Zone,
         deduplication_window: 300.0,
     };
-    polled.classes[0].objective_work_multiple = 2.0;
-    polled.classes.push(class(
+    tenant_settings.classes[0].objective_work_multiple = 2.0;
+    tenant_settings.classes.push(class(
         Idempotency::IdempotencyKey {
             scope: DeduplicationScope::All,
             deduplication_window: 600.0,
@@ -233,31 +234,31 @@
     ));
     let tenants = Scenario {
         name: "tenants",
-        settings: polled,
+        settings: tenant_settings,
         proxies: 3,
-        servers: 8,
+        endpoints: 8,
         arrival_ms: 3.0,
-        ..own_like()
+        ..base_scenario()
     };
-    let mut live = base(6);
-    live.weight_meaning = WeightMeaning::AvailableCapacity;
-    live.zone = None;
-    live.key_affinity = true;
+    let mut affinity_settings = base(6);
+    affinity_settings.weight_meaning = WeightMeaning::AvailableCapacity;
+    affinity_settings.zone = None;
+    affinity_settings.key_affinity = true;
     let keys = Scenario {
         name: "warm-keys",
-        settings: live,
+        settings: affinity_settings,
         proxies: 6,
-        servers: 10,
+        endpoints: 10,
         arrival_ms: 2.0,
-        ..own_like()
+        ..base_scenario()
     };
     let thousand = Scenario {
         name: "thousand",
         settings: base(1000),
         proxies: 1000,
-        servers: 120,
+        endpoints: 120,
         arrival_ms: 0.3,
-        span_ms: 4_000.0,
+        duration_ms: 4_000.0,
         seeds: 0..1,
         faults: Faults::None,
     };
@@ -265,32 +266,32 @@
         name: "lost-answers",
         settings: base(4),
         proxies: 4,
-        servers: 12,
+        endpoints: 12,
         arrival_ms: 2.0,
-        faults: Faults::LostAnswers,
-        ..own_like()
+        faults: Faults::LostResponses,
+        ..base_scenario()
     };
     let failing = Scenario {
         name: "nearly-all-fail",
         settings: base(4),
         proxies: 4,
-        servers: 12,
+        endpoints: 12,
         arrival_ms: 2.0,
         faults: Faults::NearlyAllFail,
-        ..own_like()
+        ..base_scenario()
     };
     vec![own, gossip, pooled, tenants, keys, thousand, lost, failing]
 }
 
-/// Span and seeds that most scenarios share.
-fn own_like() -> Scenario {
+/// Returns a scenario with the duration and seeds that most scenarios share.
+fn base_scenario() -> Scenario {
     Scenario {
         name: "",
         settings: base(1),
         proxies: 1,
-        servers: 1,
+        endpoints: 1,
         arrival_ms: 1.0,
-        span_ms: 6_000.0,
+        duration_ms: 6_000.0,
         seeds: 0..12,
         faults: Faults::None,
     }
@@ -298,62 +299,62 @@
 
 enum Due {
     Event(Event),
-    Whole(RequestId),
-    Restart,
+    BodyComplete(RequestId),
+    AttemptDone,
 }
 
-struct Held {
+struct PendingRequest {
     deadline: Millis,
     class: usize,
-    whole: bool,
+    complete: bool,
     attempts: u32,
     answered: bool,
 }
 
-struct World {
+struct Simulation {
     rng: fastrand::Rng,
     now: Millis,
     settings: Settings,
     balancers: Vec<Balancer>,
     list: Vec<Endpoint>,
     in_flight: BTreeMap<u64, u32>,
-    held: BTreeMap<(usize, u64), Held>,
+    pending: BTreeMap<(usize, u64), PendingRequest>,
     due: BTreeMap<u64, (usize, Due)>,
     order: BinaryHeap<Reverse<(u64, u64)>>,
     sequence: u64,
     next_request: u64,
-    next_server: u64,
+    next_endpoint: u64,
     hash: Fnv,
     sent: u64,
     faults: Faults,
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-        let list: Vec<Endpoint> = (0..scenario.servers)
-            .map(|id| backend(&mut rng, id))
+        let list: Vec<Endpoint> = (0..scenario.endpoints)
+            .map(|id| random_endpoint(&mut rng, id))
             .collect();
         let settings = scenario.settings.clone();
-        let me = |index: usize| Settings {
+        let settings_of = |index: usize| Settings {
             proxy_index: index as u32,
             ..settings.clone()
         };
         let balancers = (0..scenario.proxies)
-            .map(|i| Balancer::new(me(i), seed * 1000 + i as u64))
+            .map(|i| Balancer::new(settings_of(i), seed * 1000 + i as u64))
             .collect();
-        World {
+        Simulation {
             rng,
             now: 1000.0,
             balancers,
             list,
             in_flight: BTreeMap::new(),
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             due: BTreeMap::new(),
             order: BinaryHeap::new(),
             sequence: 0,
             next_request: 1,
-            next_server: 1000,
+            next_endpoint: 1000,
             hash: Fnv(0xcbf2_9ce4_8422_2325),
             sent: 0,
             faults: scenario.faults,
@@ -364,7 +365,7 @@
     fn later(&mut self, at: Millis, proxy: usize, due: Due) {
         self.sequence += 1;
         self.due.insert(self.sequence, (proxy, due));
-        // Times are positive, and the bits of positive floats are in their order.
+        // Times are positive, and positive floats have the same order as their bits.
         self.order
             .push(Reverse((at.max(self.now).to_bits(), self.sequence)));
     }
@@ -386,13 +387,13 @@
             }
             Action::Forward {
                 request,
-                endpoint: backend,
+                endpoint: target,
                 timeout,
                 ..
-            } => self.attempt(proxy, request, backend, timeout),
+            } => self.attempt(proxy, request, target, timeout),
             Action::Reject { request, .. } | Action::Fail(request) => {
-                if let Some(held) = self.held.get_mut(&(proxy, request.0)) {
-                    held.answered = true;
+                if let Some(pending) = self.pending.get_mut(&(proxy, request.0)) {
+                    pending.answered = true;
                 }
             }
             Action::Broadcast(bytes) => {
@@ -426,20 +427,21 @@
 
     fn attempt(&mut self, proxy: usize, id: RequestId, to: EndpointId, timeout: Option<Millis>) {
         self.sent += 1;
-        let crowd = self.in_flight.entry(to.0).or_default();
-        *crowd += 1;
-        let crowd = f64::from(*crowd);
+        let concurrent = self.in_flight.entry(to.0).or_default();
+        *concurrent += 1;
+        let concurrent = f64::from(*concurrent);
         let speed = 0.6 + (to.0 % 5) as f64 * 0.25;
-        let Some(held) = self.held.get_mut(&(proxy, id.0)) else {
+        let Some(pending) = self.pending.get_mut(&(proxy, id.0)) else {
             return;
         };
-        let (attempt, whole) = (held.attempts, held.whole);
-        held.attempts += 1;
-        let left = held.deadline - self.now;
-        let work = 18.0 * (1.0 + held.class as f64 * 0.5) * speed * (1.0 + 0.15 * (crowd - 1.0));
+        let (attempt, complete) = (pending.attempts, pending.complete);
+        pending.attempts += 1;
+        let time_left = pending.deadline - self.now;
+        let work =
+            18.0 * (1.0 + pending.class as f64 * 0.5) * speed * (1.0 + 0.15 * (concurrent - 1.0));
         let mut latency = work * (0.3 - (1.0 - self.rng.f64()).ln());
-        let ill = to.0 % 7 == 3 && (self.now / 1500.0) as u64 % 2 == 1;
-        let chance = self.rng.f64() * if ill { 0.3 } else { 1.0 };
+        let degraded = to.0 % 7 == 3 && (self.now / 1500.0) as u64 % 2 == 1;
+        let chance = self.rng.f64() * if degraded { 0.3 } else { 1.0 };
         let mut outcome = match chance {
             c if c < 0.02 => Outcome::Error,
             c if c < 0.04 => Outcome::Overloaded,
@@ -449,13 +451,13 @@
             c if c < 0.11 => Outcome::TimedOut,
             _ => Outcome::Served,
         };
-        let phase = self.now > 2_500.0 && self.now < 5_500.0;
+        let fault_active = self.now > 2_500.0 && self.now < 5_500.0;
         let faulty = match self.faults {
             Faults::None => false,
-            Faults::LostAnswers => phase && self.rng.f64() < 0.7,
-            Faults::NearlyAllFail => phase && to.0 % 12 != 5,
+            Faults::LostResponses => fault_active && self.rng.f64() < 0.7,
+            Faults::NearlyAllFail => fault_active && to.0 % 12 != 5,
         };
-        if faulty && self.faults == Faults::LostAnswers {
+        if faulty && self.faults == Faults::LostResponses {
             outcome = Outcome::TimedOut;
         } else if faulty {
             outcome = Outcome::Error;
@@ -465,33 +467,37 @@
             Outcome::TimedOut => 1000.0,
             _ => 1.0,
         };
-        let patience = timeout.unwrap_or(f64::INFINITY).min(left.max(0.0));
-        if latency >= patience {
-            (latency, outcome) = (patience, Outcome::TimedOut);
+        let max_latency = timeout.unwrap_or(f64::INFINITY).min(time_left.max(0.0));
+        if latency >= max_latency {
+            (latency, outcome) = (max_latency, Outcome::TimedOut);
         }
-        let begun = if whole { 0.0 } else { 15.0 };
-        if !whole {
+        let upload_time = if complete { 0.0 } else { 15.0 };
+        if !complete {
             self.later(
-                self.now + 0.4 * begun,
+                self.now + 0.4 * upload_time,
                 proxy,
                 Due::Event(Event::BodyDiscarded(id)),
             );
-            self.later(self.now + begun, proxy, Due::Whole(id));
+            self.later(self.now + upload_time, proxy, Due::BodyComplete(id));
         }
-        let end = self.now + begun + latency;
+        let end = self.now + upload_time + latency;
         if outcome == Outcome::Served && self.rng.f64() < 0.1 {
-            let worked = self.rng.bool();
+            let done = self.rng.bool();
             let started = Event::ResponseStarted {
                 request: id,
                 attempt,
-                processing_done: worked,
+                processing_done: done,
             };
-            self.later(self.now + begun + 0.6 * latency, proxy, Due::Event(started));
+            self.later(
+                self.now + upload_time + 0.6 * latency,
+                proxy,
+                Due::Event(started),
+            );
         }
         if self.rng.f64() < 0.5 {
             let load = LoadReport {
-                in_flight: Some(crowd),
-                queued: self.rng.bool().then_some(crowd / 2.0),
+                in_flight: Some(concurrent),
+                queued: self.rng.bool().then_some(concurrent / 2.0),
             };
             self.later(
                 end,
@@ -503,16 +509,16 @@
                 }),
             );
         }
-        let closed = outcome == Outcome::Served;
+        let finished = outcome == Outcome::Served;
         let ended = Event::AttemptEnded {
             request: id,
             attempt,
             latency,
             outcome,
-            request_finished: closed,
+            request_finished: finished,
         };
         self.later(end, proxy, Due::Event(ended));
-        self.later(end, to.0 as usize, Due::Restart);
+        self.later(end, to.0 as usize, Due::AttemptDone);
     }
 
     fn arrive(&mut self) {
@@ -530,23 +536,23 @@
             );
         }
         let class = self.rng.usize(0..self.settings.classes.len());
-        let budget =
+        let client_timeout =
             self.settings.classes[class].deadline * [0.02, 0.4, 1.0, 1.0][self.rng.usize(0..4)];
         let key = self.rng.bool().then(|| Key(self.rng.u64(0..40)));
         let tenants = self.settings.tenants.len();
         let tenant = (tenants > 0 && self.rng.bool()).then(|| TenantId(self.rng.usize(0..tenants)));
-        let hint = (self.rng.f64() < 0.4).then(|| 5.0 + 60.0 * self.rng.f64());
-        let whole = self.rng.f64() < 0.9;
-        let held = Held {
-            deadline: self.now + budget,
+        let work_hint = (self.rng.f64() < 0.4).then(|| 5.0 + 60.0 * self.rng.f64());
+        let complete = self.rng.f64() < 0.9;
+        let pending = PendingRequest {
+            deadline: self.now + client_timeout,
             class,
-            whole,
+            complete,
             attempts: 0,
             answered: false,
         };
-        self.held.insert((proxy, id.0), held);
+        self.pending.insert((proxy, id.0), pending);
         if self.rng.f64() < 0.03 {
-            let at = self.now + self.rng.f64() * budget;
+            let at = self.now + self.rng.f64() * client_timeout;
             self.later(at, proxy, Due::Event(Event::ClientDisconnected(id)));
         }
         let class = ClassId(class);
@@ -557,14 +563,14 @@
                 class,
                 tenant,
                 key,
-                timeout: budget,
-                expected_work: hint,
-                body_complete: whole,
+                timeout: client_timeout,
+                expected_work: work_hint,
+                body_complete: complete,
             },
         );
     }
 
-    fn tell_all(&mut self, scope: UpdateScope, entries: &[Endpoint]) {
+    fn send_update(&mut self, scope: UpdateScope, entries: &[Endpoint]) {
         for proxy in 0..self.balancers.len() {
             let at = self.now + self.rng.f64() * 40.0;
             self.later(
@@ -582,13 +588,13 @@
         let last = self.list.len() - 1;
         match self.rng.u32(0..9) {
             0 | 1 => {
-                let fresh = Endpoint {
+                let added = Endpoint {
                     started_at: Some(self.now),
-                    ..backend(&mut self.rng, self.next_server)
+                    ..random_endpoint(&mut self.rng, self.next_endpoint)
                 };
-                self.next_server += 1;
-                self.list.push(fresh.clone());
-                self.tell_all(UpdateScope::Delta, &[fresh]);
+                self.next_endpoint += 1;
+                self.list.push(added.clone());
+                self.send_update(UpdateScope::Delta, &[added]);
             }
             2 | 3 => {
                 let index = self.rng.usize(0..=last);
@@ -598,42 +604,43 @@
                     EndpointState::Up,
                 ][self.rng.usize(0..3)];
                 let changed = self.list[index].clone();
-                self.tell_all(UpdateScope::Delta, &[changed]);
+                self.send_update(UpdateScope::Delta, &[changed]);
             }
             4 => {
                 let index = self.rng.usize(0..=last);
                 self.list[index].started_at = Some(self.now - 200.0);
                 self.list[index].state = EndpointState::Up;
                 let changed = self.list[index].clone();
-                self.tell_all(UpdateScope::Delta, &[changed]);
+                self.send_update(UpdateScope::Delta, &[changed]);
             }
             5 => {
                 self.list.retain(|b| b.state != EndpointState::Removed);
                 if self.list.is_empty() {
-                    self.list.push(backend(&mut self.rng, 1));
+                    self.list.push(random_endpoint(&mut self.rng, 1));
                 }
                 let entries = self.list.clone();
-                self.tell_all(UpdateScope::Full, &entries);
+                self.send_update(UpdateScope::Full, &entries);
             }
-            6 => self.tell_all(UpdateScope::Failed, &[]),
+            6 => self.send_update(UpdateScope::Failed, &[]),
             7 => self.restart(),
             _ => self.reconfigure(),
         }
     }
 
-    /// One balancer ends; what outlasts it goes to the one in its place.
+    /// Replaces one balancer by a new instance, which receives the health snapshot of the old one.
     fn restart(&mut self) {
         let proxy = self.rng.usize(0..self.balancers.len());
-        let standing = self.balancers[proxy].health_snapshot(self.now);
-        self.hash.standing(&standing);
+        let snapshot = self.balancers[proxy].health_snapshot(self.now);
+        self.hash.snapshot(&snapshot);
         let settings = Settings {
             proxy_index: proxy as u32,
             ..self.settings.clone()
         };
         self.balancers[proxy] = Balancer::new(settings, self.sequence);
-        self.held.retain(|(owner, _), _| *owner != proxy);
-        let of_proxy =
-            |due: &(usize, Due)| due.0 == proxy && matches!(due.1, Due::Event(_) | Due::Whole(_));
+        self.pending.retain(|(owner, _), _| *owner != proxy);
+        let of_proxy = |due: &(usize, Due)| {
+            due.0 == proxy && matches!(due.1, Due::Event(_) | Due::BodyComplete(_))
+        };
         self.due.retain(|_, due| !of_proxy(due));
         let entries = self.list.clone();
         self.handle(
@@ -643,18 +650,18 @@
                 endpoints: entries,
             },
         );
-        self.handle(proxy, Event::HealthRestored(Box::new(standing)));
+        self.handle(proxy, Event::HealthRestored(Box::new(snapshot)));
     }
 
     fn reconfigure(&mut self) {
         let proxy = self.rng.usize(0..self.balancers.len());
         if self.rng.bool() {
             let proxies = self.settings.proxy_count.max(2) - self.rng.u32(0..2);
-            let me = (proxy as u32).min(proxies - 1);
+            let index = (proxy as u32).min(proxies - 1);
             return self.handle(
                 proxy,
                 Event::ProxyCount {
-                    proxy_index: me,
+                    proxy_index: index,
                     proxy_count: proxies,
                 },
             );
@@ -683,7 +690,7 @@
                 },
             );
         }
-        let end = self.now + scenario.span_ms;
+        let end = self.now + scenario.duration_ms;
         let mut arrival = self.now;
         let mut change = self.now + 500.0;
         while let Some(Reverse((bits, key))) = self.order.pop() {
@@ -710,50 +717,50 @@
                 continue;
             };
             match due {
-                Due::Event(event) => self.pass_on(proxy, event),
-                Due::Whole(id) => {
-                    let Some(held) = self.held.get_mut(&(proxy, id.0)) else {
+                Due::Event(event) => self.deliver(proxy, event),
+                Due::BodyComplete(id) => {
+                    let Some(pending) = self.pending.get_mut(&(proxy, id.0)) else {
                         continue;
                     };
-                    held.whole = true;
-                    let budget = held.deadline - self.now;
+                    pending.complete = true;
+                    let client_timeout = pending.deadline - self.now;
                     self.handle(
                         proxy,
                         Event::BodyComplete {
                             id,
-                            timeout: budget,
+                            timeout: client_timeout,
                         },
                     );
                 }
-                Due::Restart => {
-                    let crowd = self.in_flight.entry(proxy as u64).or_default();
-                    *crowd = crowd.saturating_sub(1);
+                Due::AttemptDone => {
+                    let concurrent = self.in_flight.entry(proxy as u64).or_default();
+                    *concurrent = concurrent.saturating_sub(1);
                 }
             }
         }
         (self.hash.0, self.sent)
     }
 
-    /// Hands in an event as a proxy would: an end after the final answer says that the request is closed.
-    fn pass_on(&mut self, proxy: usize, mut event: Event) {
+    /// Delivers an event as a proxy does: the end of an attempt after the final answer marks the request as finished.
+    fn deliver(&mut self, proxy: usize, mut event: Event) {
         if let Event::AttemptEnded {
             request,
-            request_finished: closed,
+            request_finished: finished,
             ..
         } = &mut event
         {
-            if let Some(held) = self.held.get(&(proxy, request.0)) {
-                *closed |= held.answered;
+            if let Some(pending) = self.pending.get(&(proxy, request.0)) {
+                *finished |= pending.answered;
             }
         }
         if let Event::ClientDisconnected(id) = &event {
-            self.held.remove(&(proxy, id.0));
+            self.pending.remove(&(proxy, id.0));
         }
         self.handle(proxy, event);
     }
 }
 
-fn backend(rng: &mut fastrand::Rng, id: u64) -> Endpoint {
+fn random_endpoint(rng: &mut fastrand::Rng, id: u64) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
         zone: Some(ZoneId((id % 3) as u32)),
@@ -766,31 +773,31 @@
 }
 
 #[test]
-fn decisions_equal_the_recorded_ones() {
-    let mut played = String::new();
+fn decisions_match_the_recorded_hashes() {
+    let mut computed = String::new();
     let mut sent = 0;
     for scenario in scenarios() {
         for seed in scenario.seeds.clone() {
-            let (hash, sends) = World::new(&scenario, seed).run(&scenario);
+            let (hash, sends) = Simulation::new(&scenario, seed).run(&scenario);
             sent += sends;
-            played += &format!("{} {seed} {hash:016x} {sends}\n", scenario.name);
+            computed += &format!("{} {seed} {hash:016x} {sends}\n", scenario.name);
         }
     }
     assert!(
         sent > 100_000,
-        "only {sent} attempts: the traces are too short to hold anything"
+        "only {sent} attempts: the traces are too short to be conclusive"
     );
     assert_eq!(
-        played, RECORDED,
-        "decisions differ from the recorded ones; these were played:\n{played}"
+        computed, RECORDED,
+        "decisions differ from the recorded ones; computed:\n{computed}"
     );
 }
 
 #[test]
-fn another_seed_gives_other_decisions() {
+fn different_seeds_give_different_decisions() {
     let scenario = &scenarios()[0];
     assert_ne!(
-        World::new(scenario, 1).run(scenario).0,
-        World::new(scenario, 2).run(scenario).0
+        Simulation::new(scenario, 1).run(scenario).0,
+        Simulation::new(scenario, 2).run(scenario).0
     );
 }
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The four rules over seeded random but valid event streams, watched by an independent checker.
+//! Checks the invariants of `common::Checker` over random valid event streams from fixed seeds.
 mod common;
 use balancer::*;
 use common::*;
@@ -9,8 +9,8 @@
     Message(Vec<u8>),
 }
 
-/// Random surroundings of one proxy. They are no model of endpoints: they only make valid event streams.
-struct World {
+/// Random environment of one proxy. It generates valid event streams, but doesn't model endpoints realistically.
+struct Simulation {
     rng: fastrand::Rng,
     now: Millis,
     balancer: Balancer,
@@ -18,16 +18,16 @@
     checker: Checker,
     due: Vec<(Millis, Due)>,
     list: Vec<Endpoint>,
-    ends: std::collections::HashMap<u64, (Millis, u32, bool)>,
-    next: u64,
+    requests: std::collections::HashMap<u64, (Millis, u32, bool)>,
+    next_id: u64,
     tamper: fn(&mut Vec<Action>),
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, settings: Settings, tamper: fn(&mut Vec<Action>)) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let list = (0..rng.u64(0..14)).map(endpoint).collect();
-        World {
+        Simulation {
             balancer: Balancer::new(settings.clone(), seed),
             checker: Checker::new(settings.clone(), 60.0),
             rng,
@@ -35,8 +35,8 @@
             settings,
             due: vec![],
             list,
-            ends: Default::default(),
-            next: 0,
+            requests: Default::default(),
+            next_id: 0,
             tamper,
         }
     }
@@ -55,14 +55,14 @@
                 }
                 Action::Forward { request, .. } => self.attempt(request.0),
                 Action::Reject { request, .. } | Action::Fail(request) => {
-                    if let Some(e) = self.ends.get_mut(&request.0) {
+                    if let Some(e) = self.requests.get_mut(&request.0) {
                         e.2 = true;
                     }
                 }
                 Action::Broadcast(bytes) => {
                     assert!(bytes.len() <= 256);
                     if self.rng.f64() < 0.5 {
-                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer had sent the same
+                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer had sent the same message
                     }
                 }
                 Action::Subscribe | Action::FetchEndpoints => {
@@ -86,7 +86,7 @@
     }
 
     fn attempt(&mut self, id: u64) {
-        let Some(e) = self.ends.get_mut(&id) else {
+        let Some(e) = self.requests.get_mut(&id) else {
             return;
         };
         let (due, n) = (e.0, e.1);
@@ -115,12 +115,12 @@
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
-                let fresh = Endpoint {
+                let added = Endpoint {
                     started_at: Some(self.now),
-                    ..endpoint(100 + self.next)
+                    ..endpoint(100 + self.next_id)
                 };
-                self.list.push(fresh.clone());
-                entries.push(fresh);
+                self.list.push(added.clone());
+                entries.push(added);
             }
             1 | 2 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
@@ -137,7 +137,7 @@
                 (self.list[k].state, self.list[k].started_at) =
                     (EndpointState::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
-                entries.push(self.list[k].clone()); // a repeated entry does no harm
+                entries.push(self.list[k].clone()); // repeated entries are valid
             }
             4 => {
                 return self.handle(Event::EndpointUpdate {
@@ -182,18 +182,18 @@
                     Due::Timer(token) => self.handle(Event::Timer(token)),
                     Due::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
-                        let Some(e) = self.ends.get_mut(&id) else {
+                        let Some(e) = self.requests.get_mut(&id) else {
                             continue;
                         };
                         e.2 |= outcome == Outcome::Served;
-                        let closed = e.2;
+                        let finished = e.2;
                         let request = RequestId(id);
                         self.handle(Event::AttemptEnded {
                             request,
                             attempt,
                             latency,
                             outcome,
-                            request_finished: closed,
+                            request_finished: finished,
                         });
                     }
                 }
@@ -207,10 +207,10 @@
         match self.rng.u32(0..400) {
             0..6 => self.change_list(),
             6 => {
-                // Killed and started again: its requests are lost.
-                self.balancer = Balancer::new(self.settings.clone(), self.next);
+                // The proxy crashes and restarts, and loses its requests.
+                self.balancer = Balancer::new(self.settings.clone(), self.next_id);
                 self.checker.restart();
-                self.ends.clear();
+                self.requests.clear();
                 self.due.clear();
                 let entries = self.list.clone();
                 self.handle(Event::EndpointUpdate {
@@ -219,32 +219,33 @@
                 });
             }
             7..10 => self.handle(Event::Gossip {
-                from: self.next as u32 % 9,
+                from: self.next_id as u32 % 9,
                 bytes: vec![1, 0, 9, 3],
             }),
-            10..14 => self.handle(attempt_ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
+            10..14 => self.handle(attempt_ended(self.next_id + 999, 3, 1.0, Outcome::Error)), // of an unknown request
             14..20 => {
-                if let Some(id) = self.ends.keys().min().copied() {
-                    self.ends.get_mut(&id).unwrap().2 = true;
+                if let Some(id) = self.requests.keys().min().copied() {
+                    self.requests.get_mut(&id).unwrap().2 = true;
                     self.handle(Event::ClientDisconnected(RequestId(id)));
-                    self.ends.retain(|_, e| !e.2 || e.1 > 0);
+                    self.requests.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
             _ => {
                 let class = self.rng.usize(0..self.settings.classes.len());
                 let c = &self.settings.classes[class];
-                let budget = c.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
+                let client_timeout = c.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
                 let key = self.rng.bool().then(|| Key(self.rng.u64(0..20)));
                 let tenant = (!self.settings.tenants.is_empty()).then_some(TenantId(0));
-                let id = RequestId(self.next);
-                self.ends.insert(self.next, (self.now + budget, 0, false));
-                self.next += 1;
+                let id = RequestId(self.next_id);
+                self.requests
+                    .insert(self.next_id, (self.now + client_timeout, 0, false));
+                self.next_id += 1;
                 self.handle(Event::Request {
                     id,
                     class: ClassId(class),
                     tenant,
                     key,
-                    timeout: budget,
+                    timeout: client_timeout,
                     expected_work: None,
                     body_complete: true,
                 });
@@ -300,10 +301,10 @@
 }
 
 #[test]
-fn the_four_rules_hold_over_random_events() {
+fn the_invariants_hold_over_random_events() {
     for (v, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
-            let violations = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
+            let violations = Simulation::new(seed, settings.clone(), |_| {}).run(20_000.0);
             assert!(
                 violations.is_empty(),
                 "variant {v}, seed {seed}: {:?}",
@@ -330,21 +331,21 @@
     assert_eq!(run(), run());
 }
 
-fn caught(tamper: fn(&mut Vec<Action>), what: &str) {
+fn assert_detected(tamper: fn(&mut Vec<Action>), what: &str) {
     let all: Vec<String> = (0..40)
-        .flat_map(|seed| World::new(seed, settings(4), tamper).run(20_000.0))
+        .flat_map(|seed| Simulation::new(seed, settings(4), tamper).run(20_000.0))
         .collect();
     assert!(
         all.iter().any(|b| b.contains(what)),
-        "the checker missed '{what}': {:?}",
+        "the checker did not detect '{what}': {:?}",
         all.first()
     );
 }
 
-/// The checker must be able to fail: each rule is broken on purpose.
+/// Violates each invariant deliberately, to show that the checker detects it.
 #[test]
-fn the_checker_sees_broken_rules() {
-    caught(
+fn the_checker_detects_violated_invariants() {
+    assert_detected(
         |out| {
             let twice: Vec<Action> = out
                 .iter()
@@ -353,13 +354,13 @@
                 .collect();
             out.extend(twice);
         },
-        "never run twice",
+        "must not run twice",
     );
-    caught(
+    assert_detected(
         |out| out.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))),
         "in time",
     );
-    caught(
+    assert_detected(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Fail(request) = *a {
@@ -372,7 +373,7 @@
         },
         "which may have run",
     );
-    caught(
+    assert_detected(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Forward { endpoint, .. } = a {
@@ -380,9 +381,9 @@
                 }
             }
         },
-        "told to drain",
+        "draining or removed",
     );
-    caught(
+    assert_detected(
         |out| {
             let cold =
                 |a: &&Action| matches!(a, Action::Forward { endpoint, .. } if endpoint.0 >= 100);
@@ -390,6 +391,6 @@
                 out.extend(std::iter::repeat_n(a, 40));
             }
         },
-        "pushed cold",
+        "overloaded warming endpoint",
     );
 }
--- a/crates/balancer/tests/source_rules.rs
+++ b/crates/balancer/tests/source_rules.rs
@@ -1,11 +1,12 @@
-//! The policy that operators read on call is named in full, and the module keeps to what it may know.
+//! Checks that `deploy/balancer.toml` lists all files that contain policy, which operators read on call, and that the
+//! module has no other inputs than its events and respects the order of its layers.
 use std::collections::BTreeSet;
 use std::path::Path;
 
 const ROOT: &str = include_str!("../src/lib.rs");
 
-/// Files that decide nothing: types, records of what is known, encoding. All others have to stand in the policy.
-const DECIDE_NOTHING: [&str; 14] = [
+/// Files that make no decisions: types, records, encoding. The policy has to list all other files.
+const NON_DECIDING: [&str; 14] = [
     "lib",
     "types",
     "settings",
@@ -22,13 +23,13 @@
     "health_transfer",
 ];
 
-/// The files that the deploy file names as the policy.
+/// Returns the files that `deploy/balancer.toml` lists as the policy.
 fn policy() -> BTreeSet<String> {
     let deploy = include_str!("../../../deploy/balancer.toml");
     let line = deploy
         .lines()
         .find_map(|l| l.strip_prefix("policy = ["))
-        .expect("a policy");
+        .expect("a line with the policy");
     let names = line
         .trim_end_matches(']')
         .split(',')
@@ -36,7 +37,7 @@
     names.map(str::to_owned).collect()
 }
 
-/// Every source file of this package, from the repository's root.
+/// Returns the paths of all source files of this package, relative to the root of the repository.
 fn sources() -> BTreeSet<String> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let package = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -58,32 +59,29 @@
 }
 
 #[test]
-fn the_policy_names_every_module_that_decides() {
-    let deciding = |path: &&String| !DECIDE_NOTHING.contains(&stem(path));
+fn the_policy_lists_every_deciding_module() {
+    let deciding = |path: &&String| !NON_DECIDING.contains(&stem(path));
     let expected: BTreeSet<String> = sources().iter().filter(deciding).cloned().collect();
     assert!(!expected.is_empty());
     assert_eq!(
         policy(),
         expected,
-        "the policy of deploy/balancer.toml names other files than those that decide"
+        "the policy in deploy/balancer.toml differs from the files that make decisions"
     );
 }
 
-/// What decides gives actions out, draws by chance or judges by named constants that hold a policy.
+/// A file makes decisions if it emits actions or draws random numbers. The next test checks for constants.
 #[test]
-fn nothing_outside_the_policy_decides() {
+fn modules_outside_the_policy_make_no_decisions() {
     let named: BTreeSet<String> = FILES.iter().map(|(name, _)| (*name).to_owned()).collect();
     let present: BTreeSet<String> = sources().iter().map(|path| stem(path).to_owned()).collect();
     assert!(
         present
             .iter()
             .all(|name| name == "lib" || named.contains(name)),
-        "a file is not looked at"
+        "a source file is missing in FILES"
     );
-    for (name, text) in FILES
-        .iter()
-        .filter(|(name, _)| DECIDE_NOTHING.contains(name))
-    {
+    for (name, text) in FILES.iter().filter(|(name, _)| NON_DECIDING.contains(name)) {
         for word in [
             "Vec<Action>",
             "out.push(",
@@ -96,36 +94,36 @@
         ] {
             assert!(
                 !text.contains(word),
-                "{word} in {name}, which is to decide nothing"
+                "{word} in {name}, which must not make decisions"
             );
         }
     }
 }
 
-/// Only the encoding of messages has constants that are no policy.
+/// Constants express policy, except those of the message encoding.
 #[test]
-fn nothing_outside_the_policy_has_constants() {
+fn modules_outside_the_policy_have_no_constants() {
     for (name, text) in FILES
         .iter()
-        .filter(|(name, _)| DECIDE_NOTHING.contains(name) && *name != "gossip_message")
+        .filter(|(name, _)| NON_DECIDING.contains(name) && *name != "gossip_message")
     {
         let constant = text
             .lines()
             .map(|line| line.trim_start().trim_start_matches("pub(crate) "))
             .find(|line| line.starts_with("const ") && !line.starts_with("const fn"));
-        assert_eq!(constant, None, "{name} is to decide nothing");
+        assert_eq!(constant, None, "{name} must not contain constants");
     }
 }
 
 #[test]
-fn the_interface_is_named_at_the_top() {
+fn the_crate_documentation_lists_the_interface_modules() {
     let head: String = ROOT.lines().take(8).collect();
     for file in ["types", "settings", "health_snapshot", "event", "action"] {
         assert!(head.contains(&format!("`{file}`")));
     }
 }
 
-/// Every file of the module, from the lowest up.
+/// All files of the module, from the lowest layer to the highest.
 const FILES: [(&str, &str); 37] = [
     ("types", include_str!("../src/types.rs")),
     ("settings", include_str!("../src/settings.rs")),
@@ -179,7 +177,7 @@
 ];
 
 #[test]
-fn no_clock_thread_global_or_input() {
+fn no_module_uses_clock_threads_globals_or_input() {
     for word in [
         "std::time",
         "std::thread",
@@ -195,14 +193,15 @@
     }
 }
 
-/// What stands below the decisions knows nothing of them, so that the policy file names all that decides.
+/// Lower layers must not use higher ones. Otherwise a file outside the policy could make decisions by calling one
+/// inside.
 #[test]
-fn no_file_uses_one_above_it() {
+fn no_module_uses_a_higher_layer() {
     for (own, (file, text)) in FILES.iter().enumerate() {
-        for (above, _) in &FILES[own + 1..] {
+        for (higher, _) in &FILES[own + 1..] {
             assert!(
-                !text.contains(&format!("crate::{above}")),
-                "{file} uses {above}"
+                !text.contains(&format!("crate::{higher}")),
+                "{file} uses {higher}"
             );
         }
     }
