--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,6 +1,6 @@
 //! Retries: which requests may be sent again, the retry budget, and early timeouts where responses get lost.
 //!
-//! Where a retry is decided:
+//! Decisions on a retry:
 //!
 //! | decision | function |
 //! | --- | --- |
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -39,7 +39,7 @@
 /// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// No meaning.
+    /// The weights have no defined meaning.
     Unspecified,
     /// Capacity, at least approximately.
     Capacity,
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -24,7 +24,7 @@
 pub(crate) struct AcceptingTotals {
     /// Number of endpoints.
     pub count: u32,
-    /// Sum of their weights.
+    /// Sum of the weights.
     pub weight: f64,
 }
 
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -1,4 +1,4 @@
-//! Identifiers and descriptions that settings, events and actions share.
+//! Identifiers and data types shared by settings, events and actions.
 //!
 //! Points in time are milliseconds on one monotonic clock; durations are milliseconds too.
 
@@ -105,7 +105,7 @@
     /// Complete list as stored before a restart, possibly stale. Handled like [`UpdateScope::Delta`]: no endpoint is
     /// removed.
     Cached,
-    /// The update failed; the previous list stays in force.
+    /// The update failed; the previous list stays in effect.
     Failed,
 }
 
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -1,11 +1,11 @@
-//! Concurrency limit: slots of endpoints, and their division among proxies.
+//! Concurrency limit: slots of endpoints and their division among proxies.
 mod common;
 use balancer::*;
 use common::*;
 
 #[test]
-fn a_crowded_machine_type_gets_fewer_slots() {
-    // Overfilled endpoints look as if they had more cores.
+fn a_congested_machine_type_gets_fewer_slots() {
+    // Overloaded endpoints seem to have more cores than they have.
     let big = |id| Endpoint {
         weight: 12.0,
         ..endpoint(id)
@@ -13,19 +13,19 @@
     let mut harness = Harness::new(settings(1), vec![big(1), big(2)]);
     harness.train(0, 120, |_| 40.0);
     harness.advance(200.0);
-    let calm = burst(&mut harness, 1000, 60).len();
-    let mut crowded_harness = Harness::new(settings(1), vec![big(1), big(2)]);
-    crowded_harness.train(0, 120, |_| 40.0);
-    crowded_harness.train(200, 200, |_| 200.0);
-    let crowded = burst(&mut crowded_harness, 1000, 60).len();
+    let uncongested = burst(&mut harness, 1000, 60).len();
+    let mut congested_harness = Harness::new(settings(1), vec![big(1), big(2)]);
+    congested_harness.train(0, 120, |_| 40.0);
+    congested_harness.train(200, 200, |_| 200.0);
+    let congested = burst(&mut congested_harness, 1000, 60).len();
     assert!(
-        crowded < calm * 2 / 3,
-        "{crowded} slots while crowded, {calm} while calm"
+        congested < uncongested * 2 / 3,
+        "{congested} slots while congested, {uncongested} while uncongested"
     );
 }
 
 #[test]
-fn a_few_slow_endpoints_take_no_slots_from_others_of_their_type() {
+fn a_few_slow_endpoints_do_not_reduce_slots_of_others_of_their_type() {
     let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(1)
@@ -33,14 +33,17 @@
     let mut harness = Harness::new(with_gossip, (1..=10).map(endpoint).collect());
     harness.train(0, 300, |_| 40.0);
     let (sent, _) = harness.run(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
-    // Six slots, 40 ms each, for 20 s: none may be lost.
-    let taken = sent.iter().filter(|s| s.1 > 7).count();
-    assert!(taken >= 2900, "{taken} went to the healthy endpoints");
+    // The three healthy endpoints have six slots; 40 ms per request over 20 s gives 3,000 requests. None may be lost.
+    let at_healthy = sent.iter().filter(|s| s.1 > 7).count();
+    assert!(
+        at_healthy >= 2900,
+        "{at_healthy} requests went to the healthy endpoints"
+    );
 }
 
 #[test]
-fn queueing_at_single_cores_takes_no_slots_from_other_machine_types() {
-    // Single cores that hold two requests look slow, so that others seem to have few cores.
+fn queueing_at_single_cores_does_not_reduce_slots_of_other_machine_types() {
+    // Single cores with two requests in flight seem slow, so that other machine types seem to have few cores.
     let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(2)
@@ -75,7 +78,7 @@
 
 #[test]
 fn an_unmeasured_machine_type_gets_half_its_slots() {
-    // Endpoints that are crowded from the start must not pass for uncrowded.
+    // Latencies of endpoints that are congested from the start must not be taken for uncongested ones.
     let with_gossip = Settings {
         gossip_enabled: true,
         ..settings(1)
@@ -100,13 +103,13 @@
     let later = burst(&mut harness, 2000, 20).len();
     assert!(
         (8..=9).contains(&later),
-        "all of them once the machine type has responses: {later}"
+        "all slots once the machine type has responses: {later}"
     );
 }
 
 #[test]
 fn slots_of_all_proxies_do_not_overlap() {
-    // Each slot is owned by one proxy, so that proxies don't herd to the same endpoints.
+    // Each slot is owned by one proxy, so that proxies don't all use the same endpoints.
     let n = 12;
     let list: Vec<Endpoint> = (0..20).map(endpoint).collect();
     let mut at = vec![0u32; 20];
@@ -124,15 +127,21 @@
             at[to as usize] += 1;
         }
     }
-    // Before any message has arrived, and with 480 requests for about 50 slots at once.
-    let (most, all) = (*at.iter().max().unwrap(), at.iter().sum::<u32>());
-    assert!((20..=200).contains(&all), "{all} sent in all: {at:?}");
-    assert!(most <= 20, "{most} at one endpoint: {at:?}");
+    // No gossip has arrived yet, and 480 requests compete for about 50 slots at once.
+    let (max_at_one, all) = (*at.iter().max().unwrap(), at.iter().sum::<u32>());
+    assert!(
+        (20..=200).contains(&all),
+        "{all} requests sent in total: {at:?}"
+    );
+    assert!(
+        max_at_one <= 20,
+        "{max_at_one} requests at one endpoint: {at:?}"
+    );
 }
 
 #[test]
 fn each_of_many_proxies_owns_slots() {
-    // With more proxies than slots a proxy may own none.
+    // With more proxies than slots, a proxy could own no slot.
     let small = |id| Endpoint {
         weight: 1.0,
         ..endpoint(id)
@@ -151,7 +160,7 @@
         let sent = burst(&mut harness, 0, 30);
         assert!(
             sent.len() <= 20,
-            "only a small part of the endpoints: {}",
+            "a proxy uses more than a small part of the endpoints: {}",
             sent.len()
         );
         without += usize::from(sent.is_empty());
@@ -161,12 +170,12 @@
 
 #[test]
 fn without_gossip_proxies_with_many_endpoints_share_no_slot() {
-    // Random subsets of endpoints would overlap.
+    // If each proxy used a random subset of endpoints, the subsets would overlap.
     let small = |id| Endpoint {
         weight: 1.0,
         ..endpoint(id)
     };
-    let mut holders = std::collections::HashMap::<u64, usize>::new();
+    let mut proxies_by_endpoint = std::collections::HashMap::<u64, usize>::new();
     for proxy_index in 0..8 {
         let mut harness = Harness::new(
             Settings {
@@ -179,14 +188,14 @@
         let sent = burst(&mut harness, 0, 60);
         assert!(
             (8..=40).contains(&sent.len()),
-            "{} of 20 slots in the mean",
+            "{} requests forwarded, 20 slots expected on average",
             sent.len()
         );
         sent.iter()
-            .for_each(|s| *holders.entry(s.1).or_default() += 1);
+            .for_each(|s| *proxies_by_endpoint.entry(s.1).or_default() += 1);
     }
-    // Fractional slots are rounded at random, so that some endpoints have two.
-    let shared = holders.values().filter(|n| **n > 1).count();
+    // Fractional slots are rounded at random, so that some endpoints have two slots.
+    let shared = proxies_by_endpoint.values().filter(|n| **n > 1).count();
     assert!(
         shared <= 40,
         "{shared} of 160 endpoints are shared by several proxies"
@@ -195,17 +204,17 @@
 
 #[test]
 fn removed_endpoints_have_no_slots() {
-    // With removed endpoints counted, this proxy's own slots would seem enough to need no others.
-    let sent_at_once = |deploys: u64| {
+    // If removed endpoints counted, this proxy would seem to own enough slots not to share them with other proxies.
+    let forwarded_at_once = |releases: u64| {
         let small = |id| Endpoint {
             weight: 1.0,
             ..endpoint(id)
         };
         let mut harness = Harness::new(settings(6), (1..=12).map(small).collect());
         harness.train(0, 60, |_| 40.0);
-        for deploy in 1..=deploys {
+        for release in 1..=releases {
             harness.handle(full_update(
-                (1..=12).map(|id| small(100 * deploy + id)).collect(),
+                (1..=12).map(|id| small(100 * release + id)).collect(),
             ));
             harness.advance(1000.0);
         }
@@ -215,32 +224,32 @@
             .map(|id| forwarded(&harness.handle(request(id, 0, 2000.0))).len())
             .sum::<usize>()
     };
-    assert_eq!(sent_at_once(3), sent_at_once(0));
+    assert_eq!(forwarded_at_once(3), forwarded_at_once(0));
 }
 
 #[test]
-fn uncrowded_endpoints_get_more_slots_while_requests_are_queued() {
-    // By their weights four endpoints of one core get five requests at once.
+fn uncongested_endpoints_get_more_slots_while_requests_are_queued() {
+    // By their weights, four endpoints of one core have five requests in flight.
     let small = |id| Endpoint {
         weight: 1.0,
         ..endpoint(id)
     };
-    let out_at_once = |latency: fn(u64, usize) -> Millis| {
+    let in_flight_at_once = |latency: fn(u64, usize) -> Millis| {
         let mut harness = Harness::new(settings(1), (1..=4).map(small).collect());
-        let (_, still) = harness.run(20_000, 8, latency);
-        still.len()
+        let (_, in_flight) = harness.run(20_000, 8, latency);
+        in_flight.len()
     };
-    // A request each 8 ms that takes 120 ms anywhere: 15 at a time.
-    let calm = out_at_once(|_, _| 120.0);
-    assert!(calm >= 14, "{calm} are in flight at once");
-    // One core each: a further request slows all others there.
-    let crowded = out_at_once(|_, before| 120.0 * (1.0 + before as f64));
-    assert!(crowded <= 10, "{crowded} are in flight at once");
+    // One request per 8 ms with a latency of 120 ms at any endpoint: 15 in flight.
+    let uncongested = in_flight_at_once(|_, _| 120.0);
+    assert!(uncongested >= 14, "{uncongested} in flight at once");
+    // One core per endpoint: a further request slows down all others at the endpoint.
+    let congested = in_flight_at_once(|_, before| 120.0 * (1.0 + before as f64));
+    assert!(congested <= 10, "{congested} in flight at once");
 }
 
 #[test]
 fn the_first_responses_of_a_machine_type_set_no_baseline() {
-    // Under load the shortest requests end first; as a baseline they would make usual latencies look crowded.
+    // Under load the shortest requests end first. As a baseline they would make normal latencies seem congested.
     let two_cores = |id| Endpoint {
         machine_type: Some(MachineTypeId(u32::from(id > 6))),
         ..endpoint(id)
@@ -254,7 +263,7 @@
         } else {
             80.0
         };
-        alone * (before as f64 + 1.0).max(2.0) / 2.0 // two cores each
+        alone * (before as f64 + 1.0).max(2.0) / 2.0 // two cores per endpoint
     });
     assert!(
         sent.len() > 1490,
@@ -264,8 +273,8 @@
 }
 
 #[test]
-fn slots_are_divided_anew_when_a_proxy_reports_its_zone() {
-    // The cached count of own slots must not outlive the zones that it was counted by.
+fn slots_are_redistributed_when_a_proxy_reports_its_zone() {
+    // The cached number of own slots must be invalidated when the zones that determine it change.
     let with_gossip = |proxies, proxy_index, zone| Settings {
         gossip_enabled: true,
         proxy_index,
@@ -286,13 +295,13 @@
             _ => None,
         })
     };
-    // All endpoints and this proxy are in zone 0. The other proxy owns slots only if it is there too.
+    // All endpoints and this proxy are in zone 0. The other proxy owns slots only if it is in zone 0 too.
     let mut shares = [0, 1].map(|zone| {
         let mut harness = Harness::new(with_gossip(2, 0, 0), endpoints.clone());
         harness.train(0, 400, |_| 40.0);
         let bytes = report(1, zone).expect("it broadcasts a report");
         for _ in 0..80 {
-            harness.advance(20.0); // the slots of all endpoints are reviewed
+            harness.advance(20.0); // long enough in total for a review of the slots of all endpoints
             harness.handle(Event::Gossip {
                 from: 1,
                 bytes: bytes.clone(),
--- a/crates/balancer/tests/concurrency_window.rs
+++ b/crates/balancer/tests/concurrency_window.rs
@@ -1,35 +1,36 @@
-//! Concurrency window: requests in flight where proxies share all slots.
+//! Concurrency window: limits a proxy's requests in flight if proxies share all slots.
 mod common;
 use balancer::*;
 use common::*;
 
-/// Requests that one of 100 proxies has in flight at the end, and attempts in the last tenth, if endpoints below `slow`
-/// take `latency` instead of 40 ms from the 100th attempt on.
-fn with_slow_endpoints(keys: u64, slow: u64, latency: Millis) -> (usize, usize) {
+/// Returns the number of requests that one of 100 proxies has in flight at the end, and the number of attempts in the
+/// last tenth of the time. Endpoints below `slow` respond in `latency` instead of 40 ms from the 100th attempt on.
+fn run_with_slow_endpoints(keys: u64, slow: u64, latency: Millis) -> (usize, usize) {
     let settings = Settings {
         key_affinity: keys > 0,
         ..settings(100)
     };
     let mut harness = Harness::new(settings, (0..24).map(endpoint).collect());
     harness.keys = keys;
-    let sends = std::cell::Cell::new(0);
-    let take = |to: u64, _: usize| {
-        sends.set(sends.get() + 1);
-        if to < slow && sends.get() > 100 {
+    let attempts = std::cell::Cell::new(0);
+    let latency_of = |to: u64, _: usize| {
+        attempts.set(attempts.get() + 1);
+        if to < slow && attempts.get() > 100 {
             latency
         } else {
             40.0
         }
     };
-    let (sent, still) = harness.run(30_000, 30, take);
+    let (sent, in_flight) = harness.run(30_000, 30, latency_of);
     (
-        still.len(),
+        in_flight.len(),
         sent.iter().filter(|s| s.0 >= 1000 + 27_000).count(),
     )
 }
 
-/// One of 32 proxies before twelve endpoints of one core, which respond in 250 ms from the first request on.
-fn among_single_cores(load: fn(usize) -> LoadReport) -> Harness {
+/// Returns one of 32 proxies with twelve endpoints of one core, which respond with the given load reports. The tests let
+/// the endpoints respond in 250 ms from the first request on.
+fn with_single_cores(load: fn(usize) -> LoadReport) -> Harness {
     let small = |id| Endpoint {
         weight: 1.0,
         ..endpoint(id)
@@ -41,7 +42,7 @@
 
 #[test]
 fn without_gossip_few_requests_are_in_flight() {
-    // One slot at each endpoint for each of 38 proxies would overload the endpoints.
+    // One slot per proxy at each endpoint would let 38 proxies overload the endpoints.
     let base = settings(38);
     let mut harness = Harness::new(
         Settings {
@@ -63,13 +64,13 @@
     let sent: usize = (0..200)
         .map(|id| forwarded(&harness.handle(request_event(id))).len())
         .sum();
-    // Its equal part of about 104 slots is under three.
+    // The proxy's equal part of about 104 slots is less than three.
     assert!((4..=9).contains(&sent), "{sent} in flight at once");
 }
 
 #[test]
 fn without_gossip_proxies_with_few_endpoints_share_all_slots() {
-    // A single endpoint of its own leaves long waits, and idles for a round trip between responses.
+    // With only one endpoint per proxy, waits are long, and the endpoint is idle for a round trip after each response.
     let small = |id| Endpoint {
         weight: 1.0,
         ..endpoint(id)
@@ -93,23 +94,23 @@
 
 #[test]
 fn late_responses_reduce_the_window() {
-    let out_at_once = |latency: Millis| {
+    let in_flight_at_once = |latency: Millis| {
         let small = |id| Endpoint {
             weight: 1.0,
             ..endpoint(id)
         };
         let mut harness = Harness::new(settings(20), (0..40).map(small).collect());
-        let (_, still) = harness.run(6000, 12, |_, _| latency);
-        still.len()
+        let (_, in_flight) = harness.run(6000, 12, |_, _| latency);
+        in_flight.len()
     };
-    let (good, late) = (out_at_once(200.0), out_at_once(1100.0));
+    let (good, late) = (in_flight_at_once(200.0), in_flight_at_once(1100.0));
     assert!(
         good >= 12,
-        "responses within the latency objective let it grow: {good}"
+        "the window grows with responses within the latency objective: {good}"
     );
     assert!(
         late <= 6,
-        "responses near the objective of 1200 ms don't: {late}"
+        "the window doesn't grow with responses near the latency objective of 1200 ms: {late}"
     );
 }
 
@@ -118,10 +119,10 @@
     let mut harness = Harness::new(settings(20), (1..=40).map(endpoint).collect());
     harness.train(0, 100, |_| 20.0);
     harness.advance(200.0);
-    let (mut held, mut out) = (0, vec![]);
+    let (mut queued, mut out) = (0, vec![]);
     for id in 1000..1400 {
         let actions = harness.handle(request(id, 0, 2000.0));
-        held += usize::from(forwarded(&actions).is_empty());
+        queued += usize::from(forwarded(&actions).is_empty());
         out.extend(forwarded(&actions));
         out.extend(forwarded(&harness.advance(20.0)));
         while let Some((of, _)) = out.pop() {
@@ -135,28 +136,31 @@
             }
         }
     }
-    // One in ten is in flight for 0.8 s, which is 40 requests: four at any time, as many as the initial window.
+    // One in ten requests stays in flight for 0.8 s, the time of 40 requests. Thus four silent attempts are in flight
+    // at any time, as many as the initial window.
     assert!(
-        held <= 8,
-        "{held} of 400 were queued with nearly all endpoints idle"
+        queued <= 8,
+        "{queued} of 400 were queued with nearly all endpoints idle"
     );
 }
 
 #[test]
-fn crowding_reduces_the_window_before_responses_are_late() {
-    // Half the latency objective is 600 ms. 100 proxies with four requests each would put 17 on each endpoint.
-    let (out, _) = with_slow_endpoints(0, 24, 400.0);
+fn congestion_reduces_the_window_before_responses_are_late() {
+    // Half the latency objective is 600 ms. 100 proxies with four requests in flight each would load each endpoint with
+    // 17 requests.
+    let (out, _) = run_with_slow_endpoints(0, 24, 400.0);
     assert!(
         out <= 2,
-        "{out} in flight at endpoints that take ten times the uncrowded latency"
+        "{out} in flight at endpoints with ten times the uncongested latency"
     );
 }
 
 #[test]
-fn load_reports_reduce_a_window_whose_baseline_was_learned_in_a_crowd() {
-    // Each single core holds 20 requests from the start, so that crowded latencies pass for uncrowded.
-    let out = |load| among_single_cores(load).run(6000, 12, |_, _| 250.0).1.len();
-    for (load, why) in [
+fn load_reports_reduce_a_window_whose_baseline_was_learned_under_congestion() {
+    // Each single core has 20 requests in flight from the start, so that congested latencies are taken for uncongested
+    // ones.
+    let out = |load| with_single_cores(load).run(6000, 12, |_, _| 250.0).1.len();
+    for (load, description) in [
         (
             (|_| LoadReport {
                 in_flight: Some(20.0),
@@ -172,9 +176,9 @@
             "queued only",
         ),
     ] {
-        assert!(out(load) <= 2, "{why}: {}", out(load));
+        assert!(out(load) <= 2, "{description}: {}", out(load));
     }
-    for (load, why) in [
+    for (load, description) in [
         (
             (|_| LoadReport::default()) as fn(usize) -> LoadReport,
             "no report",
@@ -194,7 +198,7 @@
             "few queued",
         ),
     ] {
-        assert!(out(load) >= 6, "{why}: {}", out(load));
+        assert!(out(load) >= 6, "{description}: {}", out(load));
     }
 }
 
@@ -221,7 +225,7 @@
 
 #[test]
 fn endpoints_slow_for_their_type_do_not_reduce_the_window() {
-    // Keys whose home is a slow endpoint keep going there.
-    let (_, sent) = with_slow_endpoints(97, 16, 500.0);
+    // Requests with keys whose home is a slow endpoint keep going there.
+    let (_, sent) = run_with_slow_endpoints(97, 16, 500.0);
     assert!(sent >= 95, "{sent} of 100 were forwarded");
 }
--- a/crates/balancer/tests/endpoint_list.rs
+++ b/crates/balancer/tests/endpoint_list.rs
@@ -4,16 +4,16 @@
 use common::*;
 
 #[test]
-fn a_restart_listed_twice_is_still_a_slow_start() {
-    // The second entry must not end the slow start.
-    let fresh = Endpoint {
+fn a_restart_listed_twice_keeps_its_slow_start() {
+    // A repeated entry with the same start time must not end the slow start.
+    let restarted = Endpoint {
         started_at: Some(1000.0),
         ..endpoint(1)
     };
     let mut harness = Harness::new(settings(8), vec![endpoint(1)]);
     harness.handle(Event::EndpointUpdate {
         scope: UpdateScope::Delta,
-        endpoints: vec![fresh.clone(), fresh],
+        endpoints: vec![restarted.clone(), restarted],
     });
     let sent = burst(&mut harness, 0, 20);
     assert!(
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_no_requests_and_they_are_answered() {
+fn a_draining_endpoint_gets_no_requests_and_the_proxy_answers_them() {
     let mut harness = Harness::new(settings(1), vec![endpoint(1)]);
     harness.handle(Event::EndpointUpdate {
         scope: UpdateScope::Delta,
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn invalid_weights_do_no_harm() {
-    let odd = |weight| Endpoint {
+fn invalid_weights_cause_no_extra_answers() {
+    let with_weight = |weight| Endpoint {
         weight,
         ..endpoint(3)
     };
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
-        let mut harness = Harness::new(settings(3), vec![odd(weight), endpoint(4)]);
+        let mut harness = Harness::new(settings(3), vec![with_weight(weight), endpoint(4)]);
         burst(&mut harness, 0, 9);
         let out = harness.advance(4000.0);
         assert!(final_answers(&out) <= 9);
--- a/crates/balancer/tests/endpoint_selection.rs
+++ b/crates/balancer/tests/endpoint_selection.rs
@@ -1,4 +1,5 @@
-//! Endpoint selection: waiting for faster endpoints, affinity, and warming endpoints beside a full window.
+//! Endpoint selection: waiting for faster endpoints, key affinity, and use of warming endpoints while the window is
+//! full.
 mod common;
 use balancer::*;
 use common::*;
@@ -21,19 +22,19 @@
         fast > 0 && sent[..fast].iter().all(|s| s.1 == 1),
         "the fast endpoint gets requests first: {sent:?}"
     );
-    assert!(sent.len() < 30, "some are queued");
+    assert!(sent.len() < 30, "some requests are queued");
     assert!(
         sent.iter().any(|s| s.1 == 2),
-        "a long queue spills over to the slow one: {sent:?}"
+        "a long queue overflows to the slow endpoint: {sent:?}"
     );
-    // The threshold lets the first queued request go only when the queue has grown.
-    let spilled = 1000 + fast as u64;
+    // The threshold releases the oldest queued request once the queue is long enough.
+    let oldest_queued = 1000 + fast as u64;
     assert_eq!(
         sent[fast],
-        (spilled, 2),
-        "the oldest is forwarded: {sent:?}"
+        (oldest_queued, 2),
+        "the oldest queued request is forwarded: {sent:?}"
     );
-    let mut again = Harness::new(
+    let mut second_harness = Harness::new(
         settings(1),
         vec![
             endpoint(1),
@@ -43,10 +44,14 @@
             },
         ],
     );
-    again.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
-    again.advance(300.0);
-    let short = burst(&mut again, 1000, fast as u64 + 3);
-    assert_eq!(short.len(), fast, "a short queue waits: {short:?}");
+    second_harness.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
+    second_harness.advance(300.0);
+    let short = burst(&mut second_harness, 1000, fast as u64 + 3);
+    assert_eq!(
+        short.len(),
+        fast,
+        "requests of a short queue wait: {short:?}"
+    );
 }
 
 #[test]
@@ -78,12 +83,15 @@
         homes
     };
     assert_eq!(home(0), home(3));
-    assert!(home(0).iter().any(|s| *s != home(0)[0]), "keys spread");
+    assert!(
+        home(0).iter().any(|s| *s != home(0)[0]),
+        "keys have different homes"
+    );
 }
 
 #[test]
 fn warming_endpoints_are_used_while_the_window_is_full() {
-    // One of 100 proxies; a release has left 24 warm endpoints, which are crowded, and 36 warming ones.
+    // One of 100 proxies. After a rolling release, 24 endpoints are warm and congested, and 36 are warming up.
     let mut harness = Harness::new(settings(100), (0..24).map(endpoint).collect());
     harness.run(6000, 60, |_, _| 30.0);
     let warming = |id| Endpoint {
@@ -94,23 +102,24 @@
         (0..24).map(endpoint).chain((24..60).map(warming)).collect(),
     ));
     let (sent, _) = harness.run(5000, 30, |to, _| if to < 24 { 700.0 } else { 150.0 });
-    let helped = sent.iter().filter(|s| s.1 >= 24).count();
+    let at_warming = sent.iter().filter(|s| s.1 >= 24).count();
     assert!(
-        helped >= 10,
-        "{helped} of {} went to a warming endpoint",
+        at_warming >= 10,
+        "{at_warming} of {} requests went to a warming endpoint",
         sent.len()
     );
-    // A core serves 33 a second, a warming one 0.4 of that; three times as many for 5 s overload it.
+    // A core serves 33 requests per second, a warming one 0.4 of that. Three times as many for 5 s overload an
+    // endpoint.
     let part = 36.0 * 2.0 * 33.0 * 0.4 * 3.0 * 5.0 / 100.0;
     assert!(
-        (helped as f64) < part,
-        "{helped} is more than this proxy's part of the capacity, {part}"
+        (at_warming as f64) < part,
+        "{at_warming} requests exceed this proxy's part of the capacity, {part}"
     );
 }
 
 #[test]
-fn a_home_much_slower_than_other_endpoints_is_left() {
-    // One of 100 proxies; the home of one key is crowded by its requests.
+fn keys_leave_a_home_much_slower_than_other_endpoints() {
+    // One of 100 proxies. The home of a key is congested by the requests of that key.
     let mut harness = Harness::new(
         Settings {
             key_affinity: true,
@@ -123,13 +132,20 @@
     let (sent, _) = harness.run(60 * 97, 60, |_, _| 40.0);
     sent.iter()
         .for_each(|s| *homes.entry(s.1).or_insert(0) += 1);
-    let (&busy, _) = homes.iter().max_by_key(|h| h.1).unwrap();
+    let (&slow_home, _) = homes.iter().max_by_key(|h| h.1).unwrap();
     let (sent, _) = harness.run(
         60 * 97 * 10,
         60,
-        |to, _| if to == busy { 500.0 } else { 40.0 },
+        |to, _| if to == slow_home { 500.0 } else { 40.0 },
+    );
+    let attempts_at_slow_home =
+        |part: &[(u64, u64)]| part.iter().filter(|s| s.1 == slow_home).count();
+    let (early, late) = (
+        attempts_at_slow_home(&sent[..sent.len() / 2]),
+        attempts_at_slow_home(&sent[sent.len() / 2..]),
+    );
+    assert!(
+        late * 2 <= early,
+        "{late} attempts at the slow home in the second half, {early} in the first"
     );
-    let of = |part: &[(u64, u64)]| part.iter().filter(|s| s.1 == busy).count();
-    let (early, late) = (of(&sent[..sent.len() / 2]), of(&sent[sent.len() / 2..]));
-    assert!(late * 2 <= early, "{late} sends to it after {early}");
 }
--- a/crates/balancer/tests/final_answer.rs
+++ b/crates/balancer/tests/final_answer.rs
@@ -1,11 +1,11 @@
-//! Final answers: exactly one, in time, with a Retry-After where settings allow it.
+//! Final answers: exactly one per request, in time, with a Retry-After if settings allow it.
 mod common;
 use balancer::*;
 use common::*;
 
 #[test]
 fn a_queued_request_is_answered_once() {
-    // Its entry in the queue outlives its answer.
+    // The entry in the queue remains after the answer and must not cause a second one.
     let mut harness = Harness::new(settings(1), vec![]);
     harness.handle(request(1, 1, 3000.0));
     let out = harness.advance(4000.0);
@@ -14,23 +14,23 @@
 
 #[test]
 fn a_request_in_flight_is_answered_just_before_its_latency_objective() {
-    // An earlier answer would give away requests that may still be served in time.
+    // An earlier answer would reject requests that may still be served in time.
     let mut harness = Harness::new(settings(1), vec![endpoint(1)]);
     assert_eq!(burst(&mut harness, 1, 1).len(), 1);
     assert_eq!(
         final_answers(&harness.advance(1190.0)),
         0,
-        "its latency objective is 1200 ms"
+        "the latency objective is 1200 ms"
     );
     assert_eq!(final_answers(&harness.advance(10.0)), 1);
 }
 
 #[test]
 fn rejections_name_a_retry_after_if_settings_allow_it() {
-    let waits = |retry_after, n| {
+    let retry_afters_of = |max, n| {
         let mut harness = Harness::new(
             Settings {
-                max_retry_after: retry_after,
+                max_retry_after: max,
                 ..settings(1)
             },
             vec![endpoint(1)],
@@ -39,20 +39,23 @@
             .flat_map(|id| harness.handle(request(id, 1, 1200.0)))
             .collect();
         out.extend(harness.advance(1200.0));
-        let wait = |a: &Action| match a {
+        let retry_after = |a: &Action| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
-        out.iter().filter_map(wait).collect::<Vec<_>>()
+        out.iter().filter_map(retry_after).collect::<Vec<_>>()
     };
-    assert!(waits(None, 20).iter().all(Option::is_none));
-    let retry_afters: Vec<Millis> = waits(Some(900.0), 20).into_iter().flatten().collect();
+    assert!(retry_afters_of(None, 20).iter().all(Option::is_none));
+    let retry_afters: Vec<Millis> = retry_afters_of(Some(900.0), 20)
+        .into_iter()
+        .flatten()
+        .collect();
     assert!(
-        retry_afters.len() >= 10 && retry_afters.iter().all(|w| (1.0..=900.0).contains(w)),
+        retry_afters.len() >= 10 && retry_afters.iter().all(|ms| (1.0..=900.0).contains(ms)),
         "{retry_afters:?}"
     );
-    // A longer queue means a later retry, up to the bound.
-    assert_eq!(waits(Some(900.0), 200)[0], Some(900.0));
+    // A longer queue gives a longer Retry-After, up to the maximum.
+    assert_eq!(retry_afters_of(Some(900.0), 200)[0], Some(900.0));
 }
 
 #[test]
@@ -82,22 +85,22 @@
         };
         out.iter().filter_map(retry_after).collect()
     };
-    let named: Vec<f64> = retry_afters(Some(1000.0)).into_iter().flatten().collect();
-    assert_eq!(named.len(), 50);
+    let retry_after_ms: Vec<f64> = retry_afters(Some(1000.0)).into_iter().flatten().collect();
+    assert_eq!(retry_after_ms.len(), 50);
     assert!(
-        named.iter().all(|ms| (100.0..200.0).contains(ms)),
-        "{named:?}"
+        retry_after_ms.iter().all(|ms| (100.0..200.0).contains(ms)),
+        "{retry_after_ms:?}"
     );
     assert!(
-        named.iter().any(|ms| *ms < 130.0) && named.iter().any(|ms| *ms > 170.0),
-        "{named:?}"
+        retry_after_ms.iter().any(|ms| *ms < 130.0) && retry_after_ms.iter().any(|ms| *ms > 170.0),
+        "{retry_after_ms:?}"
     );
     assert!(
         retry_afters(Some(120.0))
             .iter()
             .flatten()
             .all(|ms| (60.0..120.0).contains(ms)),
-        "no longer than allowed"
+        "at most the maximum Retry-After"
     );
     assert_eq!(retry_afters(None), [None; 50]);
 }
--- a/crates/balancer/tests/health_snapshot.rs
+++ b/crates/balancer/tests/health_snapshot.rs
@@ -1,17 +1,17 @@
 //! Health snapshots: ejections and slow start budgets are restored in the next instance, except for endpoints whose
-//! process is another one by then.
+//! process has been replaced in the meantime.
 mod common;
 use balancer::*;
 use common::*;
 
 const SECOND: u64 = 2;
 
-fn endpoints(since: Option<Millis>) -> Vec<Endpoint> {
+fn endpoints(process_start: Option<Millis>) -> Vec<Endpoint> {
     (1..5)
         .map(|id| {
             if id == SECOND {
                 Endpoint {
-                    started_at: since,
+                    started_at: process_start,
                     ..endpoint(id)
                 }
             } else {
@@ -21,31 +21,31 @@
         .collect()
 }
 
-/// Starts an instance at a time, with a list and a snapshot of another one.
+/// Starts an instance at a time, with an endpoint list and optionally the snapshot of another instance.
 fn next_instance(
     now: Millis,
     list: Vec<Endpoint>,
-    known: Option<HealthSnapshot>,
+    snapshot: Option<HealthSnapshot>,
     proxies: u32,
 ) -> Harness {
     let mut harness = Harness::new(settings(proxies), Vec::new());
     harness.advance(now - harness.now);
     harness.handle(full_update(list));
-    if let Some(known) = known {
-        harness.handle(Event::HealthRestored(Box::new(known)));
+    if let Some(snapshot) = snapshot {
+        harness.handle(Event::HealthRestored(Box::new(snapshot)));
     }
     harness
 }
 
-/// Counts the attempts at the second endpoint, of so many requests one after the other.
-fn attempts_at_second(harness: &mut Harness, many: u64) -> usize {
-    let mut hits = 0;
-    for id in 5000..5000 + many {
+/// Sends `count` requests one after the other; returns the number of attempts at the second endpoint.
+fn attempts_at_second(harness: &mut Harness, count: u64) -> usize {
+    let mut attempts = 0;
+    for id in 5000..5000 + count {
         let sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
-        hits += sent.iter().filter(|(_, to)| *to == SECOND).count();
+        attempts += sent.iter().filter(|(_, to)| *to == SECOND).count();
         harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
     }
-    hits
+    attempts
 }
 
 /// Returns an instance that has ejected the second endpoint.
@@ -66,12 +66,12 @@
 #[test]
 fn an_ejection_is_restored_in_the_next_instance() {
     let before = with_second_ejected();
-    let (now, known) = (before.now, before.balancer.health_snapshot(before.now));
-    let second = known
+    let (now, snapshot) = (before.now, before.balancer.health_snapshot(before.now));
+    let second = snapshot
         .endpoints
         .iter()
         .find(|s| s.id == EndpointId(SECOND))
-        .expect("the snapshot names it");
+        .expect("the snapshot contains the endpoint");
     assert!(
         second
             .overall
@@ -80,32 +80,35 @@
     );
     assert_eq!(
         attempts_at_second(
-            &mut next_instance(now, endpoints(None), Some(known.clone()), 1),
+            &mut next_instance(now, endpoints(None), Some(snapshot.clone()), 1),
             40
         ),
         0
     );
     assert!(
         attempts_at_second(&mut next_instance(now, endpoints(None), None, 1), 40) > 0,
-        "without it is like the others"
+        "without a snapshot the endpoint gets requests"
     );
-    // An unused snapshot stays the same.
-    let again = next_instance(now, endpoints(None), Some(known.clone()), 1);
-    assert_eq!(again.balancer.health_snapshot(now), known);
-    // Another process under the same name has no ejection.
-    let restarted = next_instance(now, endpoints(Some(now - 1e6)), Some(known.clone()), 1);
-    let of_it = restarted.balancer.health_snapshot(now);
+    // A snapshot that is restored and taken again without any requests stays the same.
+    let unused = next_instance(now, endpoints(None), Some(snapshot.clone()), 1);
+    assert_eq!(unused.balancer.health_snapshot(now), snapshot);
+    // A new process of the same endpoint has no ejection.
+    let restarted = next_instance(now, endpoints(Some(now - 1e6)), Some(snapshot.clone()), 1);
+    let restarted_snapshot = restarted.balancer.health_snapshot(now);
     assert!(
-        of_it.endpoints.iter().all(|s| s.overall.is_none()),
-        "{of_it:?}"
+        restarted_snapshot
+            .endpoints
+            .iter()
+            .all(|s| s.overall.is_none()),
+        "{restarted_snapshot:?}"
     );
-    // An endpoint that is not listed by then is left out.
+    // An endpoint that is no longer listed is ignored.
     let fewer = endpoints(None)
         .into_iter()
         .filter(|s| s.id != EndpointId(SECOND))
         .collect();
     assert_eq!(
-        next_instance(now, fewer, Some(known), 1)
+        next_instance(now, fewer, Some(snapshot), 1)
             .balancer
             .health_snapshot(now)
             .endpoints,
@@ -119,36 +122,36 @@
     let mut first = next_instance(1000.0, warming.clone(), None, 1);
     first.advance(200.0);
     attempts_at_second(&mut first, 400);
-    let (now, known) = (first.now, first.balancer.health_snapshot(first.now));
-    let budget = known
+    let (now, snapshot) = (first.now, first.balancer.health_snapshot(first.now));
+    let budget = snapshot
         .endpoints
         .iter()
         .find_map(|s| s.slow_start)
-        .expect("it is warming up");
-    assert!(budget.tokens < 1.0, "it has been spent: {budget:?}");
+        .expect("the endpoint is warming up");
+    assert!(budget.tokens < 1.0, "the budget has been spent: {budget:?}");
     assert_eq!(
         attempts_at_second(
-            &mut next_instance(now, warming.clone(), Some(known.clone()), 1),
+            &mut next_instance(now, warming.clone(), Some(snapshot.clone()), 1),
             100
         ),
         0,
-        "no second budget"
+        "the restored endpoint has no additional budget"
     );
-    // Among twice as many proxies it has half of the remaining budget.
-    let among_two = next_instance(now, warming.clone(), Some(known.clone()), 2)
+    // With twice as count proxies, the instance has half of the remaining budget.
+    let among_two = next_instance(now, warming.clone(), Some(snapshot.clone()), 2)
         .balancer
         .health_snapshot(now);
-    let part = among_two
+    let restored_budget = among_two
         .endpoints
         .iter()
         .find_map(|s| s.slow_start)
-        .expect("it is warming up");
+        .expect("the endpoint is warming up");
     assert!(
-        (part.tokens - budget.tokens / 2.0).abs() < 1e-9,
-        "{part:?}, {budget:?}"
+        (restored_budget.tokens - budget.tokens / 2.0).abs() < 1e-9,
+        "{restored_budget:?}, {budget:?}"
     );
-    // It still warms up in time, and then there is nothing to keep.
-    let mut later = next_instance(now, warming, Some(known), 1);
+    // After the warm-up, a snapshot has no entry for the endpoint.
+    let mut later = next_instance(now, warming, Some(snapshot), 1);
     later.advance(20_000.0);
     assert_eq!(later.balancer.health_snapshot(later.now).endpoints, []);
 }
--- a/crates/balancer/tests/many_proxies.rs
+++ b/crates/balancer/tests/many_proxies.rs
@@ -1,4 +1,4 @@
-//! Many proxies side by side, each with its own instance of the module: limits must hold for their sum.
+//! Many proxies, each with its own instance of the module: limits must hold for all proxies together.
 mod common;
 use balancer::*;
 use common::*;
@@ -6,27 +6,27 @@
 /// Latency at a warm endpoint, whose two cores serve 50 requests a second.
 const LATENCY: Millis = 40.0;
 
-/// Time at which proxies learn how many there are.
+/// Time at which proxies learn the number of proxies.
 #[derive(Clone, Copy, PartialEq)]
 enum ProxyCountKnown {
     AtStart,
-    /// Each starts as if it were alone, and learns of the others afterwards.
+    /// Each proxy starts as the only one, and learns the number of proxies afterwards.
     Later,
     Never,
 }
 
-/// Returns the attempts that each endpoint, all just started, got in each step of 100 ms, over all proxies, which get a
-/// request every 25 ms each.
+/// Returns the number of attempts that each endpoint got in each step of 100 ms from all proxies. All endpoints have
+/// just started, and each proxy receives a request every 25 ms.
 fn attempts_per_step(
     proxies: u32,
     endpoints: u64,
     steps: usize,
     known: ProxyCountKnown,
 ) -> Vec<Vec<u32>> {
-    let list = |since| {
+    let list = |process_start| {
         (0..endpoints)
             .map(|id| Endpoint {
-                started_at: since,
+                started_at: process_start,
                 ..endpoint(id)
             })
             .collect()
@@ -42,25 +42,26 @@
             settings(1)
         };
         let mut harness = Harness::seeded(settings, list(None), u64::from(proxy_index));
-        harness.train(0, 50, |_| LATENCY); // latency of its machine type when warm
+        harness.train(0, 50, |_| LATENCY); // learns the latency of the machine type at warm endpoints
         if known == ProxyCountKnown::Later {
             harness.handle(Event::ProxyCount {
                 proxy_index,
                 proxy_count: proxies,
             });
         }
-        let begin = harness.now;
-        harness.handle(full_update(list(Some(begin))));
+        let start = harness.now;
+        harness.handle(full_update(list(Some(start))));
         for (at, _, to) in harness.run_timed(steps as u64 * 100, 25, |_, _| LATENCY).0 {
-            counts[to as usize][(((at - begin) / 100.0) as usize).min(steps - 1)] += 1;
+            counts[to as usize][(((at - start) / 100.0) as usize).min(steps - 1)] += 1;
         }
     }
     counts
 }
 
-/// Returns the first endpoint that was overloaded, if any, and the step.
+/// Returns the first overloaded endpoint, if any, and the step.
 ///
-/// An endpoint starts with a fifth of its 50 requests a second and is overloaded by three times its capacity for 2 s.
+/// An endpoint starts with a fifth of its capacity of 50 requests per second, and three times its current capacity over
+/// 2 s overloads it.
 fn first_overload(counts: &[Vec<u32>]) -> Option<(usize, usize)> {
     counts.iter().enumerate().find_map(|(id, count)| {
         let over = count.windows(20).enumerate().find(|(at, window)| {
@@ -96,12 +97,12 @@
             "{proxies} proxies, {endpoints} endpoints"
         );
     }
-    // Otherwise each uses the budget of a single proxy.
+    // Without knowledge of the others, each proxy uses the budget of a single proxy.
     assert!(first_overload(&attempts_per_step(12, 8, 40, ProxyCountKnown::Never)).is_some());
 }
 
 #[test]
-fn the_proxy_count_changes_while_requests_are_in_flight() {
+fn requests_are_forwarded_after_changes_of_the_proxy_count() {
     let mut harness = Harness::seeded(settings(1), (0..6).map(endpoint).collect(), 1);
     harness.train(0, 50, |_| LATENCY);
     for (proxy_index, proxies) in [(0, 4), (3, 9), (9, 9), (0, 0), (1, 2), (0, 1)] {
@@ -112,18 +113,18 @@
         let (sent, _) = harness.run_timed(500, 25, |_, _| LATENCY);
         assert!(
             !sent.is_empty(),
-            "it still forwards as {proxy_index} of {proxies}"
+            "no request was forwarded by proxy {proxy_index} of {proxies}"
         );
     }
 }
 
 #[test]
 fn many_proxies_together_use_warming_endpoints() {
-    // Each proxy's part of a warming endpoint is less than a request a second, but not their sum.
+    // Each proxy's part of a warming endpoint's capacity is less than one request per second, but the sum is not.
     for proxies in [20, 100, 200] {
         let counts = attempts_per_step(proxies, 30, 40, ProxyCountKnown::AtStart);
         let sent: u32 = counts.iter().flatten().sum();
-        // 30 endpoints serve 10 a second at their start and 26 after four seconds: 2,160 in all.
+        // 30 endpoints serve 10 requests per second each at their start and 26 after four seconds: 2,160 in total.
         assert!(sent >= 500, "{proxies} proxies sent {sent} in four seconds");
     }
 }
--- a/crates/balancer/tests/operations.rs
+++ b/crates/balancer/tests/operations.rs
@@ -1,9 +1,9 @@
-//! Changed settings, streamed requests and streamed responses.
+//! Changes of settings, streamed requests and streamed responses.
 mod common;
 use balancer::*;
 use common::*;
 
-fn change(base: &Settings, edit: impl FnOnce(&mut Settings)) -> Event {
+fn settings_event(base: &Settings, edit: impl FnOnce(&mut Settings)) -> Event {
     let mut settings = base.clone();
     edit(&mut settings);
     Event::Settings(Box::new(settings))
@@ -14,19 +14,19 @@
     let base = settings(1);
     let mut harness = Harness::new(base.clone(), (1..5).map(endpoint).collect());
     harness.train(0, 40, |_| 20.0);
-    // Idempotent on arrival: it is retried, though its class is not idempotent by now.
+    // The class was idempotent on arrival: the request is retried, although its class no longer is.
     let first = forwarded(&harness.handle(request(1000, 0, 2000.0)));
     assert_eq!(first.len(), 1);
-    harness.handle(change(&base, |s| {
+    harness.handle(settings_event(&base, |s| {
         s.classes[0].idempotency = Idempotency::NonIdempotent;
         s.limits.max_attempts = 1;
     }));
     assert_eq!(
         forwarded(&harness.handle(attempt_ended(1000, 0, 5.0, Outcome::Error))).len(),
         1,
-        "retried by the rules of its arrival"
+        "retried according to the settings at its arrival"
     );
-    // One that arrives now may have run with its first attempt, and fails.
+    // A request that arrives after the change and may have run with its first attempt fails.
     assert_eq!(
         forwarded(&harness.handle(request(1001, 0, 2000.0))).len(),
         1
@@ -35,7 +35,7 @@
         harness.handle(attempt_ended(1001, 0, 5.0, Outcome::Error)),
         [Action::Fail(RequestId(1001))]
     );
-    // One that never ran has no attempt left and is rejected.
+    // A request that never ran has no attempt left and is rejected.
     assert_eq!(
         forwarded(&harness.handle(request(1002, 0, 2000.0))).len(),
         1
@@ -55,7 +55,7 @@
     let base = settings(1);
     let mut harness = Harness::new(base.clone(), (1..5).map(endpoint).collect());
     harness.train(0, 40, |_| 20.0);
-    harness.handle(change(&base, |s| {
+    harness.handle(settings_event(&base, |s| {
         s.classes.push(class(Idempotency::NonIdempotent, 500.0));
         s.tenants.push(Tenant {
             quota_per_second: 10.0,
@@ -67,7 +67,7 @@
         "the new class is served"
     );
     harness.handle(attempt_ended(1000, 0, 20.0, Outcome::Served));
-    harness.handle(change(&base, |s| s.classes.truncate(1))); // would void the indices of the others
+    harness.handle(settings_event(&base, |s| s.classes.truncate(1))); // would invalidate indices of requests
     assert_eq!(forwarded(&harness.handle(request(1001, 3, 900.0))).len(), 1);
     harness.advance(200.0);
 }
@@ -99,7 +99,7 @@
         body_complete: false,
     };
     assert_eq!(forwarded(&harness.handle(streamed)).len(), 1);
-    // However long its client takes, no endpoint is blamed, and it is not given up.
+    // However long the upload takes, the endpoint's health is not affected, and the request gets no final answer.
     assert_eq!(harness.advance(10_000.0), []);
     assert_eq!(
         harness.balancer.endpoint_counts(harness.now),
@@ -116,7 +116,7 @@
     assert_eq!(
         final_answers(&harness.advance(300.0)),
         1,
-        "its latency objective has passed since the complete body"
+        "the latency objective has passed since the body was complete"
     );
 }
 
@@ -150,7 +150,7 @@
         .collect();
     assert!(
         !all.is_empty() && all.len() < 40,
-        "its slots are taken: {}",
+        "the endpoint's slots are occupied: {}",
         all.len()
     );
     let response_started = |id: u64, processing_done| Event::ResponseStarted {
@@ -161,14 +161,14 @@
     assert_eq!(
         forwarded(&harness.handle(response_started(all[0], false))).len(),
         0,
-        "the endpoint is still processing: its slot is taken"
+        "the endpoint is still processing: its slot is occupied"
     );
     assert_eq!(
         forwarded(&harness.handle(response_started(all[1], true))).len(),
         1,
         "processing has ended: the next request is forwarded"
     );
-    // The client reads slowly: nothing is ejected or answered, and the end of the transfer releases no second slot.
+    // A client that reads slowly causes no ejection and no answer, and the end of the transfer releases no second slot.
     harness.handle(attempt_ended(all[1], 0, 900.0, Outcome::Served));
     assert_eq!(
         forwarded(&harness.handle(attempt_ended(all[1], 0, 900.0, Outcome::Served))).len(),
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -1,20 +1,20 @@
-//! Outlier detection: ejection of failing and hanging endpoints, and of no others.
+//! Outlier detection: failing and hanging endpoints are ejected, others are not.
 mod common;
 use balancer::*;
 use common::*;
 
-/// As `Harness::train`, but with requests of one class.
+/// Like `Harness::train`, but with requests of one class.
 fn train_class(harness: &mut Harness, class: usize, first: u64, count: u64, latency: Millis) {
     for id in first..first + count {
         let sent = forwarded(&harness.handle(request(id, class, 2000.0)));
-        assert_eq!(sent.len(), 1, "an idle endpoint gets it");
+        assert_eq!(sent.len(), 1, "an idle endpoint gets the request");
         harness.advance(latency);
         harness.handle(attempt_ended(id, 0, latency, Outcome::Served));
     }
 }
 
-/// Offers `steps` requests, one each 60 ms; endpoints below `dead` refuse connections at once, the others respond in
-/// 30 ms. Returns the attempts at dead ones and the requests that were not served.
+/// Sends `steps` requests, one every 60 ms. Endpoints below `dead` refuse connections immediately; the others respond
+/// in 30 ms. Returns the number of attempts at dead endpoints and the number of requests that were not served.
 fn requests_past_dead_endpoints(
     harness: &mut Harness,
     first: u64,
@@ -47,8 +47,8 @@
     let mut harness = Harness::new(settings(1), vec![endpoint(1), endpoint(2)]);
     harness.train(0, 60, |_| 50.0);
     let stuck = burst(&mut harness, 1000, 8);
-    let on_one: Vec<u64> = stuck.iter().filter(|s| s.1 == 1).map(|s| s.0).collect();
-    assert!(!on_one.is_empty());
+    let stuck_at_first: Vec<u64> = stuck.iter().filter(|s| s.1 == 1).map(|s| s.0).collect();
+    assert!(!stuck_at_first.is_empty());
     harness.advance(100.0);
     let mut later = vec![];
     for (id, _) in stuck.iter().filter(|s| s.1 == 2) {
@@ -92,21 +92,21 @@
     }
     assert!(
         (2..8).contains(&failed),
-        "{failed} of 60 went to the failing endpoint"
+        "{failed} of 60 requests went to the failing endpoint"
     );
 }
 
 #[test]
 fn panic_does_not_open_overloaded_endpoints() {
-    // In a panic health is not believed, but overload still is.
+    // During a panic, ejections are ignored, except those for overload.
     let mut harness = Harness::new(settings(1), (0..4).map(endpoint).collect());
     harness.train(0, 40, |_| 50.0);
-    let mut tries = 0;
+    let mut attempts = 0;
     for id in 1000..1200 {
         let mut sent = forwarded(&harness.handle(request(id, 0, 2000.0)));
         let mut attempt = 0;
         while let Some((of, _)) = sent.pop() {
-            tries += 1;
+            attempts += 1;
             let out = harness.handle(attempt_ended(of, attempt, 1.0, Outcome::Overloaded));
             attempt += 1;
             sent = forwarded(&out);
@@ -117,20 +117,20 @@
         harness.advance(5.0);
     }
     assert!(
-        tries < 60,
-        "{tries} attempts within a second at four overloaded endpoints"
+        attempts < 60,
+        "{attempts} attempts within a second at four overloaded endpoints"
     );
 }
 
 #[test]
 fn an_endpoint_that_ignores_one_class_keeps_the_others() {
-    // Each ignored request occupies a slot that other classes could use.
+    // Each ignored request occupies a slot that requests of other classes could use.
     let mut harness = Harness::new(settings(1), vec![endpoint(1), endpoint(2)]);
     harness.train(0, 60, |_| 50.0);
     train_class(&mut harness, 2, 100, 20, 50.0);
     harness.advance(300.0);
-    // Endpoint 1 serves class 0 and ignores class 2; endpoint 2 serves all.
-    // Without health per class 7 are lost.
+    // Endpoint 1 serves class 0 and ignores class 2; endpoint 2 serves all classes. Without health per class, 7
+    // requests are lost.
     let (mut lost, mut other, mut out) = (0, 0, vec![]);
     for id in 1000..1400 {
         let class = if id % 2 == 0 { 2 } else { 0 };
@@ -147,23 +147,23 @@
     }
     assert!(
         lost <= 5,
-        "{lost} of 150 were still forwarded to the endpoint that ignores them"
+        "{lost} of 150 requests were still forwarded to the endpoint that ignores their class"
     );
     assert!(
         other >= 20,
-        "only {other} of 150 of the other class were forwarded there"
+        "only {other} of 150 requests of the other class were forwarded to that endpoint"
     );
 }
 
 #[test]
 fn failures_common_to_all_endpoints_eject_none() {
-    // A fraction of all connections breaks, whatever the endpoint.
+    // A fraction of all connections is reset, regardless of the endpoint.
     let mut harness = Harness::new(settings(1), (1..=9).map(endpoint).collect());
     harness.train(0, 200, |_| 40.0);
-    let mut held = 0;
+    let mut queued = 0;
     for id in 1000..3000 {
         let mut sent = forwarded(&harness.handle(request(id, 1, 3000.0)));
-        held += usize::from(sent.is_empty());
+        queued += usize::from(sent.is_empty());
         harness.advance(20.0);
         while let Some((of, _)) = sent.pop() {
             let outcome = if of % 8 == 3 {
@@ -175,8 +175,8 @@
         }
     }
     assert!(
-        held < 20,
-        "{held} of 2000 were queued, though one at a time is in flight at nine endpoints"
+        queued < 20,
+        "{queued} of 2000 requests were queued, although only one at a time is in flight at nine endpoints"
     );
 }
 
@@ -198,12 +198,12 @@
                 (at_failing, others + 1)
             };
         }
-        let broken = to == 1 && id >= 2000 || id % 8 == 3;
+        let failing = to == 1 && id >= 2000 || id % 8 == 3;
         harness.handle(attempt_ended(
             id,
             0,
             20.0,
-            if broken {
+            if failing {
                 Outcome::Reset
             } else {
                 Outcome::Served
@@ -212,7 +212,7 @@
     }
     assert!(
         at_failing < 20 && others > 900,
-        "{at_failing} of 1000 went to the failing endpoint, {others} elsewhere"
+        "{at_failing} of 1000 requests went to the failing endpoint, {others} to others"
     );
 }
 
@@ -244,41 +244,42 @@
     });
     let late = &sent[sent.len() / 2..];
     let slow = late.iter().filter(|s| s.1 > 4).count();
-    // A third overflows in any case; with the fast endpoints ejected in turn it is more than half.
+    // A third of the requests overflows to the slow endpoints in any case. If the fast endpoints were ejected in turn,
+    // more than half would.
     assert!(
         slow * 5 < late.len() * 2,
-        "{slow} of {} went to the slow endpoints",
+        "{slow} of {} requests went to the slow endpoints",
         late.len()
     );
 }
 
 #[test]
 fn a_proxy_with_few_requests_rarely_tries_dead_endpoints() {
-    // One of 100 proxies, with a stale list in which 30 of 60 endpoints are dead.
+    // One of 100 proxies, with a stale list in which 30 of 60 endpoints are down.
     let mut harness = Harness::new(settings(100), (0..60).map(endpoint).collect());
-    requests_past_dead_endpoints(&mut harness, 0, 200, 0); // all healthy so far
+    requests_past_dead_endpoints(&mut harness, 0, 200, 0); // all endpoints are healthy
     let (first, _) = requests_past_dead_endpoints(&mut harness, 1000, 120, 30);
     let (later, unserved) = requests_past_dead_endpoints(&mut harness, 2000, 240, 30);
     assert!(
         first >= 20,
-        "only {first} attempts at dead endpoints before they are known"
+        "only {first} attempts at dead endpoints before they are ejected"
     );
     assert!(
         later <= 48,
-        "{later} of 240 requests were forwarded to an endpoint known to be dead"
+        "{later} of 240 requests were forwarded to an ejected dead endpoint"
     );
     assert_eq!(unserved, 0);
 }
 
 #[test]
 fn non_idempotent_requests_probe_if_no_others_arrive() {
-    // Else an ejected endpoint would never be probed.
+    // Otherwise an ejected endpoint would never be probed.
     let mut harness = Harness::new(settings(1), vec![endpoint(1)]);
     harness.train(1, 40, |_| 20.0);
     for id in 1000..1004 {
         harness.handle(request(id, 1, 3000.0));
         harness.handle(attempt_ended(id, 0, 5.0, Outcome::Error));
     }
-    harness.advance(9000.0); // its ejections are over, and no idempotent request has arrived for long
+    harness.advance(9000.0); // the ejections have ended, and no idempotent request has arrived recently
     assert_eq!(burst(&mut harness, 2000, 1), [(2000, 1)]);
 }
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where responses get lost.
+//! Retries if responses get lost.
 mod common;
 use balancer::*;
 use common::*;
@@ -14,7 +14,7 @@
     let sent = harness.handle(request(1000, 0, 2000.0));
     assert!(
         forwarded(&sent).len() == 1 && timeout(&sent).is_none(),
-        "no early timeout while no responses get lost: {sent:?}"
+        "one attempt without an early timeout while no responses get lost: {sent:?}"
     );
     harness.handle(attempt_ended(1000, 0, 20.0, Outcome::Served));
     for id in 1001..1021 {
@@ -26,15 +26,18 @@
     let mut retried = 0;
     for id in 2000..2400 {
         let sent = harness.handle(request(id, 0, 2000.0));
-        let Some(span) = timeout(&sent).filter(|_| id % 10 == 0) else {
+        let Some(early_timeout) = timeout(&sent).filter(|_| id % 10 == 0) else {
             harness.advance(20.0);
             harness.handle(attempt_ended(id, 0, 20.0, Outcome::Served));
             continue;
         };
-        assert!(span < 400.0, "at most half the latency objective: {span}");
-        harness.advance(span);
-        let then = harness.handle(attempt_ended(id, 0, span, Outcome::TimedOut));
-        retried += forwarded(&then)
+        assert!(
+            early_timeout < 400.0,
+            "the early timeout is at most half the latency objective: {early_timeout}"
+        );
+        harness.advance(early_timeout);
+        let retry = harness.handle(attempt_ended(id, 0, early_timeout, Outcome::TimedOut));
+        retried += forwarded(&retry)
             .iter()
             .filter(|s| s.0 == id && s.1 != forwarded(&sent)[0].1)
             .count();
@@ -42,11 +45,11 @@
     }
     assert!(
         retried >= 30,
-        "{retried} of 40 were retried at another endpoint at once"
+        "{retried} of 40 requests were retried immediately at another endpoint"
     );
     let sent = harness.handle(request(3000, 1, 3000.0));
     assert!(
         forwarded(&sent).len() == 1 && timeout(&sent).is_none(),
-        "no early timeout for a non-idempotent request: {sent:?}"
+        "one attempt without an early timeout for a non-idempotent request: {sent:?}"
     );
 }
--- a/crates/balancer/tests/threshold.rs
+++ b/crates/balancer/tests/threshold.rs
@@ -1,7 +1,7 @@
-//! The threshold against the delay formulas of the paper, computed another way.
+//! Compares the threshold with the delay formulas of the paper, computed independently.
 use balancer::threshold;
 
-/// D_τ of (3.1) and (3.2) with μ_slow = 1 and μ_fast = R, from the M/M/m/K state probabilities.
+/// Returns D_τ of (3.1) and (3.2) with μ_slow = 1 and μ_fast = R, from the M/M/m/K state probabilities.
 fn delay(m: u32, rho: f64, ratio: f64, tau: u32) -> f64 {
     let load = f64::from(m) * rho;
     let mut p = vec![1.0f64];
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn it_minimises_the_mean_delay() {
+fn the_threshold_minimizes_the_mean_delay() {
     for m in [1u32, 2, 3, 7, 20, 60, 200] {
         for rho in [0.1, 0.5, 0.8, 0.95, 0.999, 1.0, 1.001, 1.05, 1.3, 2.0] {
             for ratio in [1.05, 1.5, 2.0, 4.0, 10.0] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn it_is_the_largest_with_a_negative_difference() {
+fn the_threshold_is_the_largest_with_a_negative_difference() {
     for (m, rho, ratio) in [
         (1, 0.7, 6.0),
         (4, 0.9, 3.0),
@@ -48,14 +48,14 @@
         (30, 0.98, 2.5),
     ] {
         let tau = threshold(f64::from(m), rho, ratio);
-        assert!(tau > 0, "a case that tests nothing");
+        assert!(tau > 0, "the case needs a positive threshold");
         assert!(delay(m, rho, ratio, tau) < delay(m, rho, ratio, tau - 1));
         assert!(delay(m, rho, ratio, tau + 1) >= delay(m, rho, ratio, tau));
     }
 }
 
 #[test]
-fn odd_arguments_are_harmless() {
+fn the_threshold_is_bounded_for_degenerate_arguments() {
     for m in [0.0, 0.2, 1.0, 5.5] {
         for rho in [0.0, 1.0, 1e9] {
             for ratio in [0.0, 1.0, 1.0 + 1e-12, 50.0] {
