--- a/crates/cluster-runtime/src/member/joining.rs
+++ b/crates/cluster-runtime/src/member/joining.rs
@@ -50,7 +50,7 @@
     ) -> Result<(), MemberError> {
         let config = NodeConfig {
             id: identity.id,
-            process_start: self.starts,
+            incarnation: self.incarnation,
             is_disk_confirmed: self.heartbeat.is_disk_fresh(),
             seed: fastrand::u64(..),
         };
--- a/crates/cluster-runtime/src/member/runtime.rs
+++ b/crates/cluster-runtime/src/member/runtime.rs
@@ -49,7 +49,7 @@
     commands: mpsc::UnboundedReceiver<MemberCommand>,
     pub(super) lease: Arc<SharedLease>,
     /// Times that the log was opened, this one included.
-    pub(super) starts: u32,
+    pub(super) incarnation: u32,
     pub(super) provide_initial_state: Option<ProvideInitialState>,
     /// Address on which this member listens.
     pub(super) address: String,
@@ -109,7 +109,7 @@
             events,
             commands,
             lease,
-            starts: contents.start_count,
+            incarnation: contents.start_count,
             provide_initial_state: Some(provide_initial_state),
             address,
             joined: None,
--- a/crates/cluster/src/codec.rs
+++ b/crates/cluster/src/codec.rs
@@ -17,10 +17,10 @@
 }
 
 impl SnapshotContent {
-    /// Reads the content of a snapshot.
+    /// Decodes the content of a snapshot.
     ///
     /// # Errors
-    /// The content is no JSON of this form.
+    /// The content is not valid JSON of this type.
     pub fn read(snapshot: &Snapshot) -> Result<Self, PersistedStateError> {
         Ok(serde_json::from_slice(snapshot.get_data())?)
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Encodes a raft structure; writing to memory does not fail.
+/// Encodes a raft structure; encoding to memory can't fail.
 pub(crate) fn encode(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
@@ -63,19 +63,19 @@
 /// Decodes a raft structure.
 ///
 /// # Errors
-/// The bytes are no such structure.
+/// The bytes are not a valid encoding of the structure.
 pub(crate) fn decode<T: protobuf::Message>(bytes: &[u8]) -> Result<T, PersistedStateError> {
     Ok(T::parse_from_bytes(bytes)?)
 }
 
-/// The parts of a raft log entry.
+/// Decoded parts of a raft log entry.
 pub(crate) struct DecodedEntry {
     pub configuration_change: Option<ConfChangeV2>,
     pub command: Option<Command>,
 }
 
 impl DecodedEntry {
-    /// Decodes an entry. Parts that can't be decoded are absent; an entry that a new leader adds has none.
+    /// Decodes an entry. Parts that can't be decoded are absent; the empty entry that a new leader appends has none.
     pub fn of(entry: &Entry) -> Self {
         if entry.get_entry_type() == EntryType::EntryNormal {
             return DecodedEntry {
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -1,53 +1,54 @@
-//! Errors of the cluster's parts.
+//! Errors of requests to a node and of persisted state.
 
-/// Reason for which a call can't be taken here and now.
+/// Reason why a member can't accept a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NodeError {
-    /// Another member leads, or none does.
-    #[error("this instance does not lead")]
+    /// Another member is the leader, or there is none.
+    #[error("this instance is not the leader")]
     NotLeader,
-    /// A change is under way.
-    #[error("another change is under way")]
+    /// A change is in progress.
+    #[error("another change is in progress")]
     ChangeInProgress,
     /// A member is being added or removed.
-    #[error("another member comes or goes")]
+    #[error("another member is being added or removed")]
     MembershipChangeInProgress,
     /// Too many reads wait for confirmation.
-    #[error("too many calls wait")]
+    #[error("too many reads are waiting for confirmation")]
     TooManyReads,
-    /// A member of the joining member's name has reported within a lease and its drift margin. An unlimited lease of that member is not
-    /// waited for: under `PartitionPolicy::Serve` the joining side has to know that the former process has ended.
-    #[error("an instance of this name is heard, or was a short while ago")]
+    /// A member with the name of the joining one has reported within the duration of a lease plus its drift margin. An unlimited lease
+    /// of that member does not block the join: under `PartitionPolicy::Serve` the joining side has to ensure that the former process
+    /// has ended.
+    #[error("an instance of this name is active, or was until recently")]
     NameInUse,
     /// The leader can't remove itself.
-    #[error("it leads: let it step down first")]
+    #[error("the instance is the leader: transfer leadership first")]
     CannotRemoveLeader,
     /// No other voter is connected.
-    #[error("no other member with a vote is heard")]
+    #[error("no other voter is connected")]
     NoOtherVoter,
     /// Raft rejected the proposal, for example during a leadership transfer.
-    #[error("the log takes nothing now")]
+    #[error("the replicated log rejected the proposal")]
     ProposalRejected,
     /// The command can't be encoded.
-    #[error("the command can't be written")]
+    #[error("the command can't be encoded")]
     NotEncodable,
 }
 
-/// Reason for which persisted state can't be used.
+/// Reason why persisted state can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PersistedStateError {
     /// A raft structure is damaged.
-    #[error("what was saved can't be read: {0}")]
+    #[error("persisted state can't be read: {0}")]
     Protobuf(#[from] protobuf::ProtobufError),
     /// A JSON part is damaged.
-    #[error("what was saved can't be read: {0}")]
+    #[error("persisted state can't be read: {0}")]
     Json(#[from] serde_json::Error),
     /// Raft rejects the state.
-    #[error("what was saved can't be read: {0}")]
+    #[error("persisted state can't be read: {0}")]
     Raft(#[from] raft::Error),
     /// The member joined, but has never received the cluster's state.
     #[error(
-        "what was saved can't be read: this member has joined and has not got the cluster's state yet"
+        "persisted state can't be read: this member has joined but has not received the cluster's state yet"
     )]
     NoSnapshot,
 }
--- a/crates/cluster/src/lease_table.rs
+++ b/crates/cluster/src/lease_table.rs
@@ -1,8 +1,8 @@
 //! The leader's table of member leases. It determines which leases may be granted, and when a change may be fenced, activated or
 //! aborted.
 //!
-//! A table is kept for one term and never handed on: a new leader assumes the longest lease that each member may hold. The module
-//! reads no clock and sends nothing; all moments are of the leader's clock.
+//! A table exists for one term and is not transferred: a new leader assumes the longest lease that each member may hold. The module reads
+//! no clock and sends nothing; all times are on the leader's clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,23 +11,23 @@
 use crate::rules::{Micros, PartitionPolicy, Rules};
 use crate::state_machine::{Change, Phase, StateMachine, Version};
 
-/// Sequence of each member's newest unanswered report, by raft node id.
+/// Sequence number of each member's latest unanswered report, by raft node id.
 pub type ReportSequences = BTreeMap<u64, u64>;
 
 /// Record of one member.
 ///
-/// Invariant: the member decides at no moment after `latest_expiry`.
+/// Invariant: the member never decides after `latest_expiry`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct MemberRecord {
-    /// Latest possible end of the member's lease; none if it surely has no lease.
+    /// Latest possible expiry of the member's lease; `None` if it certainly has no lease.
     latest_expiry: Option<LeaseExpiry>,
-    /// Sequence of the newest report.
+    /// Sequence number of the latest report.
     last_sequence: u64,
     last_report_at: Option<Micros>,
     version: Option<Version>,
     validation: Option<Validation>,
     fenced_change: Option<String>,
-    /// Set once the member is to be removed; it gets no grants.
+    /// Set once the member is being removed; it gets no further grants.
     is_leaving: bool,
 }
 
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Reports if the member surely decides nothing any more.
+    /// Returns true if the member certainly does not decide any more.
     fn is_expired(&self, now: Micros) -> bool {
         self.latest_expiry
             .is_none_or(|expiry| expiry <= LeaseExpiry::At(now))
     }
 
-    /// Reports if the member has accepted a change.
+    /// Returns true if the member has accepted a change.
     fn has_accepted(&self, change: &Change) -> bool {
         self.validation.as_ref().is_some_and(|validation| {
             validation.change == change.proposal.id && validation.fault.is_none()
@@ -67,11 +67,11 @@
     }
 }
 
-/// The change that the leader sees through.
+/// The change that this leader drives to completion.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct TrackedChange {
     id: String,
-    since: Micros,
+    first_seen_at: Micros,
 }
 
 /// The leader's table of member leases.
@@ -83,29 +83,29 @@
     /// Reports to be answered after the next confirmation of leadership.
     pending_reports: ReportSequences,
     tracked_change: Option<TrackedChange>,
-    /// Command that was proposed and is not applied yet.
+    /// Command that was proposed and has not been applied yet.
     proposed: Option<Command>,
 }
 
-/// A member for which a change waits.
+/// A member that a change waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BlockingMember {
     /// Name of the member.
     pub name: String,
-    /// Moment of its last report.
+    /// Time of its latest report.
     pub last_report_at: Option<Micros>,
-    /// Latest possible end of its lease.
+    /// Latest possible expiry of its lease.
     pub latest_expiry: Option<LeaseExpiry>,
 }
 
-/// The leader's knowledge of a member.
+/// State of a member as known to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberObservation {
-    /// Moment of its last report.
+    /// Time of its latest report.
     pub last_report_at: Option<Micros>,
-    /// Latest possible end of its lease.
+    /// Latest possible expiry of its lease.
     pub latest_expiry: Option<LeaseExpiry>,
-    /// Version that it last reported.
+    /// Version in its latest report.
     pub version: Option<Version>,
 }
 
@@ -114,12 +114,12 @@
 pub struct AddressedGrant {
     /// Raft node id of the receiver.
     pub to: u64,
-    /// The grant.
+    /// Grant to send.
     pub grant: Grant,
 }
 
 impl LeaseTable {
-    /// Creates the table of a new leader, which has applied all entries of former terms.
+    /// Creates the table of a new leader that has applied all entries of earlier terms.
     pub fn new(now: Micros, state_machine: &StateMachine, rules: &Rules) -> Self {
         let mut table = LeaseTable {
             rules: rules.clone(),
@@ -133,11 +133,11 @@
         table
     }
 
-    /// Returns the latest end of a lease that a member may hold without this leader's knowledge.
+    /// Returns the latest expiry of a lease that a former leader may have granted to a member.
     ///
-    /// A former leader answered no report that was made after this one was elected: it confirmed its leadership with a quorum after
-    /// each report, and that quorum had not voted yet. So leases that it granted end within a lease of the election. Leases without
-    /// end are over once a change is fenced, as each member has accepted it before.
+    /// A former leader can't have granted a lease for a report made after this leader's election: before each grant it confirmed its
+    /// leadership with a quorum that had not voted in the election yet. So its leases expire within one lease duration of the election.
+    /// No unlimited lease is left once a change is fencing, because each member has accepted the change before.
     fn latest_unknown_expiry(&self, state_machine: &StateMachine) -> LeaseExpiry {
         let is_fencing = state_machine.change_phase() == Some(Phase::Fencing);
         match self.rules.partition_policy {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Adds and drops records, as members were added or removed.
+    /// Adds and removes records to match the current members.
     pub fn update_members(&mut self, state_machine: &StateMachine) {
         let unknown_expiry = self.latest_unknown_expiry(state_machine);
         let member_ids: BTreeSet<u64> = state_machine
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Records that a member was added under a raft node id never given before: it holds no lease yet.
+    /// Records that a member was added under a new raft node id, and so has no lease yet.
     pub fn member_added(&mut self, id: u64) {
         let record = self.records.get_mut(&id);
         if let Some(record) = record.filter(|record| record.last_report_at.is_none()) {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Records a member's report. One older than the newest is ignored.
+    /// Records a member's report. Ignores a report that is older than the latest one.
     pub fn record_report(
         &mut self,
         now: Micros,
@@ -198,24 +198,24 @@
         } else if let Some(change) = &state_machine.change
             && record.has_accepted(change)
         {
-            // The member bound itself to a change lease before this report, and accepts no longer one.
+            // The member limited itself to a change lease before it sent this report, and accepts no longer one.
             let bound = LeaseExpiry::At(now + change_lease);
             record.latest_expiry = record.latest_expiry.map(|expiry| expiry.min(bound));
         }
         self.pending_reports.insert(id, report.sequence);
     }
 
-    /// Takes the reports that a confirmation of leadership, begun now, allows to be answered.
+    /// Takes the reports that may be answered after a confirmation of leadership that starts now.
     pub fn take_pending_reports(&mut self) -> ReportSequences {
         std::mem::take(&mut self.pending_reports)
     }
 
-    /// Reports if any report waits for its answer.
+    /// Returns true if any report is unanswered.
     pub fn has_pending_reports(&self) -> bool {
         !self.pending_reports.is_empty()
     }
 
-    /// Grants leases for reports that came before a confirmation of leadership that has succeeded.
+    /// Grants leases for reports that were received before a successful confirmation of leadership started.
     pub fn grant_leases(
         &mut self,
         now: Micros,
@@ -241,7 +241,7 @@
         grants
     }
 
-    /// Records a grant to a member; returns its duration, or none if the member gets no lease.
+    /// Records a grant to a member and returns its duration, or `None` if the member gets no lease.
     fn grant_lease(
         &mut self,
         now: Micros,
@@ -268,12 +268,12 @@
         };
         let latest = record
             .latest_expiry
-            .map_or(expiry, |present| present.max(expiry));
+            .map_or(expiry, |current| current.max(expiry));
         record.latest_expiry = Some(latest);
         Some(duration)
     }
 
-    /// Returns the members for which the change under way waits.
+    /// Returns the members that the change in progress waits for.
     pub fn blocking_members(
         &self,
         now: Micros,
@@ -302,8 +302,8 @@
             .collect()
     }
 
-    /// Returns the command to propose next for the change under way. Each is returned once: it is applied later, or
-    /// [`LeaseTable::proposal_rejected`] tells that it will not be.
+    /// Returns the next command to propose for the change in progress. Each command is returned once, unless
+    /// [`LeaseTable::proposal_rejected`] reports that raft did not accept it.
     pub fn next_command(&mut self, now: Micros, state_machine: &StateMachine) -> Option<Command> {
         let Some(change) = &state_machine.change else {
             self.tracked_change = None;
@@ -318,7 +318,7 @@
         if !is_tracked {
             self.tracked_change = Some(TrackedChange {
                 id: id.clone(),
-                since: now,
+                first_seen_at: now,
             });
             self.proposed = None;
         }
@@ -369,11 +369,11 @@
         if blocking.is_empty() && is_accepted {
             return Some(Command::Fence { change: id });
         }
-        let since = self
+        let first_seen_at = self
             .tracked_change
             .as_ref()
-            .map_or(now, |tracked| tracked.since);
-        if now < since + self.rules.change_deadline {
+            .map_or(now, |tracked| tracked.first_seen_at);
+        if now < first_seen_at + self.rules.change_deadline {
             return None;
         }
         Some(Command::Abort {
@@ -382,7 +382,7 @@
         })
     }
 
-    /// Returns the faults that members with a lease have found in a change. A member without one can't hold a change up.
+    /// Returns the faults that members with a lease have found in a change. A member without a lease can't block a change.
     fn faults(
         &self,
         now: Micros,
@@ -404,13 +404,14 @@
             .collect()
     }
 
-    /// Records that raft rejected the command of [`LeaseTable::next_command`], which is then returned again.
+    /// Records that raft rejected the command from [`LeaseTable::next_command`], which then returns it again.
     pub fn proposal_rejected(&mut self) {
         self.proposed = None;
     }
 
-    /// Ends granting leases to a member that is to be removed. Returns if it may be removed, as it surely decides nothing any more.
-    /// Under [`PartitionPolicy::Serve`] an unlimited lease does not keep a member: its operator states that the member has stopped.
+    /// Stops granting leases to a member that is being removed. Returns true if the member may be removed because it certainly does not
+    /// decide any more. Under [`PartitionPolicy::Serve`] an unlimited lease does not prevent the removal: by requesting it, the operator
+    /// asserts that the member has stopped.
     pub fn begin_removal(&mut self, now: Micros, id: u64) -> bool {
         let Some(record) = self.records.get_mut(&id) else {
             return true;
@@ -419,7 +420,7 @@
         record.is_expired(now) || record.latest_expiry == Some(LeaseExpiry::Never)
     }
 
-    /// Reports if a member has not been heard for so long that any regular lease of it has expired.
+    /// Returns true if a member has not reported for so long that any regular lease of it has expired.
     pub fn is_unresponsive(&self, now: Micros, id: u64) -> bool {
         let lease = self.rules.with_drift_margin(self.rules.lease);
         self.records
@@ -427,7 +428,7 @@
             .is_none_or(|record| record.last_report_at.unwrap_or(self.leader_since) + lease <= now)
     }
 
-    /// Returns the leader's knowledge of a member.
+    /// Returns the state of a member as known to the leader.
     pub fn observation(&self, id: u64) -> Option<MemberObservation> {
         self.records.get(&id).map(|record| MemberObservation {
             last_report_at: record.last_report_at,
@@ -437,13 +438,13 @@
     }
 }
 
-/// Returns the reasons for which a change is aborted at its deadline.
+/// Returns the reasons for aborting a change at its deadline.
 fn deadline_reasons(blocking: &[BlockingMember]) -> Vec<AbortReason> {
     if blocking.is_empty() {
-        let detail = "no instance has said in time that it can take it";
+        let detail = "no instance accepted the change before its deadline";
         return vec![AbortReason::new("", detail)];
     }
-    let detail = "it has not said in time whether it can take it";
+    let detail = "the instance did not validate the change before its deadline";
     blocking
         .iter()
         .map(|member| AbortReason::new(&member.name, detail))
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,24 +1,28 @@
-//! Replication of configuration changes between members: a raft log, leases, and changes that take effect everywhere or nowhere.
+//! Replication of configuration changes across the members of a cluster, with a raft log and leases: a change takes effect on every
+//! member or on none.
 //!
 //! - [`StateMachine`](state_machine::StateMachine): the replicated state, the same at each member.
-//! - [`MemberLease`](member_lease::MemberLease): the lease under which a member decides.
-//! - [`LeaseTable`](lease_table::LeaseTable): the leader's knowledge of these leases, which determines when a change may proceed.
-//! - [`Node`](node::Node): one member; combines the above with raft.
-//! - [`log_recovery`]: recovery from one member's log after a permanent loss of the quorum.
-//! - [`simulation`]: many members in virtual time.
+//! - [`MemberLease`](member_lease::MemberLease): the lease under which a member may decide.
+//! - [`LeaseTable`](lease_table::LeaseTable): the leader's record of these leases, which determines when a change may proceed.
+//! - [`Node`](node::Node): one running member; combines the above with raft.
+//! - [`log_recovery`]: recovery from the log of one member after a permanent loss of the quorum.
+//! - [`simulation`]: a whole cluster in virtual time, for tests.
 //!
-//! The package has no sockets, no disk and no clock. It does not interpret configurations and decides nothing about requests.
+//! The package does no network or disk I/O and reads no clock. It does not interpret configurations and does not handle requests.
 //!
 //! # Terms
 //!
-//! A *member* is one participant of the cluster, from its join to its removal, over all restarts. It has a name, which a later member
-//! may take over, and a *raft node id*, which is never given twice. Its *process* is what one start of it runs, with one
-//! [`Node`](node::Node). Some texts for operators say "instance" for a member; they stay as they are.
+//! A *member* is one participant of the cluster, from its join to its removal, across restarts. It has a name, which a later member may
+//! reuse, and a *raft node id*, which is never reused. Each start of its process is an *incarnation*, with one [`Node`](node::Node).
+//! Messages for operators call a member an "instance".
+//!
+//! A member *decides* when it handles a request under a version of the configuration. It may do so only while it has a valid lease for
+//! that version. A member is *fenced* when it has stopped deciding because a change is about to take effect.
 //!
 //! # Stored names
 //!
-//! Logs, snapshots and messages keep the names under which they were first written. Serde attributes on the types map them.
-//! `tests/stored_forms.rs` holds the forms.
+//! Logs, snapshots and messages keep the names of earlier versions for compatibility; serde attributes map them to the names in the
+//! code. `tests/stored_forms.rs` checks the serialized forms.
 //!
 //! | type | stored name: term |
 //! | --- | --- |
@@ -39,7 +43,7 @@
 //! | [`LeaseDuration`](member_lease::LeaseDuration) | `short`: `DuringChange`, `lease`: `Regular`, `forever`: `Unlimited` |
 //! | content of a snapshot | `machine`: state machine, `state`: the application's state |
 //!
-//! A [`Validation`](member_lease::Validation) and a remembered outcome are stored as pairs.
+//! A [`Validation`](member_lease::Validation) and a recorded outcome are serialized as pairs.
 #![deny(
     clippy::too_many_lines,
     clippy::too_many_arguments,
--- a/crates/cluster/src/log_recovery.rs
+++ b/crates/cluster/src/log_recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery after a permanent loss of the quorum: reads the log of one surviving member and starts a new cluster from it.
+//! Recovery after a permanent loss of the quorum: reads the log of one surviving member and creates a new cluster from it.
 //!
-//! The module reads bytes that the caller has loaded. It can't tell which committed entries the survivor never received.
+//! The module does no I/O: the caller loads the log. Committed entries that the survivor never received are lost undetected.
 
 use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
 
@@ -10,8 +10,8 @@
 use crate::persistence::PersistedState;
 use crate::state_machine::{Effect, StateMachine, Version};
 
-/// Versions of one epoch. A recovered cluster begins the next epoch, so that no version is used twice as long as fewer were given
-/// since the survivor's newest.
+/// Number of versions in one epoch. A recovered cluster starts in the next epoch, so that it does not reuse a version as long as fewer
+/// versions than this were created after the survivor's latest one.
 pub const VERSIONS_PER_EPOCH: Version = 1_000_000;
 
 /// Content of one member's log.
@@ -25,19 +25,19 @@
     pub application_revision: u64,
     /// Payloads stored after the snapshot, in order, including uncommitted ones.
     pub payloads: Vec<String>,
-    /// Newest term.
+    /// Latest term.
     pub term: u64,
     /// Index of the last entry.
     pub last_index: u64,
-    /// Index up to which entries are known to be committed.
+    /// Index of the last entry known to be committed.
     pub committed_index: u64,
-    /// Number of entries after `committed_index`. They are applied, as a leader may have acknowledged them.
+    /// Number of entries after `committed_index`. They are applied too, as a leader may have acknowledged them.
     pub uncommitted_entries: u64,
-    /// Id of a change that was under way. It is dropped in either phase, as no quorum is left to complete it.
+    /// Id of a change that was in progress. It is dropped in either phase, as no quorum is left to complete it.
     pub aborted_change: Option<String>,
 }
 
-/// Reads the log of a member that does not run.
+/// Reads the log of a member whose process is not running.
 ///
 /// # Errors
 /// The state is damaged, or the member has never received the cluster's state.
@@ -74,7 +74,7 @@
     })
 }
 
-/// Applies an entry; returns the payloads that it stored.
+/// Applies an entry and returns the payloads that it stored.
 fn apply_entry(state_machine: &mut StateMachine, entry: &Entry) -> Vec<String> {
     let decoded = DecodedEntry::of(entry);
     let is_damaged =
@@ -93,13 +93,13 @@
         .collect()
 }
 
-/// Returns the first version of the epoch after the one of `version`.
+/// Returns the first version of the epoch that follows the one of `version`.
 pub fn next_epoch(version: Version) -> Version {
     (version / VERSIONS_PER_EPOCH + 1) * VERSIONS_PER_EPOCH
 }
 
-/// Creates the state of a new cluster that continues from a recovered one with a single member. Raft node ids of the former
-/// members are not given again.
+/// Creates the state of a new cluster that continues from a recovered one with a single member. Raft node ids of the former members are
+/// not reused.
 pub fn restart_with_one_member(
     former: &StateMachine,
     cluster_id: String,
--- a/crates/cluster/src/member_lease.rs
+++ b/crates/cluster/src/member_lease.rs
@@ -1,8 +1,8 @@
-//! The lease under which one member decides: for one version, for as long as it lasts by the member's own clock.
+//! The lease under which one member decides: valid for one version, until it expires on the member's own clock.
 //!
-//! A member sends reports and a leader grants leases by answering them. A report binds the member: once it has reported that it
-//! accepts a change, that it is fenced, or that it holds no lease, it takes no grant that answers an earlier report. So a leader
-//! that has such a report knows what the member may still do, whatever other messages are on their way.
+//! A member sends reports, and the leader answers them with leases. A report is binding: once a member has reported that it accepts a
+//! change, that it is fenced, or that it has no lease, it ignores grants that answer earlier reports. So the leader can rely on the
+//! latest report regardless of messages still in flight.
 //!
 //! The module reads no clock and sends nothing. Main types: [`MemberLease`], [`Report`], [`Grant`].
 
@@ -13,34 +13,34 @@
 use crate::rules::Micros;
 use crate::state_machine::Version;
 
-/// Reports that may still be answered; a grant for an older one is ignored.
+/// Number of reports that may still be answered; a grant for an older report is ignored.
 const MAX_OPEN_REPORTS: usize = 64;
 
-/// End of a lease.
+/// Expiry of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseExpiry {
-    /// Moment of some clock; the lease no longer holds at it.
+    /// Time on some clock; the lease is not valid at this time any more.
     At(Micros),
-    /// No end until the member reports otherwise.
+    /// The lease does not expire until the member reports that it has limited or released it.
     Never,
 }
 
-/// A lease that a member holds.
+/// A lease of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     /// Version under which the member may decide.
     pub version: Version,
-    /// End of the lease by the member's clock.
+    /// Expiry on the member's clock.
     pub expiry: LeaseExpiry,
 }
 
-/// Result of a member's validation of a change; written as a pair.
+/// Result of a member's validation of a change; serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(String, Option<String>)", into = "(String, Option<String>)")]
 pub struct Validation {
     /// Id of the change.
     pub change: String,
-    /// Fault for which the member can't accept the change; none if it accepts.
+    /// Fault because of which the member can't accept the change; `None` if it accepts.
     pub fault: Option<String>,
 }
 
@@ -59,31 +59,31 @@
 /// A member's report to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Number of the report, increasing over all starts of the member.
+    /// Sequence number of the report, which increases across incarnations of the member.
     #[serde(rename = "seq")]
     pub sequence: u64,
-    /// Version that the member serves; none before it has one.
+    /// Version that the member serves, if it has one.
     pub version: Option<Version>,
     /// Set if the member has no lease, or an expired one.
     #[serde(rename = "holds_nothing")]
     pub has_no_lease: bool,
-    /// Last validation of a change.
+    /// Latest validation of a change.
     #[serde(rename = "checked")]
     pub validation: Option<Validation>,
-    /// Id of the change for which the member has ended deciding.
+    /// Id of the change for which the member is fenced.
     #[serde(rename = "closed")]
     pub fenced_change: Option<String>,
 }
 
-/// A leader's grant, which answers a report.
+/// A lease granted by the leader in answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Sequence of the answered report.
+    /// Sequence number of the answered report.
     #[serde(rename = "seq")]
     pub report_sequence: u64,
-    /// Version in effect; the grant holds for no other.
+    /// Version in effect; the grant is valid only for this version.
     pub version: Version,
-    /// Duration of the lease, from the moment of the report.
+    /// Duration of the lease, counted from the time of the report.
     #[serde(rename = "span")]
     pub duration: LeaseDuration,
 }
@@ -97,23 +97,25 @@
     /// [`Rules::lease`](crate::rules::Rules::lease).
     #[serde(rename = "lease")]
     Regular,
-    /// No end until the member reports otherwise.
+    /// No expiry until the member reports that it has limited or released the lease.
     #[serde(rename = "forever")]
     Unlimited,
 }
 
-/// Reason for which a member may not decide.
+/// Reason why a member may not decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum LeaseError {
     /// The member has no lease: it does not know the current version yet, has released its lease, or has reported that its lease
-    /// expired ([`MemberLease::next_report`] clears it).
-    #[error("it does not know yet which version is current")]
+    /// has expired ([`MemberLease::next_report`] clears it).
+    #[error("the instance does not know the current version yet")]
     NoCurrentVersion,
     /// The member is fenced, as a change is about to take effect.
-    #[error("a change is about to take hold")]
+    #[error("a change is about to take effect")]
     Fenced,
-    /// The lease has expired, and the member has not made a report since.
-    #[error("its lease has run out: it hears nothing of the one that leads, or there is none")]
+    /// The lease has expired, and the member has not sent a report since.
+    #[error(
+        "the lease of the instance has expired: it has no contact with a leader, or there is none"
+    )]
     Expired,
 }
 
@@ -132,7 +134,7 @@
     regular_duration: Micros,
     change_duration: Micros,
     version: Option<Version>,
-    /// End of the lease; none until a grant for the version has come.
+    /// Expiry of the lease; `None` until a grant for the version was accepted.
     expiry: Option<LeaseExpiry>,
     validation: Option<Validation>,
     fenced_change: Option<String>,
@@ -143,10 +145,9 @@
 }
 
 impl MemberLease {
-    /// Creates a member's state without a lease. `start` counts the starts of the member, so that no two reports have one
-    /// sequence number.
-    pub fn new(regular_duration: Micros, change_duration: Micros, start: u32) -> Self {
-        let last_sequence = u64::from(start) << 32;
+    /// Creates the state of a member without a lease. The incarnation keeps sequence numbers of reports unique across restarts.
+    pub fn new(regular_duration: Micros, change_duration: Micros, incarnation: u32) -> Self {
+        let last_sequence = u64::from(incarnation) << 32;
         MemberLease {
             regular_duration,
             change_duration,
@@ -160,21 +161,21 @@
         }
     }
 
-    /// Sets the durations of leases, where they become known after the start.
+    /// Sets the durations of leases, for a member that learns them after its start.
     pub fn set_durations(&mut self, regular: Micros, during_change: Micros) {
         self.regular_duration = regular;
         self.change_duration = during_change;
     }
 
-    /// Records that the member serves a version: one that it has caught up to, or the one that a change has brought. The rest of
-    /// its lease continues under it.
+    /// Records that the member serves a version, either because it has caught up or because a change took effect. The remaining time of
+    /// its lease continues under that version.
     pub fn serve_version(&mut self, version: Version) {
         self.version = Some(version);
         self.fenced_change = None;
         self.validation = None;
     }
 
-    /// Records the validation of a change. A member that accepts binds itself to a lease of at most the change duration.
+    /// Records the validation of a change. A member that accepts limits its lease to the change duration.
     pub fn record_validation(&mut self, now: Micros, validation: Validation) {
         if validation.fault.is_none() {
             let latest = LeaseExpiry::At(now + self.change_duration);
@@ -184,19 +185,19 @@
         self.validation = Some(validation);
     }
 
-    /// Ends deciding under the present version, as a change is about to take effect.
+    /// Stops deciding under the current version, as a change is about to take effect.
     pub fn fence(&mut self, change: &str) {
         self.fenced_change = Some(change.to_owned());
         self.first_valid_report = self.last_sequence + 1;
     }
 
-    /// Gives up the lease; the member takes no other before it serves a version again.
+    /// Releases the lease; the member accepts no other one before it serves a version again.
     pub fn release(&mut self) {
         self.version = None;
         self.expiry = None;
     }
 
-    /// Forgets the validation of an aborted change.
+    /// Clears the validation of an aborted change.
     pub fn change_aborted(&mut self, change: &str) {
         self.validation
             .take_if(|validation| validation.change == change);
@@ -204,11 +205,11 @@
 
     /// Creates the next report.
     ///
-    /// An expired lease is cleared here, as the report says that the member has none and binds it. From then on
-    /// [`MemberLease::may_decide`] fails with [`LeaseError::NoCurrentVersion`] in place of [`LeaseError::Expired`].
+    /// Clears an expired lease, as the report states that the member has none and is binding. After that
+    /// [`MemberLease::may_decide`] fails with [`LeaseError::NoCurrentVersion`] instead of [`LeaseError::Expired`].
     pub fn next_report(&mut self, now: Micros) -> Report {
         self.last_sequence += 1;
-        // The rest of a lease at fencing continues under the next version, so it counts as held.
+        // The remaining time of a lease at fencing continues under the next version, so a fenced member still has a lease.
         let has_no_lease = self
             .expiry
             .is_none_or(|expiry| expiry <= LeaseExpiry::At(now));
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Accepts a grant if it is valid and extends the lease; returns if it did.
+    /// Accepts a grant if it is valid and extends the lease; returns true if it was accepted.
     pub fn accept_grant(&mut self, grant: &Grant) -> bool {
         let is_stale = grant.report_sequence < self.first_valid_report;
         if is_stale || self.version != Some(grant.version) || self.fenced_change.is_some() {
@@ -250,18 +251,18 @@
             LeaseDuration::Regular => LeaseExpiry::At(answered.sent_at + self.regular_duration),
             LeaseDuration::Unlimited => LeaseExpiry::Never,
         };
-        if self.expiry.is_some_and(|present| present >= expiry) {
+        if self.expiry.is_some_and(|current| current >= expiry) {
             return false;
         }
         self.expiry = Some(expiry);
         true
     }
 
-    /// Returns the version under which the member may decide at `now` by its own clock. The moment at which the clock is read is
-    /// the moment of the decision.
+    /// Returns the version under which the member may decide at `now` on its own clock. The time at which the clock is read is the time
+    /// of the decision.
     ///
     /// # Errors
-    /// The member may not decide. An expired lease is [`LeaseError::Expired`] up to the next report and
+    /// The member may not decide. An expired lease is reported as [`LeaseError::Expired`] until the next report and as
     /// [`LeaseError::NoCurrentVersion`] after it.
     pub fn may_decide(&self, now: Micros) -> Result<Version, LeaseError> {
         if self.fenced_change.is_some() {
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Returns the lease, for readers that compare its expiry with the clock at each decision. None while fenced.
+    /// Returns the lease, for readers that compare its expiry with the clock for each decision; `None` while fenced.
     pub fn current(&self) -> Option<Lease> {
         if self.fenced_change.is_some() {
             return None;
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages that members send each other, and their classification for metrics.
+//! Messages between members, and their classification for metrics.
 
 use raft::eraftpb::MessageType;
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
     /// The leader's answer to a report.
     #[serde(rename = "grant")]
     Grant(Grant),
-    /// Question of a started member to the voters: is its disk older than what it has acknowledged?
+    /// Request of a restarted member to the voters to check whether its disk lacks entries that it has acknowledged.
     #[serde(rename = "hello")]
     DiskCheck,
     /// A voter's answer to [`Message::DiskCheck`].
@@ -26,15 +26,15 @@
     DiskCheckReply(DiskCheckReply),
 }
 
-/// A voter's knowledge of a member that has started.
+/// State that a voter has recorded about a restarted member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DiskCheckReply {
-    /// Index of the last entry that the started member is known to have acknowledged.
+    /// Index of the last entry that the restarted member is known to have acknowledged.
     #[serde(rename = "acknowledged")]
     pub acknowledged_index: u64,
-    /// Newest term that the voter knows.
+    /// Current term of the voter.
     pub term: u64,
-    /// Raft node ids of the voters that the voter knows.
+    /// Raft node ids of all voters in the voter's configuration.
     pub voters: Vec<u64>,
 }
 
@@ -45,7 +45,7 @@
     Append,
     /// Response to [`MessageKind::Append`].
     AppendResponse,
-    /// Heartbeat that confirms no read.
+    /// Heartbeat without a ReadIndex request.
     Heartbeat,
     /// Response to [`MessageKind::Heartbeat`].
     HeartbeatResponse,
@@ -55,20 +55,20 @@
     ReadIndexResponse,
     /// Snapshot.
     Snapshot,
-    /// Votes and all other raft messages.
+    /// Vote requests and all other raft messages.
     Election,
     /// Report of a member to the leader.
     Report,
     /// Grant of a lease.
     Grant,
-    /// All others: disk checks, joins, leader lookups and calls.
+    /// All other messages: disk checks, joins, discovery and calls.
     Other,
 }
 
 impl MessageKind {
     /// Number of kinds.
     pub const COUNT: usize = 11;
-    /// All kinds; each stands at its own index.
+    /// All kinds, each at the index of its discriminant.
     pub const ALL: [MessageKind; MessageKind::COUNT] = [
         MessageKind::Append,
         MessageKind::AppendResponse,
@@ -83,7 +83,7 @@
         MessageKind::Other,
     ];
 
-    /// Returns the label of the kind in metrics and figures.
+    /// Returns the label of the kind in metrics and reports.
     pub fn name(self) -> &'static str {
         match self {
             MessageKind::Append => "append",
@@ -102,7 +102,7 @@
 }
 
 impl Message {
-    /// Returns the kind of the message. Only heartbeats, which are small, are decoded.
+    /// Returns the kind of the message. Decodes only heartbeats, which are small.
     pub fn kind(&self) -> MessageKind {
         match self {
             Message::Raft(bytes) => raft_message_kind(bytes),
@@ -139,7 +139,7 @@
 
 /// Compares the type of an encoded raft message without decoding it.
 fn has_type(bytes: &[u8], message_type: MessageType) -> bool {
-    // Protobuf tag of field 1 with a varint. The type is the first field, and its values fit one byte.
+    // Protobuf tag of field 1 as a varint. The type is the first field, and its values fit into one byte.
     const TYPE_FIELD_TAG: u8 = 8;
     bytes.starts_with(&[TYPE_FIELD_TAG, message_type as u8])
 }
--- a/crates/cluster/src/node/compaction.rs
+++ b/crates/cluster/src/node/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction of the log: decides when a snapshot is due, and builds it once the application has provided its state.
+//! Compaction of the log: determines when a snapshot is due, and builds it once the application has exported its state.
 
 use raft::eraftpb::{ConfState, Snapshot};
 
@@ -6,10 +6,10 @@
 use crate::raft_log::RaftLog;
 use crate::state_machine::StateMachine;
 
-/// Entries after which the log is compacted by default.
+/// Default number of entries after which the log is compacted.
 const DEFAULT_THRESHOLD_ENTRIES: u64 = 1024;
 
-/// A snapshot for which the application's state is still missing.
+/// A snapshot that waits for the application's state.
 struct PendingSnapshot {
     state_machine: StateMachine,
     position: LogPosition,
@@ -23,7 +23,7 @@
 }
 
 impl Compaction {
-    /// Creates the state with the default threshold.
+    /// Creates a compaction with the default threshold.
     pub fn new() -> Self {
         Compaction {
             threshold_entries: DEFAULT_THRESHOLD_ENTRIES,
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Sets the number of entries after which the log is compacted, at least one.
+    /// Sets the number of entries after which the log is compacted; the minimum is one.
     pub fn set_threshold(&mut self, entries: u64) {
         self.threshold_entries = entries.max(1);
     }
 
-    /// Reports if a snapshot is due, as the log is long or another member needs a newer one.
+    /// Returns true if a snapshot is due, because the log is long or another member needs a newer snapshot.
     pub fn is_due(&self, applied_index: u64, log: &RaftLog) -> bool {
         let first = log.first_index();
         let is_long = applied_index >= first + self.threshold_entries;
@@ -44,7 +44,7 @@
         self.pending.is_none() && (is_long || is_needed)
     }
 
-    /// Records the state at the present position, until the application has provided its own.
+    /// Records the state machine at the current position until the application has exported its state.
     pub fn request_state(
         &mut self,
         state_machine: StateMachine,
@@ -58,7 +58,7 @@
         });
     }
 
-    /// Builds the pending snapshot. None if there is none, or another member's newer one has come meanwhile.
+    /// Builds the pending snapshot. Returns `None` if there is none, or if a newer one was received from another member meanwhile.
     pub fn finish(&mut self, application_state: String, log: &RaftLog) -> Option<Snapshot> {
         let pending = self.pending.take()?;
         if pending.position.index <= log.snapshot_index() {
--- a/crates/cluster/src/node/leader_requests.rs
+++ b/crates/cluster/src/node/leader_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that only the leader takes: proposals, reads, and changes of the members.
+//! Requests that only the leader accepts: proposals, reads and membership changes.
 
 use crate::command::{Command, Member, Proposal};
 use crate::error::NodeError;
@@ -12,10 +12,10 @@
 use super::request::{JoinRequest, ProposalKind};
 
 impl Node {
-    /// Proposes a payload. The outcome comes as [`Effect::Completed`].
+    /// Proposes a payload. The outcome is reported as [`Effect::Completed`].
     ///
     /// # Errors
-    /// This member does not lead, or can't take the proposal now.
+    /// This member is not the leader, or can't accept the proposal now.
     pub fn propose(
         &mut self,
         now: Micros,
@@ -34,7 +34,7 @@
         if state_machine.is_in_progress(&proposal.id) {
             return Ok(());
         }
-        // The proposal would only conflict. A change that a former leader began may wait for a lease.
+        // The proposal would conflict. A change started by a former leader may still wait for a lease to expire.
         if state_machine.change.is_some() {
             return Err(NodeError::ChangeInProgress);
         }
@@ -47,11 +47,11 @@
         Ok(())
     }
 
-    /// Requests a confirmation that this member leads, after which what it read is known to be current. The answer comes as
+    /// Requests a confirmation that this member is still the leader, so that a read is known to be current. The result is reported as
     /// [`Output::ReadsConfirmed`] or [`Output::ReadsRejected`].
     ///
     /// # Errors
-    /// This member does not lead, or too many reads wait.
+    /// This member is not the leader, or too many reads are waiting.
     pub fn confirm_read(&mut self, now: Micros, read: u64) -> Result<(), NodeError> {
         self.leader_state()?;
         self.reads.add_read(read)?;
@@ -59,11 +59,11 @@
         Ok(())
     }
 
-    /// Adds a member, or replaces the one of its name, which has stopped or lost its disk. Returns the raft node id once it is a
-    /// member; until then the request is to be retried.
+    /// Adds a member, or replaces a stopped one of the same name, for example one that lost its disk. Returns the raft node id once the
+    /// member is added; the caller retries until then.
     ///
     /// # Errors
-    /// This member does not lead, or something else has to end first.
+    /// This member is not the leader, the name is in use, or another membership change is in progress.
     pub fn add_member(
         &mut self,
         now: Micros,
@@ -74,15 +74,15 @@
             state_machine,
         } = self.leader_state()?;
         let mut changes = Vec::new();
-        if let Some(former) = state_machine.members.get(request.name) {
-            let is_own_name = former.id == self.id();
-            if former.join_nonce == request.nonce && !is_own_name {
-                return Ok(Some(former.id));
+        if let Some(previous) = state_machine.members.get(request.name) {
+            let is_own_name = previous.id == self.id();
+            if previous.join_nonce == request.nonce && !is_own_name {
+                return Ok(Some(previous.id));
             }
-            if is_own_name || !lease_table.is_unresponsive(now, former.id) {
+            if is_own_name || !lease_table.is_unresponsive(now, previous.id) {
                 return Err(NodeError::NameInUse);
             }
-            changes.push(ConfigurationChange::Remove(former.id));
+            changes.push(ConfigurationChange::Remove(previous.id));
         }
         let id = state_machine.next_id;
         changes.push(ConfigurationChange::AddLearner(id));
@@ -100,10 +100,11 @@
         Ok(None)
     }
 
-    /// Removes a member. Returns if it is removed; until then, while it may still decide, the request is to be retried.
+    /// Removes a member. Returns true once it is removed; the caller retries until then. A member is not removed while it may still
+    /// decide.
     ///
     /// # Errors
-    /// This member does not lead, or is the one to be removed.
+    /// This member is not the leader, or it is the one to remove.
     pub fn remove_member(&mut self, now: Micros, name: &str) -> Result<bool, NodeError> {
         let state_machine = self.leader_state()?.state_machine;
         let Some(id) = state_machine.members.get(name).map(|member| member.id) else {
@@ -128,10 +129,10 @@
         Ok(false)
     }
 
-    /// Transfers leadership to a voter: to the preferred one, or to an active one.
+    /// Transfers leadership to the preferred voter, or to any active one.
     ///
     /// # Errors
-    /// This member does not lead, or no other voter is active.
+    /// This member is not the leader, or no other voter is active.
     pub fn transfer_leadership(
         &mut self,
         now: Micros,
@@ -164,7 +165,7 @@
     }
 }
 
-/// State that exists while a member leads.
+/// State of a member that is the leader.
 struct LeaderState<'a> {
     lease_table: &'a LeaseTable,
     state_machine: &'a StateMachine,
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One member of the cluster: raft, the state machine, the member's lease and, while it leads, the lease table.
+//! One running member of the cluster: raft, the state machine, the member's lease and, on the leader, the lease table.
 //!
-//! The module does no I/O and reads no clock: moments and messages come in by calls, and [`Output`]s tell the caller what to do, in
-//! order. After each call the caller carries out [`Node::take_outputs`].
+//! The module does no I/O and reads no clock: the caller passes in the time and messages, and performs the [`Output`]s of
+//! [`Node::take_outputs`] in order after each call.
 
 mod amnesia_check;
 mod compaction;
@@ -35,42 +35,43 @@
 
 pub use request::{JoinRequest, ProposalKind};
 
-/// Interval of raft's ticks.
-pub const TICK: Micros = 100_000;
-/// Ticks after which lost time is not made up for, so that a member that was suspended does not begin an election at once.
+/// Interval between raft ticks.
+pub const TICK_INTERVAL: Micros = 100_000;
+/// Delay, in ticks, from which missed ticks are skipped instead of caught up, so that a member does not start an election at once when
+/// its suspended process resumes.
 const MAX_LATE_TICKS: u64 = 3;
-/// Odd constant by which the seeds of members are spread (2^64 divided by the golden ratio).
+/// Odd constant that decorrelates the seeds of members (2^64 divided by the golden ratio).
 const SEED_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Identity of a member, and the conditions of its start.
+/// Identity of a member, and parameters of its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeConfig {
     /// Raft node id.
     pub id: u64,
-    /// Number of this start of the member.
-    pub process_start: u32,
-    /// Set if the disk is known to be the member's newest. Otherwise the member votes for nobody until others have confirmed it.
+    /// Incarnation of the member: the number of its process starts.
+    pub incarnation: u32,
+    /// Set if the disk is known to have the member's latest state. Otherwise the member does not vote until others have confirmed it.
     pub is_disk_confirmed: bool,
-    /// Seed of the member's random draws.
+    /// Seed of the member's random number generator.
     pub seed: u64,
 }
 
-/// One member of the cluster.
+/// One running member of the cluster.
 pub struct Node {
     raft: RaftAdapter,
-    /// None before a new member has received a snapshot.
+    /// `None` until a new member has received a snapshot.
     state_machine: Option<StateMachine>,
     applied: LogPosition,
     last_role: Role,
     last_tick: Micros,
 
     lease: MemberLease,
-    /// Lease of the last [`Output::LeaseChanged`].
+    /// Lease in the latest [`Output::LeaseChanged`].
     announced_lease: Option<Lease>,
     next_report: Micros,
     last_leader: Option<u64>,
 
-    /// Present while this member leads and has applied all entries of former terms.
+    /// Present while this member is the leader and has applied all entries of earlier terms.
     lease_table: Option<LeaseTable>,
     reads: ReadConfirmation,
     next_voter_check: Micros,
@@ -82,7 +83,7 @@
 }
 
 impl Node {
-    /// Creates a member from its persisted state, which is empty if it has just joined.
+    /// Creates the node of a member from its persisted state, which is empty if the member has just joined.
     ///
     /// # Errors
     /// The persisted state is damaged.
@@ -98,7 +99,7 @@
             Some(_) => Some(SnapshotContent::read(log.snapshot())?),
             None => None,
         };
-        // A member without a snapshot is new and has forgotten nothing.
+        // A member without a snapshot is new and can't have lost state.
         let is_disk_confirmed = config.is_disk_confirmed || persisted.snapshot.is_none();
         let seed = config.seed ^ config.id.wrapping_mul(SEED_SPREAD);
         let mut node = Node {
@@ -107,7 +108,7 @@
             applied,
             last_role: Role::INITIAL,
             last_tick: now,
-            lease: MemberLease::new(0, 0, config.process_start),
+            lease: MemberLease::new(0, 0, config.incarnation),
             announced_lease: None,
             next_report: now,
             last_leader: None,
@@ -132,12 +133,12 @@
         self.compaction.set_threshold(entries);
     }
 
-    /// Takes the actions to carry out, in order.
+    /// Takes the actions that the caller has to perform, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Returns the replicated state; none before a new member has received it.
+    /// Returns the replicated state; `None` until a new member has received it.
     pub fn state_machine(&self) -> Option<&StateMachine> {
         self.state_machine.as_ref()
     }
@@ -152,7 +153,7 @@
         self.raft.leader()
     }
 
-    /// Reports if this member leads and has applied all entries of former terms.
+    /// Returns true if this member is the leader and has applied all entries of earlier terms.
     pub fn is_leader(&self) -> bool {
         self.lease_table.is_some()
     }
@@ -172,7 +173,7 @@
         self.raft.voters()
     }
 
-    /// Returns the members for which the change under way waits; empty unless this member leads.
+    /// Returns the members that the change in progress waits for; empty unless this member is the leader.
     pub fn blocking_members(&self, now: Micros) -> Vec<BlockingMember> {
         match (&self.lease_table, &self.state_machine) {
             (Some(table), Some(state_machine)) => table.blocking_members(now, state_machine),
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Returns the lease table; none unless this member leads.
+    /// Returns the lease table; `None` unless this member is the leader.
     pub fn lease_table(&self) -> Option<&LeaseTable> {
         self.lease_table.as_ref()
     }
@@ -190,17 +191,18 @@
         &self.lease
     }
 
-    /// Reports if the disk is known to be the member's newest, or no other voter could remember more, so that the member may vote.
+    /// Returns true if the member may vote: its disk is known to have its latest state, or there is no other voter that could know of
+    /// later state.
     pub fn is_disk_confirmed(&self) -> bool {
         self.amnesia_check.is_trusted(&self.raft.voters())
     }
 
-    /// Confirms by an operator's decision that the disk is the member's newest, where the voters that could do so are lost.
+    /// Confirms on behalf of an operator that the disk has the member's latest state, if the voters that could confirm it are lost.
     pub fn confirm_disk(&mut self) {
         self.amnesia_check.confirm_by_operator();
     }
 
-    /// Processes the passing of time. To be called each [`TICK`], or as often as possible.
+    /// Processes timers. The caller calls it at least every [`TICK_INTERVAL`].
     pub fn tick(&mut self, now: Micros) {
         if self.amnesia_check.has_amnesia() {
             return;
@@ -214,15 +216,15 @@
     }
 
     fn tick_raft(&mut self, now: Micros) {
-        if now < self.last_tick + TICK {
+        if now < self.last_tick + TICK_INTERVAL {
             return;
         }
-        self.last_tick = if now >= self.last_tick + MAX_LATE_TICKS * TICK {
+        self.last_tick = if now >= self.last_tick + MAX_LATE_TICKS * TICK_INTERVAL {
             now
         } else {
-            self.last_tick + TICK
+            self.last_tick + TICK_INTERVAL
         };
-        // Raft would begin an election, and vote for this member.
+        // Ticking could start an election, in which raft votes for this member.
         if self.is_disk_confirmed() {
             self.raft.tick();
         }
@@ -290,7 +292,7 @@
         self.outputs.push(Output::Send { to, message });
     }
 
-    /// Processes all work that the last call has caused.
+    /// Processes all work caused by the last call.
     fn advance(&mut self, now: Micros) {
         loop {
             self.follow_role(now);
--- a/crates/cluster/src/node/raft_adapter.rs
+++ b/crates/cluster/src/node/raft_adapter.rs
@@ -1,4 +1,4 @@
-//! Adapter of the raft library: configuration, progress of members, proposals.
+//! Adapter for the raft library: configuration, progress of members, proposals.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,20 @@
 use crate::error::{NodeError, PersistedStateError};
 use crate::raft_log::RaftLog;
 
-/// Shortest time without a leader until an election, in ticks; the longest is twice as long.
+/// Minimum election timeout in ticks; the maximum is twice as long.
 const ELECTION_TIMEOUT_TICKS: usize = 10;
-/// Interval of heartbeats, in ticks.
+/// Heartbeat interval in ticks.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of entries in one message.
+/// Maximum size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
-/// Append messages in flight to one member.
+/// Maximum number of append messages in flight to one member.
 const MAX_INFLIGHT_MESSAGES: usize = 256;
-/// Bytes of uncommitted entries; the leader rejects proposals beyond.
+/// Maximum size of uncommitted entries; the leader rejects further proposals.
 const MAX_UNCOMMITTED_BYTES: u64 = 64 << 20;
-/// Entries by which a member may lag and still become a voter.
+/// Maximum number of entries by which a member may lag to become a voter.
 const MAX_LAG_OF_NEW_VOTER: u64 = 64;
 
-/// A member's role in a term.
+/// Role of a member in a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Role {
     pub state: StateRole,
@@ -30,19 +30,19 @@
 }
 
 impl Role {
-    /// Role of a member that has just started.
+    /// Role of a member at its start.
     pub const INITIAL: Role = Role {
         state: StateRole::Follower,
         term: 0,
     };
 }
 
-/// A change of one member's part in the raft configuration.
+/// Change of one member in the raft configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConfigurationChange {
-    /// Adds a voter, or makes a learner one.
+    /// Adds a voter, or promotes a learner to a voter.
     AddVoter(u64),
-    /// Adds a learner, or makes a voter one.
+    /// Adds a learner, or demotes a voter to a learner.
     AddLearner(u64),
     /// Removes a member.
     Remove(u64),
@@ -62,7 +62,7 @@
     }
 }
 
-/// One member's node of the raft library.
+/// Node of the raft library for one member.
 pub(crate) struct RaftAdapter {
     raw: RawNode<RaftLog>,
 }
@@ -74,7 +74,7 @@
             id,
             election_tick: ELECTION_TIMEOUT_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
-            // The library draws its timeouts unseeded within these; `randomize_election_timeout` replaces each.
+            // The library draws its timeouts from this range without a seed; `randomize_election_timeout` replaces each of them.
             min_election_tick: ELECTION_TIMEOUT_TICKS,
             max_election_tick: 2 * ELECTION_TIMEOUT_TICKS,
             max_size_per_msg: MAX_MESSAGE_BYTES,
@@ -141,12 +141,12 @@
         self.raw.raft.raft_log.term(index).ok()
     }
 
-    /// Returns the index that a member has acknowledged to this leader; 0 if none is known.
+    /// Returns the last index that a member has acknowledged to this leader, or 0.
     pub fn matched_index(&self, id: u64) -> u64 {
         self.progress(id).map_or(0, |progress| progress.matched)
     }
 
-    /// Returns the indexes that the other members have acknowledged to this leader.
+    /// Returns the last indexes that the other members have acknowledged to this leader, by raft node id.
     pub fn matched_indexes_of_others(&self) -> BTreeMap<u64, u64> {
         self.raw
             .raft
@@ -157,13 +157,13 @@
             .collect()
     }
 
-    /// Reports if a member was heard within the last election timeout.
+    /// Returns true if a member has sent a message within the last election timeout.
     pub fn is_recently_active(&self, id: u64) -> bool {
         self.progress(id)
             .is_some_and(|progress| progress.recent_active)
     }
 
-    /// Reports if a member is active and lags by few entries.
+    /// Returns true if a member is active and its log is nearly up to date.
     pub fn is_caught_up(&self, id: u64) -> bool {
         self.progress(id).is_some_and(|progress| {
             progress.recent_active
@@ -181,29 +181,29 @@
         self.raw.store()
     }
 
-    /// Returns the log.
+    /// Returns the log for modification.
     pub fn log_mut(&mut self) -> &mut RaftLog {
         self.raw.mut_store()
     }
 
-    /// Draws the time that this member waits for a leader.
+    /// Draws a new election timeout.
     pub fn randomize_election_timeout(&mut self, random: &mut fastrand::Rng) {
         let ticks = ELECTION_TIMEOUT_TICKS + random.usize(..ELECTION_TIMEOUT_TICKS);
         self.raw.raft.set_randomized_election_timeout(ticks);
     }
 
-    /// Advances raft's clock by a tick.
+    /// Advances raft's logical clock by one tick.
     pub fn tick(&mut self) {
         self.raw.tick();
     }
 
     /// Processes a message.
     pub fn step(&mut self, message: Message) {
-        // Raft rejects messages of former terms; they need no answer.
+        // Raft rejects messages of earlier terms; they need no answer.
         let _ = self.raw.step(message);
     }
 
-    /// Requests the commit index after a confirmation of leadership; `request` comes back with it.
+    /// Requests a confirmation of leadership with the current commit index; the result carries `request`.
     pub fn request_read_index(&mut self, request: u64) {
         self.raw.read_index(request.to_be_bytes().to_vec());
     }
@@ -224,7 +224,7 @@
             .map_err(|_| NodeError::ProposalRejected)
     }
 
-    /// Reports if a configuration change is not applied yet.
+    /// Returns true if a configuration change has not been applied yet.
     pub fn has_pending_configuration_change(&self) -> bool {
         self.raw.raft.has_pending_conf()
     }
@@ -256,21 +256,21 @@
 
     /// Applies a committed configuration change.
     pub fn apply_configuration(&mut self, change: &ConfChangeV2) {
-        // Leaders propose only changes that can be applied.
+        // A leader proposes only changes that can be applied.
         let _ = self.raw.apply_conf_change(change);
     }
 
-    /// Takes the work that raft has for this member, if any.
+    /// Takes raft's pending work for this member, if any.
     pub fn take_ready(&mut self) -> Option<Ready> {
         self.raw.has_ready().then(|| self.raw.ready())
     }
 
-    /// Tells raft that the work of a [`Ready`] is done; returns work that follows.
+    /// Reports to raft that the work of a [`Ready`] is done; returns further work.
     pub fn advance(&mut self, ready: Ready) -> LightReady {
         self.raw.advance(ready)
     }
 
-    /// Tells raft that all committed entries are applied.
+    /// Reports to raft that all committed entries are applied.
     pub fn advance_apply(&mut self) {
         self.raw.advance_apply();
     }
--- a/crates/cluster/src/node/replication.rs
+++ b/crates/cluster/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of a member's log: raft messages, persistence, application of committed entries, snapshots, and the leader's duties.
+//! Replication of a member's log: raft messages, persistence, application of committed entries, snapshots, and the tasks of a leader.
 
 use raft::eraftpb::{Entry, MessageType, Snapshot};
 use raft::{Ready, StateRole};
@@ -14,9 +14,9 @@
 
 use super::raft_adapter::snapshot_of;
 use super::voter_placement::VoterPlacement;
-use super::{Node, TICK};
+use super::{Node, TICK_INTERVAL};
 
-/// The parts of a raft message by which a leader confirms this member's disk.
+/// The fields of a raft message from which a leader's confirmation of this member's disk is derived.
 struct LeaderEvidence {
     message_type: MessageType,
     term: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Node {
-    /// Provides the application's state as of the matching [`Output::SnapshotNeeded`], by which the log is compacted.
+    /// Compacts the log with the application's state as of the matching [`Output::SnapshotNeeded`].
     pub fn compact(&mut self, now: Micros, application_state: String) {
         let Some(snapshot) = self.compaction.finish(application_state, self.raft.log()) else {
             return;
@@ -55,14 +55,14 @@
         self.confirm_disk_by_leader(&evidence);
     }
 
-    /// Reports if a member was removed. One with an id not given yet may know more than this member.
+    /// Returns true if a member was removed. An id that is not assigned yet may belong to a member that this one has not learned of.
     fn is_removed(&self, id: u64) -> bool {
         self.state_machine.as_ref().is_some_and(|state_machine| {
             id < state_machine.next_id && state_machine.name_of(id).is_none()
         })
     }
 
-    /// Reports if raft may process a message. A leader's heartbeat that commits an entry beyond the log shows amnesia, which raft
+    /// Returns true if raft may process a message. A leader's heartbeat with a commit index beyond the log reveals amnesia, which raft
     /// can't handle.
     fn may_step(&mut self, message: &raft::eraftpb::Message) -> bool {
         match message.msg_type {
@@ -75,14 +75,14 @@
             MessageType::MsgRequestVote | MessageType::MsgRequestPreVote => self
                 .amnesia_check
                 .may_vote(message.term, &self.raft.voters()),
-            // Raft would vote for this member.
+            // Raft would start an election and vote for this member.
             MessageType::MsgTimeoutNow => self.is_disk_confirmed(),
             _ => true,
         }
     }
 
-    /// Confirms the disk if it has a committed entry of the leader's own term. A leader is elected without the vote of an
-    /// unconfirmed member, and all earlier committed entries precede such an entry.
+    /// Confirms the disk if it has a committed entry of the leader's own term. A leader is elected without the vote of an unconfirmed
+    /// member, and all earlier committed entries precede such an entry.
     fn confirm_disk_by_leader(&mut self, evidence: &LeaderEvidence) {
         let is_from_leader = matches!(
             evidence.message_type,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Creates the lease table when this member begins to lead, and drops it when it ends.
+    /// Creates the lease table when this member becomes the leader, and drops it when it steps down.
     pub(super) fn follow_role(&mut self, now: Micros) {
         let role = self.raft.role();
         if role != self.last_role {
@@ -124,17 +124,17 @@
         }
     }
 
-    /// Proposes the next change of voters, if one is due. A rejected proposal is made again later.
+    /// Proposes the next change of voters, if one is due. A rejected proposal is retried later.
     pub(super) fn place_voters(&mut self, now: Micros) {
         let (Some(table), Some(state_machine)) = (&self.lease_table, &self.state_machine) else {
             return;
         };
         let has_enough_voters = self.raft.voters().len() >= state_machine.rules.voters;
-        // All members are looked at, which is too costly for each message.
+        // The check iterates over all members, which is too expensive for each message.
         if has_enough_voters && now < self.next_voter_check {
             return;
         }
-        self.next_voter_check = now + TICK;
+        self.next_voter_check = now + TICK_INTERVAL;
         if self.raft.has_pending_configuration_change() {
             return;
         }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Proposes the next command of the change under way.
+    /// Proposes the next command of the change in progress.
     pub(super) fn drive_change(&mut self, now: Micros) {
         let (Some(table), Some(state_machine)) = (&mut self.lease_table, &self.state_machine)
         else {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Begins a confirmation of leadership, if reads or reports wait for one and none is under way.
+    /// Starts a confirmation of leadership if reads or reports wait for one and none is running.
     pub(super) fn begin_confirmation(&mut self) {
         let Some(table) = &mut self.lease_table else {
             return;
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Processes one [`Ready`] of raft, in the order that the library demands.
+    /// Processes one [`Ready`] of raft, in the order that the library requires.
     pub(super) fn process_ready(&mut self, now: Micros, mut ready: Ready) {
         self.send_raft_messages(ready.take_messages());
         for state in ready.take_read_states() {
@@ -205,7 +205,7 @@
         self.apply_entries(now, &ready.take_committed_entries());
         let mut light = self.raft.advance(ready);
         if let Some(index) = light.commit_index() {
-            // Not written by itself: a restarted member learns the commit index from the leader.
+            // Not persisted separately: a restarted member learns the commit index from the leader.
             self.raft.log_mut().set_commit_index(index);
         }
         self.send_raft_messages(light.take_messages());
@@ -232,7 +232,7 @@
             self.raft.log_mut().set_hard_state(hard_state.clone());
         }
         if persist != Persist::default() {
-            // Written only along with other state, and so may lag by one write.
+            // Persisted only along with other state, and so may lag by one write.
             persist.acknowledged = self.changed_acknowledgements();
             self.outputs.push(Output::Persist(persist));
         }
@@ -260,7 +260,7 @@
         self.raft.log_mut().restore(snapshot.clone());
     }
 
-    /// Replaces the state machine, and the application's state, by a snapshot's.
+    /// Replaces the state machine and the application's state by those of a snapshot.
     pub(super) fn restore_content(&mut self, content: SnapshotContent) {
         let rules = &content.state_machine.rules;
         self.lease.set_durations(rules.lease, rules.change_lease);
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Requests the application's state, if a snapshot is due.
+    /// Requests the application's state if a snapshot is due.
     pub(super) fn request_snapshot(&mut self) {
         let Some(state_machine) = &self.state_machine else {
             return;
--- a/crates/cluster/src/node/reporting.rs
+++ b/crates/cluster/src/node/reporting.rs
@@ -1,6 +1,6 @@
-//! The member's side of leases: reports to the leader, accepted grants, and the steps of a change that the application has completed.
+//! The member's side of leases: reports to the leader, accepted grants, and completion of the steps of a change by the application.
 //!
-//! Granting is the leader's part and lies in [`LeaseTable`](crate::lease_table::LeaseTable).
+//! The leader's side is [`LeaseTable`](crate::lease_table::LeaseTable).
 
 use crate::member_lease::{Grant, Report, Validation};
 use crate::message::Message;
@@ -8,17 +8,18 @@
 use crate::rules::Micros;
 use crate::state_machine::Version;
 
-use super::{Node, TICK};
+use super::{Node, TICK_INTERVAL};
 
-/// Reports during a lease.
+/// Number of reports within one lease duration.
 const REPORTS_PER_LEASE: u64 = 5;
-/// Fraction of the report interval by which a report may come early, so that members which started together do not report together.
+/// Divisor of the report interval that gives the maximum jitter of a report, so that members that started together do not report at the
+/// same time.
 const REPORT_JITTER_DIVISOR: u64 = 4;
-/// Lease assumed before the rules are known.
-const INITIAL_LEASE: Micros = 10 * TICK;
+/// Lease duration assumed until the rules are known.
+const INITIAL_LEASE: Micros = 10 * TICK_INTERVAL;
 
 impl Node {
-    /// Records the application's validation of a change, and reports it.
+    /// Records the application's validation of a change and reports it to the leader.
     pub fn change_validated(&mut self, now: Micros, validation: Validation) {
         if self.is_change_in_progress(&validation.change) {
             self.lease.record_validation(now, validation);
@@ -28,7 +29,7 @@
         self.advance(now);
     }
 
-    /// Records that nothing is decided any more under the present version, as a change takes effect, and reports it.
+    /// Records that the application has stopped deciding under the current version for a change, and reports it to the leader.
     pub fn change_fenced(&mut self, now: Micros, change: &str) {
         if self.is_change_in_progress(change) {
             self.lease.fence(change);
@@ -38,7 +39,7 @@
         self.advance(now);
     }
 
-    /// Records that the application serves a version, where its lease allows it, and reports it.
+    /// Records that the application serves a version as far as the lease allows, and reports it to the leader.
     pub fn version_served(&mut self, now: Micros, version: Version) {
         self.lease.serve_version(version);
         self.announce_lease();
@@ -46,7 +47,7 @@
         self.advance(now);
     }
 
-    /// Releases the lease, as the member stops, and reports it.
+    /// Releases the lease for a shutdown of the member, and reports it to the leader.
     pub fn release_lease(&mut self, now: Micros) {
         self.lease.release();
         self.announce_lease();
@@ -60,12 +61,12 @@
             .is_some_and(|state_machine| state_machine.is_in_progress(change))
     }
 
-    /// Reports if it is time to, or a new leader is known: a new leader knows nothing of this member.
+    /// Sends a report if one is due. A new leader gets one soon, as it has no report of this member yet.
     pub(super) fn report_if_due(&mut self, now: Micros) {
         let leader = self.leader();
         if leader != self.last_leader {
             self.last_leader = leader;
-            let soon = now + self.random.u64(..TICK);
+            let soon = now + self.random.u64(..TICK_INTERVAL);
             self.next_report = self.next_report.min(soon);
         }
         if now >= self.next_report {
@@ -95,7 +96,7 @@
             Some(state_machine) => state_machine.rules.lease,
             None => INITIAL_LEASE,
         };
-        (lease / REPORTS_PER_LEASE).max(TICK)
+        (lease / REPORTS_PER_LEASE).max(TICK_INTERVAL)
     }
 
     pub(super) fn receive_report(&mut self, now: Micros, from: u64, report: &Report) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Tells the caller of the lease, if it has changed.
+    /// Notifies the caller of the lease if it has changed.
     pub(super) fn announce_lease(&mut self) {
         let lease = self.lease.current();
         if lease != self.announced_lease {
--- a/crates/cluster/src/node/request.rs
+++ b/crates/cluster/src/node/request.rs
@@ -3,9 +3,9 @@
 /// Kind of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalKind {
-    /// A change, which every member validates and which becomes a version.
+    /// A change, which every member validates and which creates a version.
     Change,
-    /// A payload that influences no decision and is only stored.
+    /// A payload that affects no decision and is only stored.
     Storage,
 }
 
@@ -14,10 +14,10 @@
 pub struct JoinRequest<'a> {
     /// Name of the member.
     pub name: &'a str,
-    /// Address on which it listens for other members.
+    /// Address on which the member listens for other members.
     pub address: &'a str,
     /// Availability zone.
     pub zone: &'a str,
-    /// Random number that is the same in each retry.
+    /// Random number, the same for all retries of a join.
     pub nonce: u64,
 }
--- a/crates/cluster/src/node/voter_placement.rs
+++ b/crates/cluster/src/node/voter_placement.rs
@@ -1,4 +1,4 @@
-//! Choice of the voters: as many as the rules say, over as many zones as possible, none of them unresponsive.
+//! Selection of voters: as many as the rules require, spread over as many zones as possible, without unresponsive members.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 
 use super::raft_adapter::{ConfigurationChange, RaftAdapter};
 
-/// A learner that may become a voter. The order prefers zones with few voters.
+/// A learner that may become a voter. The ordering prefers zones with few voters.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     voters_in_zone: usize,
     id: u64,
 }
 
-/// The leader's view of members, by which voters are chosen.
+/// The leader's view of the members, used to select voters.
 pub(super) struct VoterPlacement<'a> {
     raft: &'a RaftAdapter,
     lease_table: &'a LeaseTable,
     state_machine: &'a StateMachine,
     voters: Vec<u64>,
-    /// Zones by raft node id. Members are many, so that none is searched for by its id.
+    /// Zones by raft node id, which avoids a search through all members for each lookup.
     zones: BTreeMap<u64, &'a str>,
     now: Micros,
 }
 
 impl<'a> VoterPlacement<'a> {
-    /// Creates the view of the present moment.
+    /// Creates a view at `now`.
     pub fn new(
         raft: &'a RaftAdapter,
         lease_table: &'a LeaseTable,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Returns the next change of voters, one step at a time. A voter is added before another one is replaced, so that at no time
-    /// fewer are connected than before.
+    /// Returns the next single change of the voters. A replacement adds the new voter before it demotes the old one, so that the number of
+    /// connected voters never decreases.
     pub fn next_change(&self) -> Option<ConfigurationChange> {
         let target = self.state_machine.rules.voters;
         let best = self.best_candidate();
@@ -78,7 +78,7 @@
             .min()
     }
 
-    /// Returns the voter to demote: an unresponsive one, one of a zone with several, or any but the leader.
+    /// Returns the voter to demote: an unresponsive one, else one of a zone with several voters, else any but the leader.
     fn redundant_voter(&self) -> Option<u64> {
         let newest_first = || self.voters.iter().rev().copied();
         self.unresponsive_voter()
@@ -97,7 +97,7 @@
         id != self.raft.id() && self.lease_table.is_unresponsive(self.now, id)
     }
 
-    /// Reports if a voter other than the leader has another connected voter in its zone.
+    /// Returns true if a voter other than the leader shares its zone with another connected voter.
     fn shares_zone(&self, id: u64) -> bool {
         id != self.raft.id() && self.voters_in_zone(self.zone_of(id)) > 1
     }
--- a/crates/cluster/src/persistence.rs
+++ b/crates/cluster/src/persistence.rs
@@ -1,4 +1,4 @@
-//! State of a member that outlasts a restart. The module does no I/O: the caller writes [`Persist`] and reads [`PersistedState`].
+//! State of a member that survives a restart. The module does no I/O: the caller writes [`Persist`] and reads [`PersistedState`].
 
 use raft::eraftpb::{ConfState, HardState};
 
@@ -14,31 +14,31 @@
     pub bytes: Vec<u8>,
 }
 
-/// State to be written.
+/// State to write to disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Persist {
-    /// New snapshot; it replaces the entries that it covers.
+    /// New snapshot, which replaces the entries that it covers.
     pub snapshot: Option<EncodedSnapshot>,
-    /// Set if the snapshot came from another member and also replaces the entries after it.
+    /// Set if the snapshot was received from another member and also replaces the entries after it.
     pub replaces_log: bool,
-    /// Index and bytes of entries; they replace all from the first of them on.
+    /// Index and encoding of new entries, which replace all entries from the first new index on.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Encoded term, vote and commit index.
     pub hard_state: Option<Vec<u8>>,
-    /// Encoded indexes that other members have acknowledged to this one while it led.
+    /// Encoded indexes that other members have acknowledged to this one while it was the leader.
     pub acknowledged: Option<Vec<u8>>,
 }
 
-/// State that was written.
+/// State read from disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// Last snapshot.
+    /// Latest snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries after it.
+    /// Encoded entries after the snapshot.
     pub entries: Vec<Vec<u8>>,
-    /// As in [`Persist`].
+    /// Encoded term, vote and commit index.
     pub hard_state: Option<Vec<u8>>,
-    /// As in [`Persist`].
+    /// Encoded indexes that other members have acknowledged, as in [`Persist`].
     pub acknowledged: Option<Vec<u8>>,
 }
 
--- a/crates/cluster/src/raft_log.rs
+++ b/crates/cluster/src/raft_log.rs
@@ -1,18 +1,18 @@
-//! Raft's log in memory, with the last snapshot. Writing it to disk is left to the caller of [`Node`](crate::node::Node).
+//! In-memory raft log with the latest snapshot. The caller of [`Node`](crate::node::Node) writes it to disk.
 
 use std::cell::Cell;
 
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-/// Raft's log in memory.
+/// In-memory raft log.
 ///
-/// Invariant: `entries` are contiguous and begin right after the snapshot.
+/// Invariant: `entries` are contiguous and start right after the snapshot.
 pub(crate) struct RaftLog {
     snapshot: Snapshot,
     entries: Vec<Entry>,
     hard_state: HardState,
-    /// Set when raft needs a newer snapshot, as for a member added since the last one.
+    /// Set when raft needs a newer snapshot, for example for a member added since the latest one.
     needs_newer_snapshot: Cell<bool>,
 }
 
@@ -37,12 +37,12 @@
         self.snapshot.get_metadata().index
     }
 
-    /// Returns the snapshot before the first entry.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Reports if raft needs a newer snapshot.
+    /// Returns true if raft needs a newer snapshot.
     pub fn needs_newer_snapshot(&self) -> bool {
         self.needs_newer_snapshot.get()
     }
@@ -62,13 +62,13 @@
         self.hard_state.commit = index;
     }
 
-    /// Replaces the whole log by another member's snapshot.
+    /// Replaces the whole log by a snapshot received from another member.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.snapshot = snapshot;
     }
 
-    /// Appends entries; they replace all from the first of them on.
+    /// Appends entries, which replace all existing ones from the first new index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else {
             return;
@@ -78,7 +78,7 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces the entries that a newer snapshot of this member covers.
+    /// Removes the entries that a newer snapshot of this member covers.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
         let covered = (index + 1)
@@ -92,7 +92,7 @@
         self.snapshot_index() + self.entries.len() as u64
     }
 
-    /// Reports if a member is part of the snapshot's configuration.
+    /// Returns true if a member is part of the snapshot's configuration.
     fn snapshot_contains(&self, member_id: u64) -> bool {
         let configuration = self.snapshot.get_metadata().get_conf_state();
         configuration.voters.contains(&member_id) || configuration.learners.contains(&member_id)
--- a/crates/cluster/src/simulation/event_queue.rs
+++ b/crates/cluster/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of events in virtual time. Events of one moment come in the order in which they were scheduled.
+//! Queue of events in virtual time. Events at the same time are delivered in the order in which they were scheduled.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,13 +6,13 @@
 use crate::message::Message;
 use crate::rules::Micros;
 
-/// An event of the simulation. Members are given by their index.
+/// An event of the simulation. Members are identified by their index.
 pub(super) enum Event {
-    /// A member looks at its clock.
+    /// A member processes its timers.
     Tick {
         member: usize,
-        /// Number of the process start for which the event holds.
-        start: u32,
+        /// Incarnation of the member to which the event applies.
+        incarnation: u32,
     },
     /// A message arrives.
     Deliver {
@@ -21,13 +21,13 @@
         from: u64,
         message: Message,
     },
-    /// A member has validated a change.
+    /// A member has finished the validation of a change.
     Validated {
         member: usize,
-        start: u32,
+        incarnation: u32,
         change: String,
     },
-    /// The judge looks at all members.
+    /// The invariant checker examines all members.
     Sample,
 }
 
@@ -58,13 +58,13 @@
     }
 }
 
-/// An event whose moment has come.
+/// An event that is due.
 pub(super) struct DueEvent {
     pub at: Micros,
     pub event: Event,
 }
 
-/// Events in the order of their moments.
+/// Events ordered by time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -82,7 +82,7 @@
         }));
     }
 
-    /// Takes the next event up to `end`.
+    /// Takes the next event that is due at or before `end`.
     pub fn pop_until(&mut self, end: Micros) -> Option<DueEvent> {
         let Reverse(next) = self.heap.peek()?;
         if next.at > end {
--- a/crates/cluster/src/simulation/faults.rs
+++ b/crates/cluster/src/simulation/faults.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Restores the disk of a member whose process does not run.
+    /// Restores the disk of a member whose process is not running.
     pub fn restore_disk(&mut self, index: usize, copy: &DiskCopy) {
         let member = &mut self.members[index];
         member.id = copy.id;
@@ -29,7 +29,7 @@
         self.members[index].node = None;
     }
 
-    /// Pauses the process of a member, or resumes it with all messages that came meanwhile.
+    /// Pauses the process of a member, or resumes it and delivers the events deferred meanwhile.
     pub fn pause(&mut self, index: usize, is_paused: bool) {
         self.members[index].is_paused = is_paused;
         for event in std::mem::take(&mut self.members[index].deferred_events) {
@@ -38,7 +38,7 @@
         self.schedule_tick(index);
     }
 
-    /// Cuts the link from one member to another, or repairs it.
+    /// Cuts or repairs the link from one member to another.
     pub fn cut(&mut self, from: usize, to: usize, is_cut: bool) {
         self.network.set_cut(Link { from, to }, is_cut);
     }
@@ -51,17 +51,17 @@
         }
     }
 
-    /// Adds to the delay of the link from one member to another.
+    /// Sets an additional delay of the link from one member to another.
     pub fn delay(&mut self, from: usize, to: usize, extra: Micros) {
         self.network.set_extra_delay(Link { from, to }, extra);
     }
 
-    /// Sets the duration of a write of a member; its messages wait for its writes.
+    /// Sets the duration of a member's disk writes; its messages wait for them.
     pub fn set_write_duration(&mut self, index: usize, duration: Micros) {
         self.members[index].write_duration = duration;
     }
 
-    /// Sets the fault that a member finds in each change.
+    /// Sets the fault that a member reports for each change.
     pub fn set_validation_fault(&mut self, index: usize, fault: Option<&str>) {
         self.members[index].validation_fault = fault.map(str::to_owned);
     }
--- a/crates/cluster/src/simulation/judge.rs
+++ b/crates/cluster/src/simulation/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! Judgement of a simulated cluster: no member may decide under a former version; and the times that changes take.
+//! Invariant check of a simulated cluster: no member may decide under an outdated version. Also records the progress of changes.
 
 use std::collections::BTreeMap;
 
@@ -6,51 +6,51 @@
 use crate::rules::Micros;
 use crate::state_machine::{Outcome, Version};
 
-/// Violations that are kept.
+/// Maximum number of violations that are recorded.
 const MAX_VIOLATIONS: usize = 16;
 
-/// A moment at which a member could decide under a former version.
+/// An observation of a member that could decide under an outdated version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// True time.
+    /// Simulated time of the observation.
     pub at: Micros,
     /// Name of the member.
     pub member: String,
-    /// Version under which it could decide.
+    /// Version under which the member could decide.
     pub version: Version,
-    /// Newest version under which any member could decide before.
+    /// Latest version under which any member could decide before.
     pub newest_version: Version,
 }
 
-/// End of a change.
+/// Completion of a change.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// True time at which the leader knew the outcome.
+    /// Simulated time at which a member first knew the outcome.
     pub at: Micros,
     /// Outcome of the change.
     pub outcome: Outcome,
 }
 
-/// Progress of a change, in true time.
+/// Progress of a change, in simulated time.
 #[derive(Clone, Debug)]
 pub struct ChangeProgress {
-    /// Moment of the proposal.
+    /// Time of the proposal.
     pub proposed_at: Micros,
-    /// End of the change; none while it is under way.
+    /// Completion of the change; `None` while it is in progress.
     pub completion: Option<Completion>,
-    /// Moment from which on no member can decide under an earlier version.
+    /// Time from which no member can decide under an earlier version.
     pub effective_everywhere_at: Option<Micros>,
 }
 
-/// Judge of a simulated cluster.
+/// Invariant checker of a simulated cluster.
 #[derive(Default)]
-pub(super) struct Judge {
+pub(super) struct InvariantChecker {
     newest_version: Version,
     pub violations: Vec<Violation>,
     pub changes: BTreeMap<String, ChangeProgress>,
 }
 
-impl Judge {
+impl InvariantChecker {
     /// Records that a member could decide under a version.
     pub fn record_permission(&mut self, at: Micros, member: &str, version: Version) {
         if version < self.newest_version && self.violations.len() < MAX_VIOLATIONS {
@@ -64,7 +64,7 @@
         self.newest_version = self.newest_version.max(version);
     }
 
-    /// Records a proposal; a repeated one counts from the first.
+    /// Records a proposal; a repeated proposal keeps the time of the first.
     pub fn record_proposal(&mut self, at: Micros, change: &str) {
         self.changes
             .entry(change.to_owned())
@@ -75,7 +75,7 @@
             });
     }
 
-    /// Records the outcome of a change, the first time it becomes known.
+    /// Records the outcome of a change when it first becomes known.
     pub fn record_outcome(&mut self, at: Micros, change: &str, outcome: Outcome) {
         if let Some(progress) = self.changes.get_mut(change) {
             progress
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Records which changes are in effect everywhere, by the leases of all running members.
+    /// Records which changes are in effect on all members, according to the leases of the running ones.
     pub fn record_leases(&mut self, now: Micros, leases: &[Lease]) {
         for progress in self.changes.values_mut() {
             let Some(completion) = &progress.completion else {
--- a/crates/cluster/src/simulation/member.rs
+++ b/crates/cluster/src/simulation/member.rs
@@ -6,9 +6,9 @@
 
 use super::event_queue::Event;
 
-const MILLION: i64 = 1_000_000;
+const PARTS_PER_MILLION: i64 = 1_000_000;
 
-/// A disk that holds a member's log.
+/// Simulated disk with a member's log.
 #[derive(Clone, Default)]
 pub(super) struct Disk {
     pub state: PersistedState,
@@ -17,7 +17,7 @@
 }
 
 impl Disk {
-    /// Writes what a node asks for.
+    /// Writes the state that a node has output.
     pub fn write(&mut self, persist: Persist) {
         if let Some(snapshot) = persist.snapshot {
             let covered = if persist.replaces_log {
@@ -45,14 +45,14 @@
     }
 }
 
-/// Copy of a member's disk at some moment.
+/// Copy of a member's disk.
 pub struct DiskCopy {
     pub(super) id: u64,
     pub(super) disk: Disk,
 }
 
 impl DiskCopy {
-    /// Returns the raft node id of the member whose disk it is.
+    /// Returns the raft node id that the member had at the time of the copy.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -64,23 +64,23 @@
     pub zone: String,
     /// Raft node id; 0 before the member has joined.
     pub id: u64,
-    /// The running process.
+    /// Node of the running or paused process.
     pub node: Option<Node>,
     pub disk: Disk,
-    /// Set after the disk was restored from a copy, until the process starts.
+    /// Set from the restore of the disk from a copy until the next start of the process.
     pub is_disk_restored: bool,
-    /// Number of the last process start.
-    pub start: u32,
-    /// Deviation of the clock's rate from true time, in parts per million.
+    /// Number of process starts.
+    pub incarnation: u32,
+    /// Deviation of the clock's rate from simulated time, in parts per million.
     pub clock_error_ppm: i64,
     pub is_paused: bool,
-    /// Events that came while the process was paused.
+    /// Events that were due while the process was paused.
     pub deferred_events: Vec<Event>,
-    /// Fault that the member finds in each change.
+    /// Fault that the member reports for each change.
     pub validation_fault: Option<String>,
-    /// Duration of a write.
+    /// Duration of a disk write.
     pub write_duration: Micros,
-    /// Moment at which all writes are done; messages leave after it.
+    /// Time at which all writes are complete; messages are sent after it.
     pub writes_done_at: Micros,
 }
 
@@ -94,7 +94,7 @@
             node: None,
             disk: Disk::default(),
             is_disk_restored: false,
-            start: 0,
+            incarnation: 0,
             clock_error_ppm,
             is_paused: false,
             deferred_events: Vec::new(),
@@ -104,18 +104,18 @@
         }
     }
 
-    /// Reports if the process runs and is not paused.
+    /// Returns true if the process is running and not paused.
     pub fn is_running(&self) -> bool {
         self.node.is_some() && !self.is_paused
     }
 
-    /// Returns the time of the member's clock.
+    /// Returns the time on the member's clock.
     pub fn clock(&self, now: Micros) -> Micros {
-        let rate = MILLION + self.clock_error_ppm;
-        (now as u128 * rate as u128 / MILLION as u128) as Micros
+        let rate = PARTS_PER_MILLION + self.clock_error_ppm;
+        (now as u128 * rate as u128 / PARTS_PER_MILLION as u128) as Micros
     }
 
-    /// Writes to the disk; later messages wait for it.
+    /// Writes to the disk; later messages wait for the write.
     pub fn write(&mut self, now: Micros, persist: Persist) {
         self.disk.write(persist);
         self.writes_done_at = self.writes_done_at.max(now) + self.write_duration;
--- a/crates/cluster/src/simulation/mod.rs
+++ b/crates/cluster/src/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! Simulation of a cluster in virtual time: clocks that drift, links that delay, lose and are cut, processes that pause, die and
-//! restart, disks that are slow or restored from a copy. A judge looks at each decision that any member could make.
+//! Simulation of a cluster in virtual time, with clock drift, delayed, lost and blocked messages, paused, killed and restarted processes,
+//! and slow or restored disks. An invariant checker examines each version under which a member could decide.
 //!
-//! The same seed gives the same run.
+//! A run is determined by its seed.
 
 mod event_queue;
 mod faults;
-mod judge;
+mod invariant_checker;
 mod member;
 mod network;
 
@@ -15,55 +15,55 @@
 use crate::error::NodeError;
 use crate::member_lease::{Lease, Validation};
 use crate::message::Message;
-use crate::node::{JoinRequest, Node, NodeConfig, ProposalKind, TICK};
+use crate::node::{JoinRequest, Node, NodeConfig, ProposalKind, TICK_INTERVAL};
 use crate::output::Output;
 use crate::persistence::PersistedState;
 use crate::rules::{Micros, Rules};
 use crate::state_machine::{Effect, Phase, StateMachine, Version};
 
 use event_queue::{Event, EventQueue};
-use judge::Judge;
+use invariant_checker::InvariantChecker;
 use member::{Disk, SimulatedMember};
 use network::{Link, Network};
 
-pub use judge::{ChangeProgress, Completion, Violation};
+pub use invariant_checker::{ChangeProgress, Completion, Violation};
 pub use member::DiskCopy;
 pub use network::{Environment, Traffic};
 
-/// True time at the begin of a simulation.
-const START: Micros = 1_000_000;
-/// Interval at which the judge looks at all members.
+/// Simulated time at the start of a simulation.
+const START_TIME: Micros = 1_000_000;
+/// Interval at which the invariant checker examines all members.
 const SAMPLE_INTERVAL: Micros = 10_000;
-/// Interval at which a member looks at its clock.
-const CLOCK_INTERVAL: Micros = 20_000;
-/// Time within which a member has to be able to join.
+/// Interval at which a member processes its timers.
+const MEMBER_TICK_INTERVAL: Micros = 20_000;
+/// Time limit for a join.
 const JOIN_TIMEOUT: Micros = 60_000_000;
 
-/// A simulated cluster. Members are given by their index.
+/// A simulated cluster. Members are identified by their index.
 pub struct Simulation {
-    /// True time.
+    /// Simulated time, from which the members' clocks deviate.
     pub now: Micros,
     environment: Environment,
     members: Vec<SimulatedMember>,
     events: EventQueue,
     random: fastrand::Rng,
     network: Network,
-    judge: Judge,
-    /// All messages sent.
+    invariant_checker: InvariantChecker,
+    /// Counters of all messages sent.
     pub traffic: Traffic,
-    /// Members that detected their amnesia.
-    pub detected_amnesia: u64,
-    /// Planted fault: no member looks at the end of its lease.
+    /// Number of times that a member detected its amnesia.
+    pub amnesia_detections: u64,
+    /// Injected bug: members ignore the expiry of their leases.
     pub ignore_lease_expiry: bool,
-    /// Planted fault: a restored disk counts as confirmed.
+    /// Injected bug: a restored disk counts as confirmed.
     pub trust_restored_disks: bool,
 }
 
 impl Simulation {
-    /// Creates a cluster with members spread over zones. The first one bootstraps the cluster, the others join.
+    /// Creates a cluster with members spread over zones. The first member bootstraps the cluster, the others join.
     ///
     /// # Panics
-    /// A member can't join, which is a fault of the program.
+    /// A member can't join, which is a bug.
     pub fn new(
         count: usize,
         zones: usize,
@@ -79,15 +79,15 @@
             })
             .collect();
         let mut simulation = Simulation {
-            now: START,
+            now: START_TIME,
             environment,
             members,
             events: EventQueue::default(),
             random,
             network: Network::default(),
-            judge: Judge::default(),
+            invariant_checker: InvariantChecker::default(),
             traffic: Traffic::default(),
-            detected_amnesia: 0,
+            amnesia_detections: 0,
             ignore_lease_expiry: false,
             trust_restored_disks: false,
         };
@@ -117,10 +117,10 @@
         self.events.push(self.now + SAMPLE_INTERVAL, Event::Sample);
     }
 
-    /// Joins a member, or joins it again with an empty disk.
+    /// Lets a member join, or join again with an empty disk.
     ///
     /// # Panics
-    /// It can't join within a minute.
+    /// The member can't join within a minute.
     pub fn join(&mut self, index: usize) {
         let end = self.now + JOIN_TIMEOUT;
         let nonce = self.random.u64(1..);
@@ -130,11 +130,11 @@
                 let member = &mut self.members[index];
                 member.id = id;
                 member.disk = Disk::default();
-                member.start = 0;
+                member.incarnation = 0;
                 self.start(index);
                 return;
             }
-            self.run(TICK);
+            self.run(TICK_INTERVAL);
         }
     }
 
@@ -158,18 +158,18 @@
     /// Starts the process of a member with the state on its disk.
     ///
     /// # Panics
-    /// The state can't be read, which is a fault of the program.
+    /// The state can't be read, which is a bug.
     pub fn start(&mut self, index: usize) {
         let clock = self.clock(index);
         let seed = self.random.u64(..);
         let member = &mut self.members[index];
-        member.start += 1;
+        member.incarnation += 1;
         member.deferred_events.clear();
         member.is_paused = false;
         let is_restored = std::mem::take(&mut member.is_disk_restored);
         let config = NodeConfig {
             id: member.id,
-            process_start: member.start,
+            incarnation: member.incarnation,
             is_disk_confirmed: !is_restored || self.trust_restored_disks,
             seed,
         };
@@ -182,17 +182,17 @@
     fn schedule_tick(&mut self, index: usize) {
         let tick = Event::Tick {
             member: index,
-            start: self.members[index].start,
+            incarnation: self.members[index].incarnation,
         };
         self.events.push(self.now, tick);
     }
 
-    /// Reports if a member's process runs and is not paused.
+    /// Returns true if a member's process is running and not paused.
     pub fn is_running(&self, index: usize) -> bool {
         self.members[index].is_running()
     }
 
-    /// Returns the node of a member whose process runs or is paused.
+    /// Returns the node of a member whose process is running or paused.
     pub fn node(&self, index: usize) -> Option<&Node> {
         self.members[index].node.as_ref()
     }
@@ -202,7 +202,7 @@
         self.members.len()
     }
 
-    /// Returns the leader, the one of the newest term if several consider themselves it.
+    /// Returns the leader; if several members consider themselves the leader, the one with the latest term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.members.len())
             .filter(|index| self.is_running(*index))
@@ -210,20 +210,20 @@
             .max_by_key(|index| self.node(*index).map(Node::term))
     }
 
-    /// Returns the violations that the judge has seen.
+    /// Returns the recorded violations of the invariant.
     pub fn violations(&self) -> &[Violation] {
-        &self.judge.violations
+        &self.invariant_checker.violations
     }
 
     /// Returns the progress of all proposed changes, by id.
     pub fn changes(&self) -> &BTreeMap<String, ChangeProgress> {
-        &self.judge.changes
+        &self.invariant_checker.changes
     }
 
     /// Proposes a change to the leader.
     ///
     /// # Errors
-    /// There is no leader, or it can't take the proposal.
+    /// There is no leader, or it can't accept the proposal.
     pub fn propose_change(&mut self, id: &str) -> Result<(), NodeError> {
         let leader = self.leader().ok_or(NodeError::NotLeader)?;
         let clock = self.clock(leader);
@@ -235,15 +235,15 @@
             payload: String::new(),
         };
         node.propose(clock, proposal, ProposalKind::Change)?;
-        self.judge.record_proposal(self.now, id);
+        self.invariant_checker.record_proposal(self.now, id);
         self.process_outputs(leader);
         Ok(())
     }
 
-    /// Removes a member by the leader; returns if it is removed.
+    /// Requests the removal of a member from the leader; returns true once it is removed.
     ///
     /// # Errors
-    /// As [`Node::remove_member`].
+    /// There is no leader, or [`Node::remove_member`] fails.
     pub fn remove_member(&mut self, index: usize) -> Result<bool, NodeError> {
         let leader = self.leader().ok_or(NodeError::NotLeader)?;
         let clock = self.clock(leader);
@@ -255,53 +255,57 @@
         removed
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by `duration`.
     pub fn run(&mut self, duration: Micros) {
         self.run_until(self.now + duration, |_| false);
     }
 
-    /// Lets time pass until a condition holds, or until the end; returns if the condition holds.
-    pub fn run_until(&mut self, end: Micros, holds: impl Fn(&Simulation) -> bool) -> bool {
+    /// Advances the simulation until a condition holds, or until `end`; returns true if the condition holds.
+    pub fn run_until(&mut self, end: Micros, condition: impl Fn(&Simulation) -> bool) -> bool {
         while let Some(due) = self.events.pop_until(end) {
             self.now = self.now.max(due.at);
             let is_sample = matches!(due.event, Event::Sample);
             self.process(due.event);
-            if is_sample && holds(self) {
+            if is_sample && condition(self) {
                 return true;
             }
         }
         self.now = self.now.max(end);
-        holds(self)
+        condition(self)
     }
 
     fn process(&mut self, event: Event) {
         match event {
             Event::Sample => {
-                (0..self.members.len()).for_each(|index| self.judge_permission(index));
-                self.judge.record_leases(self.now, &self.running_leases());
+                (0..self.members.len()).for_each(|index| self.check_permission(index));
+                self.invariant_checker
+                    .record_leases(self.now, &self.running_leases());
                 self.events.push(self.now + SAMPLE_INTERVAL, Event::Sample);
             }
-            Event::Tick { member, start } => self.process_tick(member, start),
+            Event::Tick {
+                member,
+                incarnation,
+            } => self.process_tick(member, incarnation),
             Event::Deliver { to, from, message } => self.deliver(to, from, message),
             Event::Validated {
                 member,
-                start,
+                incarnation,
                 change,
-            } => self.finish_validation(member, start, change),
+            } => self.finish_validation(member, incarnation, change),
         }
     }
 
-    fn process_tick(&mut self, index: usize, start: u32) {
-        if self.members[index].start != start || !self.is_running(index) {
+    fn process_tick(&mut self, index: usize, incarnation: u32) {
+        if self.members[index].incarnation != incarnation || !self.is_running(index) {
             return;
         }
         self.call_node(index, |node, clock| node.tick(clock));
         self.process_outputs(index);
         let tick = Event::Tick {
             member: index,
-            start,
+            incarnation,
         };
-        self.events.push(self.now + CLOCK_INTERVAL, tick);
+        self.events.push(self.now + MEMBER_TICK_INTERVAL, tick);
     }
 
     fn deliver(&mut self, to: usize, from: u64, message: Message) {
@@ -315,15 +319,15 @@
         self.process_outputs(to);
     }
 
-    fn finish_validation(&mut self, index: usize, start: u32, change: String) {
+    fn finish_validation(&mut self, index: usize, incarnation: u32, change: String) {
         let member = &mut self.members[index];
-        if member.start != start {
+        if member.incarnation != incarnation {
             return;
         }
         if member.is_paused {
             member.deferred_events.push(Event::Validated {
                 member: index,
-                start,
+                incarnation,
                 change,
             });
             return;
@@ -338,7 +342,7 @@
         self.process_outputs(index);
     }
 
-    /// Carries out what a member's node asks for.
+    /// Performs the outputs of a member's node.
     fn process_outputs(&mut self, index: usize) {
         loop {
             let Some(node) = &mut self.members[index].node else {
@@ -352,7 +356,7 @@
                 self.process_output(index, output);
             }
         }
-        self.judge_permission(index);
+        self.check_permission(index);
     }
 
     fn process_output(&mut self, index: usize, output: Output) {
@@ -364,9 +368,9 @@
             Output::SnapshotNeeded => {
                 self.call_node(index, |node, clock| node.compact(clock, String::new()));
             }
-            // The process goes on without a node until the test lets it join anew.
+            // The member stays without a node until the test lets it join again.
             Output::AmnesiaDetected { .. } => {
-                self.detected_amnesia += 1;
+                self.amnesia_detections += 1;
                 self.members[index].node = None;
             }
             Output::LeaseChanged(_) | Output::ReadsConfirmed(_) | Output::ReadsRejected(_) => {}
@@ -387,7 +391,8 @@
                 self.call_node(index, |node, clock| node.version_served(clock, version));
             }
             Effect::Completed { id, outcome } => {
-                self.judge.record_outcome(self.now, &id, outcome);
+                self.invariant_checker
+                    .record_outcome(self.now, &id, outcome);
             }
             Effect::Store(_) | Effect::MembersChanged => {}
         }
@@ -409,7 +414,7 @@
     fn schedule_validation(&mut self, index: usize, at: Micros, change: String) {
         let event = Event::Validated {
             member: index,
-            start: self.members[index].start,
+            incarnation: self.members[index].incarnation,
             change,
         };
         self.events.push(at, event);
@@ -438,7 +443,7 @@
         self.members[index].clock(self.now)
     }
 
-    /// Calls a member's node, if its process exists, with the time of its clock.
+    /// Calls a member's node, if it has one, with the time on its clock.
     fn call_node(&mut self, index: usize, call: impl FnOnce(&mut Node, Micros)) {
         let clock = self.clock(index);
         if let Some(node) = &mut self.members[index].node {
@@ -446,7 +451,7 @@
         }
     }
 
-    /// Returns the version under which a member could decide now.
+    /// Returns the version under which a member may decide now.
     pub fn permitted_version(&self, index: usize) -> Option<Version> {
         let node = self.node(index).filter(|_| self.is_running(index))?;
         if self.ignore_lease_expiry
@@ -457,10 +462,11 @@
         node.lease().may_decide(self.clock(index)).ok()
     }
 
-    fn judge_permission(&mut self, index: usize) {
+    fn check_permission(&mut self, index: usize) {
         if let Some(version) = self.permitted_version(index) {
             let name = &self.members[index].name;
-            self.judge.record_permission(self.now, name, version);
+            self.invariant_checker
+                .record_permission(self.now, name, version);
         }
     }
 
@@ -473,7 +479,7 @@
     }
 }
 
-/// Draws the deviation of a clock's rate, in parts per million.
+/// Draws the deviation of a clock's rate in parts per million.
 fn draw_clock_error(random: &mut fastrand::Rng, drift_ppm: u32) -> i64 {
     match i64::from(drift_ppm) {
         0 => 0,
--- a/crates/cluster/src/simulation/network.rs
+++ b/crates/cluster/src/simulation/network.rs
@@ -1,31 +1,32 @@
-//! Simulated network: delays, losses, cut links, and a count of all traffic.
+//! Simulated network: delays, message loss, cut links, and traffic counters.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::message::{Message, MessageKind};
 use crate::rules::Micros;
 
-/// Bytes that a connection adds to a raft message: frame, seal and sender. As between members with short names and loopback addresses.
+/// Bytes that a connection adds to a raft message: frame header with authentication tag, and sender. Valid for members with short names and
+/// loopback addresses.
 const RAFT_OVERHEAD_BYTES: usize = 126;
-/// Bytes of a whole report between such members.
+/// Total size of a report between such members.
 const REPORT_BYTES: usize = 227;
-/// Bytes of a whole grant, and of any other message, between such members.
+/// Total size of a grant, or of any other message, between such members.
 const GRANT_BYTES: usize = 190;
 
 /// Properties of links, clocks and disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Environment {
-    /// Shortest delay of a message, one way.
+    /// Minimum one-way delay of a message.
     pub delay: Micros,
-    /// Largest random addition to the delay.
+    /// Maximum random addition to the delay.
     pub jitter: Micros,
-    /// Lost messages, per thousand.
+    /// Lost messages per thousand.
     pub lost_per_thousand: u32,
-    /// Largest deviation of a clock's rate, in parts per million.
+    /// Maximum deviation of a clock's rate, in parts per million.
     pub clock_drift_ppm: u32,
-    /// Longest duration of a validation.
+    /// Maximum duration of a validation.
     pub validation_duration: Micros,
-    /// Duration of a write.
+    /// Duration of a disk write.
     pub write_duration: Micros,
 }
 
@@ -47,7 +48,7 @@
 pub struct Traffic {
     /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Total size of the messages in bytes.
     pub bytes: u64,
     /// Messages by kind, in the order of [`MessageKind::ALL`].
     pub messages_by_kind: [u64; MessageKind::COUNT],
@@ -70,7 +71,7 @@
     }
 }
 
-/// A direction between two members, by their indexes.
+/// One direction of a connection between two members, identified by their indexes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
     pub from: usize,
@@ -85,7 +86,7 @@
 }
 
 impl Network {
-    /// Cuts a link, or repairs it.
+    /// Cuts or repairs a link.
     pub fn set_cut(&mut self, link: Link, is_cut: bool) {
         if is_cut {
             self.cut_links.insert(link);
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Sets an addition to a link's delay.
+    /// Sets the additional delay of a link.
     pub fn set_extra_delay(&mut self, link: Link, delay: Micros) {
         self.extra_delays.insert(link, delay);
     }
 
-    /// Draws the delay of a message; none if it is lost.
+    /// Draws the delay of a message; `None` if the message is lost.
     pub fn draw_delay(
         &self,
         link: Link,
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -1,7 +1,7 @@
-//! The replicated state machine: members, the version in effect and the change under way.
+//! The replicated state machine: members, the version in effect and the change in progress.
 //!
-//! Every member applies the same commands in the same order and so holds the same state. The module does no replication; commands
-//! come from the raft log by [`Node`](crate::node::Node).
+//! Every member applies the same commands in the same order and so has the same state. The module does no replication:
+//! [`Node`](crate::node::Node) passes it the commands from the raft log.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,51 +10,51 @@
 use crate::command::{AbortReason, Command, Member, Proposal};
 use crate::rules::Rules;
 
-/// Number of a version of the configuration. Only a change that took effect has one, and none is given twice.
+/// Number of a version of the configuration. Only a change that took effect gets one, and no number is reused.
 pub type Version = u64;
 
-/// Outcomes kept for callers that retry.
+/// Number of outcomes kept for callers that retry.
 const MAX_OUTCOMES: usize = 1024;
-/// Reasons kept of one aborted change.
+/// Number of reasons kept for one aborted change.
 const MAX_ABORT_REASONS: usize = 64;
 
-/// Phase of a change under way.
+/// Phase of a change in progress.
 ///
 /// Invariant: a change can be aborted only while validating. Once fencing, it can only be activated: each member with a lease has
-/// accepted it, and members may already have ended deciding. Only recovery from a lost quorum
+/// accepted it, and some members may already have stopped deciding. Only recovery from a lost quorum
 /// ([`recover_log`](crate::log_recovery::recover_log)) drops a fencing change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// Members validate the change and still decide under the present version.
+    /// Members validate the change and still decide under the current version.
     #[serde(rename = "checking")]
     Validating,
-    /// The change will take effect; members end deciding under the present version.
+    /// The change will take effect; members stop deciding under the current version.
     #[serde(rename = "closing")]
     Fencing,
 }
 
-/// A change under way.
+/// A change in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The proposal.
+    /// Proposal of the change.
     pub proposal: Proposal,
-    /// Its phase.
+    /// Phase of the change.
     pub phase: Phase,
 }
 
 /// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The change is in effect, as this version.
+    /// The change took effect as this version.
     #[serde(rename = "in-effect")]
     Activated(Version),
-    /// The payload is stored.
+    /// The payload was stored.
     #[serde(rename = "stored")]
     Stored,
-    /// The change had no effect anywhere.
+    /// The change was aborted and took effect on no member.
     #[serde(rename = "given-up")]
     Aborted(Vec<AbortReason>),
-    /// The proposal was made for another revision, or another change was under way.
+    /// The proposal was based on another revision, or another change was in progress.
     #[serde(rename = "overtaken")]
     Conflict,
 }
@@ -62,16 +62,16 @@
 /// Consequence of a command for the application.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Validate a change and report the result.
+    /// Validate a change and report the result to [`Node::change_validated`](crate::node::Node::change_validated).
     Validate(Proposal),
-    /// End deciding under the present version, then call [`Node::change_fenced`](crate::node::Node::change_fenced): until then the
-    /// lease stays.
+    /// Stop deciding under the current version, then call [`Node::change_fenced`](crate::node::Node::change_fenced); the lease remains
+    /// until then.
     Fence(Proposal),
     /// Switch to a version.
     Activate {
-        /// The new version.
+        /// New version.
         version: Version,
-        /// The change that brings it.
+        /// Proposal of the change that creates the version.
         proposal: Proposal,
     },
     /// Store a payload.
@@ -80,14 +80,14 @@
     Completed {
         /// Id of the proposal.
         id: String,
-        /// Its outcome.
+        /// Outcome of the proposal.
         outcome: Outcome,
     },
     /// Members were added or removed.
     MembersChanged,
 }
 
-/// A remembered outcome; stored as a pair.
+/// Recorded outcome of a proposal; serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(String, Outcome)", into = "(String, Outcome)")]
 struct CompletedProposal {
@@ -107,31 +107,31 @@
     }
 }
 
-/// The state that all members agree on.
+/// The replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StateMachine {
-    /// Random id of the cluster, which tells apart clusters of one name.
+    /// Random id of the cluster, which distinguishes clusters of the same name.
     #[serde(rename = "cluster")]
     pub cluster_id: String,
     /// Rules of the cluster.
     pub rules: Rules,
     /// Members by name.
     pub members: BTreeMap<String, Member>,
-    /// Raft node id of the next member; none is given twice.
+    /// Raft node id of the next member; ids are never reused.
     pub next_id: u64,
     /// Version in effect.
     pub version: Version,
     /// Number of stored proposals.
     #[serde(rename = "entry")]
     pub revision: u64,
-    /// Change under way.
+    /// Change in progress.
     pub change: Option<Change>,
-    /// Outcomes of the last proposals, oldest first.
+    /// Outcomes of the latest proposals, oldest first.
     outcomes: VecDeque<CompletedProposal>,
 }
 
 impl StateMachine {
-    /// Creates the state of a cluster with one member, which already has a version and a revision.
+    /// Creates the state of a cluster with one member at an initial version and revision.
     pub fn bootstrap(
         cluster_id: String,
         rules: Rules,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Applies a command. One that does not fit the present state changes nothing.
+    /// Applies a command. A command that does not match the current state has no effect.
     pub fn apply(&mut self, command: &Command) -> Vec<Effect> {
         match command {
             Command::AddMember { name, member } => self.add_member(name, member),
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Returns the outcome of a proposal, if it is complete and still remembered.
+    /// Returns the outcome of a proposal, if it is complete and still recorded.
     pub fn outcome(&self, id: &str) -> Option<&Outcome> {
         self.outcomes
             .iter()
@@ -175,14 +175,14 @@
             .map(|completed| &completed.outcome)
     }
 
-    /// Reports if the change with this id is under way.
+    /// Returns true if the change with this id is in progress.
     pub fn is_in_progress(&self, id: &str) -> bool {
         self.change
             .as_ref()
             .is_some_and(|change| change.proposal.id == id)
     }
 
-    /// Returns the phase of the change under way.
+    /// Returns the phase of the change in progress.
     pub fn change_phase(&self) -> Option<Phase> {
         self.change.as_ref().map(|change| change.phase)
     }
@@ -248,7 +248,7 @@
         effects
     }
 
-    /// Aborts a change that is still being validated. An abort of a fencing change has no effect; see [`Phase`].
+    /// Aborts a change that is still being validated. Aborting a fencing change has no effect; see [`Phase`].
     fn abort_change(&mut self, id: &str, reasons: &[AbortReason]) -> Vec<Effect> {
         if self.take_change(id, Phase::Validating).is_none() {
             return Vec::new();
@@ -274,7 +274,7 @@
         self.change.is_some() || proposal.base_revision != self.revision
     }
 
-    /// Takes the change under way if it has this id and phase.
+    /// Takes the change in progress if it has this id and phase.
     fn take_change(&mut self, id: &str, phase: Phase) -> Option<Change> {
         self.change
             .take_if(|change| change.proposal.id == id && change.phase == phase)
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -47,7 +47,7 @@
 struct SimulatedMember {
     lease: MemberLease,
     applied: usize,
-    start: u32,
+    incarnation: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -354,9 +354,12 @@
                 state.budget.crashes = state.budget.crashes.checked_sub(1)?;
                 let member = &mut state.members[*i];
                 let state_machine = state_after(&state.log[..member.applied]);
-                member.start += 1;
-                member.lease =
-                    MemberLease::new(self.rules().lease, self.rules().change_lease, member.start);
+                member.incarnation += 1;
+                member.lease = MemberLease::new(
+                    self.rules().lease,
+                    self.rules().change_lease,
+                    member.incarnation,
+                );
                 member.lease.serve_version(state_machine.version);
                 if let Some(change) = &state_machine.change {
                     let (id, phase) = (change.proposal.id.clone(), change.phase);
@@ -440,7 +443,7 @@
             SimulatedMember {
                 lease,
                 applied: 0,
-                start: 1,
+                incarnation: 1,
             }
         };
         let mut state = ClusterState {
--- a/crates/cluster/tests/sim.rs
+++ b/crates/cluster/tests/sim.rs
@@ -417,7 +417,7 @@
     sim.run(30 * SECOND);
     if !trust_restored_disks {
         assert_eq!(
-            (sim.leader(), sim.detected_amnesia),
+            (sim.leader(), sim.amnesia_detections),
             (None, 0),
             "voters without the acknowledged change elect no leader"
         );
@@ -432,7 +432,7 @@
 fn a_member_with_a_stale_disk_does_not_vote_and_no_change_is_lost() {
     for seed in 70..74 {
         let mut sim = restart_with_stale_disk(false, seed);
-        assert_eq!(sim.detected_amnesia, 1, "the amnesia is detected");
+        assert_eq!(sim.amnesia_detections, 1, "the amnesia is detected");
         let stale = (0..3).find(|i| sim.node(*i).is_none()).unwrap();
         let before = sim.copy_disk(stale);
         sim.join(stale);
@@ -486,7 +486,7 @@
     (0..5).for_each(|i| sim.start(i));
     wait_until_all_may_decide(&mut sim);
     assert_eq!(
-        (sim.detected_amnesia, sim.permitted_version(0)),
+        (sim.amnesia_detections, sim.permitted_version(0)),
         (0, Some(1))
     );
     // A single member is confirmed by the leader.
