--- a/crates/cluster/src/lease_table.rs
+++ b/crates/cluster/src/lease_table.rs
@@ -438,13 +438,13 @@
     }
 }
 
-/// Returns the reasons for aborting a change at its deadline.
+/// Returns the reasons for aborting a change at its deadline. Their texts are stored in the log.
 fn deadline_reasons(blocking: &[BlockingMember]) -> Vec<AbortReason> {
     if blocking.is_empty() {
-        let detail = "no instance accepted the change before its deadline";
+        let detail = "no instance has said in time that it can take it";
         return vec![AbortReason::new("", detail)];
     }
-    let detail = "the instance did not validate the change before its deadline";
+    let detail = "it has not said in time whether it can take it";
     blocking
         .iter()
         .map(|member| AbortReason::new(&member.name, detail))
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of member leases, the lease table and changes: every order of reports, grants, losses, elections, crashes and
-//! clock ticks within a bound, and planted faults that must be found.
+//! Model checking of member leases, the lease table and changes: explores every order of reports, grants, message losses, elections,
+//! crashes and clock ticks within a budget. Injected bugs show that the check detects violations.
 use cluster::command::{Command, Member, Proposal};
 use cluster::lease_table::{AddressedGrant, LeaseTable};
 use cluster::member_lease::{Grant, LeaseDuration, MemberLease, Report, Validation};
@@ -9,33 +9,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const NAMES: [&str; 2] = ["a", "b"];
-/// Bound of the states of one run; more would exhaust the memory.
+/// Limit on the number of states of one run, so that it does not exhaust the memory.
 const MAX_STATES: usize = 6_000_000;
-/// Clock units per tick. The clocks deviate as far as the rules allow: the first runs fast, the second slow.
+/// Clock units per tick, by member. The clocks deviate by the maximum that the rules allow: the first runs fast, the second slow.
 const CLOCK_RATES: [Micros; 2] = [1500, 500];
 
-/// Remaining number of events of each kind.
+/// Remaining number of events by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Budget {
     ticks: u8,
-    /// By member.
+    /// Reports by member.
     reports: [u8; 2],
     elections: u8,
     crashes: u8,
     changes: u8,
 }
 
-/// A planted fault.
+/// Bug that a run injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fault {
+enum InjectedBug {
     None,
     /// A member ignores the expiry of its lease.
     IgnoredLeaseExpiry,
     /// A member activates the new version when the change is fenced, before all members are fenced.
     ActivatedWhenFenced,
-    /// The leader waits for the end of a lease without a margin for clock drift.
+    /// The leader waits for the expiry of a lease without a margin for clock drift.
     NoDriftMargin,
-    /// A member accepts a grant whatever report it answers.
+    /// A member accepts a grant regardless of the report that it answers.
     StaleGrantAccepted,
     /// A leader grants leases without confirming its leadership.
     UnconfirmedLeadership,
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leader {
     lease_table: LeaseTable,
-    /// Number of log entries that it has applied; the elected leader has applied all of them.
+    /// Number of log entries that the leader has applied; the elected leader has applied all of them.
     applied: usize,
-    /// Reports that came before its last confirmation of leadership and may be answered.
+    /// Reports received before the leader's latest confirmation of leadership, which may be answered.
     confirmed: BTreeMap<u64, u64>,
 }
 
@@ -78,13 +78,13 @@
     now: u64,
     log: Vec<Command>,
     members: [SimulatedMember; 2],
-    /// Member that leads. Deposed ones may still consider themselves the leader.
+    /// Member that is the leader. Deposed leaders may still consider themselves the leader.
     elected: usize,
     leaders: [Option<Leader>; 2],
     messages_in_flight: BTreeSet<Message>,
     reports: BTreeMap<u64, (usize, Report)>,
     budget: Budget,
-    /// Newest version under which a member has decided.
+    /// Latest version under which a member has decided.
     newest_version: Version,
     is_violated: bool,
     is_activated: bool,
@@ -105,12 +105,12 @@
     Decide(usize),
 }
 
-/// InitialState state of a run. Some faults show only many steps after the start; their runs begin closer to it.
+/// Initial state of a run. Some bugs show only many steps after the start; their runs start closer to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum InitialState {
     /// A change is proposed.
     Proposed,
-    /// The second member has led, the first was elected since, and a change is proposed to it.
+    /// The second member was the leader, the first has been elected since, and a change is proposed to the first.
     Deposed,
     /// A grant to the second member is in flight, and a change is proposed.
     GrantInFlight,
@@ -118,7 +118,7 @@
 
 struct ClusterModel {
     policy: PartitionPolicy,
-    fault: Fault,
+    injected_bug: InjectedBug,
     budget: Budget,
     initial: InitialState,
 }
@@ -136,9 +136,9 @@
     }
 
     fn lease_table_rules(&self) -> Rules {
-        match self.fault {
-            // Without the margin, the leader waits too short for a member with a slower clock.
-            Fault::NoDriftMargin => Rules {
+        match self.injected_bug {
+            // Without the margin, the leader does not wait long enough for a member with a slower clock.
+            InjectedBug::NoDriftMargin => Rules {
                 clock_drift_ppm: 0,
                 ..self.rules()
             },
@@ -157,7 +157,7 @@
             &state_machine,
             &self.lease_table_rules(),
         );
-        if self.fault == Fault::NoLeaseAssumed {
+        if self.injected_bug == InjectedBug::NoLeaseAssumed {
             state_machine
                 .members
                 .values()
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Returns a leader and its state machine. The elected one has applied the whole log.
+    /// Returns a leader and its state machine. The elected leader has applied the whole log.
     fn leader_state(state: &mut ClusterState, at: usize) -> Option<(&mut Leader, StateMachine)> {
         let all = state.log.len();
         let leader = state.leaders[at].as_mut()?;
@@ -193,14 +193,15 @@
         }
     }
 
-    /// Delivers reports of these members to the leader, which grants leases.
-    fn exchange_reports(&self, state: &mut ClusterState, who: &[usize], leader: usize) {
-        who.iter()
+    /// Delivers reports of `members` to the leader, which grants leases.
+    fn exchange_reports(&self, state: &mut ClusterState, members: &[usize], leader: usize) {
+        members
+            .iter()
             .for_each(|i| _ = self.apply_action(state, &Action::Report(*i)));
         let reports: Vec<Message> = state.messages_in_flight.iter().cloned().collect();
         reports
             .into_iter()
-            .for_each(|l| _ = self.apply_action(state, &Action::Deliver(l, leader)));
+            .for_each(|message| _ = self.apply_action(state, &Action::Deliver(message, leader)));
         [Action::Confirm(leader), Action::Grant(leader)]
             .iter()
             .for_each(|a| _ = self.apply_action(state, a));
@@ -211,7 +212,7 @@
         let grants: Vec<Message> = state.messages_in_flight.iter().cloned().collect();
         grants
             .into_iter()
-            .for_each(|l| _ = self.apply_action(state, &Action::Deliver(l, 0)));
+            .for_each(|message| _ = self.apply_action(state, &Action::Deliver(message, 0)));
     }
 
     fn apply_action(&self, state: &mut ClusterState, action: &Action) -> Option<()> {
@@ -258,8 +259,8 @@
                             version: *version,
                             duration: *duration,
                         };
-                        if self.fault == Fault::StaleGrantAccepted {
-                            // As if it answered the newest report.
+                        if self.injected_bug == InjectedBug::StaleGrantAccepted {
+                            // The grant is taken for an answer to the latest report.
                             let report = lease.clone().next_report(Self::clock(*to, now));
                             grant.report_sequence = report.sequence - 1;
                         }
@@ -276,14 +277,14 @@
                 let effects = state_machine.apply(command);
                 member.applied += 1;
                 Self::process_effects(member, *i, now, effects);
-                if self.fault == Fault::ActivatedWhenFenced
+                if self.injected_bug == InjectedBug::ActivatedWhenFenced
                     && let Command::Fence { .. } = command
                 {
                     member.lease.serve_version(state_machine.version + 1);
                 }
             }
             Action::Confirm(i) => {
-                if *i != state.elected && self.fault != Fault::UnconfirmedLeadership {
+                if *i != state.elected && self.injected_bug != InjectedBug::UnconfirmedLeadership {
                     return None;
                 }
                 let (leader, _) = Self::leader_state(state, *i)?;
@@ -374,14 +375,14 @@
             Action::Decide(i) => {
                 let clock = Self::clock(*i, now);
                 let lease = &state.members[*i].lease;
-                let version = match (self.fault, lease.current()) {
-                    (Fault::IgnoredLeaseExpiry, Some(held)) => held.version,
+                let version = match (self.injected_bug, lease.current()) {
+                    (InjectedBug::IgnoredLeaseExpiry, Some(current)) => current.version,
                     _ => lease.may_decide(clock).ok()?,
                 };
                 if version == state.newest_version {
                     return None;
                 }
-                // A decision under a former version is a violation from the activation of the next one on.
+                // A decision under a former version is a violation as soon as the next one is activated.
                 state.is_violated |=
                     version < state.newest_version || version < state_after(&state.log).version;
                 state.newest_version = state.newest_version.max(version);
@@ -470,7 +471,7 @@
             .values()
             .for_each(|m| leader.lease_table.member_added(m.id));
         state.leaders[first] = Some(leader);
-        // Both members begin with a lease.
+        // Both members start with a lease.
         self.exchange_reports(&mut state, &[0, 1], first);
         self.deliver_grants(&mut state);
         assert!(state.members.iter().all(|i| i.lease.may_decide(0).is_ok()));
@@ -536,10 +537,10 @@
         vec![
             Property::always(
                 "no member decides under a former version",
-                |_, w: &ClusterState| !w.is_violated,
+                |_, state: &ClusterState| !state.is_violated,
             ),
-            Property::sometimes("a change takes effect", |_, w: &ClusterState| {
-                w.is_activated
+            Property::sometimes("a change takes effect", |_, state: &ClusterState| {
+                state.is_activated
             }),
         ]
     }
@@ -548,13 +549,13 @@
 fn check(
     name: &str,
     policy: PartitionPolicy,
-    fault: Fault,
+    injected_bug: InjectedBug,
     budget: Budget,
     initial: InitialState,
 ) -> (usize, bool, bool) {
     let model = ClusterModel {
         policy,
-        fault,
+        injected_bug,
         budget,
         initial,
     };
@@ -578,7 +579,7 @@
     (unique, is_violated, is_activated)
 }
 
-const LAPSES: Budget = Budget {
+const BASE_BUDGET: Budget = Budget {
     ticks: 3,
     reports: [1, 1],
     elections: 0,
@@ -588,31 +589,36 @@
 
 #[test]
 fn no_member_decides_under_a_former_version() {
-    let whole = Budget {
+    let all_reporting = Budget {
         ticks: 1,
         reports: [2, 2],
-        ..LAPSES
+        ..BASE_BUDGET
     };
     let elections = Budget {
         reports: [2, 0],
         elections: 1,
-        ..LAPSES
+        ..BASE_BUDGET
     };
     let crashes = Budget {
         ticks: 2,
         reports: [2, 0],
         crashes: 1,
-        ..LAPSES
+        ..BASE_BUDGET
     };
     for policy in [PartitionPolicy::Reject, PartitionPolicy::Serve] {
         let runs = [
-            ("all members report", whole),
+            ("all members report", all_reporting),
             ("elections", elections),
             ("crashes", crashes),
         ];
         for (name, budget) in runs {
-            let (states, is_violated, is_activated) =
-                check(name, policy, Fault::None, budget, InitialState::Proposed);
+            let (states, is_violated, is_activated) = check(
+                name,
+                policy,
+                InjectedBug::None,
+                budget,
+                InitialState::Proposed,
+            );
             assert!(!is_violated && states > 1_000, "{name}, {policy:?}");
             // Without a report of the other member a change takes effect only once its lease has expired.
             assert!(
@@ -623,84 +629,90 @@
     }
 }
 
-/// Each planted fault is found. A run that begins close to its fault has no violation without it.
+/// Guards against a model that can't detect violations. A run from an advanced initial state has none without the injected bug.
 #[test]
-fn planted_faults_are_found() {
-    let lapses = Budget {
+fn injected_bugs_are_detected() {
+    let expiry_budget = Budget {
         reports: [2, 0],
-        ..LAPSES
+        ..BASE_BUDGET
     };
-    let whole = Budget {
+    let fencing_budget = Budget {
         ticks: 0,
         reports: [2, 2],
-        ..LAPSES
+        ..BASE_BUDGET
     };
-    let led = Budget {
+    let deposed_leader_budget = Budget {
         ticks: 3,
         reports: [2, 1],
         changes: 0,
-        ..LAPSES
+        ..BASE_BUDGET
     };
-    let late = Budget {
+    let late_grant_budget = Budget {
         ticks: 2,
         reports: [2, 1],
         changes: 0,
-        ..LAPSES
+        ..BASE_BUDGET
     };
-    let elected = Budget {
+    let election_budget = Budget {
         elections: 1,
         reports: [0, 2],
-        ..whole
+        ..fencing_budget
     };
-    for (policy, fault, budget, initial) in [
+    for (policy, injected_bug, budget, initial) in [
         (
             PartitionPolicy::Reject,
-            Fault::IgnoredLeaseExpiry,
-            lapses,
+            InjectedBug::IgnoredLeaseExpiry,
+            expiry_budget,
             InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::NoDriftMargin,
-            lapses,
+            InjectedBug::NoDriftMargin,
+            expiry_budget,
             InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::ActivatedWhenFenced,
-            whole,
+            InjectedBug::ActivatedWhenFenced,
+            fencing_budget,
             InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::NoLeaseAssumed,
-            elected,
+            InjectedBug::NoLeaseAssumed,
+            election_budget,
             InitialState::Proposed,
         ),
         (
             PartitionPolicy::Reject,
-            Fault::UnconfirmedLeadership,
-            led,
+            InjectedBug::UnconfirmedLeadership,
+            deposed_leader_budget,
             InitialState::Deposed,
         ),
         (
             PartitionPolicy::Serve,
-            Fault::StaleGrantAccepted,
-            late,
+            InjectedBug::StaleGrantAccepted,
+            late_grant_budget,
             InitialState::GrantInFlight,
         ),
     ] {
-        let (_, is_violated, _) = check(&format!("{fault:?}"), policy, fault, budget, initial);
-        assert!(is_violated, "{fault:?} was not found");
+        let (_, is_violated, _) = check(
+            &format!("{injected_bug:?}"),
+            policy,
+            injected_bug,
+            budget,
+            initial,
+        );
+        assert!(is_violated, "{injected_bug:?} was not detected");
         if initial != InitialState::Proposed {
             let (_, is_violated, _) = check(
-                &format!("without {fault:?}"),
+                &format!("without {injected_bug:?}"),
                 policy,
-                Fault::None,
+                InjectedBug::None,
                 budget,
                 initial,
             );
-            assert!(!is_violated, "violation without {fault:?}");
+            assert!(!is_violated, "violation without {injected_bug:?}");
         }
     }
 }
--- a/crates/cluster/tests/sim.rs
+++ b/crates/cluster/tests/sim.rs
@@ -1,4 +1,4 @@
-//! Clusters in virtual time under faults. Planted faults show that the judge of the simulation detects violations.
+//! Simulated clusters under faults. Injected bugs show that the invariant checker of the simulation detects violations.
 use cluster::node::Node;
 use cluster::rules::{Micros, PartitionPolicy, Rules};
 use cluster::simulation::{Completion, Environment, Simulation};
@@ -41,12 +41,12 @@
     sim
 }
 
-/// Proposes a change, retrying while no leader takes it, and returns its outcome and duration.
+/// Proposes a change, retrying while no leader accepts it, and returns its outcome and duration.
 fn complete_change(sim: &mut Simulation, id: &str, timeout: Micros) -> (Outcome, Micros) {
     let end = sim.now + timeout;
     let begin = sim.now;
     while sim.propose_change(id).is_err() {
-        assert!(sim.now < end, "no leader takes {id}");
+        assert!(sim.now < end, "no leader accepts {id}");
         sim.run(100_000);
     }
     let ended = |s: &Simulation| s.changes()[id].completion.is_some();
@@ -58,9 +58,9 @@
 #[test]
 fn a_change_takes_effect_on_all_members_and_voters_are_spread_over_zones() {
     let mut sim = start_cluster(7, PartitionPolicy::Reject, 1);
-    let (outcome, took) = complete_change(&mut sim, "one", 10 * SECOND);
+    let (outcome, duration) = complete_change(&mut sim, "one", 10 * SECOND);
     assert_eq!(outcome, Outcome::Activated(1));
-    assert!(took < SECOND, "{took} us");
+    assert!(duration < SECOND, "{duration} us");
     let leader: &Node = sim.node(sim.leader().unwrap()).unwrap();
     let state_machine = leader.state_machine().unwrap();
     let mut zones: Vec<&str> = state_machine
@@ -81,11 +81,11 @@
     let mut sim = start_cluster(5, PartitionPolicy::Reject, 2);
     sim.set_validation_fault(4, Some("its listener's port is taken"));
     let (outcome, _) = complete_change(&mut sim, "one", 10 * SECOND);
-    let Outcome::Aborted(why) = outcome else {
+    let Outcome::Aborted(reasons) = outcome else {
         panic!("{outcome:?}")
     };
     assert_eq!(
-        (why[0].member.as_str(), why[0].detail.as_str()),
+        (reasons[0].member.as_str(), reasons[0].detail.as_str()),
         ("i4", "its listener's port is taken")
     );
     sim.set_validation_fault(4, None);
@@ -98,20 +98,23 @@
 }
 
 #[test]
-fn under_reject_a_change_waits_for_the_lease_of_an_unreachable_member_and_no_longer() {
-    for (seed, how) in ["cut", "killed", "paused"].iter().enumerate() {
+fn under_reject_a_change_waits_for_an_unreachable_member_until_its_lease_expires() {
+    for (seed, failure) in ["cut", "killed", "paused"].iter().enumerate() {
         let mut sim = start_cluster(6, PartitionPolicy::Reject, 10 + seed as u64);
         let unreachable = (0..6).find(|i| Some(*i) != sim.leader()).unwrap();
-        match *how {
+        match *failure {
             "cut" => sim.isolate(unreachable, true),
             "killed" => sim.kill(unreachable),
             _ => sim.pause(unreachable, true),
         }
-        let (outcome, took) = complete_change(&mut sim, "one", 30 * SECOND);
-        assert_eq!(outcome, Outcome::Activated(1), "{how}");
-        assert!(took > 3 * SECOND && took < 6 * SECOND, "{how}: {took} us");
+        let (outcome, duration) = complete_change(&mut sim, "one", 30 * SECOND);
+        assert_eq!(outcome, Outcome::Activated(1), "{failure}");
+        assert!(
+            duration > 3 * SECOND && duration < 6 * SECOND,
+            "{failure}: {duration} us"
+        );
         sim.run(2 * SECOND);
-        match *how {
+        match *failure {
             "cut" => sim.isolate(unreachable, false),
             "killed" => sim.start(unreachable),
             _ => sim.pause(unreachable, false),
@@ -119,11 +122,11 @@
         assert_eq!(
             sim.permitted_version(unreachable),
             None,
-            "{how}: it has not caught up yet"
+            "{failure}: the member has not caught up yet"
         );
         wait_until_all_may_decide(&mut sim);
         assert_eq!(sim.permitted_version(unreachable), Some(1));
-        assert_eq!(sim.violations(), [], "{how}");
+        assert_eq!(sim.violations(), [], "{failure}");
     }
 }
 
@@ -132,19 +135,19 @@
     let mut sim = start_cluster(5, PartitionPolicy::Serve, 20);
     let unreachable = (0..5).find(|i| Some(*i) != sim.leader()).unwrap();
     sim.isolate(unreachable, true);
-    let (outcome, took) = complete_change(&mut sim, "one", 40 * SECOND);
-    let Outcome::Aborted(why) = outcome else {
+    let (outcome, duration) = complete_change(&mut sim, "one", 40 * SECOND);
+    let Outcome::Aborted(reasons) = outcome else {
         panic!("{outcome:?}")
     };
     assert_eq!(
-        (why.len(), why[0].member.clone()),
+        (reasons.len(), reasons[0].member.clone()),
         (1, format!("i{unreachable}"))
     );
-    assert!(took >= 15 * SECOND, "{took}");
+    assert!(duration >= 15 * SECOND, "{duration}");
     assert_eq!(
         sim.permitted_version(unreachable),
         Some(0),
-        "it continues to serve"
+        "the member continues to serve"
     );
     sim.kill(unreachable); // An operator removes a member only after it has stopped.
     let end = sim.now + 30 * SECOND;
@@ -168,24 +171,27 @@
         let mut sim = start_cluster(6, policy, 30);
         let leader = sim.node(sim.leader().unwrap()).unwrap();
         let voters = leader.voters();
-        let gone: Vec<usize> = (0..6)
+        let stopped: Vec<usize> = (0..6)
             .filter(|i| voters.contains(&sim.node(*i).unwrap().id()))
             .take(2)
             .collect();
-        gone.iter().for_each(|i| sim.kill(*i));
+        stopped.iter().for_each(|i| sim.kill(*i));
         sim.run(3 * SECOND);
-        let left: Vec<usize> = (0..6).filter(|i| !gone.contains(i)).collect();
+        let remaining: Vec<usize> = (0..6).filter(|i| !stopped.contains(i)).collect();
         assert!(
-            left.iter().all(|i| sim.permitted_version(*i) == Some(0)),
+            remaining
+                .iter()
+                .all(|i| sim.permitted_version(*i) == Some(0)),
             "leases hold for at least a lease less a report interval"
         );
         sim.run(3 * SECOND);
         assert!(
-            left.iter()
+            remaining
+                .iter()
                 .all(|i| sim.permitted_version(*i).is_some() == serves),
             "{policy:?}"
         );
-        gone.iter().for_each(|i| sim.start(*i));
+        stopped.iter().for_each(|i| sim.start(*i));
         wait_until_all_may_decide(&mut sim);
         assert_eq!(
             complete_change(&mut sim, "one", 30 * SECOND).0,
@@ -227,23 +233,28 @@
     let leader = sim.leader().unwrap();
     let voters = sim.node(leader).unwrap().voters();
     let votes = |sim: &Simulation, i: usize| voters.contains(&sim.node(i).unwrap().id());
-    // The leader is cut off together with all members that are not voters.
-    let (few, most): (Vec<usize>, Vec<usize>) =
+    // The leader and all members that are not voters are separated from the other voters.
+    let (without_quorum, with_quorum): (Vec<usize>, Vec<usize>) =
         (0..6).partition(|i| *i == leader || !votes(&sim, *i));
     let cut = |sim: &mut Simulation, on| {
-        for (a, b) in few.iter().flat_map(|a| most.iter().map(move |b| (*a, *b))) {
+        for (a, b) in without_quorum
+            .iter()
+            .flat_map(|a| with_quorum.iter().map(move |b| (*a, *b)))
+        {
             sim.cut(a, b, on);
             sim.cut(b, a, on);
         }
     };
     cut(&mut sim, true);
-    sim.propose_change("few").unwrap(); // It still considers itself the leader.
+    sim.propose_change("without_quorum").unwrap(); // The old leader still considers itself the leader.
     sim.run(4 * SECOND);
-    let (outcome, _) = complete_change(&mut sim, "most", 30 * SECOND);
+    let (outcome, _) = complete_change(&mut sim, "with_quorum", 30 * SECOND);
     assert_eq!(outcome, Outcome::Activated(1));
     sim.run(SECOND);
     assert!(
-        few.iter().all(|i| sim.permitted_version(*i).is_none()),
+        without_quorum
+            .iter()
+            .all(|i| sim.permitted_version(*i).is_none()),
         "their leases have expired"
     );
     cut(&mut sim, false);
@@ -255,7 +266,7 @@
             .unwrap()
             .state_machine()
             .unwrap()
-            .outcome("few")
+            .outcome("without_quorum")
             .is_none()
     }));
     assert_eq!(sim.violations(), []);
@@ -271,26 +282,26 @@
         .unwrap();
     sim.set_write_duration(voter, 2 * SECOND);
     for n in 0..5 {
-        let (outcome, took) = complete_change(&mut sim, &format!("c{n}"), 30 * SECOND);
+        let (outcome, duration) = complete_change(&mut sim, &format!("c{n}"), 30 * SECOND);
         assert!(
-            matches!(outcome, Outcome::Activated(_)) && took < 8 * SECOND,
-            "{outcome:?} after {took}"
+            matches!(outcome, Outcome::Activated(_)) && duration < 8 * SECOND,
+            "{outcome:?} after {duration}"
         );
     }
     sim.set_write_duration(voter, 1000);
     sim.run(5 * SECOND);
-    let gone = (0..5).find(|i| Some(*i) != sim.leader()).unwrap();
+    let removed = (0..5).find(|i| Some(*i) != sim.leader()).unwrap();
     let end = sim.now + 30 * SECOND;
-    sim.isolate(gone, true);
-    while sim.remove_member(gone) != Ok(true) {
+    sim.isolate(removed, true);
+    while sim.remove_member(removed) != Ok(true) {
         assert!(sim.now < end);
         sim.run(100_000);
     }
     let term = sim.node(sim.leader().unwrap()).unwrap().term();
-    sim.isolate(gone, false); // It does not know of its removal and requests votes.
+    sim.isolate(removed, false); // The member does not know of its removal and requests votes.
     sim.run(20 * SECOND);
     assert_eq!(sim.node(sim.leader().unwrap()).unwrap().term(), term);
-    assert_eq!(sim.permitted_version(gone), None);
+    assert_eq!(sim.permitted_version(removed), None);
     assert!(matches!(
         complete_change(&mut sim, "last", 30 * SECOND).0,
         Outcome::Activated(_)
@@ -298,7 +309,7 @@
     assert_eq!(sim.violations(), []);
 }
 
-/// Proposes one change after another under random faults. `ignore_lease_expiry` plants a fault.
+/// Proposes a series of changes under random faults. `ignore_lease_expiry` injects a bug.
 fn run_with_random_faults(
     policy: PartitionPolicy,
     seed: u64,
@@ -311,10 +322,10 @@
     let mut sim = Simulation::new(7, 3, &rules(policy), environment, seed);
     wait_until_all_may_decide(&mut sim);
     sim.ignore_lease_expiry = ignore_lease_expiry;
-    let mut chance = fastrand::Rng::with_seed(seed ^ 0xFA);
+    let mut random = fastrand::Rng::with_seed(seed ^ 0xFA);
     for round in 0..12 {
         for i in 0..7 {
-            match chance.u32(..14) {
+            match random.u32(..14) {
                 0 => sim.kill(i),
                 1 => sim.pause(i, true),
                 2 => sim.isolate(i, true),
@@ -324,7 +335,7 @@
             }
         }
         let _ = sim.propose_change(&format!("c{round}")); // There may be no leader.
-        sim.run(chance.u64(SECOND..12 * SECOND));
+        sim.run(random.u64(SECOND..12 * SECOND));
         for i in 0..7 {
             sim.isolate(i, false);
             (0..7).for_each(|o| sim.delay(o, i, 0));
@@ -333,7 +344,7 @@
             }
             sim.pause(i, false);
         }
-        sim.run(chance.u64(..4 * SECOND));
+        sim.run(random.u64(..4 * SECOND));
     }
     sim
 }
@@ -347,7 +358,7 @@
             assert_eq!(sim.violations(), [], "{policy:?} seed {seed}");
             wait_until_all_may_decide(&mut sim);
             sim.run(30 * SECOND);
-            // All members know the same outcome of each change, and none is left under way.
+            // All members have the same outcome of each change, and no change is still in progress.
             let state_machines: Vec<_> = (0..7)
                 .map(|i| sim.node(i).unwrap().state_machine().unwrap())
                 .collect();
@@ -379,19 +390,19 @@
 }
 
 #[test]
-fn the_judge_detects_an_ignored_lease_expiry() {
-    let broken = (0..6)
+fn an_ignored_lease_expiry_is_detected() {
+    let detected = (0..6)
         .filter(|seed| {
             !run_with_random_faults(PartitionPolicy::Reject, *seed, true)
                 .violations()
                 .is_empty()
         })
         .count();
-    assert!(broken > 0);
+    assert!(detected > 0);
 }
 
-/// Replaces the disk of a voter, which acknowledged a change with the leader, by a copy from before, while the third voter lags.
-/// `trust_restored_disks` plants a fault.
+/// Replaces the disk of a voter by a copy from before a change that only the leader and this voter have acknowledged.
+/// `trust_restored_disks` injects a bug.
 fn restart_with_stale_disk(trust_restored_disks: bool, seed: u64) -> Simulation {
     let mut sim = start_cluster(3, PartitionPolicy::Reject, seed);
     sim.trust_restored_disks = trust_restored_disks;
@@ -444,7 +455,7 @@
         assert_ne!(
             sim.copy_disk(stale).id(),
             before.id(),
-            "it has joined under another raft node id"
+            "the member has joined under another raft node id"
         );
         assert_eq!(
             complete_change(&mut sim, "after", 30 * SECOND).0,
@@ -455,7 +466,7 @@
 }
 
 #[test]
-fn the_judge_detects_a_stale_disk_that_votes() {
+fn a_vote_of_a_member_with_a_stale_disk_is_detected() {
     // Either a member decides under a former version, or the acknowledged change is lost.
     let lost = |sim: &Simulation| {
         let known = (0..3).filter_map(|i| {
@@ -477,7 +488,7 @@
         Outcome::Activated(1)
     );
     sim.run(SECOND);
-    // All members restart with unconfirmed disks and confirm each other's.
+    // All members restart with unconfirmed disks and confirm each other's disks.
     (0..5).for_each(|i| sim.kill(i));
     (0..5).for_each(|i| {
         let copy = sim.copy_disk(i);
@@ -515,7 +526,7 @@
     let before = sim.copy_disk(lost).id();
     sim.kill(lost);
     sim.kill(leader);
-    sim.join(lost); // The next leader adds it, and has received no report of it.
+    sim.join(lost); // The next leader adds the member without having received a report of it.
     assert!(sim.copy_disk(lost).id() > before);
     sim.start(leader);
     wait_until_all_may_decide(&mut sim);
@@ -524,7 +535,7 @@
 
 #[test]
 fn the_leader_may_crash_at_any_step_of_a_change() {
-    let mut ends = [0; 2];
+    let mut outcome_counts = [0; 2];
     for step in 0..80 {
         let mut sim = start_cluster(5, PartitionPolicy::Reject, 100);
         let leader = sim.leader().unwrap();
@@ -535,13 +546,13 @@
         sim.kill(leader);
         sim.isolate(leader, false);
         let end = sim.now + 30 * SECOND;
-        let led = |s: &Simulation| {
+        let is_settled = |s: &Simulation| {
             s.leader()
                 .is_some_and(|l| s.node(l).unwrap().state_machine().unwrap().change.is_none())
         };
         assert!(
-            sim.run_until(end, led),
-            "no leader without a change under way after {step} steps"
+            sim.run_until(end, is_settled),
+            "no leader without a change in progress after {step} steps"
         );
         let next = sim
             .node(sim.leader().unwrap())
@@ -550,8 +561,8 @@
             .unwrap();
         let (outcome, version) = (next.outcome("one").cloned(), next.version);
         match outcome {
-            Some(Outcome::Activated(1)) => ends[1] += 1,
-            None => ends[0] += 1, // It was lost with the leader and took effect nowhere.
+            Some(Outcome::Activated(1)) => outcome_counts[1] += 1,
+            None => outcome_counts[0] += 1, // The change was lost with the leader and took effect on no member.
             other => panic!("{other:?}"),
         }
         assert_eq!(
@@ -578,8 +589,8 @@
         assert_eq!(sim.violations(), [], "after {step} steps");
     }
     assert!(
-        ends.iter().all(|n| *n > 0),
-        "{ends:?}: steps before and after the commit"
+        outcome_counts.iter().all(|n| *n > 0),
+        "{outcome_counts:?}: steps before and after the commit"
     );
 }
 
@@ -590,14 +601,17 @@
         let leader = sim.leader().unwrap();
         let voters = sim.node(leader).unwrap().voters();
         let votes = |sim: &Simulation, i: usize| voters.contains(&sim.copy_disk(i).id());
-        // Voters keep running; the loss of the quorum has a test of its own.
+        // The voters keep running; another test covers the loss of the quorum.
         let rest: Vec<usize> = (0..count).filter(|i| !votes(&sim, *i)).collect();
         for (n, part) in [count / 3, count * 7 / 10].into_iter().enumerate() {
             let down: Vec<usize> = rest.iter().copied().take(part).collect();
             down.iter().for_each(|i| sim.kill(*i));
-            let (outcome, took) = complete_change(&mut sim, &format!("c{n}"), 30 * SECOND);
+            let (outcome, duration) = complete_change(&mut sim, &format!("c{n}"), 30 * SECOND);
             assert_eq!(outcome, Outcome::Activated(n as u64 + 1));
-            assert!(took < 6 * SECOND, "{count} members, {part} down: {took} us");
+            assert!(
+                duration < 6 * SECOND,
+                "{count} members, {part} down: {duration} us"
+            );
             down.iter().for_each(|i| sim.start(*i));
             wait_until_all_may_decide(&mut sim);
             sim.run(SECOND);
--- a/crates/cluster/tests/stored_forms.rs
+++ b/crates/cluster/tests/stored_forms.rs
@@ -1,4 +1,5 @@
-//! What members store and agree on has the form that the version before wrote, and is read from it.
+//! Guards against incompatible changes of stored data: commands, states and snapshots are serialized as recorded from the previous
+//! version, and can be read from that form.
 use cluster::command::{AbortReason, Command, Member, Proposal};
 use cluster::persistence::PersistedState;
 use cluster::rules::{PartitionPolicy, Rules};
@@ -74,7 +75,7 @@
     ]
 }
 
-fn machine() -> StateMachine {
+fn state_machine() -> StateMachine {
     StateMachine::bootstrap(
         "00ff".into(),
         rules(PartitionPolicy::Reject),
@@ -86,42 +87,42 @@
 }
 
 #[test]
-fn commands_states_and_snapshots_are_the_recorded_ones() {
+fn commands_states_and_snapshots_are_serialized_as_recorded() {
     let mut written = String::new();
-    let mut machine = machine();
+    let mut state_machine = state_machine();
     for command in commands() {
         let text = serde_json::to_string(&command).unwrap();
         assert_eq!(serde_json::from_str::<Command>(&text).unwrap(), command);
-        machine.apply(&command);
+        state_machine.apply(&command);
         written += &format!("command {text}\n");
     }
-    written += &format!("state {}\n", serde_json::to_string(&machine).unwrap());
+    written += &format!("state {}\n", serde_json::to_string(&state_machine).unwrap());
     written += &format!(
         "rules {}\n",
         serde_json::to_string(&rules(PartitionPolicy::Serve)).unwrap()
     );
-    let saved = PersistedState::bootstrap(&machine, "the service's state".into(), 1);
-    written += &format!("snapshot {}\n", hex(&saved.snapshot.unwrap()));
-    written += &format!("hard {}\n", hex(&saved.hard_state.unwrap()));
+    let persisted = PersistedState::bootstrap(&state_machine, "the service's state".into(), 1);
+    written += &format!("snapshot {}\n", hex(&persisted.snapshot.unwrap()));
+    written += &format!("hard {}\n", hex(&persisted.hard_state.unwrap()));
     assert_eq!(
         written, RECORDED,
-        "stored forms differ; they are now:\n{written}"
+        "serialized forms differ from the recorded ones; they are now:\n{written}"
     );
 }
 
 #[test]
-fn recorded_commands_come_to_the_recorded_state() {
-    let mut machine = machine();
-    let of = |kind: &str| {
+fn recorded_commands_produce_the_recorded_state() {
+    let mut state_machine = state_machine();
+    let lines_of = |kind: &str| {
         RECORDED
             .lines()
             .filter_map(|l| l.strip_prefix(kind))
             .collect::<Vec<_>>()
     };
-    for text in of("command ") {
-        machine.apply(&serde_json::from_str(text).unwrap());
+    for text in lines_of("command ") {
+        state_machine.apply(&serde_json::from_str(text).unwrap());
     }
-    assert_eq!(of("command ").len(), commands().len());
-    let recorded: StateMachine = serde_json::from_str(of("state ")[0]).unwrap();
-    assert_eq!(machine, recorded);
+    assert_eq!(lines_of("command ").len(), commands().len());
+    let recorded: StateMachine = serde_json::from_str(lines_of("state ")[0]).unwrap();
+    assert_eq!(state_machine, recorded);
 }
