--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -157,7 +157,7 @@
     let member = member(cluster, before.next_id);
     let cluster_id = new_cluster_id();
     let machine = restart_with_one_member(before, cluster_id, name.clone(), member, version, entry);
-    kept.found_cluster(&machine, &name, state)
+    kept.bootstrap_cluster(&machine, &name, state)
         .map_err(unreadable)?;
     done(&machine);
     Ok(())
@@ -217,7 +217,7 @@
         version,
         entry,
     );
-    kept.found_cluster(&machine, &name, state)
+    kept.bootstrap_cluster(&machine, &name, state)
         .map_err(unreadable)?;
     done(&machine);
     Ok(())
--- a/crates/cluster-runtime/src/heartbeat.rs
+++ b/crates/cluster-runtime/src/heartbeat.rs
@@ -1,8 +1,8 @@
 //! Heartbeat file of a member's process, beside its log.
 //!
-//! The file `alive` names the boot of the machine and the moment at which the process last ran. A process that starts shortly after
-//! that knows that its disk holds the newest log, without asking other members. Limit: a disk restored on the same machine within
-//! [`FRESHNESS_LIMIT`], from a copy no older than that, also counts as the newest.
+//! The file `alive` contains the boot id of the machine and the time at which the process was last running. A process that starts shortly
+//! after that time can assume that its disk has the latest log, without asking other members. Limitation: a disk restored on the same
+//! machine within [`FRESHNESS_LIMIT`], from a copy no older than that, is also assumed to have the latest log.
 
 use std::path::{Path, PathBuf};
 
@@ -10,23 +10,23 @@
 
 use crate::clock;
 
-/// Longest age of a heartbeat that proves a disk to be the newest.
+/// Maximum age of a heartbeat for which the disk counts as fresh.
 pub const FRESHNESS_LIMIT: Micros = 60_000_000;
-/// Interval between two heartbeats.
+/// Interval between heartbeats.
 const WRITE_INTERVAL: Micros = 1_000_000;
 const FILE_NAME: &str = "alive";
 
-/// Heartbeat of this process, and the one that the process before it left.
+/// Heartbeat of this process and of the previous one.
 pub struct ProcessHeartbeat {
     file: PathBuf,
     boot_id: String,
-    /// Last heartbeat of the process before this one, if it is of the same boot.
+    /// Time of the previous process's last heartbeat, if it is from the same boot.
     previous: Option<Micros>,
     next_write_at: Micros,
 }
 
 impl ProcessHeartbeat {
-    /// Reads the heartbeat file in `directory`; a missing or damaged file counts as no heartbeat.
+    /// Reads the heartbeat file in `directory`; a missing or damaged file is treated as no heartbeat.
     pub fn read(directory: &Path) -> Self {
         let file = directory.join(FILE_NAME);
         let boot_id = boot_id();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns true if the disk is known to hold the newest log of its process.
+    /// Returns true if the disk is known to have the latest log.
     pub fn is_disk_fresh(&self) -> bool {
         let Some(previous) = self.previous else {
             return false;
@@ -49,7 +49,7 @@
         age.is_some_and(|age| age <= FRESHNESS_LIMIT)
     }
 
-    /// Writes a heartbeat if one is due. It is not synced: it need not outlast a crash of the machine.
+    /// Writes a heartbeat if one is due. The file is not synced, as it does not have to survive a crash of the machine.
     pub fn write_if_due(&mut self, now: Micros) {
         if now < self.next_write_at {
             return;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the id of the current boot of the machine, as the kernel names it; empty if it is unknown.
+/// Returns the kernel's id of the current boot of the machine, or an empty string if it is unknown.
 pub fn boot_id() -> String {
     std::fs::read_to_string("/proc/sys/kernel/random/boot_id")
         .unwrap_or_default()
--- a/crates/cluster-runtime/src/lib.rs
+++ b/crates/cluster-runtime/src/lib.rs
@@ -1,11 +1,11 @@
-//! I/O of a cluster member: connections to the other members, its log on disk, its clock, and the event loop that drives it.
+//! I/O of a cluster member: connections to other members, the log on disk, the clock, and the event loop that drives the member.
 //!
-//! - [`member::MemberRuntime`]: opens a member and drives it; the application receives events and answers with commands.
+//! - [`member::MemberRuntime`]: opens a member and drives it; the application receives events and responds with commands.
 //! - [`transport::Transport`]: connections between members, with the handshake and frames of [`frame`] and the encoding of [`message`].
-//! - [`lease::SharedLease`]: the lease of the member, checked for each decision.
-//! - [`storage::StoredMember`]: the directory of a member whose process does not run.
+//! - [`lease::SharedLease`]: the member's lease, checked for each decision.
+//! - [`storage::StoredMember`]: the directory of a member whose process is not running.
 //!
-//! It decides nothing: agreement and leases are the work of the `cluster` package.
+//! Consensus and leases are implemented in the `cluster` package.
 #![deny(
     clippy::too_many_lines,
     clippy::too_many_arguments,
--- a/crates/cluster-runtime/src/member/call_routing.rs
+++ b/crates/cluster-runtime/src/member/call_routing.rs
@@ -1,4 +1,4 @@
-//! Routing of calls to the leader, and of answers back to the callers.
+//! Routing of calls to the leader, and of responses back to the callers.
 
 use cluster::node::Node;
 use cluster::rules::Micros;
@@ -10,7 +10,7 @@
 use crate::message::Body;
 
 impl MemberRuntime {
-    /// Sends due calls to the leader; they wait while there is none.
+    /// Sends due calls to the leader. Calls wait while no leader is known.
     pub(super) fn route_calls(&mut self, now: Micros) {
         let leader = self.node().and_then(Node::leader);
         let own_id = self.node().map(Node::id);
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Passes a call on to the application, once for all its callers. Ignored unless this member leads: the caller retries.
+    /// Forwards a call to the application, once for all of its callers. Ignores the call unless this member is the leader: the caller
+    /// retries.
     pub(super) fn accept_call(&mut self, id: String, payload: String, caller: Caller) {
         let is_leader = self.node().is_some_and(Node::is_leader);
         if !is_leader || !self.calls.has_capacity() {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Sends the application's answer to all callers.
+    /// Sends the application's response to all callers.
     pub(super) fn answer_call(&mut self, id: &str, answer: &CallResult) {
         for caller in self.calls.take_callers(id) {
             match caller {
--- a/crates/cluster-runtime/src/member/call_table.rs
+++ b/crates/cluster-runtime/src/member/call_table.rs
@@ -1,4 +1,4 @@
-//! Calls for the leader: those of this member that wait for an answer, and those that this member is answering. Without I/O.
+//! Calls to the leader: unanswered calls of this member, and calls that this member processes as the leader. Without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +7,21 @@
 
 use super::command::CallResult;
 
-/// Calls in each direction at most.
+/// Maximum number of calls in each direction.
 const MAX_CALLS: usize = 1024;
-/// Interval after which an unanswered call is sent again.
+/// Interval after which an unanswered call is retried.
 const RETRY_INTERVAL: Micros = 300_000;
 
-/// Origin of a call that is being answered.
+/// Origin of a call that this member processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Caller {
-    /// Application of this member.
+    /// The application of this member.
     Local,
-    /// Another member, by name.
+    /// Another member, identified by its name.
     Member(String),
 }
 
-/// Call that is to be sent to the leader.
+/// Call that is due to be sent to the leader.
 #[derive(Debug)]
 pub(super) struct DueCall {
     pub id: String,
@@ -44,7 +44,7 @@
 }
 
 impl CallTable {
-    /// Adds a call of the local application, due at once; returns false if it was rejected because too many wait.
+    /// Adds a call of the local application, due at once. Returns false if the call was rejected because too many are waiting.
     pub(super) fn start(
         &mut self,
         id: String,
@@ -52,7 +52,7 @@
         reply: oneshot::Sender<CallResult>,
     ) -> bool {
         if self.outgoing.len() >= MAX_CALLS {
-            let _ = reply.send(Err("too many calls wait".into())); // the caller may have left
+            let _ = reply.send(Err("too many calls are waiting for the leader".into())); // the caller may have left
             return false;
         }
         let call = OutgoingCall {
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Returns the calls to send to `leader` now: new ones, unanswered ones, and those sent to another leader.
+    /// Returns the calls that are due to be sent to `leader`: new ones, those without a response in time, and those sent to another leader.
     pub(super) fn take_due(&mut self, now: Micros, leader: Option<u64>) -> Vec<DueCall> {
         self.outgoing.retain(|_, call| !call.reply.is_closed());
         let mut due = Vec::new();
@@ -83,19 +83,19 @@
         due
     }
 
-    /// Delivers the answer to a call of the local application.
+    /// Completes a call of the local application with the response.
     pub(super) fn complete(&mut self, id: &str, answer: CallResult) {
         if let Some(call) = self.outgoing.remove(id) {
             let _ = call.reply.send(answer); // the caller may have left
         }
     }
 
-    /// Returns true while another call may be answered here.
+    /// Returns true if this member can process another call.
     pub(super) fn has_capacity(&self) -> bool {
         self.answering.len() < MAX_CALLS
     }
 
-    /// Registers a caller of a call that is answered here; returns true for the first one.
+    /// Registers a caller of a call that this member processes; returns true for the first caller.
     pub(super) fn add_caller(&mut self, id: &str, caller: Caller) -> bool {
         let is_first = !self.answering.contains_key(id);
         self.answering
@@ -105,12 +105,12 @@
         is_first
     }
 
-    /// Ends a call that was answered here and returns its callers.
+    /// Removes a call that this member has processed and returns its callers.
     pub(super) fn take_callers(&mut self, id: &str) -> BTreeSet<Caller> {
         self.answering.remove(id).unwrap_or_default()
     }
 
-    /// Ends all calls that are answered here, without an answer: the callers retry at the leader.
+    /// Removes all calls that this member processes, without a response: the callers retry at the leader.
     pub(super) fn abandon_all(&mut self) {
         self.answering.clear();
     }
--- a/crates/cluster-runtime/src/member/command.rs
+++ b/crates/cluster-runtime/src/member/command.rs
@@ -1,4 +1,4 @@
-//! Commands that the application gives to its member.
+//! Commands from the application to its member.
 
 use cluster::command::Proposal;
 use cluster::error::NodeError;
@@ -12,7 +12,7 @@
 
 /// Result of a proposal.
 pub type ProposalResult = Result<Outcome, NodeError>;
-/// Answer to a call for the leader.
+/// Response to a call to the leader.
 pub type CallResult = Result<String, CallError>;
 
 /// Change that was in progress in a restored snapshot.
@@ -24,75 +24,75 @@
     pub phase: Phase,
 }
 
-/// Command of the application. A reply channel that is dropped unanswered means that the member has stopped or has not joined yet.
+/// Command from the application. A reply channel that is dropped without a reply means that the member has stopped or has not joined yet.
 #[derive(Debug)]
 pub enum MemberCommand {
-    /// A change has been validated.
+    /// The application has validated a change.
     ChangeValidated(Validation),
-    /// Decisions under the present version have stopped.
+    /// The application has stopped deciding under the current version.
     ChangeFenced {
-        /// Id of the change for which they stopped.
+        /// Id of the change for which it has stopped.
         change: String,
     },
-    /// A version is served.
+    /// The application serves a version.
     VersionServed(Version),
-    /// A restored snapshot is served.
+    /// The application serves the state of a restored snapshot.
     StateRestored {
         /// Version of the snapshot.
         version: Version,
         /// Change that was in progress.
         change: Option<PendingChange>,
     },
-    /// The state has been exported.
+    /// The application has exported its state.
     StateExported(String),
-    /// A call has an answer.
+    /// The application has processed a call.
     CallAnswered {
         /// Id of the call.
         id: String,
-        /// Answer.
+        /// Response to the call.
         answer: CallResult,
     },
-    /// A call has no answer because this member does not lead; the caller retries at the leader.
+    /// A call was not processed because this member is not the leader; the caller retries at the leader.
     CallUnanswered {
         /// Id of the call.
         id: String,
     },
     /// Proposes a change or a payload to store.
     Propose {
-        /// Proposal.
+        /// Proposal to replicate.
         proposal: Proposal,
         /// Kind of the proposal.
         kind: ProposalKind,
-        /// Receives the result once it is agreed.
+        /// Receives the result once the proposal is committed or rejected.
         reply: oneshot::Sender<ProposalResult>,
     },
-    /// Asks for confirmation that a read is current; answered by the event `ReadCompleted` with this number.
+    /// Requests confirmation that a read is current; the event `ReadCompleted` with this number is the response.
     ConfirmRead(u64),
     /// Calls the leader.
     Call {
-        /// Id of the call; a repeated call with the same id is answered once.
+        /// Id of the call; repeated calls with the same id are processed once.
         id: String,
         /// Payload of the call.
         payload: String,
-        /// Receives the answer.
+        /// Receives the response.
         reply: oneshot::Sender<CallResult>,
     },
-    /// Announces a graceful shutdown: this member decides nothing any more, and no change has to wait for it.
+    /// Announces a graceful shutdown: this member stops deciding, so that changes do not wait for it.
     ReleaseLease,
-    /// Asks for the status of the cluster.
+    /// Requests the status of the cluster.
     ReportStatus(oneshot::Sender<Status>),
     /// Removes a member.
     RemoveMember {
         /// Name of the member.
         name: String,
-        /// Receives true once the member is removed, false while it is still leaving.
+        /// Receives true once the member is removed, false while the removal is in progress.
         reply: oneshot::Sender<Result<bool, NodeError>>,
     },
-    /// Accepts the disk of this member as its newest, on the word of an operator; the reply is true if that was in doubt.
+    /// Confirms on behalf of an operator that the disk has the member's latest state; the reply is true if it was unconfirmed.
     ConfirmDisk(oneshot::Sender<bool>),
     /// Transfers leadership.
     TransferLeadership {
-        /// Name of the new leader; any member if none.
+        /// Name of the new leader; any active voter if `None`.
         successor: Option<String>,
         /// Receives the result.
         reply: oneshot::Sender<Result<(), NodeError>>,
--- a/crates/cluster-runtime/src/member/command_handler.rs
+++ b/crates/cluster-runtime/src/member/command_handler.rs
@@ -1,4 +1,4 @@
-//! Handling of the application's commands.
+//! Handling of commands from the application.
 
 use cluster::command::Proposal;
 use cluster::error::NodeError;
@@ -13,7 +13,7 @@
 use crate::clock;
 
 impl MemberRuntime {
-    /// Handles one command. Before this member has joined only calls and the status are handled; other replies are dropped.
+    /// Handles one command. Before this member has joined, it handles only calls and status requests, and drops other reply channels.
     pub(super) fn handle_command(&mut self, command: MemberCommand) {
         let now = clock::now();
         match command {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Runs `operation` on the node; without one, drops it and the reply channel that it owns.
+    /// Runs `operation` on the node. Without a node, drops `operation` and the reply channel that it owns.
     fn with_node(&mut self, operation: impl FnOnce(&mut Node)) {
         if let Some(joined) = &mut self.joined {
             operation(&mut joined.node);
--- a/crates/cluster-runtime/src/member/discovery.rs
+++ b/crates/cluster-runtime/src/member/discovery.rs
@@ -1,12 +1,12 @@
-//! Discovery of an existing cluster before a member has joined, and agreement on who founds a new one. Without I/O.
+//! Discovery of an existing cluster by a member that has not joined, and agreement on the member that creates a new cluster. Without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use cluster::rules::Micros;
 
-/// Interval between two attempts of a member that has not joined.
+/// Interval between attempts of a member that has not joined.
 const ATTEMPT_INTERVAL: Micros = 300_000;
-/// Interval between two attempts of a member without a leader.
+/// Interval between attempts of a member without a leader.
 const LEADERLESS_INTERVAL: Micros = 4 * ATTEMPT_INTERVAL;
 
 /// Name and address of a member.
@@ -16,20 +16,20 @@
     pub address: String,
 }
 
-/// Answer of a member to a discovery request.
+/// Response of a member to a discovery request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DiscoveryReply {
     pub leader: Option<PeerAddress>,
-    /// Names that the member's settings list, its own included.
+    /// Names of the members in the replying member's settings, including its own.
     pub names: Vec<String>,
 }
 
 /// Next step of a member that has not joined.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum DiscoveryStep {
-    /// All listed members answer, none knows a cluster, and this one is to found it.
-    FoundCluster,
-    /// A leader is known and can be asked to join.
+    /// All configured members have replied, none knows a cluster, and this one has to create it.
+    BootstrapCluster,
+    /// A leader is known; send it a join request.
     Join(PeerAddress),
     /// No leader is known yet.
     Wait,
@@ -38,11 +38,11 @@
 /// Discovery state of one member.
 pub(super) struct Discovery {
     own_name: String,
-    /// Names that the settings list, with the own one, sorted.
+    /// Names of the members in the settings, including the own one, sorted.
     names: Vec<String>,
     replies: BTreeMap<String, DiscoveryReply>,
     next_attempt_at: Micros,
-    /// Number that tells the leader if a join request is repeated by the same process.
+    /// Random number by which the leader recognizes repeated join requests of the same process.
     pub join_nonce: u64,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the names that the settings list, with the own one.
+    /// Returns the names of the members in the settings, including the own one.
     pub(super) fn names(&self) -> &[String] {
         &self.names
     }
@@ -82,29 +82,29 @@
         is_due
     }
 
-    /// Records the answer of a member.
+    /// Records the response of a member.
     pub(super) fn record(&mut self, name: String, reply: DiscoveryReply) {
         self.replies.insert(name, reply);
     }
 
-    /// Forgets all answers and starts again at once, as a new process.
+    /// Discards all responses and starts again at once, like a new process.
     pub(super) fn restart(&mut self) {
         self.next_attempt_at = 0;
         self.join_nonce = fastrand::u64(1..);
         self.replies.clear();
     }
 
-    /// Decides the next step from the answers so far.
+    /// Returns the next step according to the responses received so far.
     pub(super) fn next_step(&self) -> DiscoveryStep {
         let is_first_by_name = self.names.first() == Some(&self.own_name);
-        if is_first_by_name && self.names.iter().all(|name| self.agrees_to_found(name)) {
-            return DiscoveryStep::FoundCluster;
+        if is_first_by_name && self.names.iter().all(|name| self.agrees_to_bootstrap(name)) {
+            return DiscoveryStep::BootstrapCluster;
         }
         let leader = self.replies.values().find_map(|reply| reply.leader.clone());
         leader.map_or(DiscoveryStep::Wait, DiscoveryStep::Join)
     }
 
-    fn agrees_to_found(&self, name: &str) -> bool {
+    fn agrees_to_bootstrap(&self, name: &str) -> bool {
         if name == self.own_name {
             return true;
         }
--- a/crates/cluster-runtime/src/member/error.rs
+++ b/crates/cluster-runtime/src/member/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end a member.
+//! Errors that stop a member.
 
 use std::io;
 
@@ -11,7 +11,7 @@
 /// Reason why a member can't be opened, or has stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
-    /// The member's address can't be listened on.
+    /// The member can't listen on its address.
     #[error("{address}: {source}")]
     Listen {
         /// Address in the settings.
@@ -31,12 +31,12 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The log can't be written while the member runs.
-    #[error("the log: {0}")]
+    #[error("replicated log: {0}")]
     Log(#[source] StoreError),
     /// The node can't start from the stored state.
     #[error(transparent)]
     PersistedState(#[from] PersistedStateError),
-    /// The application has no initial state for a new cluster.
+    /// The application could not provide the initial state of a new cluster.
     #[error("{0}")]
     InitialState(#[source] InitialStateError),
 }
--- a/crates/cluster-runtime/src/member/event.rs
+++ b/crates/cluster-runtime/src/member/event.rs
@@ -1,58 +1,58 @@
-//! Events that a member reports to its application.
+//! Events from a member to its application.
 
 use cluster::command::Proposal;
 use cluster::state_machine::{StateMachine, Version};
 
-/// Event for the application. Events are to be handled in the order in which they arrive; each names the
+/// Event for the application, which handles events in the order of their arrival. The documentation of each event names the
 /// [`MemberCommand`](super::command::MemberCommand) that acknowledges it, if any.
 #[derive(Debug)]
 pub enum MemberEvent {
-    /// A change is to be validated; acknowledged by `ChangeValidated`.
+    /// The application has to validate a change; acknowledged by `ChangeValidated`.
     ValidateChange(Proposal),
-    /// Decisions under the present version are to stop for a change; acknowledged by `ChangeFenced`.
+    /// The application has to stop deciding under the current version for a change; acknowledged by `ChangeFenced`.
     FenceVersion(Proposal),
-    /// A version is in effect and is to be served; acknowledged by `VersionServed`.
+    /// A version is in effect and the application has to serve it; acknowledged by `VersionServed`.
     ActivateVersion {
         /// New version.
         version: Version,
-        /// Proposal that led to it.
+        /// Proposal of the change that created the version.
         proposal: Proposal,
     },
-    /// Members have joined or left.
+    /// Members were added or removed.
     MembersChanged {
-        /// Position of this member among all members, by name.
+        /// Position of this member among all members, ordered by name.
         index: u32,
         /// Number of members.
         count: u32,
     },
-    /// A change that was to be validated was aborted.
+    /// A change was aborted during validation.
     ChangeAborted,
-    /// A payload that influences no decision is to be stored.
+    /// The application has to store a payload that affects no decision.
     StorePayload(Proposal),
-    /// The state of the application is to be replaced if it is older; acknowledged by `StateRestored`.
+    /// The application has to replace its state if it is older; acknowledged by `StateRestored`.
     RestoreState {
         /// State of the cluster at the snapshot.
         machine: StateMachine,
         /// State of the application at the snapshot.
         state: String,
     },
-    /// The state after all events so far is to be exported; acknowledged by `StateExported`.
+    /// The application has to export its state after all events so far; acknowledged by `StateExported`.
     ExportState,
-    /// A read started by `ConfirmRead` has been decided.
+    /// A read that was started by `ConfirmRead` has completed.
     ReadCompleted {
         /// Number of the read.
         read: u64,
-        /// Set if this member led and had applied all that was agreed before the read.
+        /// Set if this member was the leader and had applied all entries committed before the read.
         is_current: bool,
     },
-    /// A call for the leader has arrived; acknowledged by `CallAnswered` or `CallUnanswered`.
+    /// A call to the leader was received; acknowledged by `CallAnswered` or `CallUnanswered`.
     CallReceived {
         /// Id of the call.
         id: String,
         /// Payload of the call.
         payload: String,
     },
-    /// The member has stopped: nothing may be decided any more.
+    /// The member has stopped; the application may not decide any more.
     Stopped {
         /// Reason, as text for the operator.
         reason: String,
--- a/crates/cluster-runtime/src/member/joining.rs
+++ b/crates/cluster-runtime/src/member/joining.rs
@@ -1,4 +1,4 @@
-//! Start of a member: from its stored identity, by joining a cluster, by founding one, or anew after its disk was restored.
+//! Start of a member: from its stored identity, by joining or creating a cluster, or as a new member after its disk was restored.
 
 use cluster::command::Member;
 use cluster::node::{Node, NodeConfig};
@@ -13,11 +13,11 @@
 use crate::message::Body;
 use crate::storage::{Identity, new_cluster_id, persisted_state, read_identity, write_identity};
 
-/// Id of the member that founds a cluster.
-const FOUNDER_ID: u64 = 1;
+/// Raft node id of the member that creates a cluster.
+const BOOTSTRAP_MEMBER_ID: u64 = 1;
 
 impl MemberRuntime {
-    /// Starts as the member that the log identifies, if any.
+    /// Starts the member that is identified in the log, if any.
     pub(super) fn start_from_log(&mut self, contents: &LogContents) -> Result<(), MemberError> {
         let Some(identity) = read_identity(contents)? else {
             return Ok(());
@@ -31,7 +31,7 @@
         self.start_node(identity, &persisted_state(contents))
     }
 
-    /// Starts as a member that has just joined the cluster under this id.
+    /// Starts a member that has just joined a cluster under a raft node id.
     pub(super) fn start_joined(&mut self, cluster: String, id: u64) -> Result<(), MemberError> {
         let identity = Identity {
             cluster,
@@ -66,14 +66,14 @@
         Ok(())
     }
 
-    /// Makes one attempt to join or found a cluster.
+    /// Makes one attempt to join or create a cluster.
     pub(super) fn attempt_to_join(&mut self) -> Result<(), MemberError> {
         match self.discovery.next_step() {
-            DiscoveryStep::FoundCluster => return self.found_cluster(),
+            DiscoveryStep::BootstrapCluster => return self.bootstrap_cluster(),
             DiscoveryStep::Join(leader) => {
                 let request = Body::Join {
                     zone: self.settings.zone.clone(),
-                    drawn: self.discovery.join_nonce,
+                    nonce: self.discovery.join_nonce,
                 };
                 self.send_to(&leader.name, &leader.address, request);
             }
@@ -83,25 +83,25 @@
         Ok(())
     }
 
-    /// Asks all members that the settings list for a cluster and its leader.
+    /// Sends a discovery request to all members in the settings.
     pub(super) fn send_discovery_requests(&mut self) {
         let names = self.discovery.names().to_vec();
         for (name, address) in self.settings.peers.clone() {
-            let request = Body::Ask {
+            let request = Body::DiscoveryRequest {
                 names: names.clone(),
             };
             self.send_to(&name, &address, request);
         }
     }
 
-    fn found_cluster(&mut self) -> Result<(), MemberError> {
+    fn bootstrap_cluster(&mut self) -> Result<(), MemberError> {
         let Some(provide_initial_state) = self.provide_initial_state.take() else {
             return Ok(());
         };
         let initial = provide_initial_state().map_err(MemberError::InitialState)?;
         let name = self.settings.name.clone();
-        let founder = Member {
-            id: FOUNDER_ID,
+        let member = Member {
+            id: BOOTSTRAP_MEMBER_ID,
             address: self.address.clone(),
             zone: self.settings.zone.clone(),
             join_nonce: self.discovery.join_nonce,
@@ -110,24 +110,25 @@
             new_cluster_id(),
             self.settings.rules.clone(),
             name.clone(),
-            founder,
+            member,
             initial.version,
             initial.revision,
         );
         let identity = Identity {
             cluster: state_machine.cluster_id.clone(),
-            id: FOUNDER_ID,
+            id: BOOTSTRAP_MEMBER_ID,
             name,
         };
-        let persisted = PersistedState::bootstrap(&state_machine, initial.state, FOUNDER_ID);
+        let persisted =
+            PersistedState::bootstrap(&state_machine, initial.state, BOOTSTRAP_MEMBER_ID);
         write_identity(&mut self.log, &identity, &persisted)?;
         let version = initial.version;
-        tracing::info!(cluster = identity.cluster, version, "cluster founded");
+        tracing::info!(cluster = identity.cluster, version, "cluster created");
         self.start_node(identity, &persisted)
     }
 
-    /// Gives up the membership because the disk holds an older copy of the log: this member never votes under its id again and joins
-    /// as a new one.
+    /// Clears the log because the disk has an older copy of it, and joins again as a new member. This member never votes under its former
+    /// raft node id again.
     pub(super) fn rejoin_with_empty_log(
         &mut self,
         last_index: u64,
@@ -136,7 +137,7 @@
         tracing::error!(
             last_index,
             acknowledged_index,
-            "log on disk is older than what this member has acknowledged, as in a restored copy; joining anew"
+            "log on disk is older than what this member has acknowledged, as after a restore of the disk; joining again as a new member"
         );
         self.log.clear().map_err(MemberError::Log)?;
         self.lease.replace(None);
--- a/crates/cluster-runtime/src/member/message_handler.rs
+++ b/crates/cluster-runtime/src/member/message_handler.rs
@@ -12,9 +12,9 @@
 use crate::clock;
 use crate::message::{Body, JoinError, Message, Sender};
 
-/// Interval between two notices to members of other clusters.
+/// Minimum interval between notices to members of other clusters.
 const FOREIGN_NOTICE_INTERVAL: Micros = 300_000;
-/// Senders outside the membership whose address is kept at most.
+/// Maximum number of recorded senders that are not in the membership.
 const MAX_UNLISTED_SENDERS: usize = 1024;
 
 impl MemberRuntime {
@@ -24,26 +24,26 @@
         let now = clock::now();
         let is_same_cluster = self.cluster_id() == Some(from.cluster.as_str());
         let is_foreign = !is_same_cluster && !from.cluster.is_empty();
-        if is_foreign && matches!(body, Body::Node(..) | Body::Ask { .. }) {
+        if is_foreign && matches!(body, Body::Node(..) | Body::DiscoveryRequest { .. }) {
             self.send_foreign_notice(now, &from);
         }
         match body {
             Body::Node(to, message) if is_same_cluster => {
                 self.handle_node_message(now, from, to, message);
             }
-            Body::Ask { .. } => self.answer_discovery(&from),
-            Body::Tell { leader, names } => {
+            Body::DiscoveryRequest { .. } => self.answer_discovery(&from),
+            Body::DiscoveryReply { leader, names } => {
                 let leader = leader.map(|(name, address)| PeerAddress { name, address });
                 let reply = DiscoveryReply { leader, names };
                 self.discovery.record(from.name, reply);
             }
-            Body::Join { zone, drawn } => self.handle_join_request(now, &from, &zone, drawn),
-            Body::Joined(result) => return self.handle_join_result(from.cluster, result),
+            Body::Join { zone, nonce } => self.handle_join_request(now, &from, &zone, nonce),
+            Body::JoinReply(result) => return self.handle_join_result(from.cluster, result),
             Body::Call(id, payload) if is_same_cluster => {
                 self.accept_call(id, payload, Caller::Member(from.name));
             }
             Body::Reply(id, answer) if is_same_cluster => self.calls.complete(&id, answer),
-            Body::Foreign(cluster) => {
+            Body::ForeignCluster(cluster) => {
                 if self.cluster_id().is_some_and(|own| own != cluster) {
                     self.foreign_cluster = Some(cluster);
                 }
@@ -83,13 +83,13 @@
         node.receive(now, from.id, message);
     }
 
-    /// Answers a discovery request, unless this member has joined and knows no leader.
+    /// Replies to a discovery request, unless this member has joined and knows no leader.
     fn answer_discovery(&mut self, from: &Sender) {
         let leader = self.leader();
         if leader.is_none() && self.joined.is_some() {
             return;
         }
-        let reply = Body::Tell {
+        let reply = Body::DiscoveryReply {
             leader: leader.map(|leader| (leader.name, leader.address)),
             names: self.discovery.names().to_vec(),
         };
@@ -108,11 +108,11 @@
         };
         let reply = match joined.node.add_member(now, &request) {
             Ok(Some(id)) => Ok(id),
-            // No answer: the member repeats its request.
+            // No reply: the joining member retries its request.
             Ok(None) | Err(NodeError::NotLeader) => return,
             Err(e) => Err(JoinError::from(e.to_string())),
         };
-        self.send_to(&from.name, &from.address, Body::Joined(reply));
+        self.send_to(&from.name, &from.address, Body::JoinReply(reply));
     }
 
     fn handle_join_result(
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Tells the sender that it belongs to another cluster, such as one from before a restore; its messages are ignored.
+    /// Notifies the sender that it belongs to another cluster, for example one from before a restore. Its messages are ignored.
     fn send_foreign_notice(&mut self, now: Micros, from: &Sender) {
         if now < self.next_foreign_notice_at {
             return;
@@ -144,6 +144,6 @@
             cluster = from.cluster,
             "message from a member of another cluster ignored"
         );
-        self.send_to(&from.name, &from.address, Body::Foreign(own_cluster));
+        self.send_to(&from.name, &from.address, Body::ForeignCluster(own_cluster));
     }
 }
--- a/crates/cluster-runtime/src/member/mod.rs
+++ b/crates/cluster-runtime/src/member/mod.rs
@@ -1,7 +1,7 @@
 //! Member of a cluster: event loop between the cluster's node, the transport, the log and the application.
 //!
-//! [`MemberRuntime`] owns all of these. The application receives [`MemberEvent`]s and gives [`MemberCommand`]s; the node's outputs are
-//! carried out in their order, and nothing is sent before what it depends on is on disk. Agreement is the node's work, not done here.
+//! [`MemberRuntime`] owns all of these. The application receives [`MemberEvent`]s and sends [`MemberCommand`]s. The runtime performs the
+//! node's outputs in order, so that a message is sent only after the state that it depends on is on disk. The node implements consensus.
 
 mod call_routing;
 mod call_table;
--- a/crates/cluster-runtime/src/member/output_handler.rs
+++ b/crates/cluster-runtime/src/member/output_handler.rs
@@ -1,4 +1,4 @@
-//! Carrying out the node's outputs: log writes, messages, lease and events for the application.
+//! Processing of the node's outputs: log writes, messages, lease changes, and events for the application.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 use crate::message::Body;
 
 impl MemberRuntime {
-    /// Carries out all outputs of the node, in their order, until there are none.
+    /// Processes all outputs of the node in order, until there are none left.
     pub(super) fn process_outputs(&mut self) -> Result<(), MemberError> {
         loop {
             let outputs = match &mut self.joined {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Ends the proposals that wait here unless this member leads: they may get lost, so the callers ask the leader.
+    /// Fails all waiting proposals unless this member is the leader: they may be lost, so the callers have to retry at the leader.
     pub(super) fn abort_proposals_unless_leader(&mut self) {
         let is_leader = self.node().is_some_and(Node::is_leader);
         if self.proposals.is_empty() || is_leader {
@@ -77,7 +77,7 @@
             identity: None,
             acknowledged: persist.acknowledged.as_deref(),
         };
-        // Tests delay the write here.
+        // Failpoint with which tests delay the write.
         fail::fail_point!("cluster-log");
         self.log.write(batch).map_err(MemberError::Log)
     }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reports the members to the application and closes connections to those that have left.
+    /// Notifies the application of the members and closes connections to removed ones.
     fn update_members(&mut self) {
         let machine = self.node().and_then(Node::state_machine);
         let names = machine.map(member_names).unwrap_or_default();
--- a/crates/cluster-runtime/src/member/runtime.rs
+++ b/crates/cluster-runtime/src/member/runtime.rs
@@ -1,4 +1,4 @@
-//! Event loop of a member, and the state that its handlers share.
+//! Event loop of a member, and the state shared by its handlers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,11 +26,11 @@
 use crate::storage::{Identity, StorageError};
 use crate::transport::{Transport, TransportCounters};
 
-/// Interval between two ticks of the node.
+/// Interval between ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Messages handled in one turn, before their outputs are written to disk together.
+/// Maximum number of messages handled in one iteration, whose outputs are then processed together.
 const MAX_MESSAGES_PER_TURN: usize = 256;
-/// Received messages that wait for the event loop at most.
+/// Maximum number of received messages that wait for the event loop.
 const MAX_RECEIVED_MESSAGES: usize = 4 * MAX_MESSAGES_PER_TURN;
 
 /// Identity and node of a member that has joined.
@@ -48,7 +48,7 @@
     events: mpsc::UnboundedSender<MemberEvent>,
     commands: mpsc::UnboundedReceiver<MemberCommand>,
     pub(super) lease: Arc<SharedLease>,
-    /// Times that the log was opened, this one included.
+    /// Number of times that the log was opened, including this one.
     pub(super) incarnation: u32,
     pub(super) provide_initial_state: Option<ProvideInitialState>,
     /// Address on which this member listens.
@@ -56,21 +56,21 @@
     /// `None` before this member has joined.
     pub(super) joined: Option<JoinedMember>,
     pub(super) discovery: Discovery,
-    /// Addresses of senders that the membership does not list yet, by id.
+    /// Addresses of senders that are not in the membership yet, by raft node id.
     pub(super) unlisted_senders: BTreeMap<u64, PeerAddress>,
-    /// Callers that wait for the result of a proposal, by its id.
+    /// Callers that wait for the result of a proposal, by proposal id.
     pub(super) proposals: BTreeMap<String, Vec<oneshot::Sender<ProposalResult>>>,
     pub(super) calls: CallTable,
-    /// Finished changes that this member has seen.
+    /// Completed changes that this member has seen.
     pub(super) changes: ChangeTotals,
     pub(super) heartbeat: ProcessHeartbeat,
     pub(super) was_disk_restored: bool,
-    /// Cluster to which other members belong, if it is not this member's.
+    /// Id of the cluster to which other members belong, if it is not this member's cluster.
     pub(super) foreign_cluster: Option<String>,
     pub(super) next_foreign_notice_at: Micros,
 }
 
-/// Revokes the lease when the member ends, also by a panic.
+/// Revokes the lease when the member stops, also after a panic.
 struct RevokeOnDrop(Arc<SharedLease>);
 
 impl Drop for RevokeOnDrop {
@@ -80,7 +80,7 @@
 }
 
 impl MemberRuntime {
-    /// Opens the log and listens for other members; the member does nothing until [`MemberRuntime::run`].
+    /// Opens the log and listens for other members. The member is inactive until [`MemberRuntime::run`].
     ///
     /// # Errors
     /// The log or the address is not available, or the directory belongs to another member.
@@ -134,7 +134,7 @@
         self.transport.counters().clone()
     }
 
-    /// Runs the member until the application has dropped its channels, or the disk fails.
+    /// Runs the member until the application drops its channels, or a write to the log fails.
     pub async fn run(mut self) {
         let revoke = RevokeOnDrop(self.lease.clone());
         let result = self.run_event_loop().await;
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Handles a message and those that wait behind it, up to the limit of a turn.
+    /// Handles a message and those queued after it, up to the limit of one iteration.
     fn handle_messages(&mut self, first: Message) -> Result<(), MemberError> {
         self.handle_message(first)?;
         for _ in 0..MAX_MESSAGES_PER_TURN {
@@ -183,7 +183,7 @@
         self.heartbeat.write_if_due(now);
         if let Some(joined) = &mut self.joined {
             joined.node.tick(now);
-            // Without a leader, the other members may have moved to another cluster; their answers tell.
+            // Without a leader, the other members may belong to another cluster by now; their responses reveal it.
             let is_leaderless = joined.node.leader().is_none();
             if is_leaderless && self.discovery.begin_leaderless_attempt(now) {
                 self.send_discovery_requests();
@@ -206,7 +206,7 @@
         Some(&joined.identity.cluster)
     }
 
-    /// Returns the leader, if it is known and listed.
+    /// Returns the leader, if it is known and in the membership.
     pub(super) fn leader(&self) -> Option<PeerAddress> {
         let leader = self.node()?.leader()?;
         self.listed_member(leader)
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Sends a message to a member; the address in the settings takes precedence over the one it announces.
+    /// Sends a message to a member. An address in the settings takes precedence over the announced one.
     pub(super) fn send_to(&mut self, name: &str, announced_address: &str, body: Body) {
         let message = Message {
             from: self.sender(),
@@ -234,7 +234,7 @@
         self.transport.send(name, address, &message);
     }
 
-    /// Sends a message to the member with this id; dropped if its address is not known.
+    /// Sends a message to the member with this raft node id; drops the message if the address is unknown.
     pub(super) fn send_to_id(&mut self, id: u64, body: Body) {
         let peer = self
             .listed_member(id)
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Reports an event to the application; dropped once the application has gone.
+    /// Sends an event to the application; drops it if the application has stopped.
     pub(super) fn notify(&self, event: MemberEvent) {
         let _ = self.events.send(event);
     }
--- a/crates/cluster-runtime/src/member/settings.rs
+++ b/crates/cluster-runtime/src/member/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a member and the state with which it founds a cluster.
+//! Settings of a member, and the initial state of a cluster that it creates.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -15,25 +15,25 @@
     pub cluster: String,
     /// Address on which the member listens for other members.
     pub address: String,
-    /// Zone of the member.
+    /// Availability zone of the member.
     pub zone: String,
-    /// Addresses of other members by name; an entry here takes precedence over the address that the member announces.
+    /// Addresses of other members by name; they take precedence over the addresses that the members announce.
     pub peers: BTreeMap<String, String>,
     /// Key of the cluster.
     pub key: Vec<u8>,
-    /// Directory of the member's log.
+    /// Directory of the member's log and heartbeat file.
     pub directory: PathBuf,
-    /// Rules of the cluster, used if this member founds it.
+    /// Rules of the cluster, used if this member creates it.
     pub rules: Rules,
     /// Number of entries after which the log is compacted.
     pub compaction_threshold: u64,
 }
 
-/// Application state with which a cluster is founded.
+/// Initial state of a cluster.
 pub struct InitialState {
     /// Version of the configuration in effect.
     pub version: Version,
-    /// Number of entries that the application has stored.
+    /// Revision: the number of payloads that the application has stored.
     pub revision: u64,
     /// Exported state of the application.
     pub state: String,
@@ -42,5 +42,5 @@
 /// Failure of the application to provide its initial state.
 pub type InitialStateError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Provides the initial state; called at most once, and only by the member that founds the cluster.
+/// Function that provides the initial state; called at most once, and only on the member that creates the cluster.
 pub type ProvideInitialState = Box<dyn FnOnce() -> Result<InitialState, InitialStateError> + Send>;
--- a/crates/cluster-runtime/src/member/status_report.rs
+++ b/crates/cluster-runtime/src/member/status_report.rs
@@ -1,4 +1,4 @@
-//! Status of the cluster as this member sees it.
+//! Status of the cluster as seen by this member.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use crate::status::{ChangeStatus, MemberStatus, MessageTotals, Status};
 use crate::transport::TransportCounters;
 
-/// Remaining time of a lease without an end, as the status shows it.
+/// Remaining time of an unlimited lease in the status.
 const UNLIMITED_LEASE_MS: i64 = -1;
 
 impl MemberRuntime {
--- a/crates/cluster-runtime/src/message.rs
+++ b/crates/cluster-runtime/src/message.rs
@@ -1,22 +1,22 @@
 //! Messages between members and their encoding, without I/O.
 //!
-//! Messages of the replicated log are encoded as raw bytes behind a short prefix, all others as JSON. Serialized names are part of the
-//! protocol between versions.
+//! Raft messages are encoded as raw bytes after a short prefix, all others as JSON. Serialized names are part of the wire protocol, also
+//! between members of different versions; serde attributes map them to the names in the code.
 
 use cluster::message::{self, MessageKind};
 use serde::{Deserialize, Serialize};
 
-/// First byte of an encoded log message.
-const LOG_ENCODING: u8 = 1;
+/// First byte of an encoded raft message.
+const RAFT_ENCODING: u8 = 1;
 /// First byte of a message encoded as JSON.
 const JSON_ENCODING: u8 = 2;
 
 /// Message with its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Member that sent it.
+    /// Sender of the message.
     pub from: Sender,
-    /// Content.
+    /// Content of the message.
     pub body: Body,
 }
 
@@ -25,15 +25,15 @@
 pub struct Sender {
     /// Name of the member.
     pub name: String,
-    /// Address on which it listens for other members.
+    /// Address on which the member listens for other members.
     pub address: String,
-    /// Id of the member; 0 before it has joined.
+    /// Raft node id of the member; 0 before it has joined.
     pub id: u64,
-    /// Id of its cluster; empty before it has joined.
+    /// Id of the member's cluster; empty before it has joined.
     pub cluster: String,
 }
 
-/// Reason why a join request is rejected, as text from the leader.
+/// Reason why the leader rejected a join request, as text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{0}")]
 #[serde(transparent)]
@@ -73,35 +73,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// Message of the cluster protocol for the member with this id.
+    /// Message from node to node, with the raft node id of the receiver.
     Node(u64, message::Message),
-    /// Discovery request: asks for the leader of an existing cluster.
-    Ask {
-        /// Names of the members that the sender's settings list, its own included; founders must agree on them.
+    /// Request for the leader of an existing cluster.
+    #[serde(rename = "ask")]
+    DiscoveryRequest {
+        /// Names of the members in the sender's settings, including its own. Members that create a cluster must agree on them.
         names: Vec<String>,
     },
-    /// Answer to a discovery request.
-    Tell {
+    /// Response to a discovery request.
+    #[serde(rename = "tell")]
+    DiscoveryReply {
         /// Name and address of the leader, if known.
         leader: Option<(String, String)>,
-        /// Names of the members that the sender's settings list, its own included.
+        /// Names of the members in the sender's settings, including its own.
         names: Vec<String>,
     },
     /// Request to join the cluster.
     Join {
         /// Zone of the joining member.
         zone: String,
-        /// Number drawn by the joining process; a repeated request carries the same.
-        #[serde(default)]
-        drawn: u64,
+        /// Random number drawn by the joining process; the same in repeated requests.
+        #[serde(default, rename = "drawn")]
+        nonce: u64,
     },
-    /// Result of a join request: the new member's id.
-    Joined(Result<u64, JoinError>),
-    /// Call for the leader: id and payload.
+    /// Response to a join request: the raft node id of the new member.
+    #[serde(rename = "joined")]
+    JoinReply(Result<u64, JoinError>),
+    /// Call to the leader: id and payload.
     Call(String, String),
-    /// Notice that the receiver belongs to another cluster than the sender, whose id this is.
-    Foreign(String),
-    /// Answer to a call: id and result.
+    /// Notice that the receiver belongs to another cluster; contains the id of the sender's cluster.
+    #[serde(rename = "foreign")]
+    ForeignCluster(String),
+    /// Response to a call: id and result.
     Reply(String, Result<String, CallError>),
 }
 
@@ -115,51 +119,51 @@
     }
 
     /// Encodes the message.
-    pub fn write(&self) -> Vec<u8> {
-        if let Body::Node(to, message::Message::Raft(log)) = &self.body
+    pub fn encode(&self) -> Vec<u8> {
+        if let Body::Node(to, message::Message::Raft(raft)) = &self.body
             && let Ok(from) = serde_json::to_vec(&self.from)
         {
-            return encode_log(&from, *to, log);
+            return encode_raft(&from, *to, raft);
         }
         let mut bytes = vec![JSON_ENCODING];
-        // Infallible: strings and numbers written to memory.
+        // Infallible: serializes strings and numbers to memory.
         let _ = serde_json::to_writer(&mut bytes, &(&self.from, &self.body));
         bytes
     }
 
-    /// Decodes a message; `None` if the bytes are not one.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    /// Decodes a message; `None` if the bytes are not a valid message.
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (encoding, encoded) = bytes.split_first()?;
         match *encoding {
             JSON_ENCODING => {
                 let (from, body) = serde_json::from_slice(encoded).ok()?;
                 Some(Message { from, body })
             }
-            LOG_ENCODING => decode_log(encoded),
+            RAFT_ENCODING => decode_raft(encoded),
             _ => None,
         }
     }
 }
 
-fn encode_log(from: &[u8], to: u64, log: &[u8]) -> Vec<u8> {
-    let mut bytes = vec![LOG_ENCODING];
+fn encode_raft(from: &[u8], to: u64, raft: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![RAFT_ENCODING];
     bytes.extend((from.len() as u32).to_le_bytes());
     bytes.extend(from);
     bytes.extend(to.to_le_bytes());
-    bytes.extend(log);
+    bytes.extend(raft);
     bytes
 }
 
-fn decode_log(encoded: &[u8]) -> Option<Message> {
+fn decode_raft(encoded: &[u8]) -> Option<Message> {
     let (from_length, rest) = encoded.split_first_chunk::<4>()?;
     let from_length = u32::from_le_bytes(*from_length) as usize;
     let (from, rest) = rest.split_at_checked(from_length)?;
-    let (to, log) = rest.split_first_chunk::<8>()?;
+    let (to, raft) = rest.split_first_chunk::<8>()?;
     let from = serde_json::from_slice(from).ok()?;
     let to = u64::from_le_bytes(*to);
-    let log = message::Message::Raft(log.to_vec());
+    let raft = message::Message::Raft(raft.to_vec());
     Some(Message {
         from,
-        body: Body::Node(to, log),
+        body: Body::Node(to, raft),
     })
 }
--- a/crates/cluster-runtime/src/status.rs
+++ b/crates/cluster-runtime/src/status.rs
@@ -1,18 +1,18 @@
-//! Status of the cluster as one of its members sees it, for the administration API and metrics.
+//! Status of the cluster as seen by one member, for the administration API and metrics.
 //!
-//! Serialized names are part of the administration API; this module alone maps them to the terms of the code.
+//! Serialized names are part of the administration API; serde attributes map them to the names in the code.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The cluster as one member sees it.
+/// Status of the cluster as seen by one member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
     /// Name of this member.
     pub name: String,
-    /// Id of this member; 0 before it has joined.
+    /// Raft node id of this member; 0 before it has joined.
     pub id: u64,
     /// Id of the cluster; empty before this member has joined.
     pub cluster: String,
@@ -25,10 +25,10 @@
     pub applied: u64,
     /// Version in effect.
     pub version: u64,
-    /// Version under which this member may decide; none while it is fenced.
+    /// Version under which this member may decide; `None` while it may not.
     #[serde(rename = "decides", skip_serializing_if = "Option::is_none", default)]
     pub deciding_version: Option<u64>,
-    /// Reason why this member is fenced.
+    /// Reason why this member may not decide.
     #[serde(rename = "fenced", skip_serializing_if = "Option::is_none", default)]
     pub fenced_reason: Option<String>,
     /// Members of the cluster.
@@ -36,19 +36,19 @@
     /// Configuration change in progress.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub change: Option<ChangeStatus>,
-    /// Set until it is known that the disk holds the newest log of this member; it does not vote until then.
+    /// Set until the disk is confirmed to have the latest log of this member; the member does not vote until then.
     #[serde(rename = "unproven", default)]
     pub is_disk_unconfirmed: bool,
-    /// Set once the disk was found to be an older copy and this member has joined anew.
+    /// Set once the disk was found to be an older copy, so that this member has joined again as a new one.
     #[serde(rename = "put-back", default)]
     pub was_disk_restored: bool,
     /// Totals over all connections since the start.
     #[serde(rename = "messages")]
     pub connections: ConnectionTotals,
-    /// Messages sent by kind; kinds without a message are left out.
+    /// Messages sent, by kind; kinds without messages are omitted.
     #[serde(default)]
     pub sent: BTreeMap<String, MessageTotals>,
-    /// Finished configuration changes that this member has seen since the start.
+    /// Completed configuration changes that this member has seen since its start.
     #[serde(default)]
     pub changes: ChangeTotals,
 }
@@ -59,7 +59,7 @@
 pub struct ConnectionTotals {
     /// Messages sent.
     pub messages_sent: u64,
-    /// Bytes of the messages sent, with their frames.
+    /// Bytes of the messages sent, including frame headers.
     pub bytes_sent: u64,
     /// Messages dropped because they could not be sent in time.
     pub messages_dropped: u64,
@@ -95,13 +95,13 @@
     }
 }
 
-/// Messages and their bytes; serialized as an array in the order of the fields.
+/// Numbers of messages and bytes; serialized as an array in the order of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 2]", into = "[u64; 2]")]
 pub struct MessageTotals {
     /// Number of messages.
     pub messages: u64,
-    /// Bytes of the messages, with their frames.
+    /// Bytes of the messages, including frame headers.
     pub bytes: u64,
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Finished configuration changes; serialized as an array in the order of the fields.
+/// Numbers of completed configuration changes; serialized as an array in the order of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 2]", into = "[u64; 2]")]
 pub struct ChangeTotals {
@@ -139,13 +139,13 @@
     }
 }
 
-/// One member as the leader sees it.
+/// Status of one member as seen by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct MemberStatus {
     /// Name of the member.
     pub name: String,
-    /// Id of the member.
+    /// Raft node id of the member.
     pub id: u64,
     /// Zone of the member.
     pub zone: String,
@@ -154,13 +154,13 @@
     /// Set if the member is a voter.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// Version that the member serves, as it last reported.
+    /// Version that the member serves according to its latest report.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub version: Option<u64>,
-    /// Age of the last report of the member, in milliseconds.
+    /// Age of the member's latest report in milliseconds.
     #[serde(rename = "heard-ms", skip_serializing_if = "Option::is_none", default)]
     pub last_report_age_ms: Option<u64>,
-    /// Upper bound of the remaining lease of the member, in milliseconds; none without a lease, -1 for one without an end.
+    /// Upper bound of the member's remaining lease time in milliseconds; `None` without a lease, -1 for an unlimited lease.
     #[serde(rename = "holds-ms", skip_serializing_if = "Option::is_none", default)]
     pub lease_remaining_ms: Option<i64>,
 }
--- a/crates/cluster-runtime/src/storage.rs
+++ b/crates/cluster-runtime/src/storage.rs
@@ -1,7 +1,7 @@
 //! Stored state of a member: its identity and its log.
 //!
-//! [`StoredMember`] opens the directory of a member whose process does not run, for recovery. The functions below it are shared with
-//! the running member. The format of the log belongs to `config_store::raft_log`, that of its entries to `cluster`.
+//! [`StoredMember`] opens the directory of a member whose process is not running, for recovery. The functions after it are also used by
+//! the running member. `config_store::raft_log` defines the format of the log, and `cluster` that of its entries.
 
 use std::path::Path;
 
@@ -30,7 +30,7 @@
     Entries(#[from] PersistedStateError),
 }
 
-/// Identity of a member as its log holds it.
+/// Identity of a member as stored in its log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Identity {
     pub cluster: String,
@@ -47,7 +47,7 @@
     pub name: &'a str,
 }
 
-/// Directory of a member whose process does not run.
+/// Directory of a member whose process is not running.
 pub struct StoredMember {
     log: RaftLog,
     persisted: PersistedState,
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Returns the member that owns the directory, or `None` if none has joined a cluster with it.
+    /// Returns the member that owns the directory, or `None` if no member has joined a cluster with it.
     pub fn owner(&self) -> Option<Owner<'_>> {
         let identity = self.identity.as_ref()?;
         Some(Owner {
@@ -81,16 +81,16 @@
     /// Reads the state that can be recovered from the log alone.
     ///
     /// # Errors
-    /// The log can't be decoded, or holds no state of the cluster.
+    /// The log can't be decoded, or contains no state of the cluster.
     pub fn recover(&self) -> Result<RecoveredLog, StorageError> {
         Ok(recover_log(&self.persisted)?)
     }
 
-    /// Replaces the log by that of a new cluster whose only member is `name`.
+    /// Replaces the log by the log of a new cluster whose only member is `name`.
     ///
     /// # Errors
-    /// The log can't be written; it then holds what it held before, or nothing.
-    pub fn found_cluster(
+    /// The log can't be written; it is then either unchanged or empty.
+    pub fn bootstrap_cluster(
         &mut self,
         state_machine: &StateMachine,
         name: &str,
@@ -111,12 +111,12 @@
     }
 }
 
-/// Draws the id of a new cluster.
+/// Returns a random id for a new cluster.
 pub fn new_cluster_id() -> String {
     format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..))
 }
 
-/// Parses the identity in a log, if there is one.
+/// Decodes the identity in a log, if there is one.
 pub(crate) fn read_identity(contents: &LogContents) -> Result<Option<Identity>, StorageError> {
     let Some(bytes) = &contents.identity else {
         return Ok(None);
@@ -124,7 +124,7 @@
     Ok(Some(serde_json::from_slice(bytes)?))
 }
 
-/// Returns the part of a log that the cluster's node starts from.
+/// Returns the part of a log from which a node starts.
 pub(crate) fn persisted_state(contents: &LogContents) -> PersistedState {
     PersistedState {
         snapshot: contents.snapshot.clone(),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Writes the identity and the first state of a new member in one step.
+/// Writes the identity and the initial state of a new member atomically.
 pub(crate) fn write_identity(
     log: &mut RaftLog,
     identity: &Identity,
--- a/crates/cluster-runtime/src/transport.rs
+++ b/crates/cluster-runtime/src/transport.rs
@@ -1,7 +1,7 @@
-//! Transport of messages between members: one outbound connection to each peer, and all inbound connections.
+//! Transport of messages between members: one outbound connection per peer, and all inbound connections.
 //!
-//! Delivery is best effort: a message that can't be sent in time is dropped and counted, and whoever needs it sends it again. Frames
-//! and the handshake are those of [`frame`](crate::frame); the transport does not look into messages.
+//! Delivery is best effort: a message that can't be sent in time is dropped and counted, and the sender has to retry. The module
+//! [`frame`](crate::frame) defines the handshake and the frames. The transport does not interpret messages.
 
 mod counters;
 mod error;
@@ -22,10 +22,10 @@
 
 use outbound::{EncodedMessage, OutboundTask};
 
-/// Messages queued for one peer at most.
+/// Maximum number of messages queued for one peer.
 const MAX_QUEUED_MESSAGES: usize = 1024;
 
-/// Connections of one member.
+/// Connections of one member to its peers.
 pub struct Transport {
     key: Key,
     counters: Arc<TransportCounters>,
@@ -39,7 +39,7 @@
 }
 
 impl Transport {
-    /// Starts to accept connections on `listener`; received messages go to `received`.
+    /// Starts accepting connections on `listener`; received messages are sent to `received`.
     pub fn new(key: Key, listener: TcpListener, received: mpsc::Sender<Message>) -> Self {
         let counters = Arc::new(TransportCounters::default());
         let acceptor = inbound::Acceptor::new(key.clone(), received, counters.clone());
@@ -71,7 +71,7 @@
         };
         let encoded = EncodedMessage {
             kind: message.kind(),
-            bytes: message.write(),
+            bytes: message.encode(),
         };
         if peer.queue.try_send(encoded).is_err() {
             self.counters
--- a/crates/cluster-runtime/src/transport/counters.rs
+++ b/crates/cluster-runtime/src/transport/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the transport; their outside names are in [`status`](crate::status).
+//! Counters of the transport; [`status`](crate::status) defines their names in the administration API and metrics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,7 +11,7 @@
 pub struct TransportCounters {
     /// Messages sent.
     pub messages_sent: AtomicU64,
-    /// Bytes of the messages sent, with their frames.
+    /// Bytes of the messages sent, including frame headers.
     pub bytes_sent: AtomicU64,
     /// Messages dropped because they could not be sent in time.
     pub messages_dropped: AtomicU64,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Counts a message of `bytes` bytes that was sent.
+    /// Counts a sent message of `bytes` bytes, including its frame header.
     pub(super) fn add_sent(&self, kind: MessageKind, bytes: usize) {
         self.messages_sent.fetch_add(1, Ordering::Relaxed);
         self.bytes_sent.fetch_add(bytes as u64, Ordering::Relaxed);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Messages of one kind.
+/// Counters of the messages of one kind.
 #[derive(Debug, Default)]
 pub struct Traffic {
     messages: AtomicU64,
@@ -50,7 +50,7 @@
 }
 
 impl Traffic {
-    /// Counts a message of `bytes` bytes, with its frame.
+    /// Counts a message of `bytes` bytes, including its frame header.
     pub(super) fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
--- a/crates/cluster-runtime/src/transport/error.rs
+++ b/crates/cluster-runtime/src/transport/error.rs
@@ -1,4 +1,4 @@
-//! Errors and time limits of one connection.
+//! Errors and timeouts of a connection.
 
 use std::io;
 use std::net::AddrParseError;
@@ -8,10 +8,10 @@
 
 use crate::frame::{FrameError, Nonce};
 
-/// Limit for the handshake, and for sending one message.
+/// Timeout of the handshake, and of sending one message.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reason why a connection can't be opened or ends.
+/// Reason why a connection can't be opened or has ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
     /// The address of the peer is not an IP address with a port.
@@ -20,14 +20,14 @@
     /// The connection has failed or timed out.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The peer is not authenticated, or a frame is invalid.
+    /// Authentication of the peer has failed, or a frame is invalid.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A frame holds no message.
+    /// A frame does not contain a valid message.
     #[error("frame without a valid message")]
     InvalidMessage,
-    /// No nonce can be drawn.
-    #[error("no random number: {0}")]
+    /// The system provides no random numbers.
+    #[error("random number generation failed: {0}")]
     Random(getrandom::Error),
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Runs `operation` with the time limit of a handshake or a write.
+/// Runs `operation` with the timeout of a handshake or a write.
 pub(super) async fn with_timeout<T>(
     operation: impl Future<Output = Result<T, ConnectionError>>,
 ) -> Result<T, ConnectionError> {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Draws the nonce of one side of a connection.
+/// Draws a nonce for one side of a connection.
 pub(super) fn draw_nonce() -> Result<Nonce, ConnectionError> {
     let mut nonce = Nonce::default();
     getrandom::fill(&mut nonce).map_err(ConnectionError::Random)?;
--- a/crates/cluster-runtime/src/transport/inbound.rs
+++ b/crates/cluster-runtime/src/transport/inbound.rs
@@ -1,4 +1,4 @@
-//! Inbound connections: accepts, authenticates and reads them.
+//! Inbound connections: accepting, authentication and reading of messages.
 
 use std::io;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 
 use super::counters::TransportCounters;
 use super::error::{ConnectionError, draw_nonce, with_timeout};
-use crate::frame::{self, HEADER_BYTES, Key, OPENING_BYTES, Sealer};
+use crate::frame::{self, FrameAuthenticator, HANDSHAKE_REQUEST_BYTES, HEADER_BYTES, Key};
 use crate::message::Message;
 
-/// Inbound connections at the same time at most.
+/// Maximum number of concurrent inbound connections.
 const MAX_CONNECTIONS: usize = 2048;
-/// Delay after a connection could not be accepted.
+/// Delay before the next attempt to accept a connection after a failure.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A connection without data for this long is closed.
+/// Time without data after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Accepts connections and passes on their messages.
+/// Accepts connections and forwards their messages to the member.
 #[derive(Clone)]
 pub(super) struct Acceptor {
     key: Key,
@@ -74,21 +74,21 @@
         }
     }
 
-    /// Reads one connection until it ends, is idle, or the member has stopped.
+    /// Reads a connection until it ends, times out, or the member stops.
     async fn read_connection(&self, stream: TcpStream) -> Result<(), ConnectionError> {
         stream.set_nodelay(true)?;
         let mut stream = BufReader::new(stream);
-        let mut sealer = with_timeout(accept_handshake(&self.key, &mut stream)).await?;
+        let mut authenticator = with_timeout(accept_handshake(&self.key, &mut stream)).await?;
         loop {
             let mut header = [0; HEADER_BYTES];
             match timeout(IDLE_TIMEOUT, stream.read_exact(&mut header)).await {
                 Ok(read) => _ = read?,
                 Err(_) => return Ok(()),
             }
-            let length = Sealer::message_length(&header)?;
+            let length = FrameAuthenticator::message_length(&header)?;
             let bytes = read_message(&mut stream, length).await?;
-            sealer.check(&header, &bytes)?;
-            let message = Message::read(&bytes).ok_or(ConnectionError::InvalidMessage)?;
+            authenticator.verify(&header, &bytes)?;
+            let message = Message::decode(&bytes).ok_or(ConnectionError::InvalidMessage)?;
             self.counters.received_by_kind[message.kind() as usize].add(HEADER_BYTES + length);
             if self.received.send(message).await.is_err() {
                 return Ok(());
@@ -100,15 +100,15 @@
 async fn accept_handshake(
     key: &Key,
     stream: &mut BufReader<TcpStream>,
-) -> Result<Sealer, ConnectionError> {
-    let mut opening = [0; OPENING_BYTES];
-    stream.read_exact(&mut opening).await?;
-    let (answer, sealer) = frame::answer(key, &opening, draw_nonce()?)?;
-    stream.get_mut().write_all(&answer).await?;
-    Ok(sealer)
+) -> Result<FrameAuthenticator, ConnectionError> {
+    let mut request = [0; HANDSHAKE_REQUEST_BYTES];
+    stream.read_exact(&mut request).await?;
+    let (response, authenticator) = frame::handshake_response(key, &request, draw_nonce()?)?;
+    stream.get_mut().write_all(&response).await?;
+    Ok(authenticator)
 }
 
-/// Reads a message. The buffer grows with the data that arrives: an announced length alone allocates nothing.
+/// Reads a message. The buffer grows with the received data, so that the length in a header alone can't cause a large allocation.
 async fn read_message(
     stream: &mut BufReader<TcpStream>,
     length: usize,
--- a/crates/cluster-runtime/src/transport/outbound.rs
+++ b/crates/cluster-runtime/src/transport/outbound.rs
@@ -1,4 +1,4 @@
-//! Outbound connection to one peer: connects, sends queued messages, reconnects.
+//! Outbound connection to one peer: connects, sends queued messages and reconnects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 
 use super::counters::TransportCounters;
 use super::error::{ConnectionError, draw_nonce, with_timeout};
-use crate::frame::{self, ANSWER_BYTES, HEADER_BYTES, Key, Sealer};
+use crate::frame::{self, FrameAuthenticator, HANDSHAKE_RESPONSE_BYTES, HEADER_BYTES, Key};
 
-/// Delay between a failed attempt to connect and the next one.
+/// Delay after a failed attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// Encoded message with the kind by which it is counted.
+/// Encoded message, with its kind for the counters.
 pub(super) struct EncodedMessage {
     pub kind: MessageKind,
     pub bytes: Vec<u8>,
@@ -27,7 +27,7 @@
 /// Authenticated connection to a peer.
 struct Connection {
     stream: TcpStream,
-    sealer: Sealer,
+    authenticator: FrameAuthenticator,
 }
 
 impl Connection {
@@ -36,11 +36,16 @@
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let nonce = draw_nonce()?;
-        stream.write_all(&frame::opening(key, nonce)).await?;
-        let mut answer = [0; ANSWER_BYTES];
-        stream.read_exact(&mut answer).await?;
-        let sealer = frame::opened(key, nonce, &answer)?;
-        Ok(Connection { stream, sealer })
+        stream
+            .write_all(&frame::handshake_request(key, nonce))
+            .await?;
+        let mut response = [0; HANDSHAKE_RESPONSE_BYTES];
+        stream.read_exact(&mut response).await?;
+        let authenticator = frame::verify_handshake_response(key, nonce, &response)?;
+        Ok(Connection {
+            stream,
+            authenticator,
+        })
     }
 
     async fn send(
@@ -91,7 +96,7 @@
         }
     }
 
-    /// Opens a connection; after a failure drops the queue and waits.
+    /// Opens a connection. After a failure, drops all queued messages and waits.
     async fn connect(&mut self) -> bool {
         let opened = with_timeout(Connection::open(&self.key, &self.address)).await;
         match opened {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Drops the message at hand and all queued ones: they are outdated by the next attempt.
+    /// Drops the current message and all queued ones, which would be outdated by the next attempt.
     fn drop_queue(&mut self) {
         let mut dropped = 1;
         while self.queue.try_recv().is_ok() {
@@ -127,7 +132,7 @@
         let Some(connection) = &mut self.connection else {
             return;
         };
-        let header = match connection.sealer.seal(&message.bytes) {
+        let header = match connection.authenticator.next_header(&message.bytes) {
             Ok(header) => header,
             Err(e) => {
                 tracing::error!(address = self.address, error = %e, "message not sent");
--- a/crates/cluster-runtime/tests/links.rs
+++ b/crates/cluster-runtime/tests/connections.rs
@@ -1,8 +1,11 @@
-//! Links over sockets: peers that break off, send too much or say nothing, and a member's log over restarts.
+//! Connections over sockets, with unreachable peers and invalid frames, and the log of a member across restarts.
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cluster_runtime::frame::{ANSWER_BYTES, Key, OPENING_BYTES, opened, opening};
+use cluster_runtime::frame::{
+    HANDSHAKE_REQUEST_BYTES, HANDSHAKE_RESPONSE_BYTES, Key, handshake_request,
+    verify_handshake_response,
+};
 use cluster_runtime::message::{Body, Message, Sender};
 use cluster_runtime::transport::Transport;
 use config_store::raft_log::{LogBatch, LogContents, RaftLog};
@@ -20,7 +23,7 @@
     };
     Message {
         from,
-        body: Body::Ask {
+        body: Body::DiscoveryRequest {
             names: vec!["n".repeat(n)],
         },
     }
@@ -29,33 +32,33 @@
 async fn transport(key: &Key) -> (Transport, mpsc::Receiver<Message>, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let (put, messages) = mpsc::channel(64);
+    let (sender, messages) = mpsc::channel(64);
     (
-        Transport::new(key.clone(), listener, put),
+        Transport::new(key.clone(), listener, sender),
         messages,
         address,
     )
 }
 
 #[tokio::test]
-async fn messages_come_in_order_also_after_a_link_was_lost() {
+async fn messages_arrive_in_order_and_an_unreachable_peer_blocks_nobody() {
     let key = Key::new("c", b"0123456789abcdef");
-    let (mut here, _, _) = transport(&key).await;
-    let (there, mut messages, address) = transport(&key).await;
+    let (mut local, _, _) = transport(&key).await;
+    let (remote, mut messages, address) = transport(&key).await;
     for n in [1, 100_000, 3] {
-        here.send("b", &address, &message(n));
+        local.send("b", &address, &message(n));
         assert_eq!(messages.recv().await.unwrap(), message(n));
     }
-    assert_eq!(here.counters().messages_sent.load(Ordering::Relaxed), 3);
-    // Nobody is there: what is for it is dropped, and nothing waits.
-    here.send("nobody", "127.0.0.1:1", &message(1));
-    while here.counters().messages_dropped.load(Ordering::Relaxed) == 0 {
+    assert_eq!(local.counters().messages_sent.load(Ordering::Relaxed), 3);
+    // Messages for an unreachable peer are dropped and do not delay others.
+    local.send("unreachable", "127.0.0.1:1", &message(1));
+    while local.counters().messages_dropped.load(Ordering::Relaxed) == 0 {
         tokio::task::yield_now().await;
     }
-    here.send("b", &address, &message(7));
+    local.send("b", &address, &message(7));
     assert_eq!(messages.recv().await.unwrap(), message(7));
     assert_eq!(
-        there
+        remote
             .counters()
             .connections_rejected
             .load(Ordering::Relaxed),
@@ -64,42 +67,42 @@
 }
 
 #[tokio::test]
-async fn a_message_that_is_changed_played_again_or_too_long_ends_its_link() {
+async fn a_modified_replayed_or_too_long_message_ends_its_connection() {
     let key = Key::new("c", b"0123456789abcdef");
-    let (there, mut messages, address) = transport(&key).await;
-    for (n, how) in ["changed", "again", "long"].iter().enumerate() {
+    let (remote, mut messages, address) = transport(&key).await;
+    for (n, invalidity) in ["modified", "replayed", "too long"].iter().enumerate() {
         let mut stream = TcpStream::connect(&address).await.unwrap();
-        let drawn = [7; 16];
-        let said: [u8; OPENING_BYTES] = opening(&key, drawn);
-        stream.write_all(&said).await.unwrap();
-        let mut answer = [0; ANSWER_BYTES];
-        stream.read_exact(&mut answer).await.unwrap();
-        let mut sealer = opened(&key, drawn, &answer).unwrap();
-        let mut bytes = message(5).write();
-        let mut head = sealer.seal(&bytes).unwrap();
-        stream.write_all(&head).await.unwrap();
+        let nonce = [7; 16];
+        let request: [u8; HANDSHAKE_REQUEST_BYTES] = handshake_request(&key, nonce);
+        stream.write_all(&request).await.unwrap();
+        let mut response = [0; HANDSHAKE_RESPONSE_BYTES];
+        stream.read_exact(&mut response).await.unwrap();
+        let mut authenticator = verify_handshake_response(&key, nonce, &response).unwrap();
+        let mut bytes = message(5).encode();
+        let mut header = authenticator.next_header(&bytes).unwrap();
+        stream.write_all(&header).await.unwrap();
         stream.write_all(&bytes).await.unwrap();
         assert_eq!(
             messages.recv().await.unwrap(),
             message(5),
-            "a good one first"
+            "a valid message is accepted first"
         );
-        match *how {
-            "changed" => {
-                head = sealer.seal(&bytes).unwrap();
+        match *invalidity {
+            "modified" => {
+                header = authenticator.next_header(&bytes).unwrap();
                 let last = bytes.len() - 1;
                 bytes[last] ^= 1;
             }
-            "long" => head[..4].copy_from_slice(&u32::MAX.to_le_bytes()),
+            "too long" => header[..4].copy_from_slice(&u32::MAX.to_le_bytes()),
             _ => {}
         }
-        let _ = stream.write_all(&head).await; // it may have been closed by then
+        let _ = stream.write_all(&header).await; // the connection may be closed already
         let _ = stream.write_all(&bytes).await;
         let closed = timeout(Duration::from_secs(10), stream.read(&mut [0; 8]))
             .await
             .unwrap();
-        assert!(matches!(closed, Ok(0) | Err(_)), "{how}");
-        while there
+        assert!(matches!(closed, Ok(0) | Err(_)), "{invalidity}");
+        while remote
             .counters()
             .connections_rejected
             .load(Ordering::Relaxed) as usize
@@ -112,13 +115,13 @@
 }
 
 #[test]
-fn a_log_holds_what_was_put_into_it_and_nothing_that_was_replaced() {
+fn a_log_contains_the_written_entries_and_no_replaced_ones() {
     let directory = std::env::temp_dir().join(format!("canvascart-log-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&directory); // of an earlier run
+    let _ = std::fs::remove_dir_all(&directory); // left by an earlier run
     let entry = |n: u64, text: &str| (n, text.as_bytes().to_vec());
-    let (mut log, logged) = RaftLog::open(&directory).unwrap();
+    let (mut log, contents) = RaftLog::open(&directory).unwrap();
     assert_eq!(
-        logged,
+        contents,
         LogContents {
             start_count: 1,
             ..LogContents::default()
@@ -126,7 +129,7 @@
     );
     assert!(
         RaftLog::open(&directory).is_err(),
-        "one process has it at a time"
+        "only one process can open it at a time"
     );
     let snapshot = LogBatch {
         snapshot: Some((1, b"s")),
@@ -147,7 +150,7 @@
     })
     .unwrap();
     drop(log);
-    let (mut log, logged) = RaftLog::open(&directory).unwrap();
+    let (mut log, contents) = RaftLog::open(&directory).unwrap();
     let texts = |l: &LogContents| -> Vec<String> {
         l.entries
             .iter()
@@ -155,23 +158,23 @@
             .collect()
     };
     assert_eq!(
-        (texts(&logged), logged.start_count),
+        (texts(&contents), contents.start_count),
         (vec!["two".into(), "other".into()], 2)
     );
     assert_eq!(
-        (logged.hard_state.as_deref(), logged.identity.as_deref()),
+        (contents.hard_state.as_deref(), contents.identity.as_deref()),
         (Some(&b"h"[..]), Some(&b"me"[..]))
     );
-    // Shortened, it begins after the snapshot; another's snapshot takes everything.
+    // A compacted log starts after the snapshot. A snapshot from another member replaces the whole log.
     log.write(LogBatch {
         snapshot: Some((2, b"t")),
         ..LogBatch::default()
     })
     .unwrap();
     drop(log);
-    let (mut log, logged) = RaftLog::open(&directory).unwrap();
+    let (mut log, contents) = RaftLog::open(&directory).unwrap();
     assert_eq!(
-        (texts(&logged), logged.snapshot.as_deref()),
+        (texts(&contents), contents.snapshot.as_deref()),
         (vec!["other".into()], Some(&b"t"[..]))
     );
     log.write(LogBatch {
@@ -186,8 +189,8 @@
     })
     .unwrap();
     drop(log);
-    let (log, logged) = RaftLog::open(&directory).unwrap();
-    assert_eq!(texts(&logged), ["ten"]);
+    let (log, contents) = RaftLog::open(&directory).unwrap();
+    assert_eq!(texts(&contents), ["ten"]);
     drop(log);
     std::fs::write(
         directory.join(config_store::raft_log::FILE_NAME),
@@ -196,7 +199,7 @@
     .unwrap();
     assert!(
         RaftLog::open(&directory).is_err(),
-        "a damaged one is told of"
+        "a damaged log is reported"
     );
     std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/crates/cluster-runtime/tests/frame.rs
+++ b/crates/cluster-runtime/tests/frame.rs
@@ -1,90 +1,114 @@
-//! Messages pass a link in order and unchanged, and nobody opens one without the cluster's key.
+//! Handshake and frames: messages are accepted only in order and unchanged, and a connection only with the cluster's key.
 
 use cluster_runtime::frame::{
-    FrameError, HEADER_BYTES, Key, MAX_MESSAGE_BYTES, OPENING_BYTES, Sealer, answer, opened,
-    opening,
+    FrameAuthenticator, FrameError, HANDSHAKE_REQUEST_BYTES, HEADER_BYTES, Key, MAX_MESSAGE_BYTES,
+    handshake_request, handshake_response, verify_handshake_response,
 };
 
-/// Bytes of the drawn numbers.
-const NONCE: usize = 16;
+/// Size of a nonce in bytes.
+const NONCE_BYTES: usize = 16;
 
-fn link() -> (Sealer, Sealer) {
+fn connect() -> (FrameAuthenticator, FrameAuthenticator) {
     let key = Key::new("c", b"secret");
-    let (answer, reader) = answer(&key, &opening(&key, [1; NONCE]), [2; NONCE]).unwrap();
-    (opened(&key, [1; NONCE], &answer).unwrap(), reader)
+    let (response, reader) = handshake_response(
+        &key,
+        &handshake_request(&key, [1; NONCE_BYTES]),
+        [2; NONCE_BYTES],
+    )
+    .unwrap();
+    (
+        verify_handshake_response(&key, [1; NONCE_BYTES], &response).unwrap(),
+        reader,
+    )
 }
 
 #[test]
-fn messages_pass_in_order_and_no_other_way() {
-    let (mut writer, mut reader) = link();
-    let (one, two) = (writer.seal(b"one").unwrap(), writer.seal(b"two").unwrap());
-    assert_eq!(Sealer::message_length(&one), Ok(3));
+fn messages_are_accepted_only_in_order_and_unchanged() {
+    let (mut writer, mut reader) = connect();
+    let (one, two) = (
+        writer.next_header(b"one").unwrap(),
+        writer.next_header(b"two").unwrap(),
+    );
+    assert_eq!(FrameAuthenticator::message_length(&one), Ok(3));
     assert_eq!(
-        reader.check(&two, b"two"),
-        Err(FrameError::InvalidSeal),
+        reader.verify(&two, b"two"),
+        Err(FrameError::InvalidTag),
         "out of order"
     );
-    assert_eq!(reader.check(&one, b"one"), Ok(()));
+    assert_eq!(reader.verify(&one, b"one"), Ok(()));
     assert_eq!(
-        reader.check(&one, b"one"),
-        Err(FrameError::InvalidSeal),
-        "played again"
+        reader.verify(&one, b"one"),
+        Err(FrameError::InvalidTag),
+        "replayed"
     );
     assert_eq!(
-        reader.check(&two, b"twp"),
-        Err(FrameError::InvalidSeal),
-        "changed"
+        reader.verify(&two, b"twp"),
+        Err(FrameError::InvalidTag),
+        "modified"
     );
-    let (_, mut other) = link();
+    let (_, mut other) = connect();
     assert_eq!(
-        other.check(&two, b"two"),
-        Err(FrameError::InvalidSeal),
-        "left out"
+        other.verify(&two, b"two"),
+        Err(FrameError::InvalidTag),
+        "previous frame omitted"
     );
 }
 
 #[test]
-fn another_key_name_version_or_program_is_turned_away() {
+fn another_key_cluster_version_or_protocol_is_rejected() {
     let key = Key::new("c", b"secret");
     for other in [Key::new("c", b"other"), Key::new("d", b"secret")] {
         assert_eq!(
-            answer(&key, &opening(&other, [1; NONCE]), [2; NONCE]).err(),
+            handshake_response(
+                &key,
+                &handshake_request(&other, [1; NONCE_BYTES]),
+                [2; NONCE_BYTES]
+            )
+            .err(),
             Some(FrameError::Unauthenticated)
         );
-        let (said, _) = answer(&other, &opening(&other, [1; NONCE]), [2; NONCE]).unwrap();
+        let (response, _) = handshake_response(
+            &other,
+            &handshake_request(&other, [1; NONCE_BYTES]),
+            [2; NONCE_BYTES],
+        )
+        .unwrap();
         assert_eq!(
-            opened(&key, [1; NONCE], &said).err(),
+            verify_handshake_response(&key, [1; NONCE_BYTES], &response).err(),
             Some(FrameError::Unauthenticated)
         );
     }
-    let mut bytes = opening(&key, [1; NONCE]);
+    let mut bytes = handshake_request(&key, [1; NONCE_BYTES]);
     bytes[4] = 9;
     assert_eq!(
-        answer(&key, &bytes, [2; NONCE]).err(),
+        handshake_response(&key, &bytes, [2; NONCE_BYTES]).err(),
         Some(FrameError::UnsupportedVersion(9))
     );
     bytes[0] = b'G';
     assert_eq!(
-        answer(&key, &bytes, [2; NONCE]).err(),
+        handshake_response(&key, &bytes, [2; NONCE_BYTES]).err(),
         Some(FrameError::UnknownProtocol)
     );
-    let mut head = [0xFF; HEADER_BYTES];
+    let mut header = [0xFF; HEADER_BYTES];
     assert_eq!(
-        Sealer::message_length(&head),
+        FrameAuthenticator::message_length(&header),
         Err(FrameError::MessageTooLong(u32::MAX as usize))
     );
-    head[..4].copy_from_slice(&(MAX_MESSAGE_BYTES as u32).to_le_bytes());
-    assert_eq!(Sealer::message_length(&head), Ok(MAX_MESSAGE_BYTES));
+    header[..4].copy_from_slice(&(MAX_MESSAGE_BYTES as u32).to_le_bytes());
+    assert_eq!(
+        FrameAuthenticator::message_length(&header),
+        Ok(MAX_MESSAGE_BYTES)
+    );
 }
 
 #[test]
-fn bytes_by_chance_open_nothing() {
+fn modified_handshake_requests_are_rejected() {
     let key = Key::new("c", b"secret");
-    let mut chance = fastrand::Rng::with_seed(7);
+    let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..10_000 {
-        let mut bytes = opening(&key, [3; NONCE]);
-        let at = chance.usize(..OPENING_BYTES);
-        bytes[at] ^= chance.u8(1..);
-        assert!(answer(&key, &bytes, [2; NONCE]).is_err());
+        let mut bytes = handshake_request(&key, [3; NONCE_BYTES]);
+        let index = random.usize(..HANDSHAKE_REQUEST_BYTES);
+        bytes[index] ^= random.u8(1..);
+        assert!(handshake_response(&key, &bytes, [2; NONCE_BYTES]).is_err());
     }
 }
--- a/crates/cluster-runtime/tests/message.rs
+++ b/crates/cluster-runtime/tests/message.rs
@@ -1,4 +1,4 @@
-//! What members write to each other is read as it was written, and what is no message is none.
+//! Messages between members are decoded as they were encoded, and invalid bytes are rejected.
 
 use cluster::message;
 use cluster_runtime::message::{Body, Message, Sender};
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn messages_are_read_as_they_were_written() {
+fn messages_are_decoded_as_they_were_encoded() {
     let bodies = [
         Body::Node(7, message::Message::Raft(vec![0, 1, 255])),
-        Body::Ask {
+        Body::DiscoveryRequest {
             names: vec!["a".into()],
         },
-        Body::Tell {
+        Body::DiscoveryReply {
             leader: Some(("a".into(), "b".into())),
             names: Vec::new(),
         },
-        Body::Joined(Err("no".into())),
+        Body::JoinReply(Err("no".into())),
         Body::Reply("1".into(), Ok("{}".into())),
     ];
     for body in bodies {
@@ -31,29 +31,29 @@
             from: sender(),
             body,
         };
-        assert_eq!(Message::read(&message.write()), Some(message));
+        assert_eq!(Message::decode(&message.encode()), Some(message));
     }
 }
 
 #[test]
-fn bytes_by_chance_are_no_messages_and_no_trouble() {
-    let mut chance = fastrand::Rng::with_seed(11);
-    let whole = Message {
+fn invalid_bytes_are_rejected_without_a_panic() {
+    let mut random = fastrand::Rng::with_seed(11);
+    let encoded = Message {
         from: sender(),
         body: Body::Node(7, message::Message::Raft(vec![9; 40])),
     }
-    .write();
+    .encode();
     for _ in 0..20_000 {
-        let mut bytes = whole.clone();
-        bytes.truncate(chance.usize(..=whole.len()));
-        for _ in 0..chance.usize(..4) {
+        let mut bytes = encoded.clone();
+        bytes.truncate(random.usize(..=encoded.len()));
+        for _ in 0..random.usize(..4) {
             if !bytes.is_empty() {
-                let at = chance.usize(..bytes.len());
-                bytes[at] = chance.u8(..);
+                let index = random.usize(..bytes.len());
+                bytes[index] = random.u8(..);
             }
         }
-        let _ = Message::read(&bytes); // whatever comes of it
+        let _ = Message::decode(&bytes); // any result; it must not panic
     }
-    assert_eq!(Message::read(&[]), None);
-    assert_eq!(Message::read(b"\x01\xff\xff\xff\xff"), None);
+    assert_eq!(Message::decode(&[]), None);
+    assert_eq!(Message::decode(b"\x01\xff\xff\xff\xff"), None);
 }
--- a/crates/cluster-runtime/tests/wire_fixtures.rs
+++ b/crates/cluster-runtime/tests/wire_fixtures.rs
@@ -1,10 +1,13 @@
-//! Bytes that members of the version before send each other are written the same and read the same.
+//! Guards against incompatible changes of the protocol: messages and frames are encoded as by the previous version and decoded from that
+//! form.
 //!
-//! `fixtures/messages.txt` holds a line for each message, its name and its bytes in hexadecimal; `fixtures/frames.txt`
-//! the bytes that open a link and the heads of the first frames on it.
+//! `fixtures/messages.txt` has a line for each message, with its name and its bytes in hexadecimal. `fixtures/frames.txt` has the handshake
+//! of a connection and the headers of its first frames.
 use cluster::member_lease::{Grant, LeaseDuration, Report};
 use cluster::message::{self, DiskCheckReply};
-use cluster_runtime::frame::{Key, answer, opened, opening};
+use cluster_runtime::frame::{
+    Key, handshake_request, handshake_response, verify_handshake_response,
+};
 use cluster_runtime::message::{Body, Message, Sender};
 
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
@@ -22,45 +25,51 @@
 }
 
 fn bodies() -> Vec<(&'static str, Body)> {
-    let part = |message| Body::Node(7, message);
-    let report = |checked: Option<(&str, Option<&str>)>, closed: Option<&str>| {
+    let node_message = |message| Body::Node(7, message);
+    let report = |validation: Option<(&str, Option<&str>)>, fenced_change: Option<&str>| {
         message::Message::Report(Report {
             sequence: (3 << 32) + 9,
-            version: closed.map(|_| 12),
-            has_no_lease: closed.is_none(),
-            validation: checked
-                .map(|(change, why)| (change.to_owned(), why.map(str::to_owned)).into()),
-            fenced_change: closed.map(str::to_owned),
+            version: fenced_change.map(|_| 12),
+            has_no_lease: fenced_change.is_none(),
+            validation: validation
+                .map(|(change, fault)| (change.to_owned(), fault.map(str::to_owned)).into()),
+            fenced_change: fenced_change.map(str::to_owned),
         })
     };
-    let grant = |span| {
+    let grant = |lease_duration| {
         message::Message::Grant(Grant {
             report_sequence: 5,
             version: 1_000_002,
-            duration: span,
+            duration: lease_duration,
         })
     };
     vec![
         (
             "log",
-            part(message::Message::Raft(vec![8, 8, 16, 7, 24, 1, 255])),
+            node_message(message::Message::Raft(vec![8, 8, 16, 7, 24, 1, 255])),
         ),
-        ("report-empty", part(report(None, None))),
+        ("report-empty", node_message(report(None, None))),
         (
             "report-checked",
-            part(report(Some(("c1", None)), Some("c1"))),
+            node_message(report(Some(("c1", None)), Some("c1"))),
         ),
         (
             "report-fault",
-            part(report(Some(("c2", Some("no listener"))), None)),
+            node_message(report(Some(("c2", Some("no listener"))), None)),
         ),
-        ("grant-short", part(grant(LeaseDuration::DuringChange))),
-        ("grant-lease", part(grant(LeaseDuration::Regular))),
-        ("grant-forever", part(grant(LeaseDuration::Unlimited))),
-        ("hello", part(message::Message::DiskCheck)),
+        (
+            "grant-short",
+            node_message(grant(LeaseDuration::DuringChange)),
+        ),
+        ("grant-lease", node_message(grant(LeaseDuration::Regular))),
+        (
+            "grant-forever",
+            node_message(grant(LeaseDuration::Unlimited)),
+        ),
+        ("hello", node_message(message::Message::DiskCheck)),
         (
             "welcome",
-            part(message::Message::DiskCheckReply(DiskCheckReply {
+            node_message(message::Message::DiskCheckReply(DiskCheckReply {
                 acknowledged_index: 40,
                 term: 6,
                 voters: vec![1, 2, 5],
@@ -68,20 +77,20 @@
         ),
         (
             "ask",
-            Body::Ask {
+            Body::DiscoveryRequest {
                 names: vec!["a".into(), "b".into()],
             },
         ),
         (
             "tell-none",
-            Body::Tell {
+            Body::DiscoveryReply {
                 leader: None,
                 names: vec!["a".into()],
             },
         ),
         (
             "tell-leader",
-            Body::Tell {
+            Body::DiscoveryReply {
                 leader: Some(("a".into(), "127.0.0.1:1".into())),
                 names: Vec::new(),
             },
@@ -90,16 +99,16 @@
             "join",
             Body::Join {
                 zone: "east".into(),
-                drawn: 77,
+                nonce: 77,
             },
         ),
-        ("joined", Body::Joined(Ok(4))),
+        ("joined", Body::JoinReply(Ok(4))),
         (
             "joined-not",
-            Body::Joined(Err("a member of this name runs".into())),
+            Body::JoinReply(Err("a member of this name runs".into())),
         ),
         ("call", Body::Call("k1".into(), "{\"a\":1}".into())),
-        ("foreign", Body::Foreign("0123".into())),
+        ("foreign", Body::ForeignCluster("0123".into())),
         ("reply", Body::Reply("k1".into(), Ok("{}".into()))),
         (
             "reply-error",
@@ -118,18 +127,18 @@
 }
 
 #[test]
-fn messages_are_written_and_read_as_by_the_version_before() {
+fn messages_are_encoded_and_decoded_as_by_the_previous_version() {
     let mut written = String::new();
     for (name, body) in bodies() {
         let message = Message {
             from: sender(),
             body,
         };
-        written += &format!("{name} {}\n", hex(&message.write()));
+        written += &format!("{name} {}\n", hex(&message.encode()));
     }
     assert_eq!(
         written, MESSAGES,
-        "messages are written otherwise than before:\n{written}"
+        "the encoding of messages has changed; it is now:\n{written}"
     );
     let lines: Vec<(&str, &str)> = MESSAGES
         .lines()
@@ -139,7 +148,7 @@
     for ((name, body), (recorded, line)) in bodies().into_iter().zip(lines) {
         assert_eq!(name, recorded);
         assert_eq!(
-            Message::read(&bytes(line)),
+            Message::decode(&bytes(line)),
             Some(Message {
                 from: sender(),
                 body
@@ -150,19 +159,19 @@
 }
 
 #[test]
-fn links_are_opened_and_frames_sealed_as_by_the_version_before() {
+fn handshakes_and_frames_are_encoded_as_by_the_previous_version() {
     let key = Key::new("loans", b"0123456789abcdef");
-    let first = opening(&key, [1; 16]);
-    let (reply, mut reader) = answer(&key, &first, [2; 16]).unwrap();
-    let mut writer = opened(&key, [1; 16], &reply).unwrap();
+    let first = handshake_request(&key, [1; 16]);
+    let (reply, mut reader) = handshake_response(&key, &first, [2; 16]).unwrap();
+    let mut writer = verify_handshake_response(&key, [1; 16], &reply).unwrap();
     let mut written = format!("opening {}\nanswer {}\n", hex(&first), hex(&reply));
     for message in [&b"one"[..], b"", b"a longer message \x00\xff"] {
-        let head = writer.seal(message).unwrap();
-        written += &format!("frame {}\n", hex(&head));
-        assert_eq!(reader.check(&head, message), Ok(()));
+        let header = writer.next_header(message).unwrap();
+        written += &format!("frame {}\n", hex(&header));
+        assert_eq!(reader.verify(&header, message), Ok(()));
     }
     assert_eq!(
         written, FRAMES,
-        "frames are written otherwise than before:\n{written}"
+        "the encoding of frames has changed; it is now:\n{written}"
     );
 }
