--- a/crates/startup/src/conditions.rs
+++ b/crates/startup/src/conditions.rs
@@ -1,4 +1,4 @@
-//! Readiness conditions as the driver of a startup observes them.
+//! Readiness conditions observed by the caller of a startup.
 
 /// Membership of the instance in the cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -6,14 +6,14 @@
     /// The instance has not joined the cluster.
     #[default]
     NotJoined,
-    /// The instance has joined and knows no leader.
+    /// The instance has joined the cluster and knows no leader.
     Leaderless,
-    /// The instance has joined and knows the leader.
+    /// The instance has joined the cluster and knows the leader.
     Led,
 }
 
 impl Membership {
-    /// Creates a membership from what the instance knows; without having joined, a known leader does not count.
+    /// Derives the membership; ignores a leader that is known before the instance has joined.
     pub fn new(has_joined: bool, has_leader: bool) -> Self {
         match (has_joined, has_leader) {
             (false, _) => Membership::NotJoined,
@@ -23,12 +23,12 @@
     }
 }
 
-/// Readiness conditions at one moment.
+/// Readiness conditions at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Conditions {
     /// Membership in the cluster.
     pub membership: Membership,
-    /// Set if the policy is known to be the one in effect.
+    /// Set if the instance's policy is known to be the one in effect.
     pub is_policy_current: bool,
     /// Names of tenants whose endpoint list is not known to be current.
     pub unknown_lists: Vec<String>,
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,11 +1,11 @@
-//! Startup of a cluster instance: its phases, their readiness conditions and timeouts.
+//! Startup of an instance: phases, readiness conditions and timeouts.
 //!
-//! - [`StartupSequence`]: the state machine. An instance takes requests only under a policy and endpoint lists that are known to be
-//!   current, or reports which lists are not.
-//! - [`Conditions`]: the readiness conditions at one moment, as the driver has observed them.
+//! - [`StartupSequence`]: the state machine. An instance accepts requests only once its policy and endpoint lists are known to be current,
+//!   or reports the lists that are not.
+//! - [`Conditions`]: the readiness conditions that the caller has observed.
 //! - [`StartupReport`]: progress for operators.
 //!
-//! It has no I/O and no clock, and decides nothing about requests.
+//! The package does no I/O, reads no clock and does not handle requests.
 #![deny(
     clippy::too_many_lines,
     clippy::too_many_arguments,
--- a/crates/startup/src/phase.rs
+++ b/crates/startup/src/phase.rs
@@ -12,16 +12,16 @@
     Store,
     /// Joins the cluster and waits for a leader.
     Members,
-    /// Waits for the confirmation that its policy is the one in effect.
+    /// Waits for the confirmation that the instance's policy is in effect.
     Policy,
-    /// Waits for the endpoint lists of tenants whose endpoints are discovered.
+    /// Waits for the endpoint lists of tenants with endpoint discovery.
     List,
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
 }
 
 impl Phase {
-    /// All phases in their order.
+    /// All phases in order.
     pub const ALL: [Phase; 5] = [
         Phase::Store,
         Phase::Members,
@@ -30,7 +30,7 @@
         Phase::Serving,
     ];
 
-    /// Returns the name of the phase in logs; equal to the serialized name.
+    /// Returns the name of the phase in logs, which equals the serialized name.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Store => "store",
@@ -42,10 +42,10 @@
     }
 }
 
-/// Phase that has ended, with its total duration over all times it was entered.
+/// Completed phase, with its total duration if it was entered several times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedPhase {
-    /// Phase.
+    /// Completed phase.
     pub phase: Phase,
     /// Total duration.
     pub duration: Micros,
--- a/crates/startup/src/report.rs
+++ b/crates/startup/src/report.rs
@@ -1,4 +1,4 @@
-//! Progress of a startup for operators; the serialized names are part of the administration API.
+//! Progress of a startup for operators. The serialized names are part of the administration API.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 use crate::phase::{CompletedPhase, Phase};
 use crate::settings::UnknownListPolicy;
 
-/// Tenants that a report names at most.
+/// Maximum number of tenants named in a report.
 const MAX_NAMED_TENANTS: usize = 5;
 const MICROS_PER_MS: u64 = 1000;
 
@@ -14,36 +14,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StartupReport {
-    /// Present phase.
+    /// Current phase.
     pub phase: Phase,
-    /// Time since the present phase was entered, in milliseconds.
+    /// Time since the start of the current phase in milliseconds.
     #[serde(rename = "for-ms")]
     pub phase_elapsed_ms: u64,
-    /// Condition that the present phase waits for.
+    /// Condition that the current phase waits for.
     pub waits_for: String,
-    /// Timeout of the present phase in milliseconds; none if it has no timeout.
+    /// Timeout of the current phase in milliseconds; `None` if it has no timeout.
     #[serde(
         rename = "at-most-ms",
         skip_serializing_if = "Option::is_none",
         default
     )]
     pub timeout_ms: Option<u64>,
-    /// Action after the timeout.
+    /// Description of the action after the timeout.
     #[serde(rename = "then", skip_serializing_if = "Option::is_none", default)]
     pub after_timeout: Option<String>,
-    /// Durations of the phases that have ended.
+    /// Durations of the completed phases.
     #[serde(rename = "took")]
     pub completed: Vec<PhaseDuration>,
-    /// Names of tenants whose list was unknown when the instance began to take requests.
+    /// Names of tenants whose endpoint list was unknown when the instance started to accept requests.
     #[serde(rename = "unsure")]
     pub unknown_lists: Vec<String>,
 }
 
-/// Duration of a phase that has ended.
+/// Duration of a completed phase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PhaseDuration {
-    /// Phase.
+    /// Completed phase.
     pub phase: Phase,
     /// Duration in milliseconds.
     #[serde(rename = "ms")]
@@ -54,17 +54,17 @@
     fn from(completed: &CompletedPhase) -> Self {
         PhaseDuration {
             phase: completed.phase,
-            duration_ms: whole_ms(completed.duration),
+            duration_ms: micros_to_ms(completed.duration),
         }
     }
 }
 
-/// Converts microseconds to whole milliseconds.
-pub(crate) fn whole_ms(micros: u64) -> u64 {
+/// Converts microseconds to whole milliseconds, rounding down.
+pub(crate) fn micros_to_ms(micros: u64) -> u64 {
     micros / MICROS_PER_MS
 }
 
-/// Describes the condition that a phase waits for.
+/// Describes the condition that a phase waits for. The texts are part of the administration API.
 pub(crate) fn describe_wait(phase: Phase, conditions: &Conditions) -> String {
     match phase {
         Phase::Store => "its store".into(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Describes the action of a phase after its timeout, if it has one.
+/// Describes the action after the timeout of a phase, if the phase has one. The texts are part of the administration API.
 pub(crate) fn describe_timeout(phase: Phase, policy: UnknownListPolicy) -> Option<String> {
     if phase != Phase::List {
         return None;
--- a/crates/startup/src/sequence.rs
+++ b/crates/startup/src/sequence.rs
@@ -2,17 +2,17 @@
 
 use crate::conditions::{Conditions, Membership};
 use crate::phase::{CompletedPhase, Phase};
-use crate::report::{PhaseDuration, StartupReport, describe_timeout, describe_wait, whole_ms};
+use crate::report::{PhaseDuration, StartupReport, describe_timeout, describe_wait, micros_to_ms};
 use crate::settings::{Micros, StartupSettings, UnknownListPolicy};
 
-/// Readiness of an instance to take requests.
+/// Readiness of an instance to accept requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Requests may not be taken yet.
+    /// The instance may not accept requests yet.
     NotReady,
-    /// Requests may be taken; the policy and all lists are known to be current.
+    /// The instance may accept requests; its policy and all endpoint lists are known to be current.
     Ready,
-    /// Requests may be taken, though some lists are unknown.
+    /// The instance may accept requests, although some endpoint lists are unknown.
     ReadyWithUnknownLists,
 }
 
@@ -24,12 +24,12 @@
     phase_entered_at: Micros,
     completed: Vec<CompletedPhase>,
     conditions: Conditions,
-    /// Tenants whose list was unknown when the instance became ready.
+    /// Names of tenants whose endpoint list was unknown when the instance became ready.
     unknown_lists: Vec<String>,
 }
 
 impl StartupSequence {
-    /// Starts in the phase [`Phase::Store`] at `now`.
+    /// Creates a startup that enters the phase [`Phase::Store`] at `now`.
     pub fn new(now: Micros, settings: StartupSettings) -> Self {
         StartupSequence {
             settings,
@@ -41,29 +41,30 @@
         }
     }
 
-    /// Returns the present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Returns the moment at which the present phase was entered.
+    /// Returns the time at which the current phase was entered.
     pub fn phase_entered_at(&self) -> Micros {
         self.phase_entered_at
     }
 
-    /// Returns the phases that have ended, in the order in which they first ended.
+    /// Returns the completed phases, in the order in which they first completed.
     pub fn completed(&self) -> &[CompletedPhase] {
         &self.completed
     }
 
-    /// Ends the phase [`Phase::Store`].
+    /// Records that the store is open, which completes the phase [`Phase::Store`].
     pub fn store_opened(&mut self, now: Micros) {
         if self.phase == Phase::Store {
             self.enter(now, Phase::Members);
         }
     }
 
-    /// Advances by the conditions at `now`. An instance that is ready stays ready: from then on its lease limits what it may decide.
+    /// Advances the phase according to the conditions at `now`. A ready instance stays ready; from then on, its lease controls when it may
+    /// decide.
     pub fn update(&mut self, now: Micros, conditions: Conditions) -> Readiness {
         self.conditions = conditions;
         if self.phase == Phase::Members && self.conditions.membership == Membership::Led {
@@ -72,7 +73,7 @@
         if self.phase == Phase::Policy && self.conditions.is_policy_current {
             self.enter(now, Phase::List);
         }
-        // The policy may become outdated while lists are awaited.
+        // The policy may become outdated while the instance waits for lists.
         if self.phase == Phase::List && !self.conditions.is_policy_current {
             self.enter(now, Phase::Policy);
         }
@@ -89,9 +90,9 @@
         let has_timeout = self.phase == Phase::List;
         StartupReport {
             phase: self.phase,
-            phase_elapsed_ms: whole_ms(now.saturating_sub(self.phase_entered_at)),
+            phase_elapsed_ms: micros_to_ms(now.saturating_sub(self.phase_entered_at)),
             waits_for: describe_wait(self.phase, &self.conditions),
-            timeout_ms: has_timeout.then_some(whole_ms(self.settings.list_timeout)),
+            timeout_ms: has_timeout.then_some(micros_to_ms(self.settings.list_timeout)),
             after_timeout: describe_timeout(self.phase, self.settings.unknown_list_policy),
             completed: self.completed.iter().map(PhaseDuration::from).collect(),
             unknown_lists: self.unknown_lists.clone(),
@@ -120,7 +121,7 @@
     fn enter(&mut self, now: Micros, phase: Phase) {
         let duration = now.saturating_sub(self.phase_entered_at);
         let ended = self.phase;
-        // A phase that is entered again adds to its former duration.
+        // The duration of a phase that is entered again is added to its earlier duration.
         match self.completed.iter_mut().find(|known| known.phase == ended) {
             Some(known) => known.duration += duration,
             None => self.completed.push(CompletedPhase {
--- a/crates/startup/tests/sequence.rs
+++ b/crates/startup/tests/sequence.rs
@@ -1,4 +1,4 @@
-//! Phases of a startup follow the conditions, and requests are taken only when these allow it.
+//! Phases of a startup: they follow the conditions, and requests are accepted only when the conditions allow it.
 
 use proptest::prelude::*;
 use startup::{
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn phases_follow_the_conditions_and_a_lost_list_does_not_block_the_others_forever() {
+fn phases_follow_the_conditions_and_a_missing_list_blocks_only_until_the_timeout() {
     let mut start = StartupSequence::new(0, SETTINGS);
     assert_eq!(
         start.update(5, conditions(true, true, true, &[])),
         Readiness::NotReady,
-        "its store first"
+        "the store is not open yet"
     );
     start.store_opened(10);
     assert_eq!(
@@ -49,7 +49,7 @@
         start.update(50, conditions(true, true, false, &["a"])),
         Readiness::NotReady
     );
-    assert_eq!(start.phase(), Phase::Policy, "its lease ran out meanwhile");
+    assert_eq!(start.phase(), Phase::Policy, "the policy became outdated");
     assert_eq!(
         start.update(60, conditions(true, true, true, &["a"])),
         Readiness::NotReady
@@ -127,27 +127,28 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order, requests are first taken at an update at which the policy is known to be current.
+    /// Guards against an instance that starts to serve under an outdated policy: for any sequence of conditions, requests are first
+    /// accepted at an update at which the policy is known to be current.
     #[test]
-    fn requests_are_never_taken_first_under_a_policy_that_is_not_known(
+    fn requests_are_first_accepted_only_under_a_current_policy(
         updates in proptest::collection::vec((any::<[bool; 4]>(), 0..3000u64), 1..60), rejects in any::<bool>(),
     ) {
         let unknown_list_policy = if rejects { UnknownListPolicy::Reject } else { UnknownListPolicy::Serve };
         let mut start = StartupSequence::new(0, StartupSettings { unknown_list_policy, ..SETTINGS });
         start.store_opened(0);
-        let (mut now, mut taken) = (0, false);
-        for ([joined, led, current, listed], span) in updates {
-            now += span;
-            let unknown: &[&str] = if listed { &[] } else { &["a"] };
+        let (mut now, mut is_ready) = (0, false);
+        for ([joined, led, current, is_list_known], elapsed) in updates {
+            now += elapsed;
+            let unknown: &[&str] = if is_list_known { &[] } else { &["a"] };
             let readiness = start.update(now, conditions(joined, led, current, unknown));
-            if readiness != Readiness::NotReady && !taken {
+            if readiness != Readiness::NotReady && !is_ready {
                 prop_assert!(current);
-                prop_assert!(listed || !rejects);
-                taken = true;
+                prop_assert!(is_list_known || !rejects);
+                is_ready = true;
             }
-            prop_assert!(!taken || readiness != Readiness::NotReady);
-            let spent: u64 = start.completed().iter().map(|completed| completed.duration).sum();
-            prop_assert_eq!(spent + now - start.phase_entered_at(), now);
+            prop_assert!(!is_ready || readiness != Readiness::NotReady);
+            let completed_duration: u64 = start.completed().iter().map(|completed| completed.duration).sum();
+            prop_assert_eq!(completed_duration + now - start.phase_entered_at(), now);
         }
     }
 }
