--- a/crates/config-parser/src/lib.rs
+++ b/crates/config-parser/src/lib.rs
@@ -5,11 +5,11 @@
 //!   does not grow with the document ([`MOST_LISTED`] faults, each under 1 KB).
 //! - [`units`]: spans, shares, rates and amounts of memory, each with its unit.
 
-mod form;
-mod place;
-mod text;
+mod message;
+mod positions;
+mod schema;
 pub mod units;
 
-pub use form::{Fault, Form, toml};
-pub use place::{DocumentError, Places, Problem};
-pub use text::MOST_LISTED;
+pub use message::MOST_LISTED;
+pub use positions::{DocumentError, Places, Problem};
+pub use schema::{Fault, Form, toml};
--- a/crates/config-parser/src/place.rs
+++ b/crates/config-parser/src/positions.rs
@@ -6,7 +6,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use crate::text::{self, MOST_LISTED};
+use crate::message::{self, MOST_LISTED};
 
 /// One thing that is wrong with a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -158,15 +158,15 @@
         let more = more + problems.len().saturating_sub(MOST_LISTED);
         problems.truncate(MOST_LISTED);
         for p in &mut problems {
-            p.key = text::cut(&p.key, text::MOST_OF_PLACE);
-            p.what = text::cut(&p.what, text::MOST_OF_WHAT);
+            p.key = message::cut(&p.key, message::MOST_OF_PLACE);
+            p.what = message::cut(&p.what, message::MOST_OF_WHAT);
         }
         if more > 0 {
             let line = problems.last().map_or(1, |p| p.line);
             problems.push(Problem {
                 line,
                 key: String::new(),
-                what: text::rest(more),
+                what: message::rest(more),
             });
         }
         DocumentError {
--- a/crates/config-parser/src/form.rs
+++ b/crates/config-parser/src/schema.rs
@@ -6,8 +6,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::place::{DocumentError, Places, Problem};
-use crate::text::{self, MOST_LISTED};
+use crate::message::{self, MOST_LISTED};
+use crate::positions::{DocumentError, Places, Problem};
 use crate::units;
 
 /// One thing that is wrong with a value.
@@ -59,12 +59,12 @@
     pub fn faults(&self, value: &Value) -> Vec<Fault> {
         let (found, more) = self.first_faults(value);
         let bounded = |f: Fault| Fault {
-            pointer: text::cut(&f.pointer, text::MOST_OF_PLACE),
+            pointer: message::cut(&f.pointer, message::MOST_OF_PLACE),
             what: f.what,
         };
         let rest = (more > 0).then(|| Fault {
             pointer: String::new(),
-            what: text::rest(more),
+            what: message::rest(more),
         });
         found.into_iter().map(bounded).chain(rest).collect()
     }
@@ -79,7 +79,7 @@
                 if faults.len() < MOST_LISTED {
                     faults.push(Fault {
                         pointer: pointer(),
-                        what: text::cut(&what(), text::MOST_OF_WHAT),
+                        what: message::cut(&what(), message::MOST_OF_WHAT),
                     });
                 } else {
                     more += 1;
@@ -158,7 +158,7 @@
 fn deserialized<T: DeserializeOwned>(value: &Value) -> Result<T, Fault> {
     T::deserialize(value).map_err(|e| Fault {
         pointer: String::new(),
-        what: text::shortened(&e.to_string()),
+        what: message::shortened(&e.to_string()),
     })
 }
 
@@ -175,17 +175,17 @@
         let are = if *limit == 1 { "is" } else { "are" };
         format!(
             "it has {}, and at most {limit} {are} allowed",
-            text::counted(length, unit)
+            message::counted(length, unit)
         )
     };
     let least = |unit: &str, limit: &u64| {
         let are = if *limit == 1 { "is" } else { "are" };
         format!(
             "it has {}, and at least {limit} {are} needed",
-            text::counted(length, unit)
+            message::counted(length, unit)
         )
     };
-    let otherwise = || error.masked_with(text::quoted(value)).to_string();
+    let otherwise = || error.masked_with(message::quoted(value)).to_string();
     match error.kind() {
         ValidationErrorKind::MaxItems { limit } => most("entry", limit),
         ValidationErrorKind::MinItems { limit } => least("entry", limit),
@@ -199,7 +199,7 @@
         }
         ValidationErrorKind::Pattern { pattern } => units::meaning(pattern)
             .map_or_else(otherwise, |meaning| {
-                format!("{} is not {meaning}", text::quoted(value))
+                format!("{} is not {meaning}", message::quoted(value))
             }),
         // The value that it speaks of is a key, and the inner error's.
         ValidationErrorKind::PropertyNames { error } => words(error),
