--- a/crates/admin-api/src/call.rs
+++ b/crates/admin-api/src/call.rs
@@ -193,7 +193,7 @@
     /// # Errors
     /// It has another form.
     pub fn read<T: DeserializeOwned + JsonSchema>(&self) -> Result<T, Problem> {
-        let form = config_parser::Form::of::<T>().map_err(Problem::internal)?;
-        form.read(&self.body).map_err(Problem::faults)
+        let form = config_parser::DocumentSchema::for_type::<T>().map_err(Problem::internal)?;
+        form.deserialize(&self.body).map_err(Problem::faults)
     }
 }
--- a/crates/admin-api/src/desk.rs
+++ b/crates/admin-api/src/desk.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-use config_parser::{Fault, Form};
+use config_parser::{DocumentSchema, ValidationError};
 use config_store::{
     Author, DocumentVisitor, Retention, Store, StoreError, StoreState, Transaction, snapshot,
 };
@@ -45,7 +45,7 @@
     /// The present documents, each with its revision, in what the file says of process and listeners.
     catalog: Catalog,
     parts: Parts,
-    form: Form,
+    form: DocumentSchema,
     /// Whether what is to be stored is agreed on with others first.
     agrees: bool,
 }
@@ -141,14 +141,14 @@
     }
 
     /// Faults of a document as faults of the body.
-    fn outside(&self, faults: Vec<Fault>) -> Vec<Fault> {
+    fn outside(&self, faults: Vec<ValidationError>) -> Vec<ValidationError> {
         let pointer =
             |p: &str| format!("{}{}", self.above, p.strip_prefix(&self.part).unwrap_or(p));
         faults
             .into_iter()
-            .map(|f| Fault {
+            .map(|f| ValidationError {
                 pointer: pointer(&f.pointer),
-                what: f.what,
+                message: f.message,
             })
             .collect()
     }
@@ -209,7 +209,7 @@
         parts: Parts,
         read: impl FnOnce(DocumentVisitor<'_>) -> Result<T, StoreError>,
     ) -> Result<(T, Self), StoreError> {
-        let form = Form::of::<Tenant>().map_err(StoreError::Unavailable)?;
+        let form = DocumentSchema::for_type::<Tenant>().map_err(StoreError::Unavailable)?;
         let mut loaded = Loaded {
             catalog: Catalog::new(&Service::default()),
             parts,
@@ -219,21 +219,23 @@
         Ok((done, loaded))
     }
 
-    fn take(&mut self, form: &Form, scope: &str, rev: u64, document: &Value) {
-        let tenant = match form.read::<Tenant>(document) {
+    fn take(&mut self, form: &DocumentSchema, scope: &str, rev: u64, document: &Value) {
+        let tenant = match form.deserialize::<Tenant>(document) {
             Ok(tenant) => tenant,
             Err(faults) => {
                 let all = faults
                     .iter()
-                    .map(|f| format!("{scope}: {}: {}", f.key(), f.what));
+                    .map(|f| format!("{scope}: {}: {}", f.key(), f.message));
                 return self.faults.extend(all);
             }
         };
         let i = self.catalog.len();
         let edit = [(tenant.name.clone(), Some(tenant))];
         for (_, fault) in check::edits(&self.catalog, &edit) {
-            self.faults
-                .push(no_fit(&format!("tenant.{i}.{}", fault.key()), &fault.what));
+            self.faults.push(no_fit(
+                &format!("tenant.{i}.{}", fault.key()),
+                &fault.message,
+            ));
         }
         if let [(_, Some(tenant))] = &edit {
             self.catalog.put(&mut self.parts, tenant, rev);
@@ -357,7 +359,7 @@
             tokens: tokens(state.tokens)?,
             catalog: Catalog::new(&Service::default()),
             parts: Parts::default(),
-            form: Form::of::<Tenant>()?,
+            form: DocumentSchema::for_type::<Tenant>()?,
         };
         // Where others have a say, they may have versions already.
         if desk.entry == 0 && desk.read_only.is_none() && !desk.agrees {
@@ -389,7 +391,7 @@
         let faults = check::around(file, |name| self.catalog.name(name).is_some());
         let all = faults
             .iter()
-            .map(|f| no_fit(&f.key(), &f.what))
+            .map(|f| no_fit(&f.key(), &f.message))
             .collect::<Vec<_>>();
         if all.is_empty() {
             Ok(self.catalog.in_frame(file))
@@ -491,16 +493,16 @@
             let Some(name) = tenant_of(scope) else {
                 continue;
             };
-            let faults = |f: Vec<Fault>| {
+            let faults = |f: Vec<ValidationError>| {
                 let all: Vec<_> = f
                     .iter()
-                    .map(|f| format!("{name}: {}: {}", f.key(), f.what))
+                    .map(|f| format!("{name}: {}: {}", f.key(), f.message))
                     .collect();
                 all_of(&all, "; ")
             };
             let read = document
                 .as_ref()
-                .map(|d| self.form.read::<Tenant>(d).map_err(faults))
+                .map(|d| self.form.deserialize::<Tenant>(d).map_err(faults))
                 .transpose()?;
             edits.push((name, read));
         }
@@ -549,8 +551,8 @@
         let all: Vec<String> = check::edits(&self.catalog, &edits)
             .into_iter()
             .map(|(edit, f)| match edit.and_then(|i| edits.get(i)) {
-                Some((name, _)) => format!("{name}: {}: {}", f.key(), f.what),
-                None => format!("{}: {}", f.key(), f.what),
+                Some((name, _)) => format!("{name}: {}: {}", f.key(), f.message),
+                None => format!("{}: {}", f.key(), f.message),
             })
             .collect();
         if !all.is_empty() {
@@ -807,7 +809,7 @@
         let (rev, document) = stored.ok_or_else(|| lost("it is not stored"))?;
         let tenant = self
             .form
-            .read(&document)
+            .deserialize(&document)
             .map_err(|_| lost("what is stored has another form"))?;
         self.catalog.put(&mut self.parts, &tenant, rev);
         Ok(())
@@ -919,7 +921,7 @@
             let read = match document {
                 Some(d) => {
                     let faults = |f| Problem::faults(frame.outside(f));
-                    Some(self.form.read::<Tenant>(d).map_err(faults)?)
+                    Some(self.form.deserialize::<Tenant>(d).map_err(faults)?)
                 }
                 None => None,
             };
@@ -1112,7 +1114,7 @@
         for (edit, fault) in faults {
             match edit.and_then(|i| frames.get(edits.get(i)?.0.as_str())) {
                 Some(frame) => own.extend(frame.outside(vec![fault])),
-                None => others.push(format!("{}: {}", fault.key(), fault.what)),
+                None => others.push(format!("{}: {}", fault.key(), fault.message)),
             }
         }
         if own.is_empty() {
--- a/crates/admin-api/src/problem.rs
+++ b/crates/admin-api/src/problem.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use config_parser::Fault;
+use config_parser::ValidationError;
 use config_store::StoreError;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -34,7 +34,7 @@
     /// What is wrong this time.
     pub detail: String,
     /// Which fields are wrong.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ValidationError>,
 }
 
 /// A field that is wrong.
@@ -98,9 +98,9 @@
 
 impl Problem {
     /// A document with these faults.
-    pub fn faults(faults: Vec<Fault>) -> Self {
+    pub fn faults(faults: Vec<ValidationError>) -> Self {
         let detail = match faults.as_slice() {
-            [one] => format!("{}: {}", one.pointer, one.what),
+            [one] => format!("{}: {}", one.pointer, one.message),
             many => format!("{} fields are wrong", many.len()),
         };
         Problem {
@@ -111,10 +111,10 @@
 
     /// The document, as application/problem+json.
     pub fn body(&self, instance: &str) -> Value {
-        let field = |f: &'_ Fault| {
+        let field = |f: &'_ ValidationError| {
             json!(Field {
                 pointer: &short(&f.pointer),
-                detail: &short(&f.what)
+                detail: &short(&f.message)
             })
         };
         let mut body = json!({
@@ -127,7 +127,7 @@
         if !self.faults.is_empty() {
             let mut bytes = 0;
             let few = self.faults.iter().take_while(|f| {
-                bytes += f.pointer.len().min(LONG) + f.what.len().min(LONG) + 32;
+                bytes += f.pointer.len().min(LONG) + f.message.len().min(LONG) + 32;
                 bytes <= ALL
             });
             body["errors"] = few.map(field).collect();
--- a/crates/admin-api/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -116,10 +116,10 @@
     let (name, place) = (call.name("tenant").to_owned(), place(call, part));
     let now = desk.document(&call.who, &name);
     let mut body = call.body.clone();
-    let differs = |what| {
-        Problem::faults(vec![config_parser::Fault {
+    let differs = |message| {
+        Problem::faults(vec![config_parser::ValidationError {
             pointer: "/name".into(),
-            what,
+            message,
         }])
     };
     place.name(&mut body).map_err(differs)?;
@@ -253,10 +253,10 @@
             return Err(no_tenant(&tenant.name));
         }
         if !named.insert(tenant.name.as_str()) {
-            let what = format!("\"{}\" stands twice", tenant.name);
-            return Err(Problem::faults(vec![config_parser::Fault {
+            let message = format!("\"{}\" stands twice", tenant.name);
+            return Err(Problem::faults(vec![config_parser::ValidationError {
                 pointer: format!("/tenant/{i}/name"),
-                what,
+                message,
             }]));
         }
         let document = written_out(tenant)?;
--- a/crates/admin-api/src/together.rs
+++ b/crates/admin-api/src/together.rs
@@ -13,7 +13,7 @@
 use cluster::state_machine::{Outcome as Ended, Phase};
 use cluster_runtime::member::{MemberCommand, MemberEvent, PendingChange};
 use cluster_runtime::status::Status;
-use config_parser::Fault;
+use config_parser::ValidationError;
 use multi_tenant::document::Service;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -95,7 +95,11 @@
 
 impl From<Problem> for Given {
     fn from(p: Problem) -> Self {
-        let faults = p.faults.into_iter().map(|f| (f.pointer, f.what)).collect();
+        let faults = p
+            .faults
+            .into_iter()
+            .map(|f| (f.pointer, f.message))
+            .collect();
         Given::Problem {
             kind: p.kind.into(),
             detail: p.detail,
@@ -189,7 +193,7 @@
                 };
                 let faults = faults
                     .into_iter()
-                    .map(|(pointer, what)| Fault { pointer, what })
+                    .map(|(pointer, message)| ValidationError { pointer, message })
                     .collect();
                 Err(Problem {
                     status,
--- a/crates/admin-api/src/tokens.rs
+++ b/crates/admin-api/src/tokens.rs
@@ -68,9 +68,9 @@
 }
 
 fn fault(pointer: &str, what: &str) -> Problem {
-    Problem::faults(vec![config_parser::Fault {
+    Problem::faults(vec![config_parser::ValidationError {
         pointer: pointer.into(),
-        what: what.into(),
+        message: what.into(),
     }])
 }
 
--- a/crates/admin-api/tests/held.rs
+++ b/crates/admin-api/tests/held.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use admin_api::{Desk, Problem, snapshot_rest};
-use config_parser::Fault;
+use config_parser::ValidationError;
 use config_store::{Retention, Store};
 use multi_tenant::catalog::{Catalog, Difference};
 use multi_tenant::document::Service;
@@ -270,9 +270,9 @@
 fn a_problem_never_repeats_a_long_body() {
     let long = "x".repeat(50_000);
     let many = (0..5000)
-        .map(|i| Fault {
+        .map(|i| ValidationError {
             pointer: format!("/{i}"),
-            what: long.clone(),
+            message: long.clone(),
         })
         .collect();
     for problem in [Problem::conflict(long.clone()), Problem::faults(many)] {
@@ -291,9 +291,9 @@
             .unwrap()
             .ends_with("(cut: it has 50000 bytes)")
     );
-    let fault = Problem::faults(vec![Fault {
+    let fault = Problem::faults(vec![ValidationError {
         pointer: "/hosts/3".into(),
-        what: "ü".repeat(9000),
+        message: "ü".repeat(9000),
     }])
     .body("/");
     assert!(fault["detail"].as_str().unwrap().starts_with("/hosts/3: ü"));
--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use config_parser::{DocumentError, Fault, Places, Problem};
+use config_parser::{DocumentError, KeyPositions, Problem, ValidationError};
 use http_body_util::BodyExt as _;
 use serde_json::{Value, json};
 
@@ -483,18 +483,18 @@
         if let (Some(errors), Some(places)) = (errors, places) {
             // The service names places in the body; people have the file.
             let one = |e: &Value| {
-                let fault = Fault {
+                let fault = ValidationError {
                     pointer: cell(&e["pointer"]),
-                    what: cell(&e["detail"]),
+                    message: cell(&e["detail"]),
                 };
                 let key = fault.key();
                 Problem {
                     line: places.line_of(&key),
                     key,
-                    what: fault.what,
+                    message: fault.message,
                 }
             };
-            let error: DocumentError = places.problems(errors.iter().map(one).collect());
+            let error: DocumentError = places.document_error(errors.iter().map(one).collect());
             return Err(Ended(code_of(answer.status), error.to_string()));
         }
         if answer.status >= 400 {
@@ -765,12 +765,12 @@
 }
 
 /// Tenants of a file: TOML with the places of its keys, or JSON.
-fn read_tenants(file: &Path) -> Result<(Value, Option<Places>), Ended> {
+fn read_tenants(file: &Path) -> Result<(Value, Option<KeyPositions>), Ended> {
     let (name, text) = (file.display().to_string(), text_of(file)?);
     if text.trim_start().starts_with('{') {
         let value = serde_json::from_str(&text).map_err(|e| format!("{name}:{}: {e}", e.line()))?;
         return Ok((value, None));
     }
-    let (value, places) = config_parser::toml(&name, &text).map_err(|e| e.to_string())?;
+    let (value, places) = config_parser::parse_toml(&name, &text).map_err(|e| e.to_string())?;
     Ok((value, Some(places)))
 }
--- a/crates/canvascart/src/capture.rs
+++ b/crates/canvascart/src/capture.rs
@@ -5,7 +5,7 @@
 use std::io::{self, BufRead, BufReader, Write as _};
 use std::path::{Path, PathBuf};
 
-use ::capture::{Decision, Head, Line, News, Record, Server};
+use ::capture::{Decision, EndpointRecord, Line, ListUpdate, RequestRecord, SegmentHeader};
 
 use crate::replay::Replay;
 
@@ -45,14 +45,14 @@
 
 /// News of the list, and the requests that met the list as it then was.
 pub struct Change {
-    pub news: Option<News>,
-    pub servers: Vec<Server>,
-    pub records: Vec<(usize, Record<'static>)>,
+    pub news: Option<ListUpdate>,
+    pub servers: Vec<EndpointRecord>,
+    pub records: Vec<(usize, RequestRecord<'static>)>,
 }
 
 /// All that is left of one start of a proxy.
 pub struct Start {
-    pub head: Head,
+    pub head: SegmentHeader,
     pub settings: Option<String>,
     pub changes: Vec<Change>,
 }
@@ -82,7 +82,7 @@
                 true => {}
                 false
                     if !line.is_empty()
-                        && Line::looks_alike(line)
+                        && Line::has_line_prefix(line)
                         && input.fill_buf()?.is_empty() =>
                 {
                     contents.truncated = true;
@@ -95,8 +95,8 @@
 
     /// Puts a line where it belongs; `false` if it belongs nowhere.
     fn take(&mut self, number: usize, line: Line) -> bool {
-        if let Line::Head(head) = line {
-            let same = |s: &Start| s.head.seed == head.seed && s.head.start == head.start;
+        if let Line::Header(head) = line {
+            let same = |s: &Start| s.head.seed == head.seed && s.head.started_at == head.started_at;
             if !self.starts.last().is_some_and(same) {
                 let first = Change {
                     news: None,
@@ -115,26 +115,33 @@
             return false;
         };
         match line {
-            Line::Head(_) => {}
+            Line::Header(_) => {}
             Line::Settings(text) => start.settings = Some(text),
-            Line::News(news) => {
+            Line::ListUpdate(news) => {
                 start.changes.push(Change {
                     news: Some(news),
                     servers: Vec::new(),
                     records: Vec::new(),
                 });
             }
-            Line::Server(server) => {
-                let wanted =
-                    |c: &&mut Change| c.news.as_ref().is_some_and(|n| c.servers.len() < n.hosts);
+            Line::Endpoint(server) => {
+                let wanted = |c: &&mut Change| {
+                    c.news
+                        .as_ref()
+                        .is_some_and(|n| c.servers.len() < n.endpoint_count)
+                };
                 let Some(change) = start.changes.last_mut().filter(wanted) else {
                     return false;
                 };
                 change.servers.push(server);
             }
             // It ended after news that came while it was under way: it is decided before them.
-            Line::Record(record) => {
-                let seq = |c: &Change| c.news.as_ref().is_some_and(|n| n.seq == record.seq);
+            Line::Request(record) => {
+                let seq = |c: &Change| {
+                    c.news
+                        .as_ref()
+                        .is_some_and(|n| n.version == record.list_version)
+                };
                 let met = start
                     .changes
                     .iter()
@@ -171,7 +178,7 @@
                 replay.news(news, &change.servers);
             }
             for (number, then) in change.records {
-                let Some(tried) = then.tried.as_deref() else {
+                let Some(tried) = then.attempts.as_deref() else {
                     unseen += 1; // nothing was decided
                     continue;
                 };
--- a/crates/canvascart/src/client.rs
+++ b/crates/canvascart/src/client.rs
@@ -2,8 +2,8 @@
 
 use std::io::Write as _;
 
-use ::client::http::{Ask, Client, Outcome};
-use ::client::{Class, Stop};
+use ::client::http::{CallOutcome, CallRequest, Client};
+use ::client::{Class, StopReason};
 use clap::ValueEnum;
 use settings::properties::host_and_port;
 
@@ -51,7 +51,7 @@
             "no proxy is named: give --target, or client.target in the file of --properties".into(),
         );
     }
-    let ask = Ask {
+    let ask = CallRequest {
         class: match arguments.class {
             Name::Lookup => Class::Lookup,
             Name::Checkout => Class::Checkout,
@@ -62,13 +62,13 @@
     };
     let mut client = Client::new(settings, fastrand::u64(..))?;
     let outcome = crate::block_on(client.call(&ask))??;
-    for (n, tried) in outcome.tries.iter().enumerate() {
+    for (n, tried) in outcome.attempts.iter().enumerate() {
         eprintln!("try {}: {tried}", n + 1);
     }
-    if outcome.answer.as_ref().is_none_or(|a| a.status != 200) {
-        eprintln!("canvascart: {}", outcome.stop);
+    if outcome.response.as_ref().is_none_or(|a| a.status != 200) {
+        eprintln!("canvascart: {}", outcome.stop_reason);
     }
-    if let Some(answer) = &outcome.answer {
+    if let Some(answer) = &outcome.response {
         let mut out = std::io::stdout();
         out.write_all(&answer.body)
             .and_then(|()| out.flush())
@@ -77,12 +77,12 @@
     Ok(code(&outcome))
 }
 
-fn code(outcome: &Outcome) -> u8 {
-    match outcome.answer.as_ref().map(|a| a.status) {
+fn code(outcome: &CallOutcome) -> u8 {
+    match outcome.response.as_ref().map(|a| a.status) {
         Some(200) => 0,
         Some(429 | 503) => REFUSED,
         Some(_) => FAILED,
-        None if outcome.stop == Stop::Deadline => LATE,
+        None if outcome.stop_reason == StopReason::Deadline => LATE,
         None => FAILED,
     }
 }
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -99,7 +99,7 @@
         let faults = check::faults(&service);
         let all: Vec<String> = faults
             .iter()
-            .map(|f| format!("{}: {}", f.key(), f.what))
+            .map(|f| format!("{}: {}", f.key(), f.message))
             .collect();
         if all.is_empty() {
             Ok(service)
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use ::capture::{Head, News, Record, Server, Tried};
+use ::capture::{AttemptRecord, EndpointRecord, ListUpdate, RequestRecord, SegmentHeader};
 use balancer::{
     Action, Balancer, CellId, ClassId, Endpoint, EndpointId, Event, Key, MachineTypeId, Millis,
     Outcome, RequestId, TenantId, ZoneId,
@@ -38,12 +38,12 @@
 /// What becomes of the one request.
 #[derive(Default)]
 struct Course {
-    tried: Vec<Tried<'static>>,
+    attempts: Vec<AttemptRecord<'static>>,
     code: Option<u16>,
 }
 
 impl Replay {
-    pub fn new(head: &Head, given: Option<&str>) -> Result<Self, String> {
+    pub fn new(head: &SegmentHeader, given: Option<&str>) -> Result<Self, String> {
         let given = given.ok_or("the capture's settings are missing")?;
         let given =
             serde_json::from_str(given).map_err(|e| format!("the capture's settings: {e}"))?;
@@ -54,7 +54,7 @@
         Ok(Replay {
             balancer: Balancer::new(settings, head.seed),
             names,
-            unix_start: head.start,
+            unix_start: head.started_at,
             now: 0.0,
             requests: 0,
             servers: Vec::new(),
@@ -63,8 +63,8 @@
     }
 
     /// The list changes, as long after the start as it did then.
-    pub fn news(&mut self, news: &News, servers: &[Server]) {
-        self.pass(news.at, &mut Course::default());
+    pub fn news(&mut self, news: &ListUpdate, servers: &[EndpointRecord]) {
+        self.pass(news.received_at, &mut Course::default());
         let entries = servers.iter().map(|s| self.backend(s)).collect();
         self.handle(
             Event::EndpointUpdate {
@@ -75,31 +75,35 @@
         );
     }
 
-    fn backend(&mut self, server: &Server) -> Endpoint {
+    fn backend(&mut self, server: &EndpointRecord) -> Endpoint {
         let id = EndpointId(stable_hash(&server.name));
         if !self.servers.iter().any(|(known, _)| *known == id) {
             self.servers.push((id, server.name.clone()));
         }
-        let born = server.born.is_finite() && server.born > 0.0;
+        let born = server.started_at.is_finite() && server.started_at > 0.0;
         Endpoint {
             id,
             zone: server
-                .site
+                .zone
                 .as_ref()
                 .map(|z| ZoneId(intern(&mut self.names.zones, z) as u32)),
             machine_type: server
-                .class
+                .machine_type
                 .as_ref()
                 .map(|k| MachineTypeId(intern(&mut self.names.machine_types, k) as u32)),
-            cell: server.block.map(CellId),
+            cell: server.cell.map(CellId),
             state: server.state,
-            weight: server.share.unwrap_or(1.0),
-            started_at: born.then_some(server.born - self.unix_start),
+            weight: server.weight.unwrap_or(1.0),
+            started_at: born.then_some(server.started_at - self.unix_start),
         }
     }
 
     /// What the module decides now about a request of then, whose attempts end as those of then did.
-    pub fn decide<'a>(&mut self, then: &'a Record, tried: &[Tried]) -> Result<Record<'a>, String> {
+    pub fn decide<'a>(
+        &mut self,
+        then: &'a RequestRecord,
+        tried: &[AttemptRecord],
+    ) -> Result<RequestRecord<'a>, String> {
         let class = self.names.classes.iter().position(|c| *c == then.class);
         let class = class.ok_or_else(|| format!("the settings know no class '{}'", then.class))?;
         let tenant = then
@@ -109,7 +113,7 @@
         self.pass(self.now + STEP, &mut Course::default());
         self.requests += 1;
         let id = RequestId(self.requests);
-        let budget = (then.deadline as f64 - LAST_RESORT).max(0.0);
+        let budget = (then.timeout_ms as f64 - LAST_RESORT).max(0.0);
         let mut course = Course::default();
         let request = Event::Request {
             id,
@@ -123,9 +127,9 @@
         let end = self.now + budget;
         self.handle(request, &mut course);
         self.run(id, end, then, tried, &mut course);
-        let code = course.code.unwrap_or(FAILED);
-        if course.tried.last().is_some_and(|t| t.end.is_none()) {
-            let attempt = (course.tried.len() - 1) as u32;
+        let status = course.code.unwrap_or(FAILED);
+        if course.attempts.last().is_some_and(|t| t.outcome.is_none()) {
+            let attempt = (course.attempts.len() - 1) as u32;
             let (outcome, latency) = (Outcome::TimedOut, budget);
             let late = Event::AttemptEnded {
                 request: id,
@@ -136,9 +140,9 @@
             };
             self.handle(late, &mut Course::default());
         }
-        Ok(Record {
-            code,
-            tried: Some(course.tried),
+        Ok(RequestRecord {
+            status,
+            attempts: Some(course.attempts),
             ..then.clone()
         })
     }
@@ -148,23 +152,25 @@
         &mut self,
         id: RequestId,
         end: Millis,
-        then: &Record,
-        tried: &[Tried],
+        then: &RequestRecord,
+        tried: &[AttemptRecord],
         course: &mut Course,
     ) {
         let latency = LATENCY.min(LATENCY_PART * (end - self.now));
         while course.code.is_none() {
-            let out = course.tried.last().is_some_and(|t| t.end.is_none());
-            let attempt = course.tried.len().saturating_sub(1);
+            let out = course.attempts.last().is_some_and(|t| t.outcome.is_none());
+            let attempt = course.attempts.len().saturating_sub(1);
             // An attempt that there was none of then is served: nothing is known against it.
-            let outcome = tried.get(attempt).map_or(Some(Outcome::Served), |t| t.end);
-            let left = then.code == GONE && course.tried.len() >= tried.len();
+            let outcome = tried
+                .get(attempt)
+                .map_or(Some(Outcome::Served), |t| t.outcome);
+            let left = then.status == GONE && course.attempts.len() >= tried.len();
             if out && let Some(outcome) = outcome {
                 self.pass(self.now + latency, course);
                 if course.code.is_some() {
                     return;
                 }
-                course.tried[attempt].end = Some(outcome);
+                course.attempts[attempt].outcome = Some(outcome);
                 let closed = outcome == Outcome::Served;
                 course.code = closed.then_some(SERVED);
                 let request = id;
@@ -218,9 +224,9 @@
                         .iter()
                         .find(|(id, _)| *id == backend)
                         .map(|(_, name)| name.clone());
-                    course.tried.push(Tried {
-                        server: name.unwrap_or_default().into(),
-                        end: None,
+                    course.attempts.push(AttemptRecord {
+                        endpoint: name.unwrap_or_default().into(),
+                        outcome: None,
                     });
                 }
                 Action::Reject { .. } => course.code = course.code.or(Some(REFUSED)),
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -68,7 +68,7 @@
 /// The schema can't be made, which is a fault of the program.
 pub fn config(command: &Config) -> Result<u8, String> {
     let document = match command {
-        Config::Schema => check::form()?.schema().clone(),
+        Config::Schema => check::form()?.json_schema().clone(),
         Config::Openapi => ::admin_api::operations::openapi(),
     };
     println!(
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,119 +1,119 @@
-//! The lines of a capture: what a proxy saw and what its module chose.
+//! Line format of a capture: the requests of a proxy, the endpoint lists that it received, and its module's decisions.
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `h 1 seed=… node=… start=… segment=…` | opens a segment: the start's seed and Unix time in ms |
-//! | `s {…}` | the settings object that the module was given |
-//! | `l seq=41 at=12.5 whole hosts=2` | news of the list, `at` ms after the start; its servers follow |
-//! | `b s-5be2a07c site=a class=m2 block=3 share=1 born=0 up` | a server |
-//! | `r 9b1f03aa5c7e2d41 checkout biblio-estrie sid=7f3a dl=2000ms seq=41 -> s-5be2a07c 200` | a request |
+//! | `h 1 seed=… node=… start=… segment=…` | header of a segment: the start's random seed and its Unix time in ms |
+//! | `s {…}` | settings object that the decision module was given |
+//! | `l seq=41 at=12.5 whole hosts=2` | endpoint list update, `at` ms after the start; its endpoints follow |
+//! | `b s-5be2a07c site=a class=m2 block=3 share=1 born=0 up` | endpoint |
+//! | `r 9b1f03aa5c7e2d41 checkout biblio-estrie sid=7f3a dl=2000ms seq=41 -> s-5be2a07c 200` | request |
 //!
-//! A request's decision names all attempts in order. One that was not served has its end behind it
-//! (`s-a:full,s-b`), `-` stands for none, and `(front)` where the module was never asked.
+//! A request's decision names all attempts in order. An attempt that was not served has its outcome appended
+//! (`s-a:full,s-b`); `-` stands for no attempt, and `(front)` for a request that never reached the decision module.
 //!
-//! What comes from outside is cut to [`FIELD`] bytes and escaped with `%` and two hexadecimal digits, all but
-//! letters, digits and `-._~`: no field can end its line or pass for another field.
+//! Values from outside are cut to [`MAX_FIELD_BYTES`] and escaped: every byte except letters, digits and `-._~` becomes
+//! `%` with two hexadecimal digits. So no value can end its line or imitate another field.
 
 use std::borrow::Cow;
 use std::fmt::{self, Write as _};
 
 use balancer::{EndpointState, Millis, Outcome, UpdateScope};
 
-/// Bytes of a field from outside; the rest is cut, which `%~` marks.
-pub const FIELD: usize = 128;
-const CUT: &str = "%~";
+/// Maximum length of a value from outside, in bytes. `%~` marks a truncated one.
+pub const MAX_FIELD_BYTES: usize = 128;
+const TRUNCATION_MARK: &str = "%~";
 
-/// Opens a segment.
+/// Header of a segment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
-    /// The seed of the module's chance.
+pub struct SegmentHeader {
+    /// Seed of the decision module's random generator.
     pub seed: u64,
-    /// The proxy's name.
+    /// Name of the proxy.
     pub node: String,
-    /// When the proxy started: Unix time in ms.
-    pub start: Millis,
-    /// The segment's number since then.
+    /// Start of the proxy: Unix time in ms.
+    pub started_at: Millis,
+    /// Number of the segment since the start.
     pub segment: u64,
 }
 
-/// News of the list; its servers follow, a line each.
+/// Update of the endpoint list; its endpoints follow, one a line.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
-    /// Discovery's version.
-    pub seq: Option<u64>,
-    /// When it came, in ms since the start.
-    pub at: Millis,
-    /// How far it reaches.
+pub struct ListUpdate {
+    /// Version of the list, as discovery numbers it.
+    pub version: Option<u64>,
+    /// Time of its arrival, in ms since the start.
+    pub received_at: Millis,
+    /// Scope of the update.
     pub scope: UpdateScope,
-    /// How many servers follow.
-    pub hosts: usize,
+    /// Number of the endpoints that follow.
+    pub endpoint_count: usize,
 }
 
-/// A server of the list.
+/// Endpoint of a list update.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
-    /// Its name.
+pub struct EndpointRecord {
+    /// Name of the endpoint.
     pub name: String,
-    /// Its zone.
-    pub site: Option<String>,
-    /// Its kind of machine.
-    pub class: Option<String>,
-    /// Its cell.
-    pub block: Option<u64>,
-    /// Its rating.
-    pub share: Option<f64>,
-    /// When it last started: Unix time in ms, 0 for long ago.
-    pub born: Millis,
-    /// Its state.
+    /// Zone.
+    pub zone: Option<String>,
+    /// Machine type.
+    pub machine_type: Option<String>,
+    /// Cell.
+    pub cell: Option<u64>,
+    /// Capacity weight.
+    pub weight: Option<f64>,
+    /// Time of its last start: Unix time in ms, 0 if it started long ago.
+    pub started_at: Millis,
+    /// State in the list.
     pub state: EndpointState,
 }
 
-/// A request that has ended.
+/// Finished request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record<'a> {
-    /// Its id, as the client gave it.
+pub struct RequestRecord<'a> {
+    /// Request id, as the client sent it.
     pub id: Cow<'a, str>,
-    /// Its class.
+    /// Request class.
     pub class: Cow<'a, str>,
-    /// Its tenant, if there are tenants.
+    /// Tenant, if the proxy has tenants.
     pub tenant: Option<Cow<'a, str>>,
-    /// What it is about.
+    /// Key of the request (`sid`).
     pub sid: Option<Cow<'a, str>>,
-    /// The client's patience in ms.
-    pub deadline: u64,
-    /// The version of the list that it met.
-    pub seq: Option<u64>,
-    /// What was decided; `None` where the module was never asked.
-    pub tried: Option<Vec<Tried<'a>>>,
-    /// The answer's code; 499 where the client left before it.
-    pub code: u16,
+    /// Time that the client allows for the request, in ms.
+    pub timeout_ms: u64,
+    /// Version of the endpoint list when the request arrived.
+    pub list_version: Option<u64>,
+    /// Attempts that the module chose; `None` if the request never reached it.
+    pub attempts: Option<Vec<AttemptRecord<'a>>>,
+    /// Status code of the response; 499 if the client disconnected before it.
+    pub status: u16,
 }
 
-/// An attempt.
+/// Attempt of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tried<'a> {
-    /// Where to.
-    pub server: Cow<'a, str>,
-    /// How it ended; `None` where it was still out when the request ended.
-    pub end: Option<Outcome>,
+pub struct AttemptRecord<'a> {
+    /// Name of the endpoint.
+    pub endpoint: Cow<'a, str>,
+    /// Outcome; `None` if the attempt was in flight when the request ended.
+    pub outcome: Option<Outcome>,
 }
 
-/// A line of a capture.
+/// Line of a capture.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
     /// `h`
-    Head(Head),
-    /// `s`, with the JSON text.
+    Header(SegmentHeader),
+    /// `s`, with its JSON text.
     Settings(String),
     /// `l`
-    News(News),
+    ListUpdate(ListUpdate),
     /// `b`
-    Server(Server),
+    Endpoint(EndpointRecord),
     /// `r`
-    Record(Record<'static>),
+    Request(RequestRecord<'static>),
 }
 
-const ENDS: [(Outcome, &str); 7] = [
+const OUTCOMES: [(Outcome, &str); 7] = [
     (Outcome::Error, "error"),
     (Outcome::Overloaded, "full"),
     (Outcome::TimedOut, "timeout"),
@@ -122,8 +122,8 @@
     (Outcome::Cancelled, "cancelled"),
     (Outcome::NotSent, "moot"),
 ];
-const OUT: &str = "out";
-const FRONT: &str = "(front)";
+const PENDING: &str = "out";
+const NOT_DECIDED: &str = "(front)";
 const SCOPES: [(UpdateScope, &str); 3] = [
     (UpdateScope::Full, "whole"),
     (UpdateScope::Delta, "changes"),
@@ -135,21 +135,21 @@
     (EndpointState::Removed, "gone"),
 ];
 
-fn word<T: PartialEq>(table: &[(T, &'static str)], value: &T) -> Option<&'static str> {
+fn name_of<T: PartialEq>(table: &[(T, &'static str)], value: &T) -> Option<&'static str> {
     table
         .iter()
         .find(|(v, _)| v == value)
-        .map(|(_, word)| *word)
+        .map(|(_, name)| *name)
 }
 
-fn meant<T: Copy>(table: &[(T, &'static str)], word: &str) -> Option<T> {
+fn value_of<T: Copy>(table: &[(T, &'static str)], name: &str) -> Option<T> {
     table
         .iter()
-        .find(|(_, w)| *w == word)
+        .find(|(_, n)| *n == name)
         .map(|(value, _)| *value)
 }
 
-/// A field from outside, escaped; `None` is written as `-`.
+/// Value from outside, written escaped; `None` is written as `-`.
 #[derive(Clone, Copy, Debug)]
 pub struct Field<'a>(pub Option<&'a str>);
 
@@ -163,51 +163,52 @@
             "-" => return f.write_str("%2D"),
             _ => {}
         }
-        for &byte in text.as_bytes().iter().take(FIELD) {
+        for &byte in text.as_bytes().iter().take(MAX_FIELD_BYTES) {
             if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
                 f.write_char(char::from(byte))?;
             } else {
                 write!(f, "%{byte:02X}")?;
             }
         }
-        if text.len() > FIELD {
-            f.write_str(CUT)
+        if text.len() > MAX_FIELD_BYTES {
+            f.write_str(TRUNCATION_MARK)
         } else {
             Ok(())
         }
     }
 }
 
-/// Reads a field; the outer `None` says that it is none.
-fn field(text: &str) -> Option<Option<String>> {
+/// Parses a value that [`Field`] wrote; `-` gives an inner `None`, and an invalid text the outer one.
+fn parse_field(text: &str) -> Option<Option<String>> {
     match text {
         "" => return None,
         "-" => return Some(None),
         "%" => return Some(Some(String::new())),
         _ => {}
     }
-    let text = text.strip_suffix(CUT).unwrap_or(text);
+    let text = text.strip_suffix(TRUNCATION_MARK).unwrap_or(text);
     let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
+    let mut remaining = text.bytes();
+    while let Some(byte) = remaining.next() {
         if byte != b'%' {
             bytes.push(byte);
             continue;
         }
-        let mut digit = || {
-            rest.next()
+        let mut hex_digit = || {
+            remaining
+                .next()
                 .and_then(|b| char::from(b).to_digit(16))
-                .map(|d| d as u8)
+                .map(|digit| digit as u8)
         };
-        bytes.push((digit()? << 4) | digit()?);
+        bytes.push((hex_digit()? << 4) | hex_digit()?);
     }
     Some(Some(String::from_utf8_lossy(&bytes).into_owned()))
 }
 
-/// A figure, `-` for none.
-struct Figure<T>(Option<T>);
+/// Number, written as `-` if there is none.
+struct NumberField<T>(Option<T>);
 
-impl<T: fmt::Display> fmt::Display for Figure<T> {
+impl<T: fmt::Display> fmt::Display for NumberField<T> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.0 {
             Some(number) => number.fmt(f),
@@ -216,7 +217,7 @@
     }
 }
 
-fn figure<T: std::str::FromStr>(text: &str) -> Option<Option<T>> {
+fn parse_number<T: std::str::FromStr>(text: &str) -> Option<Option<T>> {
     if text == "-" {
         Some(None)
     } else {
@@ -224,192 +225,195 @@
     }
 }
 
-impl fmt::Display for Head {
+impl fmt::Display for SegmentHeader {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (node, start) = (Field(Some(&self.node)), self.start);
+        let (node, started_at) = (Field(Some(&self.node)), self.started_at);
         write!(
             f,
-            "h 1 seed={:016x} node={node} start={start} segment={}",
+            "h 1 seed={:016x} node={node} start={started_at} segment={}",
             self.seed, self.segment
         )
     }
 }
 
-impl fmt::Display for News {
+impl fmt::Display for ListUpdate {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let scope = word(&SCOPES, &self.scope).unwrap_or("changes");
+        let scope = name_of(&SCOPES, &self.scope).unwrap_or("changes");
         write!(
             f,
             "l seq={} at={:.3} {scope} hosts={}",
-            Figure(self.seq),
-            self.at,
-            self.hosts
+            NumberField(self.version),
+            self.received_at,
+            self.endpoint_count
         )
     }
 }
 
-impl fmt::Display for Server {
+impl fmt::Display for EndpointRecord {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (name, site) = (Field(Some(&self.name)), Field(self.site.as_deref()));
-        let (class, block, share) = (
-            Field(self.class.as_deref()),
-            Figure(self.block),
-            Figure(self.share),
+        let (name, zone) = (Field(Some(&self.name)), Field(self.zone.as_deref()));
+        let (machine_type, cell, weight) = (
+            Field(self.machine_type.as_deref()),
+            NumberField(self.cell),
+            NumberField(self.weight),
         );
-        let state = word(&STATES, &self.state).unwrap_or("gone");
+        let state = name_of(&STATES, &self.state).unwrap_or("gone");
         write!(
             f,
-            "b {name} site={site} class={class} block={block} share={share} born={} {state}",
-            self.born
+            "b {name} site={zone} class={machine_type} block={cell} share={weight} born={} {state}",
+            self.started_at
         )
     }
 }
 
-impl fmt::Display for Record<'_> {
+impl fmt::Display for RequestRecord<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (id, class) = (Field(Some(&self.id)), Field(Some(&self.class)));
         let (tenant, sid) = (Field(self.tenant.as_deref()), Field(self.sid.as_deref()));
         write!(
             f,
             "r {id} {class} {tenant} sid={sid} dl={}ms seq={} -> ",
-            self.deadline,
-            Figure(self.seq)
+            self.timeout_ms,
+            NumberField(self.list_version)
         )?;
         write!(f, "{}", Decision(self))
     }
 }
 
-/// What a record says was decided and answered.
-pub struct Decision<'a>(pub &'a Record<'a>);
+/// Attempts and status code of a request, as its line ends with them.
+pub struct Decision<'a>(pub &'a RequestRecord<'a>);
 
 impl fmt::Display for Decision<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self.0.tried.as_deref() {
-            None => f.write_str(FRONT)?,
+        match self.0.attempts.as_deref() {
+            None => f.write_str(NOT_DECIDED)?,
             Some([]) => f.write_char('-')?,
-            Some(tried) => {
-                for (n, t) in tried.iter().enumerate() {
+            Some(attempts) => {
+                for (index, attempt) in attempts.iter().enumerate() {
                     write!(
                         f,
                         "{}{}",
-                        if n > 0 { "," } else { "" },
-                        Field(Some(&t.server))
+                        if index > 0 { "," } else { "" },
+                        Field(Some(&attempt.endpoint))
                     )?;
-                    match t.end {
+                    match attempt.outcome {
                         Some(Outcome::Served) => {}
-                        Some(end) => write!(f, ":{}", word(&ENDS, &end).unwrap_or(OUT))?,
-                        None => write!(f, ":{OUT}")?,
+                        Some(outcome) => {
+                            write!(f, ":{}", name_of(&OUTCOMES, &outcome).unwrap_or(PENDING))?
+                        }
+                        None => write!(f, ":{PENDING}")?,
                     }
                 }
             }
         }
-        write!(f, " {:03}", self.0.code)
+        write!(f, " {:03}", self.0.status)
     }
 }
 
 impl Line {
-    /// Reads a line; `None` where it is none of a capture's, or not whole.
+    /// Parses a line; `None` if it is not a complete line of a capture.
     pub fn parse(line: &str) -> Option<Line> {
         let (kind, rest) = line.split_once(' ')?;
         if kind == "s" {
             return (rest.starts_with('{') && rest.ends_with('}'))
                 .then(|| Line::Settings(rest.to_owned()));
         }
-        let mut words = Words(rest.split(' '));
+        let mut fields = Fields(rest.split(' '));
         let line = match kind {
-            "h" => words.head().map(Line::Head),
-            "l" => words.news().map(Line::News),
-            "b" => words.server().map(Line::Server),
-            "r" => words.record().map(Line::Record),
+            "h" => fields.header().map(Line::Header),
+            "l" => fields.list_update().map(Line::ListUpdate),
+            "b" => fields.endpoint().map(Line::Endpoint),
+            "r" => fields.request().map(Line::Request),
             _ => None,
         };
-        line.filter(|_| words.0.next().is_none())
+        line.filter(|_| fields.0.next().is_none())
     }
 
-    /// Whether a line begins as a capture's lines do.
-    pub fn looks_alike(line: &str) -> bool {
+    /// Returns true if a line, which may be cut off, begins as a capture's lines do.
+    pub fn has_line_prefix(line: &str) -> bool {
         line.is_empty()
-            || ["h 1 ", "s {", "l seq=", "b ", "r "].iter().any(|head| {
-                let n = head.len().min(line.len());
-                line.is_char_boundary(n) && line[..n] == head[..n]
+            || ["h 1 ", "s {", "l seq=", "b ", "r "].iter().any(|prefix| {
+                let length = prefix.len().min(line.len());
+                line.is_char_boundary(length) && line[..length] == prefix[..length]
             })
     }
 }
 
-struct Words<'a>(std::str::Split<'a, char>);
+/// Space-separated fields of a line that have not been parsed yet.
+struct Fields<'a>(std::str::Split<'a, char>);
 
-impl<'a> Words<'a> {
-    fn named(&mut self, name: &str) -> Option<&'a str> {
-        self.0.next()?.strip_prefix(name)?.strip_prefix('=')
+impl<'a> Fields<'a> {
+    fn value_of_key(&mut self, key: &str) -> Option<&'a str> {
+        self.0.next()?.strip_prefix(key)?.strip_prefix('=')
     }
 
-    fn head(&mut self) -> Option<Head> {
+    fn header(&mut self) -> Option<SegmentHeader> {
         self.0.next().filter(|version| *version == "1")?;
-        Some(Head {
-            seed: u64::from_str_radix(self.named("seed")?, 16).ok()?,
-            node: field(self.named("node")?)??,
-            start: self.named("start")?.parse().ok()?,
-            segment: self.named("segment")?.parse().ok()?,
+        Some(SegmentHeader {
+            seed: u64::from_str_radix(self.value_of_key("seed")?, 16).ok()?,
+            node: parse_field(self.value_of_key("node")?)??,
+            started_at: self.value_of_key("start")?.parse().ok()?,
+            segment: self.value_of_key("segment")?.parse().ok()?,
         })
     }
 
-    fn news(&mut self) -> Option<News> {
-        Some(News {
-            seq: figure(self.named("seq")?)?,
-            at: self.named("at")?.parse().ok()?,
-            scope: meant(&SCOPES, self.0.next()?)?,
-            hosts: self.named("hosts")?.parse().ok()?,
+    fn list_update(&mut self) -> Option<ListUpdate> {
+        Some(ListUpdate {
+            version: parse_number(self.value_of_key("seq")?)?,
+            received_at: self.value_of_key("at")?.parse().ok()?,
+            scope: value_of(&SCOPES, self.0.next()?)?,
+            endpoint_count: self.value_of_key("hosts")?.parse().ok()?,
         })
     }
 
-    fn server(&mut self) -> Option<Server> {
-        Some(Server {
-            name: field(self.0.next()?)??,
-            site: field(self.named("site")?)?,
-            class: field(self.named("class")?)?,
-            block: figure(self.named("block")?)?,
-            share: figure(self.named("share")?)?,
-            born: self.named("born")?.parse().ok()?,
-            state: meant(&STATES, self.0.next()?)?,
+    fn endpoint(&mut self) -> Option<EndpointRecord> {
+        Some(EndpointRecord {
+            name: parse_field(self.0.next()?)??,
+            zone: parse_field(self.value_of_key("site")?)?,
+            machine_type: parse_field(self.value_of_key("class")?)?,
+            cell: parse_number(self.value_of_key("block")?)?,
+            weight: parse_number(self.value_of_key("share")?)?,
+            started_at: self.value_of_key("born")?.parse().ok()?,
+            state: value_of(&STATES, self.0.next()?)?,
         })
     }
 
-    fn record(&mut self) -> Option<Record<'static>> {
-        let id = field(self.0.next()?)??;
-        let class = field(self.0.next()?)??;
-        let tenant = field(self.0.next()?)?;
-        let sid = field(self.named("sid")?)?;
-        let deadline = self.named("dl")?.strip_suffix("ms")?.parse().ok()?;
-        let seq = figure(self.named("seq")?)?;
+    fn request(&mut self) -> Option<RequestRecord<'static>> {
+        let id = parse_field(self.0.next()?)??;
+        let class = parse_field(self.0.next()?)??;
+        let tenant = parse_field(self.0.next()?)?;
+        let sid = parse_field(self.value_of_key("sid")?)?;
+        let timeout_ms = self.value_of_key("dl")?.strip_suffix("ms")?.parse().ok()?;
+        let list_version = parse_number(self.value_of_key("seq")?)?;
         self.0.next().filter(|arrow| *arrow == "->")?;
-        let tried = match self.0.next()? {
-            FRONT => None,
+        let attempts = match self.0.next()? {
+            NOT_DECIDED => None,
             "-" => Some(Vec::new()),
-            list => Some(list.split(',').map(tried).collect::<Option<_>>()?),
+            list => Some(list.split(',').map(parse_attempt).collect::<Option<_>>()?),
         };
-        let code = self.0.next().filter(|c| c.len() == 3)?.parse().ok()?;
-        Some(Record {
+        let status = self.0.next().filter(|text| text.len() == 3)?.parse().ok()?;
+        Some(RequestRecord {
             id: id.into(),
             class: class.into(),
             tenant: tenant.map(Cow::from),
             sid: sid.map(Cow::from),
-            deadline,
-            seq,
-            tried,
-            code,
+            timeout_ms,
+            list_version,
+            attempts,
+            status,
         })
     }
 }
 
-fn tried(text: &str) -> Option<Tried<'static>> {
-    let (server, end) = match text.split_once(':') {
+fn parse_attempt(text: &str) -> Option<AttemptRecord<'static>> {
+    let (endpoint, outcome) = match text.split_once(':') {
         None => (text, Some(Outcome::Served)),
-        Some((server, OUT)) => (server, None),
-        Some((server, end)) => (server, Some(meant(&ENDS, end)?)),
+        Some((endpoint, PENDING)) => (endpoint, None),
+        Some((endpoint, outcome)) => (endpoint, Some(value_of(&OUTCOMES, outcome)?)),
     };
-    Some(Tried {
-        server: field(server)??.into(),
-        end,
+    Some(AttemptRecord {
+        endpoint: parse_field(endpoint)??.into(),
+        outcome,
     })
 }
 
@@ -417,72 +421,76 @@
 mod tests {
     use super::*;
 
-    fn same(line: &str) -> Line {
-        let read = Line::parse(line).unwrap_or_else(|| panic!("{line}"));
-        let written = match &read {
-            Line::Head(l) => l.to_string(),
-            Line::Settings(l) => format!("s {l}"),
-            Line::News(l) => l.to_string(),
-            Line::Server(l) => l.to_string(),
-            Line::Record(l) => l.to_string(),
+    /// Parses a line, and checks that it is written the same again.
+    fn round_trip(line: &str) -> Line {
+        let parsed = Line::parse(line).unwrap_or_else(|| panic!("{line}"));
+        let written = match &parsed {
+            Line::Header(line) => line.to_string(),
+            Line::Settings(line) => format!("s {line}"),
+            Line::ListUpdate(line) => line.to_string(),
+            Line::Endpoint(line) => line.to_string(),
+            Line::Request(line) => line.to_string(),
         };
         assert_eq!(written, line);
-        read
+        parsed
     }
 
     #[test]
-    fn each_line_is_read_as_it_was_written() {
+    fn every_kind_of_line_round_trips() {
         let line = "r 9b1f03aa5c7e2d41 checkout biblio-estrie sid=7f3a9c21e0b4d655 dl=2000ms seq=41 \
             -> s-5be2a07c 200";
-        let Line::Record(record) = same(line) else {
+        let Line::Request(record) = round_trip(line) else {
             panic!("a record")
         };
         assert_eq!(
-            (record.deadline, record.seq, record.code),
+            (record.timeout_ms, record.list_version, record.status),
             (2000, Some(41), 200)
         );
-        assert_eq!(record.tried.unwrap()[0].end, Some(Outcome::Served));
-        same("r a lookup - sid=- dl=0ms seq=- -> - 503");
-        same("r a lookup t sid=% dl=1ms seq=1 -> (front) 503");
-        same("r a lookup t sid=%2D dl=1ms seq=1 -> s-a:full,s-b:reset,s-c:out 499");
-        same("h 1 seed=00000000000000ff node=n3 start=1764583465123.5 segment=7");
-        same("s {\"classes\":[]}");
-        same("l seq=41 at=12.500 whole hosts=2");
-        same("b s-5be2a07c site=a class=- block=3 share=1.5 born=0 draining");
+        assert_eq!(record.attempts.unwrap()[0].outcome, Some(Outcome::Served));
+        round_trip("r a lookup - sid=- dl=0ms seq=- -> - 503");
+        round_trip("r a lookup t sid=% dl=1ms seq=1 -> (front) 503");
+        round_trip("r a lookup t sid=%2D dl=1ms seq=1 -> s-a:full,s-b:reset,s-c:out 499");
+        round_trip("h 1 seed=00000000000000ff node=n3 start=1764583465123.5 segment=7");
+        round_trip("s {\"classes\":[]}");
+        round_trip("l seq=41 at=12.500 whole hosts=2");
+        round_trip("b s-5be2a07c site=a class=- block=3 share=1.5 born=0 draining");
     }
 
     #[test]
-    fn no_field_can_forge_a_line_or_another_field() {
-        let evil = "x\nr y lookup t sid=1 -> s-a 200,:%é";
-        let record = Record {
-            id: evil.into(),
-            class: evil.into(),
-            tenant: Some(evil.into()),
-            sid: Some(evil.into()),
-            deadline: 1,
-            seq: None,
-            tried: Some(vec![Tried {
-                server: evil.into(),
-                end: None,
+    fn a_value_from_outside_cannot_end_its_line_or_imitate_another_field() {
+        let hostile = "x\nr y lookup t sid=1 -> s-a 200,:%é";
+        let record = RequestRecord {
+            id: hostile.into(),
+            class: hostile.into(),
+            tenant: Some(hostile.into()),
+            sid: Some(hostile.into()),
+            timeout_ms: 1,
+            list_version: None,
+            attempts: Some(vec![AttemptRecord {
+                endpoint: hostile.into(),
+                outcome: None,
             }]),
-            code: 502,
+            status: 502,
         };
         let line = record.to_string();
         assert!(!line.contains('\n') && line.is_ascii());
-        assert_eq!(Line::parse(&line), Some(Line::Record(record)));
+        assert_eq!(Line::parse(&line), Some(Line::Request(record)));
     }
 
     #[test]
-    fn a_long_field_is_cut_and_says_so() {
-        let long = "x".repeat(FIELD + 1);
+    fn a_long_value_is_truncated_and_marked() {
+        let long = "x".repeat(MAX_FIELD_BYTES + 1);
         let written = Field(Some(&long)).to_string();
-        assert_eq!(written, "x".repeat(FIELD) + "%~");
-        assert_eq!(field(&written), Some(Some("x".repeat(FIELD))));
+        assert_eq!(written, "x".repeat(MAX_FIELD_BYTES) + "%~");
+        assert_eq!(
+            parse_field(&written),
+            Some(Some("x".repeat(MAX_FIELD_BYTES)))
+        );
         assert_eq!(Field(Some(&long[1..])).to_string(), &long[1..]);
     }
 
     #[test]
-    fn a_line_cut_anywhere_is_no_line_but_looks_alike() {
+    fn a_truncated_line_is_not_parsed_but_has_the_prefix_of_a_line() {
         for line in [
             "r 9b checkout t sid=7f dl=2000ms seq=41 -> s-5b:full,s-c 200",
             "l seq=41 at=12.500 whole hosts=",
@@ -491,7 +499,7 @@
             "s {\"a\":1}",
         ] {
             for cut in 0..line.len() {
-                assert!(Line::looks_alike(&line[..cut]), "{}", &line[..cut]);
+                assert!(Line::has_line_prefix(&line[..cut]), "{}", &line[..cut]);
                 assert_eq!(Line::parse(&line[..cut]), None, "{}", &line[..cut]);
             }
         }
@@ -502,7 +510,7 @@
             "r2 d2",
         ] {
             assert!(
-                Line::parse(foreign).is_none() && !Line::looks_alike(foreign),
+                Line::parse(foreign).is_none() && !Line::has_line_prefix(foreign),
                 "{foreign}"
             );
         }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,18 +1,18 @@
-//! Calls over HTTP/1.1. Each try opens a connection of its own and keeps none: there is no stale one that a
-//! request could be lost on, or sent on twice.
+//! Calls over HTTP/1.1. Each attempt opens a connection of its own, and none is kept: a request cannot be lost on a stale
+//! connection or be sent twice because of it.
 //!
 //! ```no_run
-//! use client::http::{Ask, Client};
+//! use client::http::{CallRequest, Client};
 //! use client::{Class, Settings};
 //!
 //! # async fn borrow(seed: u64) -> Result<(), String> {
 //! let settings = Settings { target: Some("127.0.0.1:9000".into()), ..Settings::default() };
 //! let mut client = Client::new(settings, seed)?;
 //! let (tenant, sid) = ("biblio-estrie".into(), "7f3a9c21e0b4d655".into());
-//! let outcome = client.call(&Ask { class: Class::Checkout, tenant, sid, body: "a book".into() }).await?;
-//! match outcome.answer {
-//!     Some(answer) if answer.status == 200 => println!("borrowed"),
-//!     _ => println!("not borrowed: {}", outcome.stop),
+//! let outcome = client.call(&CallRequest { class: Class::Checkout, tenant, sid, body: "a book".into() }).await?;
+//! match outcome.response {
+//!     Some(response) if response.status == 200 => println!("borrowed"),
+//!     _ => println!("not borrowed: {}", outcome.stop_reason),
 //! }
 //! # Ok(())
 //! # }
@@ -30,182 +30,206 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::{Call, Class, Ended, Next, Settings, Stop, Try, retry_after, timeout_text};
+use crate::{
+    Attempt, AttemptOutcome, Call, Class, NextStep, Settings, StopReason, format_timeout,
+    parse_retry_after,
+};
 
-/// Bytes of an answer's or a request's body, by the protocol.
-pub const BODY: usize = 64 << 10;
-/// Characters of a `sid`.
-const SID: usize = 256;
+/// Maximum size of a request or response body in the protocol, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// Maximum length of a `sid`, in characters.
+const MAX_SID_CHARS: usize = 256;
 
-/// What a call asks for.
+/// Request of a call.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Its class, which settles path and method.
+pub struct CallRequest {
+    /// Request class, which determines path and method.
     pub class: Class,
-    /// Who asks.
+    /// Tenant that makes the request.
     pub tenant: String,
-    /// What it is about: letters, digits and `-._~`.
+    /// Key of the request: letters, digits and `-._~`.
     pub sid: String,
-    /// The body of a checkout; a lookup has none.
+    /// Body of a checkout; empty for a lookup.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// Complete response.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    /// Its code.
+pub struct Response {
+    /// Status code.
     pub status: u16,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// How one try of a call went.
+/// Result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tried {
-    /// The `X-Request-ID` it carried.
-    pub id: String,
-    /// The code of its answer, or why there is none.
+pub struct AttemptResult {
+    /// Value of its `X-Request-ID`.
+    pub request_id: String,
+    /// Status code of the response, or the reason why there is none.
     pub result: Result<u16, String>,
 }
 
-impl fmt::Display for Tried {
+impl fmt::Display for AttemptResult {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.result {
-            Ok(status) => write!(f, "{} {status}", self.id),
-            Err(why) => write!(f, "{} {why}", self.id),
+            Ok(status) => write!(f, "{} {status}", self.request_id),
+            Err(reason) => write!(f, "{} {reason}", self.request_id),
         }
     }
 }
 
-/// How a call went.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
-    /// The last try's answer, if it had one.
-    pub answer: Option<Answer>,
-    /// All tries, in order.
-    pub tries: Vec<Tried>,
-    /// Why there is no further one.
-    pub stop: Stop,
+pub struct CallOutcome {
+    /// Response to the last attempt, if there was one.
+    pub response: Option<Response>,
+    /// All attempts, in order.
+    pub attempts: Vec<AttemptResult>,
+    /// Reason why there was no further attempt.
+    pub stop_reason: StopReason,
 }
 
-/// Makes calls to one target.
+/// Client for one target.
 pub struct Client {
     settings: Settings,
     target: String,
     host: HeaderValue,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl Client {
-    /// A client for the target that the settings name. `seed` gives request ids and back-offs: no two clients
-    /// may share one.
+    /// Creates a client for the target of the settings. Request ids and backoffs are derived from `seed`, so each client
+    /// needs its own.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, String> {
         let target = settings.target.clone().ok_or("client.target is not set")?;
-        let host =
-            HeaderValue::from_str(&target).map_err(|_| format!("'{target}' is no address"))?;
+        let host = HeaderValue::from_str(&target)
+            .map_err(|_| format!("'{target}' is not a valid address"))?;
         Ok(Client {
             settings,
             target,
             host,
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
         })
     }
 
-    /// Makes a call, with as many tries as its rules allow. An error says what is wrong with `ask`; nothing
-    /// has been sent then.
-    pub async fn call(&mut self, ask: &Ask) -> Result<Outcome, String> {
+    /// Makes a call, with as many attempts as the retry policy allows.
+    ///
+    /// # Errors
+    /// The request is invalid; nothing has been sent then.
+    pub async fn call(&mut self, call_request: &CallRequest) -> Result<CallOutcome, String> {
         let start = Instant::now();
-        let end = start + self.settings.deadline(ask.class);
-        let mut call = Call::new(ask.class, &self.settings);
-        let mut tries = Vec::new();
-        let mut answer = None;
+        let deadline = start + self.settings.deadline(call_request.class);
+        let mut call = Call::new(call_request.class, &self.settings);
+        let mut attempts = Vec::new();
+        let mut response = None;
         loop {
-            let Some(next) = call.begin(start.elapsed()) else {
-                return Ok(Outcome {
-                    answer,
-                    tries,
-                    stop: Stop::Deadline,
+            let Some(attempt) = call.begin_attempt(start.elapsed()) else {
+                return Ok(CallOutcome {
+                    response,
+                    attempts,
+                    stop_reason: StopReason::Deadline,
                 });
             };
-            let id = format!("{:016x}", self.chance.u64(..));
-            let request = self.request(ask, &id, next)?;
-            let result = timeout_at(end, exchange(&self.target, request)).await;
-            let (ended, result) = match result {
-                Ok(Ok((whole, retry_after))) => {
-                    let status = whole.status;
-                    answer = Some(whole);
+            let request_id = format!("{:016x}", self.rng.u64(..));
+            let request = self.request(call_request, &request_id, attempt)?;
+            let result = timeout_at(deadline, exchange(&self.target, request)).await;
+            let (outcome, result) = match result {
+                Ok(Ok((received, retry_after))) => {
+                    let status = received.status;
+                    response = Some(received);
                     (
-                        Ended::Answered {
+                        AttemptOutcome::Response {
                             status,
                             retry_after,
                         },
                         Ok(status),
                     )
                 }
-                Ok(Err(why)) => (Ended::Broken, Err(why)),
-                Err(_) => (Ended::Broken, Err("no answer before the deadline".into())),
+                Ok(Err(reason)) => (AttemptOutcome::Failed, Err(reason)),
+                Err(_) => (
+                    AttemptOutcome::Failed,
+                    Err("no response before the deadline".into()),
+                ),
             };
-            answer = answer.filter(|_| result.is_ok());
-            tries.push(Tried { id, result });
+            response = response.filter(|_| result.is_ok());
+            attempts.push(AttemptResult { request_id, result });
             let now = start.elapsed();
-            let stop = match call.after(now, &ended, self.chance.f64()) {
-                Next::Wait(wait) => {
+            let stop_reason = match call.next_step(now, &outcome, self.rng.f64()) {
+                NextStep::Wait(wait) => {
                     sleep(wait).await;
                     continue;
                 }
-                Next::Stop(_)
-                    if ended == Ended::Broken && now >= self.settings.deadline(ask.class) =>
+                NextStep::Stop(_)
+                    if outcome == AttemptOutcome::Failed
+                        && now >= self.settings.deadline(call_request.class) =>
                 {
-                    Stop::Deadline
+                    StopReason::Deadline
                 }
-                Next::Stop(stop) => stop,
+                NextStep::Stop(stop_reason) => stop_reason,
             };
-            return Ok(Outcome {
-                answer,
-                tries,
-                stop,
+            return Ok(CallOutcome {
+                response,
+                attempts,
+                stop_reason,
             });
         }
     }
 
-    fn request(&self, ask: &Ask, id: &str, next: Try) -> Result<Request<Full<Bytes>>, String> {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
-        if ask.sid.is_empty() || ask.sid.len() > SID || !ask.sid.bytes().all(plain) {
-            return Err(format!("the sid wants 1 to {SID} letters, digits or -._~"));
+    fn request(
+        &self,
+        call_request: &CallRequest,
+        request_id: &str,
+        attempt: Attempt,
+    ) -> Result<Request<Full<Bytes>>, String> {
+        let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
+        if call_request.sid.is_empty()
+            || call_request.sid.len() > MAX_SID_CHARS
+            || !call_request.sid.bytes().all(is_unreserved)
+        {
+            return Err(format!(
+                "the sid needs 1 to {MAX_SID_CHARS} letters, digits or -._~"
+            ));
         }
-        let tenant = HeaderValue::from_str(&ask.tenant)
+        let tenant = HeaderValue::from_str(&call_request.tenant)
             .ok()
             .filter(|t| !t.is_empty());
-        let tenant = tenant.ok_or("the tenant is empty or can't stand in a header")?;
-        let (method, body) = match ask.class {
-            Class::Lookup if !ask.body.is_empty() => return Err("a lookup has no body".into()),
+        let tenant = tenant.ok_or("the tenant is empty or not a valid header value")?;
+        let (method, body) = match call_request.class {
+            Class::Lookup if !call_request.body.is_empty() => {
+                return Err("a lookup has no body".into());
+            }
             Class::Lookup => (Method::GET, Bytes::new()),
-            Class::Checkout if ask.body.len() > BODY => {
-                return Err(format!("the body is over {BODY} bytes"));
+            Class::Checkout if call_request.body.len() > MAX_BODY_BYTES => {
+                return Err(format!("the body is over {MAX_BODY_BYTES} bytes"));
             }
-            Class::Checkout => (Method::POST, ask.body.clone()),
+            Class::Checkout => (Method::POST, call_request.body.clone()),
         };
-        let target = format!("/{}?sid={}", ask.class.name(), ask.sid);
+        let target = format!("/{}?sid={}", call_request.class.name(), call_request.sid);
         let uri: Uri = target.parse().map_err(|e| format!("{target}: {e}"))?;
         let mut request = Request::builder()
             .method(method)
             .uri(uri)
             .header(HOST, self.host.clone())
-            .header("x-request-id", id)
+            .header("x-request-id", request_id)
             .header("x-tenant-id", tenant)
-            .header("x-timeout", timeout_text(next.left));
-        if next.retried {
+            .header("x-timeout", format_timeout(attempt.remaining));
+        if attempt.is_retry {
             request = request.header("x-retried", "1");
         }
         request.body(Full::new(body)).map_err(|e| e.to_string())
     }
 }
 
-/// One request on a connection of its own, and its whole answer with the wait that it names.
+/// Sends a request on a new connection; returns the complete response and its `Retry-After`.
+///
+/// # Errors
+/// The connection failed, or the response is missing or invalid.
 pub async fn exchange(
     target: &str,
     request: Request<Full<Bytes>>,
-) -> Result<(Answer, Option<Duration>), String> {
+) -> Result<(Response, Option<Duration>), String> {
     let stream = TcpStream::connect(target)
         .await
         .map_err(|e| format!("no connection: {e}"))?;
@@ -215,34 +239,34 @@
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|e| format!("no connection: {e}"))?;
-    let asked = async {
-        let answer = sender
+    let exchange = async {
+        let response = sender
             .send_request(request)
             .await
-            .map_err(|e| format!("no answer: {e}"))?;
-        let (head, body) = answer.into_parts();
-        let body = Limited::new(body, BODY)
+            .map_err(|e| format!("no response: {e}"))?;
+        let (head, body) = response.into_parts();
+        let body = Limited::new(body, MAX_BODY_BYTES)
             .collect()
             .await
-            .map_err(|e| format!("a broken answer: {e}"))?;
+            .map_err(|e| format!("an invalid response: {e}"))?;
         let wait = head
             .headers
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok())
-            .and_then(retry_after);
+            .and_then(parse_retry_after);
         Ok((
-            Answer {
+            Response {
                 status: head.status.as_u16(),
                 body: body.to_bytes(),
             },
             wait,
         ))
     };
-    tokio::pin!(asked, connection);
+    tokio::pin!(exchange, connection);
     tokio::select! {
-        biased; // an answer that is whole counts, however its connection ends
-        whole = &mut asked => whole,
-        // The connection has ended; what it has read is already there.
-        _ = &mut connection => asked.await,
+        biased; // a complete response counts, however its connection ends
+        result = &mut exchange => result,
+        // The connection has ended; what it has read is already buffered.
+        _ = &mut connection => exchange.await,
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,7 +1,7 @@
-//! A client that gets retries right: what may be sent again, when, and for how long.
+//! HTTP client with safe retries: it decides which requests may be repeated, when, and until which deadline.
 //!
-//! [`Call`] holds the rules and does no input or output of its own; `http` carries them out over HTTP/1.1.
-//! Times are spans since the call began.
+//! [`Call`] implements the retry policy without I/O; `http` applies it over HTTP/1.1. All times are durations since the
+//! start of the call.
 
 #[cfg(feature = "http")]
 pub mod http;
@@ -9,24 +9,24 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The first back-off where the answer names no wait; it doubles with each try.
-const BACKOFF: Duration = Duration::from_millis(50);
-/// The longest back-off.
-const BACKOFF_MOST: Duration = Duration::from_millis(400);
-/// A try with less time than this left can't be told apart from none.
-const LEAST: Duration = Duration::from_millis(1);
+/// First backoff if the response has no `Retry-After`; it doubles with each attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// Minimum time left for an attempt: the resolution of `X-Timeout`, in which less would be written as 0.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(1);
 
-/// What is asked for.
+/// Request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Reads only: repeating it does no harm.
+    /// Only reads, so it may be repeated.
     Lookup,
-    /// Must never run twice.
+    /// Must not run twice.
     Checkout,
 }
 
 impl Class {
-    /// The class's name, the first part of the path.
+    /// Returns the name of the class, which is the first segment of the path.
     pub fn name(self) -> &'static str {
         match self {
             Class::Lookup => "lookup",
@@ -35,18 +35,18 @@
     }
 }
 
-/// How a client goes about its calls.
+/// Retry policy and target of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// `host:port` of the proxy.
     pub target: Option<String>,
-    /// What a lookup may take in all.
+    /// Time limit of a lookup, all attempts included.
     pub lookup_deadline: Duration,
-    /// What a checkout may take in all.
+    /// Time limit of a checkout, all attempts included.
     pub checkout_deadline: Duration,
-    /// Tries of one call, the first one included.
-    pub max_tries: u32,
-    /// Whether a retry says that it is one.
+    /// Maximum number of attempts of a call, the first one included.
+    pub max_attempts: u32,
+    /// True if retries are marked with `X-Retried`.
     pub mark_retries: bool,
 }
 
@@ -56,14 +56,14 @@
             target: None,
             lookup_deadline: Duration::from_millis(2500),
             checkout_deadline: Duration::from_millis(2000),
-            max_tries: 3,
+            max_attempts: 3,
             mark_retries: true,
         }
     }
 }
 
 impl Settings {
-    /// What a call of this class may take in all.
+    /// Returns the time limit of a call of a class.
     pub fn deadline(&self, class: Class) -> Duration {
         match class {
             Class::Lookup => self.lookup_deadline,
@@ -72,117 +72,117 @@
     }
 }
 
-/// How a try ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended {
-    /// A whole answer came.
-    Answered {
-        /// Its code.
+pub enum AttemptOutcome {
+    /// A complete response was received.
+    Response {
+        /// Status code.
         status: u16,
-        /// The wait that it names.
+        /// Value of `Retry-After`.
         retry_after: Option<Duration>,
     },
-    /// No whole answer: refused, broken, or one that can't be read.
-    Broken,
+    /// No complete response: the connection was refused or broke off, or the response was invalid.
+    Failed,
 }
 
-/// Why a call is over.
+/// Reason why a call makes no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
-    /// It is served, or its answer says that trying again would change nothing or do harm.
+pub enum StopReason {
+    /// The request was served, or its response or class does not allow a retry.
     Final,
-    /// All tries are spent.
-    Tries,
-    /// The deadline is over, or comes before another try could begin.
+    /// The maximum number of attempts is reached.
+    AttemptsExhausted,
+    /// The deadline has passed, or would pass before the next attempt.
     Deadline,
 }
 
-impl fmt::Display for Stop {
+impl fmt::Display for StopReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Stop::Final => "not to be tried again",
-            Stop::Tries => "all tries are spent",
-            Stop::Deadline => "the deadline leaves no room for another try",
+            StopReason::Final => "the request may not be retried",
+            StopReason::AttemptsExhausted => "the maximum number of attempts is reached",
+            StopReason::Deadline => "the deadline leaves no time for another attempt",
         })
     }
 }
 
-/// What to do after a try.
+/// Next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
-    /// Try again after this wait.
+pub enum NextStep {
+    /// Wait for this time, then begin the next attempt.
     Wait(Duration),
-    /// The call is over.
-    Stop(Stop),
+    /// Make no further attempt.
+    Stop(StopReason),
 }
 
-/// One call with all its tries: one deadline spans them, their connections and the waits between them.
+/// State of a call. One deadline covers its attempts, their connections and the waits between them.
 #[derive(Clone, Debug)]
 pub struct Call {
     class: Class,
     deadline: Duration,
-    max_tries: u32,
+    max_attempts: u32,
     mark_retries: bool,
-    tries: u32,
+    attempts: u32,
 }
 
-/// What a try is to say.
+/// Headers of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Try {
-    /// The time left, for `X-Timeout`.
-    pub left: Duration,
-    /// Whether it is marked as a retry.
-    pub retried: bool,
+pub struct Attempt {
+    /// Time left until the deadline, for `X-Timeout`.
+    pub remaining: Duration,
+    /// True if the attempt is marked as a retry.
+    pub is_retry: bool,
 }
 
 impl Call {
-    /// A call that begins now.
+    /// Creates a call that begins now.
     pub fn new(class: Class, settings: &Settings) -> Self {
         Call {
             class,
             deadline: settings.deadline(class),
-            max_tries: settings.max_tries,
+            max_attempts: settings.max_attempts,
             mark_retries: settings.mark_retries,
-            tries: 0,
+            attempts: 0,
         }
     }
 
-    /// Begins the next try; `None` when no time is left for one.
-    pub fn begin(&mut self, now: Duration) -> Option<Try> {
-        let left = self
+    /// Begins the next attempt; `None` if no time is left for it.
+    pub fn begin_attempt(&mut self, now: Duration) -> Option<Attempt> {
+        let remaining = self
             .deadline
             .checked_sub(now)
-            .filter(|left| *left >= LEAST)?;
-        self.tries += 1;
-        Some(Try {
-            left,
-            retried: self.mark_retries && self.tries > 1,
+            .filter(|remaining| *remaining >= MIN_ATTEMPT_TIME)?;
+        self.attempts += 1;
+        Some(Attempt {
+            remaining,
+            is_retry: self.mark_retries && self.attempts > 1,
         })
     }
 
-    /// What follows a try that has ended; `chance`, from 0 to 1, spreads the back-off.
-    pub fn after(&self, now: Duration, ended: &Ended, chance: f64) -> Next {
-        let (again, named) = match ended {
-            Ended::Answered {
+    /// Returns the step after an attempt has ended; `jitter`, from 0 to 1, randomizes the backoff.
+    pub fn next_step(&self, now: Duration, outcome: &AttemptOutcome, jitter: f64) -> NextStep {
+        let (may_repeat, retry_after) = match outcome {
+            AttemptOutcome::Response {
                 status,
                 retry_after,
             } => (self.may_repeat(*status), *retry_after),
-            // It may have run, or may yet.
-            Ended::Broken => (self.class == Class::Lookup, None),
+            // The request may have run, or may still run.
+            AttemptOutcome::Failed => (self.class == Class::Lookup, None),
         };
-        if !again {
-            return Next::Stop(Stop::Final);
+        if !may_repeat {
+            return NextStep::Stop(StopReason::Final);
         }
-        if self.tries >= self.max_tries {
-            return Next::Stop(Stop::Tries);
+        if self.attempts >= self.max_attempts {
+            return NextStep::Stop(StopReason::AttemptsExhausted);
         }
-        let wait = named.unwrap_or_else(|| self.backoff(chance));
+        let wait = retry_after.unwrap_or_else(|| self.backoff(jitter));
         match now
             .checked_add(wait)
-            .and_then(|then| then.checked_add(LEAST))
+            .and_then(|then| then.checked_add(MIN_ATTEMPT_TIME))
         {
-            Some(then) if then <= self.deadline => Next::Wait(wait),
-            _ => Next::Stop(Stop::Deadline),
+            Some(then) if then <= self.deadline => NextStep::Wait(wait),
+            _ => NextStep::Stop(StopReason::Deadline),
         }
     }
 
@@ -190,25 +190,25 @@
         matches!(status, 429 | 503) || self.class == Class::Lookup && (500..600).contains(&status)
     }
 
-    /// Half of it is chance, so that clients refused together don't come back together.
-    fn backoff(&self, chance: f64) -> Duration {
-        let doubled = BACKOFF * 2u32.saturating_pow(self.tries.saturating_sub(1).min(8));
+    /// Returns the backoff. Half of it is random, so that clients that were rejected together do not retry together.
+    fn backoff(&self, jitter: f64) -> Duration {
+        let doubled = INITIAL_BACKOFF * 2u32.saturating_pow(self.attempts.saturating_sub(1).min(8));
         doubled
-            .min(BACKOFF_MOST)
-            .mul_f64(0.5 + 0.5 * chance.clamp(0.0, 1.0))
+            .min(MAX_BACKOFF)
+            .mul_f64(0.5 + 0.5 * jitter.clamp(0.0, 1.0))
     }
 }
 
-/// Reads `Retry-After`: seconds, whole or decimal. What can't be read counts as not there; a wait that no
-/// clock can hold counts as endless.
-pub fn retry_after(text: &str) -> Option<Duration> {
+/// Parses `Retry-After` in seconds, an integer or a decimal. An invalid value counts as missing; one that exceeds the
+/// range of [`Duration`] counts as its maximum.
+pub fn parse_retry_after(text: &str) -> Option<Duration> {
     let seconds = text.trim().parse::<f64>().ok().filter(|s| *s >= 0.0)?;
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// The time left as `X-Timeout` gives it. It is cut, not rounded: no more is promised than there is.
-pub fn timeout_text(left: Duration) -> String {
-    format!("{}.{:03}", left.as_secs(), left.subsec_millis())
+/// Formats the time left as a value of `X-Timeout`. It is truncated, not rounded, so that it never exceeds the time left.
+pub fn format_timeout(remaining: Duration) -> String {
+    format!("{}.{:03}", remaining.as_secs(), remaining.subsec_millis())
 }
 
 #[cfg(test)]
@@ -219,142 +219,145 @@
         Duration::from_millis(ms)
     }
 
-    fn answered(status: u16, after: Option<u64>) -> Ended {
-        Ended::Answered {
+    fn response(status: u16, retry_after_ms: Option<u64>) -> AttemptOutcome {
+        AttemptOutcome::Response {
             status,
-            retry_after: after.map(ms),
+            retry_after: retry_after_ms.map(ms),
         }
     }
 
-    /// What follows a first try that took 100 ms.
-    fn after_one(class: Class, ended: &Ended) -> Next {
+    /// Returns the step after a first attempt that took 100 ms.
+    fn step_after_first_attempt(class: Class, outcome: &AttemptOutcome) -> NextStep {
         let mut call = Call::new(class, &Settings::default());
-        call.begin(ms(0)).expect("time is left");
-        call.after(ms(100), ended, 1.0)
+        call.begin_attempt(ms(0)).expect("time is left");
+        call.next_step(ms(100), outcome, 1.0)
     }
 
     #[test]
-    fn a_checkout_goes_again_only_after_429_or_503() {
+    fn a_checkout_is_retried_only_after_429_or_503() {
         for status in (200..600).filter(|s| !matches!(s, 429 | 503)) {
-            let next = after_one(Class::Checkout, &answered(status, Some(1)));
-            assert_eq!(next, Next::Stop(Stop::Final), "{status}");
+            let next = step_after_first_attempt(Class::Checkout, &response(status, Some(1)));
+            assert_eq!(next, NextStep::Stop(StopReason::Final), "{status}");
         }
         assert_eq!(
-            after_one(Class::Checkout, &Ended::Broken),
-            Next::Stop(Stop::Final)
+            step_after_first_attempt(Class::Checkout, &AttemptOutcome::Failed),
+            NextStep::Stop(StopReason::Final)
         );
         for status in [429, 503] {
             assert_eq!(
-                after_one(Class::Checkout, &answered(status, Some(7))),
-                Next::Wait(ms(7))
+                step_after_first_attempt(Class::Checkout, &response(status, Some(7))),
+                NextStep::Wait(ms(7))
             );
         }
     }
 
     #[test]
-    fn a_lookup_goes_again_after_broken_connections_and_5xx_too() {
+    fn a_lookup_is_also_retried_after_broken_connections_and_5xx() {
         for status in [429, 500, 502, 503, 504, 599] {
             assert_eq!(
-                after_one(Class::Lookup, &answered(status, None)),
-                Next::Wait(BACKOFF),
+                step_after_first_attempt(Class::Lookup, &response(status, None)),
+                NextStep::Wait(INITIAL_BACKOFF),
                 "{status}"
             );
         }
         assert_eq!(
-            after_one(Class::Lookup, &Ended::Broken),
-            Next::Wait(BACKOFF)
+            step_after_first_attempt(Class::Lookup, &AttemptOutcome::Failed),
+            NextStep::Wait(INITIAL_BACKOFF)
         );
         for status in [200, 204, 302, 400, 404, 408, 413] {
             assert_eq!(
-                after_one(Class::Lookup, &answered(status, None)),
-                Next::Stop(Stop::Final)
+                step_after_first_attempt(Class::Lookup, &response(status, None)),
+                NextStep::Stop(StopReason::Final)
             );
         }
     }
 
     #[test]
-    fn one_deadline_spans_tries_and_waits() {
+    fn one_deadline_covers_attempts_and_waits() {
         let mut call = Call::new(Class::Checkout, &Settings::default());
         assert_eq!(
-            call.begin(ms(0)),
-            Some(Try {
-                left: ms(2000),
-                retried: false
+            call.begin_attempt(ms(0)),
+            Some(Attempt {
+                remaining: ms(2000),
+                is_retry: false
             })
         );
         assert_eq!(
-            call.after(ms(100), &answered(503, Some(1899)), 0.0),
-            Next::Wait(ms(1899))
+            call.next_step(ms(100), &response(503, Some(1899)), 0.0),
+            NextStep::Wait(ms(1899))
         );
         assert_eq!(
-            call.after(ms(100), &answered(503, Some(1900)), 0.0),
-            Next::Stop(Stop::Deadline)
+            call.next_step(ms(100), &response(503, Some(1900)), 0.0),
+            NextStep::Stop(StopReason::Deadline)
         );
-        let endless = Ended::Answered {
+        let unbounded = AttemptOutcome::Response {
             status: 503,
             retry_after: Some(Duration::MAX),
         };
         assert_eq!(
-            call.after(ms(100), &endless, 0.0),
-            Next::Stop(Stop::Deadline)
+            call.next_step(ms(100), &unbounded, 0.0),
+            NextStep::Stop(StopReason::Deadline)
         );
         assert_eq!(
-            call.begin(ms(260)),
-            Some(Try {
-                left: ms(1740),
-                retried: true
+            call.begin_attempt(ms(260)),
+            Some(Attempt {
+                remaining: ms(1740),
+                is_retry: true
             })
         );
-        assert_eq!(call.begin(ms(2000)), None);
-        assert_eq!(call.begin(ms(2001)), None);
+        assert_eq!(call.begin_attempt(ms(2000)), None);
+        assert_eq!(call.begin_attempt(ms(2001)), None);
     }
 
     #[test]
-    fn tries_are_counted_and_marked_only_where_wanted() {
+    fn attempts_are_limited_and_marked_only_if_configured() {
         let settings = Settings {
-            max_tries: 2,
+            max_attempts: 2,
             mark_retries: false,
             ..Settings::default()
         };
         let mut call = Call::new(Class::Lookup, &settings);
-        call.begin(ms(0)).expect("time is left");
+        call.begin_attempt(ms(0)).expect("time is left");
         assert!(matches!(
-            call.after(ms(1), &Ended::Broken, 0.5),
-            Next::Wait(_)
+            call.next_step(ms(1), &AttemptOutcome::Failed, 0.5),
+            NextStep::Wait(_)
         ));
-        assert!(!call.begin(ms(2)).expect("time is left").retried);
+        assert!(!call.begin_attempt(ms(2)).expect("time is left").is_retry);
         assert_eq!(
-            call.after(ms(3), &Ended::Broken, 0.5),
-            Next::Stop(Stop::Tries)
+            call.next_step(ms(3), &AttemptOutcome::Failed, 0.5),
+            NextStep::Stop(StopReason::AttemptsExhausted)
         );
     }
 
     #[test]
-    fn the_back_off_doubles_up_to_a_bound_and_is_half_chance() {
+    fn the_backoff_doubles_up_to_a_maximum_and_half_of_it_is_random() {
         let settings = Settings {
-            max_tries: 100,
+            max_attempts: 100,
             ..Settings::default()
         };
         let mut call = Call::new(Class::Lookup, &settings);
-        for most in [50, 100, 200, 400, 400] {
-            call.begin(ms(0)).expect("time is left");
+        for max_ms in [50, 100, 200, 400, 400] {
+            call.begin_attempt(ms(0)).expect("time is left");
             assert_eq!(
-                call.after(ms(0), &Ended::Broken, 0.0),
-                Next::Wait(ms(most / 2))
+                call.next_step(ms(0), &AttemptOutcome::Failed, 0.0),
+                NextStep::Wait(ms(max_ms / 2))
+            );
+            assert_eq!(
+                call.next_step(ms(0), &AttemptOutcome::Failed, 1.0),
+                NextStep::Wait(ms(max_ms))
             );
-            assert_eq!(call.after(ms(0), &Ended::Broken, 1.0), Next::Wait(ms(most)));
         }
     }
 
     #[test]
-    fn waits_and_times_are_read_and_written_in_seconds() {
-        assert_eq!(retry_after("0.5"), Some(ms(500)));
-        assert_eq!(retry_after(" 2 "), Some(ms(2000)));
-        assert_eq!(retry_after("1e300"), Some(Duration::MAX));
-        for odd in ["", "soon", "-1", "NaN", "Wed, 21 Oct 2026 07:28:00 GMT"] {
-            assert_eq!(retry_after(odd), None, "{odd}");
+    fn retry_after_and_timeout_are_in_seconds() {
+        assert_eq!(parse_retry_after("0.5"), Some(ms(500)));
+        assert_eq!(parse_retry_after(" 2 "), Some(ms(2000)));
+        assert_eq!(parse_retry_after("1e300"), Some(Duration::MAX));
+        for invalid in ["", "soon", "-1", "NaN", "Wed, 21 Oct 2026 07:28:00 GMT"] {
+            assert_eq!(parse_retry_after(invalid), None, "{invalid}");
         }
-        assert_eq!(timeout_text(ms(1740)), "1.740");
-        assert_eq!(timeout_text(Duration::from_micros(2_000_999)), "2.000");
+        assert_eq!(format_timeout(ms(1740)), "1.740");
+        assert_eq!(format_timeout(Duration::from_micros(2_000_999)), "2.000");
     }
 }
--- a/crates/config-parser/src/lib.rs
+++ b/crates/config-parser/src/lib.rs
@@ -1,15 +1,16 @@
-//! Documents that operators write: TOML with places, quantities with units, checks by a schema.
+//! Parsing and validation of documents that operators write: TOML with key positions, quantities with units, and JSON
+//! Schemas.
 //!
-//! - [`Places`]: where each key of a text stands; [`DocumentError`]: all that is wrong, with file, line and key.
-//! - [`Form`]: a type's JSON Schema, and what is wrong with a value beside it, not only the first; an answer
-//!   does not grow with the document ([`MOST_LISTED`] faults, each under 1 KB).
-//! - [`units`]: spans, shares, rates and amounts of memory, each with its unit.
+//! - [`KeyPositions`]: line of each key of a text; [`DocumentError`]: all problems of a document, with file, line and key.
+//! - [`DocumentSchema`]: JSON Schema of a type, and all validation errors of a value, not only the first. Their total
+//!   length does not grow with the document: at most [`MAX_LISTED_ERRORS`] errors, each under 1 KB, and a count.
+//! - [`units`]: durations, fractions, rates and memory sizes, each with its unit.
 
 mod message;
 mod positions;
 mod schema;
 pub mod units;
 
-pub use message::MOST_LISTED;
-pub use positions::{DocumentError, Places, Problem};
-pub use schema::{Fault, Form, toml};
+pub use message::MAX_LISTED_ERRORS;
+pub use positions::{DocumentError, KeyPositions, Problem};
+pub use schema::{DocumentSchema, ValidationError, parse_toml};
--- a/crates/config-parser/src/message.rs
+++ b/crates/config-parser/src/message.rs
@@ -1,79 +1,80 @@
-//! Texts of errors, which stay short whatever the document is.
+//! Parts of error messages, whose length is limited whatever the document contains.
 
 use serde_json::Value;
 
-/// How many faults of a document are listed at once; the others are counted.
-pub const MOST_LISTED: usize = 50;
+/// Maximum number of errors that are listed for a document; further ones are counted.
+pub const MAX_LISTED_ERRORS: usize = 50;
 
-/// The longest place of a fault and the longest words about it, in bytes as JSON writes them: together under 1 KB.
-pub(crate) const MOST_OF_PLACE: usize = 256;
-pub(crate) const MOST_OF_WHAT: usize = 700;
+/// Maximum lengths of an error's position and message, in bytes of their JSON encoding: together under 1 KB.
+pub(crate) const MAX_POSITION_BYTES: usize = 256;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 700;
 
-/// How much of a string or number is quoted, in characters.
-const MOST_QUOTED: usize = 64;
+/// Maximum number of characters that are quoted of a string or number.
+const MAX_QUOTED_CHARS: usize = 64;
 
-/// The line behind the last fault that is listed.
-pub(crate) fn rest(more: usize) -> String {
-    format!("and {more} more")
+/// Returns the message after the last listed error.
+pub(crate) fn omitted_count(omitted: usize) -> String {
+    format!("and {omitted} more")
 }
 
-/// So many of something, which ends in `s` when there are several.
-pub(crate) fn counted(n: usize, unit: &str) -> String {
+/// Formats a count with its unit, in the singular or plural.
+pub(crate) fn count(number: usize, unit: &str) -> String {
     match unit
         .strip_suffix('y')
-        .filter(|stem| n != 1 && !stem.ends_with('e'))
+        .filter(|stem| number != 1 && !stem.ends_with('e'))
     {
-        Some(stem) => format!("{n} {stem}ies"),
-        None => format!("{n} {unit}{}", if n == 1 { "" } else { "s" }),
+        Some(stem) => format!("{number} {stem}ies"),
+        None => format!("{number} {unit}{}", if number == 1 { "" } else { "s" }),
     }
 }
 
-/// A value as errors name it: a string or number as JSON writes it, cut when it is long; a list or an object by its
+/// Formats a value for an error message: a string or number as JSON, truncated if it is long; a list or object by its
 /// length.
-pub(crate) fn quoted(value: &Value) -> String {
+pub(crate) fn quote(value: &Value) -> String {
     match value {
-        Value::String(text) => match text.char_indices().nth(MOST_QUOTED) {
+        Value::String(text) => match text.char_indices().nth(MAX_QUOTED_CHARS) {
             Some((end, _)) => {
                 format!(
-                    "{} and on ({})",
+                    "{}\u{2026} ({})",
                     Value::from(&text[..end]),
-                    counted(text.chars().count(), "character")
+                    count(text.chars().count(), "character")
                 )
             }
             None => value.to_string(),
         },
-        Value::Array(entries) => format!("a list of {}", counted(entries.len(), "entry")),
-        Value::Object(keys) => format!("an object of {}", counted(keys.len(), "key")),
-        _ => value.to_string().chars().take(MOST_QUOTED).collect(),
+        Value::Array(entries) => format!("a list of {}", count(entries.len(), "entry")),
+        Value::Object(keys) => format!("an object of {}", count(keys.len(), "key")),
+        _ => value.to_string().chars().take(MAX_QUOTED_CHARS).collect(),
     }
 }
 
-/// What a reader of values said, whose words may have a whole value in their middle.
-pub(crate) fn shortened(words: &str) -> String {
-    let end = words.char_indices().nth(MOST_QUOTED);
-    let start = words.char_indices().rev().nth(MOST_QUOTED - 1);
+/// Shortens a deserializer's message, which may quote a whole value: keeps the beginning and the end, which states the
+/// error.
+pub(crate) fn shorten(message: &str) -> String {
+    let end = message.char_indices().nth(MAX_QUOTED_CHARS);
+    let start = message.char_indices().rev().nth(MAX_QUOTED_CHARS - 1);
     match (end, start) {
-        (Some((end, _)), Some((start, _))) if start > end + 2 * MOST_QUOTED => cut(
-            &format!("{}\u{2026}{}", &words[..end], &words[start..]),
-            MOST_OF_WHAT,
+        (Some((end, _)), Some((start, _))) if start > end + 2 * MAX_QUOTED_CHARS => truncate(
+            &format!("{}\u{2026}{}", &message[..end], &message[start..]),
+            MAX_MESSAGE_BYTES,
         ),
-        _ => cut(words, MOST_OF_WHAT),
+        _ => truncate(message, MAX_MESSAGE_BYTES),
     }
 }
 
-/// The beginning of a text that JSON writes in no more than so many bytes, with an ellipsis where it was cut.
-pub(crate) fn cut(text: &str, most: usize) -> String {
-    let written = |c: char| match c {
+/// Truncates a text to a maximum length in bytes of its JSON encoding; an ellipsis marks a truncated one.
+pub(crate) fn truncate(text: &str, max_bytes: usize) -> String {
+    let encoded_length = |c: char| match c {
         '"' | '\\' => 2,
         c if c.is_ascii_control() => 6,
         c => c.len_utf8(),
     };
     let mut length = 0;
-    for (at, c) in text.char_indices() {
-        length += written(c);
-        if length > most {
-            // Half of a JSON Pointer's escape would be no pointer.
-            return format!("{}\u{2026}", text[..at].trim_end_matches('~'));
+    for (offset, c) in text.char_indices() {
+        length += encoded_length(c);
+        if length > max_bytes {
+            // A pointer that ends in half of an escape sequence (`~0`, `~1`) would be invalid.
+            return format!("{}\u{2026}", text[..offset].trim_end_matches('~'));
         }
     }
     text.to_owned()
--- a/crates/config-parser/src/positions.rs
+++ b/crates/config-parser/src/positions.rs
@@ -1,4 +1,4 @@
-//! Where in a document's text a key stands, so that errors can say it.
+//! Positions of keys in the text of a TOML document, for error messages.
 
 use std::fmt;
 use std::ops::Range;
@@ -6,101 +6,101 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use crate::message::{self, MOST_LISTED};
+use crate::message::{self, MAX_LISTED_ERRORS};
 
-/// One thing that is wrong with a document.
+/// Problem of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The key, with those above it.
+    /// Dotted path of the key.
     pub key: String,
-    /// What is wrong.
-    pub what: String,
+    /// Description of the problem.
+    pub message: String,
 }
 
-/// What is wrong with a document: one line each, with file, line and key.
+/// Problems of a document; displayed one a line, with file, line and key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct DocumentError {
-    /// The file, as it was named.
+    /// Name of the file, as given by the caller.
     pub file: String,
-    /// What is wrong, in the order of the file.
+    /// Problems in the order of the file.
     pub problems: Vec<Problem>,
 }
 
 impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (i, p) in self.problems.iter().enumerate() {
-            let key = if p.key.is_empty() {
+        for (index, problem) in self.problems.iter().enumerate() {
+            let key = if problem.key.is_empty() {
                 String::new()
             } else {
-                format!(" {}:", p.key)
+                format!(" {}:", problem.key)
             };
             write!(
                 f,
                 "{}{}:{}:{key} {}",
-                if i > 0 { "\n" } else { "" },
+                if index > 0 { "\n" } else { "" },
                 self.file,
-                p.line,
-                p.what
+                problem.line,
+                problem.message
             )?;
         }
         Ok(())
     }
 }
 
-/// A document's text with the places of its keys.
+/// Positions of the keys of a TOML text.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct KeyPositions {
     file: String,
-    /// Every key with those above it, and the bytes of its value. A table's number stands for its place in a list.
+    /// Dotted path and byte range of each key with its value. An element of an array has its index as path segment.
     keys: Vec<(String, Range<usize>)>,
-    /// Where each line begins.
-    lines: Vec<usize>,
+    /// Byte offset of the start of each line.
+    line_starts: Vec<usize>,
 }
 
-impl Places {
-    /// Finds all keys.
+impl KeyPositions {
+    /// Parses a text and records the positions of its keys. `file` is its name in errors.
     ///
     /// # Errors
     /// The text is not TOML.
     pub fn new(file: &str, text: &str) -> Result<Self, DocumentError> {
-        let lines = std::iter::once(0)
+        let line_starts = std::iter::once(0)
             .chain(text.match_indices('\n').map(|(i, _)| i + 1))
             .collect();
-        let mut places = Places {
+        let mut positions = KeyPositions {
             file: file.to_owned(),
             keys: Vec::new(),
-            lines,
+            line_starts,
         };
-        let table = DeTable::parse(text).map_err(|e| places.error(&e))?;
-        places.table("", table.get_ref());
-        Ok(places)
+        let table = DeTable::parse(text).map_err(|e| positions.syntax_error(&e))?;
+        positions.add_table("", table.get_ref());
+        Ok(positions)
     }
 
-    fn table(&mut self, above: &str, table: &DeTable) {
+    fn add_table(&mut self, parent: &str, table: &DeTable) {
         for (key, value) in table {
             let name = key.get_ref();
-            let path = if above.is_empty() {
+            let path = if parent.is_empty() {
                 name.to_string()
             } else {
-                format!("{above}.{name}")
+                format!("{parent}.{name}")
             };
-            self.value(path, Some(key.span().start), value);
+            self.add_value(path, Some(key.span().start), value);
         }
     }
 
-    fn value(&mut self, path: String, key: Option<usize>, value: &Spanned<DeValue>) {
+    fn add_value(&mut self, path: String, key_start: Option<usize>, value: &Spanned<DeValue>) {
         let span = value.span();
         self.keys.push((
             path.clone(),
-            key.unwrap_or(span.start)..span.end.max(span.start),
+            key_start.unwrap_or(span.start)..span.end.max(span.start),
         ));
         match value.get_ref() {
-            DeValue::Table(table) => self.table(&path, table),
+            DeValue::Table(table) => self.add_table(&path, table),
             DeValue::Array(items) => {
-                for (i, item) in items.iter().enumerate() {
-                    self.value(format!("{path}.{i}"), None, item);
+                for (index, item) in items.iter().enumerate() {
+                    self.add_value(format!("{path}.{index}"), None, item);
                 }
             }
             _ => {}
@@ -108,10 +108,10 @@
     }
 
     fn line_at(&self, offset: usize) -> usize {
-        self.lines.partition_point(|start| *start <= offset)
+        self.line_starts.partition_point(|start| *start <= offset)
     }
 
-    /// The line of a key, or of the nearest one above it that is there.
+    /// Returns the line of a key, or of its nearest ancestor that the text has; 1 if it has none.
     pub fn line_of(&self, key: &str) -> usize {
         let mut key = key;
         loop {
@@ -119,54 +119,55 @@
                 return self.line_at(span.start);
             }
             match key.rsplit_once('.') {
-                Some((above, _)) => key = above,
+                Some((parent, _)) => key = parent,
                 None => return 1,
             }
         }
     }
 
-    /// What the reader of TOML says, with its line and the innermost key there.
-    pub fn error(&self, e: &toml::de::Error) -> DocumentError {
-        let at = e.span().map_or(0, |s| s.start);
-        let holds = |span: &Range<usize>| span.start <= at && at < span.end.max(span.start + 1);
-        let inner = self
+    /// Converts an error of the TOML parser to one with its line and the innermost key at its position.
+    pub fn syntax_error(&self, error: &toml::de::Error) -> DocumentError {
+        let offset = error.span().map_or(0, |s| s.start);
+        let contains =
+            |span: &Range<usize>| span.start <= offset && offset < span.end.max(span.start + 1);
+        let innermost = self
             .keys
             .iter()
-            .filter(|(_, span)| holds(span))
+            .filter(|(_, span)| contains(span))
             .min_by_key(|(_, span)| span.len());
-        let key = inner.map_or(String::new(), |(path, _)| path.clone());
-        self.problems(vec![Problem {
-            line: self.line_at(at),
+        let key = innermost.map_or(String::new(), |(path, _)| path.clone());
+        self.document_error(vec![Problem {
+            line: self.line_at(offset),
             key,
-            what: e.message().trim().replace('\n', "; "),
+            message: error.message().trim().replace('\n', "; "),
         }])
     }
 
-    /// An error that names these problems in the order of the file: the first [`MOST_LISTED`] of them, and in a last
-    /// line how many there are beyond. No key and no text is longer than 1 KB with the other.
-    pub fn problems(&self, problems: Vec<Problem>) -> DocumentError {
-        self.problems_and_more(problems, 0)
+    /// Creates an error with these problems in the order of the file: the first [`MAX_LISTED_ERRORS`], and the number of
+    /// further ones in a last line. A key and its message together are shorter than 1 KB.
+    pub fn document_error(&self, problems: Vec<Problem>) -> DocumentError {
+        self.document_error_with_omitted(problems, 0)
     }
 
-    /// As [`Places::problems`], with so many more that were counted and not kept.
-    pub(crate) fn problems_and_more(
+    /// As [`KeyPositions::document_error`], for a list from which further problems were already omitted.
+    pub(crate) fn document_error_with_omitted(
         &self,
         mut problems: Vec<Problem>,
-        more: usize,
+        omitted: usize,
     ) -> DocumentError {
         problems.sort_by_key(|p| p.line);
-        let more = more + problems.len().saturating_sub(MOST_LISTED);
-        problems.truncate(MOST_LISTED);
-        for p in &mut problems {
-            p.key = message::cut(&p.key, message::MOST_OF_PLACE);
-            p.what = message::cut(&p.what, message::MOST_OF_WHAT);
+        let omitted = omitted + problems.len().saturating_sub(MAX_LISTED_ERRORS);
+        problems.truncate(MAX_LISTED_ERRORS);
+        for problem in &mut problems {
+            problem.key = message::truncate(&problem.key, message::MAX_POSITION_BYTES);
+            problem.message = message::truncate(&problem.message, message::MAX_MESSAGE_BYTES);
         }
-        if more > 0 {
+        if omitted > 0 {
             let line = problems.last().map_or(1, |p| p.line);
             problems.push(Problem {
                 line,
                 key: String::new(),
-                what: message::rest(more),
+                message: message::omitted_count(omitted),
             });
         }
         DocumentError {
--- a/crates/config-parser/src/schema.rs
+++ b/crates/config-parser/src/schema.rs
@@ -1,169 +1,175 @@
-//! Checks by schema: the types are the schema, so that what is printed, what is checked and what is read can't differ.
+//! Validation by JSON Schema. Schemas are generated from the types that values are deserialized into, so that the
+//! published schema, the validation and the deserialization agree.
 
 use jsonschema::error::ValidationErrorKind;
-use jsonschema::{ValidationError, Validator};
+use jsonschema::{ValidationError as SchemaError, Validator};
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::message::{self, MOST_LISTED};
-use crate::positions::{DocumentError, Places, Problem};
+use crate::message::{self, MAX_LISTED_ERRORS};
+use crate::positions::{DocumentError, KeyPositions, Problem};
 use crate::units;
 
-/// One thing that is wrong with a value.
+/// Error in a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Where, as a JSON Pointer (RFC 6901).
+pub struct ValidationError {
+    /// Position in the value, as a JSON Pointer (RFC 6901).
     pub pointer: String,
-    /// What.
-    pub what: String,
+    /// Description of the error.
+    pub message: String,
 }
 
-impl Fault {
-    /// Where, with dots, as errors about a file name it.
+impl ValidationError {
+    /// Returns the position as a dotted key, as errors about a file name it.
     pub fn key(&self) -> String {
-        let part = |p: &str| p.replace("~1", "/").replace("~0", "~");
+        let unescape = |part: &str| part.replace("~1", "/").replace("~0", "~");
         self.pointer
             .split('/')
             .skip(1)
-            .map(part)
+            .map(unescape)
             .collect::<Vec<_>>()
             .join(".")
     }
 }
 
-/// The form that values of a type have.
-pub struct Form {
+/// JSON Schema of a type, with its validator.
+pub struct DocumentSchema {
     schema: Value,
     validator: Validator,
 }
 
-impl Form {
-    /// The form of a type.
+impl DocumentSchema {
+    /// Creates the schema of a type.
     ///
     /// # Errors
-    /// The type's schema is no valid one, which is a fault of the type.
-    pub fn of<T: JsonSchema>() -> Result<Self, String> {
+    /// The generated schema is invalid, which is a bug in the type's definition.
+    pub fn for_type<T: JsonSchema>() -> Result<Self, String> {
         let schema = schemars::schema_for!(T).to_value();
         let validator = jsonschema::validator_for(&schema).map_err(|e| e.to_string())?;
-        Ok(Form { schema, validator })
+        Ok(DocumentSchema { schema, validator })
     }
 
-    /// The JSON Schema.
-    pub fn schema(&self) -> &Value {
+    /// Returns the JSON Schema.
+    pub fn json_schema(&self) -> &Value {
         &self.schema
     }
 
-    /// All that is wrong with a value: the first [`MOST_LISTED`] faults and, when there are more, one that counts
-    /// the rest. None of them is longer than 1 KB, whatever the value is.
-    pub fn faults(&self, value: &Value) -> Vec<Fault> {
-        let (found, more) = self.first_faults(value);
-        let bounded = |f: Fault| Fault {
-            pointer: message::cut(&f.pointer, message::MOST_OF_PLACE),
-            what: f.what,
+    /// Returns the errors in a value: the first [`MAX_LISTED_ERRORS`] and, if there are more, one that counts the rest.
+    /// Each is shorter than 1 KB, whatever the value is.
+    pub fn validate(&self, value: &Value) -> Vec<ValidationError> {
+        let (errors, omitted) = self.first_errors(value);
+        let truncated = |error: ValidationError| ValidationError {
+            pointer: message::truncate(&error.pointer, message::MAX_POSITION_BYTES),
+            message: error.message,
         };
-        let rest = (more > 0).then(|| Fault {
+        let summary = (omitted > 0).then(|| ValidationError {
             pointer: String::new(),
-            what: message::rest(more),
+            message: message::omitted_count(omitted),
         });
-        found.into_iter().map(bounded).chain(rest).collect()
+        errors.into_iter().map(truncated).chain(summary).collect()
     }
 
-    /// The first [`MOST_LISTED`] faults, with their places whole, and how many there are beyond.
-    fn first_faults(&self, value: &Value) -> (Vec<Fault>, usize) {
-        let (mut faults, mut more) = (Vec::new(), 0);
+    /// Returns the first [`MAX_LISTED_ERRORS`] errors, with untruncated positions, and the number of further ones.
+    fn first_errors(&self, value: &Value) -> (Vec<ValidationError>, usize) {
+        let (mut errors, mut omitted) = (Vec::new(), 0);
         for error in self.validator.iter_errors(value) {
-            let at = error.instance_path().as_str();
-            let below = |key: &str| format!("{at}/{}", key.replace('~', "~0").replace('/', "~1"));
-            let mut put = |pointer: &dyn Fn() -> String, what: &dyn Fn() -> String| {
-                if faults.len() < MOST_LISTED {
-                    faults.push(Fault {
+            let position = error.instance_path().as_str();
+            let member =
+                |key: &str| format!("{position}/{}", key.replace('~', "~0").replace('/', "~1"));
+            let mut add = |pointer: &dyn Fn() -> String, description: &dyn Fn() -> String| {
+                if errors.len() < MAX_LISTED_ERRORS {
+                    errors.push(ValidationError {
                         pointer: pointer(),
-                        what: message::cut(&what(), message::MOST_OF_WHAT),
+                        message: message::truncate(&description(), message::MAX_MESSAGE_BYTES),
                     });
                 } else {
-                    more += 1;
+                    omitted += 1;
                 }
             };
             match error.kind() {
                 ValidationErrorKind::AdditionalProperties { unexpected } => {
                     unexpected
                         .iter()
-                        .for_each(|key| put(&|| below(key), &|| "there is no such key".into()));
+                        .for_each(|key| add(&|| member(key), &|| "there is no such key".into()));
                 }
                 ValidationErrorKind::Required { property } => {
-                    put(&|| below(property.as_str().unwrap_or_default()), &|| {
+                    add(&|| member(property.as_str().unwrap_or_default()), &|| {
                         "it is missing".into()
                     });
                 }
-                _ => put(&|| at.to_owned(), &|| words(&error)),
+                _ => add(&|| position.to_owned(), &|| describe(&error)),
             }
         }
-        (faults, more)
+        (errors, omitted)
     }
 
-    /// Reads a value.
+    /// Validates and deserializes a value.
     ///
     /// # Errors
-    /// What is wrong with it, as [`Form::faults`] lists it.
-    pub fn read<T: DeserializeOwned>(&self, value: &Value) -> Result<T, Vec<Fault>> {
-        let faults = self.faults(value);
-        if faults.is_empty() {
-            deserialized(value).map_err(|fault| vec![fault])
+    /// The errors in the value, as [`DocumentSchema::validate`] lists them.
+    pub fn deserialize<T: DeserializeOwned>(
+        &self,
+        value: &Value,
+    ) -> Result<T, Vec<ValidationError>> {
+        let errors = self.validate(value);
+        if errors.is_empty() {
+            deserialize_valid(value).map_err(|error| vec![error])
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    /// Reads a text in TOML, whose file is named so in errors; also where its keys stand.
+    /// Validates and deserializes a TOML text; returns the positions of its keys too. `file` is its name in errors.
     ///
     /// # Errors
-    /// It is not TOML, or what is wrong with it, bounded as [`Places::problems`] says.
-    pub fn read_toml<T: DeserializeOwned>(
+    /// The text is not TOML, or the errors in it, limited as by [`KeyPositions::document_error`].
+    pub fn deserialize_toml<T: DeserializeOwned>(
         &self,
         file: &str,
         text: &str,
-    ) -> Result<(T, Places), DocumentError> {
-        let (value, places) = toml(file, text)?;
-        let (mut faults, more) = self.first_faults(&value);
-        if faults.is_empty() {
-            match deserialized(&value) {
-                Ok(read) => return Ok((read, places)),
-                Err(fault) => faults.push(fault),
+    ) -> Result<(T, KeyPositions), DocumentError> {
+        let (value, positions) = parse_toml(file, text)?;
+        let (mut errors, omitted) = self.first_errors(&value);
+        if errors.is_empty() {
+            match deserialize_valid(&value) {
+                Ok(document) => return Ok((document, positions)),
+                Err(error) => errors.push(error),
             }
         }
-        let problem = |f: Fault| {
-            let key = f.key();
+        let problem = |error: ValidationError| {
+            let key = error.key();
             Problem {
-                line: places.line_of(&key),
+                line: positions.line_of(&key),
                 key,
-                what: f.what,
+                message: error.message,
             }
         };
-        Err(places.problems_and_more(faults.into_iter().map(problem).collect(), more))
+        Err(positions
+            .document_error_with_omitted(errors.into_iter().map(problem).collect(), omitted))
     }
 }
 
-/// Reads a text in TOML, whose file is named so in errors, without a look at its form; also where its keys stand.
+/// Parses a TOML text without validation; returns the positions of its keys too. `file` is its name in errors.
 ///
 /// # Errors
-/// It is not TOML.
-pub fn toml(file: &str, text: &str) -> Result<(Value, Places), DocumentError> {
-    let places = Places::new(file, text)?;
-    let value = toml::from_str(text).map_err(|e| places.error(&e))?;
-    Ok((value, places))
+/// The text is not TOML.
+pub fn parse_toml(file: &str, text: &str) -> Result<(Value, KeyPositions), DocumentError> {
+    let positions = KeyPositions::new(file, text)?;
+    let value = toml::from_str(text).map_err(|e| positions.syntax_error(&e))?;
+    Ok((value, positions))
 }
 
-/// Reads a value whose form is right.
-fn deserialized<T: DeserializeOwned>(value: &Value) -> Result<T, Fault> {
-    T::deserialize(value).map_err(|e| Fault {
+/// Deserializes a value that the schema accepts. Types may reject more than their schemas express.
+fn deserialize_valid<T: DeserializeOwned>(value: &Value) -> Result<T, ValidationError> {
+    T::deserialize(value).map_err(|e| ValidationError {
         pointer: String::new(),
-        what: message::shortened(&e.to_string()),
+        message: message::shorten(&e.to_string()),
     })
 }
 
-/// What an error says. Of the value there is a short quotation at most: it may be as long as the document.
-fn words(error: &ValidationError) -> String {
+/// Describes an error. The value, which may be as long as the document, is quoted only in short.
+fn describe(error: &SchemaError) -> String {
     let value = error.instance();
     let length = match &**value {
         Value::String(text) => text.chars().count(),
@@ -171,51 +177,53 @@
         Value::Object(keys) => keys.len(),
         _ => 0,
     };
-    let most = |unit: &str, limit: &u64| {
-        let are = if *limit == 1 { "is" } else { "are" };
+    let too_large = |unit: &str, limit: &u64| {
+        let verb = if *limit == 1 { "is" } else { "are" };
         format!(
-            "it has {}, and at most {limit} {are} allowed",
-            message::counted(length, unit)
+            "it has {}, and at most {limit} {verb} allowed",
+            message::count(length, unit)
         )
     };
-    let least = |unit: &str, limit: &u64| {
-        let are = if *limit == 1 { "is" } else { "are" };
+    let too_small = |unit: &str, limit: &u64| {
+        let verb = if *limit == 1 { "is" } else { "are" };
         format!(
-            "it has {}, and at least {limit} {are} needed",
-            message::counted(length, unit)
+            "it has {}, and at least {limit} {verb} needed",
+            message::count(length, unit)
         )
     };
-    let otherwise = || error.masked_with(message::quoted(value)).to_string();
+    let default = || error.masked_with(message::quote(value)).to_string();
     match error.kind() {
-        ValidationErrorKind::MaxItems { limit } => most("entry", limit),
-        ValidationErrorKind::MinItems { limit } => least("entry", limit),
-        ValidationErrorKind::MaxLength { limit } => most("character", limit),
-        ValidationErrorKind::MinLength { limit } => least("character", limit),
-        ValidationErrorKind::MaxProperties { limit } => most("key", limit),
-        ValidationErrorKind::MinProperties { limit } => least("key", limit),
-        ValidationErrorKind::Enum { options } => format!("it is one of {options}"),
+        ValidationErrorKind::MaxItems { limit } => too_large("entry", limit),
+        ValidationErrorKind::MinItems { limit } => too_small("entry", limit),
+        ValidationErrorKind::MaxLength { limit } => too_large("character", limit),
+        ValidationErrorKind::MinLength { limit } => too_small("character", limit),
+        ValidationErrorKind::MaxProperties { limit } => too_large("key", limit),
+        ValidationErrorKind::MinProperties { limit } => too_small("key", limit),
+        ValidationErrorKind::Enum { options } => format!("it must be one of {options}"),
         ValidationErrorKind::OneOfNotValid { context } | ValidationErrorKind::AnyOf { context } => {
-            options(context).map_or_else(otherwise, |options| format!("it is one of {options}"))
+            allowed_values(context)
+                .map_or_else(default, |values| format!("it must be one of {values}"))
         }
-        ValidationErrorKind::Pattern { pattern } => units::meaning(pattern)
-            .map_or_else(otherwise, |meaning| {
-                format!("{} is not {meaning}", message::quoted(value))
+        ValidationErrorKind::Pattern { pattern } => units::describe_pattern(pattern)
+            .map_or_else(default, |description| {
+                format!("{} is not {description}", message::quote(value))
             }),
-        // The value that it speaks of is a key, and the inner error's.
-        ValidationErrorKind::PropertyNames { error } => words(error),
-        _ => otherwise(),
+        // The inner error describes the invalid key; the outer one would quote the whole object.
+        ValidationErrorKind::PropertyNames { error } => describe(error),
+        _ => default(),
     }
 }
 
-/// The values that a choice between constants offers: enums whose members have descriptions are written so.
-fn options(context: &[Vec<ValidationError>]) -> Option<String> {
-    let constant = |errors: &Vec<ValidationError>| match errors.first()?.kind() {
+/// Returns the allowed values if each alternative is a constant, as in the schema of an enum whose variants have
+/// descriptions.
+fn allowed_values(context: &[Vec<SchemaError>]) -> Option<String> {
+    let constant = |errors: &Vec<SchemaError>| match errors.first()?.kind() {
         ValidationErrorKind::Constant { expected_value } => Some(expected_value.to_string()),
         _ => None,
     };
-    let all = context
+    let values = context
         .iter()
         .map(constant)
         .collect::<Option<Vec<String>>>()?;
-    (!all.is_empty()).then(|| all.join(", "))
+    (!values.is_empty()).then(|| values.join(", "))
 }
--- a/crates/config-parser/src/units.rs
+++ b/crates/config-parser/src/units.rs
@@ -1,5 +1,5 @@
-//! Quantities as documents write them: a number with its unit, in one string. A number without its unit is an
-//! error, so that no reader has to guess whether `5` means seconds.
+//! Quantities in documents: a number with its unit, in one string. A number without a unit is an error, so that no reader
+//! has to guess whether `5` means seconds.
 
 use std::fmt;
 
@@ -9,24 +9,24 @@
 use serde::de::{self, Deserialize, Deserializer, Visitor};
 use serde::{Serialize, Serializer};
 
-/// A span of time, in ms; written `"250 ms"`, `"20 s"`, `"500 us"` or `"2 min"`.
+/// Duration in ms; written `"250 ms"`, `"20 s"`, `"500 us"` or `"2 min"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Span(pub f64);
+pub struct Milliseconds(pub f64);
 
-/// A part of a whole, 1 for all of it; written `"81 %"`.
+/// Fraction of a whole, where 1 is all of it; written as a percentage, `"81 %"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Share(pub f64);
+pub struct Fraction(pub f64);
 
-/// Something a second; written `"390 /s"`.
+/// Rate per second; written `"390 /s"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Rate(pub f64);
 
-/// An amount of memory, in bytes; written `"64 KiB"` or `"1.5 MiB"`.
+/// Memory size in bytes; written `"64 KiB"` or `"1.5 MiB"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Bytes(pub f64);
 
-/// A number and the unit behind it.
-fn split(text: &str) -> Option<(f64, &str)> {
+/// Splits a text into its number and its unit.
+fn split_unit(text: &str) -> Option<(f64, &str)> {
     let text = text.trim();
     let end = text
         .find(|c: char| !(c.is_ascii_digit() || matches!(c, '.' | '-' | '+')))
@@ -35,8 +35,8 @@
     Some((number, text[end..].trim()))
 }
 
-/// Reads a number with one of the units; each unit has the factor that its numbers are multiplied by.
-fn read(text: &str, what: &str, units: &[(&str, f64)]) -> Result<f64, String> {
+/// Parses a number with one of the units, each of which has a conversion factor. `quantity` names the quantity in errors.
+fn parse_quantity(text: &str, quantity: &str, units: &[(&str, f64)]) -> Result<f64, String> {
     let names = || {
         units
             .iter()
@@ -44,27 +44,32 @@
             .collect::<Vec<_>>()
             .join(", ")
     };
-    let (number, unit) =
-        split(text).ok_or_else(|| format!("{what} is a number and its unit ({})", names()))?;
+    let (number, unit) = split_unit(text)
+        .ok_or_else(|| format!("{quantity} needs a number and a unit ({})", names()))?;
     if unit.is_empty() {
         return Err(format!(
-            "the unit is missing: {what} has one of {}",
+            "the unit is missing: {quantity} needs one of {}",
             names()
         ));
     }
     let (_, factor) = units
         .iter()
         .find(|(name, _)| *name == unit)
-        .ok_or_else(|| format!("\"{unit}\" is no unit of {what}: it has one of {}", names()))?;
+        .ok_or_else(|| {
+            format!(
+                "\"{unit}\" is no unit of {quantity}: it needs one of {}",
+                names()
+            )
+        })?;
     let value = number * factor;
     if !value.is_finite() || value < 0.0 {
-        return Err(format!("{what} is not negative"));
+        return Err(format!("{quantity} must be finite and not negative"));
     }
     Ok(value)
 }
 
 macro_rules! quantity {
-    ($name:ident, $what:literal, $example:literal, $pattern:literal, $units:expr) => {
+    ($name:ident, $quantity:literal, $example:literal, $pattern:literal, $units:expr) => {
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, output: S) -> Result<S::Ok, S::Error> {
                 output.collect_str(self)
@@ -89,7 +94,7 @@
             type Err = String;
 
             fn from_str(text: &str) -> Result<Self, String> {
-                read(text, $what, &$units).map($name)
+                parse_quantity(text, $quantity, &$units).map($name)
             }
         }
 
@@ -101,7 +106,7 @@
                     type Value = $name;
 
                     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                        write!(f, "{} with its unit in a string, such as {}", $what, $example)
+                        write!(f, "{} with its unit in a string, such as {}", $quantity, $example)
                     }
 
                     fn visit_str<E: de::Error>(self, text: &str) -> Result<$name, E> {
@@ -116,15 +121,15 @@
 }
 
 quantity!(
-    Span,
-    "a span",
+    Milliseconds,
+    "a duration",
     "\"250 ms\"",
     r"^ *[0-9]+(\.[0-9]+)? *(us|ms|s|min) *$",
     [("us", 0.001), ("ms", 1.0), ("s", 1000.0), ("min", 60_000.0)]
 );
 quantity!(
-    Share,
-    "a share",
+    Fraction,
+    "a percentage",
     "\"81 %\"",
     r"^ *[0-9]+(\.[0-9]+)? *% *$",
     [("%", 0.01)]
@@ -138,7 +143,7 @@
 );
 quantity!(
     Bytes,
-    "an amount of memory",
+    "a memory size",
     "\"64 KiB\"",
     r"^ *[0-9]+(\.[0-9]+)? *(B|KiB|MiB|GiB) *$",
     [
@@ -151,16 +156,16 @@
 
 const KIB: f64 = 1024.0;
 
-/// What a quantity's pattern in a schema means, in words.
-pub fn meaning(pattern: &str) -> Option<&'static str> {
-    let all = [
+/// Describes the quantity that a schema's pattern stands for; `None` for other patterns.
+pub fn describe_pattern(pattern: &str) -> Option<&'static str> {
+    let descriptions = [
         (
             "us|ms",
-            "a span with its unit in a string, such as \"250 ms\"",
+            "a duration with its unit in a string, such as \"250 ms\"",
         ),
         (
             "% *$",
-            "a share with its unit in a string, such as \"81 %\"",
+            "a percentage with its unit in a string, such as \"81 %\"",
         ),
         (
             "/(s|min)",
@@ -168,12 +173,13 @@
         ),
         (
             "KiB",
-            "an amount of memory with its unit in a string, such as \"64 KiB\"",
+            "a memory size with its unit in a string, such as \"64 KiB\"",
         ),
     ];
-    all.iter()
+    descriptions
+        .iter()
         .find(|(part, _)| pattern.contains(part))
-        .map(|(_, words)| *words)
+        .map(|(_, description)| *description)
 }
 
 impl fmt::Display for Rate {
@@ -184,16 +190,16 @@
 
 impl fmt::Display for Bytes {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let mega = KIB * KIB;
+        let mib = KIB * KIB;
         match self.0 {
-            b if b >= mega && b % mega == 0.0 => write!(f, "{} MiB", b / mega),
+            b if b >= mib && b % mib == 0.0 => write!(f, "{} MiB", b / mib),
             b if b >= KIB && b % KIB == 0.0 => write!(f, "{} KiB", b / KIB),
             b => write!(f, "{b} B"),
         }
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for Milliseconds {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.0 >= 1000.0 {
             write!(f, "{} s", self.0 / 1000.0)
@@ -203,7 +209,7 @@
     }
 }
 
-impl fmt::Display for Share {
+impl fmt::Display for Fraction {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} %", (self.0 * 1e6).round() / 1e4)
     }
@@ -214,31 +220,31 @@
     use super::*;
 
     #[test]
-    fn quantities_need_their_units() {
-        assert_eq!("250 ms".parse(), Ok(Span(250.0)));
-        assert_eq!("1.5s".parse(), Ok(Span(1500.0)));
-        assert_eq!("500 us".parse(), Ok(Span(0.5)));
-        assert_eq!("81 %".parse(), Ok(Share(0.81)));
+    fn quantities_need_a_unit() {
+        assert_eq!("250 ms".parse(), Ok(Milliseconds(250.0)));
+        assert_eq!("1.5s".parse(), Ok(Milliseconds(1500.0)));
+        assert_eq!("500 us".parse(), Ok(Milliseconds(0.5)));
+        assert_eq!("81 %".parse(), Ok(Fraction(0.81)));
         assert_eq!("390 /s".parse(), Ok(Rate(390.0)));
-        for (text, word) in [
+        for (text, fragment) in [
             ("5", "unit is missing"),
             ("5 h", "no unit"),
             ("-5 s", "negative"),
             ("x", "number"),
         ] {
-            let error = text.parse::<Span>().expect_err(text);
-            assert!(error.contains(word), "{text}: {error}");
+            let error = text.parse::<Milliseconds>().expect_err(text);
+            assert!(error.contains(fragment), "{text}: {error}");
         }
-        assert!("5 s".parse::<Share>().is_err());
+        assert!("5 s".parse::<Fraction>().is_err());
         assert_eq!("1.5 MiB".parse(), Ok(Bytes(1_572_864.0)));
     }
 
     #[test]
-    fn what_is_written_reads_the_same_again() {
+    fn quantities_round_trip_through_text() {
         for text in ["250 ms", "2 s", "0.5 ms"] {
             assert_eq!(
-                text.parse::<Span>().unwrap().to_string().parse(),
-                text.parse::<Span>()
+                text.parse::<Milliseconds>().unwrap().to_string().parse(),
+                text.parse::<Milliseconds>()
             );
         }
         for text in ["64 KiB", "3 MiB", "17 B", "2 GiB"] {
@@ -247,7 +253,7 @@
                 text.parse::<Bytes>()
             );
         }
-        assert_eq!("6.25 %".parse::<Share>().unwrap().to_string(), "6.25 %");
+        assert_eq!("6.25 %".parse::<Fraction>().unwrap().to_string(), "6.25 %");
         assert_eq!("390 /s".parse::<Rate>().unwrap().to_string(), "390 /s");
     }
 }
--- a/crates/config-parser/tests/schema.rs
+++ b/crates/config-parser/tests/schema.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a document is said at once, and in few words however long the document is.
+//! Validation reports all errors of a document at once, in messages of limited length however long the document is.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use config_parser::units::{Bytes, Span};
-use config_parser::{Fault, Form, MOST_LISTED};
+use config_parser::units::{Bytes, Milliseconds};
+use config_parser::{DocumentSchema, MAX_LISTED_ERRORS, ValidationError};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Shop {
     name: String,
-    open_for: Span,
+    open_for: Milliseconds,
     room: Option<Bytes>,
     #[serde(default)]
     kind: Kind,
@@ -29,7 +29,7 @@
     Chain,
 }
 
-/// Choices without descriptions, which a schema writes in another way.
+/// Enum without descriptions, for which the schema has another schema.
 #[derive(Debug, Default, Deserialize, JsonSchema)]
 enum Size {
     #[default]
@@ -37,7 +37,7 @@
     Large,
 }
 
-/// Anything that a schema can bound.
+/// One field for each kind of limit in a schema.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[derive(Default)]
@@ -56,17 +56,17 @@
     prices: Option<BTreeMap<String, f64>>,
     #[schemars(extend("uniqueItems" = true))]
     tags: Option<Vec<String>>,
-    spans: Option<Vec<Span>>,
+    spans: Option<Vec<Milliseconds>>,
     kind: Kind,
     size: Size,
     perhaps: Option<Kind>,
     address: Option<Address>,
 }
 
-/// What the schema takes and the reader refuses.
+/// Accepted by its schema, but rejected by its deserializer if it is no IP address.
 #[derive(Debug, JsonSchema)]
 #[schemars(transparent)]
-struct Address(#[allow(dead_code, reason = "read, never used")] String);
+struct Address(#[allow(dead_code, reason = "deserialized, never used")] String);
 
 impl<'de> Deserialize<'de> for Address {
     fn deserialize<D: serde::Deserializer<'de>>(input: D) -> Result<Self, D::Error> {
@@ -80,62 +80,64 @@
     }
 }
 
-/// A fault's text, which is under 1 KB also as JSON writes it.
-fn text(fault: &Fault) -> String {
-    let written = json!({ "pointer": fault.pointer, "detail": fault.what }).to_string();
+/// Formats an error, and checks that its JSON encoding is under 1 KB.
+fn format_error(error: &ValidationError) -> String {
+    let written = json!({ "pointer": error.pointer, "detail": error.message }).to_string();
     let frame = json!({ "pointer": "", "detail": "" }).to_string().len();
     assert!(
         written.len() - frame < 1024,
         "{} bytes: {written}",
         written.len()
     );
-    format!("{}: {}", fault.pointer, fault.what)
+    format!("{}: {}", error.pointer, error.message)
 }
 
-/// All that is wrong with a value, one line each; asked of both readers.
-fn faults(value: &Value) -> Vec<String> {
-    let form = Form::of::<Stock>().unwrap();
-    let listed = form.read::<Stock>(value).unwrap_err();
-    assert!(listed.len() <= MOST_LISTED + 1, "{}", listed.len());
-    listed.iter().map(text).collect()
+/// Returns the validation errors of a value, one line each.
+fn value_errors(value: &Value) -> Vec<String> {
+    let schema = DocumentSchema::for_type::<Stock>().unwrap();
+    let listed = schema.deserialize::<Stock>(value).unwrap_err();
+    assert!(listed.len() <= MAX_LISTED_ERRORS + 1, "{}", listed.len());
+    listed.iter().map(format_error).collect()
 }
 
-/// What is said of a document in TOML: file and line are the only words beside the faults.
-fn told(document: &str) -> String {
-    let form = Form::of::<Stock>().unwrap();
-    let error = form.read_toml::<Stock>("s.toml", document).unwrap_err();
-    let words = error.to_string();
+/// Returns the error message of a TOML document, after checking its limits.
+fn toml_errors(document: &str) -> String {
+    let schema = DocumentSchema::for_type::<Stock>().unwrap();
+    let error = schema
+        .deserialize_toml::<Stock>("s.toml", document)
+        .unwrap_err();
+    let message = error.to_string();
     assert!(
-        error.problems.len() <= MOST_LISTED + 1,
+        error.problems.len() <= MAX_LISTED_ERRORS + 1,
         "{}",
         error.problems.len()
     );
-    for line in words.lines() {
+    for line in message.lines() {
         assert!(line.len() < 1024, "{} bytes: {line}", line.len());
     }
-    words
+    message
 }
 
 #[test]
-fn everything_wrong_is_named_at_once_with_line_and_key() {
-    let form = Form::of::<Shop>().unwrap();
-    let (shop, _) = form
-        .read_toml::<Shop>("s", "name = \"x\"\nopen-for = \"8 s\"")
+fn all_errors_are_reported_with_line_and_key() {
+    let schema = DocumentSchema::for_type::<Shop>().unwrap();
+    let (shop, _) = schema
+        .deserialize_toml::<Shop>("s", "name = \"x\"\nopen-for = \"8 s\"")
         .unwrap();
     assert_eq!(
         (shop.name.as_str(), shop.open_for, shop.room, shop.kind),
-        ("x", Span(8000.0), None, Kind::Corner)
+        ("x", Milliseconds(8000.0), None, Kind::Corner)
     );
     let text = "open-for = \"8\"\nroom = 5\nkind = \"mall\"\nroof = true\n";
-    let error = form
-        .read_toml::<Shop>("shop.toml", text)
+    let error = schema
+        .deserialize_toml::<Shop>("shop.toml", text)
         .unwrap_err()
         .to_string();
     for part in [
         "shop.toml:1: name: it is missing",
-        "shop.toml:1: open-for: \"8\" is not a span with its unit",
+        "shop.toml:1: open-for: \"8\" is not a duration with its unit",
         "shop.toml:2: room:",
-        "shop.toml:3: kind: it is one of \"corner\", \"chain\"",
+        "shop.toml:3: kind: it must be one of \"corner\", \"chain\"",
         "shop.toml:4: roof: there is no such key",
     ] {
         assert!(error.contains(part), "{part}: {error}");
@@ -144,19 +146,19 @@
 }
 
 #[test]
-fn what_is_too_long_or_too_short_is_told_by_its_length_and_the_limit() {
+fn a_length_outside_its_limits_is_reported_with_both() {
     let long = vec![json!({ "of": "x".repeat(1000) }); 20_000];
     assert_eq!(
-        faults(&json!({ "shelves": long })),
+        value_errors(&json!({ "shelves": long })),
         ["/shelves: it has 20000 entries, and at most 10000 are allowed"]
     );
     let shelves = format!("label = \"ab\"\nshelves = [{}]", "1,".repeat(20_000));
     assert_eq!(
-        told(&shelves),
+        toml_errors(&shelves),
         "s.toml:2: shelves: it has 20000 entries, and at most 10000 are allowed"
     );
     let million = "x".repeat(1 << 20);
-    for (value, fault) in [
+    for (value, expected) in [
         (
             json!({ "shelves": [] }),
             "/shelves: it has 0 entries, and at least 1 is needed",
@@ -178,21 +180,21 @@
             "/owners: it has 4 keys, and at most 3 are allowed",
         ),
     ] {
-        assert_eq!(faults(&value), [fault]);
+        assert_eq!(value_errors(&value), [expected]);
     }
     assert_eq!(
-        told(&format!("label = \"{million}\"")),
+        toml_errors(&format!("label = \"{million}\"")),
         "s.toml:1: label: it has 1048576 characters, and at most 63 are allowed"
     );
 }
 
 #[test]
-fn of_a_long_value_there_is_a_short_quotation() {
+fn long_values_are_quoted_in_short() {
     let million = "x".repeat(1 << 20);
-    let cut = format!("\"{}\" and on (1048576 characters)", "x".repeat(64));
+    let cut = format!("\"{}\"\u{2026} (1048576 characters)", "x".repeat(64));
     let huge = json!(vec![million.clone(); 3]);
     let prices: Value = [(million.to_uppercase(), json!(1))].into_iter().collect();
-    for (value, fault) in [
+    for (value, expected) in [
         (
             json!({ "code": million.to_uppercase() }),
             format!(
@@ -206,7 +208,7 @@
         ),
         (
             json!({ "spans": [million] }),
-            format!("/spans/0: {cut} is not a span with its unit"),
+            format!("/spans/0: {cut} is not a duration with its unit"),
         ),
         (
             json!({ "count": million }),
@@ -218,11 +220,11 @@
         ),
         (
             json!({ "kind": million }),
-            "/kind: it is one of \"corner\", \"chain\"".to_owned(),
+            "/kind: it must be one of \"corner\", \"chain\"".to_owned(),
         ),
         (
             json!({ "size": million }),
-            "/size: it is one of [\"Small\",\"Large\"]".to_owned(),
+            "/size: it must be one of [\"Small\",\"Large\"]".to_owned(),
         ),
         (
             json!({ "perhaps": million }),
@@ -245,121 +247,131 @@
             "/prices: ".to_owned() + &cut.replace('x', "X"),
         ),
     ] {
-        let told = faults(&value);
-        assert_eq!(told.len(), 1, "{told:?}");
-        assert!(told[0].starts_with(&fault), "{fault}\n{}", told[0]);
+        let errors = value_errors(&value);
+        assert_eq!(errors.len(), 1, "{errors:?}");
         assert!(
-            !told[0].contains(&"x".repeat(65)) && !told[0].contains(&"X".repeat(65)),
+            errors[0].starts_with(&expected),
+            "{expected}\n{}",
+            errors[0]
+        );
+        assert!(
+            !errors[0].contains(&"x".repeat(65)) && !errors[0].contains(&"X".repeat(65)),
             "{}",
-            told[0]
+            errors[0]
         );
     }
     for key in [
         "size", "kind", "perhaps", "spans", "count", "code", "address",
     ] {
-        let words = told(&format!("{key} = \"{}\"", million.to_uppercase()));
+        let message = toml_errors(&format!("{key} = \"{}\"", million.to_uppercase()));
         assert!(
-            words.starts_with(&format!(
+            message.starts_with(&format!(
                 "s.toml:1: {}",
                 if key == "address" { "" } else { key }
             )),
-            "{words}"
+            "{message}"
         );
-        assert!(!words.contains(&"X".repeat(65)), "{words}");
+        assert!(!message.contains(&"X".repeat(65)), "{message}");
     }
-    // The reader's own refusal keeps its end, which says what is wrong.
-    let refused = faults(&json!({ "address": million }));
+    // A deserializer's message keeps its end, which states the error.
+    let rejected = value_errors(&json!({ "address": million }));
     assert!(
-        refused[0].ends_with("is no address of a host"),
-        "{refused:?}"
+        rejected[0].ends_with("is no address of a host"),
+        "{rejected:?}"
     );
     assert_eq!(
-        faults(&json!({ "address": "y" })),
+        value_errors(&json!({ "address": "y" })),
         [": \"y\" is no address of a host"]
     );
 }
 
 #[test]
-fn the_text_stays_short_in_any_script() {
+fn messages_stay_short_in_any_script() {
     for c in ['\u{1}', '"', '\\', '~', '/', 'é', '語', '\u{1f600}'] {
         let long = c.to_string().repeat(100_000);
         let unknown: Value = [(long.clone(), json!(1))].into_iter().collect();
-        let named = faults(&unknown);
+        let named = value_errors(&unknown);
         assert!(
             named[0].ends_with("\u{2026}: there is no such key"),
             "{named:?}"
         );
         for key in ["size", "kind", "code", "label", "count", "address"] {
-            assert_eq!(faults(&json!({ key: long })).len(), 1, "{key}");
+            assert_eq!(value_errors(&json!({ key: long })).len(), 1, "{key}");
         }
     }
-    let words = told(&format!("{} = 1", "k".repeat(1 << 20)));
+    let message = toml_errors(&format!("{} = 1", "k".repeat(1 << 20)));
     assert!(
-        words.ends_with("k\u{2026}: there is no such key"),
-        "{words}"
+        message.ends_with("k\u{2026}: there is no such key"),
+        "{message}"
     );
-    let twice = format!("{0} = 1\n{0} = 2", "k".repeat(1 << 20));
-    for no_toml in [twice, format!("[{0}]\na = {0}", "k".repeat(1 << 20))] {
-        assert_eq!(told(&no_toml).lines().count(), 1);
+    let duplicate = format!("{0} = 1\n{0} = 2", "k".repeat(1 << 20));
+    for invalid in [duplicate, format!("[{0}]\na = {0}", "k".repeat(1 << 20))] {
+        assert_eq!(toml_errors(&invalid).lines().count(), 1);
     }
 }
 
 #[test]
-fn ten_thousand_faults_are_a_few_lines_and_a_count() {
+fn ten_thousand_errors_are_a_limited_list_and_a_count() {
     let unknown: Value = (0..10_000)
         .map(|i| (format!("k{i:05}"), json!("x".repeat(100))))
         .collect();
     let spans = json!({ "spans": vec!["x".repeat(1000); 10_000] });
     for value in [&unknown, &spans] {
-        let told = faults(value);
-        assert_eq!(told.len(), MOST_LISTED + 1);
+        let errors = value_errors(value);
+        assert_eq!(errors.len(), MAX_LISTED_ERRORS + 1);
         assert_eq!(
-            told[MOST_LISTED],
-            format!(": and {} more", 10_000 - MOST_LISTED)
+            errors[MAX_LISTED_ERRORS],
+            format!(": and {} more", 10_000 - MAX_LISTED_ERRORS)
         );
     }
-    assert_eq!(faults(&unknown)[0], "/k00000: there is no such key");
+    assert_eq!(value_errors(&unknown)[0], "/k00000: there is no such key");
 
     let mut document = String::new();
     (0..10_000).for_each(|i| writeln!(document, "k{i:05} = 1").unwrap());
-    let lines = told(&document);
+    let lines = toml_errors(&document);
     assert_eq!(
         lines.lines().next(),
         Some("s.toml:1: k00000: there is no such key")
     );
     assert_eq!(
         lines.lines().last().unwrap(),
-        format!("s.toml:{MOST_LISTED}: and {} more", 10_000 - MOST_LISTED)
+        format!(
+            "s.toml:{MAX_LISTED_ERRORS}: and {} more",
+            10_000 - MAX_LISTED_ERRORS
+        )
     );
-    assert_eq!(lines.lines().count(), MOST_LISTED + 1);
+    assert_eq!(lines.lines().count(), MAX_LISTED_ERRORS + 1);
 
-    // Exactly as many as are listed, and one more.
+    // Exactly the listed number of errors, and one more.
     for (n, last) in [
-        (MOST_LISTED, "there is no such key"),
-        (MOST_LISTED + 1, ": and 1 more"),
+        (MAX_LISTED_ERRORS, "there is no such key"),
+        (MAX_LISTED_ERRORS + 1, ": and 1 more"),
     ] {
         let some: Value = (0..n).map(|i| (format!("k{i}"), json!(1))).collect();
-        let told = faults(&some);
-        assert_eq!(told.len(), n);
-        assert!(told[n - 1].ends_with(last), "{}", told[n - 1]);
+        let errors = value_errors(&some);
+        assert_eq!(errors.len(), n);
+        assert!(errors[n - 1].ends_with(last), "{}", errors[n - 1]);
     }
 }
 
 #[test]
-fn checks_beyond_the_schema_are_listed_within_the_same_bounds() {
-    let (_, places) = config_parser::toml("s.toml", "a = 1\nb = 2\n").unwrap();
+fn problems_found_beyond_the_schema_have_the_same_limits() {
+    let (_, positions) = config_parser::parse_toml("s.toml", "a = 1\nb = 2\n").unwrap();
     let problem = |i: usize| config_parser::Problem {
         line: if i == 9_999 { 1 } else { 2 },
         key: "b".repeat(i + 1),
-        what: "w".repeat(10_000),
+        message: "w".repeat(10_000),
     };
-    let words = places
-        .problems((0..10_000).map(problem).collect())
+    let message = positions
+        .document_error((0..10_000).map(problem).collect())
         .to_string();
-    assert!(words.lines().all(|line| line.len() < 1024), "{words}");
-    assert!(words.starts_with("s.toml:1: bbb"), "{words}");
+    assert!(message.lines().all(|line| line.len() < 1024), "{message}");
+    assert!(message.starts_with("s.toml:1: bbb"), "{message}");
     assert!(
-        words.ends_with(&format!("s.toml:2: and {} more", 10_000 - MOST_LISTED)),
-        "{words}"
+        message.ends_with(&format!(
+            "s.toml:2: and {} more",
+            10_000 - MAX_LISTED_ERRORS
+        )),
+        "{message}"
     );
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -143,7 +143,7 @@
         problems: vec![crate::Problem {
             line: 1,
             key: set.to_owned(),
-            what: what.to_owned(),
+            message: what.to_owned(),
         }],
     };
     let mut table: toml::Table = toml::from_str(text).map_err(|e| wrong("", e.message()))?;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -8,9 +8,9 @@
 
 use serde::Deserialize;
 
-use config_parser::Places;
+use config_parser::KeyPositions;
 
-use crate::units::{Bytes, Rate, Share, Span};
+use crate::units::{Bytes, Fraction, Milliseconds, Rate};
 use crate::{Problem, ScenarioError};
 
 /// What an experiment plays.
@@ -20,7 +20,7 @@
     /// One line on what it shows.
     pub title: String,
     /// How long new requests keep coming.
-    pub length: Span,
+    pub length: Milliseconds,
     /// The servers.
     pub fleet: Fleet,
     /// The proxies.
@@ -65,34 +65,34 @@
     pub kinds: Vec<Kind>,
     /// The part of its capacity that a process starts with.
     #[serde(default = "percent::<20>")]
-    pub cold_from: Share,
+    pub cold_from: Fraction,
     /// How long a process takes to be warm; its capacity rises evenly.
     #[serde(default = "seconds::<10>")]
-    pub cold: Span,
+    pub cold: Milliseconds,
     /// Requests held for each core above which a server slows down.
     #[serde(default = "crowded_from")]
     pub crowded_from: f64,
     /// The part of its capacity that each request beyond that costs, for each core.
     #[serde(default = "percent::<5>")]
-    pub crowding: Share,
+    pub crowding: Fraction,
     /// Work of a new connection on a standard core.
     #[serde(default = "ms::<1>")]
-    pub handshake: Span,
+    pub handshake: Milliseconds,
     /// Connections that a server holds for each core.
     #[serde(default = "connections")]
     pub connections_per_core: u32,
     /// How long an idle connection stays open.
     #[serde(default = "seconds::<10>")]
-    pub idle: Span,
+    pub idle: Milliseconds,
     /// The part of the work that a key saves on a server that has served it of late.
     #[serde(default)]
-    pub key_gain: Share,
+    pub key_gain: Fraction,
     /// Keys that a server remembers for each core.
     #[serde(default = "key_memory")]
     pub keys_per_core: usize,
     /// How long it remembers them.
     #[serde(default = "seconds::<8>")]
-    pub key_span: Span,
+    pub key_span: Milliseconds,
     /// What a client that goes away spares a server.
     #[serde(default)]
     pub cancels: Cancels,
@@ -119,7 +119,7 @@
     pub name: String,
     /// Its part of the servers.
     #[serde(default = "percent::<100>")]
-    pub share: Share,
+    pub share: Fraction,
     /// Cores of a server.
     #[serde(default = "two")]
     pub cores: u32,
@@ -128,7 +128,7 @@
     pub speed: f64,
     /// How far speeds lie apart, as a standard deviation relative to the mean.
     #[serde(default = "percent::<10>")]
-    pub speed_spread: Share,
+    pub speed_spread: Fraction,
     /// Requests in work for each core.
     #[serde(default = "one")]
     pub slots_per_core: f64,
@@ -144,18 +144,18 @@
     /// How many there are.
     pub count: usize,
     /// How long the front before them goes on sending to one that has died.
-    pub notice: Span,
+    pub notice: Milliseconds,
     /// Memory that a proxy may take, in MiB; real processes only.
     pub memory_mb: u64,
     /// Descriptors that a proxy may hold; real processes only.
     pub sockets: usize,
     /// The most that a refused client is asked to wait; zero where refusals name no time.
-    pub retry_after: Span,
+    pub retry_after: Milliseconds,
 }
 
 impl Default for Proxies {
     fn default() -> Self {
-        let (notice, retry_after) = (Span(2000.0), Span(1200.0));
+        let (notice, retry_after) = (Milliseconds(2000.0), Milliseconds(1200.0));
         Proxies {
             count: 3,
             notice,
@@ -171,16 +171,16 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct ListSource {
     /// From a change to its word at a proxy, at least.
-    pub delay: Span,
+    pub delay: Milliseconds,
     /// And up to this much more, drawn for each proxy and change; order is kept.
-    pub spread: Span,
+    pub spread: Milliseconds,
 }
 
 impl Default for ListSource {
     fn default() -> Self {
         ListSource {
-            delay: Span(700.0),
-            spread: Span(800.0),
+            delay: Milliseconds(700.0),
+            spread: Milliseconds(800.0),
         }
     }
 }
@@ -190,22 +190,22 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Network {
     /// Within a zone.
-    pub same: Span,
+    pub same: Milliseconds,
     /// From one zone to another.
-    pub cross: Span,
+    pub cross: Milliseconds,
     /// From a client to its proxy.
-    pub client: Span,
+    pub client: Milliseconds,
     /// How far single messages deviate, at most.
-    pub jitter: Share,
+    pub jitter: Fraction,
 }
 
 impl Default for Network {
     fn default() -> Self {
         Network {
-            same: Span(0.2),
-            cross: Span(2.0),
-            client: Span(0.5),
-            jitter: Share(0.25),
+            same: Milliseconds(0.2),
+            cross: Milliseconds(2.0),
+            client: Milliseconds(0.5),
+            jitter: Fraction(0.25),
         }
     }
 }
@@ -215,15 +215,15 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Load {
     /// As a part of what the warm fleet can do at the start.
-    pub level: Option<Share>,
+    pub level: Option<Fraction>,
     /// Or as first tries a second.
     pub rate: Option<Rate>,
     /// How far a wave swings it about that mean.
     #[serde(default)]
-    pub swing: Share,
+    pub swing: Fraction,
     /// How long one wave is.
     #[serde(default = "seconds::<10>")]
-    pub period: Span,
+    pub period: Milliseconds,
     /// Distinct keys.
     #[serde(default = "keys")]
     pub keys: u64,
@@ -239,20 +239,20 @@
     /// Further tries after the first.
     pub retries: u32,
     /// The part of the class's deadline after which a try is given up.
-    pub patience: Share,
+    pub patience: Fraction,
     /// The wait before a further try.
-    pub backoff: Span,
+    pub backoff: Milliseconds,
     /// The part of the clients that waits as long as a refusal says, where that is longer.
-    pub honour: Share,
+    pub honour: Fraction,
 }
 
 impl Default for Clients {
     fn default() -> Self {
         Clients {
             retries: 2,
-            patience: Share(0.5),
-            backoff: Span(100.0),
-            honour: Share(0.3),
+            patience: Fraction(0.5),
+            backoff: Milliseconds(100.0),
+            honour: Fraction(0.3),
         }
     }
 }
@@ -264,22 +264,22 @@
     /// Its name, the first part of the path.
     pub name: String,
     /// Its part of the requests.
-    pub share: Share,
+    pub share: Fraction,
     /// Mean work on a standard core.
-    pub work: Span,
+    pub work: Milliseconds,
     /// How far the work of single requests lies apart, as a standard deviation relative to the mean (lognormal).
     #[serde(default = "one")]
     pub spread: f64,
     /// An answer within this span earns the full worth.
-    pub aim: Span,
+    pub aim: Milliseconds,
     /// How long a client waits with all its tries.
-    pub deadline: Span,
+    pub deadline: Milliseconds,
     /// What an answer in time is worth.
     #[serde(default = "one")]
     pub worth: f64,
     /// The part of the worth that a later answer still earns.
     #[serde(default)]
-    pub late_worth: Share,
+    pub late_worth: Fraction,
     /// Whether it may run more than once.
     pub effect: Effect,
 }
@@ -301,7 +301,7 @@
     /// Its name.
     pub name: String,
     /// Its part of what the fleet can do.
-    pub share: Share,
+    pub share: Fraction,
     /// What it asks for, relative to its share.
     #[serde(default = "one")]
     pub usage: f64,
@@ -312,13 +312,13 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Rules {
     /// A final answer counts up to this long after its deadline.
-    pub answer_slack: Span,
+    pub answer_slack: Milliseconds,
     /// Sends to a server whose drain or end has been told end within this span.
-    pub drain_grace: Span,
+    pub drain_grace: Milliseconds,
     /// A cold server falls over when it is sent more than this multiple of its present capacity...
     pub fall_multiple: f64,
     /// ...for this span.
-    pub fall: Span,
+    pub fall: Milliseconds,
     /// Attempts that a request may have.
     pub max_attempts: u32,
 }
@@ -326,10 +326,10 @@
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            answer_slack: Span(8.0),
-            drain_grace: Span(1000.0),
+            answer_slack: Milliseconds(8.0),
+            drain_grace: Milliseconds(1000.0),
             fall_multiple: 3.0,
-            fall: Span(1000.0),
+            fall: Milliseconds(1000.0),
             max_attempts: 5,
         }
     }
@@ -342,18 +342,18 @@
     /// What it is.
     pub kind: FaultKind,
     /// When it begins.
-    pub at: Span,
+    pub at: Milliseconds,
     /// How long it lasts.
     #[serde(rename = "for", default)]
-    pub span: Span,
+    pub span: Milliseconds,
     /// Of what it strikes, which part it strikes.
-    pub share: Option<Share>,
+    pub share: Option<Fraction>,
     /// How strong it is.
     pub factor: Option<f64>,
     /// Servers replaced at a time, as a part of the fleet.
-    pub batch: Option<Share>,
+    pub batch: Option<Fraction>,
     /// From a server's drain to its end.
-    pub drain: Option<Span>,
+    pub drain: Option<Milliseconds>,
     /// Where in an answer a connection breaks.
     #[serde(rename = "where")]
     pub place: Option<Break>,
@@ -466,16 +466,16 @@
     vec!["here".into()]
 }
 
-fn percent<const N: u32>() -> Share {
-    Share(f64::from(N) / 100.0)
+fn percent<const N: u32>() -> Fraction {
+    Fraction(f64::from(N) / 100.0)
 }
 
-fn seconds<const N: u32>() -> Span {
-    Span(f64::from(N) * 1000.0)
+fn seconds<const N: u32>() -> Milliseconds {
+    Milliseconds(f64::from(N) * 1000.0)
 }
 
-fn ms<const N: u32>() -> Span {
-    Span(f64::from(N))
+fn ms<const N: u32>() -> Milliseconds {
+    Milliseconds(f64::from(N))
 }
 
 fn one() -> f64 {
@@ -515,7 +515,7 @@
 
 /// Gathers what is wrong with a scenario.
 struct Check<'a> {
-    places: &'a Places,
+    places: &'a KeyPositions,
     problems: Vec<Problem>,
 }
 
@@ -525,7 +525,7 @@
             self.problems.push(Problem {
                 line: self.places.line_of(key),
                 key: key.to_owned(),
-                what: what(),
+                message: what(),
             });
         }
     }
@@ -538,14 +538,14 @@
     }
 
     /// A share that is more than nothing and no more than all.
-    fn part(&mut self, key: &str, value: Share) {
+    fn part(&mut self, key: &str, value: Fraction) {
         self.that(value.0 > 0.0 && value.0 <= 1.0, key, || {
             format!("{value} is not within 0 and 100 %")
         });
     }
 
-    fn span(&mut self, key: &str, value: Span, range: RangeInclusive<f64>) {
-        let (low, high) = (Span(*range.start()), Span(*range.end()));
+    fn span(&mut self, key: &str, value: Milliseconds, range: RangeInclusive<f64>) {
+        let (low, high) = (Milliseconds(*range.start()), Milliseconds(*range.end()));
         self.that(range.contains(&value.0), key, || {
             format!("{value} is not within {low} and {high}")
         });
@@ -571,7 +571,7 @@
     fn shares(&mut self, key: &str, shares: impl Iterator<Item = f64>) {
         let sum: f64 = shares.sum();
         self.that((sum - 1.0).abs() < 1e-6, key, || {
-            format!("the shares add up to {}, not to 100 %", Share(sum))
+            format!("the shares add up to {}, not to 100 %", Fraction(sum))
         });
     }
 }
@@ -582,8 +582,8 @@
     /// # Errors
     /// All that is wrong with it, each with its line and key.
     pub fn parse(file: &str, text: &str) -> Result<Self, ScenarioError> {
-        let places = Places::new(file, text)?;
-        let scenario: Scenario = toml::from_str(text).map_err(|e| places.error(&e))?;
+        let places = KeyPositions::new(file, text)?;
+        let scenario: Scenario = toml::from_str(text).map_err(|e| places.syntax_error(&e))?;
         let mut check = Check {
             places: &places,
             problems: Vec::new(),
@@ -593,7 +593,7 @@
         if problems.is_empty() {
             Ok(scenario)
         } else {
-            Err(places.problems(problems))
+            Err(places.document_error(problems))
         }
     }
 
--- a/crates/multi-tenant/src/check.rs
+++ b/crates/multi-tenant/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use config_parser::{DocumentError, Fault, Form, Problem};
+use config_parser::{DocumentError, DocumentSchema, Problem, ValidationError};
 
 use crate::catalog::Catalog;
 use crate::document::{Cluster, Service, Tenant, TenantBy};
@@ -14,41 +14,43 @@
 /// # Errors
 /// All that is wrong with it, each with line and key.
 pub fn read(file: &str, text: &str) -> Result<Service, DocumentError> {
-    let at_start = |what: String| DocumentError {
+    let at_start = |message: String| DocumentError {
         file: file.to_owned(),
         problems: vec![Problem {
             line: 1,
             key: String::new(),
-            what,
+            message,
         }],
     };
-    let (service, places) = form().map_err(at_start)?.read_toml::<Service>(file, text)?;
-    let problem = |f: Fault| {
+    let (service, places) = form()
+        .map_err(at_start)?
+        .deserialize_toml::<Service>(file, text)?;
+    let problem = |f: ValidationError| {
         let key = f.key();
         Problem {
             line: places.line_of(&key),
             key,
-            what: f.what,
+            message: f.message,
         }
     };
     let problems: Vec<Problem> = faults(&service).into_iter().map(problem).collect();
     if problems.is_empty() {
         Ok(service)
     } else {
-        Err(places.problems(problems))
+        Err(places.document_error(problems))
     }
 }
 
 /// The form of a service's configuration.
 ///
 /// # Errors
-/// As [`Form::of`].
-pub fn form() -> Result<Form, String> {
-    Form::of::<Service>()
+/// As [`DocumentSchema::for_type`].
+pub fn form() -> Result<DocumentSchema, String> {
+    DocumentSchema::for_type::<Service>()
 }
 
 /// What is wrong with a service whose form is right.
-pub fn faults(service: &Service) -> Vec<Fault> {
+pub fn faults(service: &Service) -> Vec<ValidationError> {
     let names: BTreeSet<&str> = service.tenants.iter().map(|t| t.name.as_str()).collect();
     let mut faults = Faults(around(service, |name| names.contains(name)));
     faults.once(
@@ -86,7 +88,7 @@
 }
 
 /// What is wrong with a service whose form is right, but for its tenants, of which these are there.
-pub fn around(service: &Service, is_there: impl Fn(&str) -> bool) -> Vec<Fault> {
+pub fn around(service: &Service, is_there: impl Fn(&str) -> bool) -> Vec<ValidationError> {
     let mut faults = Faults::default();
     let p = &service.process;
     faults.within("/process/loop-share", p.loop_share.0, 0.01, 1.0);
@@ -170,7 +172,10 @@
 /// What is wrong with a change of a service that is right: for each fault which of the edits it is in, with a pointer into that
 /// tenant's document, or none where it is in what does not change and no longer fits, with a pointer into the whole. It looks at what
 /// changes and at what that touches, and at nothing else.
-pub fn edits(now: &Catalog, edits: &[(String, Option<Tenant>)]) -> Vec<(Option<usize>, Fault)> {
+pub fn edits(
+    now: &Catalog,
+    edits: &[(String, Option<Tenant>)],
+) -> Vec<(Option<usize>, ValidationError)> {
     let mut all = Vec::new();
     let place: BTreeMap<&str, usize> = edits
         .iter()
@@ -356,13 +361,13 @@
 }
 
 #[derive(Default)]
-struct Faults(Vec<Fault>);
+struct Faults(Vec<ValidationError>);
 
 impl Faults {
     fn put(&mut self, pointer: &str, what: impl Into<String>) {
-        self.0.push(Fault {
+        self.0.push(ValidationError {
             pointer: pointer.to_owned(),
-            what: what.into(),
+            message: what.into(),
         });
     }
 
--- a/crates/multi-tenant/src/document.rs
+++ b/crates/multi-tenant/src/document.rs
@@ -1,6 +1,6 @@
 //! What an operator writes: the process, its listeners and its tenants. The types are the schema.
 
-use config_parser::units::{Bytes, Share, Span};
+use config_parser::units::{Bytes, Fraction, Milliseconds};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -49,16 +49,16 @@
     /// Memory for requests.
     pub bytes: Bytes,
     /// The part of the event loop's time for requests that are let in.
-    pub loop_share: Share,
+    pub loop_share: Fraction,
     /// The part of it for turning others away.
-    pub turning_share: Share,
+    pub turning_share: Fraction,
     /// The part of each stock that tenants beyond their shares leave to idle ones.
-    pub newcomers: Share,
+    pub newcomers: Fraction,
     /// Tenants that are held in full at once; all others are at rest. Those whose list is followed always are, and count.
     #[schemars(range(min = 1, max = 100_000))]
     pub resident_tenants: u64,
     /// A tenant that nothing was asked of for this span is put to rest.
-    pub rest_after: Span,
+    pub rest_after: Milliseconds,
     /// What the modules' draws come from; drawn anew at each start if it is not named.
     pub seed: Option<u64>,
 }
@@ -70,11 +70,11 @@
             server_sockets: 2048,
             in_flight: 2048,
             bytes: Bytes(64.0 * 1024.0 * 1024.0),
-            loop_share: Share(0.85),
-            turning_share: Share(0.1),
-            newcomers: Share(0.0625),
+            loop_share: Fraction(0.85),
+            turning_share: Fraction(0.1),
+            newcomers: Fraction(0.0625),
             resident_tenants: 1024,
-            rest_after: Span(30_000.0),
+            rest_after: Milliseconds(30_000.0),
             seed: None,
         }
     }
@@ -145,32 +145,32 @@
     pub voters: usize,
     /// How long an instance decides by itself after it was last heard (agreed on).
     #[serde(default = "lease")]
-    pub lease: Span,
+    pub lease: Milliseconds,
     /// The same for one that has said that it can take a change under way (agreed on).
     #[serde(default = "change_lease")]
-    pub change_lease: Span,
+    pub change_lease: Milliseconds,
     /// No clock runs faster or slower than true time by more than this (agreed on).
     #[serde(default = "drift")]
-    pub drift: Share,
+    pub drift: Fraction,
     /// A change that is not decided within this span is given up (agreed on).
     #[serde(default = "minute")]
-    pub deadline: Span,
+    pub deadline: Milliseconds,
     /// What an instance does that hears from nobody (agreed on).
     #[serde(default)]
     pub when_cut_off: WhenCutOff,
     /// A request waits for so long at most for a change to take hold.
     #[serde(default = "hold")]
-    pub hold: Span,
+    pub hold: Milliseconds,
     /// A refused client is asked to come again after about so long.
     #[serde(default = "second")]
-    pub retry_after: Span,
+    pub retry_after: Milliseconds,
     /// Entries after which the log is shortened; one that lags by more gets the whole state.
     #[serde(default = "log_entries")]
     #[schemars(range(min = 16, max = 1_000_000))]
     pub log_entries: u64,
     /// After its start the instance waits for so long at most until all lists that are followed are known.
     #[serde(default = "list_wait")]
-    pub list_wait: Span,
+    pub list_wait: Milliseconds,
     /// What it does then, where some are still unknown.
     #[serde(default)]
     pub when_list_unknown: WhenListUnknown,
@@ -205,8 +205,8 @@
     "here".into()
 }
 
-fn list_wait() -> Span {
-    Span(10_000.0)
+fn list_wait() -> Milliseconds {
+    Milliseconds(10_000.0)
 }
 
 fn log_entries() -> u64 {
@@ -217,24 +217,24 @@
     3
 }
 
-fn lease() -> Span {
-    Span(15_000.0)
+fn lease() -> Milliseconds {
+    Milliseconds(15_000.0)
 }
 
-fn change_lease() -> Span {
-    Span(3000.0)
+fn change_lease() -> Milliseconds {
+    Milliseconds(3000.0)
 }
 
-fn drift() -> Share {
-    Share(0.02)
+fn drift() -> Fraction {
+    Fraction(0.02)
 }
 
-fn hold() -> Span {
-    Span(200.0)
+fn hold() -> Milliseconds {
+    Milliseconds(200.0)
 }
 
-fn second() -> Span {
-    Span(1000.0)
+fn second() -> Milliseconds {
+    Milliseconds(1000.0)
 }
 
 /// Where requests come in.
@@ -315,22 +315,22 @@
     pub user_file: Option<String>,
     /// When more than this part of the servers with leases lose them together, they are held for `hold`; 100 % for never.
     #[serde(default = "half")]
-    pub guard: Share,
+    pub guard: Fraction,
     /// As above.
     #[serde(default = "minute")]
-    pub hold: Span,
+    pub hold: Milliseconds,
 }
 
 fn prefix() -> String {
     "/canvascart/v1".into()
 }
 
-fn half() -> Share {
-    Share(0.5)
+fn half() -> Fraction {
+    Fraction(0.5)
 }
 
-fn minute() -> Span {
-    Span(60_000.0)
+fn minute() -> Milliseconds {
+    Milliseconds(60_000.0)
 }
 
 /// What a tenant may have of what all share. Caps hold however idle the others are; without one there is only the share.
@@ -351,9 +351,9 @@
     pub bytes: Option<Bytes>,
     /// Its part of the event loop's time.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub loop_share: Option<Share>,
+    pub loop_share: Option<Fraction>,
     /// The event loop's time that it may use at once after it was idle.
-    pub burst: Span,
+    pub burst: Milliseconds,
 }
 
 impl Default for Limits {
@@ -364,7 +364,7 @@
             in_flight: None,
             bytes: None,
             loop_share: None,
-            burst: Span(10.0),
+            burst: Milliseconds(10.0),
         }
     }
 }
@@ -377,15 +377,15 @@
     #[schemars(range(min = 1, max = 10))]
     pub max_attempts: u32,
     /// The part of its capacity that a server has when it has just started.
-    pub cold_from: Share,
+    pub cold_from: Fraction,
     /// How long a server takes until it has all of it.
-    pub cold: Span,
+    pub cold: Milliseconds,
     /// A connection to a server that is not up within this span has failed.
-    pub dial_timeout: Span,
+    pub dial_timeout: Milliseconds,
     /// A server closes a connection that has stood idle for this span.
-    pub idle_close: Span,
+    pub idle_close: Milliseconds,
     /// The longest wait that a refused client is asked for.
-    pub retry_after: Span,
+    pub retry_after: Milliseconds,
     /// The zone that this process stands in.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -395,11 +395,11 @@
     fn default() -> Self {
         Rules {
             max_attempts: 3,
-            cold_from: Share(0.2),
-            cold: Span(10_000.0),
-            dial_timeout: Span(250.0),
-            idle_close: Span(15_000.0),
-            retry_after: Span(2000.0),
+            cold_from: Fraction(0.2),
+            cold: Milliseconds(10_000.0),
+            dial_timeout: Milliseconds(250.0),
+            idle_close: Milliseconds(15_000.0),
+            retry_after: Milliseconds(2000.0),
             zone: None,
         }
     }
@@ -415,16 +415,16 @@
     /// Whether a request may run more than once.
     pub effect: Effect,
     /// An answer within this span earns the full worth.
-    pub aim: Span,
+    pub aim: Milliseconds,
     /// The whole wait that a client is ready for.
-    pub deadline: Span,
+    pub deadline: Milliseconds,
     /// What an answer in time is worth, beside other classes.
     #[serde(default = "one")]
     #[schemars(range(min = 0.0, max = 1e6))]
     pub worth: f64,
     /// The part of it that a late answer still earns.
     #[serde(default)]
-    pub late_worth: Share,
+    pub late_worth: Fraction,
 }
 
 fn one() -> f64 {
--- a/crates/multi-tenant/tests/catalog.rs
+++ b/crates/multi-tenant/tests/catalog.rs
@@ -1,6 +1,6 @@
 //! Tenants at rest: what is put in comes out, what is the same is held once, a change shares the rest, damage is seen.
 
-use config_parser::units::Span;
+use config_parser::units::Milliseconds;
 use multi_tenant::catalog::{Catalog, Difference, Parts};
 use multi_tenant::document::{Class, Effect, Fleet, Limits, Rules, Server, Service, State, Tenant};
 use multi_tenant::{check, plan};
@@ -9,10 +9,10 @@
     let class = |name: &str, effect| Class {
         name: name.into(),
         effect,
-        aim: Span(300.0),
-        deadline: Span(1000.0),
+        aim: Milliseconds(300.0),
+        deadline: Milliseconds(1000.0),
         worth: 1.0,
-        late_worth: config_parser::units::Share(0.5),
+        late_worth: config_parser::units::Fraction(0.5),
     };
     let server = |i: usize| Server {
         name: format!("s{i}"),
@@ -63,8 +63,8 @@
         prefix: "/p".into(),
         pool: Some("p".into()),
         user_file: None,
-        guard: config_parser::units::Share(0.5),
-        hold: Span(60_000.0),
+        guard: config_parser::units::Fraction(0.5),
+        hold: Milliseconds(60_000.0),
     };
     let other = Tenant {
         fleet: Some(followed),
@@ -186,7 +186,7 @@
     let faults = |edits: &[(String, Option<Tenant>)]| -> Vec<String> {
         let all = check::edits(&catalog, edits);
         all.into_iter()
-            .map(|(i, f)| format!("{i:?} {}: {}", f.key(), f.what))
+            .map(|(i, f)| format!("{i:?} {}: {}", f.key(), f.message))
             .collect()
     };
     let edit = |t: Tenant| (t.name.clone(), Some(t));
@@ -222,7 +222,7 @@
     assert!(faults(&[edit(other), ("t00000".into(), None)]).is_empty());
     let mut twice = tenant(8);
     twice.servers[1].name = "s0".into();
-    twice.classes[0].aim = Span(0.0);
+    twice.classes[0].aim = Milliseconds(0.0);
     let said = faults(&[edit(twice)]);
     assert!(
         said.iter()
--- a/crates/multi-tenant/tests/documents.rs
+++ b/crates/multi-tenant/tests/documents.rs
@@ -111,7 +111,7 @@
         "x.toml:3: process.sockets:",
         "x.toml:9: listener.0.tenant-by: ",
         "x.toml:25: tenant.0.limits.wheight: there is no such key",
-        "x.toml:30: tenant.0.class.0.aim: \"300\" is not a span with its unit",
+        "x.toml:30: tenant.0.class.0.aim: \"300\" is not a duration with its unit",
         "x.toml:34: tenant.0.server.0.nam: there is no such key",
         "tenant.0.server.0.name: it is missing",
     ] {
--- a/crates/multi-tenant/tests/heap.rs
+++ b/crates/multi-tenant/tests/heap.rs
@@ -2,7 +2,7 @@
 
 use std::alloc::System;
 
-use config_parser::units::{Share, Span};
+use config_parser::units::{Fraction, Milliseconds};
 use multi_tenant::catalog::{Catalog, Parts};
 use multi_tenant::document::{
     Class, Effect, Limits, Process, Rules, Server, Service, State, Tenant,
@@ -27,10 +27,10 @@
     Class {
         name,
         effect: Effect::Safe,
-        aim: Span(aim),
-        deadline: Span(20_000.0),
+        aim: Milliseconds(aim),
+        deadline: Milliseconds(20_000.0),
         worth: 1.0,
-        late_worth: Share(0.0),
+        late_worth: Fraction(0.0),
     }
 }
 
@@ -234,7 +234,7 @@
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let process = Process {
-            rest_after: Span(2_000.0),
+            rest_after: Milliseconds(2_000.0),
             ..Process::default()
         };
         let service = Service {
--- a/crates/multi-tenant/tests/plane/mod.rs
+++ b/crates/multi-tenant/tests/plane/mod.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use config_parser::units::{Share, Span};
+use config_parser::units::{Fraction, Milliseconds};
 use multi_tenant::document::{
     Class, Effect, Limits, Listener, Process, Rules, Server, Service, State, Tenant, TenantBy,
 };
@@ -47,10 +47,10 @@
     let class = Class {
         name: "lookup".into(),
         effect: Effect::Safe,
-        aim: Span(2000.0),
-        deadline: Span(20_000.0),
+        aim: Milliseconds(2000.0),
+        deadline: Milliseconds(20_000.0),
         worth: 1.0,
-        late_worth: Share(0.0),
+        late_worth: Fraction(0.0),
     };
     let none = [server("s0", "127.0.0.1:9"), server("s1", "127.0.0.1:9")];
     Tenant {
--- a/crates/multi-tenant/tests/residents.rs
+++ b/crates/multi-tenant/tests/residents.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use config_parser::units::Span;
+use config_parser::units::Milliseconds;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue};
 use multi_tenant::catalog::Parts;
@@ -408,8 +408,8 @@
             prefix: "/p".into(),
             pool: None,
             user_file: None,
-            guard: config_parser::units::Share(0.5),
-            hold: Span(60_000.0),
+            guard: config_parser::units::Fraction(0.5),
+            hold: Milliseconds(60_000.0),
         };
         let mut tenants: Vec<Tenant> = (0..3).map(|n| tenant(n, &[])).collect();
         (tenants[1].fleet, tenants[1].servers) = (Some(fleet), Vec::new());
@@ -451,7 +451,7 @@
         let dead = Backend::dead().await;
         let servers = [server("dead", &dead), server("sound", &sound.address)];
         let process = Process {
-            rest_after: Span(100.0),
+            rest_after: Milliseconds(100.0),
             ..Process::default()
         };
         let service = || vec![tenant(0, &servers)];
@@ -508,7 +508,7 @@
     local(async {
         let (old, new) = (Backend::start().await, Backend::start().await);
         let process = Process {
-            rest_after: Span(100.0),
+            rest_after: Milliseconds(100.0),
             ..Process::default()
         };
         let plane = plane(process, vec![tenant(0, &[server("old", &old.address)])]);
@@ -519,7 +519,7 @@
             0,
             &[server("old", &old.address), server("new", &new.address)],
         );
-        both.rules.cold = Span(600_000.0);
+        both.rules.cold = Milliseconds(600_000.0);
         next.put(&mut Parts::default(), &both, 1);
         plane.go_over(next).expect("it can be carried out");
         assert_eq!(ask(address, "t00000").await, 200);
--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::Duration;
 
-use ::capture::{Field, Head, News, Record, Server, Tried};
+use ::capture::{AttemptRecord, EndpointRecord, Field, ListUpdate, RequestRecord, SegmentHeader};
 use balancer::{ClassId, EndpointId, EndpointState, Millis, Outcome, TenantId, UpdateScope};
 use settings::properties::CaptureSettings as Settings;
 use settings::{Names, stable_hash};
@@ -72,10 +72,10 @@
         let outlet = log::behind_thread()
             .map_err(|e| format!("the thread of standard error: {e}"))?
             .clone();
-        let head = Head {
+        let head = SegmentHeader {
             seed,
             node: node.to_owned(),
-            start: clock.unix_start(),
+            started_at: clock.unix_start(),
             segment: 0,
         };
         let files = settings
@@ -123,9 +123,9 @@
 
     /// A request has ended.
     pub fn end(&self, pending: &Pending, message: &Outgoing, code: u16) {
-        let tried = pending.tried.iter().map(|(name, end)| Tried {
-            server: Cow::from(&**name),
-            end: *end,
+        let tried = pending.tried.iter().map(|(name, end)| AttemptRecord {
+            endpoint: Cow::from(&**name),
+            outcome: *end,
         });
         let names = self.names.borrow().clone();
         self.put(&record(
@@ -143,7 +143,7 @@
         self.put(&record(&names, pending, message, None, code));
     }
 
-    fn put(&self, record: &Record) {
+    fn put(&self, record: &RequestRecord) {
         let line = format!("{record}\n").into_bytes();
         let mut ring = self.ring.borrow_mut();
         if !ring.told || ring.files.is_some() {
@@ -156,14 +156,14 @@
     }
 
     /// The list has changed.
-    pub fn news(&self, scope: UpdateScope, seq: Option<u64>, hosts: &[Host]) {
+    pub fn news(&self, scope: UpdateScope, version: Option<u64>, hosts: &[Host]) {
         let mut ring = self.ring.borrow_mut();
         let lines = ring.news(
-            &News {
-                seq,
-                at: self.clock.now(),
+            &ListUpdate {
+                version,
+                received_at: self.clock.now(),
                 scope,
-                hosts: hosts.len(),
+                endpoint_count: hosts.len(),
             },
             hosts,
         );
@@ -202,15 +202,15 @@
     names: &'a Names,
     pending: &'a Pending,
     message: &'a Outgoing,
-    tried: Option<Vec<Tried<'a>>>,
-    code: u16,
-) -> Record<'a> {
+    attempts: Option<Vec<AttemptRecord<'a>>>,
+    status: u16,
+) -> RequestRecord<'a> {
     let id = message
         .headers
         .get("x-request-id")
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default();
-    Record {
+    RequestRecord {
         id: id.into(),
         class: names
             .classes
@@ -222,27 +222,27 @@
             .and_then(|t| names.tenants.get(t.0))
             .map(|t| t.as_str().into()),
         sid: message.sid().map(Cow::from),
-        deadline: pending.deadline,
-        seq: pending.seq,
-        tried,
-        code,
+        timeout_ms: pending.deadline,
+        list_version: pending.seq,
+        attempts,
+        status,
     }
 }
 
-fn server(host: &Host) -> Server {
-    Server {
+fn server(host: &Host) -> EndpointRecord {
+    EndpointRecord {
         name: host.host.clone(),
-        site: host.site.clone(),
-        class: host.class.clone(),
-        block: host.block,
-        share: host.share,
-        born: host.born_ms,
+        zone: host.site.clone(),
+        machine_type: host.class.clone(),
+        cell: host.block,
+        weight: host.share,
+        started_at: host.born_ms,
         state: host.state(),
     }
 }
 
 struct Ring {
-    head: Head,
+    head: SegmentHeader,
     settings: String,
     /// Oldest first; the last one is written to.
     segments: VecDeque<Vec<u8>>,
@@ -255,7 +255,7 @@
 }
 
 impl Ring {
-    fn new(head: Head, given: &str, files: Option<Files>) -> Result<Self, String> {
+    fn new(head: SegmentHeader, given: &str, files: Option<Files>) -> Result<Self, String> {
         let settings = format!("s {given}\n");
         if settings.len() > OPENING / 2 {
             return Err("capture: the settings are too long for a segment".into());
@@ -289,11 +289,11 @@
         if self.list.is_empty() {
             return;
         }
-        let news = News {
-            seq: self.seq,
-            at: now,
+        let news = ListUpdate {
+            version: self.seq,
+            received_at: now,
             scope: UpdateScope::Full,
-            hosts: self.list.len(),
+            endpoint_count: self.list.len(),
         };
         segment.extend_from_slice(format!("{news}\n").as_bytes());
         for (_, line) in self.list.values() {
@@ -329,8 +329,8 @@
     }
 
     /// Notes the new list, and returns the lines that tell of the change.
-    fn news(&mut self, news: &News, hosts: &[Host]) -> String {
-        self.seq = news.seq.or(self.seq);
+    fn news(&mut self, news: &ListUpdate, hosts: &[Host]) -> String {
+        self.seq = news.version.or(self.seq);
         if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             self.list.clear();
         }
@@ -353,9 +353,9 @@
             .back()
             .is_some_and(|s| s.len() + lines.len() > SEGMENT)
         {
-            self.wrap(news.at); // its opening holds the new list
+            self.wrap(news.received_at); // its opening holds the new list
         } else {
-            self.put(news.at, lines.as_bytes());
+            self.put(news.received_at, lines.as_bytes());
         }
         lines
     }
@@ -383,7 +383,7 @@
 }
 
 impl Files {
-    fn start(dir: &Path, head: &Head) -> Result<Self, String> {
+    fn start(dir: &Path, head: &SegmentHeader) -> Result<Self, String> {
         // One waits while one is written; whatever comes faster than that is lost.
         let (segments, given) = sync_channel::<(u64, Vec<u8>)>(2);
         let (end, ended) = sync_channel(1);
@@ -391,7 +391,7 @@
             dir.to_owned(),
             format!("canvascart-{}-", Field(Some(&head.node))),
         );
-        let start = format!("{:015}", head.start.max(0.0) as u64);
+        let start = format!("{:015}", head.started_at.max(0.0) as u64);
         let write = move || {
             for (number, segment) in given {
                 let name = format!("{prefix}{start}-{number:06}.capture");
@@ -449,10 +449,10 @@
     use super::*;
 
     fn ring() -> Ring {
-        let head = Head {
+        let head = SegmentHeader {
             seed: 255,
             node: "n0".into(),
-            start: 17.0,
+            started_at: 17.0,
             segment: 0,
         };
         Ring::new(head, "{}", None).expect("short settings")
@@ -473,11 +473,11 @@
 
     fn news(ring: &mut Ring, seq: u64, scope: UpdateScope, hosts: &[Host]) {
         ring.news(
-            &News {
-                seq: Some(seq),
-                at: 0.0,
+            &ListUpdate {
+                version: Some(seq),
+                received_at: 0.0,
                 scope,
-                hosts: hosts.len(),
+                endpoint_count: hosts.len(),
             },
             hosts,
         );
@@ -533,19 +533,19 @@
         assert_eq!(all.len(), SEGMENTS);
         let mut ids = Vec::new();
         for (n, segment) in all.iter().enumerate() {
-            let Line::Head(head) = &segment[0] else {
+            let Line::Header(head) = &segment[0] else {
                 panic!("a head")
             };
             assert_eq!((head.seed, head.segment), (255, n as u64 + 3));
             assert_eq!(segment[1], Line::Settings("{}".into()));
-            let Line::News(news) = &segment[2] else {
+            let Line::ListUpdate(news) = &segment[2] else {
                 panic!("the list")
             };
             assert_eq!(
-                (news.seq, news.scope, news.hosts),
+                (news.version, news.scope, news.endpoint_count),
                 (Some(2), UpdateScope::Full, 2)
             );
-            let Line::Server(last) = &segment[4] else {
+            let Line::Endpoint(last) = &segment[4] else {
                 panic!("a server")
             };
             assert_eq!(
@@ -553,7 +553,7 @@
                 ("s-2", EndpointState::Draining)
             );
             ids.extend(segment[5..].iter().map(|l| match l {
-                Line::Record(r) => r.id.parse::<u64>().expect("a number"),
+                Line::Request(r) => r.id.parse::<u64>().expect("a number"),
                 other => panic!("{other:?}"),
             }));
         }
@@ -576,7 +576,7 @@
         ring.put(0.0, b"r a lookup t sid=- dl=1ms seq=1 -> - 503\n");
         assert!(matches!(
             lines(ring.segments.back().expect("one")).last(),
-            Some(Line::Record(_))
+            Some(Line::Request(_))
         ));
     }
 }
--- a/crates/settings/src/properties/features.rs
+++ b/crates/settings/src/properties/features.rs
@@ -149,9 +149,9 @@
         checkout_deadline: entries
             .take("client.deadline.checkout", duration)?
             .unwrap_or(default.checkout_deadline),
-        max_tries: entries
+        max_attempts: entries
             .take("client.max_tries", integer(1..=100))?
-            .unwrap_or(default.max_tries),
+            .unwrap_or(default.max_attempts),
         mark_retries: entries
             .take("client.mark_retries", boolean)?
             .unwrap_or(default.mark_retries),
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -41,7 +41,7 @@
     assert_eq!(default.target, None);
     assert_eq!(default.lookup_deadline, Duration::from_millis(2500));
     assert_eq!(default.checkout_deadline, Duration::from_millis(2000));
-    assert_eq!((default.max_tries, default.mark_retries), (3, true));
+    assert_eq!((default.max_attempts, default.mark_retries), (3, true));
     let parsed = parse(
         "client.target = 127.0.0.1:9000\nclient.deadline.lookup = 900 ms\n\
         client.deadline.checkout=800\nclient.max_tries = 1\nclient.mark_retries = false",
@@ -50,7 +50,7 @@
         target: Some("127.0.0.1:9000".into()),
         lookup_deadline: Duration::from_millis(900),
         checkout_deadline: Duration::from_millis(800),
-        max_tries: 1,
+        max_attempts: 1,
         mark_retries: false,
     };
     assert_eq!(parsed, expected);
