--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,8 +1,8 @@
-//! Fair sharing of one process between the tenants that it carries.
+//! Fair sharing of the resources of one process between its tenants.
 //!
 //! Tenants share the process's client connections, requests in flight, buffered bytes and event-loop time, and the
-//! connections to servers that several tenants use. This crate decides how much each tenant gets. It decides at once:
-//! a request over its tenant's share is rejected, never queued. It performs no I/O and reads no clock; time comes in as
+//! connections to endpoints that several tenants use. This crate decides how much each tenant gets, without
+//! queueing: a request beyond its tenant's share is rejected. It performs no I/O and reads no clock; time comes in as
 //! milliseconds of one monotonic clock.
 //!
 //! - [`ResourcePool`]: resources that are acquired and released, such as connections.
@@ -22,7 +22,7 @@
 mod processor_sharing;
 mod resource;
 mod resource_pool;
-mod shared_server;
+mod shared_endpoint;
 mod tenant_limiter;
 
 pub use processor_sharing::{ProcessorSharing, RateQuota};
@@ -35,6 +35,6 @@
 /// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// Index of a tenant in the tables, from 0. An index may be reused once its former tenant has released all it held.
+/// Index of a tenant in the tables, from 0. An index may be reused once its former tenant has released all its allocations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
--- a/crates/fair-share/src/resource.rs
+++ b/crates/fair-share/src/resource.rs
@@ -13,8 +13,8 @@
     BufferedBytes,
     /// Time of the event loop.
     EventLoopTime,
-    /// Connections to a server that several tenants use.
-    ServerConnections,
+    /// Connections to an endpoint that several tenants use.
+    EndpointConnections,
 }
 
 impl Resource {
@@ -28,7 +28,7 @@
             Resource::InFlightRequests => "in-flight",
             Resource::BufferedBytes => "bytes",
             Resource::EventLoopTime => "time",
-            Resource::ServerConnections => "server",
+            Resource::EndpointConnections => "server",
         }
     }
 }
--- a/crates/fair-share/src/resource_pool.rs
+++ b/crates/fair-share/src/resource_pool.rs
@@ -18,7 +18,7 @@
 
 use crate::{Millis, TenantId};
 
-/// Headroom of a reservation above the recent peak: one part in so many of the peak.
+/// Divisor of the recent peak that gives the headroom of a reservation above it.
 const PEAK_HEADROOM_DIVISOR: u64 = 4;
 
 /// Reason why a tenant was denied a resource.
@@ -39,11 +39,11 @@
     allocated: u64,
     current_window_peak: u64,
     previous_window_peak: u64,
-    /// Has demanded or held some of the resource recently.
+    /// True if the tenant has requested or held the resource recently.
     is_active: bool,
-    /// Amount kept free for it.
+    /// Amount kept free for the tenant.
     reserved: u64,
-    /// Amount that its reservation lacks because too little was free.
+    /// Amount that the reservation lacks because too little was free.
     shortfall: u64,
     /// False after the tenant was removed, while it may still hold an allocation.
     is_registered: bool,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Removes a tenant; what it still holds is released as usual.
+    /// Removes a tenant. Its remaining allocation is released as usual.
     pub fn remove(&mut self, tenant: TenantId) {
         let Some(entry) = self.registered_mut(tenant) else {
             return;
@@ -272,7 +272,7 @@
         self.recompute_reservations();
     }
 
-    /// Returns the amount kept for idle tenants while so many are active.
+    /// Returns the amount kept for idle tenants while `active_count` tenants are active.
     fn idle_reserve_beside(&self, active_count: usize) -> u64 {
         if active_count < self.registered_count {
             self.idle_reserve
--- a/crates/fair-share/src/shared_server.rs
+++ b/crates/fair-share/src/shared_endpoint.rs
@@ -1,39 +1,39 @@
-//! Connections to a server that several tenants use, as a resource pool of its own.
+//! Connections to an endpoint that several tenants use, as a resource pool of its own.
 
 use crate::{DenialReason, Millis, ResourcePool, TenantId};
 
 /// Weight of a former member while it is added to the new pool and removed again.
 const DEPARTED_WEIGHT: f64 = 1.0;
 
-/// A server with a connection limit and the tenants that use it.
+/// An endpoint with a connection limit and the tenants that use it.
 ///
 /// In the pool a tenant is identified by its position among the members, so that the pool does not grow with the number
 /// of tenants of the process.
 #[derive(Clone, Debug)]
-pub(crate) struct SharedServer {
+pub(crate) struct SharedEndpoint {
     connections: ResourcePool,
     /// Members in the order of the pool; former members that still hold connections stand at the end.
     members: Vec<TenantId>,
 }
 
-impl SharedServer {
-    /// Creates a server that these members share by weight. Allocations in `former`, the same server before a change of
+impl SharedEndpoint {
+    /// Creates an endpoint that the members share by weight. Allocations of `former`, the same endpoint before a change of
     /// its members, are kept.
     pub(crate) fn new(
         max_connections: u64,
         idle_reserve_ratio: f64,
         weighted_members: &[(TenantId, f64)],
-        former: Option<&SharedServer>,
+        former: Option<&SharedEndpoint>,
     ) -> Self {
         let mut members: Vec<TenantId> = weighted_members.iter().map(|(id, _)| *id).collect();
-        let former_members = former.map_or(&[][..], |server| &server.members);
+        let former_members = former.map_or(&[][..], |endpoint| &endpoint.members);
         let departed = former_members.iter().filter(|id| !members.contains(id));
         let departed: Vec<TenantId> = departed.copied().collect();
         members.extend(departed);
         let mut connections = ResourcePool::new(max_connections, idle_reserve_ratio);
         for (position, member) in members.iter().enumerate() {
             let pool_id = TenantId(position);
-            let held = former.map_or(0, |server| server.allocated_to(*member));
+            let held = former.map_or(0, |endpoint| endpoint.allocated_to(*member));
             match weighted_members.get(position) {
                 Some((_, weight)) => connections.add_with_allocation(pool_id, *weight, held),
                 None => {
@@ -42,7 +42,7 @@
                 }
             }
         }
-        SharedServer {
+        SharedEndpoint {
             connections,
             members,
         }
--- a/crates/fair-share/src/tenant_limiter.rs
+++ b/crates/fair-share/src/tenant_limiter.rs
@@ -9,7 +9,7 @@
 use crate::resource::{
     ProcessCapacity, Rejection, RejectionCounts, Resource, TenantQuota, TenantUsage,
 };
-use crate::shared_server::SharedServer;
+use crate::shared_endpoint::SharedEndpoint;
 use crate::{DenialReason, Millis, ProcessorSharing, RateQuota, ResourcePool, TenantId};
 
 /// Step of the exponentially weighted means, per request.
@@ -38,7 +38,7 @@
     processing: ProcessorSharing,
     rejecting: ProcessorSharing,
     /// Servers that several tenants use, by number.
-    servers: FxHashMap<u64, SharedServer>,
+    endpoints: FxHashMap<u64, SharedEndpoint>,
     statistics: Vec<TenantStatistics>,
 }
 
@@ -53,7 +53,7 @@
             buffered_bytes: pool(capacity.buffered_bytes),
             processing: ProcessorSharing::new(capacity.processing_time_ratio),
             rejecting: ProcessorSharing::new(capacity.rejection_time_ratio),
-            servers: FxHashMap::default(),
+            endpoints: FxHashMap::default(),
             statistics: Vec::new(),
         }
     }
@@ -79,8 +79,8 @@
         };
         self.processing.set_quota(now, tenant, processing);
         self.rejecting.set_quota(now, tenant, rejecting);
-        for server in self.servers.values_mut() {
-            server.set_weight(tenant, weight);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.set_weight(tenant, weight);
         }
     }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Removes a tenant. Its allocations must still be released; its index is free once [`TenantLimiter::is_idle`].
+    /// Removes a tenant. Its allocations must still be released; its index is free when [`TenantLimiter::is_idle`].
     pub fn remove(&mut self, tenant: TenantId) {
         self.client_connections.remove(tenant);
         self.in_flight_requests.remove(tenant);
@@ -129,54 +129,54 @@
             && self.in_flight_requests.allocated_to(tenant) == 0
             && self.buffered_bytes.allocated_to(tenant) == 0
             && self
-                .servers
+                .endpoints
                 .values()
-                .all(|server| server.allocated_to(tenant) == 0)
+                .all(|endpoint| endpoint.allocated_to(tenant) == 0)
     }
 
-    /// Sets the tenants, with their weights, that share a server with a limited number of connections.
+    /// Sets the tenants, with their weights, that share an endpoint with a limited number of connections.
     ///
-    /// Name none for a server that one tenant uses alone: it is then not limited here. Name one if it is shared with
-    /// tenants that are not active now: that one is limited to the whole.
-    pub fn set_shared_server(
+    /// Without members the endpoint is not limited here, as for one that a single tenant uses. A single member, whose
+    /// partners are not active now, is limited to all connections.
+    pub fn set_shared_endpoint(
         &mut self,
-        server: u64,
+        endpoint: u64,
         max_connections: u64,
         members: &[(TenantId, f64)],
     ) {
-        let former = self.servers.remove(&server);
+        let former = self.endpoints.remove(&endpoint);
         if members.is_empty() {
             return;
         }
-        let shared = SharedServer::new(
+        let shared = SharedEndpoint::new(
             max_connections,
             self.idle_reserve_ratio,
             members,
             former.as_ref(),
         );
-        self.servers.insert(server, shared);
+        self.endpoints.insert(endpoint, shared);
     }
 
-    /// Allocates a connection to a server; always granted for a server that is not shared.
+    /// Allocates a connection to an endpoint; always granted for an endpoint that is not shared.
     ///
     /// # Errors
     /// The other members' shares leave no connection.
-    pub fn acquire_server_connection(
+    pub fn acquire_endpoint_connection(
         &mut self,
         now: Millis,
         tenant: TenantId,
-        server: u64,
+        endpoint: u64,
     ) -> Result<(), Rejection> {
-        let Some(shared) = self.servers.get_mut(&server) else {
+        let Some(shared) = self.endpoints.get_mut(&endpoint) else {
             return Ok(());
         };
         let acquired = shared.acquire(now, tenant);
-        acquired.map_err(|reason| self.reject(tenant, Resource::ServerConnections, reason))
+        acquired.map_err(|reason| self.reject(tenant, Resource::EndpointConnections, reason))
     }
 
-    /// Releases a connection to a server.
-    pub fn release_server_connection(&mut self, tenant: TenantId, server: u64) {
-        if let Some(shared) = self.servers.get_mut(&server) {
+    /// Releases a connection to an endpoint.
+    pub fn release_endpoint_connection(&mut self, tenant: TenantId, endpoint: u64) {
+        if let Some(shared) = self.endpoints.get_mut(&endpoint) {
             shared.release(tenant);
         }
     }
@@ -313,7 +313,7 @@
             Resource::ClientConnections => Some(self.client_connections.fair_share(tenant)),
             Resource::InFlightRequests => Some(self.in_flight_requests.fair_share(tenant)),
             Resource::BufferedBytes => Some(self.buffered_bytes.fair_share(tenant)),
-            Resource::EventLoopTime | Resource::ServerConnections => None,
+            Resource::EventLoopTime | Resource::EndpointConnections => None,
         }
     }
 
--- a/crates/fair-share/tests/processor_sharing.rs
+++ b/crates/fair-share/tests/processor_sharing.rs
@@ -1,4 +1,4 @@
-//! Processor sharing between greedy, modest, idle and capped tenants.
+//! Processor sharing between tenants with unbounded, low, no and capped demand.
 
 use fair_share::{ProcessorSharing, RateQuota, TenantId};
 
--- a/crates/fair-share/tests/properties.rs
+++ b/crates/fair-share/tests/properties.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// A tenant that stays within its fair share and its recent peak is never rejected, whatever the others demand. Its
-    /// use is steady: first alone, then beside greedy tenants.
+    /// A tenant that stays within its fair share and its recent peak is never rejected, whatever the others demand. It
+    /// holds its allocation before the others arrive, and then varies below it.
     #[test]
     fn a_steady_tenant_is_never_rejected(
         weights in prop::collection::vec(0.2..5.0, 2..8),
@@ -133,7 +133,7 @@
                     pool.release(TenantId(other), 1 + random_below(3));
                 }
                 for _ in 0..4 {
-                    // The others take as much as they get.
+                    // The other tenants acquire as much as they can.
                     let _ = pool.acquire(now, TenantId(other), 1 + random_below(3));
                 }
             }
--- a/crates/fair-share/tests/tenant_limiter.rs
+++ b/crates/fair-share/tests/tenant_limiter.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn all_is_released_and_the_mean_request_duration_gives_the_retry_time() {
+fn ended_requests_are_released_and_their_mean_duration_is_the_retry_time() {
     let mut limiter = limiter_with_two_tenants();
     for _ in 0..200 {
         (0..2).for_each(|_| limiter.begin_request(0.0, B, 100).unwrap());
@@ -115,39 +115,39 @@
 }
 
 #[test]
-fn only_a_shared_server_is_divided() {
+fn only_a_shared_endpoint_is_limited() {
     let mut limiter = limiter_with_two_tenants();
     assert_eq!(
-        limiter.acquire_server_connection(0.0, A, 7),
+        limiter.acquire_endpoint_connection(0.0, A, 7),
         Ok(()),
-        "the server is not shared"
+        "the endpoint is not shared"
     );
-    limiter.set_shared_server(7, 4, &[(A, 1.0), (B, 1.0)]);
-    (0..2).for_each(|_| limiter.acquire_server_connection(0.0, A, 7).unwrap());
-    (0..2).for_each(|_| limiter.acquire_server_connection(0.0, B, 7).unwrap());
+    limiter.set_shared_endpoint(7, 4, &[(A, 1.0), (B, 1.0)]);
+    (0..2).for_each(|_| limiter.acquire_endpoint_connection(0.0, A, 7).unwrap());
+    (0..2).for_each(|_| limiter.acquire_endpoint_connection(0.0, B, 7).unwrap());
     assert_eq!(
         limiter
-            .acquire_server_connection(0.0, A, 7)
+            .acquire_endpoint_connection(0.0, A, 7)
             .unwrap_err()
             .resource,
-        Resource::ServerConnections
+        Resource::EndpointConnections
     );
-    limiter.release_server_connection(A, 7);
+    limiter.release_endpoint_connection(A, 7);
     // A change of members keeps the allocations.
     limiter.set_quota(0.0, TenantId(2), &TenantQuota::default());
-    limiter.set_shared_server(7, 4, &[(B, 1.0), (TenantId(2), 1.0)]);
+    limiter.set_shared_endpoint(7, 4, &[(B, 1.0), (TenantId(2), 1.0)]);
     limiter
-        .acquire_server_connection(0.0, TenantId(2), 7)
+        .acquire_endpoint_connection(0.0, TenantId(2), 7)
         .unwrap();
     assert!(
         limiter
-            .acquire_server_connection(0.0, TenantId(2), 7)
+            .acquire_endpoint_connection(0.0, TenantId(2), 7)
             .is_err(),
         "one connection is still the first tenant's"
     );
-    limiter.release_server_connection(A, 7);
+    limiter.release_endpoint_connection(A, 7);
     assert_eq!(
-        limiter.acquire_server_connection(0.0, TenantId(2), 7),
+        limiter.acquire_endpoint_connection(0.0, TenantId(2), 7),
         Ok(())
     );
 }
--- a/crates/multi-tenant/src/book.rs
+++ b/crates/multi-tenant/src/book.rs
@@ -158,7 +158,7 @@
             .collect();
         self.shares
             .borrow_mut()
-            .set_shared_server(server, connections, &members);
+            .set_shared_endpoint(server, connections, &members);
     }
 
     /// Lets waiting connections be read as their tenants' accounts allow; runs for as long as the process.
@@ -402,7 +402,7 @@
         self.book
             .shares
             .borrow_mut()
-            .acquire_server_connection(self.book.now(), self.tenant, server)
+            .acquire_endpoint_connection(self.book.now(), self.tenant, server)
             .is_ok()
     }
 
@@ -410,6 +410,6 @@
         self.book
             .shares
             .borrow_mut()
-            .release_server_connection(self.tenant, server);
+            .release_endpoint_connection(self.tenant, server);
     }
 }
--- a/crates/tenant-activation/src/active_tenants.rs
+++ b/crates/tenant-activation/src/active_tenants.rs
@@ -11,7 +11,7 @@
 /// Bounds of the time until a retry.
 const MIN_RETRY_AFTER: Millis = 1.0;
 const MAX_RETRY_AFTER: Millis = 10_000.0;
-/// Part of the capacity that pinned tenants never take: one in so many, and at least one.
+/// Divisor of the capacity that gives the part which pinned tenants never take; the part is at least 1.
 const UNPINNED_CAPACITY_DIVISOR: usize = 8;
 
 /// Bounds on the active and the waiting tenants.
@@ -19,9 +19,9 @@
 pub struct ActivationLimits {
     /// Maximum number of active tenants.
     pub max_active: usize,
-    /// Time without use after which a tenant may be deactivated although nobody needs its capacity.
+    /// Time without use after which a tenant may be deactivated although no other tenant needs its capacity.
     pub idle_timeout: Millis,
-    /// Time that a tenant stays active at least, so that tenants do not evict each other in turn.
+    /// Minimum time for which a tenant stays active, so that tenants do not evict each other in turn.
     pub min_active_time: Millis,
     /// Time that a position in the queue is kept after the retry time given to its tenant.
     pub retry_grace_period: Millis,
@@ -32,20 +32,20 @@
 /// A tenant is active, or its caller has to activate it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Activation<K> {
-    /// It was active before.
+    /// The tenant was active before.
     AlreadyActive,
-    /// It has to be activated; capacity was free.
+    /// The tenant has to be activated; capacity was free.
     Activated,
-    /// It has to be activated after this tenant is deactivated.
+    /// The tenant has to be activated after the given one is deactivated.
     ActivatedByEvicting(K),
 }
 
 /// A tenant cannot be activated now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deferral {
-    /// Time until it should retry.
+    /// Time until the tenant should retry.
     pub retry_after: Millis,
-    /// True if it has a position in the queue, which is kept if it retries in time.
+    /// True if the tenant has a position in the queue, which is kept if it retries in time.
     pub is_queued: bool,
 }
 
@@ -128,7 +128,7 @@
 
     /// Returns the capacity for tenants that are not pinned.
     ///
-    /// Pinned tenants reduce it to an eighth of the maximum at least; beyond that the maximum is exceeded.
+    /// Pinned tenants reduce it, but not below an eighth of the maximum; more pinned tenants exceed the maximum.
     pub fn unpinned_capacity(&self) -> usize {
         let max_active = self.limits.max_active;
         let min_capacity = (max_active / UNPINNED_CAPACITY_DIVISOR).max(1);
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Estimates the time until capacity is free behind so many tenants in the queue.
+    /// Estimates the time until capacity is free for a tenant with `ahead` tenants before it in the queue.
     fn retry_after(&self, ahead: usize) -> Millis {
         let turnovers = 1.0 + ahead as f64 / self.unpinned_capacity() as f64;
         (self.limits.min_active_time * turnovers).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
--- a/crates/tenant-activation/src/lib.rs
+++ b/crates/tenant-activation/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`ActiveTenants`] decides which tenant is activated, which one is evicted for it (the least recently used one without
 //! work), and which request has to wait for capacity. It starts and stops nothing itself, reads no clock and takes no
-//! lock: its caller carries out the decisions, passes the time in milliseconds, and tells which tenants have no work.
+//! lock: its caller carries out the decisions, passes the time in milliseconds, and reports which tenants have no work.
 //!
 //! Tenants without capacity wait in a queue, each once, in the order of their first request. Each is given a time for
 //! its retry, and its position is kept for a bounded time after that.
--- a/crates/tenant-activation/src/wait_queue.rs
+++ b/crates/tenant-activation/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of tenants that wait for capacity, with expiry of positions that nobody claims.
+//! Queue of tenants that wait for capacity, with expiry of unclaimed positions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/tenant-activation/tests/properties.rs
+++ b/crates/tenant-activation/tests/properties.rs
@@ -58,7 +58,7 @@
                         Ok(Activation::ActivatedByEvicting(other)) => {
                             prop_assert!(!was_active && active.remove(&other) && active.insert(tenant));
                             prop_assert!(!is_busy(&other, now), "{other} had work");
-                            prop_assert!(now - activated_at[&other] >= LIMITS.min_active_time, "{other} was activated a moment ago");
+                            prop_assert!(now - activated_at[&other] >= LIMITS.min_active_time, "{other} was activated too recently");
                         }
                         Err(deferral) => {
                             prop_assert!(!was_active && deferral.retry_after >= 1.0 && deferral.retry_after <= 10_000.0);
@@ -106,11 +106,11 @@
         }
     }
 
-    /// With no tenant pinned and each active one idle at some moment of every 300 ms, a tenant that retries as told is
-    /// activated after as many turnovers as there are tenants before it for each unit of capacity, and one more, whatever
-    /// tenants do that ignore their retry times.
+    /// Guards against starvation: no tenant is pinned, and each active one is idle at some time in every 300 ms. Then a
+    /// tenant that retries at its retry time is activated after at most as many turnovers as there are tenants before it
+    /// for each unit of capacity, and one more, even if other tenants ignore their retry times.
     #[test]
-    fn every_tenant_that_retries_as_told_is_activated_in_bounded_time(
+    fn every_tenant_that_retries_on_time_is_activated_in_bounded_time(
         seed in 0..u64::MAX, patient in 1..24usize, greedy in 1..40usize, max_active in 1..6usize
     ) {
         let limits = ActivationLimits { max_active, max_waiting: 256, ..LIMITS };
@@ -140,7 +140,7 @@
                 }
                 match tenants.activate(now, tenant, |other| !is_busy(other, now)) {
                     Ok(_) => _ = activated.insert(*tenant),
-                    // It retries as told or a little later.
+                    // It retries at its retry time or a little later.
                     Err(deferral) => *at = now + deferral.retry_after + random_below(200) as f64,
                 }
             }
@@ -245,7 +245,7 @@
             .activate(expiry + 2.0, &1, idle)
             .unwrap_err()
             .is_queued,
-        "it is queued anew"
+        "it is queued again"
     );
 }
 
