--- a/crates/proxy-core/src/account.rs
+++ b/crates/proxy-core/src/account.rs
@@ -1,4 +1,5 @@
-//! What a process of many tenants keeps of each: a seam that fronts and pools ask and tell. A proxy of one pool has none.
+//! Accounting per tenant in a process that serves many tenants: the interface through which frontends and pools ask
+//! for and report shared resources. A proxy with a single pool has none.
 
 use std::future::poll_fn;
 use std::pin::pin;
@@ -7,47 +8,51 @@
 
 use balancer::Millis;
 
-/// One tenant's account of what all tenants share. Calls come from one thread, in the course of serving: none may block.
+/// Usage of the shared resources by one tenant. All calls come from one thread while requests are served, so none may
+/// block.
 pub trait TenantAccount {
-    /// A client has connected.
+    /// Counts a new client connection.
     ///
     /// # Errors
-    /// There is no socket for it; the span in ms after which there may be one.
+    /// No socket is available for it; the value is the time in ms after which there may be one.
     fn acquire_client_connection(&self) -> Result<(), Millis>;
 
-    /// A client's connection, once counted, is gone or another's.
+    /// Releases a client connection that has closed or has moved to another tenant's account.
     fn release_client_connection(&self);
 
-    /// A request has come whose head and announced body take so many bytes.
+    /// Counts a request whose head and announced body take `bytes`.
     ///
     /// # Errors
-    /// It is over the tenant's share; the span in ms after which it may not be.
+    /// The tenant has used up its share; the value is the time in ms after which there may be room.
     fn begin_request(&self, bytes: u64) -> Result<(), Millis>;
 
-    /// A request that has begun has its final answer, after this span.
+    /// Releases a request after its final answer, `duration` after [`begin_request`](Self::begin_request).
     fn end_request(&self, bytes: u64, duration: Millis);
 
-    /// The event loop is about to work for the tenant. The account has its own clock for it.
+    /// Marks the start of event loop work for the tenant. The account measures the time itself.
     fn begin_work(&self);
 
-    /// It has, for what was let in or to turn something away.
+    /// Marks the end of that work; `rejecting` says that it served to reject something rather than for admitted
+    /// requests.
     fn end_work(&self, rejecting: bool);
 
-    /// Whether a client's connection may be read now; otherwise the waker is called when it may be worth another look.
+    /// Returns whether a client connection may be read now. Otherwise the waker is called when another check may
+    /// succeed.
     fn may_read(&self, waker: &Waker) -> bool;
 
-    /// Whether a client's connection may be taken up now; otherwise the waker is called as for reading.
+    /// Returns whether a client connection may be accepted now. Otherwise the waker is called as for reading.
     fn may_accept(&self, waker: &Waker) -> bool;
 
-    /// An attempt is to go to this server, named by a number that all tenants use for it; `false` if others' shares of
-    /// it leave no room. One that went is told of again when it has ended.
+    /// Reserves a connection for an attempt at an endpoint, which all tenants identify by the same number. Returns
+    /// `false` if the shares of other tenants leave no room. Each successful call is followed by
+    /// [`release_endpoint_connection`](Self::release_endpoint_connection).
     fn acquire_endpoint_connection(&self, endpoint: u64) -> bool;
 
-    /// An attempt at a server has ended.
+    /// Releases the reservation of an attempt that has ended.
     fn release_endpoint_connection(&self, endpoint: u64);
 }
 
-/// Waits until a tenant's next connection may be taken up.
+/// Waits until the tenant's next connection may be accepted.
 pub async fn wait_to_accept(account: &Rc<dyn TenantAccount>) {
     poll_fn(|cx| {
         if account.may_accept(cx.waker()) {
@@ -59,7 +64,7 @@
     .await;
 }
 
-/// Runs a future and tells an account of each turn of it.
+/// Runs a future and charges each poll of it to an account.
 pub async fn run_accounted<F: Future>(account: Rc<dyn TenantAccount>, future: F) -> F::Output {
     let mut future = pin!(future);
     poll_fn(|cx| {
--- a/crates/proxy-core/src/clock.rs
+++ b/crates/proxy-core/src/clock.rs
@@ -1,12 +1,12 @@
-//! The module's clock.
+//! The balancer's clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use balancer::Millis;
 use tokio::time::Instant;
 
-/// The module's clock is monotonic and starts with the process; Unix time is converted here alone, by an
-/// offset taken once, so that the same start always gives the same time.
+/// Monotonic clock that starts with the process. Unix time is converted only here, with an offset taken once, so that
+/// the same endpoint start always maps to the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -14,7 +14,7 @@
 }
 
 impl Default for Clock {
-    /// A clock that begins now.
+    /// Creates a clock that starts now.
     fn default() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -27,27 +27,27 @@
 }
 
 impl Clock {
-    /// The time on the module's clock.
+    /// Returns the current time on this clock.
     pub fn now(&self) -> Millis {
         self.time_of(Instant::now())
     }
 
-    /// Unix time at the start.
+    /// Returns the Unix time in ms at which this clock started.
     pub fn unix_start(&self) -> Millis {
         self.unix_start
     }
 
-    /// An instant on the module's clock.
+    /// Converts an instant to a time on this clock.
     pub fn time_of(&self, instant: Instant) -> Millis {
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time on the module's clock.
+    /// Converts a time on this clock to an instant.
     pub fn instant_of(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64(at.clamp(0.0, 1e12) / 1000.0)
     }
 
-    /// A server's start on the module's clock, from Unix time in ms; `None` if long ago.
+    /// Converts an endpoint's start from Unix time in ms to this clock; `None` if it is unknown or long ago.
     pub fn start_time(&self, started_unix_ms: f64) -> Option<Millis> {
         (started_unix_ms.is_finite() && started_unix_ms > 0.0)
             .then_some(started_unix_ms - self.unix_start)
--- a/crates/proxy-core/src/connection.rs
+++ b/crates/proxy-core/src/connection.rs
@@ -1,4 +1,5 @@
-//! A client's connection: its times, its account, and its socket, which is read only while the account lets it.
+//! A client's connection: its time limits, its account, and its socket, which is read only while the account permits
+//! it.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -16,43 +17,43 @@
 use crate::account::TenantAccount;
 use crate::framing::FramingValidator;
 
-/// A request must be whole this long after its first byte, and as much later as its body takes: a client may take 2 s for
-/// its head.
+/// The time from the first byte of a request to its last, plus the transfer time of its body. A client may take 2 s
+/// for the head.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// And a connection's first one this long after the connection came: a peer that sends no proper request is owed an
-/// error or a close within 3 s.
+/// The same limit for the first request of a connection, from the time of connecting: a peer that sends no valid
+/// request must get an error or a close within 3 s.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A connection may stand idle for so long; it has to be 2 s at least.
+/// The time for which a connection may be idle, which must be at least 2 s.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// What is known of a connection.
+/// The state of a client's connection.
 pub struct ClientConnection {
     pub active: Cell<bool>,
-    /// It has had an answer. Before that its first request may be on the way at any moment.
+    /// Whether the connection has had a response. Before that its first request may arrive at any moment.
     pub answered_before: Cell<bool>,
     pub idle_since: Cell<Instant>,
-    /// When the head that is coming in began.
+    /// The time at which the head being received began.
     pub head_started: Cell<Option<Instant>>,
-    /// When something was last read or written.
+    /// The time of the last read or write.
     pub last_io: Cell<Instant>,
     pub close_requested: Notify,
-    /// On whose account it is, in a process of many tenants.
+    /// The tenant account of the connection, in a process of many tenants.
     pub account: RefCell<Option<Rc<dyn TenantAccount>>>,
-    /// Its latest request was turned away: what is still done for it is work of that kind.
+    /// Whether the latest request was rejected; further work on the connection is charged as rejecting.
     pub rejecting: Cell<bool>,
-    /// Requests that have been read to their end, and those that have their answer.
+    /// Requests that have been read completely, and requests that have been answered.
     requests_read: Cell<u64>,
     requests_answered: Cell<u64>,
-    /// What came behind a request that has no answer yet.
+    /// Bytes received after a request that has no answer yet.
     pipelined: RefCell<Vec<u8>>,
-    /// Who is to look again once there is an answer.
+    /// The reader to wake once the request is answered.
     read_waker: RefCell<Option<Waker>>,
-    /// More came behind it than is kept: the connection ends with its answer.
+    /// More bytes followed than are buffered, so the connection is closed after the answer.
     overflowed: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// A connection that has just come.
+    /// Creates the state of a new connection.
     pub fn new(account: Option<Rc<dyn TenantAccount>>) -> Self {
         ClientConnection {
             active: Cell::new(false),
@@ -71,17 +72,17 @@
         }
     }
 
-    /// Whether nothing is known to have come that has not been read.
+    /// Returns whether no received bytes are waiting to be parsed.
     pub fn pipelined_is_empty(&self) -> bool {
         self.pipelined.borrow().is_empty()
     }
 
-    /// Whether more came behind a request than is kept.
+    /// Returns whether more bytes followed a request than are buffered.
     pub fn has_overflowed(&self) -> bool {
         self.overflowed.get()
     }
 
-    /// When the connection has to be looked at again, if nothing happens until then.
+    /// Returns when the connection has to be checked again if nothing happens before.
     pub fn next_check(&self) -> Instant {
         match self.head_started.get() {
             _ if self.active.get() => Instant::now() + IDLE_TIMEOUT,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// When a request that began then has to be whole, whatever time its body's length takes left out.
+    /// Returns the time by which a request that began at `head_started` must be complete, without the transfer time
+    /// of its body.
     pub fn receive_deadline(&self, head_started: Instant) -> Instant {
         let first = if self.answered_before.get() {
             head_started + HEAD_TIMEOUT
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Its request has its answer.
+    /// Marks the current request as answered.
     pub fn request_answered(&self) {
         self.active.set(false);
         self.requests_answered.set(self.requests_answered.get() + 1);
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Puts the connection on the account of the tenant that its latest request names.
+    /// Moves the connection to the account of the tenant named in its latest request.
     pub fn assign_account(&self, account: &Rc<dyn TenantAccount>) -> Result<(), f64> {
         let mut assigned = self.account.borrow_mut();
         if assigned.as_ref().is_some_and(|a| Rc::ptr_eq(a, account)) {
@@ -133,7 +135,7 @@
         Ok(())
     }
 
-    /// Runs the connection's future and puts each turn on the account that it has then.
+    /// Runs the connection's future and charges each poll to the account that the connection has at that time.
     pub async fn run_accounted<F: Future>(&self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
@@ -158,13 +160,13 @@
     }
 }
 
-/// Bytes behind a request that are kept while it has no answer.
+/// The largest number of bytes buffered behind a request that has no answer yet.
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
-/// Reads of bytes that are not served, in one turn.
+/// The number of reads in one poll for bytes that are not parsed at once.
 pub const MAX_READS_PER_POLL: usize = 4;
 
-/// A client's socket, which is read only while its account lets it. The HTTP library gets one request at a time: with bytes of
-/// a further one in its hands it would no longer look whether the client is still there.
+/// A client's socket, which is read only while its account permits it. The HTTP library gets one request at a time:
+/// while it holds bytes of a further request it would not notice that the client disconnects.
 pub struct ClientSocket {
     pub stream: Rc<RefCell<TcpStream>>,
     pub client: Rc<ClientConnection>,
@@ -177,7 +179,8 @@
         cx: &mut Context,
         buf: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        // The rest of a request that has been let in is read whatever the account says: it holds what the account lacks.
+        // The rest of an admitted request is read whatever the account says, because the request holds the resources
+        // that the account lacks.
         let admitted = self.client.active.get() && !self.client.rejecting.get();
         let must_wait =
             |account: &Rc<dyn TenantAccount>| !admitted && !account.may_read(cx.waker());
@@ -190,7 +193,7 @@
         let before = buf.filled().len();
         let pipelined = std::mem::take(&mut *self.client.pipelined.borrow_mut());
         let read = if pipelined.is_empty() && self.client.overflowed.get() {
-            return Poll::Ready(Ok(())); // what comes now has a gap before it
+            return Poll::Ready(Ok(())); // bytes have been lost before what follows
         } else if pipelined.is_empty() {
             Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf)
         } else {
@@ -204,7 +207,7 @@
         };
         if buf.filled().len() > before {
             match self.framing.feed(&buf.filled()[before..]) {
-                // What it gets from here on would be read in two ways: the connection ends.
+                // The framing is ambiguous from here on: close the connection.
                 Err(error) => {
                     buf.set_filled(before);
                     return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, error)));
@@ -234,7 +237,7 @@
 }
 
 impl ClientSocket {
-    /// Reads what comes behind a request that has no answer yet. Its client's end is all that is told of it.
+    /// Buffers bytes that follow a request without an answer. Only the end of the client's stream is reported.
     fn read_pipelined(&self, cx: &mut Context) -> Poll<io::Result<()>> {
         let mut bytes = [0; 4 << 10];
         for _ in 0..MAX_READS_PER_POLL {
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -1,4 +1,4 @@
-//! The sole owner of the decision module: feeds it what the sockets see and does what it says, in order.
+//! Sole owner of the balancer: passes it events from the sockets and carries out its actions in order.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -35,28 +35,29 @@
 use crate::upstream::{Attempt, AttemptEvent, CancelSignal, Endpoint, Upstreams};
 use crate::vars::{Counts, End, Held};
 
-/// What the client is told has to be on its way this long before the client gives up, whatever happens.
+/// Every answer must be sent this long before the client's deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(4);
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1); // between looks at idle connections
-/// A pool that has had nothing to do for so long rests, where it may: by then the module's averages and slots stand still.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1); // interval of checks for idle connections
+/// The idle time after which a pool may sleep; by then the balancer's averages and slots no longer change.
 const SLEEP_AFTER: Duration = Duration::from_secs(10);
-/// The module's ticks that a pool makes up for when it is woken: as many as it takes to look over all servers once.
+/// The number of balancer ticks that a pool catches up on when it wakes; as many as it takes to check all endpoints
+/// once.
 const CATCH_UP_TICKS: usize = 5;
 
-/// A request that lacks its answer or has attempts out.
+/// A request without an answer or with attempts in flight.
 struct ActiveRequest {
-    /// `None` for one that was not read.
+    /// `None` for a request that was not read.
     class: Option<ClassId>,
     response_sender: Option<oneshot::Sender<Answer>>,
-    /// Whether an attempt may still begin for it.
+    /// Permits attempts for the request.
     cancel: Rc<CancelSignal>,
     outbound: Rc<OutboundRequest>,
     deadline: Instant,
     attempts: u32,
     attempts_in_flight: u32,
-    /// Its answer has begun, and is still on its way.
+    /// The response has begun and is still being sent.
     streaming: bool,
-    /// What the capture knows of it, if there is one.
+    /// The capture's entry for the request, if capturing is enabled.
     capture_entry: Option<Pending>,
 }
 
@@ -66,31 +67,31 @@
     AnswerDeadline(RequestId),
 }
 
-/// What the driver needs of the other parts.
+/// The components that the driver uses.
 pub struct Parts {
     pub clock: Clock,
     pub capture: Option<Rc<Capture>>,
     pub inbox: Inbox,
     pub upstreams: Rc<Upstreams>,
     pub peers: Option<Rc<Peers>>,
-    /// Where lists are asked for, in a pool whose module asks for them.
+    /// The source of fetched lists, if the balancer asks for them.
     pub discovery: Option<Rc<Place>>,
-    /// The pool's place at the gate, in a process that acts as one with others.
+    /// The pool's part of the decision gate, in a process that is a member of a cluster.
     pub gate: Option<Rc<PoolGate>>,
-    /// The account that the pool's work is put on, in a process of many tenants.
+    /// The account charged for the pool's work, in a process of many tenants.
     pub account: Option<Rc<dyn TenantAccount>>,
-    /// Whether it may rest: with nothing to do it has no timer, so that thousands of idle pools take no time.
+    /// Whether an idle pool sleeps without a timer, so that thousands of idle pools take no processor time.
     pub may_sleep: bool,
-    /// Told when the module wants a watch.
+    /// Notified when the balancer subscribes to discovery.
     pub subscribe: Rc<Notify>,
-    /// Told once discovery has told the list.
+    /// Notified once there is an endpoint list.
     pub lifecycle: Rc<Life>,
     pub counts: Rc<Counts>,
 }
 
-/// What is seen of a driver from outside, between its turns: whether anything is under way, and what its module knows then.
+/// The driver's state as seen from outside between its polls.
 pub struct DriverState {
-    /// It holds no request, nor has it attempts out.
+    /// Whether there are no active requests or attempts.
     idle: Cell<bool>,
     balancer: RefCell<Balancer>,
 }
@@ -103,18 +104,18 @@
         })
     }
 
-    /// Whether it holds no request and has no attempt out.
+    /// Returns whether there are no active requests or attempts.
     pub fn is_idle(&self) -> bool {
         self.idle.get()
     }
 
-    /// What the module holds against servers, and what cold ones may still be sent.
+    /// Returns the health state of the balancer: ejections, and the remaining slow-start limits of cold endpoints.
     pub fn health_snapshot(&self, now: Millis) -> HealthSnapshot {
         self.balancer.borrow().health_snapshot(now)
     }
 }
 
-/// Runs the module on what comes in.
+/// Runs the balancer on incoming events.
 pub struct Driver {
     state: Rc<DriverState>,
     names: Names,
@@ -124,9 +125,9 @@
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     actions: Vec<Action>,
     retired: bool,
-    /// Discovery has told a whole list.
+    /// Discovery has sent a full list.
     has_full_list: bool,
-    /// What stands for the message of a request that was not read.
+    /// A placeholder for requests that were not read.
     empty_request: Rc<OutboundRequest>,
 }
 
@@ -146,16 +147,17 @@
         }
     }
 
-    /// What is seen of it from outside.
+    /// Returns the state that is visible from outside.
     pub fn state(&self) -> Rc<DriverState> {
         self.state.clone()
     }
 
-    /// Takes inputs and timers for as long as the process runs, or until the pool is retired and all is answered.
+    /// Processes inputs and timers until the inbox closes, or until the pool is retired and all requests are
+    /// answered.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
         let mut next_sweep = Instant::now() + SWEEP_INTERVAL;
-        // Setting a timer that is due before all others wakes the runtime by a system call. So it is set anew only
-        // for an earlier time, and when it has fired; it may fire before anything is due.
+        // Setting a timer that is due before all others wakes the runtime with a system call. So the timer is only
+        // moved to an earlier time, or set again after it has fired; it may fire before anything is due.
         let mut wakeup = pin!(sleep_until(next_sweep));
         let mut fired = false;
         let mut last_active = Instant::now();
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Whether a pool that was last seen busy then has had nothing to do since, for long enough.
+    /// Returns whether there has been no work since `last_active` for long enough.
     fn has_been_idle(&self, last_active: &mut Instant) -> bool {
         if !self.requests.is_empty() {
             *last_active = Instant::now();
@@ -217,11 +219,11 @@
         last_active.elapsed() >= SLEEP_AFTER && !self.parts.upstreams.has_idle()
     }
 
-    /// The module hears of the time that has passed, before it hears of anything else.
+    /// Runs missed balancer ticks before the next event.
     fn catch_up(&mut self) {
         for _ in 0..CATCH_UP_TICKS {
             for Reverse((_, timer)) in std::mem::take(&mut self.timers) {
-                // Requests have none left: nothing but the module's own tick means anything.
+                // There are no active requests, so only the balancer's own timer matters.
                 if let Timer::Balancer(token) = timer {
                     self.handle(Event::Timer(token));
                 }
@@ -266,7 +268,7 @@
             Input::Settings(settings) => self.handle(Event::Settings(settings)),
             Input::HealthRestored(snapshot) => self.handle(Event::HealthRestored(snapshot)),
             Input::ActiveCounts(sender) => {
-                let _ = sender.send(self.active_counts()); // who asked may have left
+                let _ = sender.send(self.active_counts()); // the receiver may have been dropped
             }
             Input::Retire => self.retired = true,
         }
@@ -311,7 +313,7 @@
         } = incoming;
         if let Some(gate) = &self.parts.gate {
             let Some(now) = gate.decide() else {
-                let _ = response_sender.send(Answer::Undecided(Box::new(outbound))); // its client may have left
+                let _ = response_sender.send(Answer::Undecided(Box::new(outbound))); // the client may have disconnected
                 return;
             };
             decision.inspect(|d| d.set(Some(now)));
@@ -357,7 +359,7 @@
         });
     }
 
-    /// Answers a request that nobody else has answered in time. It may have run, so it has failed.
+    /// Fails a request that has no answer in time. It may have been executed, so it is not rejected.
     fn fail_at_deadline(&mut self, id: RequestId) {
         let body_incomplete = |l: &ActiveRequest| {
             l.outbound
@@ -369,15 +371,15 @@
             body_incomplete(l) && l.attempts_in_flight > 0
                 || l.deadline > Instant::now() + 2 * ANSWER_MARGIN
         }) {
-            return; // its time has not begun, or has begun anew
+            return; // its timeout has not started or was started again
         }
         if let Some(response_sender) = self.close(id, STATUS_FAILED) {
-            let _ = response_sender.send(Answer::Failed); // a client that has left needs none
+            let _ = response_sender.send(Answer::Failed); // a client that has disconnected needs no answer
             self.handle(Event::ClientDisconnected(id));
         }
     }
 
-    /// A request that was still coming in has gone out whole: its time begins.
+    /// Starts the timeout of a request whose streamed body has been sent completely.
     fn body_complete(&mut self, id: RequestId) {
         let Some(active) = self.requests.get_mut(&id) else {
             return;
@@ -399,17 +401,17 @@
         });
     }
 
-    /// The client owns an answer that has begun: it is neither cut at the deadline nor made anew.
+    /// Forwards a response that has begun: from here on it is neither cut off at the deadline nor replaced.
     fn response_started(&mut self, request: RequestId, attempt: u32, response: EndpointResponse) {
         let Some(active) = self.requests.get_mut(&request) else {
             return;
         };
         let Some(response_sender) = active.response_sender.take() else {
             return;
-        }; // who reads the answer's body sees that nobody wants it
+        }; // the body's sender notices that it has no receiver
         active.cancel.cancel();
         active.streaming = true;
-        let _ = response_sender.send(Answer::Served(response)); // likewise, if the client has just left
+        let _ = response_sender.send(Answer::Served(response)); // the same if the client has just disconnected
         self.handle(Event::ResponseStarted {
             request,
             attempt,
@@ -470,7 +472,7 @@
         if let (Outcome::Served, Some(response)) = (outcome, response)
             && let Some(response_sender) = self.close(request, STATUS_SERVED)
         {
-            let _ = response_sender.send(Answer::Served(response)); // else the client has just left
+            let _ = response_sender.send(Answer::Served(response)); // otherwise the client has just disconnected
         }
         let closed = !was_open || outcome == Outcome::Served;
         self.remove_if_done(request);
@@ -483,7 +485,7 @@
         });
     }
 
-    /// Takes the right to answer a request, with this code; from here on nothing more begins for it.
+    /// Takes the response sender of a request and records its status code; no further attempts begin.
     fn close(&mut self, id: RequestId, code: u16) -> Option<oneshot::Sender<Answer>> {
         let active = self.requests.get_mut(&id)?;
         active.cancel.cancel();
@@ -507,7 +509,7 @@
         response_sender
     }
 
-    /// What is held now.
+    /// Returns the current numbers of requests and endpoints.
     fn active_counts(&self) -> Held {
         let endpoints = self
             .state
@@ -535,7 +537,7 @@
     }
 
     fn update_endpoints(&mut self, scope: UpdateScope, seq: Option<u64>, hosts: Vec<Host>) {
-        // A remembered list is older than one that discovery has told.
+        // The cached list is older than one from discovery.
         if scope == UpdateScope::Cached && self.has_full_list {
             return;
         }
@@ -573,7 +575,7 @@
         }
     }
 
-    /// Notes where a backend is, and whether something new may go there.
+    /// Records an endpoint's address and whether new requests may be sent to it.
     fn update_endpoint(&mut self, host: Host) -> balancer::Endpoint {
         let id = EndpointId(stable_hash(&host.host));
         let state = host.state();
@@ -672,7 +674,7 @@
         latest_start: Option<Millis>,
     ) {
         let Some(active) = self.requests.get_mut(&request) else {
-            return note!("a send for a request that is not held");
+            return note!("the balancer forwarded an unknown request");
         };
         let mut report = AttemptReport {
             inbox: self.parts.inbox.clone(),
@@ -719,13 +721,13 @@
             return;
         };
         let Some(permit) = EndpointPermit::acquire(account, attempt.endpoint.address) else {
-            return report.finish(Outcome::Overloaded, None); // the module tries elsewhere, or later
+            return report.finish(Outcome::Overloaded, None); // the balancer tries another endpoint or waits
         };
         tokio::task::spawn_local(account::run_accounted(account.clone(), async move {
             let mut permit = Some(permit);
             let on_event = |event| {
                 if matches!(event, AttemptEvent::Ended(..)) {
-                    permit = None; // before the module hears of it, lest it send the next one into a full house
+                    permit = None; // released before the balancer is notified, so that the next attempt finds the slot free
                 }
                 report.handle_event(event);
             };
@@ -734,7 +736,7 @@
     }
 }
 
-/// A place at a server that other tenants use, too; given back when dropped.
+/// A connection reserved at an endpoint that other tenants also use; released when dropped.
 struct EndpointPermit {
     account: Rc<dyn TenantAccount>,
     endpoint: u64,
@@ -758,12 +760,12 @@
     }
 }
 
-/// The number by which accounts know the server at an address, the same for all tenants.
+/// Returns the number that identifies an address in all accounts.
 pub fn endpoint_number(address: SocketAddr) -> u64 {
     stable_hash(&address.to_string())
 }
 
-/// Tells how an attempt ended, exactly once: an attempt that dies on the way may have run.
+/// Reports the end of an attempt exactly once; an attempt dropped on the way may have been executed.
 struct AttemptReport {
     inbox: Inbox,
     request: RequestId,
--- a/crates/proxy-core/src/framing.rs
+++ b/crates/proxy-core/src/framing.rs
@@ -1,25 +1,26 @@
-//! Watches the bytes of a client's connection for requests whose extent two readers could see differently: both a length and a
-//! chunked coding, two lengths, line feeds alone, chunk sizes that are none. The HTTP library is lenient with some of them.
+//! Rejects requests with ambiguous framing on a client connection, which two HTTP parsers could delimit differently
+//! (request smuggling): a length together with a chunked coding, two lengths, bare line feeds, malformed chunk sizes.
+//! The HTTP library is lenient with some of them.
 //!
-//! It follows where requests begin and end, keeps a line at the most, and does no I/O.
+//! Tracks where requests begin and end, buffers at most one line and does no I/O.
 
-/// Bytes of a line that are looked at: names and values that matter are shorter.
+/// The bytes of a line that are examined; the names and values that matter are shorter.
 const MAX_LINE_BYTES: usize = 128;
-/// Digits of a chunk's size.
+/// The largest number of digits of a chunk size or a length.
 const MAX_SIZE_DIGITS: usize = 15;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Head,
-    /// So many bytes of a body with a length are left.
+    /// Remaining bytes of a body with a length.
     Body(u64),
     ChunkSize,
-    /// So many bytes of a chunk are left, with the line end behind them.
+    /// Remaining bytes of a chunk, with the line end behind it.
     Chunk(u64),
     Trailer,
 }
 
-/// The state of one connection.
+/// The framing state of one connection.
 #[derive(Debug)]
 pub struct FramingValidator {
     state: State,
@@ -46,11 +47,11 @@
 }
 
 impl FramingValidator {
-    /// Takes the next bytes, up to the end of the request that they belong to; returns how many that are, and whether it
+    /// Processes bytes up to the end of the current request. Returns how many were consumed, and whether the request
     /// has ended with them.
     ///
     /// # Errors
-    /// What is wrong: the connection is of no use from here on.
+    /// The framing is ambiguous or malformed; the connection can't be used any more.
     pub fn feed(&mut self, input: &[u8]) -> Result<(usize, bool), &'static str> {
         let mut bytes = input;
         while let Some((&byte, rest)) = bytes.split_first() {
@@ -73,9 +74,9 @@
             bytes = rest;
             if self.after_carriage_return != (byte == b'\n') {
                 return Err(if self.after_carriage_return {
-                    "a carriage return alone"
+                    "bare carriage return"
                 } else {
-                    "a line feed alone"
+                    "bare line feed"
                 });
             }
             match byte {
@@ -95,17 +96,17 @@
         Ok((input.len(), false))
     }
 
-    /// Whether it stands between two requests.
+    /// Returns whether the connection is between two requests.
     pub fn is_between_requests(&self) -> bool {
         self.state == State::Head && !self.in_head()
     }
 
-    /// Whether a head has begun and is not whole.
+    /// Returns whether a head has begun and is not complete.
     pub fn in_head(&self) -> bool {
         self.state == State::Head && (self.head_started || !self.line.is_empty())
     }
 
-    /// Whether the request has ended with that line.
+    /// Processes a complete line; returns whether the request has ended with it.
     fn end_line(&mut self) -> Result<bool, &'static str> {
         match self.state {
             State::Head if !self.line.is_empty() => {
@@ -117,7 +118,7 @@
             }
             State::Head if self.head_started => {
                 if self.chunked && self.length.is_some() {
-                    return Err("both a length and a chunked coding");
+                    return Err("both Content-Length and a chunked coding");
                 }
                 self.state = match self.length {
                     _ if self.chunked => State::ChunkSize,
@@ -127,7 +128,7 @@
                 (self.head_started, self.chunked, self.length) = (false, false, None);
                 Ok(self.state == State::Head)
             }
-            // Empty lines before a request are passed over.
+            // Empty lines before a request are skipped.
             State::Head => Ok(false),
             State::ChunkSize => {
                 let end = self
@@ -140,7 +141,7 @@
                 let text = std::str::from_utf8(digits).ok().filter(|_| valid);
                 let size = text
                     .and_then(|t| u64::from_str_radix(t, 16).ok())
-                    .ok_or("no size of a chunk")?;
+                    .ok_or("invalid chunk size")?;
                 self.state = if size == 0 {
                     State::Trailer
                 } else {
@@ -161,21 +162,23 @@
     fn check_field(&mut self) -> Result<(), &'static str> {
         let Some(colon) = self.line.iter().position(|b| *b == b':') else {
             return Ok(());
-        }; // the library says no
+        }; // the HTTP library rejects such a line
         let (name, value) = (&self.line[..colon], self.line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
             let valid = (1..=MAX_SIZE_DIGITS).contains(&value.len())
                 && value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(value).ok().filter(|_| valid);
-            let length = text.and_then(|t| t.parse().ok()).ok_or("no length")?;
+            let length = text
+                .and_then(|t| t.parse().ok())
+                .ok_or("invalid Content-Length")?;
             if self.length.replace(length).is_some() {
-                return Err("two lengths");
+                return Err("more than one Content-Length");
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding")
             && (std::mem::replace(&mut self.chunked, true)
                 || !value.eq_ignore_ascii_case(b"chunked"))
         {
-            return Err("a coding that is not chunked alone");
+            return Err("unsupported Transfer-Encoding");
         }
         Ok(())
     }
--- a/crates/proxy-core/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Clients: reads whole requests, checks them, and gives each exactly one final answer.
+//! Client side of the proxy: reads and checks requests, and gives each exactly one final answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -46,68 +46,69 @@
 use crate::upstream::{Upstreams, has_no_unread_input};
 use crate::vars::End;
 
-/// One that has a request may neither read nor write for this span, beyond the longest deadline.
+/// The time without I/O after which a connection with an active request is closed, in addition to the longest
+/// deadline.
 const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The rest of a body that nobody wants is read for so long, lest its client miss the answer.
+/// How long the rest of an unneeded request body is read, so that the client does not miss the answer.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_HEAD_BYTES: usize = 64 << 10;
 const LISTEN_BACKLOG: u32 = 1024;
-/// Once no more connections are awaited, the accept queue counts as empty once nothing comes for this span.
+/// After the proxy stops accepting, the time without a new connection after which the accept queue counts as empty.
 const ACCEPT_QUEUE_IDLE: Duration = Duration::from_millis(20);
-/// A bound on that, should they never cease to come.
+/// The upper bound on emptying the accept queue, in case connections keep arriving.
 const MAX_ACCEPT_DRAIN: Duration = Duration::from_millis(500);
-/// Between looks at idle connections while none is kept.
+/// The interval of checks for idle connections to close while connections are not kept alive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// What the last answers may take to go out, after the longest deadline.
+/// The time for sending the last answers, after the longest deadline.
 const FINISH_MARGIN: Duration = Duration::from_millis(200);
-/// A connection asked to close that neither reads nor writes for this span is cut.
+/// The time without I/O after which a connection that is being shut down is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Span within which a new connection's first request is waited for when sockets run short.
+/// How long a new connection is spared for its first request when connections are scarce.
 const FIRST_REQUEST_WAIT: Duration = Duration::from_secs(2);
-/// Ms after which there may be memory for another body.
+/// The retry delay in ms when there is no memory for another body.
 const MEMORY_RETRY_AFTER_MS: f64 = 500.0;
-/// Wait after a failed accept, lest it spin.
+/// The pause after a failed accept, which prevents a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// There is no pool for a request.
+/// The reason why there is no pool for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteError {
-    /// The answer says why.
+    /// The request is answered with this status and text.
     Status(StatusCode, &'static str),
-    /// There may be one after so many ms; the request is refused.
+    /// The request is rejected; there may be a pool after this delay in ms.
     RetryAfter(f64),
-    /// There is one for whoever has had a turn ([`Router::wait_for_turn`]).
+    /// There will be a pool after [`Router::wait_for_turn`].
     NeedsTurn,
 }
 
-/// Finds the pool of a request.
+/// Selects the pool of a request.
 pub trait Router: 'static {
-    /// The pool that a request's head names; `turn` says that it has had its turn.
+    /// Returns the pool for a request's head; `had_turn` says that the request has waited for its turn.
     ///
     /// # Errors
-    /// There is none now.
+    /// There is no pool now.
     fn pool(&self, uri: &Uri, headers: &HeaderMap, had_turn: bool) -> Result<Rc<Pool>, RouteError>;
 
-    /// Waits for one turn of those in which pools are made.
+    /// Waits for a turn to have a pool started.
     fn wait_for_turn(&self) -> impl Future<Output = ()> {
         std::future::ready(())
     }
 
-    /// The account of connections that have not named a tenant yet, in a process of many.
+    /// Returns the account of connections that have not named a tenant yet, in a process of many tenants.
     fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>>;
 
-    /// Whether requests can be served.
+    /// Returns whether requests can be served.
     fn is_up(&self) -> bool;
 
-    /// The gate that all requests pass, in a process that acts as one with others.
+    /// Returns the decision gate, in a process that is a member of a cluster.
     fn gate(&self) -> Option<&Gate> {
         None
     }
 
-    /// The longest wait that any client is ready for.
+    /// Returns the longest time that any client waits.
     fn max_deadline(&self) -> Duration;
 
-    /// Descriptors have run out: close what can be spared.
+    /// Closes idle connections to endpoints, because the process has run out of descriptors.
     fn close_idle_connections(&self);
 }
 
@@ -116,12 +117,12 @@
         match self {
             RouteError::Status(status, text) => text_response(status, text).map(ResponseBody::from),
             RouteError::RetryAfter(delay) => final_response(Ok(Answer::Rejected(Some(delay)))),
-            RouteError::NeedsTurn => final_response(Ok(Answer::Rejected(None))), // it has had one: nobody says so
+            RouteError::NeedsTurn => final_response(Ok(Answer::Rejected(None))), // not reached: the request has had its turn
         }
     }
 }
 
-/// One pool for all requests, as the platform's proxy has it.
+/// A router with one pool for all requests, as in the platform's proxy.
 pub struct SinglePool {
     pub pool: Rc<Pool>,
     pub upstreams: Rc<Upstreams>,
@@ -149,10 +150,10 @@
     }
 }
 
-/// What all connections of one listener share.
+/// State shared by all connections of one listener.
 pub struct Frontend<R> {
     router: R,
-    /// Connections that are served; the few beyond it are only refused.
+    /// The number of connections that are served; requests on further ones are rejected.
     max_connections: usize,
     /// The next number of a connection or a request, shared by all listeners of a process.
     next_id: Rc<Cell<u64>>,
@@ -178,7 +179,7 @@
         })
     }
 
-    /// Accepts and serves until `stop`, then finishes what has been taken.
+    /// Accepts and serves connections until `stop`, then finishes the active requests.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let close_task = AbortOnDrop(spawn_local(self.clone().close_unkept()).abort_handle());
         tokio::pin!(stop);
@@ -196,7 +197,7 @@
         while self.lifecycle.ask(|lifecycle, now| lifecycle.accepts(now)) {
             let _ = timeout(ACCEPT_QUEUE_IDLE, self.clone().accept(&listener)).await;
         }
-        // What waits in a queue that others share is theirs; one's own is emptied.
+        // Connections in a shared accept queue are left to the other processes; the process's own queue is emptied.
         if !self.lifecycle.ask(|lifecycle, _| lifecycle.is_shared()) {
             let end = Instant::now() + MAX_ACCEPT_DRAIN;
             while Instant::now() < end
@@ -209,7 +210,7 @@
         let end = drain_started + MAX_ACCEPT_DRAIN + self.router.max_deadline() + FINISH_MARGIN;
         while self.has_active_connections() {
             if Instant::now() >= end {
-                note!("ended with connections open");
+                note!("shutdown: closing connections that are still active");
                 break;
             }
             let _ = timeout(CHECK_INTERVAL, self.connection_closed.notified()).await;
@@ -217,7 +218,7 @@
         drop(close_task);
     }
 
-    /// Whether some connection has a request, or may be about to have one.
+    /// Returns whether a connection has a request or may be about to send one.
     fn has_active_connections(&self) -> bool {
         self.lifecycle.ask(|lifecycle, now| {
             let is_active = |c: &Rc<ClientConnection>| {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Closes connections that are no longer kept, for as long as the listener is served.
+    /// Closes idle connections while they are not kept alive, for as long as the listener is served.
     async fn close_unkept(self: Rc<Self>) {
         loop {
             if self.lifecycle.ask(|lifecycle, _| lifecycle.keeps()) {
@@ -255,13 +256,15 @@
     }
 
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
-        // Over the budget only a few are let in, to be refused; the rest wait until one has left.
+        // Over the limit, only an eighth more connections are accepted, to be rejected; the rest wait until one has
+        // closed.
         if self.clients.borrow().len() >= self.max_connections + self.max_connections / 8 {
             self.close_idle(1, FIRST_REQUEST_WAIT);
             let _ = timeout(ACCEPT_RETRY_DELAY, self.connection_closed.notified()).await;
             return;
         }
-        // In a process of many tenants, connections come in turns like all else, and are on the account that they come on.
+        // In a process of many tenants, accepting is scheduled like all other work and charged to the account of the
+        // listener.
         let account = self.router.unassigned_account();
         let accepted = match &account {
             None => listener.accept().await,
@@ -270,7 +273,7 @@
                 let accepted = listener.accept().await;
                 account.begin_work();
                 if accepted.is_ok() && account.acquire_client_connection().is_err() {
-                    drop(accepted); // it is closed; nothing has been read from it
+                    drop(accepted); // closes the connection, from which nothing has been read
                     return account.end_work(true);
                 }
                 account.end_work(false);
@@ -279,7 +282,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let _ = stream.set_nodelay(true); // slower without, no worse
+                let _ = stream.set_nodelay(true); // without it the connection is only slower
                 if self.clients.borrow().len() >= self.max_connections * 7 / 8 {
                     self.close_idle(1, FIRST_REQUEST_WAIT);
                 }
@@ -296,9 +299,9 @@
                     self.connection_closed.notify_waiters();
                 });
             }
-            // Out of descriptors or the like: make room, wait a moment, go on.
+            // The process may be out of descriptors: close idle connections, pause and continue.
             Err(e) => {
-                note!("accept: {e}");
+                note!("could not accept a connection: {e}");
                 self.router.close_idle_connections();
                 self.close_idle(1, FIRST_REQUEST_WAIT);
                 sleep(ACCEPT_RETRY_DELAY).await;
@@ -306,8 +309,8 @@
         }
     }
 
-    /// Asks up to `most` connections that stand between requests to close, those idle longest first. One that
-    /// has had no request yet is spared for a while: to close it would lose the request on its way.
+    /// Asks up to `max_count` connections between requests to close, starting with the longest idle. A connection
+    /// without a request so far is spared for a while, because closing it would lose a request on its way.
     fn close_idle(&self, max_count: usize, spare: Duration) {
         let clients = self.clients.borrow();
         let idle = |c: &&Rc<ClientConnection>| {
@@ -395,7 +398,8 @@
                 }),
                 service,
             );
-        // What it holds is let go of before the last bytes are read out: a client that left has left at once.
+        // The connection releases its resources before remaining input is drained, so that a disconnect takes effect
+        // at once.
         let finished = {
             tokio::pin!(connection);
             let mut close_deadline: Option<Instant> = None;
@@ -405,14 +409,14 @@
                     .unwrap_or_else(|| client.next_check())
                     .max(next_close_attempt);
                 let close = tokio::select! {
-                    biased; // what has come in counts before a wish to close
-                    // Malformed HTTP has been answered by hyper; a client that left needs nothing.
+                    biased; // input that has arrived takes precedence over closing
+                    // Hyper has answered malformed HTTP; a client that disconnected needs nothing.
                     _ = connection.as_mut() => break true,
                     () = client.close_requested.notified() => true,
                     () = sleep_until(wake_at) => {
                         let (now, last_io) = (Instant::now(), client.last_io.get());
                         if let Some(at) = close_deadline {
-                            // An answer that nobody reads would hold its socket for ever.
+                            // An answer that the client does not read would keep the socket open for ever.
                             if !client.active.get() && last_io + CLOSE_TIMEOUT <= now {
                                 break false;
                             }
@@ -423,7 +427,7 @@
                         }
                         let timed_out = close_deadline.is_none() && client.next_check() <= now;
                         if timed_out && client.head_started.get().is_some() {
-                            break false; // its head is late
+                            break false; // the head is late
                         }
                         timed_out
                     }
@@ -431,9 +435,8 @@
                 if !close || close_deadline.is_some() || client.head_started.get().is_some() {
                     continue;
                 }
-                // A request that has come in but has not been read yet would be lost. It is read next, unless its
-                // tenant's account holds it back: then the connection is looked at again after a while, and not kept for
-                // ever.
+                // Closing now would lose a request that has arrived but has not been read. It is read next, unless
+                // the tenant's account holds it back: then closing is tried again later, and forced after a while.
                 let now = Instant::now();
                 if client.pipelined_is_empty() && has_no_unread_input(&stream.borrow())
                     || client.next_check() + IDLE_TIMEOUT <= now
@@ -450,7 +453,7 @@
         }
     }
 
-    /// Finds a request's pool, once it has passed the gate; tells the span in ms to wait where that is closed.
+    /// Finds a request's pool after it has passed the gate; also returns the retry delay in ms if the gate is closed.
     async fn find_pool<B>(
         &self,
         request: &Request<B>,
@@ -461,7 +464,8 @@
                 Some(gate) => gate.wait_until_open().await.err(),
                 None => None,
             };
-            // After the gate and in the same turn, so that the routes are those of the version that it let pass under.
+            // Without an await after the gate, so that the routes are those of the version under which it let the
+            // request pass.
             let pool = self.router.pool(request.uri(), request.headers(), had_turn);
             if had_turn || pool.as_ref().err() != Some(&RouteError::NeedsTurn) {
                 return (pool, gate_delay);
@@ -506,7 +510,7 @@
                 Err((status, text)) => return text_response(status, text).map(ResponseBody::from),
             };
         let upload = body.upload().cloned();
-        // What passes through takes memory for as long as it does.
+        // A streamed body reserves memory for as long as it is sent.
         let slot = upload.as_ref().map(|_| pool.body_memory.try_stream_slot());
         if matches!(slot, Some(None)) {
             pool.counts.took(parsed.class.0);
@@ -514,7 +518,7 @@
             upload.into_iter().for_each(drain_upload);
             return self.reject(pool, MEMORY_RETRY_AFTER_MS).await;
         }
-        // What its pool is found by, where that may have to be done anew.
+        // The input for routing the request again, if that may be needed.
         let routing_input = self
             .router
             .gate()
@@ -533,8 +537,8 @@
             body,
         };
         let mut parsed = parsed;
-        // A request's time counts from its last byte. One that comes late in a process that leaves has its answer before
-        // the process is killed.
+        // The timeout counts from the request's last byte. During shutdown a late request is answered before the
+        // process is killed.
         let max_deadline = self.router.max_deadline();
         parsed.timeout = self
             .lifecycle
@@ -565,7 +569,7 @@
                 response_sender,
                 decision: decision.clone(),
             })));
-            // Hyper drops this future when the client leaves.
+            // Hyper drops this future when the client disconnects.
             let mut disconnect_guard = DisconnectGuard {
                 inbox: &pool.inbox,
                 id,
@@ -607,7 +611,7 @@
         drills.act(&hit, response).await
     }
 
-    /// Finds the pool of a request anew that was not decided yet when a change took hold.
+    /// Routes a request again that was not decided before a version change took effect.
     async fn reroute(
         &self,
         previous: &Rc<Pool>,
@@ -628,7 +632,7 @@
             (Some(now), Some(then)) => Rc::ptr_eq(now, then),
             _ => true,
         };
-        // It stands on another tenant's account by now: that one may have no room.
+        // The connection is now on another tenant's account, which may have no room.
         if same_account {
             Ok((pool, parsed))
         } else {
@@ -636,7 +640,8 @@
         }
     }
 
-    /// Puts a request on its tenant's account, in a process of many; the span in ms to wait where there is no room.
+    /// Charges a request to its tenant's account, in a process of many tenants; returns the retry delay in ms if
+    /// there is no room.
     fn admit(
         &self,
         pool: &Rc<Pool>,
@@ -668,8 +673,8 @@
         }))
     }
 
-    /// The module's own refusal of a request that there is no room for. Its body is not read, so that hyper closes the
-    /// connection where there is one.
+    /// Lets the balancer reject a request for which there is no room. The body is not read, so hyper closes the
+    /// connection if there is one.
     async fn reject(&self, pool: &Rc<Pool>, delay: f64) -> Response<ResponseBody> {
         let id = RequestId(self.next_id.replace(self.next_id.get() + 1));
         let (response_sender, receiver) = oneshot::channel();
@@ -682,8 +687,9 @@
     }
 }
 
-/// Reads out what a client still sends on a connection whose sending side is shut, until its end or for [`CLOSE_TIMEOUT`] at most: a
-/// close over unread bytes resets the connection, and an answer that is still on its way goes with it.
+/// Reads what a client still sends after the proxy has shut down its sending side, until the end or for at most
+/// [`CLOSE_TIMEOUT`]. Closing a socket with unread input resets the connection, which would discard an answer in
+/// transit.
 async fn drain_socket(stream: &RefCell<TcpStream>) {
     let drained = poll_fn(|cx| {
         let mut bytes = [0; 4 << 10];
@@ -698,11 +704,11 @@
         cx.waker().wake_by_ref();
         Poll::Pending
     });
-    let _ = timeout(CLOSE_TIMEOUT, drained).await; // then it is reset, as its client sends without an end
+    let _ = timeout(CLOSE_TIMEOUT, drained).await; // after that the connection is reset, because its client keeps sending
 }
 
-/// Reads a body, or as much of it as is kept; the rest passes through. It has to be whole by then, and by as much later
-/// as so much of it takes.
+/// Reads a body as far as it is buffered; the rest is streamed. It must be complete by the deadline plus the transfer
+/// time of its size.
 async fn read_body(
     mut body: Incoming,
     timeout: Duration,
@@ -723,10 +729,11 @@
             Ok(Some(Ok(frame))) => {
                 let Ok(data) = frame.into_data() else {
                     continue;
-                }; // trailers go no further
+                }; // trailers are dropped
                 size += data.len();
                 buffer.add(data, length);
-                // One that comes slowly would hold a server's slot for as long: it is waited for while there is memory.
+                // A slow body would occupy an endpoint's slot while it is received, so it is buffered as long as
+                // there is memory.
                 if size > MAX_BUFFERED_BYTES && !body_memory.try_buffer(size, &mut permit) {
                     let upload = Upload::new(buffer.into_bytes(), length, body, timeout);
                     return Ok((RequestContent::Streamed(upload), permit));
@@ -739,8 +746,8 @@
     }
 }
 
-/// Reads what is left of a body whose request has its answer: a client that still writes would miss the answer if the
-/// connection closed under it.
+/// Reads the rest of the body of an answered request: a client that is still sending would miss the answer if the
+/// connection were closed.
 fn drain_upload(upload: Rc<Upload>) {
     let Some(mut rest) = upload.take_rest() else {
         return;
@@ -751,7 +758,7 @@
     });
 }
 
-/// Refuses a request on a connection over the budget; the module never sees it.
+/// Rejects a request on a connection over the limit, without the balancer.
 fn reject_over_limit(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let (head, _) = request.into_parts();
     let parsed = pool.parse_head(&head.method, &head.uri, &head.headers).ok();
@@ -777,7 +784,7 @@
     text_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
 }
 
-/// Ends a task with the scope that started it.
+/// Aborts a task when the scope that started it ends.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
@@ -786,7 +793,7 @@
     }
 }
 
-/// A request on its tenant's account, until it has its answer or its client has left.
+/// A request charged to its tenant's account until it is answered or its client disconnects.
 struct AdmittedRequest {
     account: Rc<dyn TenantAccount>,
     bytes: u64,
@@ -800,7 +807,7 @@
     }
 }
 
-/// Tells the driver when the client leaves before its answer.
+/// Reports a disconnect of the client before the answer to the driver.
 struct DisconnectGuard<'a> {
     inbox: &'a Inbox,
     id: RequestId,
@@ -815,7 +822,7 @@
     }
 }
 
-/// The module's final answer, as the client gets it.
+/// Converts the final answer to the response for the client.
 fn final_response(answer: Result<Answer, oneshot::error::RecvError>) -> Response<ResponseBody> {
     match answer {
         Ok(Answer::Served(reply)) => {
@@ -837,21 +844,21 @@
             }
             response.map(ResponseBody::from)
         }
-        // One that was not decided is asked anew by whoever can.
+        // Callers that can route an undecided request again do so before.
         Ok(Answer::Failed | Answer::Undecided(_)) | Err(_) => {
             text_response(StatusCode::BAD_GATEWAY, "failed").map(ResponseBody::from)
         }
     }
 }
 
-/// Listens on the one address.
+/// Binds a listener.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
         TcpSocket::new_v6()?
     };
-    socket.set_reuseaddr(true)?; // a restart finds old connections in TIME_WAIT
+    socket.set_reuseaddr(true)?; // after a restart, old connections may be in TIME_WAIT
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
--- a/crates/proxy-core/src/gate.rs
+++ b/crates/proxy-core/src/gate.rs
@@ -1,5 +1,5 @@
-//! The gate of a process that acts as one with others: whether a request may be decided now, and under which version of the
-//! policy. Who holds the right to decide, and until when, is found elsewhere; here it is asked for each decision.
+//! Decision gate of a process that is a member of a cluster: whether a request may be decided now, and under which
+//! version of the configuration. The lease that permits decisions is held elsewhere and is checked for each decision.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,42 +11,44 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Tells on answers, and on requests to servers, what they were decided under: the version, and the moment in us.
+/// The header of responses and of requests to endpoints that carries the [`DecisionStamp`]: the version and the time
+/// in us.
 pub const DECISION_HEADER: HeaderName = HeaderName::from_static("x-canvascart-decided");
 
-/// The moment of a decision under a version, if one may be made now.
+/// Returns the time of a decision under a version, if the lease permits one now.
 pub type DecisionClock = Box<dyn Fn(u64) -> Option<u64>>;
 
-/// What a request was decided under, and when.
+/// The version and the time under which a request was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecisionStamp {
-    /// The version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The moment, by the clock of whoever gives the right.
+    /// The time in us, on the clock of the lease.
     pub at: u64,
 }
 
-/// How a gate does what it does.
+/// Settings of a gate.
 #[derive(Clone, Copy, Debug)]
 pub struct GateSettings {
-    /// A request waits for so long at most for a change to take hold; one that comes later meanwhile is refused at once.
+    /// The longest time that requests wait for a version change; requests that arrive later during the same change
+    /// are rejected at once.
     pub max_wait: Duration,
-    /// A refused client is asked to come again after so long.
+    /// The mean delay in ms after which a rejected client is to retry.
     pub retry_after: Millis,
-    /// Whether answers and requests to servers tell what they were decided under.
+    /// Whether responses and requests to endpoints carry the decision stamp.
     pub send_stamps: bool,
-    /// What chance is drawn from.
+    /// The seed of the retry jitter.
     pub seed: u64,
 }
 
-/// The gate.
+/// Admits requests while decisions are permitted.
 pub struct Gate {
     decision_clock: DecisionClock,
     settings: GateSettings,
     version: Cell<Option<u64>>,
-    /// Since when nothing is decided, as a change is about to take hold.
+    /// The start of a version change that has stopped decisions.
     closed_since: Cell<Option<Instant>>,
-    /// When the last version opened.
+    /// The time at which the last version was opened.
     opened_at: Cell<Option<Instant>>,
     changed: Arc<Notify>,
     counts: Cell<[u64; 2]>,
@@ -54,7 +56,7 @@
 }
 
 impl Gate {
-    /// A gate that is closed. `changed` tells that the right to decide has changed.
+    /// Creates a closed gate. `changed` is notified when the permission to decide changes.
     pub fn new(
         decision_clock: DecisionClock,
         changed: Arc<Notify>,
@@ -72,13 +74,13 @@
         })
     }
 
-    /// Nothing is decided from here on, as a change is about to take hold.
+    /// Stops decisions because a version change is about to take effect.
     pub fn close(&self) {
         self.closed_since
             .set(self.closed_since.get().or(Some(Instant::now())));
     }
 
-    /// This version is served from here on.
+    /// Serves this version from now on.
     pub fn open(&self, version: u64) {
         self.version.set(Some(version));
         self.closed_since.set(None);
@@ -86,7 +88,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The decision that may be made now.
+    /// Returns the stamp for a decision made now, if one is permitted.
     pub fn decide(&self) -> Option<DecisionStamp> {
         let version = self
             .version
@@ -96,12 +98,12 @@
         Some(DecisionStamp { version, at })
     }
 
-    /// Whether decisions are made.
+    /// Returns whether decisions are permitted now.
     pub fn is_open(&self) -> bool {
         self.decide().is_some()
     }
 
-    /// Requests that have waited here, and those that were refused.
+    /// Returns the numbers of requests that have waited here and that were rejected.
     pub fn counts(&self) -> [u64; 2] {
         self.counts.get()
     }
@@ -116,15 +118,16 @@
         self.counts.set(counts);
     }
 
-    /// Waits until decisions are made, where that is a matter of moments.
+    /// Waits until decisions are permitted, if that can be expected soon.
     ///
     /// # Errors
-    /// The request is refused: the span in ms after which to come again.
+    /// The request is rejected; the value is the retry delay in ms.
     pub async fn wait_until_open(&self) -> Result<(), Millis> {
         if self.is_open() {
             return Ok(());
         }
-        // A version that has just opened may lack its right for a moment; one that is cut off lacks it for long, and refuses at once.
+        // A version that has just opened may lack its lease for a moment. A member that is cut off lacks it for long,
+        // so requests are rejected at once.
         let deadline = match (self.closed_since.get(), self.opened_at.get()) {
             (Some(since), _) => since + self.settings.max_wait,
             (None, Some(opened_at)) => opened_at + self.settings.max_wait / 4,
@@ -142,17 +145,17 @@
             }
             if Instant::now() >= deadline || timeout_at(deadline, changed).await.is_err() {
                 self.count(1);
-                // Spread, so that those who are refused together do not come again together.
+                // Jitter keeps clients that are rejected together from retrying together.
                 return Err(self.settings.retry_after * (0.75 + 0.5 * self.rng.borrow_mut().f64()));
             }
         }
     }
 }
 
-/// A pool's place at the gate.
+/// The gate as seen by one pool.
 pub struct PoolGate {
     gate: Rc<Gate>,
-    /// Whether the pool serves the present version; one of a former version decides nothing new.
+    /// Whether the pool serves the current version; a pool of an earlier version makes no new decisions.
     active: Cell<bool>,
 }
 
@@ -181,9 +184,9 @@
     }
 }
 
-/// Tells what a request was decided under.
-pub(crate) fn insert_stamp(headers: &mut HeaderMap, decided: DecisionStamp) {
-    if let Ok(value) = format!("{} {}", decided.version, decided.at).parse() {
+/// Adds the decision stamp to headers.
+pub(crate) fn insert_stamp(headers: &mut HeaderMap, stamp: DecisionStamp) {
+    if let Ok(value) = format!("{} {}", stamp.version, stamp.at).parse() {
         headers.insert(DECISION_HEADER, value);
     }
 }
@@ -210,7 +213,7 @@
         );
         assert!(
             gate.wait_until_open().await.is_err(),
-            "it has no version yet"
+            "there is no version yet"
         );
         gate.open(3);
         assert_eq!(gate.decide(), Some(DecisionStamp { version: 3, at: 7 }));
@@ -224,7 +227,7 @@
         gate.close();
         tokio::time::sleep(Duration::from_millis(99)).await;
         let started = Instant::now();
-        let retry_after = gate.wait_until_open().await.expect_err("it is refused");
+        let retry_after = gate.wait_until_open().await.expect_err("it is rejected");
         assert!(
             (750.0..=1250.0).contains(&retry_after)
                 && started.elapsed() <= Duration::from_millis(2)
@@ -232,13 +235,13 @@
         let started = Instant::now();
         assert!(
             gate.wait_until_open().await.is_err() && started.elapsed().is_zero(),
-            "later ones are refused at once"
+            "later requests are rejected at once"
         );
         gate.open(5);
         has_lease.set(false);
         assert!(
             gate.wait_until_open().await.is_err() && !gate.is_open(),
-            "without the right nothing is decided"
+            "nothing is decided without the lease"
         );
     }
 
--- a/crates/proxy-core/src/hosts.rs
+++ b/crates/proxy-core/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of backends as it is written: by discovery, and in a configuration that remembers it.
+//! Endpoint list as discovery sends it and the configuration caches it.
 
 use std::net::SocketAddr;
 
@@ -8,38 +8,38 @@
 
 use crate::note;
 
-/// One line of the list.
+/// One entry of the list. The fields have the names of the discovery protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name.
+    /// The endpoint's name.
     pub host: String,
-    /// Where it is reached; `None` if that can't be read.
+    /// The address; `None` if it is missing or malformed.
     pub dial: Option<SocketAddr>,
-    /// Its zone.
+    /// The zone.
     pub site: Option<String>,
-    /// Its kind of machine.
+    /// The machine type.
     pub class: Option<String>,
-    /// Its cell.
+    /// The cell.
     pub block: Option<u64>,
     /// `up`, `draining` or `removed`.
     pub health: String,
-    /// Its size, or its weight.
+    /// The endpoint's capacity or weight.
     pub share: Option<f64>,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// The start of the endpoint as Unix time in milliseconds; 0 if long ago.
     pub born_ms: f64,
 }
 
 impl Host {
-    /// Reads what can be read: one odd entry must not hide what the rest of the list says.
+    /// Parses an entry as far as possible: one malformed entry must not hide the rest of the list.
     fn parse(entry: &Value) -> Option<Self> {
         let text = |key: &str| entry[key].as_str().map(str::to_owned);
         let Some(host) = text("host") else {
-            note!("discovery: an entry without a name");
+            note!("discovery: ignoring an entry without a name");
             return None;
         };
         let dial = entry["dial"].as_str().and_then(|d| d.parse().ok());
         if dial.is_none() && entry["health"] != "removed" {
-            note!("discovery: {host} has no address");
+            note!("discovery: {host} has no valid address");
         }
         Some(Host {
             host,
@@ -53,17 +53,17 @@
         })
     }
 
-    /// Whether something new may go there.
+    /// Returns whether new requests may go to the endpoint.
     pub fn state(&self) -> EndpointState {
         match self.health.as_str() {
             "up" if self.dial.is_some() => EndpointState::Up,
             "removed" => EndpointState::Removed,
-            _ => EndpointState::Draining, // draining, unknown or nowhere: nothing new goes there
+            _ => EndpointState::Draining, // draining, unknown or without an address: no new requests
         }
     }
 }
 
-/// The whole list or what has changed.
+/// A full list or the entries that have changed.
 #[derive(Debug, Deserialize)]
 pub struct HostList {
     pub seq: u64,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reads the list that the configuration remembers; a broken one is as good as none.
+/// Parses the list cached in the configuration; a malformed one is ignored.
 pub fn parse_cached(cached: &Value) -> Option<(u64, Vec<Host>)> {
     if cached.is_null() {
         return None;
@@ -85,7 +85,7 @@
     match HostList::deserialize(cached) {
         Ok(list) => Some((list.seq, list.entries())),
         Err(e) => {
-            note!("the remembered list is of no use: {e}");
+            note!("ignoring the cached endpoint list: {e}");
             None
         }
     }
--- a/crates/proxy-core/src/inbox.rs
+++ b/crates/proxy-core/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the parts tell the driver, and what a front gets back: arrivals in, one final answer out.
+//! Inputs of the driver, and the final answer that a frontend gets back.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,28 +15,28 @@
 use crate::message::{EndpointResponse, OutboundRequest};
 use crate::vars::Held;
 
-/// The codes of the final answers.
+/// Status codes of the final answers.
 pub const STATUS_SERVED: u16 = 200;
 pub const STATUS_REJECTED: u16 = 503;
 pub const STATUS_FAILED: u16 = 502;
-/// The code of a request whose client left before its answer.
+/// The code of a request whose client disconnected before its answer.
 pub const STATUS_CLIENT_CLOSED: u16 = 499;
 
-/// What happens outside the module.
+/// An event from outside the balancer.
 pub enum Input {
-    /// A whole request has been read.
+    /// A request has been read as far as it is buffered.
     Request(Box<IncomingRequest>),
-    /// A request whose tenant is over its share, so that it is not read further. There may be room after so many ms.
+    /// A request was not read because its tenant has used up its share; there may be room after `delay` ms.
     NotAdmitted {
         id: RequestId,
         delay: Millis,
         response_sender: oneshot::Sender<Answer>,
     },
-    /// Its client has left.
+    /// The client has disconnected.
     ClientDisconnected(RequestId),
-    /// The last byte of a request that was still coming in has gone out.
+    /// The last byte of a request body that is streamed has been sent.
     BodyComplete(RequestId),
-    /// An answer too large to be kept has begun.
+    /// A response too large to be buffered has begun.
     ResponseStarted {
         request: RequestId,
         attempt: u32,
@@ -50,28 +50,28 @@
         outcome: Outcome,
         response: Option<EndpointResponse>,
     },
-    /// News of the list, with discovery's version of it.
+    /// The endpoint list or a change of it, with discovery's sequence number.
     EndpointList {
         scope: UpdateScope,
         seq: Option<u64>,
         hosts: Vec<Host>,
     },
-    /// Another proxy's message.
+    /// A message of another proxy.
     Datagram { from: u32, bytes: Vec<u8> },
     /// The settings have changed.
     Settings(Box<Settings>),
-    /// This proxy's number among others that share its servers, and how many there are.
+    /// The index of this proxy among those that share the endpoints, and their number.
     ProxyCount { index: u32, count: u32 },
-    /// What another module knew of the servers that this one was told.
+    /// The health state of the listed endpoints, as another balancer knew it.
     HealthRestored(Box<HealthSnapshot>),
-    /// What is held now is asked for.
+    /// Asks for the current numbers of requests and endpoints.
     ActiveCounts(oneshot::Sender<Held>),
-    /// Nothing new comes any more: what is held is ended, and then the driver.
+    /// No new requests follow: the driver ends once the active ones are answered.
     Retire,
 }
 
 impl Input {
-    /// A list that was asked for and did not come.
+    /// Creates the input for a requested list that could not be fetched.
     pub fn list_failed() -> Self {
         Input::EndpointList {
             scope: UpdateScope::Failed,
@@ -88,39 +88,40 @@
     pub tenant: Option<TenantId>,
     pub key: Option<Key>,
     pub work_hint: Option<Millis>,
-    /// How long the client waits in all.
+    /// How long the client waits in total.
     pub timeout: Duration,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Instant,
     pub outbound: OutboundRequest,
     pub response_sender: oneshot::Sender<Answer>,
-    /// What it was decided under, where that is told.
+    /// Receives the stamp of the decision, where it is reported.
     pub decision: Option<Rc<Cell<Option<DecisionStamp>>>>,
 }
 
-/// The one final answer.
+/// The one final answer to a request.
 pub enum Answer {
     Served(EndpointResponse),
-    /// Trying again is harmless, after a while if one is named.
+    /// The request may be retried, after this delay in ms if there is one.
     Rejected(Option<Millis>),
     Failed,
-    /// It was not decided, as it came to a pool of a former version or while nothing is decided: it is to be asked anew.
+    /// The request was not decided, because its pool is of an earlier version or decisions are stopped; it has to be
+    /// routed again.
     Undecided(Box<OutboundRequest>),
 }
 
-/// Where all parts put what they have seen.
+/// The sender of the driver's inputs.
 #[derive(Clone)]
 pub struct Inbox(mpsc::UnboundedSender<Input>);
 
 impl Inbox {
-    /// An inbox and the end that the driver reads. Its length is bounded by the budget of sockets: each
-    /// connection holds one request, and each request a few attempts.
+    /// Creates an inbox and the receiver for the driver. The budget of sockets bounds its length: each connection has
+    /// one request, and each request a few attempts.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Inbox(sender), receiver)
     }
 
     pub fn send(&self, input: Input) {
-        let _ = self.0.send(input); // fails only while the process ends
+        let _ = self.0.send(input); // fails only when the process is ending
     }
 }
--- a/crates/proxy-core/src/json_stream.rs
+++ b/crates/proxy-core/src/json_stream.rs
@@ -1,43 +1,43 @@
-//! JSON objects out of a stream of bytes, however they are laid out: one a line, indented over many, several in one piece.
-//! It follows where objects begin and end, keeps what has not ended, and does no I/O.
+//! Splits a byte stream into JSON objects, however they are laid out: one a line, indented over several lines, or
+//! several in one chunk. Tracks object boundaries, buffers incomplete objects and does no I/O.
 
-/// A part of the stream.
+/// An item of the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An object, whole.
+    /// A complete object.
     Object(Vec<u8>),
-    /// A line end between objects: whoever writes is still there.
+    /// A line end between objects, which shows that the sender is still alive.
     Heartbeat,
 }
 
-/// What has come of a stream and has not been given out yet.
+/// Splitter state with the bytes that have not been returned yet.
 #[derive(Debug, Default)]
 pub struct ObjectSplitter {
     buffer: Vec<u8>,
-    /// How far the buffer has been looked at.
+    /// The number of buffered bytes that have been scanned.
     scanned: usize,
-    /// Objects and lists that are open at that place.
+    /// Open objects and arrays at the scan position.
     depth: u32,
-    /// Whether that place is inside a text, and behind a backslash there.
+    /// Whether the scan position is inside a string, and after a backslash there.
     in_string: bool,
     escaped: bool,
 }
 
 impl ObjectSplitter {
-    /// Bytes held.
+    /// Returns the number of buffered bytes.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes the next bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next part, if one is whole.
+    /// Returns the next complete item.
     ///
     /// # Errors
-    /// What comes is no object: nothing after it can be trusted.
+    /// The input is not a JSON object; the rest of the stream can't be trusted.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, String> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -59,7 +59,12 @@
                 }
                 b' ' | b'\t' | b'\r' if self.depth == 0 => {}
                 _ if self.depth > 0 => {}
-                _ => return Err(format!("no object, but '{}'", byte.escape_ascii())),
+                _ => {
+                    return Err(format!(
+                        "expected a JSON object, found '{}'",
+                        byte.escape_ascii()
+                    ));
+                }
             }
         }
         Ok(None)
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The reverse proxy as a library: clients, backends, discovery and peers on sockets, every decision in the
-//! module `balancer`.
+//! Reverse proxy as a library: sockets for clients, endpoints, discovery and peers around the decision module
+//! `balancer`.
 //!
-//! It decides nothing about requests: the driver feeds the module with what the sockets see and does what it says,
-//! in order. [`process::main`] is a whole proxy, started as the platform starts it; [`service`] carries several pools in
-//! one process, each a decision module with its driver.
+//! This crate makes no decisions about requests. The driver passes events from the sockets to the balancer and
+//! carries out its actions in order. [`process::main`] runs a whole proxy process with one pool; [`service`] runs
+//! several pools in one process, each with its own balancer and driver.
 
 pub mod account;
 pub mod backoff;
--- a/crates/proxy-core/src/load_report.rs
+++ b/crates/proxy-core/src/load_report.rs
@@ -1,13 +1,13 @@
-//! The load report that an answer may carry: a server's word on what it had in hand some time ago.
+//! Load report that a response may carry: the endpoint's own count of requests in flight and queued, from a short
+//! while ago.
 
 use balancer::LoadReport;
 use hyper::HeaderMap;
 use serde::Deserialize;
 
-/// Its header.
 const HEADER: &str = "x-server-load";
 
-/// Either of the two names that the protocol's pages have for each.
+/// The report's fields; the protocol defines two names for each.
 #[derive(Deserialize)]
 struct RawReport {
     #[serde(alias = "busy_reqs")]
@@ -16,7 +16,7 @@
     queue: Option<f64>,
 }
 
-/// What an answer's head tells; none where there is no report, or one that can't be read.
+/// Reads the load report from response headers; `None` if there is none or it is malformed.
 pub fn parse(headers: &HeaderMap) -> Option<LoadReport> {
     let raw: RawReport = serde_json::from_slice(headers.get(HEADER)?.as_bytes()).ok()?;
     let count = |n: Option<f64>| n.filter(|n| n.is_finite() && *n >= 0.0);
--- a/crates/proxy-core/src/message.rs
+++ b/crates/proxy-core/src/message.rs
@@ -1,4 +1,4 @@
-//! What is passed on between clients and backends, and what the protocol says of it.
+//! Requests and responses as they are passed between clients and endpoints, and the protocol's rules for them.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,7 +8,7 @@
 
 use crate::stream::{RequestBody, RequestContent, ResponseStream};
 
-/// A client's request in the form in which it goes on.
+/// A client's request in the form in which it is forwarded.
 pub struct OutboundRequest {
     pub method: Method,
     pub uri: Uri,
@@ -16,20 +16,20 @@
     pub body: RequestContent,
 }
 
-/// A backend's answer.
+/// An endpoint's response.
 pub struct EndpointResponse {
     pub headers: HeaderMap,
     pub body: ResponseContent,
 }
 
-/// The body of a backend's answer.
+/// The body of an endpoint's response.
 pub enum ResponseContent {
     Buffered(Bytes),
-    /// It is still coming in.
+    /// The body is still being received.
     Streamed(ResponseStream),
 }
 
-/// The query parameter `sid`, as it came.
+/// Returns the query parameter `sid`, not decoded.
 pub fn sid(uri: &Uri) -> Option<&str> {
     uri.query()
         .unwrap_or_default()
@@ -37,7 +37,7 @@
         .find_map(|p| p.strip_prefix("sid="))
 }
 
-/// Takes out the headers that concern one connection alone, and the length, which is set anew.
+/// Removes hop-by-hop headers, and the length, which is set again.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -65,7 +65,7 @@
 }
 
 impl OutboundRequest {
-    /// What stands for a message that is not read.
+    /// Creates a placeholder for a request that was not read.
     pub fn empty() -> Self {
         let (method, uri) = (Method::GET, Uri::default());
         OutboundRequest {
@@ -76,12 +76,12 @@
         }
     }
 
-    /// What the request is about, where it says so.
+    /// Returns the query parameter `sid` of the request.
     pub fn sid(&self) -> Option<&str> {
         sid(&self.uri)
     }
 
-    /// The request for one attempt; `X-Timeout` tells how long this proxy will wait.
+    /// Creates the request for one attempt; `X-Timeout` announces how long this proxy will wait.
     pub fn attempt_request(&self, deadline: Instant) -> Option<Request<RequestBody>> {
         let mut request = Request::new(self.body.outbound());
         *request.method_mut() = self.method.clone();
@@ -96,7 +96,7 @@
     }
 }
 
-/// The name of a request's class.
+/// Returns the class name, which is the first segment of the path.
 pub fn class_name(uri: &Uri) -> &str {
     uri.path()
         .trim_start_matches('/')
@@ -105,13 +105,13 @@
         .unwrap_or_default()
 }
 
-/// Path and query alone, as they came, also of a request in absolute form.
+/// Returns path and query, unchanged, also for a request in absolute form.
 pub fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query()
         .map_or_else(Uri::default, |p| Uri::from(p.clone()))
 }
 
-/// An answer of the proxy's own.
+/// Creates a response of the proxy itself.
 pub fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
--- a/crates/proxy-core/src/peers.rs
+++ b/crates/proxy-core/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between proxies: short, unordered, perhaps lost.
+//! Datagrams between proxies: short, unordered and possibly lost.
 
 use std::io;
 use std::rc::Rc;
@@ -9,16 +9,15 @@
 use crate::inbox::{Inbox, Input};
 use crate::note;
 
-const MAX_MESSAGE_BYTES: usize = 256; // bytes of a message, by the protocol
+const MAX_MESSAGE_BYTES: usize = 256; // the protocol's limit
 
-/// Sends to the other proxies.
+/// The socket for messages to and from the other proxies.
 pub struct Peers {
     socket: UdpSocket,
     addresses: PeerAddresses,
 }
 
 impl Peers {
-    /// Binds the socket.
     pub async fn bind(addresses: PeerAddresses) -> io::Result<Rc<Self>> {
         Ok(Rc::new(Peers {
             socket: UdpSocket::bind(addresses.listen).await?,
@@ -26,16 +25,20 @@
         }))
     }
 
-    /// Tells every other proxy. What the socket can't take at once is lost, as on the way.
+    /// Sends a message to all other proxies. A message that the socket can't take at once is dropped; datagrams may
+    /// be lost anyway.
     pub fn broadcast(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
-            note!("a message of {} bytes is not sent", bytes.len());
+            note!(
+                "peers: not sending a message of {} bytes, which is over the limit",
+                bytes.len()
+            );
         } else if let Err(e) = self.socket.try_send_to(bytes, self.addresses.all) {
             note!("peers: {e}");
         }
     }
 
-    /// Hands on what the others send; a datagram from elsewhere or over the size is dropped.
+    /// Passes on messages of the other proxies; a datagram from an unknown address or over the size limit is dropped.
     pub async fn receive(self: Rc<Self>, inbox: Inbox) {
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
@@ -47,9 +50,9 @@
                             bytes: buffer[..size].to_vec(),
                         });
                     }
-                    _ => note!("a datagram of {size} bytes or more from {from} is dropped"),
+                    _ => note!("peers: dropping a datagram of at least {size} bytes from {from}"),
                 },
-                // An earlier send's refusal may be reported here.
+                // The socket may report the error of an earlier send here.
                 Err(e) => {
                     note!("peers: {e}");
                     tokio::time::sleep(std::time::Duration::from_millis(10)).await;
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -1,4 +1,4 @@
-//! A pool: one decision module with its driver, and what fronts need to know to hand it requests.
+//! Pool: one balancer with its driver, and what frontends need to hand requests to it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use crate::stream::BodyMemory;
 use crate::vars::Counts;
 
-/// The features that have a part in how requests are answered; each is there only where it is on.
+/// Optional features that take part in answering requests; each is present only if it is enabled.
 #[derive(Clone, Default)]
 pub(crate) struct Features {
     pub(crate) capture: Option<Rc<Capture>>,
@@ -28,7 +28,7 @@
 }
 
 impl Features {
-    /// The settings have changed, and with them the names. Drills act on the classes of the start.
+    /// Passes on names from changed settings. Drills keep the classes of the start.
     pub(crate) fn update_names(&self, names: &Names) {
         if let Some(capture) = &self.capture {
             capture.rename(names);
@@ -39,22 +39,22 @@
     }
 }
 
-/// What fronts know of a pool. When the last of them lets go of it, it is retired: its driver ends once all that it
-/// holds has been answered.
+/// A pool as frontends see it. When the last reference is dropped the pool is retired: its driver ends once all
+/// active requests are answered.
 pub struct Pool {
     pub(crate) inbox: Inbox,
-    /// The settings in service.
+    /// The current settings.
     pub(crate) reloadable: RefCell<Rc<ReloadableSettings>>,
-    /// Whether the module has a list, and what else says whether clients are taken.
+    /// Whether the balancer has an endpoint list, and whether clients are accepted.
     pub(crate) lifecycle: Rc<Life>,
     pub(crate) counts: Rc<Counts>,
-    /// Memory for what passes through.
+    /// Memory for request and response bodies.
     pub(crate) body_memory: Rc<BodyMemory>,
     pub(crate) features: Features,
-    /// The tenant's account, in a process of many.
+    /// The tenant's account, in a process of many tenants.
     pub(crate) account: Option<Rc<dyn TenantAccount>>,
-    /// Whether a request must have the headers that the platform's protocol asks for. Otherwise one that names no time-out
-    /// has its class's deadline, and one may go without a number.
+    /// Whether a request must have the headers that the platform's protocol requires. Otherwise a request without a
+    /// timeout gets its class's deadline, and the request ID may be missing.
     pub(crate) requires_headers: bool,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Pool {
-    /// The longest wait that a client is ready for.
+    /// Returns the longest deadline of all classes.
     pub(crate) fn max_deadline(&self) -> Duration {
         let reloadable = self.reloadable.borrow();
         let max_deadline = reloadable
@@ -77,7 +77,7 @@
         Duration::from_secs_f64(max_deadline.min(1e6) / 1000.0)
     }
 
-    /// Reads what the module has to know; what can't be right goes no further.
+    /// Parses what the balancer needs from a request's head; an invalid request is rejected.
     pub(crate) fn parse_head(
         &self,
         method: &Method,
@@ -165,7 +165,7 @@
     }
 }
 
-/// What a request's head says.
+/// The parsed head of a request.
 pub(crate) struct RequestHead {
     pub(crate) class: ClassId,
     pub(crate) tenant: Option<TenantId>,
@@ -174,7 +174,7 @@
     pub(crate) timeout: Duration,
 }
 
-/// A header that may stand once.
+/// Returns the value of a header that may occur at most once.
 fn single_header<'a>(
     headers: &'a HeaderMap,
     name: &str,
--- a/crates/proxy-core/src/service.rs
+++ b/crates/proxy-core/src/service.rs
@@ -1,5 +1,5 @@
-//! Several pools in one process: what a hosted service starts, feeds and serves by. The platform's proxy has one pool
-//! and does without.
+//! Several pools in one process: the interface with which a hosted service starts pools, updates their endpoints and
+//! serves listeners. The platform's proxy has one pool and doesn't use it.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -30,38 +30,38 @@
 pub use crate::frontend::{RouteError, Router};
 pub use crate::hosts::Host;
 
-/// Bytes of memory that bodies passing through are reckoned from.
+/// The process memory in bytes of which request and response bodies get their part.
 const BODY_MEMORY_BYTES: usize = 256 << 20;
 
-/// What all pools and listeners of a process share.
+/// State shared by all pools and listeners of a process.
 pub struct Process {
     clock: Clock,
-    /// The budget of connections to servers.
+    /// The limit on connections to endpoints.
     sockets: Arc<Semaphore>,
     next_id: Rc<Cell<u64>>,
-    /// Memory for what passes through.
+    /// Memory for request and response bodies.
     body_memory: Rc<BodyMemory>,
-    /// The gate, where the process acts as one with others.
+    /// The decision gate, where the process is a member of a cluster.
     gate: Option<Rc<Gate>>,
 }
 
-/// What a pool is told at its start.
+/// Settings with which a pool is started.
 pub struct PoolSettings {
-    /// What the module decides by.
+    /// The balancer's settings.
     pub settings: Settings,
-    /// The names that go with it.
+    /// The names of classes, tenants and zones in the settings.
     pub names: Names,
-    /// What concerns connections to servers.
+    /// The settings of connections to endpoints.
     pub connections: ConnectionSettings,
-    /// What the module's draws come from.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
 }
 
-/// A pool that runs. Requests reach it while somebody holds its [`Pool`]; afterwards it ends what it has.
+/// A running pool. Requests reach it while its [`Pool`] is referenced; afterwards it finishes the active ones.
 pub struct RunningPool {
-    /// What routers hand out.
+    /// The pool as routers return it.
     pub pool: Rc<Pool>,
-    /// Where its list is told, for as long as it runs.
+    /// The feed for its endpoint list, usable for as long as the pool runs.
     pub feed: EndpointFeed,
     upstreams: Rc<Upstreams>,
     gate: Option<Rc<PoolGate>>,
@@ -70,30 +70,31 @@
 }
 
 impl RunningPool {
-    /// Whether nothing is under way and nobody else holds the pool: it can be let go of, and no request notices.
+    /// Returns whether the pool has no active requests and no other references, so that dropping it affects no
+    /// request.
     pub fn is_idle(&self) -> bool {
         Rc::strong_count(&self.pool) == 1 && self.driver_state.is_idle()
     }
 
-    /// What its module holds against servers, and what cold ones may still be sent.
+    /// Returns the health state of the balancer: ejections, and the remaining slow-start limits of cold endpoints.
     pub fn health_snapshot(&self) -> HealthSnapshot {
         self.driver_state.health_snapshot(self.clock.now())
     }
 
-    /// It is a former version's from here on: it decides nothing new.
+    /// Marks the pool as one of an earlier version, which makes no new decisions.
     pub fn stop_deciding(&self) {
         if let Some(gate) = &self.gate {
             gate.deactivate();
         }
     }
 
-    /// Closes the connection to a server that has stood idle longest.
+    /// Closes the connection to an endpoint that has been idle longest.
     pub fn close_idle_connection(&self) {
         self.upstreams.close_longest_idle();
     }
 }
 
-/// Tells a pool's module which servers there are.
+/// Sends endpoint updates to a pool's balancer.
 #[derive(Clone)]
 pub struct EndpointFeed {
     inbox: Inbox,
@@ -101,7 +102,7 @@
 }
 
 impl EndpointFeed {
-    /// The whole list: what it lacks has left.
+    /// Replaces the list; endpoints that are missing in it are removed.
     pub fn replace_all(&self, hosts: Vec<Host>) {
         self.inbox.send(Input::EndpointList {
             scope: UpdateScope::Full,
@@ -110,7 +111,7 @@
         });
     }
 
-    /// Lines that have changed; all others stand.
+    /// Updates the given entries; all others stay.
     pub fn update(&self, hosts: Vec<Host>) {
         self.inbox.send(Input::EndpointList {
             scope: UpdateScope::Delta,
@@ -119,24 +120,24 @@
         });
     }
 
-    /// What another module knew of the servers of the list that was told before.
+    /// Restores the health state that another balancer had for the endpoints of the current list.
     pub fn restore_health(&self, snapshot: HealthSnapshot) {
         self.inbox.send(Input::HealthRestored(Box::new(snapshot)));
     }
 
-    /// So many processes share the servers, and this one has this number among them.
+    /// Sets the index of this process among those that share the endpoints, and their number.
     pub fn set_proxy_count(&self, index: u32, count: u32) {
         self.inbox.send(Input::ProxyCount { index, count });
     }
 
-    /// Whether the pool still runs.
+    /// Returns whether the pool still runs.
     pub fn is_alive(&self) -> bool {
         self.alive.strong_count() > 0
     }
 }
 
 impl Process {
-    /// A process that holds at most so many connections to servers.
+    /// Creates a process with a limit on connections to endpoints.
     pub fn new(sockets: usize) -> Self {
         let sockets = Arc::new(Semaphore::new(sockets.min(Semaphore::MAX_PERMITS)));
         Process {
@@ -148,30 +149,30 @@
         }
     }
 
-    /// All that its pools decide passes this gate.
+    /// Sets the gate that all decisions of the pools pass.
     #[must_use]
     pub fn with_gate(mut self, gate: Option<Rc<Gate>>) -> Self {
         self.gate = gate;
         self
     }
 
-    /// The gate that all passes, if there is one.
+    /// Returns the gate, if there is one.
     pub fn gate(&self) -> Option<&Gate> {
         self.gate.as_deref()
     }
 
-    /// The time on the process's clock.
+    /// Returns the time on the process's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Unix time in ms, as its pools reckon it: by the clock, from what the system said at the start.
+    /// Returns Unix time in ms as the pools compute it: from the process's clock and the system time at the start.
     pub fn unix_now(&self) -> Millis {
         self.clock.unix_start() + self.clock.now()
     }
 
-    /// Starts a pool; it must be told a list before it is ready. `ended` is called when its driver has: without an error
-    /// once it was retired and all was answered.
+    /// Starts a pool, which is ready once it has an endpoint list. `ended` is called when its driver ends: without an
+    /// error if the pool was retired and all requests were answered.
     pub fn start(
         &self,
         settings: PoolSettings,
@@ -247,7 +248,8 @@
         }
     }
 
-    /// Serves a listener with at most so many connections until `stop`, and then until all that was taken is answered.
+    /// Serves a listener with at most `max_connections` until `stop`, and then until all accepted requests are
+    /// answered.
     pub async fn serve<R: Router>(
         &self,
         listener: TcpListener,
@@ -256,7 +258,7 @@
         stop: impl Future<Output = ()>,
     ) {
         let lifecycle = Rc::new(Life::new(self.clock, false));
-        lifecycle.tell(|lifecycle, _| lifecycle.listed()); // its pools have lists, or answer for themselves
+        lifecycle.tell(|lifecycle, _| lifecycle.listed()); // the pools have lists or answer for themselves
         Frontend::new(router, max_connections, self.next_id.clone(), lifecycle)
             .serve(listener, stop)
             .await;
@@ -264,26 +266,26 @@
 }
 
 impl Pool {
-    /// Whether its module has a list.
+    /// Returns whether the balancer has an endpoint list.
     pub fn is_ready(&self) -> bool {
         self.lifecycle.is_up()
     }
 
-    /// The longest wait that its clients are ready for.
+    /// Returns the longest time that a client of this pool waits.
     pub fn max_timeout(&self) -> Duration {
         self.max_deadline()
     }
 }
 
-/// Listens on an address.
+/// Binds a listener.
 ///
 /// # Errors
-/// What the system says.
+/// The system's error.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     frontend::listen(address)
 }
 
-/// The name that lines of the log begin with.
+/// Sets the prefix of log lines.
 pub fn set_log_name(name: &'static str) {
     crate::log::set_name(name);
 }
--- a/crates/proxy-core/src/stream.rs
+++ b/crates/proxy-core/src/stream.rs
@@ -1,5 +1,5 @@
-//! Bodies that are too large to be kept: they pass through in bounded pieces, and whoever is slow at one end slows down the
-//! other. What is kept of a body is what may be sent again.
+//! Bodies that are too large to be buffered are streamed in bounded pieces, and a slow reader slows down the sender.
+//! The buffered part of a body is the part that can be sent again.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,17 +15,17 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// Bytes of a body that are kept whatever else is: an answer up to this size is passed on whole, and a request up to it is
-/// always waited for.
+/// The size up to which a body is always buffered: a response up to it is forwarded whole, and a request up to it is
+/// always read before it is forwarded.
 pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// The largest body of a request, and of an answer.
+/// The largest body of a request or a response.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// A body of which nothing has come or gone for this span is given up.
+/// The time without progress after which a body is given up.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes a second at which a body has to come at least, in the mean since its first; clients send twice as fast.
+/// The lowest mean rate at which a body must arrive since its first byte; clients send twice as fast.
 const MIN_BYTES_PER_SECOND: f64 = 32e3;
 
-/// The longest that so many bytes of a body may take to come.
+/// Returns the longest time that this many bytes of a body may take to arrive.
 pub fn transfer_time(received: usize) -> Duration {
     Duration::from_secs_f64(received as f64 / MIN_BYTES_PER_SECOND)
 }
@@ -34,27 +34,27 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-/// What one body takes on its way through: buffers at both ends and what is between them.
+/// The memory for one streamed body: the buffers at both ends and the piece between them.
 const STREAM_SLOT_BYTES: usize = 192 << 10;
 
-/// Bytes by which a kept body takes memory.
+/// The unit in which buffered bodies reserve memory.
 const BUFFER_STEP_BYTES: usize = 64 << 10;
-/// The largest body of a request that is waited for before it goes out.
+/// The largest request body that is read completely before it is forwarded.
 const MAX_SPOOLED_BYTES: usize = 2 << 20;
 
-/// Memory for all bodies that are kept or pass through at once.
+/// The memory budget of all buffered and streamed bodies.
 pub struct BodyMemory {
     stream_slots: Arc<Semaphore>,
-    /// Of [`BUFFER_STEP_BYTES`] bytes each.
+    /// Permits for [`BUFFER_STEP_BYTES`] each.
     buffer_steps: Arc<Semaphore>,
 }
 
-/// A part of it, given back when dropped.
+/// A reserved part of the memory, released when dropped.
 pub type MemoryPermit = Option<OwnedSemaphorePermit>;
 
 impl BodyMemory {
-    /// Room within so many bytes of memory: an eighth for bodies that are kept, a quarter for those that pass through, and
-    /// the rest for all else.
+    /// Divides the process memory: an eighth for buffered bodies, a quarter for streamed ones, and the rest for
+    /// everything else.
     pub fn new(memory: usize) -> Rc<Self> {
         let part = |bytes: usize, of: usize| Arc::new(Semaphore::new((bytes / of).max(8)));
         Rc::new(BodyMemory {
@@ -63,17 +63,18 @@
         })
     }
 
-    /// A place to pass through, if there is one now.
+    /// Reserves memory for a streamed body, if there is any now.
     pub fn try_stream_slot(&self) -> MemoryPermit {
         self.stream_slots.clone().try_acquire_owned().ok()
     }
 
-    /// A place, in turn. An answer that has begun can't be refused any more.
+    /// Waits in turn for memory for a streamed body: a response that has begun can't be rejected any more.
     pub async fn stream_slot(&self) -> MemoryPermit {
         self.stream_slots.clone().acquire_owned().await.ok()
     }
 
-    /// Whether a body of so many bytes may be kept, and more of it be waited for. What it takes is added to its share.
+    /// Returns whether a body may be buffered up to `size` and read further. The memory it needs is added to the
+    /// permit.
     pub fn try_buffer(&self, size: usize, permit: &mut MemoryPermit) -> bool {
         let acquired = permit.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let more = (size / BUFFER_STEP_BYTES).saturating_sub(acquired);
@@ -95,7 +96,7 @@
     }
 }
 
-/// A body as far as it has come in, in one place: as pieces and once more as a whole it would take memory twice.
+/// The received part of a body in one buffer; separate pieces and a joined copy would take the memory twice.
 #[derive(Default)]
 pub struct BodyBuffer {
     single: Bytes,
@@ -103,10 +104,10 @@
 }
 
 impl BodyBuffer {
-    /// Adds what has come; `length` is what the whole has, if that is told.
+    /// Appends received data; `length` is the announced length of the whole body.
     pub fn add(&mut self, data: Bytes, length: Option<u64>) {
         if self.single.is_empty() && self.joined.is_empty() {
-            self.single = data; // most bodies come at once
+            self.single = data; // most bodies arrive in one piece
             return;
         }
         if self.joined.is_empty() {
@@ -122,7 +123,7 @@
         self.joined.extend_from_slice(&data);
     }
 
-    /// All of it.
+    /// Returns the buffered data.
     pub fn into_bytes(self) -> Bytes {
         if self.joined.is_empty() {
             self.single
@@ -132,23 +133,23 @@
     }
 }
 
-/// The body of a request that comes in while it goes out.
+/// A request body that is received while it is sent.
 pub struct Upload {
-    /// Its beginning, which each attempt sends first.
+    /// The buffered beginning, which each attempt sends first.
     prefix: Bytes,
-    /// Its whole length, where the client has told it.
+    /// The whole length, if the client has announced it.
     length: Option<u64>,
     rest: RefCell<Option<Incoming>>,
     received: Cell<u64>,
-    /// Something of the rest has gone out: the request can't be sent again.
+    /// Part of the rest has been sent, so the request can't be sent again.
     partly_sent: Cell<bool>,
-    /// Its client has left or sent what is no body.
+    /// The client has disconnected or sent an invalid body.
     client_lost: Cell<bool>,
-    /// Its last byte has been handed on: the request may run.
+    /// The last byte has been passed on, so the request may be executed.
     complete: Cell<bool>,
     last_progress: Cell<Instant>,
     completed: Notify,
-    /// How long the client waits from its last byte on.
+    /// How long the client waits after its last byte.
     pub timeout: Duration,
 }
 
@@ -168,39 +169,39 @@
         })
     }
 
-    /// Whether it can't be sent again.
+    /// Returns whether part of the rest has been sent, so that the request can't be sent again.
     pub fn is_partly_sent(&self) -> bool {
         self.partly_sent.get()
     }
 
-    /// Whether its client has left before its end.
+    /// Returns whether the client failed to send the whole body.
     pub fn is_client_lost(&self) -> bool {
         self.client_lost.get()
     }
 
-    /// Whether its last byte has been handed on.
+    /// Returns whether the last byte has been passed on.
     pub fn is_complete(&self) -> bool {
         self.complete.get()
     }
 
-    /// Waits until that is so.
+    /// Waits until the last byte has been passed on.
     pub async fn wait_until_complete(&self) {
         while !self.complete.get() {
             self.completed.notified().await;
         }
     }
 
-    /// Takes away what has not come in yet: the request has its answer.
+    /// Takes the part that has not been received, once the request is answered.
     pub fn take_rest(&self) -> Option<Incoming> {
         self.rest.take()
     }
 
-    /// An attempt begins to send it.
+    /// Restarts the stall timeout when an attempt begins to send the body.
     fn attempt_started(&self) {
         self.last_progress.set(Instant::now());
     }
 
-    /// When it counts as given up, unless something moves.
+    /// Returns when the body is given up unless there is progress.
     pub fn stalls_at(&self) -> Instant {
         self.last_progress.get() + STALL_TIMEOUT
     }
@@ -215,7 +216,10 @@
         loop {
             let Some(body) = rest.as_mut() else {
                 let complete = self.complete.get();
-                return Poll::Ready((!complete).then(|| Err(invalid_data("the body is gone"))));
+                return Poll::Ready(
+                    (!complete)
+                        .then(|| Err(invalid_data("the rest of the request body was dropped"))),
+                );
             };
             let frame = ready!(Pin::new(body).poll_frame(cx));
             self.last_progress.set(Instant::now());
@@ -228,12 +232,14 @@
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
-                    }; // trailers go no further
+                    }; // trailers are dropped
                     self.partly_sent.set(true);
                     self.received.set(self.received.get() + data.len() as u64);
                     if self.received.get() > MAX_BODY_BYTES {
                         *rest = None;
-                        return Poll::Ready(Some(Err(invalid_data("the body is too large"))));
+                        return Poll::Ready(Some(Err(invalid_data(
+                            "the request body is too large",
+                        ))));
                     }
                     if self.length == Some(self.received.get()) {
                         self.set_complete();
@@ -250,21 +256,21 @@
     }
 }
 
-/// The body of a request that goes on.
+/// The body of a request that is forwarded.
 #[derive(Clone)]
 pub enum RequestContent {
-    /// All of it is kept.
+    /// The whole body is buffered.
     Buffered(Bytes),
     Streamed(Rc<Upload>),
 }
 
 impl RequestContent {
-    /// What a request without a body has.
+    /// Returns an empty body.
     pub const fn empty() -> Self {
         RequestContent::Buffered(Bytes::new())
     }
 
-    /// The body that one attempt sends.
+    /// Returns the body for one attempt.
     pub fn outbound(&self) -> RequestBody {
         match self {
             RequestContent::Buffered(body) => RequestBody::Buffered(Full::new(body.clone())),
@@ -286,7 +292,7 @@
     }
 }
 
-/// What goes out to a server.
+/// A request body on its way to an endpoint.
 pub enum RequestBody {
     Buffered(Full<Bytes>),
     Streamed {
@@ -331,14 +337,14 @@
     }
 }
 
-/// A part of an answer on its way to the client.
+/// A piece of a response body on its way to the client.
 pub enum ResponsePiece {
     Data(Bytes),
-    /// It is whole. An answer that ends without this has been cut.
+    /// The body is complete. A response that ends without this was cut off.
     End,
 }
 
-/// The body of an answer that goes on while it comes in.
+/// A response body that is forwarded while it is received.
 pub struct ResponseStream {
     length: Option<u64>,
     receiver: mpsc::Receiver<ResponsePiece>,
@@ -346,7 +352,7 @@
 }
 
 impl ResponseStream {
-    /// One piece at a time is on its way: a client that does not read holds up nothing but its own answer.
+    /// Creates a channel for one piece at a time, so that a slow client delays only its own response.
     pub fn new(length: Option<u64>) -> (mpsc::Sender<ResponsePiece>, Self) {
         let (sender, receiver) = mpsc::channel(1);
         (
@@ -360,13 +366,13 @@
     }
 }
 
-/// What goes back to a client.
+/// A response body on its way to a client.
 pub enum ResponseBody {
     Buffered(Full<Bytes>),
     Streamed(ResponseStream, OnDone),
 }
 
-/// Called when an answer's body is done with.
+/// A callback for when a response body has been sent or dropped.
 pub type OnDone = Option<Box<dyn FnOnce()>>;
 
 impl From<Bytes> for ResponseBody {
@@ -411,7 +417,7 @@
                         stream.ended = true;
                         None
                     }
-                    None => Some(Err(invalid_data("the server has cut its answer"))),
+                    None => Some(Err(invalid_data("the endpoint cut off its response"))),
                 })
             }
         }
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Attempts at backends. One attempt is one request on one connection, and nothing is ever resent here.
+//! Attempts at endpoints. One attempt is one request on one connection; nothing is resent here.
 
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -32,22 +32,23 @@
 };
 use crate::vars::Counts;
 
-/// A pooled connection is retired after this part of the span after which a backend closes it.
+/// The fraction of an endpoint's idle timeout after which a pooled connection is closed.
 const IDLE_FRACTION: f64 = 0.7;
-/// A second answer is taken to come within this span; a later one is seen only if no request has gone out before it.
+/// The time within which a surplus second response is expected. A later one is detected only if no request has been
+/// sent before it.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
-/// Longest wait until a connection is ready for its next request.
+/// The longest wait for a connection to become ready for its next request.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// An answer that has begun and of which nothing has come for this span is given up.
+/// The time without data after which a response that has begun is given up.
 const RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of a connection's buffer, and the most that the head of an answer may have.
+/// The buffer size of a connection, which also limits the head of a response.
 const CONNECTION_BUFFER_BYTES: usize = 32 << 10;
 
-/// One process of a backend at one address. A restart or a new address makes a new one.
+/// One process of an endpoint at one address. A restart or a new address creates a new one.
 pub struct Endpoint {
     pub address: SocketAddr,
     pub started_unix_ms: f64,
-    /// Drains, is gone or has been replaced: nothing new is written to it.
+    /// The endpoint drains, is removed or was replaced: nothing new is written to it.
     closed: Cell<bool>,
     idle: RefCell<Vec<IdleConnection>>,
 }
@@ -62,7 +63,7 @@
         })
     }
 
-    /// Whether something new may go there. Closing also drops the idle connections.
+    /// Sets whether new requests may be sent. Closing also drops the idle connections.
     pub fn set_open(&self, open: bool) {
         self.closed.set(!open);
         if !open {
@@ -74,8 +75,9 @@
         !self.closed.get()
     }
 
-    /// An idle connection: of those on which a second answer would have come by now the one used last, as it is the least
-    /// likely to have been closed; else the one that has rested longest.
+    /// Takes an idle connection. Among those idle for at least [`SETTLE_TIME`], on which a surplus response would
+    /// have arrived by now, it is the last used one, which is the least likely to have been closed; otherwise it is
+    /// the one idle longest.
     fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let settled = idle
@@ -85,7 +87,7 @@
         (!idle.is_empty()).then(|| idle.remove(settled))
     }
 
-    /// Puts a clean connection by for the next request.
+    /// Pools a clean connection for the next request.
     fn keep_idle(&self, connection: Connection) {
         if self.is_open() {
             self.idle.borrow_mut().push(IdleConnection {
@@ -101,7 +103,7 @@
     since: Instant,
 }
 
-/// A connection to a backend; dropping it closes the socket.
+/// A connection to an endpoint; dropping it closes the socket.
 struct Connection {
     sender: SendRequest<RequestBody>,
     tracker: Rc<WriteTracker>,
@@ -116,14 +118,14 @@
 }
 
 impl Connection {
-    /// Whether a request may be written to it: the backend has neither closed it nor said anything unasked.
-    /// The runtime may not have seen its end yet, so the socket itself is asked.
+    /// Returns whether a request may be written: the endpoint has neither closed the connection nor sent unsolicited
+    /// data. The runtime may not have seen its end yet, so the socket itself is checked.
     fn is_alive(&self) -> bool {
         has_no_unread_input(&self.stream.borrow()) && self.sender.is_ready()
     }
 }
 
-/// Whether the other side has neither said anything that has not been read nor closed.
+/// Returns whether the peer has neither closed the connection nor sent data that has not been read.
 pub fn has_no_unread_input(stream: &TcpStream) -> bool {
     match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Err(e) => e.kind() == io::ErrorKind::WouldBlock,
@@ -131,30 +133,31 @@
     }
 }
 
-/// Follows the bytes of a request onto the socket, and holds the first one back where it may not go.
+/// Tracks the bytes of a request that are written to the socket, and blocks the first one if the request may not be
+/// sent.
 #[derive(Default)]
 struct WriteTracker {
-    /// Told of each request whose last byte has been written.
+    /// Counts requests whose last byte has been written.
     counts: Rc<Counts>,
-    /// What must still hold when the first byte is written; there is none between requests.
+    /// The condition for writing the first byte; `None` between requests.
     condition: RefCell<Option<SendCondition>>,
     begun: Cell<bool>,
     blocked: Cell<bool>,
-    /// How much of the blank line that ends the head has been seen.
+    /// How many bytes of the blank line that ends the head have been matched.
     blank_line_matched: Cell<usize>,
-    /// Bytes of the body still to be written, of one that is kept.
+    /// Bytes of a buffered body still to be written.
     body_left: Cell<usize>,
-    /// A body that is not kept.
+    /// A streamed body.
     upload: RefCell<Option<Rc<Upload>>>,
     counted: Cell<bool>,
 }
 
-/// The backend must still take work and the request still lack its answer: either may have changed while the
-/// connection came up.
+/// The endpoint must still be open and the request unanswered: both may have changed while the connection was
+/// established.
 struct SendCondition {
     endpoint: Rc<Endpoint>,
     cancel: Rc<CancelSignal>,
-    /// A first byte goes out before this, if ever.
+    /// The first byte must be written before this time.
     start_by: Option<Instant>,
 }
 
@@ -166,7 +169,7 @@
     }
 }
 
-/// Whether an attempt may still begin for a request: until it has its answer or its client has gone.
+/// Permits attempts for a request until it is answered or its client disconnects.
 #[derive(Default)]
 pub struct CancelSignal {
     cancelled: Cell<bool>,
@@ -178,7 +181,7 @@
         !self.cancelled.get()
     }
 
-    /// Nothing more begins for it.
+    /// Prevents further attempts.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.notify.notify_waiters();
@@ -204,7 +207,7 @@
         self.body_left.set(body);
     }
 
-    /// Whether a write may go on.
+    /// Returns whether a write is permitted.
     fn may_write(&self) -> bool {
         let allowed = self.begun.get()
             || self
@@ -242,8 +245,8 @@
             .set(self.body_left.get().saturating_sub(rest.len()));
     }
 
-    /// Whether the request's last byte has been written: from then on it may have run. Of a body that is not kept the
-    /// last byte counts as written once the connection has it.
+    /// Returns whether the request's last byte has been written: from then on it may have been executed. The last
+    /// byte of a streamed body counts as written once the connection has it.
     fn is_complete(&self) -> bool {
         let upload_complete = self
             .upload
@@ -256,7 +259,7 @@
     }
 }
 
-/// The socket under a connection, with its meter. It holds its part of the budget of sockets.
+/// The socket of a connection with its write tracker. It holds a permit of the connection limit.
 struct TrackedStream {
     stream: Rc<RefCell<TcpStream>>,
     tracker: Rc<WriteTracker>,
@@ -264,7 +267,7 @@
 }
 
 impl AsyncRead for TrackedStream {
-    // The stream's own way: after a short read it waits for news and does not ask the system once more.
+    // Uses the stream's own implementation, which waits for readiness after a short read without another system call.
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context,
@@ -295,22 +298,22 @@
     }
 }
 
-/// What all attempts share: time-outs and the budget of sockets.
+/// State shared by all attempts: timeouts and the connection limit.
 pub struct Upstreams {
     connect_timeout: Cell<Duration>,
     idle_limit: Cell<Duration>,
     sockets: Arc<Semaphore>,
-    /// Whose work it is, in a process of many tenants.
+    /// The account to charge, in a process of many tenants.
     account: Option<Rc<dyn TenantAccount>>,
     counts: Rc<Counts>,
-    /// Memory for what passes through.
+    /// Memory for request and response bodies.
     body_memory: Rc<BodyMemory>,
-    /// Asked to close an idle connection when the budget has run out.
+    /// The endpoints whose idle connections can be closed when the connection limit is reached.
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
 }
 
 impl Upstreams {
-    /// `sockets` is the budget of connections, which pools of one process share.
+    /// Creates the shared state. `sockets` is the connection limit, which all pools of a process share.
     pub fn new(
         connections: &settings::ConnectionSettings,
         sockets: Arc<Semaphore>,
@@ -331,7 +334,7 @@
         upstreams
     }
 
-    /// The settings have changed.
+    /// Applies changed settings.
     pub fn configure(&self, connections: &settings::ConnectionSettings) {
         let duration = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3.6e6) / 1000.0);
         self.connect_timeout
@@ -340,12 +343,13 @@
             .set(duration(connections.idle_timeout * IDLE_FRACTION));
     }
 
-    /// Adds a backend's process to those whose idle connections are looked after.
+    /// Registers an endpoint process for the care of its idle connections.
     pub fn add(&self, endpoint: &Rc<Endpoint>) {
         self.endpoints.borrow_mut().push(endpoint.clone());
     }
 
-    /// Closes connections that have stood idle for too long, and forgets processes that are done with.
+    /// Closes connections that have been idle for too long, and removes endpoint processes that are no longer
+    /// referenced.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let is_usable =
@@ -356,7 +360,7 @@
         });
     }
 
-    /// Whether connections stand idle, which have to be looked after.
+    /// Returns whether there are idle connections.
     pub fn has_idle(&self) -> bool {
         self.endpoints
             .borrow()
@@ -364,7 +368,7 @@
             .any(|e| !e.idle.borrow().is_empty())
     }
 
-    /// Closes the connection that has stood idle longest, whosever it is.
+    /// Closes the connection that has been idle longest, of any endpoint.
     pub fn close_longest_idle(&self) {
         let endpoints = self.endpoints.borrow();
         let oldest = |e: &Rc<Endpoint>| e.idle.borrow().first().map(|i| i.since);
@@ -377,7 +381,8 @@
         }
     }
 
-    /// A connection to use. What fails before `dialled` is set says nothing of the server.
+    /// Returns a pooled or a new connection. A failure before `connect_attempted` is set does not count against the
+    /// endpoint.
     async fn connection(
         &self,
         endpoint: &Rc<Endpoint>,
@@ -433,7 +438,7 @@
             .await
             .map_err(io::Error::other)?;
         let connection_work = async move {
-            let _ = connection.await; // errors show at the request
+            let _ = connection.await; // errors are reported with the request
         };
         let task = match &self.account {
             None => tokio::task::spawn_local(connection_work),
@@ -449,7 +454,7 @@
         })
     }
 
-    /// Makes one attempt and tells how it goes, its end last and exactly once; `report` gets that before the connection
+    /// Makes one attempt and reports its progress; its end is reported last and exactly once, before the connection
     /// is pooled.
     pub async fn attempt(&self, attempt: Attempt, mut report: impl FnMut(AttemptEvent)) {
         let Attempt {
@@ -459,7 +464,7 @@
             deadline,
             start_by,
         } = attempt;
-        // Whatever goes wrong before the request's last byte is written proves that it never ran.
+        // Any failure before the request's last byte is written proves that it was not executed.
         let connect_attempted = Cell::new(false);
         let mut connection = {
             let mut connecting = pin!(timeout_at(
@@ -475,7 +480,7 @@
                     }
                     Ok(Err(_)) | Err(_) => return report(AttemptEvent::Ended(Outcome::NotSent, None)),
                 },
-                // Its place is free at once. What the server has paid for by now is kept for others.
+                // The slot is released at once. The connection being established is kept for other requests.
                 () = cancel.cancelled() => {
                     report(AttemptEvent::Ended(Outcome::NotSent, None));
                     if let Ok(Ok(connection)) = connecting.await {
@@ -560,7 +565,7 @@
                 return report(AttemptEvent::Ended(Outcome::ConnectFailed, None));
             }
             Some(Err(_)) => return report(AttemptEvent::Ended(Outcome::Reset, None)),
-            // The connection is dropped, never used again.
+            // The connection is dropped and never reused.
             None => return report(AttemptEvent::Ended(Outcome::TimedOut, None)),
         };
         tracker.condition.replace(None);
@@ -575,7 +580,7 @@
     }
 }
 
-/// Whether a connection could not even be tried, as this process or its machine has run short of something.
+/// Returns whether a connection could not be attempted because this process or machine is short of a resource.
 fn is_resource_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
     let shortages = [
@@ -590,35 +595,35 @@
         .any(|e| error.raw_os_error() == Some(e.raw_os_error()))
 }
 
-/// What one attempt is to do.
+/// Parameters of one attempt.
 pub struct Attempt {
     pub endpoint: Rc<Endpoint>,
     pub cancel: Rc<CancelSignal>,
     pub outbound: Rc<OutboundRequest>,
-    /// It is given up then.
+    /// The time at which the attempt is given up.
     pub deadline: Instant,
-    /// It begins before this, if at all.
+    /// The time before which the attempt must begin.
     pub start_by: Option<Instant>,
 }
 
-/// What an attempt tells.
+/// Progress of an attempt.
 pub enum AttemptEvent {
-    /// The last byte of a request that was still coming in has gone out.
+    /// The last byte of a streamed request body has been sent.
     BodyComplete,
-    /// An answer too large to be kept has begun.
+    /// A response too large to be buffered has begun.
     ResponseStarted(EndpointResponse),
-    /// How it ended, with the answer if that is whole.
+    /// The outcome, with the response if it is complete.
     Ended(Outcome, Option<EndpointResponse>),
 }
 
-/// What an exchange comes to.
+/// The result of an exchange.
 enum ExchangeResult {
-    /// The flag says whether the connection may be kept.
+    /// The flag says whether the connection may be reused.
     Complete(Outcome, Option<EndpointResponse>, bool),
     Large(LargeResponse),
 }
 
-/// A good answer that is too large to be kept.
+/// A successful response that is too large to be buffered.
 struct LargeResponse {
     headers: HeaderMap,
     length: Option<u64>,
@@ -626,7 +631,7 @@
     rest: Incoming,
 }
 
-/// Sends a request and reads the whole answer, or as much of it as is kept.
+/// Sends a request and reads the whole response, or as much of it as is buffered.
 async fn exchange(
     sender: &mut SendRequest<RequestBody>,
     request: Request<RequestBody>,
@@ -636,8 +641,8 @@
         .await
         .map_err(|e| e.to_string())?;
     let (head, mut body) = response.into_parts();
-    // The connection's end delimits a body where the head says that it closes, and a server that dies resets it. Without
-    // that word a body may be cut short and nobody could tell.
+    // The end of the connection delimits a body if the head announces the close; an endpoint that crashes resets the
+    // connection. Without the announcement a truncated body could not be detected.
     let length = body.size_hint().exact();
     let has_close = |value: &HeaderValue| {
         value.to_str().is_ok_and(|v| {
@@ -673,7 +678,9 @@
         .is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
     let mut headers = head.headers;
     Ok(match head.status {
-        StatusCode::OK if !delimited => return Err("the answer's length is not told".into()),
+        StatusCode::OK if !delimited => {
+            return Err("the response has neither a length nor an announced close".into());
+        }
         StatusCode::OK => {
             strip_hop_by_hop(&mut headers);
             if large {
@@ -709,7 +716,7 @@
     })
 }
 
-/// Passes a large answer on as it comes, no faster than its client reads.
+/// Forwards a large response as it arrives, no faster than the client reads.
 async fn stream_response(
     first_chunks: Vec<Bytes>,
     mut rest: Incoming,
@@ -728,7 +735,7 @@
                 frame = timeout(RESPONSE_IDLE_TIMEOUT, rest.frame()) => match frame {
                     Ok(Some(Ok(frame))) => match frame.into_data() {
                         Ok(data) => data,
-                        Err(_) => continue, // trailers go no further
+                        Err(_) => continue, // trailers are dropped
                     },
                     Ok(None) => break,
                     Ok(Some(Err(_))) | Err(_) => return Outcome::Reset,
@@ -738,13 +745,13 @@
         };
         passed += data.len() as u64;
         if passed > stream::MAX_BODY_BYTES {
-            return Outcome::Reset; // it has no end
+            return Outcome::Reset; // over the size limit
         }
         if pieces.send(ResponsePiece::Data(data)).await.is_err() && !is_whole(passed) {
-            return Outcome::Cancelled; // its client has left
+            return Outcome::Cancelled; // the client has disconnected
         }
     }
-    // One that was told its length needs no word of the end.
+    // With an announced length the receiver needs no end marker.
     if pieces.send(ResponsePiece::End).await.is_ok() || is_whole(passed) {
         Outcome::Served
     } else {
--- a/crates/proxy-core/tests/framing.rs
+++ b/crates/proxy-core/tests/framing.rs
@@ -35,48 +35,51 @@
 #[test]
 fn ambiguous_framing_is_rejected_also_after_valid_requests() {
     for (text, expected_error) in [
-        ("GET / HTTP/1.1\nHost: x\r\n\r\n", "a line feed alone"),
-        ("GET / HTTP/1.1\r\nHost: x\r\n\n", "a line feed alone"),
+        ("GET / HTTP/1.1\nHost: x\r\n\r\n", "bare line feed"),
+        ("GET / HTTP/1.1\r\nHost: x\r\n\n", "bare line feed"),
         (
             "GET / HTTP/1.1\r\nHost: x\ry: z\r\n\r\n",
-            "a carriage return alone",
+            "bare carriage return",
         ),
         (
             "POST / HTTP/1.1\r\nContent-Length: 5\r\ncontent-length: 5\r\n\r\n",
-            "two lengths",
+            "more than one Content-Length",
         ),
         (
             "POST / HTTP/1.1\r\nContent-Length: 5, 5\r\n\r\n",
-            "no length",
+            "invalid Content-Length",
+        ),
+        (
+            "POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\n",
+            "invalid Content-Length",
         ),
-        ("POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\n", "no length"),
         (
             "POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
-            "both a length and a chunked coding",
+            "both Content-Length and a chunked coding",
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n",
-            "both a length and a chunked coding",
+            "both Content-Length and a chunked coding",
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
-            "a coding that is not chunked alone",
+            "unsupported Transfer-Encoding",
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5x\r\n",
-            "no size of a chunk",
+            "invalid chunk size",
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n",
-            "no size of a chunk",
+            "invalid chunk size",
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
-            "no size of a chunk",
+            "invalid chunk size",
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n",
-            "no size of a chunk",
+            "invalid chunk size",
         ),
     ] {
         for prefix in ["", VALID_REQUESTS] {
