--- a/crates/proxy-core/src/connection.rs
+++ b/crates/proxy-core/src/connection.rs
@@ -29,7 +29,7 @@
 /// The state of a client's connection.
 pub struct ClientConnection {
     pub active: Cell<bool>,
-    /// Whether the connection has had a response. Before that its first request may arrive at any moment.
+    /// True if the connection has had a response. Before that its first request may arrive at any moment.
     pub answered_before: Cell<bool>,
     pub idle_since: Cell<Instant>,
     /// The time at which the head being received began.
@@ -39,7 +39,7 @@
     pub close_requested: Notify,
     /// The tenant account of the connection, in a process of many tenants.
     pub account: RefCell<Option<Rc<dyn TenantAccount>>>,
-    /// Whether the latest request was rejected; further work on the connection is charged as rejecting.
+    /// True if the latest request was rejected; further work on the connection is charged as rejecting.
     pub rejecting: Cell<bool>,
     /// Requests that have been read completely, and requests that have been answered.
     requests_read: Cell<u64>,
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -80,7 +80,7 @@
     pub gate: Option<Rc<PoolGate>>,
     /// The account charged for the pool's work, in a process of many tenants.
     pub account: Option<Rc<dyn TenantAccount>>,
-    /// Whether an idle pool sleeps without a timer, so that thousands of idle pools take no processor time.
+    /// True if an idle pool sleeps without a timer, so that thousands of idle pools take no processor time.
     pub may_sleep: bool,
     /// Notified when the balancer subscribes to discovery.
     pub subscribe: Rc<Notify>,
@@ -91,7 +91,7 @@
 
 /// The driver's state as seen from outside between its polls.
 pub struct DriverState {
-    /// Whether there are no active requests or attempts.
+    /// True if there are no active requests or attempts.
     idle: Cell<bool>,
     balancer: RefCell<Balancer>,
 }
@@ -361,15 +361,15 @@
 
     /// Fails a request that has no answer in time. It may have been executed, so it is not rejected.
     fn fail_at_deadline(&mut self, id: RequestId) {
-        let body_incomplete = |l: &ActiveRequest| {
-            l.outbound
+        let body_incomplete = |r: &ActiveRequest| {
+            r.outbound
                 .body
                 .upload()
                 .is_some_and(|u| u.is_partly_sent() && !u.is_complete())
         };
-        if self.requests.get(&id).is_some_and(|l| {
-            body_incomplete(l) && l.attempts_in_flight > 0
-                || l.deadline > Instant::now() + 2 * ANSWER_MARGIN
+        if self.requests.get(&id).is_some_and(|r| {
+            body_incomplete(r) && r.attempts_in_flight > 0
+                || r.deadline > Instant::now() + 2 * ANSWER_MARGIN
         }) {
             return; // its timeout has not started or was started again
         }
@@ -454,7 +454,7 @@
         {
             self.handle(Event::ClientDisconnected(request));
         }
-        if self.requests.get(&request).is_some_and(|l| l.streaming) {
+        if self.requests.get(&request).is_some_and(|r| r.streaming) {
             let code = match outcome {
                 Outcome::Served => STATUS_SERVED,
                 Outcome::Cancelled => STATUS_CLIENT_CLOSED,
@@ -519,7 +519,7 @@
         let current = self
             .requests
             .values()
-            .filter(|l| l.class.is_some() && (l.response_sender.is_some() || l.streaming))
+            .filter(|r| r.class.is_some() && (r.response_sender.is_some() || r.streaming))
             .count();
         Held {
             current,
@@ -529,8 +529,8 @@
     }
 
     fn remove_if_done(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|l| {
-            l.response_sender.is_none() && !l.streaming && l.attempts_in_flight == 0
+        if self.requests.get(&id).is_some_and(|r| {
+            r.response_sender.is_none() && !r.streaming && r.attempts_in_flight == 0
         }) {
             self.requests.remove(&id);
         }
@@ -561,13 +561,13 @@
                 endpoint.set_open(false);
             }
         }
-        let some = !entries.is_empty();
+        let has_entries = !entries.is_empty();
         self.handle(Event::EndpointUpdate {
             scope,
             endpoints: entries,
         });
         match scope {
-            UpdateScope::Cached if !some => {}
+            UpdateScope::Cached if !has_entries => {}
             UpdateScope::Full | UpdateScope::Cached => {
                 self.parts.lifecycle.tell(|lifecycle, _| lifecycle.listed())
             }
@@ -584,8 +584,8 @@
             if !self.endpoints.get(&id).is_some_and(same) {
                 let endpoint = Endpoint::new(address, host.born_ms);
                 self.parts.upstreams.add(&endpoint);
-                if let Some(old) = self.endpoints.insert(id, endpoint) {
-                    old.set_open(false);
+                if let Some(previous) = self.endpoints.insert(id, endpoint) {
+                    previous.set_open(false);
                 }
             }
         }
@@ -693,7 +693,7 @@
         let Some(endpoint) = self
             .endpoints
             .get(&endpoint_id)
-            .filter(|e| active.cancel.is_active() && e.is_open())
+            .filter(|e| active.cancel.allows_attempts() && e.is_open())
         else {
             return report.finish(Outcome::NotSent, None);
         };
--- a/crates/proxy-core/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -49,7 +49,7 @@
 /// The time without I/O after which a connection with an active request is closed, in addition to the longest
 /// deadline.
 const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the rest of an unneeded request body is read, so that the client does not miss the answer.
+/// The time limit for reading the rest of an unneeded request body, so that the client does not miss the answer.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_HEAD_BYTES: usize = 64 << 10;
 const LISTEN_BACKLOG: u32 = 1024;
@@ -63,7 +63,7 @@
 const FINISH_MARGIN: Duration = Duration::from_millis(200);
 /// The time without I/O after which a connection that is being shut down is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a new connection is spared for its first request when connections are scarce.
+/// The time for which a new connection is spared for its first request when connections are scarce.
 const FIRST_REQUEST_WAIT: Duration = Duration::from_secs(2);
 /// The retry delay in ms when there is no memory for another body.
 const MEMORY_RETRY_AFTER_MS: f64 = 500.0;
@@ -464,8 +464,7 @@
                 Some(gate) => gate.wait_until_open().await.err(),
                 None => None,
             };
-            // Without an await after the gate, so that the routes are those of the version under which it let the
-            // request pass.
+            // There is no await between the gate and the routes, so that both are of the same version.
             let pool = self.router.pool(request.uri(), request.headers(), had_turn);
             if had_turn || pool.as_ref().err() != Some(&RouteError::NeedsTurn) {
                 return (pool, gate_delay);
@@ -807,7 +806,7 @@
     }
 }
 
-/// Reports a disconnect of the client before the answer to the driver.
+/// Reports to the driver that the client has disconnected before its answer.
 struct DisconnectGuard<'a> {
     inbox: &'a Inbox,
     id: RequestId,
@@ -825,12 +824,12 @@
 /// Converts the final answer to the response for the client.
 fn final_response(answer: Result<Answer, oneshot::error::RecvError>) -> Response<ResponseBody> {
     match answer {
-        Ok(Answer::Served(reply)) => {
-            let mut response = Response::new(match reply.body {
+        Ok(Answer::Served(served)) => {
+            let mut response = Response::new(match served.body {
                 ResponseContent::Buffered(body) => ResponseBody::from(body),
                 ResponseContent::Streamed(stream) => ResponseBody::Streamed(stream, None),
             });
-            *response.headers_mut() = reply.headers;
+            *response.headers_mut() = served.headers;
             response
         }
         Ok(Answer::Rejected(retry_after)) => {
--- a/crates/proxy-core/src/gate.rs
+++ b/crates/proxy-core/src/gate.rs
@@ -35,7 +35,7 @@
     pub max_wait: Duration,
     /// The mean delay in ms after which a rejected client is to retry.
     pub retry_after: Millis,
-    /// Whether responses and requests to endpoints carry the decision stamp.
+    /// True if responses and requests to endpoints carry the decision stamp.
     pub send_stamps: bool,
     /// The seed of the retry jitter.
     pub seed: u64,
@@ -155,7 +155,7 @@
 /// The gate as seen by one pool.
 pub struct PoolGate {
     gate: Rc<Gate>,
-    /// Whether the pool serves the current version; a pool of an earlier version makes no new decisions.
+    /// True if the pool serves the current version; a pool of an earlier version makes no new decisions.
     active: Cell<bool>,
 }
 
--- a/crates/proxy-core/src/inbox.rs
+++ b/crates/proxy-core/src/inbox.rs
@@ -88,7 +88,7 @@
     pub tenant: Option<TenantId>,
     pub key: Option<Key>,
     pub work_hint: Option<Millis>,
-    /// How long the client waits in total.
+    /// The total time that the client waits.
     pub timeout: Duration,
     /// The time at which the client gives up.
     pub deadline: Instant,
--- a/crates/proxy-core/src/json_stream.rs
+++ b/crates/proxy-core/src/json_stream.rs
@@ -18,7 +18,7 @@
     scanned: usize,
     /// Open objects and arrays at the scan position.
     depth: u32,
-    /// Whether the scan position is inside a string, and after a backslash there.
+    /// True if the scan position is inside a string; `escaped` if it also follows a backslash.
     in_string: bool,
     escaped: bool,
 }
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -45,7 +45,7 @@
     pub(crate) inbox: Inbox,
     /// The current settings.
     pub(crate) reloadable: RefCell<Rc<ReloadableSettings>>,
-    /// Whether the balancer has an endpoint list, and whether clients are accepted.
+    /// The lifecycle state: the endpoint list is known, and clients are accepted.
     pub(crate) lifecycle: Rc<Life>,
     pub(crate) counts: Rc<Counts>,
     /// Memory for request and response bodies.
@@ -53,7 +53,7 @@
     pub(crate) features: Features,
     /// The tenant's account, in a process of many tenants.
     pub(crate) account: Option<Rc<dyn TenantAccount>>,
-    /// Whether a request must have the headers that the platform's protocol requires. Otherwise a request without a
+    /// True if a request must have the headers that the platform's protocol requires. Otherwise a request without a
     /// timeout gets its class's deadline, and the request ID may be missing.
     pub(crate) requires_headers: bool,
 }
--- a/crates/proxy-core/src/stream.rs
+++ b/crates/proxy-core/src/stream.rs
@@ -30,8 +30,8 @@
     Duration::from_secs_f64(received as f64 / MIN_BYTES_PER_SECOND)
 }
 
-fn invalid_data(what: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn invalid_data(message: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
 /// The memory for one streamed body: the buffers at both ends and the piece between them.
@@ -149,7 +149,7 @@
     complete: Cell<bool>,
     last_progress: Cell<Instant>,
     completed: Notify,
-    /// How long the client waits after its last byte.
+    /// The time that the client waits after its last byte.
     pub timeout: Duration,
 }
 
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -141,9 +141,9 @@
     counts: Rc<Counts>,
     /// The condition for writing the first byte; `None` between requests.
     condition: RefCell<Option<SendCondition>>,
-    begun: Cell<bool>,
+    started: Cell<bool>,
     blocked: Cell<bool>,
-    /// How many bytes of the blank line that ends the head have been matched.
+    /// Matched bytes of the blank line that ends the head.
     blank_line_matched: Cell<usize>,
     /// Bytes of a buffered body still to be written.
     body_left: Cell<usize>,
@@ -164,7 +164,7 @@
 impl SendCondition {
     fn is_open(&self) -> bool {
         self.endpoint.is_open()
-            && self.cancel.is_active()
+            && self.cancel.allows_attempts()
             && self.start_by.is_none_or(|b| Instant::now() < b)
     }
 }
@@ -177,7 +177,7 @@
 }
 
 impl CancelSignal {
-    pub fn is_active(&self) -> bool {
+    pub fn allows_attempts(&self) -> bool {
         !self.cancelled.get()
     }
 
@@ -188,7 +188,7 @@
     }
 
     async fn cancelled(&self) {
-        while self.is_active() {
+        while self.allows_attempts() {
             self.notify.notified().await;
         }
     }
@@ -201,7 +201,7 @@
         self.condition.replace(Some(condition));
         self.upload.replace(upload);
         self.counted.set(false);
-        self.begun.set(false);
+        self.started.set(false);
         self.blocked.set(false);
         self.blank_line_matched.set(0);
         self.body_left.set(body);
@@ -209,7 +209,7 @@
 
     /// Returns whether a write is permitted.
     fn may_write(&self) -> bool {
-        let allowed = self.begun.get()
+        let allowed = self.started.get()
             || self
                 .condition
                 .borrow()
@@ -220,7 +220,7 @@
     }
 
     fn record_write(&self, bytes: &[u8]) {
-        self.begun.set(self.begun.get() || !bytes.is_empty());
+        self.started.set(self.started.get() || !bytes.is_empty());
         self.track(bytes);
         if self.is_complete() && !self.counted.replace(true) {
             self.counts.sent();
@@ -513,10 +513,10 @@
         let result = {
             let mut exchange = pin!(exchange(&mut connection.sender, request));
             loop {
-                let coming = upload.as_ref().filter(|u| !u.is_complete());
-                let end = coming.map_or(deadline.get(), |u| u.stalls_at());
+                let incomplete_upload = upload.as_ref().filter(|u| !u.is_complete());
+                let end = incomplete_upload.map_or(deadline.get(), |u| u.stalls_at());
                 let body_complete = async {
-                    match coming {
+                    match incomplete_upload {
                         Some(upload) => upload.wait_until_complete().await,
                         None => pending().await,
                     }
@@ -529,17 +529,17 @@
                         report(AttemptEvent::BodyComplete);
                     }
                     () = sleep_until(end) => {
-                        if coming.is_none_or(|u| u.stalls_at() <= Instant::now()) {
+                        if incomplete_upload.is_none_or(|u| u.stalls_at() <= Instant::now()) {
                             break None;
                         }
                     }
                 }
             }
         };
-        let keep = match result {
-            Some(Ok(ExchangeResult::Complete(outcome, response, keep))) => {
+        let reusable = match result {
+            Some(Ok(ExchangeResult::Complete(outcome, response, reusable))) => {
                 report(AttemptEvent::Ended(outcome, response));
-                keep && tracker.is_complete()
+                reusable && tracker.is_complete()
             }
             Some(Ok(ExchangeResult::Large(large))) => {
                 let (sender, response_stream) = ResponseStream::new(large.length);
@@ -558,7 +558,7 @@
                 report(AttemptEvent::Ended(outcome, None));
                 outcome == Outcome::Served && tracker.is_complete()
             }
-            Some(Err(_)) if tracker.blocked.get() && !tracker.begun.get() => {
+            Some(Err(_)) if tracker.blocked.get() && !tracker.started.get() => {
                 return report(AttemptEvent::Ended(Outcome::NotSent, None));
             }
             Some(Err(_)) | None if !tracker.is_complete() => {
@@ -569,7 +569,7 @@
             None => return report(AttemptEvent::Ended(Outcome::TimedOut, None)),
         };
         tracker.condition.replace(None);
-        let ready = keep
+        let ready = reusable
             && matches!(
                 timeout(READY_TIMEOUT, connection.sender.ready()).await,
                 Ok(Ok(()))
--- a/crates/proxy-core/tests/backoff.rs
+++ b/crates/proxy-core/tests/backoff.rs
@@ -1,10 +1,10 @@
-//! Waits between calls that fail.
+//! Tests of the delays between failing calls.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use proxy_core::backoff::{Backoff, MAX_DELAY};
 
-/// When a caller calls that is turned away at once each time, for five seconds.
+/// Returns the times of the calls of a caller that is rejected at once each time, for five seconds.
 fn call_times(seed: u64) -> Vec<Duration> {
     let (mut backoff, mut at, mut call_times) = (Backoff::new(seed), Duration::ZERO, Vec::new());
     while at < Duration::from_secs(5) {
@@ -19,9 +19,9 @@
     let all: Vec<Vec<Duration>> = (0..48).map(|n| call_times(n * 0x9e37_79b9)).collect();
     assert!(
         all.iter().all(|c| (14..=28).contains(&c.len())),
-        "seldom, and not for ever"
+        "callers neither retry too often nor stop"
     );
-    // Without chance all 48 would call in the same 25 ms. From the sixth call on it is a quarter at most.
+    // Without jitter all 48 callers would call in the same 25 ms. From the sixth call on at most a quarter may.
     let mut slots = BTreeMap::<u128, usize>::new();
     for call in all.iter().flat_map(|c| &c[5..]) {
         *slots.entry(call.as_millis() / 25).or_default() += 1;
@@ -31,7 +31,7 @@
     assert_eq!(
         call_times(7),
         call_times(7),
-        "chance comes from the seed alone"
+        "the seed is the only source of randomness"
     );
 }
 
--- a/crates/proxy-core/tests/framing.rs
+++ b/crates/proxy-core/tests/framing.rs
@@ -1,18 +1,18 @@
-//! What two readers could see differently, and where requests end.
+//! Tests of request boundaries and of ambiguous framing.
 use proxy_core::framing::FramingValidator;
 
 const VALID_REQUESTS: &str = "\r\nGET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\n\n\n\r\n:\
     POST /c HTTP/1.1\r\ntransfer-encoding:  Chunked \r\n\r\n5;x=\"y\"\r\n\n\r\n\n:\r\n0\r\nX: 1\r\n\r\n\
     GET /d HTTP/1.0\r\nContent-Length: 0\r\n\r\nGET /e HTTP/1.1\r\n\r\n";
 
-/// Feeds all of it, request by request; returns how many have ended.
+/// Feeds the whole input, request by request; returns how many requests have ended.
 fn feed(validator: &mut FramingValidator, mut bytes: &[u8]) -> Result<usize, &'static str> {
     let mut ended_requests = 0;
     while !bytes.is_empty() {
         let (taken, ended) = validator.feed(bytes)?;
         assert!(
             taken > 0 && (ended || taken == bytes.len()),
-            "it stops at a request's end alone"
+            "feed stops only at the end of a request"
         );
         ended_requests += usize::from(ended);
         bytes = &bytes[taken..];
@@ -25,8 +25,8 @@
     for cut in 1..VALID_REQUESTS.len() {
         let mut validator = FramingValidator::default();
         let ended_requests = feed(&mut validator, &VALID_REQUESTS.as_bytes()[..cut])
-            .expect("it is good")
-            + feed(&mut validator, &VALID_REQUESTS.as_bytes()[cut..]).expect("it is good");
+            .expect("valid input")
+            + feed(&mut validator, &VALID_REQUESTS.as_bytes()[cut..]).expect("valid input");
         assert_eq!(ended_requests, 5, "cut at {cut}");
         assert!(validator.is_between_requests());
     }
--- a/crates/proxy-core/tests/rest.rs
+++ b/crates/proxy-core/tests/idle_pools.rs
@@ -1,4 +1,4 @@
-//! A pool of a process of many tenants takes no time while it has nothing to do.
+//! Guards against idle pools that use processor time in a process of many tenants.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::task::Waker;
@@ -11,7 +11,7 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Counts how often its pool has had a turn.
+/// Counts the polls of its pool.
 #[derive(Default)]
 struct PollCounter(Cell<u64>);
 
@@ -114,30 +114,37 @@
         assert!(running.pool.is_ready());
         assert!(
             polls.0.get() > 100,
-            "the module's tick runs at first: {}",
+            "the balancer's tick runs at first: {}",
             polls.0.get()
         );
         sleep(Duration::from_secs(10)).await;
         for _ in 0..3 {
             let polls_when_idle = polls.0.get();
             sleep(Duration::from_secs(3600)).await;
-            assert_eq!(polls.0.get(), polls_when_idle, "an idle hour took turns");
+            assert_eq!(
+                polls.0.get(),
+                polls_when_idle,
+                "the pool was polled while idle"
+            );
             running.feed.replace_all(vec![endpoint()]);
             sleep(Duration::from_secs(5)).await;
             assert!(
                 polls.0.get() > polls_when_idle + 100,
-                "it has woken: its tick runs again"
+                "the pool is awake and its tick runs again"
             );
             assert!(
                 polls.0.get() < polls_when_idle + 2 * 5000 / 20 + 20,
-                "and only one: {}",
+                "only one tick timer runs: {}",
                 polls.0.get() - polls_when_idle
             );
             sleep(Duration::from_secs(10)).await;
         }
         drop(running);
         sleep(Duration::from_secs(1)).await;
-        assert!(ended.get(), "a pool that rests ends when nobody holds it");
+        assert!(
+            ended.get(),
+            "a sleeping pool ends when its last reference is dropped"
+        );
     };
     LocalSet::new().run_until(run).await;
 }
--- a/crates/proxy-core/tests/json_stream.rs
+++ b/crates/proxy-core/tests/json_stream.rs
@@ -1,14 +1,14 @@
-//! Objects out of a stream of bytes.
+//! Tests of splitting a byte stream into JSON objects.
 use proxy_core::json_stream::{ObjectSplitter, StreamItem};
 
 const STREAM: &str = "{\"a\":1}\n\n{\n  \"b\": [ {\"c\": \"}\\\"{]\"},\n\n  [] ],\r\n  \"d\\\\\": {}\n}\r\n {\"e\":{}}{\"f\":2}\n";
 
-/// What comes out of a stream that comes in these pieces.
+/// Returns the items of a stream that arrives in these chunks.
 fn items<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<StreamItem>, String> {
-    let (mut objects, mut items) = (ObjectSplitter::default(), Vec::new());
+    let (mut splitter, mut items) = (ObjectSplitter::default(), Vec::new());
     for chunk in chunks {
-        objects.feed(chunk);
-        while let Some(item) = objects.next_item()? {
+        splitter.feed(chunk);
+        while let Some(item) = splitter.next_item()? {
             items.push(item);
         }
     }
@@ -17,11 +17,13 @@
 
 #[test]
 fn objects_are_extracted_whole_for_any_layout_and_chunking() {
-    let whole = items([STREAM.as_bytes()]).expect("it is good");
+    let whole = items([STREAM.as_bytes()]).expect("valid input");
     let objects: Vec<serde_json::Value> = whole
         .iter()
         .filter_map(|p| match p {
-            StreamItem::Object(o) => Some(serde_json::from_slice(o).expect("an object by itself")),
+            StreamItem::Object(o) => {
+                Some(serde_json::from_slice(o).expect("a complete JSON object"))
+            }
             StreamItem::Heartbeat => None,
         })
         .collect();
@@ -33,7 +35,7 @@
             .filter(|p| **p == StreamItem::Heartbeat)
             .count(),
         4,
-        "no line end inside an object is a beat"
+        "line ends inside an object are not heartbeats"
     );
     for cut in 1..STREAM.len() {
         let (one, two) = STREAM.as_bytes().split_at(cut);
@@ -51,17 +53,17 @@
     for text in ["[]", "x", "{}}", "\"{}\"", "{} 1", "\u{feff}{}"] {
         assert!(items([text.as_bytes()]).is_err(), "{text}");
     }
-    let mut objects = ObjectSplitter::default();
-    objects.feed(b"{}{\"a\":");
+    let mut splitter = ObjectSplitter::default();
+    splitter.feed(b"{}{\"a\":");
     assert_eq!(
-        objects.next_item(),
+        splitter.next_item(),
         Ok(Some(StreamItem::Object(b"{}".to_vec())))
     );
-    assert_eq!((objects.next_item(), objects.buffered()), (Ok(None), 5));
-    objects.feed(b"[1,2");
+    assert_eq!((splitter.next_item(), splitter.buffered()), (Ok(None), 5));
+    splitter.feed(b"[1,2");
     assert_eq!(
-        (objects.next_item(), objects.buffered()),
+        (splitter.next_item(), splitter.buffered()),
         (Ok(None), 9),
-        "a cut object is not given out"
+        "an incomplete object is not returned"
     );
 }
--- a/crates/proxy-core/tests/layers.rs
+++ b/crates/proxy-core/tests/layers.rs
@@ -1,7 +1,7 @@
-//! Which part of the engine may use which: a part uses only those below it, so that no circle stands.
+//! Checks that each module of the crate uses only modules of lower layers, so that there are no cycles.
 use std::path::Path;
 
-/// The parts from the lowest up.
+/// The modules, from the lowest layer up.
 const LAYERS: [&str; 30] = [
     "backoff",
     "json_stream",
@@ -35,15 +35,15 @@
     "process",
 ];
 
-/// The names that follow `crate::` in a text, `crate::{a, b}` included.
-fn used(text: &str) -> Vec<String> {
+/// Returns the names that follow `crate::` in a source text, including those in `crate::{a, b}`.
+fn used_modules(text: &str) -> Vec<String> {
     let mut names = Vec::new();
     for rest in text.split("crate::").skip(1) {
         let list = rest
             .strip_prefix('{')
             .and_then(|r| r.split_once('}'))
             .map_or(rest, |(list, _)| list);
-        let several = list.len() != rest.len();
+        let is_group = list.len() != rest.len();
         let name = |part: &str| {
             part.trim()
                 .split(|c: char| !c.is_alphanumeric() && c != '_')
@@ -52,7 +52,7 @@
         };
         names.extend(
             list.split(',')
-                .take(if several { usize::MAX } else { 1 })
+                .take(if is_group { usize::MAX } else { 1 })
                 .filter_map(name),
         );
     }
@@ -60,37 +60,44 @@
 }
 
 #[test]
-fn each_part_uses_only_those_below_it() {
+fn each_module_uses_only_lower_layers() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut seen = 0;
+    let mut use_count = 0;
     for file in std::fs::read_dir(&source).unwrap() {
         let file = file.unwrap().path();
         let name = file.file_stem().unwrap().to_str().unwrap().to_owned();
         if name == "lib" {
             continue;
         }
-        let own = LAYERS
+        let own_layer = LAYERS
             .iter()
             .position(|l| *l == name)
             .unwrap_or_else(|| panic!("{name} has no layer"));
-        for other in used(&std::fs::read_to_string(&file).unwrap()) {
-            // The macro that logs a line is the log's, and stands at the root.
-            let other = if other == "note" { "log" } else { &other };
-            let place = LAYERS
+        for used_module in used_modules(&std::fs::read_to_string(&file).unwrap()) {
+            // The logging macro belongs to the log module but is exported at the crate root.
+            let used_module = if used_module == "note" {
+                "log"
+            } else {
+                &used_module
+            };
+            let used_layer = LAYERS
                 .iter()
-                .position(|l| *l == other)
-                .unwrap_or_else(|| panic!("{other} in {name}"));
-            assert!(place <= own, "{name} uses {other}, which stands above it");
-            seen += 1;
+                .position(|l| *l == used_module)
+                .unwrap_or_else(|| panic!("{used_module} in {name} has no layer"));
+            assert!(
+                used_layer <= own_layer,
+                "{name} uses {used_module} of a higher layer"
+            );
+            use_count += 1;
         }
     }
-    assert!(seen > 30, "only {seen} uses were found");
+    assert!(use_count > 30, "only {use_count} uses were found");
 }
 
 #[test]
-fn uses_are_found() {
+fn used_modules_are_found() {
     assert_eq!(
-        used("use crate::log;\nuse crate::{a, b};\ncrate::c::d(x, y)"),
+        used_modules("use crate::log;\nuse crate::{a, b};\ncrate::c::d(x, y)"),
         ["log", "a", "b", "c"]
     );
 }
--- a/crates/proxy-core/tests/load_report.rs
+++ b/crates/proxy-core/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports in the heads of answers.
+//! Tests of load reports in response headers.
 use balancer::LoadReport;
 use hyper::HeaderMap;
 use hyper::header::HeaderValue;
@@ -12,23 +12,23 @@
 
 #[test]
 fn requests_in_flight_and_queued_are_read_by_either_name() {
-    let load = |in_flight, queued| {
+    let report = |requests, waiting| {
         Some(LoadReport {
-            in_flight: in_flight,
-            queued: queued,
+            in_flight: requests,
+            queued: waiting,
         })
     };
     assert_eq!(
         parse_value(r#"{"inflight":7,"queue":2,"util":0.61}"#),
-        load(Some(7.0), Some(2.0))
+        report(Some(7.0), Some(2.0))
     );
     assert_eq!(
         parse_value(r#"{"pending":0,"busy_reqs":17.858}"#),
-        load(Some(17.858), Some(0.0))
+        report(Some(17.858), Some(0.0))
     );
     assert_eq!(
         parse_value(r#"{"failed_ps":0.5,"pending":3}"#),
-        load(None, Some(3.0))
+        report(None, Some(3.0))
     );
 }
 
@@ -52,6 +52,6 @@
             in_flight: None,
             queued: Some(4.0)
         }),
-        "one that is spoilt says nothing against the other"
+        "an invalid field does not invalidate the other"
     );
 }
--- a/crates/proxy-core/tests/sockets/mod.rs
+++ b/crates/proxy-core/tests/sockets/mod.rs
@@ -1,6 +1,6 @@
-//! A proxy process on loopback, with a small discovery and small backends for it. All ports are the system's
-//! choice, and all waits end on a condition or after a generous limit.
-#![allow(dead_code)] // each test file uses its own part
+//! Fixtures for a proxy process on loopback with a fake discovery service and fake endpoints. The system chooses all
+//! ports, and each wait ends on a condition or after a generous limit.
+#![allow(dead_code)] // each test file uses a part of this module
 use std::io::{BufRead, BufReader, ErrorKind, Lines, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
@@ -10,19 +10,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No wait takes longer, however loaded the machine.
+/// The limit of all waits, long enough for a loaded machine.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message as read off a connection.
+/// An HTTP message as read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first: String,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads a message; `None` where the connection ends before one is whole.
+/// Reads a message; returns `None` if the connection ends before it is complete.
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     loop {
@@ -77,24 +77,24 @@
     }
     let length = message
         .header("content-length")
-        .map_or(0, |v| v.parse().expect("a length"));
+        .map_or(0, |v| v.parse().expect("numeric Content-Length"));
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// What a backend does with a request.
+/// The reaction of a fake endpoint to a request.
 #[derive(Clone)]
 pub enum BackendAction {
-    /// Writes these bytes and keeps the connection.
+    /// Writes this text and keeps the connection open.
     Write(String),
-    /// Writes these bytes and closes.
+    /// Writes this text and closes the connection.
     WriteAndClose(String),
-    /// Says nothing until the gate opens, then writes these bytes.
+    /// Waits until the latch opens, then writes this text.
     Hold(Latch, String),
 }
 
-/// Something that opens once.
+/// A latch that opens once.
 #[derive(Clone, Default)]
 pub struct Latch(Arc<AtomicUsize>);
 
@@ -108,7 +108,7 @@
     }
 
     fn wait(&self) {
-        wait_for("a gate", || self.0.load(Ordering::SeqCst) == 1);
+        wait_for("a latch", || self.0.load(Ordering::SeqCst) == 1);
     }
 }
 
@@ -125,11 +125,11 @@
 
 type Seen = Arc<Mutex<Vec<Message>>>;
 
-/// A backend that does the same to each request, and remembers them.
+/// A fake endpoint that records its requests.
 pub struct Backend {
     pub address: SocketAddr,
     seen: Seen,
-    /// Connections that have come, and those of them that have ended.
+    /// The numbers of connections opened, and of those closed again.
     pub opened: Arc<AtomicUsize>,
     pub closed: Arc<AtomicUsize>,
 }
@@ -140,8 +140,8 @@
     }
 
     pub fn with(action: impl Fn(&Message) -> BackendAction + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+        let address = listener.local_addr().expect("local address");
         let (seen, opened, closed) = (Seen::default(), Arc::default(), Arc::default());
         let backend = Backend {
             address,
@@ -160,7 +160,7 @@
                 let (seen, closed, action) = (seen.clone(), closed.clone(), action.clone());
                 opened.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
-                    backend_connection(stream.expect("a connection"), &seen, &*action);
+                    backend_connection(stream.expect("accept a connection"), &seen, &*action);
                     closed.fetch_add(1, Ordering::SeqCst);
                 });
             }
@@ -169,7 +169,7 @@
     }
 
     pub fn seen(&self) -> Vec<Message> {
-        self.seen.lock().expect("no panic").clone()
+        self.seen.lock().expect("lock is not poisoned").clone()
     }
 
     pub fn closed_count(&self) -> usize {
@@ -178,12 +178,12 @@
 }
 
 fn backend_connection(stream: TcpStream, seen: &Seen, action: &dyn Fn(&Message) -> BackendAction) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
     let mut stream = stream;
     while let Some(request) = read_message(&mut reader) {
         let action = action(&request);
-        seen.lock().expect("no panic").push(request);
-        // The proxy may have gone away meanwhile, which is its right.
+        seen.lock().expect("lock is not poisoned").push(request);
+        // The proxy may have closed the connection, which is not an error.
         let wrote = match action {
             BackendAction::Write(text) => stream.write_all(text.as_bytes()),
             BackendAction::WriteAndClose(text) => {
@@ -202,20 +202,20 @@
     }
 }
 
-/// Discovery for one proxy: each watch gets the lines sent so far and those that follow.
+/// A fake discovery service for one proxy: each watch gets the lines published so far and those that follow.
 pub struct Discovery {
     pub address: SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
     pub requests: Seen,
-    /// Ms from a question to the head of its answer.
+    /// The delay in ms between a request and the head of its response.
     pub response_delay_ms: Arc<AtomicUsize>,
     _stop: Sender<()>,
 }
 
 impl Discovery {
     pub fn new() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+        let address = listener.local_addr().expect("local address");
         let (lines, requests) = (Arc::new(Mutex::new(Vec::new())), Seen::default());
         let (stop, stopped) = channel();
         let stopped = Arc::new(Mutex::new(stopped));
@@ -232,7 +232,7 @@
                 let wait = Duration::from_millis(wait.load(Ordering::SeqCst) as u64);
                 thread::spawn(move || {
                     serve_watch(
-                        stream.expect("a connection"),
+                        stream.expect("accept a connection"),
                         wait,
                         &published,
                         &received_requests,
@@ -251,7 +251,10 @@
     }
 
     pub fn publish(&self, line: &str) {
-        self.lines.lock().expect("no panic").push(line.to_owned());
+        self.lines
+            .lock()
+            .expect("lock is not poisoned")
+            .push(line.to_owned());
     }
 }
 
@@ -262,15 +265,15 @@
     requests: &Seen,
     stop: &Mutex<Receiver<()>>,
 ) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
     let Some(request) = read_message(&mut reader) else {
         return;
     };
-    // A watch that resumes gets only what is said from now on.
+    // A resumed watch gets only lines published from now on.
     let is_resumed = request.first.contains("after=");
-    requests.lock().expect("no panic").push(request);
+    requests.lock().expect("lock is not poisoned").push(request);
     let mut sent = if is_resumed {
-        lines.lock().expect("no panic").len()
+        lines.lock().expect("lock is not poisoned").len()
     } else {
         0
     };
@@ -278,7 +281,7 @@
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let mut idle_rounds = 0;
     loop {
-        let new_lines: Vec<String> = lines.lock().expect("no panic")[sent..].to_vec();
+        let new_lines: Vec<String> = lines.lock().expect("lock is not poisoned")[sent..].to_vec();
         sent += new_lines.len();
         idle_rounds = if new_lines.is_empty() {
             idle_rounds + 1
@@ -296,7 +299,7 @@
         }
         thread::sleep(Duration::from_millis(10));
         if matches!(
-            stop.lock().expect("no panic").try_recv(),
+            stop.lock().expect("lock is not poisoned").try_recv(),
             Err(std::sync::mpsc::TryRecvError::Disconnected)
         ) {
             return;
@@ -304,7 +307,7 @@
     }
 }
 
-/// A line of the list.
+/// Returns an entry of the endpoint list.
 pub fn host(name: &str, dial: SocketAddr, health: &str, born_ms: u64) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"k","block":1,"health":"{health}","share":4.0,"born_ms":{born_ms}}}"#
@@ -318,24 +321,25 @@
     )
 }
 
-/// A listening socket that all processes inherit, as the platform holds it.
+/// Creates a listening socket that child processes inherit, as the platform does.
 pub fn inheritable_listener() -> TcpListener {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     socket2::SockRef::from(&listener)
         .set_cloexec(false)
-        .expect("a flag");
+        .expect("clear close-on-exec");
     listener
 }
 
-/// A listener whose accept queue is full: connections to it don't come up until `accept` has made room.
+/// Creates a listener whose accept queue is full, so that connections to it are not established until `accept` makes
+/// room.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
-    let socket =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any_port.into()).expect("a port");
-    socket.listen(0).expect("a queue");
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("create a socket");
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("valid address");
+    socket.bind(&any_port.into()).expect("bind a port");
+    socket.listen(0).expect("listen");
     let listener = TcpListener::from(socket);
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let mut queued = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
         queued.push(stream);
@@ -344,7 +348,7 @@
     (listener, queued)
 }
 
-/// All backends up, the first version of the list.
+/// Returns the first version of the list, with all endpoints up.
 pub fn all_up(backends: &[&Backend]) -> String {
     let line = |(i, b): (usize, &&Backend)| host(&format!("s-{i}"), b.address, "up", 0);
     list(
@@ -354,29 +358,29 @@
     )
 }
 
-/// What a test may set otherwise.
+/// Settings that a test may change.
 pub struct Setup {
     pub cached_list: String,
     pub sockets: usize,
     pub idle_timeout: u32,
     pub connect_timeout: u32,
-    /// Of every class; its aim is four fifths of it.
+    /// The deadline of all classes in ms; the latency objective is four fifths of it.
     pub deadline: u32,
     pub peer_addresses: Option<(SocketAddr, SocketAddr)>,
-    /// How many proxies share the servers, where they can't tell each other anything.
+    /// The number of proxies that share the endpoints without exchanging messages.
     pub proxy_count: u32,
-    /// Descriptors that the system allows the process.
+    /// The limit on open descriptors of the process.
     pub max_descriptors: Option<u32>,
-    /// The text of the features' settings; `None` starts the proxy without the flag.
+    /// The text of the properties file; `None` starts the proxy without the option.
     pub properties: Option<String>,
-    /// Whether standard error is left unread once the proxy listens.
+    /// True if standard error is left unread once the proxy listens.
     pub leave_stderr_unread: bool,
-    /// Whether the list comes only when asked for.
+    /// True if the proxy has to request the list.
     pub fetch_list: bool,
-    /// Whether there is an operators' door.
+    /// True if the operations listener is enabled.
     pub operations_enabled: bool,
     pub memory_mb: u32,
-    /// The clients' listening socket, held by the test.
+    /// The client listener, if the proxy inherits it from the test.
     pub inherited_socket: Option<i32>,
 }
 
@@ -436,7 +440,7 @@
     )
 }
 
-/// A proxy before servers at these addresses, all up.
+/// Starts a proxy in front of endpoints at these addresses, all up.
 pub fn start_proxy_for(endpoints: &[SocketAddr], setup: &Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     let lines: Vec<String> = endpoints
@@ -449,29 +453,29 @@
     (discovery, proxy)
 }
 
-/// A running proxy.
+/// A running proxy process.
 pub struct Proxy {
     child: Child,
     pub address: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address of the operations listener, if it is enabled.
     pub operations_address: Option<SocketAddr>,
     pub log: Arc<Mutex<String>>,
     file: std::path::PathBuf,
     properties: Option<std::path::PathBuf>,
-    /// Standard error, where it is left unread.
+    /// Standard error, if it is left unread.
     pub unread_stderr: Option<Lines<BufReader<ChildStderr>>>,
 }
 
 static FILE_COUNTER: AtomicUsize = AtomicUsize::new(0);
 
-/// Writes a configuration where the process finds it.
+/// Writes a configuration file.
 pub fn config_file(text: &str) -> std::path::PathBuf {
     let number = FILE_COUNTER.fetch_add(1, Ordering::SeqCst);
     let file = std::env::temp_dir().join(format!(
         "canvascart-proxy-{}-{number}.json",
         std::process::id()
     ));
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("write the file");
     file
 }
 
@@ -480,7 +484,7 @@
         Proxy::run(&config(discovery.address, setup), setup)
     }
 
-    /// Starts one with this configuration.
+    /// Starts a proxy with this configuration.
     pub fn with(text: &str) -> Self {
         Proxy::run(text, &Setup::default())
     }
@@ -488,7 +492,7 @@
     fn run(text: &str, setup: &Setup) -> Self {
         let file = config_file(text);
         let properties = setup.properties.as_deref().map(config_file);
-        // Whichever program of the package under test runs a proxy.
+        // The program of the package under test that runs a proxy.
         let (program, subcommand) = match (
             option_env!("CARGO_BIN_EXE_canvascart-proxy"),
             option_env!("CARGO_BIN_EXE_canvascart"),
@@ -529,7 +533,7 @@
                 operations_address = address.parse().ok();
             }
             line.split_once("listens on ")
-                .map(|(_, address)| address.parse().expect("an address"))
+                .map(|(_, address)| address.parse().expect("valid address"))
         });
         let mut unread_stderr = Some(lines);
         if let Some(lines) = unread_stderr.take_if(|_| !setup.leave_stderr_unread) {
@@ -539,7 +543,7 @@
                     eprintln!("{line}");
                     captured_log
                         .lock()
-                        .expect("no panic")
+                        .expect("lock is not poisoned")
                         .push_str(&(line + "\n"));
                 }
             });
@@ -568,30 +572,37 @@
             .is_some_and(|m| m.status() == 200)
     }
 
-    /// Reads what has been left unread, up to the end.
+    /// Reads the unread rest of standard error.
     pub fn read_remaining_stderr(&mut self) -> String {
-        let lines = self.unread_stderr.take().expect("nobody else reads");
+        let lines = self
+            .unread_stderr
+            .take()
+            .expect("standard error is read once");
         lines
             .map_while(Result::ok)
             .map(|line| line + "\n")
             .collect()
     }
 
-    /// A call at the operators' door.
+    /// Sends a request to the operations listener.
     pub fn call_operations(&self, call: &str) -> Option<Message> {
         self.send_to_operations(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"))
     }
 
-    /// Any bytes sent there, and what comes back.
+    /// Sends any text to the operations listener and reads the response.
     pub fn send_to_operations(&self, text: &str) -> Option<Message> {
-        Client::to(self.operations_address.expect("an operations listener")).ask(text)
+        Client::to(
+            self.operations_address
+                .expect("the operations listener is enabled"),
+        )
+        .ask(text)
     }
 
-    /// A figure as it is reported, by its name with labels.
+    /// Returns a metric by its name with labels.
     pub fn metric(&self, name: &str) -> f64 {
         let text = self
             .call_operations("GET /_vars")
-            .expect("the figures")
+            .expect("the metrics page")
             .text();
         let line = text
             .lines()
@@ -601,13 +612,13 @@
             .expect("a number")
     }
 
-    /// The processor time that it has taken, in seconds.
+    /// Returns the processor time used so far in seconds.
     pub fn cpu_seconds(&self) -> f64 {
-        let stat =
-            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))
+            .expect("read /proc of the process");
         let fields = stat
             .rsplit_once(") ")
-            .expect("its name")
+            .expect("process name in stat")
             .1
             .split(' ')
             .skip(11)
@@ -618,21 +629,21 @@
             / 100.0
     }
 
-    /// The descriptors that it has open.
+    /// Returns the number of open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("it runs")
+            .expect("read /proc of the process")
             .count()
     }
 
-    /// The most memory that it has had, in MB.
+    /// Returns the peak memory in MB.
     pub fn memory_peak_mb(&self) -> f64 {
-        let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("read /proc of the process");
         let line = status
             .lines()
             .find_map(|l| l.strip_prefix("VmHWM:"))
-            .expect("its peak");
+            .expect("VmHWM line");
         line.trim()
             .trim_end_matches(" kB")
             .trim()
@@ -645,9 +656,9 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration, as the platform does, and says so.
+    /// Replaces the configuration and signals the process, as the platform does.
     pub fn reconfigure(&self, text: &str) {
-        std::fs::write(&self.file, text).expect("a file");
+        std::fs::write(&self.file, text).expect("write the file");
         self.signal("-HUP");
     }
 
@@ -664,15 +675,15 @@
 
     pub fn wait(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the proxy's end", || {
-            status = self.child.try_wait().expect("a child");
+        wait_for("the proxy to exit", || {
+            status = self.child.try_wait().expect("query the child");
             status.is_some()
         });
-        status.expect("just seen")
+        status.expect("the process has exited")
     }
 
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("a child").is_none()
+        self.child.try_wait().expect("query the child").is_none()
     }
 }
 
@@ -696,12 +707,14 @@
 
     pub fn to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the proxy accepts");
-        stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(LIMIT))
+            .expect("set the read timeout");
         Client(BufReader::new(stream))
     }
 
     pub fn send(&mut self, text: &str) {
-        let _ = self.0.get_mut().write_all(text.as_bytes()); // a closed connection shows at the answer
+        let _ = self.0.get_mut().write_all(text.as_bytes()); // a closed connection is noticed when the response is read
     }
 
     pub fn answer(&mut self) -> Option<Message> {
@@ -713,28 +726,28 @@
         self.answer()
     }
 
-    /// Whether something has come that has not been read.
+    /// Returns whether there is unread input.
     pub fn has_answer(&self) -> bool {
         let stream = self.0.get_ref();
-        stream.set_nonblocking(true).expect("a connection");
+        stream.set_nonblocking(true).expect("set non-blocking mode");
         let has_input = stream.peek(&mut [0; 1]).is_ok();
-        stream.set_nonblocking(false).expect("a connection");
+        stream.set_nonblocking(false).expect("set blocking mode");
         has_input || !self.0.buffer().is_empty()
     }
 
-    /// Ends the sending, as a client that leaves does.
+    /// Shuts down the sending side, as a client that disconnects does.
     pub fn shutdown_write(&self) {
         self.0
             .get_ref()
             .shutdown(Shutdown::Write)
-            .expect("a connection");
+            .expect("shut down the sending side");
     }
 
-    /// Whether the proxy closes the connection with nothing more on it.
+    /// Returns whether the proxy closes the connection without sending anything more.
     pub fn is_closed(&mut self) -> bool {
         loop {
             match self.0.read(&mut [0; 1]) {
-                // A read with a time-out is not taken up again after a signal, such as a child's end.
+                // A read with a timeout is not restarted after a signal such as the exit of a child.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return e.kind() == ErrorKind::ConnectionReset,
                 Ok(n) => return n == 0,
@@ -743,14 +756,14 @@
     }
 }
 
-/// A request that is safe to repeat.
+/// Returns a request that may be repeated.
 pub fn page(id: &str) -> String {
     format!(
         "GET /page?sid=7f HTTP/1.1\r\nHost: x\r\nX-Request-ID: {id}\r\nX-Tenant-Id: acme\r\nX-Timeout: 5\r\n\r\n"
     )
 }
 
-/// One that must not run twice.
+/// Returns a request that must not be executed twice.
 pub fn submit(id: &str, timeout: &str, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/proxy-core/tests/unit/frontend.rs
+++ b/crates/proxy-core/tests/unit/frontend.rs
@@ -1,10 +1,10 @@
-//! Of what the module keeps to itself.
+//! Unit tests of the frontend.
 use tokio::task::LocalSet;
 
 use super::*;
 use crate::clock::Clock;
 
-/// An account that takes connections and never lets them be read; it counts the turns that are spent on them.
+/// An account that accepts connections but never permits reading them; it counts the polls that they take.
 #[derive(Default)]
 struct NeverReadable(Cell<u64>);
 
@@ -56,30 +56,32 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("build a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = listen("127.0.0.1:0".parse().expect("valid address")).expect("bind a port");
+        let address = listener.local_addr().expect("local address");
         let account = Rc::new(NeverReadable::default());
         let lifecycle = Rc::new(Life::new(Clock::default(), false));
         let frontend = Frontend::new(NoPools(account.clone()), 10, Rc::default(), lifecycle);
         spawn_local(frontend.serve(listener, std::future::pending()));
-        let client = TcpStream::connect(address).await.expect("it accepts");
-        client.writable().await.expect("it is up");
+        let client = TcpStream::connect(address)
+            .await
+            .expect("the frontend accepts");
+        client.writable().await.expect("the connection is writable");
         client
             .try_write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-            .expect("it is sent");
-        // A reset is an end, too: what it sent was never read.
+            .expect("the request is sent");
+        // A reset ends the connection as well, because the request was never read.
         timeout(Duration::from_secs(20), client.readable())
             .await
-            .expect("its end")
-            .expect("a socket");
+            .expect("the connection ends in time")
+            .expect("readable socket");
         let read = client.try_read(&mut [0; 1]);
         assert!(
             matches!(read, Ok(0))
                 || read.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionReset)
         );
-        // A look each 25 ms from its idle time on, and not one after the other.
-        assert!(account.0.get() < 1000, "{} turns", account.0.get());
+        // The connection is checked every 25 ms after its idle timeout, not in a busy loop.
+        assert!(account.0.get() < 1000, "{} polls", account.0.get());
     });
 }
--- a/crates/proxy-core/tests/unit/upstream.rs
+++ b/crates/proxy-core/tests/unit/upstream.rs
@@ -1,8 +1,8 @@
-//! Of what the module keeps to itself.
+//! Unit tests of the write tracker.
 use super::*;
 
 fn started_tracker(body: usize) -> (WriteTracker, Rc<Endpoint>, Rc<CancelSignal>) {
-    let endpoint = Endpoint::new("127.0.0.1:1".parse().expect("an address"), 0.0);
+    let endpoint = Endpoint::new("127.0.0.1:1".parse().expect("valid address"), 0.0);
     let cancel = Rc::new(CancelSignal::default());
     let tracker = WriteTracker::default();
     tracker.start(
@@ -24,7 +24,7 @@
         let (tracker, ..) = started_tracker(8);
         tracker.record_write(&text[..cut]);
         assert!(
-            tracker.begun.get() && !tracker.is_complete(),
+            tracker.started.get() && !tracker.is_complete(),
             "cut at {cut}"
         );
         tracker.record_write(&text[cut..]);
@@ -43,7 +43,7 @@
     let (tracker, endpoint, _) = started_tracker(0);
     assert!(tracker.may_write());
     tracker.record_write(b"G");
-    endpoint.set_open(false); // what has begun is finished
+    endpoint.set_open(false); // a request that has begun is completed
     assert!(tracker.may_write());
     assert!(
         !WriteTracker::default().may_write(),
