--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -1,5 +1,5 @@
-//! Capture: a line for each request that has ended and each news of the list, in a ring of segments in memory.
-//! Each segment opens with what a replay needs, so that what is left of a wrapped ring can be replayed alone.
+//! Traffic capture: a line for each ended request and each update of the endpoint list, in an in-memory ring of segments.
+//! Each segment begins with the state that a replay needs, so that the segments left after a wrap can be replayed alone.
 
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -17,60 +17,60 @@
 use crate::clock::Clock;
 use crate::hosts::Host;
 use crate::line_writer::LineWriter;
-use crate::log::{self, CAPTURE};
+use crate::log::{self, CAPTURE_QUEUE};
 use crate::message::Outgoing;
 use crate::note;
 
-const SEGMENTS: usize = 4;
-const SEGMENT: usize = 192 << 10;
-/// Bytes of the whole ring.
-const RING: usize = SEGMENTS * SEGMENT;
-/// At the end all of it goes to standard error at once, behind what is still on its way there.
-const _: () = assert!(RING + SEGMENT <= log::CAPTURE_MOST);
-/// A segment's opening leaves at least half of it for records: of a longer list the rest is left out.
-const OPENING: usize = SEGMENT / 2;
-/// Files of one proxy in `capture.dir`; the oldest ones go.
-const FILES: usize = 16;
-
-/// What is known of a request until it ends.
+const SEGMENT_COUNT: usize = 4;
+const SEGMENT_BYTES: usize = 192 << 10;
+/// Total bytes of the ring.
+const RING_BYTES: usize = SEGMENT_COUNT * SEGMENT_BYTES;
+/// At shutdown the whole ring is queued for standard error at once, behind lines that are still queued.
+const _: () = assert!(RING_BYTES + SEGMENT_BYTES <= log::CAPTURE_MAX_BYTES);
+/// Maximum bytes of a segment's header. At least half of the segment is left for records; a longer list is truncated.
+const MAX_HEADER_BYTES: usize = SEGMENT_BYTES / 2;
+/// Maximum files of one proxy in `capture.dir`; the oldest are deleted.
+const MAX_FILES: usize = 16;
+
+/// Data of a request that has not ended.
 pub struct PendingRecord {
     class: ClassId,
     tenant: Option<TenantId>,
     deadline: u64,
     seq: Option<u64>,
-    tried: Vec<(Rc<str>, Option<Outcome>)>,
+    attempts: Vec<(Rc<str>, Option<Outcome>)>,
 }
 
 impl PendingRecord {
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn attempt_ended(&mut self, attempt: u32, outcome: Outcome) {
-        if let Some(tried) = self.tried.get_mut(attempt as usize) {
-            tried.1 = Some(outcome);
+        if let Some(started) = self.attempts.get_mut(attempt as usize) {
+            started.1 = Some(outcome);
         }
     }
 }
 
-/// The proxy's capture.
+/// Traffic capture of the proxy.
 pub struct Capture {
-    /// Those of the settings in service.
+    /// Names of the settings in effect.
     names: RefCell<Rc<Names>>,
     clock: Clock,
-    outlet: LineWriter,
+    writer: LineWriter,
     ring: RefCell<Ring>,
 }
 
 impl Capture {
-    /// Takes all its memory now; `given` is the settings object in one line of JSON.
+    /// Creates the capture and allocates all its memory. `settings_json` is the settings object on one line.
     pub fn new(
         settings: &Settings,
         node: &str,
         seed: u64,
-        given: &str,
+        settings_json: &str,
         names: Names,
         clock: Clock,
     ) -> Result<Self, String> {
-        let outlet = log::behind_thread()
-            .map_err(|e| format!("the thread of standard error: {e}"))?
+        let writer = log::start_writer_thread()
+            .map_err(|e| format!("cannot start the writer thread of standard error: {e}"))?
             .clone();
         let head = Head {
             seed,
@@ -83,52 +83,52 @@
             .as_deref()
             .map(|dir| Files::start(dir, &head))
             .transpose()?;
-        let ring = RefCell::new(Ring::new(head, given, files)?);
+        let ring = RefCell::new(Ring::new(head, settings_json, files)?);
         let names = RefCell::new(Rc::new(names));
         Ok(Capture {
             names,
             clock,
-            outlet,
+            writer,
             ring,
         })
     }
 
-    /// The settings have changed, and with them the names.
+    /// Updates the names after a change of the settings.
     pub fn update_names(&self, names: &Names) {
         self.names.replace(Rc::new(names.clone()));
     }
 
-    /// A request has come in.
+    /// Starts the record of a request. `timeout` is the time its client waits.
     pub fn start_record(
         &self,
         class: ClassId,
         tenant: Option<TenantId>,
-        patience: Duration,
+        timeout: Duration,
     ) -> PendingRecord {
-        let (seq, tried) = (self.ring.borrow().seq, Vec::new());
+        let (seq, attempts) = (self.ring.borrow().seq, Vec::new());
         PendingRecord {
             class,
             tenant,
-            deadline: patience.as_millis() as u64,
+            deadline: timeout.as_millis() as u64,
             seq,
-            tried,
+            attempts,
         }
     }
 
-    /// An attempt goes out.
-    pub fn attempt_started(&self, pending: &mut PendingRecord, backend: EndpointId) {
+    /// Records the start of an attempt.
+    pub fn attempt_started(&self, pending: &mut PendingRecord, endpoint: EndpointId) {
         let ring = self.ring.borrow();
-        // What is sent to is on the list, or has just left it.
+        // The endpoint is on the list or has just been removed.
         let name = ring
             .list
-            .get(&backend)
+            .get(&endpoint)
             .map_or_else(|| Rc::from(""), |(name, _)| name.clone());
-        pending.tried.push((name, None));
+        pending.attempts.push((name, None));
     }
 
-    /// A request has ended.
+    /// Writes the record of a request that has ended.
     pub fn finish_record(&self, pending: &PendingRecord, message: &Outgoing, code: u16) {
-        let tried = pending.tried.iter().map(|(name, end)| Tried {
+        let attempts = pending.attempts.iter().map(|(name, end)| Tried {
             server: Cow::from(&**name),
             end: *end,
         });
@@ -137,12 +137,12 @@
             &names,
             pending,
             message,
-            Some(tried.collect()),
+            Some(attempts.collect()),
             code,
         ));
     }
 
-    /// The front end has turned a request away that the module never saw.
+    /// Writes the record of a request that the front end rejected before it reached the decision module.
     pub fn record_rejected(&self, pending: &PendingRecord, message: &Outgoing, code: u16) {
         let names = self.names.borrow().clone();
         self.put(&record(&names, pending, message, None, code));
@@ -151,19 +151,19 @@
     fn put(&self, record: &Record) {
         let line = format!("{record}\n").into_bytes();
         let mut ring = self.ring.borrow_mut();
-        if !ring.told || ring.files.is_some() {
+        if !ring.ring_written || ring.files.is_some() {
             ring.put(self.clock.now(), &line);
         }
-        if ring.told {
-            self.outlet.put(CAPTURE, &line);
-            self.outlet.wake();
+        if ring.ring_written {
+            self.writer.put(CAPTURE_QUEUE, &line);
+            self.writer.wake();
         }
     }
 
-    /// The list has changed.
+    /// Writes an update of the endpoint list.
     pub fn list_updated(&self, scope: UpdateScope, seq: Option<u64>, hosts: &[Host]) {
         let mut ring = self.ring.borrow_mut();
-        let lines = ring.news(
+        let lines = ring.update_list(
             &News {
                 seq,
                 at: self.clock.now(),
@@ -172,31 +172,31 @@
             },
             hosts,
         );
-        if ring.told {
-            self.outlet.put(CAPTURE, lines.as_bytes());
-            self.outlet.wake();
+        if ring.ring_written {
+            self.writer.put(CAPTURE_QUEUE, lines.as_bytes());
+            self.writer.wake();
         }
     }
 
-    /// Hands the ring to the thread that writes it to standard error; what ends from here on follows it there.
-    pub fn tell(&self) {
+    /// Queues the ring for standard error; records of requests that end later follow it there.
+    pub fn write_ring(&self) {
         let mut ring = self.ring.borrow_mut();
-        ring.told = true;
+        ring.ring_written = true;
         ring.seal();
         for segment in ring.take().filter(|s| !s.is_empty()) {
-            self.outlet.put_piece(CAPTURE, segment);
+            self.writer.put_batch(CAPTURE_QUEUE, segment);
         }
-        self.outlet.wake();
+        self.writer.wake();
     }
 
-    /// Writes the last file, if there are files, and waits for it for so long at most.
-    pub fn finish(&self, most: Duration) {
+    /// Writes the last file, if files are written, and waits for it or for the timeout.
+    pub fn finish(&self, timeout: Duration) {
         let mut ring = self.ring.borrow_mut();
         ring.seal();
         if let Some(files) = ring.files.take() {
-            files.finish(most);
+            files.finish(timeout);
         }
-        let lost = self.outlet.take_dropped(CAPTURE);
+        let lost = self.writer.take_dropped(CAPTURE_QUEUE);
         if lost > 0 {
             note!("capture: {lost} lines lost");
         }
@@ -249,28 +249,28 @@
 struct Ring {
     head: Head,
     settings: String,
-    /// Oldest first; the last one is written to.
+    /// Segments from the oldest to the current one.
     segments: VecDeque<Vec<u8>>,
-    /// The present list: a server's name and its line.
+    /// Current endpoint list: name and line of each endpoint.
     list: BTreeMap<EndpointId, (Rc<str>, String)>,
     seq: Option<u64>,
-    /// Standard error has had the ring.
-    told: bool,
+    /// True once the ring has been queued for standard error.
+    ring_written: bool,
     files: Option<Files>,
 }
 
 impl Ring {
-    fn new(head: Head, given: &str, files: Option<Files>) -> Result<Self, String> {
-        let settings = format!("s {given}\n");
-        if settings.len() > OPENING / 2 {
+    fn new(head: Head, settings_json: &str, files: Option<Files>) -> Result<Self, String> {
+        let settings = format!("s {settings_json}\n");
+        if settings.len() > MAX_HEADER_BYTES / 2 {
             return Err("capture: the settings are too long for a segment".into());
         }
-        let touched = || {
-            let mut segment = vec![1; SEGMENT]; // zeros would come as pages that are not there yet
+        let allocate = || {
+            let mut segment = vec![1; SEGMENT_BYTES]; // zeroed memory would not be backed by pages yet
             segment.clear();
             segment
         };
-        let segments = (0..SEGMENTS).map(|_| touched()).collect();
+        let segments = (0..SEGMENT_COUNT).map(|_| allocate()).collect();
         let list = BTreeMap::new();
         let mut ring = Ring {
             head,
@@ -278,15 +278,15 @@
             segments,
             list,
             seq: None,
-            told: false,
+            ring_written: false,
             files,
         };
-        ring.open(0.0);
+        ring.write_header(0.0);
         Ok(ring)
     }
 
-    /// Writes the opening of the newest segment.
-    fn open(&mut self, now: Millis) {
+    /// Writes the header of the current segment.
+    fn write_header(&mut self, now: Millis) {
         let Some(segment) = self.segments.back_mut() else {
             return;
         };
@@ -302,29 +302,29 @@
         };
         segment.extend_from_slice(format!("{news}\n").as_bytes());
         for (_, line) in self.list.values() {
-            if segment.len() + line.len() > OPENING {
+            if segment.len() + line.len() > MAX_HEADER_BYTES {
                 break;
             }
             segment.extend_from_slice(line.as_bytes());
         }
     }
 
-    /// Lets the oldest segment go and begins a new one.
+    /// Reuses the oldest segment as the current one.
     fn wrap(&mut self, now: Millis) {
         self.seal();
         let mut oldest = self.segments.pop_front().unwrap_or_default();
         oldest.clear();
         self.segments.push_back(oldest);
         self.head.segment += 1;
-        self.open(now);
+        self.write_header(now);
     }
 
-    /// Adds a line; into the next segment if it does not fit into this one.
+    /// Adds a line, in the next segment if it doesn't fit into the current one.
     fn put(&mut self, now: Millis, line: &[u8]) {
         if self
             .segments
             .back()
-            .is_some_and(|s| s.len() + line.len() > SEGMENT)
+            .is_some_and(|s| s.len() + line.len() > SEGMENT_BYTES)
         {
             self.wrap(now);
         }
@@ -333,8 +333,8 @@
         }
     }
 
-    /// Notes the new list, and returns the lines that tell of the change.
-    fn news(&mut self, news: &News, hosts: &[Host]) -> String {
+    /// Applies an update of the list and returns its lines.
+    fn update_list(&mut self, news: &News, hosts: &[Host]) -> String {
         self.seq = news.seq.or(self.seq);
         if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             self.list.clear();
@@ -356,23 +356,23 @@
         if self
             .segments
             .back()
-            .is_some_and(|s| s.len() + lines.len() > SEGMENT)
+            .is_some_and(|s| s.len() + lines.len() > SEGMENT_BYTES)
         {
-            self.wrap(news.at); // its opening holds the new list
+            self.wrap(news.at); // the header of the next segment has the new list
         } else {
             self.put(news.at, lines.as_bytes());
         }
         lines
     }
 
-    /// Gives the newest segment to the files.
+    /// Queues the current segment for its file.
     fn seal(&mut self) {
         if let (Some(files), Some(segment)) = (&self.files, self.segments.back()) {
             files.put(self.head.segment, segment);
         }
     }
 
-    /// All segments. Where there are files they go on, else their memory goes too.
+    /// Returns all segments: copies if files are still to be written, otherwise the segments themselves.
     fn take(&mut self) -> impl Iterator<Item = Vec<u8>> {
         let keep = self.files.is_some();
         self.segments
@@ -381,7 +381,7 @@
     }
 }
 
-/// The thread that writes segments to files of their own, and what it is given.
+/// Thread that writes each segment to its own file, and its queue.
 struct Files {
     segments: SyncSender<(u64, Vec<u8>)>,
     ended: Receiver<()>,
@@ -389,8 +389,8 @@
 
 impl Files {
     fn start(dir: &Path, head: &Head) -> Result<Self, String> {
-        // One waits while one is written; whatever comes faster than that is lost.
-        let (segments, given) = sync_channel::<(u64, Vec<u8>)>(2);
+        // One segment is queued while another is written; if segments come faster, they are lost.
+        let (segments, queued) = sync_channel::<(u64, Vec<u8>)>(2);
         let (end, ended) = sync_channel(1);
         let (dir, prefix) = (
             dir.to_owned(),
@@ -398,7 +398,7 @@
         );
         let start = format!("{:015}", head.start.max(0.0) as u64);
         let write = move || {
-            for (number, segment) in given {
+            for (number, segment) in queued {
                 let name = format!("{prefix}{start}-{number:06}.capture");
                 let written =
                     std::fs::write(dir.join(&name), segment).and_then(|()| prune(&dir, &prefix));
@@ -406,32 +406,32 @@
                     note!("capture: {}: {e}", dir.join(&name).display());
                 }
             }
-            let _ = end.send(()); // nobody may wait any more
+            let _ = end.send(()); // the receiver may have given up
         };
         let thread = std::thread::Builder::new()
             .name("capture".into())
             .spawn(write);
-        thread.map_err(|e| format!("the thread of capture.dir: {e}"))?;
+        thread.map_err(|e| format!("cannot start the writer thread of capture.dir: {e}"))?;
         Ok(Files { segments, ended })
     }
 
     fn put(&self, number: u64, segment: &[u8]) {
         if let Err(TrySendError::Full(_)) = self.segments.try_send((number, segment.to_vec())) {
-            note!("capture: segment {number} is lost, capture.dir is too slow");
+            note!("capture: segment {number} is lost: capture.dir is too slow");
         }
     }
 
-    fn finish(self, most: Duration) {
+    fn finish(self, timeout: Duration) {
         drop(self.segments);
-        if self.ended.recv_timeout(most).is_err() {
-            note!("capture: capture.dir is too slow, its last file may be cut");
+        if self.ended.recv_timeout(timeout).is_err() {
+            note!("capture: capture.dir is too slow; its last file may be truncated");
         }
     }
 }
 
-/// Removes this proxy's oldest files; their names sort by start and number.
+/// Deletes this proxy's oldest files; file names sort by start time and segment number.
 fn prune(dir: &Path, prefix: &str) -> std::io::Result<()> {
-    let mut own: Vec<PathBuf> = Vec::new();
+    let mut files: Vec<PathBuf> = Vec::new();
     for entry in std::fs::read_dir(dir)? {
         let path = entry?.path();
         let name = path
@@ -439,12 +439,12 @@
             .and_then(|n| n.to_str())
             .unwrap_or_default();
         if name.starts_with(prefix) && name.ends_with(".capture") {
-            own.push(path);
+            files.push(path);
         }
     }
-    own.sort();
-    let spare = own.len().saturating_sub(FILES);
-    own[..spare].iter().try_for_each(std::fs::remove_file)
+    files.sort();
+    let excess = files.len().saturating_sub(MAX_FILES);
+    files[..excess].iter().try_for_each(std::fs::remove_file)
 }
 
 #[cfg(test)]
@@ -476,8 +476,8 @@
         }
     }
 
-    fn news(ring: &mut Ring, seq: u64, scope: UpdateScope, hosts: &[Host]) {
-        ring.news(
+    fn update_list(ring: &mut Ring, seq: u64, scope: UpdateScope, hosts: &[Host]) {
+        ring.update_list(
             &News {
                 seq: Some(seq),
                 at: 0.0,
@@ -496,31 +496,34 @@
     }
 
     #[test]
-    fn its_memory_is_there_from_the_start_and_stays_as_it_is() {
+    fn the_ring_allocates_its_memory_at_the_start_and_keeps_it() {
         let mut ring = ring();
         let before: Vec<usize> = ring.segments.iter().map(Vec::capacity).collect();
-        assert_eq!(before.iter().sum::<usize>(), RING);
+        assert_eq!(before.iter().sum::<usize>(), RING_BYTES);
         for n in 0..30_000 {
             ring.put(
                 0.0,
                 format!("r {n:016} lookup t sid=- dl=1ms seq=- -> - 503\n").as_bytes(),
             );
         }
-        assert!(ring.head.segment > SEGMENTS as u64, "it has wrapped");
+        assert!(
+            ring.head.segment > SEGMENT_COUNT as u64,
+            "the ring has wrapped"
+        );
         let after: Vec<usize> = ring.segments.iter().map(Vec::capacity).collect();
         assert_eq!(after, before);
     }
 
     #[test]
-    fn a_ring_that_wraps_keeps_the_newest_and_each_segment_stands_alone() {
+    fn a_wrapped_ring_keeps_the_newest_records_and_self_contained_segments() {
         let mut ring = ring();
-        news(
+        update_list(
             &mut ring,
             1,
             UpdateScope::Full,
             &[host("s-0", "up"), host("s-1", "up")],
         );
-        news(
+        update_list(
             &mut ring,
             2,
             UpdateScope::Delta,
@@ -535,7 +538,7 @@
             );
         }
         let all: Vec<Vec<Line>> = ring.segments.iter().map(|s| lines(s)).collect();
-        assert_eq!(all.len(), SEGMENTS);
+        assert_eq!(all.len(), SEGMENT_COUNT);
         let mut ids = Vec::new();
         for (n, segment) in all.iter().enumerate() {
             let Line::Head(head) = &segment[0] else {
@@ -562,21 +565,21 @@
                 other => panic!("{other:?}"),
             }));
         }
-        assert_eq!(ids.last(), Some(&count), "the newest is there");
+        assert_eq!(ids.last(), Some(&count), "the newest record is kept");
         assert!(
             ids.windows(2).all(|w| w[1] == w[0] + 1),
-            "none is missing in between"
+            "the records are consecutive"
         );
     }
 
     #[test]
-    fn a_list_too_long_for_an_opening_leaves_room_for_records() {
+    fn a_list_too_long_for_a_header_is_truncated_to_leave_room_for_records() {
         let mut ring = ring();
-        let many: Vec<Host> = (0..10_000).map(|n| host(&format!("s-{n}"), "up")).collect();
-        news(&mut ring, 1, UpdateScope::Full, &many);
+        let hosts: Vec<Host> = (0..10_000).map(|n| host(&format!("s-{n}"), "up")).collect();
+        update_list(&mut ring, 1, UpdateScope::Full, &hosts);
         assert!(
-            ring.segments.iter().all(|s| s.len() <= OPENING),
-            "the rest is left out"
+            ring.segments.iter().all(|s| s.len() <= MAX_HEADER_BYTES),
+            "the list is truncated"
         );
         ring.put(0.0, b"r a lookup t sid=- dl=1ms seq=1 -> - 503\n");
         assert!(matches!(
--- a/crates/proxy-core/src/config.rs
+++ b/crates/proxy-core/src/config.rs
@@ -1,4 +1,4 @@
-//! What a proxy is told at its start: NODE_CONFIG, read into typed settings.
+//! Configuration of a proxy: the file that NODE_CONFIG names, parsed into typed settings.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use settings::{ConnectionSettings, ReloadableSettings, stable_hash};
 
-/// The file as it stands; unknown keys are passed over.
+/// Layout of the file; unknown keys are ignored.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -32,69 +32,73 @@
     memory_mb: Option<f64>,
 }
 
-/// Memory that is reckoned with where the file tells no limit.
-const MEMORY_MB: f64 = 192.0;
+/// Memory limit in MB if the file sets none.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
 
-/// Where proxies exchange datagrams.
+/// Addresses at which proxies exchange datagrams.
 pub struct PeerAddresses {
     pub listen: SocketAddr,
-    /// One address a proxy, in the order of their numbers.
+    /// Address of each proxy, in the order of their indexes.
     pub peers: Vec<SocketAddr>,
     pub all: SocketAddr,
 }
 
-/// All that the parts of the proxy need to know.
+/// Configuration of all parts of the proxy.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address of the operations listener, if there is one.
     pub ops: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
+    /// Inherited descriptor of the clients' listening socket, if the platform provides it.
     pub inherited: Option<std::os::fd::RawFd>,
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Bytes of memory that it may have.
+    /// Memory limit in bytes.
     pub memory: usize,
     pub peers: Option<PeerAddresses>,
-    /// The list of backends as last seen, in discovery's form; perhaps old, perhaps nothing.
+    /// Endpoint list as last received, in discovery's format; it may be outdated or null.
     pub known: Value,
     pub terms: ReloadableSettings,
     pub connections: ConnectionSettings,
-    pub started: Started,
+    pub initial_keys: InitialKeys,
 }
 
-/// Reads the file; the message of an error names what is wrong with it.
+/// Reads the file; the message of an error names the file and the reason.
 pub fn read(path: &Path) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// What a file at SIGHUP can change.
+/// Settings that a reload at SIGHUP can change.
 pub struct Change {
     pub discovery: SocketAddr,
     pub terms: ReloadableSettings,
     pub connections: ConnectionSettings,
 }
 
-/// Reads a file that has been put in the place of the one that the process started with: all of it is good, or none of
-/// it counts. The message of an error names the file, the key and the reason.
+/// Reads the file again for a reload. It is either valid as a whole or rejected as a whole; the message of an error names
+/// the file, the key and the reason.
 pub fn read_change(
     path: &Path,
-    started: &Started,
-    now: &ReloadableSettings,
+    initial_keys: &InitialKeys,
+    current: &ReloadableSettings,
 ) -> Result<Change, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    change(&text, started, now).map_err(|e| format!("{}: {e}", path.display()))
+    change(&text, initial_keys, current).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn change(text: &str, started: &Started, now: &ReloadableSettings) -> Result<Change, String> {
+fn change(
+    text: &str,
+    initial_keys: &InitialKeys,
+    current: &ReloadableSettings,
+) -> Result<Change, String> {
     if text.trim().is_empty() {
         return Err("the file is empty".into());
     }
     let whole: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    if let Some(key) = started
+    if let Some(key) = initial_keys
         .keys
         .iter()
         .find(|key| whole.get(key.as_str()).is_none())
@@ -102,7 +106,7 @@
         return Err(format!("{key}: the key is missing"));
     }
     let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
-    let terms = now.reload(&file.settings).map_err(|e| e.to_string())?;
+    let terms = current.reload(&file.settings).map_err(|e| e.to_string())?;
     if terms.settings.proxy_index >= terms.settings.proxy_count {
         return Err(format!(
             "settings.myNumber: {} of {}",
@@ -116,14 +120,14 @@
     })
 }
 
-/// What the file had that the process started with. One that follows it must have that, too.
-pub struct Started {
+/// Keys of the file that the process started with, which a reloaded file must have, too.
+pub struct InitialKeys {
     keys: Vec<String>,
 }
 
-/// What a file may do without: where the door is and who the peers are counts at the start alone, and the list comes
-/// from discovery.
-const SPARED: [&str; 5] = ["known", "ops", "peer_listen", "peers", "peers_all"];
+/// Keys that a reloaded file may omit: the operations listener and the peers take effect only at the start, and the
+/// endpoint list comes from discovery.
+const OPTIONAL_AT_RELOAD: [&str; 5] = ["known", "ops", "peer_listen", "peers", "peers_all"];
 
 fn parse(text: &str) -> Result<Config, String> {
     let whole: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
@@ -133,7 +137,9 @@
         .into_iter()
         .flatten()
         .map(|(key, _)| key.clone());
-    let keys = keys.filter(|key| !SPARED.contains(&key.as_str())).collect();
+    let keys = keys
+        .filter(|key| !OPTIONAL_AT_RELOAD.contains(&key.as_str()))
+        .collect();
     if !file.settings.is_object() {
         return Err("'settings' is no object".into());
     }
@@ -143,7 +149,7 @@
     if settings.classes.is_empty() || names.classes.iter().any(String::is_empty) {
         return Err("'settings' has no named classes".into());
     }
-    // A wrong number would make this proxy claim another's part of the servers.
+    // With a wrong index this proxy would claim another proxy's share of the endpoints.
     if settings.proxy_index >= settings.proxy_count {
         return Err(format!(
             "'settings': proxy number {} of {}",
@@ -170,17 +176,17 @@
             .limits
             .memory_mb
             .filter(|mb| *mb > 0.0)
-            .unwrap_or(MEMORY_MB)
+            .unwrap_or(DEFAULT_MEMORY_MB)
             * 1e6) as usize,
         peers,
         known: file.known,
         connections,
-        started: Started { keys },
+        initial_keys: InitialKeys { keys },
         terms,
     })
 }
 
-/// Hexadecimal as a rule; other text still gives the same number each time.
+/// Parses a hexadecimal seed. Other text is hashed, so that it gives the same seed each time.
 fn seed(value: &Value) -> Option<u64> {
     match value {
         Value::String(text) => {
@@ -194,14 +200,14 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"8c1f",
+    const VALID: &str = r#"{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"8c1f",
         "limits":{"sockets":512},"peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1"],"peers_all":"127.0.0.1:2",
         "known":null,"settings":{"classes":[{"name":"page","effect":"idempotent","deadline":900}],
         "nInstances":1,"myNumber":0,"ceilings":{"mayTell":true,"dialTimeout":120,"idleClose":30000}}}"#;
 
     #[test]
-    fn a_good_file_is_read_whole() {
-        let config = parse(GOOD).expect("good");
+    fn a_valid_file_is_read_completely() {
+        let config = parse(VALID).expect("good");
         assert_eq!((config.seed, config.sockets), (0x8c1f, 512));
         assert_eq!(
             config.connections,
@@ -211,13 +217,13 @@
             }
         );
         assert_eq!(config.terms.names.classes, ["page"]);
-        assert_eq!(config.peers.expect("peers are allowed").peers.len(), 1);
+        assert_eq!(config.peers.expect("gossip is enabled").peers.len(), 1);
     }
 
     #[test]
-    fn peers_are_left_alone_where_the_settings_forbid_them() {
+    fn peers_are_ignored_if_the_settings_disable_gossip() {
         assert!(
-            parse(&GOOD.replace("\"mayTell\":true", "\"mayTell\":false"))
+            parse(&VALID.replace("\"mayTell\":true", "\"mayTell\":false"))
                 .expect("good")
                 .peers
                 .is_none()
@@ -225,73 +231,76 @@
     }
 
     #[test]
-    fn a_file_that_follows_is_good_as_a_whole_or_counts_for_nothing() {
-        let first = parse(GOOD).expect("good");
-        let said = |text: &str| {
-            change(text, &first.started, &first.terms)
+    fn a_reloaded_file_is_valid_as_a_whole_or_rejected_as_a_whole() {
+        let first = parse(VALID).expect("good");
+        let error = |text: &str| {
+            change(text, &first.initial_keys, &first.terms)
                 .err()
                 .unwrap_or_default()
         };
-        let moved = GOOD
+        let changed_file = VALID
             .replace(":8500", ":8600")
             .replace("\"deadline\":900", "\"deadline\":700");
-        let taken = change(&moved, &first.started, &first.terms).expect("good");
+        let reloaded = change(&changed_file, &first.initial_keys, &first.terms).expect("good");
         assert_eq!(
             (
-                taken.discovery.port(),
-                taken.terms.settings.classes[0].deadline
+                reloaded.discovery.port(),
+                reloaded.terms.settings.classes[0].deadline
             ),
             (8600, 700.0)
         );
         assert_eq!(
-            said(&GOOD.replace("\"known\":null,", "")),
+            error(&VALID.replace("\"known\":null,", "")),
             "",
-            "it may go without"
+            "the key is optional"
         );
-        for (text, word) in [
+        for (text, reason) in [
             (String::new(), "empty"),
             ("  \n".into(), "empty"),
-            (moved[..moved.len() / 2].into(), "line"),
+            (changed_file[..changed_file.len() / 2].into(), "line"),
             (
-                moved.replace("\"limits\":{\"sockets\":512},", ""),
+                changed_file.replace("\"limits\":{\"sockets\":512},", ""),
                 "limits: the key is missing",
             ),
             (
-                moved.replace("\"discovery\"", "\"discoverer\""),
+                changed_file.replace("\"discovery\"", "\"discoverer\""),
                 "discovery: the key is missing",
             ),
-            (moved.replace("127.0.0.1:8600", "nowhere"), "socket address"),
             (
-                moved.replace("\"deadline\":700", "\"deadline\":0"),
+                changed_file.replace("127.0.0.1:8600", "nowhere"),
+                "socket address",
+            ),
+            (
+                changed_file.replace("\"deadline\":700", "\"deadline\":0"),
                 "settings.classes[0].deadline: 0 is not",
             ),
             (
-                moved.replace("\"myNumber\":0", "\"myNumber\":1"),
+                changed_file.replace("\"myNumber\":0", "\"myNumber\":1"),
                 "settings.myNumber: 1 of 1",
             ),
             (
-                moved
+                changed_file
                     .replace("\"settings\":{", "\"settings\":[{")
                     .replace("}}}", "}}]}"),
                 "settings: a list",
             ),
             ("[]".into(), "the key is missing"),
         ] {
-            assert!(said(&text).contains(word), "{word}: {}", said(&text));
+            assert!(error(&text).contains(reason), "{reason}: {}", error(&text));
         }
     }
 
     #[test]
-    fn what_is_wrong_is_named() {
-        for (from, to, word) in [
+    fn errors_name_the_invalid_value() {
+        for (from, to, reason) in [
             ("127.0.0.1:9000", "nowhere", "socket address"),
             ("\"seed\":\"8c1f\",", "", "seed"),
             ("\"name\":\"page\",", "", "classes"),
             ("\"myNumber\":0", "\"myNumber\":3", "number 3 of 1"),
             ("{\"name\"", "{\"name", "line"),
         ] {
-            let error = parse(&GOOD.replace(from, to)).err().expect(to);
-            assert!(error.contains(word), "{to}: {error}");
+            let error = parse(&VALID.replace(from, to)).err().expect(to);
+            assert!(error.contains(reason), "{to}: {error}");
         }
     }
 }
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of backends: a watch that resumes where it broke off, and single whole lists.
+//! Discovery of the endpoint list: a watch that resumes after its last version, and requests of the complete list.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -24,37 +24,38 @@
 use crate::note;
 use crate::objects::{Objects, Part};
 
-/// A watch sends an empty line every 2 s. One that has brought neither such a line nor a whole object for this span
-/// hangs on a dead machine or has fallen silent, and is opened anew.
+/// Time without data after which a watch is opened again. A watch sends an empty line every 2 s; if neither such a line
+/// nor a complete object arrives, its connection hangs or discovery has stopped sending.
 ///
-/// What discovery has counts as told 6 s after it had it and could be reached, whatever call failed. Where lists are
-/// pushed, a watch that falls silent is given up after 2.5 s; then come a first wait of 75 ms at most and a call, which is
-/// answered at once. A call that hangs adds [`AGAIN`], one that fails a wait: 2.5 + 0.075 + 0.35 + 0.15 + 0.3 + 0.375 =
-/// 3.75 s after one call that hangs and three that fail. One that opens and then says nothing is given up after another
-/// 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The longest wait is [`crate::backoff::MOST`].
-const SILENCE: Duration = Duration::from_millis(2500);
-const CONNECT: Duration = Duration::from_secs(1);
-/// Where lists are pushed, an agent of this machine's own answers at once or not at all. While it has not answered, it is
-/// called again each so often beside the calls that hang, so many at most: its return is met within that span. The first of
-/// them is kept, so that a slow answer still counts.
-const AGAIN: Duration = Duration::from_millis(350);
-const CALLS: usize = 4;
-/// Where lists have to be asked for, the service takes the calls of all proxies in turn. To give up a call and ask
-/// anew is to go back to the end of that line, so a call waits until the service itself gives it up.
-const TURN: Duration = Duration::from_secs(4);
-const MOST: usize = 4 << 20; // bytes of an object
+/// An update has to be known 6 s after discovery had it and was reachable, whichever calls failed. If lists are pushed,
+/// a silent watch is abandoned after 2.5 s. Then follow a first backoff of at most 75 ms and a call, which is answered
+/// at once. A call that hangs adds [`CALL_INTERVAL`], one that fails a backoff: 2.5 + 0.075 + 0.35 + 0.15 + 0.3 + 0.375 = 3.75 s
+/// after one call that hangs and three that fail. A watch that opens and then sends nothing is abandoned after another
+/// 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The last term of the first sum is the longest
+/// backoff of [`crate::backoff`].
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval and maximum number of concurrent calls if lists are pushed. The discovery agent on the same machine answers
+/// at once or not at all, so it is called again at this interval while earlier calls hang, and its return is noticed
+/// within the interval. The first call is kept, so that a slow answer is still used.
+const CALL_INTERVAL: Duration = Duration::from_millis(350);
+const MAX_CALLS: usize = 4;
+/// Timeout of a call if lists are requested. The service queues the calls of all proxies, and repeating a call would put
+/// it back at the end of that queue, so a call waits until the service itself ends it.
+const QUEUED_CALL_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Where discovery is; a new configuration may name another address.
+/// Address of discovery, which a reload of the configuration may change.
 pub struct DiscoveryAddress {
     address: Cell<SocketAddr>,
-    moved: Notify,
+    changed: Notify,
 }
 
 impl DiscoveryAddress {
     pub fn new(address: SocketAddr) -> Rc<Self> {
         Rc::new(DiscoveryAddress {
             address: Cell::new(address),
-            moved: Notify::new(),
+            changed: Notify::new(),
         })
     }
 
@@ -64,124 +65,130 @@
 
     pub fn set(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
-            self.moved.notify_one();
+            self.changed.notify_one();
         }
     }
 }
 
-/// The watch and what it knows of the list's version.
+/// Discovery client: the watch and the version of the list.
 pub struct Discovery {
-    place: Rc<DiscoveryAddress>,
+    discovery_address: Rc<DiscoveryAddress>,
     inbox: Inbox,
-    /// Version of the list that the driver has.
+    /// Version of the list last passed to the driver.
     seq: Option<u64>,
-    /// Nothing has come from the present address yet: it may count its versions anew.
-    fresh: bool,
-    /// Whether an agent of this machine's own pushes the list; else one service is asked by all.
+    /// True until a list arrives from the present address, whose versions may start again.
+    new_address: bool,
+    /// True if an agent on the same machine pushes the list, false if all proxies request it from one service.
     pushed: bool,
-    /// The last watch has brought something.
-    spoke: bool,
+    /// True if the last watch has received data.
+    received_data: bool,
     backoff: Backoff,
 }
 
 impl Discovery {
-    /// `seed` spreads the calls of proxies that fail at the same time.
-    pub fn new(place: Rc<DiscoveryAddress>, inbox: Inbox, seed: u64) -> Self {
+    /// Creates a client. `seed` spreads the repeated calls of proxies whose calls fail at the same time.
+    pub fn new(discovery_address: Rc<DiscoveryAddress>, inbox: Inbox, seed: u64) -> Self {
         let backoff = Backoff::new(seed);
         Discovery {
-            place,
+            discovery_address,
             inbox,
             seq: None,
-            fresh: true,
+            new_address: true,
             pushed: true,
-            spoke: false,
+            received_data: false,
             backoff,
         }
     }
 
-    /// Keeps a watch open for ever, and takes it up again where it broke off.
-    pub async fn follow(mut self) -> Infallible {
-        let place = self.place.clone();
+    /// Keeps a watch open until the process ends, resuming after the last version.
+    pub async fn watch_continuously(mut self) -> Infallible {
+        let discovery_address = self.discovery_address.clone();
         loop {
-            let error = self.watch_while_there().await;
-            if std::mem::take(&mut self.spoke) {
+            let error = self.watch_current_address().await;
+            if std::mem::take(&mut self.received_data) {
                 self.backoff.reset();
             }
             let wait = self.backoff.wait();
-            note!("discovery: {error}; again in {} ms", wait.as_millis());
+            note!("discovery: {error}; retrying in {} ms", wait.as_millis());
             tokio::select! {
                 () = sleep(wait) => {}
-                () = place.moved.notified() => {
-                    self.fresh = true;
+                () = discovery_address.changed.notified() => {
+                    self.new_address = true;
                     self.backoff.reset();
                 }
             }
         }
     }
 
-    /// Opens a watch each time that the module asks for one, and tells it when it has ended.
-    pub async fn on_request(mut self, asked: Rc<Notify>) -> Infallible {
+    /// Opens a watch each time the decision module requests one, and notifies it when the watch ends.
+    pub async fn watch_on_request(mut self, requested: Rc<Notify>) -> Infallible {
         self.pushed = false;
         loop {
-            asked.notified().await;
-            let error = self.watch_while_there().await;
+            requested.notified().await;
+            let error = self.watch_current_address().await;
             note!("discovery: {error}");
             self.inbox.put(Input::no_list());
         }
     }
 
-    /// Watches until it ends, at a new address as soon as there is one; returns why it ended.
-    async fn watch_while_there(&mut self) -> String {
-        let place = self.place.clone();
+    /// Runs a watch until it fails and returns the reason. A new address restarts it there at once.
+    async fn watch_current_address(&mut self) -> String {
+        let discovery_address = self.discovery_address.clone();
         loop {
             tokio::select! {
                 biased;
-                () = place.moved.notified() => self.fresh = true,
+                () = discovery_address.changed.notified() => self.new_address = true,
                 error = self.watch() => return error,
             }
         }
     }
 
-    /// Watches until it ends; returns why it ended.
+    /// Runs a watch until it fails and returns the reason.
     async fn watch(&mut self) -> String {
-        // A new address may count its versions anew: what it has is asked for whole.
+        // The versions of a new address may start again, so the complete list is requested.
         let after = self
             .seq
-            .filter(|_| !self.fresh)
+            .filter(|_| !self.new_address)
             .map_or(String::new(), |seq| format!("&after={seq}"));
-        let mut stream = match self.call(&format!("watch=1{after}")).await {
+        let mut stream = match self.open(&format!("watch=1{after}")).await {
             Ok(stream) => stream,
             Err(e) => return e,
         };
         loop {
-            match timeout(SILENCE, stream.next()).await {
-                Err(_) => return "the watch is silent".into(),
+            match timeout(WATCH_TIMEOUT, stream.next()).await {
+                Err(_) => return "no data on the watch".into(),
                 Ok(Err(e)) => return e,
                 Ok(Ok(None)) => return "the watch has ended".into(),
-                Ok(Ok(Some(Part::Beat))) => self.spoke = true,
-                // What can't be read leaves a gap: only a new watch from the last good one fills it.
+                Ok(Ok(Some(Part::Beat))) => self.received_data = true,
+                // After an unreadable update, only a new watch after the last valid version completes the list.
                 Ok(Ok(Some(Part::Object(object)))) => {
-                    if let Err(e) = self.take(&object) {
+                    if let Err(e) = self.apply(&object) {
                         return e;
                     }
-                    self.spoke = true;
+                    self.received_data = true;
                 }
             }
         }
     }
 
-    /// Opens a watch: an agent is called again while calls hang, a service that all ask is called once.
-    async fn call(&self, query: &str) -> Result<Stream, String> {
+    /// Opens a watch. An agent is called again while calls hang; a service that all proxies share is called once.
+    async fn open(&self, query: &str) -> Result<ObjectStream, String> {
         let (mut calls, mut handles) = (JoinSet::new(), VecDeque::new());
-        let again = if self.pushed { AGAIN } else { TURN };
-        let (mut next, end) = (Instant::now(), Instant::now() + TURN);
+        let interval = if self.pushed {
+            CALL_INTERVAL
+        } else {
+            QUEUED_CALL_TIMEOUT
+        };
+        let (mut next, end) = (Instant::now(), Instant::now() + QUEUED_CALL_TIMEOUT);
         loop {
             if Instant::now() >= next {
-                if handles.len() == CALLS {
+                if handles.len() == MAX_CALLS {
                     handles.remove(1).inspect(AbortHandle::abort);
                 }
-                handles.push_back(calls.spawn_local(get(self.place.get(), query.to_owned())));
-                next = Instant::now() + again;
+                handles.push_back(
+                    calls.spawn_local(get(self.discovery_address.get(), query.to_owned())),
+                );
+                next = Instant::now() + interval;
             }
             let answer = tokio::select! {
                 biased;
@@ -199,20 +206,20 @@
         }
     }
 
-    fn take(&mut self, object: &[u8]) -> Result<(), String> {
+    fn apply(&mut self, object: &[u8]) -> Result<(), String> {
         let list: List =
-            serde_json::from_slice(object).map_err(|e| format!("a broken list: {e}"))?;
-        let anew = std::mem::take(&mut self.fresh) && list.whole;
-        if !anew
+            serde_json::from_slice(object).map_err(|e| format!("invalid list: {e}"))?;
+        let restarted = std::mem::take(&mut self.new_address) && list.whole;
+        if !restarted
             && self
                 .seq
                 .is_some_and(|seq| list.seq < seq || list.seq == seq && !list.whole)
         {
-            note!("discovery: news of {} is stale", list.seq); // what it says is older than what is known
+            note!("discovery: version {} of the list is stale", list.seq);
             return Ok(());
         }
         if !list.whole && self.seq.is_none() {
-            return Err("changes without a list".into());
+            return Err("received changes before a complete list".into());
         }
         self.seq = Some(list.seq);
         let scope = if list.whole {
@@ -229,11 +236,11 @@
     }
 }
 
-/// Asks for the whole list once.
+/// Requests the complete list once.
 pub async fn fetch_list(address: SocketAddr, inbox: Inbox) {
-    let list = timeout(SILENCE, async {
-        let body = get(address, String::new()).await?.rest().await?;
-        serde_json::from_slice::<List>(&body).map_err(|e| format!("a broken list: {e}"))
+    let list = timeout(WATCH_TIMEOUT, async {
+        let body = get(address, String::new()).await?.read_to_end().await?;
+        serde_json::from_slice::<List>(&body).map_err(|e| format!("invalid list: {e}"))
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         Ok(list) => {
@@ -250,37 +257,37 @@
     }
 }
 
-/// An answer's body, object by object.
-struct Stream {
+/// Body of an answer, read object by object.
+struct ObjectStream {
     body: hyper::body::Incoming,
     objects: Objects,
-    /// Ends the connection with the answer.
+    /// Closes the connection when the body is dropped.
     _connection: JoinSet<()>,
     _sender: http1::SendRequest<Empty<Bytes>>,
 }
 
-impl Stream {
-    /// The next part; `None` at the end.
+impl ObjectStream {
+    /// Returns the next part, or `None` at the end.
     async fn next(&mut self) -> Result<Option<Part>, String> {
         loop {
             if let Some(part) = self.objects.part()? {
                 return Ok(Some(part));
             }
-            let Some(data) = more(&mut self.body).await? else {
+            let Some(data) = next_data(&mut self.body).await? else {
                 return Ok(None);
             };
-            if self.objects.held() + data.len() > MOST {
-                return Err("a list over the size".into());
+            if self.objects.held() + data.len() > MAX_LIST_BYTES {
+                return Err("the list exceeds the maximum size".into());
             }
             self.objects.feed(&data);
         }
     }
 
-    async fn rest(mut self) -> Result<Vec<u8>, String> {
+    async fn read_to_end(mut self) -> Result<Vec<u8>, String> {
         let mut all = Vec::new();
-        while let Some(data) = more(&mut self.body).await? {
-            if all.len() + data.len() > MOST {
-                return Err("a list over the size".into());
+        while let Some(data) = next_data(&mut self.body).await? {
+            if all.len() + data.len() > MAX_LIST_BYTES {
+                return Err("the list exceeds the maximum size".into());
             }
             all.extend_from_slice(&data);
         }
@@ -288,8 +295,8 @@
     }
 }
 
-/// The next bytes of a body; `None` at its end.
-async fn more(body: &mut hyper::body::Incoming) -> Result<Option<Bytes>, String> {
+/// Returns the next bytes of a body, or `None` at its end.
+async fn next_data(body: &mut hyper::body::Incoming) -> Result<Option<Bytes>, String> {
     let Some(frame) = body.frame().await else {
         return Ok(None);
     };
@@ -301,17 +308,17 @@
     ))
 }
 
-async fn get(address: SocketAddr, query: String) -> Result<Stream, String> {
-    let stream = timeout(CONNECT, TcpStream::connect(address))
+async fn get(address: SocketAddr, query: String) -> Result<ObjectStream, String> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| "no connection")?;
+        .map_err(|_| "connection timed out")?;
     let stream = stream.map_err(|e| e.to_string())?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|e| e.to_string())?;
     let mut task = JoinSet::new();
     task.spawn_local(async move {
-        let _ = connection.await; // its end shows in the body
+        let _ = connection.await; // the body reports its errors
     });
     let separator = if query.is_empty() { "" } else { "?" };
     let request = Request::get(format!("/discovery/hosts{separator}{query}"))
@@ -323,9 +330,9 @@
         .await
         .map_err(|e| e.to_string())?;
     if answer.status() != StatusCode::OK {
-        return Err(format!("status {}", answer.status()));
+        return Err(format!("unexpected status {}", answer.status()));
     }
-    Ok(Stream {
+    Ok(ObjectStream {
         body: answer.into_body(),
         objects: Objects::default(),
         _connection: task,
--- a/crates/proxy-core/src/drills.rs
+++ b/crates/proxy-core/src/drills.rs
@@ -1,5 +1,6 @@
-//! Drills: for a while a share of one class's answers is delayed or becomes an error. They act on an answer
-//! that the module has already given, with chance of their own; the module never learns of them.
+//! Drills, that is fault injection: for a limited time, a share of the answers of a class is delayed or replaced by an
+//! error. Drills change answers that are already decided and draw from a random generator of their own, so they don't
+//! affect the decision module.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -27,129 +28,138 @@
 use crate::stream::Inbound;
 use crate::{log, note};
 
-/// Connections to the side port at once; more are closed unanswered.
-const CONNECTIONS: usize = 4;
-/// How long one may take, from its start to the end of its one answer, and its head.
-const WHOLE: Duration = Duration::from_secs(5);
-const HEAD: Duration = Duration::from_secs(2);
-const HEAD_SIZE: usize = 16 << 10;
-const BODY: usize = 4 << 10;
-const PAUSE: Duration = Duration::from_millis(10); // after a failed accept, lest it spin
-/// The longest delay; a held answer holds its connection.
-const DELAY_MOST: Duration = Duration::from_secs(60);
-/// Requests over which a share comes out exactly, to the nearest one.
-const BLOCK: u32 = 1000;
-
-/// What befalls an answer.
+/// Maximum concurrent connections to the drills' port; further ones are closed without an answer.
+const MAX_CONNECTIONS: usize = 4;
+/// Timeouts of a connection, from its start to the end of its only answer, and of its request head.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_BODY_BYTES: usize = 4 << 10;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10); // prevents a busy loop after a failed accept
+/// Longest delay of an answer; a delayed answer keeps its connection busy.
+const MAX_DELAY: Duration = Duration::from_secs(60);
+/// Requests over which a share is exact, to the nearest request.
+const BLOCK_REQUESTS: u32 = 1000;
+
+/// Fault that a drill applies to an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Delay(Duration),
     Abort,
 }
 
-/// A share of requests, drawn at random in blocks of which each has its exact part.
+/// Random selection of a share of requests, exact in each block of requests.
 struct Share {
-    part: u32,
-    need: u32,
-    left: u32,
+    /// Selected requests in each block.
+    selected_per_block: u32,
+    /// Requests still to select in the present block.
+    unselected: u32,
+    /// Requests that remain in the present block.
+    remaining: u32,
 }
 
 impl Share {
-    fn new(part: u32) -> Self {
+    fn new(selected_per_block: u32) -> Self {
         Share {
-            part,
-            need: 0,
-            left: 0,
+            selected_per_block,
+            unselected: 0,
+            remaining: 0,
         }
     }
 
-    /// Whether the next request is of the share.
-    fn draw(&mut self, chance: &mut fastrand::Rng) -> bool {
-        if self.left == 0 {
-            (self.need, self.left) = (self.part, BLOCK);
+    /// Returns true if the next request is selected.
+    fn draw(&mut self, random: &mut fastrand::Rng) -> bool {
+        if self.remaining == 0 {
+            (self.unselected, self.remaining) = (self.selected_per_block, BLOCK_REQUESTS);
         }
-        let hit = chance.u32(0..self.left) < self.need;
-        self.left -= 1;
-        self.need -= u32::from(hit);
-        hit
+        let selected = random.u32(0..self.remaining) < self.unselected;
+        self.remaining -= 1;
+        self.unselected -= u32::from(selected);
+        selected
     }
 }
 
 struct Drill {
-    deed: Fault,
+    fault: Fault,
     share: Share,
     until: Instant,
     name: Rc<str>,
 }
 
-/// What a request of a drill's share meets.
+/// Fault selected for a request.
 pub struct SelectedFault {
-    deed: Fault,
-    /// The drill's name.
+    fault: Fault,
+    /// Name of the drill.
     pub name: Rc<str>,
 }
 
-/// The drills that run, one a class at most.
+/// Running drills, at most one for each class.
 pub struct Drills {
     secret: Secret,
-    most: Duration,
+    max_duration: Duration,
     classes: Vec<String>,
     running: RefCell<Vec<Option<Drill>>>,
-    chance: RefCell<fastrand::Rng>,
-    ended: Cell<bool>,
-    end: Notify,
+    random: RefCell<fastrand::Rng>,
+    shut_down: Cell<bool>,
+    shutdown_notify: Notify,
 }
 
-/// What a drill's start asks for.
+/// Request that starts a drill.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Start {
     class: String,
     share: String,
     #[serde(rename = "for")]
-    span: String,
+    duration: String,
     delay: Option<String>,
     #[serde(default)]
     abort: bool,
 }
 
-/// What a stop asks for; without a class all drills stop.
+/// Request that stops a drill, or all drills if it names no class.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Stop {
     class: Option<String>,
 }
 
-/// Tells why something is not done.
-type Refusal = (StatusCode, String);
+/// Status and text of a rejected request.
+type Rejection = (StatusCode, String);
 
-fn bad(text: impl Into<String>) -> Refusal {
+fn bad(text: impl Into<String>) -> Rejection {
     (StatusCode::BAD_REQUEST, text.into())
 }
 
 impl Drills {
-    /// No drill runs yet. `seed` gives the draws.
-    pub fn new(secret: Secret, most: Duration, classes: Vec<String>, seed: u64) -> Rc<Self> {
+    /// Creates the state without a running drill. `seed` determines which requests are selected.
+    pub fn new(
+        secret: Secret,
+        max_duration: Duration,
+        classes: Vec<String>,
+        seed: u64,
+    ) -> Rc<Self> {
         Rc::new(Drills {
             secret,
-            most,
+            max_duration,
             running: RefCell::new(classes.iter().map(|_| None).collect()),
             classes,
-            chance: RefCell::new(fastrand::Rng::with_seed(seed)),
-            ended: Cell::new(false),
-            end: Notify::new(),
+            random: RefCell::new(fastrand::Rng::with_seed(seed)),
+            shut_down: Cell::new(false),
+            shutdown_notify: Notify::new(),
         })
     }
 
-    /// Whether a drill of this class acts on a request that has its answer. `id` is what the request is called.
+    /// Returns and logs the fault for a request that has its answer, if a drill of its class selects it. `id` is the
+    /// request's id.
     pub fn select(&self, class: usize, id: Option<&HeaderValue>) -> Option<SelectedFault> {
-        let hit = self.draw(class)?;
+        let selected = self.draw(class)?;
         let id = id.and_then(|id| id.to_str().ok());
-        log::each(format_args!("drill={} id={}", hit.name, Field(id)));
-        Some(hit)
+        log::unlimited_line(format_args!("drill={} id={}", selected.name, Field(id)));
+        Some(selected)
     }
 
-    /// Whether a request of this class is of a drill's share.
+    /// Returns the fault for the next request of a class, if a drill selects it.
     fn draw(&self, class: usize) -> Option<SelectedFault> {
         let mut running = self.running.borrow_mut();
         let slot = running.get_mut(class)?;
@@ -159,20 +169,24 @@
             *slot = None;
             return None;
         }
-        let hit = drill.share.draw(&mut self.chance.borrow_mut());
-        hit.then(|| SelectedFault {
-            deed: drill.deed,
+        let selected = drill.share.draw(&mut self.random.borrow_mut());
+        selected.then(|| SelectedFault {
+            fault: drill.fault,
             name: drill.name.clone(),
         })
     }
 
-    /// Lets a drill act on an answer.
-    pub async fn apply(&self, hit: &SelectedFault, answer: Response<Inbound>) -> Response<Inbound> {
-        let Fault::Delay(delay) = hit.deed else {
+    /// Applies the selected fault to an answer.
+    pub async fn apply(
+        &self,
+        selected: &SelectedFault,
+        answer: Response<Inbound>,
+    ) -> Response<Inbound> {
+        let Fault::Delay(delay) = selected.fault else {
             return plain(StatusCode::INTERNAL_SERVER_ERROR, "a drill").map(Inbound::from);
         };
-        let end = self.end.notified();
-        if !self.ended.get() {
+        let end = self.shutdown_notify.notified();
+        if !self.shut_down.get() {
             tokio::select! {
                 () = sleep(delay) => {}
                 () = end => {}
@@ -181,88 +195,88 @@
         answer
     }
 
-    /// Ends all drills for good, and lets go of the answers that they hold back.
-    pub fn end(&self) {
-        self.ended.set(true);
+    /// Ends all drills, releases the delayed answers, and prevents further drills.
+    pub fn shut_down(&self) {
+        self.shut_down.set(true);
         self.running
             .borrow_mut()
             .iter_mut()
             .for_each(|drill| *drill = None);
-        self.end.notify_waiters();
+        self.shutdown_notify.notify_waiters();
     }
 
-    fn class(&self, name: &str) -> Result<usize, Refusal> {
+    fn class(&self, name: &str) -> Result<usize, Rejection> {
         let class = self.classes.iter().position(|c| c == name);
         class.ok_or_else(|| bad(format!("there is no class '{}'", name.escape_default())))
     }
 
-    fn start(&self, asked: &Start) -> Result<String, Refusal> {
-        let class = self.class(&asked.class)?;
-        let span = |what: &str, text: &str| {
-            let span = humantime::parse_duration(text)
+    fn start(&self, request: &Start) -> Result<String, Rejection> {
+        let class = self.class(&request.class)?;
+        let duration = |field: &str, text: &str| {
+            let duration = humantime::parse_duration(text)
                 .ok()
                 .filter(|s| !s.is_zero());
-            span.ok_or_else(|| bad(format!("'{what}' is no span such as 400ms or 120s")))
+            duration.ok_or_else(|| bad(format!("'{field}' is no span such as 400ms or 120s")))
         };
-        let deed = match (&asked.delay, asked.abort) {
-            (Some(delay), false) => Fault::Delay(span("delay", delay)?),
+        let fault = match (&request.delay, request.abort) {
+            (Some(delay), false) => Fault::Delay(duration("delay", delay)?),
             (None, true) => Fault::Abort,
             _ => return Err(bad("one of a delay and an abort is wanted")),
         };
-        if matches!(deed, Fault::Delay(delay) if delay < Duration::from_millis(1) || delay > DELAY_MOST)
+        if matches!(fault, Fault::Delay(delay) if delay < Duration::from_millis(1) || delay > MAX_DELAY)
         {
             return Err(bad(format!(
                 "'delay' is not from 1ms to {}s",
-                DELAY_MOST.as_secs()
+                MAX_DELAY.as_secs()
             )));
         }
-        let share = asked
+        let share = request
             .share
             .strip_suffix('%')
             .and_then(|s| s.trim().parse::<f64>().ok());
-        let part = share
-            .map(|s| s / 100.0 * f64::from(BLOCK))
-            .filter(|s| *s >= 0.5 && *s <= f64::from(BLOCK));
-        let part = part
+        let selected_per_block = share
+            .map(|s| s / 100.0 * f64::from(BLOCK_REQUESTS))
+            .filter(|s| *s >= 0.5 && *s <= f64::from(BLOCK_REQUESTS));
+        let selected_per_block = selected_per_block
             .ok_or_else(|| bad("'share' is not from 0.1% to 100%"))?
             .round() as u32;
-        let asked_for = span("for", &asked.span)?;
-        let lasts = asked_for.min(self.most);
-        if self.ended.get() {
+        let requested = duration("for", &request.duration)?;
+        let limited = requested.min(self.max_duration);
+        if self.shut_down.get() {
             return Err((
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the proxy is about to stop".into(),
             ));
         }
-        let name = match deed {
-            Fault::Delay(delay) => format!("{}-delay-{}ms", asked.class, delay.as_millis()),
-            Fault::Abort => format!("{}-abort", asked.class),
+        let name = match fault {
+            Fault::Delay(delay) => format!("{}-delay-{}ms", request.class, delay.as_millis()),
+            Fault::Abort => format!("{}-abort", request.class),
         };
-        let cut = if lasts < asked_for {
+        let cut = if limited < requested {
             ", cut to the limit"
         } else {
             ""
         };
-        let told = format!(
+        let message = format!(
             "drill={name} on {}% for {} s{cut}",
-            part as f64 / 10.0,
-            lasts.as_secs_f64()
+            selected_per_block as f64 / 10.0,
+            limited.as_secs_f64()
         );
-        let until = Instant::now() + lasts;
+        let until = Instant::now() + limited;
         let drill = Drill {
-            deed,
-            share: Share::new(part),
+            fault,
+            share: Share::new(selected_per_block),
             until,
             name: name.into(),
         };
         if let Some(slot) = self.running.borrow_mut().get_mut(class) {
             *slot = Some(drill);
         }
-        Ok(told)
+        Ok(message)
     }
 
-    fn stop(&self, asked: &Stop) -> Result<String, Refusal> {
-        let only = asked
+    fn stop(&self, request: &Stop) -> Result<String, Rejection> {
+        let only = request
             .class
             .as_deref()
             .map(|name| self.class(name))
@@ -282,31 +296,31 @@
         })
     }
 
-    /// Serves the side port for as long as the process runs.
+    /// Serves the drills' port until the process ends.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let places = Rc::new(Semaphore::new(CONNECTIONS));
+        let permits = Rc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let (stream, from) = match listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(e) => {
                     note!("drills: accept: {e}");
-                    sleep(PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            if places.available_permits() == 0 {
-                continue; // it closes
+            if permits.available_permits() == 0 {
+                continue; // dropping the stream closes the connection
             }
-            let (drills, places) = (self.clone(), places.clone());
+            let (drills, permits) = (self.clone(), permits.clone());
             tokio::task::spawn_local(async move {
-                let Ok(_place) = places.try_acquire() else {
+                let Ok(_permit) = permits.try_acquire() else {
                     return;
                 };
-                if timeout(WHOLE, drills.connection(stream, from))
+                if timeout(CONNECTION_TIMEOUT, drills.connection(stream, from))
                     .await
                     .is_err()
                 {
-                    note!("drills: {from} took too long");
+                    note!("drills: connection from {from} timed out");
                 }
             });
         }
@@ -320,7 +334,10 @@
                     (StatusCode::OK, text)
                 }
                 Err((status, text)) => {
-                    note!("drills: {from} is refused: {}", text.escape_debug());
+                    note!(
+                        "drills: request from {from} rejected: {}",
+                        text.escape_debug()
+                    );
                     (status, text)
                 }
             };
@@ -330,27 +347,27 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD)
-            .max_buf_size(HEAD_SIZE)
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(MAX_HEAD_BYTES)
             .keep_alive(false)
             .serve_connection(TokioIo::new(stream), service);
-        let _ = connection.await; // malformed HTTP has been answered by hyper
+        let _ = connection.await; // hyper has answered malformed requests
     }
 
     async fn respond(
         &self,
         request: Request<Incoming>,
         from: SocketAddr,
-    ) -> Result<String, Refusal> {
+    ) -> Result<String, Rejection> {
         let (head, body) = request.into_parts();
-        if !self.knows(&head.headers) {
+        if !self.is_authorized(&head.headers) {
             note!("drills: a wrong secret from {from}");
             return Err((StatusCode::FORBIDDEN, "the secret is wrong".into()));
         }
         if head.uri.path() != "/drill" {
             return Err((StatusCode::NOT_FOUND, "there is only /drill".into()));
         }
-        let body = Limited::new(body, BODY)
+        let body = Limited::new(body, MAX_BODY_BYTES)
             .collect()
             .await
             .map_err(|_| bad("the body can't be read"))?;
@@ -369,8 +386,8 @@
         }
     }
 
-    /// Whether the sender knows the secret; how long this takes tells nothing but its length.
-    fn knows(&self, headers: &HeaderMap) -> bool {
+    /// Checks the secret in constant time; the duration reveals only its length.
+    fn is_authorized(&self, headers: &HeaderMap) -> bool {
         let given = headers
             .get(AUTHORIZATION)
             .and_then(|v| v.as_bytes().strip_prefix(b"Bearer "));
@@ -382,57 +399,63 @@
 mod tests {
     use super::*;
 
-    fn drills(most: u64) -> Rc<Drills> {
+    fn drills(max_seconds: u64) -> Rc<Drills> {
         let secret = Secret::new("opensesame").expect("a secret");
         Drills::new(
             secret,
-            Duration::from_secs(most),
+            Duration::from_secs(max_seconds),
             vec!["lookup".into(), "checkout".into()],
             7,
         )
     }
 
-    fn ask(delay: Option<&str>, abort: bool, share: &str, span: &str) -> Start {
-        let (share, span, delay) = (share.into(), span.into(), delay.map(str::to_owned));
+    fn start_request(delay: Option<&str>, abort: bool, share: &str, duration: &str) -> Start {
+        let (share, duration, delay) = (share.into(), duration.into(), delay.map(str::to_owned));
         Start {
             class: "lookup".into(),
             share,
-            span,
+            duration,
             delay,
             abort,
         }
     }
 
     #[test]
-    fn shares_come_out_exactly_over_a_thousand_requests_and_at_random_places() {
+    fn shares_are_exact_over_a_thousand_requests_and_randomly_spread() {
         for (share, wanted) in [("10%", 100), ("0.1%", 1), ("33.3%", 333), ("100%", 1000)] {
             let drills = drills(300);
             drills
-                .start(&ask(Some("400ms"), false, share, "120s"))
+                .start(&start_request(Some("400ms"), false, share, "120s"))
                 .expect(share);
-            let hits: Vec<bool> = (0..1000).map(|_| drills.draw(0).is_some()).collect();
-            assert_eq!(hits.iter().filter(|hit| **hit).count(), wanted, "{share}");
-            assert!(drills.draw(1).is_none(), "the other class is left alone");
+            let selected: Vec<bool> = (0..1000).map(|_| drills.draw(0).is_some()).collect();
+            assert_eq!(
+                selected.iter().filter(|selected| **selected).count(),
+                wanted,
+                "{share}"
+            );
+            assert!(drills.draw(1).is_none(), "the other class is unaffected");
             if wanted == 100 {
-                let places: Vec<usize> = (0..1000).filter(|n| hits[*n]).collect();
+                let indices: Vec<usize> = (0..1000).filter(|n| selected[*n]).collect();
                 assert!(
-                    places.windows(3).any(|w| w[1] - w[0] != w[2] - w[1]),
-                    "no fixed beat"
+                    indices.windows(3).any(|w| w[1] - w[0] != w[2] - w[1]),
+                    "the intervals vary"
                 );
             }
         }
     }
 
     #[test]
-    fn a_drill_is_named_and_cut_to_the_limit() {
+    fn a_drill_has_a_name_and_its_duration_is_limited() {
         let drills = drills(300);
-        let told = drills
-            .start(&ask(Some("400ms"), false, "10%", "120s"))
+        let message = drills
+            .start(&start_request(Some("400ms"), false, "10%", "120s"))
+            .expect("good");
+        assert_eq!(message, "drill=lookup-delay-400ms on 10% for 120 s");
+        let message = drills
+            .start(&start_request(None, true, "50%", "1h"))
             .expect("good");
-        assert_eq!(told, "drill=lookup-delay-400ms on 10% for 120 s");
-        let told = drills.start(&ask(None, true, "50%", "1h")).expect("good");
         assert_eq!(
-            told,
+            message,
             "drill=lookup-abort on 50% for 300 s, cut to the limit"
         );
         let stop = |class: Option<&str>| {
@@ -447,47 +470,59 @@
     }
 
     #[test]
-    fn bad_values_are_refused_with_the_reason() {
+    fn invalid_values_are_rejected_with_the_reason() {
         let drills = drills(300);
-        for (asked, word) in [
-            (ask(None, false, "10%", "1s"), "one of a delay and an abort"),
+        for (request, reason) in [
+            (
+                start_request(None, false, "10%", "1s"),
+                "one of a delay and an abort",
+            ),
             (
-                ask(Some("1s"), true, "10%", "1s"),
+                start_request(Some("1s"), true, "10%", "1s"),
                 "one of a delay and an abort",
             ),
-            (ask(Some("soon"), false, "10%", "1s"), "'delay' is no span"),
-            (ask(Some("61s"), false, "10%", "1s"), "'delay' is not from"),
-            (ask(Some("10us"), false, "10%", "1s"), "'delay' is not from"),
-            (ask(None, true, "10", "1s"), "'share'"),
-            (ask(None, true, "0%", "1s"), "'share'"),
-            (ask(None, true, "101%", "1s"), "'share'"),
-            (ask(None, true, "NaN%", "1s"), "'share'"),
-            (ask(None, true, "10%", "0s"), "'for' is no span"),
+            (
+                start_request(Some("soon"), false, "10%", "1s"),
+                "'delay' is no span",
+            ),
+            (
+                start_request(Some("61s"), false, "10%", "1s"),
+                "'delay' is not from",
+            ),
+            (
+                start_request(Some("10us"), false, "10%", "1s"),
+                "'delay' is not from",
+            ),
+            (start_request(None, true, "10", "1s"), "'share'"),
+            (start_request(None, true, "0%", "1s"), "'share'"),
+            (start_request(None, true, "101%", "1s"), "'share'"),
+            (start_request(None, true, "NaN%", "1s"), "'share'"),
+            (start_request(None, true, "10%", "0s"), "'for' is no span"),
             (
                 Start {
                     class: "odd".into(),
-                    ..ask(None, true, "10%", "1s")
+                    ..start_request(None, true, "10%", "1s")
                 },
                 "no class 'odd'",
             ),
         ] {
-            let (status, text) = drills.start(&asked).expect_err(word);
+            let (status, text) = drills.start(&request).expect_err(reason);
             assert!(
-                status == StatusCode::BAD_REQUEST && text.contains(word),
-                "{word}: {text}"
+                status == StatusCode::BAD_REQUEST && text.contains(reason),
+                "{reason}: {text}"
             );
         }
     }
 
     #[test]
-    fn only_the_whole_secret_is_known() {
+    fn only_the_complete_secret_is_accepted() {
         let drills = drills(300);
-        let knows = |value: &str| {
+        let is_authorized = |value: &str| {
             let mut headers = HeaderMap::new();
             headers.insert(AUTHORIZATION, value.parse().expect("a value"));
-            drills.knows(&headers)
+            drills.is_authorized(&headers)
         };
-        assert!(knows("Bearer opensesame"));
+        assert!(is_authorized("Bearer opensesame"));
         for wrong in [
             "Bearer opensesam",
             "Bearer opensesame1",
@@ -495,8 +530,8 @@
             "opensesame",
             "Basic opensesame",
         ] {
-            assert!(!knows(wrong), "{wrong}");
+            assert!(!is_authorized(wrong), "{wrong}");
         }
-        assert!(!drills.knows(&HeaderMap::new()));
+        assert!(!drills.is_authorized(&HeaderMap::new()));
     }
 }
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -1,7 +1,7 @@
-//! Figures for dashboards: requests, what is in flight and latencies, by class, tenant and answer code, as StatsD
-//! or InfluxDB lines. Counters are summed and gauges read at each flush; a timer is one line a request.
+//! Metrics export for dashboards: requests, requests in flight and latencies, by class, tenant and status code, as StatsD
+//! or InfluxDB lines. A flush writes the counters' sums and the gauges; each request writes its timer at its end.
 //!
-//! Threads write the lines out. Nothing here waits for them, and what they can't get rid of is bounded.
+//! Writer threads send the lines. Nothing here blocks on them, and their queues are bounded.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,99 +21,106 @@
 
 use crate::inbox::GONE;
 use crate::line_writer::{LineWriter, write_whole};
-use crate::log::{self, FIGURES, FIGURES_MOST as MOST};
+use crate::log::{self, METRICS_MAX_BYTES, METRICS_QUEUE};
 use crate::message::class_of;
 use crate::note;
 
-/// From so many bytes on the threads get to work before the flush.
-const EARLY: usize = 32 << 10;
-/// Bytes of one write to a file.
-const FILE_BATCH: usize = 8 << 10;
-/// Between two lines of log about a file.
-const COMPLAIN: Duration = Duration::from_secs(60);
-/// Bytes of a tag's value.
-const TAG: usize = 64;
-/// The value for what the settings do not name.
-const OTHER: &str = "other";
-
-/// Which class and tenant: places in the names, `None` for what the settings do not name.
-type Who = (Option<usize>, Option<usize>);
-
-/// What a figure is tagged with.
+/// Queued bytes from which on the threads are woken before the flush.
+const EARLY_WAKE_BYTES: usize = 32 << 10;
+/// Maximum bytes of one write to a file.
+const FILE_BATCH_BYTES: usize = 8 << 10;
+/// Minimum interval between two log lines about write errors of a file.
+const ERROR_LOG_INTERVAL: Duration = Duration::from_secs(60);
+/// Maximum bytes of a tag value.
+const MAX_TAG_BYTES: usize = 64;
+/// Tag value for classes and tenants that the settings don't name.
+const OTHER_TAG_VALUE: &str = "other";
+
+/// Class and tenant: indices into the names, `None` for a name that the settings don't have.
+type ClassAndTenant = (Option<usize>, Option<usize>);
+
+/// Tags of a metric.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Series {
-    who: Who,
+    class_and_tenant: ClassAndTenant,
     code: u16,
     drill: Option<Rc<str>>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Requests that have ended since the last flush.
+    /// Ended requests since the last flush.
     requests: BTreeMap<Series, u64>,
-    /// Requests under way, for each class and tenant seen so far.
-    inflight: BTreeMap<Who, u64>,
-    /// Bytes since the threads were last woken.
-    unwoken: usize,
-    /// The last time stamp: InfluxDB takes points of one series and one time for one point.
-    stamp: u128,
+    /// Requests in flight, for each class and tenant seen so far.
+    inflight: BTreeMap<ClassAndTenant, u64>,
+    /// Bytes queued since the threads were last woken.
+    unwoken_bytes: usize,
+    /// Last timestamp. Timestamps are unique, as InfluxDB merges points of one series with the same timestamp.
+    last_timestamp: u128,
 }
 
-/// The proxy's figures.
+/// Exporter of the proxy's metrics.
 pub struct MetricsExporter {
     format: Format,
     classes: RefCell<Vec<String>>,
     tenants: RefCell<Vec<String>>,
-    flush: Duration,
+    flush_interval: Duration,
     state: RefCell<State>,
-    /// Where they go: a thread and its lane.
-    outlets: Vec<(LineWriter, usize)>,
+    /// Writer threads, each with its queue.
+    writers: Vec<(LineWriter, usize)>,
 }
 
 impl MetricsExporter {
     pub fn new(settings: &Settings, names: &Names) -> io::Result<Rc<Self>> {
         let targets =
             usize::from(settings.file.is_some()) + usize::from(settings.udp_address.is_some());
-        let most = [MOST / targets.max(1)];
-        let mut outlets = Vec::new();
+        let max_bytes = [METRICS_MAX_BYTES / targets.max(1)];
+        let mut writers = Vec::new();
         if let Some(file) = &settings.file {
-            outlets.push((
-                LineWriter::start("figures.file", &most, FILE_BATCH, to_file(file.clone()))?,
+            writers.push((
+                LineWriter::start(
+                    "figures.file",
+                    &max_bytes,
+                    FILE_BATCH_BYTES,
+                    file_writer(file.clone()),
+                )?,
                 0,
             ));
         }
         if let Some(to) = settings.udp_address {
-            outlets.push((
+            writers.push((
                 LineWriter::start(
                     "figures.udp",
-                    &most,
+                    &max_bytes,
                     settings.max_datagram_bytes,
-                    to_udp(to)?,
+                    udp_writer(to)?,
                 )?,
                 0,
             ));
         }
-        if outlets.is_empty() {
-            outlets.push((log::behind_thread()?.clone(), FIGURES));
+        if writers.is_empty() {
+            writers.push((log::start_writer_thread()?.clone(), METRICS_QUEUE));
         }
-        let escaped = |names: &[String]| all_tags(settings.format, names);
+        let values = |names: &[String]| tag_values(settings.format, names);
         Ok(Rc::new(MetricsExporter {
             format: settings.format,
-            classes: RefCell::new(escaped(&names.classes)),
-            tenants: RefCell::new(escaped(&names.tenants)),
-            flush: settings.flush_interval,
+            classes: RefCell::new(values(&names.classes)),
+            tenants: RefCell::new(values(&names.tenants)),
+            flush_interval: settings.flush_interval,
             state: RefCell::default(),
-            outlets,
+            writers,
         }))
     }
 
-    /// The settings have changed, and with them the names.
+    /// Updates the names after a change of the settings.
     pub fn update_names(&self, names: &Names) {
-        self.classes.replace(all_tags(self.format, &names.classes));
-        self.tenants.replace(all_tags(self.format, &names.tenants));
+        self.classes
+            .replace(tag_values(self.format, &names.classes));
+        self.tenants
+            .replace(tag_values(self.format, &names.tenants));
     }
 
-    /// A request has come in; `None` for what is none of a class's.
+    /// Starts to measure a request; `None` for a health check.
     pub fn start_request<B>(
         self: &Rc<Self>,
         request: &Request<B>,
@@ -123,21 +130,26 @@
         if uri.path() == "/up" {
             return None;
         }
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let tenant = request
             .headers()
             .get("x-tenant-id")
             .and_then(|v| v.to_str().ok());
-        let who = (
-            place(&names.classes, class_of(uri)),
-            tenant.and_then(|tenant| place(&names.tenants, tenant)),
+        let class_and_tenant = (
+            index(&names.classes, class_of(uri)),
+            tenant.and_then(|tenant| index(&names.tenants, tenant)),
         );
-        *self.state.borrow_mut().inflight.entry(who).or_default() += 1;
+        *self
+            .state
+            .borrow_mut()
+            .inflight
+            .entry(class_and_tenant)
+            .or_default() += 1;
         let (drill, ended) = (RefCell::default(), Cell::new(false));
         Some(InFlightRequest {
-            figures: self.clone(),
-            who,
-            began: Instant::now(),
+            exporter: self.clone(),
+            class_and_tenant,
+            started: Instant::now(),
             drill,
             ended,
         })
@@ -145,10 +157,10 @@
 
     fn end(&self, series: Series, took: Duration) {
         let mut state = self.state.borrow_mut();
-        if let Some(inflight) = state.inflight.get_mut(&series.who) {
+        if let Some(inflight) = state.inflight.get_mut(&series.class_and_tenant) {
             *inflight -= 1;
         }
-        let tags = self.tags(series.who, Some(&series));
+        let tags = self.tags(series.class_and_tenant, Some(&series));
         let ms = took.as_secs_f64() * 1000.0;
         self.put(
             &mut state,
@@ -158,16 +170,16 @@
             &tags,
         );
         *state.requests.entry(series).or_default() += 1;
-        if state.unwoken >= EARLY {
+        if state.unwoken_bytes >= EARLY_WAKE_BYTES {
             self.wake(&mut state);
         }
     }
 
-    /// Sums the counters, reads the gauges and sends all on its way.
+    /// Queues the sums of the counters and the gauges, and wakes the writer threads.
     pub fn flush(&self) {
         let mut state = self.state.borrow_mut();
         for (series, count) in std::mem::take(&mut state.requests) {
-            let tags = self.tags(series.who, Some(&series));
+            let tags = self.tags(series.class_and_tenant, Some(&series));
             self.put(
                 &mut state,
                 "canvascart.requests",
@@ -176,9 +188,13 @@
                 &tags,
             );
         }
-        let gauges: Vec<(Who, u64)> = state.inflight.iter().map(|(who, n)| (*who, *n)).collect();
-        for (who, count) in gauges {
-            let tags = self.tags(who, None);
+        let gauges: Vec<(ClassAndTenant, u64)> = state
+            .inflight
+            .iter()
+            .map(|(class_and_tenant, n)| (*class_and_tenant, *n))
+            .collect();
+        for (class_and_tenant, count) in gauges {
+            let tags = self.tags(class_and_tenant, None);
             self.put(
                 &mut state,
                 "canvascart.inflight",
@@ -188,9 +204,9 @@
             );
         }
         let dropped: u64 = self
-            .outlets
+            .writers
             .iter()
-            .map(|(outlet, lane)| outlet.take_dropped(*lane))
+            .map(|(writer, queue)| writer.take_dropped(*queue))
             .sum();
         if dropped > 0 {
             self.put(
@@ -204,55 +220,55 @@
         self.wake(&mut state);
     }
 
-    /// Flushes for as long as the process runs.
-    pub async fn follow(self: Rc<Self>) -> Infallible {
-        let mut beat = interval(self.flush);
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Flushes periodically until the process ends.
+    pub async fn flush_periodically(self: Rc<Self>) -> Infallible {
+        let mut ticks = interval(self.flush_interval);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            beat.tick().await;
+            ticks.tick().await;
             self.flush();
         }
     }
 
-    /// Flushes a last time, and waits until all is written, for so long at most.
-    pub fn finish(&self, most: Duration) {
+    /// Flushes a last time, and waits until all lines are written or the timeout ends.
+    pub fn finish(&self, timeout: Duration) {
         self.flush();
-        let end = Instant::now() + most;
-        for (outlet, _) in &self.outlets {
-            outlet.finish(end.saturating_duration_since(Instant::now()));
+        let end = Instant::now() + timeout;
+        for (writer, _) in &self.writers {
+            writer.finish(end.saturating_duration_since(Instant::now()));
         }
     }
 
     fn wake(&self, state: &mut State) {
-        state.unwoken = 0;
-        self.outlets.iter().for_each(|(outlet, _)| outlet.wake());
+        state.unwoken_bytes = 0;
+        self.writers.iter().for_each(|(writer, _)| writer.wake());
     }
 
-    /// The tags as the format writes them, without what separates them from the figure.
-    fn tags(&self, who: Who, series: Option<&Series>) -> String {
-        let name = |names: &'_ [String], place: Option<usize>| -> String {
-            place
-                .and_then(|p| names.get(p))
-                .map_or(OTHER, String::as_str)
+    /// Returns the tags in the output format, without the separator before them.
+    fn tags(&self, class_and_tenant: ClassAndTenant, series: Option<&Series>) -> String {
+        let name = |names: &'_ [String], index: Option<usize>| -> String {
+            index
+                .and_then(|i| names.get(i))
+                .map_or(OTHER_TAG_VALUE, String::as_str)
                 .to_owned()
         };
-        let class = name(&self.classes.borrow(), who.0);
-        let tenant = name(&self.tenants.borrow(), who.1);
-        let is = match self.format {
+        let class = name(&self.classes.borrow(), class_and_tenant.0);
+        let tenant = name(&self.tenants.borrow(), class_and_tenant.1);
+        let separator = match self.format {
             Format::Statsd => ':',
             Format::Influx => '=',
         };
-        let mut tags = format!("class{is}{class},tenant{is}{tenant}");
+        let mut tags = format!("class{separator}{class},tenant{separator}{tenant}");
         if let Some(series) = series {
-            tags += &format!(",code{is}{}", series.code);
+            tags += &format!(",code{separator}{}", series.code);
             if let Some(drill) = &series.drill {
-                tags += &format!(",drill{is}{}", tag(self.format, drill));
+                tags += &format!(",drill{separator}{}", tag_value(self.format, drill));
             }
         }
         tags
     }
 
-    /// Hands a figure's line over.
+    /// Formats a metric and queues its line.
     fn put(&self, state: &mut State, name: &str, value: fmt::Arguments, kind: Kind, tags: &str) {
         let line = match self.format {
             Format::Statsd => {
@@ -261,7 +277,7 @@
                 } else {
                     format!("|#{tags}")
                 };
-                format!("{name}:{value}|{}{tags}\n", kind.letter())
+                format!("{name}:{value}|{}{tags}\n", kind.statsd_type())
             }
             Format::Influx => {
                 let comma = if tags.is_empty() { "" } else { "," };
@@ -269,14 +285,17 @@
                     .duration_since(UNIX_EPOCH)
                     .unwrap_or_default()
                     .as_nanos();
-                state.stamp = unix.max(state.stamp + 1);
-                let whole = if matches!(kind, Kind::Timer) { "" } else { "i" };
-                format!("{name}{comma}{tags} value={value}{whole} {}\n", state.stamp)
+                state.last_timestamp = unix.max(state.last_timestamp + 1);
+                let integer_suffix = if matches!(kind, Kind::Timer) { "" } else { "i" };
+                format!(
+                    "{name}{comma}{tags} value={value}{integer_suffix} {}\n",
+                    state.last_timestamp
+                )
             }
         };
-        state.unwoken += line.len();
-        for (outlet, lane) in &self.outlets {
-            outlet.put(*lane, line.as_bytes());
+        state.unwoken_bytes += line.len();
+        for (writer, queue) in &self.writers {
+            writer.put(*queue, line.as_bytes());
         }
     }
 }
@@ -289,7 +308,7 @@
 }
 
 impl Kind {
-    fn letter(self) -> &'static str {
+    fn statsd_type(self) -> &'static str {
         match self {
             Kind::Counter => "c",
             Kind::Gauge => "g",
@@ -298,30 +317,30 @@
     }
 }
 
-/// A request under way. Where it is dropped before its end, its client has left.
+/// Request in flight. It counts as abandoned by its client if it is dropped before its end.
 pub struct InFlightRequest {
-    figures: Rc<MetricsExporter>,
-    who: Who,
-    began: Instant,
+    exporter: Rc<MetricsExporter>,
+    class_and_tenant: ClassAndTenant,
+    started: Instant,
     drill: RefCell<Option<Rc<str>>>,
     ended: Cell<bool>,
 }
 
 impl InFlightRequest {
-    /// A drill acts on its answer.
+    /// Records the drill that affects the answer.
     pub fn set_drill(&self, drill: &Rc<str>) {
         self.drill.replace(Some(drill.clone()));
     }
 
-    /// It has this answer.
+    /// Records the end of the request with its status code.
     pub fn end(&self, code: u16) {
         self.ended.set(true);
         let series = Series {
-            who: self.who,
+            class_and_tenant: self.class_and_tenant,
             code,
             drill: self.drill.take(),
         };
-        self.figures.end(series, self.began.elapsed());
+        self.exporter.end(series, self.started.elapsed());
     }
 }
 
@@ -333,16 +352,16 @@
     }
 }
 
-/// Names as the values of tags.
-fn all_tags(format: Format, names: &[String]) -> Vec<String> {
-    names.iter().map(|name| tag(format, name)).collect()
+/// Returns names as tag values.
+fn tag_values(format: Format, names: &[String]) -> Vec<String> {
+    names.iter().map(|name| tag_value(format, name)).collect()
 }
 
-/// A tag's value: cut, and with nothing in it that the format gives a meaning.
-fn tag(format: Format, text: &str) -> String {
+/// Returns a text as a tag value: truncated, and without characters that have a meaning in the format.
+fn tag_value(format: Format, text: &str) -> String {
     let mut value = String::new();
     for c in text.chars() {
-        if value.len() >= TAG {
+        if value.len() >= MAX_TAG_BYTES {
             break;
         }
         match (format, c) {
@@ -355,24 +374,24 @@
     if value.is_empty() { "_".into() } else { value }
 }
 
-/// Adds lines to a file. It is opened anew for each write: a file that has been moved away is not written to.
-fn to_file(file: PathBuf) -> impl FnMut(&[u8]) + Send {
-    let mut complained: Option<Instant> = None;
+/// Appends lines to a file. The file is opened for each write, so that one moved away by log rotation is no longer written.
+fn file_writer(file: PathBuf) -> impl FnMut(&[u8]) + Send {
+    let mut last_logged: Option<Instant> = None;
     move |lines| {
         let written = OpenOptions::new().append(true).create(true).open(&file);
         let written = written.and_then(|mut file| write_whole(&mut file, lines));
-        let quiet = complained.is_some_and(|at| at.elapsed() < COMPLAIN);
+        let recently_logged = last_logged.is_some_and(|at| at.elapsed() < ERROR_LOG_INTERVAL);
         if let Err(e) = written
-            && !quiet
+            && !recently_logged
         {
             note!("figures: {}: {e}", file.display());
-            complained = Some(Instant::now());
+            last_logged = Some(Instant::now());
         }
     }
 }
 
-/// Sends lines as datagrams. Nobody may be there to take them, which is no concern of the proxy's.
-fn to_udp(to: SocketAddr) -> io::Result<impl FnMut(&[u8]) + Send> {
+/// Sends lines as UDP datagrams. Errors are ignored, as the receiver may be absent.
+fn udp_writer(to: SocketAddr) -> io::Result<impl FnMut(&[u8]) + Send> {
     let from: IpAddr = match to {
         SocketAddr::V4(to) if to.ip().is_loopback() => Ipv4Addr::LOCALHOST.into(),
         SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
@@ -390,42 +409,42 @@
 
     use super::*;
 
-    const LONG: Duration = Duration::from_secs(30);
+    const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-    /// MetricsExporter that go out by a thread of the test's.
-    fn figures_by(format: Format, outlet: LineWriter) -> (Rc<MetricsExporter>, Names) {
+    /// Creates an exporter with this writer.
+    fn exporter_with(format: Format, writer: LineWriter) -> (Rc<MetricsExporter>, Names) {
         let names = Names {
             classes: vec!["lookup".into(), "check out,x".into()],
             tenants: vec!["biblio-estrie".into()],
             ..Names::default()
         };
-        let escaped = |names: &[String]| all_tags(format, names);
-        let figures = Rc::new(MetricsExporter {
+        let values = |names: &[String]| tag_values(format, names);
+        let exporter = Rc::new(MetricsExporter {
             format,
-            classes: RefCell::new(escaped(&names.classes)),
-            tenants: RefCell::new(escaped(&names.tenants)),
-            flush: Duration::from_secs(1),
+            classes: RefCell::new(values(&names.classes)),
+            tenants: RefCell::new(values(&names.tenants)),
+            flush_interval: Duration::from_secs(1),
             state: RefCell::default(),
-            outlets: vec![(outlet, 0)],
+            writers: vec![(writer, 0)],
         });
-        (figures, names)
+        (exporter, names)
     }
 
-    /// Figures whose lines the test gets.
-    fn figures(format: Format) -> (Rc<MetricsExporter>, Receiver<String>, Names) {
+    /// Creates an exporter whose lines the test receives.
+    fn exporter(format: Format) -> (Rc<MetricsExporter>, Receiver<String>, Names) {
         let (out, lines) = channel();
         let write = move |bytes: &[u8]| {
             let _ = out.send(String::from_utf8(bytes.to_vec()).expect("text"));
         };
-        let (figures, names) = figures_by(
+        let (exporter, names) = exporter_with(
             format,
-            LineWriter::start("test", &[MOST], 1, write).expect("a thread"),
+            LineWriter::start("test", &[METRICS_MAX_BYTES], 1, write).expect("a thread"),
         );
-        (figures, lines, names)
+        (exporter, lines, names)
     }
 
-    fn begin(
-        figures: &Rc<MetricsExporter>,
+    fn start_request(
+        exporter: &Rc<MetricsExporter>,
         names: &Names,
         path: &str,
         tenant: &str,
@@ -434,133 +453,141 @@
             .header("x-tenant-id", tenant)
             .body(())
             .expect("a request");
-        figures.start_request(&request, names)
+        exporter.start_request(&request, names)
     }
 
-    fn all(figures: &MetricsExporter, lines: &Receiver<String>) -> Vec<String> {
-        figures.finish(LONG);
+    fn all_lines(exporter: &MetricsExporter, lines: &Receiver<String>) -> Vec<String> {
+        exporter.finish(LONG_TIMEOUT);
         lines.try_iter().map(|l| l.trim_end().to_owned()).collect()
     }
 
     #[test]
-    fn statsd_lines_sum_requests_and_read_what_is_in_flight() {
-        let (figures, lines, names) = figures(Format::Statsd);
+    fn statsd_counters_are_summed_and_gauges_show_requests_in_flight() {
+        let (exporter, lines, names) = exporter(Format::Statsd);
         for _ in 0..3 {
-            begin(&figures, &names, "/lookup?sid=1", "biblio-estrie")
+            start_request(&exporter, &names, "/lookup?sid=1", "biblio-estrie")
                 .expect("a request")
                 .end(200);
         }
-        let open = begin(&figures, &names, "/lookup?sid=1", "biblio-estrie");
-        let drilled = begin(&figures, &names, "/evil,code:1|c", "nobody").expect("a request");
+        let open = start_request(&exporter, &names, "/lookup?sid=1", "biblio-estrie");
+        let drilled =
+            start_request(&exporter, &names, "/evil,code:1|c", "nobody").expect("a request");
         drilled.set_drill(&"lookup-abort".into());
         drilled.end(500);
-        assert!(begin(&figures, &names, "/up", "nobody").is_none());
-        let said = all(&figures, &lines);
+        assert!(start_request(&exporter, &names, "/up", "nobody").is_none());
+        let written = all_lines(&exporter, &lines);
         let tags = "class:lookup,tenant:biblio-estrie";
-        let timers = said.iter().filter(|l| {
+        let timers = written.iter().filter(|l| {
             l.starts_with("canvascart.latency_ms:") && l.ends_with(&format!("|ms|#{tags},code:200"))
         });
-        assert_eq!(timers.count(), 3, "{said:?}");
+        assert_eq!(timers.count(), 3, "{written:?}");
         let other = "class:other,tenant:other";
-        for wanted in [
+        for expected in [
             format!("canvascart.requests:3|c|#{tags},code:200"),
             format!("canvascart.requests:1|c|#{other},code:500,drill:lookup-abort"),
             format!("canvascart.inflight:1|g|#{tags}"),
             format!("canvascart.inflight:0|g|#{other}"),
         ] {
-            assert!(said.contains(&wanted), "{wanted} in {said:?}");
+            assert!(written.contains(&expected), "{expected} in {written:?}");
         }
-        assert_eq!(said.len(), 8, "{said:?}");
-        drop(open); // the client leaves
-        let said = all(&figures, &lines);
+        assert_eq!(written.len(), 8, "{written:?}");
+        drop(open); // the client disconnects
+        let written = all_lines(&exporter, &lines);
         assert!(
-            said.contains(&format!("canvascart.requests:1|c|#{tags},code:499")),
-            "{said:?}"
+            written.contains(&format!("canvascart.requests:1|c|#{tags},code:499")),
+            "{written:?}"
         );
         assert!(
-            said.contains(&format!("canvascart.inflight:0|g|#{tags}")),
-            "{said:?}"
+            written.contains(&format!("canvascart.inflight:0|g|#{tags}")),
+            "{written:?}"
         );
         assert!(
-            !said.iter().any(|l| l.contains("code:200")),
-            "counters begin anew: {said:?}"
+            !written.iter().any(|l| l.contains("code:200")),
+            "counters start at 0 again: {written:?}"
         );
     }
 
     #[test]
-    fn influx_points_are_escaped_and_each_has_a_time_of_its_own() {
-        let (figures, lines, names) = figures(Format::Influx);
+    fn influx_points_are_escaped_and_have_unique_timestamps() {
+        let (exporter, lines, names) = exporter(Format::Influx);
         for _ in 0..2 {
-            let request = begin(&figures, &names, "/lookup", "biblio-estrie");
+            let request = start_request(&exporter, &names, "/lookup", "biblio-estrie");
             request.expect("a request").end(200);
         }
-        figures.end(
+        exporter.end(
             Series {
-                who: (Some(1), None),
+                class_and_tenant: (Some(1), None),
                 code: 503,
                 drill: None,
             },
             Duration::from_millis(2),
         );
-        let said = all(&figures, &lines);
-        let of = |start: &str| {
-            said.iter()
+        let written = all_lines(&exporter, &lines);
+        let starting_with = |start: &str| {
+            written
+                .iter()
                 .filter(|l| l.starts_with(start))
                 .collect::<Vec<_>>()
         };
         assert_eq!(
-            of("canvascart.latency_ms,class=lookup,tenant=biblio-estrie,code=200 value=").len(),
+            starting_with(
+                "canvascart.latency_ms,class=lookup,tenant=biblio-estrie,code=200 value="
+            )
+            .len(),
             2
         );
         assert_eq!(
-            of("canvascart.requests,class=lookup,tenant=biblio-estrie,code=200 value=2i ").len(),
+            starting_with(
+                "canvascart.requests,class=lookup,tenant=biblio-estrie,code=200 value=2i "
+            )
+            .len(),
             1
         );
         let slow = "canvascart.latency_ms,class=check\\ out\\,x,tenant=other,code=503 value=2.000 ";
-        assert_eq!(of(slow).len(), 1, "{said:?}");
-        let stamps: std::collections::BTreeSet<&str> = said
+        assert_eq!(starting_with(slow).len(), 1, "{written:?}");
+        let timestamps: std::collections::BTreeSet<&str> = written
             .iter()
             .filter_map(|l| l.rsplit_once(' '))
-            .map(|(_, stamp)| stamp)
+            .map(|(_, timestamp)| timestamp)
             .collect();
-        assert_eq!(stamps.len(), said.len());
+        assert_eq!(timestamps.len(), written.len());
     }
 
     #[test]
-    fn a_full_buffer_drops_the_oldest_and_says_how_many() {
-        // The thread is held at its first line, so that the rest has to wait.
-        let (gate, held) = channel::<()>();
+    fn a_full_queue_drops_its_oldest_lines_and_reports_their_number() {
+        // The writer thread blocks at its first line, so that the rest is queued.
+        let (gate, blocked) = channel::<()>();
         let (out, lines) = channel();
         let write = move |bytes: &[u8]| {
             let _ = out.send(String::from_utf8(bytes.to_vec()).expect("text"));
-            let _ = held.recv();
+            let _ = blocked.recv();
         };
-        let outlet = LineWriter::start("test", &[700], 1, write).expect("a thread");
-        let (figures, names) = figures_by(Format::Statsd, outlet.clone());
+        let writer = LineWriter::start("test", &[700], 1, write).expect("a thread");
+        let (exporter, names) = exporter_with(Format::Statsd, writer.clone());
         let end = |code| {
-            begin(&figures, &names, "/lookup", "nobody")
+            start_request(&exporter, &names, "/lookup", "nobody")
                 .expect("a request")
                 .end(code)
         };
         end(200);
-        outlet.wake();
-        let first = lines.recv_timeout(LONG).expect("the first line");
+        writer.wake();
+        let first = lines.recv_timeout(LONG_TIMEOUT).expect("the first line");
         assert!(first.contains("code:200"), "{first}");
         (300..400).for_each(end);
-        figures.flush();
+        exporter.flush();
         drop(gate);
-        assert!(outlet.finish(LONG));
-        let said: Vec<String> = lines.try_iter().collect();
-        let (last, kept) = said.split_last().expect("lines");
+        assert!(writer.finish(LONG_TIMEOUT));
+        let written: Vec<String> = lines.try_iter().collect();
+        let (last, kept) = written.split_last().expect("lines");
         let dropped = last
             .strip_prefix("canvascart.figures_dropped:")
             .and_then(|l| l.strip_suffix("|c\n"));
         let dropped: u64 = dropped
-            .unwrap_or_else(|| panic!("{said:?}"))
+            .unwrap_or_else(|| panic!("{written:?}"))
             .parse()
             .expect("a number");
-        // A hundred timers, counters for those and the first, a gauge.
-        let lost = dropped + outlet.take_dropped(0);
+        // 100 timers, counters of these requests and of the first one, and a gauge.
+        let lost = dropped + writer.take_dropped(0);
         assert_eq!(lost + kept.len() as u64, 100 + 101 + 1);
         assert!(
             kept.iter()
@@ -569,10 +596,13 @@
     }
 
     #[test]
-    fn no_value_can_pass_for_another_tag() {
-        assert_eq!(tag(Format::Statsd, "a,b:c|d#e@f g\n"), "a_b_c_d_e_f_g_");
-        assert_eq!(tag(Format::Influx, "a,b=c d\\\n"), "a\\,b\\=c\\ d__");
-        assert_eq!(tag(Format::Statsd, ""), "_");
-        assert!(tag(Format::Influx, &",".repeat(1000)).len() <= TAG);
+    fn a_value_cannot_be_mistaken_for_another_tag() {
+        assert_eq!(
+            tag_value(Format::Statsd, "a,b:c|d#e@f g\n"),
+            "a_b_c_d_e_f_g_"
+        );
+        assert_eq!(tag_value(Format::Influx, "a,b=c d\\\n"), "a\\,b\\=c\\ d__");
+        assert_eq!(tag_value(Format::Statsd, ""), "_");
+        assert!(tag_value(Format::Influx, &",".repeat(1000)).len() <= MAX_TAG_BYTES);
     }
 }
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! Where a process stands between its start and its end, and what follows from it for `/up`, for accepting, for
-//! keeping connections and for the operators' door. One state machine without I/O; time is passed in.
+//! Lifecycle of a process from start to shutdown. It determines the answers of `/up` and of the operations listener,
+//! and whether connections are accepted and kept alive. The state machine does no I/O; the caller passes the time in.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -9,90 +9,92 @@
 
 use crate::clock::Clock;
 
-/// For so long new connections are still taken after SIGTERM, where the listener is the process's own: the front
-/// sends them for up to 0.4 s.
-const LINGER: Millis = 500.0;
-/// A connection that is no longer kept closes once it has been idle for this span: one that its client still uses
-/// gets its next request before that, and closes with the answer, so that no request crosses the closing.
-const QUIET: Millis = 300.0;
-/// One that has had no request yet is waited for this long: its first may be on the way.
-const FIRST: Millis = 1000.0;
-/// Whatever is still idle so long after SIGTERM closes: clients use each connection that stays open.
-const LAST_CALL: Millis = 650.0;
-/// SIGKILL comes no sooner after SIGTERM than this and the longest deadline, counted as [`LONGEST`] where it is longer. What it
-/// finds unanswered is lost, if that came more than this span after SIGTERM.
-const KILL: Millis = 700.0;
-const LONGEST: Millis = 3000.0;
-/// A request that comes later than this after SIGTERM may be one of those: it has its answer [`SPARE`] before the kill.
-const LATE: Millis = 550.0;
-const SPARE: Millis = 150.0;
-
-/// Where a process stands.
+/// Time after SIGTERM during which new connections are still accepted, if the process owns its listener: the load
+/// balancer in front keeps sending them for up to 0.4 s.
+const ACCEPT_GRACE_MS: Millis = 500.0;
+/// Idle time after which a connection closes during a drain or a shutdown. A client that still uses the connection
+/// sends its next request sooner, and the connection closes with that answer, so no request races with the close.
+const IDLE_CLOSE_MS: Millis = 300.0;
+/// The same for a connection that has had no request yet: its first one may be on the way.
+const FIRST_REQUEST_GRACE_MS: Millis = 1000.0;
+/// Time after SIGTERM at which every idle connection closes: clients go on using each connection that stays open.
+const FORCED_IDLE_CLOSE_MS: Millis = 650.0;
+/// Minimum time from SIGTERM to SIGKILL, without the longest deadline, which is added and counts as
+/// [`MAX_COUNTED_DEADLINE_MS`] at most. A request that arrived more than this delay after SIGTERM and is unanswered at
+/// SIGKILL is lost.
+const MIN_KILL_DELAY_MS: Millis = 700.0;
+const MAX_COUNTED_DEADLINE_MS: Millis = 3000.0;
+/// A request that arrives later than this after SIGTERM could be unanswered at SIGKILL, so its timeout ends [`KILL_MARGIN_MS`]
+/// before the earliest SIGKILL.
+const LATE_REQUEST_MS: Millis = 550.0;
+const KILL_MARGIN_MS: Millis = 150.0;
+
+/// Phase of a process's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no list of servers yet.
+    /// No endpoint list has been received yet.
     Starting,
-    /// It takes clients.
+    /// Clients are accepted.
     Serving,
-    /// An operator sends clients away; nothing restarts.
+    /// An operator drains clients from the process, which keeps running.
     LameDuck,
-    /// It has had SIGTERM, and ends what it has.
+    /// SIGTERM has arrived; the remaining requests are being answered.
     ShuttingDown,
 }
 
-/// A connection of a client, between two of its requests.
+/// Client connection without a request in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleConnection {
-    /// Since when.
+    /// Time of its last activity.
     pub since: Millis,
-    /// It has had an answer.
+    /// True once an answer has been sent on it.
     pub used: bool,
 }
 
-/// The state machine.
+/// State machine of the lifecycle.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
-    /// Another process listens on the same socket, or may.
+    /// Other processes may listen on the same socket.
     shared: bool,
-    listed: bool,
-    lame: Option<Millis>,
-    left: Option<Millis>,
+    list_received: bool,
+    lame_duck_since: Option<Millis>,
+    terminated_at: Option<Millis>,
 }
 
 impl Lifecycle {
-    /// A process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(shared: bool) -> Self {
         Lifecycle {
             shared,
-            listed: false,
-            lame: None,
-            left: None,
+            list_received: false,
+            lame_duck_since: None,
+            terminated_at: None,
         }
     }
 
-    /// It has a list of servers to send to.
+    /// Records that the endpoint list has been received.
     pub fn mark_list_received(&mut self) {
-        self.listed = true;
+        self.list_received = true;
     }
 
-    /// Clients are sent away, or no longer. To say the same again changes nothing, and a process that leaves can't be
-    /// called back: then the answer is `false`.
+    /// Starts or ends the lame-duck drain. Repeating a call changes nothing. Returns `false` if a process that shuts
+    /// down is asked to end its drain, which is impossible.
     pub fn set_lame_duck(&mut self, now: Millis, on: bool) -> bool {
-        if self.left.is_some() {
-            return on; // it sends them away already
+        if self.terminated_at.is_some() {
+            return on; // a process that shuts down already drains its clients
         }
-        self.lame = on.then(|| self.lame.unwrap_or(now));
+        self.lame_duck_since = on.then(|| self.lame_duck_since.unwrap_or(now));
         true
     }
 
-    /// SIGTERM, also during a drain.
+    /// Records SIGTERM, which may also arrive during a drain.
     pub fn begin_shutdown(&mut self, now: Millis) {
-        self.left = self.left.or(Some(now));
+        self.terminated_at = self.terminated_at.or(Some(now));
     }
 
-    /// Where it stands. A drain before the list is there holds, and so does the start: it is not up either way.
+    /// Returns the present phase. A drain that begins before the list is received lasts beyond it.
     pub fn phase(&self) -> Phase {
-        match (self.left, self.lame, self.listed) {
+        match (self.terminated_at, self.lame_duck_since, self.list_received) {
             (Some(_), ..) => Phase::ShuttingDown,
             (_, Some(_), _) => Phase::LameDuck,
             (.., false) => Phase::Starting,
@@ -100,53 +102,70 @@
         }
     }
 
-    /// What `/up` and `/_ready` say.
+    /// Returns true if `/up` and `/_ready` report the process as up.
     pub fn is_up(&self) -> bool {
         self.phase() == Phase::Serving
     }
 
-    /// Whether new connections are taken. On a listener that other processes share, a process without a list leaves
-    /// them to those, and so does one that leaves; on its own it answers that it is not up.
+    /// Returns true if new connections are accepted. On a shared listener, a process that has no list or is shutting
+    /// down leaves them to the other processes; on its own listener it accepts them and answers that it is not up.
     pub fn accepts_connections(&self, now: Millis) -> bool {
-        match self.left {
-            Some(left) => !self.shared && now - left < LINGER,
-            None => !self.shared || self.listed,
+        match self.terminated_at {
+            Some(terminated_at) => !self.shared && now - terminated_at < ACCEPT_GRACE_MS,
+            None => !self.shared || self.list_received,
         }
     }
 
-    /// Whether others may take the connections that this process does not.
+    /// Returns true if other processes may accept the connections that this process does not.
     pub fn is_shared(&self) -> bool {
         self.shared
     }
 
-    /// Whether a connection outlives its answer.
+    /// Returns true if connections are kept open after an answer.
     pub fn keeps_connections(&self) -> bool {
         matches!(self.phase(), Phase::Starting | Phase::Serving)
     }
 
-    /// How long a request that has come now is waited for, whose client would wait so long, where the longest deadline is this
-    /// one.
+    /// Returns the timeout of a request that arrives now: `wanted`, the time its client waits, or less if SIGKILL may come
+    /// before. `longest` is the longest deadline of all classes.
     pub fn request_timeout(&self, now: Millis, wanted: Duration, longest: Duration) -> Duration {
-        let Some(left) = self.left.filter(|left| now - left > LATE) else {
+        let Some(terminated_at) = self
+            .terminated_at
+            .filter(|terminated_at| now - terminated_at > LATE_REQUEST_MS)
+        else {
             return wanted;
         };
-        let end = left + KILL - SPARE + (longest.as_secs_f64() * 1000.0).min(LONGEST);
+        let end = terminated_at + MIN_KILL_DELAY_MS - KILL_MARGIN_MS
+            + (longest.as_secs_f64() * 1000.0).min(MAX_COUNTED_DEADLINE_MS);
         wanted.min(Duration::from_secs_f64((end - now).max(0.0) / 1000.0))
     }
 
-    /// Whether an idle connection closes now.
+    /// Returns true if an idle connection has to close now.
     pub fn should_close(&self, now: Millis, idle: IdleConnection) -> bool {
-        let Some(turned) = self.left.into_iter().chain(self.lame).reduce(f64::min) else {
+        let Some(drain_start) = self
+            .terminated_at
+            .into_iter()
+            .chain(self.lame_duck_since)
+            .reduce(f64::min)
+        else {
             return false;
         };
-        if self.left.is_some_and(|left| now - left >= LAST_CALL) {
+        if self
+            .terminated_at
+            .is_some_and(|terminated_at| now - terminated_at >= FORCED_IDLE_CLOSE_MS)
+        {
             return true;
         }
-        now - idle.since.max(turned) >= if idle.used { QUIET } else { FIRST }
+        now - idle.since.max(drain_start)
+            >= if idle.used {
+                IDLE_CLOSE_MS
+            } else {
+                FIRST_REQUEST_GRACE_MS
+            }
     }
 }
 
-/// A process's lifecycle with its clock, for the parts that follow it.
+/// Lifecycle shared by the parts of a process, with the clock.
 pub struct SharedLifecycle {
     clock: Clock,
     state: RefCell<Lifecycle>,
@@ -154,7 +173,7 @@
 }
 
 impl SharedLifecycle {
-    /// The lifecycle of a process that has just started.
+    /// Creates the lifecycle of a process that has just started.
     pub fn new(clock: Clock, shared: bool) -> Self {
         SharedLifecycle {
             clock,
@@ -163,24 +182,24 @@
         }
     }
 
-    /// The state as it is now, and the time.
-    pub fn read<T>(&self, about: impl FnOnce(&Lifecycle, Millis) -> T) -> T {
-        about(&self.state.borrow(), self.clock.now())
+    /// Calls a function with the state and the time.
+    pub fn read<T>(&self, query: impl FnOnce(&Lifecycle, Millis) -> T) -> T {
+        query(&self.state.borrow(), self.clock.now())
     }
 
-    /// Changes the state, and tells those who wait.
-    pub fn update<T>(&self, news: impl FnOnce(&mut Lifecycle, Millis) -> T) -> T {
-        let said = news(&mut self.state.borrow_mut(), self.clock.now());
+    /// Calls a function that may change the state, and notifies the waiting tasks.
+    pub fn update<T>(&self, change: impl FnOnce(&mut Lifecycle, Millis) -> T) -> T {
+        let result = change(&mut self.state.borrow_mut(), self.clock.now());
         self.changed.notify_waiters();
-        said
+        result
     }
 
-    /// Whether it takes clients.
+    /// Returns true if the process accepts clients.
     pub fn is_up(&self) -> bool {
         self.state.borrow().is_up()
     }
 
-    /// The time of an instant on the process's clock.
+    /// Converts an instant to the time of the process's clock.
     pub fn clock_time(&self, at: tokio::time::Instant) -> Millis {
         self.clock.at(at)
     }
--- a/crates/proxy-core/src/line_writer.rs
+++ b/crates/proxy-core/src/line_writer.rs
@@ -1,28 +1,28 @@
-//! Threads that write lines out. What hands lines over never waits for them: each kind of line has a bounded
-//! buffer, out of which the oldest lines go when it is full.
+//! Threads that write lines. Callers that hand lines over never block: each kind of line has a bounded queue, which
+//! drops its oldest lines when it is full.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Wait before a write is tried again where the other side is full and the descriptor doesn't block.
-const FULL: Duration = Duration::from_millis(10);
+/// Delay before a write to a full non-blocking descriptor is repeated.
+const WOULD_BLOCK_DELAY: Duration = Duration::from_millis(10);
 
-/// Lines that wait, in pieces of whole lines. A piece is one write.
-struct Lane {
-    pieces: VecDeque<Vec<u8>>,
+/// Queue of lines to write, in batches of whole lines. A batch is one write.
+struct Queue {
+    batches: VecDeque<Vec<u8>>,
     bytes: usize,
-    most: usize,
-    /// Lines taken out unwritten and not yet reported.
+    max_bytes: usize,
+    /// Lines dropped unwritten and not yet reported.
     dropped: u64,
 }
 
-impl Lane {
-    /// Takes lines out, oldest first, until the rest fits.
-    fn cut(&mut self) {
-        while self.bytes > self.most {
-            let Some(oldest) = self.pieces.pop_front() else {
+impl Queue {
+    /// Drops the oldest batches until the rest fits.
+    fn drop_excess(&mut self) {
+        while self.bytes > self.max_bytes {
+            let Some(oldest) = self.batches.pop_front() else {
                 break;
             };
             self.bytes -= oldest.len();
@@ -32,55 +32,55 @@
 }
 
 struct State {
-    lanes: Vec<Lane>,
-    /// A piece is being written.
-    busy: bool,
+    queues: Vec<Queue>,
+    /// True while a batch is being written.
+    writing: bool,
 }
 
 struct Shared {
     state: Mutex<State>,
-    /// Bytes of a piece that lines are added to.
+    /// Maximum bytes of a batch that lines are appended to.
     batch: usize,
-    more: Condvar,
+    lines_ready: Condvar,
     idle: Condvar,
 }
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner) // a panic elsewhere leaves whole lines
+        self.state.lock().unwrap_or_else(PoisonError::into_inner) // the queues hold whole lines even after a panic elsewhere
     }
 }
 
-/// A writer thread and the buffers before it.
+/// Writer thread and its queues.
 #[derive(Clone)]
 pub struct LineWriter(Arc<Shared>);
 
 impl LineWriter {
-    /// Starts a thread that gives `write` whole lines, those of the first lane first. `most` bounds each lane's
-    /// bytes, `batch` those of a write, where one line is no longer than that.
+    /// Starts a thread that passes whole lines to `write`, those of the first queue first. `max_bytes` bounds each
+    /// queue. `batch` bounds a write, except for a single line that is longer.
     pub fn start(
         name: &str,
-        most: &[usize],
+        max_bytes: &[usize],
         batch: usize,
         mut write: impl FnMut(&[u8]) + Send + 'static,
     ) -> io::Result<Self> {
-        let lane = |most: &usize| Lane {
-            pieces: VecDeque::new(),
+        let queue = |max_bytes: &usize| Queue {
+            batches: VecDeque::new(),
             bytes: 0,
-            most: *most,
+            max_bytes: *max_bytes,
             dropped: 0,
         };
         let state = Mutex::new(State {
-            lanes: most.iter().map(lane).collect(),
-            busy: false,
+            queues: max_bytes.iter().map(queue).collect(),
+            writing: false,
         });
         let shared = Arc::new(Shared {
             state,
             batch,
-            more: Condvar::new(),
+            lines_ready: Condvar::new(),
             idle: Condvar::new(),
         });
-        let outlet = LineWriter(shared.clone());
+        let writer = LineWriter(shared.clone());
         std::thread::Builder::new()
             .name(name.into())
             .spawn(move || {
@@ -88,53 +88,53 @@
                     write(&shared.next());
                 }
             })?;
-        Ok(outlet)
+        Ok(writer)
     }
 
-    /// Hands whole lines over. They go out at the next wake-up.
-    pub fn put(&self, lane: usize, lines: &[u8]) {
+    /// Queues whole lines. The thread writes them at its next wake-up.
+    pub fn put(&self, queue: usize, lines: &[u8]) {
         let mut state = self.0.lock();
-        let lane = &mut state.lanes[lane];
-        lane.bytes += lines.len();
-        match lane
-            .pieces
+        let queue = &mut state.queues[queue];
+        queue.bytes += lines.len();
+        match queue
+            .batches
             .back_mut()
             .filter(|last| last.len() + lines.len() <= self.0.batch)
         {
             Some(last) => last.extend_from_slice(lines),
             None => {
-                let mut piece = Vec::with_capacity(lines.len().max(self.0.batch));
-                piece.extend_from_slice(lines);
-                lane.pieces.push_back(piece);
+                let mut batch = Vec::with_capacity(lines.len().max(self.0.batch));
+                batch.extend_from_slice(lines);
+                queue.batches.push_back(batch);
             }
         }
-        lane.cut();
+        queue.drop_excess();
     }
 
-    /// Hands over many whole lines at once, for a write of their own.
-    pub fn put_piece(&self, lane: usize, lines: Vec<u8>) {
+    /// Queues whole lines as a batch of their own.
+    pub fn put_batch(&self, queue: usize, lines: Vec<u8>) {
         let mut state = self.0.lock();
-        let lane = &mut state.lanes[lane];
-        lane.bytes += lines.len();
-        lane.pieces.push_back(lines);
-        lane.cut();
+        let queue = &mut state.queues[queue];
+        queue.bytes += lines.len();
+        queue.batches.push_back(lines);
+        queue.drop_excess();
     }
 
     pub fn wake(&self) {
-        self.0.more.notify_one();
+        self.0.lines_ready.notify_one();
     }
 
-    /// Lines that a lane has lost since this was last asked.
-    pub fn take_dropped(&self, lane: usize) -> u64 {
-        std::mem::take(&mut self.0.lock().lanes[lane].dropped)
+    /// Returns the number of lines that a queue has dropped since the last call.
+    pub fn take_dropped(&self, queue: usize) -> u64 {
+        std::mem::take(&mut self.0.lock().queues[queue].dropped)
     }
 
-    /// Waits until all is written, for so long at most; tells whether it is.
-    pub fn finish(&self, most: Duration) -> bool {
+    /// Waits until all lines are written or the timeout ends; returns true if all are written.
+    pub fn finish(&self, timeout: Duration) -> bool {
         self.wake();
-        let end = Instant::now() + most;
+        let end = Instant::now() + timeout;
         let mut state = self.0.lock();
-        while state.busy || state.lanes.iter().any(|l| !l.pieces.is_empty()) {
+        while state.writing || state.queues.iter().any(|queue| !queue.batches.is_empty()) {
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
@@ -147,34 +147,38 @@
 }
 
 impl Shared {
-    /// Waits for lines and takes those of one write.
+    /// Waits for lines and returns the next batch.
     fn next(&self) -> Vec<u8> {
         let mut state = self.lock();
-        state.busy = false;
+        state.writing = false;
         loop {
-            if let Some(lane) = state.lanes.iter_mut().find(|l| !l.pieces.is_empty()) {
-                let piece = lane.pieces.pop_front().unwrap_or_default();
-                lane.bytes -= piece.len();
-                state.busy = true;
-                return piece;
+            if let Some(queue) = state
+                .queues
+                .iter_mut()
+                .find(|queue| !queue.batches.is_empty())
+            {
+                let batch = queue.batches.pop_front().unwrap_or_default();
+                queue.bytes -= batch.len();
+                state.writing = true;
+                return batch;
             }
             self.idle.notify_all();
             state = self
-                .more
+                .lines_ready
                 .wait(state)
                 .unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
 
-/// Writes all of it, whether or not the descriptor blocks: half a line would mix with the next one.
+/// Writes all bytes, also to a non-blocking descriptor: a partial line would merge with the next one.
 pub fn write_whole(out: &mut impl Write, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match out.write(bytes) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(n) => bytes = &bytes[n..],
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == ErrorKind::WouldBlock => std::thread::sleep(FULL),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => std::thread::sleep(WOULD_BLOCK_DELAY),
             Err(e) => return Err(e),
         }
     }
@@ -187,37 +191,43 @@
 
     use super::*;
 
-    const LONG: Duration = Duration::from_secs(30);
+    const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
     #[test]
-    fn a_full_buffer_loses_its_oldest_lines_and_counts_them() {
-        let (gate, held) = channel::<()>();
+    fn a_full_queue_drops_its_oldest_lines_and_counts_them() {
+        let (gate, blocked) = channel::<()>();
         let (out, written) = channel();
         let write = move |bytes: &[u8]| {
             out.send(bytes.to_vec()).expect("the test listens");
-            let _ = held.recv(); // holds the thread until the gate is gone
+            let _ = blocked.recv(); // blocks the thread until the sender is dropped
         };
-        let outlet = LineWriter::start("test", &[100, 8], 4, write).expect("a thread");
-        outlet.put(1, b"first\n");
-        outlet.wake();
-        assert_eq!(written.recv_timeout(LONG).expect("a write"), b"first\n");
+        let writer = LineWriter::start("test", &[100, 8], 4, write).expect("a thread");
+        writer.put(1, b"first\n");
+        writer.wake();
+        assert_eq!(
+            written.recv_timeout(LONG_TIMEOUT).expect("a write"),
+            b"first\n"
+        );
         for line in ["a\nb\n", "cc\n", "d\n", "e\n"] {
-            outlet.put(1, line.as_bytes());
+            writer.put(1, line.as_bytes());
         }
-        outlet.put(0, b"log\n");
+        writer.put(0, b"log\n");
         assert_eq!(
             (
-                outlet.take_dropped(1),
-                outlet.take_dropped(1),
-                outlet.take_dropped(0)
+                writer.take_dropped(1),
+                writer.take_dropped(1),
+                writer.take_dropped(0)
             ),
             (2, 0, 0)
         );
-        assert!(!outlet.finish(Duration::from_millis(1)), "it is held");
+        assert!(
+            !writer.finish(Duration::from_millis(1)),
+            "the writer is blocked"
+        );
         drop(gate);
-        assert!(outlet.finish(LONG));
+        assert!(writer.finish(LONG_TIMEOUT));
         assert_eq!(
-            written.recv_timeout(LONG).expect("the first lane"),
+            written.recv_timeout(LONG_TIMEOUT).expect("the first queue"),
             b"log\n"
         );
         let rest: Vec<Vec<u8>> = written.try_iter().collect();
@@ -225,15 +235,15 @@
     }
 
     #[test]
-    fn a_write_takes_whole_lines_within_its_bound() {
+    fn a_batch_holds_whole_lines_within_its_size() {
         let (out, written) = channel();
         let write = move |bytes: &[u8]| out.send(bytes.to_vec()).expect("the test listens");
-        let outlet = LineWriter::start("test", &[100], 8, write).expect("a thread");
+        let writer = LineWriter::start("test", &[100], 8, write).expect("a thread");
         for line in ["12\n", "345\n", "6\n", "789012\n"] {
-            outlet.put(0, line.as_bytes());
+            writer.put(0, line.as_bytes());
         }
-        outlet.put_piece(0, b"1234567890\n".to_vec());
-        assert!(outlet.finish(LONG));
+        writer.put_batch(0, b"1234567890\n".to_vec());
+        assert!(writer.finish(LONG_TIMEOUT));
         let all: Vec<Vec<u8>> = written.try_iter().collect();
         assert_eq!(
             all,
@@ -241,10 +251,10 @@
         );
     }
 
-    /// Takes a byte at a time and says now and then that it is full.
-    struct Narrow(Vec<u8>, bool);
+    /// Accepts one byte at a time and returns `WouldBlock` at every other write.
+    struct SlowWriter(Vec<u8>, bool);
 
-    impl Write for Narrow {
+    impl Write for SlowWriter {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             self.1 = !self.1;
             if self.1 {
@@ -260,9 +270,9 @@
     }
 
     #[test]
-    fn a_line_is_written_whole_however_little_is_taken_at_once() {
-        let mut out = Narrow(Vec::new(), false);
-        write_whole(&mut out, b"a line\n").expect("it takes all");
+    fn partial_writes_are_repeated_until_the_line_is_complete() {
+        let mut out = SlowWriter(Vec::new(), false);
+        write_whole(&mut out, b"a line\n").expect("all bytes are written");
         assert_eq!(out.0, b"a line\n");
     }
 }
--- a/crates/proxy-core/src/log.rs
+++ b/crates/proxy-core/src/log.rs
@@ -1,4 +1,4 @@
-//! Lines on standard error, a few a second at most, so that no flood of bad input becomes a flood of log.
+//! Rate-limited log lines on standard error, so that a flood of bad input doesn't flood the log.
 
 use std::cell::Cell;
 use std::fmt::Arguments;
@@ -8,99 +8,105 @@
 
 use crate::line_writer::{LineWriter, write_whole};
 
-/// Bytes that wait for a standard error that is not read: of the log's own lines, of a capture, of figures.
-const LOG_MOST: usize = 64 << 10;
-pub const CAPTURE_MOST: usize = 960 << 10;
-pub const FIGURES_MOST: usize = 240 << 10;
-/// Bytes of one write.
-const BATCH: usize = 4096;
-/// The lanes of standard error.
-const LOG: usize = 0;
-pub const CAPTURE: usize = 1;
-pub const FIGURES: usize = 2;
+/// Maximum bytes queued while standard error is not read: log lines, the capture, and metrics.
+const LOG_MAX_BYTES: usize = 64 << 10;
+pub const CAPTURE_MAX_BYTES: usize = 960 << 10;
+pub const METRICS_MAX_BYTES: usize = 240 << 10;
+/// Maximum bytes of a batch that is written at once.
+const BATCH_BYTES: usize = 4096;
+/// Queues of standard error.
+const LOG_QUEUE: usize = 0;
+pub const CAPTURE_QUEUE: usize = 1;
+pub const METRICS_QUEUE: usize = 2;
 
-/// Standard error behind a thread of its own, where a feature writes there.
-static OUTLET: OnceLock<LineWriter> = OnceLock::new();
+/// Thread that writes to standard error; it runs if a feature needs it.
+static WRITER: OnceLock<LineWriter> = OnceLock::new();
 
-/// The program's name, before each line.
-static NAME: OnceLock<&str> = OnceLock::new();
+/// Program name that begins each line.
+static PROGRAM_NAME: OnceLock<&str> = OnceLock::new();
 
-fn name() -> &'static str {
-    NAME.get().copied().unwrap_or("canvascart-proxy")
+fn program_name() -> &'static str {
+    PROGRAM_NAME.get().copied().unwrap_or("canvascart-proxy")
 }
 
-/// Gives the program another name; the first one holds.
+/// Sets the program name; later calls have no effect.
 pub fn set_name(name: &'static str) {
-    let _ = NAME.set(name);
+    let _ = PROGRAM_NAME.set(name);
 }
 
-const BURST: u32 = 20; // lines in a second; the rest are counted and left out
+const MAX_LINES_PER_SECOND: u32 = 20; // further lines are counted and left out
 
 thread_local! {
     static WINDOW: Cell<(Option<Instant>, u32)> = const { Cell::new((None, 0)) };
 }
 
-/// Writes a line unless too many came within this second.
+/// Writes a line unless the limit of this second is reached.
 pub fn line(text: Arguments) {
     let now = Instant::now();
     let (since, count) = WINDOW.get();
     let (since, count) = match since {
         Some(since) if now - since < Duration::from_secs(1) => (since, count + 1),
         _ => {
-            if count > BURST {
-                write(format_args!("{} lines left out", count - BURST));
+            if count > MAX_LINES_PER_SECOND {
+                write(format_args!(
+                    "{} lines left out",
+                    count - MAX_LINES_PER_SECOND
+                ));
             }
             (now, 1)
         }
     };
     WINDOW.set((Some(since), count));
-    if count <= BURST {
+    if count <= MAX_LINES_PER_SECOND {
         write(text);
     }
 }
 
-/// Writes a line however many came; the buffer before standard error bounds them.
-pub fn each(text: Arguments) {
+/// Writes a line without the rate limit; only the queue of standard error bounds such lines.
+pub fn unlimited_line(text: Arguments) {
     write(text);
 }
 
-/// Writes a line. Unlike `eprintln!` it survives a log that nobody reads any more.
+/// Writes a line. Unlike `eprintln!` it doesn't panic if standard error is closed.
 fn write(text: Arguments) {
-    let Some(outlet) = OUTLET.get() else {
-        let _ = writeln!(std::io::stderr(), "{}: {text}", name());
+    let Some(writer) = WRITER.get() else {
+        let _ = writeln!(std::io::stderr(), "{}: {text}", program_name());
         return;
     };
-    let dropped = outlet.take_dropped(LOG);
+    let dropped = writer.take_dropped(LOG_QUEUE);
     if dropped > 0 {
-        outlet.put(
-            LOG,
-            format!("{}: {dropped} lines lost\n", name()).as_bytes(),
+        writer.put(
+            LOG_QUEUE,
+            format!("{}: {dropped} lines lost\n", program_name()).as_bytes(),
         );
     }
-    outlet.put(LOG, format!("{}: {text}\n", name()).as_bytes());
-    outlet.wake();
+    writer.put(
+        LOG_QUEUE,
+        format!("{}: {text}\n", program_name()).as_bytes(),
+    );
+    writer.wake();
 }
 
-/// From here on a thread writes to standard error, and nothing else waits for its reader.
-pub fn behind_thread() -> std::io::Result<&'static LineWriter> {
-    if let Some(outlet) = OUTLET.get() {
-        return Ok(outlet);
+/// Starts the thread that writes to standard error, so that no other thread blocks on its reader.
+pub fn start_writer_thread() -> std::io::Result<&'static LineWriter> {
+    if let Some(writer) = WRITER.get() {
+        return Ok(writer);
     }
-    // Where nobody reads any more, it is lost.
+    // Lines are lost once standard error is closed.
     let write = |lines: &[u8]| write_whole(&mut std::io::stderr(), lines).unwrap_or_default();
-    let most = [LOG_MOST, CAPTURE_MOST, FIGURES_MOST];
-    let outlet = LineWriter::start("stderr", &most, BATCH, write)?;
-    Ok(OUTLET.get_or_init(|| outlet))
+    let max_bytes = [LOG_MAX_BYTES, CAPTURE_MAX_BYTES, METRICS_MAX_BYTES];
+    let writer = LineWriter::start("stderr", &max_bytes, BATCH_BYTES, write)?;
+    Ok(WRITER.get_or_init(|| writer))
 }
 
-/// Waits until what has been handed over is written, if a thread writes it.
-pub fn finish(most: Duration) {
-    if let Some(outlet) = OUTLET.get() {
-        outlet.finish(most); // what a reader that never comes was owed is lost with the process
+/// Waits until the writer thread, if there is one, has written the queued lines, or the timeout ends.
+pub fn finish(timeout: Duration) {
+    if let Some(writer) = WRITER.get() {
+        writer.finish(timeout); // lines that are still unread are lost with the process
     }
 }
 
-/// Logs a formatted line, rate-limited.
+/// Writes a formatted log line, with the rate limit.
 macro_rules! note {
     ($($part:tt)*) => { $crate::log::line(format_args!($($part)*)) };
 }
--- a/crates/proxy-core/src/ops.rs
+++ b/crates/proxy-core/src/ops.rs
@@ -1,6 +1,6 @@
-//! The operators' door: a small listener of its own, one call to a connection.
+//! Operations listener: an HTTP listener for operators, separate from that of the clients, with one request per connection.
 //!
-//! It answers however busy the proxy is, and callers that say nothing neither hold up the next one nor pile up.
+//! It answers even if the proxy is overloaded. Idle connections neither block others nor accumulate.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -27,18 +27,18 @@
 use crate::note;
 use crate::vars::{Counters, Gauges};
 
-/// Callers that are served at once; one more, and the one that has been there longest is let go.
+/// Maximum concurrent connections; a further one closes the oldest.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A call has to be whole and answered within this span: who has waited 1 s has left.
-const CALL: Duration = Duration::from_secs(2);
-/// Bytes of a call's head.
-const HEAD: usize = 8 << 10;
-/// And of its body, which says nothing.
-const BODY: usize = 4 << 10;
-/// Wait after a failed accept, lest it spin.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Timeout of each stage of a request; a caller gives up after 1 s.
+const STAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum bytes of a request head.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Maximum bytes of a request body, which is ignored.
+const MAX_BODY_BYTES: usize = 4 << 10;
+/// Delay after a failed accept, which prevents a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What the door needs of the other parts.
+/// Listener's access to the other parts of the proxy.
 pub struct OperationsListener {
     pub life: Rc<SharedLifecycle>,
     pub counts: Rc<Counters>,
@@ -46,62 +46,66 @@
 }
 
 impl OperationsListener {
-    /// Serves for as long as the process runs.
+    /// Accepts connections until the process ends.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> Infallible {
-        let callers: RefCell<VecDeque<JoinHandle<()>>> = RefCell::default();
+        let connections: RefCell<VecDeque<JoinHandle<()>>> = RefCell::default();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let mut callers = callers.borrow_mut();
-                    callers.retain(|c| !c.is_finished());
-                    if callers.len() >= MAX_CONNECTIONS
-                        && let Some(oldest) = callers.pop_front()
+                    let mut connections = connections.borrow_mut();
+                    connections.retain(|connection| !connection.is_finished());
+                    if connections.len() >= MAX_CONNECTIONS
+                        && let Some(oldest) = connections.pop_front()
                     {
                         oldest.abort();
                     }
-                    callers.push_back(spawn_local(self.clone().caller(stream)));
+                    connections.push_back(spawn_local(self.clone().serve_connection(stream)));
                 }
                 Err(e) => {
-                    note!("the operators' door: {e}");
-                    sleep(PAUSE).await;
+                    note!("operations listener: accept: {e}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn caller(self: Rc<Self>, stream: TcpStream) {
-        let _ = stream.set_nodelay(true); // slower without, no worse
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        let _ = stream.set_nodelay(true); // without the option answers are only slower
         let service = service_fn(|request| {
-            let door = self.clone();
-            async move { Ok::<_, Infallible>(door.call(request).await) }
+            let listener = self.clone();
+            async move { Ok::<_, Infallible>(listener.respond(request).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(CALL)
-            .max_buf_size(HEAD)
+            .header_read_timeout(STAGE_TIMEOUT)
+            .max_buf_size(MAX_HEAD_BYTES)
             .keep_alive(false)
             .serve_connection(TokioIo::new(stream), service);
-        // Malformed calls have been answered by hyper; a caller that left needs nothing.
-        let _ = timeout(2 * CALL, connection).await;
+        // hyper has answered malformed requests; a disconnected caller needs no answer.
+        let _ = timeout(2 * STAGE_TIMEOUT, connection).await;
     }
 
-    async fn call(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        let wanted = match head.uri.path() {
+        let allowed_method = match head.uri.path() {
             "/_ready" | "/_vars" => Method::GET,
             "/_lameduck/on" | "/_lameduck/off" => Method::PUT,
             _ => return plain(StatusCode::NOT_FOUND, "no such call\n"),
         };
-        if head.method != wanted {
+        if head.method != allowed_method {
             let mut response = plain(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "not the method of this call\n",
             );
-            let allow = HeaderValue::from_static(if wanted == Method::GET { "GET" } else { "PUT" });
+            let allow = HeaderValue::from_static(if allowed_method == Method::GET {
+                "GET"
+            } else {
+                "PUT"
+            });
             response.headers_mut().insert(header::ALLOW, allow);
             return response;
         }
-        match timeout(CALL, Limited::new(body, BODY).collect()).await {
+        match timeout(STAGE_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(_)) => {}
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
                 return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
@@ -144,14 +148,16 @@
     }
 
     async fn vars(&self) -> Response<Full<Bytes>> {
-        let (tell, told) = oneshot::channel::<Gauges>();
-        self.inbox.put(Input::Ask(tell));
-        let Ok(held) = told.await else {
+        let (sender, receiver) = oneshot::channel::<Gauges>();
+        self.inbox.put(Input::Ask(sender));
+        let Ok(gauges) = receiver.await else {
             return plain(StatusCode::INTERNAL_SERVER_ERROR, "the driver has ended\n");
         };
-        let mut response = Response::new(Full::new(self.counts.prometheus_text(held).into()));
-        let kind = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-        response.headers_mut().insert(header::CONTENT_TYPE, kind);
+        let mut response = Response::new(Full::new(self.counts.prometheus_text(gauges).into()));
+        let content_type = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
         response
     }
 }
--- a/crates/proxy-core/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -1,4 +1,4 @@
-//! One proxy as a process: reads the command line and the configuration, and wires the parts together.
+//! Proxy process: reads the command line and the configuration, and connects the parts.
 
 use std::cell::RefCell;
 use std::ffi::OsString;
@@ -31,20 +31,21 @@
 use crate::vars::Counters;
 use crate::{config, discovery, frontend, hosts, inherited, log, note, peers, upstream};
 
-/// Descriptors for all but clients and backends: standard streams, runtime, signals, listener, UDP, watch; and
-/// the features' own: the drills' side port with its connections, the figures' socket, the files being written.
-const RESERVE: usize = 32;
-/// Descriptors for clients and backends, however few there are.
-const LEAST: usize = 16;
-/// If discovery has said nothing by then, the remembered list is served from, and not before: what its agent has counts as
-/// told from a process's first moment. The wait is made of short ones, so that a process that gets little time still sees an
-/// answer that has come before it goes by an older list.
-const PATIENCE: (u32, Duration) = (10, Duration::from_millis(50));
+/// File descriptors reserved for everything except clients and endpoints: standard streams, runtime, signals, listener,
+/// UDP and watch; and for the features: the drills' port with its connections, the metrics socket, and open files.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Minimum number of descriptors for clients and endpoints.
+const MIN_DESCRIPTORS: usize = 16;
+/// Number and length of the waits before the remembered list is used, if discovery has not answered by then. It is not
+/// used earlier, because the list of the discovery agent counts as known from the start of the process. Several short
+/// waits instead of a long one let a process that gets little CPU time read an answer that has arrived before it uses
+/// an older list.
+const REMEMBERED_LIST_WAITS: (u32, Duration) = (10, Duration::from_millis(50));
 
-/// Longest wait at the end for what the features still have to write: nobody may be reading it.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// Maximum wait at shutdown for queued output of the features: its reader may be absent.
+const SHUTDOWN_OUTPUT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The drills and their side port, if the settings have both a secret and a port.
+/// Creates the drills and their listener, if the settings have both a secret and a port.
 fn drills(
     config: &Config,
     features: &properties::FeatureSettings,
@@ -53,40 +54,40 @@
     let (Some(secret), Some(port)) = (&settings.secret, settings.port) else {
         return Ok((None, None));
     };
-    log::behind_thread()?; // each affected request has a line
-    let side_port = frontend::listen((config.listen.ip(), port).into())?;
+    log::start_writer_thread()?; // each affected request is logged
+    let drills_listener = frontend::listen((config.listen.ip(), port).into())?;
     let classes = config.terms.names.classes.clone();
-    // Chance of their own: the module's draws stay as they are.
+    // A seed of their own keeps the random draws of the decision module unchanged.
     let drills = Drills::new(secret.clone(), settings.max_duration, classes, !config.seed);
-    Ok((Some(drills), Some(side_port)))
+    Ok((Some(drills), Some(drills_listener)))
 }
 
-/// What a new configuration reaches.
+/// Parts that a reload of the configuration updates.
 struct Reload {
     path: PathBuf,
-    started: config::Started,
-    place: Rc<discovery::DiscoveryAddress>,
+    initial_keys: config::InitialKeys,
+    discovery_address: Rc<discovery::DiscoveryAddress>,
     pool: Rc<Pool>,
     upstreams: Rc<upstream::Upstreams>,
 }
 
 impl Reload {
-    /// Reads the file and goes over to it, or stays with what holds now.
-    fn read(&self) {
+    /// Reads the file and applies it, or keeps the present configuration if the file is invalid.
+    fn reload(&self) {
         let pool = &self.pool;
-        let now = pool.terms.borrow().clone();
-        let change = config::read_change(&self.path, &self.started, &now);
+        let current = pool.terms.borrow().clone();
+        let change = config::read_change(&self.path, &self.initial_keys, &current);
         pool.counts.configuration_read(change.is_ok());
         let change = match change {
             Ok(change) => change,
-            Err(e) => return note!("the new configuration is of no use: {e}"),
+            Err(e) => return note!("the new configuration is invalid and has been ignored: {e}"),
         };
-        self.place.set(change.discovery);
+        self.discovery_address.set(change.discovery);
         self.upstreams.set(&change.connections);
-        if change.terms.source == now.source {
+        if change.terms.source == current.source {
             return;
         }
-        // The module hears of it before the first request that comes under it.
+        // The decision module has the settings before the first request that is read with them.
         pool.inbox
             .put(Input::Settings(Box::new(change.terms.settings.clone())));
         pool.counts.register_classes(&change.terms.names.classes);
@@ -97,16 +98,19 @@
             .classes
             .iter()
             .zip(&change.terms.accepted_classes);
-        let open: Vec<&str> = classes
-            .filter(|(_, open)| **open)
+        let accepted: Vec<&str> = classes
+            .filter(|(_, accepted)| **accepted)
             .map(|(name, _)| name.as_str())
             .collect();
-        note!("new settings are in service; classes: {}", open.join(", "));
+        note!(
+            "new settings are in service; classes: {}",
+            accepted.join(", ")
+        );
         pool.terms.replace(Rc::new(change.terms));
     }
 }
 
-/// An error that names what listens where.
+/// Adds the name and the address of a listener to an error.
 fn at_address(what: &str, address: std::net::SocketAddr) -> impl FnOnce(io::Error) -> String {
     let what = what.to_owned();
     move |e| format!("{what} on {address}: {e}")
@@ -130,8 +134,8 @@
             .map_err(at(&format!("NODE_SOCKET_FD: descriptor {descriptor}")))?,
         None => frontend::listen(config.listen).map_err(at_address("listen", config.listen))?,
     };
-    let door = match config.ops {
-        Some(at) => Some(frontend::listen(at).map_err(at_address("the operators' door", at))?),
+    let operations_listener = match config.ops {
+        Some(at) => Some(frontend::listen(at).map_err(at_address("operations listener", at))?),
         None => None,
     };
     let clock = Clock::default();
@@ -149,7 +153,7 @@
     } else {
         None
     };
-    let (drills, side_port) = drills(&config, &features).map_err(at("the side port"))?;
+    let (drills, drills_listener) = drills(&config, &features).map_err(at("drills"))?;
     let (inbox, inputs) = Inbox::new();
     let peers = match config.peers {
         Some(addresses) => {
@@ -160,18 +164,22 @@
         }
         None => None,
     };
-    let own = RESERVE
-        + if door.is_some() {
+    let reserved = RESERVED_DESCRIPTORS
+        + if operations_listener.is_some() {
             ops::MAX_CONNECTIONS + 1
         } else {
             0
         };
-    // Where the system allows fewer descriptors than the file says, its word holds.
+    // The system's limit applies if it is lower than that of the file.
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let allowed = allowed
         .and_then(|n| usize::try_from(n).ok())
         .unwrap_or(usize::MAX);
-    let budget = config.sockets.min(allowed).saturating_sub(own).max(LEAST);
+    let budget = config
+        .sockets
+        .min(allowed)
+        .saturating_sub(reserved)
+        .max(MIN_DESCRIPTORS);
     let sockets = Arc::new(Semaphore::new(budget / 4));
     let room = Room::new(config.memory);
     let upstreams = Rc::new(upstream::Upstreams::new(
@@ -182,7 +190,7 @@
         room.clone(),
     ));
     let watch = Rc::new(Notify::new());
-    let place = discovery::DiscoveryAddress::new(config.discovery);
+    let discovery_address = discovery::DiscoveryAddress::new(config.discovery);
     let parts = Parts {
         gate: None,
         clock,
@@ -190,7 +198,7 @@
         inbox: inbox.clone(),
         upstreams: upstreams.clone(),
         peers,
-        discovery: Some(place.clone()),
+        discovery: Some(discovery_address.clone()),
         account: None,
         rests: false,
         watch: watch.clone(),
@@ -200,7 +208,7 @@
     let pushed = config.terms.settings.discovery == balancer::Discovery::Pushed;
     let balancer = Balancer::new(config.terms.settings.clone(), config.seed);
     let driver = spawn_local(Driver::new(balancer, config.terms.names.clone(), parts).run(inputs));
-    // The module's time begins with its first event.
+    // The clock of the decision module starts with its first event.
     inbox.put(Input::List {
         scope: UpdateScope::Cached,
         seq: None,
@@ -209,8 +217,8 @@
     if let Some((seq, hosts)) = hosts::remembered(&config.known) {
         let inbox = inbox.clone();
         spawn_local(async move {
-            for _ in 0..PATIENCE.0 {
-                tokio::time::sleep(PATIENCE.1).await;
+            for _ in 0..REMEMBERED_LIST_WAITS.0 {
+                tokio::time::sleep(REMEMBERED_LIST_WAITS.1).await;
             }
             inbox.put(Input::List {
                 scope: UpdateScope::Cached,
@@ -219,32 +227,36 @@
             });
         });
     }
-    let list = discovery::Discovery::new(place.clone(), inbox.clone(), config.seed.rotate_left(32));
+    let list = discovery::Discovery::new(
+        discovery_address.clone(),
+        inbox.clone(),
+        config.seed.rotate_left(32),
+    );
     if pushed {
-        spawn_local(list.follow());
+        spawn_local(list.watch_continuously());
     } else {
-        spawn_local(list.on_request(watch));
+        spawn_local(list.watch_on_request(watch));
     }
-    // The module sends to a backend only while it has a free slot there, but clients come as they like: most
-    // of the budget is theirs. Beyond `most` an eighth more are let in, only to be refused.
-    let most = budget * 5 / 8;
+    // The decision module limits the connections to endpoints by their free slots, but nothing limits clients, which
+    // get most of the budget. Another eighth is accepted beyond `max_clients` only to be rejected.
+    let max_clients = budget * 5 / 8;
     let figures = if features.metrics.enabled {
-        let figures = MetricsExporter::new(&features.metrics, &config.terms.names)
-            .map_err(at("the figures"))?;
-        spawn_local(figures.clone().follow());
+        let figures =
+            MetricsExporter::new(&features.metrics, &config.terms.names).map_err(at("metrics"))?;
+        spawn_local(figures.clone().flush_periodically());
         Some(figures)
     } else {
         None
     };
-    if let Some(listener) = door {
-        let address = listener.local_addr().map_err(at("the operators' door"))?;
+    if let Some(listener) = operations_listener {
+        let address = listener.local_addr().map_err(at("operations listener"))?;
         note!("operators' door on {address}");
-        let door = OperationsListener {
+        let operations = OperationsListener {
             life: life.clone(),
             counts: counts.clone(),
             inbox: inbox.clone(),
         };
-        spawn_local(Rc::new(door).serve(listener));
+        spawn_local(Rc::new(operations).serve(listener));
     }
     let features = Features {
         capture: capture.clone(),
@@ -264,88 +276,93 @@
     });
     let reload = Reload {
         path,
-        started: config.started,
-        place,
+        initial_keys: config.initial_keys,
+        discovery_address,
         pool: pool.clone(),
         upstreams: upstreams.clone(),
     };
     spawn_local(async move {
         while hup.recv().await.is_some() {
-            reload.read(); // signals that came in a burst are one, and the file is the newest
+            reload.reload(); // signals that arrive together are merged, and the file is read after the last of them
         }
     });
-    let front = Frontend::new(One { pool, upstreams }, most, Rc::default(), life.clone());
-    let address = listener.local_addr().map_err(at("the listener"))?;
+    let front = Frontend::new(
+        One { pool, upstreams },
+        max_clients,
+        Rc::default(),
+        life.clone(),
+    );
+    let address = listener.local_addr().map_err(at("listener"))?;
     note!("{} listens on {address}", config.name);
-    if let (Some(drills), Some(side_port)) = (&drills, side_port) {
-        let address = side_port.local_addr().map_err(at("the side port"))?;
+    if let (Some(drills), Some(drills_listener)) = (&drills, drills_listener) {
+        let address = drills_listener.local_addr().map_err(at("drills"))?;
         note!("drills on {address}");
-        spawn_local(drills.clone().serve(side_port));
+        spawn_local(drills.clone().serve(drills_listener));
     }
-    let told = capture.clone();
+    let shutdown_capture = capture.clone();
     let stop = async move {
         tokio::select! {
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
-        if let Some(capture) = told {
-            capture.tell();
+        if let Some(capture) = shutdown_capture {
+            capture.write_ring();
         }
         if let Some(drills) = drills {
-            drills.end();
+            drills.shut_down();
         }
     };
-    // Without its module a proxy could only fail everything: then it is better dead and started anew.
+    // Without the decision module every request would fail, so the process exits and can be restarted.
     let outcome = tokio::select! {
         () = front.serve(listener, stop) => Ok(()),
         end = driver => Err(format!("the driver has ended: {end:?}")),
     };
     if let Some(capture) = capture {
-        capture.finish(LAST_WORDS);
+        capture.finish(SHUTDOWN_OUTPUT_TIMEOUT);
     }
     if let Some(figures) = figures {
-        figures.finish(LAST_WORDS);
+        figures.finish(SHUTDOWN_OUTPUT_TIMEOUT);
     }
     outcome
 }
 
-/// What is said to one who asks for help.
+/// Help text of the command line.
 const HELP: &str = "\
 A reverse proxy that spreads requests over HTTP servers.
 
 usage: canvascart-proxy [--properties FILE]
 
-  --properties FILE  settings of the features, one key = value a line (docs/features.md)
+  --properties FILE  settings of the features, one key = value per line (docs/features.md)
   --help             this text
   --version          the version
 
 The file that NODE_CONFIG names tells it where to listen, where discovery is, and the settings that the
 module decides by; deploy/proxy.example.json is one to start from. SIGTERM ends it once every request it
-has taken is answered, SIGHUP makes it read the file anew.
+has accepted is answered, SIGHUP makes it read the file again.
 ";
 
-/// What the command line asks for.
-enum Asked {
-    /// A proxy with these features.
+/// Parsed command line.
+enum Command {
+    /// Run the proxy with these feature settings.
     Proxy(Box<properties::FeatureSettings>),
-    /// A text on standard output, and nothing else.
+    /// Print a text on standard output and exit.
     Text(String),
 }
 
-/// Reads the command line: nothing, the file with the features' settings, or a wish for help.
-fn asked(mut arguments: impl Iterator<Item = OsString>) -> Result<Asked, String> {
-    let usage = "usage: canvascart-proxy [--properties FILE]; --help says more";
+/// Parses the command line: no arguments, the file with the features' settings, or a request for help or the version.
+fn parse_arguments(mut arguments: impl Iterator<Item = OsString>) -> Result<Command, String> {
+    let usage = "usage: canvascart-proxy [--properties FILE]; --help prints more";
     let Some(flag) = arguments.next() else {
-        return Ok(Asked::Proxy(Box::default()));
+        return Ok(Command::Proxy(Box::default()));
     };
     match (flag.to_str(), arguments.next(), arguments.next()) {
         (Some("--properties"), Some(file), None) => {
             properties::FeatureSettings::read(Path::new(&file))
-                .map(|f| Asked::Proxy(f.into()))
+                .map(|f| Command::Proxy(f.into()))
                 .map_err(|e| e.to_string())
         }
-        (Some("--help" | "-h"), None, None) => Ok(Asked::Text(HELP.into())),
-        (Some("--version" | "-V"), None, None) => Ok(Asked::Text(format!(
+        (Some("--help" | "-h"), None, None) => Ok(Command::Text(HELP.into())),
+        (Some("--version" | "-V"), None, None) => Ok(Command::Text(format!(
             "canvascart-proxy {}\n",
             env!("CARGO_PKG_VERSION")
         ))),
@@ -354,13 +371,12 @@
 }
 
 fn start(arguments: impl Iterator<Item = OsString>) -> Result<(), String> {
-    let features = match asked(arguments)? {
-        Asked::Proxy(features) => *features,
-        // Whoever asked and does not read on needs no more of it.
-        Asked::Text(text) => return io::stdout().write_all(text.as_bytes()).or(Ok(())),
+    let features = match parse_arguments(arguments)? {
+        Command::Proxy(features) => *features,
+        // A reader that closes the pipe early is no error.
+        Command::Text(text) => return io::stdout().write_all(text.as_bytes()).or(Ok(())),
     };
-    let unset =
-        "NODE_CONFIG is not set: it names the configuration, such as deploy/proxy.example.json";
+    let unset = "NODE_CONFIG is not set: it has to name the configuration file, such as deploy/proxy.example.json";
     let path = PathBuf::from(std::env::var_os("NODE_CONFIG").ok_or(unset)?);
     let mut config = config::read(&path)?;
     let variable =
@@ -382,8 +398,8 @@
     outcome
 }
 
-/// Runs a proxy to its end, with the arguments that follow the program's name; the platform's part is in the
-/// environment, as its deployment page says. Errors go to standard error.
+/// Runs a proxy until it shuts down. `arguments` excludes the program name; the platform sets the environment variables
+/// that its deployment page documents. Errors are logged to standard error.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let code = match start(arguments) {
         Ok(()) => ExitCode::SUCCESS,
@@ -392,6 +408,6 @@
             ExitCode::FAILURE
         }
     };
-    log::finish(LAST_WORDS);
+    log::finish(SHUTDOWN_OUTPUT_TIMEOUT);
     code
 }
--- a/crates/proxy-core/src/vars.rs
+++ b/crates/proxy-core/src/vars.rs
@@ -1,96 +1,100 @@
-//! What the proxy reports at the operators' door: counts from the start of the process, and what is held now, as
-//! Prometheus text. Requests are counted where they end.
+//! Metrics of the operations listener in the Prometheus text format: counters since the start of the process, and gauges
+//! of the present state. Requests are counted by result when they end.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write as _;
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     Answered,
     Deferred,
     Errored,
-    /// Its client left before its answer.
+    /// The client disconnected before its answer.
     Abandoned,
 }
 
-/// The counts of one class.
+/// Counters of one class.
 #[derive(Clone, Debug, Default)]
-struct Group {
+struct ClassCounters {
     name: String,
-    taken: u64,
+    accepted: u64,
     ended: [u64; 4],
 }
 
-/// What is counted. A class that vanishes from the settings keeps its counts.
+/// Counters of a pool. A class that is removed from the settings keeps its counters.
 #[derive(Default)]
 pub struct Counters {
-    groups: RefCell<Vec<Group>>,
-    /// Attempts whose last byte has been written to a server.
-    sends: Cell<u64>,
-    loaded: Cell<u64>,
-    invalid: Cell<u64>,
+    groups: RefCell<Vec<ClassCounters>>,
+    /// Attempts whose last byte has been written to an endpoint.
+    attempts_sent: Cell<u64>,
+    configurations_loaded: Cell<u64>,
+    configurations_invalid: Cell<u64>,
 }
 
-/// What is held now.
+/// Gauges of the present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Requests accepted and not yet ended.
     pub in_flight: usize,
-    /// Servers in the list.
+    /// Endpoints in the list.
     pub listed_endpoints: usize,
-    /// Those of them that get nothing now.
+    /// Listed endpoints that are ejected.
     pub ejected_endpoints: usize,
 }
 
 impl Counters {
-    /// The classes that there are, in the order of their numbers; new ones begin at 0.
+    /// Registers the classes in the order of their ids; the counters of new ones start at 0.
     pub fn register_classes(&self, classes: &[String]) {
         let mut groups = self.groups.borrow_mut();
         for name in &classes[groups.len().min(classes.len())..] {
-            groups.push(Group {
+            groups.push(ClassCounters {
                 name: name.clone(),
-                ..Group::default()
+                ..ClassCounters::default()
             });
         }
     }
 
-    /// A request of this class has been taken.
+    /// Counts an accepted request.
     pub fn request_accepted(&self, class: usize) {
         if let Some(group) = self.groups.borrow_mut().get_mut(class) {
-            group.taken += 1;
+            group.accepted += 1;
         }
     }
 
-    /// One that was taken has ended.
+    /// Counts the result of an accepted request.
     pub fn request_ended(&self, class: usize, end: RequestEnd) {
         if let Some(group) = self.groups.borrow_mut().get_mut(class) {
             group.ended[end as usize] += 1;
         }
     }
 
-    /// An attempt has been written whole.
+    /// Counts an attempt that has been written completely.
     pub fn attempt_sent(&self) {
-        self.sends.set(self.sends.get() + 1);
+        self.attempts_sent.set(self.attempts_sent.get() + 1);
     }
 
-    /// A file has been read at SIGHUP, and taken or turned down.
-    pub fn configuration_read(&self, taken: bool) {
-        let count = if taken { &self.loaded } else { &self.invalid };
+    /// Counts a configuration file read at SIGHUP, by whether it is valid.
+    pub fn configuration_read(&self, valid: bool) {
+        let count = if valid {
+            &self.configurations_loaded
+        } else {
+            &self.configurations_invalid
+        };
         count.set(count.get() + 1);
     }
 
-    /// All of it as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn prometheus_text(&self, gauges: Gauges) -> String {
         let mut text = String::with_capacity(2048);
         let groups = self.groups.borrow();
-        let mut labelled = |name: &str, value: &dyn Fn(&Group) -> u64| {
+        let mut labelled = |name: &str, value: &dyn Fn(&ClassCounters) -> u64| {
             let _ = writeln!(text, "# TYPE {name} counter");
             for group in groups.iter() {
                 let _ = writeln!(
                     text,
                     "{name}{{group=\"{}\"}} {}",
-                    escaped(&group.name),
+                    escape_label(&group.name),
                     value(group)
                 );
             }
@@ -101,9 +105,9 @@
         labelled("node_abandoned", &|g| {
             g.ended[RequestEnd::Abandoned as usize]
         });
-        labelled("node_taken", &|g| g.taken);
+        labelled("node_taken", &|g| g.accepted);
         for (name, kind, value) in [
-            ("node_sends", "counter", self.sends.get()),
+            ("node_sends", "counter", self.attempts_sent.get()),
             ("node_current", "gauge", gauges.in_flight as u64),
             ("node_cluster_size", "gauge", gauges.listed_endpoints as u64),
             (
@@ -111,8 +115,16 @@
                 "gauge",
                 gauges.ejected_endpoints as u64,
             ),
-            ("node_conf_loaded", "counter", self.loaded.get()),
-            ("node_conf_invalid", "counter", self.invalid.get()),
+            (
+                "node_conf_loaded",
+                "counter",
+                self.configurations_loaded.get(),
+            ),
+            (
+                "node_conf_invalid",
+                "counter",
+                self.configurations_invalid.get(),
+            ),
         ] {
             let _ = write!(text, "# TYPE {name} {kind}\n{name} {value}\n");
         }
@@ -120,8 +132,8 @@
     }
 }
 
-/// A label's value, as the format writes it.
-fn escaped(value: &str) -> String {
+/// Escapes a label value for the Prometheus text format.
+fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
         .replace('"', "\\\"")
@@ -133,7 +145,7 @@
     use super::*;
 
     #[test]
-    fn every_class_is_there_from_the_start_and_keeps_its_counts() {
+    fn each_class_has_counters_from_the_start_and_keeps_them() {
         let counts = Counters::default();
         counts.register_classes(&["lookup".into(), "a \"b\"\\\n".into()]);
         counts.request_accepted(0);
@@ -142,7 +154,7 @@
         counts.configuration_read(true);
         counts.configuration_read(false);
         counts.register_classes(&["lookup".into(), "a \"b\"\\\n".into(), "renewal".into()]);
-        counts.request_accepted(7); // of no class
+        counts.request_accepted(7); // no such class
         let text = counts.prometheus_text(Gauges {
             in_flight: 3,
             listed_endpoints: 9,
--- a/crates/proxy-core/tests/lifecycle.rs
+++ b/crates/proxy-core/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Where a process stands between its start and its end.
+//! Lifecycle of a process: readiness, accepting, idle connections and timeouts during drain and shutdown.
 use std::time::Duration;
 
 use balancer::Millis;
@@ -10,40 +10,47 @@
     life
 }
 
-fn used(since: Millis) -> IdleConnection {
+fn used_connection(since: Millis) -> IdleConnection {
     IdleConnection { since, used: true }
 }
 
 #[test]
-fn it_is_up_from_its_list_to_a_drain_and_again_after() {
+fn process_is_up_once_it_has_a_list_except_during_a_drain() {
     let mut life = Lifecycle::new(false);
     assert!(!life.is_up() && life.accepts_connections(0.0) && life.keeps_connections());
     life.mark_list_received();
-    assert!(life.is_up() && life.keeps_connections() && !life.should_close(1e9, used(0.0)));
+    assert!(
+        life.is_up() && life.keeps_connections() && !life.should_close(1e9, used_connection(0.0))
+    );
     assert!(life.set_lame_duck(10.0, true));
     assert_eq!(life.phase(), Phase::LameDuck);
     assert!(
         !life.is_up() && !life.keeps_connections() && life.accepts_connections(1e9),
-        "the front still asks"
+        "the load balancer still calls"
+    );
+    assert!(life.set_lame_duck(500.0, true), "repeated call");
+    assert!(
+        life.should_close(311.0, used_connection(0.0)),
+        "the drain began at the first call"
     );
-    assert!(life.set_lame_duck(500.0, true), "said again");
-    assert!(life.should_close(311.0, used(0.0)), "the first call counts");
     assert!(life.set_lame_duck(900.0, false));
-    assert!(life.is_up() && life.keeps_connections() && !life.should_close(1e9, used(0.0)));
-    assert!(life.set_lame_duck(901.0, false), "off without on");
+    assert!(
+        life.is_up() && life.keeps_connections() && !life.should_close(1e9, used_connection(0.0))
+    );
+    assert!(life.set_lame_duck(901.0, false), "no drain to end");
     assert!(life.is_up());
 }
 
 #[test]
-fn idle_connections_close_within_a_second_and_those_in_use_do_not_cross() {
+fn idle_connections_close_within_a_second_and_not_while_in_use() {
     let mut life = serving(false);
     life.set_lame_duck(1000.0, true);
     assert!(
-        !life.should_close(1200.0, used(0.0)),
+        !life.should_close(1200.0, used_connection(0.0)),
         "its client may be about to use it"
     );
-    assert!(life.should_close(1300.0, used(0.0)));
-    assert!(!life.should_close(1400.0, used(1200.0)));
+    assert!(life.should_close(1300.0, used_connection(0.0)));
+    assert!(!life.should_close(1400.0, used_connection(1200.0)));
     let fresh = IdleConnection {
         since: 1100.0,
         used: false,
@@ -52,7 +59,7 @@
 }
 
 #[test]
-fn a_process_that_leaves_stays_away_whatever_is_said() {
+fn shutdown_cannot_be_undone_by_ending_a_drain() {
     let mut life = serving(false);
     life.set_lame_duck(0.0, true);
     life.begin_shutdown(100.0);
@@ -60,16 +67,22 @@
     assert_eq!(life.phase(), Phase::ShuttingDown);
     assert!(
         life.accepts_connections(599.0) && !life.accepts_connections(600.0),
-        "from the first signal"
+        "counted from the first signal"
+    );
+    assert!(
+        life.should_close(300.0, used_connection(0.0)),
+        "counted from the drain"
+    );
+    assert!(life.set_lame_duck(200.0, true), "it already drains");
+    assert!(
+        !life.set_lame_duck(200.0, false),
+        "shutdown can't be undone"
     );
-    assert!(life.should_close(300.0, used(0.0)), "from the drain");
-    assert!(life.set_lame_duck(200.0, true), "that it does");
-    assert!(!life.set_lame_duck(200.0, false), "it can't be called back");
     assert!(!life.is_up());
 }
 
 #[test]
-fn on_a_shared_listener_only_one_that_can_serve_takes_connections() {
+fn on_a_shared_listener_only_a_process_with_a_list_accepts_connections() {
     let mut life = Lifecycle::new(true);
     assert!(!life.accepts_connections(0.0));
     life.mark_list_received();
@@ -77,14 +90,14 @@
     life.set_lame_duck(1.0, true);
     assert!(
         life.accepts_connections(2.0),
-        "who else would tell the front?"
+        "the load balancer has to learn of the drain"
     );
     life.begin_shutdown(3.0);
     assert!(!life.accepts_connections(3.0));
 }
 
 #[test]
-fn a_drain_before_the_list_holds_when_it_comes() {
+fn a_drain_that_begins_before_the_list_lasts_beyond_it() {
     let mut life = Lifecycle::new(false);
     life.set_lame_duck(1.0, true);
     life.mark_list_received();
@@ -92,12 +105,12 @@
 }
 
 #[test]
-fn whatever_is_idle_closes_before_a_request_on_it_could_be_lost() {
+fn all_idle_connections_close_before_a_request_on_them_could_be_lost() {
     let mut life = serving(false);
     life.begin_shutdown(1000.0);
     for since in [900.0, 1400.0, 1600.0] {
         assert!(
-            life.should_close(1650.0, used(since))
+            life.should_close(1650.0, used_connection(since))
                 && life.should_close(1650.0, IdleConnection { since, used: false })
         );
     }
@@ -114,13 +127,13 @@
     let mut lame = serving(false);
     lame.set_lame_duck(1000.0, true);
     assert!(
-        !lame.should_close(1650.0, used(1400.0)),
-        "nobody kills a drained process"
+        !lame.should_close(1650.0, used_connection(1400.0)),
+        "no SIGKILL follows a drain"
     );
 }
 
 #[test]
-fn a_request_that_comes_late_has_its_answer_before_the_kill() {
+fn a_request_that_arrives_late_times_out_before_sigkill() {
     let ms = Duration::from_millis;
     let mut life = serving(false);
     assert_eq!(life.request_timeout(1e6, ms(2000), ms(2000)), ms(2000));
@@ -128,9 +141,9 @@
     assert_eq!(
         life.request_timeout(1550.0, ms(2000), ms(2000)),
         ms(2000),
-        "it is not lost by the rule"
+        "it arrived early enough"
     );
-    // A deadline of 300 ms: SIGKILL at 1,000 ms after SIGTERM, or later.
+    // With a deadline of 300 ms, SIGKILL comes 1,000 ms after SIGTERM or later.
     assert_eq!(life.request_timeout(1600.0, ms(300), ms(300)), ms(250));
     assert_eq!(
         life.request_timeout(1900.0, ms(300), ms(300)),
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -165,7 +165,11 @@
     let second = Discovery::new();
     proxy.reconfigure("{\"discovery\":");
     wait_for("a word about it", || {
-        proxy.log.lock().unwrap().contains("of no use")
+        proxy
+            .log
+            .lock()
+            .unwrap()
+            .contains("is invalid and has been ignored")
     });
     proxy.reconfigure(&config(second.address, &Setup::default()));
     wait_for("a watch there", || !second.asked.lock().unwrap().is_empty());
