--- a/crates/proxy/tests/compatibility.rs
+++ b/crates/proxy/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! The operators' door and the log's first lines keep the names that operators read.
+//! Compatibility of the metrics' names on the operations listener, which operators' tools read.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -6,21 +6,21 @@
 
 use sockets::*;
 
-const FIGURES: &str = include_str!("fixtures/figures.txt");
+const RECORDED_NAMES: &str = include_str!("fixtures/figures.txt");
 
-/// The names of figures, with their labels, without values.
+/// Returns the names of the metrics with their labels, without values.
 fn names(text: &str) -> String {
     let name = |line: &str| Some(line.rsplit_once(' ')?.0.to_owned());
-    let all: BTreeSet<String> = text
+    let sorted: BTreeSet<String> = text
         .lines()
         .filter(|line| !line.starts_with('#'))
         .filter_map(name)
         .collect();
-    Vec::from_iter(all).join("\n") + "\n"
+    Vec::from_iter(sorted).join("\n") + "\n"
 }
 
 #[test]
-fn figures_have_the_recorded_names_and_labels() {
+fn metrics_have_the_recorded_names_and_labels() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -38,9 +38,9 @@
             .status(),
         200
     );
-    let found = names(&proxy.call("GET /_vars").expect("the figures").text());
+    let found = names(&proxy.call("GET /_vars").expect("the metrics").text());
     assert_eq!(
-        found, FIGURES,
-        "names of figures differ; they are now:\n{found}"
+        found, RECORDED_NAMES,
+        "names of metrics differ; they are now:\n{found}"
     );
 }
--- a/crates/proxy/tests/crossings_clients.rs
+++ b/crates/proxy/tests/crossings_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while their request waits, is on its way out or is about to be tried again; and what comes behind a request.
+//! Clients that disconnect while their request is queued, being sent or about to be retried, and pipelined requests.
 mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
@@ -14,27 +14,29 @@
     answer.expect("an answer").status()
 }
 
-/// How a client goes.
+/// Way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Leave {
     Close,
     Reset,
-    /// It ends its sending and still reads: that can't be told from a close, and is read as one.
+    /// The client shuts down writing and still reads. The proxy can't distinguish this from a close.
     HalfClose,
 }
 
-/// Sends these bytes on a new connection, as much as is taken at once.
-fn sends(proxy: &Proxy, text: &str) -> TcpStream {
+/// Sends bytes on a new connection.
+fn connect_and_send(proxy: &Proxy, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
-    stream.write_all(text.as_bytes()).expect("it takes it");
+    stream
+        .write_all(text.as_bytes())
+        .expect("the bytes are accepted");
     stream
 }
 
-/// Leaves; what is given back is still open.
-fn leaves(stream: TcpStream, how: Leave) -> Option<TcpStream> {
+/// Disconnects; returns the stream if it is still open for reading.
+fn disconnect(stream: TcpStream, how: Leave) -> Option<TcpStream> {
     match how {
         Leave::Close => {}
-        Leave::Reset => reset(&stream),
+        Leave::Reset => reset_on_close(&stream),
         Leave::HalfClose => {
             stream
                 .shutdown(std::net::Shutdown::Write)
@@ -45,8 +47,8 @@
     None
 }
 
-/// A proxy whose only server drains, so that all requests wait.
-fn waiting(peer: &Peer) -> (Discovery, Proxy) {
+/// Starts a proxy whose only endpoint drains, so that all requests are queued.
+fn proxy_with_draining_endpoint(peer: &ScriptedPeer) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.say(&list(1, true, &[host("s-0", peer.address, "draining", 0)]));
     let proxy = Proxy::up(
@@ -61,27 +63,31 @@
 }
 
 #[test]
-fn a_request_whose_client_left_while_it_waited_is_not_sent_on() {
-    let much = format!(
+fn a_queued_request_whose_client_disconnected_is_not_forwarded() {
+    let large_head = format!(
         "{}{}",
         page("r-behind"),
         "GET /page HTTP/1.1\r\n".to_owned() + &"X: y\r\n".repeat(20_000)
     );
     for how in [Leave::Close, Leave::Reset, Leave::HalfClose] {
-        let (peer, mut ids) = (Peer::new(), Vec::new());
-        let (discovery, proxy) = waiting(&peer);
+        let (peer, mut ids) = (ScriptedPeer::new(), Vec::new());
+        let (discovery, proxy) = proxy_with_draining_endpoint(&peer);
         let mut open = Vec::new();
-        for (n, behind) in ["", &page("r-behind"), &page("r-behind")[..30], &much]
+        for (n, behind) in ["", &page("r-behind"), &page("r-behind")[..30], &large_head]
             .into_iter()
             .enumerate()
         {
-            let stream = sends(
+            let stream = connect_and_send(
                 &proxy,
                 &format!("{}{behind}", submit(&format!("r-{n}"), "20", "x")),
             );
-            wait_for("it to be taken", || proxy.var("node_current") == 1.0);
-            open.extend(leaves(stream, how));
-            wait_for("it to be gone", || proxy.var("node_current") == 0.0);
+            wait_for("the request to be accepted", || {
+                proxy.var("node_current") == 1.0
+            });
+            open.extend(disconnect(stream, how));
+            wait_for("the request to be dropped", || {
+                proxy.var("node_current") == 0.0
+            });
         }
         assert_eq!(
             proxy.var("node_abandoned{group=\"submit\"}"),
@@ -91,17 +97,17 @@
         discovery.say(&list(2, false, &[host("s-0", peer.address, "up", 0)]));
         let mut last = Client::new(&proxy);
         last.send(&submit("r-last", "20", "x"));
-        let mut call = peer.next();
-        ids.push(call.message.id().to_owned());
-        call.write(&ok(""));
+        let mut request = peer.next_request();
+        ids.push(request.message.id().to_owned());
+        request.write(&ok(""));
         assert_eq!(status(last.answer()), 200);
-        ids.extend(peer.come().map(|c| c.message.id().to_owned()));
+        ids.extend(peer.try_next_request().map(|c| c.message.id().to_owned()));
         assert_eq!(ids, ["r-last"], "{how:?}");
     }
 }
 
 #[test]
-fn nothing_is_written_for_clients_that_left_while_the_connection_came_up() {
+fn nothing_is_sent_for_clients_that_disconnected_while_the_endpoint_connection_was_established() {
     let (slow, full) = full_listener();
     let discovery = Discovery::new();
     discovery.say(&list(
@@ -116,29 +122,37 @@
         ..Setup::default()
     };
     let proxy = Proxy::up(&discovery, &setup);
-    // Enough to fill the server's slots: none comes up, and the last ones wait.
+    // Enough to fill the endpoint's slots: no connection is established, and the last requests are queued.
     let clients: Vec<TcpStream> = (0..12)
-        .map(|n| sends(&proxy, &submit(&format!("r-{n}"), "40", "x")))
+        .map(|n| connect_and_send(&proxy, &submit(&format!("r-{n}"), "40", "x")))
         .collect();
-    wait_for("all to be taken", || proxy.var("node_current") == 12.0);
+    wait_for("all requests to be accepted", || {
+        proxy.var("node_current") == 12.0
+    });
     drop(clients);
-    wait_for("all to be gone", || proxy.var("node_current") == 0.0);
+    wait_for("all requests to be dropped", || {
+        proxy.var("node_current") == 0.0
+    });
     let mut last = Client::new(&proxy);
     last.send(&submit("r-last", "40", "x"));
-    wait_for("it to be taken", || proxy.var("node_current") == 1.0);
-    // Now there is room.
+    wait_for("the request to be accepted", || {
+        proxy.var("node_current") == 1.0
+    });
+    // Accepting connections makes room in the queue.
     for _ in &full {
-        slow.accept().expect("one that filled the queue");
+        slow.accept().expect("a connection that filled the queue");
     }
     let mut seen = Vec::new();
     while seen.is_empty() {
         let (stream, _) = slow.accept().expect("a connection");
         stream
             .set_read_timeout(Some(Duration::from_millis(200)))
-            .expect("a time-out");
+            .expect("the timeout is set");
         if let Some(message) = read_message(&mut BufReader::new(&stream)) {
             seen.push(message.id().to_owned());
-            (&stream).write_all(ok("").as_bytes()).expect("it is there");
+            (&stream)
+                .write_all(ok("").as_bytes())
+                .expect("the connection is open");
         }
     }
     assert_eq!(seen, ["r-last"]);
@@ -146,23 +160,23 @@
     assert_eq!(
         proxy.var("node_sends"),
         1.0,
-        "nothing went out for those that left"
+        "nothing was sent for the disconnected clients"
     );
 }
 
-/// The next request at any of them.
-fn any(servers: &[Peer]) -> Call {
-    let mut call = None;
+/// Waits for the next request at any endpoint.
+fn next_request_at_any(servers: &[ScriptedPeer]) -> ReceivedRequest {
+    let mut request = None;
     wait_for("a request", || {
-        call = servers.iter().find_map(Peer::come);
-        call.is_some()
+        request = servers.iter().find_map(ScriptedPeer::try_next_request);
+        request.is_some()
     });
-    call.expect("just seen")
+    request.expect("a request has arrived")
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_during_the_first() {
-    let servers = [Peer::new(), Peer::new()];
+fn no_second_attempt_starts_for_a_client_that_disconnected_during_the_first() {
+    let servers = [ScriptedPeer::new(), ScriptedPeer::new()];
     let discovery = Discovery::new();
     discovery.say(&list(
         1,
@@ -176,33 +190,35 @@
             ..Setup::default()
         },
     );
-    for (gone, behind) in [String::new(), page("r-behind")].into_iter().enumerate() {
-        let stream = sends(&proxy, &format!("{}{behind}", page("r-1")));
-        let first = any(&servers);
+    for (disconnected, behind) in [String::new(), page("r-behind")].into_iter().enumerate() {
+        let stream = connect_and_send(&proxy, &format!("{}{behind}", page("r-1")));
+        let first = next_request_at_any(&servers);
         let before = proxy.var("node_sends");
         drop(stream);
-        let left = || proxy.var("node_abandoned{group=\"page\"}");
-        wait_for("it to be gone", || proxy.var("node_current") == 0.0);
+        let abandoned = || proxy.var("node_abandoned{group=\"page\"}");
+        wait_for("the request to be dropped", || {
+            proxy.var("node_current") == 0.0
+        });
         assert_eq!(
-            left(),
-            gone as f64 + 1.0,
-            "it has left, and its time was not over"
+            abandoned(),
+            disconnected as f64 + 1.0,
+            "the client disconnected before the deadline"
         );
         first.reset();
-        // A request that is served shows that the end of that attempt has been dealt with.
+        // Once another request is served, the end of the first attempt has been handled.
         let mut next = Client::new(&proxy);
         next.send(&page("r-next"));
-        let mut call = any(&servers);
-        assert_eq!(call.message.id(), "r-next");
-        call.write(&ok(""));
+        let mut request = next_request_at_any(&servers);
+        assert_eq!(request.message.id(), "r-next");
+        request.write(&ok(""));
         assert_eq!(status(next.answer()), 200);
         assert_eq!(proxy.var("node_sends"), before + 1.0);
-        assert!(servers.iter().all(|s| s.come().is_none()));
+        assert!(servers.iter().all(|s| s.try_next_request().is_none()));
     }
 }
 
 #[test]
-fn requests_that_come_one_behind_the_other_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     let backend = Backend::with(|m| Deed::Write(ok(m.id())));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -212,28 +228,29 @@
         .map(|n| match n % 3 {
             0 => page(&format!("r-{n}")),
             1 => submit(&format!("r-{n}"), "5", "body"),
-            // With a chunked body, and an empty line behind it.
+            // With a chunked body followed by an empty line.
             _ => submit(&format!("r-{n}"), "5", "").replace(
                 "Content-Length: 0\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n\r\n",
             ),
         })
         .collect();
-    // Cut where it may fall, and the last one comes only when all others have their answers.
-    let (most, last) = all.split_at(all.len() - 30);
-    most.as_bytes()
+    // Sent in pieces that split requests; the end of the last request follows once all others are answered.
+    let (first_part, last_part) = all.split_at(all.len() - 30);
+    first_part
+        .as_bytes()
         .chunks(777)
         .for_each(|piece| client.send(&String::from_utf8_lossy(piece)));
     for n in 0..49 {
         assert_eq!(client.answer().expect("an answer").text(), format!("r-{n}"));
     }
-    client.send(last);
+    client.send(last_part);
     assert_eq!(client.answer().expect("the last answer").text(), "r-49");
 }
 
 #[test]
-fn bytes_that_nobody_reads_do_not_cut_the_last_answer_of_a_connection() {
-    let peer = Peer::new();
+fn unread_pipelined_bytes_do_not_truncate_the_last_answer_of_a_connection() {
+    let peer = ScriptedPeer::new();
     let discovery = Discovery::new();
     discovery.say(&list(1, true, &[host("s-0", peer.address, "up", 0)]));
     let proxy = Proxy::up(
@@ -245,35 +262,42 @@
     );
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("an option"); // the answer has to wait in the proxy's socket
+    socket
+        .set_recv_buffer_size(4096)
+        .expect("the option is set"); // so that the answer is queued in the proxy's socket
     socket
         .connect(&proxy.address.into())
         .expect("the proxy accepts");
     let mut stream = TcpStream::from(socket);
-    stream.set_write_timeout(Some(LIMIT)).expect("an option");
+    stream
+        .set_write_timeout(Some(LIMIT))
+        .expect("the option is set");
     stream
         .write_all(submit("r-1", "5", "x").as_bytes())
-        .expect("it takes it");
-    let mut call = peer.next();
-    // It is the last answer as the process leaves, or as more has come behind the request than is kept.
+        .expect("the bytes are accepted");
+    let mut request = peer.next_request();
+    // This is the last answer, because the process shuts down and because more bytes follow the request than are buffered.
     proxy.terminate();
-    wait_for("the signal to be seen", || !proxy.is_up());
+    wait_for("the signal to be handled", || !proxy.is_up());
     let behind = page("r-behind").repeat(3000);
     stream
         .write_all(behind.as_bytes())
-        .expect("all of it is taken");
+        .expect("all bytes are accepted");
     let body = "0123456789abcdef".repeat(4000);
-    call.write(&ok(&body));
-    // It goes on sending while its answer is on its way.
+    request.write(&ok(&body));
+    // The client keeps sending while the answer is in transit.
     let mut more = stream.try_clone().expect("a handle");
-    let floods = std::thread::spawn(move || while more.write_all(&[b'x'; 1000]).is_ok() {});
-    let whole = read_out(&mut stream).unwrap_or_else(|cut| cut);
+    let flood = std::thread::spawn(move || while more.write_all(&[b'x'; 1000]).is_ok() {});
+    let received = read_until_closed(&mut stream).unwrap_or_else(|truncated| truncated);
+    assert!(
+        String::from_utf8_lossy(&received).ends_with(&body),
+        "{} bytes received",
+        received.len()
+    );
+    let _ = stream.shutdown(std::net::Shutdown::Both); // it may already be closed
+    flood.join().expect("the thread ends with the connection");
     assert!(
-        String::from_utf8_lossy(&whole).ends_with(&body),
-        "{} bytes came",
-        whole.len()
+        peer.try_next_request().is_none(),
+        "no pipelined request was forwarded"
     );
-    let _ = stream.shutdown(std::net::Shutdown::Both); // it may be closed by now
-    floods.join().expect("it ends with the connection");
-    assert!(peer.come().is_none(), "nothing behind it was served");
 }
--- a/crates/proxy/tests/crossings_floods.rs
+++ b/crates/proxy/tests/crossings_floods.rs
@@ -1,4 +1,4 @@
-//! Descriptors that idle clients fill, clients that send much and go, and many processes that start at once.
+//! Exhausted descriptors, clients that send large amounts and disconnect, and many processes that start at once.
 mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_leave_room_for_the_watch_and_for_attempts() {
-    // Once the file names the limit, and once the system's is lower than the file says.
+fn idle_clients_that_exhaust_descriptors_leave_some_for_the_watch_and_for_attempts() {
+    // First with the limit of the file, then with a lower limit of the system.
     for setup in [
         Setup {
             sockets: 96,
@@ -36,28 +36,28 @@
             Backend::new(Deed::Write(ok("old"))),
             Backend::new(Deed::Write(ok("new"))),
         );
-        let agent = Peer::new();
+        let agent = ScriptedPeer::new();
         let proxy = Proxy::start(&agent.as_discovery(), &setup);
-        let mut watch = agent.next();
-        watch.begin();
-        watch.tell(&format!("{}\n", all_up(&[&old])));
+        let mut watch = agent.next_request();
+        watch.start_watch();
+        watch.send_chunk(&format!("{}\n", all_up(&[&old])));
         wait_for("/up", || proxy.is_up());
-        watch.reset(); // discovery is down from here on: it takes calls and says nothing
-        let mut hangs = vec![agent.next()];
+        watch.reset(); // from here on discovery accepts requests and doesn't answer
+        let mut unanswered = vec![agent.next_request()];
         let idle: Vec<TcpStream> = (0..160)
             .map(|n| {
                 let mut stream =
-                    TcpStream::connect(proxy.address).expect("it comes up, if only in the queue");
+                    TcpStream::connect(proxy.address).expect("the connection is at least queued");
                 stream
                     .write_all(if n % 3 == 0 { b"GET /page" } else { b"" })
-                    .expect("it takes it");
+                    .expect("the bytes are accepted");
                 stream
             })
             .collect();
-        let begun = (Instant::now(), proxy.cpu_seconds());
-        // Whoever has a request is refused at worst, and served as idle connections are closed to make room.
+        let start = (Instant::now(), proxy.cpu_seconds());
+        // A client with a request is rejected at worst, and served once idle connections have been closed.
         for n in 0..5 {
-            wait_for("an answer of the server's", || {
+            wait_for("an answer of the endpoint", || {
                 let mut client = Client::new(&proxy);
                 client.send(&page(&format!("r-{n}")));
                 let answer = client.answer();
@@ -70,31 +70,31 @@
             });
         }
         assert!(proxy.descriptors() <= 96);
-        let (took, spent) = (
-            begun.0.elapsed().as_secs_f64(),
-            proxy.cpu_seconds() - begun.1,
+        let (elapsed, cpu) = (
+            start.0.elapsed().as_secs_f64(),
+            proxy.cpu_seconds() - start.1,
         );
         assert!(
-            spent < 0.5 * took.max(1.0),
-            "{spent} s of the processor in {took} s"
+            cpu < 0.5 * elapsed.max(1.0),
+            "{cpu} s of CPU time in {elapsed} s"
         );
-        // Discovery is back: the very next call is answered, whoever idles.
-        hangs.extend(std::iter::from_fn(|| agent.come()));
-        let back = Instant::now();
-        let mut call = agent.next();
-        call.begin();
+        // Discovery is back and answers the next request in spite of the idle clients.
+        unanswered.extend(std::iter::from_fn(|| agent.try_next_request()));
+        let returned = Instant::now();
+        let mut request = agent.next_request();
+        request.start_watch();
         let lines = [
             host("s-0", old.address, "draining", 0),
             host("s-1", new.address, "up", 0),
         ];
-        call.tell(&format!("{}\n", list(2, true, &lines)));
-        wait_for("the drain to act", || old.ended() >= 1);
+        request.send_chunk(&format!("{}\n", list(2, true, &lines)));
+        wait_for("the drain to take effect", || old.ended() >= 1);
         assert!(
-            back.elapsed() < Duration::from_secs(6),
+            returned.elapsed() < Duration::from_secs(6),
             "{:?}",
-            back.elapsed()
+            returned.elapsed()
         );
-        wait_for("an answer of the other's", || {
+        wait_for("an answer of the other endpoint", || {
             let mut client = Client::new(&proxy);
             client.send(&page("r-after"));
             client.answer().is_some_and(|a| a.text() == "new")
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn clients_that_send_much_at_once_and_go_leave_nothing_behind() {
+fn clients_that_send_large_amounts_and_disconnect_leave_no_state_behind() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, mut proxy) = proxy_before(
         &[backend.address],
@@ -124,19 +124,19 @@
         let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
         stream
             .set_write_timeout(Some(Duration::from_millis(100)))
-            .expect("an option");
+            .expect("the option is set");
         let text = [
             &garbage[..],
             head.as_bytes(),
             pages.as_bytes(),
             &large.as_bytes()[..150_000],
         ][n % 4];
-        let _ = stream.write_all(text); // as much of it as is taken
+        let _ = stream.write_all(text); // as much as is accepted
         if n % 3 == 0 {
-            reset(&stream);
+            reset_on_close(&stream);
         }
     }
-    wait_for("their end", || {
+    wait_for("their requests and connections to end", || {
         proxy.var("node_current") == 0.0 && proxy.descriptors() < 40
     });
     assert_eq!(status(Client::new(&proxy).ask(&page("r-after"))), 200);
@@ -144,12 +144,12 @@
 }
 
 #[test]
-fn of_thirty_processes_that_start_at_once_nine_in_ten_are_ready_within_ten_seconds() {
-    const MANY: usize = 30;
+fn nine_in_ten_of_thirty_processes_that_start_at_once_are_ready_within_ten_seconds() {
+    const PROCESSES: usize = 30;
     let backend = Backend::new(Deed::Write(ok("")));
     let all = all_up(&[&backend]);
-    // Discovery answers slowly; it does not come back to processes that remember a list, and after 3 s to such that remember none.
-    for (turn, back, known) in [(1500, 0, false), (0, 0, true), (0, 3000, false)] {
+    // Discovery answers after 1.5 s; never, to processes that remember a list; after 3 s, to processes that remember none.
+    for (turn, return_after, known) in [(1500, 0, false), (0, 0, true), (0, 3000, false)] {
         let discovery = Discovery::new();
         discovery
             .turn
@@ -158,37 +158,40 @@
             known: if known { all.clone() } else { "null".into() },
             ..Setup::default()
         };
-        // All at once, each timed from its own start.
-        let starts: Vec<_> = (0..MANY)
+        // All start at once, each timed from its own start.
+        let starts: Vec<_> = (0..PROCESSES)
             .map(|_| {
                 let (address, known) = (discovery.address, setup.known.clone());
                 thread::spawn(move || {
-                    let begun = Instant::now();
+                    let start = Instant::now();
                     let setup = Setup {
                         known,
                         ..Setup::default()
                     };
                     let proxy = Proxy::with(&config(address, &setup));
                     wait_for("/up", || proxy.is_up());
-                    (begun.elapsed(), proxy)
+                    (start.elapsed(), proxy)
                 })
             })
             .collect();
         let ready = |starts: Vec<thread::JoinHandle<(Duration, Proxy)>>| -> Vec<Duration> {
             starts
                 .into_iter()
-                .map(|s| s.join().expect("it is ready").0)
+                .map(|s| s.join().expect("the process is ready").0)
                 .collect()
         };
-        // Those that remember a list are ready before discovery is back.
+        // Processes that remember a list are ready while discovery doesn't answer.
         let mut took = if known {
             ready(starts)
         } else {
-            thread::sleep(Duration::from_millis(back));
-            discovery.say(&all); // before that the watch is open and silent
+            thread::sleep(Duration::from_millis(return_after));
+            discovery.say(&all); // until then the watch is open without data
             ready(starts)
         };
         took.sort();
-        assert!(took[MANY * 9 / 10] < Duration::from_secs(10), "{took:?}");
+        assert!(
+            took[PROCESSES * 9 / 10] < Duration::from_secs(10),
+            "{took:?}"
+        );
     }
 }
--- a/crates/proxy/tests/crossings_servers.rs
+++ b/crates/proxy/tests/crossings_servers.rs
@@ -1,5 +1,5 @@
-//! Connections to servers and what comes on them: spoilt while at rest, late, never up, reset, without an end; and attempts that may
-//! not begin any more.
+//! Connections to endpoints: unexpected bytes while idle, late answers, connections that are never established, resets and
+//! endless answers; and attempts that must not start any more.
 mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
@@ -16,7 +16,7 @@
     answer.expect("an answer").status()
 }
 
-/// A request whose repeats are dropped for a while.
+/// Returns a request whose repetitions the endpoints discard within the deduplication window.
 fn booking(id: &str, timeout: &str) -> String {
     submit(id, timeout, "x")
         .replace("/submit", "/booking")
@@ -24,91 +24,97 @@
 }
 
 #[test]
-fn a_connection_at_rest_is_not_used_once_anything_has_come_on_it() {
+fn an_idle_connection_is_not_reused_after_unexpected_bytes() {
     let whole = ok("another's answer");
-    for spoilt in ["HTTP/1.1 200 OK\r\nContent-Le", "\r\n", "x", &whole] {
-        let server = Peer::new();
+    for unexpected in ["HTTP/1.1 200 OK\r\nContent-Le", "\r\n", "x", &whole] {
+        let server = ScriptedPeer::new();
         let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
         let mut client = Client::new(&proxy);
         client.send(&submit("r-1", "5", "x"));
-        let mut first = server.next();
+        let mut first = server.next_request();
         first.write(&ok("one"));
         assert_eq!(client.answer().expect("an answer").text(), "one");
-        first.write(spoilt);
+        first.write(unexpected);
         client.send(&submit("r-2", "5", "x"));
-        let mut second = server.next();
+        let mut second = server.next_request();
         second.write(&ok("two"));
-        assert_ne!(second.connection, first.connection, "after {spoilt:?}");
+        assert_ne!(second.connection, first.connection, "after {unexpected:?}");
         assert_eq!(
             client.answer().expect("an answer").text(),
             "two",
-            "after {spoilt:?}"
+            "after {unexpected:?}"
+        );
+        assert!(
+            server.try_next_request().is_none(),
+            "the request was sent once"
         );
-        assert!(server.come().is_none(), "it went out once");
     }
 }
 
 #[test]
-fn a_second_answer_that_comes_late_finds_no_request_where_another_connection_has_rested() {
-    // A machine that pauses lets the other connection rest, too: then it is played again.
-    let quick = (0..50).any(|_| {
-        let server = Peer::new();
+fn a_late_second_answer_meets_no_request_if_another_connection_has_been_idle_for_longer() {
+    // If the machine pauses, the other connection has been idle for as long; then the case is repeated.
+    let in_time = (0..50).any(|_| {
+        let server = ScriptedPeer::new();
         let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
         let mut clients = [Client::new(&proxy), Client::new(&proxy)];
-        let mut calls = Vec::new();
+        let mut requests = Vec::new();
         for (n, client) in clients.iter_mut().enumerate() {
             client.send(&page(&format!("r-{n}")));
-            calls.push(server.next());
+            requests.push(server.next_request());
         }
-        let mut done = Instant::now();
-        for (call, client) in calls.iter_mut().zip(&mut clients) {
-            thread::sleep(Duration::from_millis(50)); // the first has rested when the second is done
-            done = Instant::now();
-            call.write(&ok("good"));
+        let mut last_answer = Instant::now();
+        for (request, client) in requests.iter_mut().zip(&mut clients) {
+            thread::sleep(Duration::from_millis(50)); // the first connection has been idle when the second is done
+            last_answer = Instant::now();
+            request.write(&ok("good"));
             assert_eq!(client.answer().expect("an answer").text(), "good");
         }
         clients[0].send(&page("r-next"));
-        let mut next = server.next();
-        if next.at - done > Duration::from_millis(15) {
+        let mut next = server.next_request();
+        if next.at - last_answer > Duration::from_millis(15) {
             return false;
         }
-        calls[1].write(&ok("once more")); // after the next request has come
+        requests[1].write(&ok("once more")); // after the next request has arrived
         next.write(&ok("next"));
-        assert_eq!(next.connection, calls[0].connection);
+        assert_eq!(next.connection, requests[0].connection);
         assert_eq!(clients[0].answer().expect("an answer").text(), "next");
         true
     });
-    assert!(quick, "the machine is too slow to tell");
+    assert!(in_time, "the machine is too slow for this test");
 }
 
 #[test]
-fn a_server_that_closes_as_a_request_goes_out_has_it_once_at_most() {
-    let server = Peer::new();
+fn a_request_is_sent_at_most_once_to_an_endpoint_that_closes_the_connection() {
+    let server = ScriptedPeer::new();
     let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
     let mut client = Client::new(&proxy);
     for n in 0..40 {
         client.send(&submit(&format!("r-{n}"), "5", "x"));
-        let mut call = server.next();
+        let mut request = server.next_request();
         if n % 2 == 1 {
-            // It has been read; then the connection goes, and nobody knows whether it ran.
-            call.reset();
+            // The endpoint has read the request and resets the connection, so it is unknown whether the request ran.
+            request.reset();
             assert_eq!(status(client.answer()), 502);
         } else {
-            call.write(&ok(""));
-            call.close(); // this may cross the next request
+            request.write(&ok(""));
+            request.close(); // this may race with the next request
             assert_eq!(status(client.answer()), 200);
         }
-        assert!(server.come().is_none(), "request {n} went out twice");
+        assert!(
+            server.try_next_request().is_none(),
+            "request {n} was sent twice"
+        );
     }
 }
 
 #[test]
-fn a_repeat_that_is_dropped_only_for_a_while_does_not_begin_after_that() {
+fn a_retry_does_not_start_after_the_deduplication_window() {
     let (slow, full) = full_listener();
-    let first = Peer::new();
+    let first = ScriptedPeer::new();
     let discovery = Discovery::new();
     discovery.say(&list(1, true, &[host("s-0", first.address, "up", 0)]));
-    // Repeats are dropped for 2.5 s (`window`), and a connection is waited for much longer.
+    // The deduplication window is 2.5 s (`window`), and the connect timeout is much longer.
     let setup = Setup {
         dial_timeout: 30_000,
         deadline: 40_000,
@@ -118,38 +124,43 @@
     let proxy = Proxy::up(&discovery, &setup);
     let mut client = Client::new(&proxy);
     client.send(&booking("r-1", "40"));
-    let call = first.next();
+    let request = first.next_request();
     let sent = Instant::now();
     discovery.say(&list(
         2,
         false,
         &[host("s-1", slow.local_addr().expect("an address"), "up", 0)],
     ));
-    wait_for("the other server", || proxy.var("node_cluster_size") == 2.0);
-    call.reset(); // it may have run, and is tried where its repeat is dropped
+    wait_for("the other endpoint", || {
+        proxy.var("node_cluster_size") == 2.0
+    });
+    request.reset(); // the request may have run, and is retried where a repetition is discarded
     thread::sleep((sent + Duration::from_millis(2600)).saturating_duration_since(Instant::now()));
     for _ in &full {
-        slow.accept().expect("one that filled the queue");
+        slow.accept().expect("a connection that filled the queue");
     }
     let (stream, _) = slow.accept().expect("the second attempt's connection");
-    assert_eq!(status(client.answer()), 502, "it may have run");
+    assert_eq!(status(client.answer()), 502, "the request may have run");
     stream
         .set_read_timeout(Some(Duration::from_millis(100)))
-        .expect("a time-out");
+        .expect("the timeout is set");
     assert!(
         read_message(&mut BufReader::new(&stream)).is_none(),
-        "it began after its window"
+        "the attempt started after the window"
     );
     assert_eq!(proxy.var("node_sends"), 1.0);
 }
 
 #[test]
-fn one_that_never_comes_up_holds_nothing_past_its_bound() {
-    let (mute, _full) = full_listener();
-    let server = Peer::new();
-    let at = [mute.local_addr().expect("an address"), server.address];
+fn a_connection_that_is_never_established_is_released_after_its_timeout() {
+    let (unresponsive, _full) = full_listener();
+    let server = ScriptedPeer::new();
+    let addresses = [
+        unresponsive.local_addr().expect("an address"),
+        server.address,
+    ];
     let (_discovery, proxy) = proxy_before(
-        &at,
+        &addresses,
         &Setup {
             door: true,
             ..Setup::default()
@@ -158,19 +169,19 @@
     for n in 0..12 {
         let mut client = Client::new(&proxy);
         client.send(&submit(&format!("r-{n}"), "5", "x"));
-        server.next().write(&ok(""));
+        server.next_request().write(&ok(""));
         assert_eq!(status(client.answer()), 200);
     }
     let descriptors = || proxy.descriptors();
-    wait_for("what hung to be let go", || descriptors() < 30);
+    wait_for("the connections to be released", || descriptors() < 30);
     assert_eq!(proxy.var("node_current"), 0.0);
 }
 
 #[test]
-fn a_shortage_of_sockets_of_its_own_says_nothing_against_a_server() {
-    let servers: Vec<Peer> = (0..10).map(|_| Peer::new()).collect();
+fn exhausting_the_proxy_s_sockets_ejects_no_endpoint() {
+    let servers: Vec<ScriptedPeer> = (0..10).map(|_| ScriptedPeer::new()).collect();
     let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
-    // So few sockets that a handful at most go to servers.
+    // So few sockets that only a handful are left for endpoints.
     let setup = Setup {
         sockets: 64,
         door: true,
@@ -182,28 +193,28 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&submit(&format!("r-{n}"), "3", "x"));
     }
-    let mut held = Vec::new();
-    wait_for("those that have a socket", || {
-        held.extend(servers.iter().filter_map(Peer::come));
-        proxy.var("node_current") == 9.0 - answered(&clients) as f64 && held.len() >= 2
+    let mut in_flight = Vec::new();
+    wait_for("the attempts that have a socket", || {
+        in_flight.extend(servers.iter().filter_map(ScriptedPeer::try_next_request));
+        proxy.var("node_current") == 9.0 - answered_count(&clients) as f64 && in_flight.len() >= 2
     });
-    thread::sleep(Duration::from_millis(600)); // three times what a connection may take
+    thread::sleep(Duration::from_millis(600)); // three times the connect timeout
     assert_eq!(proxy.var("node_cluster_unhealthy"), 0.0);
-    for call in &mut held {
-        call.write(&ok(""));
+    for request in &mut in_flight {
+        request.write(&ok(""));
     }
 }
 
-/// How many have their answer by now.
-fn answered(clients: &[Client]) -> usize {
+/// Returns the number of clients that have received an answer.
+fn answered_count(clients: &[Client]) -> usize {
     clients.iter().filter(|c| c.has_answer()).count()
 }
 
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
-    let server = Peer::new();
+fn a_reset_does_not_end_an_answer_without_a_length() {
+    let server = ScriptedPeer::new();
     let (_discovery, proxy) = proxy_before(&[server.address], &Setup::default());
-    for (n, (head, ends, wanted)) in [
+    for (n, (head, closed, expected)) in [
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it",
             true,
@@ -226,20 +237,20 @@
     {
         let mut client = Client::new(&proxy);
         client.send(&submit(&format!("r-{n}"), "5", "x"));
-        let mut call = server.next();
-        call.write(head);
-        if ends {
-            call.close()
+        let mut request = server.next_request();
+        request.write(head);
+        if closed {
+            request.close()
         } else {
-            call.reset()
+            request.reset()
         }
-        assert_eq!(status(client.answer()), wanted, "{head}");
+        assert_eq!(status(client.answer()), expected, "{head}");
     }
 }
 
 #[test]
-fn an_answer_that_has_no_end_has_one_for_the_client() {
-    let server = Peer::new();
+fn an_endless_answer_is_ended_for_the_client() {
+    let server = ScriptedPeer::new();
     let (_discovery, proxy) = proxy_before(
         &[server.address],
         &Setup {
@@ -247,7 +258,7 @@
             ..Setup::default()
         },
     );
-    // One that trickles, in its head or in its body, until the request's time is over.
+    // An answer that arrives slowly, in its head or in its body, until the deadline.
     for (n, (head, piece)) in [
         ("HTTP/1.1 200 OK\r\nX: ", "y"),
         (
@@ -260,48 +271,53 @@
     {
         let mut client = Client::new(&proxy);
         client.send(&submit(&format!("r-{n}"), "0.5", "x"));
-        let mut call = server.next();
-        let writes = thread::spawn(move || {
-            call.write(head);
-            while call.write(piece) {
+        let mut request = server.next_request();
+        let writer = thread::spawn(move || {
+            request.write(head);
+            while request.write(piece) {
                 thread::sleep(Duration::from_millis(10));
             }
         });
         assert_eq!(status(client.answer()), 502);
-        writes.join().expect("its connection is ended");
+        writer.join().expect("the connection is closed");
     }
-    // A head over the limit.
+    // A head that exceeds the size limit.
     let mut client = Client::new(&proxy);
     client.send(&submit("r-head", "5", "x"));
-    server.next().write(&format!(
+    server.next_request().write(&format!(
         "HTTP/1.1 200 OK\r\n{}\r\n",
         "X: yyyyyyyyyy\r\n".repeat(5000)
     ));
     assert_eq!(status(client.answer()), 502);
-    // One that comes as fast as it is read: it is cut, so that its client can tell.
+    // An answer that arrives as fast as it is read: it is truncated in a way that the client notices.
     let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
     stream
         .write_all(submit("r-flood", "5", "x").as_bytes())
-        .expect("it takes it");
-    let mut call = server.next();
-    let floods = thread::spawn(move || {
-        call.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        .expect("the bytes are accepted");
+    let mut request = server.next_request();
+    let flood = thread::spawn(move || {
+        request.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let piece = format!("4000\r\n{}\r\n", "z".repeat(0x4000));
-        while call.write(&piece) {}
+        while request.write(&piece) {}
     });
-    let (mut all, mut bytes) = (0, vec![0; 1 << 16]);
-    stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
+    let (mut received, mut bytes) = (0, vec![0; 1 << 16]);
+    stream
+        .set_read_timeout(Some(LIMIT))
+        .expect("the timeout is set");
     let mut tail = Vec::new();
     while let Ok(n @ 1..) = stream.read(&mut bytes) {
-        all += n;
+        received += n;
         tail = bytes[..n].to_vec();
-        if all > 40 << 20 {
-            break; // it goes on for ever
+        if received > 40 << 20 {
+            break; // the answer is not truncated
         }
     }
     drop(stream);
-    floods.join().expect("its connection is ended");
-    assert!((32 << 20..40 << 20).contains(&all), "{all} bytes");
-    assert!(!tail.ends_with(b"\r\n0\r\n\r\n"), "it does not look whole");
+    flood.join().expect("the connection is closed");
+    assert!((32 << 20..40 << 20).contains(&received), "{received} bytes");
+    assert!(
+        !tail.ends_with(b"\r\n0\r\n\r\n"),
+        "the answer must not look complete"
+    );
     assert!(proxy.memory_peak_mb() < 64.0);
 }
--- a/crates/proxy/tests/crossings_shutdown.rs
+++ b/crates/proxy/tests/crossings_shutdown.rs
@@ -1,4 +1,5 @@
-//! SIGTERM at each place: before the list, with requests queued, half read, sent to a server that hangs; and what clients send then.
+//! SIGTERM in each state: before the list, with requests queued, partly read, or sent to an endpoint that hangs; and requests
+//! that arrive during the shutdown.
 mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
@@ -15,21 +16,21 @@
     answer.expect("an answer").status()
 }
 
-fn proxy_with(servers: &[&Peer], setup: &Setup) -> (Discovery, Proxy) {
+fn proxy_with(servers: &[&ScriptedPeer], setup: &Setup) -> (Discovery, Proxy) {
     let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
     proxy_before(&addresses, setup)
 }
 
-/// Waits until the process has seen the signal and takes no more connections.
-fn shut(proxy: &Proxy) {
-    wait_for("the listener's end", || {
+/// Waits until the process has handled the signal and accepts no more connections.
+fn wait_until_closed(proxy: &Proxy) {
+    wait_for("the listener to close", || {
         TcpStream::connect(proxy.address).is_err()
     });
 }
 
 #[test]
-fn a_process_that_is_ended_before_its_list_answers_what_it_took_and_goes() {
-    let agent = Peer::new();
+fn a_process_terminated_before_its_list_answers_accepted_requests_and_exits() {
+    let agent = ScriptedPeer::new();
     let mut proxy = Proxy::start(
         &agent.as_discovery(),
         &Setup {
@@ -37,69 +38,69 @@
             ..Setup::default()
         },
     );
-    let _call = agent.next();
-    let mut waits = Client::new(&proxy);
-    waits.send(&submit("r-1", "0.4", "x"));
+    let _watch = agent.next_request();
+    let mut client = Client::new(&proxy);
+    client.send(&submit("r-1", "0.4", "x"));
     proxy.terminate();
-    assert_eq!(status(waits.answer()), 503, "it never ran");
+    assert_eq!(status(client.answer()), 503, "the request never ran");
     assert!(proxy.wait().success());
 }
 
 #[test]
-fn a_second_signal_changes_nothing_for_what_is_under_way() {
-    let server = Peer::new();
+fn a_second_signal_does_not_affect_requests_in_flight() {
+    let server = ScriptedPeer::new();
     let (_discovery, mut proxy) = proxy_with(&[&server], &Setup::default());
     let mut client = Client::new(&proxy);
     client.send(&submit("r-1", "5", "x"));
-    let mut call = server.next();
+    let mut request = server.next_request();
     proxy.terminate();
-    wait_for("the signal to be seen", || !proxy.is_up());
+    wait_for("the signal to be handled", || !proxy.is_up());
     proxy.terminate();
     proxy.signal("-INT");
-    shut(&proxy);
-    call.write(&ok("whole"));
+    wait_until_closed(&proxy);
+    request.write(&ok("whole"));
     assert_eq!(client.answer().expect("an answer").text(), "whole");
     assert!(proxy.wait().success());
 }
 
 #[test]
-fn a_head_that_is_half_read_at_the_signal_is_waited_for() {
-    let server = Peer::new();
+fn a_partly_read_head_is_read_to_its_end_after_the_signal() {
+    let server = ScriptedPeer::new();
     let (_discovery, mut proxy) = proxy_with(&[&server], &Setup::default());
-    // One on a fresh connection and one on a connection that has had an answer.
+    // One on a new connection and one on a connection that has had an answer.
     let mut clients = [Client::new(&proxy), Client::new(&proxy)];
     clients[1].send(&page("r-0"));
-    server.next().write(&ok(""));
+    server.next_request().write(&ok(""));
     assert_eq!(status(clients[1].answer()), 200);
     let requests = ["r-1", "r-2"].map(page);
     for (client, request) in clients.iter_mut().zip(&requests) {
         client.send(&request[..40]);
     }
-    // A request that is answered shows that the halves before it have been read.
+    // Once a later request is answered, the first halves have been read.
     let mut other = Client::new(&proxy);
     other.send(&page("r-other"));
-    server.next().write(&ok(""));
+    server.next_request().write(&ok(""));
     assert_eq!(status(other.answer()), 200);
     proxy.terminate();
-    shut(&proxy);
-    thread::sleep(Duration::from_millis(200)); // by now a process with nothing to wait for has ended
+    wait_until_closed(&proxy);
+    thread::sleep(Duration::from_millis(200)); // by now a process without open requests has exited
     for (client, request) in clients.iter_mut().zip(&requests) {
         client.send(&request[40..]);
-        server.next().write(&ok("late"));
+        server.next_request().write(&ok("late"));
         assert_eq!(client.answer().expect("an answer").text(), "late");
     }
     assert!(proxy.wait().success());
 }
 
 #[test]
-fn with_servers_that_hang_each_request_has_one_answer_and_the_process_ends_in_time() {
-    let servers = [Peer::new(), Peer::new()];
+fn with_hanging_endpoints_each_request_is_answered_once_and_the_process_exits_in_time() {
+    let servers = [ScriptedPeer::new(), ScriptedPeer::new()];
     let setup = Setup {
         deadline: 300,
         ..Setup::default()
     };
     let (_discovery, mut proxy) = proxy_with(&[&servers[0], &servers[1]], &setup);
-    // More than the servers' slots: some are out, and some wait in the queue.
+    // More than the endpoints' slots: some requests are in flight and some are queued.
     let mut clients: Vec<Client> = (0..24).map(|_| Client::new(&proxy)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&if n % 2 == 0 {
@@ -108,10 +109,10 @@
             submit("r-b", "0.3", "x")
         });
     }
-    let _hangs = (servers[0].next(), servers[1].next());
+    let _unanswered = (servers[0].next_request(), servers[1].next_request());
     proxy.terminate();
-    let told = Instant::now();
-    // Clients go on on each connection that stays open.
+    let terminated = Instant::now();
+    // Clients send further requests on each connection that stays open.
     let floods: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
@@ -132,20 +133,20 @@
         .collect();
     for flood in floods {
         assert!(
-            flood.join().expect("good answers") >= 1,
-            "none without an answer"
+            flood.join().expect("valid answers") >= 1,
+            "each client has an answer"
         );
     }
     assert!(proxy.wait().success());
     assert!(
-        told.elapsed() < Duration::from_secs(3),
-        "nothing waits for a hung server: {:?}",
-        told.elapsed()
+        terminated.elapsed() < Duration::from_secs(3),
+        "the process waits for a hanging endpoint: {:?}",
+        terminated.elapsed()
     );
 }
 
 #[test]
-fn what_crosses_the_closing_of_an_idle_connection_is_answered_or_never_sent_on() {
+fn a_request_that_races_with_the_close_of_an_idle_connection_is_answered_or_never_forwarded() {
     let backend = Backend::with(|m| Deed::Write(ok(m.id())));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -155,8 +156,8 @@
         assert_eq!(status(client.ask(&page("r-first"))), 200);
     }
     proxy.terminate();
-    // Each sends in a moment of its own around the closing, half of it before and half of it after.
-    let cross: Vec<_> = clients
+    // The clients send at different times around the close, each request in two parts.
+    let senders: Vec<_> = clients
         .into_iter()
         .enumerate()
         .map(|(n, mut client)| {
@@ -169,13 +170,13 @@
             })
         })
         .collect();
-    let ends: Vec<_> = cross
+    let results: Vec<_> = senders
         .into_iter()
-        .map(|c| c.join().expect("it ends"))
+        .map(|c| c.join().expect("no panic"))
         .collect();
     assert!(proxy.wait().success());
     let seen: Vec<String> = backend.seen().iter().map(|m| m.id().to_owned()).collect();
-    for (answer, id) in ends {
+    for (answer, id) in results {
         assert_eq!(
             answer.as_deref(),
             seen.contains(&id).then_some(id.as_str()),
@@ -185,25 +186,25 @@
 }
 
 #[test]
-fn bytes_behind_the_last_request_are_not_served() {
-    let server = Peer::new();
+fn pipelined_requests_after_the_last_one_are_not_served() {
+    let server = ScriptedPeer::new();
     let (_discovery, mut proxy) = proxy_with(&[&server], &Setup::default());
     let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
     stream
         .write_all(format!("{}{}", page("r-1"), page("r-2")).as_bytes())
-        .expect("it takes it");
-    let mut call = server.next();
+        .expect("the bytes are accepted");
+    let mut request = server.next_request();
     proxy.terminate();
-    wait_for("the signal to be seen", || !proxy.is_up());
-    call.write(&ok("first"));
-    let said = read_out(&mut stream).expect("an end in order");
-    let said = String::from_utf8_lossy(&said);
-    assert_eq!(said.matches("HTTP/1.1 ").count(), 1, "{said}");
+    wait_for("the signal to be handled", || !proxy.is_up());
+    request.write(&ok("first"));
+    let received = read_until_closed(&mut stream).expect("an end without a reset");
+    let received = String::from_utf8_lossy(&received);
+    assert_eq!(received.matches("HTTP/1.1 ").count(), 1, "{received}");
     assert!(
-        said.ends_with("first") && said.to_lowercase().contains("connection: close"),
-        "{said}"
+        received.ends_with("first") && received.to_lowercase().contains("connection: close"),
+        "{received}"
     );
     drop(stream);
     assert!(proxy.wait().success());
-    assert!(server.come().is_none());
+    assert!(server.try_next_request().is_none());
 }
--- a/crates/proxy/tests/crossings_watch.rs
+++ b/crates/proxy/tests/crossings_watch.rs
@@ -1,4 +1,4 @@
-//! What comes between two lines of a watch on the list: silence, cuts, failed calls, another address, a drain.
+//! Faults between two updates of a discovery watch: silence, cut connections, failed calls, a new address and a drain.
 mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
@@ -8,11 +8,11 @@
 use scripted_peer::*;
 use sockets::*;
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// Time within which the proxy has to know an update once discovery has it and is reachable.
+const UPDATE_DELAY_LIMIT: Duration = Duration::from_secs(6);
 
-/// Idle connections to servers outlast every wait, so that their end is a drain's work.
-fn lasting() -> Setup {
+/// Returns a setup whose idle endpoint connections outlast every wait, so that only a drain closes them.
+fn long_idle_timeout() -> Setup {
     Setup {
         idle_close: 600_000,
         ..Setup::default()
@@ -23,7 +23,7 @@
     answer.expect("an answer").status()
 }
 
-/// A list of one server, laid out over many lines.
+/// Returns a list of one endpoint, spread over many lines.
 fn indented(seq: u64, whole: bool, backend: &Backend, health: &str) -> String {
     let line = list(seq, whole, &[host("s-0", backend.address, health, 0)]);
     let text = line
@@ -34,160 +34,170 @@
     text
 }
 
-/// A proxy whose agent has told of this server alone, and that watch.
-fn watched(agent: &Peer, backend: &Backend) -> (Proxy, Call) {
-    let proxy = Proxy::start(&agent.as_discovery(), &lasting());
-    let mut watch = agent.next();
+/// Starts a proxy whose agent has sent a list of this endpoint, and returns the watch.
+fn proxy_with_watch(agent: &ScriptedPeer, backend: &Backend) -> (Proxy, ReceivedRequest) {
+    let proxy = Proxy::start(&agent.as_discovery(), &long_idle_timeout());
+    let mut watch = agent.next_request();
     assert!(!watch.resumes());
-    watch.begin();
-    watch.tell(&format!("{}\n", all_up(&[backend])));
+    watch.start_watch();
+    watch.send_chunk(&format!("{}\n", all_up(&[backend])));
     wait_for("/up", || proxy.is_up());
     assert_eq!(status(Client::new(&proxy).ask(&page("r-first"))), 200);
     (proxy, watch)
 }
 
-/// A drain that this watch tells of ends the connections to the server.
-fn tells_of_drain(mut watch: Call, backend: &Backend) {
+/// Sends a drain on this watch and waits until the connections to the endpoint are closed.
+fn expect_drain(mut watch: ReceivedRequest, backend: &Backend) {
     if watch.message.first.contains("watch=1") {
-        watch.begin();
-        watch.tell(&format!(
+        watch.start_watch();
+        watch.send_chunk(&format!(
             "{}\n",
             list(9, true, &[host("s-0", backend.address, "draining", 0)])
         ));
     }
-    wait_for("the drain to act", || backend.ended() == 1);
+    wait_for("the drain to take effect", || backend.ended() == 1);
 }
 
 #[test]
-fn a_list_is_read_however_it_is_laid_out_and_cut() {
+fn a_list_is_read_in_any_layout_and_split_at_any_byte() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let agent = Peer::new();
-    let proxy = Proxy::start(&agent.as_discovery(), &lasting());
-    let mut watch = agent.next();
-    watch.begin();
-    // Byte by byte, with a blank line before and half of the next object behind it.
+    let agent = ScriptedPeer::new();
+    let proxy = Proxy::start(&agent.as_discovery(), &long_idle_timeout());
+    let mut watch = agent.next_request();
+    watch.start_watch();
+    // Byte by byte, with a blank line before the object and half of the next object after it.
     let (next, after) = (
         indented(2, false, &backend, "draining"),
         indented(3, false, &backend, "up"),
     );
     let (half, rest) = next.split_at(next.len() / 2);
     for byte in format!("\n  {} {half}", indented(1, true, &backend, "up")).bytes() {
-        watch.tell(&char::from(byte).to_string());
+        watch.send_chunk(&char::from(byte).to_string());
     }
     wait_for("/up", || proxy.is_up());
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
-    assert_eq!(backend.ended(), 0, "half a list is no list");
-    watch.tell(rest);
-    wait_for("the drain to act", || backend.ended() == 1);
-    // Two in one piece, with nothing between them.
-    watch.tell(&format!(
+    assert_eq!(backend.ended(), 0, "an incomplete list has no effect");
+    watch.send_chunk(rest);
+    wait_for("the drain to take effect", || backend.ended() == 1);
+    // Two objects in one chunk, without a separator.
+    watch.send_chunk(&format!(
         "{}{}",
         after,
         indented(4, false, &backend, "draining").replace("s-0", "s-1")
     ));
-    wait_for("the server", || {
+    wait_for("the endpoint", || {
         status(Client::new(&proxy).ask(&page("r-2"))) == 200
     });
-    assert!(agent.come().is_none(), "the first watch lasts");
+    assert!(
+        agent.try_next_request().is_none(),
+        "the first watch stays open"
+    );
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_in_time_whatever_fails_on_the_way() {
-    for silence in ["", "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"s-"] {
+fn a_silent_watch_is_opened_again_in_time_even_if_several_calls_fail() {
+    for partial_object in ["", "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"s-"] {
         let backend = Backend::new(Deed::Write(ok("")));
-        let agent = Peer::new();
-        let (_proxy, mut watch) = watched(&agent, &backend);
-        watch.tell("\n");
-        let silent = Instant::now();
-        if !silence.is_empty() {
-            watch.tell(silence); // it falls silent in the middle of an object
+        let agent = ScriptedPeer::new();
+        let (_proxy, mut watch) = proxy_with_watch(&agent, &backend);
+        watch.send_chunk("\n");
+        let silent_since = Instant::now();
+        if !partial_object.is_empty() {
+            watch.send_chunk(partial_object); // the watch becomes silent within an object
         }
-        // One call is turned away, one answered with an error, one with what is no list, and one hangs.
-        agent.next().close();
-        agent.next().write(&empty("503 Busy"));
-        let mut third = agent.next();
-        third.begin();
-        third.tell("<html>");
-        let _hangs = agent.next();
-        tells_of_drain(agent.next(), &backend);
-        let took = silent.elapsed();
-        assert!(took <= TOLD, "{took:?} after {silence:?}");
+        // One call is closed, one answered with an error, one with an invalid list, and one hangs.
+        agent.next_request().close();
+        agent.next_request().write(&empty("503 Busy"));
+        let mut third = agent.next_request();
+        third.start_watch();
+        third.send_chunk("<html>");
+        let _unanswered = agent.next_request();
+        expect_drain(agent.next_request(), &backend);
+        let took = silent_since.elapsed();
+        assert!(
+            took <= UPDATE_DELAY_LIMIT,
+            "{took:?} after {partial_object:?}"
+        );
     }
 }
 
 #[test]
-fn a_watch_that_opens_and_says_nothing_still_leaves_time_for_another() {
+fn a_watch_that_opens_without_data_leaves_time_for_another() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let agent = Peer::new();
-    let (_proxy, _silent) = watched(&agent, &backend);
-    let silent = Instant::now();
-    let mut second = agent.next();
-    second.begin();
-    tells_of_drain(agent.next(), &backend);
-    assert!(silent.elapsed() <= TOLD, "{:?}", silent.elapsed());
+    let agent = ScriptedPeer::new();
+    let (_proxy, _silent) = proxy_with_watch(&agent, &backend);
+    let silent_since = Instant::now();
+    let mut second = agent.next_request();
+    second.start_watch();
+    expect_drain(agent.next_request(), &backend);
+    assert!(
+        silent_since.elapsed() <= UPDATE_DELAY_LIMIT,
+        "{:?}",
+        silent_since.elapsed()
+    );
 }
 
 #[test]
-fn while_discovery_hangs_it_is_called_often_enough_to_meet_its_return() {
+fn a_hanging_discovery_is_called_often_enough_to_notice_its_return() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let agent = Peer::new();
-    let (_proxy, watch) = watched(&agent, &backend);
+    let agent = ScriptedPeer::new();
+    let (_proxy, watch) = proxy_with_watch(&agent, &backend);
     watch.reset();
-    let down = Instant::now();
-    let hangs: Vec<Call> = (0..8).map(|_| agent.next()).collect();
-    // A drain that is told at the return counts from there: the next call comes soon enough, whenever that is.
-    let took = down.elapsed();
-    assert!(took < TOLD, "eight calls took {took:?}");
-    drop(hangs);
-    tells_of_drain(agent.next(), &backend);
+    let unreachable_since = Instant::now();
+    let unanswered: Vec<ReceivedRequest> = (0..8).map(|_| agent.next_request()).collect();
+    // The limit for a drain counts from the return of discovery, so the calls have to be frequent enough at any time.
+    let took = unreachable_since.elapsed();
+    assert!(took < UPDATE_DELAY_LIMIT, "eight calls took {took:?}");
+    drop(unanswered);
+    expect_drain(agent.next_request(), &backend);
 }
 
 #[test]
-fn an_answer_that_comes_late_counts_while_others_are_asked_for() {
+fn a_late_answer_is_used_while_further_calls_are_open() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let agent = Peer::new();
-    let (proxy, watch) = watched(&agent, &backend);
+    let agent = ScriptedPeer::new();
+    let (proxy, watch) = proxy_with_watch(&agent, &backend);
     watch.close();
-    // The first call is answered only once a second one has come beside it.
-    let first = agent.next();
-    let _second = agent.next();
-    tells_of_drain(first, &backend);
+    // The first call is answered only after a second one has been opened.
+    let first = agent.next_request();
+    let _second = agent.next_request();
+    expect_drain(first, &backend);
     assert!(proxy.is_up());
 }
 
 #[test]
-fn a_new_address_is_asked_for_all_it_has_as_it_may_count_anew() {
+fn the_complete_list_is_requested_from_a_new_address_as_its_versions_may_start_again() {
     let backend = Backend::new(Deed::Write(ok("")));
-    let agents = [Peer::new(), Peer::new()];
-    let (proxy, mut watch) = watched(&agents[0], &backend);
-    watch.tell(&format!(
+    let agents = [ScriptedPeer::new(), ScriptedPeer::new()];
+    let (proxy, mut watch) = proxy_with_watch(&agents[0], &backend);
+    watch.send_chunk(&format!(
         "{}\n",
         list(41, false, &[host("s-0", backend.address, "up", 0)])
     ));
-    // The signal comes in the middle of an object.
-    watch.tell("{\"seq\":42,\"whole\":false,\"hosts\":[");
-    proxy.reconfigure(&config(agents[1].address, &lasting()));
-    let mut second = agents[1].next();
+    // The signal arrives within an object.
+    watch.send_chunk("{\"seq\":42,\"whole\":false,\"hosts\":[");
+    proxy.reconfigure(&config(agents[1].address, &long_idle_timeout()));
+    let mut second = agents[1].next_request();
     assert!(!second.resumes(), "{}", second.message.first);
-    second.begin();
-    second.tell(&format!(
+    second.start_watch();
+    second.send_chunk(&format!(
         "{}\n",
         list(3, true, &[host("s-0", backend.address, "up", 0)])
     ));
-    second.tell(&format!(
+    second.send_chunk(&format!(
         "{}\n",
         list(4, false, &[host("s-0", backend.address, "draining", 0)])
     ));
-    wait_for("the drain to act", || backend.ended() == 1);
+    wait_for("the drain to take effect", || backend.ended() == 1);
 }
 
 #[test]
-fn a_process_that_starts_sends_nothing_by_an_older_list_than_its_agent_has() {
+fn a_starting_process_sends_nothing_by_a_list_older_than_that_of_its_agent() {
     let (old, new) = (
         Backend::new(Deed::Write(ok("old"))),
         Backend::new(Deed::Write(ok("new"))),
     );
-    let agent = Peer::new();
+    let agent = ScriptedPeer::new();
     let known = list(1, true, &[host("s-0", old.address, "up", 0)]);
     let proxy = Proxy::start(
         &agent.as_discovery(),
@@ -197,21 +207,21 @@
         },
     );
     let mut client = Client::new(&proxy);
-    client.send(&page("r-1")); // before the list, and it waits
-    let mut watch = agent.next();
-    watch.begin();
+    client.send(&page("r-1")); // the request arrives before the list and is queued
+    let mut watch = agent.next_request();
+    watch.start_watch();
     let lines = [
         host("s-0", old.address, "draining", 0),
         host("s-1", new.address, "up", 0),
     ];
-    watch.tell(&format!("{}\n", list(7, true, &lines)));
+    watch.send_chunk(&format!("{}\n", list(7, true, &lines)));
     assert_eq!(client.answer().expect("an answer").text(), "new");
     assert!(old.seen().is_empty());
 }
 
 #[test]
-fn a_drain_told_between_two_attempts_counts_for_the_second() {
-    let servers = [Peer::new(), Peer::new()];
+fn a_drain_received_between_two_attempts_applies_to_the_second() {
+    let servers = [ScriptedPeer::new(), ScriptedPeer::new()];
     let discovery = Discovery::new();
     let lines = |health: [&str; 2]| {
         [0, 1].map(|i| host(&format!("s-{i}"), servers[i].address, health[i], 0))
@@ -227,7 +237,11 @@
     let mut client = Client::new(&proxy);
     client.send(&page("r-1"));
     let (mut first, other) = loop {
-        if let Some(i) = (0..2).find_map(|i| servers[i].come().map(|call| (call, 1 - i))) {
+        if let Some(i) = (0..2).find_map(|i| {
+            servers[i]
+                .try_next_request()
+                .map(|request| (request, 1 - i))
+        }) {
             break i;
         }
         std::thread::yield_now();
@@ -240,10 +254,10 @@
         false,
         &[host("s-2", servers[other].address, "draining", 0)],
     ));
-    wait_for("the drain to be told", || {
+    wait_for("the drain to be known", || {
         proxy.var("node_cluster_size") == 3.0
     });
     first.write(&empty("503 Full\r\nX-Not-Processed: 1"));
     assert_eq!(status(client.answer()), 503);
-    assert!(servers[other].come().is_none());
+    assert!(servers[other].try_next_request().is_none());
 }
--- a/crates/proxy/tests/loads.rs
+++ b/crates/proxy/tests/loads.rs
@@ -1,4 +1,4 @@
-//! What servers tell of their load with their answers.
+//! Load reports that endpoints send with their answers.
 mod scripted_peer;
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
@@ -10,10 +10,10 @@
 use scripted_peer::*;
 use sockets::*;
 
-/// One of 32 proxies before four servers of one core, which have told of such a load with forty answers. Then four clients
-/// send something at once. Returns who was asked before any of it was answered.
-fn asked_at_once_after(load: &str) -> usize {
-    let servers: Vec<Peer> = (0..4).map(|_| Peer::new()).collect();
+/// Starts one of 32 proxies with four single-core endpoints that report this load with forty answers. Then four clients
+/// send a request each at once. Returns the number of requests that are forwarded before the first is answered.
+fn concurrent_attempts_after(load: &str) -> usize {
+    let servers: Vec<ScriptedPeer> = (0..4).map(|_| ScriptedPeer::new()).collect();
     let addresses: Vec<SocketAddr> = servers.iter().map(|s| s.address).collect();
     let (_discovery, proxy) = proxy_before(
         &addresses,
@@ -26,11 +26,11 @@
         "X-Own: kept",
         &format!("X-Own: kept\r\nX-Server-Load: {load}"),
     );
-    let come = || {
+    let next_request = || {
         let end = Instant::now() + LIMIT;
         loop {
-            if let Some(call) = servers.iter().find_map(Peer::come) {
-                return call;
+            if let Some(request) = servers.iter().find_map(ScriptedPeer::try_next_request) {
+                return request;
             }
             assert!(Instant::now() < end, "a request");
             thread::sleep(Duration::from_millis(1));
@@ -39,28 +39,30 @@
     let mut clients: Vec<Client> = (0..4).map(|_| Client::new(&proxy)).collect();
     for n in 0..40 {
         clients[0].send(&submit(&format!("r-{n}"), "5", "x"));
-        let mut call = come();
-        thread::sleep(Duration::from_millis(10)); // all take as long, give or take what a machine adds
-        call.write(&answer);
+        let mut request = next_request();
+        thread::sleep(Duration::from_millis(10)); // every answer takes the same time, apart from scheduling delays
+        request.write(&answer);
         let got = clients[0].answer().expect("an answer");
         assert_eq!(got.status(), 200);
         assert!(
             got.header("x-server-load").is_some(),
-            "a header of the answer, passed on like any other"
+            "the header is forwarded like any other"
         );
     }
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&submit(&format!("s-{n}"), "5", "x"));
     }
-    let mut calls = vec![come()];
-    thread::sleep(Duration::from_millis(300)); // nothing more is to come, or all of it has
-    calls.extend(std::iter::from_fn(|| servers.iter().find_map(Peer::come)));
-    let count = calls.len();
-    // Whoever waits has its turn.
+    let mut requests = vec![next_request()];
+    thread::sleep(Duration::from_millis(300)); // by now all requests that are forwarded at once have arrived
+    requests.extend(std::iter::from_fn(|| {
+        servers.iter().find_map(ScriptedPeer::try_next_request)
+    }));
+    let count = requests.len();
+    // The queued requests follow.
     let mut answered = 0;
     while answered < 4 {
-        let mut call = calls.pop().unwrap_or_else(come);
-        call.write(&answer);
+        let mut request = requests.pop().unwrap_or_else(next_request);
+        request.write(&answer);
         answered += 1;
     }
     assert!(
@@ -72,12 +74,18 @@
 }
 
 #[test]
-fn a_proxy_sends_less_at_once_to_servers_that_tell_of_a_crowd() {
-    assert_eq!(asked_at_once_after(r#"{"busy_reqs":30,"pending":0}"#), 1);
-    assert_eq!(asked_at_once_after(r#"{"busy_reqs":1,"pending":0}"#), 4);
+fn a_proxy_forwards_fewer_concurrent_requests_to_endpoints_that_report_high_load() {
     assert_eq!(
-        asked_at_once_after("spoilt"),
+        concurrent_attempts_after(r#"{"busy_reqs":30,"pending":0}"#),
+        1
+    );
+    assert_eq!(
+        concurrent_attempts_after(r#"{"busy_reqs":1,"pending":0}"#),
+        4
+    );
+    assert_eq!(
+        concurrent_attempts_after("spoilt"),
         4,
-        "what can't be read tells nothing"
+        "an invalid report is ignored"
     );
 }
