--- a/crates/proxy/tests/measure.rs
+++ b/crates/proxy/tests/measure.rs
@@ -1,4 +1,5 @@
-//! What the operators' parts cost and save, each beside a baseline in the same run. No verdict: it prints a table.
+//! Cost and benefit of the operations listener, upgrades and streaming, each with a baseline in the same run. It prints a
+//! table and checks no limits.
 //!
 //!     cargo test --release -p proxy --test measure -- --ignored --nocapture
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
@@ -14,7 +15,7 @@
 
 use sockets::*;
 
-const LARGE: usize = 32_000_000;
+const LARGE_BODY_BYTES: usize = 32_000_000;
 
 fn quantiles(mut times: Vec<Duration>) -> String {
     times.sort();
@@ -29,31 +30,31 @@
     )
 }
 
-fn calls(proxy: &Proxy, many: usize) -> Vec<Duration> {
+fn call_durations(proxy: &Proxy, count: usize) -> Vec<Duration> {
     let call = |_| {
-        let asked = Instant::now();
-        assert_eq!(proxy.call("GET /_vars").expect("the figures").status(), 200);
-        asked.elapsed()
+        let start = Instant::now();
+        assert_eq!(proxy.call("GET /_vars").expect("the metrics").status(), 200);
+        start.elapsed()
     };
-    (0..many).map(call).collect()
+    (0..count).map(call).collect()
 }
 
-/// Clients that ask without a pause; what they got: answers, refusals, and requests without an answer, be it that a
-/// connection closed under them.
-struct Crowd {
+/// Clients that send requests without a pause. They count successful answers, rejections, and requests without an answer,
+/// for example because the connection was closed.
+struct LoadGenerator {
     stop: Arc<AtomicBool>,
-    got: Arc<[AtomicUsize; 3]>,
+    results: Arc<[AtomicUsize; 3]>,
     clients: Vec<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(address: SocketAddr, many: usize) -> Self {
-        let (stop, got) = (
+impl LoadGenerator {
+    fn start(address: SocketAddr, count: usize) -> Self {
+        let (stop, results) = (
             Arc::new(AtomicBool::new(false)),
             Arc::<[AtomicUsize; 3]>::default(),
         );
         let client = |_| {
-            let (stop, got) = (stop.clone(), got.clone());
+            let (stop, results) = (stop.clone(), results.clone());
             thread::spawn(move || {
                 let mut kept: Option<Client> = None;
                 while !stop.load(Ordering::SeqCst) {
@@ -62,25 +63,29 @@
                         None => match TcpStream::connect(address) {
                             Ok(_) => Client::to(address),
                             Err(_) => {
-                                got[2].fetch_add(1, Ordering::SeqCst);
+                                results[2].fetch_add(1, Ordering::SeqCst);
                                 thread::sleep(Duration::from_millis(5));
                                 continue;
                             }
                         },
                     };
-                    let kind = match client.ask(&page("r-1")) {
+                    let result = match client.ask(&page("r-1")) {
                         Some(m) => {
                             kept = (m.header("connection") != Some("close")).then_some(client);
                             usize::from(m.status() != 200)
                         }
                         None => 2,
                     };
-                    got[kind].fetch_add(1, Ordering::SeqCst);
+                    results[result].fetch_add(1, Ordering::SeqCst);
                 }
             })
         };
-        let clients = (0..many).map(client).collect();
-        Crowd { stop, got, clients }
+        let clients = (0..count).map(client).collect();
+        LoadGenerator {
+            stop,
+            results,
+            clients,
+        }
     }
 
     fn end(self) -> [usize; 3] {
@@ -88,49 +93,49 @@
         self.clients
             .into_iter()
             .for_each(|c| c.join().expect("no panic"));
-        [0, 1, 2].map(|n| self.got[n].load(Ordering::SeqCst))
+        [0, 1, 2].map(|n| self.results[n].load(Ordering::SeqCst))
     }
 }
 
-/// CPU of a proxy for each request of a crowd, in µs.
-fn cost(door: bool) -> f64 {
+/// Returns the CPU time of a proxy for each request under load, in µs.
+fn cpu_per_request(operations_listener: bool) -> f64 {
     let backends: Vec<Backend> = (0..4).map(|_| Backend::new(Deed::Write(ok("")))).collect();
     let addresses: Vec<SocketAddr> = backends.iter().map(|b| b.address).collect();
     let (_discovery, proxy) = proxy_before(
         &addresses,
         &Setup {
-            door,
+            door: operations_listener,
             ..Setup::default()
         },
     );
-    let crowd = Crowd::start(proxy.address, 16);
+    let load = LoadGenerator::start(proxy.address, 16);
     thread::sleep(Duration::from_millis(500));
-    let (before, count) = (proxy.cpu_seconds(), crowd.got[0].load(Ordering::SeqCst));
+    let (before, count) = (proxy.cpu_seconds(), load.results[0].load(Ordering::SeqCst));
     let end = Instant::now() + Duration::from_secs(4);
     while Instant::now() < end {
-        if door {
+        if operations_listener {
             proxy.call("GET /_vars");
         }
         thread::sleep(Duration::from_millis(100));
     }
     let (used, count) = (
         proxy.cpu_seconds() - before,
-        crowd.got[0].load(Ordering::SeqCst) - count,
+        load.results[0].load(Ordering::SeqCst) - count,
     );
-    crowd.end();
+    load.end();
     used * 1e6 / count as f64
 }
 
-/// Peak memory of a proxy that may have 48 MB, with so many answers of this size at once.
-fn peak(many: usize, size: usize) -> (f64, Duration) {
+/// Returns the peak memory of a proxy limited to 48 MB, and the duration of `count` concurrent answers of this size.
+fn peak_memory(count: usize, size: usize) -> (f64, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let to = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.expect("a connection");
             thread::spawn(move || {
-                let mut asked = [0; 4096];
-                while stream.read(&mut asked).is_ok_and(|n| n > 0) {
+                let mut request = [0; 4096];
+                while stream.read(&mut request).is_ok_and(|n| n > 0) {
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n");
                     let _ = stream.write_all(head.as_bytes());
                     let piece = vec![b'x'; size.min(1 << 20)];
@@ -151,8 +156,8 @@
             ..Setup::default()
         },
     );
-    let began = Instant::now();
-    let readers: Vec<JoinHandle<usize>> = (0..many)
+    let start = Instant::now();
+    let readers: Vec<JoinHandle<usize>> = (0..count)
         .map(|_| {
             let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
             thread::spawn(move || {
@@ -162,7 +167,7 @@
                             .replace("X-Timeout: 5", "X-Timeout: 20")
                             .as_bytes(),
                     )
-                    .expect("taken");
+                    .expect("the request is accepted");
                 let (mut got, mut piece) = (0, vec![0; 64 << 10]);
                 while got < size {
                     match stream.read(&mut piece) {
@@ -174,16 +179,16 @@
             })
         })
         .collect();
-    let whole = readers
+    let complete = readers
         .into_iter()
         .map(|r| r.join().expect("no panic"))
         .filter(|g| *g >= size);
-    assert_eq!(whole.count(), many, "all came whole");
-    (proxy.memory_peak_mb(), began.elapsed())
+    assert_eq!(complete.count(), count, "all answers are complete");
+    (proxy.memory_peak_mb(), start.elapsed())
 }
 
-/// What a crowd got while a proxy was replaced, beside it or one after the other.
-fn replaced(beside: bool) -> [usize; 3] {
+/// Returns the results of clients while a proxy is replaced, by an upgrade or by a kill and a restart.
+fn results_during_replacement(upgrade: bool) -> [usize; 3] {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -203,26 +208,26 @@
     let ready = |p: &Proxy| p.call("GET /_ready").is_some_and(|m| m.status() == 200);
     let mut old = start();
     wait_for("the first", || ready(&old));
-    let crowd = Crowd::start(address, 8);
+    let load = LoadGenerator::start(address, 8);
     thread::sleep(Duration::from_millis(500));
-    if beside {
+    if upgrade {
         let new = start();
         wait_for("the next", || ready(&new));
         old.terminate();
         old.wait();
         thread::sleep(Duration::from_millis(500));
-        return crowd.end();
+        return load.end();
     }
-    old.signal("-KILL"); // as a restart without an upgrade that nobody waits for
+    old.signal("-KILL"); // as in a restart without an upgrade and without a drain
     old.wait();
     let new = start();
     wait_for("the next", || ready(&new));
     thread::sleep(Duration::from_millis(500));
-    crowd.end()
+    load.end()
 }
 
 #[test]
-#[ignore = "it measures, and wants the machine to itself"]
+#[ignore = "a measurement that needs an otherwise idle machine"]
 fn measure() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, idle) = proxy_before(
@@ -233,29 +238,38 @@
         },
     );
     println!(
-        "door, idle:                {}",
-        quantiles(calls(&idle, 300))
+        "operations, idle:          {}",
+        quantiles(call_durations(&idle, 300))
     );
-    let crowd = Crowd::start(idle.address, 32);
+    let load = LoadGenerator::start(idle.address, 32);
     thread::sleep(Duration::from_millis(300));
     println!(
-        "door, under full load:     {}",
-        quantiles(calls(&idle, 300))
+        "operations, full load:     {}",
+        quantiles(call_durations(&idle, 300))
+    );
+    println!("  the load:                {} answers", load.end()[0]);
+    println!(
+        "CPU per request, without:  {:.1} us",
+        cpu_per_request(false)
     );
-    println!("  the load:                {} answers", crowd.end()[0]);
-    println!("CPU a request, no door:    {:.1} us", cost(false));
     println!(
-        "CPU a request, door asked: {:.1} us (figures fetched 10 times a second)",
-        cost(true)
+        "CPU per request, with:     {:.1} us (metrics fetched 10 times a second)",
+        cpu_per_request(true)
     );
-    let show = |[answered, refused, lost]: [usize; 3]| {
-        format!("{answered} answered, {refused} refused, {lost} without an answer")
+    let format_results = |[answered, rejected, lost]: [usize; 3]| {
+        format!("{answered} answered, {rejected} rejected, {lost} without an answer")
     };
-    println!("killed and started anew:   {}", show(replaced(false)));
-    println!("upgraded beside:           {}", show(replaced(true)));
-    let (small, _) = peak(100, 1000);
+    println!(
+        "killed and restarted:      {}",
+        format_results(results_during_replacement(false))
+    );
+    println!(
+        "upgraded:                  {}",
+        format_results(results_during_replacement(true))
+    );
+    let (small, _) = peak_memory(100, 1000);
     println!("memory, 100 of 1 kB:       {small:.1} MB of 48");
-    let (large, took) = peak(100, LARGE);
+    let (large, took) = peak_memory(100, LARGE_BODY_BYTES);
     println!(
         "memory, 100 of 32 MB:      {large:.1} MB of 48, {:.1} s",
         took.as_secs_f64()
--- a/crates/proxy/tests/operations.rs
+++ b/crates/proxy/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators do to a running proxy, on loopback sockets.
+//! Operations on a running proxy, on loopback sockets: operations listener, drain, upgrade, and reload of the configuration.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -13,7 +13,7 @@
 
 use sockets::*;
 
-/// A proxy with a door and this backend.
+/// Starts a proxy with an operations listener and this endpoint.
 fn proxy_with(backend: &Backend) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.say(&all_up(&[backend]));
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn the_door_answers_each_call_and_says_no_to_the_rest() {
+fn the_operations_listener_answers_valid_requests_and_rejects_others() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, mut proxy) = proxy_with(&backend);
-    let long = format!(
+    let oversized = format!(
         "GET /_ready HTTP/1.1\r\nX: {}\r\n\r\n",
         "x".repeat(16 << 10)
     );
-    for (text, wanted) in [
+    for (text, expected) in [
         ("GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n", 200),
         ("GET /_vars?x=1 HTTP/1.0\r\n\r\n", 200),
         (
@@ -53,75 +53,77 @@
         ),
         ("GET /_lameduck/on HTTP/1.1\r\nHost: x\r\n\r\n", 405),
         ("\u{1}\u{2}\r\n\r\n", 400),
-        (&long, 431),
+        (&oversized, 431),
     ] {
-        assert_eq!(status(proxy.knock(text)), wanted, "{text:.60}");
+        assert_eq!(status(proxy.knock(text)), expected, "{text:.60}");
     }
-    let refused = proxy.call("GET /_lameduck/on").expect("an answer");
+    let rejected = proxy.call("GET /_lameduck/on").expect("an answer");
     assert_eq!(
-        (refused.header("allow"), refused.header("connection")),
+        (rejected.header("allow"), rejected.header("connection")),
         (Some("PUT"), Some("close"))
     );
     assert!(
         proxy.is_up() && proxy.runs(),
-        "none of it has changed anything"
+        "the rejected requests had no effect"
     );
 }
 
 #[test]
-fn callers_that_say_nothing_hold_nobody_up() {
+fn silent_connections_to_the_operations_listener_block_no_others() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, proxy) = proxy_with(&backend);
-    let door = proxy.door.expect("a door");
+    let operations = proxy.door.expect("an operations listener");
     let silent: Vec<TcpStream> = (0..40)
         .map(|n| {
-            let mut stream = TcpStream::connect(door).expect("the door is open");
+            let mut stream = TcpStream::connect(operations).expect("the listener accepts");
             stream
                 .write_all(if n % 2 == 0 { b"" } else { b"GET /_re" })
-                .expect("it takes it");
+                .expect("the bytes are accepted");
             stream
         })
         .collect();
-    let asked = Instant::now();
+    let start = Instant::now();
     assert_eq!(status(proxy.call("GET /_ready")), 200);
     assert!(
-        asked.elapsed() < Duration::from_secs(1),
+        start.elapsed() < Duration::from_secs(1),
         "{:?}",
-        asked.elapsed()
+        start.elapsed()
     );
     drop(silent);
 }
 
 #[test]
-fn the_figures_add_up_after_all_kinds_of_ends() {
+fn request_counters_add_up_over_all_results() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let backend = Backend::with(move |m| match m.id() {
         "r-full" => Deed::Write(empty("503 Full\r\nX-Not-Processed: 1")),
         "r-bad" => Deed::Write(empty("500 Oops")),
-        "r-held" | "r-left" => Deed::Hold(held.clone(), ok("late")),
+        "r-held" | "r-left" => Deed::Hold(endpoint_gate.clone(), ok("late")),
         _ => Deed::Write(ok("")),
     });
     let (_discovery, proxy) = proxy_with(&backend);
     assert_eq!(
         proxy.var("node_answered{group=\"booking\"}"),
         0.0,
-        "every class from the start"
+        "each class has its counters from the start"
     );
-    let (mut holds, mut leaves) = (Client::new(&proxy), Client::new(&proxy));
-    holds.send(&submit("r-held", "20", "x"));
-    wait_for("both to be sent", || {
+    let (mut waiting_client, mut leaving_client) = (Client::new(&proxy), Client::new(&proxy));
+    waiting_client.send(&submit("r-held", "20", "x"));
+    wait_for("the request to be sent", || {
         backend.seen().iter().any(|m| m.id() == "r-held")
     });
-    leaves.send(&submit("r-left", "20", "x"));
-    wait_for("two held", || proxy.var("node_current") == 2.0);
-    drop(leaves);
-    wait_for("one has left", || {
+    leaving_client.send(&submit("r-left", "20", "x"));
+    wait_for("two requests in flight", || {
+        proxy.var("node_current") == 2.0
+    });
+    drop(leaving_client);
+    wait_for("one client to disconnect", || {
         proxy.var("node_abandoned{group=\"submit\"}") == 1.0
     });
     assert_eq!(proxy.var("node_current"), 1.0);
     gate.open();
-    assert_eq!(status(holds.answer()), 200);
+    assert_eq!(status(waiting_client.answer()), 200);
     let ask = |id: &str| status(Client::new(&proxy).ask(&submit(id, "5", "x")));
     assert_eq!((ask("r-1"), ask("r-2"), ask("r-bad")), (200, 200, 502));
     assert_eq!(ask("r-full"), 503);
@@ -150,10 +152,10 @@
 }
 
 #[test]
-fn servers_that_are_closed_are_told_of_and_those_that_drain_or_left_are_not() {
+fn the_gauge_of_unhealthy_endpoints_counts_ejected_but_no_draining_or_removed_ones() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (discovery, proxy) = proxy_with(&backend);
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+    let unused = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
@@ -161,13 +163,13 @@
         2,
         false,
         &[
-            host("s-gone", nobody, "up", 0),
+            host("s-gone", unused, "up", 0),
             host("s-drains", backend.address, "draining", 0),
         ],
     ));
     wait_for("the list", || proxy.var("node_cluster_size") == 3.0);
     let mut n = 0;
-    wait_for("the dead server to be closed", || {
+    wait_for("the unreachable endpoint to be ejected", || {
         n += 1;
         assert_eq!(
             status(Client::new(&proxy).ask(&page(&format!("r-{n}")))),
@@ -176,16 +178,18 @@
         proxy.var("node_cluster_unhealthy") == 1.0
     });
     discovery.say(&list(3, true, &[host("s-0", backend.address, "up", 0)]));
-    wait_for("those that left", || proxy.var("node_cluster_size") == 1.0);
+    wait_for("the removal of the others", || {
+        proxy.var("node_cluster_size") == 1.0
+    });
     assert_eq!(proxy.var("node_cluster_unhealthy"), 0.0);
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_loses_no_request() {
+fn a_drain_closes_client_connections_and_loses_no_request() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let backend = Backend::with(move |m| match m.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("late")),
+        "r-held" => Deed::Hold(endpoint_gate.clone(), ok("late")),
         _ => Deed::Write(ok("")),
     });
     let (_discovery, mut proxy) = proxy_with(&backend);
@@ -202,25 +206,25 @@
         (200, 200)
     );
     busy.send(&page("r-held"));
-    wait_for("one under way", || proxy.var("node_current") == 1.0);
+    wait_for("a request in flight", || proxy.var("node_current") == 1.0);
     assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200);
-    assert!(!proxy.is_up(), "at once");
+    assert!(!proxy.is_up(), "the drain begins at once");
     assert_eq!(status(proxy.call("GET /_ready")), 503);
     let last = used
         .ask(&page("r-3"))
-        .expect("a connection in use is answered");
+        .expect("an answer on a connection in use");
     assert_eq!(
         (last.status(), last.header("connection")),
         (200, Some("close"))
     );
-    let called = Instant::now();
+    let drain_start = Instant::now();
     assert!(idle.is_closed() && used.is_closed());
     assert!(
-        called.elapsed() < Duration::from_secs(3),
+        drain_start.elapsed() < Duration::from_secs(3),
         "{:?}",
-        called.elapsed()
+        drain_start.elapsed()
     );
-    // Who still comes is served, once a connection.
+    // New clients are still served, with one request per connection.
     let mut late = Client::new(&proxy);
     assert_eq!(
         late.ask(&page("r-4"))
@@ -230,7 +234,11 @@
     );
     gate.open();
     assert_eq!(busy.answer().expect("its answer").text(), "late");
-    assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200, "said again");
+    assert_eq!(
+        status(proxy.call("PUT /_lameduck/on")),
+        200,
+        "repeated call"
+    );
     assert_eq!(status(proxy.call("PUT /_lameduck/off")), 200);
     assert!(proxy.is_up() && proxy.runs());
     let mut back = Client::new(&proxy);
@@ -244,16 +252,16 @@
 }
 
 #[test]
-fn a_process_told_to_end_in_a_drain_ends_and_cannot_be_called_back() {
+fn a_process_terminated_during_a_drain_exits_and_the_drain_cannot_be_ended() {
     let gate = Gate::default();
     let backend = Backend::new(Deed::Hold(gate.clone(), ok("late")));
     let (_discovery, mut proxy) = proxy_with(&backend);
     let mut busy = Client::new(&proxy);
     busy.send(&page("r-held"));
-    wait_for("one under way", || proxy.var("node_current") == 1.0);
+    wait_for("a request in flight", || proxy.var("node_current") == 1.0);
     assert_eq!(status(proxy.call("PUT /_lameduck/on")), 200);
     proxy.terminate();
-    wait_for("it leaves", || {
+    wait_for("the shutdown", || {
         proxy
             .call("GET /_ready")
             .is_some_and(|m| m.text().starts_with("leaving"))
@@ -266,7 +274,7 @@
 }
 
 #[test]
-fn without_an_address_there_is_no_door() {
+fn without_an_address_there_is_no_operations_listener() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -278,8 +286,8 @@
     );
 }
 
-/// A process that takes its clients from a listener that the test holds.
-fn generation(discovery: &Discovery, listener: &std::net::TcpListener) -> Proxy {
+/// Starts a process that inherits its listener from the test.
+fn start_with_listener(discovery: &Discovery, listener: &std::net::TcpListener) -> Proxy {
     let held = Some(listener.as_raw_fd());
     Proxy::start(
         discovery,
@@ -295,7 +303,7 @@
     proxy.call("GET /_ready").is_some_and(|m| m.status() == 200)
 }
 
-/// Clients that go on asking, each on a connection that it keeps as long as it may.
+/// Clients that send requests without a pause, each on a connection that it keeps open as long as the proxy does.
 struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
@@ -303,7 +311,7 @@
 }
 
 impl Load {
-    fn start(address: std::net::SocketAddr, many: usize) -> Self {
+    fn start(address: std::net::SocketAddr, count: usize) -> Self {
         let (stop, answered) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
@@ -322,7 +330,7 @@
                         page(&id)
                     };
                     match client.ask(&text) {
-                        // On a machine that stalls the module may hold the server for hung, and refuse.
+                        // If the machine stalls, the proxy may take the endpoint for hanging and reject requests.
                         Some(m) if matches!(m.status(), 200 | 503) => {
                             answered.fetch_add(usize::from(m.status() == 200), Ordering::SeqCst);
                             kept = (m.header("connection") != Some("close")).then_some(client);
@@ -333,7 +341,7 @@
                 lost
             })
         };
-        let clients = (0..many).map(client).collect();
+        let clients = (0..count).map(client).collect();
         Load {
             stop,
             answered,
@@ -341,16 +349,16 @@
         }
     }
 
-    /// Waits for so many more answers.
-    fn go_on(&self, more: usize) {
-        let wanted = self.answered.load(Ordering::SeqCst) + more;
+    /// Waits for a number of further answers.
+    fn wait_for_answers(&self, more: usize) {
+        let expected = self.answered.load(Ordering::SeqCst) + more;
         wait_for("more answers", || {
-            self.answered.load(Ordering::SeqCst) >= wanted
+            self.answered.load(Ordering::SeqCst) >= expected
         });
     }
 
-    /// Requests that got no answer, or another than was wanted.
-    fn end(self) -> Vec<String> {
+    /// Stops the clients and returns the requests without an answer or with an unexpected one.
+    fn stop(self) -> Vec<String> {
         self.stop.store(true, Ordering::SeqCst);
         self.clients
             .into_iter()
@@ -365,24 +373,24 @@
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
     let listener = held_listener();
-    let mut serves = generation(&discovery, &listener);
-    wait_for("the first", || ready(&serves));
+    let mut current = start_with_listener(&discovery, &listener);
+    wait_for("the first process", || ready(&current));
     let load = Load::start(listener.local_addr().unwrap(), 4);
-    load.go_on(50);
+    load.wait_for_answers(50);
     for _ in 0..2 {
-        let next = generation(&discovery, &listener);
-        wait_for("the next", || ready(&next));
-        load.go_on(20);
-        serves.terminate();
-        assert!(serves.wait().success());
-        serves = next;
-        load.go_on(50);
+        let next = start_with_listener(&discovery, &listener);
+        wait_for("the next process", || ready(&next));
+        load.wait_for_answers(20);
+        current.terminate();
+        assert!(current.wait().success());
+        current = next;
+        load.wait_for_answers(50);
         assert!(
-            serves.var("node_answered{group=\"page\"}") > 0.0,
-            "it takes clients"
+            current.var("node_answered{group=\"page\"}") > 0.0,
+            "the new process serves clients"
         );
     }
-    assert_eq!(load.end(), Vec::<String>::new());
+    assert_eq!(load.stop(), Vec::<String>::new());
     let posts = backend
         .seen()
         .into_iter()
@@ -393,48 +401,48 @@
 }
 
 #[test]
-fn a_process_without_a_list_leaves_the_shared_queue_alone_and_may_die() {
+fn a_process_without_a_list_accepts_nothing_from_the_shared_listener_and_may_be_killed() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (discovery, silent) = (Discovery::new(), Discovery::new());
     discovery.say(&all_up(&[&backend]));
     let listener = held_listener();
-    let first = generation(&discovery, &listener);
-    wait_for("the first", || ready(&first));
+    let first = start_with_listener(&discovery, &listener);
+    wait_for("the first process", || ready(&first));
     let load = Load::start(listener.local_addr().unwrap(), 2);
-    let second = generation(&silent, &listener);
+    let second = start_with_listener(&silent, &listener);
     assert_eq!(status(second.call("GET /_ready")), 503);
-    load.go_on(50);
+    load.wait_for_answers(50);
     for _ in 0..50 {
-        assert!(first.is_up(), "it answers for the two");
+        assert!(first.is_up(), "the first process accepts all connections");
     }
     assert_eq!(second.var("node_taken{group=\"page\"}"), 0.0);
     second.signal("-KILL");
-    load.go_on(50);
-    assert_eq!(load.end(), Vec::<String>::new());
+    load.wait_for_answers(50);
+    assert_eq!(load.stop(), Vec::<String>::new());
 }
 
 #[test]
-fn what_waits_when_the_old_process_dies_is_the_new_ones() {
+fn a_connection_queued_when_the_old_process_is_killed_is_served_by_the_new_one() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
     let listener = held_listener();
     let address = listener.local_addr().unwrap();
-    let mut first = generation(&discovery, &listener);
-    wait_for("the first", || ready(&first));
+    let mut first = start_with_listener(&discovery, &listener);
+    wait_for("the first process", || ready(&first));
     first.signal("-KILL");
     let _ = first.wait();
-    let mut waits = Client::to(address); // nobody accepts
-    waits.send(&page("r-1"));
-    let second = generation(&discovery, &listener);
-    assert_eq!(status(waits.answer()), 200);
+    let mut queued_client = Client::to(address); // no process accepts
+    queued_client.send(&page("r-1"));
+    let second = start_with_listener(&discovery, &listener);
+    assert_eq!(status(queued_client.answer()), 200);
     assert!(ready(&second));
 }
 
 #[test]
-fn a_descriptor_that_is_no_listener_stops_the_start_with_a_word_why() {
+fn a_descriptor_that_is_no_listener_fails_the_start_with_the_reason() {
     let file = config_file(&config("127.0.0.1:1".parse().unwrap(), &Setup::default()));
-    for (value, word) in [
+    for (value, reason) in [
         ("three", "'three' is no descriptor"),
         ("-1", "'-1' is no descriptor"),
         ("0", "descriptor 0: it is no"),
@@ -453,14 +461,14 @@
             .unwrap();
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         assert!(
-            !run.status.success() && log.contains("NODE_SOCKET_FD") && log.contains(word),
+            !run.status.success() && log.contains("NODE_SOCKET_FD") && log.contains(reason),
             "{value}: {log}"
         );
     }
     let _ = std::fs::remove_file(&file);
 }
 
-/// The class of a test's own that a file brings or takes away.
+/// Adds a class to a configuration.
 fn with_class(text: &str, name: &str, effect: &str) -> String {
     let class = format!(
         r#""classes":[{{"name":"{name}","effect":"{effect}","promise":1000,"deadline":5000,"worth":1}},"#
@@ -473,11 +481,11 @@
 }
 
 #[test]
-fn new_settings_are_taken_whole_and_classes_come_and_go() {
+fn a_reload_applies_all_settings_and_adds_and_removes_classes() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let backend = Backend::with(move |m| match m.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("late")),
+        "r-held" => Deed::Hold(endpoint_gate.clone(), ok("late")),
         _ => Deed::Write(ok("")),
     });
     let (discovery, mut proxy) = proxy_with(&backend);
@@ -489,26 +497,26 @@
     let ask = |text: &str| status(Client::new(&proxy).ask(text));
     assert_eq!(ask(&get("notice", "r-1")), 404);
     proxy.reconfigure(&with_class(&first, "notice", "idempotent"));
-    wait_for("the file", || proxy.var("node_conf_loaded") == 1.0);
+    wait_for("the reload", || proxy.var("node_conf_loaded") == 1.0);
     assert_eq!(ask(&get("notice", "r-2")), 200);
     assert_eq!(proxy.var("node_answered{group=\"notice\"}"), 1.0);
-    // A stricter effect, for those that come from now on: another method, and no repeats.
-    let mut under_way = Client::new(&proxy);
-    under_way.send(&get("notice", "r-held"));
-    wait_for("one under way", || proxy.var("node_current") == 1.0);
+    // A stricter effect for requests that arrive from now on: another method and no retries.
+    let mut in_flight = Client::new(&proxy);
+    in_flight.send(&get("notice", "r-held"));
+    wait_for("a request in flight", || proxy.var("node_current") == 1.0);
     proxy.reconfigure(&with_class(&first, "notice", "at_most_once"));
-    wait_for("the file", || proxy.var("node_conf_loaded") == 2.0);
+    wait_for("the reload", || proxy.var("node_conf_loaded") == 2.0);
     assert_eq!(ask(&get("notice", "r-3")), 405);
     assert_eq!(
         ask(&submit("r-4", "5", "x").replace("/submit", "/notice")),
         200
     );
-    // It vanishes; what is under way ends as it began, and its counts stay.
+    // The class is removed. A request in flight ends with the settings it began with, and the counters stay.
     proxy.reconfigure(&first);
-    wait_for("the file", || proxy.var("node_conf_loaded") == 3.0);
+    wait_for("the reload", || proxy.var("node_conf_loaded") == 3.0);
     assert_eq!(ask(&get("notice", "r-5")), 404);
     gate.open();
-    assert_eq!(under_way.answer().expect("its answer").text(), "late");
+    assert_eq!(in_flight.answer().expect("its answer").text(), "late");
     wait_for("the count", || {
         proxy.var("node_answered{group=\"notice\"}") == 3.0
     });
@@ -517,56 +525,56 @@
 }
 
 #[test]
-fn a_broken_file_leaves_all_as_it_was_and_is_named() {
+fn an_invalid_file_changes_nothing_and_is_named() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (discovery, mut proxy) = proxy_with(&backend);
     let elsewhere = Discovery::new();
-    let good = with_class(
+    let valid = with_class(
         &config(elsewhere.address, &Setup::default()),
         "notice",
         "idempotent",
     );
-    let broken = [
+    let invalid = [
         (String::new(), "the file is empty"),
-        (good[..good.len() / 2].to_owned(), "EOF"),
+        (valid[..valid.len() / 2].to_owned(), "EOF"),
         (
-            good.replace("\"maxAttempts\":6,", ""),
+            valid.replace("\"maxAttempts\":6,", ""),
             "settings.ceilings.maxAttempts: the key is missing",
         ),
         (
-            good.replace("\"maxAttempts\":6", "\"maxAttempts\":0"),
+            valid.replace("\"maxAttempts\":6", "\"maxAttempts\":0"),
             "settings.ceilings.maxAttempts: 0 is not over 0",
         ),
         (
-            good.replace("\"deadline\":5000", "\"deadline\":0"),
+            valid.replace("\"deadline\":5000", "\"deadline\":0"),
             "settings.classes[0].deadline: 0 is not over 0",
         ),
         (
-            good.replace("\"name\":\"notice\"", "\"name\":\"page\""),
+            valid.replace("\"name\":\"notice\"", "\"name\":\"page\""),
             "'page' stands there twice",
         ),
     ];
-    for (n, (text, word)) in broken.iter().enumerate() {
+    for (n, (text, reason)) in invalid.iter().enumerate() {
         proxy.reconfigure(text);
-        wait_for("a count", || {
+        wait_for("the counter", || {
             proxy.var("node_conf_invalid") == (n + 1) as f64
         });
-        wait_for(word, || {
+        wait_for(reason, || {
             proxy
                 .log
                 .lock()
                 .unwrap()
                 .lines()
-                .any(|l| l.contains(word) && l.contains(".json: "))
+                .any(|l| l.contains(reason) && l.contains(".json: "))
         });
         assert_eq!(status(Client::new(&proxy).ask(&get("notice", "r-1"))), 404);
     }
     assert!(
         elsewhere.asked.lock().unwrap().is_empty(),
-        "discovery's address is of the file, too"
+        "the address of discovery in the file is not used either"
     );
     assert_eq!(proxy.var("node_conf_loaded"), 0.0);
-    // Signals in a burst end with the newest file.
+    // After a burst of signals the newest file is in effect.
     for n in 0..20 {
         let name = format!("class-{n}");
         proxy.reconfigure(&with_class(
@@ -575,7 +583,7 @@
             "idempotent",
         ));
     }
-    wait_for("the newest", || {
+    wait_for("the newest file", || {
         status(Client::new(&proxy).ask(&get("class-19", "r-2"))) == 200
     });
     assert_eq!(
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy on loopback sockets, one failure a test.
+//! Behavior of the proxy on loopback sockets, one failure per test.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -12,7 +12,7 @@
     answer.expect("an answer").status()
 }
 
-/// A proxy with these backends, all up.
+/// Starts a proxy with these endpoints, all up.
 fn proxy_with(backends: &[&Backend]) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.say(&all_up(backends));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_the_answer() {
+fn requests_and_answers_are_forwarded_unchanged() {
     let backend = Backend::new(Deed::Write(ok("the answer")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut client = Client::new(&proxy);
@@ -54,14 +54,14 @@
         .parse()
         .expect("a number");
     assert!(left > 0.0 && left <= 3.5, "{left}");
-    // The connections on both sides are used again.
+    // The connections on both sides are reused.
     assert_eq!(status(client.ask(&page("r-2"))), 200);
     assert_eq!(backend.seen().len(), 2);
     assert_eq!(backend.came.load(std::sync::atomic::Ordering::SeqCst), 1);
 }
 
 #[test]
-fn it_is_up_only_once_it_has_the_list() {
+fn the_proxy_is_up_only_once_it_has_the_list() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     let proxy = Proxy::start(&discovery, &Setup::default());
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_list_that_is_asked_for_is_waited_for_in_turn() {
+fn a_requested_list_is_awaited_without_repeating_the_request() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery
@@ -90,18 +90,18 @@
     assert_eq!(
         discovery.asked.lock().unwrap().len(),
         1,
-        "it went back to the end of the line"
+        "the request was repeated, which puts it at the end of the queue"
     );
 }
 
 #[test]
-fn without_discovery_it_serves_from_the_list_it_remembers() {
+fn without_discovery_the_remembered_list_is_used() {
     let backend = Backend::new(Deed::Write(ok("")));
     let mut discovery = Discovery::new();
     discovery.address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
-        .unwrap(); // nobody there now
+        .unwrap(); // nothing listens there any more
     let proxy = Proxy::up(
         &discovery,
         &Setup {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn broken_and_stale_news_is_survived_and_a_watch_resumes() {
+fn invalid_and_stale_updates_are_ignored_and_the_watch_resumes() {
     let (old, new) = (
         Backend::new(Deed::Write(ok("old"))),
         Backend::new(Deed::Write(ok("new"))),
@@ -121,7 +121,7 @@
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&old]));
     let proxy = Proxy::up(&discovery, &Setup::default());
-    // A broken line may hide a change: the watch is taken up again from the last good one.
+    // An invalid line may hide a change: the watch resumes after the last valid version.
     discovery.say(r#"{"seq":2,"whole":false,"hosts":"#);
     let resumed = || {
         discovery
@@ -132,13 +132,13 @@
             .any(|m| m.first.contains("watch=1&after=1 "))
     };
     wait_for("a watch that resumes", resumed);
-    // An odd entry hides nothing of the rest.
-    let odd = [
+    // An invalid entry doesn't affect the others.
+    let invalid = [
         r#"{"host":3}"#,
         "null",
         r#"{"host":"s-odd","dial":"nowhere","health":"up","born_ms":"x"}"#,
     ];
-    let mut lines: Vec<String> = odd.iter().map(|o| o.to_string()).collect();
+    let mut lines: Vec<String> = invalid.iter().map(|entry| entry.to_string()).collect();
     lines.push(host("s-new", new.address, "up", 0));
     discovery.say(&list(5, true, &lines));
     let text = |id: &str| {
@@ -149,14 +149,14 @@
     };
     wait_for("the new list", || text("r-1") == "new");
     discovery.say(&list(4, true, &[host("s-0", old.address, "up", 0)]));
-    wait_for("a line about it", || {
+    wait_for("the log line", || {
         proxy.log.lock().unwrap().contains("stale")
     });
     assert_eq!(text("r-2"), "new");
 }
 
 #[test]
-fn at_sighup_the_list_comes_from_the_address_that_the_new_file_names() {
+fn after_sighup_the_list_comes_from_the_address_of_the_new_file() {
     let (old, new) = (
         Backend::new(Deed::Write(ok("old"))),
         Backend::new(Deed::Write(ok("new"))),
@@ -164,7 +164,7 @@
     let (first, mut proxy) = proxy_with(&[&old]);
     let second = Discovery::new();
     proxy.reconfigure("{\"discovery\":");
-    wait_for("a word about it", || {
+    wait_for("the log line about the file", || {
         proxy
             .log
             .lock()
@@ -172,9 +172,11 @@
             .contains("is invalid and has been ignored")
     });
     proxy.reconfigure(&config(second.address, &Setup::default()));
-    wait_for("a watch there", || !second.asked.lock().unwrap().is_empty());
+    wait_for("a watch at the new address", || {
+        !second.asked.lock().unwrap().is_empty()
+    });
     drop(first);
-    // The new address counts its versions anew.
+    // The versions of the new address start again.
     second.say(&list(0, true, &[host("s-new", new.address, "up", 0)]));
     let text = |id: &str| {
         Client::new(&proxy)
@@ -191,46 +193,46 @@
             host("s-new", new.address, "removed", 0),
         ],
     ));
-    wait_for("a change", || text("r-2") == "old");
+    wait_for("the change", || text("r-2") == "old");
     assert!(proxy.runs());
 }
 
 #[test]
-fn bad_requests_get_a_plain_4xx_and_reach_no_backend() {
+fn invalid_requests_get_a_4xx_answer_and_reach_no_endpoint() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, mut proxy) = proxy_with(&[&backend]);
-    let good = submit("r-1", "5", "body");
+    let valid = submit("r-1", "5", "body");
     let cases = [
-        (good.replace("/submit", "/nothing"), 404),
-        (good.replace("POST", "GET"), 405),
+        (valid.replace("/submit", "/nothing"), 404),
+        (valid.replace("POST", "GET"), 405),
         (page("r-1").replace("GET", "POST"), 405),
-        (good.replace("X-Request-ID: r-1\r\n", ""), 400),
-        (good.replace("X-Tenant-Id: acme\r\n", ""), 400),
-        (good.replace("acme", "nobody"), 400),
-        (good.replace("X-Timeout: 5\r\n", ""), 400),
-        (good.replace("X-Timeout: 5", "X-Timeout: soon"), 400),
-        (good.replace("X-Timeout: 5", "X-Timeout: -1"), 400),
-        (good.replace("X-Timeout: 5", "X-Timeout: inf"), 400),
+        (valid.replace("X-Request-ID: r-1\r\n", ""), 400),
+        (valid.replace("X-Tenant-Id: acme\r\n", ""), 400),
+        (valid.replace("acme", "nobody"), 400),
+        (valid.replace("X-Timeout: 5\r\n", ""), 400),
+        (valid.replace("X-Timeout: 5", "X-Timeout: soon"), 400),
+        (valid.replace("X-Timeout: 5", "X-Timeout: -1"), 400),
+        (valid.replace("X-Timeout: 5", "X-Timeout: inf"), 400),
         (
-            good.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Timeout: 6"),
+            valid.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Timeout: 6"),
             400,
         ),
         (
-            good.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Cost: much"),
+            valid.replace("X-Timeout: 5", "X-Timeout: 5\r\nX-Cost: much"),
             400,
         ),
         (
-            good.replace("Host: x", "Host: x\r\nIdempotency-Key: k"),
+            valid.replace("Host: x", "Host: x\r\nIdempotency-Key: k"),
             400,
         ),
-        (good.replace("/submit", "/booking"), 400),
-        (good.replace("Host: x", "no header"), 400),
+        (valid.replace("/submit", "/booking"), 400),
+        (valid.replace("Host: x", "no header"), 400),
         ("\u{1}\u{2}\u{3}\r\n\r\n".into(), 400),
     ];
-    for (request, wanted) in &cases {
+    for (request, expected) in &cases {
         assert_eq!(
             status(Client::new(&proxy).ask(request)),
-            *wanted,
+            *expected,
             "{:.200}",
             request
         );
@@ -245,8 +247,9 @@
     assert!(proxy.runs());
 }
 
-/// How two backends of which both do the same leave a request that must not run twice.
-fn unsafe_twice(answer: Deed) -> (u16, usize) {
+/// Sends a request that must not run twice to a proxy with two endpoints that answer alike. Returns the status and the
+/// number of attempts.
+fn send_unrepeatable(answer: Deed) -> (u16, usize) {
     let (one, two) = (Backend::new(answer.clone()), Backend::new(answer));
     let (_discovery, proxy) = proxy_with(&[&one, &two]);
     let status = status(Client::new(&proxy).ask(&submit("r-1", "2", "x")));
@@ -254,16 +257,16 @@
 }
 
 #[test]
-fn what_may_have_run_is_neither_sent_again_nor_refused() {
+fn a_request_that_may_have_run_is_neither_retried_nor_rejected() {
     let short = ok("0123456789").replace("0123456789", "01234");
     for answer in [
         Deed::Write(empty("500 Oops")),
-        // 503 and 504 prove nothing by themselves.
+        // 503 and 504 alone don't prove that the request never ran.
         Deed::Write(empty("503 Busy")),
         Deed::Write(empty("504 Late")),
         Deed::Write(empty("503 Busy\r\nX-Not-Processed: 0")),
         Deed::Write(empty("302 Elsewhere")),
-        // Half a body is no answer, and neither is one whose end nobody can tell.
+        // Neither a truncated body nor one without a detectable end is an answer.
         Deed::WriteAndClose(short),
         Deed::WriteAndClose("HTTP/1.1 200 OK\r\n\r\nperhaps all".into()),
         Deed::WriteAndClose(
@@ -275,28 +278,28 @@
         let text = match &answer {
             Deed::Write(text) | Deed::WriteAndClose(text) | Deed::Hold(_, text) => text.clone(),
         };
-        assert_eq!(unsafe_twice(answer), (502, 1), "{text:.200}");
+        assert_eq!(send_unrepeatable(answer), (502, 1), "{text:.200}");
     }
 }
 
 #[test]
-fn what_surely_never_ran_is_tried_elsewhere_and_may_be_refused() {
+fn a_request_that_never_ran_is_retried_elsewhere_and_may_be_rejected() {
     for status in ["503 Busy", "504 Late"] {
         let full = Deed::Write(empty(&format!("{status}\r\nX-Not-Processed: 1")));
-        assert_eq!(unsafe_twice(full), (503, 2));
+        assert_eq!(send_unrepeatable(full), (503, 2));
     }
 }
 
 #[test]
-fn a_cut_answer_to_what_may_be_repeated_is_made_good_elsewhere() {
+fn a_truncated_answer_to_a_repeatable_request_is_retried_elsewhere() {
     let short = Deed::WriteAndClose(ok("0123456789").replace("0123456789", "01234"));
-    let (cut, whole) = (
+    let (truncating, complete) = (
         Backend::new(short),
         Backend::new(Deed::Write(ok("0123456789"))),
     );
-    let (_discovery, proxy) = proxy_with(&[&cut, &whole]);
+    let (_discovery, proxy) = proxy_with(&[&truncating, &complete]);
     let mut n = 0;
-    wait_for("the one that cuts", || {
+    wait_for("the endpoint that truncates", || {
         n += 1;
         let answer = Client::new(&proxy)
             .ask(&page(&format!("r-{n}")))
@@ -305,20 +308,20 @@
             (answer.status(), answer.text().as_str()),
             (200, "0123456789")
         );
-        !cut.seen().is_empty()
+        !truncating.seen().is_empty()
     });
 }
 
 #[test]
-fn a_backend_that_refuses_or_never_takes_connections_costs_nothing() {
-    // Nobody listens at the one; the other's accept queue is full, so that connections never come up.
-    let dead = TcpListener::bind("127.0.0.1:0")
+fn an_endpoint_that_refuses_or_never_accepts_connections_fails_no_request() {
+    // Nothing listens at one address; the accept queue of the other is full, so connections are never established.
+    let unused = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let (mute, _full) = full_listener();
-    let at = mute.local_addr().unwrap();
-    for address in [dead, at] {
+    let (unresponsive, _full) = full_listener();
+    let at = unresponsive.local_addr().unwrap();
+    for address in [unused, at] {
         let backend = Backend::new(Deed::Write(ok("")));
         let discovery = Discovery::new();
         let hosts = [
@@ -335,7 +338,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_backend_that_drains_is_gone_or_has_moved() {
+fn no_new_request_goes_to_an_endpoint_that_drains_is_removed_or_has_moved() {
     let (one, two) = (
         Backend::new(Deed::Write(ok("one"))),
         Backend::new(Deed::Write(ok("two"))),
@@ -344,38 +347,38 @@
     let text = |id: &str| Client::new(&proxy).ask(&page(id)).map(|m| m.text());
     assert_eq!(text("r-0").as_deref(), Some("one"));
     let mut seq = 1;
-    let mut tell = |lines: &[String], whole: bool| {
+    let mut update = |lines: &[String], whole: bool| {
         seq += 1;
         discovery.say(&list(seq, whole, lines));
     };
-    // Drain: the pooled connection goes at once, and later requests go to the other.
-    tell(
+    // Drain: the pooled connection closes at once, and later requests go to the other endpoint.
+    update(
         &[
             host("s-0", one.address, "draining", 0),
             host("s-1", two.address, "up", 0),
         ],
         false,
     );
-    wait_for("the pooled connection's end", || one.ended() == 1);
+    wait_for("the pooled connection to close", || one.ended() == 1);
     let before = one.seen().len();
     (0..5).for_each(|n| assert_eq!(text(&format!("r-a{n}")).as_deref(), Some("two")));
     assert_eq!(one.seen().len(), before);
-    // Gone from a whole list.
+    // Removed by a complete list.
     let three = Backend::new(Deed::Write(ok("three")));
-    tell(&[host("s-2", three.address, "up", 0)], true);
-    wait_for("the pooled connection's end", || two.ended() == 1);
+    update(&[host("s-2", three.address, "up", 0)], true);
+    wait_for("the pooled connection to close", || two.ended() == 1);
     let before = two.seen().len();
     (0..5).for_each(|n| assert_eq!(text(&format!("r-b{n}")).as_deref(), Some("three")));
     assert_eq!(two.seen().len(), before);
     // Restarted at another address.
     let four = Backend::new(Deed::Write(ok("four")));
-    tell(&[host("s-2", four.address, "up", 0)], false);
-    wait_for("the pooled connection's end", || three.ended() == 1);
+    update(&[host("s-2", four.address, "up", 0)], false);
+    wait_for("the pooled connection to close", || three.ended() == 1);
     (0..5).for_each(|n| assert_eq!(text(&format!("r-c{n}")).as_deref(), Some("four")));
 }
 
 #[test]
-fn a_drain_told_while_the_connection_comes_up_still_counts() {
+fn a_drain_received_while_the_connection_is_established_still_applies() {
     let (slow, full) = full_listener();
     let discovery = Discovery::new();
     discovery.say(&list(
@@ -383,25 +386,25 @@
         true,
         &[host("s-0", slow.local_addr().unwrap(), "up", 0)],
     ));
-    let patient = Setup {
+    let long_timeouts = Setup {
         dial_timeout: 30_000,
         deadline: 40_000,
         ..Setup::default()
     };
-    let proxy = Proxy::up(&discovery, &patient);
+    let proxy = Proxy::up(&discovery, &long_timeouts);
     let mut first = Client::new(&proxy);
     first.send(&submit("r-first", "40", "x"));
-    assert!(proxy.is_up()); // by now the first has most likely been read, and its connection begun
+    assert!(proxy.is_up()); // by now the first request has most likely been read and its connection started
     let other = Backend::new(Deed::Write(ok("other")));
-    let gone = host("s-0", slow.local_addr().unwrap(), "draining", 0);
+    let draining = host("s-0", slow.local_addr().unwrap(), "draining", 0);
     discovery.say(&list(
         2,
         false,
-        &[gone, host("s-1", other.address, "up", 0)],
+        &[draining, host("s-1", other.address, "up", 0)],
     ));
-    // Nobody else can serve these before the drain has been told.
+    // Only the other endpoint serves these requests, and only once the update is known.
     let mut n = 0;
-    wait_for("the news", || {
+    wait_for("the update", || {
         n += 1;
         let quick = page(&format!("r-{n}")).replace("X-Timeout: 5", "X-Timeout: 0.3");
         Client::new(&proxy)
@@ -411,17 +414,17 @@
     for _ in &full {
         slow.accept().unwrap();
     }
-    // Now there is room, and the first one's connection comes up, but nothing may be written to it.
+    // With room in the queue the first request's connection is established, but nothing may be written to it.
     let (mut connection, _) = slow.accept().unwrap();
     connection.set_read_timeout(Some(LIMIT)).unwrap();
     let mut bytes = Vec::new();
-    let _ = connection.read_to_end(&mut bytes); // an end or a reset, after whatever was written
+    let _ = connection.read_to_end(&mut bytes); // ends or is reset after any bytes written
     assert!(bytes.is_empty(), "{}", String::from_utf8_lossy(&bytes));
     assert_eq!(first.answer().expect("an answer").text(), "other");
 }
 
 #[test]
-fn half_sent_requests_and_unread_connections_give_way_to_others() {
+fn connections_with_incomplete_requests_are_closed_to_make_room_for_others() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -432,15 +435,15 @@
             ..Setup::default()
         },
     );
-    // More than the budget allows, and none of them ever finishes its head.
-    let _stuck: Vec<TcpStream> = (0..40)
+    // More than the budget allows, and none completes its head.
+    let _incomplete: Vec<TcpStream> = (0..40)
         .map(|_| {
             let mut stream = TcpStream::connect(proxy.address).unwrap();
             stream.write_all(b"GET /page HTTP/1.1\r\nHost").unwrap();
             stream
         })
         .collect();
-    wait_for("room for a whole request", || {
+    wait_for("room for a complete request", || {
         Client::new(&proxy)
             .ask(&page("r-1"))
             .is_some_and(|m| m.status() == 200)
@@ -448,7 +451,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_retired_before_the_backend_closes_it() {
+fn an_idle_connection_is_closed_before_the_endpoint_closes_it() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -460,11 +463,11 @@
         },
     );
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
-    wait_for("its end", || backend.ended() == 1);
+    wait_for("the connection to close", || backend.ended() == 1);
 }
 
 #[test]
-fn a_connection_that_the_backend_has_closed_is_never_used() {
+fn a_connection_closed_by_the_endpoint_is_never_reused() {
     let backend = Backend::new(Deed::WriteAndClose(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     for n in 1..20 {
@@ -472,16 +475,16 @@
             status(Client::new(&proxy).ask(&submit(&format!("r-{n}"), "5", "x"))),
             200
         );
-        wait_for("the backend's close", || backend.ended() == n);
+        wait_for("the endpoint to close", || backend.ended() == n);
     }
 }
 
 #[test]
-fn a_silent_backend_s_request_fails_in_time_and_its_late_answer_goes_nowhere() {
+fn a_request_to_a_hanging_endpoint_fails_in_time_and_its_late_answer_is_discarded() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("late")),
+        "r-held" => Deed::Hold(endpoint_gate.clone(), ok("late")),
         _ => Deed::Write(ok("prompt")),
     });
     let (_discovery, proxy) = proxy_with(&[&backend]);
@@ -489,25 +492,25 @@
     let sent = std::time::Instant::now();
     assert_eq!(status(client.ask(&submit("r-held", "0.5", "x"))), 502);
     wait_for("the request", || backend.seen().len() == 1);
-    // The answer goes out a little before the attempt is given up: the backend's must come after that.
-    wait_for("its time to run out", || sent.elapsed().as_millis() > 600);
+    // The proxy answers shortly before it abandons the attempt; the endpoint's answer has to arrive after both.
+    wait_for("the timeout", || sent.elapsed().as_millis() > 600);
     gate.open();
-    // Its connection is not used again, and the client gets the next answer and no other.
+    // The connection is not reused, and the client receives only the next answer.
     assert_eq!(
         client.ask(&page("r-next")).expect("an answer").text(),
         "prompt"
     );
     assert_eq!(backend.came.load(std::sync::atomic::Ordering::SeqCst), 2);
-    wait_for("the connection's end", || backend.ended() == 1);
+    wait_for("the connection to close", || backend.ended() == 1);
 }
 
 #[test]
-fn nothing_goes_out_for_a_client_that_has_left() {
+fn nothing_is_sent_for_a_disconnected_client() {
     let gate = Gate::default();
-    let held = gate.clone();
-    let backend = Backend::with(move |_| Deed::Hold(held.clone(), ok("")));
+    let endpoint_gate = gate.clone();
+    let backend = Backend::with(move |_| Deed::Hold(endpoint_gate.clone(), ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
-    // Enough to fill the backend's slots, so that the last ones wait in the proxy.
+    // Enough to fill the endpoint's slots, so that the last requests are queued in the proxy.
     let mut clients: Vec<Client> = (0..12).map(|_| Client::new(&proxy)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&submit(&format!("r-{n}"), "5", "x"));
@@ -515,7 +518,7 @@
     wait_for("the first", || !backend.seen().is_empty());
     for client in &mut clients {
         client.leave();
-        assert!(client.is_closed(), "no answer is owed");
+        assert!(client.is_closed(), "no answer is sent");
     }
     let before = backend.seen().len();
     assert!(before < 12, "the proxy queues");
@@ -526,11 +529,11 @@
 }
 
 #[test]
-fn at_sigterm_what_is_taken_is_answered_and_new_connections_are_too() {
+fn after_sigterm_accepted_requests_and_new_connections_are_answered() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-held" => Deed::Hold(held.clone(), ok("held")),
+        "r-held" => Deed::Hold(endpoint_gate.clone(), ok("held")),
         _ => Deed::Write(ok("prompt")),
     });
     let (_discovery, mut proxy) = proxy_with(&[&backend]);
@@ -540,10 +543,10 @@
     wait_for("the request", || {
         backend.seen().iter().any(|m| m.id() == "r-held")
     });
-    // This one waits in the accept queue or is fresh when the signal comes.
-    let mut fresh = Client::new(&proxy);
+    // This connection is in the accept queue or new when the signal arrives.
+    let mut new_client = Client::new(&proxy);
     proxy.terminate();
-    let answer = fresh.ask(&page("r-2")).expect("an answer");
+    let answer = new_client.ask(&page("r-2")).expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
@@ -559,11 +562,11 @@
 }
 
 #[test]
-fn past_its_budget_of_sockets_every_client_still_gets_an_answer() {
+fn beyond_the_socket_budget_every_client_still_gets_an_answer() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
-    // Once by its own budget, once by the system's limit, where accepting fails.
+    // First with the proxy's own budget, then with the system's limit, at which accepting fails.
     for setup in [
         Setup {
             sockets: 64,
@@ -585,7 +588,7 @@
             assert!(status == 200 || status == 503, "{status}");
         }
         assert!(proxy.runs());
-        wait_for("service as before", || {
+        wait_for("normal service", || {
             Client::new(&proxy)
                 .ask(&page("r-x"))
                 .is_some_and(|m| m.status() == 200)
@@ -594,22 +597,22 @@
 }
 
 #[test]
-fn odd_datagrams_are_survived_and_others_are_told() {
+fn invalid_datagrams_are_ignored_and_gossip_is_sent() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_read_timeout(Some(LIMIT)).unwrap();
-    // An address of this test's own, so that nobody else takes the port meanwhile.
+    // An address that only this test uses, so that no other process takes the port meanwhile.
     let own = UdpSocket::bind("127.93.17.5:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let tell = Some((own, other.local_addr().unwrap()));
+    let gossip = Some((own, other.local_addr().unwrap()));
     let mut proxy = Proxy::up(
         &discovery,
         &Setup {
-            may_tell: tell,
+            may_tell: gossip,
             ..Setup::default()
         },
     );
@@ -622,28 +625,30 @@
             stranger.send_to(&bytes, own).unwrap();
         }
     }
-    let (size, from) = other.recv_from(&mut [0; 512]).expect("this proxy's word");
+    let (size, from) = other
+        .recv_from(&mut [0; 512])
+        .expect("a datagram of the proxy");
     assert!(size > 0 && size <= 256 && from == own);
     assert_eq!(status(Client::new(&proxy).ask(&page("r-1"))), 200);
     assert!(proxy.runs());
 }
 
 #[test]
-fn a_bad_configuration_ends_it_with_a_word_why() {
+fn an_invalid_configuration_fails_the_start_with_the_reason() {
     let nowhere = "127.0.0.1:1".parse().unwrap();
-    let good = config(nowhere, &Setup::default());
+    let valid = config(nowhere, &Setup::default());
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap().to_string();
-    for (text, word) in [
+    for (text, reason) in [
         ("{".to_owned(), "EOF"),
-        (good.replace("\"127.0.0.1:0\"", "17"), "socket address"),
-        (good.replace("\"classes\"", "\"glasses\""), "classes"),
+        (valid.replace("\"127.0.0.1:0\"", "17"), "socket address"),
+        (valid.replace("\"classes\"", "\"glasses\""), "classes"),
         (
-            good.replace("127.0.0.1:0", "192.0.2.1:1"),
+            valid.replace("127.0.0.1:0", "192.0.2.1:1"),
             "listen on 192.0.2.1:1",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"seed\":\"8c1f30d27a5be964\"",
                 &format!("\"seed\":{{\"x\":\"{taken}\"}}"),
             ),
@@ -657,7 +662,10 @@
             .unwrap();
         let _ = std::fs::remove_file(&file);
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
-        assert!(!run.status.success() && log.contains(word), "{word}: {log}");
+        assert!(
+            !run.status.success() && log.contains(reason),
+            "{reason}: {log}"
+        );
     }
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"))
         .env_remove("NODE_CONFIG")
@@ -667,7 +675,7 @@
 }
 
 #[test]
-fn a_client_that_sends_slowly_or_not_at_all_holds_nobody_up() {
+fn slow_and_silent_clients_block_no_others() {
     let backend = Backend::new(Deed::Write(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut slow = TcpStream::connect(proxy.address).unwrap();
@@ -679,15 +687,15 @@
     assert_eq!(
         backend.seen().len(),
         1,
-        "a request goes on only once it is whole"
+        "a request is forwarded only once it is complete"
     );
     slow.write_all(rest.as_bytes()).unwrap();
-    wait_for("the slow one", || backend.seen().len() == 2);
+    wait_for("the slow request", || backend.seen().len() == 2);
     assert_eq!(backend.seen()[1].body, b"body");
 }
 
 #[test]
-fn a_peer_that_sends_no_whole_request_is_soon_let_go() {
+fn a_connection_without_a_complete_request_is_closed_early() {
     let backend = Backend::new(Deed::Write(ok("")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
@@ -704,17 +712,17 @@
         .map(|part| {
             let mut peer = TcpStream::connect(proxy.address).unwrap();
             peer.write_all(part.as_bytes()).unwrap();
-            // Far less than its request may last, and far more than it is owed.
+            // Far less than the request's timeout, and far more than the proxy should wait.
             peer.set_read_timeout(Some(LIMIT)).unwrap();
             peer
         })
         .collect();
     for mut peer in peers {
-        let mut said = String::new();
-        let ended = peer.read_to_string(&mut said);
+        let mut response = String::new();
+        let ended = peer.read_to_string(&mut response);
         assert!(
-            ended.is_ok() || said.starts_with("HTTP/1.1 4"),
-            "{ended:?} after {said:?}"
+            ended.is_ok() || response.starts_with("HTTP/1.1 4"),
+            "{ended:?} after {response:?}"
         );
     }
     assert!(backend.seen().is_empty());
--- a/crates/proxy/tests/settings_any.rs
+++ b/crates/proxy/tests/settings_any.rs
@@ -1,4 +1,5 @@
-//! Other deployments: with any valid settings the program starts, serves and keeps the rules, and it knows no deployment's names.
+//! Independence of the deployment: with any valid settings the program starts, serves and follows the rules for retries, and
+//! its sources contain no deployment's names.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -6,74 +7,74 @@
 
 use sockets::*;
 
-/// Draws from a seed.
-struct Chance(u64);
+/// Seeded random generator.
+struct Random(u64);
 
-impl Chance {
-    fn below(&mut self, many: u64) -> u64 {
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % many
+        (self.0 >> 33) % bound
     }
 
-    fn of<T: Copy>(&mut self, all: &[T]) -> T {
-        all[self.below(all.len() as u64) as usize]
+    fn choose<T: Copy>(&mut self, values: &[T]) -> T {
+        values[self.below(values.len() as u64) as usize]
     }
 }
 
-/// A class as drawn: its name, its effect and its deadline in ms.
-struct Drawn {
+/// Random class: its name, its effect and its deadline in ms.
+struct RandomClass {
     name: String,
     effect: &'static str,
     deadline: u64,
 }
 
-/// A configuration with settings that are valid and may be extreme.
-fn draw(chance: &mut Chance, discovery: &str) -> (String, Vec<Drawn>, Vec<String>) {
-    let classes: Vec<Drawn> = (0..chance.of(&[1, 2, 5, 40]))
-        .map(|n| Drawn {
+/// Creates a random configuration with valid and possibly extreme settings.
+fn random_config(random: &mut Random, discovery: &str) -> (String, Vec<RandomClass>, Vec<String>) {
+    let classes: Vec<RandomClass> = (0..random.choose(&[1, 2, 5, 40]))
+        .map(|n| RandomClass {
             name: format!(
                 "{}-{n}",
-                chance.of(&["Ünï", "a.b", "x", "very-long-name-of-a-class-of-requests"])
+                random.choose(&["Ünï", "a.b", "x", "very-long-name-of-a-class-of-requests"])
             ),
-            effect: chance.of(&["idempotent", "at_most_once", "deduplicated"]),
-            deadline: chance.of(&[120, 400, 3000, 60_000, 86_400_000]),
+            effect: random.choose(&["idempotent", "at_most_once", "deduplicated"]),
+            deadline: random.choose(&[120, 400, 3000, 60_000, 86_400_000]),
         })
-        .map(|d| Drawn {
+        .map(|d| RandomClass {
             name: d.name.replace("Ünï", "u-n-i"),
             ..d
         })
         .collect();
-    let tenants: Vec<String> = (0..chance.of(&[0, 1, 3, 200]))
+    let tenants: Vec<String> = (0..random.choose(&[0, 1, 3, 200]))
         .map(|n| format!("tenant {n}"))
         .collect();
-    let class = |c: &Drawn, chance: &mut Chance| {
+    let class = |c: &RandomClass, random: &mut Random| {
         format!(
             r#"{{"name":"{}","effect":"{}","dedupScope":"{}","window":{},"promise":{},"deadline":{},"worth":{},"lateShare":{}}}"#,
             c.name,
             c.effect,
-            chance.of(&["all", "zone", "cell"]),
-            chance.of(&["1", "150", "5000", "1e9"]),
-            chance.of(&[1, c.deadline / 2, c.deadline]),
+            random.choose(&["all", "zone", "cell"]),
+            random.choose(&["1", "150", "5000", "1e9"]),
+            random.choose(&[1, c.deadline / 2, c.deadline]),
             c.deadline,
-            chance.of(&["0", "0.001", "1", "1e6"]),
-            chance.of(&["0", "0.5", "1"]),
+            random.choose(&["0", "0.001", "1", "1e6"]),
+            random.choose(&["0", "0.5", "1"]),
         )
     };
-    let classes_text: Vec<String> = classes.iter().map(|c| class(c, chance)).collect();
+    let classes_text: Vec<String> = classes.iter().map(|c| class(c, random)).collect();
     let tenants_text: Vec<String> = tenants
         .iter()
         .map(|t| {
             format!(
                 r#"{{"name":"{t}","allowancePerS":{}}}"#,
-                chance.of(&["0", "0.01", "1e6"])
+                random.choose(&["0", "0.01", "1e6"])
             )
         })
         .collect();
-    let zones = chance.of(&["", r#""a""#, r#""a","b","c","d","e","f","g""#]);
-    let n = chance.of(&[1, 2, 30, 300]);
+    let zones = random.choose(&["", r#""a""#, r#""a","b","c","d","e","f","g""#]);
+    let n = random.choose(&[1, 2, 30, 300]);
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{:x}",
         "limits":{{"cores":0.1,"memory_mb":48,"sockets":{}}},"known":null,
@@ -82,48 +83,48 @@
         "prices":{{"crossZone":{}}},"extra":{{"warmKeys":{}}},
         "ceilings":{{"maxAttempts":{},"dialTimeout":{},"idleClose":{},"retryAfter":{},"maxRetryAfter":{}}},
         "rules":{{"startCapacity":{},"cold":{},"fall":{},"fallMultiple":{},"drainGrace":{}}}}}}}"#,
-        chance.below(1 << 30),
-        chance.of(&[256, 1024]),
+        random.below(1 << 30),
+        random.choose(&[256, 1024]),
         if zones.is_empty() {
             String::new()
         } else {
             r#""zone":"a","#.to_owned()
         },
-        chance.of(&["", r#""k""#, r#""k","l","m""#]),
-        chance.below(n),
-        chance.of(&["pushed", "on_request"]),
-        chance.of(&["nominal", "rough", "none"]),
+        random.choose(&["", r#""k""#, r#""k","l","m""#]),
+        random.below(n),
+        random.choose(&["pushed", "on_request"]),
+        random.choose(&["nominal", "rough", "none"]),
         tenants_text.join(","),
         classes_text.join(","),
-        chance.of(&["0", "0.2", "1"]),
-        chance.of(&["0", "0.02", "10"]),
-        chance.of(&["true", "false"]),
-        chance.of(&[1, 2, 5, 100]),
-        chance.of(&["50", "250", "1e7"]),
-        chance.of(&["100", "10000", "1e9"]),
-        chance.of(&["true", "false"]),
-        chance.of(&["1", "1200", "1e7"]),
-        chance.of(&["0.01", "0.5", "1"]),
-        chance.of(&["1", "9000", "1e8"]),
-        chance.of(&["1", "1000", "1e7"]),
-        chance.of(&["1", "3", "1000"]),
-        chance.of(&["1", "1000"]),
+        random.choose(&["0", "0.2", "1"]),
+        random.choose(&["0", "0.02", "10"]),
+        random.choose(&["true", "false"]),
+        random.choose(&[1, 2, 5, 100]),
+        random.choose(&["50", "250", "1e7"]),
+        random.choose(&["100", "10000", "1e9"]),
+        random.choose(&["true", "false"]),
+        random.choose(&["1", "1200", "1e7"]),
+        random.choose(&["0.01", "0.5", "1"]),
+        random.choose(&["1", "9000", "1e8"]),
+        random.choose(&["1", "1000", "1e7"]),
+        random.choose(&["1", "3", "1000"]),
+        random.choose(&["1", "1000"]),
     );
     (text, classes, tenants)
 }
 
 #[test]
-fn with_any_valid_settings_it_starts_serves_and_keeps_the_rules() {
+fn with_any_valid_settings_the_proxy_starts_serves_and_follows_the_retry_rules() {
     for seed in 0..10 {
-        let mut chance = Chance(seed * 7919 + 13);
-        // The first attempt fails with a word that it may have run: what may not be repeated is not.
+        let mut random = Random(seed * 7919 + 13);
+        // The attempt fails in a way that it may have run: a request that must not be repeated is not retried.
         let backend = Backend::with(|m| match m.id() {
             "r-fails" => Deed::Write(empty("500 Oops")),
             id => Deed::Write(ok(id)),
         });
         let discovery = Discovery::new();
         discovery.say(&all_up(&[&backend]));
-        let (text, classes, tenants) = draw(&mut chance, &discovery.address.to_string());
+        let (text, classes, tenants) = random_config(&mut random, &discovery.address.to_string());
         let mut proxy = Proxy::with(&text);
         wait_for("/up", || proxy.is_up());
         for class in &classes {
@@ -147,20 +148,20 @@
                     ),
                 };
                 let answer = Client::new(&proxy).ask(&request).expect("an answer");
-                let told = (seed, &class.name, id, answer.status());
-                assert!([200, 502, 503].contains(&answer.status()), "{told:?}");
+                let context = (seed, &class.name, id, answer.status());
+                assert!([200, 502, 503].contains(&answer.status()), "{context:?}");
                 let ran = backend.seen().len() - before;
                 assert!(
                     answer.status() != 200 || answer.text() == "r-1" && ran == 1,
-                    "{told:?}"
+                    "{context:?}"
                 );
                 assert!(
                     answer.status() != 503 || ran == 0 || class.effect != "at_most_once",
-                    "{told:?}"
+                    "{context:?}"
                 );
                 assert!(
                     class.effect != "at_most_once" || ran <= 1,
-                    "{told:?} ran {ran} times"
+                    "{context:?} ran {ran} times"
                 );
             }
         }
@@ -170,12 +171,12 @@
 }
 
 #[test]
-fn settings_that_are_no_good_end_the_start_by_file_and_key() {
-    let good = config(
+fn invalid_settings_fail_the_start_with_file_and_key() {
+    let valid = config(
         "127.0.0.1:1".parse().expect("an address"),
         &Setup::default(),
     );
-    for (from, to, word) in [
+    for (from, to, reason) in [
         ("\"classes\":[", "\"classes\":[],\"others\":[", "classes"),
         ("\"myNumber\":0", "\"myNumber\":7", "number 7 of 1"),
         (
@@ -190,25 +191,25 @@
         ),
         ("\"sockets\":256", "\"sockets\":-1", "invalid value"),
     ] {
-        let file = config_file(&good.replace(from, to));
+        let file = config_file(&valid.replace(from, to));
         let run = std::process::Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"))
             .env("NODE_CONFIG", &file)
             .output();
-        let run = run.expect("it runs");
+        let run = run.expect("the proxy runs");
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         let named = log.contains(&*file.to_string_lossy());
         let _ = std::fs::remove_file(&file);
         assert!(
-            !run.status.success() && log.contains(word) && named,
-            "{word}: {log}"
+            !run.status.success() && log.contains(reason) && named,
+            "{reason}: {log}"
         );
     }
 }
 
-/// All files below a folder.
-fn files(folder: &Path) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(folder)
-        .expect("a folder")
+/// Returns all files below a directory.
+fn files(directory: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(directory)
+        .expect("a directory")
         .map(|e| e.expect("an entry").path());
     entries
         .flat_map(|path| {
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn program_and_deploy_file_know_no_deployment_s_names() {
+fn sources_and_deploy_files_contain_no_deployment_s_names() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut names = Vec::new();
     for file in files(&root.join("deploy/sites"))
@@ -241,7 +242,7 @@
         names.extend(zones.split('"').skip(1).step_by(2).map(str::to_owned));
     }
     assert!(names.len() > 15, "{names:?}");
-    let parts = [
+    let packages = [
         "proxy",
         "sim-adapter",
         "proxy-core",
@@ -250,22 +251,22 @@
         "client",
         "balancer",
     ];
-    let mut looked = vec![
+    let mut checked = vec![
         root.join("deploy/balancer.toml"),
         root.join("deploy/canvascart.properties"),
     ];
-    looked.extend(
-        parts
+    checked.extend(
+        packages
             .iter()
             .flat_map(|p| files(&root.join("crates").join(p).join("src"))),
     );
-    assert!(looked.len() > 40);
-    for file in looked {
+    assert!(checked.len() > 40);
+    for file in checked {
         let text = std::fs::read_to_string(&file).expect("a text");
         for name in &names {
             assert!(
                 !text.contains(&format!("\"{name}\"")),
-                "{name} stands in {}",
+                "{name} occurs in {}",
                 file.display()
             );
         }
--- a/crates/proxy/tests/settings_file.rs
+++ b/crates/proxy/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! The file with the features' settings, through the command line of the proxy.
+//! Command line of the proxy and the file with the features' settings.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -6,7 +6,7 @@
 
 use sockets::*;
 
-/// Runs the proxy with these arguments; it must end by itself.
+/// Runs the proxy with these arguments and waits until it exits.
 fn run(arguments: &[&str]) -> Output {
     let file = config_file(&config("127.0.0.1:1".parse().unwrap(), &Setup::default()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart-proxy"));
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_bad_file_stops_the_start_and_is_named() {
-    for (text, word) in [
+fn an_invalid_file_fails_the_start_and_is_named() {
+    for (text, reason) in [
         ("# fine\nno.such.key = 1\n", ":2: no.such.key: no such key"),
         (
             "a.key = 1\na.key = 1\n",
@@ -35,14 +35,14 @@
         let _ = std::fs::remove_file(&file);
         let log = String::from_utf8_lossy(&run.stderr).into_owned();
         assert!(
-            !run.status.success() && log.contains(&format!("{name}{word}")),
-            "{word}: {log}"
+            !run.status.success() && log.contains(&format!("{name}{reason}")),
+            "{reason}: {log}"
         );
     }
 }
 
 #[test]
-fn a_command_line_that_cannot_be_read_stops_the_start() {
+fn an_invalid_command_line_fails_the_start() {
     for arguments in [
         &["--properties"][..],
         &["--prop", "x"],
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn the_file_in_service_is_good() {
-    let service = include_str!("../../../deploy/canvascart.properties").to_owned();
+fn the_deployed_file_is_valid() {
+    let deployed = include_str!("../../../deploy/canvascart.properties").to_owned();
     let backend = Backend::new(Deed::Write(ok("served")));
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&backend]));
     let proxy = Proxy::up(
         &discovery,
         &Setup {
-            properties: Some(service),
+            properties: Some(deployed),
             ..Setup::default()
         },
     );
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn help_and_version_are_no_errors() {
-    for (flag, word) in [
+fn help_and_version_exit_successfully() {
+    for (flag, expected) in [
         ("--help", "NODE_CONFIG"),
         ("-h", "usage: canvascart-proxy"),
         ("--version", "canvascart-proxy 0."),
@@ -93,10 +93,10 @@
             .env_remove("NODE_CONFIG")
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&run.stdout).into_owned();
+        let output = String::from_utf8_lossy(&run.stdout).into_owned();
         assert!(
-            run.status.success() && said.contains(word) && run.stderr.is_empty(),
-            "{flag}: {said}"
+            run.status.success() && output.contains(expected) && run.stderr.is_empty(),
+            "{flag}: {output}"
         );
     }
 }
@@ -119,15 +119,15 @@
     let address = lines
         .map_while(Result::ok)
         .find_map(|l| l.split_once("listens on ").map(|(_, a)| a.to_owned()));
-    let address: std::net::SocketAddr = address.expect("it listens").parse().unwrap();
+    let address: std::net::SocketAddr = address.expect("the listener's log line").parse().unwrap();
     let ask = |text: &str| {
         use std::io::{Read as _, Write as _};
         let mut stream = std::net::TcpStream::connect(address).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
-        let mut said = String::new();
+        let mut response = String::new();
         stream
-            .read_to_string(&mut said)
-            .map(|_| said)
+            .read_to_string(&mut response)
+            .map(|_| response)
             .unwrap_or_default()
     };
     wait_for("/up", || {
@@ -135,9 +135,12 @@
     });
     let lookup = "GET /lookup?sid=1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Request-ID: r-1\r\n\
                   X-Tenant-Id: example-library\r\nX-Timeout: 2.000\r\n\r\n";
-    let said = ask(lookup);
+    let response = ask(lookup);
     child.kill().unwrap();
     child.wait().unwrap();
     let _ = std::fs::remove_file(&file);
-    assert!(said.contains(" 200 ") && said.ends_with("served"), "{said}");
+    assert!(
+        response.contains(" 200 ") && response.ends_with("served"),
+        "{response}"
+    );
 }
