--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -294,13 +294,13 @@
         if self.list.is_empty() {
             return;
         }
-        let news = News {
+        let update = News {
             seq: self.seq,
             at: now,
             scope: UpdateScope::Full,
             hosts: self.list.len(),
         };
-        segment.extend_from_slice(format!("{news}\n").as_bytes());
+        segment.extend_from_slice(format!("{update}\n").as_bytes());
         for (_, line) in self.list.values() {
             if segment.len() + line.len() > MAX_HEADER_BYTES {
                 break;
@@ -334,12 +334,12 @@
     }
 
     /// Applies an update of the list and returns its lines.
-    fn update_list(&mut self, news: &News, hosts: &[Host]) -> String {
-        self.seq = news.seq.or(self.seq);
-        if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
+    fn update_list(&mut self, update: &News, hosts: &[Host]) -> String {
+        self.seq = update.seq.or(self.seq);
+        if matches!(update.scope, UpdateScope::Full | UpdateScope::Cached) {
             self.list.clear();
         }
-        let mut lines = format!("{news}\n");
+        let mut lines = format!("{update}\n");
         for host in hosts {
             let (id, line) = (
                 EndpointId(stable_hash(&host.host)),
@@ -358,9 +358,9 @@
             .back()
             .is_some_and(|s| s.len() + lines.len() > SEGMENT_BYTES)
         {
-            self.wrap(news.at); // the header of the next segment has the new list
+            self.wrap(update.at); // the header of the next segment has the new list
         } else {
-            self.put(news.at, lines.as_bytes());
+            self.put(update.at, lines.as_bytes());
         }
         lines
     }
@@ -546,11 +546,11 @@
             };
             assert_eq!((head.seed, head.segment), (255, n as u64 + 3));
             assert_eq!(segment[1], Line::Settings("{}".into()));
-            let Line::News(news) = &segment[2] else {
+            let Line::News(update) = &segment[2] else {
                 panic!("the list")
             };
             assert_eq!(
-                (news.seq, news.scope, news.hosts),
+                (update.seq, update.scope, update.hosts),
                 (Some(2), UpdateScope::Full, 2)
             );
             let Line::Server(last) = &segment[4] else {
--- a/crates/proxy-core/src/drills.rs
+++ b/crates/proxy-core/src/drills.rs
@@ -53,7 +53,7 @@
     /// Selected requests in each block.
     selected_per_block: u32,
     /// Requests still to select in the present block.
-    unselected: u32,
+    to_select: u32,
     /// Requests that remain in the present block.
     remaining: u32,
 }
@@ -62,7 +62,7 @@
     fn new(selected_per_block: u32) -> Self {
         Share {
             selected_per_block,
-            unselected: 0,
+            to_select: 0,
             remaining: 0,
         }
     }
@@ -70,11 +70,11 @@
     /// Returns true if the next request is selected.
     fn draw(&mut self, random: &mut fastrand::Rng) -> bool {
         if self.remaining == 0 {
-            (self.unselected, self.remaining) = (self.selected_per_block, BLOCK_REQUESTS);
+            (self.to_select, self.remaining) = (self.selected_per_block, BLOCK_REQUESTS);
         }
-        let selected = random.u32(0..self.remaining) < self.unselected;
+        let selected = random.u32(0..self.remaining) < self.to_select;
         self.remaining -= 1;
-        self.unselected -= u32::from(selected);
+        self.to_select -= u32::from(selected);
         selected
     }
 }
@@ -422,7 +422,7 @@
 
     #[test]
     fn shares_are_exact_over_a_thousand_requests_and_randomly_spread() {
-        for (share, wanted) in [("10%", 100), ("0.1%", 1), ("33.3%", 333), ("100%", 1000)] {
+        for (share, expected) in [("10%", 100), ("0.1%", 1), ("33.3%", 333), ("100%", 1000)] {
             let drills = drills(300);
             drills
                 .start(&start_request(Some("400ms"), false, share, "120s"))
@@ -430,11 +430,11 @@
             let selected: Vec<bool> = (0..1000).map(|_| drills.draw(0).is_some()).collect();
             assert_eq!(
                 selected.iter().filter(|selected| **selected).count(),
-                wanted,
+                expected,
                 "{share}"
             );
             assert!(drills.draw(1).is_none(), "the other class is unaffected");
-            if wanted == 100 {
+            if expected == 100 {
                 let indices: Vec<usize> = (0..1000).filter(|n| selected[*n]).collect();
                 assert!(
                     indices.windows(3).any(|w| w[1] - w[0] != w[2] - w[1]),
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -374,7 +374,8 @@
     if value.is_empty() { "_".into() } else { value }
 }
 
-/// Appends lines to a file. The file is opened for each write, so that one moved away by log rotation is no longer written.
+/// Appends lines to a file. The file is opened for each write, so that one that has been moved, for example by log
+/// rotation, is no longer written.
 fn file_writer(file: PathBuf) -> impl FnMut(&[u8]) + Send {
     let mut last_logged: Option<Instant> = None;
     move |lines| {
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -24,8 +24,8 @@
 /// SIGKILL is lost.
 const MIN_KILL_DELAY_MS: Millis = 700.0;
 const MAX_COUNTED_DEADLINE_MS: Millis = 3000.0;
-/// A request that arrives later than this after SIGTERM could be unanswered at SIGKILL, so its timeout ends [`KILL_MARGIN_MS`]
-/// before the earliest SIGKILL.
+/// A request that arrives later than this after SIGTERM could be unanswered at SIGKILL, so its timeout ends
+/// [`KILL_MARGIN_MS`] before the earliest SIGKILL.
 const LATE_REQUEST_MS: Millis = 550.0;
 const KILL_MARGIN_MS: Millis = 150.0;
 
@@ -126,18 +126,23 @@
         matches!(self.phase(), Phase::Starting | Phase::Serving)
     }
 
-    /// Returns the timeout of a request that arrives now: `wanted`, the time its client waits, or less if SIGKILL may come
-    /// before. `longest` is the longest deadline of all classes.
-    pub fn request_timeout(&self, now: Millis, wanted: Duration, longest: Duration) -> Duration {
+    /// Returns the timeout of a request that arrives now: the time its client waits, or less if SIGKILL may come
+    /// before. `longest_deadline` is that of all classes.
+    pub fn request_timeout(
+        &self,
+        now: Millis,
+        client_timeout: Duration,
+        longest_deadline: Duration,
+    ) -> Duration {
         let Some(terminated_at) = self
             .terminated_at
             .filter(|terminated_at| now - terminated_at > LATE_REQUEST_MS)
         else {
-            return wanted;
+            return client_timeout;
         };
         let end = terminated_at + MIN_KILL_DELAY_MS - KILL_MARGIN_MS
-            + (longest.as_secs_f64() * 1000.0).min(MAX_COUNTED_DEADLINE_MS);
-        wanted.min(Duration::from_secs_f64((end - now).max(0.0) / 1000.0))
+            + (longest_deadline.as_secs_f64() * 1000.0).min(MAX_COUNTED_DEADLINE_MS);
+        client_timeout.min(Duration::from_secs_f64((end - now).max(0.0) / 1000.0))
     }
 
     /// Returns true if an idle connection has to close now.
--- a/crates/proxy-core/src/line_writer.rs
+++ b/crates/proxy-core/src/line_writer.rs
@@ -47,7 +47,8 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner) // the queues hold whole lines even after a panic elsewhere
+        // The queues hold whole lines even after a panic in another thread.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/proxy-core/src/log.rs
+++ b/crates/proxy-core/src/log.rs
@@ -87,7 +87,8 @@
     writer.wake();
 }
 
-/// Starts the thread that writes to standard error, so that no other thread blocks on its reader.
+/// Returns the thread that writes to standard error, and starts it at the first call. From then on no other thread blocks
+/// on the reader of standard error.
 pub fn start_writer_thread() -> std::io::Result<&'static LineWriter> {
     if let Some(writer) = WRITER.get() {
         return Ok(writer);
--- a/crates/proxy-core/src/ops.rs
+++ b/crates/proxy-core/src/ops.rs
@@ -1,4 +1,5 @@
-//! Operations listener: an HTTP listener for operators, separate from that of the clients, with one request per connection.
+//! Operations listener: an HTTP listener for operators, separate from that of the clients, with one request per
+//! connection.
 //!
 //! It answers even if the proxy is overloaded. Idle connections neither block others nor accumulate.
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The platform's proxy: a thin main over the engine, one pool, one core.
+//! Entry point of the proxy that the platform runs: one pool on one core. The implementation is `proxy_core`.
 
 use std::process::ExitCode;
 
