--- a/crates/admin-api/src/answers.rs
+++ b/crates/admin-api/src/answers.rs
@@ -1,8 +1,8 @@
 //! The bodies of answers and of calls that are no part of a tenant's document.
 
 use config_store::AuditEntry;
+use multi_tenant::data_plane::TenantStatus;
 use multi_tenant::document::Tenant;
-use multi_tenant::plane::TenantStatus;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
--- a/crates/admin-api/src/call.rs
+++ b/crates/admin-api/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use multi_tenant::plan::Prepared;
+use multi_tenant::plan::PreparedChange;
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -73,7 +73,7 @@
     /// An answer.
     Reply(Reply),
     /// What is stored must be carried out; then this is the answer, and the event is told.
-    Change(Box<(Prepared, Reply, Happened)>),
+    Change(Box<(PreparedChange, Reply, Happened)>),
     /// This is to be agreed on with others; then it is stored, and this is the answer.
     Agree(Box<(Agreed, Reply)>),
     /// The plane knows.
--- a/crates/admin-api/src/desk.rs
+++ b/crates/admin-api/src/desk.rs
@@ -10,10 +10,10 @@
 use config_store::{
     Author, DocumentVisitor, Retention, Store, StoreError, StoreState, Transaction, snapshot,
 };
-use multi_tenant::catalog::{Catalog, Name, Parts};
-use multi_tenant::check;
+use multi_tenant::catalog::{Catalog, Name, PartInterner};
 use multi_tenant::document::{Service, Tenant};
-use multi_tenant::plan::{self, Prepared};
+use multi_tenant::plan::{self, PreparedChange};
+use multi_tenant::validation;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use sha2::{Digest as _, Sha256};
@@ -44,7 +44,7 @@
     tokens: BTreeMap<String, Token>,
     /// The present documents, each with its revision, in what the file says of process and listeners.
     catalog: Catalog,
-    parts: Parts,
+    parts: PartInterner,
     form: Form,
     /// Whether what is to be stored is agreed on with others first.
     agrees: bool,
@@ -102,7 +102,7 @@
 /// What comes of something that was stored.
 pub struct Stored {
     /// What the plane has to carry out, if documents changed.
-    pub prepared: Option<Prepared>,
+    pub prepared: Option<PreparedChange>,
     /// What is told of it.
     pub happened: Option<Happened>,
 }
@@ -198,7 +198,7 @@
 /// Documents that are read one by one, packed as they come.
 struct Loaded {
     catalog: Catalog,
-    parts: Parts,
+    parts: PartInterner,
     /// What is wrong with them.
     faults: Vec<String>,
 }
@@ -206,7 +206,7 @@
 impl Loaded {
     /// What a reader tells, and what it returns.
     fn of<T>(
-        parts: Parts,
+        parts: PartInterner,
         read: impl FnOnce(DocumentVisitor<'_>) -> Result<T, StoreError>,
     ) -> Result<(T, Self), StoreError> {
         let form = Form::of::<Tenant>().map_err(StoreError::Unavailable)?;
@@ -231,12 +231,12 @@
         };
         let i = self.catalog.len();
         let edit = [(tenant.name.clone(), Some(tenant))];
-        for (_, fault) in check::edits(&self.catalog, &edit) {
+        for (_, fault) in validation::validate_edits(&self.catalog, &edit) {
             self.faults
                 .push(no_fit(&format!("tenant.{i}.{}", fault.key()), &fault.what));
         }
         if let [(_, Some(tenant))] = &edit {
-            self.catalog.put(&mut self.parts, tenant, rev);
+            self.catalog.insert(&mut self.parts, tenant, rev);
         }
     }
 }
@@ -302,14 +302,17 @@
             ..Retention::default()
         };
         let opened = Store::open(&directory, keep).and_then(|(store, state)| {
-            let ((), loaded) = Loaded::of(Parts::default(), |each| store.visit_documents(each))?;
+            let ((), loaded) =
+                Loaded::of(PartInterner::default(), |each| store.visit_documents(each))?;
             Ok((loaded, store, state))
         });
         let (loaded, store, state, why) = match opened {
             Ok((loaded, store, state)) => (loaded, Some(store), state, None),
             Err(e) if read_only => {
                 tracing::warn!(error = %e, "the store can't be used; the last known good state is served");
-                let kept = Loaded::of(Parts::default(), |each| snapshot::read(&directory, each));
+                let kept = Loaded::of(PartInterner::default(), |each| {
+                    snapshot::read(&directory, each)
+                });
                 let (state, loaded) = kept.map_err(|s| format!("{e}; and no snapshot: {s}"))?;
                 (loaded, None, state, Some(e.to_string()))
             }
@@ -334,7 +337,8 @@
     ) -> Result<Self, String> {
         let stored =
             |each: DocumentVisitor<'_>| store.as_ref().map_or(Ok(()), |s| s.visit_documents(each));
-        let ((), loaded) = Loaded::of(Parts::default(), stored).map_err(|e| e.to_string())?;
+        let ((), loaded) =
+            Loaded::of(PartInterner::default(), stored).map_err(|e| e.to_string())?;
         Desk::over(file, store, (state, loaded), read_only, directory, now_ms)
     }
 
@@ -356,7 +360,7 @@
             stale: true,
             tokens: tokens(state.tokens)?,
             catalog: Catalog::new(&Service::default()),
-            parts: Parts::default(),
+            parts: PartInterner::default(),
             form: Form::of::<Tenant>()?,
         };
         // Where others have a say, they may have versions already.
@@ -386,13 +390,15 @@
                 ..file.clone()
             }));
         }
-        let faults = check::around(file, |name| self.catalog.name(name).is_some());
+        let faults = validation::validate_without_tenants(file, |name| {
+            self.catalog.find_name(name).is_some()
+        });
         let all = faults
             .iter()
             .map(|f| no_fit(&f.key(), &f.what))
             .collect::<Vec<_>>();
         if all.is_empty() {
-            Ok(self.catalog.in_frame(file))
+            Ok(self.catalog.with_base(file))
         } else {
             Err(all_of(&all, "\n"))
         }
@@ -520,7 +526,7 @@
                 .as_ref()
                 .map_or(Ok(0), |s| s.next_revision(&scope(name)))?;
             match tenant {
-                Some(tenant) => next.put(&mut self.parts, tenant, rev),
+                Some(tenant) => next.insert(&mut self.parts, tenant, rev),
                 None => next.remove(name),
             }
             revs.push(rev);
@@ -546,7 +552,7 @@
             ));
         }
         let edits = self.edits(&agreed.write)?;
-        let all: Vec<String> = check::edits(&self.catalog, &edits)
+        let all: Vec<String> = validation::validate_edits(&self.catalog, &edits)
             .into_iter()
             .map(|(edit, f)| match edit.and_then(|i| edits.get(i)) {
                 Some((name, _)) => format!("{name}: {}: {}", f.key(), f.what),
@@ -560,7 +566,7 @@
             self.tenant(name).map_err(|p| p.detail)?;
         }
         let (next, _) = self.after(&edits).map_err(|e| e.to_string())?;
-        Ok(plan::ended(&self.catalog, &next))
+        Ok(plan::ended_servers(&self.catalog, &next))
     }
 
     /// Stores what is agreed on. What is stored already is not stored twice.
@@ -580,14 +586,18 @@
             false => {
                 let edits = self.edits(write).map_err(Problem::internal)?;
                 let (next, _) = self.after(&edits)?;
-                Some(Prepared::between(&self.catalog, next))
+                Some(PreparedChange::between(&self.catalog, next))
             }
         };
         self.put(agreed, prepared)
     }
 
     /// Stores something, and goes over to what it comes to.
-    fn put(&mut self, agreed: &Agreed, prepared: Option<Prepared>) -> Result<Stored, Problem> {
+    fn put(
+        &mut self,
+        agreed: &Agreed,
+        prepared: Option<PreparedChange>,
+    ) -> Result<Stored, Problem> {
         let write = &agreed.write;
         self.commit(write)?;
         for (id, token) in &write.tokens {
@@ -665,15 +675,15 @@
     ///
     /// # Errors
     /// The file does not fit the state.
-    pub fn reload(&self, file: &Service) -> Result<Prepared, String> {
-        let start = self.catalog.frame();
+    pub fn reload(&self, file: &Service) -> Result<PreparedChange, String> {
+        let start = self.catalog.base();
         let next = Service {
             process: start.process.clone(),
             state: start.state.clone(),
             admin: start.admin.clone(),
             ..file.clone()
         };
-        Ok(Prepared::between(&self.catalog, self.framed(&next)?))
+        Ok(PreparedChange::between(&self.catalog, self.framed(&next)?))
     }
 
     /// Another file's listeners are in effect.
@@ -688,7 +698,7 @@
 
     /// How many tenants were packed so far, from which tests tell what a change costs.
     pub fn packed(&self) -> u64 {
-        self.parts.packed()
+        self.parts.encoded_tenants()
     }
 
     /// The present version.
@@ -809,7 +819,7 @@
             .form
             .read(&document)
             .map_err(|_| lost("what is stored has another form"))?;
-        self.catalog.put(&mut self.parts, &tenant, rev);
+        self.catalog.insert(&mut self.parts, &tenant, rev);
         Ok(())
     }
 
@@ -829,7 +839,7 @@
 
     /// Whether there is a tenant of this name.
     pub fn has(&self, tenant: &str) -> bool {
-        self.catalog.name(tenant).is_some()
+        self.catalog.find_name(tenant).is_some()
     }
 
     /// The tenants' names, in order.
@@ -955,7 +965,7 @@
             .into());
         }
         let (next, revs) = self.after(&tenants)?;
-        let prepared = Prepared::between(&self.catalog, next);
+        let prepared = PreparedChange::between(&self.catalog, next);
         let changed = changed(&edits, &revs, &prepared);
         let (etag, body) = self.written(call, changed.clone(), differences, dry_run, &edits);
         let status = if draft.location.is_some() && !dry_run {
@@ -1097,7 +1107,7 @@
 
     /// Whether the service as a whole is right after a change of these tenants.
     fn fits(&self, draft: &Draft, edits: &[(String, Option<Tenant>)]) -> Result<(), Problem> {
-        let faults = check::edits(&self.catalog, edits);
+        let faults = validation::validate_edits(&self.catalog, edits);
         if faults.is_empty() {
             return Ok(());
         }
@@ -1230,7 +1240,11 @@
 }
 
 /// What changes for each tenant of a change.
-fn changed(edits: &[(String, Option<Value>)], revs: &[u64], prepared: &Prepared) -> Vec<Changed> {
+fn changed(
+    edits: &[(String, Option<Value>)],
+    revs: &[u64],
+    prepared: &PreparedChange,
+) -> Vec<Changed> {
     let of = |names: &'_ [String]| -> BTreeSet<String> { names.iter().cloned().collect() };
     let (added, removed) = (of(&prepared.plan.added), of(&prepared.plan.removed));
     let one = |((name, _), rev): (&(String, Option<Value>), &u64)| {
@@ -1240,7 +1254,7 @@
             rev: *rev,
             added: added.contains(name),
             removed: removed.contains(name),
-            pool: change.pool,
+            pool: change.settings,
             servers: change.servers,
             limits: change.limits,
         }
--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 
 use cluster_runtime::status::{MessageTotals, Status};
-use multi_tenant::plane::{Residency, TenantStatus};
+use multi_tenant::data_plane::{ActivationStatus, TenantStatus};
 
 /// What an instance is told to have been turned away for, as [`TenantStatus::refused`] has it.
 const CAUSES: [&str; 5] = ["sockets", "in-flight", "bytes", "time", "servers"];
@@ -51,7 +51,7 @@
 }
 
 /// Tenants at rest and awake.
-fn residency(text: &mut Text, r: &Residency) {
+fn residency(text: &mut Text, r: &ActivationStatus) {
     text.one(
         "tenants",
         "gauge",
@@ -62,7 +62,7 @@
         "tenants_resident",
         "gauge",
         "Tenants that are held in full.",
-        r.resident as f64,
+        r.active as f64,
     );
     text.one(
         "tenants_pinned",
@@ -86,13 +86,13 @@
         "tenant_wakes_total",
         "counter",
         "Times that a tenant was woken.",
-        r.wakes as f64,
+        r.activations as f64,
     );
     text.one(
         "tenant_rests_total",
         "counter",
         "Times that a tenant was put to rest.",
-        r.rests as f64,
+        r.deactivations as f64,
     );
     text.one(
         "tenant_evictions_total",
@@ -104,7 +104,7 @@
         "residency_refused_total",
         "counter",
         "Requests refused for want of a place.",
-        r.refused as f64,
+        r.deferrals as f64,
     );
 }
 
@@ -112,7 +112,7 @@
 /// how many it refused.
 pub fn text(
     cluster: Option<(&Status, [u64; 2])>,
-    resident: &Residency,
+    resident: &ActivationStatus,
     tenants: &[TenantStatus],
 ) -> String {
     let mut text = Text(String::new());
@@ -246,7 +246,7 @@
         each(|t| t.servers[0] as f64),
     );
     let refused = tenants.iter().flat_map(|t| {
-        let causes = CAUSES.into_iter().zip(t.refused);
+        let causes = CAUSES.into_iter().zip(t.rejections);
         causes.map(move |(cause, n)| (format!("{},cause=\"{cause}\"", of(t)), n as f64))
     });
     text.put(
--- a/crates/admin-api/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -18,9 +18,9 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use multi_tenant::catalog::Catalog;
+use multi_tenant::data_plane::{ActivationStatus, DataPlane, TenantStatus};
 use multi_tenant::document::Service;
-use multi_tenant::plan::Prepared;
-use multi_tenant::plane::{Plane, Residency, TenantStatus};
+use multi_tenant::plan::PreparedChange;
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore, broadcast, mpsc, oneshot};
@@ -71,7 +71,7 @@
 /// What the plane is to do.
 pub enum Order {
     /// Carry a change out, and tell when it is in effect.
-    CarryOut(Box<Prepared>, oneshot::Sender<Result<(), String>>),
+    CarryOut(Box<PreparedChange>, oneshot::Sender<Result<(), String>>),
     /// Nothing new is to be decided; tell when that is so.
     Close(oneshot::Sender<()>),
     /// These servers, by tenant, get nothing new, as a change under way ends them; all others as the version says.
@@ -89,40 +89,40 @@
     /// Tell how many requests waited at the gate, and how many it refused.
     Gate(oneshot::Sender<[u64; 2]>),
     /// Tell how many tenants are resident, and what has come of it.
-    Residency(oneshot::Sender<Residency>),
+    Residency(oneshot::Sender<ActivationStatus>),
     /// Tell how a tenant fares, or all.
     Status(Option<String>, oneshot::Sender<Vec<TenantStatus>>),
 }
 
 impl Order {
     /// Does it.
-    pub fn obey(self, plane: &Plane) {
+    pub fn obey(self, plane: &DataPlane) {
         match self {
             Order::CarryOut(prepared, done) => {
-                let _ = done.send(plane.carry_out(*prepared)); // who asked may have left
+                let _ = done.send(plane.apply_prepared(*prepared)); // who asked may have left
             }
             Order::Close(done) => {
-                plane.close();
+                plane.close_gate();
                 let _ = done.send(());
             }
-            Order::HoldOff(servers) => plane.hold_off(&servers),
+            Order::HoldOff(servers) => plane.set_pending_drains(&servers),
             Order::OpenAt(version, done) => {
-                plane.open_at(version);
+                plane.set_version(version);
                 let _ = done.send(());
             }
-            Order::Known(tell) => _ = tell.send(plane.known()),
-            Order::Among(me, instances) => plane.among(me, instances),
-            Order::Take => plane.take_requests(),
+            Order::Known(tell) => _ = tell.send(plane.startup_state()),
+            Order::Among(me, instances) => plane.set_proxy_count(me, instances),
+            Order::Take => plane.accept_requests(),
             Order::Serve(catalog, done) => {
                 let served = if plane.catalog() == catalog {
                     Ok(())
                 } else {
-                    plane.go_over(catalog).map(drop)
+                    plane.apply_catalog(catalog).map(drop)
                 };
                 let _ = done.send(served);
             }
             Order::Gate(tell) => _ = tell.send(plane.gate_counts()),
-            Order::Residency(tell) => _ = tell.send(plane.residency()),
+            Order::Residency(tell) => _ = tell.send(plane.activation_status()),
             Order::Status(None, tell) => _ = tell.send(plane.status(MOST_TOLD)),
             Order::Status(Some(name), tell) => {
                 _ = tell.send(plane.status_of(&name).into_iter().collect())
--- a/crates/admin-api/src/operations.rs
+++ b/crates/admin-api/src/operations.rs
@@ -3,8 +3,8 @@
 use std::borrow::Cow;
 use std::marker::PhantomData;
 
+use multi_tenant::data_plane::TenantStatus;
 use multi_tenant::document::{Class, Limits, Rules, Server, Tenant};
-use multi_tenant::plane::TenantStatus;
 use schemars::generate::SchemaSettings;
 use schemars::{JsonSchema, Schema, SchemaGenerator};
 use serde_json::{Map, Value, json};
--- a/crates/admin-api/tests/desk.rs
+++ b/crates/admin-api/tests/desk.rs
@@ -503,7 +503,7 @@
         match it.with_tag("*").call(method, target, body.clone()) {
             Ok(reply) => {
                 proptest::prop_assert!(reply.status < 300);
-                proptest::prop_assert!(multi_tenant::check::faults(&it.desk.catalog().service().unwrap()).is_empty());
+                proptest::prop_assert!(multi_tenant::validation::validate(&it.desk.catalog().to_service().unwrap()).is_empty());
             }
             Err(problem) => {
                 proptest::prop_assert!((400..500).contains(&problem.status), "{:?}", problem);
--- a/crates/admin-api/tests/held.rs
+++ b/crates/admin-api/tests/held.rs
@@ -121,7 +121,7 @@
     let mut spoilt = before.clone();
     (0..20_000)
         .filter(|i| *i != 777)
-        .for_each(|i| spoilt.spoil(&name(i)));
+        .for_each(|i| spoilt.corrupt(&name(i)));
     it.desk.reloaded(spoilt.clone());
     it.ok("PUT", "/v1/tenants/t00777/limits", json!({ "weight": 4.0 }));
     it.with_tag("*")
@@ -200,7 +200,7 @@
     // Damage is mended from there, too.
     let good = desk.catalog().clone();
     let mut spoilt = good.clone();
-    spoilt.spoil("rich");
+    spoilt.corrupt("rich");
     desk.reloaded(spoilt);
     assert_eq!(
         desk.tenant("rich").unwrap(),
@@ -230,7 +230,7 @@
     let tag = it.ok("GET", "/v1/tenants/north", Value::Null).etag;
     let spoil = |it: &mut Caller| {
         let mut spoilt = it.desk.catalog().clone();
-        spoilt.spoil("north");
+        spoilt.corrupt("north");
         assert!(spoilt.get("north").unwrap().is_err());
         it.desk.reloaded(spoilt);
     };
@@ -262,7 +262,7 @@
     spoil(&mut it);
     it.with_tag("*")
         .ok("DELETE", "/v1/tenants/north", Value::Null);
-    assert!(it.desk.catalog().host("north.example").is_none());
+    assert!(it.desk.catalog().tenant_of_host("north.example").is_none());
     it.ok("PUT", "/v1/tenants/south/hosts", json!(["north.example"]));
 }
 
--- a/crates/admin-api/tests/http.rs
+++ b/crates/admin-api/tests/http.rs
@@ -69,22 +69,22 @@
                     Order::Known(tell) => _ = tell.send((None, 0, Vec::new())),
                     Order::Gate(tell) => _ = tell.send([0; 2]),
                     Order::Residency(tell) => {
-                        _ = tell.send(multi_tenant::plane::Residency::default())
+                        _ = tell.send(multi_tenant::data_plane::ActivationStatus::default())
                     }
                     Order::Close(done) | Order::OpenAt(_, done) => _ = done.send(()),
                     Order::Status(name, tell) => {
-                        let status = |name: String| multi_tenant::plane::TenantStatus {
+                        let status = |name: String| multi_tenant::data_plane::TenantStatus {
                             name,
-                            resident: true,
+                            active: true,
                             ready: true,
                             servers: [1, 1],
-                            fleet: None,
+                            discovery: None,
                             former_pools: 0,
                             sockets: 0,
                             in_flight: 0,
                             bytes: 0,
                             loop_ms: 0.0,
-                            refused: [0; 5],
+                            rejections: [0; 5],
                         };
                         let _ = tell.send(name.into_iter().map(status).collect());
                     }
--- a/crates/admin-api/tests/unit/figures.rs
+++ b/crates/admin-api/tests/unit/figures.rs
@@ -20,23 +20,23 @@
     };
     let tenant = TenantStatus {
         name: "a\"b\\".into(),
-        resident: true,
+        active: true,
         ready: true,
         servers: [2, 3],
-        fleet: None,
+        discovery: None,
         former_pools: 0,
         sockets: 4,
         in_flight: 5,
         bytes: 6,
         loop_ms: 0.0,
-        refused: [1, 2, 3, 4, 5],
+        rejections: [1, 2, 3, 4, 5],
     };
-    let resident = Residency {
+    let resident = ActivationStatus {
         tenants: 33_000,
-        resident: 12,
+        active: 12,
         evictions: 3,
-        refused: 4,
-        ..Residency::default()
+        deferrals: 4,
+        ..ActivationStatus::default()
     };
     let text = text(Some((&status, [8, 9])), &resident, &[tenant]);
     for wanted in [
@@ -57,7 +57,7 @@
         assert!(text.lines().any(|l| l == wanted), "{wanted} in\n{text}");
     }
     assert!(
-        super::text(None, &Residency::default(), &[])
+        super::text(None, &ActivationStatus::default(), &[])
             .lines()
             .all(|l| !l.contains("cluster"))
     );
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -29,9 +29,9 @@
 pub fn gate(cluster: &Cluster, lease: Arc<SharedLease>) -> Rc<Gate> {
     let changed = lease.changed();
     let settings = GateSettings {
-        max_wait: Duration::from_secs_f64(cluster.hold.0 / 1000.0),
+        max_wait: Duration::from_secs_f64(cluster.max_wait.0 / 1000.0),
         retry_after: cluster.retry_after.0,
-        send_stamps: cluster.stamps,
+        send_stamps: cluster.send_stamps,
         seed: fastrand::u64(..),
     };
     Gate::new(
@@ -47,7 +47,7 @@
         list_timeout: micros(cluster.list_wait.0),
         unknown_list_policy: match cluster.when_list_unknown {
             WhenListUnknown::Serve => startup::UnknownListPolicy::Serve,
-            WhenListUnknown::Refuse => startup::UnknownListPolicy::Reject,
+            WhenListUnknown::Reject => startup::UnknownListPolicy::Reject,
         },
     }
 }
@@ -72,7 +72,7 @@
         clock_drift_ppm: (cluster.drift.0 * 1e6) as u32,
         change_deadline: micros(cluster.deadline.0),
         partition_policy: match cluster.when_cut_off {
-            WhenCutOff::Refuse => PartitionPolicy::Reject,
+            WhenCutOff::Reject => PartitionPolicy::Reject,
             WhenCutOff::Serve => PartitionPolicy::Serve,
         },
         voters: cluster.voters,
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -7,9 +7,9 @@
 
 use ::lab::service::fleet::{Fleet, Terms};
 use ::lab::{demo, experiment, shipped};
-use multi_tenant::check;
+use multi_tenant::data_plane::DataPlane;
 use multi_tenant::document::Service;
-use multi_tenant::plane::Plane;
+use multi_tenant::validation;
 use serde_json::{Value, json};
 
 /// What instances of a demonstration go by: leases that run out while somebody looks on.
@@ -96,7 +96,7 @@
             "tenant": TENANTS.iter().enumerate().map(tenant).collect::<Vec<_>>(),
         });
         let service: Service = serde_json::from_value(document).map_err(|e| e.to_string())?;
-        let faults = check::faults(&service);
+        let faults = validation::validate(&service);
         let all: Vec<String> = faults
             .iter()
             .map(|f| format!("{}: {}", f.key(), f.what))
@@ -109,12 +109,12 @@
     }
 
     /// Tells where everything is.
-    pub fn tell(&self, plane: &Plane, admin: Option<SocketAddr>) {
+    pub fn tell(&self, plane: &DataPlane, admin: Option<SocketAddr>) {
         println!(
             "Two tenants on an emulated fleet of {} servers, until Ctrl-C:",
             self.members.len()
         );
-        for (name, address) in plane.addresses() {
+        for (name, address) in plane.listener_addresses() {
             println!(
                 "  {name:<6} http://{address}/lookup/1     (POST http://{address}/checkout/1)"
             );
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -11,10 +11,10 @@
 use ::endpoint_discovery::KeySpace;
 use cluster_runtime::lease::SharedLease;
 use cluster_runtime::member::MemberCommand;
-use multi_tenant::check;
+use multi_tenant::data_plane::{DataPlane, StartDiscovery};
 use multi_tenant::document::Service;
 use multi_tenant::plan::Plan;
-use multi_tenant::plane::{Follow, Plane};
+use multi_tenant::validation;
 use tokio::runtime::Handle;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -68,7 +68,7 @@
 /// The schema can't be made, which is a fault of the program.
 pub fn config(command: &Config) -> Result<u8, String> {
     let document = match command {
-        Config::Schema => check::form()?.schema().clone(),
+        Config::Schema => validation::schema_form()?.schema().clone(),
         Config::Openapi => ::admin_api::operations::openapi(),
     };
     println!(
@@ -132,7 +132,7 @@
 pub fn read(file: &Path) -> Result<Service, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    check::read(&name, &text).map_err(|e| e.to_string())
+    validation::parse(&name, &text).map_err(|e| e.to_string())
 }
 
 /// The signals that the service knows.
@@ -168,7 +168,7 @@
         .as_ref()
         .zip(lease.clone())
         .map(|(c, lease)| cluster::gate(c, lease));
-    let plane = Plane::behind(&service.process, lists(), gate);
+    let plane = DataPlane::with_gate(&service.process, lists(), gate);
     let mut administration = match &service.state {
         Some(_) => Some(administer(
             &plane,
@@ -219,8 +219,12 @@
         api.keep_snapshot();
     }
     plane.drain().await;
-    let residency = plane.residency();
-    let (wakes, rests, refused) = (residency.wakes, residency.rests, residency.refused);
+    let residency = plane.activation_status();
+    let (wakes, rests, refused) = (
+        residency.activations,
+        residency.deactivations,
+        residency.deferrals,
+    );
     tracing::info!(
         tenants = residency.tenants,
         wakes,
@@ -229,7 +233,7 @@
         "residency at the end"
     );
     for tenant in plane.status(MOST_TOLD) {
-        let (name, ms, refused) = (&tenant.name, tenant.loop_ms.round(), tenant.refused);
+        let (name, ms, refused) = (&tenant.name, tenant.loop_ms.round(), tenant.rejections);
         tracing::info!(tenant = name, loop_ms = ms, ?refused, "ended");
     }
     Ok(0)
@@ -241,7 +245,7 @@
 /// Ends an instance of a cluster: what was taken is answered, under whatever version takes hold meanwhile; then it holds
 /// nothing that a change would wait for.
 async fn end_among(
-    plane: &Plane,
+    plane: &DataPlane,
     orders: &mut UnboundedReceiver<Order>,
     member: &UnboundedSender<MemberCommand>,
 ) {
@@ -259,15 +263,15 @@
 
 /// Follows tenants' lists on a thread of its own, so that no list takes time of the loop that serves. The thread is there once
 /// the first list is.
-fn lists() -> Follow {
+fn lists() -> StartDiscovery {
     let thread: OnceCell<Option<Handle>> = OnceCell::new();
     Box::new(move |tenant, settings, seed| {
         let (to, updates) = tokio::sync::mpsc::unbounded_channel();
         let pool = settings.pool.clone().unwrap_or_else(|| tenant.name.clone());
         let keys = KeySpace::new(&settings.prefix, &pool);
         let mut limits = ::endpoint_discovery::WatchLimits::default();
-        limits.table.mass_expiry_ratio = settings.guard.0;
-        limits.table.retention_ms = settings.hold.0 as u64;
+        limits.table.mass_expiry_ratio = settings.mass_expiry_ratio.0;
+        limits.table.retention_ms = settings.retention.0 as u64;
         let user = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
             Ok(text) => text.trim().split_once(':').map(|(n, p)| (n.to_owned(), p.to_owned())),
             Err(e) => {
@@ -323,7 +327,7 @@
 
 /// Opens the state, serves what it says, and starts the administration API on a thread of its own; in a cluster, the member too.
 fn administer(
-    plane: &Rc<Plane>,
+    plane: &Rc<DataPlane>,
     file: &Service,
     read_only: bool,
     lease: Option<Arc<SharedLease>>,
@@ -336,7 +340,7 @@
             "tenants are the state's; those of the file are not looked at"
         );
     }
-    plane.go_over(desk.catalog().clone())?;
+    plane.apply_catalog(desk.catalog().clone())?;
     let (version, tenants) = (desk.version(), desk.catalog().len());
     tracing::info!(version, tenants, "the state is in effect");
     let (said, hears) = unbounded_channel();
@@ -412,7 +416,7 @@
 }
 
 /// Reads the file anew and goes over to what it says; where there is durable state, to its listeners alone.
-fn reload(plane: &Rc<Plane>, file: &Path, administration: Option<&mut Administration>) {
+fn reload(plane: &Rc<DataPlane>, file: &Path, administration: Option<&mut Administration>) {
     let next = match read(file) {
         Ok(next) => next,
         Err(e) => {
@@ -426,7 +430,7 @@
         }
     };
     let now = plane.catalog();
-    let now = now.frame();
+    let now = now.base();
     if (&next.process, &next.admin, &next.state, &next.cluster)
         != (&now.process, &now.admin, &now.state, &now.cluster)
     {
@@ -444,7 +448,7 @@
             }
             desk.reload(&next).and_then(|prepared| {
                 let (plan, catalog) = (prepared.plan.clone(), prepared.next.clone());
-                plane.carry_out(prepared)?;
+                plane.apply_prepared(prepared)?;
                 desk.reloaded(catalog);
                 drop(desk);
                 api.reloaded(next);
@@ -470,7 +474,7 @@
         tracing::info!(tenant = name, "tenant removed");
     }
     for (name, change) in &plan.changed {
-        let (pool, servers, limits) = (change.pool, change.servers, change.limits);
+        let (pool, servers, limits) = (change.settings, change.servers, change.limits);
         tracing::info!(tenant = name, pool, servers, limits, "tenant changed");
     }
     let (opened, closed) = (plan.opened.len(), plan.closed.len());
--- a/crates/multi-tenant/src/catalog.rs
+++ b/crates/multi-tenant/src/catalog.rs
@@ -15,8 +15,8 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Class, Fleet, Limits, Rules, Server, Service, Tenant};
-use crate::routes::normal;
+use crate::document::{Class, DiscoverySettings, Limits, Rules, Server, Service, Tenant};
+use crate::routes::normalize_host;
 
 /// A tenant's name.
 pub type Name = Arc<str>;
@@ -28,7 +28,7 @@
 /// What is held of a tenant does not fit its checksum, or can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("what is held of tenant \"{tenant}\" is damaged ({part})")]
-pub struct Damaged {
+pub struct DamagedTenant {
     /// Whose.
     pub tenant: String,
     /// Which part.
@@ -40,7 +40,7 @@
 struct Own {
     rev: u64,
     hosts: Vec<String>,
-    fleet: Option<Fleet>,
+    fleet: Option<DiscoverySettings>,
 }
 
 /// What tenants of one product have in common.
@@ -61,15 +61,15 @@
 /// The parts that are held, by what they say: whoever packs one that is there already gets that one. It belongs to whoever makes
 /// changes and is no part of a catalog; a part that nobody holds any more is let go of with the next clearing.
 #[derive(Default)]
-pub struct Parts {
+pub struct PartInterner {
     known: FxHashMap<u64, Weak<[u8]>>,
     clear_at: usize,
     packed: u64,
 }
 
-impl Parts {
+impl PartInterner {
     /// How many tenants were packed so far, from which tests tell what a change costs.
-    pub fn packed(&self) -> u64 {
+    pub fn encoded_tenants(&self) -> u64 {
         self.packed
     }
 
@@ -141,17 +141,17 @@
     }
 
     /// The one of a whole document, all at revision 0.
-    pub fn of(service: &Service, parts: &mut Parts) -> Self {
+    pub fn from_service(service: &Service, parts: &mut PartInterner) -> Self {
         let mut catalog = Catalog::new(service);
         for tenant in &service.tenants {
-            catalog.put(parts, tenant, 0);
+            catalog.insert(parts, tenant, 0);
         }
         catalog
     }
 
     /// The same tenants in another frame.
     #[must_use]
-    pub fn in_frame(&self, frame: &Service) -> Self {
+    pub fn with_base(&self, frame: &Service) -> Self {
         Catalog {
             frame: Catalog::new(frame).frame,
             ..self.clone()
@@ -159,7 +159,7 @@
     }
 
     /// The document without its tenants.
-    pub fn frame(&self) -> &Arc<Service> {
+    pub fn base(&self) -> &Arc<Service> {
         &self.frame
     }
 
@@ -190,7 +190,7 @@
     ///
     /// # Errors
     /// What is held of a tenant is damaged.
-    pub fn service(&self) -> Result<Service, Damaged> {
+    pub fn to_service(&self) -> Result<Service, DamagedTenant> {
         let tenants = self.iter().map(|t| Ok(t?.1)).collect::<Result<_, _>>()?;
         Ok(Service {
             tenants,
@@ -199,40 +199,40 @@
     }
 
     /// A tenant's name as it is held, if it is there.
-    pub fn name(&self, name: &str) -> Option<&Name> {
+    pub fn find_name(&self, name: &str) -> Option<&Name> {
         self.tenants.get_key_value(name).map(|(name, _)| name)
     }
 
     /// The tenant whose host this is, in whatever way it is written.
-    pub fn host(&self, host: &str) -> Option<&Name> {
-        self.hosts.get(normal(host).as_str())
+    pub fn tenant_of_host(&self, host: &str) -> Option<&Name> {
+        self.hosts.get(normalize_host(host).as_str())
     }
 
     /// A tenant's revision and document; none if it is not there.
     ///
     /// # Errors
     /// What is held of it is damaged.
-    pub fn get(&self, name: &str) -> Option<Result<(u64, Tenant), Damaged>> {
+    pub fn get(&self, name: &str) -> Option<Result<(u64, Tenant), DamagedTenant>> {
         self.tenants
             .get_key_value(name)
             .map(|(name, record)| record.read(name))
     }
 
     /// All tenants, in order, each with its revision.
-    pub fn iter(&self) -> impl Iterator<Item = Result<(u64, Tenant), Damaged>> {
+    pub fn iter(&self) -> impl Iterator<Item = Result<(u64, Tenant), DamagedTenant>> {
         self.tenants.iter().map(|(name, record)| record.read(name))
     }
 
     /// A tenant comes, or is another one from here on.
-    pub fn put(&mut self, parts: &mut Parts, tenant: &Tenant, rev: u64) {
+    pub fn insert(&mut self, parts: &mut PartInterner, tenant: &Tenant, rev: u64) {
         parts.packed += 1;
         self.take_ways(&tenant.name);
         let name = self
-            .name(&tenant.name)
+            .find_name(&tenant.name)
             .cloned()
             .unwrap_or_else(|| tenant.name.as_str().into());
         for host in &tenant.hosts {
-            self.hosts.insert(normal(host).into(), name.clone());
+            self.hosts.insert(normalize_host(host).into(), name.clone());
         }
         for server in &tenant.servers {
             if let Some(connections) = server.connections {
@@ -243,7 +243,7 @@
         let own = Own {
             rev,
             hosts: tenant.hosts.clone(),
-            fleet: tenant.fleet.clone(),
+            fleet: tenant.discovery.clone(),
         };
         let terms = Terms {
             classes: tenant.classes.clone(),
@@ -272,8 +272,8 @@
         let (name, record) = (name.clone(), record.clone());
         if let Some(own) = unpack::<Own>(&record.own) {
             for host in &own.hosts {
-                if self.hosts.get(normal(host).as_str()) == Some(&name) {
-                    self.hosts.remove(normal(host).as_str());
+                if self.hosts.get(normalize_host(host).as_str()) == Some(&name) {
+                    self.hosts.remove(normalize_host(host).as_str());
                 }
             }
         } else {
@@ -303,7 +303,7 @@
     }
 
     /// Who uses a server that has a limit, and the limit, in the order of names.
-    pub fn users(&self, address: &str) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn users_of_server(&self, address: &str) -> impl Iterator<Item = (&Name, u64)> {
         let from: (Arc<str>, Name) = (address.into(), "".into());
         let of = address.to_owned();
         self.limited
@@ -326,7 +326,7 @@
 
     /// Spoils a part, for tests of what comes of that.
     #[doc(hidden)]
-    pub fn spoil(&mut self, name: &str) {
+    pub fn corrupt(&mut self, name: &str) {
         if let Some(record) = self.tenants.get_mut(name) {
             let mut bytes = record.servers.to_vec();
             bytes[0] ^= 0x40;
@@ -363,8 +363,8 @@
 }
 
 impl Record {
-    fn read(&self, name: &str) -> Result<(u64, Tenant), Damaged> {
-        let damaged = |part| Damaged {
+    fn read(&self, name: &str) -> Result<(u64, Tenant), DamagedTenant> {
+        let damaged = |part| DamagedTenant {
             tenant: name.to_owned(),
             part,
         };
@@ -378,7 +378,7 @@
             limits: terms.limits,
             rules: terms.rules,
             classes: terms.classes,
-            fleet: own.fleet,
+            discovery: own.fleet,
             servers,
         };
         Ok((own.rev, tenant))
--- a/crates/multi-tenant/src/plane.rs
+++ b/crates/multi-tenant/src/data_plane.rs
@@ -29,17 +29,17 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
 
-use crate::book::{Book, Holder};
-use crate::catalog::{Catalog, Name, Parts};
-use crate::digest::{self, Digests};
+use crate::accounts::{Book, Holder};
+use crate::catalog::{Catalog, Name, PartInterner};
 use crate::document::{self, Service, State, Tenant};
-use crate::plan::{Births, Change, Plan, Prepared};
+use crate::inactive_state::{self, InactiveStates};
+use crate::plan::{Change, Plan, PreparedChange, StartTimes};
 use crate::routes::Routes;
 
-mod residents;
+mod activation;
 
-pub use residents::Residency;
-use residents::Turns;
+pub use activation::ActivationStatus;
+use activation::ActivationTurns;
 
 /// What one resident tenant has in the process.
 struct Live {
@@ -48,7 +48,7 @@
     running: RunningPool,
     /// Pools of earlier versions that still end what they have; they hear of drains and ends of servers, too.
     former: Vec<EndpointFeed>,
-    births: Births,
+    births: StartTimes,
     /// Its list, where that is followed.
     followed: Option<Followed>,
     /// Servers that get nothing new already, as a change under way ends them.
@@ -60,7 +60,7 @@
 
 /// A list that is followed; dropped, it is followed no longer.
 struct Followed {
-    settings: document::Fleet,
+    settings: document::DiscoverySettings,
     /// The list; none before the first.
     hosts: Option<BTreeMap<String, Host>>,
     status: Option<endpoint_discovery::Status>,
@@ -74,7 +74,8 @@
 }
 
 /// Follows a tenant's list as these settings say, under a seed, for as long as somebody listens.
-pub type Follow = Box<dyn Fn(&Tenant, &document::Fleet, u64) -> UnboundedReceiver<DiscoveryUpdate>>;
+pub type StartDiscovery =
+    Box<dyn Fn(&Tenant, &document::DiscoverySettings, u64) -> UnboundedReceiver<DiscoveryUpdate>>;
 
 struct Open {
     address: SocketAddr,
@@ -83,7 +84,7 @@
 }
 
 /// The present version and what serves it.
-pub struct Plane {
+pub struct DataPlane {
     process: Rc<Process>,
     book: Rc<Book>,
     routes: RefCell<Routes>,
@@ -91,9 +92,9 @@
     tenants: RefCell<BTreeMap<Name, Live>>,
     /// Who is resident, and who waits to be.
     residents: RefCell<tenant_activation::ActiveTenants<Name>>,
-    turns: Rc<Turns>,
+    turns: Rc<ActivationTurns>,
     /// What is kept of tenants at rest beside their documents.
-    digests: RefCell<Digests>,
+    digests: RefCell<InactiveStates>,
     /// Of servers with limits the residents that use them.
     sharers: RefCell<BTreeMap<String, BTreeSet<Name>>>,
     /// Servers that get nothing new already, by tenant, as a change under way ends them.
@@ -110,14 +111,14 @@
     version: Cell<u64>,
     seed: u64,
     most: usize,
-    follow: Follow,
+    follow: StartDiscovery,
     /// The cluster's version that is open here.
     opens: Cell<Option<u64>>,
     /// The start is over.
     takes: Cell<bool>,
     /// This instance's number among those that share the servers, and how many there are.
     among: Cell<(u32, u32)>,
-    myself: Weak<Plane>,
+    myself: Weak<DataPlane>,
 }
 
 /// A tenant's state, as status tells it.
@@ -127,14 +128,15 @@
     /// Its name.
     pub name: String,
     /// It is held in full; otherwise it is at rest, and its first request wakes it.
-    pub resident: bool,
+    #[serde(rename = "resident")]
+    pub active: bool,
     /// Its module has a list, or will have one as soon as it wakes.
     pub ready: bool,
     /// Servers that take new work, and all.
     pub servers: [usize; 2],
     /// What its list is at, where that is followed.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<FleetStatus>,
+    #[serde(rename = "fleet", skip_serializing_if = "Option::is_none")]
+    pub discovery: Option<DiscoveryStatus>,
     /// Pools of earlier versions that still end what they have.
     pub former_pools: usize,
     /// Connections of its clients.
@@ -146,13 +148,15 @@
     /// The event loop's time that it has used, in ms.
     pub loop_ms: f64,
     /// Times it was turned away for sockets, requests in flight, bytes, time and shared servers.
-    pub refused: [u64; 5],
+    #[serde(rename = "refused")]
+    pub rejections: [u64; 5],
 }
 
 /// What a list that is followed is at.
 #[derive(Clone, Debug, PartialEq, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub struct FleetStatus {
+#[schemars(rename = "FleetStatus")]
+pub struct DiscoveryStatus {
     /// `listing`, `watching`, `behind`, `resyncing` or `stale`.
     pub state: String,
     /// The store's revision up to which everything is known.
@@ -160,39 +164,44 @@
     /// Servers whose present values can't be read; their last good ones stay.
     pub quarantined: usize,
     /// Servers that are held as their leases ended together.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub retained: usize,
 }
 
-impl Plane {
+impl DataPlane {
     /// A plane with nothing to serve yet.
-    pub fn new(process: &document::Process, follow: Follow) -> Rc<Self> {
-        Plane::behind(process, follow, None)
+    pub fn new(process: &document::Process, follow: StartDiscovery) -> Rc<Self> {
+        DataPlane::with_gate(process, follow, None)
     }
 
     /// The same, where all that is decided passes a gate. It opens with the versions that [`Plane::open_at`] tells.
-    pub fn behind(process: &document::Process, follow: Follow, gate: Option<Rc<Gate>>) -> Rc<Self> {
+    pub fn with_gate(
+        process: &document::Process,
+        follow: StartDiscovery,
+        gate: Option<Rc<Gate>>,
+    ) -> Rc<Self> {
         let book = Book::new(ProcessCapacity {
             client_connections: process.sockets,
             in_flight_requests: process.in_flight,
             buffered_bytes: process.bytes.0 as u64,
             processing_time_ratio: process.loop_share.0,
-            rejection_time_ratio: process.turning_share.0,
-            idle_reserve_ratio: process.newcomers.0,
+            rejection_time_ratio: process.rejection_share.0,
+            idle_reserve_ratio: process.idle_reserve.0,
         });
         spawn_local(book.clone().give_turns());
-        let plane = Rc::new_cyclic(|myself| Plane {
+        let plane = Rc::new_cyclic(|myself| DataPlane {
             process: Rc::new(Process::new(process.server_sockets as usize).with_gate(gate)),
             book,
-            routes: RefCell::new(Routes::of(&Catalog::new(&Service {
+            routes: RefCell::new(Routes::new(&Catalog::new(&Service {
                 process: process.clone(),
                 ..Service::default()
             }))),
             tenants: RefCell::default(),
-            residents: RefCell::new(tenant_activation::ActiveTenants::new(residents::terms(
+            residents: RefCell::new(tenant_activation::ActiveTenants::new(activation::terms(
                 process,
             ))),
-            turns: Turns::new(),
-            digests: RefCell::new(Digests::new(digest::MOST)),
+            turns: ActivationTurns::new(),
+            digests: RefCell::new(InactiveStates::new(inactive_state::MAX_ENTRIES)),
             sharers: RefCell::default(),
             held_off: RefCell::default(),
             damaged: RefCell::default(),
@@ -210,9 +219,9 @@
             myself: myself.clone(),
         });
         spawn_local(plane.turns.clone().give());
-        spawn_local(Plane::look_after(
+        spawn_local(DataPlane::look_after(
             plane.myself.clone(),
-            residents::look(process),
+            activation::look(process),
         ));
         plane
     }
@@ -222,17 +231,17 @@
     /// # Errors
     /// A listener can't be opened: then nothing has changed.
     pub fn apply(&self, next: &Service) -> Result<Plan, String> {
-        self.go_over(Catalog::of(next, &mut Parts::default()))
+        self.apply_catalog(Catalog::from_service(next, &mut PartInterner::default()))
     }
 
     /// Goes over to the next version; returns what that came to.
     ///
     /// # Errors
     /// A listener can't be opened: then nothing has changed.
-    pub fn go_over(&self, next: Catalog) -> Result<Plan, String> {
-        let prepared = Prepared::between(&self.catalog(), next);
+    pub fn apply_catalog(&self, next: Catalog) -> Result<Plan, String> {
+        let prepared = PreparedChange::between(&self.catalog(), next);
         let plan = prepared.plan.clone();
-        self.carry_out(prepared)?;
+        self.apply_prepared(prepared)?;
         Ok(plan)
     }
 
@@ -240,13 +249,13 @@
     ///
     /// # Errors
     /// A listener can't be opened: then nothing has changed.
-    pub fn carry_out(&self, prepared: Prepared) -> Result<(), String> {
-        let Prepared {
+    pub fn apply_prepared(&self, prepared: PreparedChange) -> Result<(), String> {
+        let PreparedChange {
             next,
             plan,
-            limited,
-            followed,
-            brought,
+            limited_servers,
+            discovered_tenants,
+            new_servers,
         } = prepared;
         let opened = self.open(&plan)?;
         for name in &plan.removed {
@@ -254,16 +263,16 @@
         }
         let first = self.version.get() == 0;
         for name in plan.added.iter().chain(plan.changed.keys()) {
-            let Some(name) = next.name(name) else {
+            let Some(name) = next.find_name(name) else {
                 continue;
             };
             self.damaged.borrow_mut().remove(name);
             let (change, follows) = (
                 plan.changed.get(&**name).copied(),
-                followed.contains(&**name),
+                discovered_tenants.contains(&**name),
             );
             if !follows && !self.tenants.borrow().contains_key(name) {
-                let brought = brought.get(&**name).map_or(&[][..], Vec::as_slice);
+                let brought = new_servers.get(&**name).map_or(&[][..], Vec::as_slice);
                 self.change_at_rest(&next, name, change, brought, first);
                 continue;
             }
@@ -273,13 +282,13 @@
                 None => {}
             }
         }
-        limited
+        limited_servers
             .iter()
             .for_each(|address| self.share_server(&next, address));
-        if !followed.is_empty() {
+        if !discovered_tenants.is_empty() {
             self.warn_of_pinned();
         }
-        *self.routes.borrow_mut() = Routes::of(&next);
+        *self.routes.borrow_mut() = Routes::new(&next);
         for name in &plan.closed {
             // It may have been opened anew at another address, under the same name.
             let mut listeners = self.listeners.borrow_mut();
@@ -299,15 +308,15 @@
         if change.limits {
             live.account.set(&caps(&live.document.limits));
         }
-        if change.pool {
+        if change.settings {
             self.renew(live);
         }
         if change.servers {
             self.attend(live);
         }
-        if change.servers || change.pool {
+        if change.servers || change.settings {
             live.births
-                .note(&live.document.servers, first, self.process.unix_now());
+                .update(&live.document.servers, first, self.process.unix_now());
             live.tell();
         }
     }
@@ -325,14 +334,14 @@
     }
 
     /// The way of a listener's requests to their pools.
-    pub fn way(self: &Rc<Self>, listener: &str) -> Way {
+    pub fn router(self: &Rc<Self>, listener: &str) -> ListenerRouter {
         let caps = caps(&document::Limits::default());
         let mut strangers = self.strangers.borrow_mut();
         let strangers = strangers
             .entry(listener.to_owned())
             .or_insert_with(|| self.book.open(&caps))
             .clone();
-        Way {
+        ListenerRouter {
             plane: self.clone(),
             listener: listener.to_owned(),
             strangers,
@@ -344,7 +353,7 @@
             return;
         };
         let (stop, stopped) = watch::channel(false);
-        let way = plane.way(name);
+        let way = plane.router(name);
         let (process, most) = (self.process.clone(), self.most);
         let task = spawn_local(async move {
             let mut stopped = stopped;
@@ -366,7 +375,7 @@
 
     /// Follows a tenant's list as its document says now. What is known of the list stands until another one comes.
     fn attend(&self, live: &mut Live) {
-        let Some(settings) = live.document.fleet.clone() else {
+        let Some(settings) = live.document.discovery.clone() else {
             live.followed = None;
             return;
         };
@@ -430,7 +439,7 @@
 
     /// These servers, by tenant, get nothing new from here on, though the present version has them; all others as it says. A change
     /// that ends them may take a while to take hold, and need not be waited for.
-    pub fn hold_off(&self, servers: &BTreeMap<String, BTreeSet<String>>) {
+    pub fn set_pending_drains(&self, servers: &BTreeMap<String, BTreeSet<String>>) {
         let before = self.held_off.replace(servers.clone());
         let mut tenants = self.tenants.borrow_mut();
         for name in before.keys().chain(servers.keys()) {
@@ -446,13 +455,13 @@
     }
 
     /// Nothing new is decided from here on, until a version opens.
-    pub fn close(&self) {
+    pub fn close_gate(&self) {
         self.opens.set(None);
         self.process.gate().inspect(|gate| gate.close());
     }
 
     /// What is served now is this version of the cluster's.
-    pub fn open_at(&self, version: u64) {
+    pub fn set_version(&self, version: u64) {
         self.opens.set(Some(version));
         if self.takes.get() {
             self.process.gate().inspect(|gate| gate.open(version));
@@ -461,7 +470,7 @@
 
     /// So many instances share the servers from here on, and this one has this number among them: what a server may get from all of
     /// them together is divided by that.
-    pub fn among(&self, me: u32, instances: u32) {
+    pub fn set_proxy_count(&self, me: u32, instances: u32) {
         if instances == 0 || self.among.replace((me, instances)) == (me, instances) {
             return;
         }
@@ -476,7 +485,7 @@
     }
 
     /// The start is over: requests pass the gate from here on, under whatever version is open. Until then it stays closed.
-    pub fn take_requests(&self) {
+    pub fn accept_requests(&self) {
         self.takes.set(true);
         if let Some(version) = self.opens.get() {
             self.process.gate().inspect(|gate| gate.open(version));
@@ -484,7 +493,7 @@
     }
 
     /// The version that is open here, how many tenants there are, and those whose list of servers is not known to be current.
-    pub fn known(&self) -> (Option<u64>, usize, Vec<String>) {
+    pub fn startup_state(&self) -> (Option<u64>, usize, Vec<String>) {
         let tenants = self.tenants.borrow();
         let unknown = |(name, live): (&Name, &Live)| {
             let followed = live.followed.as_ref()?;
@@ -507,7 +516,7 @@
     }
 
     /// Where the listeners are, by name.
-    pub fn addresses(&self) -> BTreeMap<String, SocketAddr> {
+    pub fn listener_addresses(&self) -> BTreeMap<String, SocketAddr> {
         self.listeners
             .borrow()
             .iter()
@@ -541,7 +550,7 @@
             host: s.name.clone(),
             dial: s.address.parse().ok(),
             site: s.zone.clone(),
-            class: s.kind.clone(),
+            class: s.machine_type.clone(),
             block: None,
             health: if s.state == State::Up && !self.held_off.contains(&s.name) {
                 "up"
@@ -549,8 +558,8 @@
                 "draining"
             }
             .into(),
-            share: Some(s.size),
-            born_ms: self.births.of(&s.name),
+            share: Some(s.capacity),
+            born_ms: self.births.get(&s.name),
         };
         match &self.followed {
             None => Some(self.document.servers.iter().map(host).collect()),
@@ -643,14 +652,14 @@
 /// A tenant's document as its decision module takes it.
 fn terms(tenant: &Tenant, seed: u64) -> PoolSettings {
     let class = |c: &document::Class| Class {
-        latency_objective: c.aim.0,
+        latency_objective: c.latency_objective.0,
         deadline: c.deadline.0,
         objective_work_multiple: 0.0,
-        priority_weight: c.worth,
-        late_weight_fraction: c.late_worth.0,
-        idempotency: match c.effect {
-            document::Effect::Safe => Idempotency::Idempotent,
-            document::Effect::Unsafe => Idempotency::NonIdempotent,
+        priority_weight: c.priority_weight,
+        late_weight_fraction: c.late_weight_fraction.0,
+        idempotency: match c.idempotency {
+            document::Idempotency::Idempotent => Idempotency::Idempotent,
+            document::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
         },
     };
     let rules = &tenant.rules;
@@ -678,8 +687,8 @@
         max_retry_after: Some(rules.retry_after.0),
         costs: Costs::default(),
         limits: balancer::Limits {
-            initial_capacity_fraction: rules.cold_from.0,
-            warm_up: rules.cold.0,
+            initial_capacity_fraction: rules.initial_capacity.0,
+            warm_up: rules.warm_up.0,
             overload_multiple: 1.0,
             // How long a cold server bears too much is not known here: its budget alone keeps it, and no class is too heavy.
             overload_window: f64::MAX,
@@ -687,8 +696,8 @@
         },
     };
     let connections = ConnectionSettings {
-        connect_timeout: rules.dial_timeout.0,
-        idle_timeout: rules.idle_close.0,
+        connect_timeout: rules.connect_timeout.0,
+        idle_timeout: rules.idle_timeout.0,
     };
     PoolSettings {
         settings,
@@ -699,15 +708,15 @@
 }
 
 /// One listener's way to the pools.
-pub struct Way {
-    plane: Rc<Plane>,
+pub struct ListenerRouter {
+    plane: Rc<DataPlane>,
     listener: String,
     strangers: Rc<Holder>,
 }
 
 const NO_TENANT: RouteError = RouteError::Status(StatusCode::NOT_FOUND, "no such tenant");
 
-impl Router for Way {
+impl Router for ListenerRouter {
     fn pool(&self, uri: &Uri, headers: &HeaderMap, turn: bool) -> Result<Rc<Pool>, RouteError> {
         let routes = self.plane.routes.borrow();
         // A target in absolute form names the host itself (RFC 9112, 3.2.2).
@@ -729,7 +738,7 @@
 
     fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>> {
         let routes = self.plane.routes.borrow();
-        let owner = routes.owner(&self.listener).and_then(|name| {
+        let owner = routes.dedicated_tenant(&self.listener).and_then(|name| {
             let tenants = self.plane.tenants.borrow();
             tenants.get(name).map(|live| live.account.clone())
         });
--- a/crates/multi-tenant/src/plane/residents.rs
+++ b/crates/multi-tenant/src/data_plane/activation.rs
@@ -16,11 +16,11 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::sleep;
 
-use super::{FleetStatus, Live, NO_TENANT, Plane, TenantStatus, caps};
+use super::{DataPlane, DiscoveryStatus, Live, NO_TENANT, TenantStatus, caps};
 use crate::catalog::{Catalog, Name};
-use crate::digest::{self, Digest};
 use crate::document::{Process, State, Tenant};
-use crate::plan::{Births, Change};
+use crate::inactive_state::{self, InactiveState};
+use crate::plan::{Change, StartTimes};
 
 /// A resident keeps its place for so long at least. Short, as at the size ahead one is asked for once in minutes, and long beside what
 /// it takes to wake.
@@ -46,8 +46,8 @@
 /// Bounds of the active tenants.
 pub(super) fn terms(process: &Process) -> ActivationLimits {
     ActivationLimits {
-        max_active: process.resident_tenants as usize,
-        idle_timeout: process.rest_after.0,
+        max_active: process.max_active_tenants as usize,
+        idle_timeout: process.idle_timeout.0,
         min_active_time: LEAST_STAY,
         retry_grace_period: HOLD,
         max_waiting: MOST_WAITING,
@@ -56,20 +56,20 @@
 
 /// Between two looks at who may rest.
 pub(super) fn look(process: &Process) -> Duration {
-    Duration::from_secs_f64((process.rest_after.0 / 4000.0).clamp(0.1, 5.0))
+    Duration::from_secs_f64((process.idle_timeout.0 / 4000.0).clamp(0.1, 5.0))
 }
 
 /// The turns in which tenants are woken, in the order of asking: a few in each round of the event loop.
-pub(super) struct Turns {
+pub(super) struct ActivationTurns {
     left: Semaphore,
     taken: Notify,
     /// Rounds in which some were woken.
     rounds: Cell<u64>,
 }
 
-impl Turns {
+impl ActivationTurns {
     pub(super) fn new() -> Rc<Self> {
-        Rc::new(Turns {
+        Rc::new(ActivationTurns {
             left: Semaphore::new(WAKES),
             taken: Notify::new(),
             rounds: Cell::new(0),
@@ -108,31 +108,39 @@
 /// How many tenants are there, how many of them are resident, and what has come of it since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub struct Residency {
+#[schemars(rename = "Residency")]
+pub struct ActivationStatus {
     /// All.
     pub tenants: usize,
     /// Those that are resident.
-    pub resident: usize,
+    #[serde(rename = "resident")]
+    pub active: usize,
     /// Those of them that stay, as their lists are followed.
     pub pinned: usize,
     /// Those that wait for a place.
     pub waiting: usize,
     /// Times that one was woken.
-    pub wakes: u64,
+    #[serde(rename = "wakes")]
+    pub activations: u64,
     /// Times that one was put to rest.
-    pub rests: u64,
+    #[serde(rename = "rests")]
+    pub deactivations: u64,
     /// Those of them for which another wanted the place.
     pub evictions: u64,
     /// Requests refused for want of a place.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub deferrals: u64,
     /// Tenants that can't be woken, as what is held of them is damaged.
     pub damaged: usize,
     /// Servers of tenants at rest of which something is remembered.
-    pub remembered: usize,
+    #[serde(rename = "remembered")]
+    pub retained_entries: usize,
     /// Tenants of which something was forgotten early, as there was too much to remember.
-    pub forgotten: u64,
+    #[serde(rename = "forgotten")]
+    pub dropped_tenants: u64,
     /// Rounds of the event loop in which some were woken.
-    pub rounds: u64,
+    #[serde(rename = "rounds")]
+    pub activation_rounds: u64,
 }
 
 impl Live {
@@ -142,12 +150,12 @@
             && self.running.is_idle()
             && !self.former.iter().any(EndpointFeed::is_alive)
             // One of which there is more to say than is kept stays; a small one never is.
-            && (self.document.servers.len() < digest::MOST_OF_ONE
-                || self.running.health_snapshot().endpoints.len() <= digest::MOST_OF_ONE)
+            && (self.document.servers.len() < inactive_state::MAX_ENTRIES_PER_TENANT
+                || self.running.health_snapshot().endpoints.len() <= inactive_state::MAX_ENTRIES_PER_TENANT)
     }
 }
 
-impl Plane {
+impl DataPlane {
     /// The pool of a tenant that is there; one at rest is woken if it may be, and has had its turn.
     pub(super) fn pool_of(
         &self,
@@ -202,14 +210,14 @@
                 return Err(NO_TENANT);
             }
         };
-        let digest = self.digests.borrow_mut().take(name).unwrap_or_default();
+        let digest = self.digests.borrow_mut().remove(name).unwrap_or_default();
         let pool = self.start(name, tenant, digest);
         self.some_reside.notify_one();
         Ok(pool)
     }
 
     /// Starts what a resident has.
-    fn start(&self, name: &Name, tenant: Tenant, digest: Digest) -> Rc<Pool> {
+    fn start(&self, name: &Name, tenant: Tenant, digest: InactiveState) -> Rc<Pool> {
         let account = self.book.resume(name, &caps(&tenant.limits));
         // Another draw each time, or the first request after each rest would go the same way.
         let wakes = self.residents.borrow().counters().activations;
@@ -219,11 +227,11 @@
             if s.warm {
                 0.0
             } else {
-                digest.born(stable_hash(&s.name))
+                digest.start_time(stable_hash(&s.name))
             }
         };
         let mut live = Live {
-            births: Births::known(&tenant.servers, born),
+            births: StartTimes::restore(&tenant.servers, born),
             document: tenant,
             account,
             running,
@@ -240,8 +248,8 @@
         };
         self.attend(&mut live);
         live.tell();
-        if !digest.standing.endpoints.is_empty() {
-            live.running.feed.restore_health(digest.standing);
+        if !digest.health.endpoints.is_empty() {
+            live.running.feed.restore_health(digest.health);
         }
         let pool = live.running.pool.clone();
         self.longest.set(self.longest.get().max(pool.max_timeout()));
@@ -259,40 +267,40 @@
         let Some(live) = self.tenants.borrow_mut().remove(name) else {
             return;
         };
-        self.digests.borrow_mut().put(name, self.digest(&live));
+        self.digests.borrow_mut().insert(name, self.digest(&live));
         let catalog = self.catalog();
         for address in self.leave_servers(name, &live.document) {
             self.share_server(&catalog, &address);
         }
     }
 
-    fn digest(&self, live: &Live) -> Digest {
+    fn digest(&self, live: &Live) -> InactiveState {
         let (now, unix) = (self.process.now(), self.process.unix_now());
-        let cold = live.document.rules.cold.0;
-        let born = |s: &crate::document::Server| (stable_hash(&s.name), live.births.of(&s.name));
+        let cold = live.document.rules.warm_up.0;
+        let born = |s: &crate::document::Server| (stable_hash(&s.name), live.births.get(&s.name));
         let young = |(_, born): &(u64, f64)| *born > 0.0 && unix - born < cold;
-        let born: Vec<_> = live
+        let start_times: Vec<_> = live
             .document
             .servers
             .iter()
             .map(born)
             .filter(young)
             .collect();
-        let standing = live.running.health_snapshot();
-        let ejected = standing
+        let health = live.running.health_snapshot();
+        let ejected = health
             .endpoints
             .iter()
             .flat_map(|s| s.overall.iter().chain(s.by_class.iter().map(|c| &c.1)));
         let closings = ejected.map(|e| e.ejected_until.max(now) + ON_TRIAL);
-        let ends = born
+        let ends = start_times
             .iter()
             .map(|(_, born)| now + born + cold - unix)
             .chain(closings);
-        Digest {
-            end: ends.fold(now, f64::max),
-            all_born: 0.0,
-            born,
-            standing,
+        InactiveState {
+            expires_at: ends.fold(now, f64::max),
+            default_start_time: 0.0,
+            start_times,
+            health,
         }
     }
 
@@ -300,7 +308,7 @@
     pub(super) fn remove(&self, name: &str) {
         let name: Name = name.into();
         self.residents.borrow_mut().remove(&name);
-        self.digests.borrow_mut().take(&name);
+        self.digests.borrow_mut().remove(&name);
         self.damaged.borrow_mut().remove(&name);
         self.book.forget(&name);
         let Some(live) = self.tenants.borrow_mut().remove(&name) else {
@@ -335,26 +343,26 @@
         let (now, unix) = (self.process.now(), self.process.unix_now());
         let mut digests = self.digests.borrow_mut();
         let Some(change) = change else {
-            return digests.put(
+            return digests.insert(
                 name,
-                Digest {
-                    all_born: unix,
-                    end: now + ALL_COLD,
-                    ..Digest::default()
+                InactiveState {
+                    default_start_time: unix,
+                    expires_at: now + ALL_COLD,
+                    ..InactiveState::default()
                 },
             );
         };
-        let mut digest = digests.take(name).unwrap_or_default();
-        if change.pool {
-            digest.standing = balancer::HealthSnapshot::default(); // a new module learns anew
+        let mut digest = digests.remove(name).unwrap_or_default();
+        if change.settings {
+            digest.health = balancer::HealthSnapshot::default(); // a new module learns anew
         }
         for (server, warm) in brought {
-            digest.renew(*server, if *warm { 0.0 } else { unix });
+            digest.reset_server(*server, if *warm { 0.0 } else { unix });
         }
         if brought.iter().any(|(_, warm)| !warm) {
-            digest.end = digest.end.max(now + ALL_COLD);
+            digest.expires_at = digest.expires_at.max(now + ALL_COLD);
         }
-        digests.put(name, digest);
+        digests.insert(name, digest);
     }
 
     /// A resident changes, or a tenant whose list is followed comes.
@@ -366,18 +374,18 @@
         first: bool,
     ) {
         let now = self.process.now();
-        let follows = tenant.fleet.is_some();
+        let follows = tenant.discovery.is_some();
         if follows {
             self.residents.borrow_mut().pin(name);
         }
         let mut tenants = self.tenants.borrow_mut();
         let Some(live) = tenants.get_mut(name) else {
             drop(tenants);
-            let digest = self.digests.borrow_mut().take(name).unwrap_or_default();
+            let digest = self.digests.borrow_mut().remove(name).unwrap_or_default();
             self.start(name, tenant, digest);
             return self.some_reside.notify_one();
         };
-        if live.document.fleet.is_some() && !follows {
+        if live.document.discovery.is_some() && !follows {
             self.residents.borrow_mut().unpin(now, name);
         }
         self.leave_servers(name, &live.document);
@@ -421,7 +429,7 @@
     pub(super) fn share_server(&self, catalog: &Catalog, address: &str) {
         let Ok(at) = address.parse() else { return };
         let (tenants, sharers) = (self.tenants.borrow(), self.sharers.borrow());
-        let mut all = catalog.users(address);
+        let mut all = catalog.users_of_server(address);
         let (connections, several) = (
             all.next().map_or(0, |(_, connections)| connections),
             all.next().is_some(),
@@ -454,7 +462,7 @@
     }
 
     /// Puts to rest whom nobody asks for, for as long as the plane is there. While nobody is resident it takes no time.
-    pub(super) async fn look_after(plane: Weak<Plane>, every: Duration) {
+    pub(super) async fn look_after(plane: Weak<DataPlane>, every: Duration) {
         loop {
             let Some(here) = plane.upgrade() else { return };
             let (some, comes) = (!here.tenants.borrow().is_empty(), here.some_reside.clone());
@@ -496,7 +504,7 @@
 
     /// How one tenant fares.
     pub fn status_of(&self, name: &str) -> Option<TenantStatus> {
-        let name = self.routes.borrow().catalog().name(name)?.clone();
+        let name = self.routes.borrow().catalog().find_name(name)?.clone();
         Some(self.status_by(&name))
     }
 
@@ -533,25 +541,25 @@
         let listed = tenant.as_ref().map_or(&[][..], |t| &t.servers);
         TenantStatus {
             name: name.to_string(),
-            resident: false,
+            active: false,
             ready: tenant.is_some(),
             servers: [
                 listed.iter().filter(|s| s.state == State::Up).count(),
                 listed.len(),
             ],
-            fleet: None,
+            discovery: None,
             former_pools: 0,
             sockets: used.client_connections,
             in_flight: used.in_flight_requests,
             bytes: used.buffered_bytes,
             loop_ms: used.event_loop_time,
-            refused: used.rejections,
+            rejections: used.rejections,
         }
     }
 
     /// A resident's servers as its module was told last: name, when it started on Unix time in ms, whether it takes new work. For tests.
     #[doc(hidden)]
-    pub fn servers_of(&self, name: &str) -> Vec<(String, f64, bool)> {
+    pub fn endpoints_of(&self, name: &str) -> Vec<(String, f64, bool)> {
         let tenants = self.tenants.borrow();
         let hosts = tenants.get(name).and_then(Live::hosts).unwrap_or_default();
         hosts
@@ -562,7 +570,7 @@
 
     /// What a resident's module holds against its servers. For tests.
     #[doc(hidden)]
-    pub fn standing_of(&self, name: &str) -> balancer::HealthSnapshot {
+    pub fn health_of(&self, name: &str) -> balancer::HealthSnapshot {
         self.tenants
             .borrow()
             .get(name)
@@ -571,22 +579,22 @@
     }
 
     /// How many are resident, and what has come of it.
-    pub fn residency(&self) -> Residency {
+    pub fn activation_status(&self) -> ActivationStatus {
         let (residents, digests) = (self.residents.borrow(), self.digests.borrow());
         let counters = residents.counters();
-        Residency {
+        ActivationStatus {
             tenants: self.routes.borrow().catalog().len(),
-            resident: residents.len(),
+            active: residents.len(),
             pinned: residents.pinned_count(),
             waiting: residents.waiting_count(),
-            wakes: counters.activations,
-            rests: counters.deactivations,
+            activations: counters.activations,
+            deactivations: counters.deactivations,
             evictions: counters.evictions,
-            refused: counters.deferrals,
+            deferrals: counters.deferrals,
             damaged: self.damaged.borrow().len(),
-            remembered: digests.entries(),
-            forgotten: digests.dropped(),
-            rounds: self.turns.rounds.get(),
+            retained_entries: digests.entries(),
+            dropped_tenants: digests.dropped_tenants(),
+            activation_rounds: self.turns.rounds.get(),
         }
     }
 }
@@ -611,23 +619,23 @@
         .followed
         .as_ref()
         .and_then(|f| f.status.as_ref())
-        .map(|s| FleetStatus {
+        .map(|s| DiscoveryStatus {
             state: s.phase.to_string(),
             revision: s.revision,
             quarantined: s.endpoints.quarantined,
-            held: s.endpoints.retained,
+            retained: s.endpoints.retained,
         });
     TenantStatus {
         name: name.to_string(),
-        resident: true,
+        active: true,
         ready: live.running.pool.is_ready(),
         servers,
-        fleet: followed,
+        discovery: followed,
         former_pools: live.former.iter().filter(|f| f.is_alive()).count(),
         sockets: used.client_connections,
         in_flight: used.in_flight_requests,
         bytes: used.buffered_bytes,
         loop_ms: used.event_loop_time,
-        refused: used.rejections,
+        rejections: used.rejections,
     }
 }
--- a/crates/multi-tenant/src/document.rs
+++ b/crates/multi-tenant/src/document.rs
@@ -21,8 +21,8 @@
     pub admin: Option<Admin>,
     /// Where versions are kept.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[schemars(with = "Durable")]
-    pub state: Option<Durable>,
+    #[schemars(with = "StateStore")]
+    pub state: Option<StateStore>,
     /// The other instances that this one acts as one with.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Cluster")]
@@ -51,14 +51,18 @@
     /// The part of the event loop's time for requests that are let in.
     pub loop_share: Share,
     /// The part of it for turning others away.
-    pub turning_share: Share,
+    #[serde(rename = "turning-share")]
+    pub rejection_share: Share,
     /// The part of each stock that tenants beyond their shares leave to idle ones.
-    pub newcomers: Share,
+    #[serde(rename = "newcomers")]
+    pub idle_reserve: Share,
     /// Tenants that are held in full at once; all others are at rest. Those whose list is followed always are, and count.
     #[schemars(range(min = 1, max = 100_000))]
-    pub resident_tenants: u64,
+    #[serde(rename = "resident-tenants")]
+    pub max_active_tenants: u64,
     /// A tenant that nothing was asked of for this span is put to rest.
-    pub rest_after: Span,
+    #[serde(rename = "rest-after")]
+    pub idle_timeout: Span,
     /// What the modules' draws come from; drawn anew at each start if it is not named.
     pub seed: Option<u64>,
 }
@@ -71,10 +75,10 @@
             in_flight: 2048,
             bytes: Bytes(64.0 * 1024.0 * 1024.0),
             loop_share: Share(0.85),
-            turning_share: Share(0.1),
-            newcomers: Share(0.0625),
-            resident_tenants: 1024,
-            rest_after: Span(30_000.0),
+            rejection_share: Share(0.1),
+            idle_reserve: Share(0.0625),
+            max_active_tenants: 1024,
+            idle_timeout: Span(30_000.0),
             seed: None,
         }
     }
@@ -87,14 +91,15 @@
     /// Address and port, on loopback unless `anywhere` is set: tokens pass as they are.
     pub address: String,
     /// Whether the address may be other than loopback.
-    pub anywhere: bool,
+    #[serde(rename = "anywhere")]
+    pub allow_remote: bool,
 }
 
 impl Default for Admin {
     fn default() -> Self {
         Admin {
             address: "127.0.0.1:7070".into(),
-            anywhere: false,
+            allow_remote: false,
         }
     }
 }
@@ -102,7 +107,8 @@
 /// Where versions are kept. It holds from start to end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Durable {
+#[schemars(rename = "Durable")]
+pub struct StateStore {
     /// The directory; made if it is not there.
     #[schemars(length(min = 1))]
     pub directory: String,
@@ -159,8 +165,8 @@
     #[serde(default)]
     pub when_cut_off: WhenCutOff,
     /// A request waits for so long at most for a change to take hold.
-    #[serde(default = "hold")]
-    pub hold: Span,
+    #[serde(rename = "hold", default = "hold")]
+    pub max_wait: Span,
     /// A refused client is asked to come again after about so long.
     #[serde(default = "second")]
     pub retry_after: Span,
@@ -175,8 +181,8 @@
     #[serde(default)]
     pub when_list_unknown: WhenListUnknown,
     /// Answers, and requests to servers, tell by X-Canvascart-Decided under which version and when they were decided.
-    #[serde(default)]
-    pub stamps: bool,
+    #[serde(rename = "stamps", default)]
+    pub send_stamps: bool,
 }
 
 /// What an instance does that lacks tenants' lists when it has waited for long enough after its start.
@@ -187,7 +193,8 @@
     #[default]
     Serve,
     /// It refuses all until the last list is known.
-    Refuse,
+    #[serde(rename = "refuse")]
+    Reject,
 }
 
 /// What an instance does that hears from nobody.
@@ -196,7 +203,8 @@
 pub enum WhenCutOff {
     /// Its lease runs out, and it refuses; changes go on without it.
     #[default]
-    Refuse,
+    #[serde(rename = "refuse")]
+    Reject,
     /// It serves on; a change waits for it, and is given up at its deadline.
     Serve,
 }
@@ -287,8 +295,8 @@
     #[schemars(length(min = 1, max = 64))]
     pub classes: Vec<Class>,
     /// Where its list of servers is followed; without it, `server` is the list.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<Fleet>,
+    #[serde(rename = "fleet", default, skip_serializing_if = "Option::is_none")]
+    pub discovery: Option<DiscoverySettings>,
     /// Its servers.
     #[serde(rename = "server", default)]
     #[schemars(length(max = 10_000))]
@@ -298,7 +306,8 @@
 /// Where a tenant's list of servers is followed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Fleet {
+#[schemars(rename = "Fleet")]
+pub struct DiscoverySettings {
     /// Members of etcd, such as `http://127.0.0.1:2379`.
     #[schemars(length(min = 1, max = 16))]
     pub etcd: Vec<String>,
@@ -314,11 +323,11 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub user_file: Option<String>,
     /// When more than this part of the servers with leases lose them together, they are held for `hold`; 100 % for never.
-    #[serde(default = "half")]
-    pub guard: Share,
+    #[serde(rename = "guard", default = "half")]
+    pub mass_expiry_ratio: Share,
     /// As above.
-    #[serde(default = "minute")]
-    pub hold: Span,
+    #[serde(rename = "hold", default = "minute")]
+    pub retention: Span,
 }
 
 fn prefix() -> String {
@@ -377,13 +386,17 @@
     #[schemars(range(min = 1, max = 10))]
     pub max_attempts: u32,
     /// The part of its capacity that a server has when it has just started.
-    pub cold_from: Share,
+    #[serde(rename = "cold-from")]
+    pub initial_capacity: Share,
     /// How long a server takes until it has all of it.
-    pub cold: Span,
+    #[serde(rename = "cold")]
+    pub warm_up: Span,
     /// A connection to a server that is not up within this span has failed.
-    pub dial_timeout: Span,
+    #[serde(rename = "dial-timeout")]
+    pub connect_timeout: Span,
     /// A server closes a connection that has stood idle for this span.
-    pub idle_close: Span,
+    #[serde(rename = "idle-close")]
+    pub idle_timeout: Span,
     /// The longest wait that a refused client is asked for.
     pub retry_after: Span,
     /// The zone that this process stands in.
@@ -395,10 +408,10 @@
     fn default() -> Self {
         Rules {
             max_attempts: 3,
-            cold_from: Share(0.2),
-            cold: Span(10_000.0),
-            dial_timeout: Span(250.0),
-            idle_close: Span(15_000.0),
+            initial_capacity: Share(0.2),
+            warm_up: Span(10_000.0),
+            connect_timeout: Span(250.0),
+            idle_timeout: Span(15_000.0),
             retry_after: Span(2000.0),
             zone: None,
         }
@@ -413,18 +426,20 @@
     #[schemars(regex(pattern = r"^[A-Za-z0-9._~-]{1,64}$"))]
     pub name: String,
     /// Whether a request may run more than once.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// An answer within this span earns the full worth.
-    pub aim: Span,
+    #[serde(rename = "aim")]
+    pub latency_objective: Span,
     /// The whole wait that a client is ready for.
     pub deadline: Span,
     /// What an answer in time is worth, beside other classes.
-    #[serde(default = "one")]
+    #[serde(rename = "worth", default = "one")]
     #[schemars(range(min = 0.0, max = 1e6))]
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of it that a late answer still earns.
-    #[serde(default)]
-    pub late_worth: Share,
+    #[serde(rename = "late-worth", default)]
+    pub late_weight_fraction: Share,
 }
 
 fn one() -> f64 {
@@ -434,11 +449,14 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
+#[schemars(rename = "Effect")]
+pub enum Idempotency {
     /// Repeating it does no harm (a lookup; GET).
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// It must never run twice (a checkout; POST).
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
 /// A server of a tenant.
@@ -451,15 +469,15 @@
     /// Address and port.
     pub address: String,
     /// Requests that it works on at once, about.
-    #[serde(default = "size")]
+    #[serde(rename = "size", default = "size")]
     #[schemars(range(min = 0.01, max = 10_000.0))]
-    pub size: f64,
+    pub capacity: f64,
     /// Where it stands.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Its kind of machine.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
+    #[serde(rename = "kind", default, skip_serializing_if = "Option::is_none")]
+    pub machine_type: Option<String>,
     /// Whether it takes new work.
     #[serde(default)]
     pub state: State,
--- a/crates/multi-tenant/src/lib.rs
+++ b/crates/multi-tenant/src/lib.rs
@@ -9,11 +9,11 @@
 //! It decides nothing about servers or retries: each tenant's decision module does. What tenants share is divided by
 //! `tenancy`; what is over a tenant's share, its module refuses.
 
-mod book;
+mod accounts;
 pub mod catalog;
-pub mod check;
-pub mod digest;
+pub mod data_plane;
 pub mod document;
+pub mod inactive_state;
 pub mod plan;
-pub mod plane;
 pub mod routes;
+pub mod validation;
--- a/crates/multi-tenant/src/plan.rs
+++ b/crates/multi-tenant/src/plan.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Change {
     /// Its classes or rules are others: it gets a new module. Requests under way end under the old one.
-    pub pool: bool,
+    pub settings: bool,
     /// Its servers are others; what the module has learned of those that stay is kept.
     pub servers: bool,
     /// Its limits are others.
@@ -21,7 +21,7 @@
 
 impl Change {
     /// Whether nothing is other.
-    pub fn is_none(self) -> bool {
+    pub fn is_empty(self) -> bool {
         self == Change::default()
     }
 }
@@ -59,7 +59,7 @@
                     let (Some((_, was)), Some((_, is))) = (was, is) else {
                         // What is damaged is made anew of what there is now.
                         let all = Change {
-                            pool: true,
+                            settings: true,
                             servers: true,
                             limits: true,
                         };
@@ -69,17 +69,17 @@
                     };
                     plan.routes |= was.hosts != is.hosts;
                     let change = Change {
-                        pool: was.classes != is.classes || was.rules != is.rules,
-                        servers: was.servers != is.servers || was.fleet != is.fleet,
+                        settings: was.classes != is.classes || was.rules != is.rules,
+                        servers: was.servers != is.servers || was.discovery != is.discovery,
                         limits: was.limits != is.limits,
                     };
-                    if !change.is_none() {
+                    if !change.is_empty() {
                         plan.changed.insert(name.to_string(), change);
                     }
                 }
             }
         }
-        let (before, after) = (&old.frame().listeners, &new.frame().listeners);
+        let (before, after) = (&old.base().listeners, &new.base().listeners);
         let at = |l: &Listener| (l.name.clone(), l.address.clone());
         let stays = |all: &[Listener], l: &Listener| all.iter().any(|o| at(o) == at(l));
         plan.opened = after
@@ -105,24 +105,24 @@
 /// A change with all that can be worked out ahead of it, so that carrying it out takes the event loop little time however
 /// many tenants there are.
 #[derive(Clone, Debug)]
-pub struct Prepared {
+pub struct PreparedChange {
     /// The service as it is to be.
     pub next: Catalog,
     /// What that comes to.
     pub plan: Plan,
     /// Servers with limits whose users, or these users' weights, may be others.
-    pub(crate) limited: BTreeSet<String>,
+    pub(crate) limited_servers: BTreeSet<String>,
     /// Tenants that come or change, and whose list is followed.
-    pub(crate) followed: BTreeSet<String>,
+    pub(crate) discovered_tenants: BTreeSet<String>,
     /// Servers that come, or come under another address, of tenants that change: their numbers, and whether they are warm.
-    pub(crate) brought: BTreeMap<String, Vec<(u64, bool)>>,
+    pub(crate) new_servers: BTreeMap<String, Vec<(u64, bool)>>,
 }
 
-impl Prepared {
+impl PreparedChange {
     /// What leads from one version to another.
     pub fn between(old: &Catalog, next: Catalog) -> Self {
         let plan = Plan::between(old, &next);
-        let (mut limited, mut followed, mut brought) =
+        let (mut limited_servers, mut discovered_tenants, mut new_servers) =
             (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
         for name in plan
             .added
@@ -134,11 +134,11 @@
             let (was, is) = (of(old), of(&next));
             for tenant in was.iter().chain(&is) {
                 let of = tenant.servers.iter().filter(|s| s.connections.is_some());
-                limited.extend(of.map(|s| s.address.clone()));
+                limited_servers.extend(of.map(|s| s.address.clone()));
             }
             let Some(is) = is else { continue };
-            if is.fleet.is_some() {
-                followed.insert(name.clone());
+            if is.discovery.is_some() {
+                discovered_tenants.insert(name.clone());
             }
             if plan.changed.get(name).is_some_and(|c| c.servers) {
                 let before: BTreeMap<&str, &str> = was
@@ -152,22 +152,22 @@
                     .iter()
                     .filter(comes)
                     .map(|s| (stable_hash(&s.name), s.warm));
-                brought.insert(name.clone(), comes.collect());
+                new_servers.insert(name.clone(), comes.collect());
             }
         }
-        Prepared {
+        PreparedChange {
             next,
             plan,
-            limited,
-            followed,
-            brought,
+            limited_servers,
+            discovered_tenants,
+            new_servers,
         }
     }
 }
 
 /// The servers that a version ends, by tenant: those that take new work under the one before, and drain or are gone with it. Where
 /// a tenant would have none left meanwhile they are not named: it needs what comes with the new version first.
-pub fn ended(old: &Catalog, new: &Catalog) -> BTreeMap<String, BTreeSet<String>> {
+pub fn ended_servers(old: &Catalog, new: &Catalog) -> BTreeMap<String, BTreeSet<String>> {
     let up = |t: Tenant| -> BTreeSet<String> {
         t.servers
             .into_iter()
@@ -197,12 +197,12 @@
 
 /// When a tenant's servers started, on Unix time in ms, as far as the service knows; 0 for long ago.
 #[derive(Clone, Debug, Default)]
-pub struct Births(BTreeMap<String, (String, f64)>);
+pub struct StartTimes(BTreeMap<String, (String, f64)>);
 
-impl Births {
+impl StartTimes {
     /// Takes note of a version's servers. Those of the first version, and those that are said to be warm, are old; others
     /// that were not there or have another address have just started.
-    pub fn note(&mut self, servers: &[Server], first: bool, now_ms: f64) {
+    pub fn update(&mut self, servers: &[Server], first: bool, now_ms: f64) {
         let old = std::mem::take(&mut self.0);
         for s in servers {
             let known = old
@@ -218,13 +218,13 @@
     }
 
     /// As they were told before, by the servers' names.
-    pub(crate) fn known(servers: &[Server], born: impl Fn(&Server) -> f64) -> Self {
+    pub(crate) fn restore(servers: &[Server], born: impl Fn(&Server) -> f64) -> Self {
         let one = |s: &Server| (s.name.clone(), (s.address.clone(), born(s)));
-        Births(servers.iter().map(one).collect())
+        StartTimes(servers.iter().map(one).collect())
     }
 
     /// When a server started.
-    pub fn of(&self, name: &str) -> f64 {
+    pub fn get(&self, name: &str) -> f64 {
         self.0.get(name).map_or(0.0, |(_, born)| *born)
     }
 }
--- a/crates/multi-tenant/src/routes.rs
+++ b/crates/multi-tenant/src/routes.rs
@@ -21,18 +21,18 @@
 
 /// No tenant is named, or none that is there; which of both is nobody's business.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoTenant;
+pub struct UnknownTenant;
 
 impl Routes {
     /// The table of a version.
-    pub fn of(catalog: &Catalog) -> Self {
+    pub fn new(catalog: &Catalog) -> Self {
         let way = |l: &crate::document::Listener| match l.tenant_by {
             TenantBy::Listener => Way::Tenant(l.tenant.clone().unwrap_or_default()),
             TenantBy::Host => Way::Host,
             TenantBy::Header => Way::Header,
         };
         let listeners = catalog
-            .frame()
+            .base()
             .listeners
             .iter()
             .map(|l| (l.name.clone(), way(l)))
@@ -49,7 +49,7 @@
     }
 
     /// The tenant whose all requests of a listener are.
-    pub fn owner(&self, listener: &str) -> Option<&str> {
+    pub fn dedicated_tenant(&self, listener: &str) -> Option<&str> {
         match self.listeners.get(listener) {
             Some(Way::Tenant(name)) => Some(name),
             _ => None,
@@ -65,18 +65,18 @@
         listener: &str,
         host: Option<&str>,
         header: Option<&str>,
-    ) -> Result<&Name, NoTenant> {
-        let found = match self.listeners.get(listener).ok_or(NoTenant)? {
-            Way::Tenant(name) => self.catalog.name(name),
-            Way::Host => self.catalog.host(host.ok_or(NoTenant)?),
-            Way::Header => self.catalog.name(header.ok_or(NoTenant)?),
+    ) -> Result<&Name, UnknownTenant> {
+        let found = match self.listeners.get(listener).ok_or(UnknownTenant)? {
+            Way::Tenant(name) => self.catalog.find_name(name),
+            Way::Host => self.catalog.tenant_of_host(host.ok_or(UnknownTenant)?),
+            Way::Header => self.catalog.find_name(header.ok_or(UnknownTenant)?),
         };
-        found.ok_or(NoTenant)
+        found.ok_or(UnknownTenant)
     }
 }
 
 /// A host as it is compared: without its port and a last dot, in small letters (RFC 9110, 4.2.3).
-pub fn normal(host: &str) -> String {
+pub fn normalize_host(host: &str) -> String {
     let host = host.trim();
     let name = match host.rsplit_once(':') {
         // Brackets hold an IPv6 address, whose colons are its own.
--- a/crates/multi-tenant/src/check.rs
+++ b/crates/multi-tenant/src/validation.rs
@@ -7,13 +7,13 @@
 
 use crate::catalog::Catalog;
 use crate::document::{Cluster, Service, Tenant, TenantBy};
-use crate::routes::normal;
+use crate::routes::normalize_host;
 
 /// Reads a service's configuration.
 ///
 /// # Errors
 /// All that is wrong with it, each with line and key.
-pub fn read(file: &str, text: &str) -> Result<Service, DocumentError> {
+pub fn parse(file: &str, text: &str) -> Result<Service, DocumentError> {
     let at_start = |what: String| DocumentError {
         file: file.to_owned(),
         problems: vec![Problem {
@@ -22,7 +22,9 @@
             what,
         }],
     };
-    let (service, places) = form().map_err(at_start)?.read_toml::<Service>(file, text)?;
+    let (service, places) = schema_form()
+        .map_err(at_start)?
+        .read_toml::<Service>(file, text)?;
     let problem = |f: Fault| {
         let key = f.key();
         Problem {
@@ -31,7 +33,7 @@
             what: f.what,
         }
     };
-    let problems: Vec<Problem> = faults(&service).into_iter().map(problem).collect();
+    let problems: Vec<Problem> = validate(&service).into_iter().map(problem).collect();
     if problems.is_empty() {
         Ok(service)
     } else {
@@ -43,14 +45,16 @@
 ///
 /// # Errors
 /// As [`Form::of`].
-pub fn form() -> Result<Form, String> {
+pub fn schema_form() -> Result<Form, String> {
     Form::of::<Service>()
 }
 
 /// What is wrong with a service whose form is right.
-pub fn faults(service: &Service) -> Vec<Fault> {
+pub fn validate(service: &Service) -> Vec<Fault> {
     let names: BTreeSet<&str> = service.tenants.iter().map(|t| t.name.as_str()).collect();
-    let mut faults = Faults(around(service, |name| names.contains(name)));
+    let mut faults = Faults(validate_without_tenants(service, |name| {
+        names.contains(name)
+    }));
     faults.once(
         "/tenant",
         service.tenants.iter().map(|t| t.name.as_str()),
@@ -63,7 +67,7 @@
         tenant(&mut faults, &at, t);
         for (h, host) in t.hosts.iter().enumerate() {
             if hosts
-                .insert(normal(host), i)
+                .insert(normalize_host(host), i)
                 .is_some_and(|other| other != i)
             {
                 faults.put(&format!("{at}/hosts/{h}"), "it is another tenant's, too");
@@ -86,19 +90,19 @@
 }
 
 /// What is wrong with a service whose form is right, but for its tenants, of which these are there.
-pub fn around(service: &Service, is_there: impl Fn(&str) -> bool) -> Vec<Fault> {
+pub fn validate_without_tenants(service: &Service, is_there: impl Fn(&str) -> bool) -> Vec<Fault> {
     let mut faults = Faults::default();
     let p = &service.process;
     faults.within("/process/loop-share", p.loop_share.0, 0.01, 1.0);
-    faults.within("/process/turning-share", p.turning_share.0, 0.001, 1.0);
-    if p.loop_share.0 + p.turning_share.0 > 1.0 {
+    faults.within("/process/turning-share", p.rejection_share.0, 0.001, 1.0);
+    if p.loop_share.0 + p.rejection_share.0 > 1.0 {
         faults.put(
             "/process/turning-share",
             "with loop-share it is more than the whole loop",
         );
     }
-    faults.within("/process/newcomers", p.newcomers.0, 0.0, 0.5);
-    if !(1_000.0..=86_400_000.0).contains(&p.rest_after.0) {
+    faults.within("/process/newcomers", p.idle_reserve.0, 0.0, 0.5);
+    if !(1_000.0..=86_400_000.0).contains(&p.idle_timeout.0) {
         faults.put("/process/rest-after", "it is not from 1 s to 24 h");
     }
     faults.once(
@@ -136,7 +140,7 @@
             .address
             .parse::<SocketAddr>()
             .is_ok_and(|a| !a.ip().is_loopback())
-            && !admin.anywhere
+            && !admin.allow_remote
         {
             faults.put(
                 "/admin/address",
@@ -170,7 +174,10 @@
 /// What is wrong with a change of a service that is right: for each fault which of the edits it is in, with a pointer into that
 /// tenant's document, or none where it is in what does not change and no longer fits, with a pointer into the whole. It looks at what
 /// changes and at what that touches, and at nothing else.
-pub fn edits(now: &Catalog, edits: &[(String, Option<Tenant>)]) -> Vec<(Option<usize>, Fault)> {
+pub fn validate_edits(
+    now: &Catalog,
+    edits: &[(String, Option<Tenant>)],
+) -> Vec<(Option<usize>, Fault)> {
     let mut all = Vec::new();
     let place: BTreeMap<&str, usize> = edits
         .iter()
@@ -185,7 +192,7 @@
         let Some(t) = tenant else {
             let names = |l: &crate::document::Listener| l.tenant.as_deref() == Some(name);
             for (l, _) in now
-                .frame()
+                .base()
                 .listeners
                 .iter()
                 .enumerate()
@@ -198,9 +205,9 @@
         };
         self::tenant(&mut faults, "", t);
         for (h, host) in t.hosts.iter().enumerate() {
-            let others = now.host(host).is_some_and(|of| stays(of))
+            let others = now.tenant_of_host(host).is_some_and(|of| stays(of))
                 || hosts
-                    .insert(normal(host), i)
+                    .insert(normalize_host(host), i)
                     .is_some_and(|other| other != i);
             if others {
                 faults.put(&format!("/hosts/{h}"), "it is another tenant's, too");
@@ -211,7 +218,7 @@
                 continue;
             };
             let other = now
-                .users(&server.address)
+                .users_of_server(&server.address)
                 .find(|(of, _)| stays(of))
                 .map(|(_, limit)| limit);
             let (first, whose) = *limits.entry(&server.address).or_insert((connections, i));
@@ -246,7 +253,7 @@
     faults.within("/cluster/lease", c.lease.0, 500.0, 600_000.0);
     faults.within("/cluster/change-lease", c.change_lease.0, 500.0, 600_000.0);
     faults.within("/cluster/drift", c.drift.0, 0.0, 0.2);
-    faults.within("/cluster/hold", c.hold.0, 0.0, 10_000.0);
+    faults.within("/cluster/hold", c.max_wait.0, 0.0, 10_000.0);
     faults.within("/cluster/retry-after", c.retry_after.0, 1.0, 3.6e6);
     faults.within("/cluster/list-wait", c.list_wait.0, 0.0, 3.6e6);
     if c.change_lease.0 > c.lease.0 {
@@ -284,11 +291,11 @@
         );
         faults.within(
             &format!("{at}/class/{i}/late-worth"),
-            c.late_worth.0,
+            c.late_weight_fraction.0,
             0.0,
             1.0,
         );
-        if c.aim.0 > c.deadline.0 || c.aim.0 <= 0.0 {
+        if c.latency_objective.0 > c.deadline.0 || c.latency_objective.0 <= 0.0 {
             faults.put(
                 &format!("{at}/class/{i}/aim"),
                 "it is more than nothing and at most the deadline",
@@ -306,20 +313,20 @@
     }
     faults.within(
         &format!("{at}/rules/cold-from"),
-        t.rules.cold_from.0,
+        t.rules.initial_capacity.0,
         0.01,
         1.0,
     );
-    faults.within(&format!("{at}/rules/cold"), t.rules.cold.0, 0.0, 3.6e6);
+    faults.within(&format!("{at}/rules/cold"), t.rules.warm_up.0, 0.0, 3.6e6);
     faults.within(
         &format!("{at}/rules/dial-timeout"),
-        t.rules.dial_timeout.0,
+        t.rules.connect_timeout.0,
         1.0,
         60_000.0,
     );
     faults.within(
         &format!("{at}/rules/idle-close"),
-        t.rules.idle_close.0,
+        t.rules.idle_timeout.0,
         100.0,
         3.6e6,
     );
@@ -329,7 +336,7 @@
         1.0,
         3.6e6,
     );
-    if let Some(fleet) = &t.fleet {
+    if let Some(fleet) = &t.discovery {
         if !t.servers.is_empty() {
             faults.put(
                 &format!("{at}/server"),
@@ -347,8 +354,13 @@
                 );
             }
         }
-        faults.within(&format!("{at}/fleet/guard"), fleet.guard.0, 0.01, 1.0);
-        faults.within(&format!("{at}/fleet/hold"), fleet.hold.0, 0.0, 3.6e6);
+        faults.within(
+            &format!("{at}/fleet/guard"),
+            fleet.mass_expiry_ratio.0,
+            0.01,
+            1.0,
+        );
+        faults.within(&format!("{at}/fleet/hold"), fleet.retention.0, 0.0, 3.6e6);
     }
     for (i, s) in t.servers.iter().enumerate() {
         faults.address(&format!("{at}/server/{i}/address"), &s.address);
--- a/crates/multi-tenant/tests/residents.rs
+++ b/crates/multi-tenant/tests/activation.rs
@@ -1,6 +1,6 @@
 //! Tenants at rest, their waking and their going to rest again, with changes, drains, crowds, damage and a restart in between.
 
-#[path = "plane/mod.rs"]
+#[path = "data_plane/mod.rs"]
 mod stage;
 
 use std::rc::Rc;
@@ -9,10 +9,10 @@
 use config_parser::units::Span;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue};
-use multi_tenant::catalog::Parts;
-use multi_tenant::document::{Fleet, Process, State, Tenant};
-use multi_tenant::plan::Prepared;
-use multi_tenant::plane::Plane;
+use multi_tenant::catalog::PartInterner;
+use multi_tenant::data_plane::DataPlane;
+use multi_tenant::document::{DiscoverySettings, Process, State, Tenant};
+use multi_tenant::plan::PreparedChange;
 use proxy_core::service::{RouteError, Router};
 use stage::{Backend, ask, local, plane, server, tenant};
 use tokio::time::sleep;
@@ -36,19 +36,19 @@
 }
 
 /// A resident's servers: name, whether it has just started, whether it takes new work.
-fn fresh(plane: &Plane, name: &str) -> Vec<(String, bool, bool)> {
+fn fresh(plane: &DataPlane, name: &str) -> Vec<(String, bool, bool)> {
     plane
-        .servers_of(name)
+        .endpoints_of(name)
         .into_iter()
         .map(|(name, born, up)| (name, born > 0.0, up))
         .collect()
 }
 
-fn names(plane: &Plane) -> Vec<String> {
+fn names(plane: &DataPlane) -> Vec<String> {
     plane
         .status(usize::MAX)
         .into_iter()
-        .filter(|t| t.resident)
+        .filter(|t| t.active)
         .map(|t| t.name)
         .collect()
 }
@@ -61,10 +61,13 @@
             (0..50).map(|n| tenant(n, &[])).collect(),
         );
         assert_eq!(
-            (plane.residency().tenants, plane.residency().resident),
+            (
+                plane.activation_status().tenants,
+                plane.activation_status().active
+            ),
             (50, 0)
         );
-        let way = plane.way("all");
+        let way = plane.router("all");
         let held = pool(&way, "t00007").await.expect("it wakes");
         assert!(matches!(
             pool(&way, "nobody").await,
@@ -73,19 +76,22 @@
         assert_eq!(names(&plane), ["t00007"]);
         let status = plane.status_of("t00007").expect("it is there");
         sleep(Duration::from_secs(1)).await;
-        assert!(status.resident && plane.status_of("t00007").expect("it is there").ready);
+        assert!(status.active && plane.status_of("t00007").expect("it is there").ready);
         // While somebody holds it, it stays.
         sleep(Duration::from_secs(3600)).await;
-        assert_eq!(plane.residency().resident, 1);
+        assert_eq!(plane.activation_status().active, 1);
         let before = plane.status_of("t00007").expect("it is there").loop_ms;
         drop(held);
         sleep(Duration::from_secs(120)).await;
         assert_eq!(
-            (plane.residency().resident, plane.residency().rests),
+            (
+                plane.activation_status().active,
+                plane.activation_status().deactivations
+            ),
             (0, 1)
         );
         let after = plane.status_of("t00007").expect("it is there");
-        assert!(!after.resident && after.ready && after.servers == [2, 2]);
+        assert!(!after.active && after.ready && after.servers == [2, 2]);
         assert!(
             before > 0.0 && after.loop_ms >= before,
             "figures go on: {before}, {}",
@@ -104,11 +110,11 @@
 async fn the_bound_holds_and_who_waits_is_told_when_to_come() {
     local(async {
         let process = Process {
-            resident_tenants: 4,
+            max_active_tenants: 4,
             ..Process::default()
         };
         let plane = plane(process, (0..50).map(|n| tenant(n, &[])).collect());
-        let way = plane.way("all");
+        let way = plane.router("all");
         let mut held = Vec::new();
         for n in 0..4 {
             held.push(
@@ -128,7 +134,10 @@
             Err(RouteError::RetryAfter(_))
         ));
         assert_eq!(
-            (plane.residency().resident, plane.residency().waiting),
+            (
+                plane.activation_status().active,
+                plane.activation_status().waiting
+            ),
             (4, 2)
         );
         drop(held.swap_remove(1));
@@ -143,9 +152,9 @@
         ));
         drop(pool(&way, "t00010").await.expect("it is its turn"));
         assert_eq!(names(&plane), ["t00000", "t00002", "t00003", "t00010"]);
-        let figures = plane.residency();
+        let figures = plane.activation_status();
         assert_eq!(
-            (figures.evictions, figures.refused, figures.wakes),
+            (figures.evictions, figures.deferrals, figures.activations),
             (1, 4, 5)
         );
         // A resident one is served all the while.
@@ -161,7 +170,7 @@
             Process::default(),
             (0..1001).map(|n| tenant(n, &[])).collect(),
         );
-        let way = Rc::new(plane.way("all"));
+        let way = Rc::new(plane.router("all"));
         drop(pool(&*way, "t01000").await.expect("it wakes"));
         sleep(Duration::from_secs(1)).await;
         let wakes = Rc::new(std::cell::Cell::new(0));
@@ -195,7 +204,7 @@
             "{most} were woken between two turns of the busy one"
         );
         assert!(turns >= 125, "the busy one had {turns} turns meanwhile");
-        assert_eq!(plane.residency().wakes, 1001);
+        assert_eq!(plane.activation_status().activations, 1001);
     })
     .await;
 }
@@ -204,13 +213,13 @@
 async fn a_change_of_what_is_at_rest_wakes_nobody_and_holds_from_the_next_request_on() {
     local(async {
         let plane = plane(Process::default(), (0..9).map(|n| tenant(n, &[])).collect());
-        let way = plane.way("all");
-        let mut parts = Parts::default();
-        let change = |parts: &mut Parts, tenant: &Tenant| {
+        let way = plane.router("all");
+        let mut parts = PartInterner::default();
+        let change = |parts: &mut PartInterner, tenant: &Tenant| {
             let mut next = plane.catalog();
-            next.put(parts, tenant, 1);
+            next.insert(parts, tenant, 1);
             plane
-                .carry_out(Prepared::between(&plane.catalog(), next))
+                .apply_prepared(PreparedChange::between(&plane.catalog(), next))
                 .expect("it can be carried out");
         };
         // Its servers, its classes.
@@ -219,14 +228,14 @@
         other.servers[0].state = State::Draining;
         other.classes[0].name = "search".into();
         change(&mut parts, &other);
-        assert_eq!(plane.residency().resident, 0);
+        assert_eq!(plane.activation_status().active, 0);
         let status = plane.status_of("t00001").expect("it is there");
-        assert_eq!((status.servers, status.resident), ([2, 3], false));
+        assert_eq!((status.servers, status.active), ([2, 3], false));
         // What it brings has just started, and that is remembered until it wakes.
-        assert_eq!(plane.residency().remembered, 1);
+        assert_eq!(plane.activation_status().retained_entries, 1);
         drop(pool(&way, "t00001").await.expect("it wakes"));
         sleep(Duration::from_millis(10)).await;
-        assert_eq!(plane.residency().remembered, 0);
+        assert_eq!(plane.activation_status().retained_entries, 0);
         let told: Vec<(String, bool, bool)> = fresh(&plane, "t00001");
         let told: Vec<(&str, bool, bool)> =
             told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
@@ -241,7 +250,7 @@
         // It goes and comes back while it is at rest: all its servers are new.
         let mut next = plane.catalog();
         next.remove("t00002");
-        plane.go_over(next).expect("it can be carried out");
+        plane.apply_catalog(next).expect("it can be carried out");
         assert!(matches!(
             pool(&way, "t00002").await,
             Err(RouteError::Status(StatusCode::NOT_FOUND, _))
@@ -262,10 +271,10 @@
         // And it may not rest before that has ended.
         drop(after);
         sleep(Duration::from_secs(3600)).await;
-        assert!(plane.status_of("t00003").expect("it is there").resident);
+        assert!(plane.status_of("t00003").expect("it is there").active);
         drop(before);
         sleep(Duration::from_secs(120)).await;
-        assert_eq!(plane.residency().resident, 0);
+        assert_eq!(plane.activation_status().active, 0);
     })
     .await;
 }
@@ -277,7 +286,7 @@
             Process::default(),
             (0..20).map(|n| tenant(n, &[])).collect(),
         );
-        let way = plane.way("all");
+        let way = plane.router("all");
         let uri = "/lookup".parse().expect("a target");
         let find = |name: &str, turn| way.pool(&uri, &named(name), turn);
         // All turns of this round are taken, so that who is routed now wakes in a later one.
@@ -301,21 +310,21 @@
             );
         }
         // Meanwhile one has another list and other classes, one is gone, and one goes and comes back as another.
-        let mut parts = Parts::default();
+        let mut parts = PartInterner::default();
         let mut other = tenant(10, &[]);
         other.servers[0].state = State::Draining;
         other.servers.push(server("s9", "127.0.0.1:9"));
         other.classes[0].name = "search".into();
         let mut next = plane.catalog();
-        next.put(&mut parts, &other, 2);
+        next.insert(&mut parts, &other, 2);
         next.remove("t00011");
         next.remove("t00012");
-        plane.go_over(next).expect("it can be carried out");
+        plane.apply_catalog(next).expect("it can be carried out");
         let mut next = plane.catalog();
-        next.put(&mut parts, &tenant(12, &[]), 3);
-        plane.go_over(next).expect("it can be carried out");
+        next.insert(&mut parts, &tenant(12, &[]), 3);
+        plane.apply_catalog(next).expect("it can be carried out");
         assert_eq!(
-            plane.residency().resident,
+            plane.activation_status().active,
             held.len(),
             "no version wakes anybody"
         );
@@ -345,7 +354,7 @@
                 told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
             assert_eq!(told, servers.unwrap_or_default(), "{name}");
         }
-        assert_eq!(plane.residency().resident, held.len() + 2);
+        assert_eq!(plane.activation_status().active, held.len() + 2);
     })
     .await;
 }
@@ -354,12 +363,12 @@
 async fn a_drain_told_while_it_wakes_or_rests_holds() {
     local(async {
         let plane = plane(Process::default(), (0..3).map(|n| tenant(n, &[])).collect());
-        let way = plane.way("all");
+        let way = plane.router("all");
         let off = |name: &str| [(name.to_owned(), ["s0".to_owned()].into())].into();
-        plane.hold_off(&off("t00001"));
+        plane.set_pending_drains(&off("t00001"));
         let up = |name: &str| {
             plane
-                .servers_of(name)
+                .endpoints_of(name)
                 .into_iter()
                 .map(|(_, _, up)| up)
                 .collect::<Vec<_>>()
@@ -367,13 +376,13 @@
         drop(pool(&way, "t00001").await.expect("it wakes"));
         assert_eq!(up("t00001"), [false, true], "held off while at rest");
         drop(pool(&way, "t00002").await.expect("it wakes"));
-        plane.hold_off(&off("t00002")); // its driver has not had its first turn yet
+        plane.set_pending_drains(&off("t00002")); // its driver has not had its first turn yet
         assert_eq!(
             (up("t00001"), up("t00002")),
             (vec![true, true], vec![false, true])
         );
         sleep(Duration::from_secs(120)).await;
-        assert_eq!(plane.residency().resident, 0);
+        assert_eq!(plane.activation_status().active, 0);
         drop(pool(&way, "t00002").await.expect("it wakes"));
         assert_eq!(up("t00002"), [false, true], "and over its rest");
     })
@@ -384,10 +393,10 @@
 async fn damage_is_one_tenants_until_it_is_changed() {
     local(async {
         let plane = plane(Process::default(), (0..3).map(|n| tenant(n, &[])).collect());
-        let way = plane.way("all");
+        let way = plane.router("all");
         let mut spoilt = plane.catalog();
-        spoilt.spoil("t00001");
-        plane.go_over(spoilt).expect("it can be carried out");
+        spoilt.corrupt("t00001");
+        plane.apply_catalog(spoilt).expect("it can be carried out");
         for _ in 0..3 {
             let found = pool(&way, "t00001").await.err();
             assert_eq!(
@@ -399,16 +408,19 @@
             );
         }
         assert_eq!(
-            (plane.residency().damaged, plane.residency().resident),
+            (
+                plane.activation_status().damaged,
+                plane.activation_status().active
+            ),
             (1, 0)
         );
         assert!(!plane.status_of("t00001").expect("it is there").ready);
         drop(pool(&way, "t00000").await.expect("others are whole"));
         let mut next = plane.catalog();
-        next.put(&mut Parts::default(), &tenant(1, &[]), 2);
-        plane.go_over(next).expect("it can be carried out");
+        next.insert(&mut PartInterner::default(), &tenant(1, &[]), 2);
+        plane.apply_catalog(next).expect("it can be carried out");
         drop(pool(&way, "t00001").await.expect("it is whole again"));
-        assert_eq!(plane.residency().damaged, 0);
+        assert_eq!(plane.activation_status().damaged, 0);
     })
     .await;
 }
@@ -416,40 +428,43 @@
 #[tokio::test(start_paused = true)]
 async fn a_tenant_whose_list_is_followed_stays_resident() {
     local(async {
-        let fleet = Fleet {
+        let fleet = DiscoverySettings {
             etcd: vec!["http://127.0.0.1:1".into()],
             prefix: "/p".into(),
             pool: None,
             user_file: None,
-            guard: config_parser::units::Share(0.5),
-            hold: Span(60_000.0),
+            mass_expiry_ratio: config_parser::units::Share(0.5),
+            retention: Span(60_000.0),
         };
         let mut tenants: Vec<Tenant> = (0..3).map(|n| tenant(n, &[])).collect();
-        (tenants[1].fleet, tenants[1].servers) = (Some(fleet), Vec::new());
+        (tenants[1].discovery, tenants[1].servers) = (Some(fleet), Vec::new());
         let plane = plane(
             Process {
-                resident_tenants: 1,
+                max_active_tenants: 1,
                 ..Process::default()
             },
             tenants,
         );
         assert_eq!(
-            (names(&plane), plane.residency().pinned),
+            (names(&plane), plane.activation_status().pinned),
             (vec!["t00001".to_owned()], 1)
         );
         sleep(Duration::from_secs(3600)).await;
         drop(
-            pool(&plane.way("all"), "t00000")
+            pool(&plane.router("all"), "t00000")
                 .await
                 .expect("a place is left for others"),
         );
-        assert_eq!(plane.residency().resident, 2);
+        assert_eq!(plane.activation_status().active, 2);
         let mut next = plane.catalog();
-        next.put(&mut Parts::default(), &tenant(1, &[]), 1);
-        plane.go_over(next).expect("it can be carried out");
+        next.insert(&mut PartInterner::default(), &tenant(1, &[]), 1);
+        plane.apply_catalog(next).expect("it can be carried out");
         sleep(Duration::from_secs(3600)).await;
         assert_eq!(
-            (plane.residency().resident, plane.residency().pinned),
+            (
+                plane.activation_status().active,
+                plane.activation_status().pinned
+            ),
             (0, 0),
             "it is like others now"
         );
@@ -464,16 +479,16 @@
         let dead = Backend::dead().await;
         let servers = [server("dead", &dead), server("sound", &sound.address)];
         let process = Process {
-            rest_after: Span(100.0),
+            idle_timeout: Span(100.0),
             ..Process::default()
         };
         let service = || vec![tenant(0, &servers)];
         let plane = plane(process.clone(), service());
-        let address = plane.addresses()["all"];
+        let address = plane.listener_addresses()["all"];
         // Until the dead one was tried and closed.
-        let closed = |plane: &Plane| {
+        let closed = |plane: &DataPlane| {
             plane
-                .standing_of("t00000")
+                .health_of("t00000")
                 .endpoints
                 .iter()
                 .any(|s| s.overall.is_some())
@@ -485,13 +500,15 @@
                 "the other serves what it can't"
             );
         }
-        let before = plane.standing_of("t00000");
-        while plane.residency().resident > 0 {
+        let before = plane.health_of("t00000");
+        while plane.activation_status().active > 0 {
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(plane.residency().remembered > 0);
+        assert!(plane.activation_status().retained_entries > 0);
         // Before it decides anything it knows what the module before it knew.
-        let held = pool(&plane.way("all"), "t00000").await.expect("it wakes");
+        let held = pool(&plane.router("all"), "t00000")
+            .await
+            .expect("it wakes");
         for _ in 0..1000 {
             if closed(&plane) {
                 break;
@@ -500,7 +517,7 @@
         }
         let (was, is) = (
             before.endpoints[0].overall.expect("it is closed"),
-            plane.standing_of("t00000"),
+            plane.health_of("t00000"),
         );
         assert_eq!(
             (is.endpoints.len(), is.endpoints[0].id),
@@ -511,7 +528,7 @@
         assert_eq!(ask(address, "t00000").await, 200);
         // Another process knows nothing, and serves.
         let other = stage::plane(process, service());
-        assert_eq!(ask(other.addresses()["all"], "t00000").await, 200);
+        assert_eq!(ask(other.listener_addresses()["all"], "t00000").await, 200);
     })
     .await;
 }
@@ -521,23 +538,23 @@
     local(async {
         let (old, new) = (Backend::start().await, Backend::start().await);
         let process = Process {
-            rest_after: Span(100.0),
+            idle_timeout: Span(100.0),
             ..Process::default()
         };
         let plane = plane(process, vec![tenant(0, &[server("old", &old.address)])]);
-        let address = plane.addresses()["all"];
+        let address = plane.listener_addresses()["all"];
         assert_eq!(ask(address, "t00000").await, 200);
         let mut next = plane.catalog();
         let mut both = tenant(
             0,
             &[server("old", &old.address), server("new", &new.address)],
         );
-        both.rules.cold = Span(600_000.0);
-        next.put(&mut Parts::default(), &both, 1);
-        plane.go_over(next).expect("it can be carried out");
+        both.rules.warm_up = Span(600_000.0);
+        next.insert(&mut PartInterner::default(), &both, 1);
+        plane.apply_catalog(next).expect("it can be carried out");
         assert_eq!(ask(address, "t00000").await, 200);
-        let cold = |plane: &Plane| {
-            let standing = plane.standing_of("t00000");
+        let cold = |plane: &DataPlane| {
+            let standing = plane.health_of("t00000");
             standing
                 .endpoints
                 .iter()
@@ -545,10 +562,12 @@
                 .expect("one is cold")
         };
         let before = cold(&plane);
-        while plane.residency().resident > 0 {
+        while plane.activation_status().active > 0 {
             sleep(Duration::from_millis(20)).await;
         }
-        let held = pool(&plane.way("all"), "t00000").await.expect("it wakes");
+        let held = pool(&plane.router("all"), "t00000")
+            .await
+            .expect("it wakes");
         sleep(Duration::from_millis(1)).await;
         let after = cold(&plane);
         assert_eq!(
@@ -581,7 +600,7 @@
                 .map(|n| tenant(n, std::slice::from_ref(&limited)))
                 .collect(),
         );
-        let address = plane.addresses()["all"];
+        let address = plane.listener_addresses()["all"];
         backend.answers.send_replace(false);
         let asks: Vec<_> = (0..6)
             .map(|_| tokio::task::spawn_local(ask(address, "t00000")))
@@ -589,10 +608,10 @@
         while backend.seen.get() < 2 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(plane.residency().resident, 1, "the other one rests");
+        assert_eq!(plane.activation_status().active, 1, "the other one rests");
         // One that wakes beside it finds what is held there.
         let other = tokio::task::spawn_local(ask(address, "t00001"));
-        while plane.residency().resident < 2 {
+        while plane.activation_status().active < 2 {
             tokio::task::yield_now().await;
         }
         sleep(Duration::from_millis(50)).await;
@@ -621,11 +640,11 @@
             ..server("one", &backend.address)
         }];
         let process = Process {
-            resident_tenants: 3,
+            max_active_tenants: 3,
             ..Process::default()
         };
         let plane = plane(process, (0..12).map(|n| tenant(n, &servers)).collect());
-        let address = plane.addresses()["all"];
+        let address = plane.listener_addresses()["all"];
         let asks: Vec<_> = (0..12)
             .map(|n| {
                 tokio::task::spawn_local(async move {
@@ -644,13 +663,13 @@
         for one in asks {
             refused += one.await.expect("an answer");
         }
-        let figures = plane.residency();
+        let figures = plane.activation_status();
         assert!(
-            refused > 0 && figures.refused >= refused,
+            refused > 0 && figures.deferrals >= refused,
             "{refused}, {figures:?}"
         );
         assert!(
-            figures.resident <= 3 && figures.wakes == 12 && figures.evictions >= 9,
+            figures.active <= 3 && figures.activations == 12 && figures.evictions >= 9,
             "{figures:?}"
         );
     })
--- a/crates/multi-tenant/tests/catalog.rs
+++ b/crates/multi-tenant/tests/catalog.rs
@@ -1,25 +1,27 @@
 //! Tenants at rest: what is put in comes out, what is the same is held once, a change shares the rest, damage is seen.
 
 use config_parser::units::Span;
-use multi_tenant::catalog::{Catalog, Difference, Parts};
-use multi_tenant::document::{Class, Effect, Fleet, Limits, Rules, Server, Service, State, Tenant};
-use multi_tenant::{check, plan};
+use multi_tenant::catalog::{Catalog, Difference, PartInterner};
+use multi_tenant::document::{
+    Class, DiscoverySettings, Idempotency, Limits, Rules, Server, Service, State, Tenant,
+};
+use multi_tenant::{plan, validation};
 
 fn tenant(n: usize) -> Tenant {
-    let class = |name: &str, effect| Class {
+    let class = |name: &str, idempotency| Class {
         name: name.into(),
-        effect,
-        aim: Span(300.0),
+        idempotency,
+        latency_objective: Span(300.0),
         deadline: Span(1000.0),
-        worth: 1.0,
-        late_worth: config_parser::units::Share(0.5),
+        priority_weight: 1.0,
+        late_weight_fraction: config_parser::units::Share(0.5),
     };
     let server = |i: usize| Server {
         name: format!("s{i}"),
         address: format!("127.0.0.1:{}", 9000 + n % 7 * 10 + i),
-        size: 16.0,
+        capacity: 16.0,
         zone: Some("east".into()),
-        kind: None,
+        machine_type: None,
         state: if i == 3 { State::Draining } else { State::Up },
         connections: (n % 5 == 0 && i == 0).then_some(8),
         warm: i == 1,
@@ -36,10 +38,10 @@
         },
         rules: Rules::default(),
         classes: vec![
-            class("lookup", Effect::Safe),
-            class("checkout", Effect::Unsafe),
+            class("lookup", Idempotency::Idempotent),
+            class("checkout", Idempotency::NonIdempotent),
         ],
-        fleet: None,
+        discovery: None,
         servers: (0..4).map(server).collect(),
     }
 }
@@ -54,42 +56,46 @@
 #[test]
 fn what_is_put_in_comes_out() {
     let service = service(300);
-    let mut parts = Parts::default();
-    let mut catalog = Catalog::of(&service, &mut parts);
+    let mut parts = PartInterner::default();
+    let mut catalog = Catalog::from_service(&service, &mut parts);
     let read: Vec<Tenant> = catalog.iter().map(|t| t.expect("it is whole").1).collect();
     assert_eq!(read, service.tenants);
-    let followed = Fleet {
+    let followed = DiscoverySettings {
         etcd: vec!["http://127.0.0.1:2379".into()],
         prefix: "/p".into(),
         pool: Some("p".into()),
         user_file: None,
-        guard: config_parser::units::Share(0.5),
-        hold: Span(60_000.0),
+        mass_expiry_ratio: config_parser::units::Share(0.5),
+        retention: Span(60_000.0),
     };
     let other = Tenant {
-        fleet: Some(followed),
+        discovery: Some(followed),
         servers: Vec::new(),
         hosts: Vec::new(),
         ..tenant(7)
     };
-    catalog.put(&mut parts, &other, 9);
+    catalog.insert(&mut parts, &other, 9);
     assert_eq!(catalog.get("t00007"), Some(Ok((9, other))));
-    assert_eq!(catalog.host("t00007.example"), None, "its hosts are gone");
     assert_eq!(
-        catalog.host("WWW.T00008.example.").map(|n| &**n),
+        catalog.tenant_of_host("t00007.example"),
+        None,
+        "its hosts are gone"
+    );
+    assert_eq!(
+        catalog.tenant_of_host("WWW.T00008.example.").map(|n| &**n),
         Some("t00008")
     );
     catalog.remove("t00008");
-    assert!(catalog.get("t00008").is_none() && catalog.host("t00008.example").is_none());
+    assert!(catalog.get("t00008").is_none() && catalog.tenant_of_host("t00008.example").is_none());
     assert_eq!(catalog.len(), 299);
 }
 
 #[test]
 fn a_change_leaves_the_one_before_whole_and_is_all_that_differs() {
-    let mut parts = Parts::default();
-    let old = Catalog::of(&service(1000), &mut parts);
+    let mut parts = PartInterner::default();
+    let old = Catalog::from_service(&service(1000), &mut parts);
     let mut new = old.clone();
-    new.put(
+    new.insert(
         &mut parts,
         &Tenant {
             servers: Vec::new(),
@@ -97,8 +103,8 @@
         },
         1,
     );
-    new.put(&mut parts, &tenant(700), 1); // a revision alone is no difference
-    new.put(&mut parts, &tenant(1000), 1);
+    new.insert(&mut parts, &tenant(700), 1); // a revision alone is no difference
+    new.insert(&mut parts, &tenant(1000), 1);
     new.remove("t00010");
     let all: Vec<(&str, &str)> = Catalog::differences(&old, &new)
         .map(|d| match d {
@@ -117,22 +123,27 @@
     );
     assert_eq!(old.get("t00500"), Some(Ok((0, tenant(500)))));
     assert_eq!((old.len(), new.len()), (1000, 1000));
-    assert!(old != new && old == Catalog::of(&service(1000), &mut Parts::default()));
+    assert!(
+        old != new && old == Catalog::from_service(&service(1000), &mut PartInterner::default())
+    );
     // Those that drain already are no more ended by that; who would have none left is not named.
-    let ended = plan::ended(&old, &new);
+    let ended = plan::ended_servers(&old, &new);
     assert!(ended.is_empty(), "{ended:?}");
     let mut fewer = tenant(600);
     fewer.servers.remove(0);
-    new.put(&mut parts, &fewer, 2);
-    assert_eq!(plan::ended(&old, &new)["t00600"], ["s0".to_owned()].into());
+    new.insert(&mut parts, &fewer, 2);
+    assert_eq!(
+        plan::ended_servers(&old, &new)["t00600"],
+        ["s0".to_owned()].into()
+    );
 }
 
 #[test]
 fn who_uses_a_server_with_a_limit_is_known() {
-    let mut parts = Parts::default();
-    let mut catalog = Catalog::of(&service(36), &mut parts);
+    let mut parts = PartInterner::default();
+    let mut catalog = Catalog::from_service(&service(36), &mut parts);
     let users = |c: &Catalog| -> Vec<String> {
-        c.users("127.0.0.1:9000")
+        c.users_of_server("127.0.0.1:9000")
             .map(|(n, _)| n.to_string())
             .collect()
     };
@@ -141,7 +152,7 @@
         ["t00000", "t00035"],
         "every fifth has limits, every seventh this server"
     );
-    catalog.put(
+    catalog.insert(
         &mut parts,
         &Tenant {
             servers: Vec::new(),
@@ -156,9 +167,9 @@
 
 #[test]
 fn damage_is_seen_and_is_one_tenants() {
-    let mut parts = Parts::default();
-    let mut catalog = Catalog::of(&service(50), &mut parts);
-    catalog.spoil("t00020");
+    let mut parts = PartInterner::default();
+    let mut catalog = Catalog::from_service(&service(50), &mut parts);
+    catalog.corrupt("t00020");
     let damaged = catalog
         .get("t00020")
         .expect("it is there")
@@ -170,21 +181,24 @@
     // The part that others share is theirs still.
     assert_eq!(catalog.iter().filter(Result::is_ok).count(), 49);
     // What is put in anew is whole again, and nothing of the damaged one is left behind.
-    catalog.put(&mut parts, &tenant(20), 1);
+    catalog.insert(&mut parts, &tenant(20), 1);
     assert_eq!(catalog.get("t00020"), Some(Ok((1, tenant(20)))));
-    assert_eq!(catalog.users("127.0.0.1:9060").count(), 1);
+    assert_eq!(catalog.users_of_server("127.0.0.1:9060").count(), 1);
     let mut gone = catalog.clone();
-    gone.spoil("t00020");
+    gone.corrupt("t00020");
     gone.remove("t00020");
-    assert!(gone.host("t00020.example").is_none() && gone.users("127.0.0.1:9060").count() == 0);
+    assert!(
+        gone.tenant_of_host("t00020.example").is_none()
+            && gone.users_of_server("127.0.0.1:9060").count() == 0
+    );
 }
 
 #[test]
 fn a_change_is_checked_by_what_it_touches() {
-    let mut parts = Parts::default();
-    let catalog = Catalog::of(&service(20), &mut parts);
+    let mut parts = PartInterner::default();
+    let catalog = Catalog::from_service(&service(20), &mut parts);
     let faults = |edits: &[(String, Option<Tenant>)]| -> Vec<String> {
-        let all = check::edits(&catalog, edits);
+        let all = validation::validate_edits(&catalog, edits);
         all.into_iter()
             .map(|(i, f)| format!("{i:?} {}: {}", f.key(), f.what))
             .collect()
@@ -222,7 +236,7 @@
     assert!(faults(&[edit(other), ("t00000".into(), None)]).is_empty());
     let mut twice = tenant(8);
     twice.servers[1].name = "s0".into();
-    twice.classes[0].aim = Span(0.0);
+    twice.classes[0].latency_objective = Span(0.0);
     let said = faults(&[edit(twice)]);
     assert!(
         said.iter()
--- a/crates/multi-tenant/tests/plane/mod.rs
+++ b/crates/multi-tenant/tests/data_plane/mod.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 
 use config_parser::units::{Share, Span};
+use multi_tenant::data_plane::{DataPlane, StartDiscovery};
 use multi_tenant::document::{
-    Class, Effect, Limits, Listener, Process, Rules, Server, Service, State, Tenant, TenantBy,
+    Class, Idempotency, Limits, Listener, Process, Rules, Server, Service, State, Tenant, TenantBy,
 };
-use multi_tenant::plane::{Follow, Plane};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
@@ -21,7 +21,7 @@
 }
 
 /// Lists that are followed and never come.
-pub fn follow() -> Follow {
+pub fn follow() -> StartDiscovery {
     Box::new(|_, _, _| {
         let (sender, receiver) = tokio::sync::mpsc::unbounded_channel();
         spawn_local(async move { sender.closed().await });
@@ -33,9 +33,9 @@
     Server {
         name: name.into(),
         address: address.into(),
-        size: 16.0,
+        capacity: 16.0,
         zone: None,
-        kind: None,
+        machine_type: None,
         state: State::Up,
         connections: None,
         warm: false,
@@ -46,11 +46,11 @@
 pub fn tenant(n: usize, servers: &[Server]) -> Tenant {
     let class = Class {
         name: "lookup".into(),
-        effect: Effect::Safe,
-        aim: Span(2000.0),
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Span(2000.0),
         deadline: Span(20_000.0),
-        worth: 1.0,
-        late_worth: Share(0.0),
+        priority_weight: 1.0,
+        late_weight_fraction: Share(0.0),
     };
     let none = [server("s0", "127.0.0.1:9"), server("s1", "127.0.0.1:9")];
     Tenant {
@@ -59,7 +59,7 @@
         limits: Limits::default(),
         rules: Rules::default(),
         classes: vec![class],
-        fleet: None,
+        discovery: None,
         servers: if servers.is_empty() {
             none.to_vec()
         } else {
@@ -69,7 +69,7 @@
 }
 
 /// A plane that serves these tenants by one listener.
-pub fn plane(process: Process, tenants: Vec<Tenant>) -> Rc<Plane> {
+pub fn plane(process: Process, tenants: Vec<Tenant>) -> Rc<DataPlane> {
     let listener = Listener {
         name: "all".into(),
         address: "127.0.0.1:0".into(),
@@ -86,7 +86,7 @@
         tenants,
         ..Service::default()
     };
-    let plane = Plane::new(&service.process, follow());
+    let plane = DataPlane::new(&service.process, follow());
     plane.apply(&service).expect("it can be served");
     plane
 }
--- a/crates/multi-tenant/tests/documents.rs
+++ b/crates/multi-tenant/tests/documents.rs
@@ -1,10 +1,10 @@
 //! Documents, routes and plans, without a socket.
 
-use multi_tenant::catalog::{Catalog, Parts};
-use multi_tenant::check;
+use multi_tenant::catalog::{Catalog, PartInterner};
 use multi_tenant::document::{Server, Service, State};
-use multi_tenant::plan::{Births, Change, Plan};
-use multi_tenant::routes::{NoTenant, Routes};
+use multi_tenant::plan::{Change, Plan, StartTimes};
+use multi_tenant::routes::{Routes, UnknownTenant};
+use multi_tenant::validation;
 
 const GOOD: &str = r#"
 [process]
@@ -65,7 +65,7 @@
 "#;
 
 fn good() -> Service {
-    check::read(
+    validation::parse(
         "good.toml",
         &GOOD
             .replace(":0 \"", ":0\"")
@@ -75,7 +75,7 @@
 }
 
 fn at_rest(service: &Service) -> Catalog {
-    Catalog::of(service, &mut Parts::default())
+    Catalog::from_service(service, &mut PartInterner::default())
 }
 
 #[test]
@@ -90,7 +90,7 @@
     assert_eq!(service.tenants[1].rules.max_attempts, 3);
     let catalog = at_rest(&service);
     let users: Vec<(&str, u64)> = catalog
-        .users("127.0.0.1:9001")
+        .users_of_server("127.0.0.1:9001")
         .map(|(n, limit)| (&**n, limit))
         .collect();
     assert_eq!(users, [("north", 8), ("south", 8)]);
@@ -98,7 +98,7 @@
 
 #[test]
 fn all_that_is_wrong_is_named_with_line_and_key() {
-    let errors = |text: &str| check::read("x.toml", text).unwrap_err().to_string();
+    let errors = |text: &str| validation::parse("x.toml", text).unwrap_err().to_string();
     // What the form alone shows.
     let bad = GOOD
         .replace("sockets = 512", "sockets = \"many\"")
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_request_finds_its_tenant_by_host_by_header_or_by_listener() {
-    let routes = Routes::of(&at_rest(&good()));
+    let routes = Routes::new(&at_rest(&good()));
     let find = |listener, host, header| routes.find(listener, host, header).map(|name| &**name);
     for host in ["north.example", "NORTH.example.:8080"] {
         assert_eq!(find("public", Some(host), Some("south")), Ok("north"));
@@ -165,12 +165,15 @@
     ] {
         assert_eq!(
             find(listener, host, header),
-            Err(NoTenant),
+            Err(UnknownTenant),
             "{listener} {host:?} {header:?}"
         );
     }
     assert_eq!(
-        (routes.owner("north-only"), routes.owner("public")),
+        (
+            routes.dedicated_tenant("north-only"),
+            routes.dedicated_tenant("public")
+        ),
         (Some("north"), None)
     );
 }
@@ -203,7 +206,7 @@
     new.tenants.remove(1);
     new.listeners[1].address = "127.0.0.1:8081".into();
     let plan = between(&old, &new);
-    assert!(plan.changed["north"].pool && !plan.changed["north"].servers);
+    assert!(plan.changed["north"].settings && !plan.changed["north"].servers);
     assert_eq!(
         (plan.removed, plan.closed),
         (vec!["south".to_owned()], vec!["inner".to_owned()])
@@ -220,22 +223,22 @@
         warm,
         ..good().tenants[0].servers[0].clone()
     };
-    let mut births = Births::default();
-    births.note(&[server("a", "127.0.0.1:1", false)], true, 1000.0);
-    assert_eq!(births.of("a"), 0.0, "it was there before the service");
+    let mut births = StartTimes::default();
+    births.update(&[server("a", "127.0.0.1:1", false)], true, 1000.0);
+    assert_eq!(births.get("a"), 0.0, "it was there before the service");
     let next = [
         server("a", "127.0.0.1:1", false),
         server("b", "127.0.0.1:2", false),
         server("c", "127.0.0.1:3", true),
     ];
-    births.note(&next, false, 2000.0);
+    births.update(&next, false, 2000.0);
     assert_eq!(
-        [births.of("a"), births.of("b"), births.of("c")],
+        [births.get("a"), births.get("b"), births.get("c")],
         [0.0, 2000.0, 0.0]
     );
     // Another address is another process; one that left and comes back has started anew.
-    births.note(&[server("a", "127.0.0.1:9", false)], false, 3000.0);
-    births.note(
+    births.update(&[server("a", "127.0.0.1:9", false)], false, 3000.0);
+    births.update(
         &[
             server("a", "127.0.0.1:9", false),
             server("b", "127.0.0.1:2", false),
@@ -243,7 +246,7 @@
         false,
         4000.0,
     );
-    assert_eq!([births.of("a"), births.of("b")], [3000.0, 4000.0]);
+    assert_eq!([births.get("a"), births.get("b")], [3000.0, 4000.0]);
 }
 
 proptest::proptest! {
@@ -263,12 +266,12 @@
             let end = (at + cut).min(text.len());
             text.replace_range(at..end, &put);
         }
-        match check::read("x.toml", &text) {
+        match validation::parse("x.toml", &text) {
             Ok(service) => {
                 let service_at_rest = at_rest(&service);
                 let plan = Plan::between(&Catalog::new(&Service::default()), &service_at_rest);
                 proptest::prop_assert_eq!(plan.added.len(), service.tenants.len());
-                let _ = Routes::of(&service_at_rest);
+                let _ = Routes::new(&service_at_rest);
             }
             Err(e) => {
                 proptest::prop_assert!(!e.problems.is_empty());
--- a/crates/multi-tenant/tests/heap.rs
+++ b/crates/multi-tenant/tests/heap.rs
@@ -3,14 +3,14 @@
 use std::alloc::System;
 
 use config_parser::units::{Share, Span};
-use multi_tenant::catalog::{Catalog, Parts};
+use multi_tenant::catalog::{Catalog, PartInterner};
+use multi_tenant::data_plane::DataPlane;
 use multi_tenant::document::{
-    Class, Effect, Limits, Process, Rules, Server, Service, State, Tenant,
+    Class, Idempotency, Limits, Process, Rules, Server, Service, State, Tenant,
 };
-use multi_tenant::plane::Plane;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
-#[path = "plane/mod.rs"]
+#[path = "data_plane/mod.rs"]
 mod stage;
 
 #[global_allocator]
@@ -26,11 +26,11 @@
 fn class(name: String, aim: f64) -> Class {
     Class {
         name,
-        effect: Effect::Safe,
-        aim: Span(aim),
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Span(aim),
         deadline: Span(20_000.0),
-        worth: 1.0,
-        late_worth: Share(0.0),
+        priority_weight: 1.0,
+        late_weight_fraction: Share(0.0),
     }
 }
 
@@ -38,9 +38,9 @@
     Server {
         name,
         address,
-        size: 16.0,
+        capacity: 16.0,
         zone: None,
-        kind: None,
+        machine_type: None,
         state: State::Up,
         connections: None,
         warm: false,
@@ -73,7 +73,7 @@
         classes: (0..2)
             .map(|i| class(format!("route{set}-{i}"), 300.0 + set as f64))
             .collect(),
-        fleet: None,
+        discovery: None,
         servers: servers.collect(),
     }
 }
@@ -107,7 +107,7 @@
             class("lookup".into(), 300.0),
             class("checkout".into(), 300.0),
         ],
-        fleet: None,
+        discovery: None,
         servers: (0..4)
             .map(|i| server(format!("s{i}"), address(i)))
             .collect(),
@@ -122,19 +122,22 @@
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let service = Service::default();
-        let plane = Plane::new(&service.process, stage::follow());
+        let plane = DataPlane::new(&service.process, stage::follow());
         let empty = held();
         {
             // As the store hands them over: one by one.
-            let (mut parts, mut catalog) = (Parts::default(), Catalog::new(&service));
+            let (mut parts, mut catalog) = (PartInterner::default(), Catalog::new(&service));
             for n in 0..count {
-                catalog.put(&mut parts, &make(n, count), 1);
+                catalog.insert(&mut parts, &make(n, count), 1);
             }
-            plane.go_over(catalog).expect("it can be carried out");
+            plane.apply_catalog(catalog).expect("it can be carried out");
         }
         tokio::task::yield_now().await;
         assert_eq!(
-            (plane.residency().tenants, plane.residency().resident),
+            (
+                plane.activation_status().tenants,
+                plane.activation_status().active
+            ),
             (count, 0)
         );
         held() - empty
@@ -234,7 +237,7 @@
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let process = Process {
-            rest_after: Span(2_000.0),
+            idle_timeout: Span(2_000.0),
             ..Process::default()
         };
         let service = Service {
@@ -248,9 +251,9 @@
             tenants: (0..2_000).map(|n| make(n, 2_000)).collect(),
             ..Service::default()
         };
-        let plane = Plane::new(&service.process, stage::follow());
+        let plane = DataPlane::new(&service.process, stage::follow());
         plane.apply(&service).expect("it can be carried out");
-        let (way, uri) = (plane.way("all"), "/lookup".parse().expect("a target"));
+        let (way, uri) = (plane.router("all"), "/lookup".parse().expect("a target"));
         let (mut woken, mut each, mut left) = (Vec::new(), 0.0, 0.0);
         // The second thousand come into places of the first: what is left of them is their own.
         for wave in service.tenants.chunks(1_000) {
@@ -267,9 +270,9 @@
                 }
                 woken.push(began.elapsed().as_secs_f64() * 1e6);
             }
-            assert_eq!(plane.residency().resident, 1_000);
+            assert_eq!(plane.activation_status().active, 1_000);
             each = f64::max(each, (held() - before) / 1_000.0);
-            while plane.residency().resident > 0 {
+            while plane.activation_status().active > 0 {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             }
             // Their drivers end with their next turns.
--- a/crates/multi-tenant/tests/routes.rs
+++ b/crates/multi-tenant/tests/routes.rs
@@ -1,6 +1,6 @@
 //! How hosts are compared.
 
-use multi_tenant::routes::normal;
+use multi_tenant::routes::normalize_host;
 
 #[test]
 fn hosts_are_compared_without_port_case_and_last_dot() {
@@ -12,6 +12,6 @@
         ("[::1]", "[::1]"),
         ("127.0.0.1:9", "127.0.0.1"),
     ] {
-        assert_eq!(normal(host), same);
+        assert_eq!(normalize_host(host), same);
     }
 }
