--- a/crates/endpoint-discovery/src/event.rs
+++ b/crates/endpoint-discovery/src/event.rs
@@ -101,14 +101,14 @@
     },
     /// A store of another cluster answers; the answer is dropped.
     OtherCluster(u64),
-    /// Every member has answered from an older state for long, as after a restored backup; its snapshot is applied.
+    /// Every member has answered from an older state for a long time, as after a restored backup; its snapshot is applied.
     RolledBack {
         /// Revision of the member.
         member_revision: i64,
         /// Known revision.
         known_revision: i64,
     },
-    /// The endpoint table did not apply a change as it came.
+    /// The endpoint table rejected or deferred a change.
     Table(TableNotice),
 }
 
@@ -122,9 +122,9 @@
         /// Reason from [`crate::RecordError`].
         reason: String,
     },
-    /// So many endpoints are retained after a mass lease expiry.
+    /// Endpoints are retained after a mass lease expiry; their number.
     Retained(usize),
-    /// So many retained endpoints are removed.
+    /// Retained endpoints are removed; their number.
     RetentionEnded(usize),
     /// The endpoint of this name is flapping.
     Flapping(String),
@@ -139,25 +139,28 @@
         match self {
             TableNotice::Quarantined { name, reason } => write!(
                 f,
-                "{name}: its value is of no use, its last good one stays: {reason}"
+                "{name}: its value is invalid, its last valid one stays in use: {reason}"
             ),
             TableNotice::Retained(count) => write!(
                 f,
-                "{count} leases ended together: their servers are held; `canvascart fleet release` lets them go"
+                "{count} leases expired together: their endpoints are retained; `canvascart fleet release` removes them"
             ),
             TableNotice::RetentionEnded(count) => {
-                write!(f, "{count} servers that were held are let go")
+                write!(f, "{count} retained endpoints are removed")
             }
             TableNotice::Flapping(name) => write!(
                 f,
-                "{name} comes and goes: it is taken back when it has stayed for a while"
+                "{name} is flapping: it is added back after it has stayed for a while"
             ),
             TableNotice::LimitExceeded(name) => {
-                write!(f, "{name} is one server too many, and not taken")
+                write!(
+                    f,
+                    "{name} exceeds the maximum number of endpoints and is ignored"
+                )
             }
             TableNotice::OutdatedRecord(name) => write!(
                 f,
-                "{name} is gone, and an older state of the store does not bring it back"
+                "{name} is deleted; a record from an older state of the store is ignored"
             ),
         }
     }
--- a/crates/endpoint-discovery/src/flapping.rs
+++ b/crates/endpoint-discovery/src/flapping.rs
@@ -9,11 +9,11 @@
 /// Decision on an endpoint that returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnDecision {
-    /// It is added back now.
+    /// The endpoint is added back now.
     Admit,
-    /// It counts as flapping from now on, and is added back after a delay.
+    /// The endpoint counts as flapping from now on, and is added back after a delay.
     Delay,
-    /// Its delay goes on.
+    /// The delay of the endpoint continues.
     AlreadyDelayed,
 }
 
--- a/crates/endpoint-discovery/src/lease_expiry.rs
+++ b/crates/endpoint-discovery/src/lease_expiry.rs
@@ -3,7 +3,7 @@
 use crate::limits::TableLimits;
 use crate::time::Millis;
 
-/// Number of lease expiries up to which it is never a mass expiry, however few endpoints there are.
+/// Maximum number of lease expiries that are never a mass expiry, however few endpoints there are.
 const MAX_ORDINARY_EXPIRIES: usize = 2;
 
 /// Recent lease expiries of endpoints that left the list.
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Checks whether new expiries, out of so many endpoints with a lease, are part of a mass expiry.
+    /// Returns true if `new` expiries are part of a mass expiry; `leased` is the number of endpoints with a lease.
     pub fn is_mass_expiry(&mut self, now: Millis, new: usize, leased: usize) -> bool {
         let window_ms = self.window_ms;
         self.recent.retain(|at| now < at + window_ms);
--- a/crates/endpoint-discovery/src/lib.rs
+++ b/crates/endpoint-discovery/src/lib.rs
@@ -1,6 +1,6 @@
 //! Endpoint list of a pool, followed through a revisioned store such as etcd.
 //!
-//! The package decides which of the store's answers to apply. It has no sockets and reads no clock: answers come in as
+//! The package decides which of the store's answers to apply. It performs no I/O and reads no clock: answers come in as
 //! [`Event`]s with their time; [`Command`]s to the connection and changes of the list come out. An endpoint that the store
 //! deleted never reappears through an older state, and no endpoint is removed because the store is unreachable.
 //!
--- a/crates/endpoint-discovery/src/limits.rs
+++ b/crates/endpoint-discovery/src/limits.rs
@@ -56,14 +56,14 @@
 pub struct TableLimits {
     /// Maximum number of endpoints.
     pub max_endpoints: usize,
-    /// Share of the endpoints with a lease above which expiries within `mass_expiry_window_ms` are a mass expiry. Its
+    /// Fraction of the endpoints with a lease above which expiries within `mass_expiry_window_ms` are a mass expiry. Its
     /// endpoints are retained.
     pub mass_expiry_ratio: f64,
     /// Window in which lease expiries are counted together.
     pub mass_expiry_window_ms: u64,
     /// Time for which endpoints are retained after a mass expiry.
     pub retention_ms: u64,
-    /// Returns of an endpoint within `flap_window_ms` from which it counts as flapping.
+    /// Number of returns within `flap_window_ms` from which an endpoint counts as flapping.
     pub flap_count: usize,
     /// Window in which returns are counted.
     pub flap_window_ms: u64,
--- a/crates/endpoint-discovery/src/record.rs
+++ b/crates/endpoint-discovery/src/record.rs
@@ -64,23 +64,23 @@
     1.0
 }
 
-/// Reason that a value is not a valid record.
+/// Reason why a value is not a valid record.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     /// The value is too long.
-    #[error("it has {length_bytes} bytes, {MAX_VALUE_BYTES} at most")]
+    #[error("its {length_bytes} bytes exceed the maximum of {MAX_VALUE_BYTES}")]
     TooLong {
         /// Length of the value.
         length_bytes: usize,
     },
-    /// The value is not JSON of a record.
+    /// The value is not the JSON of a record.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
     /// The capacity is out of range.
-    #[error("size: {0} is not from 0.01 to 10,000")]
+    #[error("size: {0} is not between 0.01 and 10,000")]
     InvalidCapacity(f64),
     /// The version is 0.
-    #[error("v: it begins with 1")]
+    #[error("v: versions begin with 1")]
     InvalidVersion,
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Parses a value. Records of newer versions are read as far as they have this version's fields.
+    /// Parses a value. Of a record of a newer version, the fields of this version are read.
     ///
     /// # Errors
     /// The value is too long, malformed, or a field is out of range.
--- a/crates/endpoint-discovery/src/rollback.rs
+++ b/crates/endpoint-discovery/src/rollback.rs
@@ -8,13 +8,13 @@
 pub enum LagReaction {
     /// The member may catch up.
     Wait,
-    /// Another member is tried.
+    /// The watch connects to another member.
     SwitchMember,
     /// The store was rolled back: its state is applied.
     AcceptRollback,
 }
 
-/// Time for which every answer has come from an older state.
+/// Tracks for how long every answer has come from an older state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RollbackDetection {
     silence_timeout_ms: u64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Records an answer from an older state, and decides what to do.
+    /// Records an answer from an older state, and returns the reaction to it.
     pub fn record_older_answer(&mut self, now: Millis) -> LagReaction {
         let since = *self.older_since.get_or_insert(now);
         if now >= since + self.rollback_ms {
--- a/crates/endpoint-discovery/src/silence.rs
+++ b/crates/endpoint-discovery/src/silence.rs
@@ -1,9 +1,9 @@
-//! Silence of the connection: requests of progress, and the timeout after which the connection counts as lost.
+//! Silence of the connection: progress requests, and the timeout after which the connection counts as lost.
 
 use crate::limits::WatchLimits;
 use crate::time::Millis;
 
-/// Silence of the connection.
+/// Times of the last event and request on the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Silence {
     progress_interval_ms: u64,
@@ -37,7 +37,7 @@
         self.last_event = now;
     }
 
-    /// Records a request of progress, or another request that is answered.
+    /// Records a progress request, or another request that the store answers.
     pub fn record_request(&mut self, now: Millis) {
         self.last_request = now;
     }
--- a/crates/endpoint-discovery/src/staleness.rs
+++ b/crates/endpoint-discovery/src/staleness.rs
@@ -27,12 +27,12 @@
         self.reported = false;
     }
 
-    /// Marks the list as out of sync; an earlier time of that stays.
+    /// Marks the list as out of sync; the time of an earlier mark is kept.
     pub fn out_of_sync(&mut self, now: Millis) {
         self.out_of_sync_since.get_or_insert(now);
     }
 
-    /// Checks whether the list is in sync.
+    /// Returns true if the list is in sync.
     pub fn is_in_sync(&self) -> bool {
         self.out_of_sync_since.is_none()
     }
@@ -43,14 +43,14 @@
             .filter(|since| now >= since + self.limit_ms)
     }
 
-    /// Returns the time at which the list becomes stale, unless that was reported.
+    /// Returns the time at which the list becomes stale, unless this was reported already.
     pub fn next_due(&self) -> Option<Millis> {
         self.out_of_sync_since
             .filter(|_| !self.reported)
             .map(|since| since + self.limit_ms)
     }
 
-    /// Returns the time since when the list is out of sync once it is stale, and not again until it was in sync.
+    /// Returns the time since when the list is out of sync, once for each time that it becomes stale.
     pub fn take_report(&mut self, now: Millis) -> Option<Millis> {
         let since = self.stale_since(now).filter(|_| !self.reported);
         self.reported |= since.is_some();
--- a/crates/endpoint-discovery/src/table.rs
+++ b/crates/endpoint-discovery/src/table.rs
@@ -15,7 +15,7 @@
 use crate::time::{EventTime, Millis};
 use crate::tombstone::{Tombstone, Tombstones};
 
-/// Modification revision that no record of the store has.
+/// Placeholder for a modification revision; no record of the store has it.
 const UNKNOWN_REVISION: i64 = -1;
 
 /// Results of table operations, in order.
@@ -42,7 +42,7 @@
 }
 
 impl TableEntry {
-    /// Checks whether a deletion of the key would be a lease expiry: an endpoint that leaves on purpose drains first.
+    /// Returns true if a deletion of the key would be a lease expiry: an endpoint that leaves on purpose drains first.
     fn is_leased(&self) -> bool {
         self.lease != 0 && self.record.state == EndpointState::Up && self.retained.is_none()
     }
@@ -114,7 +114,7 @@
         self.entries.iter().map(endpoint).collect()
     }
 
-    /// Returns the time at which [`EndpointTable::advance`] has something to do.
+    /// Returns the time at which [`EndpointTable::advance`] is due.
     pub fn next_due(&self) -> Option<Millis> {
         let retained = self.entries.values().filter_map(|entry| entry.retained);
         retained
--- a/crates/endpoint-discovery/src/tombstone.rs
+++ b/crates/endpoint-discovery/src/tombstone.rs
@@ -1,4 +1,4 @@
-//! Tombstones: records of deleted endpoints, against their return through an older state of the store.
+//! Tombstones: records of deleted endpoints, which prevent their return through an older state of the store.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 }
 
 impl Tombstone {
-    /// Checks whether a record is older than the deletion.
+    /// Returns true if a record is older than the deletion.
     pub fn covers(&self, key_value: &KeyValue) -> bool {
         if self.predates_rollback {
             key_value.create_revision == self.create_revision
@@ -53,7 +53,7 @@
         self.by_name.get(name)
     }
 
-    /// Inserts a tombstone at its time; the oldest one beyond the maximum goes, and so do expired ones.
+    /// Inserts a tombstone; removes the oldest one if the maximum is exceeded, and expired ones.
     pub fn insert(&mut self, name: &str, tombstone: Tombstone) {
         let now = tombstone.at;
         self.by_name.insert(name.to_owned(), tombstone);
--- a/crates/endpoint-discovery/src/watcher.rs
+++ b/crates/endpoint-discovery/src/watcher.rs
@@ -54,7 +54,7 @@
     reported_phase: Phase,
 }
 
-/// One event's time and the outputs that it leads to.
+/// Time of an event, and the outputs that result from it.
 struct Step<'o> {
     time: EventTime,
     commands: &'o mut Vec<Command>,
@@ -156,7 +156,7 @@
             .min()
     }
 
-    /// Handles an event at its time, on the monotonic clock and in Unix time; appends the commands that it leads to.
+    /// Handles an event at its time, on the monotonic clock and in Unix time; appends the resulting commands.
     pub fn handle(&mut self, now: Millis, unix_ms: u64, event: Event, commands: &mut Vec<Command>) {
         let mut step = Step {
             time: EventTime { now, unix_ms },
@@ -258,7 +258,7 @@
         step.command(Command::Watch(self.revision + 1));
     }
 
-    /// Gives the connection up, and connects to the next member after the backoff.
+    /// Abandons the connection, and connects to the next member after the backoff.
     fn reconnect(&mut self, step: &mut Step) {
         self.staleness.out_of_sync(step.time.now);
         self.state = WatchState::Connecting;
@@ -270,7 +270,7 @@
         });
     }
 
-    /// Checks that an answer is from the watched store's cluster; reconnects if it is not.
+    /// Returns true if an answer is from the watched store's cluster; otherwise reconnects.
     fn verify_cluster(&mut self, header: Header, step: &mut Step) -> bool {
         let expected = *self.cluster.get_or_insert(header.cluster);
         if expected == header.cluster {
@@ -308,8 +308,8 @@
         }
     }
 
-    /// Decides on a snapshot from an older state than the known one: a rolled back store's is accepted, a lagging
-    /// member's is not, as it may contain endpoints that are deleted since.
+    /// Decides on a snapshot from an older state than the known one. It is accepted if the store was rolled back, but not
+    /// from a lagging member, as it may contain endpoints that were deleted since.
     fn accept_older_snapshot(&mut self, header: Header, step: &mut Step) -> bool {
         let member_revision = header.revision;
         let known_revision = self.revision;
@@ -417,10 +417,10 @@
         self.start_snapshot(step);
     }
 
-    /// Marks the list as in sync if the member has applied everything that is known; returns whether it has.
+    /// Marks the list as in sync if the member has applied everything that is known; returns true in this case.
     ///
-    /// A lagging member may catch up; otherwise other members are tried. If all of them lag for long, the store was rolled
-    /// back, and a snapshot shows how far.
+    /// A lagging member may catch up; otherwise the watch connects to other members. If all of them lag for a long time,
+    /// the store was rolled back, and a snapshot shows how far.
     fn synchronize(&mut self, header: Header, step: &mut Step) -> bool {
         if header.revision >= self.revision {
             self.enter_sync();
--- a/crates/endpoint-discovery/tests/model.rs
+++ b/crates/endpoint-discovery/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the watcher against a store of two members: every order of writes, lag, compaction, cuts and deliveries
-//! within a bound.
+//! Model checking of the watcher against a store of two members: every order of writes, lag, compactions, disconnects and
+//! deliveries within a bound.
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
@@ -12,21 +12,21 @@
 const NAMES: [&str; 2] = ["a", "b"];
 const CLUSTER: u64 = 7;
 
-/// What may still go wrong, and how much of it.
+/// Remaining number of each kind of disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     writes: u8,
-    cuts: u8,
+    disconnects: u8,
     compactions: u8,
     timers: u8,
 }
 
-/// A connection to a member, and what is on its way to the watcher.
+/// Connection to a member, with the events that the watcher has not received yet.
 #[derive(Clone, Debug, PartialEq)]
 struct Connection {
     member: usize,
     queue: Vec<Event>,
-    /// The next revision that the watch tells, if there is one.
+    /// Next revision that the watch delivers; `None` without a watch.
     watch: Option<i64>,
 }
 
@@ -34,28 +34,28 @@
 struct World {
     watcher: EndpointWatcher,
     now: u64,
-    /// What each revision did: which server, and whether it is there afterwards. The first is revision 2.
+    /// Change of each revision: index of the endpoint, and true if it exists afterwards. The first is revision 2.
     history: Vec<(usize, bool)>,
     compacted: i64,
-    /// How far each member has come.
+    /// Revision that each member has applied.
     applied: [i64; 2],
     connection: Option<Connection>,
-    /// The member that is to be connected to.
+    /// Member that the watcher has requested a connection to.
     requested_member: Option<usize>,
-    /// What the pool has: the revision that made each server.
-    pool: BTreeMap<String, u64>,
-    /// The newest revision at which the watcher was told of each server that it is gone.
-    gone: BTreeMap<String, i64>,
+    /// Published list: the revision that created each endpoint.
+    published: BTreeMap<String, u64>,
+    /// Newest deletion of each endpoint that was delivered to the watcher.
+    deleted: BTreeMap<String, i64>,
     budget: Budget,
     resynced: bool,
-    refused: bool,
+    rejected_lagging: bool,
 }
 
 impl Eq for World {}
 
 impl Hash for World {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        // Chance is not drawn from in this model, so that all of it can be told by its text.
+        // The debug text covers the whole state: jitter is off, so the state of the random generator never changes.
         format!("{self:?}").hash(state);
     }
 }
@@ -67,24 +67,24 @@
     Compact,
     Connect,
     Deliver,
-    Cut,
+    Disconnect,
     Timer,
 }
 
-/// A store that lets the watcher know how far the member is. With `lies` a lagging member says that it is not, and the
-/// watcher remembers nobody who is gone: the two ways in which it keeps the dead away are both taken from it.
+/// Model of the store. With `is_faulty` a lagging member reports the current revision, and the watcher keeps no tombstones:
+/// this disables both protections against the return of deleted endpoints.
 struct Store {
     budget: Budget,
-    lies: bool,
+    is_faulty: bool,
 }
 
 fn revision(world: &World) -> i64 {
     world.history.len() as i64 + 1
 }
 
-/// The servers at a revision, with the one that made each.
+/// Returns the endpoints at a revision, with the revision that created each.
 fn endpoints_at(world: &World, revision: i64) -> BTreeMap<usize, i64> {
-    let mut there = BTreeMap::new();
+    let mut present = BTreeMap::new();
     for (i, (name, up)) in world
         .history
         .iter()
@@ -92,17 +92,17 @@
         .take((revision - 1) as usize)
     {
         if *up {
-            there.insert(*name, i as i64 + 2);
+            present.insert(*name, i as i64 + 2);
         } else {
-            there.remove(name);
+            present.remove(name);
         }
     }
-    there
+    present
 }
 
-fn kv(name: usize, made: i64) -> KeyValue {
+fn key_value(name: usize, revision: i64) -> KeyValue {
     let value = format!(
-        r#"{{"address":"127.0.0.1:{}","born-ms":{made}}}"#,
+        r#"{{"address":"127.0.0.1:{}","born-ms":{revision}}}"#,
         9000 + name
     );
     let key = KeySpace::new("/f", "p")
@@ -111,15 +111,15 @@
     KeyValue {
         key,
         value: value.into_bytes(),
-        mod_revision: made,
-        create_revision: made,
+        mod_revision: revision,
+        create_revision: revision,
         lease: 0,
     }
 }
 
 impl Store {
     fn header(&self, world: &World, member: usize) -> Header {
-        let revision = if self.lies {
+        let revision = if self.is_faulty {
             revision(world)
         } else {
             world.applied[member]
@@ -130,8 +130,8 @@
         }
     }
 
-    /// What a member sends once it has come further.
-    fn push(&self, world: &mut World) {
+    /// Queues the changes that a member delivers after it has applied further revisions.
+    fn queue_changes(&self, world: &mut World) {
         let Some(connection) = &world.connection else {
             return;
         };
@@ -141,12 +141,12 @@
         let until = world.applied[member];
         let changes = (next..=until).map(|r| {
             let (name, up) = world.history[(r - 2) as usize];
-            let kv = kv(name, r);
+            let key_value = key_value(name, r);
             if up {
-                KeyChange::Put(kv)
+                KeyChange::Put(key_value)
             } else {
                 KeyChange::Delete {
-                    key: kv.key,
+                    key: key_value.key,
                     revision: r,
                 }
             }
@@ -178,14 +178,14 @@
                         continue;
                     };
                     let header = self.header(world, member);
-                    let kvs = endpoints_at(world, world.applied[member])
+                    let key_values = endpoints_at(world, world.applied[member])
                         .into_iter()
-                        .map(|(n, made)| kv(n, made))
+                        .map(|(n, made)| key_value(n, made))
                         .collect();
                     if let Some(connection) = &mut world.connection {
                         connection.queue.push(Event::Page {
                             header,
-                            key_values: kvs,
+                            key_values,
                             more: false,
                         });
                     }
@@ -205,7 +205,7 @@
                     } else {
                         connection.queue.push(Event::WatchEstablished(header));
                         connection.watch = Some(from);
-                        self.push(world);
+                        self.queue_changes(world);
                     }
                 }
                 Command::RequestProgress => {
@@ -218,22 +218,23 @@
                     }
                 }
                 Command::Publish(ListChange::Complete(all)) => {
-                    world.pool = all.into_iter().map(|s| (s.name, s.started_at_ms)).collect();
+                    world.published = all.into_iter().map(|s| (s.name, s.started_at_ms)).collect();
                 }
                 Command::Publish(ListChange::Upserted(s)) => {
-                    _ = world.pool.insert(s.name, s.started_at_ms)
+                    _ = world.published.insert(s.name, s.started_at_ms)
                 }
-                Command::Publish(ListChange::Removed(name)) => _ = world.pool.remove(&name),
+                Command::Publish(ListChange::Removed(name)) => _ = world.published.remove(&name),
                 Command::Notice(note) => {
                     world.resynced |= matches!(note, endpoint_discovery::Notice::Compacted(_));
-                    world.refused |= matches!(note, endpoint_discovery::Notice::Lagging { .. });
+                    world.rejected_lagging |=
+                        matches!(note, endpoint_discovery::Notice::Lagging { .. });
                 }
             }
         }
     }
 
     fn deliver(&self, world: &mut World, event: Event) {
-        // What an event tells of servers that are gone, as anybody would read it.
+        // Deletions are read from the events themselves, independently of the watcher.
         if let Event::Changes { changes, .. } = &event {
             for change in changes {
                 if let KeyChange::Delete { key, revision } = change {
@@ -241,8 +242,8 @@
                         .endpoint_name(key)
                         .unwrap_or_default()
                         .to_owned();
-                    let gone = world.gone.entry(name).or_default();
-                    *gone = (*gone).max(*revision);
+                    let deleted = world.deleted.entry(name).or_default();
+                    *deleted = (*deleted).max(*revision);
                 }
             }
         }
@@ -267,7 +268,7 @@
             rollback_ms: u64::MAX / 2,
             ..WatchLimits::default()
         };
-        if self.lies {
+        if self.is_faulty {
             limits.table.max_tombstones = 0;
         }
         let mut world = World {
@@ -278,11 +279,11 @@
             applied: [3, 3],
             connection: None,
             requested_member: None,
-            pool: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            published: BTreeMap::new(),
+            deleted: BTreeMap::new(),
             budget: self.budget,
             resynced: false,
-            refused: false,
+            rejected_lagging: false,
         };
         self.deliver(&mut world, Event::Timer);
         vec![world]
@@ -307,8 +308,8 @@
             if !connection.queue.is_empty() {
                 actions.push(Action::Deliver);
             }
-            if world.budget.cuts > 0 {
-                actions.push(Action::Cut);
+            if world.budget.disconnects > 0 {
+                actions.push(Action::Disconnect);
             }
         }
         if world.budget.timers > 0 && world.watcher.next_due().is_some() {
@@ -320,8 +321,8 @@
         let mut world = world.clone();
         match act {
             Action::Write(name) => {
-                let there = endpoints_at(&world, revision(&world)).contains_key(&name);
-                world.history.push((name, !there));
+                let exists = endpoints_at(&world, revision(&world)).contains_key(&name);
+                world.history.push((name, !exists));
                 world.budget.writes -= 1;
             }
             Action::Apply(member) => {
@@ -331,11 +332,11 @@
                     .as_ref()
                     .is_some_and(|l| l.member == member)
                 {
-                    self.push(&mut world);
+                    self.queue_changes(&mut world);
                 }
             }
             Action::Compact => {
-                // What a member has not applied it can't have compacted.
+                // A member can only have compacted revisions that it has applied.
                 world.compacted = world.applied[0].max(world.applied[1]);
                 world.budget.compactions -= 1;
             }
@@ -352,9 +353,9 @@
                 let event = world.connection.as_mut().map(|l| l.queue.remove(0))?;
                 self.deliver(&mut world, event);
             }
-            Action::Cut => {
+            Action::Disconnect => {
                 world.connection = None;
-                world.budget.cuts -= 1;
+                world.budget.disconnects -= 1;
                 self.deliver(&mut world, Event::ConnectionLost);
             }
             Action::Timer => {
@@ -368,48 +369,53 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
+            Property::always("a deleted endpoint is not published", |_, w: &World| {
+                w.published.iter().all(|(name, made)| {
+                    w.deleted
+                        .get(name)
+                        .is_none_or(|deleted| *made as i64 > *deleted)
+                })
+            }),
             Property::always(
-                "a server that it was told is gone is not given out",
+                "a watcher in sync publishes the endpoints of the store",
                 |_, w: &World| {
-                    w.pool.iter().all(|(name, made)| {
-                        w.gone.get(name).is_none_or(|gone| *made as i64 > *gone)
-                    })
+                    let is_settled = w
+                        .connection
+                        .as_ref()
+                        .is_some_and(|l| l.queue.is_empty() && w.applied[l.member] == revision(w));
+                    let is_in_sync = w.watcher.status(w.now).phase == Phase::Watching;
+                    let store: BTreeMap<String, u64> = endpoints_at(w, revision(w))
+                        .into_iter()
+                        .map(|(n, made)| (NAMES[n].to_owned(), made as u64))
+                        .collect();
+                    !is_settled || !is_in_sync || w.published == store
                 },
             ),
-            Property::always("in step it has what the store has", |_, w: &World| {
-                let quiet = w
-                    .connection
-                    .as_ref()
-                    .is_some_and(|l| l.queue.is_empty() && w.applied[l.member] == revision(w));
-                let in_step = w.watcher.status(w.now).phase == Phase::Watching;
-                let store: BTreeMap<String, u64> = endpoints_at(w, revision(w))
-                    .into_iter()
-                    .map(|(n, made)| (NAMES[n].to_owned(), made as u64))
-                    .collect();
-                !quiet || !in_step || w.pool == store
-            }),
             Property::always(
-                "it never lacks a server that was there all the time",
+                "an endpoint that was never deleted is always published",
                 |_, w: &World| {
-                    let listed = w.watcher.status(w.now).phase != Phase::Listing;
-                    let steady =
+                    let has_list = w.watcher.status(w.now).phase != Phase::Listing;
+                    let never_deleted =
                         |n: usize| w.history.iter().filter(|(name, _)| *name == n).count() == 1;
-                    !listed
+                    !has_list
                         || (0..NAMES.len())
-                            .filter(|n| steady(*n))
-                            .all(|n| w.pool.contains_key(NAMES[n]))
+                            .filter(|n| never_deleted(*n))
+                            .all(|n| w.published.contains_key(NAMES[n]))
                 },
             ),
-            Property::sometimes("changes are missed by a compaction", |_, w: &World| {
-                w.resynced
-            }),
-            Property::sometimes("a lagging member's list is refused", |_, w: &World| {
-                w.refused
+            Property::sometimes(
+                "changes are missed because of a compaction",
+                |_, w: &World| w.resynced,
+            ),
+            Property::sometimes("a lagging member's snapshot is rejected", |_, w: &World| {
+                w.rejected_lagging
             }),
-            Property::sometimes("a server that went is taken back", |_, w: &World| {
-                w.gone
-                    .iter()
-                    .any(|(name, gone)| w.pool.get(name).is_some_and(|made| *made as i64 > *gone))
+            Property::sometimes("a deleted endpoint is added again", |_, w: &World| {
+                w.deleted.iter().any(|(name, deleted)| {
+                    w.published
+                        .get(name)
+                        .is_some_and(|made| *made as i64 > *deleted)
+                })
             }),
         ]
     }
@@ -418,30 +424,30 @@
 #[test]
 fn the_watcher_keeps_its_invariants_in_every_order() {
     let mut states = 0;
-    // Each bound on its own is small; together they cover what one alone leaves out.
+    // Each bound is small; each allows kinds of disturbance that another excludes.
     for budget in [
         Budget {
             writes: 3,
-            cuts: 2,
+            disconnects: 2,
             compactions: 1,
             timers: 0,
         },
         Budget {
             writes: 2,
-            cuts: 1,
+            disconnects: 1,
             compactions: 1,
             timers: 3,
         },
         Budget {
             writes: 4,
-            cuts: 1,
+            disconnects: 1,
             compactions: 0,
             timers: 1,
         },
     ] {
         let checker = Store {
             budget,
-            lies: false,
+            is_faulty: false,
         }
         .checker()
         .threads(4)
@@ -449,9 +455,9 @@
         .spawn_bfs()
         .join();
         for name in [
-            "a server that it was told is gone is not given out",
-            "in step it has what the store has",
-            "it never lacks a server that was there all the time",
+            "a deleted endpoint is not published",
+            "a watcher in sync publishes the endpoints of the store",
+            "an endpoint that was never deleted is always published",
         ] {
             assert!(
                 checker.discovery(name).is_none(),
@@ -465,11 +471,11 @@
             checker.unique_state_count()
         );
         states += checker.unique_state_count();
-        if budget.compactions > 0 && budget.cuts > 1 {
+        if budget.compactions > 0 && budget.disconnects > 1 {
             for name in [
-                "changes are missed by a compaction",
-                "a lagging member's list is refused",
-                "a server that went is taken back",
+                "changes are missed because of a compaction",
+                "a lagging member's snapshot is rejected",
+                "a deleted endpoint is added again",
             ] {
                 assert!(checker.discovery(name).is_some(), "{name}");
             }
@@ -479,26 +485,31 @@
     assert!(states > 20_000, "{states}");
 }
 
-/// A watcher that trusts a lagging member and keeps no tombstones would restore deleted endpoints: the checker finds it.
+/// Checks that the model can fail: without its protections the watcher publishes deleted endpoints, and the checker finds it.
 #[test]
-fn a_planted_fault_is_found() {
+fn a_watcher_without_protections_fails_the_check() {
     let budget = Budget {
         writes: 2,
-        cuts: 1,
+        disconnects: 1,
         compactions: 1,
         timers: 0,
     };
-    let checker = Store { budget, lies: true }
-        .checker()
-        .threads(4)
-        .target_max_depth(18)
-        .spawn_bfs()
-        .join();
-    let found = checker.discovery("a server that it was told is gone is not given out");
+    let checker = Store {
+        budget,
+        is_faulty: true,
+    }
+    .checker()
+    .threads(4)
+    .target_max_depth(18)
+    .spawn_bfs()
+    .join();
+    let found = checker.discovery("a deleted endpoint is not published");
     println!("{found:?}");
-    let steps = found.expect("the planted fault").into_actions();
+    let steps = found
+        .expect("a deleted endpoint is published")
+        .into_actions();
     assert!(
-        steps.contains(&Action::Cut) && steps.contains(&Action::Compact),
+        steps.contains(&Action::Disconnect) && steps.contains(&Action::Compact),
         "{steps:?}"
     );
 }
--- a/crates/endpoint-discovery/tests/record.rs
+++ b/crates/endpoint-discovery/tests/record.rs
@@ -1,4 +1,4 @@
-//! Forms of records and keys in the store.
+//! Encoding of records and keys in the store.
 use endpoint_discovery::{EndpointRecord, EndpointState, KeySpace, range_end};
 
 #[test]
@@ -11,7 +11,7 @@
     );
     let again = EndpointRecord::parse(record.to_json().as_bytes()).unwrap();
     assert_eq!(record, again);
-    for bad in [
+    for invalid in [
         "",
         "{}",
         "[]",
@@ -19,7 +19,10 @@
         r#"{"address":"127.0.0.1:9","size":0}"#,
         r#"{"v":0,"address":"127.0.0.1:9"}"#,
     ] {
-        assert!(EndpointRecord::parse(bad.as_bytes()).is_err(), "{bad}");
+        assert!(
+            EndpointRecord::parse(invalid.as_bytes()).is_err(),
+            "{invalid}"
+        );
     }
     assert!(EndpointRecord::parse(&vec![b' '; 20_000]).is_err());
 }
--- a/crates/endpoint-discovery/tests/watcher.rs
+++ b/crates/endpoint-discovery/tests/watcher.rs
@@ -18,13 +18,19 @@
     KeySpace::new("/fleet", "p")
 }
 
-fn kv(name: &str, revision: i64, made: i64, lease: i64, more: &str) -> KeyValue {
-    let value = format!(r#"{{"address":"127.0.0.1:9000"{more}}}"#);
+fn key_value(
+    name: &str,
+    revision: i64,
+    create_revision: i64,
+    lease: i64,
+    fields: &str,
+) -> KeyValue {
+    let value = format!(r#"{{"address":"127.0.0.1:9000"{fields}}}"#);
     KeyValue {
         key: keys().endpoint_key(name).into_bytes(),
         value: value.into_bytes(),
         mod_revision: revision,
-        create_revision: made,
+        create_revision,
         lease,
     }
 }
@@ -63,12 +69,12 @@
     }
 
     /// Harness whose watch is established at a revision with these endpoints.
-    fn watching(kvs: Vec<KeyValue>, revision: i64) -> Self {
+    fn watching(key_values: Vec<KeyValue>, revision: i64) -> Self {
         let mut harness = Harness::new();
         harness.handle(Event::Connected);
         harness.handle(Event::Page {
             header: header(revision),
-            key_values: kvs,
+            key_values,
             more: false,
         });
         harness.handle(Event::WatchEstablished(header(revision)));
@@ -106,8 +112,8 @@
     }
 
     /// Advances time and fires the timers that are due.
-    fn advance(&mut self, span: u64) {
-        let end = self.now + span;
+    fn advance(&mut self, duration: u64) {
+        let end = self.now + duration;
         while let Some(next) = self.watcher.next_due().filter(|n| *n <= end) {
             self.now = next.max(self.now + 1);
             self.handle(Event::Timer);
@@ -123,10 +129,10 @@
         self.listed.contains_key(name)
     }
 
-    fn has_notice(&self, f: impl Fn(&Notice) -> bool) -> bool {
+    fn has_notice(&self, matches: impl Fn(&Notice) -> bool) -> bool {
         self.commands
             .iter()
-            .any(|c| matches!(c, Command::Notice(n) if f(n)))
+            .any(|c| matches!(c, Command::Notice(n) if matches(n)))
     }
 }
 
@@ -142,7 +148,7 @@
     ["a", "b", "c"]
         .iter()
         .enumerate()
-        .map(|(i, n)| kv(n, i as i64 + 1, i as i64 + 1, lease, ""))
+        .map(|(i, n)| key_value(n, i as i64 + 1, i as i64 + 1, lease, ""))
         .collect()
 }
 
@@ -151,12 +157,12 @@
     let mut harness = Harness::watching(three_endpoints(0), 10);
     assert_eq!(
         harness.listed["a"], 0,
-        "who was there at the first list started long ago"
+        "endpoints of the first list have an unknown start time"
     );
     harness.changes(11, vec![delete("a", 11)]);
     assert!(!harness.lists("a") && harness.lists("b"));
     harness.now += 500;
-    harness.changes(12, vec![KeyChange::Put(kv("a", 12, 12, 0, ""))]);
+    harness.changes(12, vec![KeyChange::Put(key_value("a", 12, 12, 0, ""))]);
     assert_eq!(
         harness.listed["a"],
         1_000_000 + harness.now,
@@ -164,11 +170,17 @@
     );
     harness.changes(
         13,
-        vec![KeyChange::Put(kv("b", 13, 2, 0, r#","state":"gone""#))],
+        vec![KeyChange::Put(key_value(
+            "b",
+            13,
+            2,
+            0,
+            r#","state":"gone""#,
+        ))],
     );
     assert!(
         !harness.lists("b"),
-        "who says that it leaves is gone before its key is"
+        "an endpoint whose record says that it has left is removed before its key is deleted"
     );
 }
 
@@ -176,7 +188,7 @@
 fn changes_missed_by_a_compaction_are_in_the_next_snapshot() {
     let mut harness = Harness::watching(three_endpoints(0), 10);
     harness.handle(Event::ConnectionLost);
-    assert!(harness.lists("a"), "silence drops nobody");
+    assert!(harness.lists("a"), "a lost connection removes no endpoint");
     harness.handle(Event::Connected);
     assert_eq!(harness.commands, [Command::Watch(11)]);
     harness.handle(Event::Cancelled {
@@ -186,10 +198,10 @@
         harness.has_notice(|n| *n == Notice::Compacted(40)) && harness.phase() == Phase::Resyncing
     );
     assert!(harness.lists("a"));
-    // A page at a time, at one revision.
+    // The snapshot is read in pages, all at one revision.
     harness.handle(Event::Page {
         header: header(50),
-        key_values: vec![kv("b", 2, 2, 0, "")],
+        key_values: vec![key_value("b", 2, 2, 0, "")],
         more: true,
     });
     let mut from = keys().endpoint_key("b").into_bytes();
@@ -204,22 +216,22 @@
     harness.handle(Event::PageCompacted);
     assert!(
         matches!(harness.commands[0], Command::List { revision: 0, .. }),
-        "it begins anew"
+        "the snapshot starts again at the current revision"
     );
-    let d = kv("d", 45, 45, 0, "");
+    let d = key_value("d", 45, 45, 0, "");
     harness.handle(Event::Page {
         header: header(51),
-        key_values: vec![kv("b", 2, 2, 0, ""), d],
+        key_values: vec![key_value("b", 2, 2, 0, ""), d],
         more: false,
     });
-    let told: Vec<&Command> = harness
+    let published: Vec<&Command> = harness
         .commands
         .iter()
         .filter(|c| matches!(c, Command::Publish(_)))
         .collect();
     assert!(
-        matches!(told[0], Command::Publish(ListChange::Removed(n)) if n == "a"),
-        "removals come first: {told:?}"
+        matches!(published[0], Command::Publish(ListChange::Removed(n)) if n == "a"),
+        "removals come first: {published:?}"
     );
     assert_eq!(harness.listed.keys().collect::<Vec<_>>(), ["b", "d"]);
     assert!(harness.commands.contains(&Command::Watch(52)));
@@ -232,12 +244,12 @@
     harness.handle(Event::Cancelled {
         compact_revision: 20,
     });
-    let old = || Event::Page {
+    let outdated_page = || Event::Page {
         header: header(9),
         key_values: three_endpoints(0),
         more: false,
     };
-    harness.handle(old());
+    harness.handle(outdated_page());
     assert!(
         harness.has_notice(|n| *n
             == Notice::Lagging {
@@ -246,30 +258,30 @@
             })
             && !harness.lists("a")
     );
-    let mut turned = false;
+    let mut rolled_back = false;
     for _ in 0..40 {
         harness.advance(1000);
         harness.handle(Event::Connected);
-        harness.handle(old());
-        turned |= harness.has_notice(|n| matches!(n, Notice::RolledBack { .. }));
+        harness.handle(outdated_page());
+        rolled_back |= harness.has_notice(|n| matches!(n, Notice::RolledBack { .. }));
         assert!(!harness.lists("a"));
-        if turned {
+        if rolled_back {
             break;
         }
     }
-    assert!(turned, "all that there is has an older state");
+    assert!(rolled_back, "every member answers from an older state");
     assert!(
         harness.has_notice(
-            |n| matches!(n, Notice::Table(text) if text.to_string().starts_with("a is gone"))
+            |n| matches!(n, Notice::Table(text) if text.to_string().starts_with("a is deleted"))
         ),
         "{:?}",
         harness.commands
     );
     assert!(harness.lists("b") && !harness.lists("a"));
     harness.handle(Event::WatchEstablished(header(9)));
-    // Made anew in the store's new past, it is another server.
+    // A key that is created again after the rollback belongs to another endpoint.
     harness.changes(10, vec![delete("a", 10)]);
-    harness.changes(11, vec![KeyChange::Put(kv("a", 11, 11, 0, ""))]);
+    harness.changes(11, vec![KeyChange::Put(key_value("a", 11, 11, 0, ""))]);
     assert!(harness.lists("a"));
 }
 
@@ -278,11 +290,11 @@
     let mut harness = Harness::watching(three_endpoints(0), 10);
     harness.changes(11, vec![delete("a", 11)]);
     harness.handle(Event::ConnectionLost);
-    let (mut lists, mut members) = (0, 0);
+    let (mut list_requests, mut connections) = (0, 0);
     for _ in 0..60 {
         harness.advance(1000);
         harness.handle(Event::Connected);
-        members += 1;
+        connections += 1;
         if harness.commands.contains(&Command::Watch(12)) {
             harness.handle(Event::WatchEstablished(header(9)));
             for _ in 0..3 {
@@ -292,16 +304,16 @@
                 }
             }
         }
-        lists += harness
+        list_requests += harness
             .commands
             .iter()
             .filter(|c| matches!(c, Command::List { .. }))
             .count();
-        if lists > 0 {
+        if list_requests > 0 {
             break;
         }
     }
-    assert!(members > 2, "other members were asked first");
+    assert!(connections > 2, "other members were connected to first");
     harness.handle(Event::Page {
         header: header(9),
         key_values: three_endpoints(0),
@@ -368,33 +380,36 @@
     assert_eq!(
         harness.commands.last(),
         Some(&Command::Watch(16)),
-        "what was told by progress need not be told again"
+        "changes up to the reported progress need not be sent again"
     );
 }
 
 #[test]
 fn fragments_are_applied_together_and_known_changes_ignored() {
     let mut harness = Harness::watching(three_endpoints(0), 10);
-    let part = |changes, fragment| Event::Changes {
+    let answer = |changes, fragment| Event::Changes {
         header: header(30),
         changes,
         fragment,
     };
-    harness.handle(part(vec![delete("a", 11)], true));
-    assert!(harness.lists("a"), "the rest is still to come");
+    harness.handle(answer(vec![delete("a", 11)], true));
+    assert!(harness.lists("a"), "the rest of the answer is missing");
     harness.handle(Event::ConnectionLost);
     harness.handle(Event::Connected);
     assert_eq!(
         harness.commands.last(),
         Some(&Command::Watch(11)),
-        "half of an answer is none"
+        "fragments of an incomplete answer are discarded"
     );
     harness.handle(Event::WatchEstablished(header(30)));
-    harness.handle(part(vec![delete("a", 11)], true));
-    harness.handle(part(vec![KeyChange::Put(kv("a", 12, 12, 0, ""))], false));
+    harness.handle(answer(vec![delete("a", 11)], true));
+    harness.handle(answer(
+        vec![KeyChange::Put(key_value("a", 12, 12, 0, ""))],
+        false,
+    ));
     assert!(
         harness.lists("a") && harness.watcher.status(harness.now).revision == 12,
-        "the header was ahead of the changes"
+        "the revision is that of the changes, not that of the header"
     );
     harness.changes(30, vec![delete("a", 11), delete("b", 13)]);
     assert!(harness.lists("a") && !harness.lists("b"));
@@ -403,11 +418,11 @@
 #[test]
 fn an_invalid_value_quarantines_its_endpoint_alone() {
     let mut harness = Harness::watching(three_endpoints(0), 10);
-    let mut bad = kv("a", 11, 1, 0, "");
-    bad.value = b"{".to_vec();
-    let mut new = kv("z", 12, 12, 0, "");
+    let mut invalid = key_value("a", 11, 1, 0, "");
+    invalid.value = b"{".to_vec();
+    let mut new = key_value("z", 12, 12, 0, "");
     new.value = b"\xff".to_vec();
-    harness.changes(12, vec![KeyChange::Put(bad), KeyChange::Put(new)]);
+    harness.changes(12, vec![KeyChange::Put(invalid), KeyChange::Put(new)]);
     assert!(harness.lists("a") && !harness.lists("z"));
     assert_eq!(
         harness.watcher.status(harness.now).endpoints,
@@ -415,7 +430,7 @@
     );
     harness.changes(
         13,
-        vec![KeyChange::Put(kv("a", 13, 1, 0, r#","size":3.0"#))],
+        vec![KeyChange::Put(key_value("a", 13, 1, 0, r#","size":3.0"#))],
     );
     assert_eq!(
         harness.watcher.status(harness.now).endpoints,
@@ -430,10 +445,10 @@
         names
             .iter()
             .enumerate()
-            .map(|(i, n)| kv(n, i as i64 + 1, i as i64 + 1, 5, ""))
+            .map(|(i, n)| key_value(n, i as i64 + 1, i as i64 + 1, 5, ""))
             .collect::<Vec<_>>()
     };
-    // One by one in separate answers: after half of them the others are held.
+    // One by one in separate answers: after half of them the others are retained.
     let mut harness = Harness::watching(all(), 10);
     for (i, name) in names.iter().enumerate() {
         harness.now += 50;
@@ -446,29 +461,34 @@
         ),
         (5, 5)
     );
-    // Who comes back is taken, others are let go after a minute.
-    harness.changes(30, vec![KeyChange::Put(kv("s9", 30, 30, 6, ""))]);
+    // An endpoint that returns is updated; the others are removed after a minute.
+    harness.changes(30, vec![KeyChange::Put(key_value("s9", 30, 30, 6, ""))]);
     harness.advance(59_000);
     assert_eq!(harness.listed.len(), 5);
     harness.advance(2000);
     assert_eq!(harness.listed.keys().collect::<Vec<_>>(), ["s9"]);
-    // All in one answer: all are held, until an operator says otherwise.
+    // All in one answer: all are retained until an operator releases them.
     let mut harness = Harness::watching(all(), 10);
     harness.changes(11, names.iter().map(|n| delete(n, 11)).collect());
     assert_eq!(harness.listed.len(), 10);
     let release = KeyValue {
         key: keys().release_key().into(),
-        ..kv("x", 12, 12, 0, "")
+        ..key_value("x", 12, 12, 0, "")
     };
     harness.changes(12, vec![KeyChange::Put(release)]);
     assert!(harness.listed.is_empty());
-    // Without leases, or on purpose, nothing is held.
+    // Endpoints that leave on purpose are not retained.
     let mut harness = Harness::watching(all(), 10);
-    let gone = names
-        .iter()
-        .enumerate()
-        .map(|(i, n)| KeyChange::Put(kv(n, 11 + i as i64, i as i64 + 1, 5, r#","state":"gone""#)));
-    harness.changes(20, gone.collect());
+    let removals = names.iter().enumerate().map(|(i, n)| {
+        KeyChange::Put(key_value(
+            n,
+            11 + i as i64,
+            i as i64 + 1,
+            5,
+            r#","state":"gone""#,
+        ))
+    });
+    harness.changes(20, removals.collect());
     assert!(harness.listed.is_empty());
 }
 
@@ -479,10 +499,16 @@
     for n in 0..8 {
         harness.now += 1000;
         harness.changes(revision + 1, vec![delete("a", revision + 1)]);
-        assert!(!harness.lists("a"), "a removal is never held back");
+        assert!(!harness.lists("a"), "a removal is never delayed");
         harness.changes(
             revision + 2,
-            vec![KeyChange::Put(kv("a", revision + 2, revision + 2, 0, ""))],
+            vec![KeyChange::Put(key_value(
+                "a",
+                revision + 2,
+                revision + 2,
+                0,
+                "",
+            ))],
         );
         revision += 2;
         assert_eq!(harness.lists("a"), n < 3, "return {n}");
@@ -499,8 +525,8 @@
         cases: 500, failure_persistence: None, ..Default::default()
     })]
 
-    /// Whatever the store says in whatever order: no panic, bounded tables, and nothing up whose removal at a newer revision
-    /// was told while the past stayed the same.
+    /// Guards against panics and inconsistencies for any order of events, valid or not: the published changes add up to the
+    /// watcher's list, and timers do not fire without end.
     #[test]
     fn any_sequence_of_events_keeps_the_list_consistent(
         steps in proptest::collection::vec((0..8u8, 0..6usize, 0..40i64, 0..3i64, 0..4000u64), 1..80),
@@ -509,7 +535,7 @@
         let names = ["a", "b", "c", "d", "e", "f"];
         for (kind, name, revision, lease, wait) in steps {
             harness.now += wait;
-            let put = kv(names[name], revision, revision, lease, if revision % 7 == 3 { "," } else { "" });
+            let put = key_value(names[name], revision, revision, lease, if revision % 7 == 3 { "," } else { "" });
             let event = match kind {
                 0 => Event::Timer,
                 1 => Event::Connected,
@@ -522,7 +548,7 @@
             };
             harness.handle(event);
             let names_listed: Vec<String> = harness.watcher.endpoints().into_iter().map(|s| s.name).collect();
-            proptest::prop_assert_eq!(&names_listed, &harness.listed.keys().cloned().collect::<Vec<_>>(), "what was told is what is there");
+            proptest::prop_assert_eq!(&names_listed, &harness.listed.keys().cloned().collect::<Vec<_>>(), "the published changes do not add up to the list");
             proptest::prop_assert!(harness.watcher.next_due().is_none_or(|n| n > harness.now) || harness.commands.len() < 50);
         }
     }
