--- a/crates/multi-tenant/src/validation.rs
+++ b/crates/multi-tenant/src/validation.rs
@@ -90,7 +90,10 @@
 }
 
 /// What is wrong with a service whose form is right, but for its tenants, of which these are there.
-pub fn validate_without_tenants(service: &Service, is_there: impl Fn(&str) -> bool) -> Vec<ValidationError> {
+pub fn validate_without_tenants(
+    service: &Service,
+    is_there: impl Fn(&str) -> bool,
+) -> Vec<ValidationError> {
     let mut faults = Faults::default();
     let p = &service.process;
     faults.within("/process/loop-share", p.loop_share.0, 0.01, 1.0);
