--- a/crates/config-store/src/commit.rs
+++ b/crates/config-store/src/commit.rs
@@ -12,7 +12,7 @@
 /// Writes a transaction under its audit entry, prunes the history, and makes both durable.
 ///
 /// # Errors
-/// The database can't be written. After an error of the final commit it is open whether the transaction was applied.
+/// The database can't be written. After an error of the final commit it is unknown whether the transaction was applied.
 pub fn commit(
     database: &Database,
     transaction: &Transaction,
--- a/crates/config-store/src/error.rs
+++ b/crates/config-store/src/error.rs
@@ -9,7 +9,7 @@
     #[error("{0}: there is no store")]
     Missing(String),
     /// Another process holds the file's lock.
-    #[error("the store is open in another process; end that one first")]
+    #[error("the store is open in another process; stop that process first")]
     Locked,
     /// A newer program wrote the file.
     #[error(
@@ -24,7 +24,7 @@
     },
     /// A checksum or a reference between records does not match.
     #[error(
-        "the store is damaged: {0}; put a copy of it aside, then bring back a backup or import an export (canvascart store \
+        "the store is damaged: {0}; keep a copy of it, then restore a backup or import an export (canvascart store \
          import), or serve the last known good state with --read-only-state"
     )]
     Corrupted(String),
@@ -64,7 +64,7 @@
     Unavailable(String),
 }
 
-/// Reason that a line of an export is rejected.
+/// Reason why a line of an export is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
     /// The target store has contents.
@@ -77,7 +77,7 @@
     #[error("a header is valid in the first line only")]
     MisplacedHeader,
     /// The first line is not a header.
-    #[error("the first line is no header of an export")]
+    #[error("the first line is not the header of an export")]
     MissingHeader,
     /// The input has no line.
     #[error("the input is empty")]
--- a/crates/config-store/src/export.rs
+++ b/crates/config-store/src/export.rs
@@ -1,4 +1,4 @@
-//! Export of a store as text with one JSON object a line, and its import.
+//! Export of a store as text with one JSON object per line, and its import.
 
 use std::io::{self, BufRead, Write};
 
@@ -60,7 +60,7 @@
     },
 }
 
-/// Writes everything that a store holds.
+/// Writes all contents of a store.
 ///
 /// # Errors
 /// The store can't be read, or the text can't be written.
@@ -178,7 +178,7 @@
     store.verify()
 }
 
-/// Replaces everything that a store holds by an export, completely or not at all.
+/// Replaces all contents of a store by an export, completely or not at all.
 ///
 /// # Errors
 /// [`StoreError::Import`] with the rejected line, or the store can't be written.
--- a/crates/config-store/src/raft_log.rs
+++ b/crates/config-store/src/raft_log.rs
@@ -214,7 +214,7 @@
 }
 
 fn payload(framed: &[u8], description: &str) -> Result<Vec<u8>, StoreError> {
-    verified_payload(framed)
-        .map(<[u8]>::to_vec)
-        .ok_or_else(|| StoreError::Corrupted(format!("the checksum of {description} does not fit")))
+    verified_payload(framed).map(<[u8]>::to_vec).ok_or_else(|| {
+        StoreError::Corrupted(format!("the checksum of {description} does not match"))
+    })
 }
--- a/crates/config-store/src/retention.rs
+++ b/crates/config-store/src/retention.rs
@@ -1,4 +1,4 @@
-//! Bounds of the history, and the removal of what exceeds them.
+//! Bounds of the history, and the removal of records that exceed them.
 
 use redb::{AccessGuard, ReadableTable as _, ReadableTableMetadata as _, Table, WriteTransaction};
 
@@ -9,7 +9,7 @@
     decode_audit_entry, referenced_audit_entry,
 };
 
-/// Bounds of the history. Later commits remove what exceeds them.
+/// Bounds of the history. Each commit removes records that exceed them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
     /// Maximum number of versions.
@@ -36,7 +36,7 @@
 /// Maximum number of records of each kind that one commit removes, so that no commit takes long.
 const MAX_REMOVALS_PER_COMMIT: usize = 64;
 
-/// Removes what exceeds the retention, as part of a transaction whose audit entry has this number.
+/// Removes records that exceed the retention, as part of the transaction whose audit entry is `number`.
 ///
 /// # Errors
 /// The database can't be written, or is corrupted.
--- a/crates/config-store/src/snapshot.rs
+++ b/crates/config-store/src/snapshot.rs
@@ -1,9 +1,10 @@
 //! Snapshot of the last known good documents in a separate file, for a start beside a damaged store.
 //!
-//! The file is written aside and renamed, so that a complete one is always there. It lags behind the store: it serves starts
-//! with `--read-only-state` alone. Of a token it holds the hash, never the secret. Documents are streamed both ways.
+//! The file is written under another name and renamed, so that a complete one always exists. It lags behind the store, so
+//! it is only used for starts with `--read-only-state`. Of a token it contains the hash, never the secret. Documents are
+//! streamed on write and on read.
 //!
-//! Form: a CRC-32 (little-endian), then a JSON object.
+//! Format: a CRC-32 (little-endian), then a JSON object.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -73,7 +74,7 @@
     }
 }
 
-/// Writer that computes the checksum and the length of what passes.
+/// Writer that computes the checksum and the length of the written bytes.
 struct ChecksumWriter<W> {
     inner: W,
     checksum: crc32fast::Hasher,
@@ -174,7 +175,7 @@
 
 fn verify_checksum(file: &mut BufReader<File>, path: &Path) -> Result<(), StoreError> {
     let mismatch =
-        || StoreError::Corrupted(format!("the checksum of {} does not fit", path.display()));
+        || StoreError::Corrupted(format!("the checksum of {} does not match", path.display()));
     let mut expected = [0; CHECKSUM_BYTES];
     match file.read_exact(&mut expected) {
         Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Err(mismatch()),
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -24,7 +24,7 @@
 /// Size of the database's page cache, in bytes. Small, as callers hold the current documents and rarely read the history.
 const CACHE_BYTES: usize = 4 << 20;
 
-/// Opens the database: a file, or a test's storage.
+/// Function that opens the database, from a file or from the storage of a test.
 pub type Opener = Box<dyn Fn() -> Result<Database, StoreError> + Send>;
 
 /// Documents with their revisions, the audit log, tokens and replies.
@@ -107,7 +107,7 @@
         Ok(state)
     }
 
-    /// Closes the database; a corrupted one may panic on that, which changes nothing.
+    /// Closes the database. A corrupted one may panic then; the panic is ignored, as the database is dropped in any case.
     fn close(&mut self) {
         let database = self.database.take();
         let _ = catch_corruption(|| {
--- a/crates/config-store/src/tables.rs
+++ b/crates/config-store/src/tables.rs
@@ -51,7 +51,7 @@
     describe: impl Fn() -> String,
 ) -> Result<T, StoreError> {
     let json = verified_payload(bytes).ok_or_else(|| {
-        StoreError::Corrupted(format!("the checksum of {} does not fit", describe()))
+        StoreError::Corrupted(format!("the checksum of {} does not match", describe()))
     })?;
     serde_json::from_slice(json).map_err(|e| StoreError::Corrupted(format!("{}: {e}", describe())))
 }
@@ -90,7 +90,7 @@
     decode_audit_entry(bytes.value(), number)
 }
 
-/// Builds the error for a record that another one refers to, and that is not there.
+/// Builds the error for a missing record that another one refers to.
 pub fn missing(description: &str) -> StoreError {
     StoreError::Corrupted(format!("{description} is missing"))
 }
--- a/crates/config-store/tests/disk/mod.rs
+++ b/crates/config-store/tests/disk/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that ends at any operation: what was not synced is kept, lost, or torn, as the chance has it.
+//! In-memory disk that fails from a given operation on. Writes that were not synced are then kept, lost or torn at random.
 use std::io;
 use std::sync::{Arc, Mutex};
 
@@ -8,41 +8,41 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// What the system shows.
+    /// Contents as the operating system presents them.
     image: Vec<u8>,
-    /// What is on the disk for sure, and what has been written since.
+    /// Contents that are durable, without the operations that are pending since the last sync.
     durable: Vec<u8>,
     pending: Vec<Op>,
     operations: u64,
-    /// It ends at this operation.
-    ends_at: Option<u64>,
-    ended: bool,
-    /// How long the file may become.
-    room: Option<u64>,
+    /// Number of the operation from which on all operations fail.
+    fails_at: Option<u64>,
+    failed: bool,
+    /// Maximum length of the file.
+    max_length: Option<u64>,
 }
 
 #[derive(Debug)]
 enum Op {
-    Transaction(usize, Vec<u8>),
+    Write(usize, Vec<u8>),
     Length(usize),
 }
 
 fn apply(image: &mut Vec<u8>, op: &Op) {
     match op {
         Op::Length(length) => image.resize(*length, 0),
-        Op::Transaction(at, bytes) => {
+        Op::Write(at, bytes) => {
             image.resize(image.len().max(at + bytes.len()), 0);
             image[*at..at + bytes.len()].copy_from_slice(bytes);
         }
     }
 }
 
-/// How a process ends.
+/// Kind of a crash.
 #[derive(Clone, Copy, Debug)]
-pub enum End {
-    /// It is killed: the system keeps what it has written.
+pub enum Crash {
+    /// The process is killed: the operating system keeps all writes.
     Killed,
-    /// The power fails: of what was not synced, some is lost and some torn.
+    /// Power failure: of the writes that were not synced, some are lost and some torn.
     PowerCut,
 }
 
@@ -66,36 +66,36 @@
         self.0.lock().unwrap().operations
     }
 
-    pub fn end_at(&self, operation: u64) {
-        self.0.lock().unwrap().ends_at = Some(operation);
+    pub fn fail_at(&self, operation: u64) {
+        self.0.lock().unwrap().fails_at = Some(operation);
     }
 
-    pub fn set_room(&self, room: Option<u64>) {
-        self.0.lock().unwrap().room = room;
+    pub fn set_max_length(&self, max_length: Option<u64>) {
+        self.0.lock().unwrap().max_length = max_length;
     }
 
     pub fn length(&self) -> u64 {
         self.0.lock().unwrap().image.len() as u64
     }
 
-    /// The disk as the next process finds it.
-    pub fn after(&self, end: End, rng: &mut Rng) -> Disk {
+    /// Returns the disk as the next process finds it after a crash.
+    pub fn after_crash(&self, crash: Crash, rng: &mut Rng) -> Disk {
         let inner = self.0.lock().unwrap();
         let mut image = inner.durable.clone();
         for op in &inner.pending {
-            match (end, op) {
-                (End::Killed, op) => apply(&mut image, op),
-                (End::PowerCut, Op::Transaction(at, bytes)) if rng.bool() => {
+            match (crash, op) {
+                (Crash::Killed, op) => apply(&mut image, op),
+                (Crash::PowerCut, Op::Write(at, bytes)) if rng.bool() => {
                     let kept = if rng.bool() {
                         bytes.len()
                     } else {
                         rng.usize(..=bytes.len())
                     };
-                    apply(&mut image, &Op::Transaction(*at, bytes[..kept].to_vec()));
+                    apply(&mut image, &Op::Write(*at, bytes[..kept].to_vec()));
                 }
-                (End::PowerCut, Op::Transaction(..)) => {}
-                // A file's length goes with its log of changes, in order.
-                (End::PowerCut, op) => apply(&mut image, op),
+                (Crash::PowerCut, Op::Write(..)) => {}
+                // Changes of the file's length are journaled by the file system, so they survive in order.
+                (Crash::PowerCut, op) => apply(&mut image, op),
             }
         }
         Disk(Arc::new(Mutex::new(Inner {
@@ -105,14 +105,18 @@
         })))
     }
 
-    fn step(&self, op: Option<Op>) -> io::Result<()> {
+    /// Applies a write or a change of length; syncs if there is none.
+    fn record(&self, op: Option<Op>) -> io::Result<()> {
         let mut inner = self.0.lock().unwrap();
         inner.operations += 1;
-        if inner.ends_at.is_some_and(|end| inner.operations >= end) {
-            inner.ended = true;
+        if inner
+            .fails_at
+            .is_some_and(|failing| inner.operations >= failing)
+        {
+            inner.failed = true;
         }
-        if inner.ended {
-            return Err(io::Error::other("the process has ended"));
+        if inner.failed {
+            return Err(io::Error::other("the disk has failed"));
         }
         let Some(op) = op else {
             let inner = &mut *inner;
@@ -123,10 +127,13 @@
             return Ok(());
         };
         let length = match &op {
-            Op::Transaction(at, bytes) => at + bytes.len(),
+            Op::Write(at, bytes) => at + bytes.len(),
             Op::Length(length) => *length,
         };
-        if inner.room.is_some_and(|room| length as u64 > room) {
+        if inner
+            .max_length
+            .is_some_and(|max_length| length as u64 > max_length)
+        {
             return Err(io::ErrorKind::StorageFull.into());
         }
         apply(&mut inner.image, &op);
@@ -151,14 +158,14 @@
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.step(Some(Op::Length(len as usize)))
+        self.record(Some(Op::Length(len as usize)))
     }
 
     fn sync_data(&self, _: bool) -> io::Result<()> {
-        self.step(None)
+        self.record(None)
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.step(Some(Op::Transaction(offset as usize, data.to_vec())))
+        self.record(Some(Op::Write(offset as usize, data.to_vec())))
     }
 }
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -8,11 +8,11 @@
 
 use config_store::snapshot::SnapshotDocument;
 use config_store::{Author, Retention, Store, StoreError, Transaction, export, import, snapshot};
-use disk::{Disk, End};
+use disk::{Crash, Disk};
 use fastrand::Rng;
 use serde_json::{Value, json};
 
-fn write(base: u64, edits: Vec<(String, Option<Value>)>) -> Transaction {
+fn edit_transaction(base: u64, edits: Vec<(String, Option<Value>)>) -> Transaction {
     Transaction {
         base_entry: base,
         at_ms: 1000 + base,
@@ -32,18 +32,18 @@
 
 /// A transaction of two documents, a token and a reply, all with the same number.
 fn numbered_transaction(base: u64, n: u64) -> Transaction {
-    let body = json!({ "n": n, "filling": "x".repeat(300 + (n as usize * 97) % 3000) });
+    let body = json!({ "n": n, "padding": "x".repeat(300 + (n as usize * 97) % 3000) });
     Transaction {
         tokens: vec![("key".into(), Some(json!(n)))],
         reply: Some((format!("reply-{n}"), json!(n))),
-        ..write(
+        ..edit_transaction(
             base,
             vec![("a".into(), Some(body.clone())), ("b".into(), Some(body))],
         )
     }
 }
 
-/// The present documents.
+/// Returns the current documents.
 fn documents(store: &Store) -> BTreeMap<String, (u64, Value)> {
     let mut all = BTreeMap::new();
     let each = &mut |scope: &str, rev, document| _ = all.insert(scope.to_owned(), (rev, document));
@@ -54,10 +54,10 @@
 /// Returns the number of the last transaction, and checks that every record carries it.
 fn number(store: &Store, state: &config_store::StoreState) -> u64 {
     let n = |v: Option<&(u64, Value)>| v.map_or(0, |(_, v)| v["n"].as_u64().unwrap());
-    let there = documents(store);
-    let (a, b) = (there.get("a"), there.get("b"));
+    let current = documents(store);
+    let (a, b) = (current.get("a"), current.get("b"));
     let found = n(a);
-    assert_eq!(found, n(b), "one version's document beside another's");
+    assert_eq!(found, n(b), "documents of different versions are mixed");
     assert_eq!(
         state.tokens.get("key").map_or(0, |t| t.as_u64().unwrap()),
         found
@@ -74,12 +74,12 @@
 }
 
 /// Commits until the disk fails; returns the number of acknowledged transactions.
-fn write_until_end(disk: &Disk, retention: Retention, most: u64) -> u64 {
+fn commit_until_failure(disk: &Disk, retention: Retention, max_commits: u64) -> u64 {
     let Ok((mut store, state)) = Store::with_opener(disk.opener(), retention) else {
         return 0;
     };
     let mut acknowledged = number(&store, &state);
-    while acknowledged < most {
+    while acknowledged < max_commits {
         let next = acknowledged + 1;
         if store
             .commit(&numbered_transaction(store.last_entry(), next))
@@ -94,58 +94,65 @@
 
 #[test]
 fn a_crash_at_any_write_boundary_leaves_one_complete_version() {
-    const WRITES: u64 = 12;
+    const COMMITS: u64 = 12;
     let retention = Retention {
         versions: 4,
         audit_entries: 4,
         replies: 4,
         reply_ttl_ms: u64::MAX,
     };
-    let made = || {
+    let new_disk = || {
         let disk = Disk::default();
         drop(Store::with_opener(disk.opener(), retention).unwrap());
         disk
     };
-    let untouched = made();
-    let before = untouched.operations();
-    assert_eq!(write_until_end(&untouched, retention, WRITES), WRITES);
-    let boundaries = untouched.operations();
-    let ends = AtomicU64::new(0);
-    let kill = &|at: u64| {
-        for (end, seeds) in [(End::Killed, 1), (End::PowerCut, 4)] {
+    let reliable_disk = new_disk();
+    let before = reliable_disk.operations();
+    assert_eq!(
+        commit_until_failure(&reliable_disk, retention, COMMITS),
+        COMMITS
+    );
+    let boundaries = reliable_disk.operations();
+    let crashes = AtomicU64::new(0);
+    let crash_at = &|at: u64| {
+        for (crash, seeds) in [(Crash::Killed, 1), (Crash::PowerCut, 4)] {
             for seed in 0..seeds {
                 let mut rng = Rng::with_seed(at * 100 + seed);
-                let disk = made();
-                disk.end_at(at);
-                let acknowledged = write_until_end(&disk, retention, WRITES);
+                let disk = new_disk();
+                disk.fail_at(at);
+                let acknowledged = commit_until_failure(&disk, retention, COMMITS);
                 let (mut store, state) =
-                    Store::with_opener(disk.after(end, &mut rng).opener(), retention)
-                        .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
-                let there = number(&store, &state);
+                    Store::with_opener(disk.after_crash(crash, &mut rng).opener(), retention)
+                        .unwrap_or_else(|e| panic!("boundary {at}, {crash:?}, seed {seed}: {e}"));
+                let found = number(&store, &state);
                 assert!(
-                    (acknowledged..=acknowledged + 1).contains(&there),
-                    "boundary {at}, {end:?}, seed {seed}: {there} after {acknowledged} were acknowledged"
+                    (acknowledged..=acknowledged + 1).contains(&found),
+                    "boundary {at}, {crash:?}, seed {seed}: {found} after {acknowledged} were acknowledged"
                 );
                 store
                     .verify()
-                    .unwrap_or_else(|e| panic!("boundary {at}, {end:?}, seed {seed}: {e}"));
+                    .unwrap_or_else(|e| panic!("boundary {at}, {crash:?}, seed {seed}: {e}"));
                 store
-                    .commit(&numbered_transaction(store.last_entry(), there + 1))
+                    .commit(&numbered_transaction(store.last_entry(), found + 1))
                     .unwrap();
-                ends.fetch_add(1, Ordering::Relaxed);
+                crashes.fetch_add(1, Ordering::Relaxed);
             }
         }
     };
     thread::scope(|threads| {
         for part in 0..4 {
-            threads.spawn(move || (before + 1 + part..=boundaries).step_by(4).for_each(kill));
+            threads.spawn(move || {
+                (before + 1 + part..=boundaries)
+                    .step_by(4)
+                    .for_each(crash_at)
+            });
         }
     });
-    let ends = ends.into_inner();
-    println!("{ends} ends at {} boundaries", boundaries - before);
+    let crashes = crashes.into_inner();
+    println!("{crashes} crashes at {} boundaries", boundaries - before);
     assert!(
-        ends >= 500,
-        "{ends} ends at {} boundaries",
+        crashes >= 500,
+        "{crashes} crashes at {} boundaries",
         boundaries - before
     );
 }
@@ -172,9 +179,9 @@
                 now.insert(scope.clone(), json!(n));
                 Some(json!(n))
             };
-            let write = write(store.last_entry(), vec![(scope, edit)]);
-            let entry = store.commit(&write).unwrap();
-            state.apply(&write, &entry);
+            let transaction = edit_transaction(store.last_entry(), vec![(scope, edit)]);
+            let entry = store.commit(&transaction).unwrap();
+            state.apply(&transaction, &entry);
             expected_versions.push(now);
         }
         let newest = expected_versions.len() as u64 - 1;
@@ -196,7 +203,7 @@
             retention.audit_entries
         );
         store.verify().unwrap();
-        // What follows the writes in memory is what a new start reads.
+        // The state that was updated in memory equals the state that a restart reads.
         let bytes = {
             let mut bytes = Vec::new();
             export(&store, &mut bytes).unwrap();
@@ -204,20 +211,20 @@
         };
         let (mut copy, _) = Store::with_opener(Disk::default().opener(), retention).unwrap();
         import(&mut copy, bytes.as_slice()).unwrap();
-        let mut again = Vec::new();
-        export(&copy, &mut again).unwrap();
-        assert_eq!(bytes, again);
+        let mut exported_again = Vec::new();
+        export(&copy, &mut exported_again).unwrap();
+        assert_eq!(bytes, exported_again);
         assert!(matches!(
             import(&mut copy, bytes.as_slice()),
             Err(StoreError::Import { line: 0, .. })
         ));
-        let there: BTreeMap<_, _> = documents(&copy)
+        let current: BTreeMap<_, _> = documents(&copy)
             .into_iter()
             .map(|(s, (_, d))| (s, d))
             .collect();
         assert_eq!(
-            (copy.documents_at(state.version).unwrap().unwrap(), &there),
-            (there.clone(), expected_versions.last().unwrap())
+            (copy.documents_at(state.version).unwrap().unwrap(), &current),
+            (current.clone(), expected_versions.last().unwrap())
         );
         assert_eq!(documents(&store), documents(&copy));
     }
@@ -228,7 +235,7 @@
     let disk = Disk::default();
     let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
     store.commit(&numbered_transaction(0, 1)).unwrap();
-    disk.set_room(Some(disk.length()));
+    disk.set_max_length(Some(disk.length()));
     let mut n = 1;
     let full = loop {
         match store.commit(&numbered_transaction(store.last_entry(), n + 1)) {
@@ -239,7 +246,7 @@
     };
     assert!(matches!(full, StoreError::DiskFull), "{full}");
     assert_eq!(store.version(), n);
-    disk.set_room(None);
+    disk.set_max_length(None);
     store
         .commit(&numbered_transaction(store.last_entry(), n + 1))
         .unwrap();
@@ -253,7 +260,7 @@
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("canvascart-store-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&path); // of an earlier run
+        let _ = std::fs::remove_dir_all(&path); // left by an earlier run
         std::fs::create_dir_all(&path).unwrap();
         Directory(path)
     }
@@ -266,14 +273,14 @@
 }
 
 #[test]
-fn a_missing_locked_or_newer_store_is_refused() {
+fn a_missing_locked_or_newer_store_is_rejected() {
     let directory = Directory::new("alone");
     let path = &directory.0;
     assert!(matches!(
         Store::open_existing(path, Retention::default()),
         Err(StoreError::Missing(_))
     ));
-    // Left by a process that was killed while it made the store.
+    // Left by a process that was killed while it created the store.
     std::fs::write(
         path.join(format!("{}.new", config_store::FILE_NAME)),
         "half",
@@ -295,17 +302,20 @@
         .unwrap();
     change.commit().unwrap();
     drop(newer);
-    let said = Store::open(path, Retention::default())
+    let message = Store::open(path, Retention::default())
         .err()
         .unwrap()
         .to_string();
-    assert!(said.contains("use the program that wrote it"), "{said}");
+    assert!(
+        message.contains("use the program that wrote it"),
+        "{message}"
+    );
 }
 
 /// A store of format 1 has no index of the audit log.
 #[test]
 fn migration_of_an_older_format_is_atomic() {
-    let older = || {
+    let format_1_disk = || {
         let disk = Disk::default();
         let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
         for n in 0..30 {
@@ -314,15 +324,15 @@
             store
                 .commit(&Transaction {
                     subject: None,
-                    ..write(store.last_entry(), edits)
+                    ..edit_transaction(store.last_entry(), edits)
                 })
                 .unwrap();
         }
         drop(store);
         let database = disk.opener()().unwrap();
         let change = database.begin_write().unwrap();
-        let of = redb::TableDefinition::<(&str, u64), ()>::new("audit-of");
-        assert!(change.delete_table(of).unwrap());
+        let audit_index = redb::TableDefinition::<(&str, u64), ()>::new("audit-of");
+        assert!(change.delete_table(audit_index).unwrap());
         let meta = redb::TableDefinition::<&str, u64>::new("meta");
         change
             .open_table(meta)
@@ -333,11 +343,19 @@
         drop(database);
         disk
     };
-    let good = |disk: &Disk| {
+    let check = |disk: &Disk| {
         let (mut store, state) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
         assert_eq!((state.version, documents(&store).len()), (30, 3));
-        let of = |name| store.audit_log(Some(name), u64::MAX, 100).unwrap().len();
-        assert_eq!([of("x"), of("y"), of("z"), of("tenant/x")], [15, 15, 30, 0]);
+        let entries_of = |name| store.audit_log(Some(name), u64::MAX, 100).unwrap().len();
+        assert_eq!(
+            [
+                entries_of("x"),
+                entries_of("y"),
+                entries_of("z"),
+                entries_of("tenant/x")
+            ],
+            [15, 15, 30, 0]
+        );
         assert_eq!(
             store
                 .audit_log(Some("x"), 20, 3)
@@ -349,16 +367,16 @@
         );
         store.verify().unwrap();
     };
-    let disk = older();
+    let disk = format_1_disk();
     let before = disk.operations();
-    good(&disk);
-    let whole = disk.operations() - before;
+    check(&disk);
+    let migration_operations = disk.operations() - before;
     let mut rng = Rng::with_seed(3);
-    for at in 1..=whole {
-        let disk = older();
-        disk.end_at(before + at);
-        let _ = Store::with_opener(disk.opener(), Retention::default()).map(drop); // it ends somewhere in there
-        good(&disk.after(End::PowerCut, &mut rng));
+    for at in 1..=migration_operations {
+        let disk = format_1_disk();
+        disk.fail_at(before + at);
+        let _ = Store::with_opener(disk.opener(), Retention::default()).map(drop); // fails during the migration
+        check(&disk.after_crash(Crash::PowerCut, &mut rng));
     }
 }
 
@@ -368,9 +386,9 @@
     let path = &directory.0;
     let (mut store, mut state) = Store::open(path, Retention::default()).unwrap();
     for n in 1..=20 {
-        let write = numbered_transaction(store.last_entry(), n);
-        let entry = store.commit(&write).unwrap();
-        state.apply(&write, &entry);
+        let transaction = numbered_transaction(store.last_entry(), n);
+        let entry = store.commit(&transaction).unwrap();
+        state.apply(&transaction, &entry);
     }
     let all = documents(&store);
     drop(store);
@@ -406,11 +424,11 @@
         let opened = Store::open_existing(path, Retention::default())
             .and_then(|(mut store, found)| store.verify().map(|()| (documents(&store), found)));
         match opened {
-            Ok((there, found)) => {
+            Ok((current, found)) => {
                 assert_eq!(
-                    (&found, &there),
+                    (&found, &current),
                     (&state, &all),
-                    "damage at {at} went by unseen"
+                    "damage at {at} was not detected"
                 );
                 unharmed += 1;
             }
@@ -426,7 +444,7 @@
     );
     let text = std::fs::read(path.join(snapshot::FILE_NAME)).unwrap();
     std::fs::write(path.join(snapshot::FILE_NAME), &text[..text.len() - 1]).unwrap();
-    let visit = &mut |_: &str, _, _| panic!("told of a snapshot that is damaged");
+    let visit = &mut |_: &str, _, _| panic!("a document of a damaged snapshot was visited");
     assert!(matches!(
         snapshot::read(path, visit),
         Err(StoreError::Corrupted(_))
@@ -460,7 +478,7 @@
         },
         documents,
     );
-    assert!(matches!(failed, Err(StoreError::Corrupted(what)) if what == "b"));
+    assert!(matches!(failed, Err(StoreError::Corrupted(reason)) if reason == "b"));
     assert_eq!(
         std::fs::read(path.join(snapshot::FILE_NAME)).unwrap(),
         before
--- a/crates/proxy/tests/operations.rs
+++ b/crates/proxy/tests/operations.rs
@@ -535,15 +535,15 @@
         ),
         (
             good.replace("\"maxAttempts\":6", "\"maxAttempts\":0"),
-            "settings.ceilings.maxAttempts: 0 is not over 0",
+            "settings.ceilings.maxAttempts: 0 is not greater than 0",
         ),
         (
             good.replace("\"deadline\":5000", "\"deadline\":0"),
-            "settings.classes[0].deadline: 0 is not over 0",
+            "settings.classes[0].deadline: 0 is not greater than 0",
         ),
         (
             good.replace("\"name\":\"notice\"", "\"name\":\"page\""),
-            "'page' stands there twice",
+            "'page' occurs twice",
         ),
     ];
     for (n, (text, word)) in broken.iter().enumerate() {
--- a/crates/proxy/tests/settings_file.rs
+++ b/crates/proxy/tests/settings_file.rs
@@ -23,10 +23,7 @@
 fn a_bad_file_stops_the_start_and_is_named() {
     for (text, word) in [
         ("# fine\nno.such.key = 1\n", ":2: no.such.key: no such key"),
-        (
-            "a.key = 1\na.key = 1\n",
-            ":2: a.key: stands in line 1 already",
-        ),
+        ("a.key = 1\na.key = 1\n", ":2: a.key: already set in line 1"),
         ("a.key\n", ":1: a.key: there is no value"),
     ] {
         let file = config_file(text);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
 //! Settings of a proxy as operators write them.
 //!
-//! It reads and checks settings and decides nothing:
+//! The crate reads and checks settings:
 //!
-//! - [`PlatformSettings`]: the platform's start-up parameters in JSON. The mapping of the platform's names to the terms
-//!   of the code stands in `platform.rs` alone.
+//! - [`PlatformSettings`]: the platform's start-up parameters in JSON. Only `platform.rs` maps the platform's names to
+//!   the terms of the code.
 //! - [`ReloadableSettings`]: the same while they change in a running process.
 //! - [`properties`]: the optional features, in a file of `key = value` lines.
 #![deny(
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's settings object, mapped to the decision module's settings.
 //!
-//! This is the only module that knows the platform's key names. Every missing value gets the careful default; checks of
+//! This is the only module that knows the platform's key names. A missing value gets a conservative default; checks of
 //! a whole object are in `reload_check`.
 
 use balancer::{
@@ -30,7 +30,7 @@
 }
 
 impl ConnectionSettings {
-    /// Reads them from the platform's settings object.
+    /// Reads the limits from the platform's settings object.
     pub fn from_json(object: &Value) -> Self {
         let ceilings = &object["ceilings"];
         ConnectionSettings {
--- a/crates/settings/src/properties/error.rs
+++ b/crates/settings/src/properties/error.rs
@@ -47,10 +47,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
     /// The line has no value.
-    #[error("there is no value: 'key = value' is wanted")]
+    #[error("there is no value: expected 'key = value'")]
     MissingValue,
-    /// The key stands in an earlier line too.
-    #[error("stands in line {first_line} already")]
+    /// The key is also set in an earlier line.
+    #[error("already set in line {first_line}")]
     DuplicateKey {
         /// Number of the earlier line.
         first_line: usize,
--- a/crates/settings/src/properties/value.rs
+++ b/crates/settings/src/properties/value.rs
@@ -24,13 +24,13 @@
         text: String,
     },
     /// Not an IP address with a port above 0.
-    #[error("'{text}' is no IP address with a port")]
+    #[error("'{text}' is not an IP address with a port")]
     NotSocketAddress {
         /// The value.
         text: String,
     },
     /// Not an integer in a range.
-    #[error("'{text}' is no whole number from {min} to {max}")]
+    #[error("'{text}' is not an integer from {min} to {max}")]
     NotInteger {
         /// The value.
         text: String,
@@ -40,7 +40,7 @@
         max: u64,
     },
     /// Not a duration in milliseconds.
-    #[error("'{text}' is no whole number from {min_ms} to {max_ms}, in ms")]
+    #[error("'{text}' is not an integer from {min_ms} to {max_ms}, in ms")]
     NotDuration {
         /// The value.
         text: String,
@@ -56,7 +56,7 @@
         text: String,
     },
     /// Not usable as a secret. The value is not shown.
-    #[error("a secret is a row of visible ASCII characters")]
+    #[error("a secret must consist of visible ASCII characters")]
     InvalidSecret,
 }
 
--- a/crates/settings/src/reload_check.rs
+++ b/crates/settings/src/reload_check.rs
@@ -45,7 +45,7 @@
     #[error("the key is missing")]
     MissingKey,
     /// The value's type differs from that of the former object.
-    #[error("{found} in place of {expected}")]
+    #[error("{found} instead of {expected}")]
     WrongType {
         /// Type of the new value.
         found: &'static str,
@@ -59,22 +59,22 @@
     #[error("there is no name")]
     MissingName,
     /// Two classes have the same name.
-    #[error("'{name}' stands there twice")]
+    #[error("'{name}' occurs twice")]
     DuplicateClass {
         /// The name.
         name: String,
     },
     /// Two accounts have the same name.
-    #[error("it stands there twice")]
+    #[error("the name occurs twice")]
     DuplicateAccount,
     /// A value is not a number above 0.
-    #[error("{value} is not over 0")]
+    #[error("{value} is not greater than 0")]
     NotPositive {
         /// The value.
         value: Value,
     },
     /// A class's effect is none of the known ones.
-    #[error("{value} is no effect")]
+    #[error("{value} is not a known effect")]
     UnknownEffect {
         /// The value.
         value: Value,
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -28,7 +28,7 @@
     assert_eq!(error("b = 1\na = 1\n"), "f:1: b: no such key");
     assert_eq!(
         error("a.key = 1\n#\n a.key=2\n"),
-        "f:3: a.key: stands in line 1 already"
+        "f:3: a.key: already set in line 1"
     );
     assert!(error("a.key\n").starts_with("f:1: a.key: there is no value"));
     assert!(error("a.key = \n").starts_with("f:1: a.key: there is no value"));
@@ -123,7 +123,7 @@
         "drills.port = -1",
         "drills.max_seconds = 0",
     ] {
-        assert!(error(line).contains("no whole number from"), "{line}");
+        assert!(error(line).contains("not an integer from"), "{line}");
     }
 }
 
@@ -154,8 +154,8 @@
         ("figures.format = graphite", "neither statsd nor influx"),
         ("figures.flush_ms = 0", "from 1 to"),
         ("figures.batch_bytes = 511", "from 512 to"),
-        ("figures.udp = 127.0.0.1", "no IP address with a port"),
-        ("figures.udp = 127.0.0.1:0", "no IP address with a port"),
+        ("figures.udp = 127.0.0.1", "not an IP address with a port"),
+        ("figures.udp = 127.0.0.1:0", "not an IP address with a port"),
     ] {
         assert!(error(line).contains(fragment), "{line}: {}", error(line));
     }
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -85,7 +85,7 @@
         ("settings.classes[0].deadline: -1.0 is not", &|v| {
             v["classes"][0]["deadline"] = json!(-1.0)
         }),
-        ("settings.classes[0].deadline: text in place", &|v| {
+        ("settings.classes[0].deadline: text instead", &|v| {
             v["classes"][0]["deadline"] = json!("9")
         }),
         ("settings.classes[0].promise: 0 is not", &|v| {
@@ -94,19 +94,19 @@
         ("settings.ceilings.maxAttempts: 0 is not", &|v| {
             v["ceilings"]["maxAttempts"] = json!(0)
         }),
-        ("settings.classes[1].name: 'lookup' stands", &|v| {
+        ("settings.classes[1].name: 'lookup' occurs", &|v| {
             v["classes"][1]["name"] = json!("lookup")
         }),
-        ("settings.classes[0].effect: \"odd\" is no", &|v| {
+        ("settings.classes[0].effect: \"odd\" is not", &|v| {
             v["classes"][0]["effect"] = json!("odd")
         }),
         ("settings.classes: there is no class", &|v| {
             v["classes"] = json!([])
         }),
-        ("settings.classes: an object in place", &|v| {
+        ("settings.classes: an object instead", &|v| {
             v["classes"] = json!({})
         }),
-        ("settings: text in place of an object", &|v| *v = json!("x")),
+        ("settings: text instead of an object", &|v| *v = json!("x")),
     ];
     for (expected, edit) in cases {
         let message = change(edit).to_string();
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -31,7 +31,7 @@
     /// The line could not be read, or the replies of its batch could not be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A part of the line is no `name=value`.
+    /// A part of the line is not a `name=value` pair.
     #[error("'{part}' has no '='")]
     NotAField {
         /// The part.
@@ -43,23 +43,23 @@
         /// Name of the field.
         name: &'static str,
     },
-    /// A field is no finite number.
-    #[error("'{name}={value}' is no number")]
+    /// A field is not a finite number.
+    #[error("'{name}={value}' is not a number")]
     NotANumber {
         /// Name of the field.
         name: &'static str,
         /// Value of the field.
         value: String,
     },
-    /// A field is no integer from 0.
-    #[error("'{name}={value}' is no whole number")]
+    /// A field is not a non-negative integer.
+    #[error("'{name}={value}' is not an integer")]
     NotAnInteger {
         /// Name of the field.
         name: &'static str,
         /// Value of the field.
         value: String,
     },
-    /// A batch ended without having begun.
+    /// A batch ended that had not begun.
     #[error("GO without FRAME")]
     BatchNotStarted,
     /// A message came before the beginning of a batch.
@@ -69,12 +69,12 @@
         message: String,
     },
     /// The input ended within a list.
-    #[error("the list is cut short")]
+    #[error("the input ends inside a list")]
     ListTruncated,
     /// A line of another kind came within a list.
     #[error("a list line was expected")]
     NotAListItem,
-    /// The settings are no JSON.
+    /// The settings are not valid JSON.
     #[error("settings: {0}")]
     Settings(#[source] serde_json::Error),
     /// A request's class is unknown.
@@ -89,13 +89,13 @@
         /// The pair.
         pair: String,
     },
-    /// A value of a load report is no finite number.
-    #[error("'feedback': '{pair}' is no number")]
+    /// A value of a load report is not a finite number.
+    #[error("'feedback': '{pair}' is not a number")]
     NotALoadValue {
         /// The pair.
         pair: String,
     },
-    /// A message between proxies is no Base64.
+    /// A message between proxies is not valid Base64.
     #[error("'msg': {0}")]
     Base64(#[from] base64::DecodeError),
 }
--- a/crates/sim-adapter/src/protocol/message.rs
+++ b/crates/sim-adapter/src/protocol/message.rs
@@ -1,4 +1,4 @@
-//! Messages from the simulator, mapped to terms of the decision module.
+//! Messages from the simulator, mapped to types of the decision module.
 
 use balancer::{CellId, EndpointState, Key, LoadReport, Millis, Outcome, UpdateScope};
 use base64::Engine as _;
--- a/crates/sim-adapter/src/protocol/mod.rs
+++ b/crates/sim-adapter/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! The simulator's line protocol.
 //!
-//! This is the only module that knows the protocol's names. [`message`] maps the simulator's messages to terms of the
-//! code, [`reply`] maps actions to lines. A line is a name, followed by tab-separated `name=value` fields.
+//! This is the only module that knows the protocol's names. [`message`] maps the simulator's messages to types of the
+//! code, [`reply`] writes actions as lines. A line is a name, followed by tab-separated `name=value` fields.
 
 mod fields;
 pub mod message;
--- a/crates/sim-adapter/src/protocol/reply.rs
+++ b/crates/sim-adapter/src/protocol/reply.rs
@@ -37,7 +37,7 @@
         self.replies.truncate(len);
     }
 
-    /// Forwards a request to an endpoint, with the time after which to give the attempt up.
+    /// Forwards a request to an endpoint, with the timeout of the attempt.
     pub fn forward(&mut self, request: &str, endpoint: Option<&str>, timeout: Option<Millis>) {
         let proxy = self.proxy;
         let endpoint = endpoint.unwrap_or(UNKNOWN_ENDPOINT);
--- a/crates/sim-adapter/src/session.rs
+++ b/crates/sim-adapter/src/session.rs
@@ -19,7 +19,7 @@
     text: String,
 }
 
-/// A session until the end of its input.
+/// Session with the simulator, until the end of the input.
 pub struct Session<R, W: Write> {
     lines: Lines<R>,
     /// Number of the line read last, from 1.
@@ -168,7 +168,7 @@
     }
 }
 
-/// Handles an event. If the decision module panics, one reply that says so replaces those to the event.
+/// Handles an event. If the decision module panics, its replies to the event are replaced by one that reports the panic.
 fn handle_and_report_panic(
     proxy: &mut SimulatedProxy,
     now: Millis,
--- a/crates/sim-adapter/src/simulated_proxy.rs
+++ b/crates/sim-adapter/src/simulated_proxy.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: its decision module, and the names that the module's numbers stand for.
+//! Simulated proxy: its decision module, and the names of the requests and endpoints that the module numbers.
 
 use std::collections::HashMap;
 
@@ -16,14 +16,14 @@
 };
 use crate::protocol::reply::ReplyWriter;
 
-/// A request that may still be named by a message.
+/// Request that messages may still refer to.
 struct KnownRequest {
     name: String,
     attempts_in_flight: u32,
     is_finished: bool,
 }
 
-/// An item of the list that follows a message.
+/// Item of the list that follows a message.
 pub struct ListItem {
     /// Number of its line.
     pub line: usize,
@@ -31,7 +31,7 @@
     pub text: String,
 }
 
-/// A simulated proxy.
+/// Simulated proxy.
 pub struct SimulatedProxy {
     balancer: Balancer,
     names: Names,
@@ -207,7 +207,7 @@
         Ok(self.request_ids.get(name).copied().map(RequestId))
     }
 
-    /// Hands an event to the decision module and writes its actions.
+    /// Passes an event to the decision module and writes its actions.
     pub fn handle(&mut self, now: Millis, event: Event, reply: &mut ReplyWriter) {
         let request = match &event {
             Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => {
--- a/crates/sim-adapter/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter's program on short inputs.
+//! Runs of the adapter's binary on short inputs.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -71,18 +71,18 @@
 }
 
 /// Completes 40 requests one after the other, each with a load report, and returns how many of ten at once are forwarded.
-fn forwarded_at_once_after(load_report: &str) -> usize {
+fn forwarded_of_ten_after(load_report: &str) -> usize {
     let params = PARAMS.replace("\"nInstances\":1", "\"nInstances\":32");
     let mut input = format!("FRAME\tts=10\n{}GO\n", start(0).replace(PARAMS, &params));
-    let ask = |n: usize| format!("ARRIVAL\ti=0\trid=r-{n}\ttierClass=odd\ttimeBudget=900\n");
+    let request = |n: usize| format!("ARRIVAL\ti=0\trid=r-{n}\ttierClass=odd\ttimeBudget=900\n");
     for n in 0..40 {
         let (at, end) = (20 + 100 * n, 60 + 100 * n);
-        input += &format!("FRAME\tts={at}\n{}GO\nFRAME\tts={end}\n", ask(n));
+        input += &format!("FRAME\tts={at}\n{}GO\nFRAME\tts={end}\n", request(n));
         input += &format!(
             "OUTCOME\ti=0\trid=r-{n}\tbackend=b.one\tlatency=40\tsendNo=0\tclosed=1\treason=completed\tfeedback={load_report}\nGO\n"
         );
     }
-    let burst: String = (100..110).map(ask).collect();
+    let burst: String = (100..110).map(request).collect();
     input += &format!("FRAME\tts=5000\n{burst}GO\n");
     let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
@@ -96,14 +96,14 @@
 #[test]
 fn load_reports_of_overload_reduce_the_concurrency_limit() {
     // Only one request is in flight at a time, so the initial concurrency limit does not grow; two endpoints admit two.
-    let normal = forwarded_at_once_after("failed_ps:0,busy_reqs:2");
-    let overloaded = forwarded_at_once_after("busy_reqs:30,pending:1");
+    let normal = forwarded_of_ten_after("failed_ps:0,busy_reqs:2");
+    let overloaded = forwarded_of_ten_after("busy_reqs:30,pending:1");
     assert_eq!((normal, overloaded), (2, 1));
 }
 
 #[test]
 fn a_malformed_line_ends_the_session_with_its_number() {
-    for (line, at) in [
+    for (line, position) in [
         (
             "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=soon\n",
             "line 6",
@@ -130,37 +130,37 @@
     ] {
         let (ok, _, err) = run_adapter(&format!("FRAME\tts=10\n{}{line}GO\n", start(0)));
         assert!(!ok, "accepted {line}");
-        assert!(err.contains(at), "{line}: {err}");
+        assert!(err.contains(position), "{line}: {err}");
     }
 }
 
 #[test]
 fn a_restart_forgets_requests_and_proxies_are_independent() {
-    let ask =
+    let request =
         |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
-    let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), ask(1, "r-1"));
+    let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), request(1, "r-1"));
     let both = format!(
         "FRAME\tts=10\n{}{}{}{}GO\n",
         start(0),
         start(1),
-        ask(0, "r-0"),
-        ask(1, "r-1")
+        request(0, "r-0"),
+        request(1, "r-1")
     );
-    let of_one = |out: &str| {
+    let replies_of_proxy_1 = |out: &str| {
         out.lines()
             .filter(|l| l.contains("\ti=1\t"))
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        of_one(&run_adapter(&alone).1),
-        of_one(&run_adapter(&both).1)
+        replies_of_proxy_1(&run_adapter(&alone).1),
+        replies_of_proxy_1(&run_adapter(&both).1)
     );
-    let again = format!(
+    let restarted = format!(
         "{alone}FRAME\tts=20\nCRASH_NOW\ti=1\n{}OUTCOME\ti=1\trid=r-1\tbackend=b.one\tsendNo=0\treason=completed\nGO\n",
         start(1)
     );
-    let (ok, out, err) = run_adapter(&again);
+    let (ok, out, err) = run_adapter(&restarted);
     assert!(ok, "{err}");
     assert!(!out.split("EOR\n").nth(1).unwrap().contains("r-1"), "{out}");
 }
@@ -189,30 +189,30 @@
         "FRAME\tts=10\n{}DEADLINE_HIT\ti=0\tkeyBack=NaN\nGO\n",
         start(0)
     );
-    assert!(!run_adapter(&input).0, "a token that is no number");
+    assert!(!run_adapter(&input).0, "the token is not a number");
 }
 
 #[test]
-fn a_crash_and_a_start_in_one_batch_and_late_messages_about_old_requests() {
-    let ask = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
+fn a_crash_and_restart_in_one_batch_drops_requests_and_late_messages_are_ignored() {
+    let request = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
     let end =
         "OUTCOME\ti=0\trid=r-1\tbackend=b.one\tlatency=9\tsendNo=0\tclosed=1\treason=completed\n";
     let input = format!(
-        "FRAME\tts=10\n{}{ask}GO\nFRAME\tts=20\nCRASH_NOW\ti=0\n{}GO\n\
+        "FRAME\tts=10\n{}{request}GO\nFRAME\tts=20\nCRASH_NOW\ti=0\n{}GO\n\
          FRAME\tts=30\n{}GO\nFRAME\tts=40\n{end}HANGUP\ti=0\trid=r-2\nHANGUP\ti=0\trid=r-2\nGO\n",
         start(0),
         start(0),
-        ask.replace("r-1", "r-2")
+        request.replace("r-1", "r-2")
     );
     let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
     assert!(
         replies[2].contains("SUBMIT_TO\ti=0\trid=r-2"),
-        "the new start serves: {out}"
+        "the restarted proxy forwards: {out}"
     );
     assert!(
         !replies[3].contains("r-1") && !replies[3].contains("r-2"),
-        "nothing for what is over: {out}"
+        "a reply to a finished request: {out}"
     );
 }
