--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -149,7 +149,7 @@
         .map(|(value, _)| *value)
 }
 
-/// Value from outside, written escaped; `None` is written as `-`.
+/// Value from outside, which is displayed escaped; `None` is written as `-`.
 #[derive(Clone, Copy, Debug)]
 pub struct Field<'a>(pub Option<&'a str>);
 
--- a/crates/config-store/src/error.rs
+++ b/crates/config-store/src/error.rs
@@ -73,7 +73,7 @@
     /// The line is not a record of an export.
     #[error("{0}")]
     Malformed(#[source] serde_json::Error),
-    /// A header stands after the first line.
+    /// A header occurs after the first line.
     #[error("a header is valid in the first line only")]
     MisplacedHeader,
     /// The first line is not a header.
--- a/crates/config-store/src/integrity.rs
+++ b/crates/config-store/src/integrity.rs
@@ -9,7 +9,7 @@
     describe_audit_entry, referenced_audit_entry,
 };
 
-/// Verifies everything in a database.
+/// Verifies all contents of a database.
 ///
 /// # Errors
 /// The first inconsistency, as [`StoreError::Corrupted`], or the database can't be read.
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Verifies that the index has each name of each audit entry, and nothing else.
+/// Verifies that the index has exactly the names of all audit entries.
 fn verify_audit_index(read: &ReadTransaction) -> Result<(), StoreError> {
     let index = read.open_table(AUDIT_INDEX)?;
     let mut expected_length = 0;
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`Store`]: queries, and commits of a [`Transaction`]; [`Retention`] bounds the history.
 //! - [`StoreError`]: failures, each with the operator's next step.
 //! - [`export()`], [`import`], [`restore`]: the contents as text.
-//! - [`snapshot`]: the last known good documents in a separate file, for a start beside a damaged store.
+//! - [`snapshot`]: the last known good documents in a separate file, for a start with a damaged store.
 //! - [`raft_log::RaftLog`]: the replicated log of a cluster member, in a separate file.
 #![deny(
     clippy::too_many_lines,
--- a/crates/config-store/src/retention.rs
+++ b/crates/config-store/src/retention.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Maximum number of records of each kind that one commit removes, so that no commit takes long.
+/// Maximum number of records of each kind that one commit removes, which bounds the duration of a commit.
 const MAX_REMOVALS_PER_COMMIT: usize = 64;
 
 /// Removes records that exceed the retention, as part of the transaction whose audit entry is `number`.
--- a/crates/config-store/src/snapshot.rs
+++ b/crates/config-store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot of the last known good documents in a separate file, for a start beside a damaged store.
+//! Snapshot of the last known good documents in a separate file, for a start with a damaged store.
 //!
 //! The file is written under another name and renamed, so that a complete one always exists. It lags behind the store, so
 //! it is only used for starts with `--read-only-state`. Of a token it contains the hash, never the secret. Documents are
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -296,7 +296,7 @@
         queries::reply(self.database()?, key)
     }
 
-    /// Verifies everything that the store holds: page checksums, record checksums, and references between records.
+    /// Verifies all contents of the store: page checksums, record checksums, and references between records.
     ///
     /// # Errors
     /// The first inconsistency, or the store can't be read.
--- a/crates/endpoint-discovery/src/watcher.rs
+++ b/crates/endpoint-discovery/src/watcher.rs
@@ -75,7 +75,7 @@
     /// Builds the watch of a pool. The seed spreads its reconnect delays among those of other watches.
     pub fn new(keys: KeySpace, limits: WatchLimits, seed: u64) -> Self {
         EndpointWatcher {
-            // One more than the table takes, for the release key.
+            // One more than the maximum of the table, for the release key.
             max_keys: limits.table.max_endpoints + 1,
             table: EndpointTable::new(keys.clone(), &limits.table),
             keys,
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`ProcessorSharing`]: work that cannot be given back, such as event-loop time.
 //! - [`TenantLimiter`]: all resources of a process by tenant; the interface for a proxy's front end.
 //!
-//! Shares follow weights among the recently active tenants. What active tenants leave unused is lent to others, except
+//! Shares follow weights among the recently active tenants. Unused shares of active tenants are lent to others, except
 //! for recent peaks and a small reserve for idle tenants (`docs/design/tenancy.md`).
 #![deny(
     clippy::too_many_lines,
--- a/crates/fair-share/src/processor_sharing.rs
+++ b/crates/fair-share/src/processor_sharing.rs
@@ -25,18 +25,18 @@
 /// A tenant's weight, burst and cap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateQuota {
-    /// Weight of its share of the rate beside the other tenants' weights.
+    /// Weight of the tenant's share of the rate, relative to the other tenants' weights.
     pub weight: f64,
-    /// Backlog up to which it is admitted, in ms of work.
+    /// Maximum backlog with which the tenant is admitted, in ms of work.
     pub burst: Millis,
-    /// Maximum fraction of the rate, from 0 to 1, that it may use while the others are idle.
+    /// Maximum fraction of the rate, from 0 to 1, that the tenant may use while the others are idle.
     pub max_rate_ratio: f64,
 }
 
 #[derive(Clone, Debug)]
 struct TenantBacklog {
     quota: RateQuota,
-    /// Virtual time at which its work is finished.
+    /// Virtual time at which the tenant's work is finished.
     finish_time: f64,
     /// Work beyond what `max_rate_ratio` has allowed; stays 0 for a tenant without a cap.
     work_over_cap: Millis,
--- a/crates/fair-share/src/resource.rs
+++ b/crates/fair-share/src/resource.rs
@@ -9,7 +9,7 @@
     ClientConnections,
     /// Requests without their final response.
     InFlightRequests,
-    /// Bytes of requests and responses held in memory.
+    /// Bytes of requests and responses that are buffered in memory.
     BufferedBytes,
     /// Time of the event loop.
     EventLoopTime,
@@ -43,7 +43,7 @@
     pub client_connections: u64,
     /// Requests in flight.
     pub in_flight_requests: u64,
-    /// Bytes held for requests and responses.
+    /// Buffered bytes of requests and responses.
     pub buffered_bytes: u64,
     /// Fraction of the event loop's time, from 0 to 1, that is shared out to admitted requests.
     pub processing_time_ratio: f64,
@@ -53,20 +53,20 @@
     pub idle_reserve_ratio: f64,
 }
 
-/// A tenant's weight and hard limits. The limits hold even while all other tenants are idle.
+/// A tenant's weight and hard limits. The limits apply even while all other tenants are idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// Weight of its fair share beside the other tenants' weights.
+    /// Weight of the tenant's fair share, relative to the other tenants' weights.
     pub weight: f64,
     /// Maximum number of client connections.
     pub max_client_connections: u64,
     /// Maximum number of requests in flight.
     pub max_in_flight_requests: u64,
-    /// Maximum number of bytes held for it.
+    /// Maximum number of buffered bytes.
     pub max_buffered_bytes: u64,
     /// Maximum fraction of the processing time, from 0 to 1.
     pub max_processing_time_ratio: f64,
-    /// Event-loop time that it may use at once after being idle.
+    /// Event-loop time that the tenant may use at once after being idle.
     pub burst: Millis,
 }
 
@@ -97,11 +97,11 @@
 /// Current allocations and accumulated counters of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantUsage {
-    /// Connections from its clients.
+    /// Client connections.
     pub client_connections: u64,
     /// Requests in flight.
     pub in_flight_requests: u64,
-    /// Bytes held for it.
+    /// Buffered bytes.
     pub buffered_bytes: u64,
     /// Event-loop time used in total.
     pub event_loop_time: Millis,
--- a/crates/fair-share/src/resource_pool.rs
+++ b/crates/fair-share/src/resource_pool.rs
@@ -9,7 +9,7 @@
 //!   less its allocation. It grows only out of what is free and not reserved, so each reservation can be met.
 //! - Beyond its fair share a tenant borrows what neither the idle reserve nor other tenants' reservations need.
 //!
-//! So a tenant with steady demand is never rejected, and what nobody has used recently is lent out. The borrowing limit
+//! So a tenant with steady demand is never rejected, and capacity that no tenant has used recently is lent out. The borrowing limit
 //! that moves with the free amount follows the dynamic thresholds for shared-memory switches (Choudhury and Hahne,
 //! 1998); the reservations replace their constant.
 //!
@@ -229,8 +229,8 @@
         if amount > self.capacity.saturating_sub(self.allocated) {
             return Err(DenialReason::Exhausted);
         }
-        // While nobody borrows, fair shares and reservations fit into the capacity. So a tenant within its fair share
-        // is denied only while others still hold what they have borrowed.
+        // While no tenant borrows, fair shares and reservations fit into the capacity. So a tenant within its fair share
+        // is denied only while others still have borrowed capacity allocated.
         let is_borrowing = new_allocation > self.fair_share(tenant);
         let kept_for_others = if is_borrowing {
             self.idle_reserve_beside(self.active.len()) + self.shortfall
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Starts a new peak window when the current one is over: former peaks age, and tenants that held nothing become
+    /// Starts a new peak window when the current one is over: former peaks age, and tenants without allocations become
     /// idle. It runs on the next call after the window's end; there is no timer.
     fn advance_window(&mut self, now: Millis) {
         if now < self.window_start + Self::PEAK_WINDOW {
--- a/crates/fair-share/src/shared_endpoint.rs
+++ b/crates/fair-share/src/shared_endpoint.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SharedEndpoint {
     connections: ResourcePool,
-    /// Members in the order of the pool; former members that still hold connections stand at the end.
+    /// Members in the order of the pool; former members that still have connections are at the end.
     members: Vec<TenantId>,
 }
 
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that the decision module knows only by number.
+//! Names of the classes, tenants, zones and machine types that the decision module refers to by index.
 
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/settings/src/properties/entries.rs
+++ b/crates/settings/src/properties/entries.rs
@@ -11,7 +11,7 @@
     value: &'a str,
 }
 
-/// The entries of a file that have not been taken yet.
+/// Entries of a file that have not been parsed yet.
 pub(super) struct Entries<'a> {
     file: &'a str,
     by_key: BTreeMap<&'a str, Entry<'a>>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes a key's value, if the file has the key, and parses it.
+    /// Removes a key's value, if the file has the key, and parses it.
     pub(super) fn take<T>(
         &mut self,
         key: &str,
@@ -67,7 +67,7 @@
             .map_err(|error| self.error(line, key, error.into()))
     }
 
-    /// Checks that all entries were taken.
+    /// Checks that all entries were parsed.
     ///
     /// # Errors
     /// The first line whose key is unknown.
--- a/crates/settings/src/properties/features.rs
+++ b/crates/settings/src/properties/features.rs
@@ -79,7 +79,7 @@
 pub struct FaultInjectionSettings {
     /// Secret that its port requires; without it fault injection is off.
     pub secret: Option<Secret>,
-    /// Its port, on the host on which the proxy listens; 0 lets the system choose one.
+    /// Port of fault injection, on the host on which the proxy listens; 0 lets the system choose one.
     pub port: Option<u16>,
     /// Maximum duration of an injected fault.
     pub max_duration: Duration,
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change in a running process: a new object is taken as a whole or not at all.
+//! Settings that change in a running process: a new object is applied completely or not at all.
 //!
 //! Classes and tenants keep their indices, because requests in progress refer to them. New ones are appended; removed
 //! ones stay known, but no new request may use them.
--- a/crates/sim-adapter/src/protocol/message.rs
+++ b/crates/sim-adapter/src/protocol/message.rs
@@ -255,7 +255,7 @@
     }
 }
 
-/// Returns the text of the load report that comes with an attempt's end, if any.
+/// Returns the text of the load report at an attempt's end, if there is one.
 pub fn load_report_text<'a>(fields: &Fields<'a>) -> Option<&'a str> {
     fields.optional_text("feedback")
 }
--- a/crates/sim-adapter/src/protocol/reply.rs
+++ b/crates/sim-adapter/src/protocol/reply.rs
@@ -12,7 +12,7 @@
 pub const END_OF_REPLIES: &str = "EOR\n";
 /// Text in place of the name of an endpoint that was never listed.
 const UNKNOWN_ENDPOINT: &str = "-";
-/// Recipient that stands for all other proxies.
+/// Recipient number of a message to all other proxies.
 const ALL_PROXIES: i32 = -1;
 
 /// Appends the replies of one proxy to those of a batch.
--- a/crates/sim-adapter/src/simulated_proxy.rs
+++ b/crates/sim-adapter/src/simulated_proxy.rs
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Translates the load report that comes with the end of an attempt, if there is one. It is handled before the end.
+    /// Translates the load report in the message of an attempt's end, if there is one. It is handled before the end itself.
     pub fn load_report(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let Some(text) = message::load_report_text(fields) else {
             return Ok(None);
