--- a/crates/proxy/tests/operations.rs
+++ b/crates/proxy/tests/operations.rs
@@ -557,15 +557,15 @@
         ),
         (
             valid.replace("\"maxAttempts\":6", "\"maxAttempts\":0"),
-            "settings.ceilings.maxAttempts: 0 is not over 0",
+            "settings.ceilings.maxAttempts: 0 is not greater than 0",
         ),
         (
             valid.replace("\"deadline\":5000", "\"deadline\":0"),
-            "settings.classes[0].deadline: 0 is not over 0",
+            "settings.classes[0].deadline: 0 is not greater than 0",
         ),
         (
             valid.replace("\"name\":\"notice\"", "\"name\":\"page\""),
-            "'page' stands there twice",
+            "'page' occurs twice",
         ),
     ];
     for (n, (text, reason)) in invalid.iter().enumerate() {
--- a/crates/sim-adapter/src/protocol/message.rs
+++ b/crates/sim-adapter/src/protocol/message.rs
@@ -1,4 +1,4 @@
-//! Messages from the simulator, mapped to terms of the decision module.
+//! Messages from the simulator, mapped to types of the decision module.
 
 use balancer::{CellId, EndpointState, Key, LoadReport, Millis, Outcome, UpdateScope};
 use base64::Engine as _;
@@ -255,7 +255,7 @@
     }
 }
 
-/// Returns the text of the load report that comes with an attempt's end, if any.
+/// Returns the text of the load report at an attempt's end, if there is one.
 pub fn load_report_text<'a>(fields: &Fields<'a>) -> Option<&'a str> {
     fields.optional_text("feedback")
 }
