--- a/crates/canvascart/src/fleet.rs
+++ b/crates/canvascart/src/fleet.rs
@@ -7,7 +7,9 @@
     EndpointRecord, EndpointState, KeySpace, ListChange, WatchLimits, is_valid_endpoint_name,
 };
 use clap::Subcommand;
-use etcd::{DiscoveryUpdate, Failed, Listed, Plain, Registry, Settings};
+use etcd::{
+    DiscoveryUpdate, PlaintextConnector, RegisteredEndpoint, Registry, RegistryError, Settings,
+};
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -109,7 +111,7 @@
 /// # Errors
 /// Wrong usage.
 pub fn run(arguments: Arguments) -> Result<u8, String> {
-    let user = match std::env::var("CANVASCART_ETCD_USER") {
+    let credentials = match std::env::var("CANVASCART_ETCD_USER") {
         Ok(text) => {
             let (name, password) = text
                 .split_once(':')
@@ -119,7 +121,7 @@
         Err(_) => None,
     };
     let settings = Settings {
-        user,
+        credentials,
         ..Settings::new(arguments.endpoints)
     };
     let keys = KeySpace::new(&arguments.prefix, &arguments.pool);
@@ -128,9 +130,9 @@
         |failed| {
             eprintln!("canvascart: {failed}");
             match failed {
-                Failed::Unreached(_) => UNREACHED,
-                Failed::NotThere(_) | Failed::Taken(_) => OTHERWISE,
-                Failed::Refused(_) => REFUSED,
+                RegistryError::Unavailable(_) => UNREACHED,
+                RegistryError::NotFound(_) | RegistryError::NameInUse(_) => OTHERWISE,
+                RegistryError::Rejected(_) => REFUSED,
             }
         },
         |()| 0,
@@ -142,12 +144,12 @@
     settings: Settings,
     keys: KeySpace,
     pool: String,
-) -> Result<(), Failed> {
+) -> Result<(), RegistryError> {
     if let Command::Watch { most } = command {
         watch(settings, keys, pool, most).await;
         return Ok(());
     }
-    let mut registry = Registry::connect(Plain, settings, keys).await?;
+    let mut registry = Registry::connect(PlaintextConnector, settings, keys).await?;
     match command {
         Command::Register {
             name,
@@ -177,19 +179,19 @@
             list(&registry.list().await?, json);
             Ok(())
         }
-        Command::Release => registry.release().await,
+        Command::Release => registry.release_retained().await,
         Command::Watch { .. } => Ok(()),
     }
 }
 
 /// Keeps a server registered until the command is told to end; then the server leaves.
 async fn register(
-    registry: &mut Registry<Plain>,
+    registry: &mut Registry<PlaintextConnector>,
     name: &str,
     entry: &EndpointRecord,
     ttl: Duration,
-) -> Result<(), Failed> {
-    let on = |kind| signal(kind).map_err(|e| Failed::Refused(format!("signals: {e}")));
+) -> Result<(), RegistryError> {
+    let on = |kind| signal(kind).map_err(|e| RegistryError::Rejected(format!("signals: {e}")));
     let (mut term, mut int) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
     let mut registration = registry.register(name, entry, ttl).await?;
     println!("{name} is registered");
@@ -197,7 +199,7 @@
         let why = tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            why = registry.keep(registration) => why,
+            why = registry.keep_alive(registration) => why,
         };
         tracing::warn!(%why, "the lease is not renewed; the server registers again");
         // Not all servers at once, when etcd comes back.
@@ -209,7 +211,7 @@
                 }
                 match registry.register(name, entry, ttl).await {
                     Ok(registration) => return Ok(registration),
-                    Err(Failed::Unreached(_)) => {}
+                    Err(RegistryError::Unavailable(_)) => {}
                     Err(e) => return Err(e),
                 }
             }
@@ -226,10 +228,10 @@
     Ok(())
 }
 
-fn list(all: &[Listed], as_json: bool) {
+fn list(all: &[RegisteredEndpoint], as_json: bool) {
     for server in all {
         let (name, lease) = (&server.name, server.lease);
-        match &server.entry {
+        match &server.record {
             Ok(entry) if as_json => {
                 println!(
                     "{}",
@@ -256,8 +258,8 @@
 async fn watch(settings: Settings, keys: KeySpace, pool: String, most: Option<usize>) {
     let (to, mut updates) = mpsc::unbounded_channel();
     let seed = fastrand::u64(..);
-    tokio::spawn(etcd::follow(
-        Plain,
+    tokio::spawn(etcd::watch_endpoints(
+        PlaintextConnector,
         settings,
         pool,
         keys,
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -272,7 +272,7 @@
         let mut limits = ::endpoint_discovery::WatchLimits::default();
         limits.table.mass_expiry_ratio = settings.mass_expiry_ratio.0;
         limits.table.retention_ms = settings.retention.0 as u64;
-        let user = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
+        let credentials = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
             Ok(text) => text.trim().split_once(':').map(|(n, p)| (n.to_owned(), p.to_owned())),
             Err(e) => {
                 tracing::error!(tenant = tenant.name, file, error = %e, "etcd's user can't be read");
@@ -280,11 +280,11 @@
             }
         });
         let etcd = etcd::Settings {
-            user,
+            credentials,
             ..etcd::Settings::new(settings.etcd.clone())
         };
-        let follow = etcd::follow(
-            etcd::Plain,
+        let follow = etcd::watch_endpoints(
+            etcd::PlaintextConnector,
             etcd,
             tenant.name.clone(),
             keys,
--- a/crates/canvascart/tests/fleet.rs
+++ b/crates/canvascart/tests/fleet.rs
@@ -7,14 +7,14 @@
 
 use endpoint_discovery::{EndpointRecord, EndpointState, KeySpace};
 use etcd::api::PutRequest;
-use etcd_fake::{Net, Standin};
+use etcd_fake::{FakeEtcd, NetworkState};
 use hosted::sockets::{Backend, BackendAction, Latch, ok, wait_for};
 use hosted::{Client, Running, listener, says, tenant};
 
 /// A stand-in on a runtime of its own.
 struct Etcd {
     runtime: tokio::runtime::Runtime,
-    standin: Standin,
+    standin: FakeEtcd,
 }
 
 impl Etcd {
@@ -24,7 +24,7 @@
             .enable_all()
             .build()
             .unwrap();
-        let standin = runtime.block_on(Standin::start(3)).unwrap();
+        let standin = runtime.block_on(FakeEtcd::start(3)).unwrap();
         Etcd { runtime, standin }
     }
 
@@ -39,7 +39,7 @@
             .endpoint_key(name)
             .into_bytes();
         let _on = self.runtime.enter();
-        self.standin.store(|s| {
+        self.standin.with_store(|s| {
             s.put(
                 0,
                 &PutRequest {
@@ -60,7 +60,7 @@
             key,
             ..Default::default()
         };
-        self.standin.store(|s| s.delete(0, &request));
+        self.standin.with_store(|s| s.delete(0, &request));
     }
 
     fn table(&self) -> String {
@@ -95,9 +95,10 @@
         etcd.put("north", name, server, EndpointState::Up);
         if n % 3 == 0 {
             // Cut off while it goes, and compacted, so that the removal itself is never told.
-            (0..3).for_each(|m| etcd.standin.cut(m));
+            (0..3).for_each(|m| etcd.standin.break_connections(m));
             etcd.delete("north", old);
-            etcd.standin.store(|s| s.compact(s.revision()).unwrap());
+            etcd.standin
+                .with_store(|s| s.compact(s.revision()).unwrap());
         } else {
             etcd.delete("north", old);
         }
@@ -127,7 +128,7 @@
             .last()
             .map(|l| l["phase"].to_string())
     };
-    etcd.standin.net_all(Net::Stalled);
+    etcd.standin.set_network_all(NetworkState::Stalled);
     wait_for("it is stale", || {
         status(&service).is_some_and(|s| s.contains("stale"))
     });
@@ -138,7 +139,7 @@
             == 1
     );
     assert_eq!(Client::new(at).get("north.example", "").status(), 200);
-    etcd.standin.net_all(Net::Up);
+    etcd.standin.set_network_all(NetworkState::Up);
     wait_for("it watches again", || {
         status(&service).is_some_and(|s| s.contains("watching"))
     });
@@ -278,7 +279,7 @@
         "it has left on purpose"
     );
     assert_eq!(fleet(&["release"]).0, 0);
-    etcd.standin.net_all(Net::Down);
+    etcd.standin.set_network_all(NetworkState::Down);
     assert_eq!(fleet(&["list"]).0, 3);
 }
 
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -5,7 +5,7 @@
 
 use endpoint_discovery::{EndpointRecord, KeySpace};
 use etcd::api::PutRequest;
-use etcd_fake::{Net, Standin};
+use etcd_fake::{FakeEtcd, NetworkState};
 use lab::net::Mode;
 use lab::service::Line;
 use lab::service::changes::{Ledger, server};
@@ -14,7 +14,7 @@
 use together::{Directory, SOON, command};
 
 /// Five instances with a tenant whose servers stand in the policy, and one whose list is followed in etcd.
-fn start(directory: &Directory, etcd: &Standin, cluster: &str) -> Fleet {
+fn start(directory: &Directory, etcd: &FakeEtcd, cluster: &str) -> Fleet {
     let at = server(&Ledger::default()).unwrap();
     let class = "[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 ms\"\ndeadline = \"2 s\"\n";
     let members: Vec<String> = etcd.endpoints().iter().map(|e| format!("{e:?}")).collect();
@@ -33,7 +33,7 @@
     let key = KeySpace::new("/canvascart/v1", "b")
         .endpoint_key("s")
         .into_bytes();
-    etcd.store(|s| {
+    etcd.with_store(|s| {
         s.put(
             0,
             &PutRequest {
@@ -48,13 +48,13 @@
     fleet
 }
 
-fn standin() -> (tokio::runtime::Runtime, Standin) {
+fn standin() -> (tokio::runtime::Runtime, FakeEtcd) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .unwrap();
-    let standin = runtime.block_on(Standin::start(1)).unwrap();
+    let standin = runtime.block_on(FakeEtcd::start(1)).unwrap();
     (runtime, standin)
 }
 
@@ -87,7 +87,7 @@
 fn a_list_that_can_not_be_had_keeps_other_tenants_waiting_for_so_long_at_most() {
     let directory = Directory::new();
     let (_runtime, etcd) = standin();
-    etcd.net_all(Net::Stalled);
+    etcd.set_network_all(NetworkState::Stalled);
     let mut fleet = start(&directory, &etcd, "list-wait = \"6 s\"");
     // Long enough that it is seen waiting though the machine pauses while five processes start.
     fleet.wait("the lists", |f| is_at(f, 0, "list")).unwrap();
@@ -115,7 +115,7 @@
     assert!(list["ms"].as_u64().unwrap() >= 6000, "{done}");
     assert_eq!((asks(&fleet, 0, "a"), asks(&fleet, 0, "b")), (200, 503));
     // With the list there again a start waits for nothing, and both are served.
-    etcd.net_all(Net::Up);
+    etcd.set_network_all(NetworkState::Up);
     fleet.wait("its list", |f| asks(f, 0, "b") == 200).unwrap();
     let leader = fleet.leader().unwrap();
     let again = (0..5).find(|i| *i != leader).unwrap();
@@ -136,7 +136,7 @@
 fn where_the_file_says_so_nothing_is_taken_before_the_last_list_is_known() {
     let directory = Directory::new();
     let (_runtime, etcd) = standin();
-    etcd.net_all(Net::Stalled);
+    etcd.set_network_all(NetworkState::Stalled);
     let fleet = start(
         &directory,
         &etcd,
@@ -150,7 +150,7 @@
         assert!((0..5).all(|i| !fleet.is_up(i)));
         std::thread::sleep(Duration::from_millis(50));
     }
-    etcd.net_all(Net::Up);
+    etcd.set_network_all(NetworkState::Up);
     fleet.ready().unwrap();
     assert_eq!((asks(&fleet, 3, "a"), asks(&fleet, 3, "b")), (200, 200));
 }
--- a/crates/etcd-fake/src/gate.rs
+++ b/crates/etcd-fake/src/fault_proxy.rs
@@ -11,7 +11,7 @@
 
 /// What becomes of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Net {
+pub enum NetworkState {
     /// They pass.
     Up,
     /// They break, and new ones are closed at once.
@@ -23,25 +23,25 @@
 }
 
 struct Shared {
-    net: watch::Sender<(Net, u64)>,
+    net: watch::Sender<(NetworkState, u64)>,
     came: AtomicU64,
 }
 
 /// The way to one member.
-pub struct Gate {
+pub struct FaultProxy {
     address: SocketAddr,
     shared: Arc<Shared>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Gate {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.task.abort();
-        self.set(Net::Down);
+        self.set(NetworkState::Down);
     }
 }
 
-impl Gate {
+impl FaultProxy {
     /// Opens a way to an address.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            net: watch::channel((Net::Up, 0)).0,
+            net: watch::channel((NetworkState::Up, 0)).0,
             came: AtomicU64::new(0),
         });
         let inner = shared.clone();
@@ -59,12 +59,12 @@
                 inner.came.fetch_add(1, Ordering::Relaxed);
                 let net = inner.net.subscribe();
                 let (now, _) = *net.borrow();
-                if now != Net::Down {
+                if now != NetworkState::Down {
                     tokio::spawn(pass(stream, to, net));
                 }
             }
         });
-        Ok(Gate {
+        Ok(FaultProxy {
             address,
             shared,
             task,
@@ -75,30 +75,30 @@
         self.address
     }
 
-    pub fn came(&self) -> u64 {
+    pub fn connection_count(&self) -> u64 {
         self.shared.came.load(Ordering::Relaxed)
     }
 
     /// What becomes of connections from here on.
-    pub fn set(&self, net: Net) {
+    pub fn set(&self, net: NetworkState) {
         self.shared.net.send_modify(|(now, cuts)| {
             *now = net;
-            *cuts += u64::from(matches!(net, Net::Down | Net::HalfOpen));
+            *cuts += u64::from(matches!(net, NetworkState::Down | NetworkState::HalfOpen));
         });
     }
 
     /// Breaks all connections.
-    pub fn cut(&self) {
+    pub fn break_connections(&self) {
         self.shared.net.send_modify(|(_, cuts)| *cuts += 1);
     }
 }
 
 /// Carries a connection until it ends, or is cut.
-async fn pass(client: TcpStream, to: SocketAddr, net: watch::Receiver<(Net, u64)>) {
+async fn pass(client: TcpStream, to: SocketAddr, net: watch::Receiver<(NetworkState, u64)>) {
     let (began, cuts) = *net.borrow();
     let mut cut = net.clone();
     let carry = async {
-        if began == Net::HalfOpen {
+        if began == NetworkState::HalfOpen {
             return std::future::pending().await;
         }
         let Ok(server) = TcpStream::connect(to).await else {
@@ -121,11 +121,16 @@
 async fn copy(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    mut net: watch::Receiver<(Net, u64)>,
+    mut net: watch::Receiver<(NetworkState, u64)>,
 ) {
     let mut bytes = vec![0; 16 << 10];
     while let Ok(n) = from.read(&mut bytes).await {
-        if n == 0 || net.wait_for(|(net, _)| *net != Net::Stalled).await.is_err() {
+        if n == 0
+            || net
+                .wait_for(|(net, _)| *net != NetworkState::Stalled)
+                .await
+                .is_err()
+        {
             return;
         }
         if to.write_all(&bytes[..n]).await.is_err() {
--- a/crates/etcd-fake/src/lib.rs
+++ b/crates/etcd-fake/src/lib.rs
@@ -2,10 +2,10 @@
 //! three members that may lag behind each other, and faults at will. For tests, the lab and the demonstration; it keeps
 //! nothing on a disk and has no consensus.
 //!
-//! - [`Standin`]: the members, and what can go wrong with them.
+//! - [`FakeEtcd`]: the members, and what can go wrong with them.
 //! - [`store::Store`]: the store, without I/O.
 
-mod gate;
+mod fault_proxy;
 mod service;
 pub mod store;
 
@@ -24,8 +24,8 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::transport::Server;
 
-use gate::Gate;
-pub use gate::Net;
+use fault_proxy::FaultProxy;
+pub use fault_proxy::NetworkState;
 use service::Member;
 use store::Store;
 
@@ -56,19 +56,19 @@
 }
 
 /// Members of a stand-in, until it is dropped.
-pub struct Standin {
+pub struct FakeEtcd {
     shared: Arc<Shared>,
-    gates: Vec<Gate>,
+    gates: Vec<FaultProxy>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
-impl Drop for Standin {
+impl Drop for FakeEtcd {
     fn drop(&mut self) {
         self.tasks.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
-impl Standin {
+impl FakeEtcd {
     /// Starts so many members, on the runtime that calls this.
     ///
     /// # Errors
@@ -102,18 +102,18 @@
                     .serve_with_incoming(TcpListenerStream::new(listener))
                     .await; // until it is aborted
             }));
-            gates.push(Gate::open(inner).await?);
+            gates.push(FaultProxy::open(inner).await?);
         }
         let leases = shared.clone();
         tasks.push(tokio::spawn(async move {
             loop {
                 sleep(LEASES).await;
-                if leases.store().expire() {
+                if leases.store().expire_leases() {
                     leases.touched();
                 }
             }
         }));
-        Ok(Standin {
+        Ok(FakeEtcd {
             shared,
             gates,
             tasks,
@@ -134,40 +134,40 @@
     }
 
     /// Connections that have come to all members.
-    pub fn came(&self) -> u64 {
-        self.gates.iter().map(Gate::came).sum()
+    pub fn connection_count(&self) -> u64 {
+        self.gates.iter().map(FaultProxy::connection_count).sum()
     }
 
     /// Changes the store as a client would, or looks at it; watches hear of it.
-    pub fn store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> T {
+    pub fn with_store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> T {
         let done = act(&mut self.shared.store());
         self.shared.touched();
         done
     }
 
     /// What becomes of connections to a member from here on.
-    pub fn net(&self, member: usize, net: Net) {
+    pub fn set_network(&self, member: usize, net: NetworkState) {
         self.gates[member].set(net);
     }
 
     /// What becomes of connections to all members.
-    pub fn net_all(&self, net: Net) {
+    pub fn set_network_all(&self, net: NetworkState) {
         self.gates.iter().for_each(|g| g.set(net));
     }
 
     /// Breaks all connections to a member; new ones are as before.
-    pub fn cut(&self, member: usize) {
-        self.gates[member].cut();
+    pub fn break_connections(&self, member: usize) {
+        self.gates[member].break_connections();
     }
 
     /// A member hears of nothing new, or catches up.
-    pub fn lag(&self, member: usize, lags: bool) {
-        self.store(|s| s.lag(member, lags));
+    pub fn set_lagging(&self, member: usize, lags: bool) {
+        self.with_store(|s| s.set_lagging(member, lags));
     }
 
     /// Another leader: watches end and have to be made anew.
     pub fn change_leader(&self) {
-        self.store(|s| s.term += 1);
+        self.with_store(|s| s.term += 1);
         self.shared.leader.send_modify(|n| *n += 1);
     }
 
@@ -178,12 +178,12 @@
 
     /// A backup is brought back: the store is what it was then, and all watches and connections end.
     pub fn restore(&self, backup: Store) {
-        self.store(|s| s.restore(backup));
-        self.gates.iter().for_each(Gate::cut);
+        self.with_store(|s| s.restore(backup));
+        self.gates.iter().for_each(FaultProxy::break_connections);
     }
 
     /// How long each page of a list takes from here on.
-    pub fn slow_lists(&self, each: Duration) {
+    pub fn set_list_delay(&self, each: Duration) {
         *self
             .shared
             .slow
--- a/crates/etcd-fake/src/service.rs
+++ b/crates/etcd-fake/src/service.rs
@@ -20,7 +20,7 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use crate::Shared;
-use crate::store::{Answer, Store, within};
+use crate::store::{Store, StoreResult, in_range};
 
 /// Events of one message, where the watch takes fragments.
 const FRAGMENT: usize = 50;
@@ -40,7 +40,7 @@
     fn act<T, R>(
         &self,
         request: &Request<R>,
-        act: impl FnOnce(&mut Store, usize) -> Answer<T>,
+        act: impl FnOnce(&mut Store, usize) -> StoreResult<T>,
     ) -> Reply<T> {
         let token = request
             .metadata()
@@ -108,7 +108,7 @@
     async fn lease_grant(&self, request: Request<LeaseGrantRequest>) -> Reply<LeaseGrantResponse> {
         self.act(&request, |store, member| {
             let ttl = request.get_ref().ttl.max(1);
-            let id = store.grant(Duration::from_secs(ttl as u64), request.get_ref().id);
+            let id = store.grant_lease(Duration::from_secs(ttl as u64), request.get_ref().id);
             Ok(LeaseGrantResponse {
                 header: Some(store.header(member)),
                 id,
@@ -123,7 +123,7 @@
         request: Request<LeaseRevokeRequest>,
     ) -> Reply<LeaseRevokeResponse> {
         self.act(&request, |store, member| {
-            if store.revoke(request.get_ref().id) {
+            if store.revoke_lease(request.get_ref().id) {
                 return Ok(LeaseRevokeResponse {
                     header: Some(store.header(member)),
                 });
@@ -148,7 +148,7 @@
                 let answer = {
                     let mut store = member.shared.store();
                     let ttl = store
-                        .renew(request.id)
+                        .renew_lease(request.id)
                         .map_or(0, |ttl| ttl.as_secs() as i64);
                     LeaseKeepAliveResponse {
                         header: Some(store.header(member.number)),
@@ -311,12 +311,12 @@
         let store = member.shared.store();
         let (header, applied) = (store.header(member.number), store.applied(member.number));
         watchers.retain(|id, w| {
-            if w.next < store.compacted() {
+            if w.next < store.compacted_revision() {
                 all.push(WatchResponse {
                     header: Some(header),
                     watch_id: *id,
                     canceled: true,
-                    compact_revision: store.compacted(),
+                    compact_revision: store.compacted_revision(),
                     cancel_reason: "etcdserver: mvcc: required revision has been compacted".into(),
                     ..WatchResponse::default()
                 });
@@ -332,7 +332,7 @@
                     is(watch_create_request::FilterType::Noput)
                 };
                 let key = e.kv.as_ref().map_or(&[][..], |kv| &kv.key);
-                !filtered && within(key, &w.create.key, &w.create.range_end)
+                !filtered && in_range(key, &w.create.key, &w.create.range_end)
             };
             let events = store
                 .events(w.next, applied)
--- a/crates/etcd-fake/src/store.rs
+++ b/crates/etcd-fake/src/store.rs
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     /// Which store it is.
-    pub cluster: u64,
+    pub cluster_id: u64,
     /// Counts leaders.
     pub term: u64,
     revision: i64,
-    compacted: i64,
+    compacted_revision: i64,
     /// Each key's values by revision; none where it was deleted.
     keys: BTreeMap<Vec<u8>, BTreeMap<i64, Option<KeyValue>>>,
     log: Vec<(i64, Event)>,
@@ -39,23 +39,23 @@
     /// The revision at which a member stands still.
     lagging: Vec<Option<i64>>,
     /// Name and password, where one is asked for.
-    pub user: Option<(String, String)>,
+    pub credentials: Option<(String, String)>,
     /// How long tokens are good.
-    pub token_span: Duration,
+    pub token_ttl: Duration,
     tokens: BTreeMap<String, Instant>,
 }
 
 /// A call that a client would get as an error of gRPC.
-pub type Answer<T> = Result<T, Box<Status>>;
+pub type StoreResult<T> = Result<T, Box<Status>>;
 
-fn compacted() -> Box<Status> {
+fn compacted_error() -> Box<Status> {
     Box::new(Status::out_of_range(
         "etcdserver: mvcc: required revision has been compacted",
     ))
 }
 
 /// Whether a key is in a range as requests write it: one key, a range, or all from one on.
-pub fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
+pub fn in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
         [0] => key >= from,
@@ -67,17 +67,17 @@
     /// An empty store of so many members.
     pub fn new(members: usize) -> Self {
         Store {
-            cluster: 0xca4a_5ca4,
+            cluster_id: 0xca4a_5ca4,
             term: 2,
             revision: 1,
-            compacted: 0,
+            compacted_revision: 0,
             keys: BTreeMap::new(),
             log: Vec::new(),
             leases: BTreeMap::new(),
             next_lease: 7000,
             lagging: vec![None; members],
-            user: None,
-            token_span: TOKEN,
+            credentials: None,
+            token_ttl: TOKEN,
             tokens: BTreeMap::new(),
         }
     }
@@ -97,19 +97,19 @@
     }
 
     /// A member stands still, or catches up.
-    pub fn lag(&mut self, member: usize, lags: bool) {
+    pub fn set_lagging(&mut self, member: usize, lags: bool) {
         self.lagging[member] = lags.then_some(self.revision);
     }
 
     /// The revision that was compacted.
-    pub fn compacted(&self) -> i64 {
-        self.compacted
+    pub fn compacted_revision(&self) -> i64 {
+        self.compacted_revision
     }
 
     /// The header of an answer of a member.
     pub fn header(&self, member: usize) -> ResponseHeader {
         ResponseHeader {
-            cluster_id: self.cluster,
+            cluster_id: self.cluster_id,
             member_id: member as u64 + 1,
             revision: self.applied(member),
             raft_term: self.term,
@@ -124,22 +124,22 @@
     ///
     /// # Errors
     /// The revision is not kept, or not there yet.
-    pub fn range(&self, member: usize, request: &RangeRequest) -> Answer<RangeResponse> {
+    pub fn range(&self, member: usize, request: &RangeRequest) -> StoreResult<RangeResponse> {
         let now = self.applied(member);
         let at = if request.revision > 0 {
             request.revision
         } else {
             now
         };
-        if at < self.compacted {
-            return Err(compacted());
+        if at < self.compacted_revision {
+            return Err(compacted_error());
         }
         if at > now {
             let text = "etcdserver: mvcc: required revision is a future revision";
             return Err(Box::new(Status::out_of_range(text)));
         }
         let all = self.keys.range(request.key.clone()..).map(|(key, _)| key);
-        let all = all.filter(|key| within(key, &request.key, &request.range_end));
+        let all = all.filter(|key| in_range(key, &request.key, &request.range_end));
         let mut kvs: Vec<KeyValue> = all.filter_map(|key| self.value(key, at).cloned()).collect();
         let count = kvs.len() as i64;
         let more = request.limit > 0 && count > request.limit;
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// Its lease is not there.
-    pub fn put(&mut self, member: usize, request: &PutRequest) -> Answer<PutResponse> {
+    pub fn put(&mut self, member: usize, request: &PutRequest) -> StoreResult<PutResponse> {
         self.check_lease(request)?;
         self.revision += 1;
         let prev_kv = self.put_at(self.revision, request);
@@ -226,7 +226,7 @@
         })
     }
 
-    fn check_lease(&self, request: &PutRequest) -> Answer<()> {
+    fn check_lease(&self, request: &PutRequest) -> StoreResult<()> {
         if request.lease != 0 && !self.leases.contains_key(&request.lease) {
             return Err(Box::new(Status::not_found(
                 "etcdserver: requested lease not found",
@@ -275,7 +275,7 @@
             .keys
             .range(request.key.clone()..)
             .map(|(key, _)| key.clone())
-            .filter(|key| within(key, &request.key, &request.range_end))
+            .filter(|key| in_range(key, &request.key, &request.range_end))
             .filter(|key| self.value(key, revision).is_some())
             .collect();
         keys.iter()
@@ -319,7 +319,7 @@
     ///
     /// # Errors
     /// A lease is not there; nothing is written then.
-    pub fn txn(&mut self, member: usize, request: &TxnRequest) -> Answer<TxnResponse> {
+    pub fn txn(&mut self, member: usize, request: &TxnRequest) -> StoreResult<TxnResponse> {
         let succeeded = request.compare.iter().all(|c| self.holds(c));
         let ops = if succeeded {
             &request.success
@@ -370,15 +370,15 @@
     ///
     /// # Errors
     /// It is compacted already, or not there yet.
-    pub fn compact(&mut self, revision: i64) -> Answer<()> {
-        if revision <= self.compacted {
-            return Err(compacted());
+    pub fn compact(&mut self, revision: i64) -> StoreResult<()> {
+        if revision <= self.compacted_revision {
+            return Err(compacted_error());
         }
         if revision > self.revision {
             let text = "etcdserver: mvcc: required revision is a future revision";
             return Err(Box::new(Status::out_of_range(text)));
         }
-        self.compacted = revision;
+        self.compacted_revision = revision;
         self.log.retain(|(at, _)| *at >= revision);
         self.keys.retain(|_, versions| {
             let last = versions
@@ -401,9 +401,9 @@
 
     /// Goes back to what a backup holds; who is asked for a password is as it was.
     pub fn restore(&mut self, backup: Store) {
-        let (user, tokens) = (self.user.take(), std::mem::take(&mut self.tokens));
+        let (credentials, tokens) = (self.credentials.take(), std::mem::take(&mut self.tokens));
         *self = Store {
-            user,
+            credentials,
             tokens,
             lagging: vec![None; self.lagging.len()],
             ..backup
@@ -411,7 +411,7 @@
     }
 
     /// Grants a lease; returns its id.
-    pub fn grant(&mut self, ttl: Duration, id: i64) -> i64 {
+    pub fn grant_lease(&mut self, ttl: Duration, id: i64) -> i64 {
         self.next_lease += 1;
         let id = if id == 0 { self.next_lease } else { id };
         self.leases.insert(
@@ -426,14 +426,14 @@
     }
 
     /// Renews a lease; its span, or none if it has ended.
-    pub fn renew(&mut self, id: i64) -> Option<Duration> {
+    pub fn renew_lease(&mut self, id: i64) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
         lease.ends = Instant::now() + lease.ttl;
         Some(lease.ttl)
     }
 
     /// Ends a lease, and with it its keys, in one revision.
-    pub fn revoke(&mut self, id: i64) -> bool {
+    pub fn revoke_lease(&mut self, id: i64) -> bool {
         let Some(lease) = self.leases.remove(&id) else {
             return false;
         };
@@ -447,7 +447,7 @@
     }
 
     /// Ends leases whose time is over; tells whether any did.
-    pub fn expire(&mut self) -> bool {
+    pub fn expire_leases(&mut self) -> bool {
         let now = Instant::now();
         let over: Vec<i64> = self
             .leases
@@ -455,23 +455,23 @@
             .filter(|(_, l)| l.ends <= now)
             .map(|(id, _)| *id)
             .collect();
-        over.iter().for_each(|id| _ = self.revoke(*id));
+        over.iter().for_each(|id| _ = self.revoke_lease(*id));
         !over.is_empty()
     }
 
     /// Ends all leases now, each in a revision of its own, as after etcd was away for long.
-    pub fn expire_all(&mut self) {
+    pub fn expire_all_leases(&mut self) {
         let all: Vec<i64> = self.leases.keys().copied().collect();
-        all.into_iter().for_each(|id| _ = self.revoke(id));
+        all.into_iter().for_each(|id| _ = self.revoke_lease(id));
     }
 
     /// A token for a user.
     ///
     /// # Errors
     /// Name or password are wrong.
-    pub fn authenticate(&mut self, name: &str, password: &str) -> Answer<String> {
+    pub fn authenticate(&mut self, name: &str, password: &str) -> StoreResult<String> {
         let known = self
-            .user
+            .credentials
             .as_ref()
             .is_some_and(|(n, p)| n == name && p == password);
         if !known {
@@ -480,7 +480,7 @@
         }
         let token = format!("{:016x}.{}", fastrand::u64(..), self.revision);
         self.tokens
-            .insert(token.clone(), Instant::now() + self.token_span);
+            .insert(token.clone(), Instant::now() + self.token_ttl);
         Ok(token)
     }
 
@@ -488,13 +488,13 @@
     ///
     /// # Errors
     /// It may not.
-    pub fn check_token(&self, token: Option<&str>) -> Answer<()> {
+    pub fn check_token(&self, token: Option<&str>) -> StoreResult<()> {
         let good = |t: &str| {
             self.tokens
                 .get(t)
                 .is_some_and(|ends| Instant::now() < *ends)
         };
-        match (&self.user, token) {
+        match (&self.credentials, token) {
             (None, _) => Ok(()),
             (Some(_), Some(token)) if good(token) => Ok(()),
             (Some(_), Some(_)) => Err(Box::new(Status::unauthenticated(
--- a/crates/etcd-fake/tests/play/mod.rs
+++ b/crates/etcd-fake/tests/harness/mod.rs
@@ -7,8 +7,8 @@
     BackoffLimits, Endpoint, KeySpace, ListChange, Phase, TableLimits, WatchLimits,
 };
 use etcd::api::{DeleteRangeRequest, PutRequest};
-use etcd::{DiscoveryUpdate, Plain, Settings};
-use etcd_fake::Standin;
+use etcd::{DiscoveryUpdate, PlaintextConnector, Settings};
+use etcd_fake::FakeEtcd;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
@@ -39,12 +39,12 @@
     }
 }
 
-pub fn put(standin: &Standin, name: &str, made: u64) {
-    standin.store(|s| s.put(0, &put_request(name, value(made))).unwrap());
+pub fn put(standin: &FakeEtcd, name: &str, made: u64) {
+    standin.with_store(|s| s.put(0, &put_request(name, value(made))).unwrap());
 }
 
-pub fn delete(standin: &Standin, name: &str) {
-    standin.store(|s| s.delete(0, &delete_request(name)));
+pub fn delete(standin: &FakeEtcd, name: &str) {
+    standin.with_store(|s| s.delete(0, &delete_request(name)));
 }
 
 /// WatchLimits whose spans are short, so that tests are. Flapping is on purpose here, and not held back.
@@ -74,7 +74,7 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-pub struct Play {
+pub struct WatchHarness {
     updates: mpsc::UnboundedReceiver<DiscoveryUpdate>,
     up: BTreeMap<String, Endpoint>,
     phase: Phase,
@@ -84,26 +84,27 @@
     missing: BTreeSet<String>,
 }
 
-impl Play {
-    pub async fn follow(standin: &Standin, limits: WatchLimits) -> Self {
-        Play::follow_as(standin, limits, None).await
+impl WatchHarness {
+    pub async fn follow(standin: &FakeEtcd, limits: WatchLimits) -> Self {
+        WatchHarness::follow_as(standin, limits, None).await
     }
 
     pub async fn follow_as(
-        standin: &Standin,
+        standin: &FakeEtcd,
         limits: WatchLimits,
-        user: Option<(&str, &str)>,
+        credentials: Option<(&str, &str)>,
     ) -> Self {
-        let user = user.map(|(name, password)| (name.to_owned(), password.to_owned()));
+        let credentials =
+            credentials.map(|(name, password)| (name.to_owned(), password.to_owned()));
         let settings = Settings {
             endpoints: standin.endpoints(),
-            user,
-            page: 500,
+            credentials,
+            page_size: 500,
         };
         let (to, updates) = mpsc::unbounded_channel();
         let seed = fastrand::u64(..);
-        tokio::spawn(etcd::follow(
-            Plain,
+        tokio::spawn(etcd::watch_endpoints(
+            PlaintextConnector,
             settings,
             "pool".into(),
             keys(),
@@ -111,7 +112,7 @@
             seed,
             to,
         ));
-        Play {
+        WatchHarness {
             updates,
             up: BTreeMap::new(),
             phase: Phase::Listing,
--- a/crates/etcd-fake/tests/registry.rs
+++ b/crates/etcd-fake/tests/registry.rs
@@ -1,17 +1,21 @@
 //! Registering servers: leases, drains, leaving, and what happens to those that are held.
-mod play;
+mod harness;
 
 use std::time::Duration;
 
 use endpoint_discovery::{EndpointRecord, EndpointState, WatchLimits};
-use etcd::{Failed, Plain, Registry, Settings};
-use etcd_fake::{Net, Standin};
-use play::{Play, keys, quick, run};
+use etcd::{PlaintextConnector, Registry, RegistryError, Settings};
+use etcd_fake::{FakeEtcd, NetworkState};
+use harness::{WatchHarness, keys, quick, run};
 
-async fn registry(standin: &Standin) -> Registry<Plain> {
-    Registry::connect(Plain, Settings::new(standin.endpoints()), keys())
-        .await
-        .unwrap()
+async fn registry(standin: &FakeEtcd) -> Registry<PlaintextConnector> {
+    Registry::connect(
+        PlaintextConnector,
+        Settings::new(standin.endpoints()),
+        keys(),
+    )
+    .await
+    .unwrap()
 }
 
 fn entry(port: u16) -> EndpointRecord {
@@ -21,9 +25,9 @@
 #[test]
 fn a_server_joins_drains_and_leaves_and_its_value_keeps_what_others_wrote() {
     run(async {
-        let standin = Standin::start(3).await.unwrap();
+        let standin = FakeEtcd::start(3).await.unwrap();
         let registry = registry(&standin).await;
-        let mut play = Play::follow(&standin, quick()).await;
+        let mut play = WatchHarness::follow(&standin, quick()).await;
         let registration = registry
             .register("n1", &entry(9001), Duration::from_secs(5))
             .await
@@ -32,26 +36,26 @@
         let taken = registry
             .register("n1", &entry(9002), Duration::from_secs(5))
             .await;
-        assert_eq!(taken, Err(Failed::Taken("n1".into())));
+        assert_eq!(taken, Err(RegistryError::NameInUse("n1".into())));
         // Somebody else's field is there after a drain.
         let text = r#"{"v":1,"address":"127.0.0.1:9001","rack":"r7"}"#;
         let put = etcd::api::PutRequest {
             lease: registration.lease,
-            ..play::put_request("n1", text.into())
+            ..harness::put_request("n1", text.into())
         };
-        standin.store(|s| s.put(0, &put).unwrap());
+        standin.with_store(|s| s.put(0, &put).unwrap());
         registry
             .set_state("n1", EndpointState::Draining)
             .await
             .unwrap();
-        let draining = |p: &Play| {
+        let draining = |p: &WatchHarness| {
             p.server("n1")
                 .is_some_and(|s| s.record.state == EndpointState::Draining)
         };
         play.until("it drains", draining).await;
         let listed = registry.list().await.unwrap();
         assert_eq!(
-            listed[0].entry.as_ref().unwrap().unknown_fields["rack"],
+            listed[0].record.as_ref().unwrap().unknown_fields["rack"],
             "r7"
         );
         assert_eq!(listed[0].lease, registration.lease);
@@ -60,11 +64,11 @@
         assert!(registry.list().await.unwrap().is_empty());
         assert_eq!(
             registry.deregister("n1").await,
-            Err(Failed::NotThere("n1".into()))
+            Err(RegistryError::NotFound("n1".into()))
         );
         assert_eq!(
             registry.set_state("n1", EndpointState::Up).await,
-            Err(Failed::NotThere("n1".into()))
+            Err(RegistryError::NotFound("n1".into()))
         );
     });
 }
@@ -72,22 +76,22 @@
 #[test]
 fn a_lease_that_is_kept_lasts_and_one_that_is_not_ends() {
     run(async {
-        let standin = Standin::start(2).await.unwrap();
+        let standin = FakeEtcd::start(2).await.unwrap();
         let (kept, other) = (registry(&standin).await, registry(&standin).await);
         let second = Duration::from_secs(1);
         let registration = kept.register("kept", &entry(9001), second).await.unwrap();
         other.register("left", &entry(9002), second).await.unwrap();
-        let mut play = Play::follow(&standin, quick()).await;
+        let mut play = WatchHarness::follow(&standin, quick()).await;
         play.until("both", |p| p.names().len() == 2).await;
-        let keeping = tokio::task::spawn_local(async move { kept.keep(registration).await });
+        let keeping = tokio::task::spawn_local(async move { kept.keep_alive(registration).await });
         play.until("one lease ends", |p| p.names() == ["kept"])
             .await;
         play.wait(1500).await;
         assert_eq!(play.names(), ["kept"]);
-        standin.net_all(Net::Down);
+        standin.set_network_all(NetworkState::Down);
         assert!(matches!(
             keeping.await.unwrap(),
-            Failed::Unreached(_) | Failed::Refused(_)
+            RegistryError::Unavailable(_) | RegistryError::Rejected(_)
         ));
     });
 }
@@ -95,7 +99,7 @@
 #[test]
 fn when_all_leases_end_with_etcd_away_the_fleet_stays_until_it_is_let_go() {
     run(async {
-        let standin = Standin::start(1).await.unwrap();
+        let standin = FakeEtcd::start(1).await.unwrap();
         let registry = registry(&standin).await;
         for n in 0..8 {
             registry
@@ -103,11 +107,11 @@
                 .await
                 .unwrap();
         }
-        let mut play = Play::follow(&standin, quick()).await;
+        let mut play = WatchHarness::follow(&standin, quick()).await;
         play.until("all", |p| p.names().len() == 8).await;
-        standin.net_all(Net::Down);
-        standin.store(etcd_fake::store::Store::expire_all);
-        standin.net_all(Net::Up);
+        standin.set_network_all(NetworkState::Down);
+        standin.with_store(etcd_fake::store::Store::expire_all_leases);
+        standin.set_network_all(NetworkState::Up);
         play.until("they are held", |p| p.held >= 4).await;
         assert!(play.names().len() >= 4, "{:?}", play.names());
         // One registers again and is a server like any other; the word to let go concerns those that did not.
@@ -116,7 +120,7 @@
             .await
             .unwrap();
         play.until("it is back", |p| p.server("s7").is_some()).await;
-        registry.release().await.unwrap();
+        registry.release_retained().await.unwrap();
         play.until("the others are let go", |p| {
             p.names() == ["s7"] && p.held == 0
         })
@@ -124,7 +128,7 @@
         // Without the guard they are gone at once.
         let mut limits: WatchLimits = quick();
         limits.table.mass_expiry_ratio = 1.0;
-        let mut bare = Play::follow(&standin, limits).await;
+        let mut bare = WatchHarness::follow(&standin, limits).await;
         bare.until("the list", |p| p.names() == ["s7"]).await;
     });
 }
--- a/crates/etcd-fake/tests/foreign.rs
+++ b/crates/etcd-fake/tests/third_party_client.rs
@@ -1,5 +1,5 @@
 //! A client library of others against the stand-in, so that the stand-in is not a mirror of our own reading of etcd's API.
-mod play;
+mod harness;
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
     Txn, TxnOp, WatchOptions,
 };
-use etcd_fake::Standin;
-use play::run;
+use etcd_fake::FakeEtcd;
+use harness::run;
 
 #[test]
 fn another_client_reads_writes_watches_and_leases() {
     run(async {
-        let standin = Standin::start(3).await.unwrap();
+        let standin = FakeEtcd::start(3).await.unwrap();
         let mut client = Client::connect(standin.endpoints(), None).await.unwrap();
         let put = client.put("/a/1", "one", None).await.unwrap();
         let first = put.header().unwrap().revision();
@@ -146,8 +146,8 @@
 #[test]
 fn another_client_needs_the_password_where_one_is_set() {
     run(async {
-        let standin = Standin::start(1).await.unwrap();
-        standin.store(|s| s.user = Some(("me".into(), "secret".into())));
+        let standin = FakeEtcd::start(1).await.unwrap();
+        standin.with_store(|s| s.credentials = Some(("me".into(), "secret".into())));
         let right = ConnectOptions::new().with_user("me", "secret");
         let mut client = Client::connect(standin.endpoints(), Some(right))
             .await
--- a/crates/etcd/src/connect.rs
+++ b/crates/etcd/src/connect.rs
@@ -10,11 +10,11 @@
 use crate::api::auth_client::AuthClient;
 
 /// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// A peer that answers no ping for so long is gone.
-const PING: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Bytes of a message at most: etcd sends fragments of 1.5 MiB, and a single large event whole.
-pub const MOST: usize = 64 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// Where etcd is, and who asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,9 +22,9 @@
     /// Its members, such as `http://127.0.0.1:2379`.
     pub endpoints: Vec<String>,
     /// Name and password, where etcd asks for them.
-    pub user: Option<(String, String)>,
+    pub credentials: Option<(String, String)>,
     /// Keys of one answer of a list.
-    pub page: i64,
+    pub page_size: i64,
 }
 
 impl Settings {
@@ -32,14 +32,14 @@
     pub fn new(endpoints: Vec<String>) -> Self {
         Settings {
             endpoints,
-            user: None,
-            page: 1000,
+            credentials: None,
+            page_size: 1000,
         }
     }
 }
 
 /// How a member is connected to: the place for TLS.
-pub trait Connect: Clone + Send + Sync + 'static {
+pub trait Connector: Clone + Send + Sync + 'static {
     /// Connects to an endpoint.
     fn connect(
         &self,
@@ -49,14 +49,14 @@
 
 /// Connections as they are, without TLS.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Plain;
+pub struct PlaintextConnector;
 
-impl Connect for Plain {
+impl Connector for PlaintextConnector {
     async fn connect(&self, endpoint: &str) -> Result<Channel, tonic::transport::Error> {
         let endpoint = Endpoint::from_shared(endpoint.to_owned())?
-            .connect_timeout(CONNECT)
-            .http2_keep_alive_interval(PING)
-            .keep_alive_timeout(PING)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_INTERVAL)
             .tcp_nodelay(true);
         endpoint.connect().await
     }
@@ -67,7 +67,7 @@
 pub struct Member {
     /// The connection.
     pub channel: Channel,
-    user: Option<(String, String)>,
+    credentials: Option<(String, String)>,
     token: Option<MetadataValue<tonic::metadata::Ascii>>,
 }
 
@@ -75,11 +75,14 @@
     /// Takes a connection, and gets a token where one is needed.
     ///
     /// # Errors
-    /// etcd does not know the user.
-    pub async fn new(channel: Channel, user: Option<(String, String)>) -> Result<Self, Status> {
+    /// etcd does not know the credentials.
+    pub async fn new(
+        channel: Channel,
+        credentials: Option<(String, String)>,
+    ) -> Result<Self, Status> {
         let mut member = Member {
             channel,
-            user,
+            credentials,
             token: None,
         };
         member.renew().await?;
@@ -89,9 +92,9 @@
     /// Gets a new token, where one is needed.
     ///
     /// # Errors
-    /// etcd does not know the user.
+    /// etcd does not know the credentials.
     pub async fn renew(&mut self) -> Result<(), Status> {
-        let Some((name, password)) = self.user.clone() else {
+        let Some((name, password)) = self.credentials.clone() else {
             return Ok(());
         };
         let mut client = AuthClient::new(self.channel.clone());
@@ -109,7 +112,7 @@
 
     /// Whether a failure may be mended by a new token.
     pub fn wants_token(&self, status: &Status) -> bool {
-        self.user.is_some()
+        self.credentials.is_some()
             && (status.code() == tonic::Code::Unauthenticated
                 || status.message().contains("invalid auth token"))
     }
--- a/crates/etcd/src/registry.rs
+++ b/crates/etcd/src/registry.rs
@@ -17,56 +17,56 @@
     Compare, DeleteRangeRequest, KeyValue, LeaseGrantRequest, LeaseKeepAliveRequest,
     LeaseRevokeRequest, PutRequest, RangeRequest, RequestOp, TxnRequest,
 };
-use crate::connect::{Connect, MOST, Member, Settings};
+use crate::connect::{Connector, MAX_MESSAGE_BYTES, Member, Settings};
 
 /// What a call may take.
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Tries of a change that others come in between of.
-const TRIES: usize = 8;
+const MAX_UPDATE_ATTEMPTS: usize = 8;
 
 /// Why something could not be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum RegistryError {
     /// No member of etcd answers.
-    Unreached(String),
+    Unavailable(String),
     /// There is no such server.
-    NotThere(String),
+    NotFound(String),
     /// Another one has the name.
-    Taken(String),
+    NameInUse(String),
     /// etcd says no, or what it has can't be read.
-    Refused(String),
+    Rejected(String),
 }
 
-impl fmt::Display for Failed {
+impl fmt::Display for RegistryError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Failed::Unreached(why) => write!(f, "etcd can't be reached: {why}"),
-            Failed::NotThere(name) => write!(f, "there is no server \"{name}\""),
-            Failed::Taken(name) => write!(f, "another server has the name \"{name}\""),
-            Failed::Refused(why) => write!(f, "{why}"),
+            RegistryError::Unavailable(why) => write!(f, "etcd can't be reached: {why}"),
+            RegistryError::NotFound(name) => write!(f, "there is no server \"{name}\""),
+            RegistryError::NameInUse(name) => write!(f, "another server has the name \"{name}\""),
+            RegistryError::Rejected(why) => write!(f, "{why}"),
         }
     }
 }
 
-impl From<Status> for Failed {
+impl From<Status> for RegistryError {
     fn from(status: Status) -> Self {
         match status.code() {
             // A connection that breaks under a call is told of as unknown.
             Code::Unavailable | Code::DeadlineExceeded | Code::Unknown | Code::Cancelled => {
-                Failed::Unreached(status.to_string())
+                RegistryError::Unavailable(status.to_string())
             }
-            _ => Failed::Refused(status.message().to_owned()),
+            _ => RegistryError::Rejected(status.message().to_owned()),
         }
     }
 }
 
 /// A server as etcd has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct RegisteredEndpoint {
     /// Its name.
     pub name: String,
     /// Its value, or why it is none.
-    pub entry: Result<EndpointRecord, String>,
+    pub record: Result<EndpointRecord, String>,
     /// The revision of its last change.
     pub revision: i64,
     /// Its lease; 0 for none.
@@ -90,12 +90,16 @@
     member: Member,
 }
 
-impl<C: Connect> Registry<C> {
+impl<C: Connector> Registry<C> {
     /// Connects to the first member that answers.
     ///
     /// # Errors
     /// None does.
-    pub async fn connect(connect: C, settings: Settings, keys: KeySpace) -> Result<Self, Failed> {
+    pub async fn connect(
+        connect: C,
+        settings: Settings,
+        keys: KeySpace,
+    ) -> Result<Self, RegistryError> {
         let member = any(&connect, &settings).await?;
         Ok(Registry {
             connect,
@@ -109,21 +113,21 @@
     ///
     /// # Errors
     /// None does.
-    pub async fn reconnect(&mut self) -> Result<(), Failed> {
+    pub async fn reconnect(&mut self) -> Result<(), RegistryError> {
         self.member = any(&self.connect, &self.settings).await?;
         Ok(())
     }
 
     fn kv(&self) -> KvClient<tonic::transport::Channel> {
-        KvClient::new(self.member.channel.clone()).max_decoding_message_size(MOST)
+        KvClient::new(self.member.channel.clone()).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 
     async fn call<T>(
         call: impl Future<Output = Result<tonic::Response<T>, Status>>,
-    ) -> Result<T, Failed> {
-        let answer = timeout(CALL, call)
+    ) -> Result<T, RegistryError> {
+        let answer = timeout(CALL_TIMEOUT, call)
             .await
-            .map_err(|_| Failed::Unreached("no answer in time".into()))?;
+            .map_err(|_| RegistryError::Unavailable("no answer in time".into()))?;
         Ok(answer?.into_inner())
     }
 
@@ -131,14 +135,14 @@
     ///
     /// # Errors
     /// etcd can't be asked.
-    pub async fn list(&self) -> Result<Vec<Listed>, Failed> {
+    pub async fn list(&self) -> Result<Vec<RegisteredEndpoint>, RegistryError> {
         let mut all = Vec::new();
         let (mut from, mut revision) = (self.keys.endpoint_prefix().as_bytes().to_vec(), 0);
         loop {
             let request = RangeRequest {
                 key: from.clone(),
                 range_end: range_end(self.keys.endpoint_prefix()),
-                limit: self.settings.page,
+                limit: self.settings.page_size,
                 revision,
                 ..RangeRequest::default()
             };
@@ -159,16 +163,16 @@
         }
     }
 
-    fn listed(&self, kv: &KeyValue) -> Option<Listed> {
-        Some(Listed {
+    fn listed(&self, kv: &KeyValue) -> Option<RegisteredEndpoint> {
+        Some(RegisteredEndpoint {
             name: self.keys.endpoint_name(&kv.key)?.to_owned(),
-            entry: EndpointRecord::parse(&kv.value).map_err(|e| e.to_string()),
+            record: EndpointRecord::parse(&kv.value).map_err(|e| e.to_string()),
             revision: kv.mod_revision,
             lease: kv.lease,
         })
     }
 
-    async fn get(&self, name: &str) -> Result<Option<KeyValue>, Failed> {
+    async fn get(&self, name: &str) -> Result<Option<KeyValue>, RegistryError> {
         let request = RangeRequest {
             key: self.keys.endpoint_key(name).into_bytes(),
             ..RangeRequest::default()
@@ -188,7 +192,7 @@
         name: &str,
         entry: &EndpointRecord,
         ttl: Duration,
-    ) -> Result<Registration, Failed> {
+    ) -> Result<Registration, RegistryError> {
         let grant = LeaseGrantRequest {
             ttl: ttl.as_secs().max(1) as i64,
             id: 0,
@@ -199,7 +203,7 @@
             lease: lease.id,
             ttl: Duration::from_secs(lease.ttl.max(1) as u64),
         };
-        for _ in 0..TRIES {
+        for _ in 0..MAX_UPDATE_ATTEMPTS {
             let now = self.get(name).await?;
             let mut entry = entry.clone();
             if let Some(old) = now
@@ -208,7 +212,7 @@
             {
                 if old.address != entry.address && old.state != EndpointState::Removed {
                     self.revoke(registration.lease).await?;
-                    return Err(Failed::Taken(name.to_owned()));
+                    return Err(RegistryError::NameInUse(name.to_owned()));
                 }
                 // What others have written there stays.
                 for (key, value) in old.unknown_fields {
@@ -223,7 +227,9 @@
                 return Ok(registration);
             }
         }
-        Err(Failed::Refused(format!("{name} changes all the time")))
+        Err(RegistryError::Rejected(format!(
+            "{name} changes all the time"
+        )))
     }
 
     /// Writes a value if its key is still at this revision; 0 if there was none.
@@ -233,7 +239,7 @@
         revision: i64,
         entry: &EndpointRecord,
         lease: i64,
-    ) -> Result<bool, Failed> {
+    ) -> Result<bool, RegistryError> {
         let key = self.keys.endpoint_key(name).into_bytes();
         let compare = Compare {
             result: CompareResult::Equal as i32,
@@ -263,7 +269,7 @@
     ///
     /// # Errors
     /// Always, in the end: why the lease is not renewed any more.
-    pub async fn keep(&self, registration: Registration) -> Failed {
+    pub async fn keep_alive(&self, registration: Registration) -> RegistryError {
         let (requests, queue) = mpsc::channel(2);
         let mut leases = LeaseClient::new(self.member.channel.clone());
         let call = leases.lease_keep_alive(self.member.request(ReceiverStream::new(queue)));
@@ -272,31 +278,31 @@
         };
         // The stream stands once the first renewal has gone out.
         if requests.send(ask).await.is_err() {
-            return Failed::Unreached("the stream of renewals has ended".into());
+            return RegistryError::Unavailable("the stream of renewals has ended".into());
         }
-        let mut answers = match timeout(CALL, call).await {
+        let mut answers = match timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(answers)) => answers.into_inner(),
             Ok(Err(status)) => return status.into(),
-            Err(_) => return Failed::Unreached("no answer in time".into()),
+            Err(_) => return RegistryError::Unavailable("no answer in time".into()),
         };
         loop {
             match timeout(registration.ttl / 2, answers.message()).await {
                 Ok(Ok(Some(answer))) if answer.ttl > 0 => {}
-                Ok(Ok(Some(_))) => return Failed::Refused("the lease has ended".into()),
+                Ok(Ok(Some(_))) => return RegistryError::Rejected("the lease has ended".into()),
                 Ok(Ok(None)) => {
-                    return Failed::Unreached("the stream of renewals has ended".into());
+                    return RegistryError::Unavailable("the stream of renewals has ended".into());
                 }
                 Ok(Err(status)) => return status.into(),
-                Err(_) => return Failed::Unreached("no renewal in time".into()),
+                Err(_) => return RegistryError::Unavailable("no renewal in time".into()),
             }
             sleep(registration.ttl / 3).await;
             if requests.send(ask).await.is_err() {
-                return Failed::Unreached("the stream of renewals has ended".into());
+                return RegistryError::Unavailable("the stream of renewals has ended".into());
             }
         }
     }
 
-    async fn revoke(&self, lease: i64) -> Result<(), Failed> {
+    async fn revoke(&self, lease: i64) -> Result<(), RegistryError> {
         let mut leases = LeaseClient::new(self.member.channel.clone());
         Self::call(leases.lease_revoke(self.member.request(LeaseRevokeRequest { id: lease })))
             .await?;
@@ -307,30 +313,32 @@
     ///
     /// # Errors
     /// It is not there, or etcd can't be asked.
-    pub async fn set_state(&self, name: &str, state: EndpointState) -> Result<(), Failed> {
-        for _ in 0..TRIES {
+    pub async fn set_state(&self, name: &str, state: EndpointState) -> Result<(), RegistryError> {
+        for _ in 0..MAX_UPDATE_ATTEMPTS {
             let kv = self
                 .get(name)
                 .await?
-                .ok_or_else(|| Failed::NotThere(name.to_owned()))?;
+                .ok_or_else(|| RegistryError::NotFound(name.to_owned()))?;
             let mut entry = EndpointRecord::parse(&kv.value)
-                .map_err(|e| Failed::Refused(format!("{name}: {e}")))?;
+                .map_err(|e| RegistryError::Rejected(format!("{name}: {e}")))?;
             entry.state = state;
             if self.put_if(name, kv.mod_revision, &entry, kv.lease).await? {
                 return Ok(());
             }
         }
-        Err(Failed::Refused(format!("{name} changes all the time")))
+        Err(RegistryError::Rejected(format!(
+            "{name} changes all the time"
+        )))
     }
 
     /// Takes a server away on purpose: its value says so first, so that nobody takes its end for that of a lease.
     ///
     /// # Errors
     /// It is not there, or etcd can't be asked.
-    pub async fn deregister(&self, name: &str) -> Result<(), Failed> {
+    pub async fn deregister(&self, name: &str) -> Result<(), RegistryError> {
         match self.set_state(name, EndpointState::Removed).await {
             // A value that can't be read goes without a word.
-            Ok(()) | Err(Failed::Refused(_)) => {}
+            Ok(()) | Err(RegistryError::Rejected(_)) => {}
             Err(e) => return Err(e),
         }
         let request = DeleteRangeRequest {
@@ -345,7 +353,7 @@
     ///
     /// # Errors
     /// etcd can't be asked.
-    pub async fn release(&self) -> Result<(), Failed> {
+    pub async fn release_retained(&self) -> Result<(), RegistryError> {
         let put = PutRequest {
             key: self.keys.release_key().as_bytes().to_vec(),
             value: b"{}".to_vec(),
@@ -356,16 +364,16 @@
     }
 }
 
-async fn any<C: Connect>(connect: &C, settings: &Settings) -> Result<Member, Failed> {
-    let mut why = Failed::Unreached("no endpoint is named".into());
+async fn any<C: Connector>(connect: &C, settings: &Settings) -> Result<Member, RegistryError> {
+    let mut why = RegistryError::Unavailable("no endpoint is named".into());
     for endpoint in &settings.endpoints {
-        match timeout(CALL, connect.connect(endpoint)).await {
-            Ok(Ok(channel)) => match Member::new(channel, settings.user.clone()).await {
+        match timeout(CALL_TIMEOUT, connect.connect(endpoint)).await {
+            Ok(Ok(channel)) => match Member::new(channel, settings.credentials.clone()).await {
                 Ok(member) => return Ok(member),
                 Err(status) => why = status.into(),
             },
-            Ok(Err(e)) => why = Failed::Unreached(format!("{endpoint}: {e}")),
-            Err(_) => why = Failed::Unreached(format!("{endpoint}: no answer in time")),
+            Ok(Err(e)) => why = RegistryError::Unavailable(format!("{endpoint}: {e}")),
+            Err(_) => why = RegistryError::Unavailable(format!("{endpoint}: no answer in time")),
         }
     }
     Err(why)
--- a/crates/etcd/src/follow.rs
+++ b/crates/etcd/src/watch.rs
@@ -19,13 +19,13 @@
     KeyValue, RangeRequest, ResponseHeader, WatchCreateRequest, WatchProgressRequest, WatchRequest,
     WatchResponse, event,
 };
-use crate::connect::{Connect, MOST, Member, Settings};
+use crate::connect::{Connector, MAX_MESSAGE_BYTES, Member, Settings};
 
 /// What a call of the list may take.
-const CALL: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Follows the servers below these keys until nobody listens any more. `pool` names it in the log.
-pub async fn follow<C: Connect>(
+pub async fn watch_endpoints<C: Connector>(
     connect: C,
     settings: Settings,
     pool: String,
@@ -173,7 +173,7 @@
 type Events = mpsc::Sender<(u64, Event)>;
 
 impl Line {
-    fn open<C: Connect>(
+    fn open<C: Connector>(
         connect: C,
         endpoint: String,
         settings: &Settings,
@@ -182,15 +182,21 @@
         events: Events,
     ) -> Self {
         let (commands, told) = mpsc::unbounded_channel();
-        let (user, page, keys) = (settings.user.clone(), settings.page, keys.clone());
+        let (credentials, page_size, keys) = (
+            settings.credentials.clone(),
+            settings.page_size,
+            keys.clone(),
+        );
         let task = tokio::spawn(async move {
             let teller = Teller { number, events };
-            let member = timeout(CALL, async {
+            let member = timeout(CALL_TIMEOUT, async {
                 let channel = connect
                     .connect(&endpoint)
                     .await
                     .map_err(|e| e.to_string())?;
-                Member::new(channel, user).await.map_err(|e| e.to_string())
+                Member::new(channel, credentials)
+                    .await
+                    .map_err(|e| e.to_string())
             });
             let member = match member.await {
                 Ok(Ok(member)) => member,
@@ -208,7 +214,7 @@
             let mut session = Session {
                 member,
                 keys,
-                page,
+                page_size,
                 watch: None,
             };
             if let Err(why) = session.run(told, &teller).await {
@@ -242,7 +248,7 @@
 struct Session {
     member: Member,
     keys: KeySpace,
-    page: i64,
+    page_size: i64,
     watch: Option<Watch>,
 }
 
@@ -296,16 +302,16 @@
         let request = RangeRequest {
             key: from,
             range_end: range_end(self.keys.pool_prefix()),
-            limit: self.page,
+            limit: self.page_size,
             revision,
             ..RangeRequest::default()
         };
         let mut renewed = false;
         loop {
-            let mut client =
-                KvClient::new(self.member.channel.clone()).max_decoding_message_size(MOST);
+            let mut client = KvClient::new(self.member.channel.clone())
+                .max_decoding_message_size(MAX_MESSAGE_BYTES);
             let call = client.range(self.member.request(request.clone()));
-            let answer = timeout(CALL, call)
+            let answer = timeout(CALL_TIMEOUT, call)
                 .await
                 .map_err(|_| "no list came".to_owned())?;
             match answer {
@@ -348,10 +354,10 @@
             request_union: Some(RequestUnion::CreateRequest(create)),
         };
         requests.send(first).await.map_err(|e| e.to_string())?;
-        let mut client =
-            WatchClient::new(self.member.channel.clone()).max_decoding_message_size(MOST);
+        let mut client = WatchClient::new(self.member.channel.clone())
+            .max_decoding_message_size(MAX_MESSAGE_BYTES);
         let call = client.watch(self.member.request(ReceiverStream::new(queue)));
-        let answers = timeout(CALL, call)
+        let answers = timeout(CALL_TIMEOUT, call)
             .await
             .map_err(|_| "no watch came up".to_owned())?;
         let answers = answers.map_err(|s| s.to_string())?.into_inner();
--- a/crates/lab/src/followers.rs
+++ b/crates/lab/src/followers.rs
@@ -12,8 +12,8 @@
 
 use endpoint_discovery::{BackoffLimits, EndpointRecord, KeySpace, ListChange, Phase, WatchLimits};
 use etcd::api::{DeleteRangeRequest, PutRequest};
-use etcd::{DiscoveryUpdate, Plain, Settings};
-use etcd_fake::Standin;
+use etcd::{DiscoveryUpdate, PlaintextConnector, Settings};
+use etcd_fake::FakeEtcd;
 use hdrhistogram::Histogram;
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
@@ -31,7 +31,7 @@
     KeySpace::new("/canvascart/v1", "t")
 }
 
-fn put(standin: &Standin, name: &str, address: SocketAddr) {
+fn put(standin: &FakeEtcd, name: &str, address: SocketAddr) {
     let entry = EndpointRecord {
         capacity: 16.0,
         started_at_ms: Some(1),
@@ -42,15 +42,15 @@
         value: entry.to_json().into_bytes(),
         ..PutRequest::default()
     };
-    standin.store(|s| _ = s.put(0, &request)); // without a lease it can't be refused
+    standin.with_store(|s| _ = s.put(0, &request)); // without a lease it can't be refused
 }
 
-fn delete(standin: &Standin, name: &str) {
+fn delete(standin: &FakeEtcd, name: &str) {
     let request = DeleteRangeRequest {
         key: keys().endpoint_key(name).into_bytes(),
         ..DeleteRangeRequest::default()
     };
-    standin.store(|s| _ = s.delete(0, &request));
+    standin.with_store(|s| _ = s.delete(0, &request));
 }
 
 /// What a list of one size takes.
@@ -76,14 +76,14 @@
 }
 
 fn follow(
-    standin: &Standin,
+    standin: &FakeEtcd,
     limits: WatchLimits,
     seed: u64,
 ) -> mpsc::UnboundedReceiver<DiscoveryUpdate> {
     let (to, updates) = mpsc::unbounded_channel();
     let settings = Settings::new(standin.endpoints());
-    tokio::spawn(etcd::follow(
-        Plain,
+    tokio::spawn(etcd::watch_endpoints(
+        PlaintextConnector,
         settings,
         "lab".into(),
         keys(),
@@ -100,7 +100,7 @@
 /// The stand-in can't be had.
 pub fn size(servers: usize) -> io::Result<Size> {
     runtime()?.block_on(async {
-        let standin = Standin::start(3).await?;
+        let standin = FakeEtcd::start(3).await?;
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         (0..servers).for_each(|n| put(&standin, &format!("s{n:05}"), address));
         let id = std::process::id();
@@ -163,7 +163,7 @@
 /// The stand-in can't be had.
 pub fn stampede(jitter: bool) -> io::Result<(u64, u64)> {
     runtime()?.block_on(async {
-        let standin = Standin::start(1).await?;
+        let standin = FakeEtcd::start(1).await?;
         put(&standin, "a", SocketAddr::from(([127, 0, 0, 1], 9)));
         // A first wait of up to 2 s, as the operators of a large fleet would set it.
         let limits = WatchLimits {
@@ -184,12 +184,12 @@
                 }
             }
         }
-        let before = standin.came();
-        standin.cut(0);
+        let before = standin.connection_count();
+        standin.break_connections(0);
         let (mut most, mut last) = (0, before);
         for _ in 0..50 {
             sleep(Duration::from_millis(100)).await;
-            let now = standin.came();
+            let now = standin.connection_count();
             (most, last) = (most.max(now - last), now);
         }
         Ok((most, last - before))
@@ -245,7 +245,7 @@
 /// The service or the stand-in can't be had.
 pub fn last_request(command: &[String], removals: usize, dir: &Path) -> io::Result<[f64; 2]> {
     let runtime = runtime()?;
-    let standin = runtime.block_on(Standin::start(3))?;
+    let standin = runtime.block_on(FakeEtcd::start(3))?;
     let start = Instant::now();
     let witnesses = [
         Witness::new(start)?,
