--- a/crates/multi-tenant/src/accounts.rs
+++ b/crates/multi-tenant/src/accounts.rs
@@ -1,4 +1,5 @@
-//! The accounts of all tenants: the engine's seam over the shares, and the turns in which connections are read.
+//! Accounts of all tenants: connects the proxy with the fair-share limits, and schedules the reading of
+//! client connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,54 +17,59 @@
 
 use crate::catalog::Name;
 
-/// Between two looks at tenants whose connections wait to be read, when no account allows any.
-const LOOK: Duration = Duration::from_millis(1);
-/// The event loop's time in ms that a tenant's connections may take in one round, before those of others have their turn.
-const ROUND: Millis = 0.3;
-/// Wakers kept for one tenant; a waker beyond it is called at once, and its connection looks again.
-const MOST_WAITING: usize = 16 * 1024;
-
-/// The book of all accounts.
-pub struct Book {
+/// Poll interval while connections wait and no account allows reading.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Event loop time in ms that the connections of a tenant may use per round, before those of other
+/// tenants are read.
+const ROUND_QUOTA_MS: Millis = 0.3;
+/// Maximum number of wakers per queue of a tenant; a further one is woken at once, and its connection
+/// checks again.
+const MAX_WAITING: usize = 16 * 1024;
+
+/// Registry of all accounts.
+pub struct AccountRegistry {
     start: Instant,
-    /// The thread's time on a core, in ms, when the present work began: time on a core, so that nobody pays for what the
-    /// system let others do meanwhile.
-    works_since: Cell<Millis>,
-    shares: RefCell<TenantLimiter>,
-    /// For each tenant the connections that wait to be read, and the listeners that wait to take up another.
+    /// CPU time of the thread in ms at the beginning of the current work. CPU time doesn't include the time
+    /// in which the system ran other threads.
+    work_started_at: Cell<Millis>,
+    limiter: RefCell<TenantLimiter>,
+    /// For each tenant the wakers of connections that wait to be read, and of listeners that wait to accept
+    /// a connection.
     waiting: RefCell<Vec<[VecDeque<Waker>; 2]>>,
-    /// How many of these queues have some.
-    queues_waiting: Cell<usize>,
-    some_wait: Notify,
-    /// Counts the rounds; one ends when all that wait have had their turn, and none runs while nobody waits.
+    /// Number of non-empty queues.
+    nonempty_queues: Cell<usize>,
+    queue_filled: Notify,
+    /// Number of the current round. A round ends when each waiting tenant has had its turn; there are no
+    /// rounds while no connection waits.
     round: Cell<u64>,
-    places: RefCell<Vec<bool>>,
-    /// Tenants' accounts, for as long as anybody holds them: of a tenant at rest its clients' connections may.
-    open: RefCell<BTreeMap<Name, Weak<Holder>>>,
-    /// What tenants without an account have done; those that have done nothing are not here.
-    past: RefCell<BTreeMap<Name, Past>>,
+    used_slots: RefCell<Vec<bool>>,
+    /// Accounts of tenants that are still referenced; those of an inactive tenant may be, by its client
+    /// connections.
+    accounts: RefCell<BTreeMap<Name, Weak<Account>>>,
+    /// Usage counters of tenants without an account, except for those at zero.
+    past_usage: RefCell<BTreeMap<Name, PastUsage>>,
 }
 
-/// What a tenant has done, without what it holds.
-struct Past {
-    time: Millis,
-    refused: Option<Box<RejectionCounts>>,
+/// Usage counters of a tenant without an account.
+struct PastUsage {
+    event_loop_time: Millis,
+    rejections: Option<Box<RejectionCounts>>,
 }
 
-impl Book {
-    /// A book for a process that has so much.
+impl AccountRegistry {
+    /// Creates a registry for a process with this capacity.
     pub fn new(capacity: ProcessCapacity) -> Rc<Self> {
-        Rc::new(Book {
+        Rc::new(AccountRegistry {
             start: Instant::now(),
-            works_since: Cell::new(thread_time()),
-            shares: RefCell::new(TenantLimiter::new(capacity)),
+            work_started_at: Cell::new(thread_time()),
+            limiter: RefCell::new(TenantLimiter::new(capacity)),
             waiting: RefCell::default(),
-            queues_waiting: Cell::new(0),
-            some_wait: Notify::new(),
+            nonempty_queues: Cell::new(0),
+            queue_filled: Notify::new(),
             round: Cell::new(0),
-            places: RefCell::default(),
-            open: RefCell::default(),
-            past: RefCell::default(),
+            used_slots: RefCell::default(),
+            accounts: RefCell::default(),
+            past_usage: RefCell::default(),
         })
     }
 
@@ -71,148 +77,160 @@
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Opens an account; it is closed when the last holder lets go of it and all it held is given back.
-    pub fn open(self: &Rc<Self>, quota: &TenantQuota) -> Rc<Holder> {
-        let mut places = self.places.borrow_mut();
-        let free = places
+    /// Opens an account; it is closed with its last reference, when all its resources have been released.
+    pub fn open(self: &Rc<Self>, quota: &TenantQuota) -> Rc<Account> {
+        let mut used_slots = self.used_slots.borrow_mut();
+        let slot = used_slots
             .iter()
-            .position(|taken| !taken)
-            .unwrap_or(places.len());
-        if free == places.len() {
-            places.push(true);
+            .position(|used| !used)
+            .unwrap_or(used_slots.len());
+        if slot == used_slots.len() {
+            used_slots.push(true);
             self.waiting.borrow_mut().push(Default::default());
         }
-        places[free] = true;
-        let tenant = TenantId(free);
-        self.shares
+        used_slots[slot] = true;
+        let tenant = TenantId(slot);
+        self.limiter
             .borrow_mut()
             .set_quota(self.now(), tenant, quota);
-        Rc::new(Holder {
-            book: self.clone(),
+        Rc::new(Account {
+            registry: self.clone(),
             tenant,
-            turn: Cell::new((0, ROUND)),
+            round_quota: Cell::new((0, ROUND_QUOTA_MS)),
             name: RefCell::default(),
         })
     }
 
-    /// The account of a tenant that wakes: the one that it had if anybody holds that still, or one that goes on from there.
-    pub fn resume(self: &Rc<Self>, name: &Name, quota: &TenantQuota) -> Rc<Holder> {
-        if let Some(holder) = self.held(name) {
-            holder.set(quota);
-            return holder;
+    /// Returns the account of a tenant that is activated: the existing one if it is still referenced, or a
+    /// new one that continues its usage counters.
+    pub fn resume(self: &Rc<Self>, name: &Name, quota: &TenantQuota) -> Rc<Account> {
+        if let Some(account) = self.existing(name) {
+            account.set_quota(quota);
+            return account;
         }
-        let holder = self.open(quota);
-        if let Some(past) = self.past.borrow_mut().remove(name) {
-            let refused = past.refused.map_or([0; 5], |r| *r);
-            self.shares
-                .borrow_mut()
-                .restore_counters(holder.tenant, past.time, refused);
+        let account = self.open(quota);
+        if let Some(past) = self.past_usage.borrow_mut().remove(name) {
+            let rejections = past.rejections.map_or([0; 5], |rejections| *rejections);
+            self.limiter.borrow_mut().restore_counters(
+                account.tenant,
+                past.event_loop_time,
+                rejections,
+            );
         }
-        holder.name.replace(Some(name.clone()));
-        self.open
+        account.name.replace(Some(name.clone()));
+        self.accounts
             .borrow_mut()
-            .insert(name.clone(), Rc::downgrade(&holder));
-        holder
+            .insert(name.clone(), Rc::downgrade(&account));
+        account
     }
 
-    /// A tenant's account, if anybody holds it.
-    pub fn held(&self, name: &str) -> Option<Rc<Holder>> {
-        self.open.borrow().get(name).and_then(Weak::upgrade)
+    /// Returns the account of a tenant if it is still referenced.
+    pub fn existing(&self, name: &str) -> Option<Rc<Account>> {
+        self.accounts.borrow().get(name).and_then(Weak::upgrade)
     }
 
-    /// What a tenant holds and has done, whether it has an account now or not.
-    pub fn used_by(&self, name: &str) -> TenantUsage {
-        if let Some(holder) = self.held(name) {
-            return holder.used();
+    /// Returns the usage of a tenant with or without an account.
+    pub fn usage_of(&self, name: &str) -> TenantUsage {
+        if let Some(account) = self.existing(name) {
+            return account.usage();
         }
-        let past = self.past.borrow();
+        let past = self.past_usage.borrow();
         let Some(past) = past.get(name) else {
             return TenantUsage::default();
         };
-        let refused = past.refused.as_ref().map_or([0; 5], |r| **r);
+        let rejection_counts = past
+            .rejections
+            .as_ref()
+            .map_or([0; 5], |rejections| **rejections);
         TenantUsage {
-            event_loop_time: past.time,
-            rejections: refused,
+            event_loop_time: past.event_loop_time,
+            rejections: rejection_counts,
             ..TenantUsage::default()
         }
     }
 
-    /// A tenant is gone: nothing is kept of it, and one of its name that comes later is another one.
-    pub fn forget(&self, name: &str) {
-        self.past.borrow_mut().remove(name);
-        if let Some(holder) = self
-            .open
+    /// Removes everything about a removed tenant; a later one of the same name starts from zero.
+    pub fn remove(&self, name: &str) {
+        self.past_usage.borrow_mut().remove(name);
+        if let Some(account) = self
+            .accounts
             .borrow_mut()
             .remove(name)
-            .and_then(|h| h.upgrade())
+            .and_then(|account| account.upgrade())
         {
-            holder.name.replace(None);
+            account.name.replace(None);
         }
     }
 
-    /// Servers with limits that several tenants use.
-    pub fn share_server(&self, server: u64, connections: u64, members: &[(Rc<Holder>, f64)]) {
+    /// Divides the connection limit of a server between the tenants that use it.
+    pub fn set_shared_endpoint(
+        &self,
+        endpoint: u64,
+        connections: u64,
+        members: &[(Rc<Account>, f64)],
+    ) {
         let members: Vec<(TenantId, f64)> = members
             .iter()
-            .map(|(h, weight)| (h.tenant, *weight))
+            .map(|(account, weight)| (account.tenant, *weight))
             .collect();
-        self.shares
+        self.limiter
             .borrow_mut()
-            .set_shared_server(server, connections, &members);
+            .set_shared_server(endpoint, connections, &members);
     }
 
-    /// Lets waiting connections be read as their tenants' accounts allow; runs for as long as the process.
-    pub async fn give_turns(self: Rc<Self>) {
+    /// Wakes waiting connections as their tenants' accounts allow; runs until the process ends.
+    pub async fn run_rounds(self: Rc<Self>) {
         loop {
-            if self.queues_waiting.get() == 0 {
-                self.some_wait.notified().await;
+            if self.nonempty_queues.get() == 0 {
+                self.queue_filled.notified().await;
             }
             self.round.set(self.round.get() + 1);
-            let places = self.waiting.borrow().len();
-            let woken = (0..places)
-                .filter(|place| self.next_turn(TenantId(*place)))
+            let slots = self.waiting.borrow().len();
+            let woken = (0..slots)
+                .filter(|slot| self.next_turn(TenantId(*slot)))
                 .count();
-            // Whoever is ready goes before the next round, and what has come in meanwhile is looked for.
+            // Other ready tasks run before the next round, and new I/O events are polled.
             if woken > 0 {
                 tokio::task::yield_now().await;
             } else {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Whether a tenant's account lets something of this kind go on.
-    fn may(&self, tenant: TenantId, wish: Wish) -> bool {
-        let (mut shares, now) = (self.shares.borrow_mut(), self.now());
-        match wish {
-            Wish::Read => shares.check_read(now, tenant).is_ok(),
-            Wish::Accept => shares.check_accept(now, tenant).is_ok(),
+    /// Returns true if a tenant's account allows this operation.
+    fn is_allowed(&self, tenant: TenantId, operation: Operation) -> bool {
+        let (mut limiter, now) = (self.limiter.borrow_mut(), self.now());
+        match operation {
+            Operation::Read => limiter.check_read(now, tenant).is_ok(),
+            Operation::Accept => limiter.check_accept(now, tenant).is_ok(),
         }
     }
 
-    /// Wakes one connection and one listener of a tenant, if its account lets them go on; tells whether it did.
+    /// Wakes one connection and one listener of a tenant if its account allows it. Returns true if one was
+    /// woken.
     fn next_turn(&self, tenant: TenantId) -> bool {
-        let read = self.wake(tenant, Wish::Read);
-        self.wake(tenant, Wish::Accept) || read
+        let read = self.wake(tenant, Operation::Read);
+        self.wake(tenant, Operation::Accept) || read
     }
 
-    fn wake(&self, tenant: TenantId, wish: Wish) -> bool {
-        if self.queues_waiting.get() == 0 {
+    fn wake(&self, tenant: TenantId, operation: Operation) -> bool {
+        if self.nonempty_queues.get() == 0 {
             return false;
         }
         let mut waiting = self.waiting.borrow_mut();
         let queue = waiting
             .get_mut(tenant.0)
-            .map(|queues| &mut queues[wish as usize]);
-        let Some(queue) = queue.filter(|q| !q.is_empty()) else {
+            .map(|queues| &mut queues[operation as usize]);
+        let Some(queue) = queue.filter(|queue| !queue.is_empty()) else {
             return false;
         };
-        if !self.may(tenant, wish) {
+        if !self.is_allowed(tenant, operation) {
             return false;
         }
         let waker = queue.pop_front();
         if queue.is_empty() {
-            self.queues_waiting.set(self.queues_waiting.get() - 1);
+            self.nonempty_queues.set(self.nonempty_queues.get() - 1);
         }
         drop(waiting);
         if let Some(waker) = waker {
@@ -221,195 +239,209 @@
         true
     }
 
-    fn wait(&self, tenant: TenantId, wish: Wish, waker: &Waker) {
+    fn wait(&self, tenant: TenantId, operation: Operation, waker: &Waker) {
         let mut waiting = self.waiting.borrow_mut();
         let queue = waiting
             .get_mut(tenant.0)
-            .map(|queues| &mut queues[wish as usize]);
+            .map(|queues| &mut queues[operation as usize]);
         let Some(queue) = queue else {
             return waker.wake_by_ref();
         };
-        if queue.back().is_some_and(|w| w.will_wake(waker)) {
+        if queue.back().is_some_and(|last| last.will_wake(waker)) {
             return;
         }
-        if queue.len() >= MOST_WAITING {
+        if queue.len() >= MAX_WAITING {
             return waker.wake_by_ref();
         }
         if queue.is_empty() {
-            self.queues_waiting.set(self.queues_waiting.get() + 1);
-            self.some_wait.notify_one();
+            self.nonempty_queues.set(self.nonempty_queues.get() + 1);
+            self.queue_filled.notify_one();
         }
         queue.push_back(waker.clone());
     }
 }
 
-/// What waits for its turn. The two have conditions of their own: woken by the other's, it would only wait anew.
+/// Operation that waits for its turn. The two have separate queues, as they depend on different conditions:
+/// a connection woken because the other operation is allowed would only have to wait again.
 #[derive(Clone, Copy)]
-enum Wish {
+enum Operation {
     Read,
     Accept,
 }
 
-/// This thread's time on a core, in ms.
+/// Returns the CPU time of this thread in ms.
 fn thread_time() -> Millis {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
-/// One tenant's account.
-pub struct Holder {
-    book: Rc<Book>,
+/// Account of a tenant.
+pub struct Account {
+    registry: Rc<AccountRegistry>,
     tenant: TenantId,
-    /// The round that it is in, and the time that it may still take in it.
-    turn: Cell<(u64, Millis)>,
-    /// Whose it is, if it is a tenant's that is still there.
+    /// Last round in which the account was charged, and the time left to it in that round.
+    round_quota: Cell<(u64, Millis)>,
+    /// Name of the tenant, for the account of a tenant that has not been removed.
     name: RefCell<Option<Name>>,
 }
 
-impl Holder {
-    fn may_now(&self, wish: Wish, waker: &Waker) -> bool {
-        let may = self.left() > 0.0 && self.book.may(self.tenant, wish);
-        if !may {
-            self.book.wait(self.tenant, wish, waker);
+impl Account {
+    fn allow_or_wait(&self, operation: Operation, waker: &Waker) -> bool {
+        let allowed = self.time_left() > 0.0 && self.registry.is_allowed(self.tenant, operation);
+        if !allowed {
+            self.registry.wait(self.tenant, operation, waker);
         }
-        may
+        allowed
     }
 
-    /// What it may still take in this round.
-    fn left(&self) -> Millis {
-        let (round, left) = self.turn.get();
-        if round == self.book.round.get() {
+    /// Returns the event loop time left in this round.
+    fn time_left(&self) -> Millis {
+        let (round, left) = self.round_quota.get();
+        if round == self.registry.round.get() {
             left
         } else {
-            ROUND
+            ROUND_QUOTA_MS
         }
     }
 
-    /// Changes its terms; what it holds it keeps.
-    pub fn set(&self, quota: &TenantQuota) {
-        self.book
-            .shares
+    /// Changes the quota; resources in use stay acquired.
+    pub fn set_quota(&self, quota: &TenantQuota) {
+        self.registry
+            .limiter
             .borrow_mut()
-            .set_quota(self.book.now(), self.tenant, quota);
+            .set_quota(self.registry.now(), self.tenant, quota);
     }
 
-    /// What it holds and has done.
-    pub fn used(&self) -> TenantUsage {
-        self.book.shares.borrow().usage(self.tenant)
+    /// Returns the usage of the account.
+    pub fn usage(&self) -> TenantUsage {
+        self.registry.limiter.borrow().usage(self.tenant)
     }
 
-    /// It gets nothing new from here on.
+    /// Closes the account: nothing more can be acquired.
     pub fn close(&self) {
-        self.book.shares.borrow_mut().remove(self.tenant);
+        self.registry.limiter.borrow_mut().remove(self.tenant);
     }
 }
 
-impl Drop for Holder {
+impl Drop for Account {
     fn drop(&mut self) {
         if let Some(name) = self.name.take() {
-            let used = self.used();
-            let time = used.event_loop_time;
-            let refused = used.rejections;
-            self.book.open.borrow_mut().remove(&name);
-            let refused = refused.iter().any(|n| *n > 0).then(|| Box::new(refused));
-            if time > 0.0 || refused.is_some() {
-                self.book
-                    .past
-                    .borrow_mut()
-                    .insert(name, Past { time, refused });
+            let usage = self.usage();
+            let event_loop_time = usage.event_loop_time;
+            let rejections = usage.rejections;
+            self.registry.accounts.borrow_mut().remove(&name);
+            let rejections = rejections
+                .iter()
+                .any(|n| *n > 0)
+                .then(|| Box::new(rejections));
+            if event_loop_time > 0.0 || rejections.is_some() {
+                self.registry.past_usage.borrow_mut().insert(
+                    name,
+                    PastUsage {
+                        event_loop_time,
+                        rejections,
+                    },
+                );
             }
         }
         self.close();
-        // Whoever held something held this account, too: nothing is left on it.
+        // Whoever uses a resource of the account also references it, so that no resource is in use here.
         let queues = self
-            .book
+            .registry
             .waiting
             .borrow_mut()
             .get_mut(self.tenant.0)
             .map(std::mem::take);
-        for queue in queues.into_iter().flatten().filter(|q| !q.is_empty()) {
+        for queue in queues
+            .into_iter()
+            .flatten()
+            .filter(|queue| !queue.is_empty())
+        {
             queue.into_iter().for_each(Waker::wake);
-            self.book
-                .queues_waiting
-                .set(self.book.queues_waiting.get() - 1);
+            self.registry
+                .nonempty_queues
+                .set(self.registry.nonempty_queues.get() - 1);
         }
-        if let Some(place) = self.book.places.borrow_mut().get_mut(self.tenant.0) {
-            *place = false;
+        if let Some(slot) = self.registry.used_slots.borrow_mut().get_mut(self.tenant.0) {
+            *slot = false;
         }
     }
 }
 
-impl TenantAccount for Holder {
+impl TenantAccount for Account {
     fn acquire_client_connection(&self) -> Result<(), Millis> {
-        self.book
-            .shares
+        self.registry
+            .limiter
             .borrow_mut()
-            .acquire_client_connection(self.book.now(), self.tenant)
+            .acquire_client_connection(self.registry.now(), self.tenant)
             .map_err(|rejection| rejection.retry_after)
     }
 
     fn release_client_connection(&self) {
-        self.book
-            .shares
+        self.registry
+            .limiter
             .borrow_mut()
             .release_client_connection(self.tenant);
     }
 
     fn begin_request(&self, bytes: u64) -> Result<(), Millis> {
-        self.book
-            .shares
+        self.registry
+            .limiter
             .borrow_mut()
-            .begin_request(self.book.now(), self.tenant, bytes)
+            .begin_request(self.registry.now(), self.tenant, bytes)
             .map_err(|rejection| rejection.retry_after)
     }
 
-    fn end_request(&self, bytes: u64, held: Millis) {
-        self.book
-            .shares
+    fn end_request(&self, bytes: u64, duration: Millis) {
+        self.registry
+            .limiter
             .borrow_mut()
-            .end_request(self.tenant, bytes, held);
+            .end_request(self.tenant, bytes, duration);
     }
 
     fn begin_work(&self) {
-        self.book.works_since.set(thread_time());
+        self.registry.work_started_at.set(thread_time());
     }
 
-    fn end_work(&self, turning_away: bool) {
-        let (now, ms) = (self.book.now(), thread_time() - self.book.works_since.get());
-        let left = self.left() - ms;
-        self.turn.set((self.book.round.get(), left));
-        let mut shares = self.book.shares.borrow_mut();
-        if turning_away {
-            shares.charge_rejecting(now, self.tenant, ms);
+    fn end_work(&self, rejecting: bool) {
+        let (now, cpu_time) = (
+            self.registry.now(),
+            thread_time() - self.registry.work_started_at.get(),
+        );
+        let left = self.time_left() - cpu_time;
+        self.round_quota.set((self.registry.round.get(), left));
+        let mut limiter = self.registry.limiter.borrow_mut();
+        if rejecting {
+            limiter.charge_rejecting(now, self.tenant, cpu_time);
         } else {
-            shares.charge_processing(now, self.tenant, ms);
+            limiter.charge_processing(now, self.tenant, cpu_time);
         }
-        drop(shares);
+        drop(limiter);
         if left > 0.0 {
-            self.book.next_turn(self.tenant);
+            self.registry.next_turn(self.tenant);
         }
     }
 
     fn may_read(&self, waker: &Waker) -> bool {
-        self.may_now(Wish::Read, waker)
+        self.allow_or_wait(Operation::Read, waker)
     }
 
     fn may_accept(&self, waker: &Waker) -> bool {
-        self.may_now(Wish::Accept, waker)
+        self.allow_or_wait(Operation::Accept, waker)
     }
 
-    fn acquire_endpoint_connection(&self, server: u64) -> bool {
-        self.book
-            .shares
+    fn acquire_endpoint_connection(&self, endpoint: u64) -> bool {
+        self.registry
+            .limiter
             .borrow_mut()
-            .acquire_server_connection(self.book.now(), self.tenant, server)
+            .acquire_server_connection(self.registry.now(), self.tenant, endpoint)
             .is_ok()
     }
 
-    fn release_endpoint_connection(&self, server: u64) {
-        self.book
-            .shares
+    fn release_endpoint_connection(&self, endpoint: u64) {
+        self.registry
+            .limiter
             .borrow_mut()
-            .release_server_connection(self.tenant, server);
+            .release_server_connection(self.tenant, endpoint);
     }
 }
--- a/crates/multi-tenant/src/catalog.rs
+++ b/crates/multi-tenant/src/catalog.rs
@@ -1,9 +1,10 @@
-//! The tenants of a version at rest: what a process holds of all whom it may have to serve, of which most have no request now.
+//! Compact storage of the tenants of a version, most of which have no requests at a given time.
 //!
-//! Each tenant is three packed parts with a checksum behind each: what is its own (hosts, where its list is followed), its terms
-//! (classes, rules, limits) and its servers. Parts that are the same are held once, so that tenants of one service share its list of
-//! servers, and those of one product its classes. A catalog is a value: a change makes another one, which shares all that it does not
-//! touch, and the one before stays whole for whoever holds it. Without I/O.
+//! A tenant is stored as three encoded parts, each followed by a checksum: its identity (hosts, endpoint
+//! discovery), its policy (classes, rules, limits) and its servers. Equal parts are stored once, so that
+//! tenants of the same service share its list of servers, and tenants of the same product its classes.
+//! A catalog is a persistent data structure: a changed copy shares all unchanged data with the original,
+//! which remains valid. Without I/O.
 
 use std::collections::BTreeSet;
 use std::hash::BuildHasher as _;
@@ -18,34 +19,36 @@
 use crate::document::{Class, DiscoverySettings, Limits, Rules, Server, Service, Tenant};
 use crate::routes::normalize_host;
 
-/// A tenant's name.
+/// Name of a tenant.
 pub type Name = Arc<str>;
 type Block = Arc<[u8]>;
 
-/// Bytes of the checksum behind a part.
-const SUM: usize = 4;
+/// Size of the checksum after an encoded part.
+const CHECKSUM_SIZE: usize = 4;
 
-/// What is held of a tenant does not fit its checksum, or can't be read.
+/// A stored tenant that doesn't match its checksum or can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("what is held of tenant \"{tenant}\" is damaged ({part})")]
+#[error("stored data of tenant \"{tenant}\" is damaged ({part})")]
 pub struct DamagedTenant {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Which part.
+    /// Damaged part.
     pub part: &'static str,
 }
 
-/// What is a tenant's own.
+/// Part of a tenant that it shares with no other tenant.
 #[derive(Serialize, Deserialize)]
-struct Own {
-    rev: u64,
+struct Identity {
+    #[serde(rename = "rev")]
+    revision: u64,
     hosts: Vec<String>,
-    fleet: Option<DiscoverySettings>,
+    #[serde(rename = "fleet")]
+    discovery: Option<DiscoverySettings>,
 }
 
-/// What tenants of one product have in common.
+/// Part that tenants of the same product usually have in common.
 #[derive(Serialize, Deserialize)]
-struct Terms {
+struct Policy {
     classes: Vec<Class>,
     limits: Limits,
     rules: Rules,
@@ -53,94 +56,95 @@
 
 #[derive(Clone)]
 struct Record {
-    own: Block,
-    terms: Block,
+    identity: Block,
+    policy: Block,
     servers: Block,
 }
 
-/// The parts that are held, by what they say: whoever packs one that is there already gets that one. It belongs to whoever makes
-/// changes and is no part of a catalog; a part that nobody holds any more is let go of with the next clearing.
+/// Interns encoded parts by their content, so that equal parts share one allocation. It is owned by the
+/// code that changes catalogs and isn't part of a catalog. It has weak references; those to unused parts
+/// are removed when the table grows.
 #[derive(Default)]
 pub struct PartInterner {
-    known: FxHashMap<u64, Weak<[u8]>>,
-    clear_at: usize,
-    packed: u64,
+    blocks: FxHashMap<u64, Weak<[u8]>>,
+    next_cleanup_size: usize,
+    encoded_tenants: u64,
 }
 
 impl PartInterner {
-    /// How many tenants were packed so far, from which tests tell what a change costs.
+    /// Number of tenants encoded so far, from which tests derive the cost of a change.
     pub fn encoded_tenants(&self) -> u64 {
-        self.packed
+        self.encoded_tenants
     }
 
-    fn pack<T: Serialize>(&mut self, value: &T) -> Block {
-        // Into memory, and with no map whose keys are no strings: nothing fails.
+    fn intern<T: Serialize>(&mut self, value: &T) -> Block {
+        // Encoding into memory doesn't fail: the types contain no maps with keys other than strings.
         let mut bytes = rmp_serde::to_vec_named(value).unwrap_or_default();
         bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
         let key = rustc_hash::FxBuildHasher.hash_one(&bytes);
-        if let Some(known) = self.known.get(&key).and_then(Weak::upgrade)
+        if let Some(known) = self.blocks.get(&key).and_then(Weak::upgrade)
             && *known == *bytes
         {
             return known;
         }
         let block: Block = bytes.into();
-        if self.known.len() >= self.clear_at.max(1024) {
-            self.known.retain(|_, held| held.strong_count() > 0);
-            self.clear_at = 2 * self.known.len();
+        if self.blocks.len() >= self.next_cleanup_size.max(1024) {
+            self.blocks.retain(|_, block| block.strong_count() > 0);
+            self.next_cleanup_size = 2 * self.blocks.len();
         }
-        self.known.insert(key, Arc::downgrade(&block));
+        self.blocks.insert(key, Arc::downgrade(&block));
         block
     }
 }
 
-/// The tenants of a version, and the rest of its document.
+/// The tenants of a version and the rest of its document.
 #[derive(Clone)]
 pub struct Catalog {
-    /// All but the tenants.
-    frame: Arc<Service>,
+    /// Document without the tenants.
+    base: Arc<Service>,
     tenants: OrdMap<Name, Record>,
-    /// Whose a host is, as hosts are compared.
+    /// Tenants by normalized host.
     hosts: OrdMap<Arc<str>, Name>,
-    /// Servers with a limit of their own, with each tenant that uses them, and the limit.
-    limited: OrdMap<(Arc<str>, Name), u64>,
+    /// Connection limits of servers that have one, by server address and tenant.
+    limited_servers: OrdMap<(Arc<str>, Name), u64>,
 }
 
-/// What differs between two catalogs of one tenant.
+/// Difference of a tenant between two catalogs.
 pub enum Difference<'c> {
-    /// It comes.
+    /// The tenant is only in the new catalog.
     Added(&'c Name),
-    /// It is another one.
+    /// The tenant is different in the new catalog.
     Changed(&'c Name),
-    /// It goes.
+    /// The tenant is only in the old catalog.
     Removed(&'c Name),
 }
 
-fn unpack<T: for<'de> Deserialize<'de>>(block: &[u8]) -> Option<T> {
-    let (bytes, sum) = block.split_last_chunk::<SUM>()?;
-    (crc32fast::hash(bytes) == u32::from_le_bytes(*sum))
+fn decode<T: for<'de> Deserialize<'de>>(block: &[u8]) -> Option<T> {
+    let (bytes, checksum) = block.split_last_chunk::<CHECKSUM_SIZE>()?;
+    (crc32fast::hash(bytes) == u32::from_le_bytes(*checksum))
         .then(|| rmp_serde::from_slice(bytes).ok())?
 }
 
 impl Catalog {
-    /// One with no tenants; the document's own tenants are not looked at.
-    pub fn new(frame: &Service) -> Self {
-        let frame = Service {
-            process: frame.process.clone(),
-            listeners: frame.listeners.clone(),
-            admin: frame.admin.clone(),
-            state: frame.state.clone(),
-            cluster: frame.cluster.clone(),
+    /// Creates a catalog without tenants; the tenants of the document are ignored.
+    pub fn new(base: &Service) -> Self {
+        let base = Service {
+            process: base.process.clone(),
+            listeners: base.listeners.clone(),
+            admin: base.admin.clone(),
+            state: base.state.clone(),
+            cluster: base.cluster.clone(),
             tenants: Vec::new(),
         };
         Catalog {
-            frame: Arc::new(frame),
+            base: Arc::new(base),
             tenants: OrdMap::new(),
             hosts: OrdMap::new(),
-            limited: OrdMap::new(),
+            limited_servers: OrdMap::new(),
         }
     }
 
-    /// The one of a whole document, all at revision 0.
+    /// Creates a catalog of all tenants of a document, at revision 0.
     pub fn from_service(service: &Service, parts: &mut PartInterner) -> Self {
         let mut catalog = Catalog::new(service);
         for tenant in &service.tenants {
@@ -149,84 +153,89 @@
         catalog
     }
 
-    /// The same tenants in another frame.
+    /// Returns the same tenants with the rest of another document.
     #[must_use]
-    pub fn with_base(&self, frame: &Service) -> Self {
+    pub fn with_base(&self, base: &Service) -> Self {
         Catalog {
-            frame: Catalog::new(frame).frame,
+            base: Catalog::new(base).base,
             ..self.clone()
         }
     }
 
-    /// The document without its tenants.
+    /// Returns the document without its tenants.
     pub fn base(&self) -> &Arc<Service> {
-        &self.frame
+        &self.base
     }
 
-    /// How many tenants there are.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether there are none.
+    /// Returns true if there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// The tenants' names, in order.
+    /// Iterates over the names of the tenants in order.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.tenants.keys()
     }
 
-    /// The names behind this one, in order.
+    /// Iterates over the names after this one in order.
     pub fn names_after(&self, name: &str) -> impl Iterator<Item = &Name> {
-        let after: Name = name.into();
+        let start: Name = name.into();
         self.tenants
-            .range((Bound::Excluded(after), Bound::Unbounded))
+            .range((Bound::Excluded(start), Bound::Unbounded))
             .map(|(name, _)| name)
     }
 
-    /// The whole document. It takes as long as there are tenants, and as much memory.
+    /// Returns the whole document. Time and memory are proportional to the number of tenants.
     ///
     /// # Errors
-    /// What is held of a tenant is damaged.
+    /// The stored data of a tenant is damaged.
     pub fn to_service(&self) -> Result<Service, DamagedTenant> {
-        let tenants = self.iter().map(|t| Ok(t?.1)).collect::<Result<_, _>>()?;
+        let tenants = self
+            .iter()
+            .map(|tenant| Ok(tenant?.1))
+            .collect::<Result<_, _>>()?;
         Ok(Service {
             tenants,
-            ..(*self.frame).clone()
+            ..(*self.base).clone()
         })
     }
 
-    /// A tenant's name as it is held, if it is there.
+    /// Returns the stored name of a tenant if it exists.
     pub fn find_name(&self, name: &str) -> Option<&Name> {
         self.tenants.get_key_value(name).map(|(name, _)| name)
     }
 
-    /// The tenant whose host this is, in whatever way it is written.
+    /// Returns the tenant of a host, which doesn't have to be normalized.
     pub fn tenant_of_host(&self, host: &str) -> Option<&Name> {
         self.hosts.get(normalize_host(host).as_str())
     }
 
-    /// A tenant's revision and document; none if it is not there.
+    /// Returns the revision and document of a tenant if it exists.
     ///
     /// # Errors
-    /// What is held of it is damaged.
+    /// The stored data of the tenant is damaged.
     pub fn get(&self, name: &str) -> Option<Result<(u64, Tenant), DamagedTenant>> {
         self.tenants
             .get_key_value(name)
-            .map(|(name, record)| record.read(name))
+            .map(|(name, record)| record.decode(name))
     }
 
-    /// All tenants, in order, each with its revision.
+    /// Iterates over all tenants in order of their names, with their revisions.
     pub fn iter(&self) -> impl Iterator<Item = Result<(u64, Tenant), DamagedTenant>> {
-        self.tenants.iter().map(|(name, record)| record.read(name))
+        self.tenants
+            .iter()
+            .map(|(name, record)| record.decode(name))
     }
 
-    /// A tenant comes, or is another one from here on.
-    pub fn insert(&mut self, parts: &mut PartInterner, tenant: &Tenant, rev: u64) {
-        parts.packed += 1;
-        self.take_ways(&tenant.name);
+    /// Adds or replaces a tenant.
+    pub fn insert(&mut self, parts: &mut PartInterner, tenant: &Tenant, revision: u64) {
+        parts.encoded_tenants += 1;
+        self.remove_index_entries(&tenant.name);
         let name = self
             .find_name(&tenant.name)
             .cloned()
@@ -236,83 +245,88 @@
         }
         for server in &tenant.servers {
             if let Some(connections) = server.connections {
-                self.limited
+                self.limited_servers
                     .insert((server.address.as_str().into(), name.clone()), connections);
             }
         }
-        let own = Own {
-            rev,
+        let identity = Identity {
+            revision,
             hosts: tenant.hosts.clone(),
-            fleet: tenant.discovery.clone(),
+            discovery: tenant.discovery.clone(),
         };
-        let terms = Terms {
+        let policy = Policy {
             classes: tenant.classes.clone(),
             limits: tenant.limits.clone(),
             rules: tenant.rules.clone(),
         };
         let record = Record {
-            own: parts.pack(&own),
-            terms: parts.pack(&terms),
-            servers: parts.pack(&tenant.servers),
+            identity: parts.intern(&identity),
+            policy: parts.intern(&policy),
+            servers: parts.intern(&tenant.servers),
         };
         self.tenants.insert(name, record);
     }
 
-    /// A tenant goes.
+    /// Removes a tenant.
     pub fn remove(&mut self, name: &str) {
-        self.take_ways(name);
+        self.remove_index_entries(name);
         self.tenants.remove(name);
     }
 
-    /// What leads to a tenant, and what it shares, is no more.
-    fn take_ways(&mut self, name: &str) {
+    /// Removes a tenant's entries from the indexes of hosts and limited servers.
+    fn remove_index_entries(&mut self, name: &str) {
         let Some((name, record)) = self.tenants.get_key_value(name) else {
             return;
         };
         let (name, record) = (name.clone(), record.clone());
-        if let Some(own) = unpack::<Own>(&record.own) {
-            for host in &own.hosts {
+        if let Some(identity) = decode::<Identity>(&record.identity) {
+            for host in &identity.hosts {
                 if self.hosts.get(normalize_host(host).as_str()) == Some(&name) {
                     self.hosts.remove(normalize_host(host).as_str());
                 }
             }
         } else {
-            let whose = |(host, of): (&Arc<str>, &Name)| (*of == name).then(|| host.clone());
-            let hosts: Vec<Arc<str>> = self.hosts.iter().filter_map(whose).collect();
+            let host_of_tenant =
+                |(host, tenant): (&Arc<str>, &Name)| (*tenant == name).then(|| host.clone());
+            let hosts: Vec<Arc<str>> = self.hosts.iter().filter_map(host_of_tenant).collect();
             hosts.iter().for_each(|host| _ = self.hosts.remove(host));
         }
-        for address in self.limited_of(&name, &record) {
-            self.limited.remove(&(address, name.clone()));
+        for address in self.limited_servers_of(&name, &record) {
+            self.limited_servers.remove(&(address, name.clone()));
         }
     }
 
-    /// The servers with limits that a tenant uses.
-    fn limited_of(&self, name: &Name, record: &Record) -> BTreeSet<Arc<str>> {
-        match unpack::<Vec<Server>>(&record.servers) {
+    /// Returns the addresses of the servers with a connection limit that a tenant uses.
+    fn limited_servers_of(&self, name: &Name, record: &Record) -> BTreeSet<Arc<str>> {
+        match decode::<Vec<Server>>(&record.servers) {
             Some(servers) => {
-                let limited = servers.into_iter().filter(|s| s.connections.is_some());
-                limited.map(|s| s.address.into()).collect()
+                let limited = servers
+                    .into_iter()
+                    .filter(|server| server.connections.is_some());
+                limited.map(|server| server.address.into()).collect()
             }
             None => self
-                .limited
+                .limited_servers
                 .keys()
-                .filter(|(_, of)| of == name)
+                .filter(|(_, tenant)| tenant == name)
                 .map(|(address, _)| address.clone())
                 .collect(),
         }
     }
 
-    /// Who uses a server that has a limit, and the limit, in the order of names.
+    /// Iterates over the tenants that use a server with a connection limit, in order of their names, with
+    /// the limit.
     pub fn users_of_server(&self, address: &str) -> impl Iterator<Item = (&Name, u64)> {
-        let from: (Arc<str>, Name) = (address.into(), "".into());
-        let of = address.to_owned();
-        self.limited
-            .range(from..)
-            .take_while(move |((address, _), _)| **address == *of)
+        let start: (Arc<str>, Name) = (address.into(), "".into());
+        let server = address.to_owned();
+        self.limited_servers
+            .range(start..)
+            .take_while(move |((address, _), _)| **address == *server)
             .map(|((_, name), connections)| (name, *connections))
     }
 
-    /// What leads from one catalog to another. It takes as long as there are differences where one came of the other.
+    /// Iterates over the differences between two catalogs. If one was derived from the other, the time is
+    /// proportional to the number of differences.
     pub fn differences<'c>(
         old: &'c Catalog,
         new: &'c Catalog,
@@ -324,7 +338,7 @@
         })
     }
 
-    /// Spoils a part, for tests of what comes of that.
+    /// Corrupts the stored servers of a tenant, for tests.
     #[doc(hidden)]
     pub fn corrupt(&mut self, name: &str) {
         if let Some(record) = self.tenants.get_mut(name) {
@@ -337,7 +351,7 @@
 
 impl PartialEq for Catalog {
     fn eq(&self, other: &Self) -> bool {
-        self.frame == other.frame
+        self.base == other.base
             && self.len() == other.len()
             && Catalog::differences(self, other).next().is_none()
     }
@@ -351,36 +365,39 @@
     }
 }
 
-/// What they say, whatever their revisions.
+/// Compares the content without the revisions.
 impl PartialEq for Record {
     fn eq(&self, other: &Self) -> bool {
         let same = |a: &Block, b: &Block| Arc::ptr_eq(a, b) || a == b;
-        let own = |r: &Record| unpack::<Own>(&r.own).map(|own| (own.hosts, own.fleet));
-        same(&self.terms, &other.terms)
+        let identity = |r: &Record| {
+            decode::<Identity>(&r.identity).map(|identity| (identity.hosts, identity.discovery))
+        };
+        same(&self.policy, &other.policy)
             && same(&self.servers, &other.servers)
-            && (same(&self.own, &other.own) || own(self).is_some_and(|o| Some(o) == own(other)))
+            && (same(&self.identity, &other.identity)
+                || identity(self).is_some_and(|o| Some(o) == identity(other)))
     }
 }
 
 impl Record {
-    fn read(&self, name: &str) -> Result<(u64, Tenant), DamagedTenant> {
+    fn decode(&self, name: &str) -> Result<(u64, Tenant), DamagedTenant> {
         let damaged = |part| DamagedTenant {
             tenant: name.to_owned(),
             part,
         };
-        let own: Own = unpack(&self.own).ok_or_else(|| damaged("hosts"))?;
-        let terms: Terms =
-            unpack(&self.terms).ok_or_else(|| damaged("classes, rules or limits"))?;
-        let servers = unpack(&self.servers).ok_or_else(|| damaged("servers"))?;
+        let identity: Identity = decode(&self.identity).ok_or_else(|| damaged("hosts"))?;
+        let policy: Policy =
+            decode(&self.policy).ok_or_else(|| damaged("classes, rules or limits"))?;
+        let servers = decode(&self.servers).ok_or_else(|| damaged("servers"))?;
         let tenant = Tenant {
             name: name.to_owned(),
-            hosts: own.hosts,
-            limits: terms.limits,
-            rules: terms.rules,
-            classes: terms.classes,
-            discovery: own.fleet,
+            hosts: identity.hosts,
+            limits: policy.limits,
+            rules: policy.rules,
+            classes: policy.classes,
+            discovery: identity.discovery,
             servers,
         };
-        Ok((own.rev, tenant))
+        Ok((identity.revision, tenant))
     }
 }
--- a/crates/multi-tenant/src/data_plane.rs
+++ b/crates/multi-tenant/src/data_plane.rs
@@ -1,7 +1,8 @@
-//! The plane that serves: pools, accounts, routes and listeners of the present version, and how it goes over to the next.
+//! The data plane: pools, accounts, routes and listeners of the current version, and the switch to the next
+//! version.
 //!
-//! A change is carried out in one turn of the event loop, so that each request sees one version whole. What can fail, the
-//! opening of listeners, is done first; a failure leaves all as it was.
+//! A change is applied within one turn of the event loop, so that each request sees a consistent version.
+//! Opening listeners, the only step that can fail, comes first_version; a failure leaves everything unchanged.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +30,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
 
-use crate::accounts::{Book, Holder};
+use crate::accounts::{Account, AccountRegistry};
 use crate::catalog::{Catalog, Name, PartInterner};
 use crate::document::{self, Service, State, Tenant};
 use crate::inactive_state::{self, InactiveStates};
@@ -41,146 +42,147 @@
 pub use activation::ActivationStatus;
 use activation::ActivationTurns;
 
-/// What one resident tenant has in the process.
-struct Live {
+/// An active tenant: its pool, account and endpoint discovery.
+struct ActiveTenant {
     document: Tenant,
-    account: Rc<Holder>,
+    account: Rc<Account>,
     running: RunningPool,
-    /// Pools of earlier versions that still end what they have; they hear of drains and ends of servers, too.
-    former: Vec<EndpointFeed>,
-    births: StartTimes,
-    /// Its list, where that is followed.
-    followed: Option<Followed>,
-    /// Servers that get nothing new already, as a change under way ends them.
-    held_off: BTreeSet<String>,
+    /// Pools of earlier versions that still have requests; they receive updates of the servers, too.
+    former_pools: Vec<EndpointFeed>,
+    start_times: StartTimes,
+    /// Endpoint discovery, if the tenant uses it.
+    discovery: Option<RunningDiscovery>,
+    /// Servers that a pending change drains or removes; they get no new requests.
+    pending_drains: BTreeSet<String>,
     seed: u64,
-    /// Counts the pools that this tenant has had.
-    pools: u64,
+    /// Number of pools created since the activation.
+    pools_created: u64,
 }
 
-/// A list that is followed; dropped, it is followed no longer.
-struct Followed {
+/// Running endpoint discovery of a tenant; dropping it stops the discovery.
+struct RunningDiscovery {
     settings: document::DiscoverySettings,
-    /// The list; none before the first.
+    /// Last received list; none before the first.
     hosts: Option<BTreeMap<String, Host>>,
     status: Option<endpoint_discovery::Status>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Followed {
+impl Drop for RunningDiscovery {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Follows a tenant's list as these settings say, under a seed, for as long as somebody listens.
+/// Starts the endpoint discovery of a tenant with a random seed; it ends when the receiver is dropped.
 pub type StartDiscovery =
     Box<dyn Fn(&Tenant, &document::DiscoverySettings, u64) -> UnboundedReceiver<DiscoveryUpdate>>;
 
-struct Open {
+struct OpenListener {
     address: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-/// The present version and what serves it.
+/// The current version and everything that serves it.
 pub struct DataPlane {
     process: Rc<Process>,
-    book: Rc<Book>,
+    accounts: Rc<AccountRegistry>,
     routes: RefCell<Routes>,
-    /// The residents.
-    tenants: RefCell<BTreeMap<Name, Live>>,
-    /// Who is resident, and who waits to be.
-    residents: RefCell<tenant_activation::ActiveTenants<Name>>,
+    /// The active tenants.
+    active_tenants: RefCell<BTreeMap<Name, ActiveTenant>>,
+    /// Decides which tenants are active; also contains those that wait for activation.
+    activation: RefCell<tenant_activation::ActiveTenants<Name>>,
     turns: Rc<ActivationTurns>,
-    /// What is kept of tenants at rest beside their documents.
-    digests: RefCell<InactiveStates>,
-    /// Of servers with limits the residents that use them.
-    sharers: RefCell<BTreeMap<String, BTreeSet<Name>>>,
-    /// Servers that get nothing new already, by tenant, as a change under way ends them.
-    held_off: RefCell<BTreeMap<String, BTreeSet<String>>>,
-    /// Tenants that could not be woken, as what is held of them is damaged: each is told once.
-    damaged: RefCell<BTreeSet<Name>>,
-    /// The longest wait that any resident's clients are ready for, at least.
-    longest: Cell<Duration>,
-    /// Told when a resident comes: there is something to look after.
-    some_reside: Rc<tokio::sync::Notify>,
-    /// Accounts of listeners, for connections that have not named a tenant yet.
-    strangers: RefCell<BTreeMap<String, Rc<Holder>>>,
-    listeners: RefCell<BTreeMap<String, Open>>,
+    /// State of inactive tenants besides their documents.
+    inactive_states: RefCell<InactiveStates>,
+    /// Active tenants that use a server with a connection limit, by address.
+    limited_server_users: RefCell<BTreeMap<String, BTreeSet<Name>>>,
+    /// Servers that a pending change drains or removes, by tenant; they get no new requests.
+    pending_drains: RefCell<BTreeMap<String, BTreeSet<String>>>,
+    /// Tenants that can't be activated, as their stored data is damaged; this is logged once for each.
+    damaged_tenants: RefCell<BTreeSet<Name>>,
+    /// Upper bound of the longest deadline of any active tenant.
+    max_deadline: Cell<Duration>,
+    /// Notified when a tenant is activated, for the task that deactivates idle tenants.
+    tenant_activated: Rc<tokio::sync::Notify>,
+    /// Accounts by listener, for connections without a known tenant.
+    unassigned_accounts: RefCell<BTreeMap<String, Rc<Account>>>,
+    listeners: RefCell<BTreeMap<String, OpenListener>>,
     version: Cell<u64>,
     seed: u64,
-    most: usize,
-    follow: StartDiscovery,
-    /// The cluster's version that is open here.
-    opens: Cell<Option<u64>>,
-    /// The start is over.
-    takes: Cell<bool>,
-    /// This instance's number among those that share the servers, and how many there are.
-    among: Cell<(u32, u32)>,
-    myself: Weak<DataPlane>,
+    max_connections: usize,
+    start_discovery: StartDiscovery,
+    /// Version of the cluster for which the gate may be open.
+    cluster_version: Cell<Option<u64>>,
+    /// True once the start is complete.
+    accepts_requests: Cell<bool>,
+    /// Index of this instance among those that share the servers, and their number.
+    proxy_index_and_count: Cell<(u32, u32)>,
+    weak_self: Weak<DataPlane>,
 }
 
-/// A tenant's state, as status tells it.
+/// Status of a tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub struct TenantStatus {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// It is held in full; otherwise it is at rest, and its first request wakes it.
+    /// The tenant is active; otherwise its first request activates it.
     #[serde(rename = "resident")]
     pub active: bool,
-    /// Its module has a list, or will have one as soon as it wakes.
+    /// Its pool has a list of servers, or will have one as soon as it is activated.
     pub ready: bool,
-    /// Servers that take new work, and all.
+    /// Number of servers that accept new requests, and of all servers.
     pub servers: [usize; 2],
-    /// What its list is at, where that is followed.
+    /// Status of endpoint discovery, if the tenant uses it.
     #[serde(rename = "fleet", skip_serializing_if = "Option::is_none")]
     pub discovery: Option<DiscoveryStatus>,
-    /// Pools of earlier versions that still end what they have.
+    /// Number of pools of earlier versions that still have requests.
     pub former_pools: usize,
-    /// Connections of its clients.
+    /// Number of client connections.
     pub sockets: u64,
-    /// Its requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u64,
-    /// Memory for its requests.
+    /// Memory for buffered request data in bytes.
     pub bytes: u64,
-    /// The event loop's time that it has used, in ms.
+    /// Event loop time used, in ms.
     pub loop_ms: f64,
-    /// Times it was turned away for sockets, requests in flight, bytes, time and shared servers.
+    /// Number of rejections for client connections, requests in flight, memory, event loop time and shared
+    /// servers.
     #[serde(rename = "refused")]
     pub rejections: [u64; 5],
 }
 
-/// What a list that is followed is at.
+/// Status of a tenant's endpoint discovery.
 #[derive(Clone, Debug, PartialEq, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "FleetStatus")]
 pub struct DiscoveryStatus {
     /// `listing`, `watching`, `behind`, `resyncing` or `stale`.
     pub state: String,
-    /// The store's revision up to which everything is known.
+    /// Revision of the store up to which all updates have been received.
     pub revision: i64,
-    /// Servers whose present values can't be read; their last good ones stay.
+    /// Number of servers whose current values are invalid; their last valid ones are used.
     pub quarantined: usize,
-    /// Servers that are held as their leases ended together.
+    /// Number of servers that are retained after a mass expiry of leases.
     #[serde(rename = "held")]
     pub retained: usize,
 }
 
 impl DataPlane {
-    /// A plane with nothing to serve yet.
-    pub fn new(process: &document::Process, follow: StartDiscovery) -> Rc<Self> {
-        DataPlane::with_gate(process, follow, None)
+    /// Creates a data plane without tenants and listeners.
+    pub fn new(process: &document::Process, start_discovery: StartDiscovery) -> Rc<Self> {
+        DataPlane::with_gate(process, start_discovery, None)
     }
 
-    /// The same, where all that is decided passes a gate. It opens with the versions that [`Plane::open_at`] tells.
+    /// Creates a data plane whose routing decisions pass a gate, which [`DataPlane::set_version`] opens.
     pub fn with_gate(
         process: &document::Process,
-        follow: StartDiscovery,
+        start_discovery: StartDiscovery,
         gate: Option<Rc<Gate>>,
     ) -> Rc<Self> {
-        let book = Book::new(ProcessCapacity {
+        let accounts = AccountRegistry::new(ProcessCapacity {
             client_connections: process.sockets,
             in_flight_requests: process.in_flight,
             buffered_bytes: process.bytes.0 as u64,
@@ -188,56 +190,56 @@
             rejection_time_ratio: process.rejection_share.0,
             idle_reserve_ratio: process.idle_reserve.0,
         });
-        spawn_local(book.clone().give_turns());
-        let plane = Rc::new_cyclic(|myself| DataPlane {
+        spawn_local(accounts.clone().run_rounds());
+        let plane = Rc::new_cyclic(|weak_self| DataPlane {
             process: Rc::new(Process::new(process.server_sockets as usize).with_gate(gate)),
-            book,
+            accounts,
             routes: RefCell::new(Routes::new(&Catalog::new(&Service {
                 process: process.clone(),
                 ..Service::default()
             }))),
-            tenants: RefCell::default(),
-            residents: RefCell::new(tenant_activation::ActiveTenants::new(activation::terms(
-                process,
-            ))),
+            active_tenants: RefCell::default(),
+            activation: RefCell::new(tenant_activation::ActiveTenants::new(
+                activation::activation_limits(process),
+            )),
             turns: ActivationTurns::new(),
-            digests: RefCell::new(InactiveStates::new(inactive_state::MAX_ENTRIES)),
-            sharers: RefCell::default(),
-            held_off: RefCell::default(),
-            damaged: RefCell::default(),
-            longest: Cell::default(),
-            some_reside: Rc::default(),
-            strangers: RefCell::default(),
+            inactive_states: RefCell::new(InactiveStates::new(inactive_state::MAX_ENTRIES)),
+            limited_server_users: RefCell::default(),
+            pending_drains: RefCell::default(),
+            damaged_tenants: RefCell::default(),
+            max_deadline: Cell::default(),
+            tenant_activated: Rc::default(),
+            unassigned_accounts: RefCell::default(),
             listeners: RefCell::default(),
             version: Cell::new(0),
             seed: process.seed.unwrap_or_else(|| fastrand::u64(..)),
-            most: process.sockets as usize,
-            follow,
-            opens: Cell::new(None),
-            takes: Cell::new(false),
-            among: Cell::new((0, 1)),
-            myself: myself.clone(),
+            max_connections: process.sockets as usize,
+            start_discovery,
+            cluster_version: Cell::new(None),
+            accepts_requests: Cell::new(false),
+            proxy_index_and_count: Cell::new((0, 1)),
+            weak_self: weak_self.clone(),
         });
-        spawn_local(plane.turns.clone().give());
-        spawn_local(DataPlane::look_after(
-            plane.myself.clone(),
-            activation::look(process),
+        spawn_local(plane.turns.clone().run());
+        spawn_local(DataPlane::run_deactivation(
+            plane.weak_self.clone(),
+            activation::check_interval(process),
         ));
         plane
     }
 
-    /// Goes over to what a whole document says; returns what that came to.
+    /// Applies a whole document and returns its effects.
     ///
     /// # Errors
-    /// A listener can't be opened: then nothing has changed.
+    /// A listener can't be opened; nothing has changed then.
     pub fn apply(&self, next: &Service) -> Result<Plan, String> {
         self.apply_catalog(Catalog::from_service(next, &mut PartInterner::default()))
     }
 
-    /// Goes over to the next version; returns what that came to.
+    /// Applies the next version and returns its effects.
     ///
     /// # Errors
-    /// A listener can't be opened: then nothing has changed.
+    /// A listener can't be opened; nothing has changed then.
     pub fn apply_catalog(&self, next: Catalog) -> Result<Plan, String> {
         let prepared = PreparedChange::between(&self.catalog(), next);
         let plan = prepared.plan.clone();
@@ -245,10 +247,10 @@
         Ok(plan)
     }
 
-    /// Carries out a change that was prepared from the present version.
+    /// Applies a change that was prepared from the current version.
     ///
     /// # Errors
-    /// A listener can't be opened: then nothing has changed.
+    /// A listener can't be opened; nothing has changed then.
     pub fn apply_prepared(&self, prepared: PreparedChange) -> Result<(), String> {
         let PreparedChange {
             next,
@@ -261,39 +263,39 @@
         for name in &plan.removed {
             self.remove(name);
         }
-        let first = self.version.get() == 0;
+        let first_version = self.version.get() == 0;
         for name in plan.added.iter().chain(plan.changed.keys()) {
             let Some(name) = next.find_name(name) else {
                 continue;
             };
-            self.damaged.borrow_mut().remove(name);
-            let (change, follows) = (
+            self.damaged_tenants.borrow_mut().remove(name);
+            let (change, uses_discovery) = (
                 plan.changed.get(&**name).copied(),
                 discovered_tenants.contains(&**name),
             );
-            if !follows && !self.tenants.borrow().contains_key(name) {
-                let brought = new_servers.get(&**name).map_or(&[][..], Vec::as_slice);
-                self.change_at_rest(&next, name, change, brought, first);
+            if !uses_discovery && !self.active_tenants.borrow().contains_key(name) {
+                let servers = new_servers.get(&**name).map_or(&[][..], Vec::as_slice);
+                self.change_inactive(&next, name, change, servers, first_version);
                 continue;
             }
             match next.get(name) {
-                Some(Ok((_, tenant))) => self.change_resident(name, tenant, change, first),
-                Some(Err(e)) => tracing::error!(error = %e, "a change can't be carried out for it"),
+                Some(Ok((_, tenant))) => self.change_active(name, tenant, change, first_version),
+                Some(Err(e)) => tracing::error!(error = %e, "tenant can't be changed"),
                 None => {}
             }
         }
         limited_servers
             .iter()
-            .for_each(|address| self.share_server(&next, address));
+            .for_each(|address| self.divide_server_limit(&next, address));
         if !discovered_tenants.is_empty() {
-            self.warn_of_pinned();
+            self.warn_about_pinned_tenants();
         }
         *self.routes.borrow_mut() = Routes::new(&next);
         for name in &plan.closed {
-            // It may have been opened anew at another address, under the same name.
+            // A listener of the same name may be opened at another address below.
             let mut listeners = self.listeners.borrow_mut();
             if let Some(open) = listeners.remove(name) {
-                let _ = open.stop.send(true); // its task ends by itself
+                let _ = open.stop.send(true); // fails if the task has already ended
                 tracing::info!(listener = name, address = %open.address, "listener closes");
             }
         }
@@ -304,68 +306,75 @@
         Ok(())
     }
 
-    fn change(&self, live: &mut Live, change: Change, first: bool) {
+    fn apply_change(&self, tenant: &mut ActiveTenant, change: Change, first_version: bool) {
         if change.limits {
-            live.account.set(&caps(&live.document.limits));
+            tenant.account.set_quota(&quota(&tenant.document.limits));
         }
         if change.settings {
-            self.renew(live);
+            self.replace_pool(tenant);
         }
         if change.servers {
-            self.attend(live);
+            self.update_discovery(tenant);
         }
         if change.servers || change.settings {
-            live.births
-                .update(&live.document.servers, first, self.process.unix_now());
-            live.tell();
+            tenant.start_times.update(
+                &tenant.document.servers,
+                first_version,
+                self.process.unix_now(),
+            );
+            tenant.publish_hosts();
         }
     }
 
-    /// Opens the listeners of a plan, all or none.
+    /// Opens all new listeners of a plan, or none if one fails.
     fn open(&self, plan: &Plan) -> Result<Vec<(String, TcpListener, SocketAddr)>, String> {
-        let open = |l: &document::Listener| -> io::Result<(String, TcpListener, SocketAddr)> {
-            let address = l.address.parse().map_err(io::Error::other)?;
-            let listener = service::listen(address)?;
-            let address = listener.local_addr()?;
-            Ok((l.name.clone(), listener, address))
+        let open =
+            |listener: &document::Listener| -> io::Result<(String, TcpListener, SocketAddr)> {
+                let address = listener.address.parse().map_err(io::Error::other)?;
+                let socket = service::listen(address)?;
+                let address = socket.local_addr()?;
+                Ok((listener.name.clone(), socket, address))
+            };
+        let open = |listener| {
+            open(listener)
+                .map_err(|e| format!("listener {}: {}: {e}", listener.name, listener.address))
         };
-        let open = |l| open(l).map_err(|e| format!("listener {}: {}: {e}", l.name, l.address));
         plan.opened.iter().map(open).collect()
     }
 
-    /// The way of a listener's requests to their pools.
+    /// Returns the router from a listener's requests to the pools.
     pub fn router(self: &Rc<Self>, listener: &str) -> ListenerRouter {
-        let caps = caps(&document::Limits::default());
-        let mut strangers = self.strangers.borrow_mut();
-        let strangers = strangers
+        let quota = quota(&document::Limits::default());
+        let mut unassigned_accounts = self.unassigned_accounts.borrow_mut();
+        let unassigned_account = unassigned_accounts
             .entry(listener.to_owned())
-            .or_insert_with(|| self.book.open(&caps))
+            .or_insert_with(|| self.accounts.open(&quota))
             .clone();
         ListenerRouter {
             plane: self.clone(),
             listener: listener.to_owned(),
-            strangers,
+            unassigned_account,
         }
     }
 
     fn serve(&self, name: &str, listener: TcpListener, address: SocketAddr) {
-        let Some(plane) = self.myself.upgrade() else {
+        let Some(plane) = self.weak_self.upgrade() else {
             return;
         };
         let (stop, stopped) = watch::channel(false);
-        let way = plane.router(name);
-        let (process, most) = (self.process.clone(), self.most);
+        let router = plane.router(name);
+        let (process, max_connections) = (self.process.clone(), self.max_connections);
         let task = spawn_local(async move {
             let mut stopped = stopped;
             let stop = async move {
-                let _ = stopped.wait_for(|stop| *stop).await; // or the plane is gone
+                let _ = stopped.wait_for(|stop| *stop).await; // fails if the data plane was dropped
             };
-            process.serve(listener, way, most, stop).await;
+            process.serve(listener, router, max_connections, stop).await;
         });
         tracing::info!(listener = name, %address, "listens");
         self.listeners.borrow_mut().insert(
             name.to_owned(),
-            Open {
+            OpenListener {
                 address,
                 stop,
                 task,
@@ -373,33 +382,37 @@
         );
     }
 
-    /// Follows a tenant's list as its document says now. What is known of the list stands until another one comes.
-    fn attend(&self, live: &mut Live) {
-        let Some(settings) = live.document.discovery.clone() else {
-            live.followed = None;
+    /// Starts, restarts or stops endpoint discovery according to a tenant's document. A known list stays in
+    /// use until the first update.
+    fn update_discovery(&self, tenant: &mut ActiveTenant) {
+        let Some(settings) = tenant.document.discovery.clone() else {
+            tenant.discovery = None;
             return;
         };
-        if live
-            .followed
+        if tenant
+            .discovery
             .as_ref()
-            .is_some_and(|f| f.settings == settings)
+            .is_some_and(|running| running.settings == settings)
         {
             return;
         }
-        let mut updates = (self.follow)(&live.document, &settings, live.seed);
-        let (plane, name) = (self.myself.clone(), live.document.name.clone());
+        let mut updates = (self.start_discovery)(&tenant.document, &settings, tenant.seed);
+        let (plane, name) = (self.weak_self.clone(), tenant.document.name.clone());
         let task = spawn_local(async move {
             while let Some(update) = updates.recv().await {
                 let Some(plane) = plane.upgrade() else { return };
-                let mut tenants = plane.tenants.borrow_mut();
-                let Some(live) = tenants.get_mut(name.as_str()) else {
+                let mut tenants = plane.active_tenants.borrow_mut();
+                let Some(tenant) = tenants.get_mut(name.as_str()) else {
                     return;
                 };
-                live.hear(update);
+                tenant.apply_discovery_update(update);
             }
         });
-        let hosts = live.followed.take().and_then(|mut f| f.hosts.take());
-        live.followed = Some(Followed {
+        let hosts = tenant
+            .discovery
+            .take()
+            .and_then(|mut running| running.hosts.take());
+        tenant.discovery = Some(RunningDiscovery {
             settings,
             hosts,
             status: None,
@@ -407,115 +420,130 @@
         });
     }
 
-    fn pool(&self, tenant: &Tenant, account: &Rc<Holder>, seed: u64, number: u64) -> RunningPool {
-        let (plane, name) = (self.myself.clone(), tenant.name.clone());
+    fn start_pool(
+        &self,
+        tenant: &Tenant,
+        account: &Rc<Account>,
+        seed: u64,
+        number: u64,
+    ) -> RunningPool {
+        let (plane, name) = (self.weak_self.clone(), tenant.name.clone());
         let seed = seed.wrapping_add(number);
-        let mut terms = terms(tenant, seed);
-        (terms.settings.proxy_index, terms.settings.proxy_count) = self.among.get();
-        self.process.start(terms, Some(account.clone()), move |end| {
+        let mut settings = pool_settings(tenant, seed);
+        (settings.settings.proxy_index, settings.settings.proxy_count) =
+            self.proxy_index_and_count.get();
+        self.process.start(settings, Some(account.clone()), move |end| {
             if let Err(e) = end {
-                tracing::error!(tenant = name, error = %e, "its module has failed; it gets a new one");
+                tracing::error!(tenant = name, error = %e, "load balancer of the tenant failed; starting a new one");
                 if let Some(plane) = plane.upgrade()
-                    && let Some(live) = plane.tenants.borrow_mut().get_mut(name.as_str())
+                    && let Some(tenant) = plane.active_tenants.borrow_mut().get_mut(name.as_str())
                 {
-                    plane.renew(live);
-                    live.tell();
+                    plane.replace_pool(tenant);
+                    tenant.publish_hosts();
                 }
             }
         })
     }
 
-    /// Gives a tenant a new pool; the one that it had ends what it has.
-    fn renew(&self, live: &mut Live) {
-        let running = self.pool(&live.document, &live.account, live.seed, live.pools);
-        live.pools += 1;
-        self.longest
-            .set(self.longest.get().max(running.pool.max_timeout()));
-        let old = std::mem::replace(&mut live.running, running);
+    /// Replaces a tenant's pool; the previous one finishes its requests.
+    fn replace_pool(&self, tenant: &mut ActiveTenant) {
+        let running = self.start_pool(
+            &tenant.document,
+            &tenant.account,
+            tenant.seed,
+            tenant.pools_created,
+        );
+        tenant.pools_created += 1;
+        self.max_deadline
+            .set(self.max_deadline.get().max(running.pool.max_timeout()));
+        let old = std::mem::replace(&mut tenant.running, running);
         old.stop_deciding();
-        live.former.push(old.feed);
-        live.former.retain(EndpointFeed::is_alive);
+        tenant.former_pools.push(old.feed);
+        tenant.former_pools.retain(EndpointFeed::is_alive);
     }
 
-    /// These servers, by tenant, get nothing new from here on, though the present version has them; all others as it says. A change
-    /// that ends them may take a while to take hold, and need not be waited for.
+    /// Sets the servers, by tenant, that get no new requests although they are up in the current version.
+    /// A pending change drains or removes them; this starts without waiting until the change takes effect.
     pub fn set_pending_drains(&self, servers: &BTreeMap<String, BTreeSet<String>>) {
-        let before = self.held_off.replace(servers.clone());
-        let mut tenants = self.tenants.borrow_mut();
+        let before = self.pending_drains.replace(servers.clone());
+        let mut tenants = self.active_tenants.borrow_mut();
         for name in before.keys().chain(servers.keys()) {
-            let Some(live) = tenants.get_mut(name.as_str()) else {
+            let Some(tenant) = tenants.get_mut(name.as_str()) else {
                 continue;
             };
-            let now = servers.get(name).cloned().unwrap_or_default();
-            if now != live.held_off {
-                live.held_off = now;
-                live.tell();
+            let after = servers.get(name).cloned().unwrap_or_default();
+            if after != tenant.pending_drains {
+                tenant.pending_drains = after;
+                tenant.publish_hosts();
             }
         }
     }
 
-    /// Nothing new is decided from here on, until a version opens.
+    /// Closes the gate: no more routing decisions until [`DataPlane::set_version`].
     pub fn close_gate(&self) {
-        self.opens.set(None);
+        self.cluster_version.set(None);
         self.process.gate().inspect(|gate| gate.close());
     }
 
-    /// What is served now is this version of the cluster's.
+    /// Sets the version of the cluster that is being served, and opens the gate for it.
     pub fn set_version(&self, version: u64) {
-        self.opens.set(Some(version));
-        if self.takes.get() {
+        self.cluster_version.set(Some(version));
+        if self.accepts_requests.get() {
             self.process.gate().inspect(|gate| gate.open(version));
         }
     }
 
-    /// So many instances share the servers from here on, and this one has this number among them: what a server may get from all of
-    /// them together is divided by that.
-    pub fn set_proxy_count(&self, me: u32, instances: u32) {
-        if instances == 0 || self.among.replace((me, instances)) == (me, instances) {
+    /// Sets the index of this instance and the number of instances that share the servers: the total load that
+    /// a server may get is divided by that number.
+    pub fn set_proxy_count(&self, index: u32, instances: u32) {
+        if instances == 0
+            || self.proxy_index_and_count.replace((index, instances)) == (index, instances)
+        {
             return;
         }
-        for live in self.tenants.borrow().values() {
-            let pools = live
-                .former
+        for tenant in self.active_tenants.borrow().values() {
+            let pools = tenant
+                .former_pools
                 .iter()
-                .filter(|f| f.is_alive())
-                .chain([&live.running.feed]);
-            pools.for_each(|feed| feed.set_proxy_count(me, instances));
+                .filter(|feed| feed.is_alive())
+                .chain([&tenant.running.feed]);
+            pools.for_each(|feed| feed.set_proxy_count(index, instances));
         }
     }
 
-    /// The start is over: requests pass the gate from here on, under whatever version is open. Until then it stays closed.
+    /// Completes the start: the gate opens if a version has been set. Until then it stays closed.
     pub fn accept_requests(&self) {
-        self.takes.set(true);
-        if let Some(version) = self.opens.get() {
+        self.accepts_requests.set(true);
+        if let Some(version) = self.cluster_version.get() {
             self.process.gate().inspect(|gate| gate.open(version));
         }
     }
 
-    /// The version that is open here, how many tenants there are, and those whose list of servers is not known to be current.
+    /// Returns the version set by [`DataPlane::set_version`], the number of tenants, and the names of those
+    /// whose discovered list of servers is not known to be current.
     pub fn startup_state(&self) -> (Option<u64>, usize, Vec<String>) {
-        let tenants = self.tenants.borrow();
-        let unknown = |(name, live): (&Name, &Live)| {
-            let followed = live.followed.as_ref()?;
-            let current = followed
+        let tenants = self.active_tenants.borrow();
+        let name_if_unknown = |(name, tenant): (&Name, &ActiveTenant)| {
+            let discovery = tenant.discovery.as_ref()?;
+            let is_current = discovery
                 .status
                 .as_ref()
-                .is_some_and(|s| s.phase == endpoint_discovery::Phase::Watching);
-            (!current).then(|| name.to_string())
+                .is_some_and(|status| status.phase == endpoint_discovery::Phase::Watching);
+            (!is_current).then(|| name.to_string())
         };
         (
-            self.opens.get(),
+            self.cluster_version.get(),
             self.routes.borrow().catalog().len(),
-            tenants.iter().filter_map(unknown).collect(),
+            tenants.iter().filter_map(name_if_unknown).collect(),
         )
     }
 
-    /// Requests that waited at the gate, and those that it refused.
+    /// Returns the number of requests that waited at the gate, and of those it rejected.
     pub fn gate_counts(&self) -> [u64; 2] {
         self.process.gate().map(Gate::counts).unwrap_or_default()
     }
 
-    /// Where the listeners are, by name.
+    /// Returns the addresses of the listeners by name.
     pub fn listener_addresses(&self) -> BTreeMap<String, SocketAddr> {
         self.listeners
             .borrow()
@@ -524,83 +552,91 @@
             .collect()
     }
 
-    /// The present version.
+    /// Returns the current version.
     pub fn catalog(&self) -> Catalog {
         self.routes.borrow().catalog().clone()
     }
 
-    /// Closes all listeners and answers what has been taken.
+    /// Closes all listeners and waits for the accepted requests.
     pub async fn drain(&self) {
         let open = std::mem::take(&mut *self.listeners.borrow_mut());
-        for one in open.values() {
-            let _ = one.stop.send(true); // or it has ended
+        for listener in open.values() {
+            let _ = listener.stop.send(true); // fails if the task has already ended
         }
         for (name, open) in open {
             if let Err(e) = open.task.await {
-                tracing::error!(listener = name, error = %e, "its front has failed");
+                tracing::error!(listener = name, error = %e, "listener task failed");
             }
         }
     }
 }
 
-impl Live {
-    /// Its list; none where that is followed and not known yet.
+impl ActiveTenant {
+    /// Returns the list of servers; none if endpoint discovery has not received it yet.
     fn hosts(&self) -> Option<Vec<Host>> {
-        let host = |s: &document::Server| Host {
-            host: s.name.clone(),
-            dial: s.address.parse().ok(),
-            site: s.zone.clone(),
-            class: s.machine_type.clone(),
+        let to_host = |server: &document::Server| Host {
+            host: server.name.clone(),
+            dial: server.address.parse().ok(),
+            site: server.zone.clone(),
+            class: server.machine_type.clone(),
             block: None,
-            health: if s.state == State::Up && !self.held_off.contains(&s.name) {
+            health: if server.state == State::Up && !self.pending_drains.contains(&server.name) {
                 "up"
             } else {
                 "draining"
             }
             .into(),
-            share: Some(s.capacity),
-            born_ms: self.births.get(&s.name),
+            share: Some(server.capacity),
+            born_ms: self.start_times.get(&server.name),
         };
-        match &self.followed {
-            None => Some(self.document.servers.iter().map(host).collect()),
-            Some(followed) => Some(followed.hosts.as_ref()?.values().cloned().collect()),
+        match &self.discovery {
+            None => Some(self.document.servers.iter().map(to_host).collect()),
+            Some(discovery) => Some(discovery.hosts.as_ref()?.values().cloned().collect()),
         }
     }
 
-    /// Tells all its pools its list.
-    fn tell(&self) {
+    /// Sends the complete list of servers to all pools of the tenant.
+    fn publish_hosts(&self) {
         let Some(hosts) = self.hosts() else { return };
-        self.former
+        self.former_pools
             .iter()
-            .filter(|f| f.is_alive())
-            .for_each(|f| f.replace_all(hosts.clone()));
+            .filter(|feed| feed.is_alive())
+            .for_each(|feed| feed.replace_all(hosts.clone()));
         self.running.feed.replace_all(hosts);
     }
 
-    /// Takes what has become of a list that is followed, and tells all its pools.
-    fn hear(&mut self, update: DiscoveryUpdate) {
-        let Some(followed) = &mut self.followed else {
+    /// Processes an update of endpoint discovery and forwards it to all pools of the tenant.
+    fn apply_discovery_update(&mut self, update: DiscoveryUpdate) {
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
         let changed = match update {
             DiscoveryUpdate::Status(status) => {
-                followed.status = Some(status);
+                discovery.status = Some(status);
                 return;
             }
             DiscoveryUpdate::List(ListChange::Complete(all)) => {
-                followed.hosts = Some(all.iter().map(|s| (s.name.clone(), host(s))).collect());
-                return self.tell();
+                discovery.hosts = Some(
+                    all.iter()
+                        .map(|server| (server.name.clone(), discovered_host(server)))
+                        .collect(),
+                );
+                return self.publish_hosts();
             }
             DiscoveryUpdate::List(ListChange::Upserted(server)) => {
-                let host = host(&server);
-                followed
+                let host = discovered_host(&server);
+                discovery
                     .hosts
                     .get_or_insert_default()
                     .insert(server.name, host.clone());
                 host
             }
             DiscoveryUpdate::List(ListChange::Removed(name)) => {
-                let Some(host) = followed.hosts.as_mut().and_then(|h| h.remove(&name)) else {
+                let Some(host) = discovery
+                    .hosts
+                    .as_mut()
+                    .and_then(|hosts| hosts.remove(&name))
+                else {
                     return;
                 };
                 Host {
@@ -609,16 +645,16 @@
                 }
             }
         };
-        self.former
+        self.former_pools
             .iter()
-            .filter(|f| f.is_alive())
-            .for_each(|f| f.update(vec![changed.clone()]));
+            .filter(|feed| feed.is_alive())
+            .for_each(|feed| feed.update(vec![changed.clone()]));
         self.running.feed.update(vec![changed]);
     }
 }
 
-/// A server of a list that is followed, as the module takes it.
-fn host(server: &endpoint_discovery::Endpoint) -> Host {
+/// Converts a discovered endpoint for the pool.
+fn discovered_host(server: &endpoint_discovery::Endpoint) -> Host {
     let record = &server.record;
     Host {
         host: server.name.clone(),
@@ -637,33 +673,37 @@
     }
 }
 
-/// A tenant's limits as the shares take them.
-fn caps(limits: &document::Limits) -> TenantQuota {
+/// Converts a tenant's limits into a quota.
+fn quota(limits: &document::Limits) -> TenantQuota {
     TenantQuota {
         weight: limits.weight,
         max_client_connections: limits.sockets.unwrap_or(u64::MAX),
         max_in_flight_requests: limits.in_flight.unwrap_or(u64::MAX),
-        max_buffered_bytes: limits.bytes.map_or(u64::MAX, |b| b.0 as u64),
-        max_processing_time_ratio: limits.loop_share.map_or(1.0, |s| s.0),
+        max_buffered_bytes: limits.bytes.map_or(u64::MAX, |bytes| bytes.0 as u64),
+        max_processing_time_ratio: limits.loop_share.map_or(1.0, |share| share.0),
         burst: limits.burst.0,
     }
 }
 
-/// A tenant's document as its decision module takes it.
-fn terms(tenant: &Tenant, seed: u64) -> PoolSettings {
-    let class = |c: &document::Class| Class {
-        latency_objective: c.latency_objective.0,
-        deadline: c.deadline.0,
+/// Converts a tenant's document into the settings of its pool.
+fn pool_settings(tenant: &Tenant, seed: u64) -> PoolSettings {
+    let convert_class = |class: &document::Class| Class {
+        latency_objective: class.latency_objective.0,
+        deadline: class.deadline.0,
         objective_work_multiple: 0.0,
-        priority_weight: c.priority_weight,
-        late_weight_fraction: c.late_weight_fraction.0,
-        idempotency: match c.idempotency {
+        priority_weight: class.priority_weight,
+        late_weight_fraction: class.late_weight_fraction.0,
+        idempotency: match class.idempotency {
             document::Idempotency::Idempotent => Idempotency::Idempotent,
             document::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
         },
     };
     let rules = &tenant.rules;
-    let classes = tenant.classes.iter().map(|c| c.name.clone()).collect();
+    let classes = tenant
+        .classes
+        .iter()
+        .map(|class| class.name.clone())
+        .collect();
     let mut names = Names {
         classes,
         ..Names::default()
@@ -671,12 +711,12 @@
     let zone = rules
         .zone
         .as_deref()
-        .map(|z| ZoneId(intern(&mut names.zones, z) as u32));
+        .map(|zone| ZoneId(intern(&mut names.zones, zone) as u32));
     let settings = Settings {
         proxy_index: 0,
         proxy_count: 1,
         zone,
-        classes: tenant.classes.iter().map(class).collect(),
+        classes: tenant.classes.iter().map(convert_class).collect(),
         tenants: Vec::new(),
         over_quota_weight_fraction: 1.0,
         weight_by_work: false,
@@ -690,7 +730,8 @@
             initial_capacity_fraction: rules.initial_capacity.0,
             warm_up: rules.warm_up.0,
             overload_multiple: 1.0,
-            // How long a cold server bears too much is not known here: its budget alone keeps it, and no class is too heavy.
+            // How long a server can bear overload during its warm-up is unknown here: only its budget limits it,
+            // and no class is considered too heavy.
             overload_window: f64::MAX,
             max_attempts: rules.max_attempts,
         },
@@ -707,11 +748,11 @@
     }
 }
 
-/// One listener's way to the pools.
+/// Router from a listener's requests to the pools.
 pub struct ListenerRouter {
     plane: Rc<DataPlane>,
     listener: String,
-    strangers: Rc<Holder>,
+    unassigned_account: Rc<Account>,
 }
 
 const NO_TENANT: RouteError = RouteError::Status(StatusCode::NOT_FOUND, "no such tenant");
@@ -719,17 +760,19 @@
 impl Router for ListenerRouter {
     fn pool(&self, uri: &Uri, headers: &HeaderMap, turn: bool) -> Result<Rc<Pool>, RouteError> {
         let routes = self.plane.routes.borrow();
-        // A target in absolute form names the host itself (RFC 9112, 3.2.2).
-        let host = uri.host().or_else(|| once(headers, &hyper::header::HOST));
-        let tenant = once(headers, &HeaderName::from_static("x-tenant-id"));
+        // A request target in absolute form overrides the header Host (RFC 9112, 3.2.2).
+        let host = uri
+            .host()
+            .or_else(|| unique_header(headers, &hyper::header::HOST));
+        let tenant = unique_header(headers, &HeaderName::from_static("x-tenant-id"));
         let name = routes
             .find(&self.listener, host, tenant)
             .map_err(|_| NO_TENANT)?
             .clone();
         drop(routes);
-        // Nobody is woken to say that the process is up, nor while nothing may be decided.
-        let may_wake = uri.path() != "/up" && self.gate().is_none_or(Gate::is_open);
-        self.plane.pool_of(&name, may_wake, turn)
+        // Health checks don't activate a tenant, nor do requests while the gate is closed.
+        let may_activate = uri.path() != "/up" && self.gate().is_none_or(Gate::is_open);
+        self.plane.pool_of(&name, may_activate, turn)
     }
 
     fn wait_for_turn(&self) -> impl Future<Output = ()> {
@@ -739,10 +782,11 @@
     fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>> {
         let routes = self.plane.routes.borrow();
         let owner = routes.dedicated_tenant(&self.listener).and_then(|name| {
-            let tenants = self.plane.tenants.borrow();
-            tenants.get(name).map(|live| live.account.clone())
+            let tenants = self.plane.active_tenants.borrow();
+            tenants.get(name).map(|tenant| tenant.account.clone())
         });
-        let account: Rc<dyn TenantAccount> = owner.unwrap_or_else(|| self.strangers.clone());
+        let account: Rc<dyn TenantAccount> =
+            owner.unwrap_or_else(|| self.unassigned_account.clone());
         Some(account)
     }
 
@@ -755,20 +799,20 @@
     }
 
     fn max_deadline(&self) -> Duration {
-        self.plane.longest.get()
+        self.plane.max_deadline.get()
     }
 
     fn close_idle_connections(&self) {
         self.plane
-            .tenants
+            .active_tenants
             .borrow()
             .values()
-            .for_each(|live| live.running.close_idle_connection());
+            .for_each(|tenant| tenant.running.close_idle_connection());
     }
 }
 
-/// A header that stands once and can be read.
-fn once<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Returns the value of a header that occurs exactly once and is valid text.
+fn unique_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?.to_str().ok()?;
     values.next().is_none().then_some(value)
--- a/crates/multi-tenant/src/data_plane/activation.rs
+++ b/crates/multi-tenant/src/data_plane/activation.rs
@@ -1,4 +1,4 @@
-//! How tenants wake and are put to rest, and how those fare that are there.
+//! Activation and deactivation of tenants, and their status.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -16,88 +16,94 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::sleep;
 
-use super::{DataPlane, DiscoveryStatus, Live, NO_TENANT, TenantStatus, caps};
+use super::{ActiveTenant, DataPlane, DiscoveryStatus, NO_TENANT, TenantStatus, quota};
 use crate::catalog::{Catalog, Name};
 use crate::document::{Process, State, Tenant};
 use crate::inactive_state::{self, InactiveState};
 use crate::plan::{Change, StartTimes};
 
-/// A resident keeps its place for so long at least. Short, as at the size ahead one is asked for once in minutes, and long beside what
-/// it takes to wake.
-const LEAST_STAY: Millis = 250.0;
-/// How long a turn in the line is kept beyond the time that its tenant was told.
-const HOLD: Millis = 2_000.0;
-/// Tenants that wait in the line at most.
-const MOST_WAITING: usize = 4096;
-/// Tenants woken in one round of the event loop, before whatever else is ready has its turn.
-const WAKES: usize = 4;
-/// Tenants put to rest in one look, likewise.
-const RESTS: usize = 64;
-/// A server that is back from a closing and has not proved itself yet is remembered for so long; after that it is as good as new.
-const ON_TRIAL: Millis = 600_000.0;
-/// A tenant that comes while it is at rest has its servers for cold for so long at most.
-const ALL_COLD: Millis = 3_600_000.0;
-
-/// Tenants at rest that are read for one status.
-const MOST_READ: usize = 256;
+/// Minimum time that a tenant stays active. It is short, as at the target size a tenant gets a request only
+/// once in minutes, but long compared with the time of an activation.
+const MIN_ACTIVE_TIME: Millis = 250.0;
+/// Grace period for which a waiting tenant keeps its place in the queue after its retry delay.
+const RETRY_GRACE_PERIOD: Millis = 2_000.0;
+/// Maximum number of tenants in the queue.
+const MAX_WAITING: usize = 4096;
+/// Maximum number of tenants activated per round of the event loop, before other ready tasks run.
+const MAX_ACTIVATIONS_PER_ROUND: usize = 4;
+/// Maximum number of tenants deactivated before other ready tasks run.
+const MAX_DEACTIVATIONS_PER_BATCH: usize = 64;
+/// Time for which the health state of a server is retained after the end of its ejection, while it is on
+/// probation; after that it counts as healthy.
+const PROBATION_RETENTION: Millis = 600_000.0;
+/// Maximum time for which the start times of new servers of an inactive tenant are retained.
+const START_TIME_RETENTION: Millis = 3_600_000.0;
+
+/// Maximum number of inactive tenants that are read for one status request.
+const MAX_STATUS_READS: usize = 256;
 
 const DAMAGED: RouteError = RouteError::Status(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
 
-/// Bounds of the active tenants.
-pub(super) fn terms(process: &Process) -> ActivationLimits {
+/// Limits of the activation.
+pub(super) fn activation_limits(process: &Process) -> ActivationLimits {
     ActivationLimits {
         max_active: process.max_active_tenants as usize,
         idle_timeout: process.idle_timeout.0,
-        min_active_time: LEAST_STAY,
-        retry_grace_period: HOLD,
-        max_waiting: MOST_WAITING,
+        min_active_time: MIN_ACTIVE_TIME,
+        retry_grace_period: RETRY_GRACE_PERIOD,
+        max_waiting: MAX_WAITING,
     }
 }
 
-/// Between two looks at who may rest.
-pub(super) fn look(process: &Process) -> Duration {
+/// Interval between two checks for idle tenants.
+pub(super) fn check_interval(process: &Process) -> Duration {
     Duration::from_secs_f64((process.idle_timeout.0 / 4000.0).clamp(0.1, 5.0))
 }
 
-/// The turns in which tenants are woken, in the order of asking: a few in each round of the event loop.
+/// Limits activations to a few in each round of the event loop, in the order of the requests.
 pub(super) struct ActivationTurns {
-    left: Semaphore,
+    permits: Semaphore,
     taken: Notify,
-    /// Rounds in which some were woken.
+    /// Number of rounds with activations.
     rounds: Cell<u64>,
 }
 
 impl ActivationTurns {
     pub(super) fn new() -> Rc<Self> {
         Rc::new(ActivationTurns {
-            left: Semaphore::new(WAKES),
+            permits: Semaphore::new(MAX_ACTIVATIONS_PER_ROUND),
             taken: Notify::new(),
             rounds: Cell::new(0),
         })
     }
 
-    /// Gives turns for as long as the process runs.
-    pub(super) async fn give(self: Rc<Self>) {
+    /// Grants new turns in each round; runs until the process ends.
+    pub(super) async fn run(self: Rc<Self>) {
         loop {
             self.taken.notified().await;
-            // Whoever is ready goes before the next round, and what has come in meanwhile is looked for.
+            // Other ready tasks run before the next round, and new I/O events are polled.
             tokio::task::yield_now().await;
             self.rounds.set(self.rounds.get() + 1);
-            self.left
-                .add_permits(WAKES - self.left.available_permits().min(WAKES));
+            self.permits.add_permits(
+                MAX_ACTIVATIONS_PER_ROUND
+                    - self
+                        .permits
+                        .available_permits()
+                        .min(MAX_ACTIVATIONS_PER_ROUND),
+            );
         }
     }
 
-    /// Waits for a turn and takes it.
+    /// Waits for a turn and consumes it.
     pub(super) async fn take(self: Rc<Self>) {
-        if let Ok(turn) = self.left.acquire().await {
+        if let Ok(turn) = self.permits.acquire().await {
             turn.forget();
         }
         self.taken.notify_one();
     }
 
     fn try_take(&self) -> bool {
-        let taken = self.left.try_acquire().map(|turn| turn.forget()).is_ok();
+        let taken = self.permits.try_acquire().map(|turn| turn.forget()).is_ok();
         if taken {
             self.taken.notify_one();
         }
@@ -105,303 +111,337 @@
     }
 }
 
-/// How many tenants are there, how many of them are resident, and what has come of it since the start.
+/// Numbers of tenants and active tenants, and counters of activations since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Residency")]
 pub struct ActivationStatus {
-    /// All.
+    /// All tenants.
     pub tenants: usize,
-    /// Those that are resident.
+    /// Active tenants.
     #[serde(rename = "resident")]
     pub active: usize,
-    /// Those of them that stay, as their lists are followed.
+    /// Active tenants that are never deactivated, as they use endpoint discovery.
     pub pinned: usize,
-    /// Those that wait for a place.
+    /// Tenants that wait for activation.
     pub waiting: usize,
-    /// Times that one was woken.
+    /// Number of activations.
     #[serde(rename = "wakes")]
     pub activations: u64,
-    /// Times that one was put to rest.
+    /// Number of deactivations.
     #[serde(rename = "rests")]
     pub deactivations: u64,
-    /// Those of them for which another wanted the place.
+    /// Number of deactivations in favor of another tenant.
     pub evictions: u64,
-    /// Requests refused for want of a place.
+    /// Requests rejected because their tenant could not be activated yet.
     #[serde(rename = "refused")]
     pub deferrals: u64,
-    /// Tenants that can't be woken, as what is held of them is damaged.
+    /// Tenants that can't be activated, as their stored data is damaged.
     pub damaged: usize,
-    /// Servers of tenants at rest of which something is remembered.
+    /// Entries of retained state of inactive tenants.
     #[serde(rename = "remembered")]
     pub retained_entries: usize,
-    /// Tenants of which something was forgotten early, as there was too much to remember.
+    /// Tenants whose retained state was dropped before its expiry because of the size limit.
     #[serde(rename = "forgotten")]
     pub dropped_tenants: u64,
-    /// Rounds of the event loop in which some were woken.
+    /// Rounds of the event loop with activations.
     #[serde(rename = "rounds")]
     pub activation_rounds: u64,
 }
 
-impl Live {
-    /// Whether it can be put to rest, and no request notices.
-    fn may_rest(&self) -> bool {
-        self.followed.is_none()
+impl ActiveTenant {
+    /// Returns true if the tenant can be deactivated without affecting a request.
+    fn can_deactivate(&self) -> bool {
+        self.discovery.is_none()
             && self.running.is_idle()
-            && !self.former.iter().any(EndpointFeed::is_alive)
-            // One of which there is more to say than is kept stays; a small one never is.
+            && !self.former_pools.iter().any(EndpointFeed::is_alive)
+            // A tenant with more state than can be retained stays active. With few servers this is impossible,
+            // and the snapshot isn't needed.
             && (self.document.servers.len() < inactive_state::MAX_ENTRIES_PER_TENANT
                 || self.running.health_snapshot().endpoints.len() <= inactive_state::MAX_ENTRIES_PER_TENANT)
     }
 }
 
 impl DataPlane {
-    /// The pool of a tenant that is there; one at rest is woken if it may be, and has had its turn.
+    /// Returns the pool of an existing tenant. An inactive tenant is activated if this is allowed and it has
+    /// got a turn.
     pub(super) fn pool_of(
         &self,
         name: &Name,
-        may_wake: bool,
-        turn: bool,
+        may_activate: bool,
+        has_turn: bool,
     ) -> Result<Rc<Pool>, RouteError> {
-        let resident = self
-            .tenants
+        let active_pool = self
+            .active_tenants
             .borrow()
             .get(name)
-            .map(|live| live.running.pool.clone());
-        if !may_wake {
-            return resident.ok_or(RouteError::RetryAfter(LEAST_STAY)); // nor is it kept awake by that
+            .map(|active| active.running.pool.clone());
+        if !may_activate {
+            return active_pool.ok_or(RouteError::RetryAfter(MIN_ACTIVE_TIME)); // this doesn't count as a use
         }
-        if resident.is_none() && self.damaged.borrow().contains(name) {
+        if active_pool.is_none() && self.damaged_tenants.borrow().contains(name) {
             return Err(DAMAGED);
         }
-        if resident.is_none() && !turn && !self.turns.try_take() {
+        if active_pool.is_none() && !has_turn && !self.turns.try_take() {
             return Err(RouteError::NeedsTurn);
         }
         let now = self.process.now();
-        let admission = {
-            let tenants = self.tenants.borrow();
-            let may_rest = |other: &Name| tenants.get(other).is_some_and(Live::may_rest);
-            self.residents.borrow_mut().activate(now, name, may_rest)
+        let activation_result = {
+            let tenants = self.active_tenants.borrow();
+            let can_deactivate =
+                |other: &Name| tenants.get(other).is_some_and(ActiveTenant::can_deactivate);
+            self.activation
+                .borrow_mut()
+                .activate(now, name, can_deactivate)
         };
-        match admission {
+        match activation_result {
             Err(Deferral { retry_after, .. }) => Err(RouteError::RetryAfter(retry_after)),
-            Ok(Activation::AlreadyActive) => resident.ok_or(NO_TENANT),
-            Ok(Activation::Activated) => self.wake(name),
+            Ok(Activation::AlreadyActive) => active_pool.ok_or(NO_TENANT),
+            Ok(Activation::Activated) => self.activate(name),
             Ok(Activation::ActivatedByEvicting(other)) => {
-                self.put_to_rest(&other);
-                self.wake(name)
+                self.deactivate(&other);
+                self.activate(name)
             }
         }
     }
 
-    /// Makes a tenant's pool out of what is held of it, in this turn: no version comes between.
-    fn wake(&self, name: &Name) -> Result<Rc<Pool>, RouteError> {
+    /// Creates the pool of a tenant from its stored data, without yielding, so that the version can't change
+    /// in between.
+    fn activate(&self, name: &Name) -> Result<Rc<Pool>, RouteError> {
         let tenant = self.routes.borrow().catalog().get(name);
         let tenant = match tenant {
             Some(Ok((_, tenant))) => tenant,
             Some(Err(e)) => {
                 tracing::error!(error = %e, "a tenant can't be served until it is changed");
-                self.residents.borrow_mut().remove(name);
-                self.damaged.borrow_mut().insert(name.clone());
+                self.activation.borrow_mut().remove(name);
+                self.damaged_tenants.borrow_mut().insert(name.clone());
                 return Err(DAMAGED);
             }
             None => {
-                self.residents.borrow_mut().remove(name);
+                self.activation.borrow_mut().remove(name);
                 return Err(NO_TENANT);
             }
         };
-        let digest = self.digests.borrow_mut().remove(name).unwrap_or_default();
-        let pool = self.start(name, tenant, digest);
-        self.some_reside.notify_one();
+        let retained = self
+            .inactive_states
+            .borrow_mut()
+            .remove(name)
+            .unwrap_or_default();
+        let pool = self.start_tenant(name, tenant, retained);
+        self.tenant_activated.notify_one();
         Ok(pool)
     }
 
-    /// Starts what a resident has.
-    fn start(&self, name: &Name, tenant: Tenant, digest: InactiveState) -> Rc<Pool> {
-        let account = self.book.resume(name, &caps(&tenant.limits));
-        // Another draw each time, or the first request after each rest would go the same way.
-        let wakes = self.residents.borrow().counters().activations;
-        let seed = self.seed ^ stable_hash(name) ^ wakes.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let running = self.pool(&tenant, &account, seed, 0);
-        let born = |s: &crate::document::Server| {
-            if s.warm {
+    /// Starts the pool of a tenant, its account and its endpoint discovery.
+    fn start_tenant(&self, name: &Name, tenant: Tenant, retained: InactiveState) -> Rc<Pool> {
+        let account = self.accounts.resume(name, &quota(&tenant.limits));
+        // A new seed each time, as otherwise the first request after each activation would go to the same server.
+        let activations = self.activation.borrow().counters().activations;
+        let seed = self.seed ^ stable_hash(name) ^ activations.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let running = self.start_pool(&tenant, &account, seed, 0);
+        let start_time_of = |server: &crate::document::Server| {
+            if server.warm {
                 0.0
             } else {
-                digest.start_time(stable_hash(&s.name))
+                retained.start_time(stable_hash(&server.name))
             }
         };
-        let mut live = Live {
-            births: StartTimes::restore(&tenant.servers, born),
+        let mut active = ActiveTenant {
+            start_times: StartTimes::restore(&tenant.servers, start_time_of),
             document: tenant,
             account,
             running,
-            former: Vec::new(),
-            followed: None,
-            held_off: self
-                .held_off
+            former_pools: Vec::new(),
+            discovery: None,
+            pending_drains: self
+                .pending_drains
                 .borrow()
                 .get(&**name)
                 .cloned()
                 .unwrap_or_default(),
             seed,
-            pools: 1,
+            pools_created: 1,
         };
-        self.attend(&mut live);
-        live.tell();
-        if !digest.health.endpoints.is_empty() {
-            live.running.feed.restore_health(digest.health);
+        self.update_discovery(&mut active);
+        active.publish_hosts();
+        if !retained.health.endpoints.is_empty() {
+            active.running.feed.restore_health(retained.health);
         }
-        let pool = live.running.pool.clone();
-        self.longest.set(self.longest.get().max(pool.max_timeout()));
-        let limited = self.join_servers(name, &live.document);
-        self.tenants.borrow_mut().insert(name.clone(), live);
+        let pool = active.running.pool.clone();
+        self.max_deadline
+            .set(self.max_deadline.get().max(pool.max_timeout()));
+        let limited = self.add_server_user(name, &active.document);
+        self.active_tenants
+            .borrow_mut()
+            .insert(name.clone(), active);
         let catalog = self.catalog();
         limited
             .iter()
-            .for_each(|address| self.share_server(&catalog, address));
+            .for_each(|address| self.divide_server_limit(&catalog, address));
         pool
     }
 
-    /// A resident is at rest from here on. What outlasts that is kept.
-    fn put_to_rest(&self, name: &Name) {
-        let Some(live) = self.tenants.borrow_mut().remove(name) else {
+    /// Deactivates a tenant and retains the state that outlasts this.
+    fn deactivate(&self, name: &Name) {
+        let Some(active) = self.active_tenants.borrow_mut().remove(name) else {
             return;
         };
-        self.digests.borrow_mut().insert(name, self.digest(&live));
+        self.inactive_states
+            .borrow_mut()
+            .insert(name, self.retained_state(&active));
         let catalog = self.catalog();
-        for address in self.leave_servers(name, &live.document) {
-            self.share_server(&catalog, &address);
+        for address in self.remove_server_user(name, &active.document) {
+            self.divide_server_limit(&catalog, &address);
         }
     }
 
-    fn digest(&self, live: &Live) -> InactiveState {
-        let (now, unix) = (self.process.now(), self.process.unix_now());
-        let cold = live.document.rules.warm_up.0;
-        let born = |s: &crate::document::Server| (stable_hash(&s.name), live.births.get(&s.name));
-        let young = |(_, born): &(u64, f64)| *born > 0.0 && unix - born < cold;
-        let start_times: Vec<_> = live
+    fn retained_state(&self, active: &ActiveTenant) -> InactiveState {
+        let (now, unix_now) = (self.process.now(), self.process.unix_now());
+        let warm_up = active.document.rules.warm_up.0;
+        let start_time_of = |server: &crate::document::Server| {
+            (
+                stable_hash(&server.name),
+                active.start_times.get(&server.name),
+            )
+        };
+        let is_warming_up =
+            |(_, start_time): &(u64, f64)| *start_time > 0.0 && unix_now - start_time < warm_up;
+        let start_times: Vec<_> = active
             .document
             .servers
             .iter()
-            .map(born)
-            .filter(young)
+            .map(start_time_of)
+            .filter(is_warming_up)
             .collect();
-        let health = live.running.health_snapshot();
-        let ejected = health
-            .endpoints
-            .iter()
-            .flat_map(|s| s.overall.iter().chain(s.by_class.iter().map(|c| &c.1)));
-        let closings = ejected.map(|e| e.ejected_until.max(now) + ON_TRIAL);
-        let ends = start_times
+        let health = active.running.health_snapshot();
+        let ejections = health.endpoints.iter().flat_map(|endpoint| {
+            endpoint
+                .overall
+                .iter()
+                .chain(endpoint.by_class.iter().map(|class| &class.1))
+        });
+        let ejection_expiries =
+            ejections.map(|ejection| ejection.ejected_until.max(now) + PROBATION_RETENTION);
+        let expiries = start_times
             .iter()
-            .map(|(_, born)| now + born + cold - unix)
-            .chain(closings);
+            .map(|(_, start_time)| now + start_time + warm_up - unix_now)
+            .chain(ejection_expiries);
         InactiveState {
-            expires_at: ends.fold(now, f64::max),
+            expires_at: expiries.fold(now, f64::max),
             default_start_time: 0.0,
             start_times,
             health,
         }
     }
 
-    /// A tenant is no more.
+    /// Removes a tenant.
     pub(super) fn remove(&self, name: &str) {
         let name: Name = name.into();
-        self.residents.borrow_mut().remove(&name);
-        self.digests.borrow_mut().remove(&name);
-        self.damaged.borrow_mut().remove(&name);
-        self.book.forget(&name);
-        let Some(live) = self.tenants.borrow_mut().remove(&name) else {
+        self.activation.borrow_mut().remove(&name);
+        self.inactive_states.borrow_mut().remove(&name);
+        self.damaged_tenants.borrow_mut().remove(&name);
+        self.accounts.remove(&name);
+        let Some(active) = self.active_tenants.borrow_mut().remove(&name) else {
             return;
         };
-        // Its servers get nothing new; what is under way there ends, and with it the pool.
-        live.running.stop_deciding();
-        live.running.feed.replace_all(Vec::new());
-        live.former.iter().for_each(|f| f.replace_all(Vec::new()));
-        self.leave_servers(&name, &live.document);
+        // The servers get no new requests; the pool ends with those in flight.
+        active.running.stop_deciding();
+        active.running.feed.replace_all(Vec::new());
+        active
+            .former_pools
+            .iter()
+            .for_each(|feed| feed.replace_all(Vec::new()));
+        self.remove_server_user(&name, &active.document);
     }
 
-    /// A tenant at rest comes or changes: all that there is to do is to note which of its servers have just started.
-    pub(super) fn change_at_rest(
+    /// Adds or changes an inactive tenant: only the start times of new servers have to be retained.
+    pub(super) fn change_inactive(
         &self,
         next: &Catalog,
         name: &Name,
         change: Option<Change>,
-        brought: &[(u64, bool)],
-        first: bool,
+        new_servers: &[(u64, bool)],
+        first_version: bool,
     ) {
-        if first {
+        if first_version {
             return;
         }
-        // Its clients' connections may hold its account still.
-        if change.is_some_and(|c| c.limits)
-            && let Some(account) = self.book.held(name)
+        // Client connections may still use its account.
+        if change.is_some_and(|change| change.limits)
+            && let Some(account) = self.accounts.existing(name)
             && let Some(Ok((_, tenant))) = next.get(name)
         {
-            account.set(&caps(&tenant.limits));
+            account.set_quota(&quota(&tenant.limits));
         }
-        let (now, unix) = (self.process.now(), self.process.unix_now());
-        let mut digests = self.digests.borrow_mut();
+        let (now, unix_now) = (self.process.now(), self.process.unix_now());
+        let mut inactive_states = self.inactive_states.borrow_mut();
         let Some(change) = change else {
-            return digests.insert(
+            return inactive_states.insert(
                 name,
                 InactiveState {
-                    default_start_time: unix,
-                    expires_at: now + ALL_COLD,
+                    default_start_time: unix_now,
+                    expires_at: now + START_TIME_RETENTION,
                     ..InactiveState::default()
                 },
             );
         };
-        let mut digest = digests.remove(name).unwrap_or_default();
+        let mut retained = inactive_states.remove(name).unwrap_or_default();
         if change.settings {
-            digest.health = balancer::HealthSnapshot::default(); // a new module learns anew
+            retained.health = balancer::HealthSnapshot::default(); // a new load balancer starts without health state
         }
-        for (server, warm) in brought {
-            digest.reset_server(*server, if *warm { 0.0 } else { unix });
+        for (server, warm) in new_servers {
+            retained.reset_server(*server, if *warm { 0.0 } else { unix_now });
         }
-        if brought.iter().any(|(_, warm)| !warm) {
-            digest.expires_at = digest.expires_at.max(now + ALL_COLD);
+        if new_servers.iter().any(|(_, warm)| !warm) {
+            retained.expires_at = retained.expires_at.max(now + START_TIME_RETENTION);
         }
-        digests.insert(name, digest);
+        inactive_states.insert(name, retained);
     }
 
-    /// A resident changes, or a tenant whose list is followed comes.
-    pub(super) fn change_resident(
+    /// Changes an active tenant, or adds a tenant with endpoint discovery.
+    pub(super) fn change_active(
         &self,
         name: &Name,
         tenant: Tenant,
         change: Option<Change>,
-        first: bool,
+        first_version: bool,
     ) {
         let now = self.process.now();
-        let follows = tenant.discovery.is_some();
-        if follows {
-            self.residents.borrow_mut().pin(name);
+        let uses_discovery = tenant.discovery.is_some();
+        if uses_discovery {
+            self.activation.borrow_mut().pin(name);
         }
-        let mut tenants = self.tenants.borrow_mut();
-        let Some(live) = tenants.get_mut(name) else {
+        let mut tenants = self.active_tenants.borrow_mut();
+        let Some(active) = tenants.get_mut(name) else {
             drop(tenants);
-            let digest = self.digests.borrow_mut().remove(name).unwrap_or_default();
-            self.start(name, tenant, digest);
-            return self.some_reside.notify_one();
+            let retained = self
+                .inactive_states
+                .borrow_mut()
+                .remove(name)
+                .unwrap_or_default();
+            self.start_tenant(name, tenant, retained);
+            return self.tenant_activated.notify_one();
         };
-        if live.document.discovery.is_some() && !follows {
-            self.residents.borrow_mut().unpin(now, name);
+        if active.document.discovery.is_some() && !uses_discovery {
+            self.activation.borrow_mut().unpin(now, name);
         }
-        self.leave_servers(name, &live.document);
-        self.join_servers(name, &tenant);
-        live.document = tenant;
+        self.remove_server_user(name, &active.document);
+        self.add_server_user(name, &tenant);
+        active.document = tenant;
         if let Some(change) = change {
-            self.change(live, change, first);
+            self.apply_change(active, change, first_version);
         }
     }
 
-    fn join_servers(&self, name: &Name, tenant: &Tenant) -> Vec<String> {
-        let limited = tenant.servers.iter().filter(|s| s.connections.is_some());
-        let limited: Vec<String> = limited.map(|s| s.address.clone()).collect();
-        let mut sharers = self.sharers.borrow_mut();
+    fn add_server_user(&self, name: &Name, tenant: &Tenant) -> Vec<String> {
+        let limited = tenant
+            .servers
+            .iter()
+            .filter(|server| server.connections.is_some());
+        let limited: Vec<String> = limited.map(|server| server.address.clone()).collect();
+        let mut limited_server_users = self.limited_server_users.borrow_mut();
         for address in &limited {
-            sharers
+            limited_server_users
                 .entry(address.clone())
                 .or_default()
                 .insert(name.clone());
@@ -409,126 +449,147 @@
         limited
     }
 
-    fn leave_servers(&self, name: &Name, tenant: &Tenant) -> Vec<String> {
-        let limited = tenant.servers.iter().filter(|s| s.connections.is_some());
-        let limited: Vec<String> = limited.map(|s| s.address.clone()).collect();
-        let mut sharers = self.sharers.borrow_mut();
+    fn remove_server_user(&self, name: &Name, tenant: &Tenant) -> Vec<String> {
+        let limited = tenant
+            .servers
+            .iter()
+            .filter(|server| server.connections.is_some());
+        let limited: Vec<String> = limited.map(|server| server.address.clone()).collect();
+        let mut limited_server_users = self.limited_server_users.borrow_mut();
         for address in &limited {
-            if let Some(users) = sharers.get_mut(address) {
+            if let Some(users) = limited_server_users.get_mut(address) {
                 users.remove(name);
                 if users.is_empty() {
-                    sharers.remove(address);
+                    limited_server_users.remove(address);
                 }
             }
         }
         limited
     }
 
-    /// Divides a server with a limit among the residents that use it. Where others use it, too, that are at rest, the limit holds for
-    /// one alone.
-    pub(super) fn share_server(&self, catalog: &Catalog, address: &str) {
-        let Ok(at) = address.parse() else { return };
-        let (tenants, sharers) = (self.tenants.borrow(), self.sharers.borrow());
-        let mut all = catalog.users_of_server(address);
-        let (connections, several) = (
-            all.next().map_or(0, |(_, connections)| connections),
-            all.next().is_some(),
+    /// Divides the connection limit of a server among the active tenants that use it. The limit also applies
+    /// to a single active tenant if inactive ones use the server, too.
+    pub(super) fn divide_server_limit(&self, catalog: &Catalog, address: &str) {
+        let Ok(socket_address) = address.parse() else {
+            return;
+        };
+        let (tenants, limited_server_users) = (
+            self.active_tenants.borrow(),
+            self.limited_server_users.borrow(),
+        );
+        let mut limits = catalog.users_of_server(address);
+        let (connections, is_shared) = (
+            limits.next().map_or(0, |(_, connections)| connections),
+            limits.next().is_some(),
         );
-        let users = sharers
+        let users = limited_server_users
             .get(address)
-            .filter(|_| several)
+            .filter(|_| is_shared)
             .into_iter()
             .flatten();
         let member = |name| {
-            let live: &Live = tenants.get(name)?;
-            Some((live.account.clone(), live.document.limits.weight))
+            let active: &ActiveTenant = tenants.get(name)?;
+            Some((active.account.clone(), active.document.limits.weight))
         };
         let members: Vec<_> = users.filter_map(member).collect();
-        self.book
-            .share_server(service::endpoint_number(at), connections, &members);
+        self.accounts.set_shared_endpoint(
+            service::endpoint_number(socket_address),
+            connections,
+            &members,
+        );
     }
 
-    /// Says so where those that stay whatever happens take the others' places.
-    pub(super) fn warn_of_pinned(&self) {
-        let residents = self.residents.borrow();
-        let (pinned, places) = (residents.pinned_count(), residents.unpinned_capacity());
-        if pinned > 0 && pinned + places > residents.max_active() {
+    /// Logs a warning if tenants that are always active take the places of others.
+    pub(super) fn warn_about_pinned_tenants(&self) {
+        let activation = self.activation.borrow();
+        let (pinned, capacity) = (activation.pinned_count(), activation.unpinned_capacity());
+        if pinned > 0 && pinned + capacity > activation.max_active() {
             tracing::warn!(
                 pinned,
-                resident_tenants = residents.max_active(),
-                "tenants whose lists are followed take more than their part of resident-tenants"
+                resident_tenants = activation.max_active(),
+                "tenants with endpoint discovery use more than their part of resident-tenants"
             );
         }
     }
 
-    /// Puts to rest whom nobody asks for, for as long as the plane is there. While nobody is resident it takes no time.
-    pub(super) async fn look_after(plane: Weak<DataPlane>, every: Duration) {
+    /// Deactivates idle tenants until the data plane is dropped. It sleeps while no tenant is active.
+    pub(super) async fn run_deactivation(weak_data_plane: Weak<DataPlane>, interval: Duration) {
         loop {
-            let Some(here) = plane.upgrade() else { return };
-            let (some, comes) = (!here.tenants.borrow().is_empty(), here.some_reside.clone());
-            drop(here);
-            if some {
-                sleep(every).await;
+            let Some(data_plane) = weak_data_plane.upgrade() else {
+                return;
+            };
+            let (any_active, tenant_activated) = (
+                !data_plane.active_tenants.borrow().is_empty(),
+                data_plane.tenant_activated.clone(),
+            );
+            drop(data_plane);
+            if any_active {
+                sleep(interval).await;
             } else {
-                comes.notified().await;
+                tenant_activated.notified().await;
             }
-            let Some(plane) = plane.upgrade() else { return };
-            while plane.rest_some() == RESTS {
+            let Some(data_plane) = weak_data_plane.upgrade() else {
+                return;
+            };
+            while data_plane.deactivate_some() == MAX_DEACTIVATIONS_PER_BATCH {
                 tokio::task::yield_now().await;
             }
         }
     }
 
-    /// Puts some of those to rest that were idle for long enough; tells how many.
-    fn rest_some(&self) -> usize {
+    /// Deactivates some of the tenants that have reached the idle timeout; returns their number.
+    fn deactivate_some(&self) -> usize {
         let now = self.process.now();
-        let rests = {
-            let tenants = self.tenants.borrow();
-            let may_rest = |name: &Name| tenants.get(name).is_some_and(Live::may_rest);
-            self.residents
-                .borrow_mut()
-                .deactivate_idle(now, RESTS, may_rest)
+        let deactivated = {
+            let tenants = self.active_tenants.borrow();
+            let can_deactivate =
+                |name: &Name| tenants.get(name).is_some_and(ActiveTenant::can_deactivate);
+            self.activation.borrow_mut().deactivate_idle(
+                now,
+                MAX_DEACTIVATIONS_PER_BATCH,
+                can_deactivate,
+            )
         };
-        rests.iter().for_each(|name| self.put_to_rest(name));
-        self.digests.borrow_mut().expire(now);
-        let tenants = self.tenants.borrow();
-        self.longest.set(
+        deactivated.iter().for_each(|name| self.deactivate(name));
+        self.inactive_states.borrow_mut().expire(now);
+        let tenants = self.active_tenants.borrow();
+        self.max_deadline.set(
             tenants
                 .values()
-                .map(|live| live.running.pool.max_timeout())
+                .map(|active| active.running.pool.max_timeout())
                 .max()
                 .unwrap_or_default(),
         );
-        rests.len()
+        deactivated.len()
     }
 
-    /// How one tenant fares.
+    /// Returns the status of a tenant.
     pub fn status_of(&self, name: &str) -> Option<TenantStatus> {
         let name = self.routes.borrow().catalog().find_name(name)?.clone();
-        Some(self.status_by(&name))
+        Some(self.status_of_name(&name))
     }
 
-    /// How the tenants fare, so many of them at most: residents first, each group by name, and few of those at rest, as each of these
-    /// has to be read.
-    pub fn status(&self, most: usize) -> Vec<TenantStatus> {
-        let mut all: Vec<TenantStatus> = self
-            .tenants
+    /// Returns the status of at most `max_tenants` tenants: active ones first, each group in order of names.
+    /// The number of inactive ones is limited further, as each has to be decoded.
+    pub fn status(&self, max_tenants: usize) -> Vec<TenantStatus> {
+        let mut statuses: Vec<TenantStatus> = self
+            .active_tenants
             .borrow()
             .iter()
-            .take(most)
-            .map(status)
+            .take(max_tenants)
+            .map(active_status)
             .collect();
-        let left = (most - all.len()).min(MOST_READ);
+        let remaining = (max_tenants - statuses.len()).min(MAX_STATUS_READS);
         let routes = self.routes.borrow();
-        let at_rest = |name: &&Name| !self.tenants.borrow().contains_key(*name);
-        let rest = routes.catalog().names().filter(at_rest).take(left);
-        all.extend(rest.map(|name| self.status_by(name)));
-        all
+        let is_inactive = |name: &&Name| !self.active_tenants.borrow().contains_key(*name);
+        let inactive = routes.catalog().names().filter(is_inactive).take(remaining);
+        statuses.extend(inactive.map(|name| self.status_of_name(name)));
+        statuses
     }
 
-    fn status_by(&self, name: &Name) -> TenantStatus {
-        if let Some(live) = self.tenants.borrow().get_key_value(name) {
-            return status(live);
+    fn status_of_name(&self, name: &Name) -> TenantStatus {
+        if let Some(active) = self.active_tenants.borrow().get_key_value(name) {
+            return active_status(active);
         }
         let tenant = self
             .routes
@@ -537,105 +598,120 @@
             .get(name)
             .and_then(Result::ok)
             .map(|(_, tenant)| tenant);
-        let used = self.book.used_by(name);
-        let listed = tenant.as_ref().map_or(&[][..], |t| &t.servers);
+        let usage = self.accounts.usage_of(name);
+        let servers_listed = tenant.as_ref().map_or(&[][..], |tenant| &tenant.servers);
         TenantStatus {
             name: name.to_string(),
             active: false,
             ready: tenant.is_some(),
             servers: [
-                listed.iter().filter(|s| s.state == State::Up).count(),
-                listed.len(),
+                servers_listed
+                    .iter()
+                    .filter(|server| server.state == State::Up)
+                    .count(),
+                servers_listed.len(),
             ],
             discovery: None,
             former_pools: 0,
-            sockets: used.client_connections,
-            in_flight: used.in_flight_requests,
-            bytes: used.buffered_bytes,
-            loop_ms: used.event_loop_time,
-            rejections: used.rejections,
+            sockets: usage.client_connections,
+            in_flight: usage.in_flight_requests,
+            bytes: usage.buffered_bytes,
+            loop_ms: usage.event_loop_time,
+            rejections: usage.rejections,
         }
     }
 
-    /// A resident's servers as its module was told last: name, when it started on Unix time in ms, whether it takes new work. For tests.
+    /// Returns the servers last sent to the pool of an active tenant: name, start time as Unix time in ms, and
+    /// whether it accepts new requests. For tests.
     #[doc(hidden)]
     pub fn endpoints_of(&self, name: &str) -> Vec<(String, f64, bool)> {
-        let tenants = self.tenants.borrow();
-        let hosts = tenants.get(name).and_then(Live::hosts).unwrap_or_default();
+        let tenants = self.active_tenants.borrow();
+        let hosts = tenants
+            .get(name)
+            .and_then(ActiveTenant::hosts)
+            .unwrap_or_default();
         hosts
             .into_iter()
-            .map(|h| (h.host, h.born_ms, h.health == "up"))
+            .map(|host| (host.host, host.born_ms, host.health == "up"))
             .collect()
     }
 
-    /// What a resident's module holds against its servers. For tests.
+    /// Returns the health state of an active tenant's servers. For tests.
     #[doc(hidden)]
     pub fn health_of(&self, name: &str) -> balancer::HealthSnapshot {
-        self.tenants
+        self.active_tenants
             .borrow()
             .get(name)
-            .map(|live| live.running.health_snapshot())
+            .map(|active| active.running.health_snapshot())
             .unwrap_or_default()
     }
 
-    /// How many are resident, and what has come of it.
+    /// Returns numbers and counters of the activation.
     pub fn activation_status(&self) -> ActivationStatus {
-        let (residents, digests) = (self.residents.borrow(), self.digests.borrow());
-        let counters = residents.counters();
+        let (activation, inactive_states) =
+            (self.activation.borrow(), self.inactive_states.borrow());
+        let counters = activation.counters();
         ActivationStatus {
             tenants: self.routes.borrow().catalog().len(),
-            active: residents.len(),
-            pinned: residents.pinned_count(),
-            waiting: residents.waiting_count(),
+            active: activation.len(),
+            pinned: activation.pinned_count(),
+            waiting: activation.waiting_count(),
             activations: counters.activations,
             deactivations: counters.deactivations,
             evictions: counters.evictions,
             deferrals: counters.deferrals,
-            damaged: self.damaged.borrow().len(),
-            retained_entries: digests.entries(),
-            dropped_tenants: digests.dropped_tenants(),
+            damaged: self.damaged_tenants.borrow().len(),
+            retained_entries: inactive_states.entries(),
+            dropped_tenants: inactive_states.dropped_tenants(),
             activation_rounds: self.turns.rounds.get(),
         }
     }
 }
 
-fn status((name, live): (&Name, &Live)) -> TenantStatus {
-    let used = live.account.used();
-    let listed = &live.document.servers;
-    let servers = match &live.followed {
+fn active_status((name, active): (&Name, &ActiveTenant)) -> TenantStatus {
+    let usage = active.account.usage();
+    let servers_listed = &active.document.servers;
+    let servers = match &active.discovery {
         None => [
-            listed.iter().filter(|s| s.state == State::Up).count(),
-            listed.len(),
+            servers_listed
+                .iter()
+                .filter(|server| server.state == State::Up)
+                .count(),
+            servers_listed.len(),
         ],
-        Some(followed) => {
-            let hosts = followed.hosts.iter().flat_map(BTreeMap::values);
+        Some(discovery) => {
+            let hosts = discovery.hosts.iter().flat_map(BTreeMap::values);
             [
-                hosts.clone().filter(|h| h.health == "up").count(),
+                hosts.clone().filter(|host| host.health == "up").count(),
                 hosts.count(),
             ]
         }
     };
-    let followed = live
-        .followed
+    let discovery_status = active
+        .discovery
         .as_ref()
-        .and_then(|f| f.status.as_ref())
-        .map(|s| DiscoveryStatus {
-            state: s.phase.to_string(),
-            revision: s.revision,
-            quarantined: s.endpoints.quarantined,
-            retained: s.endpoints.retained,
+        .and_then(|running| running.status.as_ref())
+        .map(|status| DiscoveryStatus {
+            state: status.phase.to_string(),
+            revision: status.revision,
+            quarantined: status.endpoints.quarantined,
+            retained: status.endpoints.retained,
         });
     TenantStatus {
         name: name.to_string(),
         active: true,
-        ready: live.running.pool.is_ready(),
+        ready: active.running.pool.is_ready(),
         servers,
-        discovery: followed,
-        former_pools: live.former.iter().filter(|f| f.is_alive()).count(),
-        sockets: used.client_connections,
-        in_flight: used.in_flight_requests,
-        bytes: used.buffered_bytes,
-        loop_ms: used.event_loop_time,
-        rejections: used.rejections,
+        discovery: discovery_status,
+        former_pools: active
+            .former_pools
+            .iter()
+            .filter(|feed| feed.is_alive())
+            .count(),
+        sockets: usage.client_connections,
+        in_flight: usage.in_flight_requests,
+        bytes: usage.buffered_bytes,
+        loop_ms: usage.event_loop_time,
+        rejections: usage.rejections,
     }
 }
--- a/crates/multi-tenant/src/document.rs
+++ b/crates/multi-tenant/src/document.rs
@@ -1,69 +1,71 @@
-//! What an operator writes: the process, its listeners and its tenants. The types are the schema.
+//! The service's configuration document: the process, its listeners and its tenants. The JSON schema
+//! is derived from these types.
 
 use config_parser::units::{Bytes, Share, Span};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The whole service.
+/// Configuration of the whole service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Service {
-    /// What the process has.
+    /// Limits of the process.
     #[serde(default)]
     pub process: Process,
-    /// Where requests come in.
+    /// Listeners that accept requests.
     #[serde(rename = "listener")]
     #[schemars(length(min = 1, max = 64))]
     pub listeners: Vec<Listener>,
-    /// Where the administration API is.
+    /// Address of the administration API.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Admin")]
     pub admin: Option<Admin>,
-    /// Where versions are kept.
+    /// Storage of the configuration versions.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "StateStore")]
     pub state: Option<StateStore>,
-    /// The other instances that this one acts as one with.
+    /// Cluster that this instance belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Cluster")]
     pub cluster: Option<Cluster>,
-    /// Who is served. With `state` these are taken into the first, empty state alone.
+    /// Tenants. With `state` these are only imported into an empty store.
     #[serde(rename = "tenant", default)]
     #[schemars(length(max = 100_000))]
     pub tenants: Vec<Tenant>,
 }
 
-/// What the process has, to be shared by all tenants. It holds from start to end.
+/// Limits of the process, shared by all tenants. They can't be changed while the process runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Process {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     #[schemars(range(min = 16, max = 1_000_000))]
     pub sockets: u64,
-    /// Connections to servers.
+    /// Maximum number of connections to servers.
     #[schemars(range(min = 16, max = 1_000_000))]
     pub server_sockets: u64,
-    /// Requests that lack their final answer.
+    /// Maximum number of requests without a final response.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub in_flight: u64,
-    /// Memory for requests.
+    /// Maximum memory for buffered request data.
     pub bytes: Bytes,
-    /// The part of the event loop's time for requests that are let in.
+    /// Fraction of the event loop's time for processing admitted requests.
     pub loop_share: Share,
-    /// The part of it for turning others away.
+    /// Fraction of the event loop's time for rejecting requests.
     #[serde(rename = "turning-share")]
     pub rejection_share: Share,
-    /// The part of each stock that tenants beyond their shares leave to idle ones.
+    /// Fraction of each resource that tenants above their share leave free for idle tenants.
     #[serde(rename = "newcomers")]
     pub idle_reserve: Share,
-    /// Tenants that are held in full at once; all others are at rest. Those whose list is followed always are, and count.
+    /// Maximum number of active tenants, which have a pool in memory; all others are inactive. Tenants
+    /// with endpoint discovery are always active and count towards it.
     #[schemars(range(min = 1, max = 100_000))]
     #[serde(rename = "resident-tenants")]
     pub max_active_tenants: u64,
-    /// A tenant that nothing was asked of for this span is put to rest.
+    /// Time without requests after which a tenant is deactivated.
     #[serde(rename = "rest-after")]
     pub idle_timeout: Span,
-    /// What the modules' draws come from; drawn anew at each start if it is not named.
+    /// Seed of the random numbers of load balancing; random at each start if it is missing.
     pub seed: Option<u64>,
 }
 
@@ -84,13 +86,13 @@
     }
 }
 
-/// Where the administration API is. It needs `state`, and holds from start to end.
+/// Address of the administration API. It needs `state` and can't be changed while the process runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Admin {
-    /// Address and port, on loopback unless `anywhere` is set: tokens pass as they are.
+    /// Address and port, on loopback unless `anywhere` is set: tokens are sent without encryption.
     pub address: String,
-    /// Whether the address may be other than loopback.
+    /// Allows an address other than loopback.
     #[serde(rename = "anywhere")]
     pub allow_remote: bool,
 }
@@ -104,264 +106,270 @@
     }
 }
 
-/// Where versions are kept. It holds from start to end.
+/// Storage of the configuration versions. It can't be changed while the process runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 #[schemars(rename = "Durable")]
 pub struct StateStore {
-    /// The directory; made if it is not there.
+    /// Directory; it is created if it doesn't exist.
     #[schemars(length(min = 1))]
     pub directory: String,
-    /// Versions that can be gone back to.
-    #[serde(default = "versions")]
+    /// Number of versions kept for a rollback.
+    #[serde(default = "default_keep_versions")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub keep_versions: u64,
 }
 
-fn versions() -> u64 {
+fn default_keep_versions() -> u64 {
     1000
 }
 
-/// Instances that act as one. It needs `state`, where its log is kept, and holds from start to end. What says so is agreed on
-/// when the cluster is founded, and holds for all.
+/// Cluster of instances. It needs `state`, where its log is stored, and can't be changed while the
+/// process runs. Settings marked as agreed are fixed for all instances when the cluster is created.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Cluster {
-    /// The cluster's name.
+    /// Name of the cluster.
     #[schemars(regex(pattern = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"))]
     pub name: String,
-    /// This instance's name in it.
+    /// Name of this instance in the cluster.
     #[schemars(regex(pattern = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"))]
     pub instance: String,
-    /// Address and port for the others.
+    /// Address and port for connections from other instances.
     pub address: String,
-    /// Where this instance stands; those with a vote are spread over zones.
-    #[serde(default = "here")]
+    /// Zone of this instance; voters are spread over zones.
+    #[serde(default = "default_zone")]
     #[schemars(length(min = 1, max = 64))]
     pub zone: String,
-    /// The file with the key that all instances share: 16 bytes at least.
+    /// File with the key that all instances share, of at least 16 bytes.
     pub key_file: String,
-    /// Other instances and their addresses. A cluster is founded once all that stand here are there and name the same.
+    /// Other instances and their addresses. A cluster is created once all of these are reachable and list
+    /// the same instances.
     #[serde(default)]
     #[schemars(length(max = 64))]
     pub peers: std::collections::BTreeMap<String, String>,
-    /// How many instances have a vote (agreed on).
-    #[serde(default = "three")]
+    /// Number of voters (agreed).
+    #[serde(default = "default_voters")]
     #[schemars(range(min = 1, max = 9))]
     pub voters: usize,
-    /// How long an instance decides by itself after it was last heard (agreed on).
-    #[serde(default = "lease")]
+    /// Time for which an instance may serve requests after its last contact with the leader (agreed).
+    #[serde(default = "default_lease")]
     pub lease: Span,
-    /// The same for one that has said that it can take a change under way (agreed on).
-    #[serde(default = "change_lease")]
+    /// Lease of an instance that is ready to apply a pending change (agreed).
+    #[serde(default = "default_change_lease")]
     pub change_lease: Span,
-    /// No clock runs faster or slower than true time by more than this (agreed on).
-    #[serde(default = "drift")]
+    /// Maximum deviation of a clock's rate from true time (agreed).
+    #[serde(default = "default_drift")]
     pub drift: Share,
-    /// A change that is not decided within this span is given up (agreed on).
-    #[serde(default = "minute")]
+    /// Time after which an undecided change is abandoned (agreed).
+    #[serde(default = "one_minute")]
     pub deadline: Span,
-    /// What an instance does that hears from nobody (agreed on).
+    /// Behavior of an instance that has lost contact with the cluster (agreed).
     #[serde(default)]
     pub when_cut_off: WhenCutOff,
-    /// A request waits for so long at most for a change to take hold.
-    #[serde(rename = "hold", default = "hold")]
+    /// Maximum time that a request waits for a change to take effect.
+    #[serde(rename = "hold", default = "default_max_wait")]
     pub max_wait: Span,
-    /// A refused client is asked to come again after about so long.
-    #[serde(default = "second")]
+    /// Approximate retry delay sent to rejected clients.
+    #[serde(default = "one_second")]
     pub retry_after: Span,
-    /// Entries after which the log is shortened; one that lags by more gets the whole state.
-    #[serde(default = "log_entries")]
+    /// Number of entries after which the log is compacted; an instance that lags by more receives a
+    /// snapshot of the state.
+    #[serde(default = "default_log_entries")]
     #[schemars(range(min = 16, max = 1_000_000))]
     pub log_entries: u64,
-    /// After its start the instance waits for so long at most until all lists that are followed are known.
-    #[serde(default = "list_wait")]
+    /// Maximum time that the instance waits after its start for the server lists of all tenants with
+    /// endpoint discovery.
+    #[serde(default = "default_list_wait")]
     pub list_wait: Span,
-    /// What it does then, where some are still unknown.
+    /// Behavior after this time if server lists are still unknown.
     #[serde(default)]
     pub when_list_unknown: WhenListUnknown,
-    /// Answers, and requests to servers, tell by X-Canvascart-Decided under which version and when they were decided.
+    /// Adds the header X-Canvascart-Decided, with the version and time of the routing decision, to responses
+    /// and to requests to servers.
     #[serde(rename = "stamps", default)]
     pub send_stamps: bool,
 }
 
-/// What an instance does that lacks tenants' lists when it has waited for long enough after its start.
+/// Behavior of an instance that lacks server lists of tenants when its wait after the start is over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenListUnknown {
-    /// It takes requests; those of tenants whose list is not known are refused by their own pools.
+    /// Accepts requests; the pools of tenants whose list is unknown reject theirs.
     #[default]
     Serve,
-    /// It refuses all until the last list is known.
+    /// Rejects all requests until the last list is known.
     #[serde(rename = "refuse")]
     Reject,
 }
 
-/// What an instance does that hears from nobody.
+/// Behavior of an instance that has lost contact with the cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenCutOff {
-    /// Its lease runs out, and it refuses; changes go on without it.
+    /// Rejects requests when its lease has expired; changes continue without it.
     #[default]
     #[serde(rename = "refuse")]
     Reject,
-    /// It serves on; a change waits for it, and is given up at its deadline.
+    /// Continues to serve; a change waits for it and is abandoned at its deadline.
     Serve,
 }
 
-fn here() -> String {
+fn default_zone() -> String {
     "here".into()
 }
 
-fn list_wait() -> Span {
+fn default_list_wait() -> Span {
     Span(10_000.0)
 }
 
-fn log_entries() -> u64 {
+fn default_log_entries() -> u64 {
     1024
 }
 
-fn three() -> usize {
+fn default_voters() -> usize {
     3
 }
 
-fn lease() -> Span {
+fn default_lease() -> Span {
     Span(15_000.0)
 }
 
-fn change_lease() -> Span {
+fn default_change_lease() -> Span {
     Span(3000.0)
 }
 
-fn drift() -> Share {
+fn default_drift() -> Share {
     Share(0.02)
 }
 
-fn hold() -> Span {
+fn default_max_wait() -> Span {
     Span(200.0)
 }
 
-fn second() -> Span {
+fn one_second() -> Span {
     Span(1000.0)
 }
 
-/// Where requests come in.
+/// Listener that accepts requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Listener {
-    /// Its name, in logs and figures.
+    /// Name in logs and metrics.
     #[schemars(regex(pattern = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"))]
     pub name: String,
     /// Address and port.
     pub address: String,
-    /// How a request names its tenant.
+    /// Source of the tenant of a request.
     pub tenant_by: TenantBy,
-    /// The tenant of all requests, where it is by listener.
+    /// Tenant of all requests if `tenant-by` is `listener`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
 }
 
-/// How a request names its tenant.
+/// Source of the tenant of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum TenantBy {
-    /// All requests of the listener are one tenant's.
+    /// The listener; all its requests belong to one tenant.
     Listener,
-    /// By the header Host, as the tenants' `hosts` say.
+    /// The header Host, which is matched with the `hosts` of the tenants.
     Host,
-    /// By the header X-Tenant-Id, which holds the tenant's name.
+    /// The header X-Tenant-Id, which contains the name of the tenant.
     Header,
 }
 
-/// Who is served, by a pool of its own.
+/// Tenant, which is served by a pool of its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Its name, by which all else refers to it.
+    /// Unique name of the tenant.
     #[schemars(regex(pattern = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"))]
     pub name: String,
-    /// The hosts that are its own, where a listener tells tenants by host.
+    /// Host names of the tenant, for listeners with `tenant-by` set to `host`.
     #[serde(default)]
     #[schemars(length(max = 100))]
     pub hosts: Vec<String>,
-    /// What it may have.
+    /// Limits on shared resources.
     #[serde(default)]
     pub limits: Limits,
-    /// What its servers are told of and how they fail.
+    /// Properties of its servers and rules for retries and timeouts.
     #[serde(default)]
     pub rules: Rules,
-    /// What is asked for.
+    /// Classes of requests.
     #[serde(rename = "class")]
     #[schemars(length(min = 1, max = 64))]
     pub classes: Vec<Class>,
-    /// Where its list of servers is followed; without it, `server` is the list.
+    /// Endpoint discovery; without it `server` is the list of servers.
     #[serde(rename = "fleet", default, skip_serializing_if = "Option::is_none")]
     pub discovery: Option<DiscoverySettings>,
-    /// Its servers.
+    /// Servers of the tenant.
     #[serde(rename = "server", default)]
     #[schemars(length(max = 10_000))]
     pub servers: Vec<Server>,
 }
 
-/// Where a tenant's list of servers is followed.
+/// Endpoint discovery of a tenant's servers in etcd.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 #[schemars(rename = "Fleet")]
 pub struct DiscoverySettings {
-    /// Members of etcd, such as `http://127.0.0.1:2379`.
+    /// URLs of etcd members, such as `http://127.0.0.1:2379`.
     #[schemars(length(min = 1, max = 16))]
     pub etcd: Vec<String>,
-    /// What the keys begin with.
-    #[serde(default = "prefix")]
+    /// Prefix of the keys.
+    #[serde(default = "default_prefix")]
     #[schemars(length(min = 1, max = 256))]
     pub prefix: String,
-    /// The pool's name in the keys; the tenant's without it.
+    /// Name of the pool in the keys; the name of the tenant if it is missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(regex(pattern = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"))]
     pub pool: Option<String>,
-    /// A file with NAME:PASSWORD, where etcd asks for them.
+    /// File with NAME:PASSWORD if etcd requires authentication.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub user_file: Option<String>,
-    /// When more than this part of the servers with leases lose them together, they are held for `hold`; 100 % for never.
-    #[serde(rename = "guard", default = "half")]
+    /// Fraction of the servers with leases: if more than it lose their leases at the same time, these
+    /// servers are retained for `hold`. 100 % disables this.
+    #[serde(rename = "guard", default = "default_mass_expiry_ratio")]
     pub mass_expiry_ratio: Share,
-    /// As above.
-    #[serde(rename = "hold", default = "minute")]
+    /// Time for which such servers are retained.
+    #[serde(rename = "hold", default = "one_minute")]
     pub retention: Span,
 }
 
-fn prefix() -> String {
+fn default_prefix() -> String {
     "/canvascart/v1".into()
 }
 
-fn half() -> Share {
+fn default_mass_expiry_ratio() -> Share {
     Share(0.5)
 }
 
-fn minute() -> Span {
+fn one_minute() -> Span {
     Span(60_000.0)
 }
 
-/// What a tenant may have of what all share. Caps hold however idle the others are; without one there is only the share.
+/// Limits of a tenant on resources that all tenants share. Maximum values apply even while other tenants
+/// are idle; without one, only the tenant's fair share applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Its share beside the others'.
+    /// Weight of the tenant's share relative to other tenants.
     #[schemars(range(min = 0.001, max = 1000.0))]
     pub weight: f64,
-    /// Connections of its clients.
+    /// Maximum number of client connections.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sockets: Option<u64>,
-    /// Its requests in flight.
+    /// Maximum number of requests in flight.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub in_flight: Option<u64>,
-    /// Memory for its requests.
+    /// Maximum memory for buffered request data.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes: Option<Bytes>,
-    /// Its part of the event loop's time.
+    /// Maximum fraction of the event loop's time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub loop_share: Option<Share>,
-    /// The event loop's time that it may use at once after it was idle.
+    /// Event loop time that the tenant may use at once after it was idle.
     pub burst: Span,
 }
 
@@ -378,28 +386,28 @@
     }
 }
 
-/// What is known of a tenant's servers, and the figures of the rules.
+/// Properties of a tenant's servers and rules for retries and timeouts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Rules {
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts for a request.
     #[schemars(range(min = 1, max = 10))]
     pub max_attempts: u32,
-    /// The part of its capacity that a server has when it has just started.
+    /// Fraction of its capacity that a server has when it has just started.
     #[serde(rename = "cold-from")]
     pub initial_capacity: Share,
-    /// How long a server takes until it has all of it.
+    /// Time from the start of a server until it has its full capacity.
     #[serde(rename = "cold")]
     pub warm_up: Span,
-    /// A connection to a server that is not up within this span has failed.
+    /// Timeout for opening a connection to a server.
     #[serde(rename = "dial-timeout")]
     pub connect_timeout: Span,
-    /// A server closes a connection that has stood idle for this span.
+    /// Idle time after which servers close a connection.
     #[serde(rename = "idle-close")]
     pub idle_timeout: Span,
-    /// The longest wait that a refused client is asked for.
+    /// Maximum retry delay sent to rejected clients.
     pub retry_after: Span,
-    /// The zone that this process stands in.
+    /// Zone of this process.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
 }
@@ -418,94 +426,98 @@
     }
 }
 
-/// A class of requests; the first segment of a request's path names it.
+/// Class of requests, selected by the first segment of the request path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     #[schemars(regex(pattern = r"^[A-Za-z0-9._~-]{1,64}$"))]
     pub name: String,
-    /// Whether a request may run more than once.
+    /// Idempotency of the requests.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// An answer within this span earns the full worth.
+    /// Latency objective: a response within this time counts with the full weight.
     #[serde(rename = "aim")]
     pub latency_objective: Span,
-    /// The whole wait that a client is ready for.
+    /// Maximum time that a client waits for the response.
     pub deadline: Span,
-    /// What an answer in time is worth, beside other classes.
-    #[serde(rename = "worth", default = "one")]
+    /// Priority weight of a response within the latency objective, relative to other classes.
+    #[serde(rename = "worth", default = "default_priority_weight")]
     #[schemars(range(min = 0.0, max = 1e6))]
     pub priority_weight: f64,
-    /// The part of it that a late answer still earns.
+    /// Fraction of the weight for a response after the latency objective.
     #[serde(rename = "late-worth", default)]
     pub late_weight_fraction: Share,
 }
 
-fn one() -> f64 {
+fn default_priority_weight() -> f64 {
     1.0
 }
 
-/// Whether a request may run more than once.
+/// Idempotency of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Effect")]
 pub enum Idempotency {
-    /// Repeating it does no harm (a lookup; GET).
+    /// A request may be repeated, such as a lookup with GET.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It must never run twice (a checkout; POST).
+    /// A request must not run twice, such as a checkout with POST.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// A server of a tenant.
+/// Server of a tenant, an endpoint of its pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Server {
-    /// Its name, the tenant's own.
+    /// Name, unique within the tenant.
     #[schemars(length(min = 1, max = 128))]
     pub name: String,
     /// Address and port.
     pub address: String,
-    /// Requests that it works on at once, about.
-    #[serde(rename = "size", default = "size")]
+    /// Approximate number of requests that the server processes at once.
+    #[serde(rename = "size", default = "default_capacity")]
     #[schemars(range(min = 0.01, max = 10_000.0))]
     pub capacity: f64,
-    /// Where it stands.
+    /// Zone of the server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Its kind of machine.
+    /// Machine type of the server.
     #[serde(rename = "kind", default, skip_serializing_if = "Option::is_none")]
     pub machine_type: Option<String>,
-    /// Whether it takes new work.
+    /// State of the server.
     #[serde(default)]
     pub state: State,
-    /// Attempts that it takes at once of all tenants that use it, where several do; then all must say the same.
+    /// Maximum number of concurrent attempts of all tenants together, for a server that several tenants use.
+    /// All of them have to set the same value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 100_000))]
     pub connections: Option<u64>,
-    /// It has been running for long. A server that joins a running service counts as just started otherwise.
+    /// Skips the warm-up; otherwise a server that is added to a running service counts as just started.
     #[serde(default, skip_serializing_if = "is_false")]
     pub warm: bool,
 }
 
-fn size() -> f64 {
+fn default_capacity() -> f64 {
     1.0
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde's way to ask")]
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "signature required by serde"
+)]
 fn is_false(flag: &bool) -> bool {
     !flag
 }
 
-/// Whether a server takes new work.
+/// State of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     #[default]
     Up,
-    /// It ends what it has.
+    /// Finishes its requests and accepts no new ones.
     Draining,
 }
--- a/crates/multi-tenant/src/inactive_state.rs
+++ b/crates/multi-tenant/src/inactive_state.rs
@@ -1,5 +1,6 @@
-//! What is kept of tenants at rest beside their documents: births of servers that are cold still, and what their modules held
-//! against servers. It is bounded, and each entry has an end after which nothing of it matters. Without I/O.
+//! State of inactive tenants that is kept besides their documents: start times of servers that are still
+//! warming up, and the health state of servers. Its size is bounded, and each tenant's state expires when
+//! it no longer matters. Without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,119 +8,123 @@
 
 use crate::catalog::Name;
 
-/// Servers that there may be something to say of in one tenant at rest. One with more stays resident.
+/// Maximum number of entries of one inactive tenant. A tenant with more stays active.
 pub const MAX_ENTRIES_PER_TENANT: usize = 256;
-/// And in all of them together. Beyond it what ends soonest is let go of: it would have mattered for the shortest time.
+/// Maximum number of entries of all inactive tenants. Above it the state that expires first is dropped,
+/// as it would have mattered for the shortest time.
 pub const MAX_ENTRIES: usize = 65_536;
 
-/// What is kept of one tenant.
+/// Retained state of an inactive tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InactiveState {
-    /// When all its servers started that are not named below, on Unix time in ms; 0 for long ago.
+    /// Start time of all servers without an own entry, as Unix time in ms; 0 for long ago.
     pub default_start_time: f64,
-    /// When servers started, by their numbers.
+    /// Start times of servers, by the stable hash of the server's name.
     pub start_times: Vec<(u64, f64)>,
-    /// What its module held against servers.
+    /// Health state of the servers in the load balancer.
     pub health: HealthSnapshot,
-    /// Nothing of it matters after this, on the process's clock in ms.
+    /// Expiry on the process's clock in ms.
     pub expires_at: Millis,
 }
 
 impl InactiveState {
-    /// How much there is to say.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         usize::from(self.default_start_time > 0.0)
             + self.start_times.len()
             + self.health.endpoints.len()
     }
 
-    /// Whether there is nothing to say.
+    /// Returns true if there is nothing to retain.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// When a server started.
+    /// Returns the start time of a server.
     pub fn start_time(&self, server: u64) -> f64 {
         self.start_times
             .iter()
             .find(|(number, _)| *number == server)
-            .map_or(self.default_start_time, |(_, born)| *born)
+            .map_or(self.default_start_time, |(_, start_time)| *start_time)
     }
 
-    /// A server comes anew: what was known under its number is another's.
-    pub fn reset_server(&mut self, server: u64, born: f64) {
-        self.health.endpoints.retain(|s| s.id.0 != server);
+    /// Resets a server that was added or has another address: the state under its number belongs to an
+    /// earlier server.
+    pub fn reset_server(&mut self, server: u64, start_time: f64) {
+        self.health
+            .endpoints
+            .retain(|endpoint| endpoint.id.0 != server);
         self.start_times.retain(|(number, _)| *number != server);
-        if born > 0.0 || self.default_start_time > 0.0 {
-            self.start_times.push((server, born));
+        if start_time > 0.0 || self.default_start_time > 0.0 {
+            self.start_times.push((server, start_time));
         }
     }
 }
 
-/// What is kept of all tenants at rest.
+/// Retained state of all inactive tenants.
 pub struct InactiveStates {
-    of: BTreeMap<Name, InactiveState>,
-    /// Their ends: not negative, so that their bits sort as they do.
-    ends: BTreeSet<(u64, Name)>,
+    by_tenant: BTreeMap<Name, InactiveState>,
+    /// Expiry times as bits: these sort like the numbers, as none is negative.
+    expiry_index: BTreeSet<(u64, Name)>,
     entries: usize,
-    most: usize,
-    dropped: u64,
+    max_entries: usize,
+    dropped_tenants: u64,
 }
 
 impl InactiveStates {
-    /// Room for so many entries.
-    pub fn new(most: usize) -> Self {
+    /// Creates an empty collection for at most `max_entries` entries.
+    pub fn new(max_entries: usize) -> Self {
         InactiveStates {
-            of: BTreeMap::new(),
-            ends: BTreeSet::new(),
+            by_tenant: BTreeMap::new(),
+            expiry_index: BTreeSet::new(),
             entries: 0,
-            most,
-            dropped: 0,
+            max_entries,
+            dropped_tenants: 0,
         }
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries of all tenants.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// Tenants of which something was let go of before its end.
+    /// Returns the number of tenants whose state was dropped before its expiry.
     pub fn dropped_tenants(&self) -> u64 {
-        self.dropped
+        self.dropped_tenants
     }
 
-    /// Keeps what there is to say of a tenant, in place of what was kept.
-    pub fn insert(&mut self, name: &Name, digest: InactiveState) {
+    /// Stores the state of a tenant and replaces an earlier one.
+    pub fn insert(&mut self, name: &Name, state: InactiveState) {
         self.remove(name);
-        if digest.is_empty() {
+        if state.is_empty() {
             return;
         }
-        self.entries += digest.len();
-        self.ends
-            .insert((digest.expires_at.max(0.0).to_bits(), name.clone()));
-        self.of.insert(name.clone(), digest);
-        while self.entries > self.most {
-            let Some((_, name)) = self.ends.first().cloned() else {
+        self.entries += state.len();
+        self.expiry_index
+            .insert((state.expires_at.max(0.0).to_bits(), name.clone()));
+        self.by_tenant.insert(name.clone(), state);
+        while self.entries > self.max_entries {
+            let Some((_, name)) = self.expiry_index.first().cloned() else {
                 break;
             };
             self.remove(&name);
-            self.dropped += 1;
+            self.dropped_tenants += 1;
         }
     }
 
-    /// Takes out what is kept of a tenant.
+    /// Removes and returns the state of a tenant.
     pub fn remove(&mut self, name: &str) -> Option<InactiveState> {
-        let (name, digest) = self.of.remove_entry(name)?;
-        self.entries -= digest.len();
-        self.ends
-            .remove(&(digest.expires_at.max(0.0).to_bits(), name));
-        Some(digest)
+        let (name, state) = self.by_tenant.remove_entry(name)?;
+        self.entries -= state.len();
+        self.expiry_index
+            .remove(&(state.expires_at.max(0.0).to_bits(), name));
+        Some(state)
     }
 
-    /// Lets go of what has come to its end.
+    /// Removes expired state.
     pub fn expire(&mut self, now: Millis) {
-        while let Some((end, name)) = self.ends.first().cloned() {
-            if f64::from_bits(end) > now {
+        while let Some((expires_at, name)) = self.expiry_index.first().cloned() {
+            if f64::from_bits(expires_at) > now {
                 break;
             }
             self.remove(&name);
--- a/crates/multi-tenant/src/lib.rs
+++ b/crates/multi-tenant/src/lib.rs
@@ -1,13 +1,16 @@
-//! Many tenants in one process, each with a decision module, a list and limits of its own.
+//! Serves many tenants in one process. Each has a load balancer, a list of servers and limits of its own.
 //!
-//! - [`document`]: what operators write; [`check`]: all that is wrong with it, with line and key.
-//! - [`routes`]: which tenant a request is for; [`plan`]: what a change of the document comes to. Both without I/O.
-//! - [`catalog`]: all tenants at rest, compact; [`digest`]: what is kept of them beside their documents.
-//! - [`plane::Plane`]: serves the present version and goes over to the next in one turn of the event loop. It holds in full only
-//!   the tenants that it serves; which these are, `residency` decides.
+//! - [`document`]: the configuration document; [`validation`]: all errors in it, with line and key.
+//! - [`routes`]: finds the tenant of a request; [`plan`]: effects of a change of the document. Both
+//!   without I/O.
+//! - [`catalog`]: compact storage of all tenants; [`inactive_state`]: state of inactive tenants that is
+//!   kept besides their documents.
+//! - [`data_plane::DataPlane`]: serves the current version and switches to the next one within one turn
+//!   of the event loop. Only active tenants have a pool in memory; `tenant_activation` decides which
+//!   tenants are active.
 //!
-//! It decides nothing about servers or retries: each tenant's decision module does. What tenants share is divided by
-//! `tenancy`; what is over a tenant's share, its module refuses.
+//! Choosing servers and retrying is left to each tenant's load balancer. Shared resources are divided
+//! by `fair_share`; requests above a tenant's share are rejected by its pool.
 
 mod accounts;
 pub mod catalog;
--- a/crates/multi-tenant/src/plan.rs
+++ b/crates/multi-tenant/src/plan.rs
@@ -1,5 +1,6 @@
-//! What a change of the service comes to: which tenants come, go, get other servers or a pool anew, which listeners open
-//! and close. Without I/O; carrying a plan out never fails halfway but for the listeners, which are opened first.
+//! Determines the effects of a change of the service: which tenants are added, removed, or get other
+//! servers or a new pool, and which listeners open and close. Without I/O. Only opening listeners can
+//! fail when a plan is applied, so these are opened first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,43 +9,43 @@
 use crate::catalog::{Catalog, Difference};
 use crate::document::{Listener, Server, State, Tenant};
 
-/// What happens to a tenant that stays.
+/// Change of a tenant that exists before and after.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Its classes or rules are others: it gets a new module. Requests under way end under the old one.
+    /// Its classes or rules have changed: it gets a new pool. Requests in flight finish in the old one.
     pub settings: bool,
-    /// Its servers are others; what the module has learned of those that stay is kept.
+    /// Its servers have changed; the load balancer keeps its state of the remaining ones.
     pub servers: bool,
-    /// Its limits are others.
+    /// Its limits have changed.
     pub limits: bool,
 }
 
 impl Change {
-    /// Whether nothing is other.
+    /// Returns true if nothing has changed.
     pub fn is_empty(self) -> bool {
         self == Change::default()
     }
 }
 
-/// What a change of the service comes to.
+/// Effects of a change of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Tenants that come, by name.
+    /// Names of added tenants.
     pub added: Vec<String>,
-    /// Tenants that go.
+    /// Names of removed tenants.
     pub removed: Vec<String>,
-    /// Tenants that stay and change.
+    /// Changed tenants by name.
     pub changed: BTreeMap<String, Change>,
-    /// Listeners that open.
+    /// Listeners to open.
     pub opened: Vec<Listener>,
-    /// Listeners that close, by name. One whose address changes closes and opens.
+    /// Names of listeners to close. A listener whose address changes is closed and opened.
     pub closed: Vec<String>,
-    /// Ways in are others.
+    /// The routing of requests to tenants has changed.
     pub routes: bool,
 }
 
 impl Plan {
-    /// What leads from one version to another.
+    /// Compares two versions.
     pub fn between(old: &Catalog, new: &Catalog) -> Self {
         let mut plan = Plan::default();
         for difference in Catalog::differences(old, new) {
@@ -52,26 +53,29 @@
                 Difference::Added(name) => plan.added.push(name.to_string()),
                 Difference::Removed(name) => plan.removed.push(name.to_string()),
                 Difference::Changed(name) => {
-                    let (was, is) = (
+                    let (old_tenant, new_tenant) = (
                         old.get(name).and_then(Result::ok),
                         new.get(name).and_then(Result::ok),
                     );
-                    let (Some((_, was)), Some((_, is))) = (was, is) else {
-                        // What is damaged is made anew of what there is now.
-                        let all = Change {
+                    let (Some((_, old_tenant)), Some((_, new_tenant))) = (old_tenant, new_tenant)
+                    else {
+                        // A tenant whose stored data is damaged is set up again completely.
+                        let all_changed = Change {
                             settings: true,
                             servers: true,
                             limits: true,
                         };
-                        plan.changed.insert(name.to_string(), all);
+                        plan.changed.insert(name.to_string(), all_changed);
                         plan.routes = true;
                         continue;
                     };
-                    plan.routes |= was.hosts != is.hosts;
+                    plan.routes |= old_tenant.hosts != new_tenant.hosts;
                     let change = Change {
-                        settings: was.classes != is.classes || was.rules != is.rules,
-                        servers: was.servers != is.servers || was.discovery != is.discovery,
-                        limits: was.limits != is.limits,
+                        settings: old_tenant.classes != new_tenant.classes
+                            || old_tenant.rules != new_tenant.rules,
+                        servers: old_tenant.servers != new_tenant.servers
+                            || old_tenant.discovery != new_tenant.discovery,
+                        limits: old_tenant.limits != new_tenant.limits,
                     };
                     if !change.is_empty() {
                         plan.changed.insert(name.to_string(), change);
@@ -80,46 +84,50 @@
             }
         }
         let (before, after) = (&old.base().listeners, &new.base().listeners);
-        let at = |l: &Listener| (l.name.clone(), l.address.clone());
-        let stays = |all: &[Listener], l: &Listener| all.iter().any(|o| at(o) == at(l));
+        let identity = |listener: &Listener| (listener.name.clone(), listener.address.clone());
+        let contains = |all: &[Listener], listener: &Listener| {
+            all.iter()
+                .any(|other| identity(other) == identity(listener))
+        };
         plan.opened = after
             .iter()
-            .filter(|l| !stays(before, l))
+            .filter(|listener| !contains(before, listener))
             .cloned()
             .collect();
         plan.closed = before
             .iter()
-            .filter(|l| !stays(after, l))
-            .map(|l| l.name.clone())
+            .filter(|listener| !contains(after, listener))
+            .map(|listener| listener.name.clone())
             .collect();
         plan.routes |= !plan.added.is_empty() || !plan.removed.is_empty() || before != after;
         plan
     }
 
-    /// Whether nothing changes.
+    /// Returns true if nothing changes.
     pub fn is_empty(&self) -> bool {
         *self == Plan::default()
     }
 }
 
-/// A change with all that can be worked out ahead of it, so that carrying it out takes the event loop little time however
-/// many tenants there are.
+/// A change with everything that can be computed in advance, so that applying it takes little time of the
+/// event loop for any number of tenants.
 #[derive(Clone, Debug)]
 pub struct PreparedChange {
-    /// The service as it is to be.
+    /// Tenants and settings of the next version.
     pub next: Catalog,
-    /// What that comes to.
+    /// Effects of the change.
     pub plan: Plan,
-    /// Servers with limits whose users, or these users' weights, may be others.
+    /// Addresses of servers with a connection limit whose tenants, or the weights of these, may have changed.
     pub(crate) limited_servers: BTreeSet<String>,
-    /// Tenants that come or change, and whose list is followed.
+    /// Added and changed tenants with endpoint discovery.
     pub(crate) discovered_tenants: BTreeSet<String>,
-    /// Servers that come, or come under another address, of tenants that change: their numbers, and whether they are warm.
+    /// Servers of changed tenants that are added or have a new address: the stable hashes of their names,
+    /// and whether they skip the warm-up.
     pub(crate) new_servers: BTreeMap<String, Vec<(u64, bool)>>,
 }
 
 impl PreparedChange {
-    /// What leads from one version to another.
+    /// Prepares the change from one version to another.
     pub fn between(old: &Catalog, next: Catalog) -> Self {
         let plan = Plan::between(old, &next);
         let (mut limited_servers, mut discovered_tenants, mut new_servers) =
@@ -130,29 +138,40 @@
             .chain(&plan.removed)
             .chain(plan.changed.keys())
         {
-            let of = |c: &Catalog| c.get(name).and_then(Result::ok).map(|(_, tenant)| tenant);
-            let (was, is) = (of(old), of(&next));
-            for tenant in was.iter().chain(&is) {
-                let of = tenant.servers.iter().filter(|s| s.connections.is_some());
-                limited_servers.extend(of.map(|s| s.address.clone()));
+            let tenant_in = |catalog: &Catalog| {
+                catalog
+                    .get(name)
+                    .and_then(Result::ok)
+                    .map(|(_, tenant)| tenant)
+            };
+            let (old_tenant, new_tenant) = (tenant_in(old), tenant_in(&next));
+            for tenant in old_tenant.iter().chain(&new_tenant) {
+                let limited = tenant
+                    .servers
+                    .iter()
+                    .filter(|server| server.connections.is_some());
+                limited_servers.extend(limited.map(|server| server.address.clone()));
             }
-            let Some(is) = is else { continue };
-            if is.discovery.is_some() {
+            let Some(new_tenant) = new_tenant else {
+                continue;
+            };
+            if new_tenant.discovery.is_some() {
                 discovered_tenants.insert(name.clone());
             }
-            if plan.changed.get(name).is_some_and(|c| c.servers) {
-                let before: BTreeMap<&str, &str> = was
+            if plan.changed.get(name).is_some_and(|change| change.servers) {
+                let before: BTreeMap<&str, &str> = old_tenant
                     .iter()
-                    .flat_map(|t| &t.servers)
-                    .map(|s| (&*s.name, &*s.address))
+                    .flat_map(|tenant| &tenant.servers)
+                    .map(|server| (&*server.name, &*server.address))
                     .collect();
-                let comes = |s: &&Server| before.get(&*s.name) != Some(&&*s.address);
-                let comes = is
+                let is_new =
+                    |server: &&Server| before.get(&*server.name) != Some(&&*server.address);
+                let new = new_tenant
                     .servers
                     .iter()
-                    .filter(comes)
-                    .map(|s| (stable_hash(&s.name), s.warm));
-                new_servers.insert(name.clone(), comes.collect());
+                    .filter(is_new)
+                    .map(|server| (stable_hash(&server.name), server.warm));
+                new_servers.insert(name.clone(), new.collect());
             }
         }
         PreparedChange {
@@ -165,66 +184,75 @@
     }
 }
 
-/// The servers that a version ends, by tenant: those that take new work under the one before, and drain or are gone with it. Where
-/// a tenant would have none left meanwhile they are not named: it needs what comes with the new version first.
+/// Returns the servers that a new version stops using, by tenant: those that accept new requests in the
+/// old version and are draining or removed in the new one. Tenants for which these are all servers are left
+/// out: they need the servers of the new version first.
 pub fn ended_servers(old: &Catalog, new: &Catalog) -> BTreeMap<String, BTreeSet<String>> {
-    let up = |t: Tenant| -> BTreeSet<String> {
-        t.servers
+    let names_up = |tenant: Tenant| -> BTreeSet<String> {
+        tenant
+            .servers
             .into_iter()
-            .filter(|s| s.state == State::Up)
-            .map(|s| s.name)
+            .filter(|server| server.state == State::Up)
+            .map(|server| server.name)
             .collect()
     };
-    let of = |c: &Catalog, name: &str| {
-        c.get(name)
+    let servers_up = |catalog: &Catalog, name: &str| {
+        catalog
+            .get(name)
             .and_then(Result::ok)
-            .map(|(_, t)| up(t))
+            .map(|(_, tenant)| names_up(tenant))
             .unwrap_or_default()
     };
-    let mut all = BTreeMap::new();
+    let mut ended_by_tenant = BTreeMap::new();
     for difference in Catalog::differences(old, new) {
         let (Difference::Changed(name) | Difference::Removed(name)) = difference else {
             continue;
         };
-        let (before, stay) = (of(old, name), of(new, name));
-        let ends: BTreeSet<String> = before.difference(&stay).cloned().collect();
-        if !ends.is_empty() && ends.len() < before.len() {
-            all.insert(name.to_string(), ends);
+        let (before, after) = (servers_up(old, name), servers_up(new, name));
+        let ended: BTreeSet<String> = before.difference(&after).cloned().collect();
+        if !ended.is_empty() && ended.len() < before.len() {
+            ended_by_tenant.insert(name.to_string(), ended);
         }
     }
-    all
+    ended_by_tenant
 }
 
-/// When a tenant's servers started, on Unix time in ms, as far as the service knows; 0 for long ago.
+/// Start times of a tenant's servers as Unix time in ms, as far as known; 0 for long ago.
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes(BTreeMap<String, (String, f64)>);
 
 impl StartTimes {
-    /// Takes note of a version's servers. Those of the first version, and those that are said to be warm, are old; others
-    /// that were not there or have another address have just started.
-    pub fn update(&mut self, servers: &[Server], first: bool, now_ms: f64) {
+    /// Updates the start times for the servers of a version. New servers, and those with another address,
+    /// have just started, except in the first version and if they are marked as warm.
+    pub fn update(&mut self, servers: &[Server], first_version: bool, now_ms: f64) {
         let old = std::mem::take(&mut self.0);
-        for s in servers {
+        for server in servers {
             let known = old
-                .get(&s.name)
-                .filter(|(address, _)| *address == s.address);
-            let born = match known {
-                Some((_, born)) => *born,
-                None if first || s.warm => 0.0,
+                .get(&server.name)
+                .filter(|(address, _)| *address == server.address);
+            let start_time = match known {
+                Some((_, start_time)) => *start_time,
+                None if first_version || server.warm => 0.0,
                 None => now_ms,
             };
-            self.0.insert(s.name.clone(), (s.address.clone(), born));
+            self.0
+                .insert(server.name.clone(), (server.address.clone(), start_time));
         }
     }
 
-    /// As they were told before, by the servers' names.
-    pub(crate) fn restore(servers: &[Server], born: impl Fn(&Server) -> f64) -> Self {
-        let one = |s: &Server| (s.name.clone(), (s.address.clone(), born(s)));
-        StartTimes(servers.iter().map(one).collect())
+    /// Restores start times from a function.
+    pub(crate) fn restore(servers: &[Server], start_time: impl Fn(&Server) -> f64) -> Self {
+        let entry = |server: &Server| {
+            (
+                server.name.clone(),
+                (server.address.clone(), start_time(server)),
+            )
+        };
+        StartTimes(servers.iter().map(entry).collect())
     }
 
-    /// When a server started.
+    /// Returns the start time of a server.
     pub fn get(&self, name: &str) -> f64 {
-        self.0.get(name).map_or(0.0, |(_, born)| *born)
+        self.0.get(name).map_or(0.0, |(_, start_time)| *start_time)
     }
 }
--- a/crates/multi-tenant/src/routes.rs
+++ b/crates/multi-tenant/src/routes.rs
@@ -1,41 +1,44 @@
-//! Which tenant a request is for: by listener, by host or by header. A table without I/O.
+//! Finds the tenant of a request by listener, host or header. Without I/O.
 
 use rustc_hash::FxHashMap;
 
 use crate::catalog::{Catalog, Name};
 use crate::document::TenantBy;
 
-/// The tenants' ways in, as one version of the service has them.
+/// Routing table of a version of the service.
 #[derive(Clone, Debug)]
 pub struct Routes {
-    listeners: FxHashMap<String, Way>,
+    listeners: FxHashMap<String, TenantSelector>,
     catalog: Catalog,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Way {
+enum TenantSelector {
     Tenant(String),
     Host,
     Header,
 }
 
-/// No tenant is named, or none that is there; which of both is nobody's business.
+/// The request names no tenant or an unknown one. The two cases aren't distinguished, so that a client
+/// can't find out more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownTenant;
 
 impl Routes {
-    /// The table of a version.
+    /// Creates the routing table of a version.
     pub fn new(catalog: &Catalog) -> Self {
-        let way = |l: &crate::document::Listener| match l.tenant_by {
-            TenantBy::Listener => Way::Tenant(l.tenant.clone().unwrap_or_default()),
-            TenantBy::Host => Way::Host,
-            TenantBy::Header => Way::Header,
+        let selector = |listener: &crate::document::Listener| match listener.tenant_by {
+            TenantBy::Listener => {
+                TenantSelector::Tenant(listener.tenant.clone().unwrap_or_default())
+            }
+            TenantBy::Host => TenantSelector::Host,
+            TenantBy::Header => TenantSelector::Header,
         };
         let listeners = catalog
             .base()
             .listeners
             .iter()
-            .map(|l| (l.name.clone(), way(l)))
+            .map(|listener| (listener.name.clone(), selector(listener)))
             .collect();
         Routes {
             listeners,
@@ -43,23 +46,24 @@
         }
     }
 
-    /// The version's tenants.
+    /// Returns the tenants of the version.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// The tenant whose all requests of a listener are.
+    /// Returns the tenant to which all requests of a listener belong, if there is one.
     pub fn dedicated_tenant(&self, listener: &str) -> Option<&str> {
         match self.listeners.get(listener) {
-            Some(Way::Tenant(name)) => Some(name),
+            Some(TenantSelector::Tenant(name)) => Some(name),
             _ => None,
         }
     }
 
-    /// The tenant of a request that came in by a listener, with the headers Host and X-Tenant-Id where they stand once.
+    /// Finds the tenant of a request by its listener and by its headers Host and X-Tenant-Id, which are
+    /// given if they occur exactly once.
     ///
     /// # Errors
-    /// It names none that is there.
+    /// The request names no existing tenant.
     pub fn find(
         &self,
         listener: &str,
@@ -67,19 +71,19 @@
         header: Option<&str>,
     ) -> Result<&Name, UnknownTenant> {
         let found = match self.listeners.get(listener).ok_or(UnknownTenant)? {
-            Way::Tenant(name) => self.catalog.find_name(name),
-            Way::Host => self.catalog.tenant_of_host(host.ok_or(UnknownTenant)?),
-            Way::Header => self.catalog.find_name(header.ok_or(UnknownTenant)?),
+            TenantSelector::Tenant(name) => self.catalog.find_name(name),
+            TenantSelector::Host => self.catalog.tenant_of_host(host.ok_or(UnknownTenant)?),
+            TenantSelector::Header => self.catalog.find_name(header.ok_or(UnknownTenant)?),
         };
         found.ok_or(UnknownTenant)
     }
 }
 
-/// A host as it is compared: without its port and a last dot, in small letters (RFC 9110, 4.2.3).
+/// Normalizes a host for comparison: without port and trailing dots, in lower case (RFC 9110, 4.2.3).
 pub fn normalize_host(host: &str) -> String {
     let host = host.trim();
     let name = match host.rsplit_once(':') {
-        // Brackets hold an IPv6 address, whose colons are its own.
+        // The colons of an IPv6 address, which is in brackets, don't separate a port.
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) && !name.ends_with(':') => {
             if name.contains(':') && !name.ends_with(']') {
                 host
