--- a/crates/multi-tenant/src/validation.rs
+++ b/crates/multi-tenant/src/validation.rs
@@ -1,4 +1,4 @@
-//! What a schema can't say: names that are there once, references that lead somewhere, figures that fit each other.
+//! Validates what the schema can't express: unique names, references, and values that depend on others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use crate::document::{Cluster, Service, Tenant, TenantBy};
 use crate::routes::normalize_host;
 
-/// Reads a service's configuration.
+/// Parses and validates the configuration of a service.
 ///
 /// # Errors
-/// All that is wrong with it, each with line and key.
+/// All errors in it, each with line and key.
 pub fn parse(file: &str, text: &str) -> Result<Service, DocumentError> {
-    let at_start = |what: String| DocumentError {
+    let error_at_start = |what: String| DocumentError {
         file: file.to_owned(),
         problems: vec![Problem {
             line: 1,
@@ -22,13 +22,13 @@
             what,
         }],
     };
-    let (service, places) = schema_form()
-        .map_err(at_start)?
+    let (service, positions) = schema_form()
+        .map_err(error_at_start)?
         .read_toml::<Service>(file, text)?;
     let problem = |f: Fault| {
         let key = f.key();
         Problem {
-            line: places.line_of(&key),
+            line: positions.line_of(&key),
             key,
             what: f.what,
         }
@@ -37,11 +37,11 @@
     if problems.is_empty() {
         Ok(service)
     } else {
-        Err(places.problems(problems))
+        Err(positions.problems(problems))
     }
 }
 
-/// The form of a service's configuration.
+/// Returns the schema of a service's configuration.
 ///
 /// # Errors
 /// As [`Form::of`].
@@ -49,39 +49,47 @@
     Form::of::<Service>()
 }
 
-/// What is wrong with a service whose form is right.
+/// Validates a service that matches the schema.
 pub fn validate(service: &Service) -> Vec<Fault> {
-    let names: BTreeSet<&str> = service.tenants.iter().map(|t| t.name.as_str()).collect();
+    let names: BTreeSet<&str> = service
+        .tenants
+        .iter()
+        .map(|tenant| tenant.name.as_str())
+        .collect();
     let mut faults = Faults(validate_without_tenants(service, |name| {
         names.contains(name)
     }));
-    faults.once(
+    faults.check_unique(
         "/tenant",
-        service.tenants.iter().map(|t| t.name.as_str()),
+        service.tenants.iter().map(|tenant| tenant.name.as_str()),
         "name",
     );
     let mut hosts = BTreeMap::new();
     let mut shared: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
-    for (i, t) in service.tenants.iter().enumerate() {
+    for (i, tenant) in service.tenants.iter().enumerate() {
         let at = format!("/tenant/{i}");
-        tenant(&mut faults, &at, t);
-        for (h, host) in t.hosts.iter().enumerate() {
+        validate_tenant(&mut faults, &at, tenant);
+        for (h, host) in tenant.hosts.iter().enumerate() {
             if hosts
                 .insert(normalize_host(host), i)
                 .is_some_and(|other| other != i)
             {
-                faults.put(&format!("{at}/hosts/{h}"), "it is another tenant's, too");
+                faults.add(
+                    &format!("{at}/hosts/{h}"),
+                    "the host is already used by another tenant",
+                );
             }
         }
-        for (s, server) in t.servers.iter().enumerate() {
+        for (s, server) in tenant.servers.iter().enumerate() {
             let Some(connections) = server.connections else {
                 continue;
             };
-            let (first, whose) = *shared.entry(&server.address).or_insert((connections, i));
-            if first != connections && whose != i {
-                faults.put(
+            let (first_limit, first_user) =
+                *shared.entry(&server.address).or_insert((connections, i));
+            if first_limit != connections && first_user != i {
+                faults.add(
                     &format!("{at}/server/{s}/connections"),
-                    "another tenant says otherwise of this server",
+                    "another tenant sets a different limit for this server",
                 );
             }
         }
@@ -89,51 +97,60 @@
     faults.0
 }
 
-/// What is wrong with a service whose form is right, but for its tenants, of which these are there.
-pub fn validate_without_tenants(service: &Service, is_there: impl Fn(&str) -> bool) -> Vec<Fault> {
+/// Validates a service that matches the schema, except for its tenants; `tenant_exists` returns true for the
+/// names of existing tenants.
+pub fn validate_without_tenants(
+    service: &Service,
+    tenant_exists: impl Fn(&str) -> bool,
+) -> Vec<Fault> {
     let mut faults = Faults::default();
-    let p = &service.process;
-    faults.within("/process/loop-share", p.loop_share.0, 0.01, 1.0);
-    faults.within("/process/turning-share", p.rejection_share.0, 0.001, 1.0);
-    if p.loop_share.0 + p.rejection_share.0 > 1.0 {
-        faults.put(
+    let process = &service.process;
+    faults.check_range("/process/loop-share", process.loop_share.0, 0.01, 1.0);
+    faults.check_range(
+        "/process/turning-share",
+        process.rejection_share.0,
+        0.001,
+        1.0,
+    );
+    if process.loop_share.0 + process.rejection_share.0 > 1.0 {
+        faults.add(
             "/process/turning-share",
-            "with loop-share it is more than the whole loop",
+            "the sum with loop-share is greater than 1",
         );
     }
-    faults.within("/process/newcomers", p.idle_reserve.0, 0.0, 0.5);
-    if !(1_000.0..=86_400_000.0).contains(&p.idle_timeout.0) {
-        faults.put("/process/rest-after", "it is not from 1 s to 24 h");
+    faults.check_range("/process/newcomers", process.idle_reserve.0, 0.0, 0.5);
+    if !(1_000.0..=86_400_000.0).contains(&process.idle_timeout.0) {
+        faults.add("/process/rest-after", "must be from 1 s to 24 h");
     }
-    faults.once(
+    faults.check_unique(
         "/listener",
         service.listeners.iter().map(|l| l.name.as_str()),
         "name",
     );
-    // Port 0 is any that is free: two of them are two ports.
-    let any = |a: &str| a.ends_with(":0");
+    // Port 0 selects a free port, so that two listeners with it don't conflict.
+    let has_port_zero = |address: &str| address.ends_with(":0");
     for (i, l) in service
         .listeners
         .iter()
         .enumerate()
-        .filter(|(_, l)| !any(&l.address))
+        .filter(|(_, l)| !has_port_zero(&l.address))
     {
         if service.listeners[..i]
             .iter()
             .any(|other| other.address == l.address)
         {
-            faults.put(
+            faults.add(
                 &format!("/listener/{i}/address"),
-                format!("\"{}\" stands twice", l.address),
+                format!("\"{}\" is used twice", l.address),
             );
         }
     }
     if let Some(admin) = &service.admin {
-        faults.address("/admin/address", &admin.address);
+        faults.check_address("/admin/address", &admin.address);
         if service.state.is_none() {
-            faults.put(
+            faults.add(
                 "/state",
-                "it is missing: the administration API needs a place for its versions",
+                "is missing: the administration API requires a directory for its versions",
             );
         }
         if admin
@@ -142,27 +159,27 @@
             .is_ok_and(|a| !a.ip().is_loopback())
             && !admin.allow_remote
         {
-            faults.put(
+            faults.add(
                 "/admin/address",
-                "it is not on loopback: tokens would pass as they are (anywhere = true)",
+                "is not a loopback address: tokens would be sent without encryption (set anywhere = true to allow this)",
             );
         }
     }
     if let Some(cluster) = &service.cluster {
-        in_cluster(&mut faults, cluster, service.state.is_some());
+        validate_cluster(&mut faults, cluster, service.state.is_some());
     }
     for (i, l) in service.listeners.iter().enumerate() {
         let at = format!("/listener/{i}");
-        faults.address(&format!("{at}/address"), &l.address);
+        faults.check_address(&format!("{at}/address"), &l.address);
         match (l.tenant_by, &l.tenant) {
-            (TenantBy::Listener, None) => faults.put(&format!("{at}/tenant"), "it is missing"),
-            (TenantBy::Listener, Some(name)) if !is_there(name) => {
-                faults.put(&format!("{at}/tenant"), "there is no such tenant");
+            (TenantBy::Listener, None) => faults.add(&format!("{at}/tenant"), "is missing"),
+            (TenantBy::Listener, Some(name)) if !tenant_exists(name) => {
+                faults.add(&format!("{at}/tenant"), "unknown tenant");
             }
             (TenantBy::Host | TenantBy::Header, Some(_)) => {
-                faults.put(
+                faults.add(
                     &format!("{at}/tenant"),
-                    "it is only named where tenant-by is \"listener\"",
+                    "is only allowed if tenant-by is \"listener\"",
                 );
             }
             _ => {}
@@ -171,199 +188,222 @@
     faults.0
 }
 
-/// What is wrong with a change of a service that is right: for each fault which of the edits it is in, with a pointer into that
-/// tenant's document, or none where it is in what does not change and no longer fits, with a pointer into the whole. It looks at what
-/// changes and at what that touches, and at nothing else.
+/// Validates a change of a valid service. Each fault has the index of its edit and a pointer into the
+/// document of that tenant, or no index and a pointer into the whole document if the change invalidates an
+/// unchanged part. Only the edits and what they affect are checked.
 pub fn validate_edits(
-    now: &Catalog,
+    current: &Catalog,
     edits: &[(String, Option<Tenant>)],
 ) -> Vec<(Option<usize>, Fault)> {
-    let mut all = Vec::new();
-    let place: BTreeMap<&str, usize> = edits
+    let mut all_faults = Vec::new();
+    let edit_index: BTreeMap<&str, usize> = edits
         .iter()
         .enumerate()
         .map(|(i, (name, _))| (name.as_str(), i))
         .collect();
-    let stays = |name: &str| !place.contains_key(name);
+    let is_unchanged = |name: &str| !edit_index.contains_key(name);
     let mut hosts: BTreeMap<String, usize> = BTreeMap::new();
     let mut limits: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
     for (i, (name, tenant)) in edits.iter().enumerate() {
         let mut faults = Faults::default();
-        let Some(t) = tenant else {
-            let names = |l: &crate::document::Listener| l.tenant.as_deref() == Some(name);
-            for (l, _) in now
+        let Some(tenant) = tenant else {
+            let names_tenant = |l: &crate::document::Listener| l.tenant.as_deref() == Some(name);
+            for (l, _) in current
                 .base()
                 .listeners
                 .iter()
                 .enumerate()
-                .filter(|(_, l)| names(l))
+                .filter(|(_, l)| names_tenant(l))
             {
-                faults.put(&format!("/listener/{l}/tenant"), "there is no such tenant");
+                faults.add(&format!("/listener/{l}/tenant"), "unknown tenant");
             }
-            all.extend(faults.0.into_iter().map(|f| (None, f)));
+            all_faults.extend(faults.0.into_iter().map(|f| (None, f)));
             continue;
         };
-        self::tenant(&mut faults, "", t);
-        for (h, host) in t.hosts.iter().enumerate() {
-            let others = now.tenant_of_host(host).is_some_and(|of| stays(of))
+        self::validate_tenant(&mut faults, "", tenant);
+        for (h, host) in tenant.hosts.iter().enumerate() {
+            let used_by_other = current
+                .tenant_of_host(host)
+                .is_some_and(|tenant| is_unchanged(tenant))
                 || hosts
                     .insert(normalize_host(host), i)
                     .is_some_and(|other| other != i);
-            if others {
-                faults.put(&format!("/hosts/{h}"), "it is another tenant's, too");
+            if used_by_other {
+                faults.add(
+                    &format!("/hosts/{h}"),
+                    "the host is already used by another tenant",
+                );
             }
         }
-        for (s, server) in t.servers.iter().enumerate() {
+        for (s, server) in tenant.servers.iter().enumerate() {
             let Some(connections) = server.connections else {
                 continue;
             };
-            let other = now
+            let existing_limit = current
                 .users_of_server(&server.address)
-                .find(|(of, _)| stays(of))
+                .find(|(tenant, _)| is_unchanged(tenant))
                 .map(|(_, limit)| limit);
-            let (first, whose) = *limits.entry(&server.address).or_insert((connections, i));
-            if other.is_some_and(|limit| limit != connections) || first != connections && whose != i
+            let (first_limit, first_user) =
+                *limits.entry(&server.address).or_insert((connections, i));
+            if existing_limit.is_some_and(|limit| limit != connections)
+                || first_limit != connections && first_user != i
             {
-                faults.put(
+                faults.add(
                     &format!("/server/{s}/connections"),
-                    "another tenant says otherwise of this server",
+                    "another tenant sets a different limit for this server",
                 );
             }
         }
-        all.extend(faults.0.into_iter().map(|f| (Some(i), f)));
+        all_faults.extend(faults.0.into_iter().map(|f| (Some(i), f)));
     }
-    all
+    all_faults
 }
 
-/// What is wrong with what is said of the cluster.
-fn in_cluster(faults: &mut Faults, c: &Cluster, has_state: bool) {
+/// Validates the settings of the cluster.
+fn validate_cluster(faults: &mut Faults, cluster: &Cluster, has_state: bool) {
     if !has_state {
-        faults.put("/state", "it is missing: a cluster's log needs a place");
+        faults.add(
+            "/state",
+            "is missing: a cluster requires a directory for its log",
+        );
     }
-    faults.address("/cluster/address", &c.address);
-    for (name, address) in &c.peers {
-        if *name == c.instance {
-            faults.put(
-                &format!("/cluster/peers/{name}"),
-                "it is this instance itself",
-            );
+    faults.check_address("/cluster/address", &cluster.address);
+    for (name, address) in &cluster.peers {
+        if *name == cluster.instance {
+            faults.add(&format!("/cluster/peers/{name}"), "is this instance itself");
         }
-        faults.address(&format!("/cluster/peers/{name}"), address);
+        faults.check_address(&format!("/cluster/peers/{name}"), address);
     }
-    faults.within("/cluster/lease", c.lease.0, 500.0, 600_000.0);
-    faults.within("/cluster/change-lease", c.change_lease.0, 500.0, 600_000.0);
-    faults.within("/cluster/drift", c.drift.0, 0.0, 0.2);
-    faults.within("/cluster/hold", c.max_wait.0, 0.0, 10_000.0);
-    faults.within("/cluster/retry-after", c.retry_after.0, 1.0, 3.6e6);
-    faults.within("/cluster/list-wait", c.list_wait.0, 0.0, 3.6e6);
-    if c.change_lease.0 > c.lease.0 {
-        faults.put("/cluster/change-lease", "it is at most the lease");
+    faults.check_range("/cluster/lease", cluster.lease.0, 500.0, 600_000.0);
+    faults.check_range(
+        "/cluster/change-lease",
+        cluster.change_lease.0,
+        500.0,
+        600_000.0,
+    );
+    faults.check_range("/cluster/drift", cluster.drift.0, 0.0, 0.2);
+    faults.check_range("/cluster/hold", cluster.max_wait.0, 0.0, 10_000.0);
+    faults.check_range("/cluster/retry-after", cluster.retry_after.0, 1.0, 3.6e6);
+    faults.check_range("/cluster/list-wait", cluster.list_wait.0, 0.0, 3.6e6);
+    if cluster.change_lease.0 > cluster.lease.0 {
+        faults.add("/cluster/change-lease", "must be at most the lease");
     }
-    if c.deadline.0 < 2.0 * c.lease.0 || c.deadline.0 > 3.6e6 {
-        faults.put(
+    if cluster.deadline.0 < 2.0 * cluster.lease.0 || cluster.deadline.0 > 3.6e6 {
+        faults.add(
             "/cluster/deadline",
-            "it is from twice the lease, so that a change outlasts the lease of an instance that is gone, to an hour",
+            "must be at least twice the lease, so that a change outlasts the lease of an unreachable instance, and at most 1 h",
         );
     }
 }
 
-/// What is wrong with one tenant, whose document stands at this pointer.
-fn tenant(faults: &mut Faults, at: &str, t: &Tenant) {
-    let classes = t.classes.iter().map(|c| c.name.as_str());
-    faults.once(&format!("{at}/class"), classes, "name");
-    faults.once(
+/// Validates a tenant; `at` is the pointer to its document.
+fn validate_tenant(faults: &mut Faults, at: &str, tenant: &Tenant) {
+    let classes = tenant.classes.iter().map(|class| class.name.as_str());
+    faults.check_unique(&format!("{at}/class"), classes, "name");
+    faults.check_unique(
         &format!("{at}/server"),
-        t.servers.iter().map(|s| s.name.as_str()),
+        tenant.servers.iter().map(|server| server.name.as_str()),
         "name",
     );
-    for (i, host) in t.hosts.iter().enumerate() {
-        let good = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | ':' | '[' | ']');
-        if host.is_empty() || !host.chars().all(good) {
-            faults.put(&format!("{at}/hosts/{i}"), "it is no name of a host");
+    for (i, host) in tenant.hosts.iter().enumerate() {
+        let is_valid =
+            |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | ':' | '[' | ']');
+        if host.is_empty() || !host.chars().all(is_valid) {
+            faults.add(&format!("{at}/hosts/{i}"), "is not a valid host");
         }
     }
-    for (i, c) in t.classes.iter().enumerate() {
-        faults.within(
+    for (i, class) in tenant.classes.iter().enumerate() {
+        faults.check_range(
             &format!("{at}/class/{i}/deadline"),
-            c.deadline.0,
+            class.deadline.0,
             1.0,
             3.6e6,
         );
-        faults.within(
+        faults.check_range(
             &format!("{at}/class/{i}/late-worth"),
-            c.late_weight_fraction.0,
+            class.late_weight_fraction.0,
             0.0,
             1.0,
         );
-        if c.latency_objective.0 > c.deadline.0 || c.latency_objective.0 <= 0.0 {
-            faults.put(
+        if class.latency_objective.0 > class.deadline.0 || class.latency_objective.0 <= 0.0 {
+            faults.add(
                 &format!("{at}/class/{i}/aim"),
-                "it is more than nothing and at most the deadline",
+                "must be greater than 0 and at most the deadline",
             );
         }
     }
-    faults.within(
+    faults.check_range(
         &format!("{at}/limits/burst"),
-        t.limits.burst.0,
+        tenant.limits.burst.0,
         1.0,
         10_000.0,
     );
-    if let Some(share) = t.limits.loop_share {
-        faults.within(&format!("{at}/limits/loop-share"), share.0, 0.001, 1.0);
+    if let Some(share) = tenant.limits.loop_share {
+        faults.check_range(&format!("{at}/limits/loop-share"), share.0, 0.001, 1.0);
     }
-    faults.within(
+    faults.check_range(
         &format!("{at}/rules/cold-from"),
-        t.rules.initial_capacity.0,
+        tenant.rules.initial_capacity.0,
         0.01,
         1.0,
     );
-    faults.within(&format!("{at}/rules/cold"), t.rules.warm_up.0, 0.0, 3.6e6);
-    faults.within(
+    faults.check_range(
+        &format!("{at}/rules/cold"),
+        tenant.rules.warm_up.0,
+        0.0,
+        3.6e6,
+    );
+    faults.check_range(
         &format!("{at}/rules/dial-timeout"),
-        t.rules.connect_timeout.0,
+        tenant.rules.connect_timeout.0,
         1.0,
         60_000.0,
     );
-    faults.within(
+    faults.check_range(
         &format!("{at}/rules/idle-close"),
-        t.rules.idle_timeout.0,
+        tenant.rules.idle_timeout.0,
         100.0,
         3.6e6,
     );
-    faults.within(
+    faults.check_range(
         &format!("{at}/rules/retry-after"),
-        t.rules.retry_after.0,
+        tenant.rules.retry_after.0,
         1.0,
         3.6e6,
     );
-    if let Some(fleet) = &t.discovery {
-        if !t.servers.is_empty() {
-            faults.put(
+    if let Some(discovery) = &tenant.discovery {
+        if !tenant.servers.is_empty() {
+            faults.add(
                 &format!("{at}/server"),
-                "its servers are followed by fleet, and not named here",
+                "is not allowed together with fleet, which discovers the servers",
             );
         }
-        for (i, url) in fleet.etcd.iter().enumerate() {
+        for (i, url) in discovery.etcd.iter().enumerate() {
             let address = url
                 .strip_prefix("http://")
                 .and_then(|a| a.trim_end_matches('/').parse::<SocketAddr>().ok());
             if address.is_none() {
-                faults.put(
+                faults.add(
                     &format!("{at}/fleet/etcd/{i}"),
-                    format!("\"{url}\" is not like \"http://127.0.0.1:2379\""),
+                    format!("\"{url}\" is not a URL like \"http://127.0.0.1:2379\""),
                 );
             }
         }
-        faults.within(
+        faults.check_range(
             &format!("{at}/fleet/guard"),
-            fleet.mass_expiry_ratio.0,
+            discovery.mass_expiry_ratio.0,
             0.01,
             1.0,
         );
-        faults.within(&format!("{at}/fleet/hold"), fleet.retention.0, 0.0, 3.6e6);
+        faults.check_range(
+            &format!("{at}/fleet/hold"),
+            discovery.retention.0,
+            0.0,
+            3.6e6,
+        );
     }
-    for (i, s) in t.servers.iter().enumerate() {
-        faults.address(&format!("{at}/server/{i}/address"), &s.address);
+    for (i, server) in tenant.servers.iter().enumerate() {
+        faults.check_address(&format!("{at}/server/{i}/address"), &server.address);
     }
 }
 
@@ -371,39 +411,39 @@
 struct Faults(Vec<Fault>);
 
 impl Faults {
-    fn put(&mut self, pointer: &str, what: impl Into<String>) {
+    fn add(&mut self, pointer: &str, what: impl Into<String>) {
         self.0.push(Fault {
             pointer: pointer.to_owned(),
             what: what.into(),
         });
     }
 
-    fn within(&mut self, pointer: &str, value: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&value) {
-            self.put(
+    fn check_range(&mut self, pointer: &str, value: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&value) {
+            self.add(
                 pointer,
-                format!("it is from {least} to {most} (in ms, or as a part of 1)"),
+                format!("must be from {min} to {max} (in ms, or as a fraction of 1)"),
             );
         }
     }
 
-    fn address(&mut self, pointer: &str, text: &str) {
+    fn check_address(&mut self, pointer: &str, text: &str) {
         if text.parse::<SocketAddr>().is_err() {
-            self.put(
+            self.add(
                 pointer,
-                format!("\"{text}\" is no address with a port, such as \"127.0.0.1:8080\""),
+                format!("\"{text}\" is not an address with a port, such as \"127.0.0.1:8080\""),
             );
         }
     }
 
-    /// No two of a list have the same key.
-    fn once<'a>(&mut self, list: &str, keys: impl Iterator<Item = &'a str>, key: &str) {
+    /// Checks that the values of a key are unique within a list.
+    fn check_unique<'a>(&mut self, list: &str, keys: impl Iterator<Item = &'a str>, key: &str) {
         let mut seen = BTreeSet::new();
         for (i, value) in keys.enumerate() {
             if !seen.insert(value) {
-                self.put(
+                self.add(
                     &format!("{list}/{i}/{key}"),
-                    format!("\"{value}\" stands twice"),
+                    format!("\"{value}\" is used twice"),
                 );
             }
         }
--- a/crates/multi-tenant/tests/catalog.rs
+++ b/crates/multi-tenant/tests/catalog.rs
@@ -211,7 +211,7 @@
     };
     assert_eq!(
         faults(&[edit(takes.clone())]),
-        ["Some(0) hosts.0: it is another tenant's, too"]
+        ["Some(0) hosts.0: the host is already used by another tenant"]
     );
     // Where the other one gives it up with the same change, it is free; where both want it, the later is told.
     let gives = Tenant {
@@ -225,13 +225,16 @@
         ..tenant(5)
     };
     let said = faults(&[edit(takes), ("t00004".into(), None), edit(both)]);
-    assert_eq!(said, ["Some(2) hosts.0: it is another tenant's, too"]);
+    assert_eq!(
+        said,
+        ["Some(2) hosts.0: the host is already used by another tenant"]
+    );
     // The limit of a server is the same for all who say one.
     let mut other = tenant(7);
     other.servers[0].connections = Some(9);
     assert_eq!(
         faults(&[edit(other.clone())]),
-        ["Some(0) server.0.connections: another tenant says otherwise of this server"]
+        ["Some(0) server.0.connections: another tenant sets a different limit for this server"]
     );
     assert!(faults(&[edit(other), ("t00000".into(), None)]).is_empty());
     let mut twice = tenant(8);
@@ -240,7 +243,7 @@
     let said = faults(&[edit(twice)]);
     assert!(
         said.iter()
-            .any(|f| f.starts_with("Some(0) server.1.name: \"s0\" stands twice")),
+            .any(|f| f.starts_with("Some(0) server.1.name: \"s0\" is used twice")),
         "{said:?}"
     );
     assert!(
--- a/crates/multi-tenant/tests/documents.rs
+++ b/crates/multi-tenant/tests/documents.rs
@@ -130,13 +130,13 @@
         .replace("127.0.0.1:9002", "localhost");
     let said = errors(&bad);
     for part in [
-        "listener.1.address: \"127.0.0.1:0 \" is no address",
-        "listener.2.tenant: there is no such tenant",
-        "tenant.0.server.1.name: \"n1\" stands twice",
-        "tenant.0.class.0.aim: it is more than nothing and at most the deadline",
-        "tenant.0.server.1.address: \"localhost\" is no address with a port",
-        "tenant.1.hosts.1: it is another tenant's, too",
-        "tenant.1.server.0.connections: another tenant says otherwise",
+        "listener.1.address: \"127.0.0.1:0 \" is not an address",
+        "listener.2.tenant: unknown tenant",
+        "tenant.0.server.1.name: \"n1\" is used twice",
+        "tenant.0.class.0.aim: must be greater than 0 and at most the deadline",
+        "tenant.0.server.1.address: \"localhost\" is not an address with a port",
+        "tenant.1.hosts.1: the host is already used by another tenant",
+        "tenant.1.server.0.connections: another tenant sets a different limit",
     ] {
         assert!(said.contains(part), "{part}\n{said}");
     }
