--- a/crates/admin-api/src/access.rs
+++ b/crates/admin-api/src/access.rs
@@ -25,17 +25,17 @@
 
 /// What an operation asks of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Needs {
+pub enum Permission {
     /// Nothing: it tells what anybody may know.
-    Nothing,
+    Public,
     /// The right to look.
     Read,
     /// The right to change what it concerns.
     Write,
     /// An operator's right.
-    Operate,
+    Operator,
     /// The right to look at all tenants.
-    Oversee,
+    AllTenants,
 }
 
 /// A hash of a secret, and until when it is good.
@@ -67,7 +67,7 @@
 
 /// Who calls.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Who {
+pub struct Principal {
     /// The token's id.
     pub id: String,
     /// Its name.
@@ -78,19 +78,19 @@
     pub tenant: Option<String>,
 }
 
-impl Who {
+impl Principal {
     /// Whether it may know that a tenant is there.
-    pub fn sees(&self, tenant: &str) -> bool {
+    pub fn can_see(&self, tenant: &str) -> bool {
         self.tenant.as_deref().is_none_or(|own| own == tenant)
     }
 
     /// Whether it sees all tenants.
-    pub fn oversees(&self) -> bool {
+    pub fn sees_all_tenants(&self) -> bool {
         self.tenant.is_none()
     }
 
     /// Whether it is an operator's.
-    pub fn operates(&self) -> bool {
+    pub fn is_operator(&self) -> bool {
         self.role == Role::Operator
     }
 
@@ -98,44 +98,44 @@
     ///
     /// # Errors
     /// It is not.
-    pub fn may(&self, needs: Needs) -> Result<(), Problem> {
-        let may = match needs {
-            Needs::Nothing | Needs::Read => true,
-            Needs::Write => self.role != Role::ReadOnly,
-            Needs::Operate => self.operates(),
-            Needs::Oversee => self.oversees(),
+    pub fn authorize(&self, permission: Permission) -> Result<(), Problem> {
+        let is_allowed = match permission {
+            Permission::Public | Permission::Read => true,
+            Permission::Write => self.role != Role::ReadOnly,
+            Permission::Operator => self.is_operator(),
+            Permission::AllTenants => self.sees_all_tenants(),
         };
-        let why = match needs {
-            Needs::Operate => "it needs an operator's token",
-            Needs::Oversee => "it needs a token for all tenants",
+        let reason = match permission {
+            Permission::Operator => "it needs an operator's token",
+            Permission::AllTenants => "it needs a token for all tenants",
             _ => "a read-only token changes nothing",
         };
-        if may {
+        if is_allowed {
             Ok(())
         } else {
-            Err(Problem::forbidden(why))
+            Err(Problem::forbidden(reason))
         }
     }
 }
 
 /// What tokens begin with, so that scanners for leaked secrets can know them.
-const PREFIX: &str = "cct_";
+const TOKEN_PREFIX: &str = "cct_";
 /// Bytes of an id, and of a secret.
-const ID: usize = 8;
-const SECRET: usize = 32;
+const ID_BYTES: usize = 8;
+const SECRET_BYTES: usize = 32;
 
 /// Draws what nobody can guess.
 ///
 /// # Errors
 /// The system has no random numbers.
-fn draw<const N: usize>() -> Result<String, Problem> {
+fn random_string<const N: usize>() -> Result<String, Problem> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).map_err(|e| Problem::internal(format!("random numbers: {e}")))?;
     Ok(BASE64_URL_SAFE_NO_PAD.encode(bytes))
 }
 
 /// A secret has 256 bits of chance, so that one round of a hash is enough to keep it.
-fn hash(secret: &str) -> String {
+fn hash_secret(secret: &str) -> String {
     BASE64_URL_SAFE_NO_PAD.encode(Sha256::digest(secret.as_bytes()))
 }
 
@@ -145,7 +145,7 @@
 /// The system has no random numbers.
 pub fn new_id() -> Result<String, Problem> {
     // Ids stand in paths and in tokens, whose parts underscores divide.
-    Ok(draw::<ID>()?.replace(['_', '-'], "0"))
+    Ok(random_string::<ID_BYTES>()?.replace(['_', '-'], "0"))
 }
 
 /// A new secret for a token: what its owner gets, and what is stored.
@@ -153,12 +153,12 @@
 /// # Errors
 /// The system has no random numbers.
 pub fn new_secret(id: &str) -> Result<(String, Secret), Problem> {
-    let secret = draw::<SECRET>()?;
+    let secret = random_string::<SECRET_BYTES>()?;
     let stored = Secret {
-        hash: hash(&secret),
+        hash: hash_secret(&secret),
         until_ms: None,
     };
-    Ok((format!("{PREFIX}{id}_{secret}"), stored))
+    Ok((format!("{TOKEN_PREFIX}{id}_{secret}"), stored))
 }
 
 impl Token {
@@ -174,18 +174,18 @@
     }
 
     /// Until when a former secret is good, if there is one.
-    pub fn overlap_ms(&self) -> Option<u64> {
+    pub fn overlap_end_ms(&self) -> Option<u64> {
         self.secrets.get(1).and_then(|s| s.until_ms)
     }
 
-    fn is_good(&self, secret: &str, now_ms: u64) -> bool {
-        let hash = hash(secret);
-        // Every secret is looked at, whichever fits.
-        let fits = self.secrets.iter().fold(0, |fits, s| {
-            let alive = u8::from(s.until_ms.is_none_or(|until| now_ms < until));
-            fits | (s.hash.as_bytes().ct_eq(hash.as_bytes()).unwrap_u8() & alive)
+    fn is_valid(&self, secret: &str, now_ms: u64) -> bool {
+        let hash = hash_secret(secret);
+        // Every secret is looked at, whichever matches.
+        let matches = self.secrets.iter().fold(0, |matches, s| {
+            let is_current = u8::from(s.until_ms.is_none_or(|until| now_ms < until));
+            matches | (s.hash.as_bytes().ct_eq(hash.as_bytes()).unwrap_u8() & is_current)
         });
-        fits == 1 && self.expires_ms.is_none_or(|end| now_ms < end)
+        matches == 1 && self.expires_ms.is_none_or(|end| now_ms < end)
     }
 }
 
@@ -193,28 +193,28 @@
 ///
 /// # Errors
 /// It is no good token; which part of it is wrong is not told.
-pub fn who(
+pub fn authenticate(
     tokens: &BTreeMap<String, Token>,
     authorization: Option<&str>,
     now_ms: u64,
-) -> Result<Who, Problem> {
-    let none = || Problem::unauthorized("send Authorization: Bearer with a valid token");
+) -> Result<Principal, Problem> {
+    let unauthorized = || Problem::unauthorized("send Authorization: Bearer with a valid token");
     let (scheme, token) = authorization
         .and_then(|a| a.split_once(' '))
-        .ok_or_else(none)?;
+        .ok_or_else(unauthorized)?;
     let token = token.trim();
     let (id, secret) = token
-        .strip_prefix(PREFIX)
+        .strip_prefix(TOKEN_PREFIX)
         .and_then(|t| t.split_once('_'))
-        .ok_or_else(none)?;
+        .ok_or_else(unauthorized)?;
     if !scheme.eq_ignore_ascii_case("bearer") {
-        return Err(none());
+        return Err(unauthorized());
     }
     let stored = tokens
         .get(id)
-        .filter(|t| t.is_good(secret, now_ms))
-        .ok_or_else(none)?;
-    Ok(Who {
+        .filter(|t| t.is_valid(secret, now_ms))
+        .ok_or_else(unauthorized)?;
+    Ok(Principal {
         id: id.to_owned(),
         name: stored.name.clone(),
         role: stored.role,
--- a/crates/admin-api/src/desk.rs
+++ b/crates/admin-api/src/admin_state.rs
@@ -1,7 +1,7 @@
 //! The desk: it holds the present documents, decides each call, and stores what changes before anything else hears of it.
 //!
 //! The documents are held once, packed, as a [`Catalog`]. A change costs what it touches: it makes another catalog that shares all else,
-//! and checks what the change may break. Only a start, another whole state, and calls that concern all tenants walk over all.
+//! and checks what the change may break. Only a start, another token_text state, and calls that concern all tenants walk over all.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -18,18 +18,18 @@
 use serde_json::{Value, json};
 use sha2::{Digest as _, Sha256};
 
-use crate::access::{self, Role, Token, Who};
-use crate::answers::{By, Changed, Written};
+use crate::access::{self, Principal, Role, Token};
+use crate::bodies::{Actor, ChangeResult, TenantChange};
 use crate::call::{Call, Outcome, Reply};
 use crate::difference::{self, Difference};
-use crate::events::Happened;
-use crate::problem::{Problem, short};
+use crate::events::VersionEvent;
+use crate::problem::{Problem, truncated};
 
 /// The file in the state's directory that holds the first operator's token.
-pub const OPERATOR: &str = "operator.token";
+pub const OPERATOR_TOKEN_FILE: &str = "operator.token";
 
 /// Holds the present documents and the store.
-pub struct Desk {
+pub struct AdminState {
     /// None where the state is read-only.
     store: Option<Store>,
     /// Why nothing can be changed, if so.
@@ -38,30 +38,31 @@
     /// The present version.
     version: u64,
     /// The last line of the audit log.
-    entry: u64,
+    last_entry: u64,
     /// Whether the snapshot lags behind.
-    stale: bool,
+    snapshot_stale: bool,
     tokens: BTreeMap<String, Token>,
     /// The present documents, each with its revision, in what the file says of process and listeners.
     catalog: Catalog,
     parts: Parts,
-    form: Form,
+    tenant_form: Form,
     /// Whether what is to be stored is agreed on with others first.
-    agrees: bool,
+    in_cluster: bool,
 }
 
 /// What is to be stored, with what goes with it. It can be written down, so that others can store the same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Agreed {
+pub struct AgreedChange {
     /// What is stored.
-    pub write: Transaction,
+    #[serde(rename = "write")]
+    pub transaction: Transaction,
     /// What changes for which tenants.
-    pub tenants: Vec<Changed>,
+    pub tenants: Vec<TenantChange>,
 }
 
 /// What the form of [`Agreed`] is numbered by. A program that does not know the number can't take the change.
-fn form() -> u64 {
+fn change_format() -> u64 {
     // What a program says that is newer than this one.
     fail::fail_point!("agreed-form", |said| said
         .and_then(|n| n.parse().ok())
@@ -69,30 +70,30 @@
     1
 }
 
-impl Agreed {
+impl AgreedChange {
     /// As it goes into the log.
-    pub fn write_down(&self) -> String {
-        json!({ "format": form(), "change": self }).to_string()
+    pub fn encode(&self) -> String {
+        json!({ "format": change_format(), "change": self }).to_string()
     }
 
     /// As it comes from the log.
     ///
     /// # Errors
     /// It is of a program that this one does not know.
-    pub fn read(text: &str) -> Result<Self, String> {
+    pub fn decode(text: &str) -> Result<Self, String> {
         let program = env!("CARGO_PKG_VERSION");
         let unknown = |what: String| {
             format!(
                 "this program ({program}) can't read the change: {}",
-                short(&what)
+                truncated(&what)
             )
         };
         let value: Value = serde_json::from_str(text).map_err(|e| unknown(e.to_string()))?;
-        if value["format"] != form() {
+        if value["format"] != change_format() {
             return Err(unknown(format!(
                 "its form is {}, and it knows {}",
                 value["format"],
-                form()
+                change_format()
             )));
         }
         serde_json::from_value(value["change"].clone()).map_err(|e| unknown(e.to_string()))
@@ -100,15 +101,15 @@
 }
 
 /// What comes of something that was stored.
-pub struct Stored {
+pub struct StoredChange {
     /// What the plane has to carry out, if documents changed.
     pub prepared: Option<Prepared>,
-    /// What is told of it.
-    pub happened: Option<Happened>,
+    /// What is events of it.
+    pub event: Option<VersionEvent>,
 }
 
 /// A change as a handler wants it.
-pub struct Draft {
+pub struct ChangeDraft {
     /// What is done.
     pub action: &'static str,
     /// The tenant that it is done to.
@@ -116,7 +117,7 @@
     /// More about it.
     pub detail: Option<String>,
     /// Documents of tenants by name; none takes the tenant away. With each, where it stands in the caller's body.
-    pub edits: Vec<(String, Option<Value>, Frame)>,
+    pub edits: Vec<(String, Option<Value>, PointerMapping)>,
     /// Where something new will be, and so the status of the answer.
     pub location: Option<String>,
 }
@@ -124,26 +125,31 @@
 /// How pointers into a tenant's document become pointers into the body that it came by, so that faults are named as the
 /// caller wrote them.
 #[derive(Clone, Debug, Default)]
-pub struct Frame {
+pub struct PointerMapping {
     /// The body became this part of the document.
-    pub part: String,
+    pub body_in_document: String,
     /// The document is this part of the body.
-    pub above: String,
+    pub document_in_body: String,
 }
 
-impl Frame {
+impl PointerMapping {
     /// The body is a part of the document.
-    pub fn part(part: String) -> Self {
-        Frame {
-            part,
-            above: String::new(),
+    pub fn body_at(path: String) -> Self {
+        PointerMapping {
+            body_in_document: path,
+            document_in_body: String::new(),
         }
     }
 
     /// Faults of a document as faults of the body.
-    fn outside(&self, faults: Vec<Fault>) -> Vec<Fault> {
-        let pointer =
-            |p: &str| format!("{}{}", self.above, p.strip_prefix(&self.part).unwrap_or(p));
+    fn to_body(&self, faults: Vec<Fault>) -> Vec<Fault> {
+        let pointer = |p: &str| {
+            format!(
+                "{}{}",
+                self.document_in_body,
+                p.strip_prefix(&self.body_in_document).unwrap_or(p)
+            )
+        };
         faults
             .into_iter()
             .map(|f| Fault {
@@ -159,30 +165,33 @@
     format!("tenant/{tenant}")
 }
 
-/// A tenant's document as it is stored and told.
-pub fn written_out(tenant: &Tenant) -> Result<Value, Problem> {
+/// A tenant's document as it is stored and events.
+pub fn tenant_to_json(tenant: &Tenant) -> Result<Value, Problem> {
     serde_json::to_value(tenant).map_err(|e| Problem::internal(e.to_string()))
 }
 
 /// Faults that a message tells of at most.
-const FAULTS: usize = 20;
+const MAX_LISTED_FAULTS: usize = 20;
 
 /// Faults in one text, those beyond the first counted.
-fn all_of(faults: &[String], between: &str) -> String {
+fn join_faults(faults: &[String], between: &str) -> String {
     let mut text = faults
         .iter()
-        .take(FAULTS)
-        .map(|f| short(f))
+        .take(MAX_LISTED_FAULTS)
+        .map(|f| truncated(f))
         .collect::<Vec<_>>()
         .join(between);
-    if faults.len() > FAULTS {
-        text.push_str(&format!("{between}and {} more", faults.len() - FAULTS));
+    if faults.len() > MAX_LISTED_FAULTS {
+        text.push_str(&format!(
+            "{between}and {} more",
+            faults.len() - MAX_LISTED_FAULTS
+        ));
     }
     text
 }
 
 /// The tenant of a scope.
-pub fn tenant_of(scope: &str) -> Option<String> {
+pub fn tenant_from_scope(scope: &str) -> Option<String> {
     scope.strip_prefix("tenant/").map(str::to_owned)
 }
 
@@ -196,30 +205,30 @@
 }
 
 /// Documents that are read one by one, packed as they come.
-struct Loaded {
+struct LoadedDocuments {
     catalog: Catalog,
     parts: Parts,
     /// What is wrong with them.
     faults: Vec<String>,
 }
 
-impl Loaded {
+impl LoadedDocuments {
     /// What a reader tells, and what it returns.
-    fn of<T>(
+    fn read<T>(
         parts: Parts,
         read: impl FnOnce(DocumentVisitor<'_>) -> Result<T, StoreError>,
     ) -> Result<(T, Self), StoreError> {
         let form = Form::of::<Tenant>().map_err(StoreError::Unavailable)?;
-        let mut loaded = Loaded {
+        let mut loaded = LoadedDocuments {
             catalog: Catalog::new(&Service::default()),
             parts,
             faults: Vec::new(),
         };
-        let done = read(&mut |scope, rev, document| loaded.take(&form, scope, rev, &document))?;
+        let done = read(&mut |scope, rev, document| loaded.add(&form, scope, rev, &document))?;
         Ok((done, loaded))
     }
 
-    fn take(&mut self, form: &Form, scope: &str, rev: u64, document: &Value) {
+    fn add(&mut self, form: &Form, scope: &str, rev: u64, document: &Value) {
         let tenant = match form.read::<Tenant>(document) {
             Ok(tenant) => tenant,
             Err(faults) => {
@@ -232,8 +241,10 @@
         let i = self.catalog.len();
         let edit = [(tenant.name.clone(), Some(tenant))];
         for (_, fault) in check::edits(&self.catalog, &edit) {
-            self.faults
-                .push(no_fit(&format!("tenant.{i}.{}", fault.key()), &fault.what));
+            self.faults.push(mismatch(
+                &format!("tenant.{i}.{}", fault.key()),
+                &fault.what,
+            ));
         }
         if let [(_, Some(tenant))] = &edit {
             self.catalog.put(&mut self.parts, tenant, rev);
@@ -283,11 +294,11 @@
     stored.into_iter().map(token).collect()
 }
 
-fn no_fit(key: &str, what: &str) -> String {
+fn mismatch(key: &str, what: &str) -> String {
     format!("the file and the state do not fit: {key}: {what}")
 }
 
-impl Desk {
+impl AdminState {
     /// Opens the state of a service whose process and listeners stand in a file. Tenants of the file go into a state that is
     /// still empty; afterwards the state alone says who is served. With `read_only`, a store that can't be used is left
     /// alone, and the last known good state is served without changes.
@@ -295,36 +306,39 @@
     /// # Errors
     /// What is wrong with the state, or what in it does not fit the file; what to do about it.
     pub fn open(file: &Service, read_only: bool, now_ms: u64) -> Result<Self, String> {
-        let durable = file.state.as_ref().ok_or("state: it is missing")?;
-        let directory = PathBuf::from(&durable.directory);
+        let state_file = file.state.as_ref().ok_or("state: it is missing")?;
+        let directory = PathBuf::from(&state_file.directory);
         let keep = Retention {
-            versions: durable.keep_versions,
+            versions: state_file.keep_versions,
             ..Retention::default()
         };
         let opened = Store::open(&directory, keep).and_then(|(store, state)| {
-            let ((), loaded) = Loaded::of(Parts::default(), |each| store.visit_documents(each))?;
+            let ((), loaded) =
+                LoadedDocuments::read(Parts::default(), |each| store.visit_documents(each))?;
             Ok((loaded, store, state))
         });
         let (loaded, store, state, why) = match opened {
             Ok((loaded, store, state)) => (loaded, Some(store), state, None),
             Err(e) if read_only => {
                 tracing::warn!(error = %e, "the store can't be used; the last known good state is served");
-                let kept = Loaded::of(Parts::default(), |each| snapshot::read(&directory, each));
-                let (state, loaded) = kept.map_err(|s| format!("{e}; and no snapshot: {s}"))?;
+                let snapshot = LoadedDocuments::read(Parts::default(), |each| {
+                    snapshot::read(&directory, each)
+                });
+                let (state, loaded) = snapshot.map_err(|s| format!("{e}; and no snapshot: {s}"))?;
                 (loaded, None, state, Some(e.to_string()))
             }
             Err(e) => return Err(format!("{}: {e}", directory.display())),
         };
         let read_only = read_only
             .then(|| why.unwrap_or_else(|| "it was started with --read-only-state".into()));
-        Desk::over(file, store, (state, loaded), read_only, directory, now_ms)
+        AdminState::assemble(file, store, (state, loaded), read_only, directory, now_ms)
     }
 
     /// A desk over a store that is open.
     ///
     /// # Errors
     /// As [`Desk::open`].
-    pub fn with(
+    pub fn with_store(
         file: &Service,
         store: Option<Store>,
         state: StoreState,
@@ -334,53 +348,54 @@
     ) -> Result<Self, String> {
         let stored =
             |each: DocumentVisitor<'_>| store.as_ref().map_or(Ok(()), |s| s.visit_documents(each));
-        let ((), loaded) = Loaded::of(Parts::default(), stored).map_err(|e| e.to_string())?;
-        Desk::over(file, store, (state, loaded), read_only, directory, now_ms)
+        let ((), loaded) =
+            LoadedDocuments::read(Parts::default(), stored).map_err(|e| e.to_string())?;
+        AdminState::assemble(file, store, (state, loaded), read_only, directory, now_ms)
     }
 
-    fn over(
+    fn assemble(
         file: &Service,
         store: Option<Store>,
-        (state, loaded): (StoreState, Loaded),
+        (state, loaded): (StoreState, LoadedDocuments),
         read_only: Option<String>,
         directory: PathBuf,
         now_ms: u64,
     ) -> Result<Self, String> {
-        let mut desk = Desk {
-            agrees: file.cluster.is_some(),
+        let mut admin = AdminState {
+            in_cluster: file.cluster.is_some(),
             store,
             read_only,
             directory,
             version: state.version,
-            entry: state.last_entry,
-            stale: true,
+            last_entry: state.last_entry,
+            snapshot_stale: true,
             tokens: tokens(state.tokens)?,
             catalog: Catalog::new(&Service::default()),
             parts: Parts::default(),
-            form: Form::of::<Tenant>()?,
+            tenant_form: Form::of::<Tenant>()?,
         };
         // Where others have a say, they may have versions already.
-        if desk.entry == 0 && desk.read_only.is_none() && !desk.agrees {
-            desk.begin(file, now_ms)?;
+        if admin.last_entry == 0 && admin.read_only.is_none() && !admin.in_cluster {
+            admin.write_first_version(file, now_ms)?;
         } else {
-            desk.go_over(file, loaded)?;
+            admin.use_documents(file, loaded)?;
         }
-        Ok(desk)
+        Ok(admin)
     }
 
     /// Takes what was read for the present documents.
-    fn go_over(&mut self, file: &Service, loaded: Loaded) -> Result<(), String> {
+    fn use_documents(&mut self, file: &Service, loaded: LoadedDocuments) -> Result<(), String> {
         if !loaded.faults.is_empty() {
-            return Err(all_of(&loaded.faults, "\n"));
+            return Err(join_faults(&loaded.faults, "\n"));
         }
         (self.catalog, self.parts) = (loaded.catalog, loaded.parts);
-        self.catalog = self.framed(file)?;
+        self.catalog = self.catalog_for(file)?;
         Ok(())
     }
 
     /// The present documents in what a file says of process and listeners. Before anything is stored, nothing is served.
-    fn framed(&self, file: &Service) -> Result<Catalog, String> {
-        if self.agrees && self.entry == 0 {
+    fn catalog_for(&self, file: &Service) -> Result<Catalog, String> {
+        if self.in_cluster && self.last_entry == 0 {
             return Ok(Catalog::new(&Service {
                 listeners: Vec::new(),
                 ..file.clone()
@@ -389,12 +404,12 @@
         let faults = check::around(file, |name| self.catalog.name(name).is_some());
         let all = faults
             .iter()
-            .map(|f| no_fit(&f.key(), &f.what))
+            .map(|f| mismatch(&f.key(), &f.what))
             .collect::<Vec<_>>();
         if all.is_empty() {
             Ok(self.catalog.in_frame(file))
         } else {
-            Err(all_of(&all, "\n"))
+            Err(join_faults(&all, "\n"))
         }
     }
 
@@ -402,13 +417,13 @@
     ///
     /// # Errors
     /// It can't be stored, or does not fit.
-    pub fn found(&mut self, file: &Service, now_ms: u64) -> Result<(u64, u64, String), String> {
-        if self.entry == 0 {
-            self.begin(file, now_ms)?;
+    pub fn bootstrap(&mut self, file: &Service, now_ms: u64) -> Result<(u64, u64, String), String> {
+        if self.last_entry == 0 {
+            self.write_first_version(file, now_ms)?;
         } else {
-            self.catalog = self.framed(file)?;
+            self.catalog = self.catalog_for(file)?;
         }
-        Ok((self.version, self.entry, self.export()?))
+        Ok((self.version, self.last_entry, self.export()?))
     }
 
     /// All that is stored, as text.
@@ -426,21 +441,22 @@
     ///
     /// # Errors
     /// It can't be read or stored, or does not fit the file; then what was here is served no more.
-    pub fn replace(&mut self, file: &Service, text: &str) -> Result<(), String> {
+    pub fn restore(&mut self, file: &Service, text: &str) -> Result<(), String> {
         let store = self.store.as_mut().ok_or("the state is read-only")?;
         let state = config_store::restore(store, text.as_bytes()).map_err(|e| e.to_string())?;
-        (self.version, self.entry, self.stale) = (state.version, state.last_entry, true);
+        (self.version, self.last_entry, self.snapshot_stale) =
+            (state.version, state.last_entry, true);
         self.tokens = tokens(state.tokens)?;
-        self.load(file)
+        self.load_documents(file)
     }
 
     /// Reads all documents from the store.
-    fn load(&mut self, file: &Service) -> Result<(), String> {
+    fn load_documents(&mut self, file: &Service) -> Result<(), String> {
         let store = self.store.as_ref().ok_or("the state is read-only")?;
         let parts = std::mem::take(&mut self.parts);
-        let ((), loaded) =
-            Loaded::of(parts, |each| store.visit_documents(each)).map_err(|e| e.to_string())?;
-        self.go_over(file, loaded)
+        let ((), loaded) = LoadedDocuments::read(parts, |each| store.visit_documents(each))
+            .map_err(|e| e.to_string())?;
+        self.use_documents(file, loaded)
     }
 
     /// Takes what a survivor's log has beyond what is stored here, and goes on at a later version: a cluster begins anew. What there
@@ -448,7 +464,7 @@
     ///
     /// # Errors
     /// Something can't be read or stored, or does not fit.
-    pub fn salvage(
+    pub fn recover(
         &mut self,
         file: &Service,
         payloads: &[String],
@@ -457,10 +473,11 @@
         now_ms: u64,
     ) -> Result<(u64, u64, String), String> {
         for payload in payloads {
-            self.take(&Agreed::read(payload)?).map_err(|p| p.detail)?;
+            self.store_agreed(&AgreedChange::decode(payload)?)
+                .map_err(|p| p.detail)?;
         }
-        let write = Transaction {
-            base_entry: self.entry,
+        let transaction = Transaction {
+            base_entry: self.last_entry,
             at_ms: now_ms,
             author: Author {
                 id: "restore".into(),
@@ -474,21 +491,24 @@
             reply: None,
             minimum_version: Some(version),
         };
-        self.commit(&write).map_err(|e| e.to_string())?;
-        self.catalog = self.framed(file)?;
-        Ok((self.version, self.entry, self.export()?))
+        self.commit(&transaction).map_err(|e| e.to_string())?;
+        self.catalog = self.catalog_for(file)?;
+        Ok((self.version, self.last_entry, self.export()?))
     }
 
     /// How much is stored.
-    pub fn entry(&self) -> u64 {
-        self.entry
+    pub fn last_entry(&self) -> u64 {
+        self.last_entry
     }
 
     /// The documents of a change that was agreed on, as they are read.
-    fn edits(&self, write: &Transaction) -> Result<Vec<(String, Option<Tenant>)>, String> {
+    fn read_edits(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<Vec<(String, Option<Tenant>)>, String> {
         let mut edits = Vec::new();
-        for (scope, document) in &write.edits {
-            let Some(name) = tenant_of(scope) else {
+        for (scope, document) in &transaction.edits {
+            let Some(name) = tenant_from_scope(scope) else {
                 continue;
             };
             let faults = |f: Vec<Fault>| {
@@ -496,11 +516,11 @@
                     .iter()
                     .map(|f| format!("{name}: {}: {}", f.key(), f.what))
                     .collect();
-                all_of(&all, "; ")
+                join_faults(&all, "; ")
             };
             let read = document
                 .as_ref()
-                .map(|d| self.form.read::<Tenant>(d).map_err(faults))
+                .map(|d| self.tenant_form.read::<Tenant>(d).map_err(faults))
                 .transpose()?;
             edits.push((name, read));
         }
@@ -508,7 +528,7 @@
     }
 
     /// The documents as they would be after a change, and the revisions that it gives.
-    fn after(
+    fn catalog_after(
         &mut self,
         edits: &[(String, Option<Tenant>)],
     ) -> Result<(Catalog, Vec<u64>), StoreError> {
@@ -532,20 +552,20 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn can_take(
+    pub fn validate_change(
         &mut self,
-        agreed: &Agreed,
+        agreed: &AgreedChange,
     ) -> Result<BTreeMap<String, BTreeSet<String>>, String> {
         if let Some(why) = &self.read_only {
             return Err(format!("nothing can be stored here: {why}"));
         }
-        if agreed.write.base_entry != self.entry {
+        if agreed.transaction.base_entry != self.last_entry {
             return Err(format!(
                 "it was made on entry {}, and here is {}",
-                agreed.write.base_entry, self.entry
+                agreed.transaction.base_entry, self.last_entry
             ));
         }
-        let edits = self.edits(&agreed.write)?;
+        let edits = self.read_edits(&agreed.transaction)?;
         let all: Vec<String> = check::edits(&self.catalog, &edits)
             .into_iter()
             .map(|(edit, f)| match edit.and_then(|i| edits.get(i)) {
@@ -554,12 +574,12 @@
             })
             .collect();
         if !all.is_empty() {
-            return Err(all_of(&all, "; "));
+            return Err(join_faults(&all, "; "));
         }
         for (name, _) in &edits {
             self.tenant(name).map_err(|p| p.detail)?;
         }
-        let (next, _) = self.after(&edits).map_err(|e| e.to_string())?;
+        let (next, _) = self.catalog_after(&edits).map_err(|e| e.to_string())?;
         Ok(plan::ended(&self.catalog, &next))
     }
 
@@ -567,30 +587,34 @@
     ///
     /// # Errors
     /// It can't be stored, or does not fit.
-    pub fn take(&mut self, agreed: &Agreed) -> Result<Stored, Problem> {
-        let write = &agreed.write;
-        if write.base_entry < self.entry {
-            return Ok(Stored {
+    pub fn store_agreed(&mut self, agreed: &AgreedChange) -> Result<StoredChange, Problem> {
+        let transaction = &agreed.transaction;
+        if transaction.base_entry < self.last_entry {
+            return Ok(StoredChange {
                 prepared: None,
-                happened: None,
+                event: None,
             });
         }
-        let prepared = match write.edits.is_empty() {
+        let prepared = match transaction.edits.is_empty() {
             true => None,
             false => {
-                let edits = self.edits(write).map_err(Problem::internal)?;
-                let (next, _) = self.after(&edits)?;
+                let edits = self.read_edits(transaction).map_err(Problem::internal)?;
+                let (next, _) = self.catalog_after(&edits)?;
                 Some(Prepared::between(&self.catalog, next))
             }
         };
-        self.put(agreed, prepared)
+        self.store_change(agreed, prepared)
     }
 
     /// Stores something, and goes over to what it comes to.
-    fn put(&mut self, agreed: &Agreed, prepared: Option<Prepared>) -> Result<Stored, Problem> {
-        let write = &agreed.write;
-        self.commit(write)?;
-        for (id, token) in &write.tokens {
+    fn store_change(
+        &mut self,
+        agreed: &AgreedChange,
+        prepared: Option<Prepared>,
+    ) -> Result<StoredChange, Problem> {
+        let transaction = &agreed.transaction;
+        self.commit(transaction)?;
+        for (id, token) in &transaction.tokens {
             match token {
                 Some(t) => match serde_json::from_value(t.clone()) {
                     Ok(token) => drop(self.tokens.insert(id.clone(), token)),
@@ -600,45 +624,46 @@
             }
         }
         let Some(prepared) = prepared else {
-            return Ok(Stored {
+            return Ok(StoredChange {
                 prepared: None,
-                happened: None,
+                event: None,
             });
         };
         self.catalog = prepared.next.clone();
-        let happened = Happened {
+        let event = VersionEvent {
             version: self.version,
-            at_ms: write.at_ms,
-            by: By {
-                id: write.author.id.clone(),
-                name: write.author.name.clone(),
+            at_ms: transaction.at_ms,
+            by: Actor {
+                id: transaction.author.id.clone(),
+                name: transaction.author.name.clone(),
             },
-            action: write.action.clone(),
+            action: transaction.action.clone(),
             tenants: agreed.tenants.clone(),
         };
-        Ok(Stored {
+        Ok(StoredChange {
             prepared: Some(prepared),
-            happened: Some(happened),
+            event: Some(event),
         })
     }
 
     /// The first version: the file's tenants, and an operator's token, whose secret goes into a file.
-    fn begin(&mut self, file: &Service, now_ms: u64) -> Result<(), String> {
+    fn write_first_version(&mut self, file: &Service, now_ms: u64) -> Result<(), String> {
         let program = || Author {
             id: "start".into(),
             name: "the first start".into(),
         };
-        let (id, whole, token) = operator("first operator", now_ms).map_err(|p| p.detail)?;
+        let (id, token_text, token) =
+            new_operator_token("first operator", now_ms).map_err(|p| p.detail)?;
         // The token's file first: a crash before the store knows it leaves a file that the next start writes anew.
-        write_secret(&self.directory.join(OPERATOR), &whole)
-            .map_err(|e| format!("{OPERATOR}: {e}"))?;
+        write_secret(&self.directory.join(OPERATOR_TOKEN_FILE), &token_text)
+            .map_err(|e| format!("{OPERATOR_TOKEN_FILE}: {e}"))?;
         let edit = |t: &Tenant| {
             Ok((
                 scope(&t.name),
                 Some(serde_json::to_value(t).map_err(|e| e.to_string())?),
             ))
         };
-        let write = Transaction {
+        let transaction = Transaction {
             base_entry: 0,
             at_ms: now_ms,
             author: program(),
@@ -654,18 +679,18 @@
             reply: None,
             minimum_version: None,
         };
-        self.commit(&write).map_err(|e| e.to_string())?;
+        self.commit(&transaction).map_err(|e| e.to_string())?;
         let added = |t: (String, Option<Value>)| Some((t.0, t.1?));
-        self.tokens = tokens(write.tokens.into_iter().filter_map(added).collect())?;
-        drop(write.edits);
-        self.load(file)
+        self.tokens = tokens(transaction.tokens.into_iter().filter_map(added).collect())?;
+        drop(transaction.edits);
+        self.load_documents(file)
     }
 
     /// What leads to another file's listeners; [`Desk::reloaded`] once that is in effect.
     ///
     /// # Errors
     /// The file does not fit the state.
-    pub fn reload(&self, file: &Service) -> Result<Prepared, String> {
+    pub fn prepare_reload(&self, file: &Service) -> Result<Prepared, String> {
         let start = self.catalog.frame();
         let next = Service {
             process: start.process.clone(),
@@ -673,11 +698,11 @@
             admin: start.admin.clone(),
             ..file.clone()
         };
-        Ok(Prepared::between(&self.catalog, self.framed(&next)?))
+        Ok(Prepared::between(&self.catalog, self.catalog_for(&next)?))
     }
 
     /// Another file's listeners are in effect.
-    pub fn reloaded(&mut self, catalog: Catalog) {
+    pub fn finish_reload(&mut self, catalog: Catalog) {
         self.catalog = catalog;
     }
 
@@ -687,7 +712,7 @@
     }
 
     /// How many tenants were packed so far, from which tests tell what a change costs.
-    pub fn packed(&self) -> u64 {
+    pub fn packed_count(&self) -> u64 {
         self.parts.packed()
     }
 
@@ -702,20 +727,20 @@
     }
 
     /// Nothing can be changed from here on.
-    pub fn close(&mut self, why: &str) {
+    pub fn set_read_only(&mut self, why: &str) {
         self.read_only = Some(why.to_owned());
     }
 
     /// What a new snapshot holds, if the last one lags behind.
-    pub fn snapshot(&mut self) -> Option<Snapshot> {
-        let lags = std::mem::take(&mut self.stale) && self.store.is_some();
+    pub fn take_snapshot(&mut self) -> Option<Snapshot> {
+        let is_stale = std::mem::take(&mut self.snapshot_stale) && self.store.is_some();
         let token =
             |(id, t): (&String, &Token)| (id.clone(), serde_json::to_value(t).unwrap_or_default());
-        lags.then(|| Snapshot {
+        is_stale.then(|| Snapshot {
             directory: self.directory.clone(),
             state: StoreState {
                 version: self.version,
-                last_entry: self.entry,
+                last_entry: self.last_entry,
                 tokens: self.tokens.iter().map(token).collect(),
             },
             catalog: self.catalog.clone(),
@@ -723,42 +748,52 @@
     }
 
     /// The snapshot could not be written: it lags behind still.
-    pub fn lags(&mut self) {
-        self.stale = true;
+    pub fn mark_snapshot_stale(&mut self) {
+        self.snapshot_stale = true;
     }
 
     /// Who presents this value of the header Authorization.
     ///
     /// # Errors
     /// Nobody that is known.
-    pub fn who(&self, authorization: Option<&str>, now_ms: u64) -> Result<Who, Problem> {
-        access::who(&self.tokens, authorization, now_ms)
+    pub fn authenticate(
+        &self,
+        authorization: Option<&str>,
+        now_ms: u64,
+    ) -> Result<Principal, Problem> {
+        access::authenticate(&self.tokens, authorization, now_ms)
     }
 
     /// Whether a token that was good when somebody called is there still, and has not ended.
-    pub fn still_knows(&self, who: &Who, now_ms: u64) -> bool {
-        let token = self.tokens.get(&who.id);
+    pub fn is_token_valid(&self, principal: &Principal, now_ms: u64) -> bool {
+        let token = self.tokens.get(&principal.id);
         token.is_some_and(|t| t.expires_ms.is_none_or(|end| now_ms < end))
     }
 
-    /// Versions after one that somebody has heard of, as they were told, of the newest `most` that are kept.
+    /// Versions after one that somebody has heard of, as they were events, of the newest `most` that are kept.
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn since(&self, who: &Who, id: u64, most: usize) -> Result<Vec<(u64, Value)>, Problem> {
+    pub fn events_since(
+        &self,
+        principal: &Principal,
+        id: u64,
+        max_events: usize,
+    ) -> Result<Vec<(u64, Value)>, Problem> {
         let Ok(store) = self.store() else {
             return Ok(Vec::new());
         };
-        let mut told = Vec::new();
-        for (_, entry) in store.versions(u64::MAX, most)? {
-            let event = Happened::of(&entry, tenant_of).and_then(|h| h.told_to(who));
+        let mut events = Vec::new();
+        for (_, entry) in store.versions(u64::MAX, max_events)? {
+            let event = VersionEvent::from_audit_entry(&entry, tenant_from_scope)
+                .and_then(|h| h.visible_to(principal));
             match event {
                 Some((number, _)) if number <= id => break,
-                event => told.extend(event),
+                event => events.extend(event),
             }
         }
-        told.reverse();
-        Ok(told)
+        events.reverse();
+        Ok(events)
     }
 
     /// The store.
@@ -778,7 +813,7 @@
     pub fn tenant(&mut self, name: &str) -> Result<Option<(u64, Tenant)>, Problem> {
         if let Some(Err(damaged)) = self.catalog.get(name) {
             tracing::error!(error = %damaged, "it is read anew from what is stored");
-            self.mend(name)?;
+            self.reload_tenant(name)?;
         }
         let found = self.catalog.get(name).transpose();
         found.map_err(|damaged| Problem::internal(damaged.to_string()))
@@ -788,7 +823,7 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn mend(&mut self, name: &str) -> Result<(), Problem> {
+    pub fn reload_tenant(&mut self, name: &str) -> Result<(), Problem> {
         let scope = scope(name);
         let stored = match &self.store {
             Some(store) => store.document(&scope)?,
@@ -806,7 +841,7 @@
             |why: &str| Problem::internal(format!("tenant \"{name}\" can't be read anew: {why}"));
         let (rev, document) = stored.ok_or_else(|| lost("it is not stored"))?;
         let tenant = self
-            .form
+            .tenant_form
             .read(&document)
             .map_err(|_| lost("what is stored has another form"))?;
         self.catalog.put(&mut self.parts, &tenant, rev);
@@ -816,24 +851,28 @@
     /// The present document of a tenant that a caller may see, with its revision.
     ///
     /// # Errors
-    /// There is none, or none that the caller may see; which of both is not told.
-    pub fn document(&mut self, who: &Who, tenant: &str) -> Result<(u64, Value), Problem> {
-        let found = if who.sees(tenant) {
+    /// There is none, or none that the caller may see; which of both is not events.
+    pub fn document(
+        &mut self,
+        principal: &Principal,
+        tenant: &str,
+    ) -> Result<(u64, Value), Problem> {
+        let found = if principal.can_see(tenant) {
             self.tenant(tenant)?
         } else {
             None
         };
-        let (rev, tenant) = found.ok_or_else(|| no_tenant(tenant))?;
-        Ok((rev, written_out(&tenant)?))
+        let (rev, tenant) = found.ok_or_else(|| tenant_not_found(tenant))?;
+        Ok((rev, tenant_to_json(&tenant)?))
     }
 
     /// Whether there is a tenant of this name.
-    pub fn has(&self, tenant: &str) -> bool {
+    pub fn has_tenant(&self, tenant: &str) -> bool {
         self.catalog.name(tenant).is_some()
     }
 
     /// The tenants' names, in order.
-    pub fn names(&self) -> impl Iterator<Item = &Name> {
+    pub fn tenant_names(&self) -> impl Iterator<Item = &Name> {
         self.catalog.names()
     }
 
@@ -842,8 +881,8 @@
         &self.tokens
     }
 
-    /// The tag of the whole service.
-    pub fn service_tag(&self) -> String {
+    /// The tag of the token_text service.
+    pub fn service_etag(&self) -> String {
         format!("\"v{}\"", self.version)
     }
 
@@ -851,7 +890,11 @@
     ///
     /// # Errors
     /// It does not, or there is none where one is asked for.
-    pub fn matches(call: &Call, now: Option<&str>, asked_for: bool) -> Result<(), Problem> {
+    pub fn check_precondition(
+        call: &Call,
+        now: Option<&str>,
+        required: bool,
+    ) -> Result<(), Problem> {
         let lists = |value: &str, tag: &str| value.split(',').any(|t| t.trim() == tag);
         if let Some(none) = &call.if_none_match {
             let there = now.is_some_and(|tag| none.trim() == "*" || lists(none, tag));
@@ -861,7 +904,7 @@
             return Ok(());
         }
         match (&call.if_match, now) {
-            (None, Some(_)) if asked_for => Err(Problem::unconditional(
+            (None, Some(_)) if required => Err(Problem::precondition_required(
                 "say by If-Match which revision this is meant for (its ETag), or * for any",
             )),
             (None, _) => Ok(()),
@@ -873,12 +916,12 @@
         }
     }
 
-    /// The answer to a write that was made already, by its idempotency key.
+    /// The answer to a transaction that was made already, by its idempotency key.
     ///
     /// # Errors
     /// The key was used for another call.
-    pub fn repeated(&self, call: &Call) -> Result<Option<Reply>, Problem> {
-        let Some(key) = reply_key(call)? else {
+    pub fn earlier_reply(&self, call: &Call) -> Result<Option<Reply>, Problem> {
+        let Some(key) = idempotency_key(call)? else {
             return Ok(None);
         };
         let Some(kept) = self.store()?.reply(&key)? else {
@@ -902,7 +945,7 @@
     ///
     /// # Errors
     /// What is wrong with it; nothing has changed then.
-    pub fn change(&mut self, call: &Call, draft: Draft) -> Result<Outcome, Problem> {
+    pub fn change(&mut self, call: &Call, draft: ChangeDraft) -> Result<Outcome, Problem> {
         let dry_run = call.dry_run()?;
         if let (false, Some(why)) = (dry_run, &self.read_only) {
             return Err(Problem::read_only(why.clone()));
@@ -914,23 +957,23 @@
         for (name, document, frame) in &draft.edits {
             let now = self
                 .tenant(name)?
-                .map(|(_, tenant)| written_out(&tenant))
+                .map(|(_, tenant)| tenant_to_json(&tenant))
                 .transpose()?;
             let read = match document {
                 Some(d) => {
-                    let faults = |f| Problem::faults(frame.outside(f));
-                    Some(self.form.read::<Tenant>(d).map_err(faults)?)
+                    let faults = |f| Problem::from_faults(frame.to_body(f));
+                    Some(self.tenant_form.read::<Tenant>(d).map_err(faults)?)
                 }
                 None => None,
             };
             // As it is read it has all defaults, so that the same document is the same text.
-            let document = read.as_ref().map(written_out).transpose()?;
+            let document = read.as_ref().map(tenant_to_json).transpose()?;
             if now == document {
                 continue;
             }
-            if differences.len() < difference::MOST {
+            if differences.len() < difference::MAX_DIFFERENCES {
                 let now = now.as_ref();
-                differences.extend(difference::between(
+                differences.extend(difference::compare(
                     &format!("/{name}"),
                     now,
                     document.as_ref(),
@@ -940,12 +983,12 @@
             tenants.push((name.clone(), read));
             before.push(now);
         }
-        allowed(&call.who, &edits, &before)?;
+        check_operator_only(&call.principal, &edits, &before)?;
         drop(before);
-        self.fits(&draft, &tenants)?;
-        differences.truncate(difference::MOST);
+        self.check_service(&draft, &tenants)?;
+        differences.truncate(difference::MAX_DIFFERENCES);
         if edits.is_empty() {
-            let (etag, body) = self.written(call, Vec::new(), differences, dry_run, &edits);
+            let (etag, body) = self.change_result(call, Vec::new(), differences, dry_run, &edits);
             return Ok(Reply {
                 status: 200,
                 etag,
@@ -954,10 +997,10 @@
             }
             .into());
         }
-        let (next, revs) = self.after(&tenants)?;
+        let (next, revs) = self.catalog_after(&tenants)?;
         let prepared = Prepared::between(&self.catalog, next);
-        let changed = changed(&edits, &revs, &prepared);
-        let (etag, body) = self.written(call, changed.clone(), differences, dry_run, &edits);
+        let changed = tenant_changes(&edits, &revs, &prepared);
+        let (etag, body) = self.change_result(call, changed.clone(), differences, dry_run, &edits);
         let status = if draft.location.is_some() && !dry_run {
             201
         } else {
@@ -976,18 +1019,18 @@
             }
             .into());
         }
-        let write = Transaction {
-            base_entry: self.entry,
+        let transaction = Transaction {
+            base_entry: self.last_entry,
             at_ms: call.now_ms,
             author: Author {
-                id: call.who.id.clone(),
-                name: call.who.name.clone(),
+                id: call.principal.id.clone(),
+                name: call.principal.name.clone(),
             },
             action: draft.action.into(),
             subject: draft.subject,
             detail: draft.detail,
             tokens: self
-                .ending(&edits)
+                .tokens_of_removed_tenants(&edits)
                 .into_iter()
                 .map(|id| (id, None))
                 .collect(),
@@ -995,21 +1038,21 @@
                 .into_iter()
                 .map(|(name, d)| (scope(&name), d))
                 .collect(),
-            reply: kept(call, &reply)?,
+            reply: reply_to_keep(call, &reply)?,
             minimum_version: None,
         };
-        let agreed = Agreed {
-            write,
+        let agreed = AgreedChange {
+            transaction,
             tenants: changed,
         };
-        if self.agrees {
-            return Ok(Outcome::Agree(Box::new((agreed, reply))));
+        if self.in_cluster {
+            return Ok(Outcome::Propose(Box::new((agreed, reply))));
         }
-        match self.put(&agreed, Some(prepared))? {
-            Stored {
+        match self.store_change(&agreed, Some(prepared))? {
+            StoredChange {
                 prepared: Some(prepared),
-                happened: Some(happened),
-            } => Ok(Outcome::Change(Box::new((prepared, reply, happened)))),
+                event: Some(event),
+            } => Ok(Outcome::Change(Box::new((prepared, reply, event)))),
             _ => Ok(reply.into()),
         }
     }
@@ -1033,44 +1076,44 @@
         let stored = token
             .as_ref()
             .map(|t| serde_json::to_value(t).unwrap_or_default());
-        // A secret is told once and kept nowhere: who repeats the call is not told it again.
+        // A secret is events once and kept nowhere: who repeats the call is not events it again.
         let secret = reply
             .body
             .as_object_mut()
             .and_then(|body| body.remove("token"));
-        let write = Transaction {
-            base_entry: self.entry,
+        let transaction = Transaction {
+            base_entry: self.last_entry,
             at_ms: call.now_ms,
             author: Author {
-                id: call.who.id.clone(),
-                name: call.who.name.clone(),
+                id: call.principal.id.clone(),
+                name: call.principal.name.clone(),
             },
             action: action.into(),
             subject,
             detail: Some(format!("token {id}")),
             edits: Vec::new(),
             tokens: vec![(id.to_owned(), stored)],
-            reply: kept(call, &reply)?,
+            reply: reply_to_keep(call, &reply)?,
             minimum_version: None,
         };
-        let agreed = Agreed {
-            write,
+        let agreed = AgreedChange {
+            transaction,
             tenants: Vec::new(),
         };
-        if !self.agrees {
-            self.put(&agreed, None)?;
+        if !self.in_cluster {
+            self.store_change(&agreed, None)?;
         }
         if let (Some(secret), Some(body)) = (secret, reply.body.as_object_mut()) {
             body.insert("token".into(), secret);
         }
-        match self.agrees {
-            true => Ok(Outcome::Agree(Box::new((agreed, reply)))),
+        match self.in_cluster {
+            true => Ok(Outcome::Propose(Box::new((agreed, reply)))),
             false => Ok(reply.into()),
         }
     }
 
     /// The tokens of tenants that go. They must not open a later tenant of the same name.
-    fn ending(&self, edits: &[(String, Option<Value>)]) -> Vec<String> {
+    fn tokens_of_removed_tenants(&self, edits: &[(String, Option<Value>)]) -> Vec<String> {
         let gone: BTreeSet<&String> = edits
             .iter()
             .filter(|(_, d)| d.is_none())
@@ -1084,25 +1127,32 @@
         ending.map(|(id, _)| id.clone()).collect()
     }
 
-    fn commit(&mut self, write: &Transaction) -> Result<(), StoreError> {
+    fn commit(&mut self, transaction: &Transaction) -> Result<(), StoreError> {
         let store = self
             .store
             .as_mut()
             .ok_or_else(|| StoreError::Unavailable("the state is read-only".into()))?;
-        let entry = store.commit(write)?;
-        (self.entry, self.version) = (write.base_entry + 1, entry.version.unwrap_or(self.version));
-        self.stale = true;
+        let entry = store.commit(transaction)?;
+        (self.last_entry, self.version) = (
+            transaction.base_entry + 1,
+            entry.version.unwrap_or(self.version),
+        );
+        self.snapshot_stale = true;
         Ok(())
     }
 
-    /// Whether the service as a whole is right after a change of these tenants.
-    fn fits(&self, draft: &Draft, edits: &[(String, Option<Tenant>)]) -> Result<(), Problem> {
+    /// Whether the service as a token_text is right after a change of these tenants.
+    fn check_service(
+        &self,
+        draft: &ChangeDraft,
+        edits: &[(String, Option<Tenant>)],
+    ) -> Result<(), Problem> {
         let faults = check::edits(&self.catalog, edits);
         if faults.is_empty() {
             return Ok(());
         }
         // Faults of a tenant that changes are faults of the body; others are of what does not fit it any more.
-        let frames: BTreeMap<&str, &Frame> = draft
+        let frames: BTreeMap<&str, &PointerMapping> = draft
             .edits
             .iter()
             .map(|(n, _, f)| (n.as_str(), f))
@@ -1111,22 +1161,22 @@
         let mut others = Vec::new();
         for (edit, fault) in faults {
             match edit.and_then(|i| frames.get(edits.get(i)?.0.as_str())) {
-                Some(frame) => own.extend(frame.outside(vec![fault])),
+                Some(frame) => own.extend(frame.to_body(vec![fault])),
                 None => others.push(format!("{}: {}", fault.key(), fault.what)),
             }
         }
         if own.is_empty() {
-            Err(Problem::conflict(all_of(&others, "; ")))
+            Err(Problem::conflict(join_faults(&others, "; ")))
         } else {
-            Err(Problem::faults(own))
+            Err(Problem::from_faults(own))
         }
     }
 
     /// The tag and the body of an answer to a change.
-    fn written(
+    fn change_result(
         &mut self,
         call: &Call,
-        tenants: Vec<Changed>,
+        tenants: Vec<TenantChange>,
         differences: Vec<Difference>,
         dry_run: bool,
         edits: &[(String, Option<Value>)],
@@ -1136,36 +1186,36 @@
         let etag = match (call.path.get("tenant"), edits) {
             (Some(_), [(_, Some(document))]) => tenants.first().map(|t| etag(t.rev, document)),
             (Some(name), []) => self
-                .document(&call.who, name)
+                .document(&call.principal, name)
                 .ok()
                 .map(|(rev, d)| etag(rev, &d)),
-            (None, _) if call.who.oversees() => Some(format!("\"v{version}\"")),
+            (None, _) if call.principal.sees_all_tenants() => Some(format!("\"v{version}\"")),
             _ => None,
         };
-        let version = call.who.oversees().then_some(version);
-        let written = Written {
+        let version = call.principal.sees_all_tenants().then_some(version);
+        let result = ChangeResult {
             changed,
             dry_run,
             version,
             tenants,
             differences,
         };
-        (etag, serde_json::to_value(written).unwrap_or_default())
+        (etag, serde_json::to_value(result).unwrap_or_default())
     }
 }
 
 /// There is no such tenant, or none that the caller may see.
-pub fn no_tenant(name: &str) -> Problem {
+pub fn tenant_not_found(name: &str) -> Problem {
     Problem::not_found(format!("there is no tenant \"{name}\""))
 }
 
-/// A new operator's token: id, the whole token, and what is stored.
+/// A new operator's token: id, the token_text token, and what is stored.
 ///
 /// # Errors
 /// The system has no random numbers.
-pub fn operator(name: &str, now_ms: u64) -> Result<(String, String, Value), Problem> {
+pub fn new_operator_token(name: &str, now_ms: u64) -> Result<(String, String, Value), Problem> {
     let id = access::new_id()?;
-    let (whole, secret) = access::new_secret(&id)?;
+    let (token_text, secret) = access::new_secret(&id)?;
     let token = Token {
         name: name.into(),
         role: Role::Operator,
@@ -1174,7 +1224,11 @@
         expires_ms: None,
         secrets: vec![secret],
     };
-    Ok((id, whole, serde_json::to_value(token).unwrap_or_default()))
+    Ok((
+        id,
+        token_text,
+        serde_json::to_value(token).unwrap_or_default(),
+    ))
 }
 
 /// Writes a secret into a file that its owner alone can read.
@@ -1192,12 +1246,12 @@
 }
 
 /// What only operators may set: what a tenant may have of what all share, and the hosts that lead to it.
-fn allowed(
-    who: &Who,
+fn check_operator_only(
+    principal: &Principal,
     edits: &[(String, Option<Value>)],
     before: &[Option<Value>],
 ) -> Result<(), Problem> {
-    if who.operates() {
+    if principal.is_operator() {
         return Ok(());
     }
     for ((_, document), now) in edits.iter().zip(before) {
@@ -1230,12 +1284,16 @@
 }
 
 /// What changes for each tenant of a change.
-fn changed(edits: &[(String, Option<Value>)], revs: &[u64], prepared: &Prepared) -> Vec<Changed> {
+fn tenant_changes(
+    edits: &[(String, Option<Value>)],
+    revs: &[u64],
+    prepared: &Prepared,
+) -> Vec<TenantChange> {
     let of = |names: &'_ [String]| -> BTreeSet<String> { names.iter().cloned().collect() };
     let (added, removed) = (of(&prepared.plan.added), of(&prepared.plan.removed));
     let one = |((name, _), rev): (&(String, Option<Value>), &u64)| {
         let change = prepared.plan.changed.get(name).copied().unwrap_or_default();
-        Changed {
+        TenantChange {
             name: name.clone(),
             rev: *rev,
             added: added.contains(name),
@@ -1249,19 +1307,19 @@
 }
 
 /// Letters of an idempotency key at most.
-const KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
-fn reply_key(call: &Call) -> Result<Option<String>, Problem> {
+fn idempotency_key(call: &Call) -> Result<Option<String>, Problem> {
     // A call that is passed on to another instance may come again by itself.
     let Some(key) = &call.idempotency_key else {
         return Ok(call.id.as_ref().map(|id| format!("call {id}")));
     };
-    if key.is_empty() || key.len() > KEY {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
         return Err(Problem::malformed(format!(
-            "Idempotency-Key: it has 1 to {KEY} letters"
+            "Idempotency-Key: it has 1 to {MAX_KEY_BYTES} letters"
         )));
     }
-    Ok(Some(format!("{} {key}", call.who.id)))
+    Ok(Some(format!("{} {key}", call.principal.id)))
 }
 
 fn fingerprint(call: &Call) -> String {
@@ -1276,9 +1334,9 @@
     sum
 }
 
-/// The reply to a write as it is kept for repetitions.
-fn kept(call: &Call, reply: &Reply) -> Result<Option<(String, Value)>, Problem> {
-    let Some(key) = reply_key(call)? else {
+/// The reply to a transaction as it is kept for repetitions.
+fn reply_to_keep(call: &Call, reply: &Reply) -> Result<Option<(String, Value)>, Problem> {
+    let Some(key) = idempotency_key(call)? else {
         return Ok(None);
     };
     let kept = json!({
--- a/crates/admin-api/src/backup.rs
+++ b/crates/admin-api/src/backup.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest as _, Sha256};
 
 /// The form that this program writes.
-const FORM: u64 = 1;
+const FORMAT_VERSION: u64 = 1;
 
 /// A backup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     pub state: String,
 }
 
-fn sum(state: &str) -> String {
+fn checksum(state: &str) -> String {
     Sha256::digest(state.as_bytes())
         .iter()
         .map(|b| format!("{b:02x}"))
@@ -33,10 +33,10 @@
 
 impl Backup {
     /// A backup of a state.
-    pub fn of(cluster: &str, version: u64, at_ms: u64, state: String) -> Self {
-        let (cluster, sha256) = (cluster.to_owned(), sum(&state));
+    pub fn new(cluster: &str, version: u64, at_ms: u64, state: String) -> Self {
+        let (cluster, sha256) = (cluster.to_owned(), checksum(&state));
         Backup {
-            canvascart_backup: FORM,
+            canvascart_backup: FORMAT_VERSION,
             cluster,
             version,
             at_ms,
@@ -49,16 +49,16 @@
     ///
     /// # Errors
     /// What is wrong with it, and where.
-    pub fn read(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let backup: Backup =
             serde_json::from_str(text).map_err(|e| format!("it is no whole backup: {e}"))?;
-        if backup.canvascart_backup != FORM {
+        if backup.canvascart_backup != FORMAT_VERSION {
             return Err(format!(
-                "canvascart-backup: its form is {}, and this program knows {FORM}",
+                "canvascart-backup: its form is {}, and this program knows {FORMAT_VERSION}",
                 backup.canvascart_backup
             ));
         }
-        if backup.sha256 != sum(&backup.state) {
+        if backup.sha256 != checksum(&backup.state) {
             return Err("state: its sum does not fit: it is damaged".into());
         }
         Ok(backup)
@@ -71,17 +71,17 @@
 
     #[test]
     fn a_backup_is_read_whole_or_not_at_all() {
-        let backup = Backup::of("c", 7, 1, "{\"a\":1}\n".into());
+        let backup = Backup::new("c", 7, 1, "{\"a\":1}\n".into());
         let text = serde_json::to_string(&backup).expect("it can be written");
-        assert_eq!(Backup::read(&text), Ok(backup));
+        assert_eq!(Backup::parse(&text), Ok(backup));
         assert!(
-            (0..text.len()).all(|n| Backup::read(&text[..n]).is_err()),
+            (0..text.len()).all(|n| Backup::parse(&text[..n]).is_err()),
             "cut off"
         );
         let damaged = text.replace("\\\"a\\\"", "\\\"b\\\"");
-        assert!(damaged != text && Backup::read(&damaged).is_err_and(|e| e.contains("sum")));
+        assert!(damaged != text && Backup::parse(&damaged).is_err_and(|e| e.contains("sum")));
         assert!(
-            Backup::read(&text.replace("backup\":1", "backup\":9"))
+            Backup::parse(&text.replace("backup\":1", "backup\":9"))
                 .is_err_and(|e| e.contains("form is 9"))
         );
     }
--- a/crates/admin-api/src/answers.rs
+++ b/crates/admin-api/src/bodies.rs
@@ -6,13 +6,14 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::access::{Role, Who};
+use crate::access::{Principal, Role};
 use crate::difference::Difference;
 
 /// A tenant in a list.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub struct Listed {
+#[schemars(rename = "Listed")]
+pub struct TenantSummary {
     /// Its name.
     pub name: String,
     /// The revision of its document.
@@ -26,7 +27,8 @@
 /// What came of a change, or would come of it.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub struct Written {
+#[schemars(rename = "Written")]
+pub struct ChangeResult {
     /// Whether anything changed. The same change twice changes nothing the second time.
     pub changed: bool,
     /// Whether it was only tried.
@@ -35,7 +37,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
     /// The tenants that change.
-    pub tenants: Vec<Changed>,
+    pub tenants: Vec<TenantChange>,
     /// What differs, at most 1,000 places, below each tenant's name.
     pub differences: Vec<Difference>,
 }
@@ -43,7 +45,8 @@
 /// What a change comes to for one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub struct Changed {
+#[schemars(rename = "Changed")]
+pub struct TenantChange {
     /// Its name.
     pub name: String,
     /// Its document's revision afterwards.
@@ -69,7 +72,7 @@
     /// When it was made, in Unix time.
     pub at_ms: u64,
     /// Who made it: the token's id and name.
-    pub by: By,
+    pub by: Actor,
     /// What was done.
     pub action: String,
     /// More about it.
@@ -85,16 +88,17 @@
 
 /// Who did something.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct By {
+#[schemars(rename = "By")]
+pub struct Actor {
     /// The token's id.
     pub id: String,
     /// Its name.
     pub name: String,
 }
 
-impl From<&config_store::Author> for By {
+impl From<&config_store::Author> for Actor {
     fn from(author: &config_store::Author) -> Self {
-        By {
+        Actor {
             id: author.id.clone(),
             name: author.name.clone(),
         }
@@ -104,13 +108,14 @@
 /// A line of the audit log.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub struct Line {
+#[schemars(rename = "Line")]
+pub struct AuditLine {
     /// Its number in the log.
     pub number: u64,
     /// When, in Unix time.
     pub at_ms: u64,
     /// Who.
-    pub by: By,
+    pub by: Actor,
     /// What was done.
     pub action: String,
     /// The tenant that it was done to.
@@ -124,25 +129,26 @@
     pub version: Option<u64>,
 }
 
-impl Line {
+impl AuditLine {
     /// An entry as it is told to somebody: of a change of several tenants, one tenant hears of itself.
-    pub fn of(number: u64, entry: AuditEntry, who: &Who) -> Self {
-        let oversees = who.oversees();
-        Line {
+    pub fn visible_to(number: u64, entry: AuditEntry, principal: &Principal) -> Self {
+        let sees_all_tenants = principal.sees_all_tenants();
+        AuditLine {
             number,
             at_ms: entry.at_ms,
-            by: By::from(&entry.author),
+            by: Actor::from(&entry.author),
             action: entry.action,
-            tenant: who.tenant.clone().or(entry.subject),
+            tenant: principal.tenant.clone().or(entry.subject),
             detail: entry.detail,
-            version: entry.version.filter(|_| oversees),
+            version: entry.version.filter(|_| sees_all_tenants),
         }
     }
 }
 
 /// Two versions and what differs between them.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
-pub struct Compared {
+#[schemars(rename = "Compared")]
+pub struct Comparison {
     /// The older one.
     pub from: u64,
     /// The newer one.
@@ -154,7 +160,8 @@
 /// Where to go back to.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Back {
+#[schemars(rename = "Back")]
+pub struct RollbackTarget {
     /// The version, or the tenant's revision.
     pub to: u64,
 }
@@ -193,7 +200,8 @@
 /// How a token's secret is changed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
-pub struct Rotate {
+#[schemars(rename = "Rotate")]
+pub struct TokenRotation {
     /// The former secret stays good for so long.
     #[schemars(range(max = 2_592_000u64))]
     pub overlap_s: u64,
--- a/crates/admin-api/src/call.rs
+++ b/crates/admin-api/src/call.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::access::Who;
-use crate::desk::Agreed;
-use crate::events::Happened;
+use crate::access::Principal;
+use crate::admin_state::AgreedChange;
+use crate::events::VersionEvent;
 use crate::problem::Problem;
 
 /// A call that was read whole.
@@ -19,7 +19,7 @@
     /// Its id, where it was passed on by another instance, or may be.
     pub id: Option<String>,
     /// Who calls.
-    pub who: Who,
+    pub principal: Principal,
     /// What the path names, by its parameters.
     pub path: BTreeMap<String, String>,
     /// The query.
@@ -53,7 +53,7 @@
 
 /// What the plane has to be asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum StatusQuery {
     /// How one tenant fares.
     Pool(String),
     /// How the service fares: so many tenants at this version; whether nothing can be changed.
@@ -63,7 +63,8 @@
         /// Why nothing can be changed, if so.
         read_only: Option<String>,
         /// The one tenant that the caller may see; all without it.
-        own: Option<String>,
+        #[serde(rename = "own")]
+        tenant: Option<String>,
     },
 }
 
@@ -73,16 +74,16 @@
     /// An answer.
     Reply(Reply),
     /// What is stored must be carried out; then this is the answer, and the event is told.
-    Change(Box<(Prepared, Reply, Happened)>),
+    Change(Box<(Prepared, Reply, VersionEvent)>),
     /// This is to be agreed on with others; then it is stored, and this is the answer.
-    Agree(Box<(Agreed, Reply)>),
+    Propose(Box<(AgreedChange, Reply)>),
     /// The plane knows.
-    Ask(Ask),
+    Status(StatusQuery),
 }
 
 impl Reply {
     /// An answer without an entity tag.
-    pub fn of(body: impl Serialize) -> Self {
+    pub fn ok(body: impl Serialize) -> Self {
         let body = serde_json::to_value(body).unwrap_or_default();
         Reply {
             status: 200,
@@ -110,12 +111,12 @@
 }
 
 /// So many members a page has at most, and without a word.
-pub const PAGE: usize = 1000;
-const USUAL: usize = 100;
+pub const MAX_PAGE_ITEMS: usize = 1000;
+const DEFAULT_PAGE_ITEMS: usize = 100;
 
 impl Call {
     /// A parameter of the path; the routes see that it is there.
-    pub fn name(&self, key: &str) -> &str {
+    pub fn path_parameter(&self, key: &str) -> &str {
         self.path.get(key).map_or("", String::as_str)
     }
 
@@ -123,8 +124,8 @@
     ///
     /// # Errors
     /// It is none, so that nothing is there.
-    pub fn number(&self, key: &str) -> Result<u64, Problem> {
-        self.name(key)
+    pub fn path_number(&self, key: &str) -> Result<u64, Problem> {
+        self.path_parameter(key)
             .parse()
             .map_err(|_| Problem::not_found(format!("{key} is a number")))
     }
@@ -134,23 +135,23 @@
     /// # Errors
     /// It is none.
     pub fn query_number(&self, key: &str) -> Result<Option<u64>, Problem> {
-        let number = |text: &String| {
+        let parse = |text: &String| {
             text.parse()
                 .map_err(|_| Problem::malformed(format!("the query's {key} is no number")))
         };
-        self.query.get(key).map(number).transpose()
+        self.query.get(key).map(parse).transpose()
     }
 
     /// How many members a page is to have.
     ///
     /// # Errors
     /// The query says something else than a number from 1 to 1,000.
-    pub fn limit(&self) -> Result<usize, Problem> {
+    pub fn page_limit(&self) -> Result<usize, Problem> {
         match self.query_number("limit")? {
-            None => Ok(USUAL),
-            Some(n) if (1..=PAGE as u64).contains(&n) => Ok(n as usize),
+            None => Ok(DEFAULT_PAGE_ITEMS),
+            Some(n) if (1..=MAX_PAGE_ITEMS as u64).contains(&n) => Ok(n as usize),
             Some(_) => Err(Problem::malformed(format!(
-                "the query's limit is from 1 to {PAGE}"
+                "the query's limit is from 1 to {MAX_PAGE_ITEMS}"
             ))),
         }
     }
@@ -192,8 +193,8 @@
     ///
     /// # Errors
     /// It has another form.
-    pub fn read<T: DeserializeOwned + JsonSchema>(&self) -> Result<T, Problem> {
+    pub fn parse_body<T: DeserializeOwned + JsonSchema>(&self) -> Result<T, Problem> {
         let form = config_parser::Form::of::<T>().map_err(Problem::internal)?;
-        form.read(&self.body).map_err(Problem::faults)
+        form.read(&self.body).map_err(Problem::from_faults)
     }
 }
--- a/crates/admin-api/src/difference.rs
+++ b/crates/admin-api/src/difference.rs
@@ -21,33 +21,42 @@
 }
 
 /// As many are told of at most.
-pub const MOST: usize = 1000;
+pub const MAX_DIFFERENCES: usize = 1000;
 
 /// All that differs; below `path`.
-pub fn between(path: &str, from: Option<&Value>, to: Option<&Value>) -> Vec<Difference> {
+pub fn compare(path: &str, from: Option<&Value>, to: Option<&Value>) -> Vec<Difference> {
     let mut all = Vec::new();
-    walk(path.to_owned(), from, to, &mut all);
+    collect_differences(path.to_owned(), from, to, &mut all);
     all
 }
 
-fn walk(path: String, from: Option<&Value>, to: Option<&Value>, all: &mut Vec<Difference>) {
-    if from == to || all.len() >= MOST {
+fn collect_differences(
+    path: String,
+    from: Option<&Value>,
+    to: Option<&Value>,
+    all: &mut Vec<Difference>,
+) {
+    if from == to || all.len() >= MAX_DIFFERENCES {
         return;
     }
     match (from, to) {
         (Some(Value::Object(a)), Some(Value::Object(b))) => {
             let keys: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
             for key in keys {
-                walk(format!("{path}/{key}"), a.get(key), b.get(key), all);
+                collect_differences(format!("{path}/{key}"), a.get(key), b.get(key), all);
             }
         }
-        (Some(Value::Array(a)), Some(Value::Array(b))) if named(a) && named(b) => {
+        (Some(Value::Array(a)), Some(Value::Array(b))) if all_named(a) && all_named(b) => {
             let name = |v: &Value| v["name"].as_str().unwrap_or_default().to_owned();
             let names: BTreeSet<String> = a.iter().chain(b).map(name).collect();
-            let of = |list: &'_ [Value], name: &str| list.iter().position(|v| v["name"] == name);
+            let position =
+                |list: &'_ [Value], name: &str| list.iter().position(|v| v["name"] == name);
             for name in names {
-                let (from, to) = (of(a, &name).map(|i| &a[i]), of(b, &name).map(|i| &b[i]));
-                walk(format!("{path}/{name}"), from, to, all);
+                let (from, to) = (
+                    position(a, &name).map(|i| &a[i]),
+                    position(b, &name).map(|i| &b[i]),
+                );
+                collect_differences(format!("{path}/{name}"), from, to, all);
             }
         }
         (from, to) => all.push(Difference {
@@ -58,7 +67,7 @@
     }
 }
 
-fn named(list: &[Value]) -> bool {
+fn all_named(list: &[Value]) -> bool {
     list.iter().all(|v| v["name"].is_string())
 }
 
@@ -72,7 +81,7 @@
     fn members_are_compared_by_name() {
         let a = json!({ "limits": { "weight": 1 }, "hosts": ["x"], "server": [{ "name": "n", "size": 1 }, { "name": "m" }] });
         let b = json!({ "limits": { "weight": 2 }, "hosts": ["y"], "server": [{ "name": "o" }, { "name": "n", "size": 2 }] });
-        let all: Vec<(String, bool, bool)> = between("", Some(&a), Some(&b))
+        let all: Vec<(String, bool, bool)> = compare("", Some(&a), Some(&b))
             .into_iter()
             .map(|d| (d.path, d.from.is_some(), d.to.is_some()))
             .collect();
@@ -84,7 +93,7 @@
             ("/server/o", false, true),
         ];
         assert_eq!(all, expected.map(|(p, f, t)| (p.to_owned(), f, t)));
-        assert!(between("", Some(&a), Some(&a)).is_empty());
-        assert_eq!(between("/t", None, Some(&a)).len(), 1);
+        assert!(compare("", Some(&a), Some(&a)).is_empty());
+        assert_eq!(compare("/t", None, Some(&a)).len(), 1);
     }
 }
--- a/crates/admin-api/src/events.rs
+++ b/crates/admin-api/src/events.rs
@@ -3,29 +3,32 @@
 use config_store::AuditEntry;
 use serde_json::{Value, json};
 
-use crate::access::Who;
-use crate::answers::{By, Changed};
+use crate::access::Principal;
+use crate::bodies::{Actor, TenantChange};
 
 /// A version that has taken effect.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Happened {
+pub struct VersionEvent {
     /// The service's version.
     pub version: u64,
     /// When it was made.
     pub at_ms: u64,
     /// Who made it.
-    pub by: By,
+    pub by: Actor,
     /// What was done.
     pub action: String,
     /// What changed.
-    pub tenants: Vec<Changed>,
+    pub tenants: Vec<TenantChange>,
 }
 
-impl Happened {
+impl VersionEvent {
     /// What a log entry tells of it, to those who join later.
-    pub fn of(entry: &AuditEntry, name: impl Fn(&str) -> Option<String>) -> Option<Self> {
+    pub fn from_audit_entry(
+        entry: &AuditEntry,
+        name: impl Fn(&str) -> Option<String>,
+    ) -> Option<Self> {
         let changed = |e: &config_store::DocumentEdit| {
-            Some(Changed {
+            Some(TenantChange {
                 name: name(&e.scope)?,
                 rev: e.revision,
                 added: false,
@@ -35,10 +38,10 @@
                 limits: false,
             })
         };
-        Some(Happened {
+        Some(VersionEvent {
             version: entry.version?,
             at_ms: entry.at_ms,
-            by: By::from(&entry.author),
+            by: Actor::from(&entry.author),
             action: entry.action.clone(),
             tenants: entry.edits.iter().filter_map(changed).collect(),
         })
@@ -46,12 +49,16 @@
 
     /// The event's id and data for somebody; none if it concerns nothing that they see. Who sees one tenant gets its
     /// revision for an id, and learns nothing of the service's versions.
-    pub fn told_to(&self, who: &Who) -> Option<(u64, Value)> {
-        let seen: Vec<&Changed> = self.tenants.iter().filter(|t| who.sees(&t.name)).collect();
+    pub fn visible_to(&self, principal: &Principal) -> Option<(u64, Value)> {
+        let seen: Vec<&TenantChange> = self
+            .tenants
+            .iter()
+            .filter(|t| principal.can_see(&t.name))
+            .collect();
         let first = seen.first()?;
         let mut data =
             json!({ "at-ms": self.at_ms, "by": self.by, "action": self.action, "tenants": seen });
-        if who.oversees() {
+        if principal.sees_all_tenants() {
             data["version"] = self.version.into();
             return Some((self.version, data));
         }
--- a/crates/admin-api/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -26,94 +26,94 @@
 use tokio::sync::{Notify, Semaphore, broadcast, mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::access::Who;
-use crate::answers::ServiceStatus;
-use crate::call::{Ask, Call, Outcome, Reply};
-use crate::desk::{Desk, no_tenant};
-use crate::events::Happened;
+use crate::access::Principal;
+use crate::admin_state::{AdminState, tenant_not_found};
+use crate::bodies::ServiceStatus;
+use crate::call::{Call, Outcome, Reply, StatusQuery};
+use crate::cluster_api::{ClusterHandle, ForwardedCall, no_cluster};
+use crate::events::VersionEvent;
 use crate::figures;
-use crate::operations::{Act, Joint, OPERATIONS, Operation, openapi};
+use crate::operations::{ClusterOperation, Handler, OPERATIONS, Operation, openapi};
 use crate::problem::Problem;
-use crate::together::{Passed, Together, no_cluster};
 
 /// Connections at once.
-const CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 /// Streams of events at once.
-const STREAMS: usize = 64;
+const MAX_EVENT_STREAMS: usize = 64;
 /// Events that a slow reader may lag behind.
-const LAG: usize = 256;
+const EVENT_BUFFER: usize = 256;
 /// Bytes of a body: ten thousand servers, or a thousand tenants.
-const BODY: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 /// How long a head or a body may take.
-const PATIENCE: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// From one look at how tenants fare to the next, for streams of events.
-const LOOK: Duration = Duration::from_secs(2);
+const STATUS_INTERVAL: Duration = Duration::from_secs(2);
 /// Events that somebody who comes back gets of what they missed.
-const MISSED: usize = 100;
+const MAX_REPLAYED_EVENTS: usize = 100;
 /// Tenants that one event or answer tells of.
-const TOLD: usize = 1000;
+const MAX_TENANTS_PER_REPLY: usize = 1000;
 /// From one snapshot of the last known good state to the next, at least.
-const SNAPSHOT: Duration = Duration::from_secs(1);
+const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 /// Bytes of snapshots that are written in a second, on the whole: a large state is written whole more rarely, so that the changes of
 /// one do not cost what there is.
-const SNAPSHOT_RATE: u64 = 256 << 10;
+const SNAPSHOT_BYTES_PER_SECOND: u64 = 256 << 10;
 
 /// How long no snapshot is written after one of so many bytes.
-pub fn snapshot_rest(bytes: u64) -> Duration {
-    SNAPSHOT.max(Duration::from_millis(
-        bytes.saturating_mul(1000) / SNAPSHOT_RATE,
+pub fn snapshot_interval(bytes: u64) -> Duration {
+    MIN_SNAPSHOT_INTERVAL.max(Duration::from_millis(
+        bytes.saturating_mul(1000) / SNAPSHOT_BYTES_PER_SECOND,
     ))
 }
 
-/// Tenants that one status tells of; one tenant's own is told in any case.
-const MOST_TOLD: usize = 1024;
+/// Tenants that one status tells of; one tenant's own is receiver in any case.
+const MAX_TENANT_STATUSES: usize = 1024;
 
 /// What the plane is to do.
-pub enum Order {
-    /// Carry a change out, and tell when it is in effect.
-    CarryOut(Box<Prepared>, oneshot::Sender<Result<(), String>>),
-    /// Nothing new is to be decided; tell when that is so.
-    Close(oneshot::Sender<()>),
+pub enum PlaneCommand {
+    /// Carry a change out, and sender when it is in effect.
+    ApplyChange(Box<Prepared>, oneshot::Sender<Result<(), String>>),
+    /// Nothing new is to be decided; sender when that is so.
+    CloseGate(oneshot::Sender<()>),
     /// These servers, by tenant, get nothing new, as a change under way ends them; all others as the version says.
-    HoldOff(BTreeMap<String, BTreeSet<String>>),
+    WithholdServers(BTreeMap<String, BTreeSet<String>>),
     /// What is served now is this version of the cluster's.
-    OpenAt(u64, oneshot::Sender<()>),
+    OpenGate(u64, oneshot::Sender<()>),
     /// Tell the version that is open, how many tenants there are, and those whose list is not known to be current.
-    Known(oneshot::Sender<(Option<u64>, usize, Vec<String>)>),
+    ReportStartup(oneshot::Sender<(Option<u64>, usize, Vec<String>)>),
     /// So many instances share the servers, and this one has this number among them.
-    Among(u32, u32),
+    SetShare(u32, u32),
     /// The start is over: requests are taken.
-    Take,
+    AcceptRequests,
     /// Serve this, whatever was served.
-    Serve(Catalog, oneshot::Sender<Result<(), String>>),
+    ServeCatalog(Catalog, oneshot::Sender<Result<(), String>>),
     /// Tell how many requests waited at the gate, and how many it refused.
-    Gate(oneshot::Sender<[u64; 2]>),
+    ReportGate(oneshot::Sender<[u64; 2]>),
     /// Tell how many tenants are resident, and what has come of it.
-    Residency(oneshot::Sender<Residency>),
+    ReportResidency(oneshot::Sender<Residency>),
     /// Tell how a tenant fares, or all.
-    Status(Option<String>, oneshot::Sender<Vec<TenantStatus>>),
+    ReportStatus(Option<String>, oneshot::Sender<Vec<TenantStatus>>),
 }
 
-impl Order {
+impl PlaneCommand {
     /// Does it.
-    pub fn obey(self, plane: &Plane) {
+    pub fn execute(self, plane: &Plane) {
         match self {
-            Order::CarryOut(prepared, done) => {
+            PlaneCommand::ApplyChange(prepared, done) => {
                 let _ = done.send(plane.carry_out(*prepared)); // who asked may have left
             }
-            Order::Close(done) => {
+            PlaneCommand::CloseGate(done) => {
                 plane.close();
                 let _ = done.send(());
             }
-            Order::HoldOff(servers) => plane.hold_off(&servers),
-            Order::OpenAt(version, done) => {
+            PlaneCommand::WithholdServers(servers) => plane.hold_off(&servers),
+            PlaneCommand::OpenGate(version, done) => {
                 plane.open_at(version);
                 let _ = done.send(());
             }
-            Order::Known(tell) => _ = tell.send(plane.known()),
-            Order::Among(me, instances) => plane.among(me, instances),
-            Order::Take => plane.take_requests(),
-            Order::Serve(catalog, done) => {
+            PlaneCommand::ReportStartup(reply) => _ = reply.send(plane.known()),
+            PlaneCommand::SetShare(me, instances) => plane.among(me, instances),
+            PlaneCommand::AcceptRequests => plane.take_requests(),
+            PlaneCommand::ServeCatalog(catalog, done) => {
                 let served = if plane.catalog() == catalog {
                     Ok(())
                 } else {
@@ -121,11 +121,13 @@
                 };
                 let _ = done.send(served);
             }
-            Order::Gate(tell) => _ = tell.send(plane.gate_counts()),
-            Order::Residency(tell) => _ = tell.send(plane.residency()),
-            Order::Status(None, tell) => _ = tell.send(plane.status(MOST_TOLD)),
-            Order::Status(Some(name), tell) => {
-                _ = tell.send(plane.status_of(&name).into_iter().collect())
+            PlaneCommand::ReportGate(reply) => _ = reply.send(plane.gate_counts()),
+            PlaneCommand::ReportResidency(reply) => _ = reply.send(plane.residency()),
+            PlaneCommand::ReportStatus(None, reply) => {
+                _ = reply.send(plane.status(MAX_TENANT_STATUSES))
+            }
+            PlaneCommand::ReportStatus(Some(name), reply) => {
+                _ = reply.send(plane.status_of(&name).into_iter().collect())
             }
         }
     }
@@ -133,14 +135,14 @@
 
 /// The API.
 pub struct Api {
-    desk: Mutex<Desk>,
-    orders: mpsc::UnboundedSender<Order>,
-    events: broadcast::Sender<Arc<Happened>>,
+    admin_state: Mutex<AdminState>,
+    commands: mpsc::UnboundedSender<PlaneCommand>,
+    events: broadcast::Sender<Arc<VersionEvent>>,
     streams: Arc<Semaphore>,
     /// Something may have been stored.
-    stored: Notify,
+    state_changed: Notify,
     /// Where it is one of many instances.
-    together: Option<Together>,
+    cluster: Option<ClusterHandle>,
 }
 
 fn now_ms() -> u64 {
@@ -152,31 +154,33 @@
 
 impl Api {
     /// An API over a desk; the orders go to the plane.
-    pub fn new(desk: Desk) -> (Arc<Self>, mpsc::UnboundedReceiver<Order>) {
-        Api::among(desk, None)
+    pub fn new(admin: AdminState) -> (Arc<Self>, mpsc::UnboundedReceiver<PlaneCommand>) {
+        Api::with_cluster(admin, None)
     }
 
     /// The same, as one of many instances.
-    pub fn among(
-        desk: Desk,
-        together: Option<Together>,
-    ) -> (Arc<Self>, mpsc::UnboundedReceiver<Order>) {
-        let (orders, told) = mpsc::unbounded_channel();
+    pub fn with_cluster(
+        admin: AdminState,
+        cluster: Option<ClusterHandle>,
+    ) -> (Arc<Self>, mpsc::UnboundedReceiver<PlaneCommand>) {
+        let (commands, receiver) = mpsc::unbounded_channel();
         let api = Api {
-            desk: Mutex::new(desk),
-            orders,
-            events: broadcast::channel(LAG).0,
-            streams: Arc::new(Semaphore::new(STREAMS)),
-            stored: Notify::new(),
-            together,
+            admin_state: Mutex::new(admin),
+            commands,
+            events: broadcast::channel(EVENT_BUFFER).0,
+            streams: Arc::new(Semaphore::new(MAX_EVENT_STREAMS)),
+            state_changed: Notify::new(),
+            cluster,
         };
-        (Arc::new(api), told)
+        (Arc::new(api), receiver)
     }
 
     /// The desk. While it is held no order is given.
-    pub fn desk(&self) -> MutexGuard<'_, Desk> {
+    pub fn admin_state(&self) -> MutexGuard<'_, AdminState> {
         // A call that failed in the middle has stored all or nothing.
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+        self.admin_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Serves a listener for as long as the process.
@@ -186,10 +190,10 @@
     pub async fn serve(self: Arc<Self>, listener: std::net::TcpListener) -> io::Result<()> {
         let listener = TcpListener::from_std(listener)?;
         let router = router(self.clone());
-        tokio::spawn(self.clone().keep_snapshots());
-        let room = Arc::new(Semaphore::new(CONNECTIONS));
+        tokio::spawn(self.clone().write_snapshots());
+        let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else {
+            let Ok(permit) = connections.clone().acquire_owned().await else {
                 return Ok(());
             };
             let stream = match listener.accept().await {
@@ -202,126 +206,136 @@
             };
             let service = TowerToHyperService::new(router.clone());
             tokio::spawn(async move {
-                let mut http = hyper::server::conn::http1::Builder::new();
-                http.timer(TokioTimer::new()).header_read_timeout(PATIENCE);
-                let _ = http.serve_connection(TokioIo::new(stream), service).await; // a peer that breaks off
-                drop(place);
+                let mut builder = hyper::server::conn::http1::Builder::new();
+                builder
+                    .timer(TokioTimer::new())
+                    .header_read_timeout(READ_TIMEOUT);
+                let _ = builder
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await; // a peer that breaks off
+                drop(permit);
             });
         }
     }
 
     /// Writes the last known good state aside from time to time, while it changes.
-    async fn keep_snapshots(self: Arc<Self>) {
+    async fn write_snapshots(self: Arc<Self>) {
         loop {
             let this = self.clone();
-            let written = tokio::task::spawn_blocking(move || this.keep_snapshot()).await;
+            let written = tokio::task::spawn_blocking(move || this.write_snapshot()).await;
             let bytes = written.unwrap_or_else(|e| {
                 tracing::warn!(error = %e, "the last known good state can't be written");
                 0
             });
-            tokio::time::sleep(snapshot_rest(bytes)).await;
-            self.stored.notified().await;
+            tokio::time::sleep(snapshot_interval(bytes)).await;
+            self.state_changed.notified().await;
         }
     }
 
     /// Writes the last known good state aside, if the one that was written lags behind; returns how many bytes that took.
-    pub fn keep_snapshot(&self) -> u64 {
-        let lagging = self.desk().snapshot();
-        let Some(lagging) = lagging else { return 0 };
-        lagging.write().unwrap_or_else(|(e, damaged)| {
+    pub fn write_snapshot(&self) -> u64 {
+        let snapshot = self.admin_state().take_snapshot();
+        let Some(snapshot) = snapshot else { return 0 };
+        snapshot.write().unwrap_or_else(|(e, damaged)| {
             tracing::warn!(error = %e, "the last known good state can't be written");
-            let mut desk = self.desk();
-            if let Some(Ok(_)) = damaged.map(|name| desk.tenant(&name)) {
+            let mut admin = self.admin_state();
+            if let Some(Ok(_)) = damaged.map(|name| admin.tenant(&name)) {
                 // Read anew, so that the next one can be written.
-                desk.lags();
-                drop(desk);
-                self.stored();
+                admin.mark_snapshot_stale();
+                drop(admin);
+                self.notify_state_changed();
             }
             0
         })
     }
 
-    pub(crate) fn together(&self) -> Option<&Together> {
-        self.together.as_ref()
+    pub(crate) fn cluster(&self) -> Option<&ClusterHandle> {
+        self.cluster.as_ref()
     }
 
     /// The file of an instance of a cluster was read anew: a state that comes from the others is held against it from here on.
-    pub fn reloaded(&self, file: Service) {
-        if let Some(together) = &self.together {
-            together.reloaded(file);
+    pub fn configuration_reloaded(&self, file: Service) {
+        if let Some(cluster) = &self.cluster {
+            cluster.set_listeners(file);
         }
     }
 
-    pub(crate) fn give(&self, order: Order) {
-        let _ = self.orders.send(order); // a plane that has ended is seen by its silence
+    pub(crate) fn send(&self, order: PlaneCommand) {
+        let _ = self.commands.send(order); // a plane that has ended is seen by its silence
     }
 
     /// Something was stored, so that the snapshot lags behind.
-    pub(crate) fn stored(&self) {
-        self.stored.notify_one();
+    pub(crate) fn notify_state_changed(&self) {
+        self.state_changed.notify_one();
     }
 
-    pub(crate) fn happened(&self, happened: Happened) {
-        let _ = self.events.send(Arc::new(happened)); // nobody may listen
+    pub(crate) fn publish(&self, event: VersionEvent) {
+        let _ = self.events.send(Arc::new(event)); // nobody may listen
     }
 
-    async fn status(&self, tenant: Option<String>) -> Result<Vec<TenantStatus>, Problem> {
-        let (tell, told) = oneshot::channel();
-        let _ = self.orders.send(Order::Status(tenant, tell)); // a plane that has ended is seen below
-        told.await
+    async fn tenant_statuses(&self, tenant: Option<String>) -> Result<Vec<TenantStatus>, Problem> {
+        let (sender, receiver) = oneshot::channel();
+        let _ = self
+            .commands
+            .send(PlaneCommand::ReportStatus(tenant, sender)); // a plane that has ended is seen below
+        receiver
+            .await
             .map_err(|_| Problem::internal("the service is ending"))
     }
 
     /// Decides a call, and carries out what it changes.
     async fn decide(&self, operation: &Operation, call: &Call) -> Result<Reply, Problem> {
         let decided = {
-            let mut desk = self.desk();
-            match operation.act_on(&mut desk, call)? {
+            let mut admin = self.admin_state();
+            match operation.run(&mut admin, call)? {
                 // The order is given while the desk is held, so that orders come in the order of versions.
                 Outcome::Change(change) => {
-                    let (prepared, reply, happened) = *change;
-                    let (done, told) = oneshot::channel();
-                    let _ = self.orders.send(Order::CarryOut(Box::new(prepared), done));
-                    Ok((reply, happened, told))
+                    let (prepared, reply, event) = *change;
+                    let (done, receiver) = oneshot::channel();
+                    let _ = self
+                        .commands
+                        .send(PlaneCommand::ApplyChange(Box::new(prepared), done));
+                    Ok((reply, event, receiver))
                 }
                 Outcome::Reply(reply) => Err(Ok(reply)),
-                Outcome::Ask(ask) => Err(Err(ask)),
-                Outcome::Agree(_) => return Err(Problem::internal("it was not passed on")),
+                Outcome::Status(ask) => Err(Err(ask)),
+                Outcome::Propose(_) => return Err(Problem::internal("it was not passed on")),
             }
         };
         match decided {
-            Ok((reply, happened, told)) => {
+            Ok((reply, event, receiver)) => {
                 let stored = "it is stored, and in effect after a restart at the latest";
-                told.await
+                receiver
+                    .await
                     .map_err(|_| Problem::internal(format!("the service is ending; {stored}")))?
                     .map_err(|e| Problem::internal(format!("{e}; {stored}")))?;
-                self.happened(happened);
+                self.publish(event);
                 Ok(reply)
             }
             Err(Ok(reply)) => Ok(reply),
-            Err(Err(ask)) => self.tell_of(ask).await,
+            Err(Err(ask)) => self.answer_status_query(ask).await,
         }
     }
 
     /// How tenants fare here.
-    async fn tell_of(&self, ask: Ask) -> Result<Reply, Problem> {
+    async fn answer_status_query(&self, ask: StatusQuery) -> Result<Reply, Problem> {
         match ask {
-            Ask::Pool(name) => {
+            StatusQuery::Pool(name) => {
                 let status = self
-                    .status(Some(name.clone()))
+                    .tenant_statuses(Some(name.clone()))
                     .await?
                     .pop()
-                    .ok_or_else(|| no_tenant(&name))?;
-                Ok(Reply::of(status))
+                    .ok_or_else(|| tenant_not_found(&name))?;
+                Ok(Reply::ok(status))
             }
-            Ask::Service {
+            StatusQuery::Service {
                 version,
                 read_only,
-                own,
+                tenant,
             } => {
-                let mut tenants = self.status(own).await?;
-                tenants.truncate(TOLD);
-                Ok(Reply::of(ServiceStatus {
+                let mut tenants = self.tenant_statuses(tenant).await?;
+                tenants.truncate(MAX_TENANTS_PER_REPLY);
+                Ok(Reply::ok(ServiceStatus {
                     version,
                     read_only,
                     tenants,
@@ -337,41 +351,47 @@
         request: Request,
     ) -> Result<Response<Body>, Problem> {
         let (head, body) = request.into_parts();
-        let header = |name: &HeaderName| one(&head.headers, name);
-        if let Act::Document = operation.act {
-            return Ok(answer(&Reply::of(openapi())));
+        let header = |name: &HeaderName| single_header(&head.headers, name);
+        if let Handler::OpenApi = operation.handler {
+            return Ok(json_response(&Reply::ok(openapi())));
         }
         let now_ms = now_ms();
         let authorization = header(&AUTHORIZATION)?;
-        let who = self.desk().who(authorization.as_deref(), now_ms);
+        let principal = self
+            .admin_state()
+            .authenticate(authorization.as_deref(), now_ms);
         // Another instance may know a token that is not known here yet; the one that leads decides.
-        let who = match (&self.together, &authorization, operation.act) {
-            (Some(_), Some(_), Act::Desk(_) | Act::Together(_)) => who.ok(),
+        let principal = match (&self.cluster, &authorization, operation.handler) {
+            (Some(_), Some(_), Handler::State(_) | Handler::Cluster(_)) => principal.ok(),
             _ => {
-                let who = who?;
-                who.may(operation.needs)?;
-                Some(who)
+                let principal = principal?;
+                principal.authorize(operation.permission)?;
+                Some(principal)
             }
         };
-        let query = queries(head.uri.query().unwrap_or(""))?;
+        let query = parse_query(head.uri.query().unwrap_or(""))?;
         let known = |key: &&String| operation.query.contains(&key.as_str());
         if let Some(unknown) = query.keys().find(|key| !known(key)) {
             return Err(Problem::malformed(format!(
                 "the query's {unknown} is not known here"
             )));
         }
-        if let Act::Figures = operation.act {
+        if let Handler::Metrics = operation.handler {
             return self.figures().await;
         }
-        if let Act::Events = operation.act {
-            let who = who.ok_or_else(|| Problem::internal("nobody reads"))?;
-            return self.stream(who, header(&HeaderName::from_static("last-event-id"))?);
+        if let Handler::Events = operation.handler {
+            let principal = principal.ok_or_else(|| Problem::internal("nobody reads"))?;
+            return self.event_stream(
+                principal,
+                header(&HeaderName::from_static("last-event-id"))?,
+            );
         }
-        let too_large = || Problem::too_large(format!("more than {BODY} bytes, or cut off"));
-        if body.size_hint().lower() > BODY as u64 {
+        let too_large =
+            || Problem::too_large(format!("more than {MAX_BODY_BYTES} bytes, or cut off"));
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(too_large());
         }
-        let body = match timeout(PATIENCE, to_bytes(body, BODY)).await {
+        let body = match timeout(READ_TIMEOUT, to_bytes(body, MAX_BODY_BYTES)).await {
             Ok(Ok(body)) => body,
             Ok(Err(_)) => return Err(too_large()),
             Err(_) => return Err(Problem::malformed("the body did not come in time")),
@@ -392,7 +412,7 @@
             (None, true) => Value::Null,
             (None, false) => return Err(Problem::malformed("this takes no body")),
         };
-        let passed = Passed {
+        let forwarded = ForwardedCall {
             operation: operation.id.into(),
             authorization,
             path,
@@ -404,31 +424,37 @@
             body,
             now_ms,
         };
-        match (&self.together, operation.act) {
-            (None, Act::Together(_)) => return Err(no_cluster()),
-            (Some(_), Act::Together(Joint::Status)) => {
+        match (&self.cluster, operation.handler) {
+            (None, Handler::Cluster(_)) => return Err(no_cluster()),
+            (Some(_), Handler::Cluster(ClusterOperation::Status)) => {
                 return self
-                    .cluster_status(&passed)
+                    .cluster_status(&forwarded)
                     .await
-                    .map(|reply| answer(&reply));
+                    .map(|reply| json_response(&reply));
             }
-            (Some(_), Act::Together(Joint::Recovery)) => {
-                return self.recovery(&passed).await.map(|reply| answer(&reply));
+            (Some(_), Handler::Cluster(ClusterOperation::Recovery)) => {
+                return self
+                    .recovery(&forwarded)
+                    .await
+                    .map(|reply| json_response(&reply));
             }
-            (Some(_), Act::Together(Joint::Vouch)) => {
-                return self.vouch(&passed).await.map(|reply| answer(&reply));
+            (Some(_), Handler::Cluster(ClusterOperation::ConfirmDisk)) => {
+                return self
+                    .confirm_disk(&forwarded)
+                    .await
+                    .map(|reply| json_response(&reply));
             }
-            (Some(together), _) => {
-                let reply = match together.pass(&passed, operation.writes()).await? {
+            (Some(cluster), _) => {
+                let reply = match cluster.forward(&forwarded, operation.is_write()).await? {
                     Ok(reply) => reply,
-                    Err(ask) => self.tell_of(ask).await?,
+                    Err(ask) => self.answer_status_query(ask).await?,
                 };
-                return Ok(answer(&reply));
+                return Ok(json_response(&reply));
             }
             (None, _) => {}
         }
-        let who = who.ok_or_else(|| Problem::internal("nobody calls"))?;
-        let Passed {
+        let principal = principal.ok_or_else(|| Problem::internal("nobody calls"))?;
+        let ForwardedCall {
             path,
             query,
             if_match,
@@ -437,10 +463,10 @@
             target,
             body,
             ..
-        } = passed;
+        } = forwarded;
         let call = Call {
             id: None,
-            who,
+            principal,
             path,
             query,
             if_match,
@@ -451,30 +477,30 @@
             now_ms,
         };
         let reply = self.decide(operation, &call).await;
-        if operation.writes() {
-            self.stored.notify_one();
+        if operation.is_write() {
+            self.state_changed.notify_one();
         }
-        reply.map(|reply| answer(&reply))
+        reply.map(|reply| json_response(&reply))
     }
 
     /// Figures of this instance, whoever leads.
     async fn figures(&self) -> Result<Response<Body>, Problem> {
-        let mut tenants = self.status(None).await?;
-        tenants.truncate(TOLD);
-        let (tell, told) = oneshot::channel();
-        self.give(Order::Residency(tell));
-        let resident = told
+        let mut tenants = self.tenant_statuses(None).await?;
+        tenants.truncate(MAX_TENANTS_PER_REPLY);
+        let (sender, receiver) = oneshot::channel();
+        self.send(PlaneCommand::ReportResidency(sender));
+        let resident = receiver
             .await
             .map_err(|_| Problem::internal("the service is ending"))?;
-        let text = match &self.together {
-            None => figures::text(None, &resident, &tenants),
-            Some(together) => {
-                let (tell, told) = oneshot::channel();
-                self.give(Order::Gate(tell));
+        let text = match &self.cluster {
+            None => figures::render(None, &resident, &tenants),
+            Some(cluster) => {
+                let (sender, receiver) = oneshot::channel();
+                self.send(PlaneCommand::ReportGate(sender));
                 let ending = || Problem::internal("the service is ending");
-                let gate = told.await.map_err(|_| ending())?;
-                let status = together.status().await.ok_or_else(ending)?;
-                figures::text(Some((&status, gate)), &resident, &tenants)
+                let gate = receiver.await.map_err(|_| ending())?;
+                let status = cluster.status().await.ok_or_else(ending)?;
+                figures::render(Some((&status, gate)), &resident, &tenants)
             }
         };
         let response = Response::builder()
@@ -485,30 +511,37 @@
             .map_err(|e| Problem::internal(e.to_string()))
     }
 
-    fn stream(self: &Arc<Self>, who: Who, last: Option<String>) -> Result<Response<Body>, Problem> {
-        let place = self.streams.clone().try_acquire_owned();
-        let place =
-            place.map_err(|_| Problem::busy(format!("{STREAMS} streams of events are open")))?;
-        let last = last.map(|id| {
+    fn event_stream(
+        self: &Arc<Self>,
+        principal: Principal,
+        last_event_id: Option<String>,
+    ) -> Result<Response<Body>, Problem> {
+        let permit = self.streams.clone().try_acquire_owned();
+        let permit = permit.map_err(|_| {
+            Problem::busy(format!("{MAX_EVENT_STREAMS} streams of events are open"))
+        })?;
+        let last = last_event_id.map(|id| {
             id.trim()
                 .parse()
                 .map_err(|_| Problem::malformed("Last-Event-ID is no number"))
         });
-        // Listens before it looks back, so that nothing falls between; what comes twice is left out.
-        let told = self.events.subscribe();
+        // Listens previous it looks back, so that nothing falls between; what comes twice is left out.
+        let receiver = self.events.subscribe();
         let missed = match last.transpose()? {
-            Some(id) => self.desk().since(&who, id, MISSED)?,
+            Some(id) => self
+                .admin_state()
+                .events_since(&principal, id, MAX_REPLAYED_EVENTS)?,
             None => Vec::new(),
         };
-        let (lines, body) =
+        let (frames, body) =
             mpsc::channel::<Result<hyper::body::Frame<axum::body::Bytes>, Infallible>>(16);
         let api = self.clone();
         tokio::spawn(async move {
             // A reader that has left, or an end of the service, ends it.
-            let _ = tell(&api, &who, told, missed, &lines).await;
-            drop(place);
+            let _ = write_events(&api, &principal, receiver, missed, &frames).await;
+            drop(permit);
         });
-        let body = Body::new(http_body_util::StreamBody::new(Frames(body)));
+        let body = Body::new(http_body_util::StreamBody::new(FrameStream(body)));
         let response = Response::builder()
             .header(CONTENT_TYPE, "text/event-stream")
             .header(CACHE_CONTROL, "no-store");
@@ -518,98 +551,98 @@
     }
 }
 
-type Line = Result<hyper::body::Frame<axum::body::Bytes>, Infallible>;
+type EventFrame = Result<hyper::body::Frame<axum::body::Bytes>, Infallible>;
 
 /// What a stream of events sends, as a body takes it.
-struct Frames(mpsc::Receiver<Line>);
+struct FrameStream(mpsc::Receiver<EventFrame>);
 
-impl futures_core::Stream for Frames {
-    type Item = Line;
+impl futures_core::Stream for FrameStream {
+    type Item = EventFrame;
 
     fn poll_next(
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<Option<Line>> {
+    ) -> std::task::Poll<Option<EventFrame>> {
         self.0.poll_recv(cx)
     }
 }
 
 /// Why a stream of events ends: its reader has left, or may not read on.
-struct Left;
+struct StreamEnded;
 
-async fn send(
-    lines: &mpsc::Sender<Line>,
+async fn send_event(
+    frames: &mpsc::Sender<EventFrame>,
     id: Option<u64>,
     event: &str,
     data: &Value,
-) -> Result<(), Left> {
+) -> Result<(), StreamEnded> {
     let id = id.map_or(String::new(), |id| format!("id: {id}\n"));
     let text = format!("{id}event: {event}\ndata: {data}\n\n");
-    lines
+    frames
         .send(Ok(hyper::body::Frame::data(text.into())))
         .await
-        .map_err(|_| Left)
+        .map_err(|_| StreamEnded)
 }
 
-async fn tell(
+async fn write_events(
     api: &Api,
-    who: &Who,
-    mut told: broadcast::Receiver<Arc<Happened>>,
+    principal: &Principal,
+    mut receiver: broadcast::Receiver<Arc<VersionEvent>>,
     missed: Vec<(u64, Value)>,
-    lines: &mpsc::Sender<Line>,
-) -> Result<(), Left> {
+    frames: &mpsc::Sender<EventFrame>,
+) -> Result<(), StreamEnded> {
     let mut last = 0;
-    if missed.len() >= MISSED {
-        send(lines, None, "gap", &Value::Null).await?;
+    if missed.len() >= MAX_REPLAYED_EVENTS {
+        send_event(frames, None, "gap", &Value::Null).await?;
     }
     for (id, data) in missed {
-        send(lines, Some(id), "version", &data).await?;
+        send_event(frames, Some(id), "version", &data).await?;
         last = id;
     }
-    let mut look = tokio::time::interval(LOOK);
-    let mut before: BTreeMap<String, TenantStatus> = BTreeMap::new();
+    let mut status_interval = tokio::time::interval(STATUS_INTERVAL);
+    let mut previous: BTreeMap<String, TenantStatus> = BTreeMap::new();
     loop {
         tokio::select! {
-            happened = told.recv() => match happened {
-                Ok(happened) => {
-                    may_read_on(api, who)?;
-                    if let Some((id, data)) = happened.told_to(who).filter(|(id, _)| *id > last) {
-                        send(lines, Some(id), "version", &data).await?;
+            event = receiver.recv() => match event {
+                Ok(event) => {
+                    check_token(api, principal)?;
+                    if let Some((id, data)) = event.visible_to(principal).filter(|(id, _)| *id > last) {
+                        send_event(frames, Some(id), "version", &data).await?;
                         last = id;
                     }
                 }
-                Err(broadcast::error::RecvError::Lagged(_)) => send(lines, None, "gap", &Value::Null).await?,
+                Err(broadcast::error::RecvError::Lagged(_)) => send_event(frames, None, "gap", &Value::Null).await?,
                 Err(broadcast::error::RecvError::Closed) => return Ok(()),
             },
-            _ = look.tick() => {
-                may_read_on(api, who)?;
-                let all = api.status(who.tenant.clone()).await.map_err(|_| Left)?;
+            _ = status_interval.tick() => {
+                check_token(api, principal)?;
+                let all = api.tenant_statuses(principal.tenant.clone()).await.map_err(|_| StreamEnded)?;
                 let now: BTreeMap<_, _> = all.into_iter().map(|t| (t.name.clone(), t)).collect();
-                let changed = now.iter().filter(|(name, t)| before.get(*name) != Some(t));
-                let changed: Vec<&TenantStatus> = changed.map(|(_, t)| t).take(TOLD).collect();
+                let changed = now.iter().filter(|(name, t)| previous.get(*name) != Some(t));
+                let changed: Vec<&TenantStatus> = changed.map(|(_, t)| t).take(MAX_TENANTS_PER_REPLY).collect();
                 if changed.is_empty() {
                     // A comment, by which a reader that has left is noticed.
-                    lines.send(Ok(hyper::body::Frame::data(":\n\n".into()))).await.map_err(|_| Left)?;
+                    frames.send(Ok(hyper::body::Frame::data(":\n\n".into()))).await.map_err(|_| StreamEnded)?;
                 } else {
-                    send(lines, None, "status", &serde_json::json!({ "tenants": changed })).await?;
+                    send_event(frames, None, "status", &serde_json::json!({ "tenants": changed })).await?;
                 }
-                before = now;
+                previous = now;
             }
         }
     }
 }
 
-/// A token that is revoked or has ended opens nothing, also not what it opened before.
-fn may_read_on(api: &Api, who: &Who) -> Result<(), Left> {
-    if api.desk().still_knows(who, now_ms()) {
+/// A token that is revoked or has ended opens nothing, also not what it opened previous.
+fn check_token(api: &Api, principal: &Principal) -> Result<(), StreamEnded> {
+    if api.admin_state().is_token_valid(principal, now_ms()) {
         Ok(())
     } else {
-        Err(Left)
+        Err(StreamEnded)
     }
 }
 
 /// A header that may stand once.
-fn one(headers: &HeaderMap, name: &HeaderName) -> Result<Option<String>, Problem> {
+fn single_header(headers: &HeaderMap, name: &HeaderName) -> Result<Option<String>, Problem> {
     let mut values = headers.get_all(name).iter();
     let value = values
         .next()
@@ -624,7 +657,7 @@
 }
 
 /// Parameters of a query; each may stand once.
-fn queries(query: &str) -> Result<BTreeMap<String, String>, Problem> {
+fn parse_query(query: &str) -> Result<BTreeMap<String, String>, Problem> {
     let mut all = BTreeMap::new();
     for (key, value) in form_urlencoded::parse(query.as_bytes()) {
         if all
@@ -639,7 +672,7 @@
     Ok(all)
 }
 
-fn answer(reply: &Reply) -> Response<Body> {
+fn json_response(reply: &Reply) -> Response<Body> {
     let mut response = Response::builder()
         .status(reply.status)
         .header(CONTENT_TYPE, "application/json")
@@ -653,16 +686,16 @@
     }
     response
         .body(Body::from(reply.body.to_string()))
-        .unwrap_or_else(|_| failed())
+        .unwrap_or_else(|_| internal_error())
 }
 
-fn failed() -> Response<Body> {
+fn internal_error() -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     response
 }
 
-fn turned_down(problem: &Problem, instance: &str) -> Response<Body> {
+fn problem_response(problem: &Problem, instance: &str) -> Response<Body> {
     let mut response = Response::builder()
         .status(problem.status)
         .header(CONTENT_TYPE, "application/problem+json")
@@ -672,7 +705,7 @@
     }
     response
         .body(Body::from(problem.body(instance).to_string()))
-        .unwrap_or_else(|_| failed())
+        .unwrap_or_else(|_| internal_error())
 }
 
 /// The routes, as the table of operations has them.
@@ -693,7 +726,7 @@
                 .collect();
             api.handle(operation, path, request)
                 .await
-                .unwrap_or_else(|p| turned_down(&p, &instance))
+                .unwrap_or_else(|p| problem_response(&p, &instance))
         };
         let (methods, names) = paths.remove(operation.path).unwrap_or_default();
         let mut names = names;
@@ -703,21 +736,21 @@
     let mut router = Router::new();
     for (path, (methods, names)) in paths {
         let allow = names.join(", ");
-        let wrong = async move |request: Request| {
+        let wrong_method = async move |request: Request| {
             let problem = Problem::wrong_method(format!("it takes {allow}"));
-            let mut response = turned_down(&problem, request.uri().path());
+            let mut response = problem_response(&problem, request.uri().path());
             if let Ok(allow) = allow.parse() {
                 response.headers_mut().insert(ALLOW, allow);
             }
             response
         };
-        router = router.route(path, methods.fallback(wrong));
+        router = router.route(path, methods.fallback(wrong_method));
     }
-    let nowhere = async |request: Request| {
-        turned_down(
+    let not_found = async |request: Request| {
+        problem_response(
             &Problem::not_found("there is no such resource"),
             request.uri().path(),
         )
     };
-    router.fallback(nowhere).with_state(api)
+    router.fallback(not_found).with_state(api)
 }
--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -10,29 +10,29 @@
 //! A change is checked, stored, carried out and then acknowledged, in this order. It decides nothing about requests.
 
 mod access;
-mod answers;
+mod admin_state;
 mod backup;
+mod bodies;
 mod call;
-mod desk;
+mod cluster_api;
 mod difference;
+mod document_part;
 mod events;
 mod figures;
 mod http;
 pub mod operations;
-mod place;
 mod problem;
-mod start;
+mod startup_progress;
 mod tenants;
-mod together;
 mod tokens;
 mod versions;
 
-pub use access::{Role, Token, Who};
+pub use access::{Principal, Role, Token};
+pub use admin_state::{AdminState, OPERATOR_TOKEN_FILE, Snapshot, new_operator_token};
 pub use backup::Backup;
-pub use call::{Ask, Call, Outcome, Reply};
-pub use desk::{Desk, OPERATOR, Snapshot, operator};
-pub use events::Happened;
-pub use http::{Api, Order, snapshot_rest};
+pub use call::{Call, Outcome, Reply, StatusQuery};
+pub use cluster_api::ClusterHandle;
+pub use events::VersionEvent;
+pub use http::{Api, PlaneCommand, snapshot_interval};
 pub use problem::Problem;
-pub use start::Starting;
-pub use together::Together;
+pub use startup_progress::StartupProgress;
--- a/crates/admin-api/src/problem.rs
+++ b/crates/admin-api/src/problem.rs
@@ -8,17 +8,20 @@
 use serde_json::{Value, json};
 
 /// Bytes of a text in an answer or in the log: what somebody sent is not told back whole.
-const LONG: usize = 1024;
+const MAX_TEXT_BYTES: usize = 1024;
 /// Bytes of all fields that an answer names.
-const ALL: usize = 64 << 10;
+const MAX_FIELDS_BYTES: usize = 64 << 10;
 
 /// A text as an answer or the log has it: one that is too long is cut, and says how long it was.
-pub fn short(text: &str) -> Cow<'_, str> {
-    if text.len() <= LONG {
+pub fn truncated(text: &str) -> Cow<'_, str> {
+    if text.len() <= MAX_TEXT_BYTES {
         return text.into();
     }
-    let whole = |end: &usize| text.is_char_boundary(*end);
-    let head = &text[..(0..=LONG - 64).rev().find(whole).unwrap_or(0)];
+    let is_boundary = |end: &usize| text.is_char_boundary(*end);
+    let head = &text[..(0..=MAX_TEXT_BYTES - 64)
+        .rev()
+        .find(is_boundary)
+        .unwrap_or(0)];
     format!("{head}... (cut: it has {} bytes)", text.len()).into()
 }
 
@@ -71,7 +74,7 @@
     /// It does not fit the rest of the service.
     conflict = 409, "conflict", "It does not fit the rest of the service";
     /// The instances of the cluster did not all take it.
-    given_up = 409, "given-up", "Not all instances can take it";
+    change_aborted = 409, "given-up", "Not all instances can take it";
     /// It is no longer kept.
     gone = 410, "gone", "It is no longer kept";
     /// Someone else has changed it meanwhile.
@@ -83,7 +86,7 @@
     /// The document is wrong.
     invalid = 422, "invalid", "The document is wrong";
     /// It must say which revision it is meant for.
-    unconditional = 428, "precondition-required", "If-Match is missing";
+    precondition_required = 428, "precondition-required", "If-Match is missing";
     /// Too much at once.
     busy = 429, "busy", "Too much at once";
     /// A fault of the program.
@@ -93,12 +96,12 @@
     /// Nothing can be changed now.
     read_only = 503, "read-only", "The state is read-only";
     /// The disk is full.
-    full = 507, "full", "The disk is full";
+    disk_full = 507, "full", "The disk is full";
 }
 
 impl Problem {
     /// A document with these faults.
-    pub fn faults(faults: Vec<Fault>) -> Self {
+    pub fn from_faults(faults: Vec<Fault>) -> Self {
         let detail = match faults.as_slice() {
             [one] => format!("{}: {}", one.pointer, one.what),
             many => format!("{} fields are wrong", many.len()),
@@ -113,24 +116,25 @@
     pub fn body(&self, instance: &str) -> Value {
         let field = |f: &'_ Fault| {
             json!(Field {
-                pointer: &short(&f.pointer),
-                detail: &short(&f.what)
+                pointer: &truncated(&f.pointer),
+                detail: &truncated(&f.what)
             })
         };
         let mut body = json!({
             "type": format!("/problems/{}", self.kind),
             "title": self.title,
             "status": self.status,
-            "detail": short(&self.detail),
-            "instance": short(instance),
+            "detail": truncated(&self.detail),
+            "instance": truncated(instance),
         });
         if !self.faults.is_empty() {
             let mut bytes = 0;
-            let few = self.faults.iter().take_while(|f| {
-                bytes += f.pointer.len().min(LONG) + f.what.len().min(LONG) + 32;
-                bytes <= ALL
+            let listed = self.faults.iter().take_while(|f| {
+                bytes +=
+                    f.pointer.len().min(MAX_TEXT_BYTES) + f.what.len().min(MAX_TEXT_BYTES) + 32;
+                bytes <= MAX_FIELDS_BYTES
             });
-            body["errors"] = few.map(field).collect();
+            body["errors"] = listed.map(field).collect();
         }
         body
     }
@@ -139,7 +143,9 @@
 impl From<StoreError> for Problem {
     fn from(error: StoreError) -> Self {
         match error {
-            StoreError::DiskFull => Problem::full("nothing has changed; make room and try again"),
+            StoreError::DiskFull => {
+                Problem::disk_full("nothing has changed; make room and try again")
+            }
             e => {
                 tracing::error!(error = %e, "the store has failed");
                 Problem::internal("the store has failed; the log says why")
--- /dev/null
+++ b/crates/admin-api/src/startup_progress.rs
@@ -0,0 +1,113 @@
+//! The start of an instance of a cluster: what is known is looked at until requests may be taken, and operators are receiver how far it is.
+
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+use serde_json::json;
+use startup::{Conditions, Membership, Phase, Readiness, StartupSequence, StartupSettings};
+use tokio::sync::oneshot;
+use tokio::time::sleep;
+
+use crate::call::Reply;
+use crate::cluster_api::{ForwardedCall, no_cluster};
+use crate::http::{Api, PlaneCommand};
+use crate::problem::Problem;
+
+/// From one read to the next, until requests are taken.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A start, as the API's thread and its callers share it.
+pub struct StartupProgress {
+    started: Instant,
+    sequence: Mutex<StartupSequence>,
+}
+
+impl StartupProgress {
+    /// A process that started then, and has read its store.
+    pub fn new(started: Instant, settings: StartupSettings) -> Self {
+        let mut sequence = StartupSequence::new(0, settings);
+        sequence.store_opened(elapsed_us(started));
+        StartupProgress {
+            started,
+            sequence: Mutex::new(sequence),
+        }
+    }
+
+    fn update<T>(&self, operation: impl FnOnce(&mut StartupSequence, u64) -> T) -> T {
+        let now = elapsed_us(self.started);
+        operation(
+            &mut self.sequence.lock().unwrap_or_else(PoisonError::into_inner),
+            now,
+        )
+    }
+}
+
+fn elapsed_us(since: Instant) -> u64 {
+    u64::try_from(since.elapsed().as_micros()).unwrap_or(u64::MAX)
+}
+
+impl Api {
+    /// Lets requests in once they may be taken.
+    pub async fn run_startup(self: Arc<Self>) {
+        let Some(cluster) = self.cluster() else {
+            return;
+        };
+        let mut last = Phase::Store;
+        loop {
+            let (sender, receiver) = oneshot::channel();
+            self.send(PlaneCommand::ReportStartup(sender));
+            let Ok((open, _tenants, unknown)) = receiver.await else {
+                return;
+            };
+            let Some(status) = cluster.status().await else {
+                return;
+            };
+            let conditions = Conditions {
+                membership: Membership::new(status.id != 0, status.leader.is_some()),
+                is_policy_current: open.is_some() && status.deciding_version == open,
+                unknown_lists: unknown,
+            };
+            let (readiness, report) = cluster
+                .startup
+                .update(|sequence, now| (sequence.update(now, conditions), sequence.report(now)));
+            if report.phase != last {
+                last = report.phase;
+                let waits_for = report.waits_for.as_str();
+                tracing::info!(
+                    phase = report.phase.name(),
+                    waits_for,
+                    "startup phase entered"
+                );
+            }
+            match readiness {
+                Readiness::NotReady => sleep(CHECK_INTERVAL).await,
+                Readiness::Ready => break,
+                Readiness::ReadyWithUnknownLists => {
+                    let lists = report.unknown_lists.join(", ");
+                    tracing::warn!(
+                        lists,
+                        "takes requests though some tenants' lists are not known: theirs are refused"
+                    );
+                    break;
+                }
+            }
+        }
+        self.send(PlaneCommand::AcceptRequests);
+    }
+
+    /// How far this instance's start is.
+    pub(crate) async fn recovery(&self, passed: &ForwardedCall) -> Result<Reply, Problem> {
+        let cluster = self.cluster().ok_or_else(no_cluster)?;
+        self.admin_state()
+            .authenticate(passed.authorization.as_deref(), passed.now_ms)?
+            .authorize(crate::access::Permission::AllTenants)?;
+        let report = cluster.startup.update(|sequence, now| sequence.report(now));
+        let status = cluster.status().await;
+        let (name, fenced) = status
+            .map(|s| (s.name, s.fenced_reason))
+            .unwrap_or_default();
+        Ok(Reply::ok(
+            json!({ "name": name, "fenced": fenced, "start": report }),
+        ))
+    }
+}
--- a/crates/admin-api/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -5,41 +5,43 @@
 use multi_tenant::catalog::Name;
 use serde_json::{Value, json};
 
-use crate::access::Needs;
-use crate::answers::{Apply, Listed};
-use crate::call::{Ask, Call, Outcome, Page, Reply};
-use crate::desk::{Desk, Draft, Frame, etag, no_tenant, written_out};
-use crate::place::{Place, named};
+use crate::access::Permission;
+use crate::admin_state::{
+    AdminState, ChangeDraft, PointerMapping, etag, tenant_not_found, tenant_to_json,
+};
+use crate::bodies::{Apply, TenantSummary};
+use crate::call::{Call, Outcome, Page, Reply, StatusQuery};
+use crate::document_part::{DocumentPart, ensure_name};
 use crate::problem::Problem;
 
 /// A part of a document that a path names.
-fn place<'c>(call: &'c Call, part: &'static str) -> Place<'c> {
+fn addressed_part<'c>(call: &'c Call, part: &'static str) -> DocumentPart<'c> {
     match part {
-        "" => Place::Whole,
-        "class" | "server" => Place::Member(part, call.name(part)),
-        part => Place::Part(part),
+        "" => DocumentPart::Whole,
+        "class" | "server" => DocumentPart::ListItem(part, call.path_parameter(part)),
+        part => DocumentPart::Key(part),
     }
 }
 
 /// All tenants that the caller sees.
-pub fn list(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let limit = call.limit()?;
+pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let limit = call.page_limit()?;
     let after = call.query.get("after").map_or("", String::as_str);
-    let seen = desk
+    let seen = admin
         .catalog()
         .names_after(after)
-        .filter(|name| call.who.sees(name));
+        .filter(|name| call.principal.can_see(name));
     let mut names: Vec<Name> = seen.take(limit + 1).cloned().collect();
     let more = names.len() > limit;
     names.truncate(limit);
     let next = names.last().filter(|_| more).map(|name| name.to_string());
     let mut items = Vec::new();
     for name in names {
-        let Some((rev, tenant)) = desk.tenant(&name)? else {
+        let Some((rev, tenant)) = admin.tenant(&name)? else {
             continue;
         };
         let (classes, servers) = (tenant.classes.len(), tenant.servers.len());
-        items.push(Listed {
+        items.push(TenantSummary {
             name: tenant.name,
             rev,
             classes,
@@ -47,114 +49,133 @@
         });
     }
     let page = Page { items, next };
-    let etag = call.who.oversees().then(|| desk.service_tag());
+    let etag = call
+        .principal
+        .sees_all_tenants()
+        .then(|| admin.service_etag());
     Ok(Reply {
         etag,
-        ..Reply::of(page)
+        ..Reply::ok(page)
     }
     .into())
 }
 
 /// A document, or a part of it.
-pub fn get(desk: &mut Desk, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
-    let (rev, document) = desk.document(&call.who, call.name("tenant"))?;
-    let found = place(call, part)
+pub fn get(admin: &mut AdminState, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
+    let (rev, document) = admin.document(&call.principal, call.path_parameter("tenant"))?;
+    let found = addressed_part(call, part)
         .get(&document)
-        .ok_or_else(|| no_part(call, part))?;
+        .ok_or_else(|| part_not_found(call, part))?;
     Ok(Reply {
         etag: Some(etag(rev, &document)),
-        ..Reply::of(found)
+        ..Reply::ok(found)
     }
     .into())
 }
 
-fn no_part(call: &Call, part: &str) -> Problem {
+fn part_not_found(call: &Call, part: &str) -> Problem {
     match part {
-        "class" | "server" => {
-            Problem::not_found(format!("there is no {part} \"{}\"", call.name(part)))
-        }
+        "class" | "server" => Problem::not_found(format!(
+            "there is no {part} \"{}\"",
+            call.path_parameter(part)
+        )),
         part => Problem::not_found(format!("there are no {part}")),
     }
 }
 
 /// A list in a document, by name.
-pub fn members(desk: &mut Desk, call: &Call, list: &'static str) -> Result<Outcome, Problem> {
-    let limit = call.limit()?;
-    let (rev, document) = desk.document(&call.who, call.name("tenant"))?;
+pub fn list_items(
+    admin: &mut AdminState,
+    call: &Call,
+    list: &'static str,
+) -> Result<Outcome, Problem> {
+    let limit = call.page_limit()?;
+    let (rev, document) = admin.document(&call.principal, call.path_parameter("tenant"))?;
     let members = document[list].as_array().into_iter().flatten();
     let members = members.map(|m| (m["name"].as_str().unwrap_or_default().to_owned(), m.clone()));
     let page = call.page(members, limit)?;
     Ok(Reply {
         etag: Some(etag(rev, &document)),
-        ..Reply::of(page)
+        ..Reply::ok(page)
     }
     .into())
 }
 
 /// A new tenant.
-pub fn add(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
+pub fn add(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let name = call.body["name"].as_str().unwrap_or_default().to_owned();
-    if desk.has(&name) {
+    if admin.has_tenant(&name) {
         return Err(Problem::conflict(format!(
             "there is a tenant \"{name}\" already"
         )));
     }
-    desk.change(
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action: "tenant.add",
             subject: Some(name.clone()),
             detail: None,
             location: Some(format!("/v1/tenants/{name}")),
-            edits: vec![(name, Some(call.body.clone()), Frame::default())],
+            edits: vec![(name, Some(call.body.clone()), PointerMapping::default())],
         },
     )
 }
 
 /// Puts a document or a part of it where the path says.
-pub fn put(desk: &mut Desk, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
-    let (name, place) = (call.name("tenant").to_owned(), place(call, part));
-    let now = desk.document(&call.who, &name);
+pub fn put(admin: &mut AdminState, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
+    let (name, document_part) = (
+        call.path_parameter("tenant").to_owned(),
+        addressed_part(call, part),
+    );
+    let now = admin.document(&call.principal, &name);
     let mut body = call.body.clone();
     let differs = |what| {
-        Problem::faults(vec![config_parser::Fault {
+        Problem::from_faults(vec![config_parser::Fault {
             pointer: "/name".into(),
             what,
         }])
     };
-    place.name(&mut body).map_err(differs)?;
+    document_part.set_name(&mut body).map_err(differs)?;
     let (base, tag, there) = match &now {
         Ok((rev, document)) => (
             Some(document.clone()),
             Some(etag(*rev, document)),
-            place.get(document).is_some(),
+            document_part.get(document).is_some(),
         ),
         Err(_) if part.is_empty() => (None, None, false),
         Err(problem) => return Err(problem.clone()),
     };
     if part.is_empty() {
-        named(&mut body, &name).map_err(differs)?;
+        ensure_name(&mut body, &name).map_err(differs)?;
         if base.is_none() {
             // A tenant that is not there: who may not add any learns no more than that.
-            call.who.may(Needs::Operate).map_err(|_| no_tenant(&name))?;
+            call.principal
+                .authorize(Permission::Operator)
+                .map_err(|_| tenant_not_found(&name))?;
         }
     }
     // What replaces the whole must say what it replaces; a part stands for itself.
-    let now = if place == Place::Whole || there || call.if_match.is_some() {
+    let now = if document_part == DocumentPart::Whole || there || call.if_match.is_some() {
         tag.as_deref()
     } else {
         None
     };
-    Desk::matches(call, now, part.is_empty())?;
-    let (document, at) = place.put(base.unwrap_or(Value::Null), body);
+    AdminState::check_precondition(call, now, part.is_empty())?;
+    let (document, at) = document_part.set(base.unwrap_or(Value::Null), body);
     let (action, detail) = match part {
         "" if there => ("tenant.put", None),
         "" => ("tenant.add", None),
         "limits" => ("limits.put", None),
         "rules" => ("rules.put", None),
         "hosts" => ("hosts.put", None),
-        "class" => ("class.put", Some(format!("class {}", call.name(part)))),
-        _ => ("server.put", Some(format!("server {}", call.name(part)))),
+        "class" => (
+            "class.put",
+            Some(format!("class {}", call.path_parameter(part))),
+        ),
+        _ => (
+            "server.put",
+            Some(format!("server {}", call.path_parameter(part))),
+        ),
     };
     let new = !there && matches!(part, "" | "class" | "server");
     let location = new.then(|| {
@@ -164,10 +185,10 @@
             .unwrap_or_default()
             .to_owned()
     });
-    let edits = vec![(name.clone(), Some(document), Frame::part(at))];
-    desk.change(
+    let edits = vec![(name.clone(), Some(document), PointerMapping::body_at(at))];
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action,
             subject: Some(name),
             detail,
@@ -178,23 +199,36 @@
 }
 
 /// Takes a tenant away, or a member of a list.
-pub fn remove(desk: &mut Desk, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
-    let (name, place) = (call.name("tenant").to_owned(), place(call, part));
-    let (rev, document) = desk.document(&call.who, &name)?;
-    Desk::matches(call, Some(&etag(rev, &document)), part.is_empty())?;
-    let next = match place {
-        Place::Whole => None,
-        place => Some(place.take(document).ok_or_else(|| no_part(call, part))?),
+pub fn remove(admin: &mut AdminState, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
+    let (name, document_part) = (
+        call.path_parameter("tenant").to_owned(),
+        addressed_part(call, part),
+    );
+    let (rev, document) = admin.document(&call.principal, &name)?;
+    AdminState::check_precondition(call, Some(&etag(rev, &document)), part.is_empty())?;
+    let next = match document_part {
+        DocumentPart::Whole => None,
+        document_part => Some(
+            document_part
+                .remove(document)
+                .ok_or_else(|| part_not_found(call, part))?,
+        ),
     };
     let (action, detail) = match part {
         "" => ("tenant.remove", None),
-        "class" => ("class.remove", Some(format!("class {}", call.name(part)))),
-        _ => ("server.remove", Some(format!("server {}", call.name(part)))),
+        "class" => (
+            "class.remove",
+            Some(format!("class {}", call.path_parameter(part))),
+        ),
+        _ => (
+            "server.remove",
+            Some(format!("server {}", call.path_parameter(part))),
+        ),
     };
-    let edits = vec![(name.clone(), next, Frame::default())];
-    desk.change(
+    let edits = vec![(name.clone(), next, PointerMapping::default())];
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action,
             subject: Some(name),
             detail,
@@ -205,26 +239,33 @@
 }
 
 /// Tells a server to end what it has, or to take new work again.
-pub fn drain(desk: &mut Desk, call: &Call, state: &'static str) -> Result<Outcome, Problem> {
-    let (name, place) = (call.name("tenant").to_owned(), place(call, "server"));
-    let (rev, document) = desk.document(&call.who, &name)?;
-    Desk::matches(call, Some(&etag(rev, &document)), false)?;
-    let mut server = place
+pub fn set_server_state(
+    admin: &mut AdminState,
+    call: &Call,
+    state: &'static str,
+) -> Result<Outcome, Problem> {
+    let (name, document_part) = (
+        call.path_parameter("tenant").to_owned(),
+        addressed_part(call, "server"),
+    );
+    let (rev, document) = admin.document(&call.principal, &name)?;
+    AdminState::check_precondition(call, Some(&etag(rev, &document)), false)?;
+    let mut server = document_part
         .get(&document)
-        .ok_or_else(|| no_part(call, "server"))?
+        .ok_or_else(|| part_not_found(call, "server"))?
         .clone();
     server["state"] = json!(state);
-    let (next, at) = place.put(document, server);
+    let (next, at) = document_part.set(document, server);
     let action = if state == "up" {
         "server.resume"
     } else {
         "server.drain"
     };
-    let detail = Some(format!("server {}", call.name("server")));
-    let edits = vec![(name.clone(), Some(next), Frame::part(at))];
-    desk.change(
+    let detail = Some(format!("server {}", call.path_parameter("server")));
+    let edits = vec![(name.clone(), Some(next), PointerMapping::body_at(at))];
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action,
             subject: Some(name),
             detail,
@@ -235,49 +276,51 @@
 }
 
 /// Several tenants at once, as one version.
-pub fn apply(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let apply: Apply = call.read()?;
+pub fn apply(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let apply: Apply = call.parse_body()?;
     // Who sees one tenant alone has its tag, and knows no other.
-    let tag = match &call.who.tenant {
-        None => Some(desk.service_tag()),
-        Some(own) => desk
-            .document(&call.who, own)
+    let tag = match &call.principal.tenant {
+        None => Some(admin.service_etag()),
+        Some(own) => admin
+            .document(&call.principal, own)
             .ok()
             .map(|(rev, d)| etag(rev, &d)),
     };
-    Desk::matches(call, tag.as_deref(), false)?;
+    AdminState::check_precondition(call, tag.as_deref(), false)?;
     let mut edits = Vec::new();
     let mut named = BTreeSet::new();
     for (i, tenant) in apply.tenants.iter().enumerate() {
-        if !call.who.sees(&tenant.name) {
-            return Err(no_tenant(&tenant.name));
+        if !call.principal.can_see(&tenant.name) {
+            return Err(tenant_not_found(&tenant.name));
         }
         if !named.insert(tenant.name.as_str()) {
             let what = format!("\"{}\" stands twice", tenant.name);
-            return Err(Problem::faults(vec![config_parser::Fault {
+            return Err(Problem::from_faults(vec![config_parser::Fault {
                 pointer: format!("/tenant/{i}/name"),
                 what,
             }]));
         }
-        let document = written_out(tenant)?;
-        let frame = Frame {
-            above: format!("/tenant/{i}"),
-            ..Frame::default()
+        let document = tenant_to_json(tenant)?;
+        let frame = PointerMapping {
+            document_in_body: format!("/tenant/{i}"),
+            ..PointerMapping::default()
         };
         edits.push((tenant.name.clone(), Some(document), frame));
     }
     if apply.prune {
-        call.who.may(Needs::Operate)?;
-        let gone = desk.names().filter(|name| !named.contains(&***name));
-        edits.extend(gone.map(|name| (name.to_string(), None, Frame::default())));
+        call.principal.authorize(Permission::Operator)?;
+        let gone = admin
+            .tenant_names()
+            .filter(|name| !named.contains(&***name));
+        edits.extend(gone.map(|name| (name.to_string(), None, PointerMapping::default())));
     }
     let subject = match edits.as_slice() {
         [(one, ..)] => Some(one.clone()),
         _ => None,
     };
-    desk.change(
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action: "apply",
             subject,
             detail: None,
@@ -288,19 +331,19 @@
 }
 
 /// How a tenant's pool fares.
-pub fn pool(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let name = call.name("tenant");
-    desk.document(&call.who, name)?;
-    Ok(Outcome::Ask(Ask::Pool(name.to_owned())))
+pub fn pool(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let name = call.path_parameter("tenant");
+    admin.document(&call.principal, name)?;
+    Ok(Outcome::Status(StatusQuery::Pool(name.to_owned())))
 }
 
 /// How the service fares.
-pub fn status(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let version = call.who.oversees().then(|| desk.version());
-    let read_only = desk.read_only().map(str::to_owned);
-    Ok(Outcome::Ask(Ask::Service {
+pub fn status(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let version = call.principal.sees_all_tenants().then(|| admin.version());
+    let read_only = admin.read_only().map(str::to_owned);
+    Ok(Outcome::Status(StatusQuery::Service {
         version,
         read_only,
-        own: call.who.tenant.clone(),
+        tenant: call.principal.tenant.clone(),
     }))
 }
--- a/crates/admin-api/src/tokens.rs
+++ b/crates/admin-api/src/tokens.rs
@@ -1,15 +1,15 @@
 //! Operations on tokens.
 
-use crate::access::{Role, Token, Who, new_id, new_secret};
-use crate::answers::{NewToken, Rotate, TokenView};
+use crate::access::{Principal, Role, Token, new_id, new_secret};
+use crate::admin_state::{AdminState, tenant_not_found};
+use crate::bodies::{NewToken, TokenRotation, TokenView};
 use crate::call::{Call, Outcome, Reply};
-use crate::desk::{Desk, no_tenant};
 use crate::problem::Problem;
 
 /// Tokens that are kept at most.
-const MOST: usize = 20_000;
+const MAX_TOKENS: usize = 20_000;
 
-fn view(id: &str, token: &Token, whole: Option<String>) -> TokenView {
+fn view(id: &str, token: &Token, token_text: Option<String>) -> TokenView {
     TokenView {
         id: id.to_owned(),
         name: token.name.clone(),
@@ -17,84 +17,93 @@
         tenant: token.tenant.clone(),
         created_ms: token.created_ms,
         expires_ms: token.expires_ms,
-        overlap_until_ms: token.overlap_ms(),
-        token: whole,
+        overlap_until_ms: token.overlap_end_ms(),
+        token: token_text,
     }
 }
 
 /// Whether a caller may know of a token: its tenant's, or all.
-fn sees(who: &Who, token: &Token) -> bool {
-    who.oversees() || who.tenant == token.tenant
+fn can_see_token(principal: &Principal, token: &Token) -> bool {
+    principal.sees_all_tenants() || principal.tenant == token.tenant
 }
 
-fn find<'d>(desk: &'d Desk, call: &Call) -> Result<(&'d String, &'d Token), Problem> {
-    let found = desk.tokens().get_key_value(call.name("token"));
+fn find<'d>(admin: &'d AdminState, call: &Call) -> Result<(&'d String, &'d Token), Problem> {
+    let found = admin.tokens().get_key_value(call.path_parameter("token"));
     found
-        .filter(|(_, t)| sees(&call.who, t))
+        .filter(|(_, t)| can_see_token(&call.principal, t))
         .ok_or_else(|| Problem::not_found("there is no such token"))
 }
 
 /// All tokens that the caller may know of.
-pub fn list(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let seen = desk.tokens().iter().filter(|(_, t)| sees(&call.who, t));
+pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let visible = admin
+        .tokens()
+        .iter()
+        .filter(|(_, t)| can_see_token(&call.principal, t));
     let page = call.page(
-        seen.map(|(id, t)| (id.clone(), view(id, t, None))),
-        call.limit()?,
+        visible.map(|(id, t)| (id.clone(), view(id, t, None))),
+        call.page_limit()?,
     )?;
-    Ok(Reply::of(page).into())
+    Ok(Reply::ok(page).into())
 }
 
 /// One token.
-pub fn get(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let (id, token) = find(desk, call)?;
-    Ok(Reply::of(view(id, token, None)).into())
+pub fn get(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let (id, token) = find(admin, call)?;
+    Ok(Reply::ok(view(id, token, None)).into())
 }
 
 /// Whether a caller may make a token like this.
-fn may_make(who: &Who, new: &NewToken) -> Result<(), Problem> {
+fn check_new_token(principal: &Principal, new: &NewToken) -> Result<(), Problem> {
     match (new.role, &new.tenant) {
-        (Role::Operator, Some(_)) => {
-            Err(fault("/tenant", "an operator's token is for all tenants"))
-        }
-        (Role::TenantAdmin, None) => {
-            Err(fault("/tenant", "a tenant admin's token names its tenant"))
+        (Role::Operator, Some(_)) => Err(field_problem(
+            "/tenant",
+            "an operator's token is for all tenants",
+        )),
+        (Role::TenantAdmin, None) => Err(field_problem(
+            "/tenant",
+            "a tenant admin's token names its tenant",
+        )),
+        (_, tenant)
+            if principal.is_operator() || (tenant.is_some() && *tenant == principal.tenant) =>
+        {
+            Ok(())
         }
-        (_, tenant) if who.operates() || (tenant.is_some() && *tenant == who.tenant) => Ok(()),
-        (_, Some(tenant)) if !who.sees(tenant) => Err(no_tenant(tenant)),
+        (_, Some(tenant)) if !principal.can_see(tenant) => Err(tenant_not_found(tenant)),
         _ => Err(Problem::forbidden(
             "only operators make tokens for all tenants",
         )),
     }
 }
 
-fn fault(pointer: &str, what: &str) -> Problem {
-    Problem::faults(vec![config_parser::Fault {
+fn field_problem(pointer: &str, what: &str) -> Problem {
+    Problem::from_faults(vec![config_parser::Fault {
         pointer: pointer.into(),
         what: what.into(),
     }])
 }
 
-/// A new token, told whole this once.
-pub fn add(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let new: NewToken = call.read()?;
-    may_make(&call.who, &new)?;
+/// A new token, told token_text this once.
+pub fn add(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let new: NewToken = call.parse_body()?;
+    check_new_token(&call.principal, &new)?;
     if let Some(tenant) = &new.tenant {
-        desk.document(&call.who, tenant)?;
+        admin.document(&call.principal, tenant)?;
     }
-    // Those that have ended make room for others.
-    let ended: Vec<String> = desk
+    // Those that have expired make room for others.
+    let expired: Vec<String> = admin
         .tokens()
         .iter()
         .filter(|(_, t)| t.expires_ms.is_some_and(|end| end <= call.now_ms))
         .map(|(id, _)| id.clone())
         .collect();
-    if desk.tokens().len() - ended.len() >= MOST {
+    if admin.tokens().len() - expired.len() >= MAX_TOKENS {
         return Err(Problem::busy(format!(
-            "there are {MOST} tokens already; revoke some"
+            "there are {MAX_TOKENS} tokens already; revoke some"
         )));
     }
     let id = new_id()?;
-    let (whole, secret) = new_secret(&id)?;
+    let (token_text, secret) = new_secret(&id)?;
     let token = Token {
         name: new.name,
         role: new.role,
@@ -108,15 +117,15 @@
     let reply = Reply {
         status: 201,
         location: Some(format!("/v1/tokens/{id}")),
-        ..Reply::of(view(&id, &token, Some(whole)))
+        ..Reply::ok(view(&id, &token, Some(token_text)))
     };
-    desk.change_tokens(call, "token.add", new.tenant, &id, Some(token), reply)
+    admin.change_tokens(call, "token.add", new.tenant, &id, Some(token), reply)
 }
 
 /// A token that a caller may change: an operator any, a tenant admin those of its tenant.
-fn owned(desk: &Desk, call: &Call) -> Result<(String, Token), Problem> {
-    let (id, token) = find(desk, call)?;
-    if !call.who.operates() && token.tenant != call.who.tenant {
+fn find_writable(admin: &AdminState, call: &Call) -> Result<(String, Token), Problem> {
+    let (id, token) = find(admin, call)?;
+    if !call.principal.is_operator() && token.tenant != call.principal.tenant {
         return Err(Problem::forbidden(
             "only operators change tokens for all tenants",
         ));
@@ -125,27 +134,27 @@
 }
 
 /// Gives a token another secret; the former one stays good for a while.
-pub fn rotate(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let Rotate { overlap_s } = if call.body.is_null() {
-        Rotate::default()
+pub fn rotate(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let TokenRotation { overlap_s } = if call.body.is_null() {
+        TokenRotation::default()
     } else {
-        call.read()?
+        call.parse_body()?
     };
-    let (id, mut token) = owned(desk, call)?;
-    let (whole, secret) = new_secret(&id)?;
+    let (id, mut token) = find_writable(admin, call)?;
+    let (token_text, secret) = new_secret(&id)?;
     token.rotate(
         secret,
         call.now_ms.saturating_add(overlap_s.saturating_mul(1000)),
     );
-    let reply = Reply::of(view(&id, &token, Some(whole)));
+    let reply = Reply::ok(view(&id, &token, Some(token_text)));
     let subject = token.tenant.clone();
-    desk.change_tokens(call, "token.rotate", subject, &id, Some(token), reply)
+    admin.change_tokens(call, "token.rotate", subject, &id, Some(token), reply)
 }
 
 /// Ends a token at once.
-pub fn revoke(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let (id, token) = owned(desk, call)?;
-    let operators = desk
+pub fn revoke(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let (id, token) = find_writable(admin, call)?;
+    let operators = admin
         .tokens()
         .values()
         .filter(|t| t.role == Role::Operator)
@@ -155,6 +164,6 @@
             "it is the last operator's token; make another first",
         ));
     }
-    let reply = Reply::of(view(&id, &token, None));
-    desk.change_tokens(call, "token.revoke", token.tenant, &id, None, reply)
+    let reply = Reply::ok(view(&id, &token, None));
+    admin.change_tokens(call, "token.revoke", token.tenant, &id, None, reply)
 }
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -5,15 +5,17 @@
 use config_store::{AuditEntry, DocumentRevision};
 use serde_json::Value;
 
-use crate::access::Needs;
-use crate::answers::{Back, By, Compared, Line, Version};
+use crate::access::Permission;
+use crate::admin_state::{
+    AdminState, ChangeDraft, PointerMapping, etag, scope, tenant_from_scope, tenant_not_found,
+};
+use crate::bodies::{Actor, AuditLine, Comparison, RollbackTarget, Version};
 use crate::call::{Call, Outcome, Page, Reply};
-use crate::desk::{Desk, Draft, Frame, etag, no_tenant, scope, tenant_of};
 use crate::difference;
 use crate::problem::Problem;
 
 /// Below which number a page of the newest first begins.
-fn below(call: &Call) -> Result<u64, Problem> {
+fn page_start(call: &Call) -> Result<u64, Problem> {
     Ok(call.query_number("after")?.unwrap_or(u64::MAX))
 }
 
@@ -28,11 +30,11 @@
     Page { items, next }
 }
 
-fn version(number: u64, entry: AuditEntry, tenants: Vec<String>, gone: bool) -> Version {
+fn version_entry(number: u64, entry: AuditEntry, tenants: Vec<String>, gone: bool) -> Version {
     Version {
         number,
         at_ms: entry.at_ms,
-        by: By::from(&entry.author),
+        by: Actor::from(&entry.author),
         action: entry.action,
         detail: entry.detail,
         tenants,
@@ -41,32 +43,32 @@
 }
 
 /// The service's versions, the newest first.
-pub fn all(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let limit = call.limit()?;
+pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let limit = call.page_limit()?;
     let one = |(number, entry): (u64, AuditEntry)| {
         let tenants = entry
             .edits
             .iter()
-            .filter_map(|e| tenant_of(&e.scope))
+            .filter_map(|e| tenant_from_scope(&e.scope))
             .collect();
-        version(number, entry, tenants, false)
+        version_entry(number, entry, tenants, false)
     };
-    let items = desk
+    let items = admin
         .store()?
-        .versions(below(call)?, limit + 1)?
+        .versions(page_start(call)?, limit + 1)?
         .into_iter()
         .map(one)
         .collect();
-    Ok(Reply::of(page(items, limit, |v: &Version| v.number)).into())
+    Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
 }
 
 /// A tenant's revisions, the newest first.
-pub fn of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let (limit, name) = (call.limit()?, seen(call)?);
-    let store = desk.store()?;
-    let rows = store.history(&scope(name), below(call)?, limit + 1)?;
+pub fn list_of_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let (limit, name) = (call.page_limit()?, visible_tenant(call)?);
+    let store = admin.store()?;
+    let rows = store.history(&scope(name), page_start(call)?, limit + 1)?;
     if rows.is_empty() && !call.query.contains_key("after") {
-        return Err(no_tenant(name));
+        return Err(tenant_not_found(name));
     }
     let mut items = Vec::new();
     for (rev, row) in rows {
@@ -85,24 +87,29 @@
             follows_version_gap: false,
         };
         let entry = store.audit_entry(row.audit_entry)?.unwrap_or_else(unknown);
-        items.push(version(rev, entry, Vec::new(), row.document.is_none()));
+        items.push(version_entry(
+            rev,
+            entry,
+            Vec::new(),
+            row.document.is_none(),
+        ));
     }
-    Ok(Reply::of(page(items, limit, |v: &Version| v.number)).into())
+    Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
 }
 
 /// The tenant that a path names, if the caller may know of it.
-fn seen(call: &Call) -> Result<&str, Problem> {
-    let name = call.name("tenant");
-    if call.who.sees(name) {
+fn visible_tenant(call: &Call) -> Result<&str, Problem> {
+    let name = call.path_parameter("tenant");
+    if call.principal.can_see(name) {
         Ok(name)
     } else {
-        Err(no_tenant(name))
+        Err(tenant_not_found(name))
     }
 }
 
-fn revision(desk: &Desk, tenant: &str, rev: u64) -> Result<DocumentRevision, Problem> {
-    let found = desk.store()?.revision(&scope(tenant), rev)?;
-    let newer = rev >= desk.store()?.next_revision(&scope(tenant))?;
+fn revision(admin: &AdminState, tenant: &str, rev: u64) -> Result<DocumentRevision, Problem> {
+    let found = admin.store()?.revision(&scope(tenant), rev)?;
+    let newer = rev >= admin.store()?.next_revision(&scope(tenant))?;
     found.ok_or_else(|| match newer {
         true => Problem::not_found(format!("there is no revision {rev} of \"{tenant}\"")),
         false => Problem::gone(format!(
@@ -112,42 +119,43 @@
 }
 
 /// A tenant's document as it was.
-pub fn one_of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let (name, rev) = (seen(call)?, call.number("rev")?);
-    let row = revision(desk, name, rev)?;
+pub fn get_of_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let (name, rev) = (visible_tenant(call)?, call.path_number("rev")?);
+    let row = revision(admin, name, rev)?;
     let document = row
         .document
         .ok_or_else(|| Problem::not_found("the tenant was gone with this revision"))?;
     Ok(Reply {
         etag: Some(etag(rev, &document)),
-        ..Reply::of(document)
+        ..Reply::ok(document)
     }
     .into())
 }
 
 /// All tenants' documents as they were, as one document that `apply` takes.
-pub fn one(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let tenants = at(desk, call.number("version")?)?;
+pub fn get(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let tenants = documents_at(admin, call.path_number("version")?)?;
     let tenants: Vec<Value> = tenants.into_iter().map(|(_, d)| d).collect();
-    Ok(Reply::of(serde_json::json!({ "tenant": tenants })).into())
+    Ok(Reply::ok(serde_json::json!({ "tenant": tenants })).into())
 }
 
-fn at(desk: &Desk, version: u64) -> Result<Vec<(String, Value)>, Problem> {
+fn documents_at(admin: &AdminState, version: u64) -> Result<Vec<(String, Value)>, Problem> {
     let documents =
-        desk.store()?
+        admin
+            .store()?
             .documents_at(version)?
-            .ok_or_else(|| match version > desk.version() {
+            .ok_or_else(|| match version > admin.version() {
                 true => Problem::not_found(format!("there is no version {version}")),
                 false => Problem::gone(format!("version {version} is not kept any more")),
             })?;
     Ok(documents
         .into_iter()
-        .filter_map(|(s, d)| Some((tenant_of(&s)?, d)))
+        .filter_map(|(s, d)| Some((tenant_from_scope(&s)?, d)))
         .collect())
 }
 
 /// The two numbers that a query compares: `from`, and `to` or the present one.
-fn two(call: &Call, now: u64) -> Result<(u64, u64), Problem> {
+fn compared_range(call: &Call, now: u64) -> Result<(u64, u64), Problem> {
     let from = call
         .query_number("from")?
         .ok_or_else(|| Problem::malformed("the query lacks from"))?;
@@ -155,53 +163,58 @@
 }
 
 /// What differs between two versions of the service.
-pub fn diff(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let (from, to) = two(call, desk.version())?;
+pub fn diff(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let (from, to) = compared_range(call, admin.version())?;
     let object = |all: Vec<(String, Value)>| Value::Object(all.into_iter().collect());
-    let (a, b) = (object(at(desk, from)?), object(at(desk, to)?));
-    Ok(Reply::of(Compared {
+    let (a, b) = (
+        object(documents_at(admin, from)?),
+        object(documents_at(admin, to)?),
+    );
+    Ok(Reply::ok(Comparison {
         from,
         to,
-        differences: difference::between("", Some(&a), Some(&b)),
+        differences: difference::compare("", Some(&a), Some(&b)),
     })
     .into())
 }
 
 /// What differs between two revisions of a tenant.
-pub fn diff_of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let name = seen(call)?;
-    let now = desk.store()?.next_revision(&scope(name))? - 1;
-    let (from, to) = two(call, now)?;
+pub fn diff_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let name = visible_tenant(call)?;
+    let now = admin.store()?.next_revision(&scope(name))? - 1;
+    let (from, to) = compared_range(call, now)?;
     let (a, b) = (
-        revision(desk, name, from)?.document,
-        revision(desk, name, to)?.document,
+        revision(admin, name, from)?.document,
+        revision(admin, name, to)?.document,
     );
-    Ok(Reply::of(Compared {
+    Ok(Reply::ok(Comparison {
         from,
         to,
-        differences: difference::between("", a.as_ref(), b.as_ref()),
+        differences: difference::compare("", a.as_ref(), b.as_ref()),
     })
     .into())
 }
 
 /// Makes a tenant what it was. That is a new revision; nothing that came between is lost.
-pub fn back_of_tenant(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let name = seen(call)?.to_owned();
-    let Back { to } = call.read()?;
-    let now = desk
-        .document(&call.who, &name)
+pub fn rollback_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let name = visible_tenant(call)?.to_owned();
+    let RollbackTarget { to } = call.parse_body()?;
+    let now = admin
+        .document(&call.principal, &name)
         .ok()
         .map(|(rev, d)| etag(rev, &d));
     if now.is_none() {
-        call.who.may(Needs::Operate).map_err(|_| no_tenant(&name))?;
+        call.principal
+            .authorize(Permission::Operator)
+            .map_err(|_| tenant_not_found(&name))?;
     }
-    Desk::matches(call, now.as_deref(), true)?;
-    let document = revision(desk, &name, to)?.document;
-    let edits = vec![(name.clone(), document, Frame::default())];
+    AdminState::check_precondition(call, now.as_deref(), true)?;
+    let document = revision(admin, &name, to)?.document;
+    let edits = vec![(name.clone(), document, PointerMapping::default())];
     let detail = Some(format!("to revision {to}"));
-    desk.change(
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action: "tenant.rollback",
             subject: Some(name),
             detail,
@@ -212,23 +225,25 @@
 }
 
 /// Makes all tenants what they were.
-pub fn back(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let Back { to } = call.read()?;
-    Desk::matches(call, Some(&desk.service_tag()), true)?;
-    let was = at(desk, to)?;
+pub fn rollback(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let RollbackTarget { to } = call.parse_body()?;
+    AdminState::check_precondition(call, Some(&admin.service_etag()), true)?;
+    let was = documents_at(admin, to)?;
     let there: BTreeSet<&str> = was.iter().map(|(name, _)| name.as_str()).collect();
-    let gone = desk.names().filter(|name| !there.contains(&***name));
+    let gone = admin
+        .tenant_names()
+        .filter(|name| !there.contains(&***name));
     let mut edits: Vec<_> = gone
-        .map(|name| (name.to_string(), None, Frame::default()))
+        .map(|name| (name.to_string(), None, PointerMapping::default()))
         .collect();
     edits.extend(
         was.into_iter()
-            .map(|(name, d)| (name, Some(d), Frame::default())),
+            .map(|(name, d)| (name, Some(d), PointerMapping::default())),
     );
     let detail = Some(format!("to version {to}"));
-    desk.change(
+    admin.change(
         call,
-        Draft {
+        ChangeDraft {
             action: "rollback",
             subject: None,
             detail,
@@ -239,18 +254,20 @@
 }
 
 /// The audit log, the newest first.
-pub fn audit(desk: &mut Desk, call: &Call) -> Result<Outcome, Problem> {
-    let limit = call.limit()?;
+pub fn audit(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
+    let limit = call.page_limit()?;
     let asked = call.query.get("tenant").map(String::as_str);
-    let subject = match (&call.who.tenant, asked) {
-        (Some(own), Some(other)) if own != other => return Err(no_tenant(other)),
+    let subject = match (&call.principal.tenant, asked) {
+        (Some(own), Some(other)) if own != other => return Err(tenant_not_found(other)),
         (Some(own), _) => Some(own.as_str()),
         (None, asked) => asked,
     };
-    let lines = desk.store()?.audit_log(subject, below(call)?, limit + 1)?;
+    let lines = admin
+        .store()?
+        .audit_log(subject, page_start(call)?, limit + 1)?;
     let items = lines
         .into_iter()
-        .map(|(n, entry)| Line::of(n, entry, &call.who))
+        .map(|(n, entry)| AuditLine::visible_to(n, entry, &call.principal))
         .collect();
-    Ok(Reply::of(page(items, limit, |l: &Line| l.number)).into())
+    Ok(Reply::ok(page(items, limit, |l: &AuditLine| l.number)).into())
 }
--- a/crates/admin-api/tests/desk.rs
+++ b/crates/admin-api/tests/admin_state.rs
@@ -1,14 +1,14 @@
 //! What the desk decides, without sockets: lost updates, repetitions, rights, faults, and going back.
 mod service;
 
-use admin_api::operations::{Act, OPERATIONS};
+use admin_api::operations::{Handler, OPERATIONS};
 use admin_api::{Call, Problem, Reply};
 use serde_json::{Value, json};
-use service::{Caller, NOW, tenant};
+use service::{NOW, TestClient, tenant};
 
 #[test]
 fn of_two_administrators_one_learns_that_the_other_was_first() {
-    let mut it = Caller::new(&["north", "south"]);
+    let mut it = TestClient::new(&["north", "south"]);
     let tag = it.ok("GET", "/v1/tenants/north", Value::Null).etag.unwrap();
     let mut next = tenant("north");
     next["rules"] = json!({ "max-attempts": 2 });
@@ -18,11 +18,11 @@
         "precondition-required"
     );
     let first = it
-        .with_tag(&tag)
+        .with_if_match(&tag)
         .ok("PUT", "/v1/tenants/north", next.clone());
     assert_ne!(first.etag.as_deref(), Some(tag.as_str()));
     let lost = it
-        .with_tag(&tag)
+        .with_if_match(&tag)
         .fails("PUT", "/v1/tenants/north", tenant("north"));
     assert_eq!((lost.status, lost.kind), (412, "lost-update"));
     for (method, target, body) in [
@@ -32,14 +32,14 @@
         ("PUT", "/v1/tenants/north/limits", json!({ "weight": 3.0 })),
     ] {
         assert_eq!(
-            it.with_tag(&tag).fails(method, target, body).kind,
+            it.with_if_match(&tag).fails(method, target, body).kind,
             "lost-update",
             "{method} {target}"
         );
     }
     // Another tenant's change is no lost update of this one.
     it.ok("PUT", "/v1/tenants/south/limits", json!({ "weight": 2.0 }));
-    it.with_tag(&first.etag.unwrap()).ok(
+    it.with_if_match(&first.etag.unwrap()).ok(
         "PUT",
         "/v1/tenants/north/limits",
         json!({ "weight": 3.0 }),
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_same_change_twice_is_one_version_and_a_key_makes_it_safe_to_repeat() {
-    let mut it = Caller::new(&["north"]);
+    let mut it = TestClient::new(&["north"]);
     let server = json!({ "address": "127.0.0.1:9009" });
     let first = it
         .with_key("k")
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_secret_is_told_once_and_kept_nowhere() {
-    let mut it = Caller::new(&["north"]);
+    let mut it = TestClient::new(&["north"]);
     let body = json!({ "name": "n", "role": "tenant-admin", "tenant": "north" });
     let made = it.with_key("t").ok("POST", "/v1/tokens", body.clone());
     let whole = made.body["token"].as_str().unwrap().to_owned();
@@ -102,19 +102,27 @@
         (Some(id.as_str()), &Value::Null)
     );
     assert!(!it.export().contains(secret), "the store holds a secret");
-    assert!(it.desk.who(Some(&format!("Bearer {whole}")), NOW).is_ok());
+    assert!(
+        it.admin
+            .authenticate(Some(&format!("Bearer {whole}")), NOW)
+            .is_ok()
+    );
     let rotated = it.ok(
         "POST",
         &format!("/v1/tokens/{id}/rotate"),
         json!({ "overlap-s": 60 }),
     );
     let second = rotated.body["token"].as_str().unwrap().to_owned();
-    let good = |it: &Caller, t: &str, at| it.desk.who(Some(&format!("Bearer {t}")), at).is_ok();
+    let good = |it: &TestClient, t: &str, at| {
+        it.admin
+            .authenticate(Some(&format!("Bearer {t}")), at)
+            .is_ok()
+    };
     assert!(good(&it, &whole, NOW + 59_999) && good(&it, &second, NOW));
     assert!(!good(&it, &whole, NOW + 60_000) && good(&it, &second, NOW + 60_000));
     it.ok("DELETE", &format!("/v1/tokens/{id}"), Value::Null);
     assert!(!good(&it, &second, NOW));
-    let operator = it.who.id.clone();
+    let operator = it.principal.id.clone();
     assert_eq!(
         it.fails("DELETE", &format!("/v1/tokens/{operator}"), Value::Null)
             .kind,
@@ -124,35 +132,39 @@
 
 #[test]
 fn a_tenants_token_opens_nothing_once_its_tenant_was_removed() {
-    let mut it = Caller::new(&["north"]);
+    let mut it = TestClient::new(&["north"]);
     let body = json!({ "name": "n", "role": "read-only", "tenant": "north" });
     let whole = it.ok("POST", "/v1/tokens", body).body["token"]
         .as_str()
         .unwrap()
         .to_owned();
-    it.with_tag("*")
+    it.with_if_match("*")
         .ok("DELETE", "/v1/tenants/north", Value::Null);
     it.ok("PUT", "/v1/tenants/north", tenant("north"));
-    assert!(it.desk.who(Some(&format!("Bearer {whole}")), NOW).is_err());
+    assert!(
+        it.admin
+            .authenticate(Some(&format!("Bearer {whole}")), NOW)
+            .is_err()
+    );
 }
 
 /// Every operation on another tenant, asked with a tenant's token: the answer is the one for a tenant that is not there.
 #[test]
 fn a_tenants_token_learns_nothing_of_others_from_any_operation() {
     for role in ["tenant-admin", "read-only"] {
-        let mut it = Caller::new(&["north", "qqq1"]);
+        let mut it = TestClient::new(&["north", "qqq1"]);
         let other = it.ok(
             "POST",
             "/v1/tokens",
             json!({ "name": "o", "role": "read-only", "tenant": "qqq1" }),
         );
-        it.become_someone(role, Some("north"));
+        it.use_token(role, Some("north"));
         let mut asked = 0;
         for operation in OPERATIONS {
-            if !matches!(operation.act, Act::Desk(_)) {
+            if !matches!(operation.handler, Handler::State(_)) {
                 continue;
             }
-            let answer = |it: &mut Caller, name: &str, token: &str| {
+            let answer = |it: &mut TestClient, name: &str, token: &str| {
                 let named = |body: Value| json!({ "tenant": [body], "prune": false });
                 let body = match operation.id {
                     "apply" => named(tenant(name)),
@@ -180,7 +192,7 @@
                     query.into()
                 };
                 let got =
-                    it.with_tag("*")
+                    it.with_if_match("*")
                         .call(operation.method, &format!("{target}{query}"), body);
                 format!("{got:?}")
                     .replace(name, "NAME")
@@ -213,8 +225,8 @@
 
 #[test]
 fn a_tenants_administrator_changes_its_servers_but_not_what_it_may_have() {
-    let mut it = Caller::new(&["north"]);
-    it.become_someone("tenant-admin", Some("north"));
+    let mut it = TestClient::new(&["north"]);
+    it.use_token("tenant-admin", Some("north"));
     it.ok(
         "PUT",
         "/v1/tenants/north/servers/b",
@@ -260,17 +272,17 @@
         ("GET", "/v1/versions", Value::Null),
         ("POST", "/v1/rollback", json!({ "to": 1 })),
     ] {
-        let problem = it.with_tag("*").fails(method, target, body);
+        let problem = it.with_if_match("*").fails(method, target, body);
         assert_eq!(problem.kind, "forbidden", "{method} {target}: {problem:?}");
     }
-    it.become_someone("read-only", Some("north"));
+    it.use_token("read-only", Some("north"));
     let problem = it.fails("POST", "/v1/tenants/north/servers/a/resume", Value::Null);
     assert_eq!(problem.kind, "forbidden");
 }
 
 #[test]
 fn faults_are_named_where_the_caller_wrote_them() {
-    let mut it = Caller::new(&["north", "south"]);
+    let mut it = TestClient::new(&["north", "south"]);
     let mut bad = tenant("north");
     bad["class"][0]["aim"] = json!("9 s");
     let pointers = |p: Problem| p.faults.into_iter().map(|f| f.pointer).collect::<Vec<_>>();
@@ -331,7 +343,7 @@
             "/role",
         ),
     ] {
-        let problem = it.with_tag("*").fails(method, target, body);
+        let problem = it.with_if_match("*").fails(method, target, body);
         assert_eq!(problem.status, 422, "{target}: {problem:?}");
         let all = pointers(problem);
         assert!(
@@ -342,7 +354,7 @@
     assert_eq!(it.version(), 1, "nothing has changed");
     // What a listener leads to can't go.
     assert_eq!(
-        it.with_tag("*")
+        it.with_if_match("*")
             .fails("DELETE", "/v1/tenants/south", Value::Null)
             .kind,
         "conflict"
@@ -351,7 +363,7 @@
 
 #[test]
 fn a_dry_run_tells_what_would_change_and_changes_nothing() {
-    let mut it = Caller::new(&["north"]);
+    let mut it = TestClient::new(&["north"]);
     let tried = it.ok(
         "PUT",
         "/v1/tenants/north/rules?dry-run=true",
@@ -377,7 +389,7 @@
 
 #[test]
 fn going_back_is_a_new_version_and_what_is_not_kept_is_gone() {
-    let mut it = Caller::new(&["north", "west"]);
+    let mut it = TestClient::new(&["north", "west"]);
     for n in 0..service::KEEP {
         it.ok(
             "PUT",
@@ -385,7 +397,7 @@
             json!({ "weight": 2.0 + n as f64 }),
         );
     }
-    it.with_tag("*")
+    it.with_if_match("*")
         .ok("DELETE", "/v1/tenants/west", Value::Null);
     let newest = it.version();
     assert_eq!(it.fails("GET", "/v1/versions/1", Value::Null).kind, "gone");
@@ -414,7 +426,7 @@
     assert_eq!(paths, ["/north/limits/weight", "/west"]);
     let tag = it.ok("GET", "/v1/tenants", Value::Null).etag.unwrap();
     let back = it
-        .with_tag(&tag)
+        .with_if_match(&tag)
         .ok("POST", "/v1/rollback", json!({ "to": newest - 2 }));
     assert_eq!(
         (
@@ -430,7 +442,7 @@
     );
     assert_eq!(same.body["differences"], json!([]));
     assert_eq!(
-        it.with_tag(&tag)
+        it.with_if_match(&tag)
             .fails("POST", "/v1/rollback", json!({ "to": newest }))
             .kind,
         "lost-update"
@@ -445,7 +457,7 @@
         Value::Null,
     );
     let to = older.body["items"][0]["number"].as_u64().unwrap();
-    it.with_tag("*")
+    it.with_if_match("*")
         .ok("POST", "/v1/tenants/north/rollback", json!({ "to": to }));
     let diff = it.ok(
         "GET",
@@ -457,8 +469,8 @@
 
 #[test]
 fn what_is_read_only_is_told_and_read() {
-    let mut it = Caller::new(&["north"]);
-    it.desk.close("it is closed");
+    let mut it = TestClient::new(&["north"]);
+    it.admin.set_read_only("it is closed");
     let problem = it.fails("POST", "/v1/tenants/north/servers/a/drain", Value::Null);
     assert_eq!(
         (problem.status, problem.detail.as_str()),
@@ -487,7 +499,7 @@
         which in 0..6usize,
         edits in proptest::collection::vec((0..40usize, 0..9usize), 1..4),
     ) {
-        let mut it = Caller::new(&["north", "south"]);
+        let mut it = TestClient::new(&["north", "south"]);
         let (method, target, mut body) = [
             ("PUT", "/v1/tenants/north", tenant("north")),
             ("POST", "/v1/tenants", tenant("east")),
@@ -497,13 +509,13 @@
             ("POST", "/v1/tokens", json!({ "name": "x", "role": "read-only", "tenant": "north" })),
         ][which].clone();
         for (place, what) in edits {
-            service::spoil(&mut body, place, what, seed);
+            service::mutate(&mut body, place, what, seed);
         }
         let before = it.version();
-        match it.with_tag("*").call(method, target, body.clone()) {
+        match it.with_if_match("*").call(method, target, body.clone()) {
             Ok(reply) => {
                 proptest::prop_assert!(reply.status < 300);
-                proptest::prop_assert!(multi_tenant::check::faults(&it.desk.catalog().service().unwrap()).is_empty());
+                proptest::prop_assert!(multi_tenant::check::faults(&it.admin.catalog().service().unwrap()).is_empty());
             }
             Err(problem) => {
                 proptest::prop_assert!((400..500).contains(&problem.status), "{:?}", problem);
@@ -521,11 +533,11 @@
 
 #[test]
 fn a_call_is_told_from_another_by_all_that_it_says() {
-    let mut it = Caller::new(&["north"]);
-    let drain: &dyn Fn(&mut Caller, &str) -> Result<Reply, Problem> = &|it, target| {
+    let mut it = TestClient::new(&["north"]);
+    let drain: &dyn Fn(&mut TestClient, &str) -> Result<Reply, Problem> = &|it, target| {
         let call = Call {
             idempotency_key: Some("d".into()),
-            ..it.read("POST", target, Value::Null)
+            ..it.build_call("POST", target, Value::Null)
         };
         it.decide("POST", &call)
     };
@@ -537,6 +549,6 @@
         "invalid"
     );
     // Another token's keys are its own.
-    it.become_someone("operator", None);
+    it.use_token("operator", None);
     assert!(drain(&mut it, "/v1/tenants/north/servers/a/resume").is_ok());
 }
--- a/crates/admin-api/tests/http.rs
+++ b/crates/admin-api/tests/http.rs
@@ -8,26 +8,26 @@
 use std::time::{Duration, Instant};
 
 use admin_api::operations::{OPERATIONS, openapi};
-use admin_api::{Api, Order};
+use admin_api::{Api, PlaneCommand};
 use serde_json::{Value, json};
-use service::{Caller, tenant};
+use service::{TestClient, tenant};
 
 struct Served {
     address: SocketAddr,
     token: String,
     api: Arc<Api>,
-    _directory: service::Directory,
+    _directory: service::TempDirectory,
 }
 
 /// What a call got.
 #[derive(Debug)]
-struct Got {
+struct Response {
     status: u16,
     headers: Vec<(String, String)>,
     body: Value,
 }
 
-impl Got {
+impl Response {
     fn header(&self, name: &str) -> &str {
         self.headers
             .iter()
@@ -37,42 +37,48 @@
 }
 
 impl Served {
-    /// An API whose orders are obeyed by a plane that says yes to all.
+    /// An API whose commands are obeyed by a plane that says yes to all.
     fn new(names: &[&str]) -> Self {
-        let mut caller = Caller::keeping(names, 1000);
+        let mut caller = TestClient::keeping(names, 1000);
         let made = caller.ok(
             "POST",
             "/v1/tokens",
             json!({ "name": "test", "role": "operator" }),
         );
         let token = made.body["token"].as_str().unwrap().to_owned();
-        let Caller {
-            desk, directory, ..
+        let TestClient {
+            admin, directory, ..
         } = caller;
-        let (api, mut orders) = Api::new(desk);
+        let (api, mut commands) = Api::new(admin);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        let served = api.clone();
+        let served_api = api.clone();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
                 .unwrap();
-            runtime.block_on(served.serve(listener))
+            runtime.block_on(served_api.serve(listener))
         });
         thread::spawn(move || {
-            while let Some(order) = orders.blocking_recv() {
-                match order {
-                    Order::CarryOut(_, done) | Order::Serve(_, done) => _ = done.send(Ok(())),
-                    Order::HoldOff(_) | Order::Take | Order::Among(..) => {}
-                    Order::Known(tell) => _ = tell.send((None, 0, Vec::new())),
-                    Order::Gate(tell) => _ = tell.send([0; 2]),
-                    Order::Residency(tell) => {
-                        _ = tell.send(multi_tenant::plane::Residency::default())
+            while let Some(command) = commands.blocking_recv() {
+                match command {
+                    PlaneCommand::ApplyChange(_, done) | PlaneCommand::ServeCatalog(_, done) => {
+                        _ = done.send(Ok(()))
                     }
-                    Order::Close(done) | Order::OpenAt(_, done) => _ = done.send(()),
-                    Order::Status(name, tell) => {
+                    PlaneCommand::WithholdServers(_)
+                    | PlaneCommand::AcceptRequests
+                    | PlaneCommand::SetShare(..) => {}
+                    PlaneCommand::ReportStartup(reply) => _ = reply.send((None, 0, Vec::new())),
+                    PlaneCommand::ReportGate(reply) => _ = reply.send([0; 2]),
+                    PlaneCommand::ReportResidency(reply) => {
+                        _ = reply.send(multi_tenant::plane::Residency::default())
+                    }
+                    PlaneCommand::CloseGate(done) | PlaneCommand::OpenGate(_, done) => {
+                        _ = done.send(())
+                    }
+                    PlaneCommand::ReportStatus(name, reply) => {
                         let status = |name: String| multi_tenant::plane::TenantStatus {
                             name,
                             resident: true,
@@ -86,7 +92,7 @@
                             loop_ms: 0.0,
                             refused: [0; 5],
                         };
-                        let _ = tell.send(name.into_iter().map(status).collect());
+                        let _ = reply.send(name.into_iter().map(status).collect());
                     }
                 }
             }
@@ -107,14 +113,14 @@
         stream
     }
 
-    fn raw(&self, head: &str, body: &str) -> Got {
+    fn raw(&self, head: &str, body: &str) -> Response {
         let mut stream = self.connect();
         stream.write_all(head.as_bytes()).unwrap();
         stream.write_all(body.as_bytes()).unwrap();
-        got(&mut BufReader::new(stream))
+        read_response(&mut BufReader::new(stream))
     }
 
-    fn call(&self, method: &str, target: &str, more: &str, body: &Value) -> Got {
+    fn call(&self, method: &str, target: &str, more: &str, body: &Value) -> Response {
         let body = if body.is_null() {
             String::new()
         } else {
@@ -134,7 +140,7 @@
     }
 }
 
-fn got(stream: &mut impl BufRead) -> Got {
+fn read_response(stream: &mut impl BufRead) -> Response {
     let (mut status, mut headers) = (0, Vec::new());
     loop {
         let mut line = String::new();
@@ -154,7 +160,7 @@
         .map(|(_, v)| v.parse().unwrap());
     let mut body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut body).unwrap();
-    Got {
+    Response {
         status,
         headers,
         body: serde_json::from_slice(&body).unwrap_or(Value::Null),
@@ -289,7 +295,7 @@
     let served = Served::new(&["north"]);
     let document = openapi();
     let problem = schema(&document, &document["components"]["schemas"]["Problem"]);
-    let check = |got: &Got, status: u16, kind: &str| {
+    let check = |got: &Response, status: u16, kind: &str| {
         assert_eq!(
             (got.status, got.body["type"].as_str()),
             (status, Some(format!("/problems/{kind}").as_str())),
@@ -385,7 +391,7 @@
         "",
         &json!({ "name": "n", "role": "read-only", "tenant": "north" }),
     );
-    let norths = made.body["token"].as_str().unwrap().to_owned();
+    let north_token = made.body["token"].as_str().unwrap().to_owned();
     let open = |token: &str, last: &str| {
         let mut stream = served.connect();
         let head = format!(
@@ -393,7 +399,7 @@
         );
         stream.write_all(head.as_bytes()).unwrap();
         let mut reader = BufReader::new(stream);
-        assert_eq!(got(&mut reader).status, 200);
+        assert_eq!(read_response(&mut reader).status, 200);
         reader
     };
     let next = |reader: &mut BufReader<TcpStream>| -> (String, Value) {
@@ -409,7 +415,7 @@
             }
         }
     };
-    let (mut all, mut north) = (open(&served.token, ""), open(&norths, ""));
+    let (mut all, mut north) = (open(&served.token, ""), open(&north_token, ""));
     let weigh = |tenant: &str, weight: f64| {
         let path = format!("/v1/tenants/{tenant}/limits");
         assert_eq!(
@@ -441,7 +447,7 @@
     weigh("north", 5.0);
     let mut again = open(&served.token, "Last-Event-ID: 3\r\n");
     assert_eq!([next(&mut again).0, next(&mut again).0], ["4", "5"]);
-    assert_eq!(next(&mut open(&norths, "Last-Event-ID: 2\r\n")).0, "3");
+    assert_eq!(next(&mut open(&north_token, "Last-Event-ID: 2\r\n")).0, "3");
     // There is room for so many streams, and it comes back.
     let mut streams: Vec<_> = (0..64).map(|_| served.connect()).collect();
     let mut statuses = Vec::new();
@@ -451,14 +457,14 @@
             served.token
         );
         stream.write_all(head.as_bytes()).unwrap();
-        statuses.push(got(&mut BufReader::new(stream)).status);
+        statuses.push(read_response(&mut BufReader::new(stream)).status);
     }
     assert!(statuses.contains(&429), "{statuses:?}");
     drop((streams, again));
-    let mut tries = 0;
+    let mut attempts = 0;
     while served.call("GET", "/v1/status", "", &Value::Null).status != 200 {
-        tries += 1;
-        assert!(tries < 100);
+        attempts += 1;
+        assert!(attempts < 100);
     }
 }
 
@@ -481,7 +487,7 @@
     );
     stream.write_all(head.as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
-    assert_eq!(got(&mut reader).status, 200);
+    assert_eq!(read_response(&mut reader).status, 200);
     assert_eq!(
         served
             .call("DELETE", &format!("/v1/tokens/{id}"), "", &Value::Null)
@@ -519,5 +525,5 @@
     let mut rest = Vec::new();
     let mut first = held.swap_remove(0);
     let _ = first.read_to_end(&mut rest); // closed, or reset
-    assert!(served.api.desk().version() == 1);
+    assert!(served.api.admin_state().version() == 1);
 }
--- a/crates/admin-api/tests/service/mod.rs
+++ b/crates/admin-api/tests/service/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // each test file uses its own part
 use std::collections::BTreeMap;
 
-use admin_api::operations::{Act, OPERATIONS};
-use admin_api::{Call, Desk, Outcome, Problem, Reply, Role, Who};
+use admin_api::operations::{Handler, OPERATIONS};
+use admin_api::{AdminState, Call, Outcome, Principal, Problem, Reply, Role};
 use config_store::{Retention, Store};
 use multi_tenant::document::Service;
 use redb::Database;
@@ -37,21 +37,21 @@
     serde_json::from_value(json!({ "listener": listeners, "tenant": tenants })).unwrap()
 }
 
-pub struct Caller {
-    pub desk: Desk,
-    pub who: Who,
+pub struct TestClient {
+    pub admin: AdminState,
+    pub principal: Principal,
     tag: Option<String>,
     key: Option<String>,
     /// Where its token is; it goes with the test.
-    pub directory: Directory,
+    pub directory: TempDirectory,
 }
 
-pub struct Directory(std::path::PathBuf);
+pub struct TempDirectory(std::path::PathBuf);
 
-impl Caller {
+impl TestClient {
     /// A service with these tenants, and its first operator.
     pub fn new(names: &[&str]) -> Self {
-        Caller::keeping(names, KEEP)
+        TestClient::keeping(names, KEEP)
     }
 
     /// One that keeps so many versions.
@@ -67,7 +67,7 @@
             ..Retention::default()
         };
         let (store, state) = Store::with_opener(Box::new(memory), keep).unwrap();
-        let desk = Desk::with(
+        let admin = AdminState::with_store(
             &file(names),
             Some(store),
             state,
@@ -76,40 +76,41 @@
             NOW,
         )
         .unwrap();
-        let token = std::fs::read_to_string(directory.join(admin_api::OPERATOR)).unwrap();
-        let who = desk
-            .who(Some(&format!("Bearer {}", token.trim())), NOW)
+        let token =
+            std::fs::read_to_string(directory.join(admin_api::OPERATOR_TOKEN_FILE)).unwrap();
+        let principal = admin
+            .authenticate(Some(&format!("Bearer {}", token.trim())), NOW)
             .unwrap();
-        assert_eq!(who.role, Role::Operator);
-        Caller {
-            desk,
-            who,
+        assert_eq!(principal.role, Role::Operator);
+        TestClient {
+            admin,
+            principal,
             tag: None,
             key: None,
-            directory: Directory(directory),
+            directory: TempDirectory(directory),
         }
     }
 
     /// Makes a token and calls with it from here on.
-    pub fn become_someone(&mut self, role: &str, tenant: Option<&str>) {
-        let operator = Who {
+    pub fn use_token(&mut self, role: &str, tenant: Option<&str>) {
+        let operator = Principal {
             id: "test".into(),
             name: "test".into(),
             role: Role::Operator,
             tenant: None,
         };
-        self.who = operator;
+        self.principal = operator;
         let mut body = json!({ "name": role, "role": role });
         if let Some(tenant) = tenant {
             body["tenant"] = tenant.into();
         }
         let made = self.ok("POST", "/v1/tokens", body);
         let token = format!("Bearer {}", made.body["token"].as_str().unwrap());
-        self.who = self.desk.who(Some(&token), NOW).unwrap();
+        self.principal = self.admin.authenticate(Some(&token), NOW).unwrap();
     }
 
     /// The next call has this tag in If-Match.
-    pub fn with_tag(&mut self, tag: &str) -> &mut Self {
+    pub fn with_if_match(&mut self, tag: &str) -> &mut Self {
         self.tag = Some(tag.to_owned());
         self
     }
@@ -120,7 +121,7 @@
         self
     }
 
-    pub fn read(&mut self, method: &str, target: &str, body: Value) -> Call {
+    pub fn build_call(&mut self, method: &str, target: &str, body: Value) -> Call {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let pairs = query.split('&').filter_map(|p| p.split_once('='));
         let template = operation(method, path).path;
@@ -128,7 +129,7 @@
         let named = parts.filter_map(|(t, p)| Some((t.strip_prefix('{')?.strip_suffix('}')?, p)));
         Call {
             id: None,
-            who: self.who.clone(),
+            principal: self.principal.clone(),
             path: named.map(|(k, v)| (k.to_owned(), v.to_owned())).collect(),
             query: pairs
                 .map(|(k, v)| (k.to_owned(), v.to_owned()))
@@ -146,25 +147,25 @@
     pub fn decide(&mut self, method: &str, call: &Call) -> Result<Reply, Problem> {
         let path = call.target.split([' ', '?']).nth(1).unwrap();
         let operation = operation(method, path);
-        call.who.may(operation.needs)?;
-        if operation.writes()
-            && let Some(reply) = self.desk.repeated(call)?
+        call.principal.authorize(operation.permission)?;
+        if operation.is_write()
+            && let Some(reply) = self.admin.earlier_reply(call)?
         {
             return Ok(reply);
         }
-        let Act::Desk(act) = operation.act else {
+        let Handler::State(decide) = operation.handler else {
             panic!("{path} is not the desk's")
         };
-        Ok(match act(&mut self.desk, call)? {
+        Ok(match decide(&mut self.admin, call)? {
             Outcome::Reply(reply) => reply,
             Outcome::Change(change) => change.1,
-            Outcome::Agree(_) => panic!("there is no cluster"),
-            Outcome::Ask(ask) => Reply::of(format!("{ask:?}")),
+            Outcome::Propose(_) => panic!("there is no cluster"),
+            Outcome::Status(ask) => Reply::ok(format!("{ask:?}")),
         })
     }
 
     pub fn call(&mut self, method: &str, target: &str, body: Value) -> Result<Reply, Problem> {
-        let call = self.read(method, target, body);
+        let call = self.build_call(method, target, body);
         self.decide(method, &call)
     }
 
@@ -181,24 +182,24 @@
     }
 
     pub fn version(&self) -> u64 {
-        self.desk.version()
+        self.admin.version()
     }
 
     /// All that the store holds.
     pub fn export(&self) -> String {
         let mut text = Vec::new();
-        config_store::export(self.desk.store().unwrap(), &mut text).unwrap();
+        config_store::export(self.admin.store().unwrap(), &mut text).unwrap();
         String::from_utf8(text).unwrap()
     }
 }
 
-impl Directory {
+impl TempDirectory {
     pub fn path(&self) -> &std::path::Path {
         &self.0
     }
 }
 
-impl Drop for Directory {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -217,7 +218,7 @@
 }
 
 /// Puts something else in the place of a part of a value, counted in its order.
-pub fn spoil(value: &mut Value, place: usize, what: usize, seed: u64) {
+pub fn mutate(value: &mut Value, index: usize, replacement: usize, seed: u64) {
     fn walk<'v>(value: &'v mut Value, left: &mut usize) -> Option<&'v mut Value> {
         if *left == 0 {
             return Some(value);
@@ -229,9 +230,9 @@
             _ => None,
         }
     }
-    let mut left = place;
+    let mut left = index;
     if let Some(found) = walk(value, &mut left) {
-        *found = match what {
+        *found = match replacement {
             0 => Value::Null,
             1 => json!(seed),
             2 => json!(-1.5),
