--- a/crates/admin-api/tests/held.rs
+++ b/crates/admin-api/tests/stored_documents.rs
@@ -4,20 +4,20 @@
 
 use std::time::Duration;
 
-use admin_api::{Desk, Problem, snapshot_rest};
+use admin_api::{AdminState, Problem, snapshot_interval};
 use config_parser::Fault;
 use config_store::{Retention, Store};
 use multi_tenant::catalog::{Catalog, Difference};
 use multi_tenant::document::Service;
 use serde_json::{Value, json};
-use service::{Caller, Directory, KEEP, NOW, file, tenant};
+use service::{KEEP, NOW, TempDirectory, TestClient, file, tenant};
 
 /// A state that the program of 2b8906c made and exported, and the snapshot that it wrote of it.
-const EXPORT: &str = include_str!("older/export.jsonl");
-const SNAPSHOT: &[u8] = include_bytes!("older/last-good.snapshot");
+const OLDER_EXPORT: &str = include_str!("older/export.jsonl");
+const OLDER_SNAPSHOT: &[u8] = include_bytes!("older/last-good.snapshot");
 
 /// A desk over what was exported.
-fn of_export(file: &Service, text: &str, directory: &Directory) -> Desk {
+fn state_from_export(file: &Service, text: &str, directory: &TempDirectory) -> AdminState {
     let keep = Retention {
         versions: KEEP,
         ..Retention::default()
@@ -27,7 +27,7 @@
     config_store::import(&mut store, text.as_bytes()).unwrap();
     drop(store);
     let (store, state) = Store::open(&path, keep).unwrap();
-    Desk::with(
+    AdminState::with_store(
         file,
         Some(store),
         state,
@@ -43,8 +43,8 @@
 }
 
 /// So many tenants, in an export as a store would write it.
-fn many(count: usize) -> String {
-    let text = Caller::new(&["model"]).export();
+fn export_with_tenants(count: usize) -> String {
+    let text = TestClient::new(&["model"]).export();
     let row = text
         .lines()
         .find(|l| l.starts_with("{\"row\""))
@@ -75,17 +75,21 @@
 }
 
 /// Somebody who calls a desk that holds so many tenants.
-fn caller_of(count: usize) -> Caller {
-    let mut it = Caller::new(&["model"]);
-    it.desk = of_export(&file(&[]), &many(count), &it.directory);
+fn client_with_tenants(count: usize) -> TestClient {
+    let mut it = TestClient::new(&["model"]);
+    it.admin = state_from_export(&file(&[]), &export_with_tenants(count), &it.directory);
     it
 }
 
 #[test]
 fn five_thousand_documents_are_streamed_in_and_listed_by_pages() {
-    let mut it = caller_of(5000);
+    let mut it = client_with_tenants(5000);
     assert_eq!(
-        (it.desk.catalog().len(), it.desk.packed(), it.version()),
+        (
+            it.admin.catalog().len(),
+            it.admin.packed_count(),
+            it.version()
+        ),
         (5000, 5000, 1)
     );
     let (mut after, mut seen) = (String::new(), Vec::new());
@@ -109,22 +113,22 @@
         }
     }
     assert_eq!(seen, (0..5000).map(name).collect::<Vec<_>>());
-    assert_eq!(it.desk.packed(), 5000, "reading packs nothing");
+    assert_eq!(it.admin.packed_count(), 5000, "reading packs nothing");
 }
 
 #[test]
 fn a_change_of_one_of_twenty_thousand_touches_one() {
-    let mut it = caller_of(20_000);
-    let before = it.desk.catalog().clone();
-    let packed = it.desk.packed();
+    let mut it = client_with_tenants(20_000);
+    let before = it.admin.catalog().clone();
+    let packed = it.admin.packed_count();
     // Whoever looked at another than the one that changes would find it damaged, and read it anew.
     let mut spoilt = before.clone();
     (0..20_000)
         .filter(|i| *i != 777)
         .for_each(|i| spoilt.spoil(&name(i)));
-    it.desk.reloaded(spoilt.clone());
+    it.admin.finish_reload(spoilt.clone());
     it.ok("PUT", "/v1/tenants/t00777/limits", json!({ "weight": 4.0 }));
-    it.with_tag("*")
+    it.with_if_match("*")
         .ok("DELETE", "/v1/tenants/t00777", Value::Null);
     it.ok("POST", "/v1/tenants", tenant("t00777"));
     let hosts = it.fails("PUT", "/v1/tenants/t00777/hosts", json!(["t00042.example"]));
@@ -133,11 +137,11 @@
         (422, "/0")
     );
     assert_eq!(
-        it.desk.packed() - packed,
+        it.admin.packed_count() - packed,
         2,
         "one for each document that was stored"
     );
-    let changed = Catalog::differences(&spoilt, it.desk.catalog());
+    let changed = Catalog::differences(&spoilt, it.admin.catalog());
     let changed: Vec<String> = changed
         .map(|d| match d {
             Difference::Added(n) | Difference::Changed(n) | Difference::Removed(n) => n.to_string(),
@@ -148,68 +152,72 @@
 
 #[test]
 fn what_an_older_program_exported_has_the_tags_that_it_had() {
-    let mut it = Caller::new(&["model"]);
-    it.desk = of_export(&file(&[]), EXPORT, &it.directory);
+    let mut it = TestClient::new(&["model"]);
+    it.admin = state_from_export(&file(&[]), OLDER_EXPORT, &it.directory);
     // As the program of 2b8906c answered.
     for (tenant, tag) in [
         ("north", "\"2-08c95901\""),
         ("south", "\"1-e4a4be80\""),
-        ("rich", RICH),
+        ("rich", RICH_ETAG),
     ] {
         let got = it.ok("GET", &format!("/v1/tenants/{tenant}"), Value::Null);
         assert_eq!(got.etag.as_deref(), Some(tag), "{tenant}");
     }
     let first = it.ok("GET", "/v1/tenants/north/versions/1", Value::Null);
     assert_eq!(first.etag.as_deref(), Some("\"1-d09c3eb0\""));
-    assert_eq!(it.export(), EXPORT, "what is stored is what was stored");
+    assert_eq!(
+        it.export(),
+        OLDER_EXPORT,
+        "what is stored is what was stored"
+    );
 }
 
 #[test]
 fn tags_of_documents_with_many_kinds_of_figures_are_as_before() {
-    let mut it = Caller::new(&["north"]);
-    let made = it.ok("PUT", "/v1/tenants/rich", rich());
+    let mut it = TestClient::new(&["north"]);
+    let made = it.ok("PUT", "/v1/tenants/rich", rich_tenant());
     let read = it.ok("GET", "/v1/tenants/rich", Value::Null);
     assert_eq!(
         (made.etag.as_deref(), read.etag.as_deref()),
-        (Some(RICH), Some(RICH))
+        (Some(RICH_ETAG), Some(RICH_ETAG))
     );
     // What is packed is what is stored.
     let stored = it.ok("GET", "/v1/tenants/rich/versions/1", Value::Null);
     assert_eq!(
         (stored.etag.as_deref(), stored.body),
-        (Some(RICH), read.body)
+        (Some(RICH_ETAG), read.body)
     );
 }
 
 #[test]
 fn an_older_snapshot_serves_a_start_beside_a_damaged_store_and_is_written_the_same() {
-    let it = Caller::new(&["model"]);
+    let it = TestClient::new(&["model"]);
     let path = it.directory.path();
     std::fs::write(path.join(config_store::FILE_NAME), "no store").unwrap();
-    std::fs::write(path.join(config_store::snapshot::FILE_NAME), SNAPSHOT).unwrap();
+    std::fs::write(path.join(config_store::snapshot::FILE_NAME), OLDER_SNAPSHOT).unwrap();
     let mut service = file(&[]);
     let durable = json!({ "directory": path.display().to_string() });
     service.state = Some(serde_json::from_value(durable).unwrap());
-    assert!(Desk::open(&service, false, NOW).is_err());
-    let mut desk = Desk::open(&service, true, NOW).unwrap();
+    assert!(AdminState::open(&service, false, NOW).is_err());
+    let mut admin = AdminState::open(&service, true, NOW).unwrap();
     assert_eq!(
-        (desk.version(), desk.entry(), desk.catalog().len()),
+        (admin.version(), admin.last_entry(), admin.catalog().len()),
         (3, 3, 3)
     );
-    assert!(desk.read_only().is_some() && desk.snapshot().is_none());
+    assert!(admin.read_only().is_some() && admin.take_snapshot().is_none());
     // Damage is mended from there, too.
-    let good = desk.catalog().clone();
+    let good = admin.catalog().clone();
     let mut spoilt = good.clone();
     spoilt.spoil("rich");
-    desk.reloaded(spoilt);
+    admin.finish_reload(spoilt);
     assert_eq!(
-        desk.tenant("rich").unwrap(),
+        admin.tenant("rich").unwrap(),
         good.get("rich").transpose().unwrap()
     );
     // The same state is the same snapshot, byte for byte.
-    let mut desk = of_export(&file(&[]), EXPORT, &it.directory);
-    let bytes = desk
-        .snapshot()
+    let mut admin = state_from_export(&file(&[]), OLDER_EXPORT, &it.directory);
+    let bytes = admin
+        .take_snapshot()
         .unwrap()
         .write()
         .map_err(|(e, _)| e)
@@ -217,27 +225,27 @@
     let written = std::fs::read(path.join(config_store::snapshot::FILE_NAME)).unwrap();
     assert_eq!(
         (written.as_slice(), bytes),
-        (SNAPSHOT, SNAPSHOT.len() as u64)
+        (OLDER_SNAPSHOT, OLDER_SNAPSHOT.len() as u64)
     );
-    assert!(desk.snapshot().is_none(), "nothing has changed since");
+    assert!(admin.take_snapshot().is_none(), "nothing has changed since");
 }
 
 #[test]
 fn damage_in_memory_is_mended_from_the_store() {
-    let mut it = Caller::new(&["north", "south"]);
+    let mut it = TestClient::new(&["north", "south"]);
     it.ok("PUT", "/v1/tenants/north/limits", json!({ "weight": 3.0 }));
-    let good = it.desk.catalog().clone();
+    let good = it.admin.catalog().clone();
     let tag = it.ok("GET", "/v1/tenants/north", Value::Null).etag;
-    let spoil = |it: &mut Caller| {
-        let mut spoilt = it.desk.catalog().clone();
+    let spoil = |it: &mut TestClient| {
+        let mut spoilt = it.admin.catalog().clone();
         spoilt.spoil("north");
         assert!(spoilt.get("north").unwrap().is_err());
-        it.desk.reloaded(spoilt);
+        it.admin.finish_reload(spoilt);
     };
     // Read, listed, changed and taken away.
     spoil(&mut it);
     assert_eq!(it.ok("GET", "/v1/tenants/north", Value::Null).etag, tag);
-    assert_eq!(it.desk.catalog().get("north"), good.get("north"));
+    assert_eq!(it.admin.catalog().get("north"), good.get("north"));
     spoil(&mut it);
     let listed = it.ok("GET", "/v1/tenants", Value::Null).body;
     assert_eq!(
@@ -246,23 +254,23 @@
     );
     spoil(&mut it);
     // A snapshot holds nothing that is damaged.
-    let (_, damaged) = it.desk.snapshot().unwrap().write().unwrap_err();
+    let (_, damaged) = it.admin.take_snapshot().unwrap().write().unwrap_err();
     assert_eq!(damaged.as_deref(), Some("north"));
     it.ok(
         "PUT",
         "/v1/tenants/north/servers/a",
         json!({ "address": "127.0.0.1:9009", "zone": "z1" }),
     );
-    let now = it.desk.catalog().get("north").unwrap().unwrap();
+    let now = it.admin.catalog().get("north").unwrap().unwrap();
     assert_eq!(
         (now.0, now.1.limits.weight),
         (3, 3.0),
         "what was not changed is as it was stored"
     );
     spoil(&mut it);
-    it.with_tag("*")
+    it.with_if_match("*")
         .ok("DELETE", "/v1/tenants/north", Value::Null);
-    assert!(it.desk.catalog().host("north.example").is_none());
+    assert!(it.admin.catalog().host("north.example").is_none());
     it.ok("PUT", "/v1/tenants/south/hosts", json!(["north.example"]));
 }
 
@@ -275,7 +283,7 @@
             what: long.clone(),
         })
         .collect();
-    for problem in [Problem::conflict(long.clone()), Problem::faults(many)] {
+    for problem in [Problem::conflict(long.clone()), Problem::from_faults(many)] {
         let body = problem.body("/v1/apply");
         assert!(body["detail"].as_str().unwrap().len() <= 1024);
         assert!(
@@ -291,7 +299,7 @@
             .unwrap()
             .ends_with("(cut: it has 50000 bytes)")
     );
-    let fault = Problem::faults(vec![Fault {
+    let fault = Problem::from_faults(vec![Fault {
         pointer: "/hosts/3".into(),
         what: "ü".repeat(9000),
     }])
@@ -307,14 +315,14 @@
 
 #[test]
 fn a_large_snapshot_is_written_more_rarely() {
-    assert_eq!(snapshot_rest(0), Duration::from_secs(1));
-    assert_eq!(snapshot_rest(256 << 10), Duration::from_secs(1));
-    assert_eq!(snapshot_rest(50 << 20), Duration::from_secs(200));
+    assert_eq!(snapshot_interval(0), Duration::from_secs(1));
+    assert_eq!(snapshot_interval(256 << 10), Duration::from_secs(1));
+    assert_eq!(snapshot_interval(50 << 20), Duration::from_secs(200));
 }
 
 #[test]
 fn thirty_three_thousand_come_by_a_thousand_at_a_time() {
-    let mut it = Caller::new(&[]);
+    let mut it = TestClient::new(&[]);
     let all: Vec<Value> = (0..33_000).map(|i| tenant(&name(i))).collect();
     for batch in all.chunks(1000) {
         let reply = it.ok(
@@ -325,7 +333,11 @@
         assert_eq!(reply.body["tenants"].as_array().unwrap().len(), 1000);
     }
     assert_eq!(
-        (it.desk.catalog().len(), it.desk.packed(), it.version()),
+        (
+            it.admin.catalog().len(),
+            it.admin.packed_count(),
+            it.version()
+        ),
         (33_000, 33_000, 33)
     );
     let again = it.ok(
@@ -334,15 +346,15 @@
         json!({ "tenant": all[..1000], "prune": false }),
     );
     assert_eq!(
-        (again.body["changed"].clone(), it.desk.packed()),
+        (again.body["changed"].clone(), it.admin.packed_count()),
         (json!(false), 33_000)
     );
 }
 
 /// A tenant with figures of many kinds.
-const RICH: &str = "\"1-ce124967\"";
+const RICH_ETAG: &str = "\"1-ce124967\"";
 
-fn rich() -> Value {
+fn rich_tenant() -> Value {
     json!({
         "name": "rich", "hosts": ["Rich.Example", "r.example"],
         "limits": { "weight": 2.5, "burst": "30 ms", "loop-share": "12.5 %" },
--- a/crates/admin-api/tests/unit/access.rs
+++ b/crates/admin-api/tests/unit/access.rs
@@ -15,21 +15,29 @@
         secrets: vec![stored],
     };
     let (second, stored) = new_secret(&id).unwrap();
-    let ask = |token: &Token, text: &str, now| {
-        who(
+    let accepts = |token: &Token, text: &str, now| {
+        authenticate(
             &BTreeMap::from([(id.clone(), token.clone())]),
             Some(&format!("Bearer {text}")),
             now,
         )
         .is_ok()
     };
-    assert!(ask(&token, &first, 999) && !ask(&token, &first, 1000) && !ask(&token, &second, 0));
+    assert!(
+        accepts(&token, &first, 999)
+            && !accepts(&token, &first, 1000)
+            && !accepts(&token, &second, 0)
+    );
     token.rotate(stored, 500);
-    assert!(ask(&token, &first, 499) && ask(&token, &second, 499));
-    assert!(!ask(&token, &first, 500) && ask(&token, &second, 500));
+    assert!(accepts(&token, &first, 499) && accepts(&token, &second, 499));
+    assert!(!accepts(&token, &first, 500) && accepts(&token, &second, 500));
     let (third, stored) = new_secret(&id).unwrap();
     token.rotate(stored, 700);
-    assert!(!ask(&token, &first, 100) && ask(&token, &second, 699) && ask(&token, &third, 699));
+    assert!(
+        !accepts(&token, &first, 100)
+            && accepts(&token, &second, 699)
+            && accepts(&token, &third, 699)
+    );
     let cut = &third[..third.len() - 1];
     for text in [
         "",
@@ -38,11 +46,11 @@
         &third.replace("cct_", "ccx_"),
         &format!("{third}x"),
     ] {
-        assert!(!ask(&token, text, 0), "{text}");
+        assert!(!accepts(&token, text, 0), "{text}");
     }
     // All behind the id: a secret may have a "_" in it, and what is behind that may stand anywhere by chance.
     let (_, secret) = third.split_once(&format!("{id}_")).unwrap();
     assert!(secret.len() >= 40 && !serde_json::to_string(&token).unwrap().contains(secret));
     let basic = format!("Basic {third}");
-    assert!(who(&BTreeMap::from([(id, token)]), Some(&basic), 0).is_err());
+    assert!(authenticate(&BTreeMap::from([(id, token)]), Some(&basic), 0).is_err());
 }
--- a/crates/admin-api/tests/unit/figures.rs
+++ b/crates/admin-api/tests/unit/figures.rs
@@ -38,7 +38,7 @@
         refused: 4,
         ..Residency::default()
     };
-    let text = text(Some((&status, [8, 9])), &resident, &[tenant]);
+    let text = render(Some((&status, [8, 9])), &resident, &[tenant]);
     for wanted in [
         "canvascart_cluster_version 7",
         "canvascart_cluster_leads 1",
@@ -57,7 +57,7 @@
         assert!(text.lines().any(|l| l == wanted), "{wanted} in\n{text}");
     }
     assert!(
-        super::text(None, &Residency::default(), &[])
+        super::render(None, &Residency::default(), &[])
             .lines()
             .all(|l| !l.contains("cluster"))
     );
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -107,7 +107,7 @@
     let (tells, told) = unbounded_channel();
     let (founder, founded) = (api.clone(), file.clone());
     let begin = Box::new(move || {
-        let (version, entry, state) = founder.desk().found(&founded, unix_ms())?;
+        let (version, entry, state) = founder.admin_state().bootstrap(&founded, unix_ms())?;
         Ok::<_, InitialStateError>(InitialState {
             version,
             revision: entry,
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
-use ::admin_api::{Backup, Desk};
+use ::admin_api::{AdminState, Backup};
 use ::cluster::command::Member;
 use ::cluster::log_recovery::{next_epoch, restart_with_one_member};
 use ::cluster::state_machine::StateMachine;
@@ -32,7 +32,7 @@
 /// It is not whole, or can't be written.
 pub fn keep(body: &Value, output: &Path) -> Result<String, String> {
     let text = body.to_string();
-    let backup = Backup::read(&text)?;
+    let backup = Backup::parse(&text)?;
     let at = |e: std::io::Error| format!("{}: {e}", output.display());
     let aside = output.with_extension("new");
     let file = std::fs::File::create(&aside).map_err(at)?;
@@ -147,13 +147,13 @@
         println!("nothing was changed: say --yes to do it");
         return Ok(());
     }
-    let mut desk = Desk::open(file, false, unix_ms())?;
-    if desk.entry() < salvage.application_revision {
-        desk.replace(file, &salvage.application_state)?;
+    let mut admin_state = AdminState::open(file, false, unix_ms())?;
+    if admin_state.last_entry() < salvage.application_revision {
+        admin_state.restore(file, &salvage.application_state)?;
     }
     let detail = format!("the cluster {old} up to entry {}", salvage.last_index);
     let (version, entry, state) =
-        desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
+        admin_state.recover(file, &salvage.payloads, version, detail, unix_ms())?;
     let member = member(cluster, before.next_id);
     let cluster_id = new_cluster_id();
     let machine = restart_with_one_member(before, cluster_id, name.clone(), member, version, entry);
@@ -172,7 +172,7 @@
 ) -> Result<(), String> {
     let at = |e: String| format!("{}: {e}", backup.display());
     let text = std::fs::read_to_string(backup).map_err(|e| at(e.to_string()))?;
-    let backup = Backup::read(&text).map_err(at)?;
+    let backup = Backup::parse(&text).map_err(at)?;
     let version = next_epoch(backup.version);
     println!(
         "backup          of the cluster {}, made at {} (Unix time, ms)",
@@ -195,18 +195,18 @@
             "it is a member's: begin from a backup in an empty directory".into(),
         ));
     }
-    let mut desk = Desk::open(file, false, unix_ms())?;
-    if desk.entry() > 0 {
+    let mut admin_state = AdminState::open(file, false, unix_ms())?;
+    if admin_state.last_entry() > 0 {
         return Err(named(
             "it holds a state: begin from a backup in an empty directory".into(),
         ));
     }
-    desk.replace(file, &backup.state)?;
+    admin_state.restore(file, &backup.state)?;
     let detail = format!(
         "a backup of the cluster {} at version {}",
         backup.cluster, backup.version
     );
-    let (version, entry, state) = desk.salvage(file, &[], version, detail, unix_ms())?;
+    let (version, entry, state) = admin_state.recover(file, &[], version, detail, unix_ms())?;
     let rules = super::settings(cluster, &directory.display().to_string())?.rules;
     let name = cluster.instance.clone();
     let machine = StateMachine::bootstrap(
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -120,7 +120,7 @@
             );
         }
         let Some(admin) = admin else { return };
-        let token = self.directory.join(::admin_api::OPERATOR);
+        let token = self.directory.join(::admin_api::OPERATOR_TOKEN_FILE);
         println!("Administration:");
         println!(
             "  canvascart admin --url http://{admin} --token-file {} status",
@@ -172,7 +172,10 @@
         .map_or(String::new(), |a| format!("--url http://{a}"));
     let token = format!(
         "--token-file {}",
-        fleet.state(0).join(::admin_api::OPERATOR).display()
+        fleet
+            .state(0)
+            .join(::admin_api::OPERATOR_TOKEN_FILE)
+            .display()
     );
     println!("Ask for something:        curl -H 'X-Tenant-Id: north' ADDRESS/lookup/1");
     println!("Look:                     canvascart cluster {admin} {token} status");
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use ::admin_api::{Api, Desk, Order, Starting, Together};
+use ::admin_api::{AdminState, Api, ClusterHandle, PlaneCommand, StartupProgress};
 use ::endpoint_discovery::KeySpace;
 use cluster_runtime::lease::SharedLease;
 use cluster_runtime::member::MemberCommand;
@@ -145,7 +145,7 @@
 /// The administration API and the orders that come of it, where there is durable state.
 struct Administration {
     api: Arc<Api>,
-    orders: UnboundedReceiver<Order>,
+    orders: UnboundedReceiver<PlaneCommand>,
     /// Where the API listens, if it does.
     address: Option<SocketAddr>,
     /// The cluster's member, where there is one.
@@ -198,7 +198,7 @@
                 Some(file) => reload(&plane, file, administration.as_mut()),
                 None => tracing::info!("the demonstration has no configuration to read anew"),
             },
-            Some(order) = order => order.obey(&plane),
+            Some(order) = order => order.execute(&plane),
         }
     }
     tracing::info!("ends: what was taken is answered");
@@ -212,11 +212,11 @@
         if let Some(member) = member {
             end_among(&plane, &mut orders, &member).await;
         }
-        api.desk().close("the service is ending");
+        api.admin_state().set_read_only("the service is ending");
         while let Ok(order) = orders.try_recv() {
-            order.obey(&plane);
+            order.execute(&plane);
         }
-        api.keep_snapshot();
+        api.write_snapshot();
     }
     plane.drain().await;
     let residency = plane.residency();
@@ -242,7 +242,7 @@
 /// nothing that a change would wait for.
 async fn end_among(
     plane: &Plane,
-    orders: &mut UnboundedReceiver<Order>,
+    orders: &mut UnboundedReceiver<PlaneCommand>,
     member: &UnboundedSender<MemberCommand>,
 ) {
     let drained = plane.drain();
@@ -250,7 +250,7 @@
     loop {
         tokio::select! {
             () = &mut drained => break,
-            Some(order) = orders.recv() => order.obey(plane),
+            Some(order) = orders.recv() => order.execute(plane),
         }
     }
     let _ = member.send(MemberCommand::ReleaseLease); // one that has ended rests already
@@ -329,27 +329,27 @@
     lease: Option<Arc<SharedLease>>,
 ) -> Result<Administration, String> {
     let (began, now_ms) = (Instant::now(), unix_ms());
-    let desk = Desk::open(file, read_only, now_ms)?;
-    if desk.version() > 0 && !file.tenants.is_empty() {
+    let admin_state = AdminState::open(file, read_only, now_ms)?;
+    if admin_state.version() > 0 && !file.tenants.is_empty() {
         tracing::info!(
-            version = desk.version(),
+            version = admin_state.version(),
             "tenants are the state's; those of the file are not looked at"
         );
     }
-    plane.go_over(desk.catalog().clone())?;
-    let (version, tenants) = (desk.version(), desk.catalog().len());
+    plane.go_over(admin_state.catalog().clone())?;
+    let (version, tenants) = (admin_state.version(), admin_state.catalog().len());
     tracing::info!(version, tenants, "the state is in effect");
     let (said, hears) = unbounded_channel();
     let member = lease.as_ref().map(|_| said.clone());
     let start = file
         .cluster
         .as_ref()
-        .map(|c| Starting::new(began, cluster::start(c)));
-    let together = member
+        .map(|c| StartupProgress::new(began, cluster::start(c)));
+    let cluster_handle = member
         .clone()
         .zip(start)
-        .map(|(said, start)| Together::new(said, file.clone(), start));
-    let (api, orders) = Api::among(desk, together);
+        .map(|(said, start)| ClusterHandle::new(said, file.clone(), start));
+    let (api, orders) = Api::with_cluster(admin_state, cluster_handle);
     let told = match (&file.cluster, lease) {
         (Some(_), Some(lease)) => Some(cluster::join(file, &api, hears, lease)?),
         _ => None,
@@ -375,8 +375,8 @@
                 .build()?;
             runtime.block_on(async {
                 let follows = told.map(|told| {
-                    tokio::spawn(served.clone().begin());
-                    tokio::spawn(served.clone().follow(told))
+                    tokio::spawn(served.clone().run_startup());
+                    tokio::spawn(served.clone().handle_member_events(told))
                 });
                 match (listener, follows) {
                     (Some(listener), _) => served.serve(listener).await,
@@ -437,17 +437,17 @@
     let done = match administration {
         None => plane.apply(&next),
         Some(Administration { api, orders, .. }) => {
-            // While the desk is held nothing is stored; what is stored is carried out first.
-            let mut desk = api.desk();
+            // While the state is locked nothing is stored; what is stored is carried out first.
+            let mut admin_state = api.admin_state();
             while let Ok(order) = orders.try_recv() {
-                order.obey(plane);
+                order.execute(plane);
             }
-            desk.reload(&next).and_then(|prepared| {
+            admin_state.prepare_reload(&next).and_then(|prepared| {
                 let (plan, catalog) = (prepared.plan.clone(), prepared.next.clone());
                 plane.carry_out(prepared)?;
-                desk.reloaded(catalog);
-                drop(desk);
-                api.reloaded(next);
+                admin_state.finish_reload(catalog);
+                drop(admin_state);
+                api.configuration_reloaded(next);
                 Ok(plan)
             })
         }
--- a/crates/canvascart/src/state.rs
+++ b/crates/canvascart/src/state.rs
@@ -113,7 +113,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    let (id, whole, token) = ::admin_api::operator("canvascart store token", now_ms)
+    let (id, whole, token) = ::admin_api::new_operator_token("canvascart store token", now_ms)
         .map_err(|p| StoreError::Unavailable(p.detail))?;
     store.commit(&Transaction {
         base_entry: state.last_entry,
