--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use ::lab::experiment::{self, Run};
+use ::lab::faulty_proxy::{self, ProxyDefect};
 use ::lab::price::{self, Price};
-use ::lab::rogue::{self, Wrong};
 use ::lab::scenario::Scenario;
-use ::lab::sim::decider::Sabotage;
+use ::lab::sim::decider::InjectedDefect;
 use ::lab::{floods, real, report, shares, shipped};
 use indicatif::{ProgressBar, ProgressStyle};
 
@@ -56,7 +56,7 @@
         how: How,
         /// Breaks the module in this way, to see the oracle notice.
         #[arg(long, value_parser = sabotage)]
-        sabotage: Option<Sabotage>,
+        sabotage: Option<InjectedDefect>,
     },
     /// Plays a scenario under two settings or with two proxies, seed by seed, and prints the difference.
     #[command(after_help = CODES)]
@@ -227,7 +227,7 @@
     #[command(hide = true)]
     Rogue {
         #[arg(value_parser = wrong)]
-        wrong: Wrong,
+        wrong: ProxyDefect,
     },
     /// Plays a scenario with one setting varied, and prints a line for each value.
     #[command(after_help = CODES)]
@@ -310,12 +310,12 @@
     named(&floods::Kind::ALL, name)
 }
 
-fn sabotage(name: &str) -> Result<Sabotage, String> {
-    named(&Sabotage::ALL, name)
+fn sabotage(name: &str) -> Result<InjectedDefect, String> {
+    named(&InjectedDefect::ALL, name)
 }
 
-fn wrong(name: &str) -> Result<Wrong, String> {
-    named(&Wrong::ALL, name)
+fn wrong(name: &str) -> Result<ProxyDefect, String> {
+    named(&ProxyDefect::ALL, name)
 }
 
 impl Which {
@@ -513,7 +513,7 @@
         Command::Rogue { wrong } => {
             let config =
                 std::env::var_os("NODE_CONFIG").ok_or("NODE_CONFIG names no configuration")?;
-            rogue::run(wrong, Path::new(&config))
+            faulty_proxy::run(wrong, Path::new(&config))
                 .map(|()| 0)
                 .map_err(|e| e.to_string())
         }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -19,12 +19,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep_until};
 
-use crate::chance::{Use, stream};
 use crate::ledger::ServerId;
-use crate::real::http::{Start, Wire};
+use crate::random::{Purpose, stream};
+use crate::real::http::{Connection, StartLine};
 use crate::scenario::Scenario;
-use crate::world::server::{Job, Offer};
-use crate::world::{Happened, Verdict, World};
+use crate::world::server::{Admission, Job};
+use crate::world::{ServerOutcome, World, WorldEvent};
 
 /// One server of the fleet.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,7 +73,7 @@
     world: RefCell<World>,
     start: Instant,
     /// Who waits for what becomes of an attempt; none where its process is gone.
-    waiting: RefCell<FxHashMap<u64, oneshot::Sender<Verdict>>>,
+    waiting: RefCell<FxHashMap<u64, oneshot::Sender<ServerOutcome>>>,
     next: Cell<u64>,
     changed: Notify,
     works: Vec<LogNormal<f64>>,
@@ -93,7 +93,7 @@
             waiting: RefCell::default(),
             next: Cell::default(),
             changed: Notify::new(),
-            rng: RefCell::new(stream(seed, Use::Load)),
+            rng: RefCell::new(stream(seed, Purpose::Load)),
         }))
     }
 
@@ -103,16 +103,16 @@
 
     async fn open(self: &Rc<Self>) -> io::Result<Vec<Member>> {
         let mut members = Vec::new();
-        let count = self.world.borrow().loans().len();
+        let count = self.world.borrow().servers().len();
         for server in 0..count {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
             let world = self.world.borrow();
-            let (fleet, loan) = (&world.scenario().fleet, &world.loans()[server]);
-            let kind = &fleet.kinds[loan.kind];
+            let (fleet, fleet_server) = (&world.scenario().fleet, &world.servers()[server]);
+            let kind = &fleet.kinds[fleet_server.kind];
             members.push(Member {
                 name: world.name(server),
                 address: listener.local_addr()?,
-                zone: fleet.zones[loan.zone].clone(),
+                zone: fleet.zones[fleet_server.zone].clone(),
                 kind: kind.name.clone(),
                 cores: f64::from(kind.cores),
             });
@@ -135,12 +135,12 @@
             let happened = self.world.borrow_mut().advance(self.now());
             for h in happened {
                 match h {
-                    Happened::Done { attempt, verdict } => {
+                    WorldEvent::Completed { attempt, verdict } => {
                         if let Some(waits) = self.waiting.borrow_mut().remove(&attempt) {
                             let _ = waits.send(verdict); // it may have left
                         }
                     }
-                    Happened::Lost { attempt } | Happened::Broken { attempt, .. } => {
+                    WorldEvent::Lost { attempt } | WorldEvent::ConnectionBroken { attempt, .. } => {
                         self.waiting.borrow_mut().remove(&attempt);
                     }
                     _ => {}
@@ -153,7 +153,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().connection(Wire::new(stream), server));
+                    spawn_local(self.clone().connection(Connection::new(stream), server));
                 }
                 // Out of descriptors: others are closed in time.
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
@@ -161,18 +161,18 @@
         }
     }
 
-    async fn connection(self: Rc<Self>, mut wire: Wire, server: ServerId) {
-        while let Ok(request) = wire.read(true).await {
-            let Start::Request(_, target) = &request.start else {
+    async fn connection(self: Rc<Self>, mut connection: Connection, server: ServerId) {
+        while let Ok(request) = connection.read(true).await {
+            let StartLine::Request(_, target) = &request.start else {
                 return;
             };
-            let answer = self.answer(&mut wire, server, target).await;
+            let answer = self.answer(&mut connection, server, target).await;
             let Some((status, body)) = answer else { return };
             let head = format!(
                 "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}\n",
                 body.len() + 1
             );
-            if wire.write(head.as_bytes()).await.is_err() {
+            if connection.write(head.as_bytes()).await.is_err() {
                 return;
             }
         }
@@ -181,7 +181,7 @@
     /// What a server says to a request; none where the connection breaks.
     async fn answer(
         &self,
-        wire: &mut Wire,
+        connection: &mut Connection,
         server: ServerId,
         target: &str,
     ) -> Option<(&'static str, String)> {
@@ -209,12 +209,12 @@
         let key = path.bytes().fold(0u64, |key, b| {
             key.wrapping_mul(31).wrapping_add(u64::from(b))
         });
-        let (offer, _) = self
-            .world
-            .borrow_mut()
-            .offer(began, server, Job { attempt, work, key });
+        let (admission, _) =
+            self.world
+                .borrow_mut()
+                .submit(began, server, Job { attempt, work, key });
         self.changed.notify_one();
-        if offer != Offer::Taken {
+        if admission != Admission::Accepted {
             self.waiting.borrow_mut().remove(&attempt);
             return Some((
                 "503 Busy",
@@ -224,7 +224,7 @@
         let verdict = tokio::select! {
             biased;
             verdict = told => verdict.ok()?,
-            () = wire.ended() => {
+            () = connection.closed() => {
                 self.world.borrow_mut().cancel(self.now(), server, attempt);
                 self.waiting.borrow_mut().remove(&attempt);
                 self.changed.notify_one();
@@ -232,7 +232,7 @@
             }
         };
         let took = (self.now() - began).round();
-        (verdict == Verdict::Served).then(|| {
+        (verdict == ServerOutcome::Served).then(|| {
             let said = serde_json::json!({ "server": name, "class": class, "path": path, "took-ms": took });
             ("200 OK", said.to_string())
         })
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -12,11 +12,11 @@
 
 use crate::ScenarioError;
 use crate::ledger::Ledger;
-use crate::load::Ask;
-use crate::oracle::{Broken, judge};
+use crate::load::ClientRequest;
+use crate::oracle::{Violation, check_rules};
 use crate::scenario::Scenario;
 use crate::score::{Score, score};
-use crate::sim::decider::Sabotage;
+use crate::sim::decider::InjectedDefect;
 use crate::sim::{Counts, Sim};
 
 /// One run and what is to be said of it.
@@ -32,11 +32,11 @@
     /// What happened.
     pub ledger: Ledger,
     /// What was asked for.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientRequest>,
     /// How good the service was.
     pub score: Score,
     /// Broken rules.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// Counts of a run in virtual time.
     pub counts: Counts,
     /// CPU time that the module took in µs a request; measured, so no part of what a seed fixes.
@@ -54,10 +54,10 @@
         name: &str,
         seed: u64,
         ledger: Ledger,
-        asks: Vec<Ask>,
+        asks: Vec<ClientRequest>,
         served: &[Option<f64>],
     ) -> Self {
-        let broken = judge(&ledger, &scenario.rules, &scenario.proxies);
+        let broken = check_rules(&ledger, &scenario.rules, &scenario.proxies);
         let score = score(&scenario, &asks, served, &ledger);
         let (counts, module_us, partial, void, virtual_time) =
             (Counts::default(), 0.0, false, None, false);
@@ -84,17 +84,17 @@
     scenario: &Arc<Scenario>,
     name: &str,
     seed: u64,
-    sabotage: Option<Sabotage>,
+    sabotage: Option<InjectedDefect>,
 ) -> Run {
-    let played = Sim::new(scenario.clone(), seed, sabotage).play();
+    let played = Sim::new(scenario.clone(), seed, sabotage).run();
     let served: Vec<Option<f64>> = played.served.iter().map(|(at, _)| *at).collect();
-    let requests = played.ledger.tries.len().max(1) as f64;
+    let requests = played.ledger.client_attempts.len().max(1) as f64;
     let mut run = Run::new(
         scenario.clone(),
         name,
         seed,
         played.ledger,
-        played.asks,
+        played.requests,
         &served,
     );
     run.virtual_time = true;
--- a/crates/lab/src/floods/fleet.rs
+++ b/crates/lab/src/floods/fleet.rs
@@ -10,7 +10,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::real::http::{Start, Wire};
+use crate::real::http::{Connection, StartLine};
 
 /// What a path holds whose answer is large.
 pub const LARGE: &str = "large";
@@ -69,15 +69,15 @@
 
 async fn serve(listener: TcpListener, hangs: bool) {
     while let Ok((stream, _)) = listener.accept().await {
-        let mut wire = Wire::new(stream);
+        let mut connection = Connection::new(stream);
         spawn_local(async move {
-            while let Ok(request) = wire.read(true).await {
+            while let Ok(request) = connection.read(true).await {
                 if hangs {
-                    return wire.ended().await;
+                    return connection.closed().await;
                 }
                 sleep(WORK).await;
                 let large =
-                    matches!(&request.start, Start::Request(_, path) if path.ends_with(LARGE));
+                    matches!(&request.start, StartLine::Request(_, path) if path.ends_with(LARGE));
                 let body = if large {
                     "x".repeat(MANY)
                 } else {
@@ -87,7 +87,7 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
                 );
-                if wire.write(answer.as_bytes()).await.is_err() {
+                if connection.write(answer.as_bytes()).await.is_err() {
                     return;
                 }
             }
--- a/crates/lab/src/floods/mod.rs
+++ b/crates/lab/src/floods/mod.rs
@@ -18,8 +18,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::chance::{Use, stream};
-use crate::real::http::{Start, Wire};
+use crate::random::{Purpose, stream};
+use crate::real::http::{Connection, StartLine};
 use crate::service::{Line, Service};
 use fleet::{Fleet, LARGE};
 
@@ -261,9 +261,9 @@
     begin: Instant,
     marks: [Duration; 3],
 ) -> io::Result<Quiet> {
-    let mut rng = stream(seed, Use::Load);
+    let mut rng = stream(seed, Purpose::Load);
     let gap = Exp::new(QUIET_RATE).map_err(io::Error::other)?;
-    let idle: Rc<RefCell<Vec<Wire>>> = Rc::default();
+    let idle: Rc<RefCell<Vec<Connection>>> = Rc::default();
     let all: Rc<RefCell<Vec<Asked>>> = Rc::default();
     let mut at = Duration::ZERO;
     let mut tasks = Vec::new();
@@ -313,24 +313,26 @@
 }
 
 /// One lookup on a connection that is idle, or a new one. A connection that was closed meanwhile is replaced once.
-async fn ask(to: SocketAddr, idle: &RefCell<Vec<Wire>>) -> bool {
+async fn ask(to: SocketAddr, idle: &RefCell<Vec<Connection>>) -> bool {
     for _ in 0..2 {
         let reused = idle.borrow_mut().pop();
         let was_reused = reused.is_some();
-        let wire = match reused {
-            Some(wire) => Some(wire),
-            None => TcpStream::connect(to).await.ok().map(Wire::new),
+        let connection = match reused {
+            Some(connection) => Some(connection),
+            None => TcpStream::connect(to).await.ok().map(Connection::new),
         };
-        let Some(mut wire) = wire else { return false };
-        let written = wire
+        let Some(mut connection) = connection else {
+            return false;
+        };
+        let written = connection
             .write(b"GET /lookup/1 HTTP/1.1\r\nHost: quiet\r\n\r\n")
             .await;
-        match (written, wire.read(false).await) {
+        match (written, connection.read(false).await) {
             (Ok(()), Ok(answer)) => {
-                if !answer.closes() {
-                    idle.borrow_mut().push(wire);
+                if !answer.closes_connection() {
+                    idle.borrow_mut().push(connection);
                 }
-                return answer.start == Start::Answer(200);
+                return answer.start == StartLine::Response(200);
             }
             _ if was_reused => {} // closed while it was idle
             _ => return false,
@@ -367,14 +369,18 @@
     let Ok(stream) = TcpStream::connect(to).await else {
         return;
     };
-    let mut wire = Wire::new(stream);
+    let mut connection = Connection::new(stream);
     let one_more = |count: &Cell<u64>| count.set(count.get() + 1);
     match kind {
         Kind::Nothing => std::future::pending().await,
         Kind::HalfHeads => {
             one_more(sent);
-            if wire.write(b"GET /lookup/1 HTTP/1.1\r\nHost:").await.is_ok() {
-                wire.ended().await;
+            if connection
+                .write(b"GET /lookup/1 HTTP/1.1\r\nHost:")
+                .await
+                .is_ok()
+            {
+                connection.closed().await;
             }
         }
         Kind::SlowReaders => {
@@ -382,7 +388,7 @@
             let request = format!("GET /lookup/{LARGE} HTTP/1.1\r\nHost: flood\r\n\r\n");
             for _ in 0..64 {
                 one_more(sent);
-                if wire.write(request.as_bytes()).await.is_err() {
+                if connection.write(request.as_bytes()).await.is_err() {
                     return;
                 }
             }
@@ -401,16 +407,16 @@
             };
             loop {
                 one_more(sent);
-                if wire.write(request.as_bytes()).await.is_err() {
+                if connection.write(request.as_bytes()).await.is_err() {
                     return;
                 }
-                let Ok(answer) = wire.read(false).await else {
+                let Ok(answer) = connection.read(false).await else {
                     return;
                 };
-                if answer.start == Start::Answer(200) {
+                if answer.start == StartLine::Response(200) {
                     one_more(served);
                 }
-                if answer.closes() || kind == Kind::Churn {
+                if answer.closes_connection() || kind == Kind::Churn {
                     return;
                 }
             }
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -7,7 +7,7 @@
 use balancer::Millis;
 
 /// A try, as numbered by the driver.
-pub type TryId = usize;
+pub type ClientAttemptId = usize;
 /// A server, as numbered by the world.
 pub type ServerId = usize;
 /// A proxy's number.
@@ -15,7 +15,7 @@
 
 /// An answer as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Code {
+pub enum ResponseKind {
     /// A server's answer, whole; `genuine` if it is one that a server made for this very try.
     Served {
         /// Whether a server made it for this very try.
@@ -58,9 +58,9 @@
 
 /// One try of a client.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct ClientAttempt {
     /// The client's ask that it belongs to.
-    pub ask: usize,
+    pub request: usize,
     /// Which try of that ask, from 1.
     pub number: u32,
     /// Its class, a place in the scenario's.
@@ -78,7 +78,7 @@
     /// When a proxy had taken it.
     pub taken: Option<Millis>,
     /// Each answer, and when its last byte left the proxy.
-    pub answers: Vec<(Millis, Code)>,
+    pub answers: Vec<(Millis, ResponseKind)>,
     /// When the client went away.
     pub left: Option<Millis>,
     /// Its attempts, in the order of sends.
@@ -87,7 +87,7 @@
 
 /// A proxy was told of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct ServerNotification {
     /// Who.
     pub proxy: ProxyId,
     /// Of which server.
@@ -102,7 +102,7 @@
 
 /// A cold server was pushed over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fall {
+pub struct ColdOverload {
     /// Which.
     pub server: ServerId,
     /// When.
@@ -113,13 +113,13 @@
 
 /// A proxy's process ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct ProcessExit {
     /// Which.
     pub proxy: ProxyId,
     /// When.
     pub at: Millis,
     /// Whether it was killed or told to end; else it crashed.
-    pub wanted: bool,
+    pub expected: bool,
 }
 
 /// What a process took at most; real processes only.
@@ -139,25 +139,25 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// All tries, in the order of their sends.
-    pub tries: Vec<Try>,
+    pub client_attempts: Vec<ClientAttempt>,
     /// What proxies were told.
-    pub told: Vec<Told>,
+    pub notifications: Vec<ServerNotification>,
     /// Cold servers that fell over.
-    pub falls: Vec<Fall>,
+    pub cold_overloads: Vec<ColdOverload>,
     /// Proxies that ended.
-    pub ends: Vec<End>,
+    pub process_exits: Vec<ProcessExit>,
     /// What processes took.
     pub usage: Vec<Usage>,
     /// Attempts with an id that no client sent.
-    pub strangers: Vec<(ServerId, Millis, String)>,
+    pub unknown_requests: Vec<(ServerId, Millis, String)>,
     /// When the last note was made.
-    pub closed: Millis,
+    pub ended_at: Millis,
 }
 
 impl Ledger {
     /// Notes a send; returns the attempt's number in its try.
-    pub fn send(&mut self, id: TryId, server: ServerId, at: Millis) -> usize {
-        let attempts = &mut self.tries[id].attempts;
+    pub fn send(&mut self, id: ClientAttemptId, server: ServerId, at: Millis) -> usize {
+        let attempts = &mut self.client_attempts[id].attempts;
         attempts.push(Attempt {
             server,
             sent: at,
@@ -168,19 +168,21 @@
     }
 
     /// Notes how an attempt ended, once.
-    pub fn end(&mut self, id: TryId, attempt: usize, at: Millis, end: AttemptEnd) {
-        let a = &mut self.tries[id].attempts[attempt];
+    pub fn end(&mut self, id: ClientAttemptId, attempt: usize, at: Millis, end: AttemptEnd) {
+        let a = &mut self.client_attempts[id].attempts[attempt];
         a.ended = a.ended.or(Some((at, end)));
     }
 
     /// Notes that a server has done an attempt.
-    pub fn ran(&mut self, id: TryId, attempt: usize, at: Millis) {
-        self.tries[id].attempts[attempt].ran.get_or_insert(at);
+    pub fn ran(&mut self, id: ClientAttemptId, attempt: usize, at: Millis) {
+        self.client_attempts[id].attempts[attempt]
+            .ran
+            .get_or_insert(at);
     }
 
     /// When a proxy was alive no longer, after this time.
     pub fn end_of(&self, proxy: ProxyId, after: Millis) -> Option<Millis> {
-        self.ends
+        self.process_exits
             .iter()
             .filter(|e| e.proxy == proxy && e.at >= after)
             .map(|e| e.at)
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -9,9 +9,9 @@
 //! recorded day.
 
 pub mod capacity;
-pub mod chance;
 pub mod demo;
 pub mod experiment;
+pub mod faulty_proxy;
 pub mod floods;
 pub mod followers;
 pub mod ledger;
@@ -19,9 +19,9 @@
 pub mod net;
 pub mod oracle;
 pub mod price;
+pub mod random;
 pub mod real;
 pub mod report;
-pub mod rogue;
 pub mod scenario;
 pub mod score;
 pub mod service;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -5,12 +5,12 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
-use crate::chance::{Use, stream};
+use crate::random::{Purpose, stream};
 use crate::scenario::{Effect, FaultKind, Scenario};
 
 /// A request as a client wants it, whatever tries it takes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// When the first try is sent.
     pub at: Millis,
     /// Its class, a place in the scenario's.
@@ -50,8 +50,8 @@
 }
 
 /// Draws all first tries of a run, in the order of their times.
-pub fn draw(s: &Scenario, seed: u64) -> Vec<Ask> {
-    let mut rng = stream(seed, Use::Load);
+pub fn draw_requests(s: &Scenario, seed: u64) -> Vec<ClientRequest> {
+    let mut rng = stream(seed, Purpose::Load);
     let zipf = Zipf::new(s.load.keys as f64, s.load.zipf).expect("the range has been checked");
     let works: Vec<LogNormal<f64>> = s
         .classes
@@ -73,12 +73,12 @@
         .filter_map(|f| f.factor);
     let most = (1.0 + s.load.swing.0) * steps.map(|f| f.max(1.0)).product::<f64>();
     let rate = s.rate() * most;
-    let (mut asks, mut at) = (Vec::new(), 0.0);
+    let (mut requests, mut at) = (Vec::new(), 0.0);
     loop {
         let gap: f64 = rng.sample(Exp1);
         at += gap / rate;
         if at >= s.length.0 {
-            return asks;
+            return requests;
         }
         if rng.random::<f64>() * most >= factor(s, at) {
             continue;
@@ -91,7 +91,7 @@
             }
         }
         let class = weighted(&mut rng, &classes);
-        asks.push(Ask {
+        requests.push(ClientRequest {
             at,
             class,
             tenant: (!tenants.is_empty()).then(|| weighted(&mut rng, &tenants)),
@@ -105,7 +105,7 @@
 
 /// How a try ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TryEnd {
+pub enum ClientAttemptOutcome {
     /// Served whole.
     Served,
     /// Refused: trying again is harmless, after this span if one is named.
@@ -121,12 +121,18 @@
 /// What a client does after a try: the span after which it tries again, or `None` when it is done.
 ///
 /// A request that must not run twice goes again only after a refusal, or where no proxy took it.
-pub fn next_try(s: &Scenario, ask: &Ask, tries: u32, now: Millis, end: TryEnd) -> Option<Millis> {
+pub fn retry_delay(
+    s: &Scenario,
+    ask: &ClientRequest,
+    tries: u32,
+    now: Millis,
+    end: ClientAttemptOutcome,
+) -> Option<Millis> {
     let class = &s.classes[ask.class];
     let harmless = match end {
-        TryEnd::Served => return None,
-        TryEnd::Refused(_) | TryEnd::Unreachable => true,
-        TryEnd::Failed | TryEnd::GaveUp => class.effect == Effect::Safe,
+        ClientAttemptOutcome::Served => return None,
+        ClientAttemptOutcome::Refused(_) | ClientAttemptOutcome::Unreachable => true,
+        ClientAttemptOutcome::Failed | ClientAttemptOutcome::GaveUp => class.effect == Effect::Safe,
     };
     let impatient = s
         .faults
@@ -134,7 +140,7 @@
         .any(|f| f.kind == FaultKind::Impatient && f.holds(now));
     let wait = match end {
         _ if impatient => 0.0,
-        TryEnd::Refused(Some(after)) if ask.honours => after.max(s.clients.backoff.0),
+        ClientAttemptOutcome::Refused(Some(after)) if ask.honours => after.max(s.clients.backoff.0),
         _ => s.clients.backoff.0,
     };
     let in_time = now + wait < ask.at + class.deadline.0;
@@ -142,7 +148,7 @@
 }
 
 /// How long a try waits for its answer: the client's patience, within what is left of the deadline.
-pub fn patience(s: &Scenario, ask: &Ask, now: Millis) -> Millis {
+pub fn patience(s: &Scenario, ask: &ClientRequest, now: Millis) -> Millis {
     let class = &s.classes[ask.class];
     (s.clients.patience.0 * class.deadline.0).min(ask.at + class.deadline.0 - now)
 }
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -1,4 +1,4 @@
-//! Links between processes that can be cut, slowed, stalled and held back, one direction apart from the other.
+//! Links between processes that can be cut, slowed, stalled and buffered back, one direction apart from the other.
 
 use std::collections::VecDeque;
 use std::io::{self, Read as _, Write as _};
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 /// From one look at what a link does to the next.
-const LOOK: Duration = Duration::from_millis(2);
-/// Bytes that are held back at most, before nothing more is read.
-const HELD: usize = 8 << 20;
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Bytes that are buffered back at most, before nothing more is read.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
 /// What a link does with what comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,13 +25,13 @@
 }
 
 #[derive(Debug, Default)]
-struct How {
+struct LinkState {
     mode: AtomicU8,
     delay_us: AtomicU64,
     ended: AtomicBool,
 }
 
-impl How {
+impl LinkState {
     fn mode(&self) -> Mode {
         match self.mode.load(Ordering::Relaxed) {
             1 => Mode::Cut,
@@ -47,12 +47,12 @@
     /// Where it is dialled.
     pub address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
-    how: Arc<How>,
+    state: Arc<LinkState>,
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.how.ended.store(true, Ordering::Relaxed);
+        self.state.ended.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.address); // wakes the one that accepts
     }
 }
@@ -67,81 +67,82 @@
         let link = Link {
             address: listener.local_addr()?,
             target: Arc::default(),
-            how: Arc::default(),
+            state: Arc::default(),
         };
-        let (target, how) = (link.target.clone(), link.how.clone());
+        let (target, state) = (link.target.clone(), link.state.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                if how.ended.load(Ordering::Relaxed) {
+                if state.ended.load(Ordering::Relaxed) {
                     return;
                 }
                 let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
                 let (Ok(stream), Some(to)) = (stream, to) else {
                     continue;
                 };
-                let how = how.clone();
-                thread::spawn(move || _ = carry(&stream, to, &how)); // an end of either side ends it
+                let state = state.clone();
+                thread::spawn(move || _ = forward_connection(&stream, to, &state)); // an end of either side ends it
             }
         });
         Ok(link)
     }
 
     /// Where it leads from here on, for connections that come.
-    pub fn lead(&self, to: SocketAddr) {
+    pub fn set_target(&self, to: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(to);
     }
 
     /// What it does from here on.
-    pub fn set(&self, mode: Mode) {
-        self.how.mode.store(mode as u8, Ordering::Relaxed);
+    pub fn set_mode(&self, mode: Mode) {
+        self.state.mode.store(mode as u8, Ordering::Relaxed);
     }
 
     /// What passes takes so long from here on, one way.
-    pub fn delay(&self, delay: Duration) {
-        self.how
+    pub fn set_delay(&self, delay: Duration) {
+        self.state
             .delay_us
             .store(delay.as_micros() as u64, Ordering::Relaxed);
     }
 }
 
-fn carry(from: &TcpStream, to: SocketAddr, how: &Arc<How>) -> io::Result<()> {
-    if how.mode() == Mode::Cut {
+fn forward_connection(from: &TcpStream, to: SocketAddr, state: &Arc<LinkState>) -> io::Result<()> {
+    if state.mode() == Mode::Cut {
         return Ok(());
     }
-    let there = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
+    let upstream = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
     let (back, forth) = (
-        (there.try_clone()?, from.try_clone()?),
-        (from.try_clone()?, there.try_clone()?),
+        (upstream.try_clone()?, from.try_clone()?),
+        (from.try_clone()?, upstream.try_clone()?),
     );
-    for stream in [from, &there] {
+    for stream in [from, &upstream] {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK))?;
+        stream.set_read_timeout(Some(CHECK_INTERVAL))?;
     }
-    let other = how.clone();
-    let other = thread::spawn(move || pump(back.0, &back.1, &other));
-    let ended = pump(forth.0, &forth.1, how);
-    let _ = there.shutdown(Shutdown::Both); // so that the other way ends as well
+    let other = state.clone();
+    let other = thread::spawn(move || copy_direction(back.0, &back.1, &other));
+    let ended = copy_direction(forth.0, &forth.1, state);
+    let _ = upstream.shutdown(Shutdown::Both); // so that the other way ends as well
     let _ = from.shutdown(Shutdown::Both);
     let _ = other.join();
     ended
 }
 
-fn pump(mut from: TcpStream, mut to: &TcpStream, how: &How) -> io::Result<()> {
-    let mut held: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+fn copy_direction(mut from: TcpStream, mut to: &TcpStream, state: &LinkState) -> io::Result<()> {
+    let mut buffered: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut bytes = 0;
     let mut buffer = vec![0; 64 << 10];
     let mut over = false;
     loop {
-        let mode = how.mode();
-        if mode == Mode::Cut || how.ended.load(Ordering::Relaxed) || (over && held.is_empty()) {
+        let mode = state.mode();
+        if mode == Mode::Cut || state.ended.load(Ordering::Relaxed) || (over && buffered.is_empty())
+        {
             return to.shutdown(Shutdown::Both);
         }
-        if bytes < HELD && !over {
+        if bytes < MAX_BUFFERED_BYTES && !over {
             match from.read(&mut buffer) {
                 Ok(0) => over = true,
                 Ok(n) => {
-                    let delay = Duration::from_micros(how.delay_us.load(Ordering::Relaxed));
-                    held.push_back((Instant::now() + delay, buffer[..n].to_vec()));
+                    let delay = Duration::from_micros(state.delay_us.load(Ordering::Relaxed));
+                    buffered.push_back((Instant::now() + delay, buffer[..n].to_vec()));
                     bytes += n;
                 }
                 Err(e)
@@ -152,14 +153,18 @@
                 Err(_) => over = true,
             }
         } else {
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
-        while mode == Mode::Pass && held.front().is_some_and(|(due, _)| *due <= Instant::now()) {
-            let Some((_, piece)) = held.pop_front() else {
+        while mode == Mode::Pass
+            && buffered
+                .front()
+                .is_some_and(|(due, _)| *due <= Instant::now())
+        {
+            let Some((_, chunk)) = buffered.pop_front() else {
                 break;
             };
-            to.write_all(&piece)?;
-            bytes -= piece.len();
+            to.write_all(&chunk)?;
+            bytes -= chunk.len();
         }
     }
 }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -7,7 +7,7 @@
 use balancer::Millis;
 use rustc_hash::FxHashMap;
 
-use crate::ledger::{Attempt, AttemptEnd, Code, Ledger, Try};
+use crate::ledger::{Attempt, AttemptEnd, ClientAttempt, Ledger, ResponseKind};
 use crate::scenario::{Proxies, Rules};
 
 /// The rules.
@@ -31,7 +31,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// Which rule.
     pub rule: Rule,
     /// When.
@@ -44,7 +44,7 @@
     pub evidence: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:?} at {:.3} s", self.rule, self.at / 1000.0)?;
         if let Some(request) = self.request {
@@ -57,15 +57,15 @@
     }
 }
 
-/// All that is broken, in the order of time.
-pub fn judge(ledger: &Ledger, rules: &Rules, bounds: &Proxies) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    for (id, t) in ledger.tries.iter().enumerate() {
-        one_answer(ledger, rules, id, t, &mut broken);
-        never_twice(id, t, &mut broken);
+/// All that is violations, in the order of time.
+pub fn check_rules(ledger: &Ledger, rules: &Rules, bounds: &Proxies) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for (id, t) in ledger.client_attempts.iter().enumerate() {
+        one_answer(ledger, rules, id, t, &mut violations);
+        never_twice(id, t, &mut violations);
     }
-    drains(ledger, rules, &mut broken);
-    cold_starts(ledger, &mut broken);
+    drains(ledger, rules, &mut violations);
+    cold_starts(ledger, &mut violations);
     for u in &ledger.usage {
         let over = [
             ("MiB of memory", u.memory_mb, bounds.memory_mb as f64),
@@ -76,7 +76,7 @@
                 "proxy {} held {value:.0} {what}, {most:.0} are allowed",
                 u.proxy
             );
-            broken.push(Broken {
+            violations.push(Violation {
                 rule: Rule::Bounds,
                 at: u.at,
                 request: None,
@@ -85,9 +85,9 @@
             });
         }
     }
-    for e in ledger.ends.iter().filter(|e| !e.wanted) {
+    for e in ledger.process_exits.iter().filter(|e| !e.expected) {
         let evidence = format!("proxy {} ended by itself", e.proxy);
-        broken.push(Broken {
+        violations.push(Violation {
             rule: Rule::NoCrash,
             at: e.at,
             request: None,
@@ -95,9 +95,9 @@
             evidence,
         });
     }
-    for (server, at, what) in &ledger.strangers {
+    for (server, at, what) in &ledger.unknown_requests {
         let (server, evidence) = (Some(*server), what.clone());
-        broken.push(Broken {
+        violations.push(Violation {
             rule: Rule::NoStranger,
             at: *at,
             request: None,
@@ -105,13 +105,19 @@
             evidence,
         });
     }
-    broken.sort_by(|a, b| a.at.total_cmp(&b.at));
-    broken
+    violations.sort_by(|a, b| a.at.total_cmp(&b.at));
+    violations
 }
 
-fn one_answer(ledger: &Ledger, rules: &Rules, id: usize, t: &Try, broken: &mut Vec<Broken>) {
+fn one_answer(
+    ledger: &Ledger,
+    rules: &Rules,
+    id: usize,
+    t: &ClientAttempt,
+    violations: &mut Vec<Violation>,
+) {
     let mut tell = |at, evidence: String| {
-        broken.push(Broken {
+        violations.push(Violation {
             rule: Rule::OneAnswer,
             at,
             request: Some(id),
@@ -132,7 +138,7 @@
             *at,
             format!("{code:?} came {:.1} ms after its time", at - t.due),
         ),
-        Some((at, Code::Served { genuine: false })) => {
+        Some((at, ResponseKind::Served { genuine: false })) => {
             tell(*at, "served with what no server made for it".into());
         }
         Some(_) => {}
@@ -140,7 +146,7 @@
         None => {
             let left = t.left.is_some_and(|left| left < t.due);
             let dead = ledger.end_of(t.proxy, taken).is_some_and(|end| end <= late);
-            let open = ledger.closed < late;
+            let open = ledger.ended_at < late;
             if !left && !dead && !open {
                 tell(
                     late,
@@ -157,9 +163,9 @@
         .is_none_or(|(when, end)| when > at || end != AttemptEnd::NeverRan)
 }
 
-fn never_twice(id: usize, t: &Try, broken: &mut Vec<Broken>) {
+fn never_twice(id: usize, t: &ClientAttempt, violations: &mut Vec<Violation>) {
     let mut tell = |at, server: Option<usize>, evidence: String| {
-        broken.push(Broken {
+        violations.push(Violation {
             rule: Rule::NeverTwice,
             at,
             request: Some(id),
@@ -200,7 +206,7 @@
             format!("it ran at server {first} already"),
         );
     }
-    if let Some((at, Code::Refused { .. })) = t.answers.first()
+    if let Some((at, ResponseKind::Refused { .. })) = t.answers.first()
         && let Some(a) = t.attempts.iter().find(|a| in_doubt(a, *at))
     {
         tell(
@@ -211,17 +217,17 @@
     }
 }
 
-fn drains(ledger: &Ledger, rules: &Rules, broken: &mut Vec<Broken>) {
+fn drains(ledger: &Ledger, rules: &Rules, violations: &mut Vec<Violation>) {
     // For each proxy and server: since when it has been told that nothing new may go there.
     let mut told: FxHashMap<(usize, usize), Vec<(Millis, bool)>> = FxHashMap::default();
-    for t in &ledger.told {
+    for t in &ledger.notifications {
         told.entry((t.proxy, t.server))
             .or_default()
             .push((t.at, t.up));
     }
     told.values_mut()
         .for_each(|news| news.sort_by(|a, b| a.0.total_cmp(&b.0)));
-    for (id, t) in ledger.tries.iter().enumerate() {
+    for (id, t) in ledger.client_attempts.iter().enumerate() {
         for a in &t.attempts {
             let Some(news) = told.get(&(t.proxy, a.server)) else {
                 continue;
@@ -238,7 +244,7 @@
                     a.sent - since
                 );
                 let (request, server) = (Some(id), Some(a.server));
-                broken.push(Broken {
+                violations.push(Violation {
                     rule: Rule::Drain,
                     at: a.sent,
                     request,
@@ -253,20 +259,20 @@
 /// Two thirds of what pushed a server over must have come from proxies that had been told of its start.
 const TOLD_PART: f64 = 2.0 / 3.0;
 
-fn cold_starts(ledger: &Ledger, broken: &mut Vec<Broken>) {
-    for fall in &ledger.falls {
+fn cold_starts(ledger: &Ledger, violations: &mut Vec<Violation>) {
+    for fall in &ledger.cold_overloads {
         let (mut all, mut told) = (0.0f64, 0.0f64);
-        for t in &ledger.tries {
+        for t in &ledger.client_attempts {
             for a in t
                 .attempts
                 .iter()
                 .filter(|a| a.server == fall.server && a.sent <= fall.at)
             {
-                let knew = |n: &&crate::ledger::Told| {
+                let knew = |n: &&crate::ledger::ServerNotification| {
                     n.proxy == t.proxy && n.server == a.server && n.at <= a.sent
                 };
                 all += 1.0;
-                told += f64::from(u8::from(ledger.told.iter().any(|n| knew(&n))));
+                told += f64::from(u8::from(ledger.notifications.iter().any(|n| knew(&n))));
             }
         }
         if told >= TOLD_PART * all {
@@ -276,7 +282,7 @@
                 100.0 * fall.warmth
             );
             let (at, server) = (fall.at, Some(fall.server));
-            broken.push(Broken {
+            violations.push(Violation {
                 rule: Rule::ColdStart,
                 at,
                 request: None,
--- a/crates/lab/src/price/mod.rs
+++ b/crates/lab/src/price/mod.rs
@@ -18,7 +18,7 @@
 
 pub use peers::{pass_through, responder};
 
-use crate::real::port::Port;
+use crate::real::reserved_port::ReservedPort;
 use crate::real::{cpu_seconds, resident_mb, settings_json};
 use crate::scenario::Scenario;
 use crate::shipped;
@@ -101,7 +101,7 @@
         };
         let hosts: Vec<_> = servers.iter().enumerate().map(host).collect();
         // Held until the proxy is up; nobody listens at the second.
-        let (port, nobody) = (Port::hold()?, Port::hold()?);
+        let (port, nobody) = (ReservedPort::reserve()?, ReservedPort::reserve()?);
         let address = port.address();
         let config = json!({
             "name": "priced", "listen": address, "discovery": nobody.address(), "seed": "1",
--- a/crates/lab/src/chance.rs
+++ b/crates/lab/src/random.rs
@@ -7,7 +7,7 @@
 /// What a stream of chance is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
-pub enum Use {
+pub enum Purpose {
     /// The fleet's machines.
     Fleet = 1,
     /// Arrivals, their classes, keys and work.
@@ -25,14 +25,14 @@
 }
 
 /// The stream of chance for one use under a seed.
-pub fn stream(seed: u64, use_: Use) -> ChaCha8Rng {
+pub fn stream(seed: u64, purpose: Purpose) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    rng.set_stream(use_ as u64);
+    rng.set_stream(purpose as u64);
     rng
 }
 
 /// Picks this many of `among` places, none twice, in random order.
-pub fn pick(rng: &mut ChaCha8Rng, among: usize, many: usize) -> Vec<usize> {
+pub fn sample_indices(rng: &mut ChaCha8Rng, among: usize, many: usize) -> Vec<usize> {
     let mut places: Vec<usize> = (0..among).collect();
     let many = many.min(among);
     for i in 0..many {
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -10,13 +10,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{Duration, sleep, sleep_until, timeout_at};
 
-use super::http::{Message, NoMessage, Start, Wire};
+use super::http::{Connection, Message, ReadError, StartLine};
 use super::proxies::Proxy;
+use super::run_state::RunState;
 use super::servers::body_for;
-use super::stage::Stage;
-use crate::chance::{Use, stream};
-use crate::ledger::{Code, ProxyId, Try, TryId};
-use crate::load::{self, TryEnd};
+use crate::ledger::{ClientAttempt, ClientAttemptId, ProxyId, ResponseKind};
+use crate::load::{self, ClientAttemptOutcome};
+use crate::random::{Purpose, stream};
 use crate::scenario::{Effect, FaultKind};
 
 /// A slow reader waits so long before it reads.
@@ -26,11 +26,11 @@
 
 /// All clients, and the front that spreads them over the proxies.
 pub struct Clients {
-    stage: Rc<Stage>,
+    run: Rc<RunState>,
     proxies: Vec<Rc<Proxy>>,
     /// Idle connections by proxy, the one used last at the end.
-    idle: RefCell<Vec<Vec<Wire>>>,
-    chance: RefCell<ChaCha8Rng>,
+    idle: RefCell<Vec<Vec<Connection>>>,
+    rng: RefCell<ChaCha8Rng>,
     /// How late first tries were sent, in ms.
     pub late: RefCell<Vec<f64>>,
     open: Cell<usize>,
@@ -50,13 +50,13 @@
 
 impl Clients {
     /// Clients of these proxies.
-    pub fn new(stage: Rc<Stage>, proxies: Vec<Rc<Proxy>>, seed: u64) -> Rc<Self> {
+    pub fn new(run: Rc<RunState>, proxies: Vec<Rc<Proxy>>, seed: u64) -> Rc<Self> {
         let idle = proxies.iter().map(|_| Vec::new()).collect();
         Rc::new(Clients {
-            stage,
+            run,
             idle: RefCell::new(idle),
             proxies,
-            chance: RefCell::new(stream(seed, Use::Clients)),
+            rng: RefCell::new(stream(seed, Purpose::Clients)),
             late: RefCell::default(),
             open: Cell::new(0),
         })
@@ -64,8 +64,8 @@
 
     /// Sends every ask at its time; ends when all have ended.
     pub async fn play(self: Rc<Self>) {
-        for ask in 0..self.stage.asks.len() {
-            sleep_until(self.stage.instant(self.stage.asks[ask].at)).await;
+        for ask in 0..self.run.requests.len() {
+            sleep_until(self.run.instant(self.run.requests[ask].at)).await;
             self.open.set(self.open.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
@@ -79,15 +79,15 @@
     }
 
     fn pick(&self, zone: usize) -> ProxyId {
-        let (now, zones) = (self.stage.now(), self.stage.scenario.fleet.zones.len());
+        let (now, zones) = (self.run.now(), self.run.scenario.fleet.zones.len());
         let alive = |p: usize| {
             self.proxies[p]
-                .known_gone
+                .front_stops_at
                 .get()
                 .is_none_or(|from| now < from)
         };
         load::pick_proxy(
-            &mut *self.chance.borrow_mut(),
+            &mut *self.rng.borrow_mut(),
             self.proxies.len(),
             zones,
             zone,
@@ -96,45 +96,51 @@
     }
 
     async fn ask(&self, ask: usize) {
-        let stage = &self.stage;
-        let a = &stage.asks[ask];
+        let run = &self.run;
+        let a = &run.requests[ask];
         let mut intended = a.at;
         for number in 1.. {
-            let now = stage.now();
+            let now = run.now();
             if number == 1 {
                 self.late.borrow_mut().push(now - intended);
             }
             let end = self.try_once(ask, number, intended, now).await;
-            let now = stage.now();
+            let now = run.now();
             {
-                let served = &mut stage.served.borrow_mut()[ask];
+                let served = &mut run.served.borrow_mut()[ask];
                 served.1 = number;
-                if end == TryEnd::Served {
+                if end == ClientAttemptOutcome::Served {
                     served.0 = Some(now);
                 }
             }
-            let Some(wait) = load::next_try(&stage.scenario, a, number, now, end) else {
+            let Some(wait) = load::retry_delay(&run.scenario, a, number, now, end) else {
                 return;
             };
             intended = now + wait;
-            sleep_until(stage.instant(intended)).await;
+            sleep_until(run.instant(intended)).await;
         }
     }
 
-    async fn try_once(&self, ask: usize, number: u32, intended: Millis, now: Millis) -> TryEnd {
-        let stage = &self.stage;
-        let a = &stage.asks[ask];
+    async fn try_once(
+        &self,
+        ask: usize,
+        number: u32,
+        intended: Millis,
+        now: Millis,
+    ) -> ClientAttemptOutcome {
+        let run = &self.run;
+        let a = &run.requests[ask];
         let proxy = self.pick(a.zone);
-        let patience = load::patience(&stage.scenario, a, now);
+        let patience = load::patience(&run.scenario, a, now);
         if patience < 1.0 {
-            return TryEnd::GaveUp;
+            return ClientAttemptOutcome::GaveUp;
         }
-        let class = &stage.scenario.classes[a.class];
+        let class = &run.scenario.classes[a.class];
         let (id, name) = {
-            let mut ledger = stage.ledger.borrow_mut();
-            let id = ledger.tries.len();
-            ledger.tries.push(Try {
-                ask,
+            let mut ledger = run.ledger.borrow_mut();
+            let id = ledger.client_attempts.len();
+            ledger.client_attempts.push(ClientAttempt {
+                request: ask,
                 number,
                 class: a.class,
                 once: class.effect == Effect::Unsafe,
@@ -149,14 +155,14 @@
             });
             (id, format!("r-{id:08x}"))
         };
-        stage.ids.borrow_mut().insert(name.clone(), id);
+        run.ids.borrow_mut().insert(name.clone(), id);
         let method = if class.effect == Effect::Safe {
             "GET"
         } else {
             "POST"
         };
         let tenant = a.tenant.map_or(String::new(), |t| {
-            format!("X-Tenant-Id: {}\r\n", stage.scenario.tenants[t].name)
+            format!("X-Tenant-Id: {}\r\n", run.scenario.tenants[t].name)
         });
         let retried = if number > 1 { "X-Retried: 1\r\n" } else { "" };
         let size = self.large();
@@ -178,21 +184,21 @@
             a.key,
             patience / 1000.0
         );
-        let due = stage.instant(now + patience);
+        let due = run.instant(now + patience);
         let mut whole = request.into_bytes();
         whole.extend_from_slice(&body);
         match timeout_at(due, self.exchange(id, proxy, &whole)).await {
             Err(_) => {
-                stage.ledger.borrow_mut().tries[id].left = Some(stage.now()); // dropping it closed the connection
-                TryEnd::GaveUp
+                run.ledger.borrow_mut().client_attempts[id].left = Some(run.now()); // dropping it closed the connection
+                ClientAttemptOutcome::GaveUp
             }
-            Ok(Exchange::Unreachable) => TryEnd::Unreachable,
-            Ok(Exchange::Ended) => TryEnd::Failed,
+            Ok(Exchange::Unreachable) => ClientAttemptOutcome::Unreachable,
+            Ok(Exchange::Ended) => ClientAttemptOutcome::Failed,
             Ok(Exchange::Torn) => {
-                stage.ledger.borrow_mut().tries[id]
+                run.ledger.borrow_mut().client_attempts[id]
                     .answers
-                    .push((stage.now(), Code::Broken));
-                TryEnd::Failed
+                    .push((run.now(), ResponseKind::Broken));
+                ClientAttemptOutcome::Failed
             }
             Ok(Exchange::Answer(message)) => {
                 let wanted = body_for(&name, size.filter(|_| method == "GET"));
@@ -201,23 +207,34 @@
         }
     }
 
-    fn answered(&self, id: TryId, wanted: &[u8], message: &Message) -> TryEnd {
-        let now = self.stage.now();
+    fn answered(
+        &self,
+        id: ClientAttemptId,
+        wanted: &[u8],
+        message: &Message,
+    ) -> ClientAttemptOutcome {
+        let now = self.run.now();
         let (code, end) = match message.start {
-            Start::Answer(200) => {
+            StartLine::Response(200) => {
                 let genuine = message.body == wanted;
-                (Code::Served { genuine }, TryEnd::Served)
+                (
+                    ResponseKind::Served { genuine },
+                    ClientAttemptOutcome::Served,
+                )
             }
-            Start::Answer(429 | 503) => {
+            StartLine::Response(429 | 503) => {
                 let after = message
                     .header("retry-after")
                     .and_then(|v| v.parse::<f64>().ok())
                     .map(|s| s * 1000.0);
-                (Code::Refused { retry_after: after }, TryEnd::Refused(after))
+                (
+                    ResponseKind::Refused { retry_after: after },
+                    ClientAttemptOutcome::Refused(after),
+                )
             }
-            _ => (Code::Failed, TryEnd::Failed),
+            _ => (ResponseKind::Failed, ClientAttemptOutcome::Failed),
         };
-        self.stage.ledger.borrow_mut().tries[id]
+        self.run.ledger.borrow_mut().client_attempts[id]
             .answers
             .push((now, code));
         end
@@ -225,66 +242,72 @@
 
     /// One request on a connection that is kept or new. One that ends before it has been read is sent once more on a
     /// new connection: between requests a proxy may close.
-    async fn exchange(&self, id: TryId, proxy: ProxyId, request: &[u8]) -> Exchange {
+    async fn exchange(&self, id: ClientAttemptId, proxy: ProxyId, request: &[u8]) -> Exchange {
         let kept = self.idle.borrow_mut()[proxy].pop();
-        if let Some(wire) = kept {
-            match self.over(id, proxy, wire, request).await {
-                Exchange::Ended => self.stage.ledger.borrow_mut().tries[id].taken = None,
+        if let Some(connection) = kept {
+            match self.over(id, proxy, connection, request).await {
+                Exchange::Ended => self.run.ledger.borrow_mut().client_attempts[id].taken = None,
                 end => return end,
             }
         }
         let Ok(stream) = TcpStream::connect(self.proxies[proxy].address).await else {
             return Exchange::Unreachable;
         };
-        self.over(id, proxy, Wire::new(stream), request).await
+        self.over(id, proxy, Connection::new(stream), request).await
     }
 
-    async fn over(&self, id: TryId, proxy: ProxyId, mut wire: Wire, request: &[u8]) -> Exchange {
+    async fn over(
+        &self,
+        id: ClientAttemptId,
+        proxy: ProxyId,
+        mut connection: Connection,
+        request: &[u8],
+    ) -> Exchange {
         // A large body comes in two halves, and the second one late.
         let (first, late) = request.split_at(if request.len() > LARGE {
             request.len() / 2
         } else {
             request.len()
         });
-        if wire.write(first).await.is_err() {
+        if connection.write(first).await.is_err() {
             return Exchange::Ended;
         }
         if !late.is_empty() {
             sleep(SLOW).await;
         }
-        if wire.write(late).await.is_err() {
+        if connection.write(late).await.is_err() {
             return Exchange::Ended;
         }
-        self.stage.ledger.borrow_mut().tries[id].taken = Some(self.stage.now());
+        self.run.ledger.borrow_mut().client_attempts[id].taken = Some(self.run.now());
         if self.reads_slowly() {
             sleep(SLOW).await;
         }
-        match wire.read(false).await {
+        match connection.read(false).await {
             Ok(message) => {
-                if !message.closes() {
-                    self.idle.borrow_mut()[proxy].push(wire);
+                if !message.closes_connection() {
+                    self.idle.borrow_mut()[proxy].push(connection);
                 }
                 Exchange::Answer(message)
             }
-            Err(NoMessage::Ended) => Exchange::Ended,
-            Err(NoMessage::Broken(_)) => Exchange::Torn,
+            Err(ReadError::Ended) => Exchange::Ended,
+            Err(ReadError::Broken(_)) => Exchange::Torn,
         }
     }
 
     /// The size of a large request's body or answer, if this one is large.
     fn large(&self) -> Option<usize> {
-        let now = self.stage.now();
+        let now = self.run.now();
         let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::LargeBodies && f.holds(now);
-        let fault = self.stage.scenario.faults.iter().find(holds)?;
-        let struck = self.chance.borrow_mut().random::<f64>() < fault.share.map_or(0.0, |s| s.0);
+        let fault = self.run.scenario.faults.iter().find(holds)?;
+        let struck = self.rng.borrow_mut().random::<f64>() < fault.share.map_or(0.0, |s| s.0);
         fault.size.filter(|_| struck).map(|size| size.0 as usize)
     }
 
     fn reads_slowly(&self) -> bool {
-        let now = self.stage.now();
+        let now = self.run.now();
         let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::SlowReaders && f.holds(now);
         let share: f64 = self
-            .stage
+            .run
             .scenario
             .faults
             .iter()
@@ -292,7 +315,7 @@
             .filter_map(|f| f.share)
             .map(|s| s.0)
             .sum();
-        share > 0.0 && self.chance.borrow_mut().random::<f64>() < share
+        share > 0.0 && self.rng.borrow_mut().random::<f64>() < share
     }
 
     /// Peers that send garbage, for as long as the faults say.
@@ -303,18 +326,18 @@
             b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nx",
             b"",
         ];
-        let faults = self.stage.scenario.faults.clone();
+        let faults = self.run.scenario.faults.clone();
         for fault in faults.iter().filter(|f| f.kind == FaultKind::Garbage) {
             let gap = 1000.0 / fault.rate.map_or(1.0, |r| r.0);
             let many = (fault.span.0 / gap) as usize;
             for n in 0..many {
-                sleep_until(self.stage.instant(fault.at.0 + n as f64 * gap)).await;
+                sleep_until(self.run.instant(fault.at.0 + n as f64 * gap)).await;
                 let address = self.proxies[n % self.proxies.len()].address;
                 spawn_local(async move {
                     if let Ok(stream) = TcpStream::connect(address).await {
-                        let mut wire = Wire::new(stream);
-                        let _ = wire.write(SORTS[n % SORTS.len()]).await; // what becomes of it is the proxy's affair
-                        wire.ended().await;
+                        let mut connection = Connection::new(stream);
+                        let _ = connection.write(SORTS[n % SORTS.len()]).await; // what becomes of it is the proxy's affair
+                        connection.closed().await;
                     }
                 });
             }
--- a/crates/lab/src/real/plug.rs
+++ b/crates/lab/src/real/full_backlog.rs
@@ -16,35 +16,35 @@
 const MOST: usize = 8;
 
 /// What keeps a listener from taking connections, until it is dropped.
-pub struct Plug<'a> {
+pub struct FullBacklog<'a> {
     listener: &'a TcpListener,
     /// They wait at the listener and are never looked at.
     fill: Vec<TcpStream>,
 }
 
-impl<'a> Plug<'a> {
+impl<'a> FullBacklog<'a> {
     /// Fills a listener's queue.
     ///
     /// # Errors
     /// What the sockets say.
     pub async fn new(listener: &'a TcpListener) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        // From here on a failure, too, gives the listener its queue back: it drops the plug.
-        let mut plug = Plug {
+        // From here on a failure, too, gives the listener its queue back: it drops the full_backlog.
+        let mut full_backlog = FullBacklog {
             listener,
             fill: Vec::new(),
         };
         SockRef::from(listener).listen(0)?;
-        while plug.fill.len() < MOST
+        while full_backlog.fill.len() < MOST
             && let Ok(stream) = timeout(SOON, TcpStream::connect(address)).await
         {
-            plug.fill.push(stream?);
+            full_backlog.fill.push(stream?);
         }
-        Ok(plug)
+        Ok(full_backlog)
     }
 }
 
-impl Drop for Plug<'_> {
+impl Drop for FullBacklog<'_> {
     fn drop(&mut self) {
         let _ = SockRef::from(self.listener).listen(BACKLOG); // it listens already, so that it can't fail
     }
@@ -58,10 +58,10 @@
     async fn a_plugged_listener_says_nothing_and_an_unplugged_one_takes_connections() {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let plug = Plug::new(&listener).await.unwrap();
+        let full_backlog = FullBacklog::new(&listener).await.unwrap();
         let silent = timeout(Duration::from_millis(300), TcpStream::connect(address)).await;
         assert!(silent.is_err(), "neither taken nor refused: {silent:?}");
-        drop(plug);
+        drop(full_backlog);
         let taken = async {
             let _stream = TcpStream::connect(address).await.unwrap();
             listener.accept().await.unwrap();
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -7,15 +7,15 @@
 use tokio::net::TcpStream;
 
 /// Bytes of a head and of a body, more than any of ours has.
-const HEAD: usize = 64 << 10;
-const BODY: usize = 33 << 20;
-const HEADERS: usize = 64;
+const MAX_HEAD_BYTES: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 33 << 20;
+const MAX_HEADERS: usize = 64;
 
 /// A message that has been read whole.
 #[derive(Debug, Default)]
 pub struct Message {
     /// Method and target, or the status.
-    pub start: Start,
+    pub start: StartLine,
     /// Names in lower case.
     pub headers: Vec<(String, String)>,
     /// Its body.
@@ -24,14 +24,14 @@
 
 /// What a message begins with.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// Nothing has been read.
     #[default]
     None,
     /// A request's method and target.
     Request(String, String),
     /// An answer's status.
-    Answer(u16),
+    Response(u16),
 }
 
 impl Message {
@@ -44,61 +44,61 @@
     }
 
     /// Whether the connection ends with it.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.header("connection")
             .is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
 /// A connection with what has been read ahead.
-pub struct Wire {
+pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 /// Why no message came.
 #[derive(Debug)]
-pub enum NoMessage {
+pub enum ReadError {
     /// The connection ended before its first byte.
     Ended,
     /// It ended or broke inside, or could not be read.
     Broken(io::Error),
 }
 
-impl Wire {
+impl Connection {
     /// A connection that is up.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true); // slower without, no worse
-        Wire {
+        Connection {
             stream,
             buffer: Vec::new(),
         }
     }
 
-    async fn more(&mut self) -> Result<(), NoMessage> {
+    async fn read_more(&mut self) -> Result<(), ReadError> {
         let began = !self.buffer.is_empty();
         match self.stream.read_buf(&mut self.buffer).await {
-            Ok(0) if began => Err(NoMessage::Broken(io::ErrorKind::UnexpectedEof.into())),
-            Ok(0) => Err(NoMessage::Ended),
+            Ok(0) if began => Err(ReadError::Broken(io::ErrorKind::UnexpectedEof.into())),
+            Ok(0) => Err(ReadError::Ended),
             Ok(_) => Ok(()),
-            Err(_) if !began => Err(NoMessage::Ended),
-            Err(e) => Err(NoMessage::Broken(e)),
+            Err(_) if !began => Err(ReadError::Ended),
+            Err(e) => Err(ReadError::Broken(e)),
         }
     }
 
     /// Waits for the first byte of the next message.
-    pub async fn begun(&mut self) -> Result<(), NoMessage> {
+    pub async fn wait_for_data(&mut self) -> Result<(), ReadError> {
         if self.buffer.is_empty() {
-            self.more().await
+            self.read_more().await
         } else {
             Ok(())
         }
     }
 
     /// Reads one message; `request` tells which kind is expected.
-    pub async fn read(&mut self, request: bool) -> Result<Message, NoMessage> {
+    pub async fn read(&mut self, request: bool) -> Result<Message, ReadError> {
         let wrong =
-            |e: &str| NoMessage::Broken(io::Error::new(io::ErrorKind::InvalidData, e.to_owned()));
+            |e: &str| ReadError::Broken(io::Error::new(io::ErrorKind::InvalidData, e.to_owned()));
         loop {
             if let Some((mut message, head)) =
                 parse(&self.buffer, request).map_err(|e| wrong(&e))?
@@ -107,20 +107,20 @@
                     .header("content-length")
                     .map_or(Ok(0), str::parse::<usize>);
                 let length = length.map_err(|_| wrong("the length is no number"))?;
-                if length > BODY {
+                if length > MAX_BODY_BYTES {
                     return Err(wrong("the body is too long"));
                 }
                 while self.buffer.len() < head + length {
-                    self.more().await?;
+                    self.read_more().await?;
                 }
                 message.body = self.buffer[head..head + length].to_vec();
                 self.buffer.drain(..head + length);
                 return Ok(message);
             }
-            if self.buffer.len() > HEAD {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(wrong("the head is too long"));
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// Returns once the other side has closed or broken the connection; what it sends meanwhile is kept.
-    pub async fn ended(&mut self) {
-        while self.buffer.len() < HEAD {
+    pub async fn closed(&mut self) {
+        while self.buffer.len() < MAX_HEAD_BYTES {
             match self.stream.read_buf(&mut self.buffer).await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -149,16 +149,16 @@
 }
 
 fn parse(bytes: &[u8], request: bool) -> Result<Option<(Message, usize)>, String> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let (status, start, headers) = if request {
         let mut r = httparse::Request::new(&mut headers);
         let status = r.parse(bytes).map_err(|e| e.to_string())?;
-        let start = Start::Request(r.method.unwrap_or("").into(), r.path.unwrap_or("").into());
+        let start = StartLine::Request(r.method.unwrap_or("").into(), r.path.unwrap_or("").into());
         (status, start, r.headers)
     } else {
         let mut r = httparse::Response::new(&mut headers);
         let status = r.parse(bytes).map_err(|e| e.to_string())?;
-        (status, Start::Answer(r.code.unwrap_or(0)), r.headers)
+        (status, StartLine::Response(r.code.unwrap_or(0)), r.headers)
     };
     let httparse::Status::Complete(head) = status else {
         return Ok(None);
@@ -195,7 +195,7 @@
         let (message, head) = parse(text, true).expect("good").expect("whole");
         assert_eq!(
             message.start,
-            Start::Request("POST".into(), "/checkout?sid=1".into())
+            StartLine::Request("POST".into(), "/checkout?sid=1".into())
         );
         assert_eq!(
             (message.header("x-request-id"), head),
@@ -205,6 +205,6 @@
         let (answer, _) = parse(b"HTTP/1.1 503 x\r\nConnection: close\r\n\r\n", false)
             .expect("good")
             .expect("whole");
-        assert!(answer.closes() && answer.start == Start::Answer(503));
+        assert!(answer.closes_connection() && answer.start == StartLine::Response(503));
     }
 }
--- a/crates/lab/src/real/list.rs
+++ b/crates/lab/src/real/list_agent.rs
@@ -12,33 +12,33 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use super::http::{Start, Wire};
+use super::http::{Connection, StartLine};
+use super::run_state::RunState;
 use super::servers::Servers;
-use super::stage::Stage;
-use crate::ledger::{ProxyId, ServerId, Told};
+use crate::ledger::{ProxyId, ServerId, ServerNotification};
 use crate::scenario::FaultKind;
-use crate::world::{Line, Listed};
+use crate::world::{ListEntry, ListState};
 
-/// A watch with nothing to tell sends an empty line this often.
+/// A watch with nothing to tell sends an empty entry this often.
 const ALIVE: Duration = Duration::from_secs(2);
 
 /// One proxy's agent.
 pub struct Agent {
-    stage: Rc<Stage>,
+    run: Rc<RunState>,
     servers: Rc<Servers>,
     proxy: ProxyId,
-    /// What it has been sent, a line a server that is listed.
-    list: RefCell<BTreeMap<ServerId, Listed>>,
+    /// What it has been sent, a entry a server that is listed.
+    list: RefCell<BTreeMap<ServerId, ListState>>,
     /// Every change with its version.
-    log: RefCell<Vec<(u64, Line)>>,
+    log: RefCell<Vec<(u64, ListEntry)>>,
     seq: Cell<u64>,
     news: watch::Sender<u64>,
 }
 
 impl Agent {
     /// An agent that knows the list as it stands.
-    pub fn new(stage: Rc<Stage>, servers: Rc<Servers>, proxy: ProxyId) -> Rc<Self> {
-        let list = stage
+    pub fn new(run: Rc<RunState>, servers: Rc<Servers>, proxy: ProxyId) -> Rc<Self> {
+        let list = run
             .world
             .borrow()
             .listed()
@@ -48,7 +48,7 @@
         let (news, _) = watch::channel(1);
         let (log, seq) = (RefCell::default(), Cell::new(1));
         Rc::new(Agent {
-            stage,
+            run,
             servers,
             proxy,
             list: RefCell::new(list),
@@ -59,50 +59,50 @@
     }
 
     /// A change is on its way; it arrives when the world says.
-    pub fn send(self: &Rc<Self>, line: Line) {
+    pub fn send(self: &Rc<Self>, entry: ListEntry) {
         let at = self
-            .stage
+            .run
             .world
             .borrow_mut()
-            .news_at(self.stage.now(), self.proxy);
+            .delivery_time(self.run.now(), self.proxy);
         let agent = self.clone();
         spawn_local(async move {
-            sleep_until(agent.stage.instant(at)).await;
-            match line.state {
-                Listed::Removed => agent.list.borrow_mut().remove(&line.server),
-                state => agent.list.borrow_mut().insert(line.server, state),
+            sleep_until(agent.run.instant(at)).await;
+            match entry.state {
+                ListState::Removed => agent.list.borrow_mut().remove(&entry.server),
+                state => agent.list.borrow_mut().insert(entry.server, state),
             };
             agent.seq.set(agent.seq.get() + 1);
-            agent.log.borrow_mut().push((agent.seq.get(), line));
+            agent.log.borrow_mut().push((agent.seq.get(), entry));
             agent.news.send_replace(agent.seq.get());
         });
     }
 
-    fn host(&self, line: &Line) -> Value {
-        let world = self.stage.world.borrow();
-        let loan = &world.loans()[line.server];
+    fn host(&self, entry: &ListEntry) -> Value {
+        let world = self.run.world.borrow();
+        let fleet_server = &world.servers()[entry.server];
         let fleet = &world.scenario().fleet;
         json!({
-            "host": world.name(line.server),
-            "dial": self.servers.address(self.proxy, line.server).map(|a| a.to_string()),
-            "site": fleet.zones[loan.zone],
-            "class": fleet.kinds[loan.kind].name,
-            "block": line.server / 4,
-            "health": match line.state {
-                Listed::Up => "up",
-                Listed::Draining => "draining",
-                Listed::Removed => "removed",
+            "host": world.name(entry.server),
+            "dial": self.servers.address(self.proxy, entry.server).map(|a| a.to_string()),
+            "site": fleet.zones[fleet_server.zone],
+            "class": fleet.kinds[fleet_server.kind].name,
+            "block": entry.server / 4,
+            "health": match entry.state {
+                ListState::Up => "up",
+                ListState::Draining => "draining",
+                ListState::Removed => "removed",
             },
-            "share": loan.server.machine().cores * fleet.kinds[loan.kind].speed,
-            "born_ms": loan.server.born().map_or(0.0, |born| self.stage.unix(born)),
+            "share": fleet_server.server.machine().cores * fleet.kinds[fleet_server.kind].speed,
+            "born_ms": fleet_server.server.started_at().map_or(0.0, |born| self.run.unix(born)),
         })
     }
 
-    fn lines(&self) -> Vec<Line> {
+    fn entries(&self) -> Vec<ListEntry> {
         self.list
             .borrow()
             .iter()
-            .map(|(server, state)| Line {
+            .map(|(server, state)| ListEntry {
                 server: *server,
                 state: *state,
             })
@@ -110,23 +110,26 @@
     }
 
     /// The list as it is written; what is written counts as told.
-    fn document(&self, whole: bool, lines: &[Line]) -> Value {
-        let hosts: Vec<Value> = lines.iter().map(|l| self.host(l)).collect();
+    fn document(&self, whole: bool, entries: &[ListEntry]) -> Value {
+        let hosts: Vec<Value> = entries.iter().map(|l| self.host(l)).collect();
         json!({ "seq": self.seq.get(), "whole": whole, "hosts": hosts })
     }
 
     /// The list as the proxy last held it, for its configuration.
     pub fn known(&self) -> Value {
-        self.document(true, &self.lines())
+        self.document(true, &self.entries())
     }
 
-    fn tell(&self, lines: &[Line]) {
-        let at = self.stage.now();
-        let world = self.stage.world.borrow();
-        let mut ledger = self.stage.ledger.borrow_mut();
-        for l in lines {
-            let (up, born) = (l.state == Listed::Up, world.loans()[l.server].server.born());
-            ledger.told.push(Told {
+    fn tell(&self, entries: &[ListEntry]) {
+        let at = self.run.now();
+        let world = self.run.world.borrow();
+        let mut ledger = self.run.ledger.borrow_mut();
+        for l in entries {
+            let (up, born) = (
+                l.state == ListState::Up,
+                world.servers()[l.server].server.started_at(),
+            );
+            ledger.notifications.push(ServerNotification {
                 proxy: self.proxy,
                 server: l.server,
                 at,
@@ -147,7 +150,7 @@
         spawn_local(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(agent.clone().serve(Wire::new(stream)));
+                    spawn_local(agent.clone().serve(Connection::new(stream)));
                 } else {
                     sleep(Duration::from_millis(10)).await;
                 }
@@ -156,9 +159,9 @@
         Ok(address)
     }
 
-    async fn serve(self: Rc<Self>, mut wire: Wire) {
-        while let Ok(message) = wire.read(true).await {
-            let Start::Request(_, target) = message.start else {
+    async fn serve(self: Rc<Self>, mut connection: Connection) {
+        while let Ok(message) = connection.read(true).await {
+            let StartLine::Request(_, target) = message.start else {
                 return;
             };
             let query = target.split_once('?').map_or("", |(_, q)| q);
@@ -169,69 +172,71 @@
             };
             if value("watch") == Some("1") {
                 let after = value("after").and_then(|a| a.parse().ok());
-                let _ = self.watch(&mut wire, after).await; // it lasts until its connection ends
+                let _ = self.watch(&mut connection, after).await; // it lasts until its connection ends
                 return;
             }
-            let lines = self.lines();
-            let body = self.document(true, &lines).to_string();
+            let entries = self.entries();
+            let body = self.document(true, &entries).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            self.tell(&lines);
-            if wire.write((head + &body).as_bytes()).await.is_err() {
+            self.tell(&entries);
+            if connection.write((head + &body).as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
     fn silent(&self) -> bool {
-        let now = self.stage.now();
-        let faults = &self.stage.scenario.faults;
+        let now = self.run.now();
+        let faults = &self.run.scenario.faults;
         faults
             .iter()
             .any(|f| f.kind == FaultKind::ListSilent && f.holds(now))
     }
 
-    async fn watch(&self, wire: &mut Wire, after: Option<u64>) -> std::io::Result<()> {
+    async fn watch(&self, connection: &mut Connection, after: Option<u64>) -> std::io::Result<()> {
         let mut news = self.news.subscribe();
-        wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        connection
+            .write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
         let mut seen = match after.filter(|a| *a <= self.seq.get()) {
             Some(after) => after,
             None => {
-                let lines = self.lines();
-                let document = self.document(true, &lines);
-                self.tell(&lines);
-                chunk(wire, &document.to_string()).await?;
+                let entries = self.entries();
+                let document = self.document(true, &entries);
+                self.tell(&entries);
+                chunk(connection, &document.to_string()).await?;
                 self.seq.get()
             }
         };
         loop {
             let seq = *news.borrow_and_update();
             if seq > seen {
-                let lines: Vec<Line> = self
+                let entries: Vec<ListEntry> = self
                     .log
                     .borrow()
                     .iter()
                     .filter(|(s, _)| *s > seen)
                     .map(|(_, l)| l.clone())
                     .collect();
-                let document = self.document(false, &lines);
-                self.tell(&lines);
-                chunk(wire, &document.to_string()).await?;
+                let document = self.document(false, &entries);
+                self.tell(&entries);
+                chunk(connection, &document.to_string()).await?;
                 seen = self.seq.get();
             }
             tokio::select! {
                 changed = timeout(ALIVE, news.changed()) => {
                     if changed.is_err() && !self.silent() {
-                        chunk(wire, "").await?;
+                        chunk(connection, "").await?;
                     }
                 }
-                () = wire.ended() => return Ok(()),
+                () = connection.closed() => return Ok(()),
             }
         }
     }
 }
 
-async fn chunk(wire: &mut Wire, line: &str) -> std::io::Result<()> {
-    wire.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+async fn chunk(connection: &mut Connection, text: &str) -> std::io::Result<()> {
+    connection
+        .write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
         .await
 }
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -4,14 +4,14 @@
 //! which the lab itself came late is void and says so.
 
 mod clients;
+mod full_backlog;
 pub mod http;
-mod list;
-mod operators;
-mod plug;
-pub mod port;
+mod list_agent;
+mod operator_actions;
 mod proxies;
+pub mod reserved_port;
+mod run_state;
 mod servers;
-mod stage;
 
 use std::cell::Cell;
 use std::io;
@@ -27,13 +27,13 @@
 use crate::experiment::Run;
 use crate::load;
 use crate::scenario::Scenario;
-use crate::world::Listed;
+use crate::world::ListState;
 use clients::Clients;
-use list::Agent;
+use list_agent::Agent;
 use proxies::Proxy;
 pub use proxies::{cpu_seconds, resident_mb, settings_json};
+use run_state::{RunEvent, RunState};
 use servers::Servers;
-use stage::{Cue, Stage};
 
 /// The protocol's time limits are this much longer on sockets.
 const SOCKET_SLACK: f64 = 50.0;
@@ -90,22 +90,22 @@
     rules.rules.answer_slack.0 += SOCKET_SLACK;
     rules.rules.drain_grace.0 += SOCKET_SLACK;
     let scenario = Arc::new(rules);
-    let asks = load::draw(&scenario, seed);
+    let requests = load::draw_requests(&scenario, seed);
     // Time begins once all proxies are up; until then it stands at zero.
     let begin = Instant::now() + Duration::from_secs(3600);
-    let stage = Stage::new(scenario.clone(), seed, asks, begin);
-    let servers = Servers::new(stage.clone());
-    let listed = stage.world.borrow().listed();
-    for line in &listed {
-        servers.open(line.server)?;
+    let run = RunState::new(scenario.clone(), seed, requests, begin);
+    let servers = Servers::new(run.clone());
+    let listed = run.world.borrow().listed();
+    for entry in &listed {
+        servers.open(entry.server)?;
     }
     let mut proxies = Vec::new();
     let mut agents = Vec::new();
     for number in 0..scenario.proxies.count {
-        let agent = Agent::new(stage.clone(), servers.clone(), number);
+        let agent = Agent::new(run.clone(), servers.clone(), number);
         let discovery = agent.listen().await?;
         let proxy = Proxy::new(
-            stage.clone(),
+            run.clone(),
             number,
             command.to_vec(),
             discovery,
@@ -119,22 +119,21 @@
     for proxy in &proxies {
         proxy.start().await?;
     }
-    stage.begin(Instant::now() + LEAD);
+    run.begin(Instant::now() + LEAD);
     let failed: Rc<Cell<Option<io::Error>>> = Rc::default();
     let turning = spawn_local(
-        stage
-            .clone()
-            .turn(cues(&agents, &proxies, &servers, &failed)),
+        run.clone()
+            .turn(run_events(&agents, &proxies, &servers, &failed)),
     );
     for proxy in &proxies {
         spawn_local(proxy.clone().watch());
     }
-    let clients = Clients::new(stage.clone(), proxies.clone(), seed);
+    let clients = Clients::new(run.clone(), proxies.clone(), seed);
     spawn_local(clients.clone().garbage());
-    spawn_local(log_faults(stage.clone()));
-    operators::act(&stage, &proxies, &failed);
+    spawn_local(log_faults(run.clone()));
+    operator_actions::act(&run, &proxies, &failed);
     let length = scenario.length.0;
-    let told = stage.clone();
+    let told = run.clone();
     spawn_local(async move {
         loop {
             tick((told.now() / length).min(1.0));
@@ -148,9 +147,9 @@
         _ = interrupt.recv() => true,
     };
     let used = cpu(&proxies) - before;
-    stage.ledger.borrow_mut().closed = stage.now();
-    // The stage is not looked at any more: what ends from here on ends because the run does.
-    let ledger = stage.ledger.borrow().clone();
+    run.ledger.borrow_mut().ended_at = run.now();
+    // The run is not looked at any more: what ends from here on ends because the run does.
+    let ledger = run.ledger.borrow().clone();
     turning.abort();
     for proxy in &proxies {
         proxy.stop().await;
@@ -158,8 +157,8 @@
     if let Some(e) = failed.take() {
         return Err(e);
     }
-    let served: Vec<Option<f64>> = stage.served.borrow().iter().map(|(at, _)| *at).collect();
-    let sent = ledger.tries.len().max(1) as f64;
+    let served: Vec<Option<f64>> = run.served.borrow().iter().map(|(at, _)| *at).collect();
+    let sent = ledger.client_attempts.len().max(1) as f64;
     let mut late = clients.late.borrow().clone();
     late.sort_by(f64::total_cmp);
     let at = |q: f64| {
@@ -167,7 +166,7 @@
             .copied()
     };
     let late_ms = (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
-    let mut run = Run::new(scenario, name, seed, ledger, stage.asks.clone(), &served);
+    let mut run = Run::new(scenario, name, seed, ledger, run.requests.clone(), &served);
     run.partial = partial;
     run.void = (late_ms.1 > LATE).then(|| {
         format!(
@@ -197,8 +196,8 @@
 }
 
 /// Logs each fault's begin and end at its time.
-async fn log_faults(stage: Rc<Stage>) {
-    let faults = &stage.scenario.faults;
+async fn log_faults(run: Rc<RunState>) {
+    let faults = &run.scenario.faults;
     let begins = faults.iter().map(|f| (f.at.0, f.kind, "fault begins"));
     let ends = faults
         .iter()
@@ -206,57 +205,57 @@
     let mut marks: Vec<_> = begins.chain(ends).collect();
     marks.sort_by(|a, b| a.0.total_cmp(&b.0));
     for (at_ms, kind, what) in marks {
-        sleep_until(stage.instant(at_ms)).await;
+        sleep_until(run.instant(at_ms)).await;
         tracing::info!(at_ms, ?kind, "{what}");
     }
 }
 
 /// What the parts do when the world says so.
-fn cues(
+fn run_events(
     agents: &[Rc<Agent>],
     proxies: &[Rc<Proxy>],
     servers: &Rc<Servers>,
     failed: &Rc<Cell<Option<io::Error>>>,
-) -> impl FnMut(Cue) + use<> {
+) -> impl FnMut(RunEvent) + use<> {
     let (agents, proxies, servers, failed) = (
         agents.to_vec(),
         proxies.to_vec(),
         servers.clone(),
         failed.clone(),
     );
-    move |cue| {
-        let outcome = match cue {
-            Cue::Listed(line) => {
-                let outcome = match line.state {
-                    Listed::Up => servers.open(line.server),
-                    Listed::Draining => Ok(()),
-                    Listed::Removed => {
-                        servers.end(line.server);
+    move |event| {
+        let outcome = match event {
+            RunEvent::ListChanged(entry) => {
+                let outcome = match entry.state {
+                    ListState::Up => servers.open(entry.server),
+                    ListState::Draining => Ok(()),
+                    ListState::Removed => {
+                        servers.end(entry.server);
                         Ok(())
                     }
                 };
-                agents.iter().for_each(|a| a.send(line.clone()));
+                agents.iter().for_each(|a| a.send(entry.clone()));
                 outcome
             }
-            Cue::Refusing(server, true) => {
+            RunEvent::RefusingConnections(server, true) => {
                 servers.close(server);
                 Ok(())
             }
-            Cue::Refusing(server, false) => servers.open_again(server),
-            Cue::Parted => {
-                servers.look_for_partitions();
+            RunEvent::RefusingConnections(server, false) => servers.open_again(server),
+            RunEvent::PartitionChanged => {
+                servers.notify_partition_change();
                 Ok(())
             }
-            Cue::Kill(proxy) => {
+            RunEvent::KillProxy(proxy) => {
                 let proxy = proxies[proxy].clone();
                 spawn_local(async move { proxy.kill().await });
                 Ok(())
             }
-            Cue::Terminate(proxy) => {
+            RunEvent::TerminateProxy(proxy) => {
                 proxies[proxy].terminate();
                 Ok(())
             }
-            Cue::Start(proxy) => {
+            RunEvent::StartProxy(proxy) => {
                 let (proxy, failed) = (proxies[proxy].clone(), failed.clone());
                 spawn_local(async move {
                     proxy.stop().await;
--- a/crates/lab/src/real/operators.rs
+++ b/crates/lab/src/real/operator_actions.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep_until;
 
 use super::proxies::Proxy;
-use super::stage::Stage;
+use super::run_state::RunState;
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 /// Whether a scenario has anything of this kind.
@@ -17,8 +17,8 @@
 }
 
 /// Does what the scenario says, each thing at its time. The first error ends the run.
-pub fn act(stage: &Rc<Stage>, proxies: &[Rc<Proxy>], failed: &Rc<Cell<Option<io::Error>>>) {
-    for (number, fault) in stage.scenario.faults.iter().enumerate() {
+pub fn act(run: &Rc<RunState>, proxies: &[Rc<Proxy>], failed: &Rc<Cell<Option<io::Error>>>) {
+    for (number, fault) in run.scenario.faults.iter().enumerate() {
         if !matches!(
             fault.kind,
             FaultKind::Upgrade | FaultKind::Drain | FaultKind::Retune
@@ -30,9 +30,9 @@
         // Those that follow each other strike different proxies.
         for place in 0..many {
             let proxy = proxies[(number + place) % proxies.len()].clone();
-            let (stage, fault, failed) = (stage.clone(), fault.clone(), failed.clone());
+            let (run, fault, failed) = (run.clone(), fault.clone(), failed.clone());
             spawn_local(async move {
-                if let Err(e) = one(&stage, &fault, &proxy).await {
+                if let Err(e) = one(&run, &fault, &proxy).await {
                     failed.set(Some(e));
                 }
             });
@@ -40,9 +40,9 @@
     }
 }
 
-async fn one(stage: &Stage, fault: &Fault, proxy: &Proxy) -> io::Result<()> {
-    sleep_until(stage.instant(fault.at.0)).await;
-    let end = stage.instant(fault.at.0 + fault.span.0);
+async fn one(run: &RunState, fault: &Fault, proxy: &Proxy) -> io::Result<()> {
+    sleep_until(run.instant(fault.at.0)).await;
+    let end = run.instant(fault.at.0 + fault.span.0);
     match fault.kind {
         FaultKind::Upgrade => proxy.upgrade().await,
         FaultKind::Drain => {
--- a/crates/lab/src/real/proxies.rs
+++ b/crates/lab/src/real/proxies.rs
@@ -17,13 +17,13 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::http::{Start, Wire};
-use super::list::Agent;
-use super::operators;
-use super::port::Port;
-use super::stage::Stage;
-use crate::chance::{Use, stream};
-use crate::ledger::{End, ProxyId, Usage};
+use super::http::{Connection, StartLine};
+use super::list_agent::Agent;
+use super::operator_actions;
+use super::reserved_port::ReservedPort;
+use super::run_state::RunState;
+use crate::ledger::{ProcessExit, ProxyId, Usage};
+use crate::random::{Purpose, stream};
 use crate::scenario::{Effect, FaultKind, Scenario};
 
 /// A proxy that is not up within this span never will be.
@@ -31,25 +31,25 @@
 /// Connections that may wait for a process.
 const BACKLOG: i32 = 1024;
 /// Between two looks at a process.
-const LOOK: Duration = Duration::from_millis(200);
-/// The front asks so often whether a proxy takes clients, and sends new connections for as long again.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The front requests so often whether a proxy takes clients, and sends new connections for as long again.
 const FRONT: f64 = 200.0;
 /// The old process of an upgrade is killed this long after it was told to end, beyond the longest deadline.
 const END: f64 = 700.0;
 
 /// One proxy, whatever process it is.
 pub struct Proxy {
-    stage: Rc<Stage>,
+    run: Rc<RunState>,
     number: ProxyId,
     command: Vec<String>,
     /// Where clients reach it, the same after a restart.
     pub address: SocketAddr,
     /// Kept for it from before its first start until after its last.
-    _port: Port,
+    _port: ReservedPort,
     /// The clients' listener, which its processes inherit, where the scenario has upgrades.
     held: Option<StdListener>,
-    /// The operators' doors of its processes, the present one last, where the scenario has operators.
-    doors: RefCell<Vec<Port>>,
+    /// The operators' operations_ports of its processes, the present one last, where the scenario has operators.
+    operations_ports: RefCell<Vec<ReservedPort>>,
     discovery: SocketAddr,
     agent: Rc<Agent>,
     file: PathBuf,
@@ -58,9 +58,9 @@
     starts: Cell<u64>,
     child: RefCell<Option<Child>>,
     /// It has been killed or told to end.
-    wanted: Cell<bool>,
+    expected: Cell<bool>,
     /// Until when the front still sends to it though it is gone.
-    pub known_gone: Cell<Option<f64>>,
+    pub front_stops_at: Cell<Option<f64>>,
     /// CPU time of all its processes so far, in seconds.
     cpu: Cell<f64>,
     cpu_before: Cell<f64>,
@@ -121,7 +121,7 @@
     /// # Errors
     /// No port is free.
     pub fn new(
-        stage: Rc<Stage>,
+        run: Rc<RunState>,
         number: ProxyId,
         command: Vec<String>,
         discovery: SocketAddr,
@@ -129,8 +129,8 @@
         seed: u64,
         dir: &Path,
     ) -> io::Result<Rc<Self>> {
-        let port = Port::hold()?;
-        let upgrades = operators::has(&stage.scenario, &[FaultKind::Upgrade]);
+        let port = ReservedPort::reserve()?;
+        let upgrades = operator_actions::has(&run.scenario, &[FaultKind::Upgrade]);
         let held = if upgrades {
             Some(listen(port.address())?)
         } else {
@@ -140,10 +140,10 @@
             address: port.address(),
             _port: port,
             held,
-            doors: RefCell::default(),
+            operations_ports: RefCell::default(),
             file: dir.join(format!("proxy-{number}.json")),
             log: dir.join(format!("proxy-{number}.log")),
-            stage,
+            run,
             number,
             command,
             discovery,
@@ -151,8 +151,8 @@
             seed,
             starts: Cell::new(0),
             child: RefCell::new(None),
-            wanted: Cell::new(false),
-            known_gone: Cell::new(None),
+            expected: Cell::new(false),
+            front_stops_at: Cell::new(None),
             cpu: Cell::new(0.0),
             cpu_before: Cell::new(0.0),
         }))
@@ -165,7 +165,7 @@
     pub async fn start(&self) -> io::Result<()> {
         let child = self.spawn()?;
         *self.child.borrow_mut() = Some(child);
-        self.wanted.set(false);
+        self.expected.set(false);
         self.cpu_before.set(self.cpu.get());
         let end = Instant::now() + UP;
         while !self.is_up().await {
@@ -185,7 +185,7 @@
             }
             sleep(Duration::from_millis(5)).await;
         }
-        self.known_gone.set(None);
+        self.front_stops_at.set(None);
         tracing::info!(proxy = self.number, address = %self.address, starts = self.starts.get(), "proxy is up");
         Ok(())
     }
@@ -217,12 +217,12 @@
             let _ = kill_process(pid, Signal::TERM); // it may just have ended
         }
         tracing::info!(
-            at_ms = self.stage.now(),
+            at_ms = self.run.now(),
             proxy = self.number,
             "proxy has been upgraded"
         );
         let longest = self
-            .stage
+            .run
             .scenario
             .classes
             .iter()
@@ -238,7 +238,7 @@
     /// Sends its clients away, or takes them back.
     ///
     /// # Errors
-    /// The door says no, or nothing.
+    /// The operations_address says no, or nothing.
     pub async fn drain(&self, on: bool) -> io::Result<()> {
         let call = if on {
             "PUT /_lameduck/on"
@@ -251,7 +251,7 @@
                 self.number
             )));
         }
-        self.known_gone.set(on.then(|| self.stage.now() + FRONT));
+        self.front_stops_at.set(on.then(|| self.run.now() + FRONT));
         Ok(())
     }
 
@@ -279,20 +279,28 @@
         pid.map_or(Ok(()), |pid| Ok(kill_process(pid, Signal::HUP)?))
     }
 
-    /// Whether a call at the present door gets a yes.
+    /// Whether a call at the present operations_address gets a yes.
     async fn call(&self, call: &str) -> bool {
-        let Some(door) = self.doors.borrow().last().map(Port::address) else {
+        let Some(operations_address) = self
+            .operations_ports
+            .borrow()
+            .last()
+            .map(ReservedPort::address)
+        else {
             return false;
         };
         let asked = async {
-            let mut wire = Wire::new(TcpStream::connect(door).await.ok()?);
-            wire.write(format!("{call} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes())
+            let mut connection =
+                Connection::new(TcpStream::connect(operations_address).await.ok()?);
+            connection
+                .write(format!("{call} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes())
                 .await
                 .ok()?;
-            wire.read(false)
+            connection
+                .read(false)
                 .await
                 .ok()
-                .map(|m| matches!(m.start, Start::Answer(200..=299)))
+                .map(|m| matches!(m.start, StartLine::Response(200..=299)))
         };
         timeout(Duration::from_secs(1), asked)
             .await
@@ -303,7 +311,7 @@
 
     /// What a process is told at its start.
     fn config(&self) -> Value {
-        let mut seeds = stream(self.seed, Use::Modules);
+        let mut seeds = stream(self.seed, Purpose::Modules);
         seeds.set_word_pos(self.number as u128 * 4096 + u128::from(self.starts.get()) * 2);
         let mut config = json!({
             "name": format!("proxy-{}", self.number),
@@ -312,25 +320,27 @@
             "seed": format!("{:016x}", seeds.random::<u64>()),
             "limits": {
                 "cores": 1.0,
-                "memory_mb": self.stage.scenario.proxies.memory_mb,
-                "sockets": self.stage.scenario.proxies.sockets,
+                "memory_mb": self.run.scenario.proxies.memory_mb,
+                "sockets": self.run.scenario.proxies.sockets,
             },
             "known": self.agent.known(),
-            "settings": settings_json(&self.stage.scenario, self.number),
+            "settings": settings_json(&self.run.scenario, self.number),
         });
-        if let Some(door) = self.doors.borrow().last() {
-            config["ops"] = json!(door.address());
+        if let Some(operations_address) = self.operations_ports.borrow().last() {
+            config["ops"] = json!(operations_address.address());
         }
         config
     }
 
     fn spawn(&self) -> io::Result<Child> {
         self.starts.set(self.starts.get() + 1);
-        if operators::has(
-            &self.stage.scenario,
+        if operator_actions::has(
+            &self.run.scenario,
             &[FaultKind::Upgrade, FaultKind::Drain, FaultKind::Retune],
         ) {
-            self.doors.borrow_mut().push(Port::hold()?);
+            self.operations_ports
+                .borrow_mut()
+                .push(ReservedPort::reserve()?);
         }
         let config = self.config();
         std::fs::write(&self.file, config.to_string())?;
@@ -359,14 +369,16 @@
 
     async fn is_up(&self) -> bool {
         let asked = async {
-            let mut wire = Wire::new(TcpStream::connect(self.address).await.ok()?);
-            wire.write(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
+            let mut connection = Connection::new(TcpStream::connect(self.address).await.ok()?);
+            connection
+                .write(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
                 .await
                 .ok()?;
-            wire.read(false)
+            connection
+                .read(false)
                 .await
                 .ok()
-                .map(|m| m.start == Start::Answer(200))
+                .map(|m| m.start == StartLine::Response(200))
         };
         timeout(Duration::from_secs(1), asked)
             .await
@@ -390,7 +402,7 @@
             .and_then(Child::id)
             .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
-            self.wanted.set(true);
+            self.expected.set(true);
             let _ = kill_process(pid, signal); // it may just have ended
         }
     }
@@ -402,21 +414,25 @@
         if let Some(mut child) = child {
             let _ = child.wait().await;
         }
-        let now = self.stage.now();
-        self.stage.ledger.borrow_mut().ends.push(End {
-            proxy: self.number,
-            at: now,
-            wanted: true,
-        });
-        self.known_gone
-            .set(Some(now + self.stage.scenario.proxies.notice.0));
+        let now = self.run.now();
+        self.run
+            .ledger
+            .borrow_mut()
+            .process_exits
+            .push(ProcessExit {
+                proxy: self.number,
+                at: now,
+                expected: true,
+            });
+        self.front_stops_at
+            .set(Some(now + self.run.scenario.proxies.notice.0));
         tracing::info!(at_ms = now, proxy = self.number, "proxy was killed");
     }
 
     /// Tells it to end; the front sends nothing new from now on.
     pub fn terminate(&self) {
-        let now = self.stage.now();
-        self.known_gone.set(Some(now));
+        let now = self.run.now();
+        self.front_stops_at.set(Some(now));
         tracing::info!(at_ms = now, proxy = self.number, "proxy is told to end");
         self.signal(Signal::TERM);
     }
@@ -424,22 +440,22 @@
     /// Looks at its process now and then: what it takes, and whether it has ended.
     pub async fn watch(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
-            self.look();
+            sleep(CHECK_INTERVAL).await;
+            self.check_process();
         }
     }
 
-    fn look(&self) {
+    fn check_process(&self) {
         let pid = self.child.borrow().as_ref().and_then(Child::id);
         if let Some(pid) = pid {
-            let at = self.stage.now();
+            let at = self.run.now();
             let memory_mb = resident_mb(pid).unwrap_or(0.0);
             let descriptors =
                 std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
             if let Some(seconds) = cpu_seconds(pid) {
                 self.cpu.set(self.cpu_before.get() + seconds);
             }
-            let mut ledger = self.stage.ledger.borrow_mut();
+            let mut ledger = self.run.ledger.borrow_mut();
             let proxy = self.number;
             match ledger.usage.iter_mut().find(|u| u.proxy == proxy) {
                 Some(u) => {
@@ -456,27 +472,31 @@
             }
         }
         if let Some(status) = self.ended() {
-            if !self.wanted.get() {
-                let (at_ms, log) = (self.stage.now(), self.log.display());
+            if !self.expected.get() {
+                let (at_ms, log) = (self.run.now(), self.log.display());
                 tracing::warn!(at_ms, proxy = self.number, status, %log, "proxy ended by itself");
             }
-            let (proxy, at, wanted) = (self.number, self.stage.now(), self.wanted.get());
-            self.stage
+            let (proxy, at, expected) = (self.number, self.run.now(), self.expected.get());
+            self.run
                 .ledger
                 .borrow_mut()
-                .ends
-                .push(End { proxy, at, wanted });
-            self.known_gone.set(
-                self.known_gone
+                .process_exits
+                .push(ProcessExit {
+                    proxy,
+                    at,
+                    expected,
+                });
+            self.front_stops_at.set(
+                self.front_stops_at
                     .get()
-                    .or(Some(at + self.stage.scenario.proxies.notice.0)),
+                    .or(Some(at + self.run.scenario.proxies.notice.0)),
             );
         }
     }
 
     /// CPU time of all its processes so far, in seconds.
     pub fn cpu(&self) -> f64 {
-        self.look();
+        self.check_process();
         self.cpu.get()
     }
 
--- a/crates/lab/src/real/port.rs
+++ b/crates/lab/src/real/reserved_port.rs
@@ -5,20 +5,20 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// A port that is bound and not listened on. The system hands it to nobody who asks for any port, be it for a listener
-/// or for an outgoing connection, while one who asks for it by number and allows reuse (SO_REUSEADDR, as servers do)
+/// A port that is bound and not listened on. The system hands it to nobody who requests for any port, be it for a listener
+/// or for an outgoing connection, while one who requests for it by number and allows reuse (SO_REUSEADDR, as servers do)
 /// gets it (`inet_csk_bind_conflict` in Linux: two sockets that allow reuse conflict only where one listens).
-pub struct Port {
+pub struct ReservedPort {
     address: SocketAddr,
     _held: Socket,
 }
 
-impl Port {
+impl ReservedPort {
     /// Takes any free port.
     ///
     /// # Errors
     /// None is free.
-    pub fn hold() -> io::Result<Self> {
+    pub fn reserve() -> io::Result<Self> {
         let held = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         held.set_reuse_address(true)?;
         held.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
@@ -26,7 +26,7 @@
             .local_addr()?
             .as_socket()
             .ok_or_else(|| io::Error::other("no address"))?;
-        Ok(Port {
+        Ok(ReservedPort {
             address,
             _held: held,
         })
@@ -46,7 +46,7 @@
 
     #[test]
     fn a_held_port_is_a_servers_again_and_again_and_nobody_elses() {
-        let port = Port::hold().unwrap();
+        let port = ReservedPort::reserve().unwrap();
         for _ in 0..3 {
             let other = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             let taken = other.bind(&port.address().into()).unwrap_err();
--- a/crates/lab/src/real/stage.rs
+++ b/crates/lab/src/real/run_state.rs
@@ -12,47 +12,47 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::ledger::{AttemptEnd, Ledger, ProxyId, ServerId, TryId};
-use crate::load::Ask;
+use crate::ledger::{AttemptEnd, ClientAttemptId, Ledger, ProxyId, ServerId};
+use crate::load::ClientRequest;
 use crate::scenario::Scenario;
-use crate::world::{Happened, Verdict, World};
+use crate::world::{ServerOutcome, World, WorldEvent};
 
 /// What an attempt's connection is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum ConnectionOutcome {
     /// As the server says.
-    Verdict(Verdict),
+    ServerOutcome(ServerOutcome),
     /// Its process is gone: the connection breaks.
     Lost,
 }
 
-/// What concerns single parts and not the stage.
+/// What concerns single parts and not the run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Cue {
+pub enum RunEvent {
     /// The list has changed, and a server's listeners with it.
-    Listed(crate::world::Line),
+    ListChanged(crate::world::ListEntry),
     /// A server refuses connections from here on, or takes them again.
-    Refusing(ServerId, bool),
-    /// Zones are parted, or no longer.
-    Parted,
+    RefusingConnections(ServerId, bool),
+    /// Zones are partitioned, or no longer.
+    PartitionChanged,
     /// A proxy is killed.
-    Kill(ProxyId),
+    KillProxy(ProxyId),
     /// A proxy is told to end.
-    Terminate(ProxyId),
+    TerminateProxy(ProxyId),
     /// A proxy is started anew.
-    Start(ProxyId),
+    StartProxy(ProxyId),
 }
 
 /// An attempt that a server holds.
 struct Held {
-    id: TryId,
+    id: ClientAttemptId,
     note: usize,
     /// Taken once it has been told: the server may work on after that.
-    fate: Option<oneshot::Sender<Fate>>,
+    outcome: Option<oneshot::Sender<ConnectionOutcome>>,
 }
 
 /// All that the parts share.
-pub struct Stage {
+pub struct RunState {
     /// What is played.
     pub scenario: Arc<Scenario>,
     /// The fleet.
@@ -60,11 +60,11 @@
     /// What happened.
     pub ledger: RefCell<Ledger>,
     /// What is asked for.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<ClientRequest>,
     /// When each ask was served, and how many tries it took.
     pub served: RefCell<Vec<(Option<Millis>, u32)>>,
     /// Which try an id belongs to.
-    pub ids: RefCell<FxHashMap<String, TryId>>,
+    pub ids: RefCell<FxHashMap<String, ClientAttemptId>>,
     start: Cell<Instant>,
     /// Unix time of the start in ms, taken once: the same process must always be told with the same birth.
     unix_start: OnceCell<Millis>,
@@ -73,14 +73,19 @@
     changed: Notify,
 }
 
-impl Stage {
-    /// A stage whose time begins at `start`.
-    pub fn new(scenario: Arc<Scenario>, seed: u64, asks: Vec<Ask>, start: Instant) -> Rc<Self> {
-        Rc::new(Stage {
+impl RunState {
+    /// A run whose time begins at `start`.
+    pub fn new(
+        scenario: Arc<Scenario>,
+        seed: u64,
+        requests: Vec<ClientRequest>,
+        start: Instant,
+    ) -> Rc<Self> {
+        Rc::new(RunState {
             world: RefCell::new(World::new(scenario.clone(), seed)),
             ledger: RefCell::default(),
-            served: RefCell::new(vec![(None, 0); asks.len()]),
-            asks,
+            served: RefCell::new(vec![(None, 0); requests.len()]),
+            requests,
             ids: RefCell::default(),
             start: Cell::new(start),
             unix_start: OnceCell::new(),
@@ -121,43 +126,47 @@
         self.start.get() + Duration::from_secs_f64(at.clamp(0.0, 1e12) / 1000.0)
     }
 
-    /// A request has reached a server whole; its fate comes by the receiver.
-    pub fn hold(&self, id: TryId, note: usize) -> (u64, oneshot::Receiver<Fate>) {
-        let (fate, told) = oneshot::channel();
+    /// A request has reached a server whole; its outcome comes by the receiver.
+    pub fn hold(
+        &self,
+        id: ClientAttemptId,
+        note: usize,
+    ) -> (u64, oneshot::Receiver<ConnectionOutcome>) {
+        let (outcome, told) = oneshot::channel();
         let attempt = self.next.replace(self.next.get() + 1);
         self.held.borrow_mut().insert(
             attempt,
             Held {
                 id,
                 note,
-                fate: Some(fate),
+                outcome: Some(outcome),
             },
         );
         (attempt, told)
     }
 
-    /// An attempt's fate is told; `ran` if its server has done it.
-    pub fn tell(&self, attempt: u64, fate: Fate, ran: bool) {
+    /// An attempt's outcome is told; `ran` if its server has done it.
+    pub fn tell(&self, attempt: u64, outcome: ConnectionOutcome, ran: bool) {
         let Some(held) = self.held.borrow_mut().remove(&attempt) else {
             return;
         };
         if ran {
             self.ledger.borrow_mut().ran(held.id, held.note, self.now());
         }
-        if let Some(told) = held.fate {
-            let _ = told.send(fate); // a connection that has ended meanwhile needs none
+        if let Some(told) = held.outcome {
+            let _ = told.send(outcome); // a connection that has ended meanwhile needs none
         }
     }
 
     /// An attempt's connection breaks; `spared` if its server does not go on with it.
     fn break_off(&self, attempt: u64, spared: bool) {
         let mut held = self.held.borrow_mut();
-        let fate = held.get_mut(&attempt).and_then(|h| h.fate.take());
+        let outcome = held.get_mut(&attempt).and_then(|h| h.outcome.take());
         if spared {
             held.remove(&attempt);
         }
-        if let Some(fate) = fate {
-            let _ = fate.send(Fate::Lost);
+        if let Some(outcome) = outcome {
+            let _ = outcome.send(ConnectionOutcome::Lost);
         }
     }
 
@@ -171,7 +180,7 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn end(&self, id: TryId, note: usize, end: AttemptEnd) {
+    pub fn end(&self, id: ClientAttemptId, note: usize, end: AttemptEnd) {
         self.ledger.borrow_mut().end(id, note, self.now(), end);
     }
 
@@ -180,8 +189,8 @@
         self.changed.notify_one();
     }
 
-    /// Lets the world happen, for as long as it is polled; `cue` gets what concerns other parts.
-    pub async fn turn(self: Rc<Self>, mut cue: impl FnMut(Cue)) {
+    /// Lets the world happen, for as long as it is polled; `event` gets what concerns other parts.
+    pub async fn turn(self: Rc<Self>, mut event: impl FnMut(RunEvent)) {
         loop {
             let next = self.world.borrow().next().map(|at| self.instant(at));
             match next {
@@ -194,29 +203,34 @@
             let happened = self.world.borrow_mut().advance(self.now());
             for h in happened {
                 match h {
-                    Happened::Done { attempt, verdict } => {
-                        self.tell(attempt, Fate::Verdict(verdict), true)
+                    WorldEvent::Completed { attempt, verdict } => {
+                        self.tell(attempt, ConnectionOutcome::ServerOutcome(verdict), true)
                     }
-                    Happened::Lost { attempt } => self.tell(attempt, Fate::Lost, false),
-                    Happened::Broken { attempt, spared } => self.break_off(attempt, spared),
-                    Happened::Fell { server, warmth } => {
+                    WorldEvent::Lost { attempt } => {
+                        self.tell(attempt, ConnectionOutcome::Lost, false)
+                    }
+                    WorldEvent::ConnectionBroken { attempt, spared } => {
+                        self.break_off(attempt, spared)
+                    }
+                    WorldEvent::ColdOverload { server, warmth } => {
                         let at = self.now();
                         tracing::warn!(at_ms = at, server, warmth, "cold server was pushed over");
-                        self.ledger.borrow_mut().falls.push(crate::ledger::Fall {
-                            server,
-                            at,
-                            warmth,
-                        });
+                        self.ledger
+                            .borrow_mut()
+                            .cold_overloads
+                            .push(crate::ledger::ColdOverload { server, at, warmth });
+                    }
+                    WorldEvent::ListChanged(entry) => {
+                        tracing::debug!(at_ms = self.now(), server = entry.server, state = ?entry.state, "list changes");
+                        event(RunEvent::ListChanged(entry));
                     }
-                    Happened::Listed(line) => {
-                        tracing::debug!(at_ms = self.now(), server = line.server, state = ?line.state, "list changes");
-                        cue(Cue::Listed(line));
+                    WorldEvent::RefusingConnections { server, on } => {
+                        event(RunEvent::RefusingConnections(server, on))
                     }
-                    Happened::Refusing { server, on } => cue(Cue::Refusing(server, on)),
-                    Happened::Parted => cue(Cue::Parted),
-                    Happened::Kill(proxy) => cue(Cue::Kill(proxy)),
-                    Happened::Terminate(proxy) => cue(Cue::Terminate(proxy)),
-                    Happened::Start(proxy) => cue(Cue::Start(proxy)),
+                    WorldEvent::PartitionChanged => event(RunEvent::PartitionChanged),
+                    WorldEvent::KillProxy(proxy) => event(RunEvent::KillProxy(proxy)),
+                    WorldEvent::TerminateProxy(proxy) => event(RunEvent::TerminateProxy(proxy)),
+                    WorldEvent::StartProxy(proxy) => event(RunEvent::StartProxy(proxy)),
                 }
             }
         }
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -1,4 +1,4 @@
-//! Loan servers on real sockets. Each proxy reaches each server at an address of its own, so that the stage knows who
+//! FleetServer servers on real sockets. Each proxy reaches each server at an address of its own, so that the run knows who
 //! sent what, and a partition can part them.
 
 use std::cell::RefCell;
@@ -10,13 +10,13 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{AbortHandle, spawn_local};
 
-use super::http::{Start, Wire};
-use super::plug::{BACKLOG, Plug};
-use super::stage::{Fate, Stage};
+use super::full_backlog::{BACKLOG, FullBacklog};
+use super::http::{Connection, StartLine};
+use super::run_state::{ConnectionOutcome, RunState};
 use crate::ledger::{AttemptEnd, ProxyId, ServerId};
 use crate::scenario::Break;
-use crate::world::server::{Job, Offer};
-use crate::world::{Connect, Listed, Verdict};
+use crate::world::server::{Admission, Job};
+use crate::world::{Connect, ListState, ServerOutcome};
 
 /// The body of a server's answer: it names the request that it was made for, again and again up to a large one's size.
 pub fn body_for(id: &str, size: Option<usize>) -> Vec<u8> {
@@ -27,7 +27,7 @@
     }
 }
 
-/// The size that a target asks for, of a large body.
+/// The size that a target requests for, of a large body.
 fn large(target: &str) -> Option<usize> {
     target
         .split(['?', '&'])
@@ -47,13 +47,13 @@
 
 /// All listeners.
 pub struct Servers {
-    stage: Rc<Stage>,
+    run: Rc<RunState>,
     addresses: RefCell<FxHashMap<(ProxyId, ServerId), SocketAddr>>,
     /// The task behind each address while it accepts.
     tasks: RefCell<FxHashMap<(ProxyId, ServerId), AbortHandle>>,
-    /// Told when a server's process ends: idle connections end with it.
+    /// ServerNotification when a server's process ends: idle connections end with it.
     ends: RefCell<FxHashMap<ServerId, watch::Sender<bool>>>,
-    /// Changes when zones are parted, or no longer.
+    /// Changes when zones are partitioned, or no longer.
     parts: watch::Sender<()>,
 }
 
@@ -77,9 +77,9 @@
 
 impl Servers {
     /// No servers yet.
-    pub fn new(stage: Rc<Stage>) -> Rc<Self> {
+    pub fn new(run: Rc<RunState>) -> Rc<Self> {
         Rc::new(Servers {
-            stage,
+            run,
             addresses: RefCell::default(),
             tasks: RefCell::default(),
             ends: RefCell::default(),
@@ -92,7 +92,7 @@
     /// # Errors
     /// What the sockets say.
     pub fn open(self: &Rc<Self>, server: ServerId) -> std::io::Result<()> {
-        for proxy in 0..self.stage.scenario.proxies.count {
+        for proxy in 0..self.run.scenario.proxies.count {
             let known = self.addresses.borrow().get(&(proxy, server)).copied();
             let listener = listen(known.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
             self.addresses
@@ -111,8 +111,8 @@
     /// # Errors
     /// What the sockets say.
     pub fn open_again(self: &Rc<Self>, server: ServerId) -> std::io::Result<()> {
-        let listed = self.stage.world.borrow().loans()[server].listed;
-        if listed == Listed::Removed {
+        let listed = self.run.world.borrow().servers()[server].listed;
+        if listed == ListState::Removed {
             Ok(())
         } else {
             self.open(server)
@@ -137,17 +137,17 @@
         });
     }
 
-    /// Zones are parted, or no longer: each listener looks whether that concerns it.
-    pub fn look_for_partitions(&self) {
+    /// Zones are partitioned, or no longer: each listener looks whether that concerns it.
+    pub fn notify_partition_change(&self) {
         self.parts.send_replace(());
     }
 
-    fn parted(&self, proxy: ProxyId, server: ServerId) -> bool {
-        let world = self.stage.world.borrow();
-        world.parted(
-            self.stage.now(),
+    fn partitioned(&self, proxy: ProxyId, server: ServerId) -> bool {
+        let world = self.run.world.borrow();
+        world.partitioned(
+            self.run.now(),
             world.proxy_zone(proxy),
-            world.loans()[server].zone,
+            world.servers()[server].zone,
         )
     }
 
@@ -159,10 +159,10 @@
     async fn accept(self: Rc<Self>, listener: TcpListener, proxy: ProxyId, server: ServerId) {
         let mut parts = self.parts.subscribe();
         loop {
-            if self.parted(proxy, server) {
-                let plug = Plug::new(&listener).await;
-                while self.parted(proxy, server) && parts.changed().await.is_ok() {}
-                drop(plug); // without one its connections come up and stay silent
+            if self.partitioned(proxy, server) {
+                let full_backlog = FullBacklog::new(&listener).await;
+                while self.partitioned(proxy, server) && parts.changed().await.is_ok() {}
+                drop(full_backlog); // without one its connections come up and stay silent
             }
             let accepted = tokio::select! {
                 _ = parts.changed() => continue,
@@ -172,14 +172,14 @@
                 tokio::time::sleep(PAUSE).await; // out of descriptors: the run is about to say so
                 continue;
             };
-            let wire = Wire::new(stream);
+            let connection = Connection::new(stream);
             let connect = self
-                .stage
+                .run
                 .world
                 .borrow_mut()
-                .connect(self.stage.now(), proxy, server);
+                .connect(self.run.now(), proxy, server);
             match connect {
-                Connect::Refused => wire.reset(),
+                Connect::Refused => connection.reset(),
                 Connect::Up | Connect::Silent => {
                     let end = self
                         .ends
@@ -188,7 +188,7 @@
                         .or_insert_with(|| watch::channel(false).0)
                         .subscribe();
                     spawn_local(self.clone().connection(
-                        wire,
+                        connection,
                         proxy,
                         server,
                         connect == Connect::Up,
@@ -201,7 +201,7 @@
 
     async fn connection(
         self: Rc<Self>,
-        mut wire: Wire,
+        mut connection: Connection,
         proxy: ProxyId,
         server: ServerId,
         counted: bool,
@@ -212,76 +212,76 @@
             // Between requests the end of the process ends it; within one the world says what becomes of it.
             tokio::select! {
                 biased;
-                begun = wire.begun() => if begun.is_err() { break Next::Close },
+                started = connection.wait_for_data() => if started.is_err() { break Next::Close },
                 _ = end.changed() => break Next::Break,
             }
-            match self.exchange(&mut wire, proxy, server, fresh).await {
+            match self.exchange(&mut connection, proxy, server, fresh).await {
                 Next::More => fresh = false,
                 next => break next,
             }
         };
         if counted {
-            self.stage.world.borrow_mut().disconnect(server);
+            self.run.world.borrow_mut().disconnect(server);
         }
         if next == Next::Break {
-            wire.reset();
+            connection.reset();
         }
     }
 
     /// Serves one request that has begun to come.
     async fn exchange(
         &self,
-        wire: &mut Wire,
+        connection: &mut Connection,
         proxy: ProxyId,
         server: ServerId,
         fresh: bool,
     ) -> Next {
-        let stage = &self.stage;
-        let sent = stage.now(); // for drains a send counts from its first byte
-        let Ok(message) = wire.read(true).await else {
+        let run = &self.run;
+        let sent = run.now(); // for drains a send counts from its first byte
+        let Ok(message) = connection.read(true).await else {
             return Next::Close;
         };
-        let Start::Request(method, target) = &message.start else {
+        let StartLine::Request(method, target) = &message.start else {
             return Next::Close;
         };
         let size = large(target);
         let Some(name) = message.header("x-request-id").map(str::to_owned) else {
             return written(
-                wire.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                connection
+                    .write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
                     .await,
             );
         };
-        let id = stage.ids.borrow().get(&name).copied();
+        let id = run.ids.borrow().get(&name).copied();
         let Some(id) = id else {
             let what = format!("id {name:?} was never sent by a client");
-            stage
-                .ledger
+            run.ledger
                 .borrow_mut()
-                .strangers
+                .unknown_requests
                 .push((server, sent, what));
             return written(
-                wire.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+                connection
+                    .write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                     .await,
             );
         };
         if method == "POST" && size.is_some() && message.body != body_for(&name, size) {
             let what = format!("the body of {name:?} is not what its client sent");
-            stage
-                .ledger
+            run.ledger
                 .borrow_mut()
-                .strangers
+                .unknown_requests
                 .push((server, sent, what));
         }
-        let note = stage.ledger.borrow_mut().send(id, server, sent);
-        if self.parted(proxy, server) {
-            wire.ended().await; // nothing passes: it waits until the proxy gives it up
-            stage.end(id, note, AttemptEnd::MayHaveRun);
+        let note = run.ledger.borrow_mut().send(id, server, sent);
+        if self.partitioned(proxy, server) {
+            connection.closed().await; // nothing passes: it waits until the proxy gives it up
+            run.end(id, note, AttemptEnd::MayHaveRun);
             return Next::Close;
         }
-        let ask = &stage.asks[stage.ledger.borrow().tries[id].ask];
-        let (attempt, fate) = stage.hold(id, note);
+        let ask = &run.requests[run.ledger.borrow().client_attempts[id].request];
+        let (attempt, outcome) = run.hold(id, note);
         let handshake = if fresh {
-            stage.scenario.fleet.handshake.0
+            run.scenario.fleet.handshake.0
         } else {
             0.0
         };
@@ -290,40 +290,42 @@
             work: ask.work + handshake,
             key: ask.key,
         };
-        let (offer, error) = stage.world.borrow_mut().offer(stage.now(), server, job);
-        stage.touched();
-        match (offer, error) {
-            (_, Some(verdict)) => stage.tell(attempt, Fate::Verdict(verdict), true),
-            (Offer::Taken, None) => {}
-            (Offer::TurnedAway, None) => {
-                stage.end(id, note, AttemptEnd::NeverRan);
+        let (admission, error) = run.world.borrow_mut().submit(run.now(), server, job);
+        run.touched();
+        match (admission, error) {
+            (_, Some(verdict)) => {
+                run.tell(attempt, ConnectionOutcome::ServerOutcome(verdict), true)
+            }
+            (Admission::Accepted, None) => {}
+            (Admission::Rejected, None) => {
+                run.end(id, note, AttemptEnd::NeverRan);
                 let full = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-                return written(wire.write(full).await);
+                return written(connection.write(full).await);
             }
-            (Offer::PushedOver, None) => stage.tell(attempt, Fate::Lost, false),
+            (Admission::Crashed, None) => run.tell(attempt, ConnectionOutcome::Lost, false),
         }
         // What a client sends is large, or what it gets.
         let body = body_for(&name, size.filter(|_| method == "GET"));
-        self.answer(wire, server, &body, (id, note, attempt), fate)
+        self.answer(connection, server, &body, (id, note, attempt), outcome)
             .await
     }
 
     async fn answer(
         &self,
-        wire: &mut Wire,
+        connection: &mut Connection,
         server: ServerId,
         body: &[u8],
         (id, note, attempt): (usize, usize, u64),
-        fate: oneshot::Receiver<Fate>,
+        outcome: oneshot::Receiver<ConnectionOutcome>,
     ) -> Next {
-        let stage = &self.stage;
-        let fate = tokio::select! {
+        let run = &self.run;
+        let outcome = tokio::select! {
             biased;
-            fate = fate => fate.unwrap_or(Fate::Lost),
+            outcome = outcome => outcome.unwrap_or(ConnectionOutcome::Lost),
             // The proxy gives the attempt up.
-            () = wire.ended() => {
-                stage.cancel(server, attempt);
-                stage.end(id, note, AttemptEnd::MayHaveRun);
+            () = connection.closed() => {
+                run.cancel(server, attempt);
+                run.end(id, note, AttemptEnd::MayHaveRun);
                 return Next::Close;
             }
         };
@@ -331,39 +333,40 @@
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         whole.extend_from_slice(body);
         let half = whole.len() - body.len() / 2;
-        match fate {
-            Fate::Verdict(Verdict::Served) => {
-                stage.end(id, note, AttemptEnd::Answered);
-                written(wire.write(&whole).await)
+        match outcome {
+            ConnectionOutcome::ServerOutcome(ServerOutcome::Served) => {
+                run.end(id, note, AttemptEnd::Answered);
+                written(connection.write(&whole).await)
             }
-            Fate::Verdict(Verdict::Error) => {
-                stage.end(id, note, AttemptEnd::MayHaveRun);
+            ConnectionOutcome::ServerOutcome(ServerOutcome::Error) => {
+                run.end(id, note, AttemptEnd::MayHaveRun);
                 written(
-                    wire.write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
+                    connection
+                        .write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
                         .await,
                 )
             }
-            Fate::Verdict(Verdict::Silent) => {
-                wire.ended().await;
-                stage.end(id, note, AttemptEnd::MayHaveRun);
+            ConnectionOutcome::ServerOutcome(ServerOutcome::Silent) => {
+                connection.closed().await;
+                run.end(id, note, AttemptEnd::MayHaveRun);
                 Next::Close
             }
-            Fate::Verdict(Verdict::Reset(Break::After)) => {
-                stage.end(id, note, AttemptEnd::Answered);
-                let _ = wire.write(&whole).await;
+            ConnectionOutcome::ServerOutcome(ServerOutcome::Reset(Break::After)) => {
+                run.end(id, note, AttemptEnd::Answered);
+                let _ = connection.write(&whole).await;
                 Next::Close
             }
-            Fate::Verdict(Verdict::Reset(place)) => {
-                stage.end(id, note, AttemptEnd::MayHaveRun);
+            ConnectionOutcome::ServerOutcome(ServerOutcome::Reset(place)) => {
+                run.end(id, note, AttemptEnd::MayHaveRun);
                 if place == Break::Inside {
-                    let _ = wire.write(&whole[..half]).await;
+                    let _ = connection.write(&whole[..half]).await;
                     // What is on its way must arrive before the break does.
                     tokio::time::sleep(std::time::Duration::from_millis(1)).await;
                 }
                 Next::Break
             }
-            Fate::Lost => {
-                stage.end(id, note, AttemptEnd::MayHaveRun);
+            ConnectionOutcome::Lost => {
+                run.end(id, note, AttemptEnd::MayHaveRun);
                 Next::Break
             }
         }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -22,9 +22,9 @@
 use serde_json::json;
 
 use crate::experiment::Run;
-use crate::ledger::{Code, Try};
-use crate::oracle::Broken;
-use crate::score::Part;
+use crate::ledger::{ClientAttempt, ResponseKind};
+use crate::oracle::Violation;
+use crate::score::GroupScore;
 
 /// The run as a table of text.
 pub fn table(run: &Run) -> String {
@@ -46,7 +46,7 @@
         let _ = writeln!(
             text,
             "PARTIAL: it was cut short at {:.1} s",
-            run.ledger.closed / 1000.0
+            run.ledger.ended_at / 1000.0
         );
     }
     let _ = writeln!(
@@ -58,7 +58,7 @@
         .into_iter()
         .chain(&run.score.classes)
         .chain(&run.score.tenants);
-    for Part {
+    for GroupScore {
         name,
         asked,
         served,
@@ -86,7 +86,7 @@
 }
 
 /// The rules in words: the first broken ones with their evidence.
-pub fn verdict(broken: &[Broken]) -> String {
+pub fn verdict(broken: &[Violation]) -> String {
     const SHOWN: usize = 5;
     if broken.is_empty() {
         return "all rules kept\n".into();
@@ -118,7 +118,7 @@
     })
 }
 
-fn broken_json(b: &Broken) -> serde_json::Value {
+fn broken_json(b: &Violation) -> serde_json::Value {
     json!({
         "rule": format!("{:?}", b.rule),
         "at_ms": b.at,
@@ -128,13 +128,13 @@
     })
 }
 
-fn try_json(id: usize, t: &Try, class: &str) -> serde_json::Value {
-    let answer = |(at, code): &(f64, Code)| {
+fn try_json(id: usize, t: &ClientAttempt, class: &str) -> serde_json::Value {
+    let answer = |(at, code): &(f64, ResponseKind)| {
         let (name, retry_after) = match code {
-            Code::Served { .. } => ("served", None),
-            Code::Refused { retry_after } => ("refused", *retry_after),
-            Code::Failed => ("failed", None),
-            Code::Broken => ("broken", None),
+            ResponseKind::Served { .. } => ("served", None),
+            ResponseKind::Refused { retry_after } => ("refused", *retry_after),
+            ResponseKind::Failed => ("failed", None),
+            ResponseKind::Broken => ("broken", None),
         };
         json!({"at_ms": at, "code": name, "retry_after_ms": retry_after})
     };
@@ -149,7 +149,7 @@
     };
     json!({
         "request": id,
-        "ask": t.ask,
+        "ask": t.request,
         "try": t.number,
         "class": class,
         "proxy": t.proxy,
@@ -185,10 +185,10 @@
         .iter()
         .map(|w| serde_json::to_value(w).unwrap_or_default());
     lines(&dir.join("windows.jsonl"), windows)?;
-    let class = |t: &Try| run.scenario.classes[t.class].name.as_str();
+    let class = |t: &ClientAttempt| run.scenario.classes[t.class].name.as_str();
     let tries = run
         .ledger
-        .tries
+        .client_attempts
         .iter()
         .enumerate()
         .map(|(id, t)| try_json(id, t, class(t)));
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -5,7 +5,7 @@
 use plotters::prelude::*;
 
 use crate::experiment::Run;
-use crate::score::Part;
+use crate::score::GroupScore;
 
 type Failed = Box<dyn std::error::Error + Send + Sync>;
 
@@ -111,7 +111,7 @@
 
 /// Latency by percentile: the horizontal axis is the share of requests, so it has a plot of its own kind.
 fn latency(run: &Run) -> Result<String, Failed> {
-    let parts: Vec<&Part> = run.score.classes.iter().chain(&run.score.tenants).collect();
+    let parts: Vec<&GroupScore> = run.score.classes.iter().chain(&run.score.tenants).collect();
     let top = parts.iter().map(|p| p.latency_ms[3]).fold(1.0, f64::max) * 1.1;
     let mut svg = String::new();
     {
@@ -165,7 +165,7 @@
     let mut servers: std::collections::BTreeMap<usize, (u64, Vec<i64>)> =
         std::collections::BTreeMap::new();
     let place = |at: f64| ((at / step) as usize).min(POINTS - 1);
-    for a in run.ledger.tries.iter().flat_map(|t| &t.attempts) {
+    for a in run.ledger.client_attempts.iter().flat_map(|t| &t.attempts) {
         let (count, changes) = servers
             .entry(a.server)
             .or_insert_with(|| (0, vec![0; POINTS + 1]));
@@ -221,7 +221,7 @@
         write!(
             page,
             "<p class=\"bad\">Partial: cut short at {:.1} s.</p>",
-            run.ledger.closed / 1000.0
+            run.ledger.ended_at / 1000.0
         )?;
     }
     page.push_str(
--- a/crates/lab/src/score.rs
+++ b/crates/lab/src/score.rs
@@ -5,16 +5,16 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::ledger::{Code, Ledger};
-use crate::load::Ask;
+use crate::ledger::{Ledger, ResponseKind};
+use crate::load::ClientRequest;
 use crate::scenario::Scenario;
 
 /// Highest latency that is told apart, in µs; longer ones count as this.
 const LONGEST: u64 = 600_000_000;
 
-/// Worth and latency of one part of the asks.
+/// Worth and latency of one part of the requests.
 #[derive(Clone, Debug, Serialize)]
-pub struct Part {
+pub struct GroupScore {
     /// What it is.
     pub name: String,
     /// Asks.
@@ -35,12 +35,12 @@
     histogram: Histogram<u64>,
 }
 
-impl Part {
+impl GroupScore {
     fn new(name: &str) -> Self {
         let histogram = Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are sound");
         let (asked, served, in_time, share) = (0, 0, 0, 0.0);
         let (latency_ms, asked_worth, earned) = ([0.0; 4], 0.0, 0.0);
-        Part {
+        GroupScore {
             name: name.into(),
             asked,
             served,
@@ -103,12 +103,12 @@
 /// How good the service was.
 #[derive(Clone, Debug, Serialize)]
 pub struct Score {
-    /// All asks.
-    pub whole: Part,
+    /// All requests.
+    pub whole: GroupScore,
     /// By class, in the scenario's order.
-    pub classes: Vec<Part>,
+    pub classes: Vec<GroupScore>,
     /// By tenant, in the scenario's order.
-    pub tenants: Vec<Part>,
+    pub tenants: Vec<GroupScore>,
     /// Over time.
     pub windows: Vec<Window>,
     /// Tries for each ask.
@@ -124,10 +124,15 @@
 const WINDOW_LEAST: Millis = 250.0;
 
 /// Counts a run; `served` tells when each ask was served, if it was.
-pub fn score(s: &Scenario, asks: &[Ask], served: &[Option<Millis>], ledger: &Ledger) -> Score {
-    let mut whole = Part::new("all");
-    let mut classes: Vec<Part> = s.classes.iter().map(|c| Part::new(&c.name)).collect();
-    let mut tenants: Vec<Part> = s.tenants.iter().map(|t| Part::new(&t.name)).collect();
+pub fn score(
+    s: &Scenario,
+    requests: &[ClientRequest],
+    served: &[Option<Millis>],
+    ledger: &Ledger,
+) -> Score {
+    let mut whole = GroupScore::new("all");
+    let mut classes: Vec<GroupScore> = s.classes.iter().map(|c| GroupScore::new(&c.name)).collect();
+    let mut tenants: Vec<GroupScore> = s.tenants.iter().map(|t| GroupScore::new(&t.name)).collect();
     let span = (s.length.0 / WINDOWS).max(WINDOW_LEAST);
     let many = (s.length.0 / span).ceil() as usize;
     let mut windows: Vec<(Window, f64, f64)> = (0..many)
@@ -143,7 +148,7 @@
         })
         .collect();
     let window = |at: Millis| ((at / span) as usize).min(many - 1);
-    for (ask, at) in asks.iter().zip(served) {
+    for (ask, at) in requests.iter().zip(served) {
         let c = &s.classes[ask.class];
         let latency = at.map(|at| at - ask.at).filter(|l| *l <= c.deadline.0);
         let parts = [
@@ -163,25 +168,27 @@
         });
     }
     let (mut refused, mut attempts) = (0u64, 0u64);
-    for t in &ledger.tries {
+    for t in &ledger.client_attempts {
         for a in &t.attempts {
             attempts += 1;
             windows[window(a.sent)].0.attempts += 1;
         }
         match t.answers.first() {
-            Some((at, Code::Refused { .. })) => {
+            Some((at, ResponseKind::Refused { .. })) => {
                 refused += 1;
                 windows[window(*at)].0.refused += 1;
             }
-            Some((at, Code::Failed | Code::Broken)) => windows[window(*at)].0.failed += 1,
-            Some((_, Code::Served { .. })) | None => {}
+            Some((at, ResponseKind::Failed | ResponseKind::Broken)) => {
+                windows[window(*at)].0.failed += 1
+            }
+            Some((_, ResponseKind::Served { .. })) | None => {}
         }
     }
     let each = |n: f64, of: usize| if of == 0 { 0.0 } else { n / of as f64 };
     Score {
         whole: whole.close(),
-        classes: classes.into_iter().map(Part::close).collect(),
-        tenants: tenants.into_iter().map(Part::close).collect(),
+        classes: classes.into_iter().map(GroupScore::close).collect(),
+        tenants: tenants.into_iter().map(GroupScore::close).collect(),
         windows: windows
             .into_iter()
             .map(|(w, asked, earned)| Window {
@@ -189,8 +196,8 @@
                 ..w
             })
             .collect(),
-        tries: each(ledger.tries.len() as f64, asks.len()),
-        attempts: each(attempts as f64, asks.len()),
-        refused: each(refused as f64, ledger.tries.len()),
+        tries: each(ledger.client_attempts.len() as f64, requests.len()),
+        attempts: each(attempts as f64, requests.len()),
+        refused: each(refused as f64, ledger.client_attempts.len()),
     }
 }
--- a/crates/lab/src/service/changes.rs
+++ b/crates/lab/src/service/changes.rs
@@ -15,8 +15,8 @@
 use serde_json::{Value, json};
 
 use super::fleet::{Fleet, Terms};
-use crate::chance::{Use, stream};
 use crate::net::Mode;
+use crate::random::{Purpose, stream};
 
 /// From one request of a client to its next.
 const PACE: Duration = Duration::from_millis(4);
@@ -419,7 +419,7 @@
     tick: &mut impl FnMut(f64),
 ) -> io::Result<()> {
     let lock = || fleet.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut rng = stream(play.seed, Use::Faults);
+    let mut rng = stream(play.seed, Purpose::Faults);
     let count = play.instances;
     let mut down = BTreeSet::new();
     let mut next = 1;
--- a/crates/lab/src/service/fleet.rs
+++ b/crates/lab/src/service/fleet.rs
@@ -205,7 +205,7 @@
         let at = self.said(i).links;
         for ((_, to), link) in &self.links {
             if let (true, Some(at)) = (*to == i, at) {
-                link.lead(at);
+                link.set_target(at);
             }
         }
         Ok(())
@@ -286,14 +286,14 @@
     /// What the link from one instance to another does.
     pub fn link(&self, from: usize, to: usize, mode: Mode) {
         if let Some(link) = self.links.get(&(from, to)) {
-            link.set(mode);
+            link.set_mode(mode);
         }
     }
 
     /// How long what passes from one to another takes.
     pub fn delay(&self, from: usize, to: usize, delay: Duration) {
         if let Some(link) = self.links.get(&(from, to)) {
-            link.delay(delay);
+            link.set_delay(delay);
         }
     }
 
@@ -303,7 +303,7 @@
             .links
             .iter()
             .filter(|((from, to), _)| *from == i || *to == i);
-        own.for_each(|(_, link)| link.set(mode));
+        own.for_each(|(_, link)| link.set_mode(mode));
     }
 
     /// Where an instance takes requests, if it does.
--- a/crates/lab/src/service/kills.rs
+++ b/crates/lab/src/service/kills.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::{Line, Place, Service};
-use crate::chance::{Use, stream};
+use crate::random::{Purpose, stream};
 
 /// A kill comes this long after the first change at most.
 const LATEST: Duration = Duration::from_millis(30);
@@ -58,7 +58,7 @@
     mut tick: impl FnMut(f64),
 ) -> io::Result<Kills> {
     let place = Place::new(dir, "")?;
-    let mut rng = stream(seed, Use::Faults);
+    let mut rng = stream(seed, Purpose::Faults);
     let mut told = Kills::default();
     // The last change that was acknowledged, and whether the one after it was sent.
     let (mut last, mut sent) = (0, false);
--- a/crates/lab/src/service/recover.rs
+++ b/crates/lab/src/service/recover.rs
@@ -16,7 +16,7 @@
 
 use super::changes::{Ledger, judge, read};
 use super::fleet::{Fleet, Terms};
-use crate::chance::{Use, stream};
+use crate::random::{Purpose, stream};
 
 /// A request takes so long at a server.
 const WORK: Duration = Duration::from_millis(4);
@@ -109,7 +109,7 @@
 
 /// A client that asks the instance it is at, and goes to another where that one fails or refuses: as behind a front that spreads.
 fn client(watch: &Watch, fleet: &Mutex<Fleet>, mut at: usize, seed: u64) {
-    let mut rng = stream(seed, Use::Faults);
+    let mut rng = stream(seed, Purpose::Faults);
     let mut line: Option<BufReader<TcpStream>> = None;
     while !watch.end.load(Ordering::Relaxed) {
         thread::sleep(PACE);
@@ -262,7 +262,7 @@
     let lock = || fleet.lock().unwrap_or_else(PoisonError::into_inner);
     thread::sleep(BEFORE);
     let mut all: Vec<usize> = (0..play.instances).collect();
-    all.shuffle(&mut stream(play.seed, Use::Faults));
+    all.shuffle(&mut stream(play.seed, Purpose::Faults));
     all.truncate(play.instances * play.killed / 100);
     let killed_at = watch.ms();
     all.iter().for_each(|i| lock().kill(*i));
--- a/crates/lab/src/shares/mod.rs
+++ b/crates/lab/src/shares/mod.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution as _, Exp};
 
-use crate::chance::{Use, stream};
+use crate::random::{Purpose, stream};
 use rivals::{Buckets, Moving, Open, Rounds, Split, Unbounded, Virtual};
 
 /// Work of the event loop for a request that is served, and for one that is turned away, in ms.
@@ -279,7 +279,7 @@
 /// The figures of [`TIME_COLUMNS`] under one seed.
 fn time_figures(make: MakeGate, turns: bool, seed: u64) -> Vec<f64> {
     let play = |weights: &[f64], loads: &[Load], more: u64| {
-        let mut rng = stream(seed.wrapping_mul(16).wrapping_add(more), Use::Load);
+        let mut rng = stream(seed.wrapping_mul(16).wrapping_add(more), Purpose::Load);
         play_loop(make, turns, weights, loads, &mut rng)
     };
     // A quiet tenant at 0.3 of the loop, one that floods with ten times its half.
@@ -404,7 +404,7 @@
 /// The figures of [`STOCK_COLUMNS`] under one seed.
 fn stock_figures(make: fn(&[f64], u64) -> Box<dyn Holding>, seed: u64) -> Vec<f64> {
     let play = |weights: &[f64], wants: &[Want], goal: u64, more: u64| {
-        let mut rng = stream(seed.wrapping_mul(16).wrapping_add(8 + more), Use::Load);
+        let mut rng = stream(seed.wrapping_mul(16).wrapping_add(8 + more), Purpose::Load);
         play_stock(make(weights, STOCK).as_mut(), wants, goal, &mut rng)
     };
     let want = |held: f64, hold: f64| Want {
--- a/crates/lab/src/sim/decider.rs
+++ b/crates/lab/src/sim/decider.rs
@@ -17,7 +17,7 @@
 
 /// How a decider is broken, so that the oracle can be seen to notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum InjectedDefect {
     /// Every 50th request is forgotten, and the proxy's own last resort with it.
     LosesRequests,
     /// What failed is sent again, whether it may have run or not.
@@ -30,32 +30,32 @@
     FloodsNewest,
 }
 
-impl Sabotage {
+impl InjectedDefect {
     /// All of them, with the names that the command line has for them.
-    pub const ALL: [(&str, Sabotage); 5] = [
-        ("loses-requests", Sabotage::LosesRequests),
-        ("repeats-all", Sabotage::RepeatsAll),
-        ("refuses-all", Sabotage::RefusesAll),
-        ("ignores-drains", Sabotage::IgnoresDrains),
-        ("floods-newest", Sabotage::FloodsNewest),
+    pub const ALL: [(&str, InjectedDefect); 5] = [
+        ("loses-requests", InjectedDefect::LosesRequests),
+        ("repeats-all", InjectedDefect::RepeatsAll),
+        ("refuses-all", InjectedDefect::RefusesAll),
+        ("ignores-drains", InjectedDefect::IgnoresDrains),
+        ("floods-newest", InjectedDefect::FloodsNewest),
     ];
 }
 
 /// A decision module with a fault put in.
-pub struct Saboteur {
+pub struct DefectiveBalancer {
     inner: Balancer,
-    sabotage: Sabotage,
+    defect: InjectedDefect,
     newest: Option<(Millis, EndpointId)>,
     /// Where each request went last, and how often it was sent again.
     sent: FxHashMap<RequestId, (EndpointId, u32)>,
 }
 
-impl Saboteur {
+impl DefectiveBalancer {
     /// A module broken in one way.
-    pub fn new(settings: Settings, seed: u64, sabotage: Sabotage) -> Self {
-        Saboteur {
+    pub fn new(settings: Settings, seed: u64, defect: InjectedDefect) -> Self {
+        DefectiveBalancer {
             inner: Balancer::new(settings, seed),
-            sabotage,
+            defect,
             newest: None,
             sent: FxHashMap::default(),
         }
@@ -78,7 +78,7 @@
     }
 }
 
-impl Decider for Saboteur {
+impl Decider for DefectiveBalancer {
     fn handle(&mut self, now: Millis, mut event: Event, out: &mut Vec<Action>) {
         if let Event::EndpointUpdate {
             endpoints: entries, ..
@@ -92,21 +92,21 @@
                     self.newest = e.started_at.map(|since| (since, e.id));
                 }
             }
-            if self.sabotage == Sabotage::IgnoresDrains {
+            if self.defect == InjectedDefect::IgnoresDrains {
                 entries
                     .iter_mut()
                     .for_each(|e| e.state = balancer::EndpointState::Up);
             }
         }
-        match (self.sabotage, &event) {
+        match (self.defect, &event) {
             (
-                Sabotage::LosesRequests,
+                InjectedDefect::LosesRequests,
                 Event::Request {
                     id: RequestId(id), ..
                 },
             ) if id % 50 == 0 => return,
             (
-                Sabotage::RefusesAll,
+                InjectedDefect::RefusesAll,
                 Event::AttemptEnded {
                     request,
                     outcome: Outcome::Error | Outcome::Reset | Outcome::TimedOut,
@@ -117,7 +117,7 @@
                 retry_after: None,
             }),
             (
-                Sabotage::RepeatsAll,
+                InjectedDefect::RepeatsAll,
                 Event::AttemptEnded {
                     request,
                     outcome: Outcome::Reset,
@@ -126,7 +126,7 @@
             ) if self.resend(*request, out) => {
                 return;
             }
-            (Sabotage::FloodsNewest, Event::Request { id, .. }) => {
+            (InjectedDefect::FloodsNewest, Event::Request { id, .. }) => {
                 if let Some((_, backend)) = self.newest {
                     return out.push(Action::Forward {
                         request: *id,
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -18,31 +18,32 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
-use crate::chance::{Use, stream};
 use crate::ledger::{
-    Attempt, AttemptEnd, Code, End, Fall, Ledger, ProxyId, ServerId, Told, Try, TryId,
+    Attempt, AttemptEnd, ClientAttempt, ClientAttemptId, ColdOverload, Ledger, ProcessExit,
+    ProxyId, ResponseKind, ServerId, ServerNotification,
 };
-use crate::load::{self, Ask, TryEnd};
+use crate::load::{self, ClientAttemptOutcome, ClientRequest};
+use crate::random::{Purpose, stream};
 use crate::scenario::{Break, Effect, Scenario};
 use crate::settings;
-use crate::world::server::{Job, Offer};
-use crate::world::{Connect, Happened, Line, Listed, Verdict, World, micros};
-use decider::{Decider, Sabotage, Saboteur};
+use crate::world::server::{Admission, Job};
+use crate::world::{Connect, ListEntry, ListState, ServerOutcome, World, WorldEvent, micros};
+use decider::{Decider, DefectiveBalancer, InjectedDefect};
 use proxy::{Live, Memory, Proxy, request_of, server_of};
 
 /// A connection that is not up within this span has failed.
-const DIAL: Millis = 250.0;
+const CONNECT_TIMEOUT: Millis = 250.0;
 /// A final answer is on its way this long before its client gives up, whatever happens.
-const LAST_RESORT: Millis = 4.0;
+const LAST_RESORT_MARGIN: Millis = 4.0;
 /// A connection is used again within this part of the span after which its server closes it.
-const IDLE_PART: f64 = 0.7;
+const IDLE_REUSE_FRACTION: f64 = 0.7;
 
 /// What a run leaves behind.
-pub struct Played {
+pub struct SimResult {
     /// What happened.
     pub ledger: Ledger,
     /// What was asked for.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<ClientRequest>,
     /// When each ask was served, if it was, and how many tries it took.
     pub served: Vec<(Option<Millis>, u32)>,
     /// Counts of the run.
@@ -67,7 +68,7 @@
 struct Entry {
     at: u64,
     order: u64,
-    what: What,
+    what: SimEvent,
 }
 
 impl PartialEq for Entry {
@@ -91,21 +92,21 @@
 }
 
 /// What happens at a moment.
-enum What {
+enum SimEvent {
     /// A client sends a try of an ask.
     Send(usize, u32),
     /// A try arrives at its proxy.
-    Arrive(TryId),
+    Arrive(ClientAttemptId),
     /// An answer arrives at its client.
-    Answer(TryId, TryEnd),
+    Answer(ClientAttemptId, ClientAttemptOutcome),
     /// A client's patience ends.
-    GiveUp(TryId),
-    /// A proxy sees that a client has gone.
-    Leave(TryId),
+    GiveUp(ClientAttemptId),
+    /// A proxy sees that a client has stops_at.
+    Leave(ClientAttemptId),
     /// A module's timer.
     Module(ProxyId, u32, u64),
     /// A proxy's last resort.
-    LastResort(ProxyId, u32, TryId),
+    LastResort(ProxyId, u32, ClientAttemptId),
     /// A wish for a connection arrives at a server.
     Dial(u64),
     /// And what came of it at the proxy.
@@ -121,14 +122,14 @@
     /// A server sees that an attempt's connection is closed.
     Closed(ServerId, u64),
     /// News arrives at a proxy.
-    News(ProxyId, Line),
+    ListUpdate(ProxyId, ListEntry),
     /// Something happens in the world by itself, as it was due at this µs.
     World(u64),
 }
 
 /// An attempt on its way.
-struct Flight {
-    id: TryId,
+struct InFlightAttempt {
+    id: ClientAttemptId,
     attempt: u32,
     /// Its place in the ledger, once its first byte is written.
     note: Option<usize>,
@@ -144,7 +145,7 @@
 pub struct Sim {
     s: Arc<Scenario>,
     seed: u64,
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
     world: World,
     now: Millis,
     queue: BinaryHeap<Reverse<Entry>>,
@@ -152,15 +153,15 @@
     world_due: u64,
     proxies: Vec<Option<Proxy>>,
     memories: Vec<Memory>,
-    /// Until when the front still sends to a proxy that is gone.
-    known_gone: Vec<Option<Millis>>,
+    /// Until when the front still sends to a proxy that is stops_at.
+    front_stops_at: Vec<Option<Millis>>,
     generations: Vec<u32>,
-    asks: Vec<Ask>,
+    requests: Vec<ClientRequest>,
     served: Vec<(Option<Millis>, u32)>,
     /// Tries whose clients still wait.
-    waits: Vec<bool>,
+    client_waiting: Vec<bool>,
     ledger: Ledger,
-    flights: FxHashMap<u64, Flight>,
+    flights: FxHashMap<u64, InFlightAttempt>,
     next_flight: u64,
     at_server: FxHashMap<ServerId, u32>,
     network: ChaCha8Rng,
@@ -171,30 +172,30 @@
 
 impl Sim {
     /// A run of a scenario under a seed, perhaps with modules made to break a rule.
-    pub fn new(scenario: Arc<Scenario>, seed: u64, sabotage: Option<Sabotage>) -> Self {
-        let asks = load::draw(&scenario, seed);
+    pub fn new(scenario: Arc<Scenario>, seed: u64, defect: Option<InjectedDefect>) -> Self {
+        let requests = load::draw_requests(&scenario, seed);
         let n = scenario.proxies.count;
         Sim {
             world: World::new(scenario.clone(), seed),
             seed,
-            sabotage,
+            defect,
             now: 0.0,
             queue: BinaryHeap::new(),
             order: 0,
             world_due: u64::MAX,
             proxies: (0..n).map(|_| None).collect(),
             memories: (0..n).map(|_| Memory::default()).collect(),
-            known_gone: vec![None; n],
+            front_stops_at: vec![None; n],
             generations: vec![0; n],
-            served: vec![(None, 0); asks.len()],
-            asks,
-            waits: Vec::new(),
+            served: vec![(None, 0); requests.len()],
+            requests,
+            client_waiting: Vec::new(),
             ledger: Ledger::default(),
             flights: FxHashMap::default(),
             next_flight: 0,
             at_server: FxHashMap::default(),
-            network: stream(seed, Use::Network),
-            front: stream(seed, Use::Clients),
+            network: stream(seed, Purpose::Network),
+            front: stream(seed, Purpose::Clients),
             counts: Counts::default(),
             module: Duration::ZERO,
             s: scenario,
@@ -202,15 +203,15 @@
     }
 
     /// Plays it to its end: the last ask, and what may still come of it.
-    pub fn play(mut self) -> Played {
+    pub fn run(mut self) -> SimResult {
         let began = Instant::now();
         let listed = self.world.listed();
         for proxy in 0..self.proxies.len() {
             self.memories[proxy].learn(&listed);
             self.start(proxy);
         }
-        for ask in 0..self.asks.len() {
-            self.schedule(self.asks[ask].at, What::Send(ask, 1));
+        for ask in 0..self.requests.len() {
+            self.schedule(self.requests[ask].at, SimEvent::Send(ask, 1));
         }
         let longest = self
             .s
@@ -230,10 +231,10 @@
             self.watch_world();
         }
         self.now = end;
-        self.ledger.closed = end;
-        Played {
+        self.ledger.ended_at = end;
+        SimResult {
             ledger: self.ledger,
-            asks: self.asks,
+            requests: self.requests,
             served: self.served,
             counts: self.counts,
             module: self.module,
@@ -241,7 +242,7 @@
         }
     }
 
-    fn schedule(&mut self, at: Millis, what: What) {
+    fn schedule(&mut self, at: Millis, what: SimEvent) {
         self.order += 1;
         self.queue.push(Reverse(Entry {
             at: micros(at),
@@ -250,7 +251,7 @@
         }));
     }
 
-    fn after(&mut self, span: Millis, what: What) {
+    fn after(&mut self, span: Millis, what: SimEvent) {
         self.schedule(self.now + span, what);
     }
 
@@ -266,7 +267,7 @@
             self.queue.push(Reverse(Entry {
                 at: next,
                 order: self.order,
-                what: What::World(next),
+                what: SimEvent::World(next),
             }));
         }
     }
@@ -282,7 +283,7 @@
 
     /// One way between a proxy and a server.
     fn server_way(&mut self, proxy: ProxyId, server: ServerId) -> Millis {
-        let same = self.world.proxy_zone(proxy) == self.world.loans()[server].zone;
+        let same = self.world.proxy_zone(proxy) == self.world.servers()[server].zone;
         self.jitter(if same {
             self.s.network.same.0
         } else {
@@ -290,56 +291,56 @@
         })
     }
 
-    fn happen(&mut self, what: What) {
+    fn happen(&mut self, what: SimEvent) {
         match what {
-            What::Send(ask, number) => self.send_try(ask, number),
-            What::Arrive(id) => self.arrive(id),
-            What::Answer(id, end) => self.ended_try(id, end),
-            What::GiveUp(id) => {
-                if self.waits[id] {
-                    self.ledger.tries[id].left = Some(self.now);
+            SimEvent::Send(ask, number) => self.send_client_attempt(ask, number),
+            SimEvent::Arrive(id) => self.arrive(id),
+            SimEvent::Answer(id, end) => self.end_client_attempt(id, end),
+            SimEvent::GiveUp(id) => {
+                if self.client_waiting[id] {
+                    self.ledger.client_attempts[id].left = Some(self.now);
                     let way = self.client_way();
-                    self.after(way, What::Leave(id));
-                    self.ended_try(id, TryEnd::GaveUp);
+                    self.after(way, SimEvent::Leave(id));
+                    self.end_client_attempt(id, ClientAttemptOutcome::GaveUp);
                 }
             }
-            What::Leave(id) => {
-                let proxy = self.ledger.tries[id].proxy;
+            SimEvent::Leave(id) => {
+                let proxy = self.ledger.client_attempts[id].proxy;
                 if self.proxies[proxy].as_mut().is_some_and(|p| p.close(id)) {
                     self.feed(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
-            What::Module(proxy, generation, token) => {
+            SimEvent::Module(proxy, generation, token) => {
                 if self.generations[proxy] == generation && self.proxies[proxy].is_some() {
                     self.feed(proxy, Event::Timer(token));
                 }
             }
-            What::LastResort(proxy, generation, id) => {
-                let lost = self.sabotage == Some(Sabotage::LosesRequests);
+            SimEvent::LastResort(proxy, generation, id) => {
+                let lost = self.defect == Some(InjectedDefect::LosesRequests);
                 if self.generations[proxy] == generation
                     && !lost
-                    && self.answer(proxy, id, Code::Failed)
+                    && self.answer(proxy, id, ResponseKind::Failed)
                 {
                     self.feed(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
-            What::Dial(flight) => self.dial(flight),
-            What::Dialled(flight, connect) => self.dialled(flight, connect),
-            What::Reach(flight) => self.reach(flight),
-            What::Reply(flight, outcome, keep) => self.reply(flight, outcome, keep),
-            What::Broken(flight) => self.broken(flight),
-            What::Expire(flight) => self.expire(flight),
-            What::Closed(server, attempt) => {
+            SimEvent::Dial(flight) => self.dial(flight),
+            SimEvent::Dialled(flight, connect) => self.dialled(flight, connect),
+            SimEvent::Reach(flight) => self.reach(flight),
+            SimEvent::Reply(flight, outcome, keep) => self.reply(flight, outcome, keep),
+            SimEvent::Broken(flight) => self.broken(flight),
+            SimEvent::Expire(flight) => self.expire(flight),
+            SimEvent::Closed(server, attempt) => {
                 self.world.cancel(self.now, server, attempt);
                 self.disconnect(server);
             }
-            What::News(proxy, line) => self.news(proxy, line),
+            SimEvent::ListUpdate(proxy, entry) => self.list_update(proxy, entry),
             // One that an earlier wake-up has overtaken: the world is asked again at its own time.
-            What::World(due) if self.world_due != due => {}
-            What::World(_) => {
+            SimEvent::World(due) if self.world_due != due => {}
+            SimEvent::World(_) => {
                 self.world_due = u64::MAX;
                 for happened in self.world.advance(self.now) {
-                    self.by_itself(happened);
+                    self.handle_world_event(happened);
                 }
             }
         }
@@ -348,24 +349,24 @@
     // ---- clients ----
 
     fn pick_proxy(&mut self, zone: usize) -> ProxyId {
-        let (now, gone) = (self.now, &self.known_gone);
-        let alive = |p: usize| gone[p].is_none_or(|from| now < from);
+        let (now, stops_at) = (self.now, &self.front_stops_at);
+        let alive = |p: usize| stops_at[p].is_none_or(|from| now < from);
         load::pick_proxy(
             &mut self.front,
-            gone.len(),
+            stops_at.len(),
             self.s.fleet.zones.len(),
             zone,
             alive,
         )
     }
 
-    fn send_try(&mut self, ask: usize, number: u32) {
-        let (class, zone) = (self.asks[ask].class, self.asks[ask].zone);
+    fn send_client_attempt(&mut self, ask: usize, number: u32) {
+        let (class, zone) = (self.requests[ask].class, self.requests[ask].zone);
         let proxy = self.pick_proxy(zone);
-        let patience = load::patience(&self.s, &self.asks[ask], self.now);
-        let id = self.ledger.tries.len();
-        self.ledger.tries.push(Try {
-            ask,
+        let patience = load::patience(&self.s, &self.requests[ask], self.now);
+        let id = self.ledger.client_attempts.len();
+        self.ledger.client_attempts.push(ClientAttempt {
+            request: ask,
             number,
             class,
             once: self.s.classes[class].effect == Effect::Unsafe,
@@ -378,23 +379,26 @@
             left: None,
             attempts: Vec::<Attempt>::new(),
         });
-        self.waits.push(true);
+        self.client_waiting.push(true);
         self.served[ask].1 = number;
         let way = self.client_way();
-        self.after(way, What::Arrive(id));
-        self.after(patience, What::GiveUp(id));
+        self.after(way, SimEvent::Arrive(id));
+        self.after(patience, SimEvent::GiveUp(id));
     }
 
-    fn ended_try(&mut self, id: TryId, end: TryEnd) {
-        if !std::mem::take(&mut self.waits[id]) {
+    fn end_client_attempt(&mut self, id: ClientAttemptId, end: ClientAttemptOutcome) {
+        if !std::mem::take(&mut self.client_waiting[id]) {
             return;
         }
-        let (ask, number) = (self.ledger.tries[id].ask, self.ledger.tries[id].number);
-        if end == TryEnd::Served {
+        let (ask, number) = (
+            self.ledger.client_attempts[id].request,
+            self.ledger.client_attempts[id].number,
+        );
+        if end == ClientAttemptOutcome::Served {
             self.served[ask].0 = self.served[ask].0.or(Some(self.now));
         }
-        if let Some(wait) = load::next_try(&self.s, &self.asks[ask], number, self.now, end) {
-            self.after(wait, What::Send(ask, number + 1));
+        if let Some(wait) = load::retry_delay(&self.s, &self.requests[ask], number, self.now, end) {
+            self.after(wait, SimEvent::Send(ask, number + 1));
         }
     }
 
@@ -403,37 +407,37 @@
     fn start(&mut self, proxy: ProxyId) {
         self.generations[proxy] += 1;
         let generation = self.generations[proxy];
-        let mut seeds = stream(self.seed, Use::Modules);
+        let mut seeds = stream(self.seed, Purpose::Modules);
         seeds.set_word_pos(u128::from(proxy as u64) * 4096 + u128::from(generation) * 2);
         let (settings, seed) = (settings::of(&self.s, proxy), seeds.random::<u64>());
-        let decider: Box<dyn Decider> = match self.sabotage {
-            Some(sabotage) => Box::new(Saboteur::new(settings, seed, sabotage)),
+        let decider: Box<dyn Decider> = match self.defect {
+            Some(defect) => Box::new(DefectiveBalancer::new(settings, seed, defect)),
             None => Box::new(Balancer::new(settings, seed)),
         };
         self.proxies[proxy] = Some(Proxy::new(decider, generation));
-        self.known_gone[proxy] = None;
+        self.front_stops_at[proxy] = None;
         // It knows the list as it was last told, and is told the rest as soon as its watch is up.
-        let lines = self.memories[proxy].lines();
-        self.tell(proxy, UpdateScope::Cached, &lines);
+        let entries = self.memories[proxy].entries();
+        self.announce(proxy, UpdateScope::Cached, &entries);
         let listed = self.world.listed();
         self.memories[proxy] = Memory::default();
         self.memories[proxy].learn(&listed);
-        self.tell(proxy, UpdateScope::Full, &listed);
+        self.announce(proxy, UpdateScope::Full, &listed);
     }
 
-    fn tell(&mut self, proxy: ProxyId, scope: UpdateScope, lines: &[Line]) {
+    fn announce(&mut self, proxy: ProxyId, scope: UpdateScope, entries: &[ListEntry]) {
         let Some(p) = self.proxies[proxy].as_mut() else {
             return;
         };
-        for line in lines {
+        for entry in entries {
             let (up, born) = (
-                line.state == Listed::Up,
-                self.world.loans()[line.server].server.born(),
+                entry.state == ListState::Up,
+                self.world.servers()[entry.server].server.started_at(),
             );
             if scope != UpdateScope::Cached {
-                self.ledger.told.push(Told {
+                self.ledger.notifications.push(ServerNotification {
                     proxy,
-                    server: line.server,
+                    server: entry.server,
                     at: self.now,
                     up,
                     born,
@@ -441,15 +445,15 @@
             }
         }
         let began = Instant::now();
-        let actions = p.news(self.now, &self.world, scope, lines);
+        let actions = p.list_update(self.now, &self.world, scope, entries);
         self.module += began.elapsed();
         self.counts.events += 1;
         self.perform(proxy, actions);
     }
 
-    fn news(&mut self, proxy: ProxyId, line: Line) {
-        self.memories[proxy].learn(std::slice::from_ref(&line));
-        self.tell(proxy, UpdateScope::Delta, &[line]);
+    fn list_update(&mut self, proxy: ProxyId, entry: ListEntry) {
+        self.memories[proxy].learn(std::slice::from_ref(&entry));
+        self.announce(proxy, UpdateScope::Delta, &[entry]);
     }
 
     fn feed(&mut self, proxy: ProxyId, event: Event) {
@@ -478,14 +482,18 @@
                     request,
                     retry_after,
                 } => {
-                    self.answer(proxy, request.0 as TryId, Code::Refused { retry_after });
+                    self.answer(
+                        proxy,
+                        request.0 as ClientAttemptId,
+                        ResponseKind::Refused { retry_after },
+                    );
                 }
                 Action::Fail(request) => {
-                    self.answer(proxy, request.0 as TryId, Code::Failed);
+                    self.answer(proxy, request.0 as ClientAttemptId, ResponseKind::Failed);
                 }
                 Action::Timer { token, at } => {
                     let generation = self.generations[proxy];
-                    self.schedule(at.max(self.now), What::Module(proxy, generation, token));
+                    self.schedule(at.max(self.now), SimEvent::Module(proxy, generation, token));
                 }
                 // News is pushed, and proxies tell each other nothing here.
                 Action::Broadcast(_) | Action::Subscribe | Action::FetchEndpoints => {}
@@ -493,34 +501,34 @@
         }
     }
 
-    fn arrive(&mut self, id: TryId) {
-        let t = &self.ledger.tries[id];
-        let (proxy, due, sent, ask) = (t.proxy, t.due, t.sent, t.ask);
+    fn arrive(&mut self, id: ClientAttemptId) {
+        let t = &self.ledger.client_attempts[id];
+        let (proxy, due, sent, ask) = (t.proxy, t.due, t.sent, t.request);
         let way = self.client_way();
         let Some(p) = self.proxies[proxy].as_mut().filter(|p| !p.ending) else {
-            return self.after(way, What::Answer(id, TryEnd::Unreachable));
+            return self.after(way, SimEvent::Answer(id, ClientAttemptOutcome::Unreachable));
         };
         let patience = due - sent;
         let deadline = self.now + patience;
         p.live.insert(
             id,
             Live {
-                wanted: true,
+                unanswered: true,
                 deadline,
                 attempts: 0,
                 out: 0,
             },
         );
-        self.ledger.tries[id].taken = Some(self.now);
+        self.ledger.client_attempts[id].taken = Some(self.now);
         let generation = self.generations[proxy];
         self.schedule(
-            deadline - LAST_RESORT,
-            What::LastResort(proxy, generation, id),
+            deadline - LAST_RESORT_MARGIN,
+            SimEvent::LastResort(proxy, generation, id),
         );
-        let a = &self.asks[ask];
+        let a = &self.requests[ask];
         let (class, tenant) = (ClassId(a.class), a.tenant.map(TenantId));
         let (id, key) = (request_of(id), Some(Key(a.key)));
-        let budget = (patience - LAST_RESORT).max(0.0);
+        let budget = (patience - LAST_RESORT_MARGIN).max(0.0);
         self.feed(
             proxy,
             Event::Request {
@@ -536,17 +544,19 @@
     }
 
     /// Gives a request its final answer, unless it has one.
-    fn answer(&mut self, proxy: ProxyId, id: TryId, code: Code) -> bool {
+    fn answer(&mut self, proxy: ProxyId, id: ClientAttemptId, code: ResponseKind) -> bool {
         let first = self.proxies[proxy].as_mut().is_some_and(|p| p.close(id));
         if first {
-            self.ledger.tries[id].answers.push((self.now, code));
+            self.ledger.client_attempts[id]
+                .answers
+                .push((self.now, code));
             let way = self.client_way();
             let end = match code {
-                Code::Served { .. } => TryEnd::Served,
-                Code::Refused { retry_after } => TryEnd::Refused(retry_after),
-                Code::Failed | Code::Broken => TryEnd::Failed,
+                ResponseKind::Served { .. } => ClientAttemptOutcome::Served,
+                ResponseKind::Refused { retry_after } => ClientAttemptOutcome::Refused(retry_after),
+                ResponseKind::Failed | ResponseKind::Broken => ClientAttemptOutcome::Failed,
             };
-            self.after(way, What::Answer(id, end));
+            self.after(way, SimEvent::Answer(id, end));
         }
         first
     }
@@ -560,26 +570,26 @@
         server: ServerId,
         timeout: Option<Millis>,
     ) {
-        let (id, now) = (request.0 as TryId, self.now);
+        let (id, now) = (request.0 as ClientAttemptId, self.now);
         let Some(p) = self.proxies[proxy].as_mut() else {
             return;
         };
         // A broken module may name what it does not hold, or a server that nobody knows.
-        let (Some(live), true) = (p.live.get_mut(&id), server < self.world.loans().len()) else {
+        let (Some(live), true) = (p.live.get_mut(&id), server < self.world.servers().len()) else {
             return;
         };
         let attempt = live.attempts;
         live.attempts += 1;
         live.out += 1;
-        let (wanted, deadline) = (live.wanted, live.deadline);
+        let (unanswered, deadline) = (live.unanswered, live.deadline);
         let flight = self.next_flight;
         self.next_flight += 1;
         let until = timeout.map_or(deadline, |t| deadline.min(now + t));
-        let open = p.is_open(server) || self.sabotage == Some(Sabotage::IgnoresDrains);
-        let (reuse, old) = p.reuse(server, now - IDLE_PART * self.s.fleet.idle.0);
+        let open = p.is_open(server) || self.defect == Some(InjectedDefect::IgnoresDrains);
+        let (reuse, old) = p.reuse(server, now - IDLE_REUSE_FRACTION * self.s.fleet.idle.0);
         let generation = p.generation;
         (0..old).for_each(|_| self.disconnect(server));
-        let record = Flight {
+        let record = InFlightAttempt {
             id,
             attempt,
             note: None,
@@ -591,15 +601,15 @@
             over: false,
         };
         self.flights.insert(flight, record);
-        if !wanted || !open {
-            return self.after(0.0, What::Reply(flight, Outcome::NotSent, false));
+        if !unanswered || !open {
+            return self.after(0.0, SimEvent::Reply(flight, Outcome::NotSent, false));
         }
-        self.schedule(until, What::Expire(flight));
+        self.schedule(until, SimEvent::Expire(flight));
         if reuse {
             self.write(flight);
         } else {
             let way = self.server_way(proxy, server);
-            self.after(way, What::Dial(flight));
+            self.after(way, SimEvent::Dial(flight));
         }
     }
 
@@ -617,8 +627,10 @@
         }
         let way = self.server_way(proxy, server);
         match connect {
-            Connect::Silent => self.schedule(sent + DIAL, What::Dialled(flight, connect)),
-            _ => self.after(way, What::Dialled(flight, connect)),
+            Connect::Silent => {
+                self.schedule(sent + CONNECT_TIMEOUT, SimEvent::Dialled(flight, connect))
+            }
+            _ => self.after(way, SimEvent::Dialled(flight, connect)),
         }
     }
 
@@ -653,7 +665,7 @@
             return;
         };
         let (id, proxy, server) = (f.id, f.proxy, f.server);
-        let open = self.sabotage == Some(Sabotage::IgnoresDrains);
+        let open = self.defect == Some(InjectedDefect::IgnoresDrains);
         let generation = f.generation;
         let Some(p) = self.proxies[proxy]
             .as_ref()
@@ -662,13 +674,13 @@
             self.flights.remove(&flight); // its process has ended while the connection came up
             return self.disconnect(server);
         };
-        if !(open || p.is_open(server)) || !p.live.get(&id).is_some_and(|l| l.wanted) {
+        if !(open || p.is_open(server)) || !p.live.get(&id).is_some_and(|l| l.unanswered) {
             self.reply(flight, Outcome::NotSent, false);
             return self.disconnect(server);
         }
         f.note = Some(self.ledger.send(id, server, self.now));
         let way = self.server_way(proxy, server);
-        self.after(way, What::Reach(flight));
+        self.after(way, SimEvent::Reach(flight));
     }
 
     fn reach(&mut self, flight: u64) {
@@ -676,14 +688,14 @@
             return;
         };
         let (proxy, server, id) = (f.proxy, f.server, f.id);
-        if self.world.parted(
+        if self.world.partitioned(
             self.now,
             self.world.proxy_zone(proxy),
-            self.world.loans()[server].zone,
+            self.world.servers()[server].zone,
         ) {
             return;
         }
-        let ask = &self.asks[self.ledger.tries[id].ask];
+        let ask = &self.requests[self.ledger.client_attempts[id].request];
         let handshake = if f.fresh {
             self.s.fleet.handshake.0
         } else {
@@ -695,23 +707,23 @@
             key: ask.key,
         };
         let up = matches!(
-            self.world.loans()[server].server.life(),
-            crate::world::server::Life::Up | crate::world::server::Life::Draining
+            self.world.servers()[server].server.state(),
+            crate::world::server::ServerState::Up | crate::world::server::ServerState::Draining
         );
         let way = self.server_way(proxy, server);
-        let (offer, verdict) = self.world.offer(self.now, server, job);
-        match (offer, verdict) {
+        let (admission, verdict) = self.world.submit(self.now, server, job);
+        match (admission, verdict) {
             (_, Some(_)) => {
                 self.ran(flight);
-                self.after(way, What::Reply(flight, Outcome::Error, true));
+                self.after(way, SimEvent::Reply(flight, Outcome::Error, true));
             }
-            (Offer::Taken, None) => {}
-            (Offer::TurnedAway, None) if up => {
-                self.after(way, What::Reply(flight, Outcome::Overloaded, true))
+            (Admission::Accepted, None) => {}
+            (Admission::Rejected, None) if up => {
+                self.after(way, SimEvent::Reply(flight, Outcome::Overloaded, true))
             }
             // Its process is gone: the connection breaks under the request.
-            (Offer::TurnedAway | Offer::PushedOver, None) => {
-                self.after(way, What::Reply(flight, Outcome::Reset, false));
+            (Admission::Rejected | Admission::Crashed, None) => {
+                self.after(way, SimEvent::Reply(flight, Outcome::Reset, false));
             }
         }
     }
@@ -738,10 +750,10 @@
         } else if f.note.is_some() {
             self.disconnect(f.server);
         }
-        self.tell_end(&f, outcome);
+        self.report_attempt_end(&f, outcome);
     }
 
-    fn tell_end(&mut self, f: &Flight, outcome: Outcome) {
+    fn report_attempt_end(&mut self, f: &InFlightAttempt, outcome: Outcome) {
         if let Some(note) = f.note {
             let end = match outcome {
                 Outcome::Served => AttemptEnd::Answered,
@@ -757,12 +769,12 @@
             return;
         };
         live.out -= 1;
-        let was_open = live.wanted;
+        let was_open = live.unanswered;
         if outcome == Outcome::Served && was_open {
             let genuine = f
                 .note
-                .is_some_and(|n| self.ledger.tries[f.id].attempts[n].ran.is_some());
-            self.answer(f.proxy, f.id, Code::Served { genuine });
+                .is_some_and(|n| self.ledger.client_attempts[f.id].attempts[n].ran.is_some());
+            self.answer(f.proxy, f.id, ResponseKind::Served { genuine });
         } else if let Some(p) = self.proxies[f.proxy].as_mut() {
             p.forget(f.id);
         }
@@ -790,12 +802,12 @@
         }
         f.over = true;
         let (proxy, server, written) = (f.proxy, f.server, f.note.is_some());
-        let end = Flight { over: true, ..*f };
+        let end = InFlightAttempt { over: true, ..*f };
         let way = self.server_way(proxy, server);
         if written {
-            self.after(way, What::Closed(server, flight));
+            self.after(way, SimEvent::Closed(server, flight));
         }
-        self.tell_end(
+        self.report_attempt_end(
             &end,
             if written {
                 Outcome::TimedOut
@@ -814,53 +826,53 @@
             return;
         }
         f.over = true;
-        let (server, end) = (f.server, Flight { over: true, ..*f });
+        let (server, end) = (f.server, InFlightAttempt { over: true, ..*f });
         self.disconnect(server);
-        self.tell_end(&end, Outcome::Reset);
+        self.report_attempt_end(&end, Outcome::Reset);
     }
 
     // ---- the world ----
 
-    fn by_itself(&mut self, happened: Happened) {
+    fn handle_world_event(&mut self, happened: WorldEvent) {
         match happened {
-            Happened::Done { attempt, verdict } => self.done(attempt, verdict),
-            Happened::Lost { attempt } => {
+            WorldEvent::Completed { attempt, verdict } => self.done(attempt, verdict),
+            WorldEvent::Lost { attempt } => {
                 let Some(f) = self.flights.get(&attempt) else {
                     return;
                 };
                 let way = self.server_way(f.proxy, f.server);
-                self.after(way, What::Reply(attempt, Outcome::Reset, false));
+                self.after(way, SimEvent::Reply(attempt, Outcome::Reset, false));
             }
-            Happened::Broken { attempt, .. } => {
+            WorldEvent::ConnectionBroken { attempt, .. } => {
                 let Some(f) = self.flights.get(&attempt) else {
                     return;
                 };
                 let way = self.server_way(f.proxy, f.server);
-                self.after(way, What::Broken(attempt));
+                self.after(way, SimEvent::Broken(attempt));
             }
-            Happened::Listed(line) => {
+            WorldEvent::ListChanged(entry) => {
                 for proxy in 0..self.proxies.len() {
-                    let at = self.world.news_at(self.now, proxy);
-                    self.schedule(at, What::News(proxy, line.clone()));
+                    let at = self.world.delivery_time(self.now, proxy);
+                    self.schedule(at, SimEvent::ListUpdate(proxy, entry.clone()));
                 }
             }
-            Happened::Fell { server, warmth } => {
-                self.ledger.falls.push(Fall {
+            WorldEvent::ColdOverload { server, warmth } => {
+                self.ledger.cold_overloads.push(ColdOverload {
                     server,
                     at: self.now,
                     warmth,
                 });
             }
-            // Each connect asks the world.
-            Happened::Refusing { .. } | Happened::Parted => {}
-            Happened::Kill(proxy) => self.end_process(proxy, Some(self.s.proxies.notice.0)),
-            Happened::Terminate(proxy) => {
-                self.known_gone[proxy] = Some(self.now);
+            // Each connect requests the world.
+            WorldEvent::RefusingConnections { .. } | WorldEvent::PartitionChanged => {}
+            WorldEvent::KillProxy(proxy) => self.end_process(proxy, Some(self.s.proxies.notice.0)),
+            WorldEvent::TerminateProxy(proxy) => {
+                self.front_stops_at[proxy] = Some(self.now);
                 if let Some(p) = self.proxies[proxy].as_mut() {
                     p.ending = true;
                 }
             }
-            Happened::Start(proxy) => {
+            WorldEvent::StartProxy(proxy) => {
                 if self.proxies[proxy].is_some() {
                     self.end_process(proxy, None);
                 }
@@ -869,30 +881,30 @@
         }
     }
 
-    fn done(&mut self, flight: u64, verdict: Verdict) {
+    fn done(&mut self, flight: u64, verdict: ServerOutcome) {
         self.ran(flight);
         let Some(f) = self.flights.get(&flight) else {
             return;
         };
         let (proxy, server) = (f.proxy, f.server);
-        if self.world.parted(
+        if self.world.partitioned(
             self.now,
             self.world.proxy_zone(proxy),
-            self.world.loans()[server].zone,
+            self.world.servers()[server].zone,
         ) {
             return; // the answer is lost on the way
         }
         let way = self.server_way(proxy, server);
         let (outcome, keep) = match verdict {
-            Verdict::Silent => return,
-            Verdict::Served => (Outcome::Served, true),
-            Verdict::Error => (Outcome::Error, true),
-            Verdict::Reset(Break::During | Break::Before | Break::Inside) => {
+            ServerOutcome::Silent => return,
+            ServerOutcome::Served => (Outcome::Served, true),
+            ServerOutcome::Error => (Outcome::Error, true),
+            ServerOutcome::Reset(Break::During | Break::Before | Break::Inside) => {
                 (Outcome::Reset, false)
             }
-            Verdict::Reset(Break::After) => (Outcome::Served, false),
+            ServerOutcome::Reset(Break::After) => (Outcome::Served, false),
         };
-        self.after(way, What::Reply(flight, outcome, keep));
+        self.after(way, SimEvent::Reply(flight, outcome, keep));
     }
 
     /// A proxy's process ends with all that it holds; the front notices after a while.
@@ -900,23 +912,23 @@
         let Some(p) = self.proxies[proxy].take() else {
             return;
         };
-        self.ledger.ends.push(End {
+        self.ledger.process_exits.push(ProcessExit {
             proxy,
             at: self.now,
-            wanted: true,
+            expected: true,
         });
-        self.known_gone[proxy] = notice.map(|n| self.now + n);
+        self.front_stops_at[proxy] = notice.map(|n| self.now + n);
         // In order, so that one seed gives one run.
-        let mut held: Vec<TryId> = p
+        let mut held: Vec<ClientAttemptId> = p
             .live
             .iter()
-            .filter(|(_, l)| l.wanted)
+            .filter(|(_, l)| l.unanswered)
             .map(|(id, _)| *id)
             .collect();
         held.sort_unstable();
         for id in held {
             let way = self.client_way();
-            self.after(way, What::Answer(id, TryEnd::Failed));
+            self.after(way, SimEvent::Answer(id, ClientAttemptOutcome::Failed));
         }
         let mut out: Vec<(u64, ServerId)> = self
             .flights
@@ -929,7 +941,7 @@
         out.sort_unstable();
         for (flight, server) in out {
             let way = self.server_way(proxy, server);
-            self.after(way, What::Closed(server, flight));
+            self.after(way, SimEvent::Closed(server, flight));
         }
         let mut idle: Vec<(ServerId, usize)> = p.idle.iter().map(|(s, i)| (*s, i.len())).collect();
         idle.sort_unstable();
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -9,13 +9,13 @@
 use rustc_hash::FxHashMap;
 
 use super::decider::Decider;
-use crate::ledger::{ServerId, TryId};
-use crate::world::{Line, Listed, World};
+use crate::ledger::{ClientAttemptId, ServerId};
+use crate::world::{ListEntry, ListState, World};
 
 /// A request that lacks its answer or has attempts out.
 pub struct Live {
     /// Whether it still lacks its final answer.
-    pub wanted: bool,
+    pub unanswered: bool,
     /// When its client gives up.
     pub deadline: Millis,
     /// Attempts so far, as the module numbers them.
@@ -33,7 +33,7 @@
     /// Takes no new connections: it has been told to end.
     pub ending: bool,
     /// What it holds.
-    pub live: FxHashMap<TryId, Live>,
+    pub live: FxHashMap<ClientAttemptId, Live>,
     /// Servers to which something new may go, as told.
     open: FxHashMap<ServerId, bool>,
     /// Idle connections, by server: since when each is idle, the one used last at the end.
@@ -45,25 +45,25 @@
 #[derive(Default)]
 pub struct Memory {
     /// By server; in order, so that every run tells it alike.
-    pub list: BTreeMap<ServerId, Listed>,
+    pub list: BTreeMap<ServerId, ListState>,
 }
 
 impl Memory {
     /// Takes in what the proxy is told.
-    pub fn learn(&mut self, lines: &[Line]) {
-        for line in lines {
-            match line.state {
-                Listed::Removed => self.list.remove(&line.server),
-                state => self.list.insert(line.server, state),
+    pub fn learn(&mut self, entries: &[ListEntry]) {
+        for entry in entries {
+            match entry.state {
+                ListState::Removed => self.list.remove(&entry.server),
+                state => self.list.insert(entry.server, state),
             };
         }
     }
 
     /// All of it.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn entries(&self) -> Vec<ListEntry> {
         self.list
             .iter()
-            .map(|(server, state)| Line {
+            .map(|(server, state)| ListEntry {
                 server: *server,
                 state: *state,
             })
@@ -71,23 +71,23 @@
     }
 }
 
-/// A line as the module is told it.
-fn backend(world: &World, line: &Line) -> Endpoint {
-    let loan = &world.loans()[line.server];
-    let machine = loan.server.machine();
+/// A entry as the module is told it.
+fn endpoint(world: &World, entry: &ListEntry) -> Endpoint {
+    let fleet_server = &world.servers()[entry.server];
+    let machine = fleet_server.server.machine();
     Endpoint {
-        id: EndpointId(line.server as u64 + 1),
-        zone: Some(ZoneId(loan.zone as u32)),
-        machine_type: Some(MachineTypeId(loan.kind as u32)),
-        cell: Some(CellId(line.server as u64 / 4)),
-        state: match line.state {
-            Listed::Up => EndpointState::Up,
-            Listed::Draining => EndpointState::Draining,
-            Listed::Removed => EndpointState::Removed,
+        id: EndpointId(entry.server as u64 + 1),
+        zone: Some(ZoneId(fleet_server.zone as u32)),
+        machine_type: Some(MachineTypeId(fleet_server.kind as u32)),
+        cell: Some(CellId(entry.server as u64 / 4)),
+        state: match entry.state {
+            ListState::Up => EndpointState::Up,
+            ListState::Draining => EndpointState::Draining,
+            ListState::Removed => EndpointState::Removed,
         },
         // The size as registered: the kind's, not the single machine's.
-        weight: machine.cores * world.scenario().fleet.kinds[loan.kind].speed,
-        started_at: loan.server.born(),
+        weight: machine.cores * world.scenario().fleet.kinds[fleet_server.kind].speed,
+        started_at: fleet_server.server.started_at(),
     }
 }
 
@@ -119,20 +119,20 @@
     }
 
     /// News of the list.
-    pub fn news(
+    pub fn list_update(
         &mut self,
         now: Millis,
         world: &World,
         scope: UpdateScope,
-        lines: &[Line],
+        entries: &[ListEntry],
     ) -> Vec<Action> {
-        for line in lines {
-            self.open.insert(line.server, line.state == Listed::Up);
-            if line.state != Listed::Up {
-                self.idle.remove(&line.server);
+        for entry in entries {
+            self.open.insert(entry.server, entry.state == ListState::Up);
+            if entry.state != ListState::Up {
+                self.idle.remove(&entry.server);
             }
         }
-        let entries = lines.iter().map(|line| backend(world, line)).collect();
+        let entries = entries.iter().map(|entry| endpoint(world, entry)).collect();
         self.handle(
             now,
             Event::EndpointUpdate {
@@ -167,24 +167,28 @@
     }
 
     /// Takes the right to answer a request; `false` if it has had its answer.
-    pub fn close(&mut self, id: TryId) -> bool {
+    pub fn close(&mut self, id: ClientAttemptId) -> bool {
         let Some(live) = self.live.get_mut(&id) else {
             return false;
         };
-        let was = std::mem::take(&mut live.wanted);
+        let was = std::mem::take(&mut live.unanswered);
         self.forget(id);
         was
     }
 
     /// Forgets a request that has had its answer and has no attempts out.
-    pub fn forget(&mut self, id: TryId) {
-        if self.live.get(&id).is_some_and(|l| !l.wanted && l.out == 0) {
+    pub fn forget(&mut self, id: ClientAttemptId) {
+        if self
+            .live
+            .get(&id)
+            .is_some_and(|l| !l.unanswered && l.out == 0)
+        {
             self.live.remove(&id);
         }
     }
 }
 
 /// A try as the module knows it.
-pub fn request_of(id: TryId) -> RequestId {
+pub fn request_of(id: ClientAttemptId) -> RequestId {
     RequestId(id as u64)
 }
