--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -16,11 +16,11 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Normal};
 
-use crate::chance::{Use, pick, stream};
 use crate::ledger::{ProxyId, ServerId};
+use crate::random::{Purpose, sample_indices, stream};
 use crate::scenario::{Break, FaultKind, Scenario};
 use plan::Step;
-use server::{Job, Life, Machine, Offer, Server};
+use server::{Admission, Job, Machine, Server, ServerState};
 
 /// A time as whole µs, rounded up: what is due at a time has come about by then. A time that was made of whole µs
 /// gives them back.
@@ -30,7 +30,7 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListState {
     /// It takes work.
     Up,
     /// It finishes what it holds.
@@ -39,18 +39,18 @@
     Removed,
 }
 
-/// A line of the list.
+/// A entry of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ListEntry {
     /// Which server.
     pub server: ServerId,
     /// Its state.
-    pub state: Listed,
+    pub state: ListState,
 }
 
 /// What a server does with a request that it has taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ServerOutcome {
     /// It answers.
     Served,
     /// It answers with an error.
@@ -74,13 +74,13 @@
 
 /// What has happened by itself.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happened {
+pub enum WorldEvent {
     /// A server has done an attempt, and this is what comes of it.
-    Done {
+    Completed {
         /// The attempt.
         attempt: u64,
         /// What its server does.
-        verdict: Verdict,
+        verdict: ServerOutcome,
     },
     /// A server's process has ended or fallen over with this attempt in it.
     Lost {
@@ -88,40 +88,40 @@
         attempt: u64,
     },
     /// An attempt's connection breaks while its server holds it.
-    Broken {
+    ConnectionBroken {
         /// The attempt.
         attempt: u64,
-        /// Whether the server drops it; else it works on, and [`Happened::Done`] follows.
+        /// Whether the server drops it; else it works on, and [`WorldEvent::Completed`] follows.
         spared: bool,
     },
     /// The list has changed.
-    Listed(Line),
+    ListChanged(ListEntry),
     /// A cold server was pushed over.
-    Fell {
+    ColdOverload {
         /// Which.
         server: ServerId,
         /// The part of its capacity that it had.
         warmth: f64,
     },
     /// A server refuses new connections from here on, or takes them again.
-    Refusing {
+    RefusingConnections {
         /// Which.
         server: ServerId,
         /// Whether it refuses.
         on: bool,
     },
-    /// Zones are parted, or no longer: [`World::parted`] says which.
-    Parted,
+    /// Zones are partitioned, or no longer: [`World::partitioned`] says which.
+    PartitionChanged,
     /// A proxy is killed outright.
-    Kill(ProxyId),
+    KillProxy(ProxyId),
     /// A proxy is told to end.
-    Terminate(ProxyId),
+    TerminateProxy(ProxyId),
     /// A proxy is started anew.
-    Start(ProxyId),
+    StartProxy(ProxyId),
 }
 
 /// A server with its place in the world.
-pub struct Loan {
+pub struct FleetServer {
     /// Its model.
     pub server: Server,
     /// Its zone, a place in the fleet's.
@@ -129,7 +129,7 @@
     /// Its kind, a place in the fleet's.
     pub kind: usize,
     /// What the list says of it.
-    pub listed: Listed,
+    pub listed: ListState,
     /// Counts its changes, so that what was due before them is no longer.
     epoch: u64,
 }
@@ -137,36 +137,36 @@
 /// All servers, the list and the faults.
 pub struct World {
     scenario: Arc<Scenario>,
-    loans: Vec<Loan>,
+    servers: Vec<FleetServer>,
     due: BinaryHeap<Reverse<(u64, ServerId, u64)>>,
     plan: BinaryHeap<Reverse<(u64, usize, Step)>>,
     steps: usize,
     /// The servers or proxies that each fault strikes, while it lasts.
-    struck: Vec<Vec<usize>>,
+    targets: Vec<Vec<usize>>,
     /// Servers that a deploy has not replaced yet, those of its own making left out.
-    old: usize,
+    initial_servers: usize,
     fleet: ChaCha8Rng,
     faults: ChaCha8Rng,
-    news: ChaCha8Rng,
+    list_delays: ChaCha8Rng,
     /// When each proxy's latest news comes: order is kept.
-    latest: Vec<Millis>,
-    pending: Vec<Happened>,
+    latest_delivery: Vec<Millis>,
+    pending: Vec<WorldEvent>,
 }
 
 impl World {
     /// The world at its start: every server is warm and listed.
     pub fn new(scenario: Arc<Scenario>, seed: u64) -> Self {
         let mut world = World {
-            loans: Vec::new(),
+            servers: Vec::new(),
             due: BinaryHeap::new(),
             plan: BinaryHeap::new(),
             steps: 0,
-            struck: vec![Vec::new(); scenario.faults.len()],
-            old: scenario.fleet.servers,
-            fleet: stream(seed, Use::Fleet),
-            faults: stream(seed, Use::Faults),
-            news: stream(seed, Use::List),
-            latest: vec![0.0; scenario.proxies.count],
+            targets: vec![Vec::new(); scenario.faults.len()],
+            initial_servers: scenario.fleet.servers,
+            fleet: stream(seed, Purpose::Fleet),
+            faults: stream(seed, Purpose::Faults),
+            list_delays: stream(seed, Purpose::List),
+            latest_delivery: vec![0.0; scenario.proxies.count],
             pending: Vec::new(),
             scenario,
         };
@@ -213,7 +213,7 @@
                 f.keys_per_core * k.cores as usize,
                 f.key_span.0,
             ),
-            fall: (
+            overload: (
                 self.scenario.rules.fall_multiple,
                 self.scenario.rules.fall.0,
             ),
@@ -222,14 +222,14 @@
 
     fn add(&mut self, zone: usize, kind: usize, born: Option<Millis>, now: Millis) -> ServerId {
         let server = Server::new(self.machine(kind), born, now);
-        self.loans.push(Loan {
+        self.servers.push(FleetServer {
             server,
             zone,
             kind,
-            listed: Listed::Up,
+            listed: ListState::Up,
             epoch: 0,
         });
-        self.loans.len() - 1
+        self.servers.len() - 1
     }
 
     fn schedule(&mut self, at: Millis, step: Step) {
@@ -238,8 +238,8 @@
     }
 
     /// All servers that there have been.
-    pub fn loans(&self) -> &[Loan] {
-        &self.loans
+    pub fn servers(&self) -> &[FleetServer] {
+        &self.servers
     }
 
     /// What is played.
@@ -258,7 +258,7 @@
     }
 
     /// Whether nothing passes between two zones now.
-    pub fn parted(&self, now: Millis, a: usize, b: usize) -> bool {
+    pub fn partitioned(&self, now: Millis, a: usize, b: usize) -> bool {
         let zones = &self.scenario.fleet.zones;
         let is = |name: &Option<String>, zone: usize| name.as_deref() == Some(zones[zone].as_str());
         self.active(now, FaultKind::Partition)
@@ -279,10 +279,10 @@
     }
 
     /// When the word of a change of now reaches a proxy; later words never come before earlier ones.
-    pub fn news_at(&mut self, now: Millis, proxy: ProxyId) -> Millis {
+    pub fn delivery_time(&mut self, now: Millis, proxy: ProxyId) -> Millis {
         let list = &self.scenario.list;
-        let mut at = now + list.delay.0 + list.spread.0 * self.news.random::<f64>();
-        at = at.max(self.latest[proxy]);
+        let mut at = now + list.delay.0 + list.spread.0 * self.list_delays.random::<f64>();
+        at = at.max(self.latest_delivery[proxy]);
         for kind in [FaultKind::ListSilent, FaultKind::ListStale] {
             for f in self.scenario.faults.iter().filter(|f| f.kind == kind) {
                 if f.holds(at) {
@@ -290,7 +290,7 @@
                 }
             }
         }
-        self.latest[proxy] = at;
+        self.latest_delivery[proxy] = at;
         at
     }
 
@@ -309,16 +309,16 @@
     }
 
     /// Notes that a server has changed: what it does next is due anew.
-    fn touch(&mut self, id: ServerId) {
-        let loan = &mut self.loans[id];
-        loan.epoch += 1;
-        if let Some(at) = loan.server.next() {
-            self.due.push(Reverse((micros(at), id, loan.epoch)));
+    fn reschedule(&mut self, id: ServerId) {
+        let fleet_server = &mut self.servers[id];
+        fleet_server.epoch += 1;
+        if let Some(at) = fleet_server.server.next() {
+            self.due.push(Reverse((micros(at), id, fleet_server.epoch)));
         }
     }
 
     /// Takes what has happened up to now, in the order of time.
-    pub fn advance(&mut self, now: Millis) -> Vec<Happened> {
+    pub fn advance(&mut self, now: Millis) -> Vec<WorldEvent> {
         let until = micros(now);
         loop {
             let due = self
@@ -335,14 +335,14 @@
                 (None, None) => return std::mem::take(&mut self.pending),
                 (due, Some(at)) if due.is_none_or(|due| at <= due) => {
                     if let Some(Reverse((at, _, step))) = self.plan.pop() {
-                        self.step(at as f64 / 1000.0, step);
+                        self.apply_step(at as f64 / 1000.0, step);
                     }
                 }
                 _ => {
                     let Some(Reverse((at, id, epoch))) = self.due.pop() else {
                         continue;
                     };
-                    if self.loans[id].epoch == epoch {
+                    if self.servers[id].epoch == epoch {
                         self.finish(at as f64 / 1000.0, id);
                     }
                 }
@@ -351,18 +351,18 @@
     }
 
     fn finish(&mut self, at: Millis, id: ServerId) {
-        for job in self.loans[id].server.finished(at) {
+        for job in self.servers[id].server.finished(at) {
             let verdict = self.verdict(at);
-            self.pending.push(Happened::Done {
+            self.pending.push(WorldEvent::Completed {
                 attempt: job.attempt,
                 verdict,
             });
         }
-        self.touch(id);
+        self.reschedule(id);
     }
 
     /// What becomes of an answer.
-    fn verdict(&mut self, at: Millis) -> Verdict {
+    fn verdict(&mut self, at: Millis) -> ServerOutcome {
         let share = |f: &crate::scenario::Fault| f.share.map_or(0.0, |s| s.0);
         let lost = self
             .active(at, FaultKind::LostAnswers)
@@ -375,26 +375,29 @@
             .collect();
         // No draw without a fault: the days of two scenarios stay alike up to it.
         if lost > 0.0 && self.faults.random::<f64>() < lost {
-            return Verdict::Silent;
+            return ServerOutcome::Silent;
         }
         for (share, place) in resets {
             if self.faults.random::<f64>() < share {
-                return Verdict::Reset(place);
+                return ServerOutcome::Reset(place);
             }
         }
-        Verdict::Served
+        ServerOutcome::Served
     }
 
     /// A proxy opens a connection.
     pub fn connect(&mut self, now: Millis, proxy: ProxyId, server: ServerId) -> Connect {
-        if self.parted(now, self.proxy_zone(proxy), self.loans[server].zone) {
+        if self.partitioned(now, self.proxy_zone(proxy), self.servers[server].zone) {
             return Connect::Silent;
         }
         let refuses = self
             .active(now, FaultKind::RefuseConnects)
-            .any(|(i, _)| self.struck[i].contains(&server));
-        let loan = &mut self.loans[server].server;
-        if refuses || matches!(loan.life(), Life::Down | Life::Fallen) || !loan.connect() {
+            .any(|(i, _)| self.targets[i].contains(&server));
+        let model = &mut self.servers[server].server;
+        if refuses
+            || matches!(model.state(), ServerState::Down | ServerState::Crashed)
+            || !model.connect()
+        {
             return Connect::Refused;
         }
         Connect::Up
@@ -402,31 +405,37 @@
 
     /// A connection to a server has ended.
     pub fn disconnect(&mut self, server: ServerId) {
-        self.loans[server].server.disconnect();
+        self.servers[server].server.disconnect();
     }
 
     /// A request has reached a server whole. An error, where there is one, comes at once.
-    pub fn offer(&mut self, now: Millis, server: ServerId, job: Job) -> (Offer, Option<Verdict>) {
+    pub fn submit(
+        &mut self,
+        now: Millis,
+        server: ServerId,
+        job: Job,
+    ) -> (Admission, Option<ServerOutcome>) {
         let errors: f64 = self
             .active(now, FaultKind::Errors)
-            .filter(|(i, _)| self.struck[*i].contains(&server))
+            .filter(|(i, _)| self.targets[*i].contains(&server))
             .map(|(_, f)| f.factor.unwrap_or(0.0))
             .sum();
         if errors > 0.0 && self.faults.random::<f64>() < errors {
-            return (Offer::Taken, Some(Verdict::Error));
+            return (Admission::Accepted, Some(ServerOutcome::Error));
         }
-        let warmth = self.loans[server].server.warmth(now);
+        let warmth = self.servers[server].server.warmth(now);
         let (attempt, work) = (job.attempt, job.work);
-        let offer = self.loans[server].server.offer(now, job);
-        if offer == Offer::Taken {
+        let admission = self.servers[server].server.submit(now, job);
+        if admission == Admission::Accepted {
             self.plan_break(now, server, attempt, work);
         }
-        if offer == Offer::PushedOver {
-            self.pending.push(Happened::Fell { server, warmth });
-            self.lose(server);
+        if admission == Admission::Crashed {
+            self.pending
+                .push(WorldEvent::ColdOverload { server, warmth });
+            self.lose_attempts(server);
         }
-        self.touch(server);
-        (offer, None)
+        self.reschedule(server);
+        (admission, None)
     }
 
     /// Draws whether an attempt's connection is to break in the middle of its work, and plans it for a time within
@@ -438,39 +447,40 @@
             .filter(|(_, f)| during(f));
         let share: f64 = resets.map(|(_, f)| f.share.map_or(0.0, |s| s.0)).sum();
         if share > 0.0 && self.faults.random::<f64>() < share {
-            let alone = work / self.loans[server].server.machine().speed;
+            let alone = work / self.servers[server].server.machine().speed;
             let at = now + alone * self.faults.random::<f64>();
             self.schedule(at, Step::Break(server, attempt));
         }
     }
 
-    fn lose(&mut self, server: ServerId) {
-        let held = self.loans[server].server.lose_all();
+    fn lose_attempts(&mut self, server: ServerId) {
+        let held = self.servers[server].server.lose_all();
         self.pending
-            .extend(held.into_iter().map(|attempt| Happened::Lost { attempt }));
+            .extend(held.into_iter().map(|attempt| WorldEvent::Lost { attempt }));
     }
 
     /// A proxy has given an attempt up: its connection is closed. Tells whether the server was spared it.
     pub fn cancel(&mut self, now: Millis, server: ServerId, attempt: u64) -> bool {
         let cancels = self.scenario.fleet.cancels;
-        let spared = self.loans[server].server.cancel(now, attempt, cancels);
-        self.touch(server);
+        let spared = self.servers[server].server.cancel(now, attempt, cancels);
+        self.reschedule(server);
         spared
     }
 
-    fn list(&mut self, server: ServerId, state: Listed) {
-        self.loans[server].listed = state;
-        self.pending.push(Happened::Listed(Line { server, state }));
+    fn list(&mut self, server: ServerId, state: ListState) {
+        self.servers[server].listed = state;
+        self.pending
+            .push(WorldEvent::ListChanged(ListEntry { server, state }));
     }
 
     /// Servers that run and take work.
     fn up(&self) -> Vec<ServerId> {
-        (0..self.loans.len())
-            .filter(|&s| self.loans[s].server.life() == Life::Up)
+        (0..self.servers.len())
+            .filter(|&s| self.servers[s].server.state() == ServerState::Up)
             .collect()
     }
 
-    fn step(&mut self, at: Millis, step: Step) {
+    fn apply_step(&mut self, at: Millis, step: Step) {
         let scenario = self.scenario.clone();
         match step {
             Step::Begin(fault) => {
@@ -478,100 +488,106 @@
                 let up = self.up();
                 let share = f.share.map_or(1.0, |s| s.0);
                 let many = ((share * up.len() as f64).round() as usize).max(1);
-                let places = pick(&mut self.faults, up.len(), many);
-                self.struck[fault] = places.into_iter().map(|i| up[i]).collect();
-                self.strike(at, fault, true);
+                let places = sample_indices(&mut self.faults, up.len(), many);
+                self.targets[fault] = places.into_iter().map(|i| up[i]).collect();
+                self.apply_fault(at, fault, true);
             }
             Step::End(fault) => {
-                self.strike(at, fault, false);
-                self.struck[fault].clear();
+                self.apply_fault(at, fault, false);
+                self.targets[fault].clear();
             }
             Step::Replace(fault, many) => self.replace(at, fault, many),
             Step::Leave(fault) => {
                 let up = self.up();
                 if up.len() > 1 {
-                    let server = up[pick(&mut self.faults, up.len(), 1)[0]];
+                    let server = up[sample_indices(&mut self.faults, up.len(), 1)[0]];
                     self.leave(at, fault, server);
                 }
             }
             Step::Stop(server) => {
-                let held = self.loans[server].server.stop(at);
+                let held = self.servers[server].server.stop(at);
                 self.pending
-                    .extend(held.into_iter().map(|attempt| Happened::Lost { attempt }));
-                self.list(server, Listed::Removed);
-                self.touch(server);
+                    .extend(held.into_iter().map(|attempt| WorldEvent::Lost { attempt }));
+                self.list(server, ListState::Removed);
+                self.reschedule(server);
             }
             Step::Proxies(fault) => {
                 let f = &scenario.faults[fault];
                 let share = f.share.map_or(0.0, |s| s.0);
                 let many = ((share * scenario.proxies.count as f64).round() as usize).max(1);
-                for proxy in pick(&mut self.faults, scenario.proxies.count, many) {
+                for proxy in sample_indices(&mut self.faults, scenario.proxies.count, many) {
                     self.pending.push(match f.kind {
-                        FaultKind::ProxyKill => Happened::Kill(proxy),
-                        _ => Happened::Terminate(proxy),
+                        FaultKind::ProxyKill => WorldEvent::KillProxy(proxy),
+                        _ => WorldEvent::TerminateProxy(proxy),
                     });
                     self.schedule(at + f.span.0, Step::Start(proxy));
                 }
             }
-            Step::Start(proxy) => self.pending.push(Happened::Start(proxy)),
+            Step::Start(proxy) => self.pending.push(WorldEvent::StartProxy(proxy)),
             // What has been done meanwhile can break no more.
-            Step::Break(server, attempt) if self.loans[server].server.holds(attempt) => {
+            Step::Break(server, attempt) if self.servers[server].server.holds(attempt) => {
                 let spared = self.cancel(at, server, attempt);
-                self.pending.push(Happened::Broken { attempt, spared });
+                self.pending
+                    .push(WorldEvent::ConnectionBroken { attempt, spared });
             }
             Step::Break(..) => {}
-            Step::Part => self.pending.push(Happened::Parted),
+            Step::Part => self.pending.push(WorldEvent::PartitionChanged),
         }
     }
 
     /// A fault that changes servers begins or ends.
-    fn strike(&mut self, at: Millis, fault: usize, begins: bool) {
+    fn apply_fault(&mut self, at: Millis, fault: usize, begins: bool) {
         let f = &self.scenario.faults[fault];
         let (kind, factor) = (f.kind, f.factor.unwrap_or(1.0));
-        for server in self.struck[fault].clone() {
+        for server in self.targets[fault].clone() {
             match kind {
-                FaultKind::Slow => self.loans[server]
+                FaultKind::Slow => self.servers[server]
                     .server
                     .set_slow(at, if begins { factor } else { 1.0 }),
-                FaultKind::Hang => self.loans[server].server.set_hung(at, begins),
+                FaultKind::Hang => self.servers[server].server.set_hung(at, begins),
                 FaultKind::RefuseConnects => {
-                    self.pending.push(Happened::Refusing { server, on: begins });
+                    self.pending
+                        .push(WorldEvent::RefusingConnections { server, on: begins });
                     continue;
                 }
                 _ => continue,
             }
-            self.touch(server);
+            self.reschedule(server);
         }
     }
 
     /// Replaces servers of the start by cold ones: a new machine has a new name.
     fn replace(&mut self, at: Millis, fault: usize, many: usize) {
-        let old: Vec<ServerId> = self.up().into_iter().filter(|&s| s < self.old).collect();
-        for place in pick(&mut self.faults, old.len(), many) {
+        let old: Vec<ServerId> = self
+            .up()
+            .into_iter()
+            .filter(|&s| s < self.initial_servers)
+            .collect();
+        for place in sample_indices(&mut self.faults, old.len(), many) {
             let server = old[place];
-            let (zone, kind) = (self.loans[server].zone, self.loans[server].kind);
+            let (zone, kind) = (self.servers[server].zone, self.servers[server].kind);
             let successor = self.add(zone, kind, Some(at), at);
-            self.list(successor, Listed::Up);
+            self.list(successor, ListState::Up);
             self.leave(at, fault, server);
         }
     }
 
     fn leave(&mut self, at: Millis, fault: usize, server: ServerId) {
-        self.loans[server].server.drain();
-        self.list(server, Listed::Draining);
+        self.servers[server].server.drain();
+        self.list(server, ListState::Draining);
         let drain = self.scenario.faults[fault].drain.map_or(0.0, |d| d.0);
         self.schedule(at + drain, Step::Stop(server));
     }
 
     /// The list as it now stands.
-    pub fn listed(&self) -> Vec<Line> {
-        let lines = self
-            .loans
+    pub fn listed(&self) -> Vec<ListEntry> {
+        let entries = self
+            .servers
             .iter()
             .enumerate()
-            .filter(|(_, l)| l.listed != Listed::Removed);
-        lines
-            .map(|(server, l)| Line {
+            .filter(|(_, l)| l.listed != ListState::Removed);
+        entries
+            .map(|(server, l)| ListEntry {
                 server,
                 state: l.listed,
             })
--- a/crates/lab/src/world/plan.rs
+++ b/crates/lab/src/world/plan.rs
@@ -22,7 +22,7 @@
     Proxies(usize),
     /// A proxy is started.
     Start(ProxyId),
-    /// Zones are parted, or no longer.
+    /// Zones are partitioned, or no longer.
     Part,
     /// An attempt's connection breaks while its server holds it.
     Break(ServerId, u64),
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -29,7 +29,7 @@
     /// The part of the work that a warm key saves, how many keys it remembers and for how long.
     pub keys: (f64, usize, Millis),
     /// A cold server falls over at this multiple of its present capacity, taken over this span.
-    pub fall: (f64, Millis),
+    pub overload: (f64, Millis),
 }
 
 /// A request at a server.
@@ -45,7 +45,7 @@
 
 /// Why a server is not as it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ServerState {
     /// It runs.
     Up,
     /// It finishes what it holds and turns new requests away.
@@ -53,18 +53,18 @@
     /// Its process has ended.
     Down,
     /// It was pushed over while cold and stays down.
-    Fallen,
+    Crashed,
 }
 
 /// What became of a request that has just come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It is in work or waits.
-    Taken,
+    Accepted,
     /// It was turned away unseen.
-    TurnedAway,
+    Rejected,
     /// It was the one that pushed the cold server over: all that it held is lost.
-    PushedOver,
+    Crashed,
 }
 
 struct Working {
@@ -77,8 +77,8 @@
 pub struct Server {
     machine: Machine,
     /// When its process started; `None` if long ago.
-    born: Option<Millis>,
-    life: Life,
+    started_at: Option<Millis>,
+    state: ServerState,
     /// Work that each request in work has had so far, counted on from the process's start.
     pace: f64,
     /// The time up to which that is counted.
@@ -97,12 +97,12 @@
 }
 
 impl Server {
-    /// A server whose process started at `born`, or long ago.
-    pub fn new(machine: Machine, born: Option<Millis>, now: Millis) -> Self {
+    /// A server whose process started at `started_at`, or long ago.
+    pub fn new(machine: Machine, started_at: Option<Millis>, now: Millis) -> Self {
         Server {
             machine,
-            born,
-            life: Life::Up,
+            started_at,
+            state: ServerState::Up,
             pace: 0.0,
             at: now,
             working: Vec::new(),
@@ -118,8 +118,8 @@
     }
 
     /// Whether it runs.
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn state(&self) -> ServerState {
+        self.state
     }
 
     /// What it is made of.
@@ -128,20 +128,22 @@
     }
 
     /// When its process started; `None` if long ago.
-    pub fn born(&self) -> Option<Millis> {
-        self.born
+    pub fn started_at(&self) -> Option<Millis> {
+        self.started_at
     }
 
     /// Requests in work, and those that wait.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn load_counts(&self) -> (usize, usize) {
         (self.working.len(), self.waiting.len())
     }
 
     /// The part of its capacity that it has at a time: cold ones warm evenly.
     pub fn warmth(&self, at: Millis) -> f64 {
         let (from, span) = self.machine.cold;
-        match self.born {
-            Some(born) if span > 0.0 => from + (1.0 - from) * ((at - born) / span).clamp(0.0, 1.0),
+        match self.started_at {
+            Some(started_at) if span > 0.0 => {
+                from + (1.0 - from) * ((at - started_at) / span).clamp(0.0, 1.0)
+            }
             _ => 1.0,
         }
     }
@@ -154,10 +156,10 @@
 
     /// The warmth summed over a stretch of time.
     fn warm_span(&self, from: Millis, to: Millis) -> f64 {
-        let Some(born) = self.born else {
+        let Some(started_at) = self.started_at else {
             return to - from;
         };
-        let warm_at = (born + self.machine.cold.1).clamp(from, to);
+        let warm_at = (started_at + self.machine.cold.1).clamp(from, to);
         let mean = (self.warmth(from) + self.warmth(warm_at)) / 2.0;
         mean * (warm_at - from) + (to - warm_at)
     }
@@ -169,7 +171,7 @@
             self.working.len() as f64,
             (self.working.len() + self.waiting.len()) as f64,
         );
-        if n == 0.0 || self.hung || matches!(self.life, Life::Down | Life::Fallen) {
+        if n == 0.0 || self.hung || matches!(self.state, ServerState::Down | ServerState::Crashed) {
             return 0.0;
         }
         let beyond = (held / m.cores - m.crowding.0).max(0.0);
@@ -193,7 +195,9 @@
         let need = (first - self.pace).max(0.0) / rate;
         let warmth = self.warmth(self.at);
         let (from, span) = self.machine.cold;
-        let warm_at = self.born.map_or(self.at, |born| (born + span).max(self.at));
+        let warm_at = self
+            .started_at
+            .map_or(self.at, |started_at| (started_at + span).max(self.at));
         let until_warm = self.warm_span(self.at, warm_at);
         Some(if need >= until_warm {
             warm_at + (need - until_warm)
@@ -266,30 +270,30 @@
     /// `multiple` times the present capacity over a span, with two mean requests of slack for chance.
     fn press(&mut self, now: Millis, work: f64) -> bool {
         let m = &self.machine;
-        let allowed = m.fall.0 * self.warmth(now) * m.cores * m.speed;
+        let allowed = m.overload.0 * self.warmth(now) * m.cores * m.speed;
         self.pressure = (self.pressure - allowed * (now - self.pressure_at)).max(0.0) + work;
         self.pressure_at = now;
-        self.warmth(now) < 1.0 && self.pressure > allowed * m.fall.1 + 2.0 * work
+        self.warmth(now) < 1.0 && self.pressure > allowed * m.overload.1 + 2.0 * work
     }
 
     /// A request has come.
-    pub fn offer(&mut self, now: Millis, job: Job) -> Offer {
+    pub fn submit(&mut self, now: Millis, job: Job) -> Admission {
         self.advance(now);
-        if matches!(self.life, Life::Down | Life::Fallen) {
-            return Offer::TurnedAway;
+        if matches!(self.state, ServerState::Down | ServerState::Crashed) {
+            return Admission::Rejected;
         }
         if self.press(now, job.work) {
-            self.life = Life::Fallen;
-            return Offer::PushedOver;
+            self.state = ServerState::Crashed;
+            return Admission::Crashed;
         }
-        if self.life == Life::Draining
+        if self.state == ServerState::Draining
             || self.waiting.len() >= self.machine.queue.max(1) && self.is_full()
         {
-            return Offer::TurnedAway;
+            return Admission::Rejected;
         }
         self.waiting.push_back(job);
         self.fill(now);
-        Offer::Taken
+        Admission::Accepted
     }
 
     fn is_full(&self) -> bool {
@@ -325,16 +329,16 @@
 
     /// Finishes what it holds from here on.
     pub fn drain(&mut self) {
-        if self.life == Life::Up {
-            self.life = Life::Draining;
+        if self.state == ServerState::Up {
+            self.state = ServerState::Draining;
         }
     }
 
     /// Its process ends; returns the attempts that it held.
     pub fn stop(&mut self, now: Millis) -> Vec<u64> {
         self.advance(now);
-        if self.life != Life::Fallen {
-            self.life = Life::Down;
+        if self.state != ServerState::Crashed {
+            self.state = ServerState::Down;
         }
         self.lose_all()
     }
@@ -375,7 +379,7 @@
             cold: (0.2, 1000.0),
             crowding: (100.0, 0.0),
             keys: (0.5, 2, 1000.0),
-            fall: (3.0, 1000.0),
+            overload: (3.0, 1000.0),
         }
     }
 
@@ -395,9 +399,9 @@
     fn work_takes_its_time_and_what_does_not_fit_waits_or_is_turned_away() {
         let mut s = Server::new(machine(), None, 0.0);
         for n in 0..4 {
-            assert_eq!(s.offer(0.0, job(n, 10.0)), Offer::Taken);
+            assert_eq!(s.submit(0.0, job(n, 10.0)), Admission::Accepted);
         }
-        assert_eq!(s.offer(0.0, job(4, 10.0)), Offer::TurnedAway);
+        assert_eq!(s.submit(0.0, job(4, 10.0)), Admission::Rejected);
         assert_eq!(s.next(), Some(10.0));
         assert_eq!(ids(s.finished(10.0)), [0, 1]);
         assert_eq!(s.next(), Some(20.0));
@@ -416,7 +420,7 @@
             0.0,
         );
         for n in 0..4 {
-            s.offer(0.0, job(n, 10.0));
+            s.submit(0.0, job(n, 10.0));
         }
         assert_eq!(s.next(), Some(20.0));
     }
@@ -424,42 +428,46 @@
     #[test]
     fn a_cold_server_warms_evenly() {
         let mut s = Server::new(machine(), Some(0.0), 0.0);
-        s.offer(0.0, job(1, 60.0));
+        s.submit(0.0, job(1, 60.0));
         // 0.2·x + 0.0004·x² = 60 at x ≈ 211.1
         let at = s.next().expect("it works");
         assert!((0.2 * at + 0.0004 * at * at - 60.0).abs() < 1e-9, "{at}");
         assert_eq!(ids(s.finished(at)), [1]);
         let mut s = Server::new(machine(), Some(0.0), 0.0);
-        s.offer(0.0, job(1, 700.0)); // 600 by the time it is warm, the rest at full speed
+        s.submit(0.0, job(1, 700.0)); // 600 by the time it is warm, the rest at full speed
         assert!((s.next().expect("it works") - 1100.0).abs() < 1e-9);
     }
 
     #[test]
     fn a_cold_server_falls_over_by_its_budget_and_a_warm_one_does_not() {
-        for (born, fate) in [(Some(0.0), Offer::PushedOver), (None, Offer::TurnedAway)] {
-            let mut s = Server::new(machine(), born, 0.0);
-            let offers: Vec<Offer> = (0..200).map(|n| s.offer(0.0, job(n, 10.0))).collect();
+        for (started_at, fate) in [(Some(0.0), Admission::Crashed), (None, Admission::Rejected)] {
+            let mut s = Server::new(machine(), started_at, 0.0);
+            let admissions: Vec<Admission> =
+                (0..200).map(|n| s.submit(0.0, job(n, 10.0))).collect();
             assert_eq!(
-                *offers.last().expect("some"),
-                if born.is_some() {
-                    Offer::TurnedAway
+                *admissions.last().expect("some"),
+                if started_at.is_some() {
+                    Admission::Rejected
                 } else {
                     fate
                 }
             );
-            assert_eq!(offers.contains(&Offer::PushedOver), born.is_some());
+            assert_eq!(
+                admissions.contains(&Admission::Crashed),
+                started_at.is_some()
+            );
         }
     }
 
     #[test]
     fn a_warm_key_saves_work_for_a_while() {
         let mut s = Server::new(machine(), None, 0.0);
-        s.offer(0.0, job(1, 10.0));
+        s.submit(0.0, job(1, 10.0));
         assert_eq!(s.finished(10.0).len(), 1);
-        s.offer(10.0, job(1, 10.0));
+        s.submit(10.0, job(1, 10.0));
         assert_eq!(s.next(), Some(15.0));
         assert_eq!(s.finished(15.0).len(), 1);
-        s.offer(2000.0, job(1, 10.0));
+        s.submit(2000.0, job(1, 10.0));
         assert_eq!(s.next(), Some(2010.0));
     }
 
@@ -472,18 +480,18 @@
         ] {
             let mut s = Server::new(machine(), None, 0.0);
             for n in 0..3 {
-                s.offer(0.0, job(n, 10.0));
+                s.submit(0.0, job(n, 10.0));
             }
             s.cancel(1.0, 0, cancels);
             s.cancel(1.0, 2, cancels);
-            assert_eq!(s.held(), left, "{cancels:?}");
+            assert_eq!(s.load_counts(), left, "{cancels:?}");
         }
     }
 
     #[test]
     fn a_hung_server_says_nothing_until_it_is_well() {
         let mut s = Server::new(machine(), None, 0.0);
-        s.offer(0.0, job(1, 10.0));
+        s.submit(0.0, job(1, 10.0));
         s.set_hung(5.0, true);
         assert_eq!(s.next(), None);
         s.set_hung(105.0, false);
@@ -495,11 +503,11 @@
     #[test]
     fn a_stopped_server_names_what_it_held() {
         let mut s = Server::new(machine(), None, 0.0);
-        s.offer(0.0, job(1, 10.0));
+        s.submit(0.0, job(1, 10.0));
         s.drain();
-        assert_eq!(s.offer(0.0, job(2, 10.0)), Offer::TurnedAway);
+        assert_eq!(s.submit(0.0, job(2, 10.0)), Admission::Rejected);
         assert_eq!(s.stop(5.0), [1]);
-        assert_eq!((s.life(), s.next()), (Life::Down, None));
+        assert_eq!((s.state(), s.next()), (ServerState::Down, None));
     }
 
     #[test]
--- a/crates/lab/tests/oracle.rs
+++ b/crates/lab/tests/oracle.rs
@@ -2,17 +2,20 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use lab::ledger::{Attempt, AttemptEnd, Code, End, Fall, Ledger, Told, Try, Usage};
-use lab::oracle::{Rule, judge};
+use lab::ledger::{
+    Attempt, AttemptEnd, ClientAttempt, ColdOverload, Ledger, ProcessExit, ResponseKind,
+    ServerNotification, Usage,
+};
+use lab::oracle::{Rule, check_rules};
 use lab::scenario::{Proxies, Rules, Scenario};
 use lab::shipped;
 use lab::sim::Sim;
-use lab::sim::decider::Sabotage;
+use lab::sim::decider::InjectedDefect;
 
-fn broken_rules(scenario: &str, sabotage: Option<Sabotage>) -> BTreeSet<Rule> {
+fn broken_rules(scenario: &str, defect: Option<InjectedDefect>) -> BTreeSet<Rule> {
     let s = Arc::new(Scenario::parse(scenario, shipped::text(scenario).unwrap()).unwrap());
-    let played = Sim::new(s.clone(), 7, sabotage).play();
-    judge(&played.ledger, &s.rules, &s.proxies)
+    let played = Sim::new(s.clone(), 7, defect).run();
+    check_rules(&played.ledger, &s.rules, &s.proxies)
         .iter()
         .map(|b| b.rule)
         .collect()
@@ -20,22 +23,22 @@
 
 #[test]
 fn a_proxy_built_to_break_a_rule_is_caught_at_that_rule() {
-    for (sabotage, scenario, rule) in [
-        (Sabotage::LosesRequests, "quiet", Rule::OneAnswer),
-        (Sabotage::RepeatsAll, "reset-storm", Rule::NeverTwice),
-        (Sabotage::RefusesAll, "reset-storm", Rule::NeverTwice),
-        (Sabotage::IgnoresDrains, "shrink", Rule::Drain),
-        (Sabotage::FloodsNewest, "evening", Rule::ColdStart),
+    for (defect, scenario, rule) in [
+        (InjectedDefect::LosesRequests, "quiet", Rule::OneAnswer),
+        (InjectedDefect::RepeatsAll, "reset-storm", Rule::NeverTwice),
+        (InjectedDefect::RefusesAll, "reset-storm", Rule::NeverTwice),
+        (InjectedDefect::IgnoresDrains, "shrink", Rule::Drain),
+        (InjectedDefect::FloodsNewest, "evening", Rule::ColdStart),
     ] {
         assert_eq!(
             broken_rules(scenario, None),
             BTreeSet::new(),
             "{scenario} with the module as it is"
         );
-        let broken = broken_rules(scenario, Some(sabotage));
+        let broken = broken_rules(scenario, Some(defect));
         assert!(
             broken.contains(&rule),
-            "{sabotage:?} on {scenario}: {broken:?}"
+            "{defect:?} on {scenario}: {broken:?}"
         );
     }
 }
@@ -44,9 +47,9 @@
 type Sent = (f64, Option<(f64, AttemptEnd)>, Option<f64>);
 
 /// A checkout that was taken at 1 ms, answered at 20 ms, and has these attempts.
-fn checkout(attempts: &[Sent], code: Code) -> Try {
-    Try {
-        ask: 0,
+fn checkout(attempts: &[Sent], code: ResponseKind) -> ClientAttempt {
+    ClientAttempt {
+        request: 0,
         number: 1,
         class: 0,
         once: true,
@@ -70,24 +73,24 @@
     }
 }
 
-const SERVED: Code = Code::Served { genuine: true };
-const REFUSED: Code = Code::Refused { retry_after: None };
+const SERVED: ResponseKind = ResponseKind::Served { genuine: true };
+const REFUSED: ResponseKind = ResponseKind::Refused { retry_after: None };
 
 fn judged(ledger: Ledger) -> Vec<(Rule, String)> {
     let ledger = Ledger {
-        closed: 10_000.0,
+        ended_at: 10_000.0,
         ..ledger
     };
-    let broken = judge(&ledger, &Rules::default(), &Proxies::default());
+    let broken = check_rules(&ledger, &Rules::default(), &Proxies::default());
     broken
         .into_iter()
         .map(|b| (b.rule, b.to_string()))
         .collect()
 }
 
-fn of(t: Try) -> Vec<(Rule, String)> {
+fn of(t: ClientAttempt) -> Vec<(Rule, String)> {
     judged(Ledger {
-        tries: vec![t],
+        client_attempts: vec![t],
         ..Ledger::default()
     })
 }
@@ -97,16 +100,16 @@
     let done = [(2.0, Some((19.0, AttemptEnd::Answered)), Some(18.0))];
     assert_eq!(of(checkout(&done, SERVED)), []);
     let mut twice = checkout(&done, SERVED);
-    twice.answers.push((30.0, Code::Failed));
-    let late = Try {
-        answers: vec![(1009.0, Code::Failed)],
+    twice.answers.push((30.0, ResponseKind::Failed));
+    let late = ClientAttempt {
+        answers: vec![(1009.0, ResponseKind::Failed)],
         ..checkout(&done, SERVED)
     };
-    let none = Try {
+    let none = ClientAttempt {
         answers: vec![],
         ..checkout(&done, SERVED)
     };
-    let made_up = checkout(&done, Code::Served { genuine: false });
+    let made_up = checkout(&done, ResponseKind::Served { genuine: false });
     for (t, word) in [
         (twice, "second answer"),
         (late, "9.0 ms after"),
@@ -121,28 +124,28 @@
     }
     // Owed nothing: a client that left early, one whose proxy was killed, one that was never taken.
     assert_eq!(
-        of(Try {
+        of(ClientAttempt {
             left: Some(500.0),
             ..none.clone()
         }),
         []
     );
     assert_eq!(
-        of(Try {
+        of(ClientAttempt {
             taken: None,
             ..none.clone()
         }),
         []
     );
-    let ends = vec![End {
+    let process_exits = vec![ProcessExit {
         proxy: 0,
         at: 400.0,
-        wanted: true,
+        expected: true,
     }];
     assert_eq!(
         judged(Ledger {
-            tries: vec![none],
-            ends,
+            client_attempts: vec![none],
+            process_exits,
             ..Ledger::default()
         }),
         []
@@ -180,7 +183,7 @@
     ));
     assert_eq!(twice.len(), 2, "sent again, and run again: {twice:?}");
     // A lookup may.
-    let lookup = Try {
+    let lookup = ClientAttempt {
         once: false,
         ..checkout(&[(2.0, Some((5.0, MayHaveRun)), Some(4.0)), second], SERVED)
     };
@@ -194,7 +197,7 @@
         &of(checkout(&out, REFUSED))[..],
         [(Rule::NeverTwice, _)]
     ));
-    assert_eq!(of(checkout(&out, Code::Failed)), []);
+    assert_eq!(of(checkout(&out, ResponseKind::Failed)), []);
     assert_eq!(
         of(checkout(
             &[(2.0, Some((5.0, AttemptEnd::NeverRan)), None)],
@@ -206,7 +209,7 @@
     assert_eq!(
         of(checkout(
             &[(2.0, Some((5.0, AttemptEnd::Answered)), Some(4.0))],
-            Code::Broken
+            ResponseKind::Broken
         )),
         []
     );
@@ -214,7 +217,7 @@
 
 #[test]
 fn sends_after_a_drain_count_from_when_it_was_told_to_that_proxy() {
-    let told = |proxy, at, up| Told {
+    let told = |proxy, at, up| ServerNotification {
         proxy,
         server: 0,
         at,
@@ -227,15 +230,15 @@
             SERVED,
         )
     };
-    let ledger = |told: Vec<Told>, at: f64| {
-        let t = Try {
+    let ledger = |notifications: Vec<ServerNotification>, at: f64| {
+        let t = ClientAttempt {
             due: 9000.0,
             answers: vec![(at + 2.0, SERVED)],
             ..sent(at)
         };
         judged(Ledger {
-            tries: vec![t],
-            told,
+            client_attempts: vec![t],
+            notifications,
             ..Ledger::default()
         })
     };
@@ -256,40 +259,40 @@
 
 #[test]
 fn a_fall_counts_where_most_of_the_work_came_from_those_who_knew() {
-    let t = Try {
+    let t = ClientAttempt {
         proxy: 0,
         ..checkout(
             &[(500.0, Some((501.0, AttemptEnd::MayHaveRun)), None)],
-            Code::Failed,
+            ResponseKind::Failed,
         )
     };
-    let falls = vec![Fall {
+    let cold_overloads = vec![ColdOverload {
         server: 0,
         at: 502.0,
         warmth: 0.2,
     }];
-    let told = vec![Told {
+    let notifications = vec![ServerNotification {
         proxy: 0,
         server: 0,
         at: 400.0,
         up: true,
         born: Some(300.0),
     }];
-    let t = Try {
-        answers: vec![(600.0, Code::Failed)],
+    let t = ClientAttempt {
+        answers: vec![(600.0, ResponseKind::Failed)],
         ..t
     };
     let knew = Ledger {
-        tries: vec![t.clone()],
-        falls: falls.clone(),
-        told,
+        client_attempts: vec![t.clone()],
+        cold_overloads: cold_overloads.clone(),
+        notifications,
         ..Ledger::default()
     };
     assert!(matches!(&judged(knew)[..], [(Rule::ColdStart, text)] if text.contains("20 %")));
     assert_eq!(
         judged(Ledger {
-            tries: vec![t],
-            falls,
+            client_attempts: vec![t],
+            cold_overloads,
             ..Ledger::default()
         }),
         []
@@ -304,16 +307,16 @@
         memory_mb: 129.0,
         descriptors: 1025,
     }];
-    let ends = vec![End {
+    let process_exits = vec![ProcessExit {
         proxy: 1,
         at: 2.0,
-        wanted: false,
+        expected: false,
     }];
-    let strangers = vec![(3, 3.0, "id x-1 was never sent".to_owned())];
+    let unknown_requests = vec![(3, 3.0, "id x-1 was never sent".to_owned())];
     let broken = judged(Ledger {
         usage,
-        ends,
-        strangers,
+        process_exits,
+        unknown_requests,
         ..Ledger::default()
     });
     let rules: Vec<Rule> = broken.iter().map(|(rule, _)| *rule).collect();
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -2,21 +2,21 @@
 use std::sync::Arc;
 
 use lab::ledger::Ledger;
-use lab::oracle::judge;
+use lab::oracle::check_rules;
 use lab::scenario::Scenario;
 use lab::score::{Score, score};
 use lab::shipped;
-use lab::sim::{Played, Sim};
+use lab::sim::{Sim, SimResult};
 
-fn play(text: &str, seed: u64) -> (Arc<Scenario>, Played) {
+fn play(text: &str, seed: u64) -> (Arc<Scenario>, SimResult) {
     let s = Arc::new(Scenario::parse("test", text).unwrap_or_else(|e| panic!("{e}")));
-    let played = Sim::new(s.clone(), seed, None).play();
+    let played = Sim::new(s.clone(), seed, None).run();
     (s, played)
 }
 
-fn scored(s: &Scenario, p: &Played) -> Score {
+fn scored(s: &Scenario, p: &SimResult) -> Score {
     let served: Vec<_> = p.served.iter().map(|(at, _)| *at).collect();
-    score(s, &p.asks, &served, &p.ledger)
+    score(s, &p.requests, &served, &p.ledger)
 }
 
 fn shown(ledger: &Ledger) -> String {
@@ -28,9 +28,9 @@
     for (name, text) in shipped::ALL {
         for seed in [1, 2] {
             let (s, played) = play(text, seed);
-            let broken = judge(&played.ledger, &s.rules, &s.proxies);
+            let broken = check_rules(&played.ledger, &s.rules, &s.proxies);
             assert!(broken.is_empty(), "{name} under {seed}: {}", broken[0]);
-            assert!(!played.asks.is_empty());
+            assert!(!played.requests.is_empty());
         }
     }
 }
@@ -63,8 +63,8 @@
         play(shipped::text("hung-server").unwrap(), 3),
         play(&quiet, 3),
     );
-    let before = |p: &Played| {
-        let early = p.ledger.tries.iter().filter(|t| t.sent < 3000.0);
+    let before = |p: &SimResult| {
+        let early = p.ledger.client_attempts.iter().filter(|t| t.sent < 3000.0);
         early
             .map(|t| format!("{:?}", t.attempts.first().map(|a| (a.server, a.sent))))
             .collect::<Vec<_>>()
@@ -85,7 +85,7 @@
         over.whole.share > 0.3 && over.whole.share < 0.8 && over.refused > 0.2,
         "{over:?}"
     );
-    assert!(judge(&p.ledger, &s.rules, &s.proxies).is_empty());
+    assert!(check_rules(&p.ledger, &s.rules, &s.proxies).is_empty());
 }
 
 #[test]
@@ -98,17 +98,21 @@
         .replace("length = \"30 s\"", "length = \"8 s\"")
         .replace("for = \"18 s\"", "for = \"4 s\"");
     let (s, p) = play(&text.replace("at = \"4 s\"", "at = \"2 s\""), 1);
-    let broken = judge(&p.ledger, &s.rules, &s.proxies);
+    let broken = check_rules(&p.ledger, &s.rules, &s.proxies);
     assert!(broken.is_empty(), "{} of {}", broken[0], broken.len());
     assert!(
-        p.ledger.told.iter().filter(|t| !t.up).count() > 100 * 20,
+        p.ledger.notifications.iter().filter(|t| !t.up).count() > 100 * 20,
         "drains were told"
     );
 }
 
 /// Attempts that were over for their proxies before their servers had done them.
-fn worked_on(played: &Played) -> usize {
-    let attempts = played.ledger.tries.iter().flat_map(|t| &t.attempts);
+fn worked_on(played: &SimResult) -> usize {
+    let attempts = played
+        .ledger
+        .client_attempts
+        .iter()
+        .flat_map(|t| &t.attempts);
     attempts
         .filter(|a| {
             a.ended
@@ -138,6 +142,9 @@
         let (s, p) = play(shipped::text(name).unwrap(), 1);
         let share = scored(&s, &p).whole.share;
         assert!(share > least, "{name}: {share}");
-        assert!(judge(&p.ledger, &s.rules, &s.proxies).is_empty(), "{name}");
+        assert!(
+            check_rules(&p.ledger, &s.rules, &s.proxies).is_empty(),
+            "{name}"
+        );
     }
 }
