--- a/crates/etcd-fake/src/fault_proxy.rs
+++ b/crates/etcd-fake/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The way to a member: connections pass through, break, hang, or are never answered.
+//! TCP proxy in front of a member that can break, stall or ignore connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,25 +9,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What becomes of connections.
+/// State of the network between clients and a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetworkState {
-    /// They pass.
+    /// Connections work.
     Up,
-    /// They break, and new ones are closed at once.
+    /// Open connections break, and new ones are closed at once.
     Down,
-    /// They stay open, and nothing passes.
+    /// Connections stay open, but no bytes pass.
     Stalled,
-    /// Those that are up break; new ones come up and are never answered.
+    /// Open connections break; new ones are accepted and never answered.
     HalfOpen,
 }
 
 struct Shared {
-    net: watch::Sender<(NetworkState, u64)>,
-    came: AtomicU64,
+    /// Network state, and a counter whose increments break all connections.
+    state: watch::Sender<(NetworkState, u64)>,
+    connections: AtomicU64,
 }
 
-/// The way to one member.
+/// TCP proxy in front of one member.
 pub struct FaultProxy {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -42,25 +43,25 @@
 }
 
 impl FaultProxy {
-    /// Opens a way to an address.
+    /// Listens on a free loopback port and forwards connections to `target`.
     ///
     /// # Errors
-    /// A port can't be had.
-    pub async fn open(to: SocketAddr) -> io::Result<Self> {
+    /// No port can be bound.
+    pub async fn open(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            net: watch::channel((NetworkState::Up, 0)).0,
-            came: AtomicU64::new(0),
+            state: watch::channel((NetworkState::Up, 0)).0,
+            connections: AtomicU64::new(0),
         });
         let inner = shared.clone();
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                inner.came.fetch_add(1, Ordering::Relaxed);
-                let net = inner.net.subscribe();
-                let (now, _) = *net.borrow();
-                if now != NetworkState::Down {
-                    tokio::spawn(pass(stream, to, net));
+                inner.connections.fetch_add(1, Ordering::Relaxed);
+                let net_state = inner.state.subscribe();
+                let (current, _) = *net_state.borrow();
+                if current != NetworkState::Down {
+                    tokio::spawn(forward(stream, target, net_state));
                 }
             }
         });
@@ -76,64 +77,68 @@
     }
 
     pub fn connection_count(&self) -> u64 {
-        self.shared.came.load(Ordering::Relaxed)
+        self.shared.connections.load(Ordering::Relaxed)
     }
 
-    /// What becomes of connections from here on.
-    pub fn set(&self, net: NetworkState) {
-        self.shared.net.send_modify(|(now, cuts)| {
-            *now = net;
-            *cuts += u64::from(matches!(net, NetworkState::Down | NetworkState::HalfOpen));
+    /// Sets the network state.
+    pub fn set(&self, state: NetworkState) {
+        self.shared.state.send_modify(|(current, breaks)| {
+            *current = state;
+            *breaks += u64::from(matches!(state, NetworkState::Down | NetworkState::HalfOpen));
         });
     }
 
-    /// Breaks all connections.
+    /// Breaks all open connections.
     pub fn break_connections(&self) {
-        self.shared.net.send_modify(|(_, cuts)| *cuts += 1);
+        self.shared.state.send_modify(|(_, breaks)| *breaks += 1);
     }
 }
 
-/// Carries a connection until it ends, or is cut.
-async fn pass(client: TcpStream, to: SocketAddr, net: watch::Receiver<(NetworkState, u64)>) {
-    let (began, cuts) = *net.borrow();
-    let mut cut = net.clone();
-    let carry = async {
-        if began == NetworkState::HalfOpen {
+/// Forwards a connection until it ends or is broken.
+async fn forward(
+    client: TcpStream,
+    target: SocketAddr,
+    state: watch::Receiver<(NetworkState, u64)>,
+) {
+    let (initial, breaks) = *state.borrow();
+    let mut break_signal = state.clone();
+    let transfer = async {
+        if initial == NetworkState::HalfOpen {
             return std::future::pending().await;
         }
-        let Ok(server) = TcpStream::connect(to).await else {
+        let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
-        let _ = (client.set_nodelay(true), server.set_nodelay(true)); // slower without, no worse
+        let _ = (client.set_nodelay(true), server.set_nodelay(true)); // an optimization; failure is harmless
         let (from_client, to_client) = client.into_split();
         let (from_server, to_server) = server.into_split();
         tokio::select! {
-            () = copy(from_client, to_server, net.clone()) => {}
-            () = copy(from_server, to_client, net) => {}
+            () = copy(from_client, to_server, state.clone()) => {}
+            () = copy(from_server, to_client, state) => {}
         }
     };
     tokio::select! {
-        () = carry => {}
-        _ = cut.wait_for(|(_, now)| *now != cuts) => {}
+        () = transfer => {}
+        _ = break_signal.wait_for(|(_, current)| *current != breaks) => {}
     }
 }
 
 async fn copy(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    mut net: watch::Receiver<(NetworkState, u64)>,
+    mut state: watch::Receiver<(NetworkState, u64)>,
 ) {
-    let mut bytes = vec![0; 16 << 10];
-    while let Ok(n) = from.read(&mut bytes).await {
+    let mut buffer = vec![0; 16 << 10];
+    while let Ok(n) = from.read(&mut buffer).await {
         if n == 0
-            || net
-                .wait_for(|(net, _)| *net != NetworkState::Stalled)
+            || state
+                .wait_for(|(current, _)| *current != NetworkState::Stalled)
                 .await
                 .is_err()
         {
             return;
         }
-        if to.write_all(&bytes[..n]).await.is_err() {
+        if to.write_all(&buffer[..n]).await.is_err() {
             return;
         }
     }
--- a/crates/etcd-fake/src/lib.rs
+++ b/crates/etcd-fake/src/lib.rs
@@ -1,9 +1,9 @@
-//! A stand-in for etcd: a real gRPC server on loopback, with revisions, ranges, transactions, leases, watches and compaction, in
-//! three members that may lag behind each other, and faults at will. For tests, the lab and the demonstration; it keeps
-//! nothing on a disk and has no consensus.
+//! An in-process fake of etcd for tests, the lab and the demonstration: gRPC servers on loopback with revisions, ranges,
+//! transactions, leases, watches and compaction. Its members share one store, can be made to lag, and have injectable network
+//! faults. It stores nothing on disk and runs no consensus protocol.
 //!
-//! - [`FakeEtcd`]: the members, and what can go wrong with them.
-//! - [`store::Store`]: the store, without I/O.
+//! - [`FakeEtcd`]: the members and their faults.
+//! - [`store::Store`]: the key-value store, without I/O.
 
 mod fault_proxy;
 mod service;
@@ -29,20 +29,20 @@
 use service::Member;
 use store::Store;
 
-/// From one look for leases that have ended to the next.
-const LEASES: Duration = Duration::from_millis(50);
-/// Bytes of a request or an answer.
-const MOST: usize = 64 << 20;
+/// Interval of the check for expired leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Largest request or response.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// What all members share.
+/// State shared by all members.
 pub(crate) struct Shared {
     store: Mutex<Store>,
-    /// Counts what has happened, so that watches look again.
+    /// Counter of calls and faults; watches check for events after each increment.
     changed: watch::Sender<u64>,
-    /// Counts changes of the leader, which end all watches.
+    /// Counter of leader changes; each ends all watches.
     leader: watch::Sender<u64>,
-    /// How long each page of a list takes.
-    slow: Mutex<Duration>,
+    /// Delay of each range response.
+    list_delay: Mutex<Duration>,
 }
 
 impl Shared {
@@ -50,15 +50,15 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn touched(&self) {
+    pub(crate) fn notify_watches(&self) {
         self.changed.send_modify(|n| *n += 1);
     }
 }
 
-/// Members of a stand-in, until it is dropped.
+/// A fake etcd cluster that runs until it is dropped.
 pub struct FakeEtcd {
     shared: Arc<Shared>,
-    gates: Vec<FaultProxy>,
+    fault_proxies: Vec<FaultProxy>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
@@ -69,21 +69,21 @@
 }
 
 impl FakeEtcd {
-    /// Starts so many members, on the runtime that calls this.
+    /// Starts `members` members on the current runtime.
     ///
     /// # Errors
-    /// A port can't be had.
+    /// No port can be bound.
     pub async fn start(members: usize) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             store: Mutex::new(Store::new(members)),
             changed: watch::channel(0).0,
             leader: watch::channel(0).0,
-            slow: Mutex::default(),
+            list_delay: Mutex::default(),
         });
-        let (mut gates, mut tasks) = (Vec::new(), Vec::new());
+        let (mut fault_proxies, mut tasks) = (Vec::new(), Vec::new());
         for number in 0..members {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-            let inner = listener.local_addr()?;
+            let member_address = listener.local_addr()?;
             let member = Member {
                 shared: shared.clone(),
                 number,
@@ -91,103 +91,110 @@
             let server = Server::builder()
                 .add_service(
                     KvServer::new(member.clone())
-                        .max_decoding_message_size(MOST)
-                        .max_encoding_message_size(MOST),
+                        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+                        .max_encoding_message_size(MAX_MESSAGE_BYTES),
+                )
+                .add_service(
+                    WatchServer::new(member.clone()).max_encoding_message_size(MAX_MESSAGE_BYTES),
                 )
-                .add_service(WatchServer::new(member.clone()).max_encoding_message_size(MOST))
                 .add_service(LeaseServer::new(member.clone()))
                 .add_service(AuthServer::new(member));
             tasks.push(tokio::spawn(async move {
                 let _ = server
                     .serve_with_incoming(TcpListenerStream::new(listener))
-                    .await; // until it is aborted
+                    .await; // runs until aborted
             }));
-            gates.push(FaultProxy::open(inner).await?);
+            fault_proxies.push(FaultProxy::open(member_address).await?);
         }
-        let leases = shared.clone();
+        let lease_state = shared.clone();
         tasks.push(tokio::spawn(async move {
             loop {
-                sleep(LEASES).await;
-                if leases.store().expire_leases() {
-                    leases.touched();
+                sleep(LEASE_CHECK_INTERVAL).await;
+                if lease_state.store().expire_leases() {
+                    lease_state.notify_watches();
                 }
             }
         }));
         Ok(FakeEtcd {
             shared,
-            gates,
+            fault_proxies,
             tasks,
         })
     }
 
-    /// Where the members are.
+    /// URLs of the members.
     pub fn endpoints(&self) -> Vec<String> {
-        self.gates
+        self.fault_proxies
             .iter()
-            .map(|g| format!("http://{}", g.address()))
+            .map(|p| format!("http://{}", p.address()))
             .collect()
     }
 
-    /// A member's address.
+    /// Returns a member's address.
     pub fn address(&self, member: usize) -> SocketAddr {
-        self.gates[member].address()
+        self.fault_proxies[member].address()
     }
 
-    /// Connections that have come to all members.
+    /// Number of connections that all members have accepted.
     pub fn connection_count(&self) -> u64 {
-        self.gates.iter().map(FaultProxy::connection_count).sum()
+        self.fault_proxies
+            .iter()
+            .map(FaultProxy::connection_count)
+            .sum()
     }
 
-    /// Changes the store as a client would, or looks at it; watches hear of it.
-    pub fn with_store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> T {
-        let done = act(&mut self.shared.store());
-        self.shared.touched();
-        done
+    /// Reads or changes the store, then notifies the watches.
+    pub fn with_store<T>(&self, operation: impl FnOnce(&mut Store) -> T) -> T {
+        let result = operation(&mut self.shared.store());
+        self.shared.notify_watches();
+        result
     }
 
-    /// What becomes of connections to a member from here on.
-    pub fn set_network(&self, member: usize, net: NetworkState) {
-        self.gates[member].set(net);
+    /// Sets the network state of a member.
+    pub fn set_network(&self, member: usize, network: NetworkState) {
+        self.fault_proxies[member].set(network);
     }
 
-    /// What becomes of connections to all members.
-    pub fn set_network_all(&self, net: NetworkState) {
-        self.gates.iter().for_each(|g| g.set(net));
+    /// Sets the network state of all members.
+    pub fn set_network_all(&self, network: NetworkState) {
+        self.fault_proxies.iter().for_each(|p| p.set(network));
     }
 
-    /// Breaks all connections to a member; new ones are as before.
+    /// Breaks all connections to a member; new ones follow the current network state.
     pub fn break_connections(&self, member: usize) {
-        self.gates[member].break_connections();
+        self.fault_proxies[member].break_connections();
     }
 
-    /// A member hears of nothing new, or catches up.
+    /// Freezes a member at the current revision, or lets it catch up.
     pub fn set_lagging(&self, member: usize, lags: bool) {
         self.with_store(|s| s.set_lagging(member, lags));
     }
 
-    /// Another leader: watches end and have to be made anew.
+    /// Simulates a leader change: all watches end.
     pub fn change_leader(&self) {
         self.with_store(|s| s.term += 1);
         self.shared.leader.send_modify(|n| *n += 1);
     }
 
-    /// The store as it is now.
+    /// Returns a copy of the store.
     pub fn backup(&self) -> Store {
         self.shared.store().clone()
     }
 
-    /// A backup is brought back: the store is what it was then, and all watches and connections end.
+    /// Replaces the store with a backup and breaks all connections.
     pub fn restore(&self, backup: Store) {
         self.with_store(|s| s.restore(backup));
-        self.gates.iter().for_each(FaultProxy::break_connections);
+        self.fault_proxies
+            .iter()
+            .for_each(FaultProxy::break_connections);
     }
 
-    /// How long each page of a list takes from here on.
-    pub fn set_list_delay(&self, each: Duration) {
+    /// Sets the delay of each range response.
+    pub fn set_list_delay(&self, delay: Duration) {
         *self
             .shared
-            .slow
+            .list_delay
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) = each;
+            .unwrap_or_else(PoisonError::into_inner) = delay;
     }
 }
--- a/crates/etcd-fake/src/service.rs
+++ b/crates/etcd-fake/src/service.rs
@@ -1,4 +1,4 @@
-//! A member's services.
+//! gRPC services of a member.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, PoisonError};
@@ -22,10 +22,10 @@
 use crate::Shared;
 use crate::store::{Store, StoreResult, in_range};
 
-/// Events of one message, where the watch takes fragments.
-const FRAGMENT: usize = 50;
-/// From one sign of progress to the next, where the watch wants them.
-const PROGRESS: Duration = Duration::from_secs(10);
+/// Maximum number of events in one message, if the watch accepts fragments.
+const FRAGMENT_EVENTS: usize = 50;
+/// Interval of progress notifications, if the watch requests them.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
 
 #[derive(Clone)]
 pub struct Member {
@@ -36,44 +36,44 @@
 type Reply<T> = Result<Response<T>, Status>;
 
 impl Member {
-    /// Does something with the store, if the call has a token where one is asked for.
-    fn act<T, R>(
+    /// Runs an operation on the store if the call has a valid token, or none is required.
+    fn execute<T, R>(
         &self,
         request: &Request<R>,
-        act: impl FnOnce(&mut Store, usize) -> StoreResult<T>,
+        operation: impl FnOnce(&mut Store, usize) -> StoreResult<T>,
     ) -> Reply<T> {
         let token = request
             .metadata()
             .get("authorization")
             .and_then(|t| t.to_str().ok());
         let mut store = self.shared.store();
-        let done = store
+        let result = store
             .check_token(token)
-            .and_then(|()| act(&mut store, self.number));
+            .and_then(|()| operation(&mut store, self.number));
         drop(store);
-        self.shared.touched();
-        done.map(Response::new).map_err(|s| *s)
+        self.shared.notify_watches();
+        result.map(Response::new).map_err(|s| *s)
     }
 }
 
 #[tonic::async_trait]
 impl kv_server::Kv for Member {
     async fn range(&self, request: Request<RangeRequest>) -> Reply<RangeResponse> {
-        let slow = *self
+        let delay = *self
             .shared
-            .slow
+            .list_delay
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if !slow.is_zero() {
-            sleep(slow).await;
+        if !delay.is_zero() {
+            sleep(delay).await;
         }
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             store.range(member, request.get_ref())
         })
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Reply<PutResponse> {
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             store.put(member, request.get_ref())
         })
     }
@@ -82,19 +82,19 @@
         &self,
         request: Request<DeleteRangeRequest>,
     ) -> Reply<DeleteRangeResponse> {
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             Ok(store.delete(member, request.get_ref()))
         })
     }
 
     async fn txn(&self, request: Request<TxnRequest>) -> Reply<TxnResponse> {
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             store.txn(member, request.get_ref())
         })
     }
 
     async fn compact(&self, request: Request<CompactionRequest>) -> Reply<CompactionResponse> {
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             store.compact(request.get_ref().revision)?;
             Ok(CompactionResponse {
                 header: Some(store.header(member)),
@@ -106,7 +106,7 @@
 #[tonic::async_trait]
 impl lease_server::Lease for Member {
     async fn lease_grant(&self, request: Request<LeaseGrantRequest>) -> Reply<LeaseGrantResponse> {
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             let ttl = request.get_ref().ttl.max(1);
             let id = store.grant_lease(Duration::from_secs(ttl as u64), request.get_ref().id);
             Ok(LeaseGrantResponse {
@@ -122,7 +122,7 @@
         &self,
         request: Request<LeaseRevokeRequest>,
     ) -> Reply<LeaseRevokeResponse> {
-        self.act(&request, |store, member| {
+        self.execute(&request, |store, member| {
             if store.revoke_lease(request.get_ref().id) {
                 return Ok(LeaseRevokeResponse {
                     header: Some(store.header(member)),
@@ -140,12 +140,12 @@
         &self,
         request: Request<Streaming<LeaseKeepAliveRequest>>,
     ) -> Reply<Self::LeaseKeepAliveStream> {
-        self.act(&request, |_, _| Ok(()))?;
-        let (answers, stream) = mpsc::channel(4);
+        self.execute(&request, |_, _| Ok(()))?;
+        let (responses, stream) = mpsc::channel(4);
         let (mut requests, member) = (request.into_inner(), self.clone());
         tokio::spawn(async move {
             while let Some(Ok(request)) = requests.next().await {
-                let answer = {
+                let response = {
                     let mut store = member.shared.store();
                     let ttl = store
                         .renew_lease(request.id)
@@ -156,7 +156,7 @@
                         ttl,
                     }
                 };
-                if answers.send(Ok(answer)).await.is_err() {
+                if responses.send(Ok(response)).await.is_err() {
                     return;
                 }
             }
@@ -171,10 +171,10 @@
         &self,
         request: Request<AuthenticateRequest>,
     ) -> Reply<AuthenticateResponse> {
-        let asked = request.get_ref();
+        let credentials = request.get_ref();
         let mut store = self.shared.store();
         let token = store
-            .authenticate(&asked.name, &asked.password)
+            .authenticate(&credentials.name, &credentials.password)
             .map_err(|s| *s)?;
         Ok(Response::new(AuthenticateResponse {
             header: Some(store.header(self.number)),
@@ -183,136 +183,143 @@
     }
 }
 
-/// One watch of a stream.
+/// A watch of a stream.
 struct Watcher {
     create: WatchCreateRequest,
-    next: i64,
+    /// Revision of the next event to send.
+    next_revision: i64,
 }
 
-type Answers = mpsc::Sender<Result<WatchResponse, Status>>;
+type ResponseSender = mpsc::Sender<Result<WatchResponse, Status>>;
 
 #[tonic::async_trait]
 impl watch_server::Watch for Member {
     type WatchStream = ReceiverStream<Result<WatchResponse, Status>>;
 
     async fn watch(&self, request: Request<Streaming<WatchRequest>>) -> Reply<Self::WatchStream> {
-        self.act(&request, |_, _| Ok(()))?;
-        let (answers, stream) = mpsc::channel(16);
-        tokio::spawn(serve(self.clone(), request.into_inner(), answers));
+        self.execute(&request, |_, _| Ok(()))?;
+        let (responses, stream) = mpsc::channel(16);
+        tokio::spawn(serve(self.clone(), request.into_inner(), responses));
         Ok(Response::new(ReceiverStream::new(stream)))
     }
 }
 
-/// Serves one stream of watches until its client has left, or another leader ends it.
-async fn serve(member: Member, mut requests: Streaming<WatchRequest>, answers: Answers) {
+/// Serves one stream of watches until the client disconnects or the leader changes.
+async fn serve(member: Member, mut requests: Streaming<WatchRequest>, responses: ResponseSender) {
     let mut watchers: BTreeMap<i64, Watcher> = BTreeMap::new();
     let mut changed = member.shared.changed.subscribe();
     let mut leader = member.shared.leader.subscribe();
     leader.mark_unchanged();
-    let mut progress = tokio::time::interval(PROGRESS);
-    progress.tick().await; // the first one comes at once
+    let mut progress = tokio::time::interval(PROGRESS_INTERVAL);
+    progress.tick().await; // the first tick completes at once
     loop {
-        let told = tokio::select! {
+        let sent = tokio::select! {
             request = requests.next() => match request {
-                Some(Ok(request)) => take(&member, &mut watchers, request, &answers).await,
+                Some(Ok(request)) => handle_request(&member, &mut watchers, request, &responses).await,
                 _ => return,
             },
-            _ = changed.changed() => news(&member, &mut watchers, &answers).await,
+            _ = changed.changed() => send_events(&member, &mut watchers, &responses).await,
             _ = progress.tick() => {
-                // Who lags behind has no progress to tell.
+                // Only watches that have sent everything up to the header's revision report progress.
                 let header = member.shared.store().header(member.number);
-                let idle = watchers.iter().filter(|(_, w)| w.create.progress_notify && w.next > header.revision);
+                let idle = watchers.iter().filter(|(_, w)| w.create.progress_notify && w.next_revision > header.revision);
                 let ids: Vec<i64> = idle.map(|(id, _)| *id).collect();
-                let mut told = Ok(());
+                let mut sent = Ok(());
                 for watch_id in ids {
-                    let answer = WatchResponse { header: Some(header), watch_id, ..WatchResponse::default() };
-                    told = told.and(answers.send(Ok(answer)).await.map_err(drop));
+                    let response = WatchResponse { header: Some(header), watch_id, ..WatchResponse::default() };
+                    sent = sent.and(responses.send(Ok(response)).await.map_err(drop));
                 }
-                told
+                sent
             }
             _ = leader.changed() => {
-                let _ = answers.send(Err(Status::unavailable("etcdserver: no leader"))).await;
+                let _ = responses.send(Err(Status::unavailable("etcdserver: no leader"))).await;
                 return;
             }
-            () = answers.closed() => return,
+            () = responses.closed() => return,
         };
-        if told.is_err() {
+        if sent.is_err() {
             return;
         }
     }
 }
 
-/// Takes a request of the stream.
-async fn take(
+/// Handles a request of the stream.
+async fn handle_request(
     member: &Member,
     watchers: &mut BTreeMap<i64, Watcher>,
     request: WatchRequest,
-    answers: &Answers,
+    responses: &ResponseSender,
 ) -> Result<(), ()> {
     let header = Some(member.shared.store().header(member.number));
     match request.request_union {
         Some(RequestUnion::CreateRequest(create)) => {
-            let free = (0..)
+            let free_id = (0..)
                 .find(|id| !watchers.contains_key(id))
                 .unwrap_or_default();
             let watch_id = if create.watch_id != 0 {
                 create.watch_id
             } else {
-                free
+                free_id
             };
-            let now = member.shared.store().revision();
-            let next = if create.start_revision > 0 {
+            let current = member.shared.store().revision();
+            let next_revision = if create.start_revision > 0 {
                 create.start_revision
             } else {
-                now + 1
+                current + 1
             };
-            watchers.insert(watch_id, Watcher { create, next });
-            let answer = WatchResponse {
+            watchers.insert(
+                watch_id,
+                Watcher {
+                    create,
+                    next_revision,
+                },
+            );
+            let response = WatchResponse {
                 header,
                 watch_id,
                 created: true,
                 ..WatchResponse::default()
             };
-            answers.send(Ok(answer)).await.map_err(drop)?;
-            news(member, watchers, answers).await
+            responses.send(Ok(response)).await.map_err(drop)?;
+            send_events(member, watchers, responses).await
         }
         Some(RequestUnion::CancelRequest(cancel)) => {
             watchers.remove(&cancel.watch_id);
-            let answer = WatchResponse {
+            let response = WatchResponse {
                 header,
                 watch_id: cancel.watch_id,
                 canceled: true,
                 ..WatchResponse::default()
             };
-            answers.send(Ok(answer)).await.map_err(drop)
+            responses.send(Ok(response)).await.map_err(drop)
         }
         Some(RequestUnion::ProgressRequest(_)) => {
-            news(member, watchers, answers).await?;
-            // For the whole stream, once all that is known has been told.
-            let answer = WatchResponse {
+            send_events(member, watchers, responses).await?;
+            // Watch ID -1 addresses the whole stream; all known events have been sent before.
+            let response = WatchResponse {
                 header,
                 watch_id: -1,
                 ..WatchResponse::default()
             };
-            answers.send(Ok(answer)).await.map_err(drop)
+            responses.send(Ok(response)).await.map_err(drop)
         }
         None => Ok(()),
     }
 }
 
-/// Tells each watch what has come since.
-async fn news(
+/// Sends each watch the events since its last message.
+async fn send_events(
     member: &Member,
     watchers: &mut BTreeMap<i64, Watcher>,
-    answers: &Answers,
+    responses: &ResponseSender,
 ) -> Result<(), ()> {
-    let mut all = Vec::new();
+    let mut messages = Vec::new();
     {
         let store = member.shared.store();
         let (header, applied) = (store.header(member.number), store.applied(member.number));
         watchers.retain(|id, w| {
-            if w.next < store.compacted_revision() {
-                all.push(WatchResponse {
+            if w.next_revision < store.compacted_revision() {
+                messages.push(WatchResponse {
                     header: Some(header),
                     watch_id: *id,
                     canceled: true,
@@ -322,21 +329,22 @@
                 });
                 return false;
             }
-            let wanted = |e: &Event| {
+            let matches = |e: &Event| {
                 let filters = &w.create.filters;
-                let is = |f: watch_create_request::FilterType| filters.contains(&(f as i32));
+                let has_filter =
+                    |f: watch_create_request::FilterType| filters.contains(&(f as i32));
                 let deleted = e.r#type == event::EventType::Delete as i32;
                 let filtered = if deleted {
-                    is(watch_create_request::FilterType::Nodelete)
+                    has_filter(watch_create_request::FilterType::Nodelete)
                 } else {
-                    is(watch_create_request::FilterType::Noput)
+                    has_filter(watch_create_request::FilterType::Noput)
                 };
                 let key = e.kv.as_ref().map_or(&[][..], |kv| &kv.key);
                 !filtered && in_range(key, &w.create.key, &w.create.range_end)
             };
             let events = store
-                .events(w.next, applied)
-                .filter(|(_, e)| wanted(e))
+                .events(w.next_revision, applied)
+                .filter(|(_, e)| matches(e))
                 .map(|(_, e)| {
                     let prev_kv = e.prev_kv.clone().filter(|_| w.create.prev_kv);
                     Event {
@@ -345,27 +353,30 @@
                     }
                 });
             let events: Vec<Event> = events.collect();
-            w.next = w.next.max(applied + 1);
-            let size = if w.create.fragment {
-                FRAGMENT
+            w.next_revision = w.next_revision.max(applied + 1);
+            let chunk_size = if w.create.fragment {
+                FRAGMENT_EVENTS
             } else {
                 usize::MAX
             };
-            let parts = events.len().div_ceil(size.min(events.len().max(1)));
-            for (i, part) in events.chunks(size.min(events.len().max(1))).enumerate() {
-                all.push(WatchResponse {
+            let chunk_count = events.len().div_ceil(chunk_size.min(events.len().max(1)));
+            for (i, chunk) in events
+                .chunks(chunk_size.min(events.len().max(1)))
+                .enumerate()
+            {
+                messages.push(WatchResponse {
                     header: Some(header),
                     watch_id: *id,
-                    fragment: i + 1 < parts,
-                    events: part.to_vec(),
+                    fragment: i + 1 < chunk_count,
+                    events: chunk.to_vec(),
                     ..WatchResponse::default()
                 });
             }
             true
         });
     }
-    for answer in all {
-        answers.send(Ok(answer)).await.map_err(drop)?;
+    for response in messages {
+        responses.send(Ok(response)).await.map_err(drop)?;
     }
     Ok(())
 }
--- a/crates/etcd-fake/src/store.rs
+++ b/crates/etcd-fake/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: every revision of every key since the last compaction, and leases.
+//! Key-value store: all revisions of all keys since the last compaction, and leases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,40 +12,40 @@
 };
 use tonic::Status;
 
-/// How long a token is good.
-const TOKEN: Duration = Duration::from_secs(300);
+/// Default lifetime of a token.
+const TOKEN_TTL: Duration = Duration::from_secs(300);
 
 #[derive(Clone, Debug)]
 struct Lease {
     ttl: Duration,
-    ends: Instant,
+    expires_at: Instant,
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// All that the members agree on, and how far each has come.
+/// State that the members share, and the revision that each member has applied.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// Which store it is.
+    /// Cluster ID of the response headers.
     pub cluster_id: u64,
-    /// Counts leaders.
+    /// Raft term of the response headers.
     pub term: u64,
     revision: i64,
     compacted_revision: i64,
-    /// Each key's values by revision; none where it was deleted.
+    /// Values of each key by revision; `None` marks a deletion.
     keys: BTreeMap<Vec<u8>, BTreeMap<i64, Option<KeyValue>>>,
     log: Vec<(i64, Event)>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
-    /// The revision at which a member stands still.
-    lagging: Vec<Option<i64>>,
-    /// Name and password, where one is asked for.
+    /// Revision at which each member is frozen, if any.
+    frozen_at: Vec<Option<i64>>,
+    /// User name and password, if authentication is required.
     pub credentials: Option<(String, String)>,
-    /// How long tokens are good.
+    /// Lifetime of new tokens.
     pub token_ttl: Duration,
     tokens: BTreeMap<String, Instant>,
 }
 
-/// A call that a client would get as an error of gRPC.
+/// Result of a call; the error is the gRPC status that the client receives.
 pub type StoreResult<T> = Result<T, Box<Status>>;
 
 fn compacted_error() -> Box<Status> {
@@ -54,7 +54,8 @@
     ))
 }
 
-/// Whether a key is in a range as requests write it: one key, a range, or all from one on.
+/// Returns whether a key is in a range in etcd's notation: without an end a single key, with the end `\0` all keys from
+/// `from` on.
 pub fn in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
@@ -64,7 +65,7 @@
 }
 
 impl Store {
-    /// An empty store of so many members.
+    /// Creates an empty store for `members` members.
     pub fn new(members: usize) -> Self {
         Store {
             cluster_id: 0xca4a_5ca4,
@@ -75,38 +76,38 @@
             log: Vec::new(),
             leases: BTreeMap::new(),
             next_lease: 7000,
-            lagging: vec![None; members],
+            frozen_at: vec![None; members],
             credentials: None,
-            token_ttl: TOKEN,
+            token_ttl: TOKEN_TTL,
             tokens: BTreeMap::new(),
         }
     }
 
-    /// The newest revision.
+    /// Current revision of the store.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The revision up to which a member knows everything.
+    /// Revision that a member has applied.
     pub fn applied(&self, member: usize) -> i64 {
-        self.lagging
+        self.frozen_at
             .get(member)
             .copied()
             .flatten()
             .map_or(self.revision, |at| at.min(self.revision))
     }
 
-    /// A member stands still, or catches up.
+    /// Freezes a member at the current revision, or lets it catch up.
     pub fn set_lagging(&mut self, member: usize, lags: bool) {
-        self.lagging[member] = lags.then_some(self.revision);
+        self.frozen_at[member] = lags.then_some(self.revision);
     }
 
-    /// The revision that was compacted.
+    /// Revision of the last compaction.
     pub fn compacted_revision(&self) -> i64 {
         self.compacted_revision
     }
 
-    /// The header of an answer of a member.
+    /// Returns the response header of a member.
     pub fn header(&self, member: usize) -> ResponseHeader {
         ResponseHeader {
             cluster_id: self.cluster_id,
@@ -116,31 +117,33 @@
         }
     }
 
-    fn value(&self, key: &[u8], at: i64) -> Option<&KeyValue> {
+    fn value_at(&self, key: &[u8], at: i64) -> Option<&KeyValue> {
         self.keys.get(key)?.range(..=at).next_back()?.1.as_ref()
     }
 
-    /// A range as a member knows it.
+    /// Returns a range as of the revision that a member has applied, or of the requested one.
     ///
     /// # Errors
-    /// The revision is not kept, or not there yet.
+    /// The requested revision has been compacted, or is in the future.
     pub fn range(&self, member: usize, request: &RangeRequest) -> StoreResult<RangeResponse> {
-        let now = self.applied(member);
+        let applied = self.applied(member);
         let at = if request.revision > 0 {
             request.revision
         } else {
-            now
+            applied
         };
         if at < self.compacted_revision {
             return Err(compacted_error());
         }
-        if at > now {
+        if at > applied {
             let text = "etcdserver: mvcc: required revision is a future revision";
             return Err(Box::new(Status::out_of_range(text)));
         }
-        let all = self.keys.range(request.key.clone()..).map(|(key, _)| key);
-        let all = all.filter(|key| in_range(key, &request.key, &request.range_end));
-        let mut kvs: Vec<KeyValue> = all.filter_map(|key| self.value(key, at).cloned()).collect();
+        let keys = self.keys.range(request.key.clone()..).map(|(key, _)| key);
+        let keys = keys.filter(|key| in_range(key, &request.key, &request.range_end));
+        let mut kvs: Vec<KeyValue> = keys
+            .filter_map(|key| self.value_at(key, at).cloned())
+            .collect();
         let count = kvs.len() as i64;
         let more = request.limit > 0 && count > request.limit;
         if more {
@@ -166,7 +169,7 @@
         key: &[u8],
         value: Option<(Vec<u8>, i64)>,
     ) -> Option<KeyValue> {
-        let old = self.value(key, revision).cloned();
+        let old = self.value_at(key, revision).cloned();
         if let Some(lease) = old.as_ref().and_then(|old| self.leases.get_mut(&old.lease)) {
             lease.keys.remove(key);
         }
@@ -212,10 +215,10 @@
         old
     }
 
-    /// Puts a value.
+    /// Stores a value.
     ///
     /// # Errors
-    /// Its lease is not there.
+    /// The lease does not exist.
     pub fn put(&mut self, member: usize, request: &PutRequest) -> StoreResult<PutResponse> {
         self.check_lease(request)?;
         self.revision += 1;
@@ -236,7 +239,7 @@
     }
 
     fn put_at(&mut self, revision: i64, request: &PutRequest) -> Option<KeyValue> {
-        let old = self.value(&request.key, revision);
+        let old = self.value_at(&request.key, revision);
         let value = if request.ignore_value {
             old.map(|o| o.value.clone())
         } else {
@@ -257,12 +260,16 @@
 
     /// Deletes a range.
     pub fn delete(&mut self, member: usize, request: &DeleteRangeRequest) -> DeleteRangeResponse {
-        let gone = self.delete_at(self.revision + 1, request);
-        if !gone.is_empty() {
+        let deleted_values = self.delete_at(self.revision + 1, request);
+        if !deleted_values.is_empty() {
             self.revision += 1;
         }
-        let deleted = gone.len() as i64;
-        let prev_kvs = if request.prev_kv { gone } else { Vec::new() };
+        let deleted = deleted_values.len() as i64;
+        let prev_kvs = if request.prev_kv {
+            deleted_values
+        } else {
+            Vec::new()
+        };
         DeleteRangeResponse {
             header: Some(self.header(member)),
             deleted,
@@ -276,15 +283,15 @@
             .range(request.key.clone()..)
             .map(|(key, _)| key.clone())
             .filter(|key| in_range(key, &request.key, &request.range_end))
-            .filter(|key| self.value(key, revision).is_some())
+            .filter(|key| self.value_at(key, revision).is_some())
             .collect();
         keys.iter()
             .filter_map(|key| self.write(revision, key, None))
             .collect()
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
-        let now = self.value(&compare.key, self.revision);
+    fn comparison_holds(&self, compare: &Compare) -> bool {
+        let now = self.value_at(&compare.key, self.revision);
         let number = |f: fn(&KeyValue) -> i64| now.map_or(0, f);
         let order = match (
             &compare.target_union,
@@ -315,12 +322,12 @@
         }
     }
 
-    /// Runs a transaction; all it writes has one revision.
+    /// Runs a transaction; all of its writes share one revision.
     ///
     /// # Errors
-    /// A lease is not there; nothing is written then.
+    /// A lease does not exist; then nothing is written.
     pub fn txn(&mut self, member: usize, request: &TxnRequest) -> StoreResult<TxnResponse> {
-        let succeeded = request.compare.iter().all(|c| self.holds(c));
+        let succeeded = request.compare.iter().all(|c| self.comparison_holds(c));
         let ops = if succeeded {
             &request.success
         } else {
@@ -343,11 +350,15 @@
                     prev_kv: self.put_at(revision, put),
                 }),
                 Some(Request::RequestDeleteRange(delete)) => {
-                    let gone = self.delete_at(revision, delete);
+                    let deleted_values = self.delete_at(revision, delete);
                     Response::ResponseDeleteRange(DeleteRangeResponse {
                         header: None,
-                        deleted: gone.len() as i64,
-                        prev_kvs: if delete.prev_kv { gone } else { Vec::new() },
+                        deleted: deleted_values.len() as i64,
+                        prev_kvs: if delete.prev_kv {
+                            deleted_values
+                        } else {
+                            Vec::new()
+                        },
                     })
                 }
                 None => continue,
@@ -366,10 +377,10 @@
         })
     }
 
-    /// Forgets what was before a revision, but for what still holds then.
+    /// Discards all values older than a revision, except those that are current at it.
     ///
     /// # Errors
-    /// It is compacted already, or not there yet.
+    /// The revision has been compacted already, or is in the future.
     pub fn compact(&mut self, revision: i64) -> StoreResult<()> {
         if revision <= self.compacted_revision {
             return Err(compacted_error());
@@ -391,26 +402,26 @@
         Ok(())
     }
 
-    /// Events from one revision up to another.
+    /// Events of the revisions `from` to `to`, both included.
     pub fn events(&self, from: i64, to: i64) -> impl Iterator<Item = &(i64, Event)> {
-        let begin = self.log.partition_point(|(at, _)| *at < from);
-        self.log[begin..]
+        let first = self.log.partition_point(|(at, _)| *at < from);
+        self.log[first..]
             .iter()
             .take_while(move |(at, _)| *at <= to)
     }
 
-    /// Goes back to what a backup holds; who is asked for a password is as it was.
+    /// Replaces the content with a backup's; credentials and tokens stay.
     pub fn restore(&mut self, backup: Store) {
         let (credentials, tokens) = (self.credentials.take(), std::mem::take(&mut self.tokens));
         *self = Store {
             credentials,
             tokens,
-            lagging: vec![None; self.lagging.len()],
+            frozen_at: vec![None; self.frozen_at.len()],
             ..backup
         };
     }
 
-    /// Grants a lease; returns its id.
+    /// Grants a lease and returns its ID.
     pub fn grant_lease(&mut self, ttl: Duration, id: i64) -> i64 {
         self.next_lease += 1;
         let id = if id == 0 { self.next_lease } else { id };
@@ -418,21 +429,21 @@
             id,
             Lease {
                 ttl,
-                ends: Instant::now() + ttl,
+                expires_at: Instant::now() + ttl,
                 keys: BTreeSet::new(),
             },
         );
         id
     }
 
-    /// Renews a lease; its span, or none if it has ended.
+    /// Renews a lease and returns its TTL, or `None` if it does not exist.
     pub fn renew_lease(&mut self, id: i64) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
-        lease.ends = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease, and with it its keys, in one revision.
+    /// Revokes a lease and deletes its keys in one revision. Returns whether the lease existed.
     pub fn revoke_lease(&mut self, id: i64) -> bool {
         let Some(lease) = self.leases.remove(&id) else {
             return false;
@@ -446,35 +457,35 @@
         true
     }
 
-    /// Ends leases whose time is over; tells whether any did.
+    /// Revokes expired leases. Returns whether there were any.
     pub fn expire_leases(&mut self) -> bool {
         let now = Instant::now();
-        let over: Vec<i64> = self
+        let expired: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, l)| l.ends <= now)
+            .filter(|(_, l)| l.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        over.iter().for_each(|id| _ = self.revoke_lease(*id));
-        !over.is_empty()
+        expired.iter().for_each(|id| _ = self.revoke_lease(*id));
+        !expired.is_empty()
     }
 
-    /// Ends all leases now, each in a revision of its own, as after etcd was away for long.
+    /// Revokes all leases, each in a revision of its own, as after a long outage of etcd.
     pub fn expire_all_leases(&mut self) {
         let all: Vec<i64> = self.leases.keys().copied().collect();
         all.into_iter().for_each(|id| _ = self.revoke_lease(id));
     }
 
-    /// A token for a user.
+    /// Issues a token.
     ///
     /// # Errors
-    /// Name or password are wrong.
+    /// The name or the password is wrong.
     pub fn authenticate(&mut self, name: &str, password: &str) -> StoreResult<String> {
-        let known = self
+        let valid = self
             .credentials
             .as_ref()
             .is_some_and(|(n, p)| n == name && p == password);
-        if !known {
+        if !valid {
             let text = "etcdserver: authentication failed, invalid user ID or password";
             return Err(Box::new(Status::invalid_argument(text)));
         }
@@ -484,19 +495,19 @@
         Ok(token)
     }
 
-    /// Whether a call with this token may be made.
+    /// Checks the token of a call.
     ///
     /// # Errors
-    /// It may not.
+    /// Authentication is required, and the token is missing or invalid.
     pub fn check_token(&self, token: Option<&str>) -> StoreResult<()> {
-        let good = |t: &str| {
+        let is_valid = |t: &str| {
             self.tokens
                 .get(t)
-                .is_some_and(|ends| Instant::now() < *ends)
+                .is_some_and(|expires_at| Instant::now() < *expires_at)
         };
         match (&self.credentials, token) {
             (None, _) => Ok(()),
-            (Some(_), Some(token)) if good(token) => Ok(()),
+            (Some(_), Some(token)) if is_valid(token) => Ok(()),
             (Some(_), Some(_)) => Err(Box::new(Status::unauthenticated(
                 "etcdserver: invalid auth token",
             ))),
--- a/crates/etcd-fake/tests/harness/mod.rs
+++ b/crates/etcd-fake/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A follower of a stand-in, and what it has told.
-#![allow(dead_code)] // each test file uses its own part
+//! An endpoint watcher connected to a fake etcd, and the list that results from its updates.
+#![allow(dead_code)] // each test uses a different subset
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -12,16 +12,16 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// No wait takes longer, however loaded the machine.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Limit of every wait; generous, so that a loaded machine does not fail tests.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn keys() -> KeySpace {
     KeySpace::new("/canvascart/v1", "pool")
 }
 
-/// A server's value; its birth tells which making of it this is.
-pub fn value(made: u64) -> Vec<u8> {
-    format!(r#"{{"address":"127.0.0.1:9000","born-ms":{made}}}"#).into_bytes()
+/// Returns a stored record whose start time identifies the incarnation of the endpoint.
+pub fn value(incarnation: u64) -> Vec<u8> {
+    format!(r#"{{"address":"127.0.0.1:9000","born-ms":{incarnation}}}"#).into_bytes()
 }
 
 pub fn put_request(name: &str, value: Vec<u8>) -> PutRequest {
@@ -39,16 +39,16 @@
     }
 }
 
-pub fn put(standin: &FakeEtcd, name: &str, made: u64) {
-    standin.with_store(|s| s.put(0, &put_request(name, value(made))).unwrap());
+pub fn put(etcd: &FakeEtcd, name: &str, incarnation: u64) {
+    etcd.with_store(|s| s.put(0, &put_request(name, value(incarnation))).unwrap());
 }
 
-pub fn delete(standin: &FakeEtcd, name: &str) {
-    standin.with_store(|s| s.delete(0, &delete_request(name)));
+pub fn delete(etcd: &FakeEtcd, name: &str) {
+    etcd.with_store(|s| s.delete(0, &delete_request(name)));
 }
 
-/// WatchLimits whose spans are short, so that tests are. Flapping is on purpose here, and not held back.
-pub fn quick() -> WatchLimits {
+/// Returns limits with short timeouts, to keep tests fast. Flap suppression is off, because the tests flap on purpose.
+pub fn short_limits() -> WatchLimits {
     WatchLimits {
         progress_interval_ms: 100,
         silence_timeout_ms: 300,
@@ -76,32 +76,33 @@
 
 pub struct WatchHarness {
     updates: mpsc::UnboundedReceiver<DiscoveryUpdate>,
-    up: BTreeMap<String, Endpoint>,
+    endpoints: BTreeMap<String, Endpoint>,
     phase: Phase,
-    pub held: usize,
-    /// The making of each server that it was last told is gone.
-    gone: BTreeMap<String, u64>,
-    missing: BTreeSet<String>,
+    pub retained: usize,
+    /// Incarnation of each removed endpoint at its last removal.
+    removed: BTreeMap<String, u64>,
+    /// Names of all endpoints that were ever removed.
+    ever_removed: BTreeSet<String>,
 }
 
 impl WatchHarness {
-    pub async fn follow(standin: &FakeEtcd, limits: WatchLimits) -> Self {
-        WatchHarness::follow_as(standin, limits, None).await
+    pub async fn start(etcd: &FakeEtcd, limits: WatchLimits) -> Self {
+        WatchHarness::start_with_credentials(etcd, limits, None).await
     }
 
-    pub async fn follow_as(
-        standin: &FakeEtcd,
+    pub async fn start_with_credentials(
+        etcd: &FakeEtcd,
         limits: WatchLimits,
         credentials: Option<(&str, &str)>,
     ) -> Self {
         let credentials =
             credentials.map(|(name, password)| (name.to_owned(), password.to_owned()));
         let settings = Settings {
-            endpoints: standin.endpoints(),
+            endpoints: etcd.endpoints(),
             credentials,
             page_size: 500,
         };
-        let (to, updates) = mpsc::unbounded_channel();
+        let (update_sender, updates) = mpsc::unbounded_channel();
         let seed = fastrand::u64(..);
         tokio::spawn(etcd::watch_endpoints(
             PlaintextConnector,
@@ -110,41 +111,44 @@
             keys(),
             limits,
             seed,
-            to,
+            update_sender,
         ));
         WatchHarness {
             updates,
-            up: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             phase: Phase::Listing,
-            held: 0,
-            gone: BTreeMap::new(),
-            missing: BTreeSet::new(),
+            retained: 0,
+            removed: BTreeMap::new(),
+            ever_removed: BTreeSet::new(),
         }
     }
 
-    fn take(&mut self, update: DiscoveryUpdate) {
+    fn apply(&mut self, update: DiscoveryUpdate) {
         match update {
             DiscoveryUpdate::Status(status) => {
-                (self.phase, self.held) = (status.phase, status.endpoints.retained)
+                (self.phase, self.retained) = (status.phase, status.endpoints.retained)
             }
             DiscoveryUpdate::List(ListChange::Complete(all)) => {
-                self.up = all.into_iter().map(|s| (s.name.clone(), s)).collect();
+                self.endpoints = all.into_iter().map(|s| (s.name.clone(), s)).collect();
             }
-            DiscoveryUpdate::List(ListChange::Upserted(server)) => {
-                let made = server.started_at_ms;
-                if let Some(gone) = self.gone.get(&server.name) {
+            DiscoveryUpdate::List(ListChange::Upserted(endpoint)) => {
+                let incarnation = endpoint.started_at_ms;
+                if let Some(removed) = self.removed.get(&endpoint.name) {
                     assert!(
-                        made > *gone,
-                        "{} came back as it was: {made} after {gone}",
-                        server.name
+                        incarnation > *removed,
+                        "removed endpoint {} reappeared unchanged: incarnation {incarnation} after {removed}",
+                        endpoint.name
                     );
                 }
-                self.up.insert(server.name.clone(), server);
+                self.endpoints.insert(endpoint.name.clone(), endpoint);
             }
             DiscoveryUpdate::List(ListChange::Removed(name)) => {
-                let server = self.up.remove(&name).expect("only who is there goes");
-                self.gone.insert(name.clone(), server.started_at_ms);
-                self.missing.insert(name);
+                let endpoint = self
+                    .endpoints
+                    .remove(&name)
+                    .expect("only listed endpoints are removed");
+                self.removed.insert(name.clone(), endpoint.started_at_ms);
+                self.ever_removed.insert(name);
             }
         }
     }
@@ -152,41 +156,42 @@
     pub async fn wait(&mut self, ms: u64) {
         let end = tokio::time::Instant::now() + Duration::from_millis(ms);
         while let Ok(Some(update)) = tokio::time::timeout_at(end, self.updates.recv()).await {
-            self.take(update);
+            self.apply(update);
         }
     }
 
-    pub async fn until(&mut self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let began = Instant::now();
-        while !holds(self) {
+    pub async fn until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let started = Instant::now();
+        while !condition(self) {
             assert!(
-                began.elapsed() < LIMIT,
-                "waited in vain for {what}: {:?}, {:?}",
+                started.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting for {what}: {:?}, {:?}",
                 self.names(),
                 self.phase
             );
-            if let Ok(Some(update)) = tokio::time::timeout(LIMIT, self.updates.recv()).await {
-                self.take(update);
+            if let Ok(Some(update)) = tokio::time::timeout(WAIT_TIMEOUT, self.updates.recv()).await
+            {
+                self.apply(update);
             }
         }
     }
 
     pub fn names(&self) -> Vec<String> {
-        self.up.keys().cloned().collect()
+        self.endpoints.keys().cloned().collect()
     }
 
-    pub fn server(&self, name: &str) -> Option<&Endpoint> {
-        self.up.get(name)
+    pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
+        self.endpoints.get(name)
     }
 
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    pub fn ever_missing(&self, names: &[&str]) -> Vec<String> {
+    pub fn ever_removed(&self, names: &[&str]) -> Vec<String> {
         names
             .iter()
-            .filter(|n| self.missing.contains(**n))
+            .filter(|n| self.ever_removed.contains(**n))
             .map(|n| (*n).to_owned())
             .collect()
     }
--- a/crates/etcd-fake/tests/registry.rs
+++ b/crates/etcd-fake/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Registering servers: leases, drains, leaving, and what happens to those that are held.
+//! Endpoint registration: leases, draining, deregistration, and endpoints retained after mass expiry.
 mod harness;
 
 use std::time::Duration;
@@ -6,53 +6,51 @@
 use endpoint_discovery::{EndpointRecord, EndpointState, WatchLimits};
 use etcd::{PlaintextConnector, Registry, RegistryError, Settings};
 use etcd_fake::{FakeEtcd, NetworkState};
-use harness::{WatchHarness, keys, quick, run};
+use harness::{WatchHarness, keys, run, short_limits};
 
-async fn registry(standin: &FakeEtcd) -> Registry<PlaintextConnector> {
-    Registry::connect(
-        PlaintextConnector,
-        Settings::new(standin.endpoints()),
-        keys(),
-    )
-    .await
-    .unwrap()
+async fn registry(etcd: &FakeEtcd) -> Registry<PlaintextConnector> {
+    Registry::connect(PlaintextConnector, Settings::new(etcd.endpoints()), keys())
+        .await
+        .unwrap()
 }
 
-fn entry(port: u16) -> EndpointRecord {
+fn record(port: u16) -> EndpointRecord {
     EndpointRecord::new(([127, 0, 0, 1], port).into())
 }
 
 #[test]
-fn a_server_joins_drains_and_leaves_and_its_value_keeps_what_others_wrote() {
+fn endpoint_registers_drains_and_deregisters_and_keeps_unknown_fields() {
     run(async {
-        let standin = FakeEtcd::start(3).await.unwrap();
-        let registry = registry(&standin).await;
-        let mut play = WatchHarness::follow(&standin, quick()).await;
+        let etcd = FakeEtcd::start(3).await.unwrap();
+        let registry = registry(&etcd).await;
+        let mut watcher = WatchHarness::start(&etcd, short_limits()).await;
         let registration = registry
-            .register("n1", &entry(9001), Duration::from_secs(5))
+            .register("n1", &record(9001), Duration::from_secs(5))
             .await
             .unwrap();
-        play.until("it joins", |p| p.names() == ["n1"]).await;
+        watcher
+            .until("the registration", |w| w.names() == ["n1"])
+            .await;
         let taken = registry
-            .register("n1", &entry(9002), Duration::from_secs(5))
+            .register("n1", &record(9002), Duration::from_secs(5))
             .await;
         assert_eq!(taken, Err(RegistryError::NameInUse("n1".into())));
-        // Somebody else's field is there after a drain.
+        // A field that another program wrote is kept by a drain.
         let text = r#"{"v":1,"address":"127.0.0.1:9001","rack":"r7"}"#;
         let put = etcd::api::PutRequest {
             lease: registration.lease,
             ..harness::put_request("n1", text.into())
         };
-        standin.with_store(|s| s.put(0, &put).unwrap());
+        etcd.with_store(|s| s.put(0, &put).unwrap());
         registry
             .set_state("n1", EndpointState::Draining)
             .await
             .unwrap();
-        let draining = |p: &WatchHarness| {
-            p.server("n1")
+        let draining = |w: &WatchHarness| {
+            w.endpoint("n1")
                 .is_some_and(|s| s.record.state == EndpointState::Draining)
         };
-        play.until("it drains", draining).await;
+        watcher.until("the drain", draining).await;
         let listed = registry.list().await.unwrap();
         assert_eq!(
             listed[0].record.as_ref().unwrap().unknown_fields["rack"],
@@ -60,7 +58,7 @@
         );
         assert_eq!(listed[0].lease, registration.lease);
         registry.deregister("n1").await.unwrap();
-        play.until("it leaves", |p| p.names().is_empty()).await;
+        watcher.until("the removal", |w| w.names().is_empty()).await;
         assert!(registry.list().await.unwrap().is_empty());
         assert_eq!(
             registry.deregister("n1").await,
@@ -74,21 +72,26 @@
 }
 
 #[test]
-fn a_lease_that_is_kept_lasts_and_one_that_is_not_ends() {
+fn renewed_lease_lasts_and_unrenewed_lease_expires() {
     run(async {
-        let standin = FakeEtcd::start(2).await.unwrap();
-        let (kept, other) = (registry(&standin).await, registry(&standin).await);
+        let etcd = FakeEtcd::start(2).await.unwrap();
+        let (registry, other) = (registry(&etcd).await, registry(&etcd).await);
         let second = Duration::from_secs(1);
-        let registration = kept.register("kept", &entry(9001), second).await.unwrap();
-        other.register("left", &entry(9002), second).await.unwrap();
-        let mut play = WatchHarness::follow(&standin, quick()).await;
-        play.until("both", |p| p.names().len() == 2).await;
-        let keeping = tokio::task::spawn_local(async move { kept.keep_alive(registration).await });
-        play.until("one lease ends", |p| p.names() == ["kept"])
+        let registration = registry
+            .register("kept", &record(9001), second)
+            .await
+            .unwrap();
+        other.register("left", &record(9002), second).await.unwrap();
+        let mut watcher = WatchHarness::start(&etcd, short_limits()).await;
+        watcher.until("both", |w| w.names().len() == 2).await;
+        let keeping =
+            tokio::task::spawn_local(async move { registry.keep_alive(registration).await });
+        watcher
+            .until("the expiry of one lease", |w| w.names() == ["kept"])
             .await;
-        play.wait(1500).await;
-        assert_eq!(play.names(), ["kept"]);
-        standin.set_network_all(NetworkState::Down);
+        watcher.wait(1500).await;
+        assert_eq!(watcher.names(), ["kept"]);
+        etcd.set_network_all(NetworkState::Down);
         assert!(matches!(
             keeping.await.unwrap(),
             RegistryError::Unavailable(_) | RegistryError::Rejected(_)
@@ -97,38 +100,43 @@
 }
 
 #[test]
-fn when_all_leases_end_with_etcd_away_the_fleet_stays_until_it_is_let_go() {
+fn endpoints_of_mass_expiry_are_retained_until_released() {
     run(async {
-        let standin = FakeEtcd::start(1).await.unwrap();
-        let registry = registry(&standin).await;
+        let etcd = FakeEtcd::start(1).await.unwrap();
+        let registry = registry(&etcd).await;
         for n in 0..8 {
             registry
-                .register(&format!("s{n}"), &entry(9000 + n), Duration::from_secs(60))
+                .register(&format!("s{n}"), &record(9000 + n), Duration::from_secs(60))
                 .await
                 .unwrap();
         }
-        let mut play = WatchHarness::follow(&standin, quick()).await;
-        play.until("all", |p| p.names().len() == 8).await;
-        standin.set_network_all(NetworkState::Down);
-        standin.with_store(etcd_fake::store::Store::expire_all_leases);
-        standin.set_network_all(NetworkState::Up);
-        play.until("they are held", |p| p.held >= 4).await;
-        assert!(play.names().len() >= 4, "{:?}", play.names());
-        // One registers again and is a server like any other; the word to let go concerns those that did not.
+        let mut watcher = WatchHarness::start(&etcd, short_limits()).await;
+        watcher.until("all", |w| w.names().len() == 8).await;
+        etcd.set_network_all(NetworkState::Down);
+        etcd.with_store(etcd_fake::store::Store::expire_all_leases);
+        etcd.set_network_all(NetworkState::Up);
+        watcher
+            .until("retained endpoints", |w| w.retained >= 4)
+            .await;
+        assert!(watcher.names().len() >= 4, "{:?}", watcher.names());
+        // An endpoint that registers again is no longer retained; the release applies to the others only.
         registry
-            .register("s7", &entry(9007), Duration::from_secs(60))
+            .register("s7", &record(9007), Duration::from_secs(60))
             .await
             .unwrap();
-        play.until("it is back", |p| p.server("s7").is_some()).await;
+        watcher
+            .until("the new registration", |w| w.endpoint("s7").is_some())
+            .await;
         registry.release_retained().await.unwrap();
-        play.until("the others are let go", |p| {
-            p.names() == ["s7"] && p.held == 0
-        })
-        .await;
-        // Without the guard they are gone at once.
-        let mut limits: WatchLimits = quick();
+        watcher
+            .until("the release of the others", |w| {
+                w.names() == ["s7"] && w.retained == 0
+            })
+            .await;
+        // Without the mass expiry limit a watcher lists none of them.
+        let mut limits: WatchLimits = short_limits();
         limits.table.mass_expiry_ratio = 1.0;
-        let mut bare = WatchHarness::follow(&standin, limits).await;
-        bare.until("the list", |p| p.names() == ["s7"]).await;
+        let mut unguarded = WatchHarness::start(&etcd, limits).await;
+        unguarded.until("the list", |w| w.names() == ["s7"]).await;
     });
 }
--- a/crates/etcd-fake/tests/third_party_client.rs
+++ b/crates/etcd-fake/tests/third_party_client.rs
@@ -1,4 +1,4 @@
-//! A client library of others against the stand-in, so that the stand-in is not a mirror of our own reading of etcd's API.
+//! The etcd-client crate against the fake. Guards against a fake that only confirms this project's own interpretation of the API.
 mod harness;
 
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use harness::run;
 
 #[test]
-fn another_client_reads_writes_watches_and_leases() {
+fn etcd_client_reads_writes_watches_and_leases() {
     run(async {
-        let standin = FakeEtcd::start(3).await.unwrap();
-        let mut client = Client::connect(standin.endpoints(), None).await.unwrap();
+        let etcd = FakeEtcd::start(3).await.unwrap();
+        let mut client = Client::connect(etcd.endpoints(), None).await.unwrap();
         let put = client.put("/a/1", "one", None).await.unwrap();
         let first = put.header().unwrap().revision();
         client.put("/a/2", "two", None).await.unwrap();
-        let got = client
+        let replaced = client
             .put("/a/1", "uno", Some(PutOptions::new().with_prev_key()))
             .await
             .unwrap();
-        assert_eq!(got.prev_key().unwrap().value_str().unwrap(), "one");
+        assert_eq!(replaced.prev_key().unwrap().value_str().unwrap(), "one");
         let all = client
             .get("/a/", Some(GetOptions::new().with_prefix()))
             .await
@@ -38,13 +38,13 @@
             .await
             .unwrap();
         assert_eq!((page.kvs().len(), page.more(), page.count()), (1, true, 2));
-        let then = client
+        let at_first_revision = client
             .get("/a/1", Some(GetOptions::new().with_revision(first)))
             .await
             .unwrap();
-        assert_eq!(then.kvs()[0].value_str().unwrap(), "one");
+        assert_eq!(at_first_revision.kvs()[0].value_str().unwrap(), "one");
 
-        // A transaction writes in one revision, or takes its other way.
+        // A transaction writes in one revision, or runs its else branch.
         let txn = |expected: &str| {
             Txn::new()
                 .when([Compare::value("/a/1", CompareOp::Equal, expected)])
@@ -55,11 +55,11 @@
                 .or_else([TxnOp::get("/a/1", None)])
         };
         assert!(!client.txn(txn("one")).await.unwrap().succeeded());
-        let done = client.txn(txn("uno")).await.unwrap();
-        assert!(done.succeeded());
-        let revision = done.header().unwrap().revision();
+        let committed = client.txn(txn("uno")).await.unwrap();
+        assert!(committed.succeeded());
+        let revision = committed.header().unwrap().revision();
 
-        // A watch from the past tells all of it in order; filters and cancelling work.
+        // A watch from a past revision sends all events since then in order; progress requests and cancelling work.
         let options = WatchOptions::new()
             .with_prefix()
             .with_start_revision(first)
@@ -67,8 +67,8 @@
         let (mut watcher, mut stream) = client.watch("/a/", Some(options)).await.unwrap();
         let mut events = Vec::new();
         while events.len() < 5 {
-            let answer = stream.message().await.unwrap().unwrap();
-            for event in answer.events() {
+            let response = stream.message().await.unwrap().unwrap();
+            for event in response.events() {
                 let kv = event.kv().unwrap();
                 events.push((
                     event.event_type(),
@@ -91,31 +91,35 @@
         watcher.cancel().await.unwrap();
         while !stream.message().await.unwrap().unwrap().canceled() {}
 
-        // A lease takes its keys with it.
+        // Revoking a lease deletes its keys.
         let lease = client.lease_grant(1, None).await.unwrap().id();
         client
             .put("/a/leased", "x", Some(PutOptions::new().with_lease(lease)))
             .await
             .unwrap();
-        let (mut keeper, mut kept) = client.lease_keep_alive(lease).await.unwrap();
+        let (mut keeper, mut keep_alive_responses) = client.lease_keep_alive(lease).await.unwrap();
         for _ in 0..3 {
             tokio::time::sleep(Duration::from_millis(600)).await;
             keeper.keep_alive().await.unwrap();
-            assert_eq!(kept.message().await.unwrap().unwrap().ttl(), 1);
+            assert_eq!(
+                keep_alive_responses.message().await.unwrap().unwrap().ttl(),
+                1
+            );
         }
         assert_eq!(client.get("/a/leased", None).await.unwrap().count(), 1);
         client.lease_revoke(lease).await.unwrap();
         assert_eq!(client.get("/a/leased", None).await.unwrap().count(), 0);
-        let gone = client
+        let without_lease = client
             .put("/x", "x", Some(PutOptions::new().with_lease(lease)))
             .await;
         assert!(
-            gone.unwrap_err()
+            without_lease
+                .unwrap_err()
                 .to_string()
                 .contains("requested lease not found")
         );
 
-        // What is compacted can't be read, and a watch of it is told so.
+        // Compacted revisions can't be read, and a watch from one is cancelled with the compaction revision.
         let now = client
             .put("/a/9", "nine", None)
             .await
@@ -130,10 +134,10 @@
         assert!(old.unwrap_err().to_string().contains("has been compacted"));
         let options = WatchOptions::new().with_prefix().with_start_revision(first);
         let (_watcher, mut stream) = client.watch("/a/", Some(options)).await.unwrap();
-        let told = stream.message().await.unwrap().unwrap();
+        let cancelled = stream.message().await.unwrap().unwrap();
         assert!(
-            told.canceled() && told.compact_revision() == now,
-            "{told:?}"
+            cancelled.canceled() && cancelled.compact_revision() == now,
+            "{cancelled:?}"
         );
         let deleted = client
             .delete("/a/", Some(DeleteOptions::new().with_prefix()))
@@ -144,22 +148,22 @@
 }
 
 #[test]
-fn another_client_needs_the_password_where_one_is_set() {
+fn etcd_client_needs_the_password_if_one_is_set() {
     run(async {
-        let standin = FakeEtcd::start(1).await.unwrap();
-        standin.with_store(|s| s.credentials = Some(("me".into(), "secret".into())));
+        let etcd = FakeEtcd::start(1).await.unwrap();
+        etcd.with_store(|s| s.credentials = Some(("me".into(), "secret".into())));
         let right = ConnectOptions::new().with_user("me", "secret");
-        let mut client = Client::connect(standin.endpoints(), Some(right))
+        let mut client = Client::connect(etcd.endpoints(), Some(right))
             .await
             .unwrap();
         client.put("a", "b", None).await.unwrap();
         let wrong = ConnectOptions::new().with_user("me", "wrong");
         assert!(
-            Client::connect(standin.endpoints(), Some(wrong))
+            Client::connect(etcd.endpoints(), Some(wrong))
                 .await
                 .is_err()
         );
-        let mut none = Client::connect(standin.endpoints(), None).await.unwrap();
-        assert!(none.get("a", None).await.is_err());
+        let mut anonymous = Client::connect(etcd.endpoints(), None).await.unwrap();
+        assert!(anonymous.get("a", None).await.is_err());
     });
 }
--- a/crates/etcd/build.rs
+++ b/crates/etcd/build.rs
@@ -1,4 +1,4 @@
-//! Makes the messages and services of proto/etcd.proto.
+//! Generates the messages and services of proto/etcd.proto.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = protox::compile(["proto/etcd.proto"], ["proto"])?;
--- a/crates/etcd/src/connect.rs
+++ b/crates/etcd/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections to etcd's members, and tokens for them.
+//! Connections to etcd members, and their authentication tokens.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 use crate::api::AuthenticateRequest;
 use crate::api::auth_client::AuthClient;
 
-/// How long a connection may take to come up.
+/// Limit of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A peer that answers no ping for so long is gone.
+/// Interval of HTTP/2 pings, and the time after which an unanswered one closes the connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Bytes of a message at most: etcd sends fragments of 1.5 MiB, and a single large event whole.
+/// Largest message accepted. etcd fragments watch responses at 1.5 MiB, but sends a single larger event whole.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// Where etcd is, and who asks.
+/// Addresses of etcd, and the credentials used there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its members, such as `http://127.0.0.1:2379`.
+    /// URLs of the members, such as `http://127.0.0.1:2379`.
     pub endpoints: Vec<String>,
-    /// Name and password, where etcd asks for them.
+    /// User name and password, if etcd requires authentication.
     pub credentials: Option<(String, String)>,
-    /// Keys of one answer of a list.
+    /// Maximum number of keys in one response of a list.
     pub page_size: i64,
 }
 
 impl Settings {
-    /// Members without authentication.
+    /// Settings without authentication.
     pub fn new(endpoints: Vec<String>) -> Self {
         Settings {
             endpoints,
@@ -38,7 +38,7 @@
     }
 }
 
-/// How a member is connected to: the place for TLS.
+/// Opens connections to members. An implementation with TLS can replace [`PlaintextConnector`].
 pub trait Connector: Clone + Send + Sync + 'static {
     /// Connects to an endpoint.
     fn connect(
@@ -47,7 +47,7 @@
     ) -> impl Future<Output = Result<Channel, tonic::transport::Error>> + Send;
 }
 
-/// Connections as they are, without TLS.
+/// Connects without TLS.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlaintextConnector;
 
@@ -62,20 +62,20 @@
     }
 }
 
-/// A member that is connected to, and the token for it.
+/// A connection to an etcd member, with its authentication token.
 #[derive(Clone)]
 pub struct Member {
-    /// The connection.
+    /// Connection to the member.
     pub channel: Channel,
     credentials: Option<(String, String)>,
     token: Option<MetadataValue<tonic::metadata::Ascii>>,
 }
 
 impl Member {
-    /// Takes a connection, and gets a token where one is needed.
+    /// Wraps a connection and requests a token if there are credentials.
     ///
     /// # Errors
-    /// etcd does not know the credentials.
+    /// etcd rejects the credentials.
     pub async fn new(
         channel: Channel,
         credentials: Option<(String, String)>,
@@ -85,40 +85,40 @@
             credentials,
             token: None,
         };
-        member.renew().await?;
+        member.refresh_token().await?;
         Ok(member)
     }
 
-    /// Gets a new token, where one is needed.
+    /// Requests a new token if there are credentials.
     ///
     /// # Errors
-    /// etcd does not know the credentials.
-    pub async fn renew(&mut self) -> Result<(), Status> {
+    /// etcd rejects the credentials.
+    pub async fn refresh_token(&mut self) -> Result<(), Status> {
         let Some((name, password)) = self.credentials.clone() else {
             return Ok(());
         };
         let mut client = AuthClient::new(self.channel.clone());
-        let answer = client
+        let response = client
             .authenticate(AuthenticateRequest { name, password })
             .await?
             .into_inner();
-        let token = answer
+        let token = response
             .token
             .parse()
-            .map_err(|_| Status::internal("etcd's token can't be sent"))?;
+            .map_err(|_| Status::internal("etcd's token is not a valid header value"))?;
         self.token = Some(token);
         Ok(())
     }
 
-    /// Whether a failure may be mended by a new token.
-    pub fn wants_token(&self, status: &Status) -> bool {
+    /// Returns whether a call failed because of its token, so that a new token may help.
+    pub fn needs_new_token(&self, status: &Status) -> bool {
         self.credentials.is_some()
             && (status.code() == tonic::Code::Unauthenticated
                 || status.message().contains("invalid auth token"))
     }
 
-    /// A request with the token.
-    pub fn request<T>(&self, message: T) -> Request<T> {
+    /// Builds a request that carries the token.
+    pub fn authorized_request<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
         if let Some(token) = &self.token {
             request
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,22 +1,17 @@
-//! etcd's published v3 API, as far as a fleet's list needs it.
+//! Client of the etcd v3 API, limited to what endpoint discovery needs.
 //!
-//! - [`api`]: the messages and services, made from `proto/etcd.proto`.
-//! - [`watch_endpoints`]: carries out a [`endpoint_discovery::EndpointWatcher`]'s commands, and tells what the list becomes.
-//! - [`Registry`]: registers servers with leases, drains them and takes them away; for `canvascart fleet`.
+//! - [`api`]: messages and services, generated from `proto/etcd.proto`.
+//! - [`watch_endpoints`]: executes the commands of an [`endpoint_discovery::EndpointWatcher`] and sends the resulting list updates.
+//! - [`Registry`]: registers endpoints with leases, drains and deregisters them, for `canvascart fleet`.
 //!
-//! It decides nothing about what to believe: the follower does.
+//! This crate only does I/O: the watcher decides which responses are accepted.
 
 mod connect;
 mod registry;
 mod watch;
 
-/// The messages and services of etcd's v3 API that are spoken here.
-#[expect(
-    missing_docs,
-    clippy::all,
-    clippy::pedantic,
-    reason = "made from the published messages"
-)]
+/// Messages and services of the etcd v3 API that this crate uses.
+#[expect(missing_docs, clippy::all, clippy::pedantic, reason = "generated code")]
 pub mod api {
     tonic::include_proto!("etcdserverpb");
 }
--- a/crates/etcd/src/registry.rs
+++ b/crates/etcd/src/registry.rs
@@ -1,4 +1,4 @@
-//! Registering servers in etcd: with a lease that ends when their process does, drained, and taken away on purpose.
+//! Registers endpoints in etcd under leases that expire after the endpoint's process ends; drains and deregisters them.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 };
 use crate::connect::{Connector, MAX_MESSAGE_BYTES, Member, Settings};
 
-/// What a call may take.
+/// Limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Tries of a change that others come in between of.
+/// Attempts of a compare-and-swap that conflicts with concurrent changes.
 const MAX_UPDATE_ATTEMPTS: usize = 8;
 
-/// Why something could not be done.
+/// Error of a registry operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryError {
     /// No member of etcd answers.
     Unavailable(String),
-    /// There is no such server.
+    /// The endpoint does not exist.
     NotFound(String),
-    /// Another one has the name.
+    /// An endpoint with another address has the name.
     NameInUse(String),
-    /// etcd says no, or what it has can't be read.
+    /// etcd rejects the call, or the stored value can't be read.
     Rejected(String),
 }
 
@@ -51,7 +51,7 @@
 impl From<Status> for RegistryError {
     fn from(status: Status) -> Self {
         match status.code() {
-            // A connection that breaks under a call is told of as unknown.
+            // tonic reports a connection that breaks during a call as unknown.
             Code::Unavailable | Code::DeadlineExceeded | Code::Unknown | Code::Cancelled => {
                 RegistryError::Unavailable(status.to_string())
             }
@@ -60,31 +60,31 @@
     }
 }
 
-/// A server as etcd has it.
+/// An endpoint as it is stored in etcd.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegisteredEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Its value, or why it is none.
+    /// Stored record, or why it can't be read.
     pub record: Result<EndpointRecord, String>,
-    /// The revision of its last change.
+    /// Revision of the last change.
     pub revision: i64,
-    /// Its lease; 0 for none.
+    /// ID of the lease, or 0 for none.
     pub lease: i64,
 }
 
-/// A registered server's lease.
+/// Lease of a registered endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// The lease.
+    /// ID of the lease.
     pub lease: i64,
-    /// How long it lasts without being renewed.
+    /// Time without a renewal after which the lease expires.
     pub ttl: Duration,
 }
 
-/// A pool's servers in etcd.
+/// Endpoints of a pool in etcd.
 pub struct Registry<C> {
-    connect: C,
+    connector: C,
     settings: Settings,
     keys: KeySpace,
     member: Member,
@@ -94,76 +94,85 @@
     /// Connects to the first member that answers.
     ///
     /// # Errors
-    /// None does.
+    /// No member answers.
     pub async fn connect(
-        connect: C,
+        connector: C,
         settings: Settings,
         keys: KeySpace,
     ) -> Result<Self, RegistryError> {
-        let member = any(&connect, &settings).await?;
+        let member = connect_any(&connector, &settings).await?;
         Ok(Registry {
-            connect,
+            connector,
             settings,
             keys,
             member,
         })
     }
 
-    /// Connects anew, to whichever member answers.
+    /// Reconnects to the first member that answers.
     ///
     /// # Errors
-    /// None does.
+    /// No member answers.
     pub async fn reconnect(&mut self) -> Result<(), RegistryError> {
-        self.member = any(&self.connect, &self.settings).await?;
+        self.member = connect_any(&self.connector, &self.settings).await?;
         Ok(())
     }
 
-    fn kv(&self) -> KvClient<tonic::transport::Channel> {
+    fn kv_client(&self) -> KvClient<tonic::transport::Channel> {
         KvClient::new(self.member.channel.clone()).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 
     async fn call<T>(
         call: impl Future<Output = Result<tonic::Response<T>, Status>>,
     ) -> Result<T, RegistryError> {
-        let answer = timeout(CALL_TIMEOUT, call)
+        let response = timeout(CALL_TIMEOUT, call)
             .await
-            .map_err(|_| RegistryError::Unavailable("no answer in time".into()))?;
-        Ok(answer?.into_inner())
+            .map_err(|_| RegistryError::Unavailable("the call timed out".into()))?;
+        Ok(response?.into_inner())
     }
 
-    /// All servers of the pool.
+    /// Returns all endpoints of the pool.
     ///
     /// # Errors
-    /// etcd can't be asked.
+    /// A call of etcd fails.
     pub async fn list(&self) -> Result<Vec<RegisteredEndpoint>, RegistryError> {
-        let mut all = Vec::new();
-        let (mut from, mut revision) = (self.keys.endpoint_prefix().as_bytes().to_vec(), 0);
+        let mut endpoints = Vec::new();
+        let (mut start_key, mut revision) = (self.keys.endpoint_prefix().as_bytes().to_vec(), 0);
         loop {
             let request = RangeRequest {
-                key: from.clone(),
+                key: start_key.clone(),
                 range_end: range_end(self.keys.endpoint_prefix()),
                 limit: self.settings.page_size,
                 revision,
                 ..RangeRequest::default()
             };
-            let answer = Self::call(self.kv().range(self.member.request(request))).await?;
+            let response = Self::call(
+                self.kv_client()
+                    .range(self.member.authorized_request(request)),
+            )
+            .await?;
             revision =
-                answer.header.map_or(
+                response.header.map_or(
                     revision,
                     |h| if revision == 0 { h.revision } else { revision },
                 );
-            let Some(last) = answer.kvs.last() else {
-                return Ok(all);
+            let Some(last) = response.kvs.last() else {
+                return Ok(endpoints);
             };
-            from = [last.key.as_slice(), &[0]].concat();
-            all.extend(answer.kvs.iter().filter_map(|kv| self.listed(kv)));
-            if !answer.more {
-                return Ok(all);
+            start_key = [last.key.as_slice(), &[0]].concat();
+            endpoints.extend(
+                response
+                    .kvs
+                    .iter()
+                    .filter_map(|kv| self.registered_endpoint(kv)),
+            );
+            if !response.more {
+                return Ok(endpoints);
             }
         }
     }
 
-    fn listed(&self, kv: &KeyValue) -> Option<RegisteredEndpoint> {
+    fn registered_endpoint(&self, kv: &KeyValue) -> Option<RegisteredEndpoint> {
         Some(RegisteredEndpoint {
             name: self.keys.endpoint_name(&kv.key)?.to_owned(),
             record: EndpointRecord::parse(&kv.value).map_err(|e| e.to_string()),
@@ -177,20 +186,23 @@
             key: self.keys.endpoint_key(name).into_bytes(),
             ..RangeRequest::default()
         };
-        Ok(Self::call(self.kv().range(self.member.request(request)))
-            .await?
-            .kvs
-            .pop())
+        Ok(Self::call(
+            self.kv_client()
+                .range(self.member.authorized_request(request)),
+        )
+        .await?
+        .kvs
+        .pop())
     }
 
-    /// Registers a server with a lease of its own. A name that another address has is not taken over.
+    /// Registers an endpoint with a lease of its own. A name that is registered with another address is not taken over.
     ///
     /// # Errors
-    /// etcd can't be asked, or the name is taken.
+    /// A call of etcd fails, or the name is in use.
     pub async fn register(
         &self,
         name: &str,
-        entry: &EndpointRecord,
+        record: &EndpointRecord,
         ttl: Duration,
     ) -> Result<Registration, RegistryError> {
         let grant = LeaseGrantRequest {
@@ -198,46 +210,46 @@
             id: 0,
         };
         let mut leases = LeaseClient::new(self.member.channel.clone());
-        let lease = Self::call(leases.lease_grant(self.member.request(grant))).await?;
+        let lease = Self::call(leases.lease_grant(self.member.authorized_request(grant))).await?;
         let registration = Registration {
             lease: lease.id,
             ttl: Duration::from_secs(lease.ttl.max(1) as u64),
         };
         for _ in 0..MAX_UPDATE_ATTEMPTS {
-            let now = self.get(name).await?;
-            let mut entry = entry.clone();
-            if let Some(old) = now
+            let current = self.get(name).await?;
+            let mut record = record.clone();
+            if let Some(old) = current
                 .as_ref()
                 .and_then(|kv| EndpointRecord::parse(&kv.value).ok())
             {
-                if old.address != entry.address && old.state != EndpointState::Removed {
-                    self.revoke(registration.lease).await?;
+                if old.address != record.address && old.state != EndpointState::Removed {
+                    self.revoke_lease(registration.lease).await?;
                     return Err(RegistryError::NameInUse(name.to_owned()));
                 }
-                // What others have written there stays.
+                // Keep fields that other programs have written.
                 for (key, value) in old.unknown_fields {
-                    entry.unknown_fields.entry(key).or_insert(value);
+                    record.unknown_fields.entry(key).or_insert(value);
                 }
             }
-            let revision = now.map_or(0, |kv| kv.mod_revision);
+            let revision = current.map_or(0, |kv| kv.mod_revision);
             if self
-                .put_if(name, revision, &entry, registration.lease)
+                .put_if(name, revision, &record, registration.lease)
                 .await?
             {
                 return Ok(registration);
             }
         }
         Err(RegistryError::Rejected(format!(
-            "{name} changes all the time"
+            "{name} is changed concurrently; giving up after {MAX_UPDATE_ATTEMPTS} attempts"
         )))
     }
 
-    /// Writes a value if its key is still at this revision; 0 if there was none.
+    /// Writes a record if its key is still at this revision; 0 stands for a missing key.
     async fn put_if(
         &self,
         name: &str,
         revision: i64,
-        entry: &EndpointRecord,
+        record: &EndpointRecord,
         lease: i64,
     ) -> Result<bool, RegistryError> {
         let key = self.keys.endpoint_key(name).into_bytes();
@@ -249,7 +261,7 @@
         };
         let put = PutRequest {
             key,
-            value: entry.to_json().into_bytes(),
+            value: record.to_json().into_bytes(),
             lease,
             ..PutRequest::default()
         };
@@ -260,84 +272,95 @@
             }],
             failure: Vec::new(),
         };
-        Ok(Self::call(self.kv().txn(self.member.request(request)))
-            .await?
-            .succeeded)
+        Ok(Self::call(
+            self.kv_client()
+                .txn(self.member.authorized_request(request)),
+        )
+        .await?
+        .succeeded)
     }
 
-    /// Renews a lease until that fails, or its end comes near.
-    ///
-    /// # Errors
-    /// Always, in the end: why the lease is not renewed any more.
+    /// Renews a lease until a renewal fails or half of the TTL passes without a response, and returns that error.
     pub async fn keep_alive(&self, registration: Registration) -> RegistryError {
-        let (requests, queue) = mpsc::channel(2);
+        let (requests, request_queue) = mpsc::channel(2);
         let mut leases = LeaseClient::new(self.member.channel.clone());
-        let call = leases.lease_keep_alive(self.member.request(ReceiverStream::new(queue)));
-        let ask = LeaseKeepAliveRequest {
+        let call = leases.lease_keep_alive(
+            self.member
+                .authorized_request(ReceiverStream::new(request_queue)),
+        );
+        let renewal = LeaseKeepAliveRequest {
             id: registration.lease,
         };
-        // The stream stands once the first renewal has gone out.
-        if requests.send(ask).await.is_err() {
-            return RegistryError::Unavailable("the stream of renewals has ended".into());
+        // etcd opens the response stream after the first request.
+        if requests.send(renewal).await.is_err() {
+            return RegistryError::Unavailable("the keep-alive stream has ended".into());
         }
-        let mut answers = match timeout(CALL_TIMEOUT, call).await {
-            Ok(Ok(answers)) => answers.into_inner(),
+        let mut responses = match timeout(CALL_TIMEOUT, call).await {
+            Ok(Ok(responses)) => responses.into_inner(),
             Ok(Err(status)) => return status.into(),
-            Err(_) => return RegistryError::Unavailable("no answer in time".into()),
+            Err(_) => return RegistryError::Unavailable("the call timed out".into()),
         };
         loop {
-            match timeout(registration.ttl / 2, answers.message()).await {
-                Ok(Ok(Some(answer))) if answer.ttl > 0 => {}
-                Ok(Ok(Some(_))) => return RegistryError::Rejected("the lease has ended".into()),
+            match timeout(registration.ttl / 2, responses.message()).await {
+                Ok(Ok(Some(response))) if response.ttl > 0 => {}
+                Ok(Ok(Some(_))) => return RegistryError::Rejected("the lease has expired".into()),
                 Ok(Ok(None)) => {
-                    return RegistryError::Unavailable("the stream of renewals has ended".into());
+                    return RegistryError::Unavailable("the keep-alive stream has ended".into());
                 }
                 Ok(Err(status)) => return status.into(),
-                Err(_) => return RegistryError::Unavailable("no renewal in time".into()),
+                Err(_) => return RegistryError::Unavailable("the lease renewal timed out".into()),
             }
             sleep(registration.ttl / 3).await;
-            if requests.send(ask).await.is_err() {
-                return RegistryError::Unavailable("the stream of renewals has ended".into());
+            if requests.send(renewal).await.is_err() {
+                return RegistryError::Unavailable("the keep-alive stream has ended".into());
             }
         }
     }
 
-    async fn revoke(&self, lease: i64) -> Result<(), RegistryError> {
+    async fn revoke_lease(&self, lease: i64) -> Result<(), RegistryError> {
         let mut leases = LeaseClient::new(self.member.channel.clone());
-        Self::call(leases.lease_revoke(self.member.request(LeaseRevokeRequest { id: lease })))
-            .await?;
+        Self::call(
+            leases.lease_revoke(
+                self.member
+                    .authorized_request(LeaseRevokeRequest { id: lease }),
+            ),
+        )
+        .await?;
         Ok(())
     }
 
-    /// Changes a server's state; all else of its value stays as it is, also what this program does not know.
+    /// Changes an endpoint's state. The rest of its record stays, including fields that this program does not know.
     ///
     /// # Errors
-    /// It is not there, or etcd can't be asked.
+    /// The endpoint does not exist, or a call of etcd fails.
     pub async fn set_state(&self, name: &str, state: EndpointState) -> Result<(), RegistryError> {
         for _ in 0..MAX_UPDATE_ATTEMPTS {
             let kv = self
                 .get(name)
                 .await?
                 .ok_or_else(|| RegistryError::NotFound(name.to_owned()))?;
-            let mut entry = EndpointRecord::parse(&kv.value)
+            let mut record = EndpointRecord::parse(&kv.value)
                 .map_err(|e| RegistryError::Rejected(format!("{name}: {e}")))?;
-            entry.state = state;
-            if self.put_if(name, kv.mod_revision, &entry, kv.lease).await? {
+            record.state = state;
+            if self
+                .put_if(name, kv.mod_revision, &record, kv.lease)
+                .await?
+            {
                 return Ok(());
             }
         }
         Err(RegistryError::Rejected(format!(
-            "{name} changes all the time"
+            "{name} is changed concurrently; giving up after {MAX_UPDATE_ATTEMPTS} attempts"
         )))
     }
 
-    /// Takes a server away on purpose: its value says so first, so that nobody takes its end for that of a lease.
+    /// Removes an endpoint. Its state is set to removed first, so that proxies can tell the removal from an expired lease.
     ///
     /// # Errors
-    /// It is not there, or etcd can't be asked.
+    /// The endpoint does not exist, or a call of etcd fails.
     pub async fn deregister(&self, name: &str) -> Result<(), RegistryError> {
         match self.set_state(name, EndpointState::Removed).await {
-            // A value that can't be read goes without a word.
+            // A record that can't be read is deleted without the state change.
             Ok(()) | Err(RegistryError::Rejected(_)) => {}
             Err(e) => return Err(e),
         }
@@ -345,36 +368,43 @@
             key: self.keys.endpoint_key(name).into_bytes(),
             ..DeleteRangeRequest::default()
         };
-        Self::call(self.kv().delete_range(self.member.request(request))).await?;
+        Self::call(
+            self.kv_client()
+                .delete_range(self.member.authorized_request(request)),
+        )
+        .await?;
         Ok(())
     }
 
-    /// Lets go of servers that proxies hold because their leases ended together.
+    /// Releases the endpoints that proxies retain because their leases expired together.
     ///
     /// # Errors
-    /// etcd can't be asked.
+    /// A call of etcd fails.
     pub async fn release_retained(&self) -> Result<(), RegistryError> {
         let put = PutRequest {
             key: self.keys.release_key().as_bytes().to_vec(),
             value: b"{}".to_vec(),
             ..PutRequest::default()
         };
-        Self::call(self.kv().put(self.member.request(put))).await?;
+        Self::call(self.kv_client().put(self.member.authorized_request(put))).await?;
         Ok(())
     }
 }
 
-async fn any<C: Connector>(connect: &C, settings: &Settings) -> Result<Member, RegistryError> {
-    let mut why = RegistryError::Unavailable("no endpoint is named".into());
+async fn connect_any<C: Connector>(
+    connector: &C,
+    settings: &Settings,
+) -> Result<Member, RegistryError> {
+    let mut error = RegistryError::Unavailable("no etcd endpoint is configured".into());
     for endpoint in &settings.endpoints {
-        match timeout(CALL_TIMEOUT, connect.connect(endpoint)).await {
+        match timeout(CALL_TIMEOUT, connector.connect(endpoint)).await {
             Ok(Ok(channel)) => match Member::new(channel, settings.credentials.clone()).await {
                 Ok(member) => return Ok(member),
-                Err(status) => why = status.into(),
+                Err(status) => error = status.into(),
             },
-            Ok(Err(e)) => why = RegistryError::Unavailable(format!("{endpoint}: {e}")),
-            Err(_) => why = RegistryError::Unavailable(format!("{endpoint}: no answer in time")),
+            Ok(Err(e)) => error = RegistryError::Unavailable(format!("{endpoint}: {e}")),
+            Err(_) => error = RegistryError::Unavailable(format!("{endpoint}: timed out")),
         }
     }
-    Err(why)
+    Err(error)
 }
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -1,4 +1,4 @@
-//! Carries out a follower's commands against etcd.
+//! Executes the commands of an endpoint watcher against etcd.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -21,81 +21,82 @@
 };
 use crate::connect::{Connector, MAX_MESSAGE_BYTES, Member, Settings};
 
-/// What a call of the list may take.
+/// Limit of each call, of connecting, and of opening a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Follows the servers below these keys until nobody listens any more. `pool` names it in the log.
+/// Watches the endpoints below these keys until the receiver of `updates` is dropped. `pool` is the name in the log.
 pub async fn watch_endpoints<C: Connector>(
-    connect: C,
+    connector: C,
     settings: Settings,
     pool: String,
     keys: KeySpace,
     limits: WatchLimits,
     seed: u64,
-    to: mpsc::UnboundedSender<DiscoveryUpdate>,
+    updates: mpsc::UnboundedSender<DiscoveryUpdate>,
 ) {
     let start = Instant::now();
-    let (events, mut heard) = mpsc::channel(16);
-    let mut follower = EndpointWatcher::new(keys.clone(), limits, seed);
-    let mut line: Option<Line> = None;
-    let mut calls: Option<(Instant, usize)> = None;
-    let mut number = 0u64;
-    let (mut out, mut told_status) = (Vec::new(), None);
-    let at = |ms: u64| start + Duration::from_millis(ms);
+    let (events, mut event_queue) = mpsc::channel(16);
+    let mut watcher = EndpointWatcher::new(keys.clone(), limits, seed);
+    let mut connection: Option<Connection> = None;
+    let mut pending_connect: Option<(Instant, usize)> = None;
+    let mut connection_number = 0u64;
+    let (mut commands, mut last_status) = (Vec::new(), None);
+    let to_instant = |ms: u64| start + Duration::from_millis(ms);
     let mut event = Event::Timer;
     loop {
         let now = start.elapsed().as_millis() as u64 + 1;
-        follower.handle(now, unix_ms(), event, &mut out);
-        for command in out.drain(..) {
+        watcher.handle(now, unix_ms(), event, &mut commands);
+        for command in commands.drain(..) {
             match command {
                 Command::Connect { member, at: ms } => {
-                    line = None;
-                    calls = Some((at(ms), member));
+                    connection = None;
+                    pending_connect = Some((to_instant(ms), member));
                 }
-                Command::Publish(told) => {
-                    if to.send(DiscoveryUpdate::List(told)).is_err() {
+                Command::Publish(change) => {
+                    if updates.send(DiscoveryUpdate::List(change)).is_err() {
                         return;
                     }
                 }
-                Command::Notice(note) => log(&pool, &note),
+                Command::Notice(notice) => log(&pool, &notice),
                 command => {
-                    if let Some(line) = &line {
-                        let _ = line.commands.send(command); // one that has ended says so itself
+                    if let Some(connection) = &connection {
+                        // A session that has ended reports it as an event.
+                        let _ = connection.commands.send(command);
                     }
                 }
             }
         }
-        let status = follower.status(now);
-        if told_status
+        let status = watcher.status(now);
+        if last_status
             .as_ref()
             .is_none_or(|s: &Status| (s.phase, s.endpoints) != (status.phase, status.endpoints))
         {
-            told_status = Some(status.clone());
-            if to.send(DiscoveryUpdate::Status(status)).is_err() {
+            last_status = Some(status.clone());
+            if updates.send(DiscoveryUpdate::Status(status)).is_err() {
                 return;
             }
         }
-        let alarm = follower.next_due().map(at);
+        let timer_deadline = watcher.next_due().map(to_instant);
         event = loop {
             tokio::select! {
-                () = to.closed() => return,
-                heard = heard.recv() => match heard {
-                    Some((n, event)) if n == number => break event,
-                    _ => {} // of a connection that was given up
+                () = updates.closed() => return,
+                received = event_queue.recv() => match received {
+                    Some((n, event)) if n == connection_number => break event,
+                    _ => {} // event of an earlier connection
                 },
-                () = until(alarm) => break Event::Timer,
-                () = until(calls.map(|c| c.0)) => {
-                    let Some((_, endpoint)) = calls.take() else { continue };
-                    number += 1;
+                () = sleep_until_some(timer_deadline) => break Event::Timer,
+                () = sleep_until_some(pending_connect.map(|c| c.0)) => {
+                    let Some((_, endpoint)) = pending_connect.take() else { continue };
+                    connection_number += 1;
                     let endpoint = settings.endpoints[endpoint % settings.endpoints.len().max(1)].clone();
-                    line = Some(Line::open(connect.clone(), endpoint, &settings, &keys, number, events.clone()));
+                    connection = Some(Connection::open(connector.clone(), endpoint, &settings, &keys, connection_number, events.clone()));
                 }
             }
         };
     }
 }
 
-async fn until(at: Option<Instant>) {
+async fn sleep_until_some(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
@@ -109,8 +110,8 @@
         .as_millis() as u64
 }
 
-fn log(pool: &str, note: &Notice) {
-    match note {
+fn log(pool: &str, notice: &Notice) {
+    match notice {
         Notice::Phase(phase) => tracing::info!(pool, %phase, "the list's state"),
         Notice::Stale(_) => {
             tracing::warn!(
@@ -122,7 +123,7 @@
             tracing::warn!(
                 pool,
                 revision,
-                "changes were missed, as etcd has compacted them; the list is read anew"
+                "etcd has compacted changes that were not read yet; the list is read again"
             );
         }
         Notice::Lagging {
@@ -133,14 +134,14 @@
                 pool,
                 has = member_revision,
                 known = known_revision,
-                "a member of etcd lags behind what is known; another one is asked"
+                "an etcd member lags behind the known revision; trying another one"
             );
         }
         Notice::OtherCluster(cluster) => {
             tracing::error!(
                 pool,
                 cluster,
-                "another etcd cluster answers; nothing of it is taken"
+                "another etcd cluster answers; its data is ignored"
             );
         }
         Notice::RolledBack {
@@ -151,20 +152,20 @@
                 pool,
                 has = member_revision,
                 known = known_revision,
-                "etcd has gone back, as after a backup; its list is taken"
+                "etcd has gone back to an earlier revision, as after a restored backup; its list is accepted"
             );
         }
         Notice::Table(notice) => tracing::warn!(pool, what = notice.to_string(), "servers"),
     }
 }
 
-/// A connection with what it is told to do; dropped, it ends.
-struct Line {
+/// Task that owns one connection to a member; aborted on drop.
+struct Connection {
     commands: mpsc::UnboundedSender<Command>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Line {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -172,25 +173,25 @@
 
 type Events = mpsc::Sender<(u64, Event)>;
 
-impl Line {
+impl Connection {
     fn open<C: Connector>(
-        connect: C,
+        connector: C,
         endpoint: String,
         settings: &Settings,
         keys: &KeySpace,
         number: u64,
         events: Events,
     ) -> Self {
-        let (commands, told) = mpsc::unbounded_channel();
+        let (commands, command_queue) = mpsc::unbounded_channel();
         let (credentials, page_size, keys) = (
             settings.credentials.clone(),
             settings.page_size,
             keys.clone(),
         );
         let task = tokio::spawn(async move {
-            let teller = Teller { number, events };
+            let event_sender = EventSender { number, events };
             let member = timeout(CALL_TIMEOUT, async {
-                let channel = connect
+                let channel = connector
                     .connect(&endpoint)
                     .await
                     .map_err(|e| e.to_string())?;
@@ -203,12 +204,12 @@
                 failed => {
                     let why =
                         failed.map_or_else(|e| e.to_string(), |r| r.err().unwrap_or_default());
-                    tracing::debug!(endpoint, why, "etcd can't be reached");
-                    teller.tell(Event::ConnectionLost).await;
+                    tracing::debug!(endpoint, why, "etcd member is unreachable");
+                    event_sender.send(Event::ConnectionLost).await;
                     return;
                 }
             };
-            if !teller.tell(Event::Connected).await {
+            if !event_sender.send(Event::Connected).await {
                 return;
             }
             let mut session = Session {
@@ -217,32 +218,32 @@
                 page_size,
                 watch: None,
             };
-            if let Err(why) = session.run(told, &teller).await {
-                tracing::debug!(endpoint, why, "etcd is lost");
-                teller.tell(Event::ConnectionLost).await;
+            if let Err(why) = session.run(command_queue, &event_sender).await {
+                tracing::debug!(endpoint, why, "connection to etcd member lost");
+                event_sender.send(Event::ConnectionLost).await;
             }
         });
-        Line { commands, task }
+        Connection { commands, task }
     }
 }
 
-/// Tells what one connection sees.
-struct Teller {
+/// Sends the events of one connection, tagged with its number.
+struct EventSender {
     number: u64,
     events: Events,
 }
 
-impl Teller {
-    /// Tells whether anybody still listens.
-    async fn tell(&self, event: Event) -> bool {
+impl EventSender {
+    /// Returns whether the receiver still exists.
+    async fn send(&self, event: Event) -> bool {
         self.events.send((self.number, event)).await.is_ok()
     }
 }
 
-/// A watch: where requests go, and where answers come from.
+/// Request and response streams of a watch.
 struct Watch {
     requests: mpsc::Sender<WatchRequest>,
-    answers: Streaming<WatchResponse>,
+    responses: Streaming<WatchResponse>,
 }
 
 struct Session {
@@ -256,12 +257,12 @@
     async fn run(
         &mut self,
         mut commands: mpsc::UnboundedReceiver<Command>,
-        teller: &Teller,
+        event_sender: &EventSender,
     ) -> Result<(), String> {
         loop {
-            let answer = async {
+            let response = async {
                 match &mut self.watch {
-                    Some(watch) => watch.answers.message().await,
+                    Some(watch) => watch.responses.message().await,
                     None => std::future::pending().await,
                 }
             };
@@ -273,60 +274,63 @@
                         self.list(start_key, revision).await?
                     }
                     Some(Command::Watch(from)) => {
-                        self.open(from).await?;
+                        self.open_watch(from).await?;
                         continue;
                     }
                     Some(Command::RequestProgress) => {
-                        let ask = RequestUnion::ProgressRequest(WatchProgressRequest {});
+                        let request = RequestUnion::ProgressRequest(WatchProgressRequest {});
                         if let Some(watch) = &self.watch {
-                            // A full queue is a peer that does not read; its silence ends it.
-                            let _ = watch.requests.try_send(WatchRequest { request_union: Some(ask) });
+                            // The queue is full only if the member does not read; the watcher's silence timeout then drops it.
+                            let _ = watch.requests.try_send(WatchRequest { request_union: Some(request) });
                         }
                         continue;
                     }
                     Some(_) => continue,
                 },
-                answer = answer => match answer {
-                    Ok(Some(answer)) => read(answer),
-                    Ok(None) => return Err("the watch has ended".into()),
+                response = response => match response {
+                    Ok(Some(response)) => watch_event(response),
+                    Ok(None) => return Err("the watch stream has ended".into()),
                     Err(status) => return Err(status.to_string()),
                 },
             };
-            if !teller.tell(event).await {
+            if !event_sender.send(event).await {
                 return Ok(());
             }
         }
     }
 
-    async fn list(&mut self, from: Vec<u8>, revision: i64) -> Result<Event, String> {
+    async fn list(&mut self, start_key: Vec<u8>, revision: i64) -> Result<Event, String> {
         let request = RangeRequest {
-            key: from,
+            key: start_key,
             range_end: range_end(self.keys.pool_prefix()),
             limit: self.page_size,
             revision,
             ..RangeRequest::default()
         };
-        let mut renewed = false;
+        let mut token_refreshed = false;
         loop {
             let mut client = KvClient::new(self.member.channel.clone())
                 .max_decoding_message_size(MAX_MESSAGE_BYTES);
-            let call = client.range(self.member.request(request.clone()));
-            let answer = timeout(CALL_TIMEOUT, call)
+            let call = client.range(self.member.authorized_request(request.clone()));
+            let response = timeout(CALL_TIMEOUT, call)
                 .await
-                .map_err(|_| "no list came".to_owned())?;
-            match answer {
-                Ok(answer) => {
-                    let answer = answer.into_inner();
-                    let kvs = answer.kvs.into_iter().map(kv).collect();
+                .map_err(|_| "the range request timed out".to_owned())?;
+            match response {
+                Ok(response) => {
+                    let response = response.into_inner();
+                    let kvs = response.kvs.into_iter().map(key_value).collect();
                     return Ok(Event::Page {
-                        header: header(answer.header),
+                        header: header(response.header),
                         key_values: kvs,
-                        more: answer.more,
+                        more: response.more,
                     });
                 }
-                Err(status) if !renewed && self.member.wants_token(&status) => {
-                    renewed = true;
-                    self.member.renew().await.map_err(|s| s.to_string())?;
+                Err(status) if !token_refreshed && self.member.needs_new_token(&status) => {
+                    token_refreshed = true;
+                    self.member
+                        .refresh_token()
+                        .await
+                        .map_err(|s| s.to_string())?;
                 }
                 Err(status)
                     if status.code() == Code::OutOfRange
@@ -339,7 +343,7 @@
         }
     }
 
-    async fn open(&mut self, from: i64) -> Result<(), String> {
+    async fn open_watch(&mut self, from: i64) -> Result<(), String> {
         self.watch = None;
         let create = WatchCreateRequest {
             key: self.keys.pool_prefix().as_bytes().to_vec(),
@@ -349,19 +353,25 @@
             fragment: true,
             ..WatchCreateRequest::default()
         };
-        let (requests, queue) = mpsc::channel(4);
+        let (requests, request_queue) = mpsc::channel(4);
         let first = WatchRequest {
             request_union: Some(RequestUnion::CreateRequest(create)),
         };
         requests.send(first).await.map_err(|e| e.to_string())?;
         let mut client = WatchClient::new(self.member.channel.clone())
             .max_decoding_message_size(MAX_MESSAGE_BYTES);
-        let call = client.watch(self.member.request(ReceiverStream::new(queue)));
-        let answers = timeout(CALL_TIMEOUT, call)
+        let call = client.watch(
+            self.member
+                .authorized_request(ReceiverStream::new(request_queue)),
+        );
+        let responses = timeout(CALL_TIMEOUT, call)
             .await
-            .map_err(|_| "no watch came up".to_owned())?;
-        let answers = answers.map_err(|s| s.to_string())?.into_inner();
-        self.watch = Some(Watch { requests, answers });
+            .map_err(|_| "opening the watch timed out".to_owned())?;
+        let responses = responses.map_err(|s| s.to_string())?.into_inner();
+        self.watch = Some(Watch {
+            requests,
+            responses,
+        });
         Ok(())
     }
 }
@@ -373,7 +383,7 @@
     })
 }
 
-pub(crate) fn kv(kv: KeyValue) -> endpoint_discovery::KeyValue {
+pub(crate) fn key_value(kv: KeyValue) -> endpoint_discovery::KeyValue {
     endpoint_discovery::KeyValue {
         key: kv.key,
         value: kv.value,
@@ -383,36 +393,36 @@
     }
 }
 
-/// An answer of the watch as the follower takes it.
-fn read(answer: WatchResponse) -> Event {
-    let header = header(answer.header);
-    if answer.canceled {
+/// Converts a watch response to an event of the watcher.
+fn watch_event(response: WatchResponse) -> Event {
+    let header = header(response.header);
+    if response.canceled {
         return Event::Cancelled {
-            compact_revision: answer.compact_revision,
+            compact_revision: response.compact_revision,
         };
     }
-    if answer.created {
+    if response.created {
         return Event::WatchEstablished(header);
     }
-    if answer.events.is_empty() && !answer.fragment {
+    if response.events.is_empty() && !response.fragment {
         return Event::Progress(header);
     }
     let change = |e: crate::api::Event| {
         let deleted = e.r#type == event::EventType::Delete as i32;
-        let it = kv(e.kv?);
+        let kv = key_value(e.kv?);
         Some(if deleted {
             KeyChange::Delete {
-                key: it.key,
-                revision: it.mod_revision,
+                key: kv.key,
+                revision: kv.mod_revision,
             }
         } else {
-            KeyChange::Put(it)
+            KeyChange::Put(kv)
         })
     };
-    let changes = answer.events.into_iter().filter_map(change).collect();
+    let changes = response.events.into_iter().filter_map(change).collect();
     Event::Changes {
         header,
         changes,
-        fragment: answer.fragment,
+        fragment: response.fragment,
     }
 }
