--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -37,7 +37,7 @@
 
 impl From<String> for Ended {
     fn from(text: String) -> Self {
-        Ended(crate::USAGE, text)
+        Ended(crate::USAGE_ERROR, text)
     }
 }
 
@@ -69,7 +69,7 @@
     };
     match crate::block_on(admin.command(arguments.command))? {
         Ok(code) => Ok(code),
-        Err(Ended(crate::USAGE, text)) => Err(text),
+        Err(Ended(crate::USAGE_ERROR, text)) => Err(text),
         Err(Ended(code, text)) => {
             eprintln!("canvascart: {text}");
             Ok(code)
@@ -641,7 +641,7 @@
         body: Option<&Value>,
     ) -> Result<Value, Ended> {
         if self.dry_run {
-            return Err(Ended(crate::USAGE, "tokens have no --dry-run".into()));
+            return Err(Ended(crate::USAGE_ERROR, "tokens have no --dry-run".into()));
         }
         Ok(self.write(method, target, body, None).await?.body)
     }
@@ -752,7 +752,7 @@
     let written = writeln!(std::io::stdout(), "{text}");
     written
         .map(|()| 0)
-        .map_err(|e| Ended(crate::USAGE, e.to_string()))
+        .map_err(|e| Ended(crate::USAGE_ERROR, e.to_string()))
 }
 
 fn text_of(file: &Path) -> Result<String, Ended> {
@@ -761,7 +761,7 @@
     } else {
         std::fs::read_to_string(file)
     };
-    text.map_err(|e| Ended(crate::USAGE, format!("{}: {e}", file.display())))
+    text.map_err(|e| Ended(crate::USAGE_ERROR, format!("{}: {e}", file.display())))
 }
 
 /// Tenants of a file: TOML with the places of its keys, or JSON.
--- a/crates/canvascart/src/client.rs
+++ b/crates/canvascart/src/client.rs
@@ -1,4 +1,4 @@
-//! `canvascart client`: one call, its answer on standard output, its tries on standard error.
+//! `canvascart client`: sends one request; prints the response to standard output and the attempts to standard error.
 
 use std::io::Write as _;
 
@@ -7,15 +7,15 @@
 use clap::ValueEnum;
 use settings::properties::host_and_port;
 
-/// The answer is neither served nor a refusal, or there is none.
+/// Exit code: an unexpected response, or none.
 const FAILED: u8 = 1;
-/// The last answer is a refusal: the request has surely not run.
-const REFUSED: u8 = 3;
-/// The deadline ended it without an answer.
-const LATE: u8 = 4;
+/// Exit code: the last response is a rejection, so the request has not been processed.
+const REJECTED: u8 = 3;
+/// Exit code: the deadline expired without a response.
+const DEADLINE_EXCEEDED: u8 = 4;
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Name {
+enum ClassName {
     Lookup,
     Checkout,
 }
@@ -27,20 +27,20 @@
 pub struct Arguments {
     #[command(flatten)]
     properties: crate::Properties,
-    /// The proxy, in place of client.target.
+    /// Address of the proxy, overriding client.target.
     #[arg(long, value_name = "HOST:PORT", value_parser = host_and_port)]
     target: Option<String>,
-    /// The tenant that asks.
+    /// Tenant of the request.
     #[arg(long)]
     tenant: String,
-    /// What the request is about.
+    /// Session ID of the request.
     #[arg(long)]
     sid: String,
-    /// The body of a checkout.
+    /// Body of a checkout.
     #[arg(long, default_value = "", hide_default_value = true)]
     body: String,
-    /// What to ask for.
-    class: Name,
+    /// Class of the request.
+    class: ClassName,
 }
 
 pub fn run(arguments: Arguments) -> Result<u8, String> {
@@ -48,41 +48,41 @@
     settings.target = arguments.target.or(settings.target);
     if settings.target.is_none() {
         return Err(
-            "no proxy is named: give --target, or client.target in the file of --properties".into(),
+            "no proxy is given: use --target, or set client.target in the --properties file".into(),
         );
     }
-    let ask = CallRequest {
+    let request = CallRequest {
         class: match arguments.class {
-            Name::Lookup => Class::Lookup,
-            Name::Checkout => Class::Checkout,
+            ClassName::Lookup => Class::Lookup,
+            ClassName::Checkout => Class::Checkout,
         },
         tenant: arguments.tenant,
         sid: arguments.sid,
         body: arguments.body.into(),
     };
     let mut client = Client::new(settings, fastrand::u64(..))?;
-    let outcome = crate::block_on(client.call(&ask))??;
-    for (n, tried) in outcome.attempts.iter().enumerate() {
-        eprintln!("try {}: {tried}", n + 1);
+    let outcome = crate::block_on(client.call(&request))??;
+    for (n, attempt) in outcome.attempts.iter().enumerate() {
+        eprintln!("try {}: {attempt}", n + 1);
     }
-    if outcome.response.as_ref().is_none_or(|a| a.status != 200) {
+    if outcome.response.as_ref().is_none_or(|r| r.status != 200) {
         eprintln!("canvascart: {}", outcome.stop_reason);
     }
-    if let Some(answer) = &outcome.response {
+    if let Some(response) = &outcome.response {
         let mut out = std::io::stdout();
-        out.write_all(&answer.body)
+        out.write_all(&response.body)
             .and_then(|()| out.flush())
-            .map_err(|e| format!("the answer: {e}"))?;
+            .map_err(|e| format!("standard output: {e}"))?;
     }
-    Ok(code(&outcome))
+    Ok(exit_code(&outcome))
 }
 
-fn code(outcome: &CallOutcome) -> u8 {
-    match outcome.response.as_ref().map(|a| a.status) {
+fn exit_code(outcome: &CallOutcome) -> u8 {
+    match outcome.response.as_ref().map(|r| r.status) {
         Some(200) => 0,
-        Some(429 | 503) => REFUSED,
+        Some(429 | 503) => REJECTED,
         Some(_) => FAILED,
-        None if outcome.stop_reason == StopReason::Deadline => LATE,
+        None if outcome.stop_reason == StopReason::Deadline => DEADLINE_EXCEEDED,
         None => FAILED,
     }
 }
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -1,5 +1,5 @@
-//! `canvascart serve --demo`: two tenants, an emulated fleet in this process, and an administration API, with nothing to
-//! write first.
+//! `canvascart serve --demo`: two tenants on an emulated fleet in this process, with an administration API and without a
+//! configuration file.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,15 +12,15 @@
 use multi_tenant::validation;
 use serde_json::{Value, json};
 
-/// What instances of a demonstration go by: leases that run out while somebody looks on.
-const CLUSTER: &str = "lease = \"5 s\"\nchange-lease = \"2 s\"\ndeadline = \"20 s\"";
+/// Cluster settings of the demonstration: leases short enough to watch them expire.
+const CLUSTER_SETTINGS: &str = "lease = \"5 s\"\nchange-lease = \"2 s\"\ndeadline = \"20 s\"";
 
-/// The scenario whose fleet it is.
+/// Scenario that defines the emulated fleet.
 const SCENARIO: &str = "evening";
-/// The tenants, and their weights.
+/// Names of the tenants, and their weights.
 const TENANTS: [(&str, f64); 2] = [("north", 2.0), ("south", 1.0)];
 
-/// The demonstration's fleet and files; the files go with it.
+/// Emulated fleet and state directory of the demonstration; the directory is removed on drop.
 pub struct Demo {
     members: Vec<demo::Member>,
     classes: Value,
@@ -29,15 +29,15 @@
 
 impl Drop for Demo {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.directory); // in the place for what does not last, anyway
+        let _ = std::fs::remove_dir_all(&self.directory); // it is in the directory for temporary files
     }
 }
 
 impl Demo {
-    /// Starts the fleet.
+    /// Starts the emulated fleet.
     ///
     /// # Errors
-    /// A port, a thread or the directory can't be had.
+    /// A port or a thread is not available.
     pub fn new() -> io::Result<Self> {
         let text = shipped::text(SCENARIO).unwrap_or_default();
         let scenario = experiment::with_settings(SCENARIO, text, &[]).map_err(io::Error::other)?;
@@ -62,10 +62,10 @@
         })
     }
 
-    /// The service: the fleet's servers are dealt to the tenants in turn, and the last one is shared.
+    /// Builds the configuration: the servers are assigned to the tenants in turn, and all tenants share the last one.
     ///
     /// # Errors
-    /// A fault of the program.
+    /// The configuration is invalid, which is a bug.
     pub fn service(&self) -> Result<Service, String> {
         let server = |m: &demo::Member, connections: Option<u64>| {
             let mut server = json!({
@@ -78,8 +78,8 @@
         };
         let (shared, own) = self.members.split_last().ok_or("the fleet is empty")?;
         let tenant = |(n, (name, weight)): (usize, &(&str, f64))| {
-            let mine = own.iter().skip(n).step_by(TENANTS.len());
-            let servers: Vec<Value> = mine
+            let tenant_servers = own.iter().skip(n).step_by(TENANTS.len());
+            let servers: Vec<Value> = tenant_servers
                 .map(|m| server(m, None))
                 .chain([server(shared, Some(16))])
                 .collect();
@@ -96,20 +96,20 @@
             "tenant": TENANTS.iter().enumerate().map(tenant).collect::<Vec<_>>(),
         });
         let service: Service = serde_json::from_value(document).map_err(|e| e.to_string())?;
-        let faults = validation::validate(&service);
-        let all: Vec<String> = faults
+        let errors = validation::validate(&service);
+        let messages: Vec<String> = errors
             .iter()
-            .map(|f| format!("{}: {}", f.key(), f.message))
+            .map(|e| format!("{}: {}", e.key(), e.message))
             .collect();
-        if all.is_empty() {
+        if messages.is_empty() {
             Ok(service)
         } else {
-            Err(all.join("\n"))
+            Err(messages.join("\n"))
         }
     }
 
-    /// Tells where everything is.
-    pub fn tell(&self, plane: &DataPlane, admin: Option<SocketAddr>) {
+    /// Prints the addresses and the administration command.
+    pub fn print_addresses(&self, plane: &DataPlane, admin: Option<SocketAddr>) {
         println!(
             "Two tenants on an emulated fleet of {} servers, until Ctrl-C:",
             self.members.len()
@@ -126,45 +126,45 @@
             "  canvascart admin --url http://{admin} --token-file {} status",
             token.display()
         );
-        println!("  the API's document: http://{admin}/v1/openapi.json");
+        println!("  API document: http://{admin}/v1/openapi.json");
     }
 }
 
-/// The same fleet behind several processes of this program that act as one, until it is ended; returns the exit code.
+/// Runs the same fleet behind a cluster of `count` processes of this program until Ctrl-C; returns the exit code.
 ///
 /// # Errors
-/// A process does not come up.
-pub fn among(count: usize) -> Result<u8, String> {
-    let text = |e: io::Error| format!("--demo: {e}");
-    let demo = Demo::new().map_err(text)?;
+/// A process does not start.
+pub fn run_cluster(count: usize) -> Result<u8, String> {
+    let error_text = |e: io::Error| format!("--demo: {e}");
+    let demo = Demo::new().map_err(error_text)?;
     let tenants = toml::to_string(&json!({ "tenant": demo.service()?.tenants }))
         .map_err(|e| e.to_string())?;
     let terms = Terms {
-        cluster: CLUSTER.into(),
+        cluster: CLUSTER_SETTINGS.into(),
         tenants,
         zones: 3,
     };
     let command = [std::env::current_exe()
-        .map_err(text)?
+        .map_err(error_text)?
         .to_string_lossy()
         .into_owned()];
-    let mut fleet = Fleet::new(&command, count, &terms, &demo.directory).map_err(text)?;
+    let mut fleet = Fleet::new(&command, count, &terms, &demo.directory).map_err(error_text)?;
     for i in 0..count {
-        fleet.start(i).map_err(text)?;
+        fleet.start(i).map_err(error_text)?;
     }
-    fleet.ready().map_err(text)?;
+    fleet.ready().map_err(error_text)?;
     println!(
-        "Two tenants on an emulated fleet of {} servers, behind {count} instances that act as one:",
+        "Two tenants on an emulated fleet of {} servers, behind a cluster of {count} instances:",
         demo.members.len()
     );
     for i in 0..count {
-        let at = |a: Option<SocketAddr>| a.map_or("-".into(), |a| format!("http://{a}"));
+        let url = |a: Option<SocketAddr>| a.map_or("-".into(), |a| format!("http://{a}"));
         println!(
             "  {}  process {:<8} {}/lookup/1   administration {}",
             fleet.name(i),
             fleet.id(i).unwrap_or(0),
-            at(fleet.public(i)),
-            at(fleet.admin(i))
+            url(fleet.public(i)),
+            url(fleet.admin(i))
         );
     }
     let admin = fleet
@@ -174,14 +174,14 @@
         "--token-file {}",
         fleet.state(0).join(::admin_api::OPERATOR).display()
     );
-    println!("Ask for something:        curl -H 'X-Tenant-Id: north' ADDRESS/lookup/1");
-    println!("Look:                     canvascart cluster {admin} {token} status");
-    println!("Change something:         canvascart admin {admin} {token} limits north weight=3");
+    println!("Send a request:           curl -H 'X-Tenant-Id: north' ADDRESS/lookup/1");
+    println!("Show the cluster's state: canvascart cluster {admin} {token} status");
+    println!("Change a limit:           canvascart admin {admin} {token} limits north weight=3");
     println!(
-        "Stop one and change again: kill -STOP PROCESS; the change waits for its lease of 5 s; kill -CONT PROCESS"
+        "Pause one, change again:  kill -STOP PROCESS; the change waits for its lease of 5 s; kill -CONT PROCESS"
     );
-    println!("Kill the one that leads:  kill -9 PROCESS; another leads within 3 s");
-    println!("Ctrl-C ends all.");
-    crate::block_on(tokio::signal::ctrl_c())?.map_err(text)?;
+    println!("Kill the leader:          kill -9 PROCESS; another one leads within 3 s");
+    println!("Ctrl-C stops all processes.");
+    crate::block_on(tokio::signal::ctrl_c())?.map_err(error_text)?;
     Ok(0)
 }
--- a/crates/canvascart/src/failpoints.rs
+++ b/crates/canvascart/src/failpoints.rs
@@ -1,43 +1,44 @@
-//! Failpoints of test builds: named places at which a process is made slow, stands still or says something else. The file that
-//! CANVASCART_FAILPOINTS names has a line `NAME=ACTIONS` for each, in the terms of the crate `fail`; it is followed while the
-//! process runs, and what is in effect stands in a file beside it. Other builds have nothing of it.
+//! Failpoints of test builds: named places at which a process can be delayed, stopped or made to return another value. The
+//! file named by CANVASCART_FAILPOINTS has a line `NAME=ACTIONS` for each, in the syntax of the crate `fail`. It is polled while
+//! the process runs; after each change its text is copied to a file with the extension `taken`. Other builds contain no
+//! failpoints.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::thread;
 use std::time::Duration;
 
-/// From one look at the file to the next.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between reads of the file.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Follows the file, if one is named. What it says at the start is in effect when this returns.
-pub fn follow() {
+/// Starts polling the file, if one is named. Its failpoints are active when this returns.
+pub fn watch_file() {
     let Some(file) = std::env::var_os("CANVASCART_FAILPOINTS").map(PathBuf::from) else {
         return;
     };
-    let (mut said, mut set) = (String::new(), BTreeSet::new());
-    look(&file, &mut said, &mut set);
+    let (mut applied, mut active) = (String::new(), BTreeSet::new());
+    reload(&file, &mut applied, &mut active);
     thread::spawn(move || {
         loop {
-            thread::sleep(LOOK);
-            look(&file, &mut said, &mut set);
+            thread::sleep(POLL_INTERVAL);
+            reload(&file, &mut applied, &mut active);
         }
     });
 }
 
-fn look(file: &PathBuf, said: &mut String, set: &mut BTreeSet<String>) {
-    let text = std::fs::read_to_string(file).unwrap_or_default(); // none is there before one is wanted
-    if text == *said {
+fn reload(file: &PathBuf, applied: &mut String, active: &mut BTreeSet<String>) {
+    let text = std::fs::read_to_string(file).unwrap_or_default(); // the file is created with the first failpoint
+    if text == *applied {
         return;
     }
-    set.iter().for_each(fail::remove);
-    set.clear();
+    active.iter().for_each(fail::remove);
+    active.clear();
     for (name, actions) in text.lines().filter_map(|l| l.split_once('=')) {
         match fail::cfg(name, actions) {
-            Ok(()) => _ = set.insert(name.to_owned()),
-            Err(e) => tracing::error!(name, error = e, "a failpoint can't be set"),
+            Ok(()) => _ = active.insert(name.to_owned()),
+            Err(e) => tracing::error!(name, error = e, "invalid failpoint"),
         }
     }
-    let _ = std::fs::write(file.with_extension("taken"), &text); // who waits for it says so
-    *said = text;
+    let _ = std::fs::write(file.with_extension("taken"), &text); // a test that waits for it times out if this fails
+    *applied = text;
 }
--- a/crates/canvascart/src/main.rs
+++ b/crates/canvascart/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! Command-line program of the proxy: client, drills, captures, testbed, multi-tenant service and its administration.
 
 mod admin;
 mod capture;
@@ -22,7 +22,7 @@
 use clap::{Parser, Subcommand};
 use settings::properties::FeatureSettings;
 
-/// Tools for those who run and use the proxy.
+/// Runs, administers and tests the proxy.
 #[derive(Parser)]
 #[command(name = "canvascart", version)]
 struct Arguments {
@@ -34,32 +34,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Asks a proxy for a lookup or a checkout, and tries again where that is safe.
+    /// Sends a lookup or a checkout to a proxy, with retries where they are safe.
     Client(client::Arguments),
-    /// Reads what a proxy has captured.
+    /// Reads captures of a proxy.
     #[command(subcommand)]
     Capture(capture::Command),
-    /// Rehearses slow or failing servers at a proxy.
+    /// Injects delays or failures into requests at a proxy.
     #[command(subcommand)]
     Drill(drill::Command),
-    /// Plays scenarios on an emulated fleet, and judges the rules.
+    /// Runs scenarios on an emulated fleet and checks the rules.
     #[command(subcommand)]
     Lab(lab::Command),
-    /// Serves many tenants in one process, each with servers, classes and limits of its own.
+    /// Serves several tenants in one process, each with its own servers, classes and limits.
     Serve(serve::Arguments),
     /// Administers a running `serve`: tenants, servers, classes, limits, versions, tokens.
     Admin(admin::Arguments),
-    /// Looks after the instances of a `serve` that act as one.
+    /// Administers a cluster of `serve` instances.
     Cluster(cluster::Arguments),
-    /// Registers servers in etcd, drains them, lists them, watches them.
+    /// Registers, drains, lists and watches servers in etcd.
     Fleet(fleet::Arguments),
-    /// Looks after the durable state of a `serve` that does not run.
+    /// Checks, exports and imports the durable state of a `serve` that is not running.
     #[command(subcommand)]
     Store(state::Command),
-    /// Tells of the configuration of `serve`.
+    /// Prints schemas of `serve`: its configuration and its administration API.
     #[command(subcommand)]
     Config(serve::Config),
-    /// Runs a proxy, as the program canvascart-proxy does: for tests and the lab, which need nothing else built.
+    /// Runs a proxy like the program canvascart-proxy, so that tests and the lab need no second binary.
     #[command(hide = true)]
     Proxy {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -67,10 +67,10 @@
     },
 }
 
-/// The file with the features' settings.
+/// Option for the feature settings.
 #[derive(clap::Args)]
 struct Properties {
-    /// The file with the features' settings.
+    /// File with the feature settings.
     #[arg(long, value_name = "FILE")]
     properties: Option<PathBuf>,
 }
@@ -84,8 +84,7 @@
     }
 }
 
-/// Runs a future to its end on a runtime of its own. What it leaves behind, such as the look-up of a name, does
-/// not outlast it.
+/// Runs a future to completion on a runtime of its own. Background work that is left, such as a DNS lookup, is not waited for.
 fn block_on<F: Future>(future: F) -> Result<F::Output, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -96,17 +95,17 @@
     Ok(output)
 }
 
-/// What the command line or a file gets wrong, as clap's own errors.
-const USAGE: u8 = 2;
+/// Exit code of a wrong command line or file, the same as for clap's own errors.
+const USAGE_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    if let Err(text) = arguments.log.start() {
-        eprintln!("canvascart: {text}");
-        return ExitCode::from(USAGE);
+    if let Err(message) = arguments.log.start() {
+        eprintln!("canvascart: {message}");
+        return ExitCode::from(USAGE_ERROR);
     }
     #[cfg(feature = "failpoints")]
-    failpoints::follow();
+    failpoints::watch_file();
     let outcome = match arguments.command {
         Command::Client(arguments) => client::run(arguments),
         Command::Capture(command) => capture::run(command),
@@ -120,8 +119,8 @@
         Command::Config(command) => serve::config(&command),
         Command::Proxy { arguments } => return proxy_core::process::main(arguments.into_iter()),
     };
-    ExitCode::from(outcome.unwrap_or_else(|text| {
-        eprintln!("canvascart: {text}");
-        USAGE
+    ExitCode::from(outcome.unwrap_or_else(|message| {
+        eprintln!("canvascart: {message}");
+        USAGE_ERROR
     }))
 }
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -1,4 +1,4 @@
-//! `canvascart serve`: many tenants in one process, as a configuration file says.
+//! `canvascart serve`: serves several tenants in one process, as configured by a file.
 
 use std::cell::OnceCell;
 use std::net::{SocketAddr, TcpListener};
@@ -23,33 +23,33 @@
 use crate::cluster;
 use crate::demo::{self, Demo};
 
-/// It could not be started.
-const NOT_STARTED: u8 = 3;
+/// Exit code: the service could not be started.
+const START_FAILED: u8 = 3;
 
-/// How long an instance that ends waits for its last word to go out.
-const PARTING: Duration = Duration::from_millis(50);
+/// Time for the release of an instance's lease to be sent before its process ends.
+const LEASE_RELEASE_WAIT: Duration = Duration::from_millis(50);
 
-const CODES: &str = "Exit codes: 0 ended as told, 2 wrong usage or configuration, 3 could not be started.
+const EXIT_CODES: &str = "Exit codes: 0 ended by a signal, 2 wrong usage or configuration, 3 could not be started.
 
-SIGTERM and SIGINT end it once all that was taken is answered. SIGHUP makes it read the file anew; a file with an error in
-it, or a port that can't be had, changes nothing.";
+SIGTERM and SIGINT end it once all accepted requests are answered. SIGHUP makes it reload the file; an invalid file or an
+unavailable port changes nothing.";
 
 #[derive(clap::Args)]
-#[command(after_help = CODES)]
+#[command(after_help = EXIT_CODES)]
 pub struct Arguments {
-    /// The configuration, in TOML (docs/hosted.md).
+    /// Configuration file, in TOML (docs/hosted.md).
     #[arg(long, value_name = "FILE", required_unless_present = "demo")]
     config: Option<PathBuf>,
-    /// Serves two tenants from an emulated fleet in this process, and tells where; nothing of it is kept.
+    /// Serves two tenants from an emulated fleet in this process and prints the addresses; no state is kept.
     #[arg(long, conflicts_with_all = ["config", "check", "read_only_state"])]
     demo: bool,
-    /// With --demo: so many processes of this program that act as one.
+    /// With --demo: number of processes of this program that form a cluster.
     #[arg(long, value_name = "N", requires = "demo", value_parser = clap::value_parser!(u8).range(1..=12))]
     instances: Option<u8>,
-    /// Checks the configuration, names all that is wrong with it, and ends.
+    /// Checks the configuration, reports all errors, and exits.
     #[arg(long)]
     check: bool,
-    /// Changes nothing in the state. If its store can't be used, the last known good state is served.
+    /// Opens the state read-only. If its store can't be used, the last known good state is served.
     #[arg(long)]
     read_only_state: bool,
 }
@@ -62,10 +62,10 @@
     Openapi,
 }
 
-/// Prints about the configuration; returns the exit code.
+/// Prints a schema; returns the exit code.
 ///
 /// # Errors
-/// The schema can't be made, which is a fault of the program.
+/// The schema can't be generated, which is a bug.
 pub fn config(command: &Config) -> Result<u8, String> {
     let document = match command {
         Config::Schema => validation::schema_form()?.json_schema().clone(),
@@ -78,13 +78,13 @@
     Ok(0)
 }
 
-/// Serves until it is told to end; returns the exit code.
+/// Serves until a signal ends it; returns the exit code.
 ///
 /// # Errors
-/// What is wrong with the configuration.
+/// The configuration is invalid.
 pub fn run(arguments: &Arguments) -> Result<u8, String> {
     if let Some(instances) = arguments.instances {
-        return demo::among(usize::from(instances));
+        return demo::run_cluster(usize::from(instances));
     }
     let demo = if arguments.demo {
         Some(Demo::new().map_err(|e| format!("--demo: {e}"))?)
@@ -94,7 +94,7 @@
     let service = match (&demo, &arguments.config) {
         (Some(demo), _) => demo.service()?,
         (None, Some(file)) => read(file)?,
-        (None, None) => return Err("give --config FILE, or --demo".into()),
+        (None, None) => return Err("--config FILE or --demo is required".into()),
     };
     if let (true, Some(file)) = (arguments.check, &arguments.config) {
         let (tenants, servers) = (
@@ -121,43 +121,43 @@
     runtime.shutdown_background();
     Ok(outcome.unwrap_or_else(|e| {
         tracing::error!(error = e, "it could not be started");
-        NOT_STARTED
+        START_FAILED
     }))
 }
 
 /// Reads a configuration.
 ///
 /// # Errors
-/// What is wrong with it, and where.
+/// The file can't be read, or is invalid; the message names the lines.
 pub fn read(file: &Path) -> Result<Service, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     validation::parse(&name, &text).map_err(|e| e.to_string())
 }
 
-/// The signals that the service knows.
+/// Signals that the service handles.
 struct Signals {
     term: Signal,
     int: Signal,
     hup: Signal,
 }
 
-/// The administration API and the orders that come of it, where there is durable state.
+/// Administration API of a service with durable state, and the orders that its calls cause.
 struct Administration {
     api: Arc<Api>,
     orders: UnboundedReceiver<Order>,
-    /// Where the API listens, if it does.
+    /// Address of the API's listener, if there is one.
     address: Option<SocketAddr>,
-    /// The cluster's member, where there is one.
+    /// Commands to the cluster member, if there is one.
     member: Option<UnboundedSender<MemberCommand>>,
 }
 
 async fn serve(service: Service, arguments: &Arguments, demo: Option<&Demo>) -> Result<u8, String> {
-    let on = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+    let stream = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
     let mut signals = Signals {
-        term: on(SignalKind::terminate())?,
-        int: on(SignalKind::interrupt())?,
-        hup: on(SignalKind::hangup())?,
+        term: stream(SignalKind::terminate())?,
+        int: stream(SignalKind::interrupt())?,
+        hup: stream(SignalKind::hangup())?,
     };
     let lease = service
         .cluster
@@ -168,9 +168,9 @@
         .as_ref()
         .zip(lease.clone())
         .map(|(c, lease)| cluster::gate(c, lease));
-    let plane = DataPlane::with_gate(&service.process, lists(), gate);
+    let plane = DataPlane::with_gate(&service.process, discovery_starter(), gate);
     let mut administration = match &service.state {
-        Some(_) => Some(administer(
+        Some(_) => Some(start_administration(
             &plane,
             &service,
             arguments.read_only_state,
@@ -182,7 +182,7 @@
         }
     };
     if let (Some(demo), Some(administration)) = (demo, &administration) {
-        demo.tell(&plane, administration.address);
+        demo.print_addresses(&plane, administration.address);
     }
     loop {
         let order = async {
@@ -196,12 +196,12 @@
             _ = signals.int.recv() => break,
             _ = signals.hup.recv() => match &arguments.config {
                 Some(file) => reload(&plane, file, administration.as_mut()),
-                None => tracing::info!("the demonstration has no configuration to read anew"),
+                None => tracing::info!("the demonstration has no configuration to reload"),
             },
             Some(order) = order => order.obey(&plane),
         }
     }
-    tracing::info!("ends: what was taken is answered");
+    tracing::info!("shutting down: accepted requests are answered first");
     if let Some(Administration {
         api,
         mut orders,
@@ -210,7 +210,7 @@
     }) = administration
     {
         if let Some(member) = member {
-            end_among(&plane, &mut orders, &member).await;
+            leave_cluster(&plane, &mut orders, &member).await;
         }
         api.desk().close("the service is ending");
         while let Ok(order) = orders.try_recv() {
@@ -232,19 +232,19 @@
         refused,
         "residency at the end"
     );
-    for tenant in plane.status(MOST_TOLD) {
+    for tenant in plane.status(MAX_LOGGED_TENANTS) {
         let (name, ms, refused) = (&tenant.name, tenant.loop_ms.round(), tenant.rejections);
         tracing::info!(tenant = name, loop_ms = ms, ?refused, "ended");
     }
     Ok(0)
 }
 
-/// Tenants that get a line at the end.
-const MOST_TOLD: usize = 1024;
+/// Maximum number of tenants that are logged at the end.
+const MAX_LOGGED_TENANTS: usize = 1024;
 
-/// Ends an instance of a cluster: what was taken is answered, under whatever version takes hold meanwhile; then it holds
-/// nothing that a change would wait for.
-async fn end_among(
+/// Shuts down an instance of a cluster: answers all accepted requests while still applying new versions, then releases the
+/// lease, so that no change waits for this instance.
+async fn leave_cluster(
     plane: &DataPlane,
     orders: &mut UnboundedReceiver<Order>,
     member: &UnboundedSender<MemberCommand>,
@@ -257,16 +257,16 @@
             Some(order) = orders.recv() => order.obey(plane),
         }
     }
-    let _ = member.send(MemberCommand::ReleaseLease); // one that has ended rests already
-    tokio::time::sleep(PARTING).await;
+    let _ = member.send(MemberCommand::ReleaseLease); // a member that has ended has released its lease
+    tokio::time::sleep(LEASE_RELEASE_WAIT).await;
 }
 
-/// Follows tenants' lists on a thread of its own, so that no list takes time of the loop that serves. The thread is there once
-/// the first list is.
-fn lists() -> StartDiscovery {
+/// Returns the function that starts watching a tenant's endpoints in etcd. All watches run on one separate thread, to keep their
+/// work off the request loop; it starts with the first watch.
+fn discovery_starter() -> StartDiscovery {
     let thread: OnceCell<Option<Handle>> = OnceCell::new();
     Box::new(move |tenant, settings, seed| {
-        let (to, updates) = tokio::sync::mpsc::unbounded_channel();
+        let (update_sender, updates) = tokio::sync::mpsc::unbounded_channel();
         let pool = settings.pool.clone().unwrap_or_else(|| tenant.name.clone());
         let keys = KeySpace::new(&settings.prefix, &pool);
         let mut limits = ::endpoint_discovery::WatchLimits::default();
@@ -275,44 +275,44 @@
         let credentials = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
             Ok(text) => text.trim().split_once(':').map(|(n, p)| (n.to_owned(), p.to_owned())),
             Err(e) => {
-                tracing::error!(tenant = tenant.name, file, error = %e, "etcd's user can't be read");
+                tracing::error!(tenant = tenant.name, file, error = %e, "etcd credentials can't be read");
                 None
             }
         });
-        let etcd = etcd::Settings {
+        let etcd_settings = etcd::Settings {
             credentials,
             ..etcd::Settings::new(settings.etcd.clone())
         };
-        let follow = etcd::watch_endpoints(
+        let watch = etcd::watch_endpoints(
             etcd::PlaintextConnector,
-            etcd,
+            etcd_settings,
             tenant.name.clone(),
             keys,
             limits,
             seed,
-            to,
+            update_sender,
         );
         match thread.get_or_init(|| {
-            lists_thread()
-                .map_err(|e| tracing::error!(error = %e, "lists"))
+            start_discovery_thread()
+                .map_err(|e| tracing::error!(error = %e, "the endpoint discovery thread can't be started"))
                 .ok()
         }) {
-            Some(handle) => drop(handle.spawn(follow)),
-            None => tracing::error!(tenant = tenant.name, "its list can't be followed"),
+            Some(handle) => drop(handle.spawn(watch)),
+            None => tracing::error!(tenant = tenant.name, "its endpoint list can't be watched"),
         }
         updates
     })
 }
 
-fn lists_thread() -> std::io::Result<Handle> {
-    let (tell, told) = std::sync::mpsc::channel();
+fn start_discovery_thread() -> std::io::Result<Handle> {
+    let (handle_sender, handle_receiver) = std::sync::mpsc::channel();
     std::thread::Builder::new()
         .name("lists".into())
         .spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build();
-            let _ = tell.send(
+            let _ = handle_sender.send(
                 runtime
                     .as_ref()
                     .map(|r| r.handle().clone())
@@ -322,69 +322,69 @@
                 runtime.block_on(std::future::pending::<()>());
             }
         })?;
-    told.recv().map_err(std::io::Error::other)?
+    handle_receiver.recv().map_err(std::io::Error::other)?
 }
 
-/// Opens the state, serves what it says, and starts the administration API on a thread of its own; in a cluster, the member too.
-fn administer(
+/// Opens the durable state, applies it, and starts the administration API on a thread of its own, and in a cluster the member.
+fn start_administration(
     plane: &Rc<DataPlane>,
     file: &Service,
     read_only: bool,
     lease: Option<Arc<SharedLease>>,
 ) -> Result<Administration, String> {
-    let (began, now_ms) = (Instant::now(), unix_ms());
+    let (started_at, now_ms) = (Instant::now(), unix_ms());
     let desk = Desk::open(file, read_only, now_ms)?;
     if desk.version() > 0 && !file.tenants.is_empty() {
         tracing::info!(
             version = desk.version(),
-            "tenants are the state's; those of the file are not looked at"
+            "tenants come from the durable state; those of the file are ignored"
         );
     }
     plane.apply_catalog(desk.catalog().clone())?;
     let (version, tenants) = (desk.version(), desk.catalog().len());
     tracing::info!(version, tenants, "the state is in effect");
-    let (said, hears) = unbounded_channel();
-    let member = lease.as_ref().map(|_| said.clone());
+    let (member_commands, command_receiver) = unbounded_channel();
+    let member = lease.as_ref().map(|_| member_commands.clone());
     let start = file
         .cluster
         .as_ref()
-        .map(|c| Starting::new(began, cluster::start(c)));
+        .map(|c| Starting::new(started_at, cluster::start(c)));
     let together = member
         .clone()
         .zip(start)
-        .map(|(said, start)| Together::new(said, file.clone(), start));
+        .map(|(commands, start)| Together::new(commands, file.clone(), start));
     let (api, orders) = Api::among(desk, together);
-    let told = match (&file.cluster, lease) {
-        (Some(_), Some(lease)) => Some(cluster::join(file, &api, hears, lease)?),
+    let member_events = match (&file.cluster, lease) {
+        (Some(_), Some(lease)) => Some(cluster::join(file, &api, command_receiver, lease)?),
         _ => None,
     };
-    let mut listens = None;
+    let mut api_address = None;
     let listener = match &file.admin {
         Some(settings) => {
-            let at = |e: std::io::Error| format!("admin: {}: {e}", settings.address);
-            let listener = TcpListener::bind(&settings.address).map_err(at)?;
-            listener.set_nonblocking(true).map_err(at)?;
-            let address = listener.local_addr().map_err(at)?;
+            let error_text = |e: std::io::Error| format!("admin: {}: {e}", settings.address);
+            let listener = TcpListener::bind(&settings.address).map_err(error_text)?;
+            listener.set_nonblocking(true).map_err(error_text)?;
+            let address = listener.local_addr().map_err(error_text)?;
             tracing::info!(%address, "the administration API listens");
-            listens = Some(address);
+            api_address = Some(address);
             Some(listener)
         }
         None => None,
     };
-    if listener.is_some() || told.is_some() {
+    if listener.is_some() || member_events.is_some() {
         let served = api.clone();
         let run = move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()?;
             runtime.block_on(async {
-                let follows = told.map(|told| {
+                let follower = member_events.map(|events| {
                     tokio::spawn(served.clone().begin());
-                    tokio::spawn(served.clone().follow(told))
+                    tokio::spawn(served.clone().follow(events))
                 });
-                match (listener, follows) {
+                match (listener, follower) {
                     (Some(listener), _) => served.serve(listener).await,
-                    (None, Some(follows)) => follows.await.map_err(std::io::Error::other),
+                    (None, Some(follower)) => follower.await.map_err(std::io::Error::other),
                     (None, None) => Ok(()),
                 }
             })
@@ -402,12 +402,12 @@
     Ok(Administration {
         api,
         orders,
-        address: listens,
+        address: api_address,
         member,
     })
 }
 
-/// Unix time.
+/// Returns the Unix time.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -415,7 +415,7 @@
         .as_millis() as u64
 }
 
-/// Reads the file anew and goes over to what it says; where there is durable state, to its listeners alone.
+/// Reloads the configuration file and applies it; with durable state, only its listeners are applied.
 fn reload(plane: &Rc<DataPlane>, file: &Path, administration: Option<&mut Administration>) {
     let next = match read(file) {
         Ok(next) => next,
@@ -423,25 +423,30 @@
             for line in e.lines() {
                 tracing::error!(
                     error = line,
-                    "the new configuration is of no use, and nothing has changed"
+                    "the new configuration is invalid; nothing has changed"
                 );
             }
             return;
         }
     };
-    let now = plane.catalog();
-    let now = now.base();
+    let current = plane.catalog();
+    let current = current.base();
     if (&next.process, &next.admin, &next.state, &next.cluster)
-        != (&now.process, &now.admin, &now.state, &now.cluster)
+        != (
+            &current.process,
+            &current.admin,
+            &current.state,
+            &current.cluster,
+        )
     {
         tracing::warn!(
-            "[process], [admin], [state] and [cluster] hold from start to end; what is new there waits for the next start"
+            "changes of [process], [admin], [state] and [cluster] take effect at the next start"
         );
     }
-    let done = match administration {
+    let result = match administration {
         None => plane.apply(&next),
         Some(Administration { api, orders, .. }) => {
-            // While the desk is held nothing is stored; what is stored is carried out first.
+            // Holding the desk's lock prevents new commits; orders of earlier commits are executed first.
             let mut desk = api.desk();
             while let Ok(order) = orders.try_recv() {
                 order.obey(plane);
@@ -456,17 +461,17 @@
             })
         }
     };
-    match done {
+    match result {
         Ok(plan) if plan.is_empty() => tracing::info!("the configuration is the same"),
-        Ok(plan) => tell(&plan),
+        Ok(plan) => log_plan(&plan),
         Err(e) => tracing::error!(
             error = e,
-            "the new configuration can't be had, and nothing has changed"
+            "the new configuration can't be applied; nothing has changed"
         ),
     }
 }
 
-fn tell(plan: &Plan) {
+fn log_plan(plan: &Plan) {
     for name in &plan.added {
         tracing::info!(tenant = name, "tenant added");
     }
--- a/crates/canvascart/src/state.rs
+++ b/crates/canvascart/src/state.rs
@@ -1,4 +1,4 @@
-//! `canvascart store`: the durable state of a `serve` that does not run.
+//! `canvascart store`: operations on the durable state of a `serve` that is not running.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write as _, stdin, stdout};
@@ -7,40 +7,40 @@
 
 use config_store::{Author, Retention, Store, StoreError, Transaction};
 
-/// The store is not there, damaged, open elsewhere, or another program's.
-const OF_NO_USE: u8 = 3;
+/// Exit code: the store is missing, damaged, open in another process, or another program's.
+const STORE_UNUSABLE: u8 = 3;
 
-const CODES: &str = "Exit codes: 0 done, 2 wrong usage, 3 the store is of no use: the message says why and what to do.";
+const EXIT_CODES: &str = "Exit codes: 0 done, 2 wrong usage, 3 the store can't be used; the message says why and what to do.";
 
 #[derive(clap::Subcommand)]
-#[command(after_help = CODES)]
+#[command(after_help = EXIT_CODES)]
 pub enum Command {
-    /// Looks at all that a store holds.
+    /// Checks the whole content of a store.
     Check {
-        /// The directory that `[state]` names.
+        /// State directory, as in `[state]` of the configuration.
         #[arg(long, value_name = "DIRECTORY")]
         state: PathBuf,
     },
-    /// Writes all that a store holds as text, a JSON object a line.
+    /// Exports the content of a store, one JSON object per line.
     Export {
-        /// The directory that `[state]` names.
+        /// State directory, as in `[state]` of the configuration.
         #[arg(long, value_name = "DIRECTORY")]
         state: PathBuf,
-        /// The file to write; standard output without it.
+        /// Output file; standard output by default.
         #[arg(short, long, value_name = "FILE")]
         output: Option<PathBuf>,
     },
-    /// Makes a store of what was exported, in a directory that has none.
+    /// Creates a store from an export, in a directory without a store.
     Import {
-        /// The directory that `[state]` names.
+        /// State directory, as in `[state]` of the configuration.
         #[arg(long, value_name = "DIRECTORY")]
         state: PathBuf,
-        /// The file to read; - for standard input.
+        /// Input file; - for standard input.
         file: PathBuf,
     },
-    /// Makes an operator's token and prints it, where all others are lost.
+    /// Creates an operator token and prints it, for use when all others are lost.
     Token {
-        /// The directory that `[state]` names.
+        /// State directory, as in `[state]` of the configuration.
         #[arg(long, value_name = "DIRECTORY")]
         state: PathBuf,
     },
@@ -51,16 +51,16 @@
 /// # Errors
 /// Wrong usage.
 pub fn run(command: &Command) -> Result<u8, String> {
-    let done = match command {
+    let result = match command {
         Command::Check { state } => check(state),
         Command::Export { state, output } => export(state, output.as_deref()),
         Command::Import { state, file } => import(state, file),
         Command::Token { state } => token(state),
     };
-    Ok(done.map_or_else(
+    Ok(result.map_or_else(
         |e| {
             eprintln!("canvascart: {e}");
-            OF_NO_USE
+            STORE_UNUSABLE
         },
         |()| 0,
     ))
@@ -85,14 +85,17 @@
     let (store, _) = Store::open_existing(directory, Retention::default())?;
     match output {
         Some(file) => {
-            let mut to = BufWriter::new(File::create(file)?);
-            config_store::export(&store, &mut to)?;
-            to.into_inner().map_err(|e| e.into_error())?.sync_all()?;
+            let mut writer = BufWriter::new(File::create(file)?);
+            config_store::export(&store, &mut writer)?;
+            writer
+                .into_inner()
+                .map_err(|e| e.into_error())?
+                .sync_all()?;
         }
         None => {
-            let mut to = BufWriter::new(stdout().lock());
-            config_store::export(&store, &mut to)?;
-            to.flush()?;
+            let mut writer = BufWriter::new(stdout().lock());
+            config_store::export(&store, &mut writer)?;
+            writer.flush()?;
         }
     }
     Ok(())
@@ -113,7 +116,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    let (id, whole, token) = ::admin_api::operator("canvascart store token", now_ms)
+    let (id, secret_token, token) = ::admin_api::operator("canvascart store token", now_ms)
         .map_err(|p| StoreError::Unavailable(p.detail))?;
     store.commit(&Transaction {
         base_entry: state.last_entry,
@@ -130,6 +133,6 @@
         reply: None,
         minimum_version: None,
     })?;
-    println!("{whole}");
+    println!("{secret_token}");
     Ok(())
 }
--- a/crates/canvascart/tests/serve.rs
+++ b/crates/canvascart/tests/serve.rs
@@ -158,7 +158,7 @@
     let with_taken = [public.clone(), second, good.clone(), added.clone()].concat();
     service.change(
         &with_taken,
-        "the new configuration can't be had, and nothing has changed",
+        "the new configuration can't be applied; nothing has changed",
     );
     assert_eq!(Client::new(at).get("south.example", "").status(), 404);
     let bad = [
@@ -169,10 +169,10 @@
     .concat();
     service.change(
         &bad,
-        "the new configuration is of no use, and nothing has changed",
+        "the new configuration is invalid; nothing has changed",
     );
     let word = service
-        .logged("the new configuration is of no use, and nothing has changed")
+        .logged("the new configuration is invalid; nothing has changed")
         .pop()
         .unwrap();
     let error = word["error"].as_str().unwrap();
