--- a/crates/canvascart/src/capture.rs
+++ b/crates/canvascart/src/capture.rs
@@ -1,5 +1,5 @@
-//! `canvascart capture replay`: a capture's lines, gathered by start and put back into the order in which the
-//! module met them.
+//! `canvascart capture replay`: reads the lines of a capture, groups them by start of the proxy, and restores the order in
+//! which the decision module received them.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write as _};
@@ -9,24 +9,24 @@
 
 use crate::replay::Replay;
 
-/// Decisions differ.
+/// Exit code: decisions differ.
 const DIFFERS: u8 = 1;
-/// The file can't be read or holds no capture.
+/// Exit code: the file can't be read, or contains no capture.
 const NO_CAPTURE: u8 = 3;
-/// Bytes of a line; a longer one is none of a capture's.
-const MOST: usize = 1 << 20;
-/// Bytes of a time that a log's keeper puts before a line.
-const STAMP: usize = 40;
+/// Longest line in bytes; captures contain no longer one.
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// Longest timestamp in bytes that a log collector puts before a line.
+const MAX_TIMESTAMP_BYTES: usize = 40;
 
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Feeds a capture back through the decision code and prints each line where the decision differs.
+    /// Replays a capture through the decision module and prints each line whose decision differs.
     #[command(
         after_help = "Exit codes: 0 no decision differs, 1 some do, 2 wrong usage, 3 the file is no capture.\n\
-        Load, health and timing are not kept: differences are expected in busy captures."
+        Captures contain no load, health or timing: differences are expected in busy captures."
     )]
     Replay {
-        /// A segment's file, or a log that has captures in it.
+        /// Segment file, or a log that contains captures.
         file: PathBuf,
     },
 }
@@ -43,27 +43,29 @@
     }
 }
 
-/// News of the list, and the requests that met the list as it then was.
-pub struct Change {
-    pub news: Option<ListUpdate>,
-    pub servers: Vec<EndpointRecord>,
-    pub records: Vec<(usize, RequestRecord<'static>)>,
+/// A list update, with the requests that were decided under that list.
+pub struct ListEpoch {
+    /// `None` before the first list.
+    pub update: Option<ListUpdate>,
+    pub endpoints: Vec<EndpointRecord>,
+    /// Requests with their line numbers.
+    pub requests: Vec<(usize, RequestRecord<'static>)>,
 }
 
-/// All that is left of one start of a proxy.
-pub struct Start {
-    pub head: SegmentHeader,
+/// Captured lines of one start of a proxy.
+pub struct CapturedStart {
+    pub header: SegmentHeader,
     pub settings: Option<String>,
-    pub changes: Vec<Change>,
+    pub epochs: Vec<ListEpoch>,
 }
 
-/// What a file holds.
+/// Content of a file.
 #[derive(Default)]
 struct Contents {
-    starts: Vec<Start>,
-    /// Lines that are none of a capture's, or belong to none.
+    starts: Vec<CapturedStart>,
+    /// Number of lines that are not part of a capture.
     foreign: usize,
-    /// Whether the last line is cut.
+    /// The last line is incomplete.
     truncated: bool,
 }
 
@@ -73,12 +75,13 @@
         let mut bytes = Vec::new();
         for number in 1.. {
             bytes.clear();
-            if io::Read::take(&mut input, MOST as u64).read_until(b'\n', &mut bytes)? == 0 {
+            if io::Read::take(&mut input, MAX_LINE_BYTES as u64).read_until(b'\n', &mut bytes)? == 0
+            {
                 break;
             }
             let line = String::from_utf8_lossy(&bytes);
-            let line = unstamped(line.trim_end_matches(['\n', '\r']));
-            match Line::parse(line).is_some_and(|parsed| contents.take(number, parsed)) {
+            let line = without_timestamp(line.trim_end_matches(['\n', '\r']));
+            match Line::parse(line).is_some_and(|parsed| contents.add_line(number, parsed)) {
                 true => {}
                 false
                     if !line.is_empty()
@@ -93,20 +96,22 @@
         Ok(contents)
     }
 
-    /// Puts a line where it belongs; `false` if it belongs nowhere.
-    fn take(&mut self, number: usize, line: Line) -> bool {
-        if let Line::Header(head) = line {
-            let same = |s: &Start| s.head.seed == head.seed && s.head.started_at == head.started_at;
-            if !self.starts.last().is_some_and(same) {
-                let first = Change {
-                    news: None,
-                    servers: Vec::new(),
-                    records: Vec::new(),
+    /// Adds a line to its start; returns `false` if the line belongs to none.
+    fn add_line(&mut self, number: usize, line: Line) -> bool {
+        if let Line::Header(header) = line {
+            let is_same = |s: &CapturedStart| {
+                s.header.seed == header.seed && s.header.started_at == header.started_at
+            };
+            if !self.starts.last().is_some_and(is_same) {
+                let first = ListEpoch {
+                    update: None,
+                    endpoints: Vec::new(),
+                    requests: Vec::new(),
                 };
-                self.starts.push(Start {
-                    head,
+                self.starts.push(CapturedStart {
+                    header,
                     settings: None,
-                    changes: vec![first],
+                    epochs: vec![first],
                 });
             }
             return true;
@@ -117,78 +122,82 @@
         match line {
             Line::Header(_) => {}
             Line::Settings(text) => start.settings = Some(text),
-            Line::ListUpdate(news) => {
-                start.changes.push(Change {
-                    news: Some(news),
-                    servers: Vec::new(),
-                    records: Vec::new(),
+            Line::ListUpdate(update) => {
+                start.epochs.push(ListEpoch {
+                    update: Some(update),
+                    endpoints: Vec::new(),
+                    requests: Vec::new(),
                 });
             }
-            Line::Endpoint(server) => {
-                let wanted = |c: &&mut Change| {
-                    c.news
+            Line::Endpoint(endpoint) => {
+                let is_incomplete = |e: &&mut ListEpoch| {
+                    e.update
                         .as_ref()
-                        .is_some_and(|n| c.servers.len() < n.endpoint_count)
+                        .is_some_and(|u| e.endpoints.len() < u.endpoint_count)
                 };
-                let Some(change) = start.changes.last_mut().filter(wanted) else {
+                let Some(epoch) = start.epochs.last_mut().filter(is_incomplete) else {
                     return false;
                 };
-                change.servers.push(server);
+                epoch.endpoints.push(endpoint);
             }
-            // It ended after news that came while it was under way: it is decided before them.
+            // A request is written when it ends, possibly after later list updates; it was decided under the list of its version.
             Line::Request(record) => {
-                let seq = |c: &Change| {
-                    c.news
+                let has_version = |e: &ListEpoch| {
+                    e.update
                         .as_ref()
-                        .is_some_and(|n| n.version == record.list_version)
+                        .is_some_and(|u| u.version == record.list_version)
                 };
-                let met = start
-                    .changes
+                let index = start
+                    .epochs
                     .iter()
-                    .rposition(seq)
-                    .unwrap_or(start.changes.len() - 1);
-                start.changes[met].records.push((number, record));
+                    .rposition(has_version)
+                    .unwrap_or(start.epochs.len() - 1);
+                start.epochs[index].requests.push((number, record));
             }
         }
         true
     }
 }
 
-/// A line without the time that a log's keeper has put before it in brackets.
-fn unstamped(line: &str) -> &str {
-    let stamp = line.strip_prefix('[').and_then(|l| l.split_once("] "));
-    stamp
-        .filter(|(stamp, _)| stamp.len() <= STAMP && !stamp.contains(' '))
+/// Strips the timestamp in brackets that a log collector has put before a line.
+fn without_timestamp(line: &str) -> &str {
+    let split = line.strip_prefix('[').and_then(|l| l.split_once("] "));
+    split
+        .filter(|(timestamp, _)| timestamp.len() <= MAX_TIMESTAMP_BYTES && !timestamp.contains(' '))
         .map_or(line, |(_, rest)| rest)
 }
 
-/// Replays a file; returns how many decisions differ.
+/// Replays a file; returns the number of decisions that differ.
 fn replay(file: &Path) -> Result<usize, String> {
     let input = BufReader::new(File::open(file).map_err(|e| e.to_string())?);
     let contents = Contents::read(input).map_err(|e| e.to_string())?;
     if contents.starts.is_empty() {
-        return Err("there is no head of a capture in it".into());
+        return Err("no header of a capture in the file".into());
     }
     let mut out = io::stdout().lock();
-    let (mut all, mut differ, mut unseen) = (0, 0, 0);
+    let (mut decided, mut differ, mut undecided) = (0, 0, 0);
     for start in contents.starts {
-        let mut replay = Replay::new(&start.head, start.settings.as_deref())?;
-        for change in start.changes {
-            if let Some(news) = &change.news {
-                replay.news(news, &change.servers);
+        let mut replay = Replay::new(&start.header, start.settings.as_deref())?;
+        for epoch in start.epochs {
+            if let Some(update) = &epoch.update {
+                replay.apply_list_update(update, &epoch.endpoints);
             }
-            for (number, then) in change.records {
-                let Some(tried) = then.attempts.as_deref() else {
-                    unseen += 1; // nothing was decided
+            for (number, captured) in epoch.requests {
+                let Some(attempts) = captured.attempts.as_deref() else {
+                    undecided += 1;
                     continue;
                 };
-                all += 1;
-                let now = replay.decide(&then, tried)?;
-                if Decision(&now).to_string() != Decision(&then).to_string() {
+                decided += 1;
+                let replayed = replay.decide(&captured, attempts)?;
+                if Decision(&replayed).to_string() != Decision(&captured).to_string() {
                     differ += 1;
-                    let (then, now) = (Decision(&then), Decision(&now));
-                    writeln!(out, "{number}: {}\n  then: {then}\n  now:  {now}", then.0)
-                        .map_err(|e| e.to_string())?;
+                    let (captured, replayed) = (Decision(&captured), Decision(&replayed));
+                    writeln!(
+                        out,
+                        "{number}: {}\n  then: {captured}\n  now:  {replayed}",
+                        captured.0
+                    )
+                    .map_err(|e| e.to_string())?;
                 }
             }
         }
@@ -196,7 +205,7 @@
     let (foreign, truncated) = (contents.foreign, usize::from(contents.truncated));
     writeln!(
         out,
-        "{differ} of {all} decisions differ; {unseen} never reached the module; skipped: {foreign} foreign \
+        "{differ} of {decided} decisions differ; {undecided} never reached the module; skipped: {foreign} foreign \
          lines, {truncated} truncated"
     )
     .map_err(|e| e.to_string())?;
--- a/crates/canvascart/src/drill.rs
+++ b/crates/canvascart/src/drill.rs
@@ -1,4 +1,4 @@
-//! `canvascart drill`: starts and stops drills at a proxy's side port.
+//! `canvascart drill`: starts and stops drills through a proxy's side port.
 
 use std::io::Write as _;
 
@@ -11,80 +11,81 @@
 use settings::properties::{Secret, host_and_port};
 use tokio::time::{Duration, timeout};
 
-/// The proxy refuses.
-const REFUSED: u8 = 1;
-/// No answer from the side port.
-const NO_ANSWER: u8 = 3;
-/// Longest wait for it.
-const WAIT: Duration = Duration::from_secs(5);
-const CODES: &str =
-    "Exit codes: 0 done, 1 the proxy refuses, 2 wrong usage or settings, 3 no answer.";
+/// Exit code: the proxy rejects the command.
+const REJECTED: u8 = 1;
+/// Exit code: the side port does not answer.
+const NO_RESPONSE: u8 = 3;
+/// Limit of a call to the side port.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const EXIT_CODES: &str =
+    "Exit codes: 0 done, 1 rejected by the proxy, 2 wrong usage or settings, 3 no answer.";
 
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Starts a drill, in place of the class's present one.
-    #[command(after_help = CODES)]
+    /// Starts a drill, replacing the current one of the class.
+    #[command(after_help = EXIT_CODES)]
     Start {
         #[command(flatten)]
-        port: Port,
-        /// The class whose requests are drilled.
+        port: SidePort,
+        /// Class of the affected requests.
         #[arg(long)]
         class: String,
         #[command(flatten)]
-        deed: Deed,
-        /// The share of the class's requests, such as 10%.
+        effect: DrillEffect,
+        /// Share of the class's requests that are affected, such as 10%.
         #[arg(long)]
         share: String,
-        /// How long the drill lasts, such as 120s; more than the proxy's limit is cut to it.
+        /// Duration of the drill, such as 120s; capped at the proxy's limit.
         #[arg(long = "for", value_name = "SPAN")]
         span: String,
     },
-    /// Stops one class's drill, or all.
-    #[command(after_help = CODES)]
+    /// Stops the drill of one class, or all drills.
+    #[command(after_help = EXIT_CODES)]
     Stop {
         #[command(flatten)]
-        port: Port,
-        /// The class whose drill stops.
+        port: SidePort,
+        /// Class whose drill is stopped; all classes by default.
         #[arg(long)]
         class: Option<String>,
     },
 }
 
-/// Where the side port is, and what opens it.
+/// Address of the side port, and its secret.
 #[derive(clap::Args)]
-pub struct Port {
+pub struct SidePort {
     #[command(flatten)]
     properties: crate::Properties,
-    /// The side port, in place of drills.port on the host of NODE_LISTEN.
+    /// Address of the side port, overriding drills.port on the host of NODE_LISTEN.
     #[arg(long, value_name = "HOST:PORT", value_parser = host_and_port)]
     at: Option<String>,
-    /// The proxy's drills.secret.
+    /// Value of the proxy's drills.secret.
     #[arg(long)]
     secret: String,
 }
 
-/// What befalls a request of the share.
+/// Effect of the drill on a request.
 #[derive(clap::Args)]
 #[group(required = true, multiple = false)]
-pub struct Deed {
-    /// Its answer comes so much later, such as 400ms.
+pub struct DrillEffect {
+    /// Delays the response, such as by 400ms.
     #[arg(long, value_name = "SPAN")]
     delay: Option<String>,
-    /// Its answer becomes a 500.
+    /// Replaces the response with a 500.
     #[arg(long)]
     abort: bool,
 }
 
-impl Port {
+impl SidePort {
     fn address(&self) -> Result<String, String> {
         let settings = self.properties.read()?.fault_injection;
         if let Some(at) = &self.at {
             return Ok(at.clone());
         }
         let port = settings.port.filter(|port| *port > 0);
-        let port = port.ok_or("give --at, or a file with a drills.port in --properties")?;
+        let port =
+            port.ok_or("no side port is given: use --at, or a --properties file with drills.port")?;
         let listen =
-            std::env::var("NODE_LISTEN").map_err(|_| "NODE_LISTEN is not set: give --at")?;
+            std::env::var("NODE_LISTEN").map_err(|_| "NODE_LISTEN is not set: use --at")?;
         let host = listen
             .rsplit_once(':')
             .map(|(host, _)| host)
@@ -98,11 +99,11 @@
         Command::Start {
             port,
             class,
-            deed,
+            effect,
             share,
             span,
         } => {
-            let (delay, abort) = (&deed.delay, deed.abort);
+            let (delay, abort) = (&effect.delay, effect.abort);
             let body = json!({"class": class, "share": share, "for": span, "delay": delay, "abort": abort});
             (port, Method::POST, body)
         }
@@ -111,7 +112,7 @@
     let address = port.address()?;
     let secret = Secret::new(&port.secret).map_err(|e| e.to_string())?;
     let mut bearer = HeaderValue::from_bytes(&[b"Bearer ", secret.bytes()].concat())
-        .map_err(|_| "the secret can't stand in a header")?;
+        .map_err(|_| "the secret is not a valid header value")?;
     bearer.set_sensitive(true);
     let request = Request::builder()
         .method(method)
@@ -120,22 +121,26 @@
         .header(AUTHORIZATION, bearer)
         .body(Full::new(Bytes::from(body.to_string())))
         .map_err(|e| e.to_string())?;
-    let answer = crate::block_on(async { timeout(WAIT, exchange(&address, request)).await })?;
-    match answer.unwrap_or_else(|_| Err("no answer in time".into())) {
-        Ok((answer, _)) => {
-            let text = String::from_utf8_lossy(&answer.body);
-            if answer.status == 200 {
-                let said = writeln!(std::io::stdout(), "{}", text.trim_end());
-                return said
+    let response =
+        crate::block_on(async { timeout(CALL_TIMEOUT, exchange(&address, request)).await })?;
+    match response.unwrap_or_else(|_| Err("no response in time".into())) {
+        Ok((response, _)) => {
+            let text = String::from_utf8_lossy(&response.body);
+            if response.status == 200 {
+                let written = writeln!(std::io::stdout(), "{}", text.trim_end());
+                return written
                     .map(|()| 0)
                     .map_err(|e| format!("standard output: {e}"));
             }
-            eprintln!("canvascart: {address} refuses: {}", text.trim_end());
-            Ok(REFUSED)
+            eprintln!(
+                "canvascart: {address} rejects the drill: {}",
+                text.trim_end()
+            );
+            Ok(REJECTED)
         }
         Err(e) => {
             eprintln!("canvascart: {address}: {e}");
-            Ok(NO_ANSWER)
+            Ok(NO_RESPONSE)
         }
     }
 }
--- a/crates/canvascart/src/fleet.rs
+++ b/crates/canvascart/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `canvascart fleet`: servers in etcd, from the command line of whoever runs them.
+//! `canvascart fleet`: registers and administers servers in etcd.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,22 +15,22 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// etcd says no, or what it has can't be read.
-const REFUSED: u8 = 1;
-/// No member of etcd answers.
-const UNREACHED: u8 = 3;
-/// There is no such server, or another one has its name.
-const OTHERWISE: u8 = 4;
+/// Exit code: etcd rejects the call, or a stored record can't be read.
+const REJECTED: u8 = 1;
+/// Exit code: no member of etcd answers.
+const UNAVAILABLE: u8 = 3;
+/// Exit code: the server does not exist, or another one has its name.
+const NOT_FOUND_OR_IN_USE: u8 = 4;
 
-const CODES: &str = "Exit codes: 0 done, 1 etcd refused, 2 wrong usage, 3 no member of etcd answers, 4 no such server, or another one has \
+const EXIT_CODES: &str = "Exit codes: 0 done, 1 rejected by etcd, 2 wrong usage, 3 no member of etcd answers, 4 no such server, or another one has \
 the name.
 
-Where etcd asks for a name and a password, CANVASCART_ETCD_USER has them as NAME:PASSWORD.";
+If etcd requires authentication, set CANVASCART_ETCD_USER to NAME:PASSWORD.";
 
 #[derive(clap::Args)]
-#[command(after_help = CODES)]
+#[command(after_help = EXIT_CODES)]
 pub struct Arguments {
-    /// A member of etcd; several may be named.
+    /// URL of an etcd member; may be repeated.
     #[arg(
         long = "etcd",
         global = true,
@@ -38,17 +38,17 @@
         default_value = "http://127.0.0.1:2379"
     )]
     endpoints: Vec<String>,
-    /// What the keys begin with.
+    /// Prefix of the keys.
     #[arg(long, global = true, default_value = "/canvascart/v1")]
     prefix: String,
-    /// The pool that the servers are of.
+    /// Pool of the servers.
     #[arg(long, global = true, default_value = "default")]
     pool: String,
     #[command(subcommand)]
     command: Command,
 }
 
-fn name(text: &str) -> Result<String, String> {
+fn server_name(text: &str) -> Result<String, String> {
     if is_valid_endpoint_name(text) {
         Ok(text.to_owned())
     } else {
@@ -58,51 +58,51 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Registers a server with a lease, and keeps it until this command is ended; then the server leaves.
+    /// Registers a server and renews its lease until this command is ended; then deregisters it.
     Register {
-        #[arg(value_parser = name)]
+        #[arg(value_parser = server_name)]
         name: String,
         #[arg(long, value_name = "HOST:PORT")]
         address: SocketAddr,
-        /// Requests that it works on at once, about.
+        /// Approximate number of requests that it processes at once.
         #[arg(long, default_value_t = 1.0)]
         size: f64,
         #[arg(long)]
         zone: Option<String>,
         #[arg(long)]
         kind: Option<String>,
-        /// The lease ends so many seconds after the last renewal.
+        /// Seconds after the last renewal at which the lease expires.
         #[arg(long, value_name = "SECONDS", default_value_t = 10, value_parser = clap::value_parser!(u64).range(2..=3600))]
         ttl: u64,
     },
-    /// The server ends what it has and gets nothing new.
+    /// Drains a server: it finishes its requests and gets no new ones.
     Drain {
-        #[arg(value_parser = name)]
+        #[arg(value_parser = server_name)]
         name: String,
     },
-    /// The server takes new work again.
+    /// Ends the drain of a server.
     Resume {
-        #[arg(value_parser = name)]
+        #[arg(value_parser = server_name)]
         name: String,
     },
-    /// Takes a server away, on purpose.
+    /// Removes a server.
     Deregister {
-        #[arg(value_parser = name)]
+        #[arg(value_parser = server_name)]
         name: String,
     },
-    /// All servers of the pool.
+    /// Lists the servers of the pool.
     List {
-        /// Prints JSON.
+        /// Prints one JSON object per server.
         #[arg(long)]
         json: bool,
     },
-    /// Prints what becomes of the list, a line each, as a proxy would hear it.
+    /// Watches the list like a proxy, and prints each update as a line of JSON.
     Watch {
-        /// Ends after so many lines.
+        /// Number of lines after which it ends.
         #[arg(long)]
         most: Option<usize>,
     },
-    /// Lets go of servers that proxies hold because their leases ended together.
+    /// Releases servers that proxies retain because their leases expired together.
     Release,
 }
 
@@ -115,7 +115,7 @@
         Ok(text) => {
             let (name, password) = text
                 .split_once(':')
-                .ok_or("CANVASCART_ETCD_USER: it is NAME:PASSWORD")?;
+                .ok_or("CANVASCART_ETCD_USER: expected NAME:PASSWORD")?;
             Some((name.to_owned(), password.to_owned()))
         }
         Err(_) => None,
@@ -125,21 +125,21 @@
         ..Settings::new(arguments.endpoints)
     };
     let keys = KeySpace::new(&arguments.prefix, &arguments.pool);
-    let done = crate::block_on(act(arguments.command, settings, keys, arguments.pool))?;
-    Ok(done.map_or_else(
-        |failed| {
-            eprintln!("canvascart: {failed}");
-            match failed {
-                RegistryError::Unavailable(_) => UNREACHED,
-                RegistryError::NotFound(_) | RegistryError::NameInUse(_) => OTHERWISE,
-                RegistryError::Rejected(_) => REFUSED,
+    let result = crate::block_on(execute(arguments.command, settings, keys, arguments.pool))?;
+    Ok(result.map_or_else(
+        |error| {
+            eprintln!("canvascart: {error}");
+            match error {
+                RegistryError::Unavailable(_) => UNAVAILABLE,
+                RegistryError::NotFound(_) | RegistryError::NameInUse(_) => NOT_FOUND_OR_IN_USE,
+                RegistryError::Rejected(_) => REJECTED,
             }
         },
         |()| 0,
     ))
 }
 
-async fn act(
+async fn execute(
     command: Command,
     settings: Settings,
     keys: KeySpace,
@@ -159,24 +159,24 @@
             kind,
             ttl,
         } => {
-            let born_ms = SystemTime::now()
+            let started_at_ms = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default()
                 .as_millis() as u64;
-            let entry = EndpointRecord {
+            let record = EndpointRecord {
                 capacity: size,
                 zone,
                 machine_type: kind,
-                started_at_ms: Some(born_ms),
+                started_at_ms: Some(started_at_ms),
                 ..EndpointRecord::new(address)
             };
-            register(&mut registry, &name, &entry, Duration::from_secs(ttl)).await
+            register(&mut registry, &name, &record, Duration::from_secs(ttl)).await
         }
         Command::Drain { name } => registry.set_state(&name, EndpointState::Draining).await,
         Command::Resume { name } => registry.set_state(&name, EndpointState::Up).await,
         Command::Deregister { name } => registry.deregister(&name).await,
         Command::List { json } => {
-            list(&registry.list().await?, json);
+            print_list(&registry.list().await?, json);
             Ok(())
         }
         Command::Release => registry.release_retained().await,
@@ -184,16 +184,19 @@
     }
 }
 
-/// Keeps a server registered until the command is told to end; then the server leaves.
+/// Keeps a server registered until a signal ends the command, then deregisters it.
 async fn register(
     registry: &mut Registry<PlaintextConnector>,
     name: &str,
-    entry: &EndpointRecord,
+    record: &EndpointRecord,
     ttl: Duration,
 ) -> Result<(), RegistryError> {
-    let on = |kind| signal(kind).map_err(|e| RegistryError::Rejected(format!("signals: {e}")));
-    let (mut term, mut int) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
-    let mut registration = registry.register(name, entry, ttl).await?;
+    let stream = |kind| signal(kind).map_err(|e| RegistryError::Rejected(format!("signals: {e}")));
+    let (mut term, mut int) = (
+        stream(SignalKind::terminate())?,
+        stream(SignalKind::interrupt())?,
+    );
+    let mut registration = registry.register(name, record, ttl).await?;
     println!("{name} is registered");
     loop {
         let why = tokio::select! {
@@ -201,15 +204,15 @@
             _ = int.recv() => break,
             why = registry.keep_alive(registration) => why,
         };
-        tracing::warn!(%why, "the lease is not renewed; the server registers again");
-        // Not all servers at once, when etcd comes back.
-        let again = async {
+        tracing::warn!(%why, "the lease can't be renewed; registering again");
+        // A random delay, so that the servers do not all register at once when etcd is back.
+        let registered_again = async {
             loop {
                 sleep(ttl.mul_f64(0.1 + 0.2 * fastrand::f64())).await;
                 if registry.reconnect().await.is_err() {
                     continue;
                 }
-                match registry.register(name, entry, ttl).await {
+                match registry.register(name, record, ttl).await {
                     Ok(registration) => return Ok(registration),
                     Err(RegistryError::Unavailable(_)) => {}
                     Err(e) => return Err(e),
@@ -219,44 +222,44 @@
         registration = tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            again = again => again?,
+            result = registered_again => result?,
         };
         println!("{name} is registered again");
     }
     registry.deregister(name).await?;
-    println!("{name} has left");
+    println!("{name} is deregistered");
     Ok(())
 }
 
-fn list(all: &[RegisteredEndpoint], as_json: bool) {
-    for server in all {
+fn print_list(servers: &[RegisteredEndpoint], as_json: bool) {
+    for server in servers {
         let (name, lease) = (&server.name, server.lease);
         match &server.record {
-            Ok(entry) if as_json => {
+            Ok(record) if as_json => {
                 println!(
                     "{}",
-                    json!({ "name": name, "lease": lease, "revision": server.revision, "entry": entry })
+                    json!({ "name": name, "lease": lease, "revision": server.revision, "entry": record })
                 );
             }
-            Ok(entry) => {
-                let state = json!(entry.state);
+            Ok(record) => {
+                let state = json!(record.state);
                 let state = state.as_str().unwrap_or_default();
-                let zone = entry.zone.as_deref().unwrap_or("-");
+                let zone = record.zone.as_deref().unwrap_or("-");
                 println!(
                     "{name}  {}  {state}  size {}  zone {zone}  lease {lease:x}",
-                    entry.address, entry.capacity
+                    record.address, record.capacity
                 );
             }
             Err(why) if as_json => {
                 println!("{}", json!({ "name": name, "lease": lease, "wrong": why }))
             }
-            Err(why) => println!("{name}  its value is of no use: {why}"),
+            Err(why) => println!("{name}  unreadable record: {why}"),
         }
     }
 }
 
 async fn watch(settings: Settings, keys: KeySpace, pool: String, most: Option<usize>) {
-    let (to, mut updates) = mpsc::unbounded_channel();
+    let (update_sender, mut updates) = mpsc::unbounded_channel();
     let seed = fastrand::u64(..);
     tokio::spawn(etcd::watch_endpoints(
         PlaintextConnector,
@@ -265,10 +268,10 @@
         keys,
         WatchLimits::default(),
         seed,
-        to,
+        update_sender,
     ));
-    let mut left = most.unwrap_or(usize::MAX);
-    while let (true, Some(update)) = (left > 0, updates.recv().await) {
+    let mut lines_left = most.unwrap_or(usize::MAX);
+    while let (true, Some(update)) = (lines_left > 0, updates.recv().await) {
         match update {
             DiscoveryUpdate::List(ListChange::Complete(all)) => {
                 println!("{}", json!({ "whole": all.len() }))
@@ -293,6 +296,6 @@
                 );
             }
         }
-        left -= 1;
+        lines_left -= 1;
     }
 }
--- a/crates/canvascart/tests/capture.rs
+++ b/crates/canvascart/tests/capture.rs
@@ -243,9 +243,9 @@
 #[test]
 fn what_is_no_capture_is_an_error() {
     for (capture, word) in [
-        ("canvascart-proxy: a line\n", "no head"),
-        (LIST, "no head"),
-        ("", "no head"),
+        ("canvascart-proxy: a line\n", "no header of a capture"),
+        (LIST, "no header of a capture"),
+        ("", "no header of a capture"),
         (HEAD, "settings are missing"),
         (&format!("{HEAD}s {{x}}\n"), "the capture's settings"),
         (
