--- a/crates/canvascart/src/admin/arguments.rs
+++ b/crates/canvascart/src/admin/arguments.rs
@@ -1,19 +1,19 @@
-//! What `canvascart admin` is told on its command line.
+//! Command-line arguments of `canvascart admin`.
 
 use std::path::PathBuf;
 
 use clap::{Subcommand, ValueEnum};
 
-const CODES: &str = "Exit codes: 0 done, 1 something differs or would change (diff, --dry-run), 2 wrong usage or file, 3 the API can't be \
-reached, 4 turned down, 5 changed by somebody else meanwhile, 6 the token has no right to it, 7 not there, 8 the service has \
+const EXIT_CODES: &str = "Exit codes: 0 done, 1 something differs or would change (diff, --dry-run), 2 wrong usage or file, 3 the API can't be \
+reached, 4 rejected, 5 conflicts with a concurrent change, 6 not permitted for the token, 7 not found, 8 the service has \
 failed.
 
-The token comes from --token-file, or from CANVASCART_TOKEN.";
+The token is read from --token-file or CANVASCART_TOKEN.";
 
 #[derive(clap::Args)]
-#[command(after_help = CODES)]
+#[command(after_help = EXIT_CODES)]
 pub struct Arguments {
-    /// Where the API is.
+    /// URL of the administration API.
     #[arg(
         long,
         global = true,
@@ -21,19 +21,19 @@
         default_value = "http://127.0.0.1:7070"
     )]
     pub url: String,
-    /// A file with the token.
+    /// File that contains the token.
     #[arg(long, global = true, value_name = "FILE")]
     pub token_file: Option<PathBuf>,
-    /// Prints answers as JSON.
+    /// Prints responses as JSON.
     #[arg(long, global = true)]
     pub json: bool,
-    /// Only tells what would change.
+    /// Only shows what would change.
     #[arg(long, global = true)]
     pub dry_run: bool,
-    /// The revision that a change is meant for; without it, the present one when the call begins.
+    /// ETag of the revision that is to be changed; by default the current one when the command starts.
     #[arg(long, global = true, value_name = "ETAG")]
     pub if_match: Option<String>,
-    /// A name for this change: a repetition with the same name changes nothing.
+    /// Idempotency key of this change: repeating it with the same key changes nothing.
     #[arg(long, global = true, value_name = "KEY")]
     pub idempotency_key: Option<String>,
     #[command(subcommand)]
@@ -42,73 +42,73 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// How the service and its tenants fare.
+    /// Shows the status of the service and its tenants.
     Status,
-    /// Tenants.
+    /// Manages tenants.
     #[command(subcommand)]
     Tenant(Tenant),
-    /// Servers of a tenant.
+    /// Manages the servers of a tenant.
     #[command(subcommand)]
     Server(Server),
-    /// Classes of a tenant.
+    /// Manages the classes of a tenant.
     #[command(subcommand)]
     Class(Class),
-    /// What a tenant may have: shows it, or sets what is named.
+    /// Shows the limits of a tenant, or sets some of them.
     Limits {
         tenant: String,
-        /// What to set, such as weight=2 or in-flight=512; in-flight= takes a cap away.
-        #[arg(value_name = "KEY=VALUE", value_parser = setting)]
+        /// Limits to set, such as weight=2 or in-flight=512; in-flight= removes a limit.
+        #[arg(value_name = "KEY=VALUE", value_parser = parse_limit)]
         set: Vec<(String, Option<String>)>,
     },
-    /// Makes the tenants of a file what it says, as one version.
+    /// Applies all tenants of a file as one version.
     Apply {
-        /// A file with `[[tenant]]` tables as `serve` has them, or the same in JSON; - for standard input.
+        /// File with `[[tenant]]` tables as in the configuration of `serve`, or the same in JSON; - for standard input.
         #[arg(short, long, value_name = "FILE")]
         file: PathBuf,
-        /// All other tenants go.
+        /// Removes all other tenants.
         #[arg(long)]
         prune: bool,
     },
-    /// The versions that are kept, the newest first.
+    /// Lists the stored versions, newest first.
     Versions {
-        /// Of this tenant alone.
+        /// Only versions of this tenant.
         #[arg(long)]
         tenant: Option<String>,
-        /// So many at most.
+        /// Maximum number of versions.
         #[arg(long, default_value_t = 20)]
         most: usize,
     },
-    /// What differs between two versions.
+    /// Shows the differences between two versions.
     Diff {
-        /// Between revisions of this tenant.
+        /// Compares revisions of this tenant.
         #[arg(long)]
         tenant: Option<String>,
         from: u64,
-        /// The present one without it.
+        /// The current one by default.
         to: Option<u64>,
     },
-    /// Goes back to a version, as a new one.
+    /// Restores an earlier version as a new version.
     Rollback {
-        /// This tenant alone, to one of its revisions.
+        /// Restores only this tenant, to one of its revisions.
         #[arg(long)]
         tenant: Option<String>,
         to: u64,
     },
-    /// Who changed what, the newest first.
+    /// Lists the audit log, newest first.
     Audit {
-        /// What concerns this tenant alone.
+        /// Only entries about this tenant.
         #[arg(long)]
         tenant: Option<String>,
-        /// So many lines at most.
+        /// Maximum number of lines.
         #[arg(long, default_value_t = 20)]
         most: usize,
     },
-    /// Tokens.
+    /// Manages tokens.
     #[command(subcommand)]
     Token(Token),
-    /// Prints versions as they take effect, and how tenants fare, a line each.
+    /// Prints new versions and the status of tenants as they change, one line each.
     Watch {
-        /// Ends after so many lines.
+        /// Number of lines after which it ends.
         #[arg(long)]
         most: Option<usize>,
     },
@@ -116,52 +116,52 @@
 
 #[derive(Subcommand)]
 pub enum Tenant {
-    /// All tenants.
+    /// Lists all tenants.
     List,
-    /// A tenant's document, as JSON.
+    /// Shows a tenant's document as JSON.
     Show { name: String },
-    /// Adds a tenant, or replaces its document, as the file says.
+    /// Adds a tenant, or replaces its document.
     Put {
         name: String,
-        /// The document, in JSON; - for standard input.
+        /// File with the document in JSON; - for standard input.
         #[arg(short, long, value_name = "FILE")]
         file: PathBuf,
     },
-    /// Takes a tenant away.
+    /// Removes a tenant.
     Remove { name: String },
-    /// How its pool fares.
+    /// Shows the status of its pool.
     Pool { name: String },
 }
 
 #[derive(Subcommand)]
 pub enum Server {
-    /// All servers of a tenant.
+    /// Lists the servers of a tenant.
     List { tenant: String },
-    /// Adds a server, or replaces it.
+    /// Adds or replaces a server.
     Put {
         tenant: String,
         name: String,
         #[arg(long, value_name = "HOST:PORT")]
         address: String,
-        /// Requests that it works on at once, about.
+        /// Approximate number of requests that it processes at once.
         #[arg(long, default_value_t = 1.0)]
         size: f64,
         #[arg(long)]
         zone: Option<String>,
         #[arg(long)]
         kind: Option<String>,
-        /// Attempts that it takes at once, of all tenants that use it.
+        /// Maximum number of concurrent attempts, of all tenants together.
         #[arg(long)]
         connections: Option<u64>,
-        /// It has been running for long.
+        /// The server is warm: slow start does not apply.
         #[arg(long)]
         warm: bool,
     },
-    /// The server ends what it has and gets nothing new.
+    /// Drains the server: it finishes its requests and gets no new ones.
     Drain { tenant: String, name: String },
-    /// The server takes new work again.
+    /// Ends the drain of the server.
     Resume { tenant: String, name: String },
-    /// Takes the server away.
+    /// Removes the server.
     Remove { tenant: String, name: String },
 }
 
@@ -173,18 +173,18 @@
 
 #[derive(Subcommand)]
 pub enum Class {
-    /// All classes of a tenant.
+    /// Lists the classes of a tenant.
     List { tenant: String },
-    /// Adds a class, or replaces it.
+    /// Adds or replaces a class.
     Put {
         tenant: String,
         name: String,
         #[arg(long)]
         effect: Effect,
-        /// Such as "300 ms".
+        /// Latency objective, such as "300 ms".
         #[arg(long)]
         aim: String,
-        /// Such as "1 s".
+        /// Deadline, such as "1 s".
         #[arg(long)]
         deadline: String,
         #[arg(long, default_value_t = 1.0)]
@@ -192,7 +192,7 @@
         #[arg(long, default_value = "0 %")]
         late_worth: String,
     },
-    /// Takes the class away.
+    /// Removes the class.
     Remove { tenant: String, name: String },
 }
 
@@ -205,34 +205,34 @@
 
 #[derive(Subcommand)]
 pub enum Token {
-    /// All tokens.
+    /// Lists all tokens.
     List,
-    /// Makes a token and prints it, this once.
+    /// Creates a token and prints it; it can't be shown again.
     Add {
-        /// What people call it.
+        /// Display name of the token.
         name: String,
         #[arg(long)]
         role: Role,
-        /// The one tenant that it is for.
+        /// Restricts the token to this tenant.
         #[arg(long)]
         tenant: Option<String>,
-        /// It ends after so many seconds.
+        /// Seconds after which the token expires.
         #[arg(long, value_name = "SECONDS")]
         expires_in: Option<u64>,
     },
-    /// Gives a token another secret and prints it.
+    /// Replaces the secret of a token and prints the token.
     Rotate {
         id: String,
-        /// The former secret stays good for so many seconds.
+        /// Seconds for which the previous secret stays valid.
         #[arg(long, value_name = "SECONDS", default_value_t = 0)]
         overlap: u64,
     },
-    /// Ends a token at once.
+    /// Revokes a token immediately.
     Revoke { id: String },
 }
 
-fn setting(text: &str) -> Result<(String, Option<String>), String> {
-    let (key, value) = text.split_once('=').ok_or("it is KEY=VALUE")?;
+fn parse_limit(text: &str) -> Result<(String, Option<String>), String> {
+    let (key, value) = text.split_once('=').ok_or("expected KEY=VALUE")?;
     Ok((
         key.to_owned(),
         (!value.is_empty()).then(|| value.to_owned()),
--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! `canvascart admin`: the administration API from the command line.
+//! `canvascart admin`: command-line client of the administration API.
 
+pub(crate) mod api_client;
 mod arguments;
 pub(crate) mod table;
-pub(crate) mod wire;
 
 use std::io::Write as _;
 use std::path::Path;
@@ -12,42 +12,42 @@
 use http_body_util::BodyExt as _;
 use serde_json::{Value, json};
 
+use api_client::{ApiClient, ApiResponse, encode_path_segment};
 pub use arguments::Arguments;
 use arguments::{Class, Command, Effect, Role, Server, Tenant, Token};
 use table::{cell, differences, table, time};
-use wire::{Answer, Wire, part};
 
-/// It differs, or something would change.
+/// Exit code: something differs, or would change.
 const DIFFERS: u8 = 1;
-/// The API can't be reached.
-pub(crate) const UNREACHED: u8 = 3;
-/// It turned the call down.
-const TURNED_DOWN: u8 = 4;
-/// Somebody else has changed it meanwhile.
-const LOST_UPDATE: u8 = 5;
-/// The token has no right to it.
-const NO_RIGHT: u8 = 6;
-/// There is no such thing.
-const NOT_THERE: u8 = 7;
-/// The service has failed.
+/// Exit code: the API can't be reached.
+pub(crate) const UNREACHABLE: u8 = 3;
+/// Exit code: the API rejected the call.
+const REJECTED: u8 = 4;
+/// Exit code: the change conflicts with a concurrent one.
+const CONFLICT: u8 = 5;
+/// Exit code: the token does not permit the call.
+const FORBIDDEN: u8 = 6;
+/// Exit code: the object does not exist.
+const NOT_FOUND: u8 = 7;
+/// Exit code: the service has failed.
 const FAILED: u8 = 8;
 
-/// Why a command ended, for people, and its exit code.
-struct Ended(u8, String);
+/// Exit code of a failed command, and its message.
+struct CommandError(u8, String);
 
-impl From<String> for Ended {
+impl From<String> for CommandError {
     fn from(text: String) -> Self {
-        Ended(crate::USAGE_ERROR, text)
+        CommandError(crate::USAGE_ERROR, text)
     }
 }
 
-type Outcome = Result<u8, Ended>;
+type Outcome = Result<u8, CommandError>;
 
-/// A column of a table: its head, and what it shows of a member.
+/// Column of a table: title, and function that formats the cell of an item.
 type Column<'c> = (&'static str, &'c dyn Fn(&Value) -> String);
 
 struct Admin {
-    wire: Wire,
+    client: ApiClient,
     json: bool,
     dry_run: bool,
     if_match: Option<String>,
@@ -59,9 +59,9 @@
 /// # Errors
 /// Wrong usage.
 pub fn run(arguments: Arguments) -> Result<u8, String> {
-    let wire = Wire::new(&arguments.url, token(arguments.token_file.as_deref())?)?;
+    let client = ApiClient::new(&arguments.url, token(arguments.token_file.as_deref())?)?;
     let admin = Admin {
-        wire,
+        client,
         json: arguments.json,
         dry_run: arguments.dry_run,
         if_match: arguments.if_match,
@@ -69,39 +69,39 @@
     };
     match crate::block_on(admin.command(arguments.command))? {
         Ok(code) => Ok(code),
-        Err(Ended(crate::USAGE_ERROR, text)) => Err(text),
-        Err(Ended(code, text)) => {
+        Err(CommandError(crate::USAGE_ERROR, text)) => Err(text),
+        Err(CommandError(code, text)) => {
             eprintln!("canvascart: {text}");
             Ok(code)
         }
     }
 }
 
-/// The token of a file, or of the environment.
+/// Reads the token from a file, or from the environment.
 pub(crate) fn token(file: Option<&std::path::Path>) -> Result<String, String> {
     let token = match file {
         Some(file) => {
             std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?
         }
         None => std::env::var("CANVASCART_TOKEN")
-            .map_err(|_| "no token: give --token-file, or CANVASCART_TOKEN".to_owned())?,
+            .map_err(|_| "no token: use --token-file, or set CANVASCART_TOKEN".to_owned())?,
     };
     Ok(token.trim().to_owned())
 }
 
-/// The exit code of an answer that turned a call down.
-pub(crate) fn code_of(status: u16) -> u8 {
+/// Returns the exit code for a status of 400 or above.
+pub(crate) fn exit_code(status: u16) -> u8 {
     match status {
-        401 | 403 => NO_RIGHT,
-        404 | 410 => NOT_THERE,
-        412 => LOST_UPDATE,
+        401 | 403 => FORBIDDEN,
+        404 | 410 => NOT_FOUND,
+        412 => CONFLICT,
         500.. => FAILED,
-        _ => TURNED_DOWN,
+        _ => REJECTED,
     }
 }
 
-/// A problem document in words.
-pub(crate) fn words(problem: &Value) -> String {
+/// Formats a problem document as text.
+pub(crate) fn format_problem(problem: &Value) -> String {
     let mut text = format!("{}: {}", cell(&problem["title"]), cell(&problem["detail"]));
     for error in problem["errors"].as_array().into_iter().flatten() {
         text += &format!(
@@ -131,62 +131,65 @@
         }
     }
 
-    /// Calls; an answer that turns the call down ends the command.
+    /// Calls the API; a status of 400 or above is an error.
     async fn call(
         &self,
         method: &str,
         target: &str,
         headers: &[(&str, &str)],
         body: Option<&Value>,
-    ) -> Result<Answer, Ended> {
-        let answer = self
-            .wire
+    ) -> Result<ApiResponse, CommandError> {
+        let response = self
+            .client
             .call(method, target, headers, body)
             .await
-            .map_err(|e| Ended(UNREACHED, e))?;
-        if answer.status >= 400 {
-            return Err(Ended(code_of(answer.status), words(&answer.body)));
+            .map_err(|e| CommandError(UNREACHABLE, e))?;
+        if response.status >= 400 {
+            return Err(CommandError(
+                exit_code(response.status),
+                format_problem(&response.body),
+            ));
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn get(&self, target: &str) -> Result<Value, Ended> {
+    async fn get(&self, target: &str) -> Result<Value, CommandError> {
         Ok(self.call("GET", target, &[], None).await?.body)
     }
 
-    /// All members of a list, page after page, `most` at most.
-    async fn list(&self, target: &str, most: usize) -> Result<Vec<Value>, Ended> {
-        let mut all = Vec::new();
+    /// Reads a list page by page, up to `most` items.
+    async fn list(&self, target: &str, most: usize) -> Result<Vec<Value>, CommandError> {
+        let mut items = Vec::new();
         let mut after = String::new();
-        while all.len() < most {
-            let limit = (most - all.len()).min(1000);
-            let join = if target.contains('?') { '&' } else { '?' };
+        while items.len() < most {
+            let limit = (most - items.len()).min(1000);
+            let separator = if target.contains('?') { '&' } else { '?' };
             let page = self
-                .get(&format!("{target}{join}limit={limit}{after}"))
+                .get(&format!("{target}{separator}limit={limit}{after}"))
                 .await?;
-            all.extend(page["items"].as_array().cloned().unwrap_or_default());
+            items.extend(page["items"].as_array().cloned().unwrap_or_default());
             match page["next"].as_str() {
-                Some(next) => after = format!("&after={}", part(next)),
+                Some(next) => after = format!("&after={}", encode_path_segment(next)),
                 None => break,
             }
         }
-        Ok(all)
+        Ok(items)
     }
 
-    /// Prints members of a list: as JSON, or in columns.
-    fn print_list(&self, all: &[Value], columns: &[Column]) -> Outcome {
+    /// Prints items as JSON, or as a table.
+    fn print_list(&self, items: &[Value], columns: &[Column]) -> Outcome {
         if self.json {
-            return print(&pretty(&json!(all)));
+            return print(&pretty(&json!(items)));
         }
-        let head: Vec<&str> = columns.iter().map(|(name, _)| *name).collect();
-        let rows: Vec<Vec<String>> = all
+        let header: Vec<&str> = columns.iter().map(|(name, _)| *name).collect();
+        let rows: Vec<Vec<String>> = items
             .iter()
-            .map(|m| columns.iter().map(|(_, of)| of(m)).collect())
+            .map(|i| columns.iter().map(|(_, format)| format(i)).collect())
             .collect();
-        print(&table(&head, &rows))
+        print(&table(&header, &rows))
     }
 
-    /// Carries a change out. `current` is where the tag of what it replaces is to be had.
+    /// Makes a change and prints it. Unless --if-match is given, the ETag to replace is read from `current`.
     async fn change(
         &self,
         method: &str,
@@ -197,13 +200,13 @@
         let mut tag = self.if_match.clone();
         if let (None, Some(current)) = (&tag, current) {
             tag = match self.call("GET", current, &[], None).await {
-                Ok(answer) => answer.etag,
-                Err(Ended(NOT_THERE, _)) => None,
+                Ok(response) => response.etag,
+                Err(CommandError(NOT_FOUND, _)) => None,
                 Err(e) => return Err(e),
             };
         }
-        let answer = self.write(method, target, body, tag).await?;
-        self.print_change(&answer.body)
+        let response = self.write(method, target, body, tag).await?;
+        self.print_change(&response.body)
     }
 
     async fn write(
@@ -212,7 +215,7 @@
         target: &str,
         body: Option<&Value>,
         tag: Option<String>,
-    ) -> Result<Answer, Ended> {
+    ) -> Result<ApiResponse, CommandError> {
         let mut headers: Vec<(&str, &str)> = Vec::new();
         if let Some(tag) = &tag {
             headers.push(("if-match", tag));
@@ -235,20 +238,20 @@
         } else if changed {
             print(&differences(&written["differences"]))?;
             for t in written["tenants"].as_array().into_iter().flatten() {
-                let flag = |key: &str, text: &'static str| if t[key] == true { text } else { "" };
-                let effect = [
-                    flag("added", " added"),
-                    flag("removed", " removed"),
-                    flag("pool", " new-module"),
-                    flag("servers", " servers"),
-                    flag("limits", " limits"),
+                let label = |key: &str, text: &'static str| if t[key] == true { text } else { "" };
+                let effects = [
+                    label("added", " added"),
+                    label("removed", " removed"),
+                    label("pool", " new-module"),
+                    label("servers", " servers"),
+                    label("limits", " limits"),
                 ];
-                let would = if self.dry_run { "would be at" } else { "at" };
+                let verb = if self.dry_run { "would be at" } else { "at" };
                 print(&format!(
-                    "{} {would} revision {}:{}",
+                    "{} {verb} revision {}:{}",
                     cell(&t["name"]),
                     t["rev"],
-                    effect.concat()
+                    effects.concat()
                 ))?;
             }
         } else {
@@ -288,7 +291,7 @@
     }
 
     async fn tenant(&self, command: Tenant) -> Outcome {
-        let path = |name: &str| format!("/v1/tenants/{}", part(name));
+        let path = |name: &str| format!("/v1/tenants/{}", encode_path_segment(name));
         match command {
             Tenant::List => {
                 let all = self.list("/v1/tenants", usize::MAX).await?;
@@ -304,7 +307,7 @@
             }
             Tenant::Show { name } => print(&pretty(&self.get(&path(&name)).await?)),
             Tenant::Put { name, file } => {
-                let text = text_of(&file)?;
+                let text = read_text(&file)?;
                 let body =
                     serde_json::from_str(&text).map_err(|e| format!("{}:{e}", file.display()))?;
                 self.change("PUT", &path(&name), Some(&body), Some(&path(&name)))
@@ -321,8 +324,9 @@
     }
 
     async fn server(&self, command: Server) -> Outcome {
-        let list = |tenant: &str| format!("/v1/tenants/{}/servers", part(tenant));
-        let path = |tenant: &str, name: &str| format!("{}/{}", list(tenant), part(name));
+        let list = |tenant: &str| format!("/v1/tenants/{}/servers", encode_path_segment(tenant));
+        let path =
+            |tenant: &str, name: &str| format!("{}/{}", list(tenant), encode_path_segment(name));
         match command {
             Server::List { tenant } => {
                 let all = self.list(&list(&tenant), usize::MAX).await?;
@@ -350,13 +354,13 @@
                 warm,
             } => {
                 let mut body = json!({ "address": address, "size": size });
-                let more = [
+                let optional = [
                     ("zone", zone.map(Value::from)),
                     ("kind", kind.map(Value::from)),
                     ("connections", connections.map(Value::from)),
                     ("warm", warm.then_some(Value::Bool(true))),
                 ];
-                for (key, value) in more {
+                for (key, value) in optional {
                     if let Some(value) = value {
                         body[key] = value;
                     }
@@ -390,8 +394,9 @@
     }
 
     async fn class(&self, command: Class) -> Outcome {
-        let list = |tenant: &str| format!("/v1/tenants/{}/classes", part(tenant));
-        let path = |tenant: &str, name: &str| format!("{}/{}", list(tenant), part(name));
+        let list = |tenant: &str| format!("/v1/tenants/{}/classes", encode_path_segment(tenant));
+        let path =
+            |tenant: &str, name: &str| format!("{}/{}", list(tenant), encode_path_segment(name));
         match command {
             Class::List { tenant } => {
                 let all = self.list(&list(&tenant), usize::MAX).await?;
@@ -434,18 +439,18 @@
     }
 
     async fn limits(&self, tenant: &str, set: Vec<(String, Option<String>)>) -> Outcome {
-        let path = format!("/v1/tenants/{}/limits", part(tenant));
-        let now = self.call("GET", &path, &[], None).await?;
+        let path = format!("/v1/tenants/{}/limits", encode_path_segment(tenant));
+        let current = self.call("GET", &path, &[], None).await?;
         if set.is_empty() {
-            return print(&pretty(&now.body));
+            return print(&pretty(&current.body));
         }
-        let mut body = now.body;
+        let mut body = current.body;
         for (key, value) in set {
             let Some(map) = body.as_object_mut() else {
                 break;
             };
             match value {
-                // A number is one, and all else is a quantity with its unit.
+                // A plain number is sent as a number, anything else as a string, such as a quantity with its unit.
                 Some(text) => map.insert(
                     key,
                     serde_json::from_str(&text).unwrap_or(Value::String(text)),
@@ -453,14 +458,14 @@
                 None => map.remove(&key),
             };
         }
-        // What was read is what it replaces.
-        let tag = self.if_match.clone().or(now.etag);
-        let answer = self.write("PUT", &path, Some(&body), tag).await?;
-        self.print_change(&answer.body)
+        // The change replaces the limits that were read above.
+        let tag = self.if_match.clone().or(current.etag);
+        let response = self.write("PUT", &path, Some(&body), tag).await?;
+        self.print_change(&response.body)
     }
 
     async fn apply(&self, file: &Path, prune: bool) -> Outcome {
-        let (mut document, places) = read_tenants(file)?;
+        let (mut document, positions) = read_tenants(file)?;
         let tenants = document.get_mut("tenant").map_or(json!([]), Value::take);
         let body = json!({ "tenant": tenants, "prune": prune });
         let mut headers: Vec<(&str, &str)> = Vec::new();
@@ -475,37 +480,44 @@
         } else {
             "/v1/apply"
         };
-        let answer = self.wire.call("POST", target, &headers, Some(&body)).await;
-        let answer = answer.map_err(|e| Ended(UNREACHED, e))?;
-        let errors = answer.body["errors"]
+        let response = self
+            .client
+            .call("POST", target, &headers, Some(&body))
+            .await;
+        let response = response.map_err(|e| CommandError(UNREACHABLE, e))?;
+        let errors = response.body["errors"]
             .as_array()
-            .filter(|_| answer.status >= 400);
-        if let (Some(errors), Some(places)) = (errors, places) {
-            // The service names places in the body; people have the file.
-            let one = |e: &Value| {
-                let fault = ValidationError {
+            .filter(|_| response.status >= 400);
+        if let (Some(errors), Some(positions)) = (errors, positions) {
+            // The service reports JSON pointers into the body; users need the lines of the file.
+            let problem = |e: &Value| {
+                let error = ValidationError {
                     pointer: cell(&e["pointer"]),
                     message: cell(&e["detail"]),
                 };
-                let key = fault.key();
+                let key = error.key();
                 Problem {
-                    line: places.line_of(&key),
+                    line: positions.line_of(&key),
                     key,
-                    message: fault.message,
+                    message: error.message,
                 }
             };
-            let error: DocumentError = places.document_error(errors.iter().map(one).collect());
-            return Err(Ended(code_of(answer.status), error.to_string()));
+            let error: DocumentError =
+                positions.document_error(errors.iter().map(problem).collect());
+            return Err(CommandError(exit_code(response.status), error.to_string()));
         }
-        if answer.status >= 400 {
-            return Err(Ended(code_of(answer.status), words(&answer.body)));
+        if response.status >= 400 {
+            return Err(CommandError(
+                exit_code(response.status),
+                format_problem(&response.body),
+            ));
         }
-        self.print_change(&answer.body)
+        self.print_change(&response.body)
     }
 
     async fn versions(&self, tenant: Option<String>, most: usize) -> Outcome {
         let target = tenant.map_or("/v1/versions".into(), |t| {
-            format!("/v1/tenants/{}/versions", part(&t))
+            format!("/v1/tenants/{}/versions", encode_path_segment(&t))
         });
         let all = self.list(&target, most).await?;
         self.print_list(
@@ -523,7 +535,7 @@
 
     async fn diff(&self, tenant: Option<String>, from: u64, to: Option<u64>) -> Outcome {
         let base = tenant.map_or("/v1/diff".into(), |t| {
-            format!("/v1/tenants/{}/diff", part(&t))
+            format!("/v1/tenants/{}/diff", encode_path_segment(&t))
         });
         let to = to.map_or(String::new(), |to| format!("&to={to}"));
         let compared = self.get(&format!("{base}?from={from}{to}")).await?;
@@ -542,7 +554,7 @@
         let body = json!({ "to": to });
         match tenant {
             Some(tenant) => {
-                let path = format!("/v1/tenants/{}", part(&tenant));
+                let path = format!("/v1/tenants/{}", encode_path_segment(&tenant));
                 self.change(
                     "POST",
                     &format!("{path}/rollback"),
@@ -565,7 +577,7 @@
 
     async fn audit(&self, tenant: Option<String>, most: usize) -> Outcome {
         let target = tenant.map_or("/v1/audit".into(), |t| {
-            format!("/v1/audit?tenant={}", part(&t))
+            format!("/v1/audit?tenant={}", encode_path_segment(&t))
         });
         let all = self.list(&target, most).await?;
         self.print_list(
@@ -583,8 +595,8 @@
     }
 
     async fn token(&self, command: Token) -> Outcome {
-        let path = |id: &str| format!("/v1/tokens/{}", part(id));
-        let made = match command {
+        let path = |id: &str| format!("/v1/tokens/{}", encode_path_segment(id));
+        let created = match command {
             Token::List => {
                 let all = self.list("/v1/tokens", usize::MAX).await?;
                 return self.print_list(
@@ -627,10 +639,10 @@
             }
             Token::Revoke { id } => self.token_write("DELETE", &path(&id), None).await?,
         };
-        match (self.json, made["token"].as_str()) {
-            (true, _) => print(&pretty(&made)),
+        match (self.json, created["token"].as_str()) {
+            (true, _) => print(&pretty(&created)),
             (false, Some(token)) => print(token),
-            (false, None) => print(&format!("token {} is revoked", cell(&made["id"]))),
+            (false, None) => print(&format!("token {} is revoked", cell(&created["id"]))),
         }
     }
 
@@ -639,25 +651,28 @@
         method: &str,
         target: &str,
         body: Option<&Value>,
-    ) -> Result<Value, Ended> {
+    ) -> Result<Value, CommandError> {
         if self.dry_run {
-            return Err(Ended(crate::USAGE_ERROR, "tokens have no --dry-run".into()));
+            return Err(CommandError(
+                crate::USAGE_ERROR,
+                "--dry-run does not apply to tokens".into(),
+            ));
         }
         Ok(self.write(method, target, body, None).await?.body)
     }
 
-    /// Follows the stream of events, also across breaks.
+    /// Prints the stream of events; reconnects when it breaks.
     async fn watch(&self, most: Option<usize>) -> Outcome {
-        let (mut last, mut left) = (None::<String>, most.unwrap_or(usize::MAX));
-        let mut reached = false;
-        while left > 0 {
-            let headers: Vec<(&str, &str)> = last
+        let (mut last_event_id, mut lines_left) = (None::<String>, most.unwrap_or(usize::MAX));
+        let mut connected = false;
+        while lines_left > 0 {
+            let headers: Vec<(&str, &str)> = last_event_id
                 .iter()
                 .map(|id| ("last-event-id", id.as_str()))
                 .collect();
-            let response = match self.wire.send("GET", "/v1/events", &headers, None).await {
+            let response = match self.client.send("GET", "/v1/events", &headers, None).await {
                 Ok(response) => response,
-                Err(e) if !reached => return Err(Ended(UNREACHED, e)),
+                Err(e) if !connected => return Err(CommandError(UNREACHABLE, e)),
                 Err(_) => {
                     tokio::time::sleep(Duration::from_secs(1)).await;
                     continue;
@@ -672,9 +687,9 @@
                     .map(|b| b.to_bytes())
                     .unwrap_or_default();
                 let problem = serde_json::from_slice(&body).unwrap_or_default();
-                return Err(Ended(code_of(status), words(&problem)));
+                return Err(CommandError(exit_code(status), format_problem(&problem)));
             }
-            reached = true;
+            connected = true;
             let (mut body, mut text) = (response.into_body(), String::new());
             while let Some(Ok(frame)) = body.frame().await {
                 let Ok(data) = frame.into_data() else {
@@ -683,10 +698,10 @@
                 text += &String::from_utf8_lossy(&data);
                 while let Some(end) = text.find("\n\n") {
                     let event: String = text.drain(..end + 2).collect();
-                    if self.print_event(&event, &mut last)? {
-                        left -= 1;
+                    if self.print_event(&event, &mut last_event_id)? {
+                        lines_left -= 1;
                     }
-                    if left == 0 {
+                    if lines_left == 0 {
                         return Ok(0);
                     }
                 }
@@ -695,8 +710,12 @@
         Ok(0)
     }
 
-    /// Prints an event, unless it is only a sign of life; tells whether it did.
-    fn print_event(&self, event: &str, last: &mut Option<String>) -> Result<bool, Ended> {
+    /// Prints an event and returns true, or returns false for a keep-alive comment.
+    fn print_event(
+        &self,
+        event: &str,
+        last_event_id: &mut Option<String>,
+    ) -> Result<bool, CommandError> {
         let field = |name: &str| {
             event
                 .lines()
@@ -706,16 +725,16 @@
             return Ok(false);
         };
         if let Some(id) = field("id") {
-            *last = Some(id.to_owned());
+            *last_event_id = Some(id.to_owned());
         }
         let data: Value = serde_json::from_str(data).unwrap_or_default();
         if self.json {
             print(&json!({ "event": kind, "data": data }).to_string())?;
             return Ok(true);
         }
-        let names = |of: &dyn Fn(&Value) -> String| {
+        let join_tenants = |format: &dyn Fn(&Value) -> String| {
             let all = data["tenants"].as_array().into_iter().flatten();
-            all.map(of).collect::<Vec<_>>().join(" ")
+            all.map(format).collect::<Vec<_>>().join(" ")
         };
         let line = match kind {
             "version" => format!(
@@ -724,9 +743,9 @@
                 cell(&data["version"]),
                 cell(&data["action"]),
                 cell(&data["by"]["name"]),
-                names(&|t| format!("{}@{}", cell(&t["name"]), t["rev"]))
+                join_tenants(&|t| format!("{}@{}", cell(&t["name"]), t["rev"]))
             ),
-            "status" => names(&|t| {
+            "status" => join_tenants(&|t| {
                 format!(
                     "{}: servers {}/{} in-flight {}",
                     cell(&t["name"]),
@@ -746,31 +765,31 @@
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
 
-/// Prints a text and ends its line.
+/// Prints a line.
 fn print(text: &str) -> Outcome {
-    // Who reads may have had enough, as head has.
+    // The reader may have closed the pipe, as `head` does.
     let written = writeln!(std::io::stdout(), "{text}");
     written
         .map(|()| 0)
-        .map_err(|e| Ended(crate::USAGE_ERROR, e.to_string()))
+        .map_err(|e| CommandError(crate::USAGE_ERROR, e.to_string()))
 }
 
-fn text_of(file: &Path) -> Result<String, Ended> {
+fn read_text(file: &Path) -> Result<String, CommandError> {
     let text = if file == Path::new("-") {
         std::io::read_to_string(std::io::stdin())
     } else {
         std::fs::read_to_string(file)
     };
-    text.map_err(|e| Ended(crate::USAGE_ERROR, format!("{}: {e}", file.display())))
+    text.map_err(|e| CommandError(crate::USAGE_ERROR, format!("{}: {e}", file.display())))
 }
 
-/// Tenants of a file: TOML with the places of its keys, or JSON.
-fn read_tenants(file: &Path) -> Result<(Value, Option<KeyPositions>), Ended> {
-    let (name, text) = (file.display().to_string(), text_of(file)?);
+/// Reads the tenants of a file: TOML with the positions of its keys, or JSON.
+fn read_tenants(file: &Path) -> Result<(Value, Option<KeyPositions>), CommandError> {
+    let (name, text) = (file.display().to_string(), read_text(file)?);
     if text.trim_start().starts_with('{') {
         let value = serde_json::from_str(&text).map_err(|e| format!("{name}:{}: {e}", e.line()))?;
         return Ok((value, None));
     }
-    let (value, places) = config_parser::parse_toml(&name, &text).map_err(|e| e.to_string())?;
-    Ok((value, Some(places)))
+    let (value, positions) = config_parser::parse_toml(&name, &text).map_err(|e| e.to_string())?;
+    Ok((value, Some(positions)))
 }
--- a/crates/canvascart/src/admin/table.rs
+++ b/crates/canvascart/src/admin/table.rs
@@ -1,8 +1,8 @@
-//! Answers as people read them.
+//! Formats responses as text.
 
 use serde_json::Value;
 
-/// A value in a cell.
+/// Formats a value as a table cell.
 pub fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
@@ -16,16 +16,16 @@
     }
 }
 
-/// Rows below a head, in columns.
-pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
+/// Formats a header and rows as aligned columns.
+pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let width = |i: usize| {
         let cells = rows
             .iter()
             .filter_map(|r| r.get(i))
             .map(|c| c.chars().count());
-        cells.chain([head[i].len()]).max().unwrap_or(0)
+        cells.chain([header[i].len()]).max().unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
+    let widths: Vec<usize> = (0..header.len()).map(width).collect();
     let line = |cells: &mut dyn Iterator<Item = &str>| {
         let padded: Vec<String> = cells
             .zip(&widths)
@@ -33,25 +33,25 @@
             .collect();
         padded.join("  ").trim_end().to_owned()
     };
-    let mut lines = vec![line(&mut head.iter().copied())];
+    let mut lines = vec![line(&mut header.iter().copied())];
     lines.extend(rows.iter().map(|r| line(&mut r.iter().map(String::as_str))));
     lines.join("\n")
 }
 
-/// A time in Unix ms as UTC.
+/// Formats a Unix time in ms as UTC.
 pub fn time(ms: &Value) -> String {
     let Some(ms) = ms.as_u64().filter(|ms| *ms > 0) else {
         return "-".into();
     };
     let (days, seconds) = (ms / 86_400_000, ms / 1000 % 86_400);
-    // Days since 1970 to a date (Howard Hinnant, chrono-compatible low-level date algorithms).
+    // Converts days since 1970 to a date (Howard Hinnant, chrono-compatible low-level date algorithms).
     let z = days + 719_468;
     let (era, day) = (z / 146_097, z % 146_097);
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
-    let of_year = day - (365 * year + year / 4 - year / 100);
-    let month = (5 * of_year + 2) / 153;
+    let day_of_year = day - (365 * year + year / 4 - year / 100);
+    let month = (5 * day_of_year + 2) / 153;
     let (d, m) = (
-        of_year - (153 * month + 2) / 5 + 1,
+        day_of_year - (153 * month + 2) / 5 + 1,
         if month < 10 { month + 3 } else { month - 9 },
     );
     let y = year + era * 400 + u64::from(m <= 2);
@@ -59,17 +59,18 @@
     format!("{y:04}-{m:02}-{d:02} {hours:02}:{minutes:02}:{seconds:02}Z")
 }
 
-/// A quantity of what differs, a line each: `+`, `-` or `~`, where, and the values.
-pub fn differences(all: &Value) -> String {
-    let one = |d: &Value| match (d.get("from"), d.get("to")) {
+/// Formats differences, one line each: `+`, `-` or `~`, the path, and the values.
+pub fn differences(differences: &Value) -> String {
+    let format_one = |d: &Value| match (d.get("from"), d.get("to")) {
         (None, Some(to)) => format!("+ {}  {to}", cell(&d["path"])),
         (Some(from), None) => format!("- {}  {from}", cell(&d["path"])),
         _ => format!("~ {}  {} -> {}", cell(&d["path"]), d["from"], d["to"]),
     };
-    all.as_array()
+    differences
+        .as_array()
         .into_iter()
         .flatten()
-        .map(one)
+        .map(format_one)
         .collect::<Vec<_>>()
         .join("\n")
 }
@@ -81,14 +82,14 @@
     use super::*;
 
     #[test]
-    fn times_are_dates() {
+    fn unix_times_are_formatted_as_utc_dates() {
         assert_eq!(time(&json!(951_782_400_000_u64)), "2000-02-29 00:00:00Z");
         assert_eq!(time(&json!(1_796_169_599_999_u64)), "2026-12-01 23:59:59Z");
         assert_eq!(time(&json!(0)), "-");
     }
 
     #[test]
-    fn columns_are_as_wide_as_their_cells() {
+    fn columns_are_as_wide_as_their_widest_cell() {
         let rows = [
             vec!["north".into(), "3".into()],
             vec!["x".into(), "12".into()],
--- a/crates/canvascart/src/cluster/command.rs
+++ b/crates/canvascart/src/cluster/command.rs
@@ -1,4 +1,4 @@
-//! `canvascart cluster`: how the instances of a running `serve` stand to each other, and what an operator does about it.
+//! `canvascart cluster`: status and administration of a cluster of `serve` instances.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,26 +6,26 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use super::restore::{Restore, keep};
+use super::restore::{Restore, write_backup};
+use crate::admin::api_client::{ApiClient, encode_path_segment};
 use crate::admin::table::{cell, table};
-use crate::admin::wire::{Wire, part};
-use crate::admin::{UNREACHED, code_of, words};
+use crate::admin::{UNREACHABLE, exit_code, format_problem};
 
-const CLUSTER: &str = "/v1/cluster";
-/// A backup, a directory or a configuration is of no use.
-const OF_NO_USE: u8 = 5;
-/// From one look to the next with `--watch`.
-const LOOK: Duration = Duration::from_secs(1);
+const CLUSTER_PATH: &str = "/v1/cluster";
+/// Exit code: a backup, a directory or a configuration can't be used.
+const UNUSABLE_INPUT: u8 = 5;
+/// Interval between updates with `--watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-const CODES: &str = "Exit codes: 0 done, 2 wrong usage, 3 the instance can't be reached, 4 turned down, 5 a backup or a directory is of no use, 6 the token has no right to it, \
-7 not there, 8 the service has failed, or no instance leads.
+const EXIT_CODES: &str = "Exit codes: 0 done, 2 wrong usage, 3 the instance can't be reached, 4 rejected, 5 a backup or a directory can't be used, 6 not permitted for the token, \
+7 not found, 8 the service has failed, or no instance leads.
 
-Any instance can be asked. The token comes from --token-file, or from CANVASCART_TOKEN.";
+Any instance can be asked. The token is read from --token-file or CANVASCART_TOKEN.";
 
 #[derive(clap::Args)]
-#[command(after_help = CODES)]
+#[command(after_help = EXIT_CODES)]
 pub struct Arguments {
-    /// Where an instance's administration API is.
+    /// URL of the administration API of an instance.
     #[arg(
         long,
         global = true,
@@ -33,10 +33,10 @@
         default_value = "http://127.0.0.1:7070"
     )]
     url: String,
-    /// A file with an operator's token.
+    /// File that contains an operator token.
     #[arg(long, global = true, value_name = "FILE")]
     token_file: Option<PathBuf>,
-    /// Prints answers as JSON.
+    /// Prints responses as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -45,43 +45,44 @@
 
 #[derive(clap::Subcommand)]
 enum Command {
-    /// Who leads, which version is in effect, who is fenced and why, and whom a change under way waits for.
+    /// Shows the leader, the version in effect, whether the instance is fenced and why, and the members that a pending change waits for.
     Status {
-        /// Looks again each second, until it is ended.
+        /// Repeats each second until interrupted.
         #[arg(long)]
         watch: bool,
     },
-    /// The members.
+    /// Lists the members.
     Members {
-        /// Looks again each second, until it is ended.
+        /// Repeats each second until interrupted.
         #[arg(long)]
         watch: bool,
     },
-    /// How far the asked instance's start is: its phases, what it waits for, and for how long at most.
+    /// Shows the startup of the asked instance: its phases, what it waits for, and the maximum wait.
     Recovery {
-        /// Looks again each second, until it is ended.
+        /// Repeats each second until interrupted.
         #[arg(long)]
         watch: bool,
     },
-    /// Removes a member that is gone for good. Where those that are cut off serve on, this says that its process has ended.
+    /// Removes a member that is lost for good. If partitioned members continue to serve, this confirms that its process has ended.
     Remove {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// Keeps all that is agreed on in a file, while the service serves.
+    /// Writes the replicated state to a file while the service runs.
     Backup {
-        /// The file to write; it is replaced whole.
+        /// Output file; it is replaced atomically.
         #[arg(short, long, value_name = "FILE")]
         output: PathBuf,
     },
-    /// Begins a cluster anew where most of those who vote are lost for good: from the state directory of a survivor that does not run,
-    /// or from a backup.
+    /// Starts a new cluster after the majority of the voters is lost for good: from the state directory of a surviving instance that
+    /// is not running, or from a backup.
     Restore(Restore),
-    /// Says that the asked instance's disk is its newest, where it doubts that and those who could tell are gone for good.
+    /// Confirms that the state on the asked instance's disk is current, if the instance can't verify it because the members that
+    /// could are lost for good.
     Vouch,
-    /// Lets another instance lead.
+    /// Transfers leadership to another instance.
     StepDown {
-        /// Which; any other with a vote without it.
+        /// Name of the new leader; any other voter by default.
         #[arg(long, value_name = "NAME")]
         to: Option<String>,
     },
@@ -96,64 +97,66 @@
         return Ok(super::restore::restore(restore).map_or_else(
             |e| {
                 eprintln!("canvascart: {e}");
-                OF_NO_USE
+                UNUSABLE_INPUT
             },
             |()| 0,
         ));
     }
     let token = crate::admin::token(arguments.token_file.as_deref())?;
-    let wire = Wire::new(&arguments.url, token)?;
-    let done = async {
+    let client = ApiClient::new(&arguments.url, token)?;
+    let execution = async {
         match &arguments.command {
-            Command::Status { watch } => look(&wire, CLUSTER, arguments.json, *watch, status).await,
+            Command::Status { watch } => {
+                show(&client, CLUSTER_PATH, arguments.json, *watch, print_status).await
+            }
             Command::Members { watch } => {
-                look(&wire, CLUSTER, arguments.json, *watch, members).await
+                show(&client, CLUSTER_PATH, arguments.json, *watch, print_members).await
             }
             Command::Recovery { watch } => {
-                look(
-                    &wire,
+                show(
+                    &client,
                     "/v1/cluster/recovery",
                     arguments.json,
                     *watch,
-                    recovery,
+                    print_recovery,
                 )
                 .await
             }
             Command::Remove { name } => {
-                let target = format!("/v1/cluster/members/{}", part(name));
-                let body = call(&wire, "DELETE", &target, None).await?;
-                tell(
+                let target = format!("/v1/cluster/members/{}", encode_path_segment(name));
+                let body = call(&client, "DELETE", &target, None).await?;
+                print_result(
                     arguments.json,
                     &body,
-                    &format!("{name} is no member any more"),
+                    &format!("{name} is no longer a member"),
                 );
                 Ok(())
             }
             Command::Backup { output } => {
-                let body = call(&wire, "GET", "/v1/cluster/backup", None).await?;
-                let words = keep(&body, output).map_err(|e| (OF_NO_USE, e))?;
-                tell(arguments.json, &json!({ "backup": output }), &words);
+                let body = call(&client, "GET", "/v1/cluster/backup", None).await?;
+                let summary = write_backup(&body, output).map_err(|e| (UNUSABLE_INPUT, e))?;
+                print_result(arguments.json, &json!({ "backup": output }), &summary);
                 Ok(())
             }
-            Command::Restore(_) => Ok(()), // it needs no service
+            Command::Restore(_) => Ok(()), // handled above, without a running service
             Command::Vouch => {
-                let body = call(&wire, "POST", "/v1/cluster/vouch", None).await?;
-                let words = match body["doubted"].as_bool() {
-                    Some(true) => "it takes its disk for its newest, and votes",
-                    _ => "it had no doubt of its disk",
+                let body = call(&client, "POST", "/v1/cluster/vouch", None).await?;
+                let message = match body["doubted"].as_bool() {
+                    Some(true) => "the instance takes the state on its disk as current, and votes",
+                    _ => "the instance did not need a confirmation",
                 };
-                tell(arguments.json, &body, words);
+                print_result(arguments.json, &body, message);
                 Ok(())
             }
             Command::StepDown { to } => {
                 let body = json!({ "to": to });
-                let body = call(&wire, "POST", "/v1/cluster/step-down", Some(&body)).await?;
-                tell(arguments.json, &body, "another instance is asked to lead");
+                let body = call(&client, "POST", "/v1/cluster/step-down", Some(&body)).await?;
+                print_result(arguments.json, &body, "leadership transfer requested");
                 Ok(())
             }
         }
     };
-    match crate::block_on(done)? {
+    match crate::block_on(execution)? {
         Ok(()) => Ok(0),
         Err((code, text)) => {
             eprintln!("canvascart: {text}");
@@ -162,55 +165,56 @@
     }
 }
 
-type Ended = (u8, String);
+/// Exit code and message.
+type CommandError = (u8, String);
 
-fn tell(json: bool, body: &Value, words: &str) {
+fn print_result(json: bool, body: &Value, message: &str) {
     if json {
         println!("{body}")
     } else {
-        println!("{words}")
+        println!("{message}")
     }
 }
 
 async fn call(
-    wire: &Wire,
+    client: &ApiClient,
     method: &str,
     target: &str,
     body: Option<&Value>,
-) -> Result<Value, Ended> {
-    let answer = wire
+) -> Result<Value, CommandError> {
+    let response = client
         .call(method, target, &[], body)
         .await
-        .map_err(|e| (UNREACHED, e))?;
-    if answer.status >= 400 {
-        Err((code_of(answer.status), words(&answer.body)))
+        .map_err(|e| (UNREACHABLE, e))?;
+    if response.status >= 400 {
+        Err((exit_code(response.status), format_problem(&response.body)))
     } else {
-        Ok(answer.body)
+        Ok(response.body)
     }
 }
 
-async fn look(
-    wire: &Wire,
+async fn show(
+    client: &ApiClient,
     target: &str,
     json: bool,
     watch: bool,
-    show: fn(&Value),
-) -> Result<(), Ended> {
+    print: fn(&Value),
+) -> Result<(), CommandError> {
     loop {
-        let body = call(wire, "GET", target, None).await?;
+        let body = call(client, "GET", target, None).await?;
         if json {
             println!("{body}")
         } else {
-            show(&body)
+            print(&body)
         }
         if !watch {
             return Ok(());
         }
-        sleep(LOOK).await;
+        sleep(WATCH_INTERVAL).await;
     }
 }
 
-fn status(body: &Value) {
+fn print_status(body: &Value) {
     let here = &body["here"];
     let known = if body["leader"].is_null() {
         here
@@ -220,7 +224,7 @@
     println!("cluster   {}", cell(&known["cluster"]));
     match known["leader"].as_str() {
         Some(name) => println!("leader    {name}, term {}", cell(&known["term"])),
-        None => println!("leader    none is known: nothing can be changed"),
+        None => println!("leader    none known: no changes are possible"),
     }
     println!("version   {}", cell(&known["version"]));
     match &here["decides"] {
@@ -236,35 +240,37 @@
         ),
     }
     if here["unproven"] == true {
-        println!("          votes for nobody: it does not know yet whether its disk is its newest");
+        println!("          does not vote: not yet verified that the state on its disk is current");
     }
     if here["put-back"] == true {
-        println!("          its disk was put back from a copy: it has joined anew");
+        println!(
+            "          its disk was restored from a copy: it has joined again as a new member"
+        );
     }
     if let Some(change) = known["change"].as_object() {
-        let waits: Vec<String> = change["waits-for"]
+        let waits_for: Vec<String> = change["waits-for"]
             .as_array()
             .into_iter()
             .flatten()
             .map(cell)
             .collect();
-        let waits = if waits.is_empty() {
+        let waits_for = if waits_for.is_empty() {
             "nobody".into()
         } else {
-            waits.join(", ")
+            waits_for.join(", ")
         };
         println!(
-            "change    {}: {}, waits for {waits}",
+            "change    {}: {}, waits for {waits_for}",
             cell(&change["id"]),
             cell(&change["phase"])
         );
     }
-    members(body);
+    print_members(body);
 }
 
-fn recovery(body: &Value) {
+fn print_recovery(body: &Value) {
     let start = &body["start"];
-    let now = start["phase"].as_str().unwrap_or_default();
+    let phase = start["phase"].as_str().unwrap_or_default();
     let row = |t: &Value| {
         vec![
             cell(&t["phase"]),
@@ -278,35 +284,35 @@
         .flatten()
         .map(row)
         .collect();
-    let most = start["at-most-ms"].as_u64().zip(start["then"].as_str());
-    let most = most.map_or(String::new(), |(ms, then)| {
+    let max_wait = start["at-most-ms"].as_u64().zip(start["then"].as_str());
+    let max_wait = max_wait.map_or(String::new(), |(ms, then)| {
         format!(", for {ms} ms at most; then {then}")
     });
-    let for_ms = format!("{} ms so far", cell(&start["for-ms"]));
+    let elapsed = format!("{} ms so far", cell(&start["for-ms"]));
     rows.push(vec![
-        now.into(),
-        for_ms,
-        format!("{}{most}", cell(&start["waits-for"])),
+        phase.into(),
+        elapsed,
+        format!("{}{max_wait}", cell(&start["waits-for"])),
     ]);
     println!("{}", table(&["PHASE", "TOOK", "WAITS FOR"], &rows));
-    let unsure: Vec<String> = start["unsure"]
+    let unknown_lists: Vec<String> = start["unsure"]
         .as_array()
         .into_iter()
         .flatten()
         .map(cell)
         .collect();
-    if !unsure.is_empty() {
+    if !unknown_lists.is_empty() {
         println!(
-            "lists that were not known when it began to take requests: {}",
-            unsure.join(", ")
+            "lists that were unknown when it began to accept requests: {}",
+            unknown_lists.join(", ")
         );
     }
-    if let (Some(why), "serving") = (body["fenced"].as_str(), now) {
+    if let (Some(why), "serving") = (body["fenced"].as_str(), phase) {
         println!("fenced since: {why}");
     }
 }
 
-fn members(body: &Value) {
+fn print_members(body: &Value) {
     let known = if body["leader"].is_null() {
         &body["here"]
     } else {
@@ -315,7 +321,7 @@
     let leader = known["leader"].as_str();
     let row = |m: &Value| {
         let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{ms} ms ago"));
-        let holds = match m["holds-ms"].as_i64() {
+        let decides_for = match m["holds-ms"].as_i64() {
             None => "fenced".into(),
             Some(-1) => "until it says otherwise".into(),
             Some(ms) => format!("{ms} ms at most"),
@@ -334,7 +340,7 @@
             role.into(),
             cell(&m["version"]),
             ms(&m["heard-ms"]),
-            holds,
+            decides_for,
         ]
     };
     let rows: Vec<Vec<String>> = known["members"]
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! An instance of a cluster: its gate, and its member on a thread of its own.
+//! Instance of a cluster: its decision gate, and its member on a separate thread.
 
 mod command;
 mod restore;
@@ -22,10 +22,10 @@
 
 pub use command::{Arguments, run};
 
-/// Bytes of a key at least.
-const KEY: usize = 16;
+/// Minimum length of a key in bytes.
+const MIN_KEY_BYTES: usize = 16;
 
-/// The gate that an instance's decisions pass.
+/// Creates the gate that admits an instance's decisions while its lease is valid.
 pub fn gate(cluster: &Cluster, lease: Arc<SharedLease>) -> Rc<Gate> {
     let changed = lease.changed();
     let settings = GateSettings {
@@ -41,8 +41,8 @@
     )
 }
 
-/// What an instance's start goes by.
-pub fn start(cluster: &Cluster) -> startup::StartupSettings {
+/// Returns the startup settings of an instance.
+pub fn startup_settings(cluster: &Cluster) -> startup::StartupSettings {
     startup::StartupSettings {
         list_timeout: micros(cluster.list_wait.0),
         unknown_list_policy: match cluster.when_list_unknown {
@@ -56,13 +56,13 @@
     (ms * 1000.0) as Micros
 }
 
-fn settings(cluster: &Cluster, directory: &str) -> Result<Settings, String> {
-    let at = |what: String| format!("cluster.key-file: {}: {what}", cluster.key_file);
-    let key = std::fs::read_to_string(&cluster.key_file).map_err(|e| at(e.to_string()))?;
+fn member_settings(cluster: &Cluster, directory: &str) -> Result<Settings, String> {
+    let key_error = |what: String| format!("cluster.key-file: {}: {what}", cluster.key_file);
+    let key = std::fs::read_to_string(&cluster.key_file).map_err(|e| key_error(e.to_string()))?;
     let key = key.trim().as_bytes().to_vec();
-    if key.len() < KEY {
-        return Err(at(format!(
-            "a key has {KEY} bytes at least, and this one {}",
+    if key.len() < MIN_KEY_BYTES {
+        return Err(key_error(format!(
+            "a key needs at least {MIN_KEY_BYTES} bytes, but this one has {}",
             key.len()
         )));
     }
@@ -90,46 +90,47 @@
     })
 }
 
-/// Starts the member; what it tells is to be followed.
+/// Starts the member and returns the receiver of its events.
 ///
 /// # Errors
-/// Its log, its key or its address can't be had.
+/// Its log, its key or its address can't be used.
 pub fn join(
     file: &Service,
     api: &Arc<Api>,
-    hears: UnboundedReceiver<MemberCommand>,
+    commands: UnboundedReceiver<MemberCommand>,
     lease: Arc<SharedLease>,
 ) -> Result<UnboundedReceiver<MemberEvent>, String> {
     let (Some(cluster), Some(state)) = (&file.cluster, &file.state) else {
-        return Err("cluster: it needs [state]".into());
+        return Err("cluster: [state] is required".into());
     };
-    let settings = settings(cluster, &state.directory)?;
-    let (tells, told) = unbounded_channel();
-    let (founder, founded) = (api.clone(), file.clone());
-    let begin = Box::new(move || {
-        let (version, entry, state) = founder.desk().found(&founded, unix_ms())?;
+    let settings = member_settings(cluster, &state.directory)?;
+    let (event_sender, events) = unbounded_channel();
+    let (founding_api, founding_file) = (api.clone(), file.clone());
+    let initial_state = Box::new(move || {
+        let (version, entry, state) = founding_api.desk().found(&founding_file, unix_ms())?;
         Ok::<_, InitialStateError>(InitialState {
             version,
             revision: entry,
             state,
         })
     });
-    let (opened, waits) = std::sync::mpsc::channel();
+    let (result_sender, result_receiver) = std::sync::mpsc::channel();
     let run = move || {
         let runtime = match tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
         {
             Ok(runtime) => runtime,
-            Err(e) => return drop(opened.send(Err(e.to_string()))),
+            Err(e) => return drop(result_sender.send(Err(e.to_string()))),
         };
         runtime.block_on(async {
-            match MemberRuntime::open(settings, tells, hears, lease, begin).await {
-                Ok(driven) => {
-                    let _ = opened.send(Ok(())); // who started it waits
-                    driven.run().await;
+            match MemberRuntime::open(settings, event_sender, commands, lease, initial_state).await
+            {
+                Ok(member) => {
+                    let _ = result_sender.send(Ok(())); // join() waits for it
+                    member.run().await;
                 }
-                Err(e) => _ = opened.send(Err(e.to_string())),
+                Err(e) => _ = result_sender.send(Err(e.to_string())),
             }
         });
     };
@@ -137,9 +138,9 @@
         .name("cluster".into())
         .spawn(run)
         .map_err(|e| e.to_string())?;
-    waits
+    result_receiver
         .recv()
         .map_err(|e| e.to_string())?
         .map_err(|e| format!("cluster: {e}"))?;
-    Ok(told)
+    Ok(events)
 }
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -1,5 +1,5 @@
-//! `canvascart cluster backup` and `restore`: all that is agreed on, kept elsewhere, and a cluster that begins anew from that or from a
-//! survivor's directory.
+//! `canvascart cluster backup` and `restore`: writes the replicated state to a file, and starts a new cluster from such a backup
+//! or from the state directory of a surviving instance.
 
 use std::path::{Path, PathBuf};
 
@@ -15,31 +15,31 @@
 
 #[derive(clap::Args)]
 pub struct Restore {
-    /// The instance's configuration, whose state directory is the survivor's, or empty with --backup.
+    /// Configuration of the instance; its state directory is the surviving instance's, or empty with --backup.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Begins from a backup, in a state directory that holds nothing.
+    /// Starts from a backup, in an empty state directory.
     #[arg(long, value_name = "FILE")]
     backup: Option<PathBuf>,
-    /// Does it; without this it only tells what would come of it.
+    /// Executes the restore; without it, only shows the result.
     #[arg(long)]
     yes: bool,
 }
 
-/// Writes a backup that the service gave, once it has been read as whole.
+/// Validates a backup from the service and writes it to a file.
 ///
 /// # Errors
-/// It is not whole, or can't be written.
-pub fn keep(body: &Value, output: &Path) -> Result<String, String> {
+/// The backup is incomplete, or can't be written.
+pub fn write_backup(body: &Value, output: &Path) -> Result<String, String> {
     let text = body.to_string();
     let backup = Backup::read(&text)?;
-    let at = |e: std::io::Error| format!("{}: {e}", output.display());
-    let aside = output.with_extension("new");
-    let file = std::fs::File::create(&aside).map_err(at)?;
+    let write_error = |e: std::io::Error| format!("{}: {e}", output.display());
+    let temporary = output.with_extension("new");
+    let file = std::fs::File::create(&temporary).map_err(write_error)?;
     std::io::Write::write_all(&mut &file, text.as_bytes())
         .and_then(|()| file.sync_all())
-        .map_err(at)?;
-    std::fs::rename(&aside, output).map_err(at)?;
+        .map_err(write_error)?;
+    std::fs::rename(&temporary, output).map_err(write_error)?;
     Ok(format!(
         "{}: version {} of the cluster {}",
         output.display(),
@@ -48,22 +48,22 @@
     ))
 }
 
-/// Begins a cluster anew; tells what is known to be missing.
+/// Starts a new cluster and prints which changes may be missing.
 ///
 /// # Errors
-/// What keeps it from being done. A survivor's directory can be asked for again; one that was begun from a backup has to be emptied
-/// first.
+/// The configuration, the state directory or the backup can't be used. A restore from a survivor's directory can be retried; after
+/// a failed restore from a backup the directory has to be emptied first.
 pub fn restore(arguments: &Restore) -> Result<(), String> {
     let file = read(&arguments.config)?;
-    let at = |what: &str| format!("{}: {what}", arguments.config.display());
+    let config_error = |what: &str| format!("{}: {what}", arguments.config.display());
     let cluster = file
         .cluster
         .clone()
-        .ok_or_else(|| at("cluster: it is missing"))?;
+        .ok_or_else(|| config_error("cluster: it is missing"))?;
     let directory = file
         .state
         .clone()
-        .ok_or_else(|| at("state: it is missing"))?
+        .ok_or_else(|| config_error("state: it is missing"))?
         .directory;
     match &arguments.backup {
         Some(backup) => from_backup(
@@ -83,49 +83,52 @@
     directory: &Path,
     yes: bool,
 ) -> Result<(), String> {
-    let named = |e: String| format!("{}: {e}", directory.display());
-    let unreadable = |e: StorageError| named(e.to_string());
+    let directory_error = |e: String| format!("{}: {e}", directory.display());
+    let storage_error = |e: StorageError| directory_error(e.to_string());
     if !directory.join(config_store::raft_log::FILE_NAME).exists() {
-        return Err(named(
-            "it is no member's directory; to begin from a backup give --backup FILE".into(),
+        return Err(directory_error(
+            "not a member's directory; use --backup FILE to start from a backup".into(),
         ));
     }
-    let mut kept = StoredMember::open(directory).map_err(unreadable)?;
-    let Owner { cluster: old, name } = kept
+    let mut member_log = StoredMember::open(directory).map_err(storage_error)?;
+    let Owner {
+        cluster: old_cluster,
+        name,
+    } = member_log
         .owner()
-        .ok_or_else(|| named("its member has never joined".into()))?;
-    let (old, name) = (old.to_owned(), name.to_owned());
+        .ok_or_else(|| directory_error("the member has never joined a cluster".into()))?;
+    let (old_cluster, name) = (old_cluster.to_owned(), name.to_owned());
     if name != cluster.instance {
-        return Err(named(format!(
-            "it is the member \"{name}\"'s, and the file's is \"{}\"",
+        return Err(directory_error(format!(
+            "the directory is of the member \"{name}\", but the configuration is of \"{}\"",
             cluster.instance
         )));
     }
-    let salvage = kept.recover().map_err(unreadable)?;
-    let before = &salvage.state_machine;
+    let recovered = member_log.recover().map_err(storage_error)?;
+    let before = &recovered.state_machine;
     let version = next_epoch(before.version);
-    println!("survivor        {name}, of the cluster {old}");
+    println!("survivor        {name}, of the cluster {old_cluster}");
     println!(
         "version         {} before, {version} afterwards",
         before.version
     );
     println!(
         "log             up to entry {}, term {}",
-        salvage.last_index, salvage.term
+        recovered.last_index, recovered.term
     );
-    println!("known agreed    up to entry {}", salvage.committed_index);
+    println!("known agreed    up to entry {}", recovered.committed_index);
     println!(
         "taken besides   {} entries that may have been acknowledged",
-        salvage.uncommitted_entries
+        recovered.uncommitted_entries
     );
     println!(
         "given up        {}",
-        salvage
+        recovered
             .aborted_change
             .as_deref()
-            .unwrap_or("no change was under way")
+            .unwrap_or("no change was pending")
     );
-    let others: Vec<&str> = before
+    let lost_members: Vec<&str> = before
         .members
         .keys()
         .map(String::as_str)
@@ -133,33 +136,37 @@
         .collect();
     println!(
         "members no more {}",
-        if others.is_empty() {
+        if lost_members.is_empty() {
             "none".into()
         } else {
-            others.join(", ")
+            lost_members.join(", ")
         }
     );
     println!(
         "may be missing  whatever was acknowledged after entry {} without this member",
-        salvage.last_index
+        recovered.last_index
     );
     if !yes {
-        println!("nothing was changed: say --yes to do it");
+        println!("nothing was changed; add --yes to execute it");
         return Ok(());
     }
     let mut desk = Desk::open(file, false, unix_ms())?;
-    if desk.entry() < salvage.application_revision {
-        desk.replace(file, &salvage.application_state)?;
+    if desk.entry() < recovered.application_revision {
+        desk.replace(file, &recovered.application_state)?;
     }
-    let detail = format!("the cluster {old} up to entry {}", salvage.last_index);
+    let detail = format!(
+        "the cluster {old_cluster} up to entry {}",
+        recovered.last_index
+    );
     let (version, entry, state) =
-        desk.salvage(file, &salvage.payloads, version, detail, unix_ms())?;
-    let member = member(cluster, before.next_id);
+        desk.salvage(file, &recovered.payloads, version, detail, unix_ms())?;
+    let member = first_member(cluster, before.next_id);
     let cluster_id = new_cluster_id();
     let machine = restart_with_one_member(before, cluster_id, name.clone(), member, version, entry);
-    kept.bootstrap_cluster(&machine, &name, state)
-        .map_err(unreadable)?;
-    done(&machine);
+    member_log
+        .bootstrap_cluster(&machine, &name, state)
+        .map_err(storage_error)?;
+    print_done(&machine);
     Ok(())
 }
 
@@ -170,9 +177,9 @@
     backup: &Path,
     yes: bool,
 ) -> Result<(), String> {
-    let at = |e: String| format!("{}: {e}", backup.display());
-    let text = std::fs::read_to_string(backup).map_err(|e| at(e.to_string()))?;
-    let backup = Backup::read(&text).map_err(at)?;
+    let backup_error = |e: String| format!("{}: {e}", backup.display());
+    let text = std::fs::read_to_string(backup).map_err(|e| backup_error(e.to_string()))?;
+    let backup = Backup::read(&text).map_err(backup_error)?;
     let version = next_epoch(backup.version);
     println!(
         "backup          of the cluster {}, made at {} (Unix time, ms)",
@@ -184,21 +191,21 @@
     );
     println!("may be missing  whatever was acknowledged after the backup was made");
     if !yes {
-        println!("nothing was changed: say --yes to do it");
+        println!("nothing was changed; add --yes to execute it");
         return Ok(());
     }
-    let named = |e: String| format!("{}: {e}", directory.display());
-    let unreadable = |e: StorageError| named(e.to_string());
-    let mut kept = StoredMember::open(directory).map_err(unreadable)?;
-    if kept.owner().is_some() {
-        return Err(named(
-            "it is a member's: begin from a backup in an empty directory".into(),
+    let directory_error = |e: String| format!("{}: {e}", directory.display());
+    let storage_error = |e: StorageError| directory_error(e.to_string());
+    let mut member_log = StoredMember::open(directory).map_err(storage_error)?;
+    if member_log.owner().is_some() {
+        return Err(directory_error(
+            "the directory belongs to a member: start from a backup in an empty directory".into(),
         ));
     }
     let mut desk = Desk::open(file, false, unix_ms())?;
     if desk.entry() > 0 {
-        return Err(named(
-            "it holds a state: begin from a backup in an empty directory".into(),
+        return Err(directory_error(
+            "the directory contains a state: start from a backup in an empty directory".into(),
         ));
     }
     desk.replace(file, &backup.state)?;
@@ -207,23 +214,24 @@
         backup.cluster, backup.version
     );
     let (version, entry, state) = desk.salvage(file, &[], version, detail, unix_ms())?;
-    let rules = super::settings(cluster, &directory.display().to_string())?.rules;
+    let rules = super::member_settings(cluster, &directory.display().to_string())?.rules;
     let name = cluster.instance.clone();
     let machine = StateMachine::bootstrap(
         new_cluster_id(),
         rules,
         name.clone(),
-        member(cluster, 1),
+        first_member(cluster, 1),
         version,
         entry,
     );
-    kept.bootstrap_cluster(&machine, &name, state)
-        .map_err(unreadable)?;
-    done(&machine);
+    member_log
+        .bootstrap_cluster(&machine, &name, state)
+        .map_err(storage_error)?;
+    print_done(&machine);
     Ok(())
 }
 
-fn member(cluster: &Cluster, id: u64) -> Member {
+fn first_member(cluster: &Cluster, id: u64) -> Member {
     Member {
         id,
         address: cluster.address.clone(),
@@ -232,12 +240,10 @@
     }
 }
 
-fn done(machine: &StateMachine) {
+fn print_done(machine: &StateMachine) {
     println!(
-        "done            the cluster is {} from here on; start this instance",
+        "done            the new cluster is {}; start this instance",
         machine.cluster_id
     );
-    println!(
-        "others          join it with empty state directories; with those of before they are refused"
-    );
+    println!("others          join it with empty state directories; their old ones are rejected");
 }
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -348,7 +348,7 @@
     let start = file
         .cluster
         .as_ref()
-        .map(|c| Starting::new(started_at, cluster::start(c)));
+        .map(|c| Starting::new(started_at, cluster::startup_settings(c)));
     let together = member
         .clone()
         .zip(start)
