--- a/crates/multi-tenant/src/data_plane.rs
+++ b/crates/multi-tenant/src/data_plane.rs
@@ -2,7 +2,7 @@
 //! version.
 //!
 //! A change is applied within one turn of the event loop, so that each request sees a consistent version.
-//! Opening listeners, the only step that can fail, comes first_version; a failure leaves everything unchanged.
+//! Opening listeners, the only step that can fail, comes first; a failure leaves everything unchanged.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/multi-tenant/tests/activation.rs
+++ b/crates/multi-tenant/tests/activation.rs
@@ -1,12 +1,14 @@
-//! Tenants at rest, their waking and their going to rest again, with changes, drains, crowds, damage and a restart in between.
+//! Activation and deactivation of tenants, combined with changes, drains, many simultaneous activations,
+//! damage and a restart.
 
 #[path = "data_plane/mod.rs"]
-mod stage;
+mod fixture;
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use config_parser::units::Span;
+use fixture::{Backend, lookup, plane, run_local, server, tenant};
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue};
 use multi_tenant::catalog::PartInterner;
@@ -14,48 +16,47 @@
 use multi_tenant::document::{DiscoverySettings, Process, State, Tenant};
 use multi_tenant::plan::PreparedChange;
 use proxy_core::service::{RouteError, Router};
-use stage::{Backend, ask, local, plane, server, tenant};
 use tokio::time::sleep;
 
-fn named(name: &str) -> HeaderMap {
+fn tenant_header(name: &str) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert("x-tenant-id", HeaderValue::from_str(name).expect("a name"));
     headers
 }
 
-/// Finds a tenant's pool as a front does.
-async fn pool(way: &impl Router, name: &str) -> Result<Rc<proxy_core::pool::Pool>, RouteError> {
+/// Requests a tenant's pool like the proxy's listener.
+async fn pool(router: &impl Router, name: &str) -> Result<Rc<proxy_core::pool::Pool>, RouteError> {
     let uri = "/lookup".parse().expect("a target");
-    match way.pool(&uri, &named(name), false) {
+    match router.pool(&uri, &tenant_header(name), false) {
         Err(RouteError::NeedsTurn) => {
-            way.wait_for_turn().await;
-            way.pool(&uri, &named(name), true)
+            router.wait_for_turn().await;
+            router.pool(&uri, &tenant_header(name), true)
         }
         found => found,
     }
 }
 
-/// A resident's servers: name, whether it has just started, whether it takes new work.
-fn fresh(plane: &DataPlane, name: &str) -> Vec<(String, bool, bool)> {
+/// Returns the servers of an active tenant: name, whether it has just started, whether it accepts new requests.
+fn server_states(plane: &DataPlane, name: &str) -> Vec<(String, bool, bool)> {
     plane
         .endpoints_of(name)
         .into_iter()
-        .map(|(name, born, up)| (name, born > 0.0, up))
+        .map(|(name, start_time, up)| (name, start_time > 0.0, up))
         .collect()
 }
 
-fn names(plane: &DataPlane) -> Vec<String> {
+fn active_names(plane: &DataPlane) -> Vec<String> {
     plane
         .status(usize::MAX)
         .into_iter()
-        .filter(|t| t.active)
-        .map(|t| t.name)
+        .filter(|status| status.active)
+        .map(|status| status.name)
         .collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_is_resident_before_the_first_request_nor_long_after_the_last() {
-    local(async {
+async fn tenants_are_active_from_the_first_request_until_the_idle_timeout() {
+    run_local(async {
         let plane = plane(
             Process::default(),
             (0..50).map(|n| tenant(n, &[])).collect(),
@@ -67,21 +68,21 @@
             ),
             (50, 0)
         );
-        let way = plane.router("all");
-        let held = pool(&way, "t00007").await.expect("it wakes");
+        let router = plane.router("all");
+        let pool_in_use = pool(&router, "t00007").await.expect("activated");
         assert!(matches!(
-            pool(&way, "nobody").await,
+            pool(&router, "nobody").await,
             Err(RouteError::Status(StatusCode::NOT_FOUND, _))
         ));
-        assert_eq!(names(&plane), ["t00007"]);
-        let status = plane.status_of("t00007").expect("it is there");
+        assert_eq!(active_names(&plane), ["t00007"]);
+        let status = plane.status_of("t00007").expect("it exists");
         sleep(Duration::from_secs(1)).await;
-        assert!(status.active && plane.status_of("t00007").expect("it is there").ready);
-        // While somebody holds it, it stays.
+        assert!(status.active && plane.status_of("t00007").expect("it exists").ready);
+        // The tenant stays active while its pool is in use.
         sleep(Duration::from_secs(3600)).await;
         assert_eq!(plane.activation_status().active, 1);
-        let before = plane.status_of("t00007").expect("it is there").loop_ms;
-        drop(held);
+        let before = plane.status_of("t00007").expect("it exists").loop_ms;
+        drop(pool_in_use);
         sleep(Duration::from_secs(120)).await;
         assert_eq!(
             (
@@ -90,47 +91,47 @@
             ),
             (0, 1)
         );
-        let after = plane.status_of("t00007").expect("it is there");
+        let after = plane.status_of("t00007").expect("it exists");
         assert!(!after.active && after.ready && after.servers == [2, 2]);
         assert!(
             before > 0.0 && after.loop_ms >= before,
-            "figures go on: {before}, {}",
+            "counters continue: {before}, {}",
             after.loop_ms
         );
-        drop(pool(&way, "t00007").await.expect("it wakes again"));
-        assert!(plane.status_of("t00007").expect("it is there").loop_ms >= after.loop_ms);
-        // The list of all is bounded, residents first.
-        let some: Vec<String> = plane.status(3).into_iter().map(|t| t.name).collect();
-        assert_eq!(some, ["t00007", "t00000", "t00001"]);
+        drop(pool(&router, "t00007").await.expect("activated again"));
+        assert!(plane.status_of("t00007").expect("it exists").loop_ms >= after.loop_ms);
+        // The length of the status list is limited; active tenants come first.
+        let listed: Vec<String> = plane
+            .status(3)
+            .into_iter()
+            .map(|status| status.name)
+            .collect();
+        assert_eq!(listed, ["t00007", "t00000", "t00001"]);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_bound_holds_and_who_waits_is_told_when_to_come() {
-    local(async {
+async fn the_limit_of_active_tenants_holds_and_waiting_ones_get_a_retry_delay() {
+    run_local(async {
         let process = Process {
             max_active_tenants: 4,
             ..Process::default()
         };
         let plane = plane(process, (0..50).map(|n| tenant(n, &[])).collect());
-        let way = plane.router("all");
-        let mut held = Vec::new();
+        let router = plane.router("all");
+        let mut pools = Vec::new();
         for n in 0..4 {
-            held.push(
-                pool(&way, &format!("t{n:05}"))
-                    .await
-                    .expect("there is a place"),
-            );
+            pools.push(pool(&router, &format!("t{n:05}")).await.expect("activated"));
         }
         sleep(Duration::from_secs(1)).await;
-        // All have something under way.
-        let Err(RouteError::RetryAfter(wait)) = pool(&way, "t00010").await else {
-            panic!("there is no place")
+        // The pools of all active tenants are in use.
+        let Err(RouteError::RetryAfter(wait)) = pool(&router, "t00010").await else {
+            panic!("activated beyond the limit")
         };
         assert!((1.0..=10_000.0).contains(&wait), "{wait}");
         assert!(matches!(
-            pool(&way, "t00011").await,
+            pool(&router, "t00011").await,
             Err(RouteError::RetryAfter(_))
         ));
         assert_eq!(
@@ -140,138 +141,148 @@
             ),
             (4, 2)
         );
-        drop(held.swap_remove(1));
-        // The one that asked first gets the place that has come free, whoever else asks.
+        drop(pools.swap_remove(1));
+        // The free place is for the tenant that requested it first, whatever others request.
         assert!(matches!(
-            pool(&way, "t00012").await,
+            pool(&router, "t00012").await,
             Err(RouteError::RetryAfter(_))
         ));
         assert!(matches!(
-            pool(&way, "t00011").await,
+            pool(&router, "t00011").await,
             Err(RouteError::RetryAfter(_))
         ));
-        drop(pool(&way, "t00010").await.expect("it is its turn"));
-        assert_eq!(names(&plane), ["t00000", "t00002", "t00003", "t00010"]);
-        let figures = plane.activation_status();
+        drop(pool(&router, "t00010").await.expect("its turn"));
+        assert_eq!(
+            active_names(&plane),
+            ["t00000", "t00002", "t00003", "t00010"]
+        );
+        let status = plane.activation_status();
         assert_eq!(
-            (figures.evictions, figures.deferrals, figures.activations),
+            (status.evictions, status.deferrals, status.activations),
             (1, 4, 5)
         );
-        // A resident one is served all the while.
-        drop(pool(&way, "t00000").await.expect("it is resident"));
+        // Active tenants are still served.
+        drop(pool(&router, "t00000").await.expect("already active"));
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_thousand_that_wake_in_one_moment_leave_others_their_turns() {
-    local(async {
+async fn a_thousand_simultaneous_activations_do_not_block_active_tenants() {
+    run_local(async {
         let plane = plane(
             Process::default(),
             (0..1001).map(|n| tenant(n, &[])).collect(),
         );
-        let way = Rc::new(plane.router("all"));
-        drop(pool(&*way, "t01000").await.expect("it wakes"));
+        let router = Rc::new(plane.router("all"));
+        drop(pool(&*router, "t01000").await.expect("activated"));
         sleep(Duration::from_secs(1)).await;
-        let wakes = Rc::new(std::cell::Cell::new(0));
-        let crowd: Vec<_> = (0..1000)
+        let activated = Rc::new(std::cell::Cell::new(0));
+        let tasks: Vec<_> = (0..1000)
             .map(|n| {
-                let (way, wakes) = (way.clone(), wakes.clone());
+                let (router, activated) = (router.clone(), activated.clone());
                 tokio::task::spawn_local(async move {
                     drop(
-                        pool(&*way, &format!("t{n:05}"))
+                        pool(&*router, &format!("t{n:05}"))
                             .await
-                            .expect("there is a place"),
+                            .expect("activated"),
                     );
-                    wakes.set(wakes.get() + 1);
+                    activated.set(activated.get() + 1);
                 })
             })
             .collect();
-        // The busy one takes a turn with each round of the loop, and few are woken between two of them.
-        let (mut turns, mut most, mut before) = (0, 0, 0);
-        while wakes.get() < 1000 {
-            drop(pool(&*way, "t01000").await.expect("it is resident"));
+        // The busy tenant has a turn in each round of the event loop; few tenants are activated in between.
+        let (mut turns, mut max_per_round, mut before) = (0, 0, 0);
+        while activated.get() < 1000 {
+            drop(pool(&*router, "t01000").await.expect("already active"));
             tokio::task::yield_now().await;
-            most = most.max(wakes.get() - before);
-            before = wakes.get();
+            max_per_round = max_per_round.max(activated.get() - before);
+            before = activated.get();
             turns += 1;
         }
-        for one in crowd {
-            one.await.expect("it has its turn");
+        for task in tasks {
+            task.await.expect("activated");
         }
         assert!(
-            most <= 8,
-            "{most} were woken between two turns of the busy one"
+            max_per_round <= 8,
+            "{max_per_round} activations between two turns of the busy tenant"
         );
-        assert!(turns >= 125, "the busy one had {turns} turns meanwhile");
+        assert!(turns >= 125, "the busy tenant had only {turns} turns");
         assert_eq!(plane.activation_status().activations, 1001);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_of_what_is_at_rest_wakes_nobody_and_holds_from_the_next_request_on() {
-    local(async {
+async fn changing_an_inactive_tenant_does_not_activate_it_and_applies_to_the_next_request() {
+    run_local(async {
         let plane = plane(Process::default(), (0..9).map(|n| tenant(n, &[])).collect());
-        let way = plane.router("all");
+        let router = plane.router("all");
         let mut parts = PartInterner::default();
         let change = |parts: &mut PartInterner, tenant: &Tenant| {
             let mut next = plane.catalog();
             next.insert(parts, tenant, 1);
             plane
                 .apply_prepared(PreparedChange::between(&plane.catalog(), next))
-                .expect("it can be carried out");
+                .expect("applied");
         };
-        // Its servers, its classes.
+        // The change affects servers and classes.
         let mut other = tenant(1, &[]);
         other.servers.push(server("s9", "127.0.0.1:9"));
         other.servers[0].state = State::Draining;
         other.classes[0].name = "search".into();
         change(&mut parts, &other);
         assert_eq!(plane.activation_status().active, 0);
-        let status = plane.status_of("t00001").expect("it is there");
+        let status = plane.status_of("t00001").expect("it exists");
         assert_eq!((status.servers, status.active), ([2, 3], false));
-        // What it brings has just started, and that is remembered until it wakes.
+        // The added server has just started; its start time is retained until the activation.
         assert_eq!(plane.activation_status().retained_entries, 1);
-        drop(pool(&way, "t00001").await.expect("it wakes"));
+        drop(pool(&router, "t00001").await.expect("activated"));
         sleep(Duration::from_millis(10)).await;
         assert_eq!(plane.activation_status().retained_entries, 0);
-        let told: Vec<(String, bool, bool)> = fresh(&plane, "t00001");
-        let told: Vec<(&str, bool, bool)> =
-            told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
+        let states: Vec<(String, bool, bool)> = server_states(&plane, "t00001");
+        let states: Vec<(&str, bool, bool)> = states
+            .iter()
+            .map(|(n, new, up)| (&**n, *new, *up))
+            .collect();
         assert_eq!(
-            told,
+            states,
             [
                 ("s0", false, false),
                 ("s1", false, true),
                 ("s9", true, true)
             ]
         );
-        // It goes and comes back while it is at rest: all its servers are new.
+        // After a removal and addition of an inactive tenant all its servers are new.
         let mut next = plane.catalog();
         next.remove("t00002");
-        plane.apply_catalog(next).expect("it can be carried out");
+        plane.apply_catalog(next).expect("applied");
         assert!(matches!(
-            pool(&way, "t00002").await,
+            pool(&router, "t00002").await,
             Err(RouteError::Status(StatusCode::NOT_FOUND, _))
         ));
         change(&mut parts, &tenant(2, &[]));
-        drop(pool(&way, "t00002").await.expect("it is back"));
-        assert!(fresh(&plane, "t00002").iter().all(|(_, new, _)| *new));
-        // A version that comes between route and wake can't be: the same turn does both, and a later one renews the pool.
-        let before = pool(&way, "t00003").await.expect("it wakes");
+        drop(pool(&router, "t00002").await.expect("added again"));
+        assert!(
+            server_states(&plane, "t00002")
+                .iter()
+                .all(|(_, new, _)| *new)
+        );
+        // Routing and activation happen in the same turn with the same version; a later version replaces the
+        // pool.
+        let before = pool(&router, "t00003").await.expect("activated");
         let mut third = tenant(3, &[]);
         third.classes[0].name = "search".into();
         change(&mut parts, &third);
-        let after = pool(&way, "t00003").await.expect("it is resident");
+        let after = pool(&router, "t00003").await.expect("already active");
         assert!(
             !Rc::ptr_eq(&before, &after),
-            "a request that was routed before is decided by the former pool or asked anew"
+            "a request that was routed earlier uses the former pool or is routed again"
         );
-        // And it may not rest before that has ended.
+        // The tenant stays active until the former pool has ended.
         drop(after);
         sleep(Duration::from_secs(3600)).await;
-        assert!(plane.status_of("t00003").expect("it is there").active);
+        assert!(plane.status_of("t00003").expect("it exists").active);
         drop(before);
         sleep(Duration::from_secs(120)).await;
         assert_eq!(plane.activation_status().active, 0);
@@ -280,27 +291,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_version_that_comes_between_route_and_wake_is_the_one_that_wakes() {
-    local(async {
+async fn a_tenant_is_activated_with_a_version_applied_while_it_waits_for_its_turn() {
+    run_local(async {
         let plane = plane(
             Process::default(),
             (0..20).map(|n| tenant(n, &[])).collect(),
         );
-        let way = plane.router("all");
+        let router = plane.router("all");
         let uri = "/lookup".parse().expect("a target");
-        let find = |name: &str, turn| way.pool(&uri, &named(name), turn);
-        // All turns of this round are taken, so that who is routed now wakes in a later one.
-        let mut held = Vec::new();
-        let waits = (0..20).find(|n| match find(&format!("t{n:05}"), false) {
+        let find = |name: &str, turn| router.pool(&uri, &tenant_header(name), turn);
+        // All activation turns of this round are used, so that the next tenants are activated in a later one.
+        let mut pools = Vec::new();
+        let first_waiting = (0..20).find(|n| match find(&format!("t{n:05}"), false) {
             Ok(pool) => {
-                held.push(pool);
+                pools.push(pool);
                 false
             }
-            Err(why) => why == RouteError::NeedsTurn,
+            Err(error) => error == RouteError::NeedsTurn,
         });
         assert!(
-            waits.is_some_and(|n| n < 10),
-            "turns are bounded: {waits:?}"
+            first_waiting.is_some_and(|n| n < 10),
+            "turns are limited: {first_waiting:?}"
         );
         for name in ["t00010", "t00011", "t00012"] {
             assert_eq!(
@@ -309,7 +320,8 @@
                 "{name}"
             );
         }
-        // Meanwhile one has another list and other classes, one is gone, and one goes and comes back as another.
+        // Meanwhile the first tenant gets other servers and classes, the second is removed, and the third is
+        // removed and added again.
         let mut parts = PartInterner::default();
         let mut other = tenant(10, &[]);
         other.servers[0].state = State::Draining;
@@ -319,14 +331,14 @@
         next.insert(&mut parts, &other, 2);
         next.remove("t00011");
         next.remove("t00012");
-        plane.apply_catalog(next).expect("it can be carried out");
+        plane.apply_catalog(next).expect("applied");
         let mut next = plane.catalog();
         next.insert(&mut parts, &tenant(12, &[]), 3);
-        plane.apply_catalog(next).expect("it can be carried out");
+        plane.apply_catalog(next).expect("applied");
         assert_eq!(
             plane.activation_status().active,
-            held.len(),
-            "no version wakes anybody"
+            pools.len(),
+            "a change activates no tenant"
         );
         for (name, servers) in [
             (
@@ -340,32 +352,34 @@
             ("t00011", None),
             ("t00012", Some(vec![("s0", true, true), ("s1", true, true)])),
         ] {
-            way.wait_for_turn().await;
+            router.wait_for_turn().await;
             let found = find(name, true);
             assert_eq!(found.is_ok(), servers.is_some(), "{name}");
-            if let Err(why) = found {
+            if let Err(error) = found {
                 assert!(
-                    matches!(why, RouteError::Status(StatusCode::NOT_FOUND, _)),
-                    "{name}: {why:?}"
+                    matches!(error, RouteError::Status(StatusCode::NOT_FOUND, _)),
+                    "{name}: {error:?}"
                 );
             }
-            let told = fresh(&plane, name);
-            let told: Vec<(&str, bool, bool)> =
-                told.iter().map(|(n, new, up)| (&**n, *new, *up)).collect();
-            assert_eq!(told, servers.unwrap_or_default(), "{name}");
+            let states = server_states(&plane, name);
+            let states: Vec<(&str, bool, bool)> = states
+                .iter()
+                .map(|(n, new, up)| (&**n, *new, *up))
+                .collect();
+            assert_eq!(states, servers.unwrap_or_default(), "{name}");
         }
-        assert_eq!(plane.activation_status().active, held.len() + 2);
+        assert_eq!(plane.activation_status().active, pools.len() + 2);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_drain_told_while_it_wakes_or_rests_holds() {
-    local(async {
+async fn a_pending_drain_holds_for_inactive_and_just_activated_tenants() {
+    run_local(async {
         let plane = plane(Process::default(), (0..3).map(|n| tenant(n, &[])).collect());
-        let way = plane.router("all");
-        let off = |name: &str| [(name.to_owned(), ["s0".to_owned()].into())].into();
-        plane.set_pending_drains(&off("t00001"));
+        let router = plane.router("all");
+        let drains = |name: &str| [(name.to_owned(), ["s0".to_owned()].into())].into();
+        plane.set_pending_drains(&drains("t00001"));
         let up = |name: &str| {
             plane
                 .endpoints_of(name)
@@ -373,32 +387,36 @@
                 .map(|(_, _, up)| up)
                 .collect::<Vec<_>>()
         };
-        drop(pool(&way, "t00001").await.expect("it wakes"));
-        assert_eq!(up("t00001"), [false, true], "held off while at rest");
-        drop(pool(&way, "t00002").await.expect("it wakes"));
-        plane.set_pending_drains(&off("t00002")); // its driver has not had its first turn yet
+        drop(pool(&router, "t00001").await.expect("activated"));
+        assert_eq!(
+            up("t00001"),
+            [false, true],
+            "pending drain set while inactive"
+        );
+        drop(pool(&router, "t00002").await.expect("activated"));
+        plane.set_pending_drains(&drains("t00002")); // the pool's driver has not been polled yet
         assert_eq!(
             (up("t00001"), up("t00002")),
             (vec![true, true], vec![false, true])
         );
         sleep(Duration::from_secs(120)).await;
         assert_eq!(plane.activation_status().active, 0);
-        drop(pool(&way, "t00002").await.expect("it wakes"));
-        assert_eq!(up("t00002"), [false, true], "and over its rest");
+        drop(pool(&router, "t00002").await.expect("activated"));
+        assert_eq!(up("t00002"), [false, true], "kept while inactive");
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn damage_is_one_tenants_until_it_is_changed() {
-    local(async {
+async fn a_damaged_tenant_is_rejected_until_it_is_changed() {
+    run_local(async {
         let plane = plane(Process::default(), (0..3).map(|n| tenant(n, &[])).collect());
-        let way = plane.router("all");
-        let mut spoilt = plane.catalog();
-        spoilt.corrupt("t00001");
-        plane.apply_catalog(spoilt).expect("it can be carried out");
+        let router = plane.router("all");
+        let mut corrupted = plane.catalog();
+        corrupted.corrupt("t00001");
+        plane.apply_catalog(corrupted).expect("applied");
         for _ in 0..3 {
-            let found = pool(&way, "t00001").await.err();
+            let found = pool(&router, "t00001").await.err();
             assert_eq!(
                 found,
                 Some(RouteError::Status(
@@ -414,21 +432,29 @@
             ),
             (1, 0)
         );
-        assert!(!plane.status_of("t00001").expect("it is there").ready);
-        drop(pool(&way, "t00000").await.expect("others are whole"));
+        assert!(!plane.status_of("t00001").expect("it exists").ready);
+        drop(
+            pool(&router, "t00000")
+                .await
+                .expect("other tenants are not damaged"),
+        );
         let mut next = plane.catalog();
         next.insert(&mut PartInterner::default(), &tenant(1, &[]), 2);
-        plane.apply_catalog(next).expect("it can be carried out");
-        drop(pool(&way, "t00001").await.expect("it is whole again"));
+        plane.apply_catalog(next).expect("applied");
+        drop(
+            pool(&router, "t00001")
+                .await
+                .expect("repaired by the change"),
+        );
         assert_eq!(plane.activation_status().damaged, 0);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_tenant_whose_list_is_followed_stays_resident() {
-    local(async {
-        let fleet = DiscoverySettings {
+async fn a_tenant_with_endpoint_discovery_stays_active() {
+    run_local(async {
+        let discovery = DiscoverySettings {
             etcd: vec!["http://127.0.0.1:1".into()],
             prefix: "/p".into(),
             pool: None,
@@ -437,7 +463,7 @@
             retention: Span(60_000.0),
         };
         let mut tenants: Vec<Tenant> = (0..3).map(|n| tenant(n, &[])).collect();
-        (tenants[1].discovery, tenants[1].servers) = (Some(fleet), Vec::new());
+        (tenants[1].discovery, tenants[1].servers) = (Some(discovery), Vec::new());
         let plane = plane(
             Process {
                 max_active_tenants: 1,
@@ -446,19 +472,19 @@
             tenants,
         );
         assert_eq!(
-            (names(&plane), plane.activation_status().pinned),
+            (active_names(&plane), plane.activation_status().pinned),
             (vec!["t00001".to_owned()], 1)
         );
         sleep(Duration::from_secs(3600)).await;
         drop(
             pool(&plane.router("all"), "t00000")
                 .await
-                .expect("a place is left for others"),
+                .expect("a place is left for other tenants"),
         );
         assert_eq!(plane.activation_status().active, 2);
         let mut next = plane.catalog();
         next.insert(&mut PartInterner::default(), &tenant(1, &[]), 1);
-        plane.apply_catalog(next).expect("it can be carried out");
+        plane.apply_catalog(next).expect("applied");
         sleep(Duration::from_secs(3600)).await;
         assert_eq!(
             (
@@ -466,18 +492,21 @@
                 plane.activation_status().pinned
             ),
             (0, 0),
-            "it is like others now"
+            "without discovery it is deactivated like others"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn an_ejected_server_gets_nothing_right_after_waking_and_a_restart_believes_nothing() {
-    local(async {
-        let sound = Backend::start().await;
-        let dead = Backend::dead().await;
-        let servers = [server("dead", &dead), server("sound", &sound.address)];
+async fn ejections_outlast_a_deactivation_but_not_a_restart() {
+    run_local(async {
+        let healthy = Backend::start().await;
+        let unreachable = Backend::unreachable_address().await;
+        let servers = [
+            server("dead", &unreachable),
+            server("sound", &healthy.address),
+        ];
         let process = Process {
             idle_timeout: Span(100.0),
             ..Process::default()
@@ -485,19 +514,19 @@
         let service = || vec![tenant(0, &servers)];
         let plane = plane(process.clone(), service());
         let address = plane.listener_addresses()["all"];
-        // Until the dead one was tried and closed.
-        let closed = |plane: &DataPlane| {
+        // True once the unreachable server has been tried and ejected.
+        let is_ejected = |plane: &DataPlane| {
             plane
                 .health_of("t00000")
                 .endpoints
                 .iter()
                 .any(|s| s.overall.is_some())
         };
-        while !closed(&plane) {
+        while !is_ejected(&plane) {
             assert_eq!(
-                ask(address, "t00000").await,
+                lookup(address, "t00000").await,
                 200,
-                "the other serves what it can't"
+                "the healthy server handles the failed attempts"
             );
         }
         let before = plane.health_of("t00000");
@@ -505,37 +534,40 @@
             sleep(Duration::from_millis(20)).await;
         }
         assert!(plane.activation_status().retained_entries > 0);
-        // Before it decides anything it knows what the module before it knew.
-        let held = pool(&plane.router("all"), "t00000")
+        // The new pool receives the health state of the previous one before it makes a decision.
+        let pool_in_use = pool(&plane.router("all"), "t00000")
             .await
-            .expect("it wakes");
+            .expect("activated");
         for _ in 0..1000 {
-            if closed(&plane) {
+            if is_ejected(&plane) {
                 break;
             }
             tokio::task::yield_now().await;
         }
-        let (was, is) = (
-            before.endpoints[0].overall.expect("it is closed"),
+        let (health_before, health_after) = (
+            before.endpoints[0].overall.expect("it is ejected"),
             plane.health_of("t00000"),
         );
         assert_eq!(
-            (is.endpoints.len(), is.endpoints[0].id),
+            (health_after.endpoints.len(), health_after.endpoints[0].id),
             (1, before.endpoints[0].id)
         );
-        assert_eq!(is.endpoints[0].overall, Some(was));
-        drop(held);
-        assert_eq!(ask(address, "t00000").await, 200);
-        // Another process knows nothing, and serves.
-        let other = stage::plane(process, service());
-        assert_eq!(ask(other.listener_addresses()["all"], "t00000").await, 200);
+        assert_eq!(health_after.endpoints[0].overall, Some(health_before));
+        drop(pool_in_use);
+        assert_eq!(lookup(address, "t00000").await, 200);
+        // Another process has no health state, and serves requests.
+        let other = fixture::plane(process, service());
+        assert_eq!(
+            lookup(other.listener_addresses()["all"], "t00000").await,
+            200
+        );
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_cold_server_gets_no_second_budget_by_a_rest() {
-    local(async {
+async fn a_deactivation_does_not_reset_the_slow_start_budget() {
+    run_local(async {
         let (old, new) = (Backend::start().await, Backend::start().await);
         let process = Process {
             idle_timeout: Span(100.0),
@@ -543,7 +575,7 @@
         };
         let plane = plane(process, vec![tenant(0, &[server("old", &old.address)])]);
         let address = plane.listener_addresses()["all"];
-        assert_eq!(ask(address, "t00000").await, 200);
+        assert_eq!(lookup(address, "t00000").await, 200);
         let mut next = plane.catalog();
         let mut both = tenant(
             0,
@@ -551,43 +583,43 @@
         );
         both.rules.warm_up = Span(600_000.0);
         next.insert(&mut PartInterner::default(), &both, 1);
-        plane.apply_catalog(next).expect("it can be carried out");
-        assert_eq!(ask(address, "t00000").await, 200);
-        let cold = |plane: &DataPlane| {
-            let standing = plane.health_of("t00000");
-            standing
+        plane.apply_catalog(next).expect("applied");
+        assert_eq!(lookup(address, "t00000").await, 200);
+        let slow_start = |plane: &DataPlane| {
+            let health = plane.health_of("t00000");
+            health
                 .endpoints
                 .iter()
                 .find_map(|s| s.slow_start)
-                .expect("one is cold")
+                .expect("one server is in slow start")
         };
-        let before = cold(&plane);
+        let before = slow_start(&plane);
         while plane.activation_status().active > 0 {
             sleep(Duration::from_millis(20)).await;
         }
-        let held = pool(&plane.router("all"), "t00000")
+        let pool_in_use = pool(&plane.router("all"), "t00000")
             .await
-            .expect("it wakes");
+            .expect("activated");
         sleep(Duration::from_millis(1)).await;
-        let after = cold(&plane);
+        let after = slow_start(&plane);
         assert_eq!(
             (after.max_cost, after.updated_at >= before.updated_at),
             (before.max_cost, true),
-            "it is the same budget"
+            "the slow start budget is kept"
         );
         assert!(
-            fresh(&plane, "t00000")
+            server_states(&plane, "t00000")
                 .iter()
                 .any(|(name, new, _)| name == "new" && *new)
         );
-        drop(held);
+        drop(pool_in_use);
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_servers_limit_holds_for_one_that_is_awake_among_users_at_rest() {
-    local(async {
+async fn a_server_limit_holds_for_an_active_tenant_among_inactive_ones() {
+    run_local(async {
         let backend = Backend::start().await;
         let limited = multi_tenant::document::Server {
             connections: Some(2),
@@ -601,39 +633,43 @@
                 .collect(),
         );
         let address = plane.listener_addresses()["all"];
-        backend.answers.send_replace(false);
-        let asks: Vec<_> = (0..6)
-            .map(|_| tokio::task::spawn_local(ask(address, "t00000")))
+        backend.respond.send_replace(false);
+        let requests: Vec<_> = (0..6)
+            .map(|_| tokio::task::spawn_local(lookup(address, "t00000")))
             .collect();
-        while backend.seen.get() < 2 {
+        while backend.received.get() < 2 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(plane.activation_status().active, 1, "the other one rests");
-        // One that wakes beside it finds what is held there.
-        let other = tokio::task::spawn_local(ask(address, "t00001"));
+        assert_eq!(
+            plane.activation_status().active,
+            1,
+            "the other tenant is inactive"
+        );
+        // A second tenant that is activated shares the limit with the attempts in flight.
+        let other = tokio::task::spawn_local(lookup(address, "t00001"));
         while plane.activation_status().active < 2 {
             tokio::task::yield_now().await;
         }
         sleep(Duration::from_millis(50)).await;
-        backend.answers.send_replace(true);
+        backend.respond.send_replace(true);
         let mut served = 0;
-        for one in asks.into_iter().chain([other]) {
-            let status = one.await.expect("an answer");
+        for request in requests.into_iter().chain([other]) {
+            let status = request.await.expect("response received");
             assert!(
                 status == 200 || status == 503,
-                "{status}: served, or refused as the server is full"
+                "{status}: served, or rejected as the server is at its limit"
             );
             served += usize::from(status == 200);
         }
         assert!(served >= 2, "{served}");
-        assert_eq!(backend.most.get(), 2);
+        assert_eq!(backend.max_in_flight.get(), 2);
     })
     .await;
 }
 
 #[tokio::test]
-async fn with_fewer_places_than_tenants_that_ask_each_is_served_in_its_turn() {
-    local(async {
+async fn more_requesting_tenants_than_places_are_all_served_in_turn() {
+    run_local(async {
         let backend = Backend::start().await;
         let servers = [multi_tenant::document::Server {
             warm: true,
@@ -645,32 +681,32 @@
         };
         let plane = plane(process, (0..12).map(|n| tenant(n, &servers)).collect());
         let address = plane.listener_addresses()["all"];
-        let asks: Vec<_> = (0..12)
+        let requests: Vec<_> = (0..12)
             .map(|n| {
                 tokio::task::spawn_local(async move {
-                    let mut refused = 0;
-                    // As told: a client that is refused comes again.
-                    while ask(address, &format!("t{n:05}")).await != 200 {
-                        refused += 1;
-                        assert!(refused < 100, "t{n:05} is never served");
+                    let mut rejected = 0;
+                    // Rejected clients retry.
+                    while lookup(address, &format!("t{n:05}")).await != 200 {
+                        rejected += 1;
+                        assert!(rejected < 100, "t{n:05} is never served");
                         sleep(Duration::from_millis(300)).await;
                     }
-                    refused
+                    rejected
                 })
             })
             .collect();
-        let mut refused = 0;
-        for one in asks {
-            refused += one.await.expect("an answer");
+        let mut rejected = 0;
+        for request in requests {
+            rejected += request.await.expect("response received");
         }
-        let figures = plane.activation_status();
+        let status = plane.activation_status();
         assert!(
-            refused > 0 && figures.deferrals >= refused,
-            "{refused}, {figures:?}"
+            rejected > 0 && status.deferrals >= rejected,
+            "{rejected}, {status:?}"
         );
         assert!(
-            figures.active <= 3 && figures.activations == 12 && figures.evictions >= 9,
-            "{figures:?}"
+            status.active <= 3 && status.activations == 12 && status.evictions >= 9,
+            "{status:?}"
         );
     })
     .await;
--- a/crates/multi-tenant/tests/catalog.rs
+++ b/crates/multi-tenant/tests/catalog.rs
@@ -1,4 +1,5 @@
-//! Tenants at rest: what is put in comes out, what is the same is held once, a change shares the rest, damage is seen.
+//! The catalog: tenants are stored and read unchanged, changes leave earlier catalogs intact, indexes follow
+//! changes, damage is detected.
 
 use config_parser::units::Span;
 use multi_tenant::catalog::{Catalog, Difference, PartInterner};
@@ -54,13 +55,13 @@
 }
 
 #[test]
-fn what_is_put_in_comes_out() {
+fn tenants_are_read_as_stored() {
     let service = service(300);
     let mut parts = PartInterner::default();
     let mut catalog = Catalog::from_service(&service, &mut parts);
-    let read: Vec<Tenant> = catalog.iter().map(|t| t.expect("it is whole").1).collect();
+    let read: Vec<Tenant> = catalog.iter().map(|t| t.expect("not damaged").1).collect();
     assert_eq!(read, service.tenants);
-    let followed = DiscoverySettings {
+    let discovery = DiscoverySettings {
         etcd: vec!["http://127.0.0.1:2379".into()],
         prefix: "/p".into(),
         pool: Some("p".into()),
@@ -69,7 +70,7 @@
         retention: Span(60_000.0),
     };
     let other = Tenant {
-        discovery: Some(followed),
+        discovery: Some(discovery),
         servers: Vec::new(),
         hosts: Vec::new(),
         ..tenant(7)
@@ -79,7 +80,7 @@
     assert_eq!(
         catalog.tenant_of_host("t00007.example"),
         None,
-        "its hosts are gone"
+        "its hosts are removed"
     );
     assert_eq!(
         catalog.tenant_of_host("WWW.T00008.example.").map(|n| &**n),
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_change_leaves_the_one_before_whole_and_is_all_that_differs() {
+fn a_changed_copy_differs_only_in_the_change_and_leaves_the_original_intact() {
     let mut parts = PartInterner::default();
     let old = Catalog::from_service(&service(1000), &mut parts);
     let mut new = old.clone();
@@ -103,7 +104,7 @@
         },
         1,
     );
-    new.insert(&mut parts, &tenant(700), 1); // a revision alone is no difference
+    new.insert(&mut parts, &tenant(700), 1); // a different revision alone is not a difference
     new.insert(&mut parts, &tenant(1000), 1);
     new.remove("t00010");
     let all: Vec<(&str, &str)> = Catalog::differences(&old, &new)
@@ -126,7 +127,7 @@
     assert!(
         old != new && old == Catalog::from_service(&service(1000), &mut PartInterner::default())
     );
-    // Those that drain already are no more ended by that; who would have none left is not named.
+    // Servers that are already draining don't count, and tenants without a remaining server are left out.
     let ended = plan::ended_servers(&old, &new);
     assert!(ended.is_empty(), "{ended:?}");
     let mut fewer = tenant(600);
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn who_uses_a_server_with_a_limit_is_known() {
+fn users_of_a_server_with_a_limit_follow_changes() {
     let mut parts = PartInterner::default();
     let mut catalog = Catalog::from_service(&service(36), &mut parts);
     let users = |c: &Catalog| -> Vec<String> {
@@ -150,7 +151,7 @@
     assert_eq!(
         users(&catalog),
         ["t00000", "t00035"],
-        "every fifth has limits, every seventh this server"
+        "every fifth tenant has a limit, every seventh uses this server"
     );
     catalog.insert(
         &mut parts,
@@ -166,35 +167,35 @@
 }
 
 #[test]
-fn damage_is_seen_and_is_one_tenants() {
+fn damage_is_detected_and_limited_to_one_tenant() {
     let mut parts = PartInterner::default();
     let mut catalog = Catalog::from_service(&service(50), &mut parts);
     catalog.corrupt("t00020");
     let damaged = catalog
         .get("t00020")
-        .expect("it is there")
+        .expect("it exists")
         .expect_err("it is damaged");
     assert_eq!(
         (damaged.tenant.as_str(), damaged.part),
         ("t00020", "servers")
     );
-    // The part that others share is theirs still.
+    // The part that it shared with others is still intact for them.
     assert_eq!(catalog.iter().filter(Result::is_ok).count(), 49);
-    // What is put in anew is whole again, and nothing of the damaged one is left behind.
+    // Storing the tenant again repairs it, and leaves no index entries of the damaged record.
     catalog.insert(&mut parts, &tenant(20), 1);
     assert_eq!(catalog.get("t00020"), Some(Ok((1, tenant(20)))));
     assert_eq!(catalog.users_of_server("127.0.0.1:9060").count(), 1);
-    let mut gone = catalog.clone();
-    gone.corrupt("t00020");
-    gone.remove("t00020");
+    let mut without = catalog.clone();
+    without.corrupt("t00020");
+    without.remove("t00020");
     assert!(
-        gone.tenant_of_host("t00020.example").is_none()
-            && gone.users_of_server("127.0.0.1:9060").count() == 0
+        without.tenant_of_host("t00020.example").is_none()
+            && without.users_of_server("127.0.0.1:9060").count() == 0
     );
 }
 
 #[test]
-fn a_change_is_checked_by_what_it_touches() {
+fn edits_are_validated_against_the_tenants_they_affect() {
     let mut parts = PartInterner::default();
     let catalog = Catalog::from_service(&service(20), &mut parts);
     let faults = |edits: &[(String, Option<Tenant>)]| -> Vec<String> {
@@ -205,31 +206,32 @@
     };
     let edit = |t: Tenant| (t.name.clone(), Some(t));
     assert!(faults(&[edit(tenant(3)), edit(tenant(99))]).is_empty());
-    let takes = Tenant {
+    let taking = Tenant {
         hosts: vec!["T00004.example".into()],
         ..tenant(3)
     };
     assert_eq!(
-        faults(&[edit(takes.clone())]),
+        faults(&[edit(taking.clone())]),
         ["Some(0) hosts.0: the host is already used by another tenant"]
     );
-    // Where the other one gives it up with the same change, it is free; where both want it, the later is told.
-    let gives = Tenant {
+    // A host that another tenant releases in the same change is free; of two that want it, the later is
+    // rejected.
+    let releasing = Tenant {
         hosts: Vec::new(),
         ..tenant(4)
     };
-    assert!(faults(&[edit(takes.clone()), edit(gives)]).is_empty());
-    assert!(faults(&[edit(takes.clone()), ("t00004".into(), None)]).is_empty());
-    let both = Tenant {
+    assert!(faults(&[edit(taking.clone()), edit(releasing)]).is_empty());
+    assert!(faults(&[edit(taking.clone()), ("t00004".into(), None)]).is_empty());
+    let competing = Tenant {
         hosts: vec!["t00004.example".into()],
         ..tenant(5)
     };
-    let said = faults(&[edit(takes), ("t00004".into(), None), edit(both)]);
+    let messages = faults(&[edit(taking), ("t00004".into(), None), edit(competing)]);
     assert_eq!(
-        said,
+        messages,
         ["Some(2) hosts.0: the host is already used by another tenant"]
     );
-    // The limit of a server is the same for all who say one.
+    // All tenants that set a limit for a server have to set the same.
     let mut other = tenant(7);
     other.servers[0].connections = Some(9);
     assert_eq!(
@@ -240,14 +242,17 @@
     let mut twice = tenant(8);
     twice.servers[1].name = "s0".into();
     twice.classes[0].latency_objective = Span(0.0);
-    let said = faults(&[edit(twice)]);
+    let messages = faults(&[edit(twice)]);
     assert!(
-        said.iter()
+        messages
+            .iter()
             .any(|f| f.starts_with("Some(0) server.1.name: \"s0\" is used twice")),
-        "{said:?}"
+        "{messages:?}"
     );
     assert!(
-        said.iter().any(|f| f.starts_with("Some(0) class.0.aim: ")),
-        "{said:?}"
+        messages
+            .iter()
+            .any(|f| f.starts_with("Some(0) class.0.aim: ")),
+        "{messages:?}"
     );
 }
--- a/crates/multi-tenant/tests/data_plane/mod.rs
+++ b/crates/multi-tenant/tests/data_plane/mod.rs
@@ -1,5 +1,5 @@
-//! A plane on loopback, with small servers, and a client of it.
-#![allow(dead_code)] // each test file uses its own part
+//! Fixtures: a data plane on loopback, simple backends and a client.
+#![allow(dead_code)] // no test file uses everything
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Runs on one thread, as the service does.
-pub async fn local(test: impl Future<Output = ()>) {
+/// Runs a test on one thread, like the service.
+pub async fn run_local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
-/// Lists that are followed and never come.
-pub fn follow() -> StartDiscovery {
+/// Endpoint discovery that never provides a list.
+pub fn no_discovery() -> StartDiscovery {
     Box::new(|_, _, _| {
         let (sender, receiver) = tokio::sync::mpsc::unbounded_channel();
         spawn_local(async move { sender.closed().await });
@@ -42,7 +42,7 @@
     }
 }
 
-/// A tenant of one class with these servers, or two of which none is there.
+/// Creates a tenant with one class and these servers, or with two unreachable servers if there are none.
 pub fn tenant(n: usize, servers: &[Server]) -> Tenant {
     let class = Class {
         name: "lookup".into(),
@@ -52,7 +52,7 @@
         priority_weight: 1.0,
         late_weight_fraction: Share(0.0),
     };
-    let none = [server("s0", "127.0.0.1:9"), server("s1", "127.0.0.1:9")];
+    let unreachable = [server("s0", "127.0.0.1:9"), server("s1", "127.0.0.1:9")];
     Tenant {
         name: format!("t{n:05}"),
         hosts: vec![format!("t{n:05}.example")],
@@ -61,14 +61,14 @@
         classes: vec![class],
         discovery: None,
         servers: if servers.is_empty() {
-            none.to_vec()
+            unreachable.to_vec()
         } else {
             servers.to_vec()
         },
     }
 }
 
-/// A plane that serves these tenants by one listener.
+/// Creates a data plane that serves these tenants on one listener.
 pub fn plane(process: Process, tenants: Vec<Tenant>) -> Rc<DataPlane> {
     let listener = Listener {
         name: "all".into(),
@@ -86,55 +86,55 @@
         tenants,
         ..Service::default()
     };
-    let plane = DataPlane::new(&service.process, follow());
-    plane.apply(&service).expect("it can be served");
+    let plane = DataPlane::new(&service.process, no_discovery());
+    plane.apply(&service).expect("applied");
     plane
 }
 
-/// A server that answers all with 200.
+/// Server that responds to every request with 200.
 pub struct Backend {
     pub address: String,
-    /// Requests that it has begun, and the most that it had at once.
-    pub seen: Rc<Cell<usize>>,
-    pub most: Rc<Cell<usize>>,
-    now: Rc<Cell<usize>>,
-    /// It answers while this is true.
-    pub answers: watch::Sender<bool>,
+    /// Number of received requests, and the maximum number in flight at once.
+    pub received: Rc<Cell<usize>>,
+    pub max_in_flight: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
+    /// Responses are sent while this is true.
+    pub respond: watch::Sender<bool>,
 }
 
 impl Backend {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (answers, may) = watch::channel(true);
+        let (respond, responding) = watch::channel(true);
         let backend = Backend {
             address,
-            seen: Rc::default(),
-            most: Rc::default(),
-            now: Rc::default(),
-            answers,
+            received: Rc::default(),
+            max_in_flight: Rc::default(),
+            in_flight: Rc::default(),
+            respond,
         };
-        let (seen, most, now) = (
-            backend.seen.clone(),
-            backend.most.clone(),
-            backend.now.clone(),
+        let (received, max_in_flight, in_flight) = (
+            backend.received.clone(),
+            backend.max_in_flight.clone(),
+            backend.in_flight.clone(),
         );
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(answer(
+                spawn_local(serve_connection(
                     stream,
-                    seen.clone(),
-                    most.clone(),
-                    now.clone(),
-                    may.clone(),
+                    received.clone(),
+                    max_in_flight.clone(),
+                    in_flight.clone(),
+                    responding.clone(),
                 ));
             }
         });
         backend
     }
 
-    /// An address that refuses connections, and that nobody else gets while the test runs.
-    pub async fn dead() -> String {
+    /// Returns an address that refuses connections and stays reserved while the test runs.
+    pub async fn unreachable_address() -> String {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket
             .bind("127.0.0.1:0".parse().expect("an address"))
@@ -148,12 +148,12 @@
     }
 }
 
-async fn answer(
+async fn serve_connection(
     mut stream: TcpStream,
-    seen: Rc<Cell<usize>>,
-    most: Rc<Cell<usize>>,
-    now: Rc<Cell<usize>>,
-    mut may: watch::Receiver<bool>,
+    received: Rc<Cell<usize>>,
+    max_in_flight: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
+    mut responding: watch::Receiver<bool>,
 ) {
     let mut head = Vec::new();
     let mut bytes = [0; 4096];
@@ -161,11 +161,11 @@
         head.extend(&bytes[..n]);
         if head.ends_with(b"\r\n\r\n") {
             head.clear();
-            seen.set(seen.get() + 1);
-            now.set(now.get() + 1);
-            most.set(most.get().max(now.get()));
-            let _ = may.wait_for(|may| *may).await; // or the test is over
-            now.set(now.get() - 1);
+            received.set(received.get() + 1);
+            in_flight.set(in_flight.get() + 1);
+            max_in_flight.set(max_in_flight.get().max(in_flight.get()));
+            let _ = responding.wait_for(|responding| *responding).await; // fails if the test has ended
+            in_flight.set(in_flight.get() - 1);
             if stream
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
                 .await
@@ -177,15 +177,21 @@
     }
 }
 
-/// The status of a lookup's answer.
-pub async fn ask(address: SocketAddr, tenant: &str) -> u16 {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+/// Sends a lookup request and returns the status of the response.
+pub async fn lookup(address: SocketAddr, tenant: &str) -> u16 {
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     let head = format!(
         "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Tenant-Id: {tenant}\r\nConnection: close\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).await.expect("it is sent");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("request sent");
     let mut text = String::new();
-    stream.read_to_string(&mut text).await.expect("its answer");
+    stream
+        .read_to_string(&mut text)
+        .await
+        .expect("response received");
     text.split(' ')
         .nth(1)
         .and_then(|s| s.parse().ok())
--- a/crates/multi-tenant/tests/documents.rs
+++ b/crates/multi-tenant/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents, routes and plans, without a socket.
+//! Documents, routes and plans, without sockets.
 
 use multi_tenant::catalog::{Catalog, PartInterner};
 use multi_tenant::document::{Server, Service, State};
@@ -6,7 +6,7 @@
 use multi_tenant::routes::{Routes, UnknownTenant};
 use multi_tenant::validation;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [process]
 sockets = 512
 bytes = "8 MiB"
@@ -64,23 +64,23 @@
 connections = 8
 "#;
 
-fn good() -> Service {
+fn valid() -> Service {
     validation::parse(
-        "good.toml",
-        &GOOD
+        "valid.toml",
+        &VALID
             .replace(":0 \"", ":0\"")
             .replacen("127.0.0.1:0", "127.0.0.1:1", 1),
     )
     .unwrap()
 }
 
-fn at_rest(service: &Service) -> Catalog {
+fn catalog(service: &Service) -> Catalog {
     Catalog::from_service(service, &mut PartInterner::default())
 }
 
 #[test]
-fn a_good_document_is_read_with_its_defaults() {
-    let service = good();
+fn a_valid_document_is_parsed_with_its_defaults() {
+    let service = valid();
     assert_eq!(
         (service.process.sockets, service.process.in_flight),
         (512, 2048)
@@ -88,7 +88,7 @@
     assert_eq!(service.tenants[0].limits.weight, 2.0);
     assert_eq!(service.tenants[0].servers[1].state, State::Draining);
     assert_eq!(service.tenants[1].rules.max_attempts, 3);
-    let catalog = at_rest(&service);
+    let catalog = catalog(&service);
     let users: Vec<(&str, u64)> = catalog
         .users_of_server("127.0.0.1:9001")
         .map(|(n, limit)| (&**n, limit))
@@ -97,16 +97,16 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_named_with_line_and_key() {
+fn all_errors_are_reported_with_line_and_key() {
     let errors = |text: &str| validation::parse("x.toml", text).unwrap_err().to_string();
-    // What the form alone shows.
-    let bad = GOOD
+    // Errors that the schema detects.
+    let invalid = VALID
         .replace("sockets = 512", "sockets = \"many\"")
         .replace("tenant-by = \"host\"", "tenant-by = \"colour\"")
         .replace("weight = 2.0", "wheight = 2.0")
         .replacen("aim = \"300 ms\"", "aim = \"300\"", 1)
         .replace("name = \"n1\"", "nam = \"n1\"");
-    let said = errors(&bad);
+    let messages = errors(&invalid);
     for part in [
         "x.toml:3: process.sockets:",
         "x.toml:9: listener.0.tenant-by: ",
@@ -115,10 +115,10 @@
         "x.toml:34: tenant.0.server.0.nam: there is no such key",
         "tenant.0.server.0.name: it is missing",
     ] {
-        assert!(said.contains(part), "{part}\n{said}");
+        assert!(messages.contains(part), "{part}\n{messages}");
     }
-    // What only the whole shows.
-    let bad = GOOD
+    // Errors that the validation of the whole document detects.
+    let invalid = VALID
         .replace("tenant = \"north\"", "tenant = \"nowhere\"")
         .replace("\"www.south.example\"", "\"NORTH.example:8080\"")
         .replace(
@@ -128,7 +128,7 @@
         .replace("name = \"n2\"", "name = \"n1\"")
         .replacen("deadline = \"1 s\"", "deadline = \"200 ms\"", 1)
         .replace("127.0.0.1:9002", "localhost");
-    let said = errors(&bad);
+    let messages = errors(&invalid);
     for part in [
         "listener.1.address: \"127.0.0.1:0 \" is not an address",
         "listener.2.tenant: unknown tenant",
@@ -138,14 +138,14 @@
         "tenant.1.hosts.1: the host is already used by another tenant",
         "tenant.1.server.0.connections: another tenant sets a different limit",
     ] {
-        assert!(said.contains(part), "{part}\n{said}");
+        assert!(messages.contains(part), "{part}\n{messages}");
     }
-    assert_eq!(said.lines().count(), 7, "{said}");
+    assert_eq!(messages.lines().count(), 7, "{messages}");
 }
 
 #[test]
-fn a_request_finds_its_tenant_by_host_by_header_or_by_listener() {
-    let routes = Routes::new(&at_rest(&good()));
+fn requests_are_routed_by_host_header_or_listener() {
+    let routes = Routes::new(&catalog(&valid()));
     let find = |listener, host, header| routes.find(listener, host, header).map(|name| &**name);
     for host in ["north.example", "NORTH.example.:8080"] {
         assert_eq!(find("public", Some(host), Some("south")), Ok("north"));
@@ -179,9 +179,9 @@
 }
 
 #[test]
-fn a_plan_names_what_changes_and_nothing_else() {
-    let old = good();
-    let between = |old: &Service, new: &Service| Plan::between(&at_rest(old), &at_rest(new));
+fn a_plan_contains_exactly_the_changes() {
+    let old = valid();
+    let between = |old: &Service, new: &Service| Plan::between(&catalog(old), &catalog(new));
     assert!(between(&old, &old).is_empty());
     let mut new = old.clone();
     new.tenants[0].servers.pop();
@@ -216,29 +216,33 @@
 }
 
 #[test]
-fn a_server_that_joins_has_just_started_unless_it_is_said_to_be_warm() {
+fn an_added_server_has_just_started_unless_it_is_marked_as_warm() {
     let server = |name: &str, address: &str, warm| Server {
         name: name.into(),
         address: address.into(),
         warm,
-        ..good().tenants[0].servers[0].clone()
+        ..valid().tenants[0].servers[0].clone()
     };
-    let mut births = StartTimes::default();
-    births.update(&[server("a", "127.0.0.1:1", false)], true, 1000.0);
-    assert_eq!(births.get("a"), 0.0, "it was there before the service");
+    let mut start_times = StartTimes::default();
+    start_times.update(&[server("a", "127.0.0.1:1", false)], true, 1000.0);
+    assert_eq!(start_times.get("a"), 0.0, "it started before the service");
     let next = [
         server("a", "127.0.0.1:1", false),
         server("b", "127.0.0.1:2", false),
         server("c", "127.0.0.1:3", true),
     ];
-    births.update(&next, false, 2000.0);
+    start_times.update(&next, false, 2000.0);
     assert_eq!(
-        [births.get("a"), births.get("b"), births.get("c")],
+        [
+            start_times.get("a"),
+            start_times.get("b"),
+            start_times.get("c")
+        ],
         [0.0, 2000.0, 0.0]
     );
-    // Another address is another process; one that left and comes back has started anew.
-    births.update(&[server("a", "127.0.0.1:9", false)], false, 3000.0);
-    births.update(
+    // A server with another address is another process; one that was removed and added again has restarted.
+    start_times.update(&[server("a", "127.0.0.1:9", false)], false, 3000.0);
+    start_times.update(
         &[
             server("a", "127.0.0.1:9", false),
             server("b", "127.0.0.1:2", false),
@@ -246,7 +250,10 @@
         false,
         4000.0,
     );
-    assert_eq!([births.get("a"), births.get("b")], [3000.0, 4000.0]);
+    assert_eq!(
+        [start_times.get("a"), start_times.get("b")],
+        [3000.0, 4000.0]
+    );
 }
 
 proptest::proptest! {
@@ -254,13 +261,13 @@
         cases: 300, failure_persistence: None, ..Default::default()
     })]
 
-    /// Whatever is cut out of a document, written into it or swapped in it: it is read, or what is wrong is named with
-    /// a line that is there, and what is read can be served and planned for.
+    /// A document with random edits is either parsed, and a plan and routes can be created from it, or the
+    /// errors have existing lines.
     #[test]
-    fn no_document_stops_the_reader(
+    fn randomly_edited_documents_are_parsed_or_rejected_with_errors(
         edits in proptest::collection::vec((0..1100usize, 0..40usize, "[ -~\n]{0,12}"), 1..6),
     ) {
-        let mut text = GOOD.to_owned();
+        let mut text = VALID.to_owned();
         for (at, cut, put) in edits {
             let at = at.min(text.len());
             let end = (at + cut).min(text.len());
@@ -268,10 +275,10 @@
         }
         match validation::parse("x.toml", &text) {
             Ok(service) => {
-                let service_at_rest = at_rest(&service);
-                let plan = Plan::between(&Catalog::new(&Service::default()), &service_at_rest);
+                let catalog = catalog(&service);
+                let plan = Plan::between(&Catalog::new(&Service::default()), &catalog);
                 proptest::prop_assert_eq!(plan.added.len(), service.tenants.len());
-                let _ = Routes::new(&service_at_rest);
+                let _ = Routes::new(&catalog);
             }
             Err(e) => {
                 proptest::prop_assert!(!e.problems.is_empty());
--- a/crates/multi-tenant/tests/heap.rs
+++ b/crates/multi-tenant/tests/heap.rs
@@ -1,4 +1,4 @@
-//! What tenants cost in memory: at rest, and resident. Counted as bytes that are held, so that the figures are the same each time.
+//! Memory of inactive and active tenants, measured as allocated heap bytes, which are reproducible.
 
 use std::alloc::System;
 
@@ -11,15 +11,15 @@
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
 #[path = "data_plane/mod.rs"]
-mod stage;
+mod fixture;
 
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Bytes that are held now.
-fn held() -> f64 {
+/// Returns the currently allocated bytes.
+fn allocated_bytes() -> f64 {
     let stats = HEAP.stats();
-    // What is reallocated counts in both already.
+    // Reallocations are already included in both numbers.
     stats.bytes_allocated as f64 - stats.bytes_deallocated as f64
 }
 
@@ -47,17 +47,18 @@
     }
 }
 
-/// As at the size ahead, scaled down: 33,000 tenants of 680 services with some 17 servers each, and of 5,300 sets of classes.
-fn of_the_target(n: usize, of: usize) -> Tenant {
-    of_parts(
+/// Creates a tenant as at the target size, scaled down: 33,000 tenants of 680 services with 17 servers each,
+/// and 5,300 sets of classes.
+fn target_tenant(n: usize, total: usize) -> Tenant {
+    tenant_of(
         n,
-        (680 * of).div_ceil(33_000),
-        (5_300 * of).div_ceil(33_000),
+        (680 * total).div_ceil(33_000),
+        (5_300 * total).div_ceil(33_000),
     )
 }
 
-/// One of so many services and sets of classes.
-fn of_parts(n: usize, services: usize, sets: usize) -> Tenant {
+/// Creates a tenant of one of `services` services and `sets` sets of classes.
+fn tenant_of(n: usize, services: usize, sets: usize) -> Tenant {
     let (service, set) = (n % services, n % sets);
     let servers = (0..17).map(|i| {
         server(
@@ -78,18 +79,18 @@
     }
 }
 
-/// One of so many sets of classes, of a hundred services.
-fn of_routes(n: usize, sets: usize) -> Tenant {
-    of_parts(n, 100, sets)
+/// Creates a tenant of one of `sets` sets of classes and 100 services.
+fn route_tenant(n: usize, sets: usize) -> Tenant {
+    tenant_of(n, 100, sets)
 }
 
-/// One of so many services, of a hundred sets of classes.
-fn of_services(n: usize, services: usize) -> Tenant {
-    of_parts(n, services, 100)
+/// Creates a tenant of one of `services` services and 100 sets of classes.
+fn service_tenant(n: usize, services: usize) -> Tenant {
+    tenant_of(n, services, 100)
 }
 
-/// As the lab makes them: two classes, and four servers of their own each.
-fn of_the_lab(n: usize, _: usize) -> Tenant {
+/// Creates a tenant as in the testbed: two classes, and four servers that no other tenant uses.
+fn lab_tenant(n: usize, _: usize) -> Tenant {
     let address = |i| {
         format!(
             "10.{}.{}.{}:8080",
@@ -114,23 +115,23 @@
     }
 }
 
-/// What a plane with so many tenants at rest holds beyond one with none.
-fn at_rest(count: usize, make: impl Fn(usize, usize) -> Tenant) -> f64 {
+/// Returns the bytes allocated by a data plane with `count` inactive tenants, beyond one without tenants.
+fn inactive_bytes(count: usize, make_tenant: impl Fn(usize, usize) -> Tenant) -> f64 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let service = Service::default();
-        let plane = DataPlane::new(&service.process, stage::follow());
-        let empty = held();
+        let plane = DataPlane::new(&service.process, fixture::no_discovery());
+        let baseline = allocated_bytes();
         {
-            // As the store hands them over: one by one.
+            // The store also provides the tenants one by one.
             let (mut parts, mut catalog) = (PartInterner::default(), Catalog::new(&service));
             for n in 0..count {
-                catalog.insert(&mut parts, &make(n, count), 1);
+                catalog.insert(&mut parts, &make_tenant(n, count), 1);
             }
-            plane.apply_catalog(catalog).expect("it can be carried out");
+            plane.apply_catalog(catalog).expect("applied");
         }
         tokio::task::yield_now().await;
         assert_eq!(
@@ -140,96 +141,108 @@
             ),
             (count, 0)
         );
-        held() - empty
+        allocated_bytes() - baseline
     })
 }
 
-/// The least-squares line through points: slope and base.
-fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// Fits a line to points by least squares and returns its slope and intercept.
+fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (x, y) = points
         .iter()
         .fold((0.0, 0.0), |(a, b), (x, y)| (a + x / n, b + y / n));
-    let over: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    let slope = over / points.iter().map(|p| (p.0 - x).powi(2)).sum::<f64>();
+    let covariance: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
+    let slope = covariance / points.iter().map(|p| (p.0 - x).powi(2)).sum::<f64>();
     (slope, y - slope * x)
 }
 
-/// One test, as what others hold meanwhile would count. Each bound is a fifth over what was measured: `docs/design/residency.md`.
+/// Guards against growing memory per tenant. This is a single test, as allocations of tests that run at the
+/// same time would be counted. Each bound is 20 % above the measured value in `docs/design/residency.md`.
 #[test]
-fn tenants_cost_what_the_page_says() {
-    for (shape, make, most) in [
-        ("target", of_the_target as fn(usize, usize) -> Tenant, 537.0),
-        ("lab", of_the_lab, 695.0),
+fn memory_per_tenant_stays_within_bounds() {
+    for (shape, make_tenant, max_bytes) in [
+        ("target", target_tenant as fn(usize, usize) -> Tenant, 537.0),
+        ("lab", lab_tenant, 695.0),
     ] {
         let sizes = [1_000, 2_000, 4_000, 8_000];
-        let points: Vec<(f64, f64)> = sizes.map(|n| (n as f64, at_rest(n, make))).to_vec();
-        let (slope, base) = line(&points);
+        let points: Vec<(f64, f64)> = sizes
+            .map(|n| (n as f64, inactive_bytes(n, make_tenant)))
+            .to_vec();
+        let (slope, base) = fit_line(&points);
         let residual = points
             .iter()
             .map(|(x, y)| (y - slope * x - base).abs() / y)
             .fold(0.0, f64::max);
         println!(
-            "{shape}: {slope:.1} bytes a tenant at rest, base {base:.0}, residual at most {:.2} % of {points:?}",
+            "{shape}: {slope:.1} bytes per inactive tenant, base {base:.0}, residual at most {:.2} % of {points:?}",
             100.0 * residual
         );
-        assert!(slope < most, "{shape}: {slope} bytes a tenant");
+        assert!(slope < max_bytes, "{shape}: {slope} bytes per tenant");
     }
-    // Routes and services apart, each with as many tenants: one more of either is a list of its own, whoever has it.
+    // Cost of routes and of services for a constant number of tenants: each additional one is another stored
+    // list.
     const TENANTS: usize = 5_300;
-    for (what, sizes, make, most) in [
+    for (what, sizes, make_tenant, max_bytes) in [
         (
             "route",
             [700, 1_400, 2_800, 5_300],
-            of_routes as fn(usize, usize) -> Tenant,
+            route_tenant as fn(usize, usize) -> Tenant,
             403.2,
         ),
-        ("service", [85, 170, 340, 680], of_services, 1_447.7),
+        ("service", [85, 170, 340, 680], service_tenant, 1_447.7),
     ] {
         let points: Vec<(f64, f64)> = sizes
-            .map(|count| (count as f64, at_rest(TENANTS, |n, _| make(n, count))))
+            .map(|count| {
+                (
+                    count as f64,
+                    inactive_bytes(TENANTS, |n, _| make_tenant(n, count)),
+                )
+            })
             .to_vec();
-        let (slope, base) = line(&points);
+        let (slope, base) = fit_line(&points);
         println!(
-            "{what}: {slope:.1} bytes each beside {TENANTS} tenants, base {base:.0}, of {points:?}"
+            "{what}: {slope:.1} bytes each with {TENANTS} tenants, base {base:.0}, of {points:?}"
         );
-        assert!(slope > 0.0 && slope < most, "{slope} bytes a {what}");
+        assert!(slope > 0.0 && slope < max_bytes, "{slope} bytes per {what}");
     }
-    let whole = at_rest(33_000, of_the_target);
+    let total = inactive_bytes(33_000, target_tenant);
     println!(
-        "target: {:.1} MiB for 33000 tenants at rest",
-        whole / 1_048_576.0
+        "target: {:.1} MiB for 33000 inactive tenants",
+        total / 1_048_576.0
     );
-    assert!(whole < 24.0 * 1_048_576.0, "{whole} bytes");
-    for (shape, make, most, most_left) in [
+    assert!(total < 24.0 * 1_048_576.0, "{total} bytes");
+    for (shape, make_tenant, max_bytes, max_remaining) in [
         (
             "target",
-            of_the_target as fn(usize, usize) -> Tenant,
+            target_tenant as fn(usize, usize) -> Tenant,
             45_470.0,
             80.0,
         ),
-        ("lab", of_the_lab, 23_400.0, 80.0),
+        ("lab", lab_tenant, 23_400.0, 80.0),
     ] {
-        let (each, left, mut woken) = resident(make);
-        woken.sort_by(f64::total_cmp);
+        let (bytes_each, remaining, mut latencies) = measure_active(make_tenant);
+        latencies.sort_by(f64::total_cmp);
         let (mean, p99) = (
-            woken.iter().sum::<f64>() / woken.len() as f64,
-            woken[woken.len() * 99 / 100],
+            latencies.iter().sum::<f64>() / latencies.len() as f64,
+            latencies[latencies.len() * 99 / 100],
         );
         println!(
-            "{shape}: {each:.0} bytes a resident, {left:.1} once it rests again; woken in {mean:.0} us, 99 % within {p99:.0} us"
+            "{shape}: {bytes_each:.0} bytes per active tenant, {remaining:.1} after its deactivation; activated in {mean:.0} us, 99 % within {p99:.0} us"
+        );
+        assert!(
+            bytes_each < max_bytes,
+            "{shape}: {bytes_each} bytes per active tenant"
         );
-        assert!(each < most, "{shape}: {each} bytes a resident");
         assert!(
-            left < most_left,
-            "{shape}: {left} bytes that are left of a resident"
+            remaining < max_remaining,
+            "{shape}: {remaining} bytes remain of a deactivated tenant"
         );
     }
 }
 
-/// What each of a thousand residents holds and what of that is left when it rests again, in bytes; and how long it took from asking to
-/// where its module has its list, in us.
-fn resident(make: fn(usize, usize) -> Tenant) -> (f64, f64, Vec<f64>) {
+/// Activates and deactivates tenants in batches of 1000. Returns the bytes per active tenant, the bytes that
+/// remain per tenant after the deactivation, and the times in us from the request until the pool has its list.
+fn measure_active(make_tenant: fn(usize, usize) -> Tenant) -> (f64, f64, Vec<f64>) {
     use proxy_core::service::Router;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -248,39 +261,39 @@
                 tenant_by: multi_tenant::document::TenantBy::Header,
                 tenant: None,
             }],
-            tenants: (0..2_000).map(|n| make(n, 2_000)).collect(),
+            tenants: (0..2_000).map(|n| make_tenant(n, 2_000)).collect(),
             ..Service::default()
         };
-        let plane = DataPlane::new(&service.process, stage::follow());
-        plane.apply(&service).expect("it can be carried out");
-        let (way, uri) = (plane.router("all"), "/lookup".parse().expect("a target"));
-        let (mut woken, mut each, mut left) = (Vec::new(), 0.0, 0.0);
-        // The second thousand come into places of the first: what is left of them is their own.
-        for wave in service.tenants.chunks(1_000) {
-            woken.reserve_exact(1_000);
-            let before = held();
-            for tenant in wave {
+        let plane = DataPlane::new(&service.process, fixture::no_discovery());
+        plane.apply(&service).expect("applied");
+        let (router, uri) = (plane.router("all"), "/lookup".parse().expect("a target"));
+        let (mut latencies, mut bytes_each, mut remaining) = (Vec::new(), 0.0, 0.0);
+        // The second batch reuses allocations of the first, so that only its own remaining bytes are measured.
+        for batch in service.tenants.chunks(1_000) {
+            latencies.reserve_exact(1_000);
+            let baseline = allocated_bytes();
+            for tenant in batch {
                 let mut headers = hyper::header::HeaderMap::new();
                 headers.insert("x-tenant-id", tenant.name.parse().expect("a name"));
-                let began = std::time::Instant::now();
-                way.pool(&uri, &headers, true).expect("there is a place");
-                // Its module takes its list before the request that woke it.
-                while !plane.status_of(&tenant.name).expect("it is there").ready {
+                let started = std::time::Instant::now();
+                router.pool(&uri, &headers, true).expect("activated");
+                // The pool processes its list before the request that activated the tenant.
+                while !plane.status_of(&tenant.name).expect("it exists").ready {
                     tokio::task::yield_now().await;
                 }
-                woken.push(began.elapsed().as_secs_f64() * 1e6);
+                latencies.push(started.elapsed().as_secs_f64() * 1e6);
             }
             assert_eq!(plane.activation_status().active, 1_000);
-            each = f64::max(each, (held() - before) / 1_000.0);
+            bytes_each = f64::max(bytes_each, (allocated_bytes() - baseline) / 1_000.0);
             while plane.activation_status().active > 0 {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             }
-            // Their drivers end with their next turns.
+            // The drivers of the pools end when they are next polled.
             for _ in 0..10 {
                 tokio::task::yield_now().await;
             }
-            left = (held() - before) / 1_000.0;
+            remaining = (allocated_bytes() - baseline) / 1_000.0;
         }
-        (each, left, woken)
+        (bytes_each, remaining, latencies)
     })
 }
--- a/crates/multi-tenant/tests/routes.rs
+++ b/crates/multi-tenant/tests/routes.rs
@@ -1,9 +1,9 @@
-//! How hosts are compared.
+//! Normalization of hosts.
 
 use multi_tenant::routes::normalize_host;
 
 #[test]
-fn hosts_are_compared_without_port_case_and_last_dot() {
+fn hosts_are_normalized_without_port_case_and_trailing_dot() {
     for (host, same) in [
         ("North.Example:8080", "north.example"),
         ("north.example.", "north.example"),
