--- a/crates/lab/src/faulty_proxy.rs
+++ b/crates/lab/src/faulty_proxy.rs
@@ -1,8 +1,8 @@
-//! Proxies built to break a rule, so that the oracle can be seen to notice on real sockets too.
+//! Proxies with an intentional defect, which test the oracle on real sockets.
 //!
-//! A rogue reads the same configuration as the proxy and follows the same list, and it decides nothing: it picks a
-//! listed server at random. The one that is [`ProxyDefect::None`] breaks no rule in a calm scenario, which shows that what
-//! the others are blamed for is their own doing.
+//! A faulty proxy reads the same configuration as the proxy and follows the same server list, but makes no decisions:
+//! it picks a listed server at random. With [`ProxyDefect::None`] it violates no rule in a scenario without faults,
+//! which shows that the violations of the others result from their defects.
 
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -21,37 +21,37 @@
 
 use crate::real::http::{Connection, Message, StartLine};
 
-/// What a rogue does wrong.
+/// Intentional defect of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyDefect {
-    /// Nothing.
+    /// No defect.
     None,
-    /// It never answers some requests, and holds their connections open.
+    /// Never responds to some requests and keeps their connections open.
     LosesRequests,
-    /// It writes some answers twice.
+    /// Sends some responses twice.
     AnswersTwice,
-    /// It makes some answers up.
+    /// Invents the content of some responses.
     InventsAnswers,
-    /// It sends everything to two servers, one after the other.
+    /// Sends every request to two servers, one after the other.
     Repeats,
-    /// It refuses some of what a server has answered.
+    /// Rejects some requests although a server responded.
     RefusesAll,
-    /// It goes on sending to servers of which it was told that they drain or are gone.
+    /// Keeps sending to servers after notification that they drain or are removed.
     IgnoresDrains,
-    /// It sends all to the newest server.
+    /// Sends all requests to the server that started last.
     FloodsNewest,
-    /// It takes more memory than it may.
+    /// Uses more memory than the limit.
     HoardsMemory,
-    /// It holds more descriptors than it may.
+    /// Keeps more file descriptors open than the limit.
     HoardsDescriptors,
-    /// It ends by itself.
+    /// Exits without being told to.
     Crashes,
-    /// It sends some requests under ids of its own.
+    /// Replaces the ids of some requests with its own.
     ChangesIds,
 }
 
 impl ProxyDefect {
-    /// All of them, with the names that the command line has for them.
+    /// All defects with their command line names.
     pub const ALL: [(&str, ProxyDefect); 12] = [
         ("nothing", ProxyDefect::None),
         ("loses-requests", ProxyDefect::LosesRequests),
@@ -68,17 +68,17 @@
     ];
 }
 
-/// How often it asks for the list.
+/// Interval between requests for the server list.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Of so many requests it spoils one.
+/// Defects that concern some requests affect one request in this many.
 const AFFECTED_EVERY: u64 = 10;
-/// It answers this long before a client gives up.
+/// Responses are sent this long before the client's timeout.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 const FAILED: &str = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n";
-/// Requests after which one that crashes does so.
+/// Number of requests after which [`ProxyDefect::Crashes`] exits.
 const REQUESTS_BEFORE_CRASH: u64 = 20;
 
-/// Of its configuration, what it needs.
+/// Fields of the proxy configuration that are used here.
 #[derive(Deserialize)]
 struct Config {
     listen: SocketAddr,
@@ -98,7 +98,7 @@
     hosts: Vec<Host>,
 }
 
-/// A server, as the list names it.
+/// Entry of the server list.
 #[derive(Clone, Deserialize)]
 struct Host {
     host: String,
@@ -114,14 +114,14 @@
     requests: Cell<u64>,
     memory: RefCell<Vec<u8>>,
     files: RefCell<Vec<File>>,
-    /// Connections whose clients are left waiting.
+    /// Client connections that are kept open without a response.
     abandoned: RefCell<Vec<Connection>>,
 }
 
-/// Runs a rogue until it is killed; `config` is the file that `NODE_CONFIG` names.
+/// Runs a faulty proxy until it is killed; `config` is the path that `NODE_CONFIG` names.
 ///
 /// # Errors
-/// The configuration can't be read, or its address can't be had.
+/// Fails if the configuration can't be read or its address is not available.
 pub fn run(defect: ProxyDefect, config: &Path) -> io::Result<()> {
     let config: Config = serde_json::from_str(&std::fs::read_to_string(config)?)?;
     let proxy = Rc::new(FaultyProxy {
@@ -134,7 +134,7 @@
         abandoned: RefCell::default(),
     });
     match defect {
-        // Written to, so that it is resident.
+        // Written to, so that the memory is resident.
         ProxyDefect::HoardsMemory => {
             *proxy.memory.borrow_mut() = vec![1; (config.limits.memory_mb + 16) << 20]
         }
@@ -157,7 +157,7 @@
     })
 }
 
-/// A request to a list or a server on a connection of its own, and its answer.
+/// Sends a request to the list or a server on a new connection and returns the response.
 async fn send_request(address: SocketAddr, request: &str) -> Option<Message> {
     let mut connection = Connection::new(TcpStream::connect(address).await.ok()?);
     connection.write(request.as_bytes()).await.ok()?;
@@ -165,7 +165,7 @@
 }
 
 impl FaultyProxy {
-    /// Asks for the list again and again. A server that is not named any more is gone.
+    /// Polls the server list. A server that is no longer listed is removed.
     async fn follow_list(self: Rc<Self>, discovery: SocketAddr) {
         loop {
             sleep(POLL_INTERVAL).await;
@@ -208,7 +208,7 @@
             };
             if target == "/up" {
                 let up = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-                let _ = connection.write(up).await; // it will ask again
+                let _ = connection.write(up).await; // the caller polls again
                 return;
             }
             let number = self.requests.replace(self.requests.get() + 1);
@@ -245,7 +245,7 @@
         }
     }
 
-    /// The answer to a request, head and body.
+    /// Returns the complete response to a request.
     async fn serve(&self, method: &str, target: &str, id: &str, affected: bool) -> String {
         const REJECTED: &str =
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
@@ -282,7 +282,7 @@
                     body.len()
                 )
             }
-            Some(a) if a.start == StartLine::Response(503) => REJECTED.into(), // turned away unseen
+            Some(a) if a.start == StartLine::Response(503) => REJECTED.into(), // rejected before processing
             _ => FAILED.into(),
         }
     }
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -1,161 +1,161 @@
-//! What happened, noted at both ends: clients note tries and answers, servers note attempts and effects, the list
-//! notes what each proxy was told. The oracle judges by these notes alone.
+//! Record of a run, taken at both ends: clients record attempts and responses, servers record the proxies' attempts and
+//! their execution, the server list records what each proxy was notified of. The oracle uses only this record.
 //!
-//! All times are on one clock that never runs backwards. A try is one request of a client: a client's further try is
-//! a request of its own, with an id of its own.
+//! All times are on one monotonic clock. A client attempt is one request on the wire: a client's retry is a request of
+//! its own, with its own id.
 
 use balancer::Millis;
 
-/// A try, as numbered by the driver.
+/// Index of a client attempt in the ledger.
 pub type ClientAttemptId = usize;
-/// A server, as numbered by the world.
+/// Index of a server in the world.
 pub type ServerId = usize;
-/// A proxy's number.
+/// Index of a proxy.
 pub type ProxyId = usize;
 
-/// An answer as its client sees it.
+/// Response as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseKind {
-    /// A server's answer, whole; `genuine` if it is one that a server made for this very try.
+    /// Complete response of a server; `genuine` if a server produced it for this client attempt.
     Served {
-        /// Whether a server made it for this very try.
+        /// Whether a server produced it for this client attempt.
         genuine: bool,
     },
-    /// Refused: trying again is harmless.
+    /// Rejected; a retry is safe.
     Refused {
-        /// How long the client is asked to wait.
+        /// Delay before a retry that the response asks for.
         retry_after: Option<Millis>,
     },
-    /// Any other answer.
+    /// Any other response.
     Failed,
-    /// An answer that the client can tell is not whole.
+    /// Response that the client can tell is incomplete.
     Broken,
 }
 
-/// How an attempt ended, as its server knows it.
+/// Outcome of a proxy's attempt, as its server knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It was answered.
+    /// The server responded.
     Answered,
-    /// It surely never ran: turned away, or never written whole.
+    /// It certainly did not run: rejected by the server, or not sent completely.
     NeverRan,
-    /// It may have run: an error, a broken connection, silence, given up.
+    /// It may have run: an error, a broken connection, no response, or cancelled.
     MayHaveRun,
 }
 
-/// One attempt at a server.
+/// One attempt of a proxy at a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where.
+    /// Target server.
     pub server: ServerId,
-    /// When its proxy sent it.
+    /// Time at which the proxy sent it.
     pub sent: Millis,
-    /// When its proxy knew how it ended, and how; `None` while it is out.
+    /// Time at which the proxy knew the outcome, and the outcome; `None` while the attempt is in flight.
     pub ended: Option<(Millis, AttemptEnd)>,
-    /// When the server had done it.
+    /// Time at which the server completed it.
     pub ran: Option<Millis>,
 }
 
-/// One try of a client.
+/// One attempt of a client, sent to one proxy.
 #[derive(Clone, Debug)]
 pub struct ClientAttempt {
-    /// The client's ask that it belongs to.
+    /// Index of the client request.
     pub request: usize,
-    /// Which try of that ask, from 1.
+    /// Number of the attempt within the client request, from 1.
     pub number: u32,
-    /// Its class, a place in the scenario's.
+    /// Index of the class in the scenario.
     pub class: usize,
-    /// Whether it must never run twice.
+    /// Whether the request must not run twice.
     pub once: bool,
-    /// The proxy that it was sent to.
+    /// Proxy to which it was sent.
     pub proxy: ProxyId,
-    /// When it should have been sent, and when it was.
+    /// Intended send time.
     pub intended: Millis,
-    /// When it was sent.
+    /// Actual send time.
     pub sent: Millis,
-    /// When its client gives up.
+    /// Time at which the client gives up.
     pub due: Millis,
-    /// When a proxy had taken it.
+    /// Time at which a proxy accepted it.
     pub taken: Option<Millis>,
-    /// Each answer, and when its last byte left the proxy.
+    /// Responses, each with the time at which its last byte left the proxy.
     pub answers: Vec<(Millis, ResponseKind)>,
-    /// When the client went away.
+    /// Time at which the client disconnected.
     pub left: Option<Millis>,
-    /// Its attempts, in the order of sends.
+    /// The proxy's attempts, in send order.
     pub attempts: Vec<Attempt>,
 }
 
-/// A proxy was told of a server.
+/// A proxy was notified of the state of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerNotification {
-    /// Who.
+    /// Notified proxy.
     pub proxy: ProxyId,
-    /// Of which server.
+    /// Server.
     pub server: ServerId,
-    /// When.
+    /// Time of the notification.
     pub at: Millis,
-    /// Whether the server takes new work.
+    /// Whether the server accepts new requests.
     pub up: bool,
-    /// When its process started, if it is a fresh one.
-    pub born: Option<Millis>,
+    /// Start time of the server's process; `None` if it was running before the run.
+    pub started_at: Option<Millis>,
 }
 
-/// A cold server was pushed over.
+/// A cold server was overloaded and crashed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdOverload {
-    /// Which.
+    /// Server.
     pub server: ServerId,
-    /// When.
+    /// Time of the crash.
     pub at: Millis,
-    /// The part of its capacity that it had.
+    /// Fraction of its full capacity that the server had.
     pub warmth: f64,
 }
 
-/// A proxy's process ended.
+/// A proxy process exited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessExit {
-    /// Which.
+    /// Proxy.
     pub proxy: ProxyId,
-    /// When.
+    /// Time of the exit.
     pub at: Millis,
-    /// Whether it was killed or told to end; else it crashed.
+    /// Whether the process was killed or asked to exit; otherwise it crashed.
     pub expected: bool,
 }
 
-/// What a process took at most; real processes only.
+/// Peak resource usage of a process; recorded for real processes only.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// Which proxy.
+    /// Proxy.
     pub proxy: ProxyId,
-    /// When it was highest.
+    /// Time of the last measurement.
     pub at: Millis,
-    /// Resident memory in MiB.
+    /// Peak resident memory in MiB.
     pub memory_mb: f64,
-    /// Open descriptors.
+    /// Peak number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// Everything noted in a run.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// All tries, in the order of their sends.
+    /// Client attempts, in send order.
     pub client_attempts: Vec<ClientAttempt>,
-    /// What proxies were told.
+    /// Notifications of server states to proxies.
     pub notifications: Vec<ServerNotification>,
-    /// Cold servers that fell over.
+    /// Crashes of overloaded cold servers.
     pub cold_overloads: Vec<ColdOverload>,
-    /// Proxies that ended.
+    /// Exits of proxy processes.
     pub process_exits: Vec<ProcessExit>,
-    /// What processes took.
+    /// Peak resource usage by proxy.
     pub usage: Vec<Usage>,
-    /// Attempts with an id that no client sent.
+    /// Requests that reached a server but match no client attempt: server, time and description.
     pub unknown_requests: Vec<(ServerId, Millis, String)>,
-    /// When the last note was made.
+    /// Time at which recording stopped.
     pub ended_at: Millis,
 }
 
 impl Ledger {
-    /// Notes a send; returns the attempt's number in its try.
+    /// Records a sent attempt; returns its index within the client attempt.
     pub fn send(&mut self, id: ClientAttemptId, server: ServerId, at: Millis) -> usize {
         let attempts = &mut self.client_attempts[id].attempts;
         attempts.push(Attempt {
@@ -167,20 +167,20 @@
         attempts.len() - 1
     }
 
-    /// Notes how an attempt ended, once.
+    /// Records the outcome of an attempt; only the first outcome counts.
     pub fn end(&mut self, id: ClientAttemptId, attempt: usize, at: Millis, end: AttemptEnd) {
         let a = &mut self.client_attempts[id].attempts[attempt];
         a.ended = a.ended.or(Some((at, end)));
     }
 
-    /// Notes that a server has done an attempt.
+    /// Records that a server completed an attempt.
     pub fn ran(&mut self, id: ClientAttemptId, attempt: usize, at: Millis) {
         self.client_attempts[id].attempts[attempt]
             .ran
             .get_or_insert(at);
     }
 
-    /// When a proxy was alive no longer, after this time.
+    /// Returns the first exit of a proxy at or after a time.
     pub fn end_of(&self, proxy: ProxyId, after: Millis) -> Option<Millis> {
         self.process_exits
             .iter()
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,11 +1,11 @@
-//! An emulated fleet, load, faults and experiments for the proxy and its decision module.
+//! Emulated server fleet, load, faults and experiments for the proxy and its decision module.
 //!
-//! A [`scenario::Scenario`] says what is played. A [`world::World`] is the fleet, its list and what goes wrong, with
-//! time and seed passed in. [`sim::Sim`] drives it in virtual time and calls the decision module directly; what
-//! happened stands in a [`ledger::Ledger`], by which the oracle ([`oracle::judge`]) judges the rules and [`score`]
-//! counts the service.
+//! A [`scenario::Scenario`] describes the load, the fleet and the faults of a run. A [`world::World`] models the fleet,
+//! its server list and the faults; time and seed are passed in. [`sim::Sim`] drives it in virtual time and calls the
+//! decision module directly. The run is recorded in a [`ledger::Ledger`], from which the oracle
+//! ([`oracle::check_rules`]) reports rule violations and [`score`] computes the quality of service.
 //!
-//! It decides nothing about requests and knows nothing of the platform's bench: no figure here is fitted to a
+//! This crate makes no routing decisions and does not know the platform's benchmark: no value here is fitted to a
 //! recorded day.
 
 pub mod capacity;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! The load: all first tries of a run, drawn ahead, so that a stalled proxy delays no arrival; and what a client does
-//! after a try.
+//! Generates the load: the first attempts of all client requests are drawn before the run, so a stalled proxy delays no
+//! arrival. Also decides when a client retries.
 
 use balancer::Millis;
 use rand::Rng;
@@ -8,27 +8,27 @@
 use crate::random::{Purpose, stream};
 use crate::scenario::{Effect, FaultKind, Scenario};
 
-/// A request as a client wants it, whatever tries it takes.
+/// A logical client request, which may take several client attempts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// When the first try is sent.
+    /// Time of the first client attempt.
     pub at: Millis,
-    /// Its class, a place in the scenario's.
+    /// Index of the class in the scenario.
     pub class: usize,
-    /// Its tenant, if there are any.
+    /// Index of the tenant in the scenario, if it has tenants.
     pub tenant: Option<usize>,
-    /// The client's zone.
+    /// Index of the client's zone.
     pub zone: usize,
-    /// What it is about.
+    /// Request key.
     pub key: u64,
-    /// Its work on a standard core.
+    /// Work in ms on a standard core.
     pub work: Millis,
-    /// Whether its client waits as long as a refusal says.
-    pub honours: bool,
+    /// Whether the client honours_retry_after `Retry-After`.
+    pub honours_retry_after: bool,
 }
 
-/// How much of the plain rate is asked for at a time, by waves, steps and launches.
-fn factor(s: &Scenario, at: Millis) -> f64 {
+/// Returns the load at a time relative to the base rate, from the periodic swing and the load steps.
+fn load_factor(s: &Scenario, at: Millis) -> f64 {
     let wave = 1.0 + s.load.swing.0 * (std::f64::consts::TAU * at / s.load.period.0).sin();
     let steps = s
         .faults
@@ -37,8 +37,8 @@
     wave * steps.filter_map(|f| f.factor).product::<f64>()
 }
 
-/// A place in a list of weights.
-fn weighted(rng: &mut impl Rng, weights: &[f64]) -> usize {
+/// Draws an index with probability proportional to its weight.
+fn weighted_index(rng: &mut impl Rng, weights: &[f64]) -> usize {
     let mut left = rng.random::<f64>() * weights.iter().sum::<f64>();
     for (i, w) in weights.iter().enumerate() {
         left -= w;
@@ -49,7 +49,7 @@
     weights.len().saturating_sub(1)
 }
 
-/// Draws all first tries of a run, in the order of their times.
+/// Draws the first attempts of all client requests of a run, ordered by time.
 pub fn draw_requests(s: &Scenario, seed: u64) -> Vec<ClientRequest> {
     let mut rng = stream(seed, Purpose::Load);
     let zipf = Zipf::new(s.load.keys as f64, s.load.zipf).expect("the range has been checked");
@@ -65,14 +65,15 @@
         .iter()
         .filter(|f| f.kind == FaultKind::Launch)
         .collect();
-    // Arrivals at the highest rate, each kept with the chance that the rate of its moment has.
+    // Thinning: arrivals are drawn at the maximum rate, and each is kept with the ratio of the current to the maximum
+    // rate.
     let steps = s
         .faults
         .iter()
         .filter(|f| f.kind == FaultKind::LoadStep)
         .filter_map(|f| f.factor);
-    let most = (1.0 + s.load.swing.0) * steps.map(|f| f.max(1.0)).product::<f64>();
-    let rate = s.rate() * most;
+    let max_factor = (1.0 + s.load.swing.0) * steps.map(|f| f.max(1.0)).product::<f64>();
+    let rate = s.rate() * max_factor;
     let (mut requests, mut at) = (Vec::new(), 0.0);
     loop {
         let gap: f64 = rng.sample(Exp1);
@@ -80,58 +81,58 @@
         if at >= s.length.0 {
             return requests;
         }
-        if rng.random::<f64>() * most >= factor(s, at) {
+        if rng.random::<f64>() * max_factor >= load_factor(s, at) {
             continue;
         }
         let mut key = zipf.sample(&mut rng) as u64;
-        // The new title is a key that nobody asked for before.
+        // During a launch, part of the requests are for a key that has not been requested before.
         for (n, launch) in launches.iter().enumerate().filter(|(_, l)| l.holds(at)) {
             if rng.random::<f64>() < launch.share.map_or(0.0, |s| s.0) {
                 key = s.load.keys + 1 + n as u64;
             }
         }
-        let class = weighted(&mut rng, &classes);
+        let class = weighted_index(&mut rng, &classes);
         requests.push(ClientRequest {
             at,
             class,
-            tenant: (!tenants.is_empty()).then(|| weighted(&mut rng, &tenants)),
+            tenant: (!tenants.is_empty()).then(|| weighted_index(&mut rng, &tenants)),
             zone: rng.random_range(0..s.fleet.zones.len()),
             key,
             work: works[class].sample(&mut rng),
-            honours: rng.random::<f64>() < s.clients.honour.0,
+            honours_retry_after: rng.random::<f64>() < s.clients.honour.0,
         });
     }
 }
 
-/// How a try ended for its client.
+/// Outcome of an attempt for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientAttemptOutcome {
-    /// Served whole.
+    /// Complete successful response.
     Served,
-    /// Refused: trying again is harmless, after this span if one is named.
-    Refused(Option<Millis>),
-    /// Failed, or an answer that broke: it may have run.
+    /// Rejected, with the `Retry-After` span if there is one. A retry is safe.
+    Rejected(Option<Millis>),
+    /// Failed or incomplete response; the request may have run.
     Failed,
-    /// No answer within the client's patience.
+    /// No response within the client's timeout.
     GaveUp,
-    /// No proxy took it.
+    /// No proxy accepted the request.
     Unreachable,
 }
 
-/// What a client does after a try: the span after which it tries again, or `None` when it is done.
+/// Returns the delay after which the client retries, or `None` if it does not retry.
 ///
-/// A request that must not run twice goes again only after a refusal, or where no proxy took it.
+/// A request that must not run twice is retried only after a rejection or if no proxy accepted it.
 pub fn retry_delay(
     s: &Scenario,
-    ask: &ClientRequest,
-    tries: u32,
+    request: &ClientRequest,
+    attempts: u32,
     now: Millis,
     end: ClientAttemptOutcome,
 ) -> Option<Millis> {
-    let class = &s.classes[ask.class];
-    let harmless = match end {
+    let class = &s.classes[request.class];
+    let safe_to_retry = match end {
         ClientAttemptOutcome::Served => return None,
-        ClientAttemptOutcome::Refused(_) | ClientAttemptOutcome::Unreachable => true,
+        ClientAttemptOutcome::Rejected(_) | ClientAttemptOutcome::Unreachable => true,
         ClientAttemptOutcome::Failed | ClientAttemptOutcome::GaveUp => class.effect == Effect::Safe,
     };
     let impatient = s
@@ -140,21 +141,23 @@
         .any(|f| f.kind == FaultKind::Impatient && f.holds(now));
     let wait = match end {
         _ if impatient => 0.0,
-        ClientAttemptOutcome::Refused(Some(after)) if ask.honours => after.max(s.clients.backoff.0),
+        ClientAttemptOutcome::Rejected(Some(after)) if request.honours_retry_after => {
+            after.max(s.clients.backoff.0)
+        }
         _ => s.clients.backoff.0,
     };
-    let in_time = now + wait < ask.at + class.deadline.0;
-    (harmless && in_time && tries <= s.clients.retries).then_some(wait)
+    let in_time = now + wait < request.at + class.deadline.0;
+    (safe_to_retry && in_time && attempts <= s.clients.retries).then_some(wait)
 }
 
-/// How long a try waits for its answer: the client's patience, within what is left of the deadline.
-pub fn patience(s: &Scenario, ask: &ClientRequest, now: Millis) -> Millis {
-    let class = &s.classes[ask.class];
-    (s.clients.patience.0 * class.deadline.0).min(ask.at + class.deadline.0 - now)
+/// Returns the client's timeout for an attempt, limited to the remaining deadline.
+pub fn patience(s: &Scenario, request: &ClientRequest, now: Millis) -> Millis {
+    let class = &s.classes[request.class];
+    (s.clients.patience.0 * class.deadline.0).min(request.at + class.deadline.0 - now)
 }
 
-/// The proxy that the front before them picks: one of the client's zone that it holds for alive, else any such one,
-/// else any at all.
+/// Selects a proxy as the load balancer in front of the proxies does: an available one in the client's zone, else any
+/// available one, else any.
 pub fn pick_proxy(
     rng: &mut impl Rng,
     proxies: usize,
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -1,4 +1,4 @@
-//! Links between processes that can be cut, slowed, stalled and buffered back, one direction apart from the other.
+//! TCP links between processes that can be cut, delayed or stalled, each direction independently.
 
 use std::collections::VecDeque;
 use std::io::{self, Read as _, Write as _};
@@ -8,19 +8,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From one look at what a link does to the next.
+/// Poll interval for the state of a link.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// Bytes that are buffered back at most, before nothing more is read.
+/// Maximum number of bytes buffered in one direction; above it, reading stops.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
-/// What a link does with what comes.
+/// How a link treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It passes, after the link's delay.
+    /// Data is forwarded after the link's delay.
     Pass,
-    /// Connections are ended, and no new one comes about.
+    /// Open connections are closed and new ones are closed at once.
     Cut,
-    /// Nothing passes and nothing ends; what came meanwhile is delivered afterwards.
+    /// Data is buffered and connections stay open; buffered data is delivered once the mode is `Pass` again.
     Hold,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// A link: an address that stands for another.
+/// A forwarding address for a target.
 #[derive(Debug)]
 pub struct Link {
-    /// Where it is dialled.
+    /// Address to connect to.
     pub address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
     state: Arc<LinkState>,
@@ -53,15 +53,15 @@
 impl Drop for Link {
     fn drop(&mut self) {
         self.state.ended.store(true, Ordering::Relaxed);
-        let _ = TcpStream::connect(self.address); // wakes the one that accepts
+        let _ = TcpStream::connect(self.address); // unblocks the accept loop
     }
 }
 
 impl Link {
-    /// A link that leads nowhere yet.
+    /// Creates a link without a target.
     ///
     /// # Errors
-    /// A port can't be had.
+    /// Fails if no port is available.
     pub fn new() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let link = Link {
@@ -80,23 +80,23 @@
                     continue;
                 };
                 let state = state.clone();
-                thread::spawn(move || _ = forward_connection(&stream, to, &state)); // an end of either side ends it
+                thread::spawn(move || _ = forward_connection(&stream, to, &state)); // ends when either side closes
             }
         });
         Ok(link)
     }
 
-    /// Where it leads from here on, for connections that come.
+    /// Sets the target of new connections.
     pub fn set_target(&self, to: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(to);
     }
 
-    /// What it does from here on.
+    /// Sets the mode.
     pub fn set_mode(&self, mode: Mode) {
         self.state.mode.store(mode as u8, Ordering::Relaxed);
     }
 
-    /// What passes takes so long from here on, one way.
+    /// Sets the one-way delay.
     pub fn set_delay(&self, delay: Duration) {
         self.state
             .delay_us
@@ -120,7 +120,7 @@
     let other = state.clone();
     let other = thread::spawn(move || copy_direction(back.0, &back.1, &other));
     let ended = copy_direction(forth.0, &forth.1, state);
-    let _ = upstream.shutdown(Shutdown::Both); // so that the other way ends as well
+    let _ = upstream.shutdown(Shutdown::Both); // also ends the opposite direction
     let _ = from.shutdown(Shutdown::Both);
     let _ = other.join();
     ended
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,6 +1,6 @@
-//! Judges a run by its ledger: were the rules kept? Each broken rule names request, server, time and evidence.
+//! Checks the ledger of a run against the rules. Each violation names the request, server, time and evidence.
 //!
-//! A rule is broken or it is not; how good the service was is counted elsewhere ([`crate::score`]).
+//! Rules are either kept or violated; the quality of service is computed in [`crate::score`].
 
 use std::fmt;
 
@@ -10,37 +10,37 @@
 use crate::ledger::{Attempt, AttemptEnd, ClientAttempt, Ledger, ResponseKind};
 use crate::scenario::{Proxies, Rules};
 
-/// The rules.
+/// Rules that every run has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request taken gets one final answer, in time, and a served one is a server's own.
+    /// Each accepted request gets exactly one final response in time, and a successful one comes from a server.
     OneAnswer,
-    /// What must not run twice does not, and is refused only if it surely never ran.
+    /// A request that must not run twice does not, and it is rejected only if it certainly did not run.
     NeverTwice,
-    /// Nothing new goes to a server for longer than the grace after its drain or end was told.
+    /// No new attempt is sent to a server after the grace period that follows notification of its drain or removal.
     Drain,
-    /// No cold server is pushed over.
+    /// No cold server is overloaded until it crashes.
     ColdStart,
-    /// Memory and descriptors stay within bounds.
+    /// Memory and file descriptors stay within the limits.
     Bounds,
-    /// No process ends unasked.
+    /// No process exits without being told to.
     NoCrash,
-    /// No request reaches a server that no client sent.
+    /// No request reaches a server unless a client sent it.
     NoStranger,
 }
 
-/// A broken rule.
+/// A rule violation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which rule.
+    /// Violated rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub at: Millis,
-    /// The try that it concerns.
+    /// Client attempt concerned.
     pub request: Option<usize>,
-    /// The server that it concerns.
+    /// Server concerned.
     pub server: Option<usize>,
-    /// What shows it.
+    /// Description of the evidence.
     pub evidence: String,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// All that is violations, in the order of time.
+/// Returns all rule violations, ordered by time.
 pub fn check_rules(ledger: &Ledger, rules: &Rules, bounds: &Proxies) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, t) in ledger.client_attempts.iter().enumerate() {
@@ -71,9 +71,9 @@
             ("MiB of memory", u.memory_mb, bounds.memory_mb as f64),
             ("descriptors", u.descriptors as f64, bounds.sockets as f64),
         ];
-        for (what, value, most) in over.into_iter().filter(|(_, value, most)| value > most) {
+        for (what, value, limit) in over.into_iter().filter(|(_, value, limit)| value > limit) {
             let evidence = format!(
-                "proxy {} held {value:.0} {what}, {most:.0} are allowed",
+                "proxy {} held {value:.0} {what}, {limit:.0} are allowed",
                 u.proxy
             );
             violations.push(Violation {
@@ -116,7 +116,7 @@
     t: &ClientAttempt,
     violations: &mut Vec<Violation>,
 ) {
-    let mut tell = |at, evidence: String| {
+    let mut report = |at, evidence: String| {
         violations.push(Violation {
             rule: Rule::OneAnswer,
             at,
@@ -127,28 +127,28 @@
     };
     let Some(taken) = t.taken else { return };
     if let [_, (at, second), ..] = t.answers[..] {
-        tell(
+        report(
             at,
             format!("a second answer, {second:?}, after {:?}", t.answers[0].1),
         );
     }
     let late = t.due + rules.answer_slack.0;
     match t.answers.first() {
-        Some((at, code)) if *at > late => tell(
+        Some((at, code)) if *at > late => report(
             *at,
             format!("{code:?} came {:.1} ms after its time", at - t.due),
         ),
         Some((at, ResponseKind::Served { genuine: false })) => {
-            tell(*at, "served with what no server made for it".into());
+            report(*at, "served with what no server made for it".into());
         }
         Some(_) => {}
-        // A client that leaves early is owed nothing; a proxy that was killed owes what it held to nobody.
+        // No response is due to a client that disconnected early or whose proxy was killed.
         None => {
             let left = t.left.is_some_and(|left| left < t.due);
             let dead = ledger.end_of(t.proxy, taken).is_some_and(|end| end <= late);
             let open = ledger.ended_at < late;
             if !left && !dead && !open {
-                tell(
+                report(
                     late,
                     format!("no answer from proxy {} by {:.3} s", t.proxy, late / 1000.0),
                 );
@@ -157,14 +157,14 @@
     }
 }
 
-/// Whether an attempt may have run, as far as its proxy could know at a time.
-fn in_doubt(a: &Attempt, at: Millis) -> bool {
+/// Returns whether an attempt may have run, as far as its proxy could know at a time.
+fn may_have_run(a: &Attempt, at: Millis) -> bool {
     a.ended
         .is_none_or(|(when, end)| when > at || end != AttemptEnd::NeverRan)
 }
 
 fn never_twice(id: usize, t: &ClientAttempt, violations: &mut Vec<Violation>) {
-    let mut tell = |at, server: Option<usize>, evidence: String| {
+    let mut report = |at, server: Option<usize>, evidence: String| {
         violations.push(Violation {
             rule: Rule::NeverTwice,
             at,
@@ -179,17 +179,17 @@
             .iter()
             .find(|b| b.ended.is_none_or(|(when, _)| when > a.sent))
         {
-            tell(
+            report(
                 a.sent,
                 Some(a.server),
                 format!("a second attempt while one is out at server {}", out.server),
             );
-        } else if let Some(first) = before.iter().find(|b| t.once && in_doubt(b, a.sent)) {
+        } else if let Some(first) = before.iter().find(|b| t.once && may_have_run(b, a.sent)) {
             let evidence = format!(
                 "sent again though it may have run at server {}",
                 first.server
             );
-            tell(a.sent, Some(a.server), evidence);
+            report(a.sent, Some(a.server), evidence);
         }
     }
     if !t.once {
@@ -200,16 +200,16 @@
         .iter()
         .filter_map(|a| a.ran.map(|at| (at, a.server)));
     if let (Some((_, first)), Some((at, second))) = (ran.next(), ran.next()) {
-        tell(
+        report(
             at,
             Some(second),
             format!("it ran at server {first} already"),
         );
     }
     if let Some((at, ResponseKind::Refused { .. })) = t.answers.first()
-        && let Some(a) = t.attempts.iter().find(|a| in_doubt(a, *at))
+        && let Some(a) = t.attempts.iter().find(|a| may_have_run(a, *at))
     {
-        tell(
+        report(
             *at,
             Some(a.server),
             "refused though it may have run, so that the client tries again".into(),
@@ -218,22 +218,24 @@
 }
 
 fn drains(ledger: &Ledger, rules: &Rules, violations: &mut Vec<Violation>) {
-    // For each proxy and server: since when it has been told that nothing new may go there.
-    let mut told: FxHashMap<(usize, usize), Vec<(Millis, bool)>> = FxHashMap::default();
+    // Notifications by proxy and server: time and whether the server accepts new requests.
+    let mut notifications: FxHashMap<(usize, usize), Vec<(Millis, bool)>> = FxHashMap::default();
     for t in &ledger.notifications {
-        told.entry((t.proxy, t.server))
+        notifications
+            .entry((t.proxy, t.server))
             .or_default()
             .push((t.at, t.up));
     }
-    told.values_mut()
-        .for_each(|news| news.sort_by(|a, b| a.0.total_cmp(&b.0)));
+    notifications
+        .values_mut()
+        .for_each(|updates| updates.sort_by(|a, b| a.0.total_cmp(&b.0)));
     for (id, t) in ledger.client_attempts.iter().enumerate() {
         for a in &t.attempts {
-            let Some(news) = told.get(&(t.proxy, a.server)) else {
+            let Some(updates) = notifications.get(&(t.proxy, a.server)) else {
                 continue;
             };
-            let last_up = news.iter().rposition(|(at, up)| *up && *at <= a.sent);
-            let down = news[last_up.map_or(0, |i| i + 1)..]
+            let last_up = updates.iter().rposition(|(at, up)| *up && *at <= a.sent);
+            let down = updates[last_up.map_or(0, |i| i + 1)..]
                 .iter()
                 .find(|(at, up)| !up && *at <= a.sent);
             let Some((since, _)) = down else { continue };
@@ -256,32 +258,34 @@
     }
 }
 
-/// Two thirds of what pushed a server over must have come from proxies that had been told of its start.
-const TOLD_PART: f64 = 2.0 / 3.0;
+/// A crash counts if at least this part of the attempts came from proxies notified of the server's start.
+const MIN_NOTIFIED_FRACTION: f64 = 2.0 / 3.0;
 
 fn cold_starts(ledger: &Ledger, violations: &mut Vec<Violation>) {
-    for fall in &ledger.cold_overloads {
-        let (mut all, mut told) = (0.0f64, 0.0f64);
+    for crash in &ledger.cold_overloads {
+        let (mut all, mut notified) = (0.0f64, 0.0f64);
         for t in &ledger.client_attempts {
             for a in t
                 .attempts
                 .iter()
-                .filter(|a| a.server == fall.server && a.sent <= fall.at)
+                .filter(|a| a.server == crash.server && a.sent <= crash.at)
             {
-                let knew = |n: &&crate::ledger::ServerNotification| {
+                let is_notified = |n: &&crate::ledger::ServerNotification| {
                     n.proxy == t.proxy && n.server == a.server && n.at <= a.sent
                 };
                 all += 1.0;
-                told += f64::from(u8::from(ledger.notifications.iter().any(|n| knew(&n))));
+                notified += f64::from(u8::from(
+                    ledger.notifications.iter().any(|n| is_notified(&n)),
+                ));
             }
         }
-        if told >= TOLD_PART * all {
+        if notified >= MIN_NOTIFIED_FRACTION * all {
             let evidence = format!(
-                "it fell over at {:.0} % of its capacity; {told:.0} of {all:.0} attempts came from proxies that knew \
+                "it fell over at {:.0} % of its capacity; {notified:.0} of {all:.0} attempts came from proxies that knew \
                  of its start",
-                100.0 * fall.warmth
+                100.0 * crash.warmth
             );
-            let (at, server) = (fall.at, Some(fall.server));
+            let (at, server) = (crash.at, Some(crash.server));
             violations.push(Violation {
                 rule: Rule::ColdStart,
                 at,
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -1,37 +1,37 @@
-//! Chance: each use draws from a stream of its own, so that a further draw in one place leaves the others as they
-//! were and two settings can be compared on the same load.
+//! Seeded random streams. Each purpose draws from its own stream, so an additional draw for one purpose does not change
+//! the others, and two settings can be compared under the same load.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What a stream of chance is for.
+/// Purpose of a random stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 pub enum Purpose {
-    /// The fleet's machines.
+    /// Machines of the fleet.
     Fleet = 1,
     /// Arrivals, their classes, keys and work.
     Load,
-    /// What the faults strike.
+    /// Targets of the faults.
     Faults,
-    /// The network's delays.
+    /// Network delays.
     Network,
-    /// How far list news lags.
+    /// Propagation delays of server list updates.
     List,
-    /// What clients and the front before the proxies do.
+    /// Behaviour of the clients and of the load balancer in front of the proxies.
     Clients,
-    /// The seeds of the decision modules.
+    /// Seeds of the decision modules.
     Modules,
 }
 
-/// The stream of chance for one use under a seed.
+/// Returns the random stream of a purpose under a seed.
 pub fn stream(seed: u64, purpose: Purpose) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(purpose as u64);
     rng
 }
 
-/// Picks this many of `among` places, none twice, in random order.
+/// Samples `many` distinct indices below `among`, in random order.
 pub fn sample_indices(rng: &mut ChaCha8Rng, among: usize, many: usize) -> Vec<usize> {
     let mut places: Vec<usize> = (0..among).collect();
     let many = many.min(among);
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -229,7 +229,7 @@
                     .map(|s| s * 1000.0);
                 (
                     ResponseKind::Refused { retry_after: after },
-                    ClientAttemptOutcome::Refused(after),
+                    ClientAttemptOutcome::Rejected(after),
                 )
             }
             _ => (ResponseKind::Failed, ClientAttemptOutcome::Failed),
--- a/crates/lab/src/real/list_agent.rs
+++ b/crates/lab/src/real/list_agent.rs
@@ -94,7 +94,7 @@
                 ListState::Removed => "removed",
             },
             "share": fleet_server.server.machine().cores * fleet.kinds[fleet_server.kind].speed,
-            "born_ms": fleet_server.server.started_at().map_or(0.0, |born| self.run.unix(born)),
+            "born_ms": fleet_server.server.started_at().map_or(0.0, |started_at| self.run.unix(started_at)),
         })
     }
 
@@ -125,7 +125,7 @@
         let world = self.run.world.borrow();
         let mut ledger = self.run.ledger.borrow_mut();
         for l in entries {
-            let (up, born) = (
+            let (up, started_at) = (
                 l.state == ListState::Up,
                 world.servers()[l.server].server.started_at(),
             );
@@ -134,7 +134,7 @@
                 server: l.server,
                 at,
                 up,
-                born,
+                started_at,
             });
         }
     }
--- a/crates/lab/src/score.rs
+++ b/crates/lab/src/score.rs
@@ -1,5 +1,5 @@
-//! How good the service was: the worth answered in time over the worth asked for, as a whole, by class, by tenant and
-//! over time, with latencies counted from when the first try should have been sent.
+//! Computes the quality of service: the priority weight served in time relative to the weight requested, in total, by
+//! class, by tenant and over time. Latencies are measured from the intended time of the first client attempt.
 
 use balancer::Millis;
 use hdrhistogram::Histogram;
@@ -9,23 +9,23 @@
 use crate::load::ClientRequest;
 use crate::scenario::Scenario;
 
-/// Highest latency that is told apart, in µs; longer ones count as this.
-const LONGEST: u64 = 600_000_000;
+/// Highest latency recorded, in µs; longer ones count as this value.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Worth and latency of one part of the requests.
+/// Served weight and latency of a group of client requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct GroupScore {
-    /// What it is.
+    /// Name of the group.
     pub name: String,
-    /// Asks.
+    /// Number of client requests.
     pub asked: u64,
-    /// Of them, served at all.
+    /// Number of requests served within the deadline.
     pub served: u64,
-    /// Served within their aim.
+    /// Number of requests served within the latency objective.
     pub in_time: u64,
-    /// Worth earned over worth asked for.
+    /// Weight served relative to the weight requested.
     pub share: f64,
-    /// Latency of those served, in ms: median, 90th, 99th and 99.9th percentile.
+    /// Latency of served requests in ms: median, 90th, 99th and 99.9th percentile.
     pub latency_ms: [f64; 4],
     #[serde(skip)]
     asked_worth: f64,
@@ -37,7 +37,8 @@
 
 impl GroupScore {
     fn new(name: &str) -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are sound");
+        let histogram =
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds are sound");
         let (asked, served, in_time, share) = (0, 0, 0, 0.0);
         let (latency_ms, asked_worth, earned) = ([0.0; 4], 0.0, 0.0);
         GroupScore {
@@ -53,18 +54,29 @@
         }
     }
 
-    fn count(&mut self, worth: f64, aim: Millis, late: f64, latency: Option<Millis>) {
+    fn record(
+        &mut self,
+        weight: f64,
+        objective: Millis,
+        late_fraction: f64,
+        latency: Option<Millis>,
+    ) {
         self.asked += 1;
-        self.asked_worth += worth;
+        self.asked_worth += weight;
         let Some(latency) = latency else { return };
         self.served += 1;
-        self.in_time += u64::from(latency <= aim);
-        self.earned += worth * if latency <= aim { 1.0 } else { late };
+        self.in_time += u64::from(latency <= objective);
+        self.earned += weight
+            * if latency <= objective {
+                1.0
+            } else {
+                late_fraction
+            };
         self.histogram
             .saturating_record(((latency * 1000.0) as u64).max(1));
     }
 
-    fn close(mut self) -> Self {
+    fn finish(mut self) -> Self {
         self.share = if self.asked_worth > 0.0 {
             self.earned / self.asked_worth
         } else {
@@ -75,55 +87,55 @@
         self
     }
 
-    /// The latencies of those served, in µs.
+    /// Returns the latencies of served requests, in µs.
     pub fn histogram(&self) -> &Histogram<u64> {
         &self.histogram
     }
 }
 
-/// A window of time.
+/// Counts of a time window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Window {
-    /// Its begin.
+    /// Start of the window.
     pub from_ms: f64,
-    /// First tries in it.
+    /// Client requests whose first attempt is in the window.
     pub asked: u64,
-    /// Of them, served.
+    /// Number of these requests that were served.
     pub served: u64,
-    /// Tries that were refused in it.
+    /// Client attempts rejected in the window.
     pub refused: u64,
-    /// Tries that failed in it.
+    /// Client attempts that failed in the window.
     pub failed: u64,
-    /// Attempts sent in it.
+    /// Proxy attempts sent in the window.
     pub attempts: u64,
-    /// Worth earned over worth asked for in it.
+    /// Weight served relative to the weight requested, for requests of the window.
     pub share: f64,
 }
 
-/// How good the service was.
+/// Quality of service of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Score {
-    /// All requests.
+    /// All client requests.
     pub whole: GroupScore,
     /// By class, in the scenario's order.
     pub classes: Vec<GroupScore>,
     /// By tenant, in the scenario's order.
     pub tenants: Vec<GroupScore>,
-    /// Over time.
+    /// By time window.
     pub windows: Vec<Window>,
-    /// Tries for each ask.
+    /// Client attempts per client request.
     pub tries: f64,
-    /// Attempts for each ask.
+    /// Proxy attempts per client request.
     pub attempts: f64,
-    /// The part of the tries that was refused.
+    /// Fraction of the client attempts that were rejected.
     pub refused: f64,
 }
 
-/// Windows that a run is parted into at most, and their least length.
-const WINDOWS: f64 = 40.0;
-const WINDOW_LEAST: Millis = 250.0;
+/// Maximum number of windows of a run, and their minimum length.
+const MAX_WINDOWS: f64 = 40.0;
+const MIN_WINDOW_MS: Millis = 250.0;
 
-/// Counts a run; `served` tells when each ask was served, if it was.
+/// Computes the score of a run; `served` holds the time at which each client request was served, if it was.
 pub fn score(
     s: &Scenario,
     requests: &[ClientRequest],
@@ -133,13 +145,13 @@
     let mut whole = GroupScore::new("all");
     let mut classes: Vec<GroupScore> = s.classes.iter().map(|c| GroupScore::new(&c.name)).collect();
     let mut tenants: Vec<GroupScore> = s.tenants.iter().map(|t| GroupScore::new(&t.name)).collect();
-    let span = (s.length.0 / WINDOWS).max(WINDOW_LEAST);
-    let many = (s.length.0 / span).ceil() as usize;
-    let mut windows: Vec<(Window, f64, f64)> = (0..many)
+    let window_length = (s.length.0 / MAX_WINDOWS).max(MIN_WINDOW_MS);
+    let window_count = (s.length.0 / window_length).ceil() as usize;
+    let mut windows: Vec<(Window, f64, f64)> = (0..window_count)
         .map(|w| {
             (
                 Window {
-                    from_ms: w as f64 * span,
+                    from_ms: w as f64 * window_length,
                     ..Window::default()
                 },
                 0.0,
@@ -147,19 +159,19 @@
             )
         })
         .collect();
-    let window = |at: Millis| ((at / span) as usize).min(many - 1);
-    for (ask, at) in requests.iter().zip(served) {
-        let c = &s.classes[ask.class];
-        let latency = at.map(|at| at - ask.at).filter(|l| *l <= c.deadline.0);
-        let parts = [
+    let window = |at: Millis| ((at / window_length) as usize).min(window_count - 1);
+    for (request, at) in requests.iter().zip(served) {
+        let c = &s.classes[request.class];
+        let latency = at.map(|at| at - request.at).filter(|l| *l <= c.deadline.0);
+        let groups = [
             Some(&mut whole),
-            classes.get_mut(ask.class),
-            ask.tenant.and_then(|t| tenants.get_mut(t)),
+            classes.get_mut(request.class),
+            request.tenant.and_then(|t| tenants.get_mut(t)),
         ];
-        for part in parts.into_iter().flatten() {
-            part.count(c.worth, c.aim.0, c.late_worth.0, latency);
+        for group in groups.into_iter().flatten() {
+            group.record(c.worth, c.aim.0, c.late_worth.0, latency);
         }
-        let (w, asked, earned) = &mut windows[window(ask.at)];
+        let (w, asked, earned) = &mut windows[window(request.at)];
         w.asked += 1;
         w.served += u64::from(latency.is_some());
         *asked += c.worth;
@@ -186,9 +198,9 @@
     }
     let each = |n: f64, of: usize| if of == 0 { 0.0 } else { n / of as f64 };
     Score {
-        whole: whole.close(),
-        classes: classes.into_iter().map(GroupScore::close).collect(),
-        tenants: tenants.into_iter().map(GroupScore::close).collect(),
+        whole: whole.finish(),
+        classes: classes.into_iter().map(GroupScore::finish).collect(),
+        tenants: tenants.into_iter().map(GroupScore::finish).collect(),
         windows: windows
             .into_iter()
             .map(|(w, asked, earned)| Window {
--- a/crates/lab/src/sim/decider.rs
+++ b/crates/lab/src/sim/decider.rs
@@ -1,11 +1,11 @@
-//! What decides in a simulated proxy: the decision module, or one made to break a rule.
+//! Decision logic of a simulated proxy: the decision module, or a variant with an injected defect.
 
 use balancer::{Action, Balancer, EndpointId, Event, Millis, Outcome, RequestId, Settings};
 use rustc_hash::FxHashMap;
 
-/// Takes events with their time and says what is to be done; [`Balancer::handle`]'s contract.
+/// Handles timestamped events and returns actions, under the contract of [`Balancer::handle`].
 pub trait Decider {
-    /// Takes in one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>);
 }
 
@@ -15,23 +15,23 @@
     }
 }
 
-/// How a decider is broken, so that the oracle can be seen to notice.
+/// Defect injected into a decision module to test that the oracle detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedDefect {
-    /// Every 50th request is forgotten, and the proxy's own last resort with it.
+    /// Drops every 50th request and disables the proxy's final timeout.
     LosesRequests,
-    /// What failed is sent again, whether it may have run or not.
+    /// Resends failed requests although they may have run.
     RepeatsAll,
-    /// What failed is refused, whether it may have run or not.
+    /// Rejects failed requests although they may have run.
     RefusesAll,
-    /// The news of drains and ends is not heard.
+    /// Ignores drains and removals.
     IgnoresDrains,
-    /// All goes to the newest server.
+    /// Sends all requests to the server that started last.
     FloodsNewest,
 }
 
 impl InjectedDefect {
-    /// All of them, with the names that the command line has for them.
+    /// All defects with their command line names.
     pub const ALL: [(&str, InjectedDefect); 5] = [
         ("loses-requests", InjectedDefect::LosesRequests),
         ("repeats-all", InjectedDefect::RepeatsAll),
@@ -41,17 +41,17 @@
     ];
 }
 
-/// A decision module with a fault put in.
+/// Decision module with an injected defect.
 pub struct DefectiveBalancer {
     inner: Balancer,
     defect: InjectedDefect,
     newest: Option<(Millis, EndpointId)>,
-    /// Where each request went last, and how often it was sent again.
+    /// Last endpoint of each request, and how often the request was resent.
     sent: FxHashMap<RequestId, (EndpointId, u32)>,
 }
 
 impl DefectiveBalancer {
-    /// A module broken in one way.
+    /// Creates a module with the given defect.
     pub fn new(settings: Settings, seed: u64, defect: InjectedDefect) -> Self {
         DefectiveBalancer {
             inner: Balancer::new(settings, seed),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends a request again to where it has just failed, twice at most.
+    /// Resends a request to the endpoint where it has just failed, at most twice.
     fn resend(&mut self, request: RequestId, out: &mut Vec<Action>) -> bool {
         let Some((backend, again)) = self.sent.get_mut(&request).filter(|(_, again)| *again < 2)
         else {
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,7 +1,7 @@
-//! A run in virtual time: the decision module is called directly, and one seed gives the same bytes every time.
+//! Simulation in virtual time. The decision module is called directly, and the same seed gives identical results.
 //!
-//! The driver does around each module what the engine does: gates, last resorts, connections, time-outs. What waits
-//! is kept in the order of time, and in the order of scheduling within one µs.
+//! The driver emulates what the proxy engine does around each module: admission checks, final timeouts, connections and
+//! attempt timeouts. Events are processed in order of time and, within one µs, in scheduling order.
 
 pub mod decider;
 mod proxy;
@@ -31,37 +31,37 @@
 use decider::{Decider, DefectiveBalancer, InjectedDefect};
 use proxy::{Live, Memory, Proxy, request_of, server_of};
 
-/// A connection that is not up within this span has failed.
+/// A connection that is not established within this span has failed.
 const CONNECT_TIMEOUT: Millis = 250.0;
-/// A final answer is on its way this long before its client gives up, whatever happens.
+/// The proxy sends a final response at least this long before its client gives up.
 const LAST_RESORT_MARGIN: Millis = 4.0;
-/// A connection is used again within this part of the span after which its server closes it.
+/// An idle connection is reused within this fraction of the server's idle timeout.
 const IDLE_REUSE_FRACTION: f64 = 0.7;
 
-/// What a run leaves behind.
+/// Result of a run.
 pub struct SimResult {
-    /// What happened.
+    /// Record of the run.
     pub ledger: Ledger,
-    /// What was asked for.
+    /// All client requests.
     pub requests: Vec<ClientRequest>,
-    /// When each ask was served, if it was, and how many tries it took.
+    /// For each client request, the time at which it was served, if it was, and the number of client attempts.
     pub served: Vec<(Option<Millis>, u32)>,
     /// Counts of the run.
     pub counts: Counts,
-    /// Time that the modules took. It is measured, and so no part of what one seed fixes.
+    /// Wall-clock time spent in the decision modules. It is measured and does not depend on the seed alone.
     pub module: Duration,
-    /// Time that the whole run took, likewise.
+    /// Wall-clock time of the whole run, measured as well.
     pub took: Duration,
 }
 
 /// Counts of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Events that the modules were fed.
+    /// Events passed to the modules.
     pub events: u64,
     /// Connections opened to servers.
     pub connections: u64,
-    /// Most connections open to one server at once, idle ones included.
+    /// Maximum number of connections open to one server at once, including idle ones.
     pub connections_at_once: u32,
 }
 
@@ -91,47 +91,47 @@
     }
 }
 
-/// What happens at a moment.
+/// Events of the simulation.
 enum SimEvent {
-    /// A client sends a try of an ask.
+    /// A client sends an attempt of a request.
     Send(usize, u32),
-    /// A try arrives at its proxy.
+    /// A client attempt arrives at its proxy.
     Arrive(ClientAttemptId),
-    /// An answer arrives at its client.
+    /// A response arrives at its client.
     Answer(ClientAttemptId, ClientAttemptOutcome),
-    /// A client's patience ends.
+    /// A client's timeout expires.
     GiveUp(ClientAttemptId),
-    /// A proxy sees that a client has stops_at.
+    /// A proxy detects that a client has disconnected.
     Leave(ClientAttemptId),
-    /// A module's timer.
+    /// A timer of a decision module.
     Module(ProxyId, u32, u64),
-    /// A proxy's last resort.
+    /// A proxy's final timeout for a request.
     LastResort(ProxyId, u32, ClientAttemptId),
-    /// A wish for a connection arrives at a server.
+    /// A connection request arrives at a server.
     Dial(u64),
-    /// And what came of it at the proxy.
+    /// The result of a connection request arrives at the proxy.
     Dialled(u64, Connect),
     /// A request arrives at a server.
     Reach(u64),
-    /// An answer or an end arrives at a proxy.
+    /// The outcome of an attempt arrives at the proxy.
     Reply(u64, Outcome, bool),
-    /// A proxy sees that an attempt's connection has broken, and its server may still hold it.
+    /// A proxy detects that an attempt's connection broke; its server may still be processing the attempt.
     Broken(u64),
-    /// An attempt's time is up.
+    /// An attempt times out.
     Expire(u64),
-    /// A server sees that an attempt's connection is closed.
+    /// A server detects that an attempt's connection is closed.
     Closed(ServerId, u64),
-    /// News arrives at a proxy.
+    /// A server list update arrives at a proxy.
     ListUpdate(ProxyId, ListEntry),
-    /// Something happens in the world by itself, as it was due at this µs.
+    /// An event of the world is due, at the given time in µs.
     World(u64),
 }
 
-/// An attempt on its way.
+/// An attempt from its dispatch until its outcome arrives.
 struct InFlightAttempt {
     id: ClientAttemptId,
     attempt: u32,
-    /// Its place in the ledger, once its first byte is written.
+    /// Index of the attempt in the ledger, once its first byte is written.
     note: Option<usize>,
     proxy: ProxyId,
     generation: u32,
@@ -141,7 +141,7 @@
     over: bool,
 }
 
-/// A run in virtual time.
+/// Simulation in virtual time.
 pub struct Sim {
     s: Arc<Scenario>,
     seed: u64,
@@ -153,12 +153,12 @@
     world_due: u64,
     proxies: Vec<Option<Proxy>>,
     memories: Vec<Memory>,
-    /// Until when the front still sends to a proxy that is stops_at.
+    /// Time until which the front load balancer still sends to a proxy that is down.
     front_stops_at: Vec<Option<Millis>>,
     generations: Vec<u32>,
     requests: Vec<ClientRequest>,
     served: Vec<(Option<Millis>, u32)>,
-    /// Tries whose clients still wait.
+    /// Whether the client of each client attempt still waits.
     client_waiting: Vec<bool>,
     ledger: Ledger,
     flights: FxHashMap<u64, InFlightAttempt>,
@@ -171,7 +171,7 @@
 }
 
 impl Sim {
-    /// A run of a scenario under a seed, perhaps with modules made to break a rule.
+    /// Creates a run of a scenario under a seed, optionally with a defect in the decision modules.
     pub fn new(scenario: Arc<Scenario>, seed: u64, defect: Option<InjectedDefect>) -> Self {
         let requests = load::draw_requests(&scenario, seed);
         let n = scenario.proxies.count;
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Plays it to its end: the last ask, and what may still come of it.
+    /// Runs until no response to the last client request can arrive any more.
     pub fn run(mut self) -> SimResult {
         let began = Instant::now();
         let listed = self.world.listed();
@@ -255,7 +255,7 @@
         self.schedule(self.now + span, what);
     }
 
-    /// Wakes up when something next happens in the world by itself.
+    /// Schedules the next event of the world.
     fn watch_world(&mut self) {
         let next = self
             .world
@@ -276,12 +276,12 @@
         span * (1.0 + self.s.network.jitter.0 * (2.0 * self.network.random::<f64>() - 1.0))
     }
 
-    /// One way between a client and its proxy.
+    /// Draws the one-way delay between a client and its proxy.
     fn client_way(&mut self) -> Millis {
         self.jitter(self.s.network.client.0)
     }
 
-    /// One way between a proxy and a server.
+    /// Draws the one-way delay between a proxy and a server.
     fn server_way(&mut self, proxy: ProxyId, server: ServerId) -> Millis {
         let same = self.world.proxy_zone(proxy) == self.world.servers()[server].zone;
         self.jitter(if same {
@@ -335,7 +335,7 @@
                 self.disconnect(server);
             }
             SimEvent::ListUpdate(proxy, entry) => self.list_update(proxy, entry),
-            // One that an earlier wake-up has overtaken: the world is asked again at its own time.
+            // An earlier event has been scheduled since, so this one is obsolete.
             SimEvent::World(due) if self.world_due != due => {}
             SimEvent::World(_) => {
                 self.world_due = u64::MAX;
@@ -416,7 +416,7 @@
         };
         self.proxies[proxy] = Some(Proxy::new(decider, generation));
         self.front_stops_at[proxy] = None;
-        // It knows the list as it was last told, and is told the rest as soon as its watch is up.
+        // A starting proxy gets the cached list first and the current list once its watch is established.
         let entries = self.memories[proxy].entries();
         self.announce(proxy, UpdateScope::Cached, &entries);
         let listed = self.world.listed();
@@ -430,7 +430,7 @@
             return;
         };
         for entry in entries {
-            let (up, born) = (
+            let (up, started_at) = (
                 entry.state == ListState::Up,
                 self.world.servers()[entry.server].server.started_at(),
             );
@@ -440,7 +440,7 @@
                     server: entry.server,
                     at: self.now,
                     up,
-                    born,
+                    started_at,
                 });
             }
         }
@@ -495,7 +495,7 @@
                     let generation = self.generations[proxy];
                     self.schedule(at.max(self.now), SimEvent::Module(proxy, generation, token));
                 }
-                // News is pushed, and proxies tell each other nothing here.
+                // List updates are pushed, and gossip between proxies is not simulated.
                 Action::Broadcast(_) | Action::Subscribe | Action::FetchEndpoints => {}
             }
         }
@@ -543,7 +543,7 @@
         );
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Sends a request's final response, unless it has one already.
     fn answer(&mut self, proxy: ProxyId, id: ClientAttemptId, code: ResponseKind) -> bool {
         let first = self.proxies[proxy].as_mut().is_some_and(|p| p.close(id));
         if first {
@@ -553,7 +553,9 @@
             let way = self.client_way();
             let end = match code {
                 ResponseKind::Served { .. } => ClientAttemptOutcome::Served,
-                ResponseKind::Refused { retry_after } => ClientAttemptOutcome::Refused(retry_after),
+                ResponseKind::Refused { retry_after } => {
+                    ClientAttemptOutcome::Rejected(retry_after)
+                }
                 ResponseKind::Failed | ResponseKind::Broken => ClientAttemptOutcome::Failed,
             };
             self.after(way, SimEvent::Answer(id, end));
@@ -574,7 +576,7 @@
         let Some(p) = self.proxies[proxy].as_mut() else {
             return;
         };
-        // A broken module may name what it does not hold, or a server that nobody knows.
+        // A defective module may name an unknown request or server.
         let (Some(live), true) = (p.live.get_mut(&id), server < self.world.servers().len()) else {
             return;
         };
@@ -659,7 +661,7 @@
         self.write(flight);
     }
 
-    /// Writes a request, unless its server takes no more or its answer has been given.
+    /// Writes a request, unless its server accepts no more requests or the final response has been sent.
     fn write(&mut self, flight: u64) {
         let Some(f) = self.flights.get_mut(&flight) else {
             return;
@@ -671,7 +673,7 @@
             .as_ref()
             .filter(|p| p.generation == generation)
         else {
-            self.flights.remove(&flight); // its process has ended while the connection came up
+            self.flights.remove(&flight); // its process exited while the connection was being established
             return self.disconnect(server);
         };
         if !(open || p.is_open(server)) || !p.live.get(&id).is_some_and(|l| l.unanswered) {
@@ -721,7 +723,7 @@
             (Admission::Rejected, None) if up => {
                 self.after(way, SimEvent::Reply(flight, Outcome::Overloaded, true))
             }
-            // Its process is gone: the connection breaks under the request.
+            // The server's process has exited, so the connection is reset.
             (Admission::Rejected | Admission::Crashed, None) => {
                 self.after(way, SimEvent::Reply(flight, Outcome::Reset, false));
             }
@@ -736,14 +738,14 @@
         }
     }
 
-    /// The end of an attempt arrives at its proxy; `keep` tells whether the connection may be used again.
+    /// Handles the arrival of an attempt's outcome at its proxy; `keep` tells whether the connection may be reused.
     fn reply(&mut self, flight: u64, outcome: Outcome, keep: bool) {
         let Some(f) = self.flights.remove(&flight) else {
             return;
         };
         let same = self.generations[f.proxy] == f.generation;
         let (Some(p), false) = (self.proxies[f.proxy].as_mut().filter(|_| same), f.over) else {
-            return; // given up before, with its connection
+            return; // cancelled before; its connection is closed already
         };
         if keep && p.is_open(f.server) {
             p.idle.entry(f.server).or_default().push(self.now);
@@ -792,7 +794,7 @@
         );
     }
 
-    /// An attempt is given up: its connection is closed, which its server sees a little later.
+    /// Cancels an attempt that timed out: its connection is closed, which the server detects after the network delay.
     fn expire(&mut self, flight: u64) {
         let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else {
             return;
@@ -817,7 +819,7 @@
         );
     }
 
-    /// An attempt's connection has broken while its server held it: over here, and perhaps not there.
+    /// Handles a broken connection of an attempt. The server may still be processing it.
     fn broken(&mut self, flight: u64) {
         let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else {
             return;
@@ -831,7 +833,7 @@
         self.report_attempt_end(&end, Outcome::Reset);
     }
 
-    // ---- the world ----
+    // ---- world ----
 
     fn handle_world_event(&mut self, happened: WorldEvent) {
         match happened {
@@ -863,7 +865,7 @@
                     warmth,
                 });
             }
-            // Each connect requests the world.
+            // Nothing to do: every new connection is checked by the world.
             WorldEvent::RefusingConnections { .. } | WorldEvent::PartitionChanged => {}
             WorldEvent::KillProxy(proxy) => self.end_process(proxy, Some(self.s.proxies.notice.0)),
             WorldEvent::TerminateProxy(proxy) => {
@@ -892,7 +894,7 @@
             self.world.proxy_zone(proxy),
             self.world.servers()[server].zone,
         ) {
-            return; // the answer is lost on the way
+            return; // the response is lost
         }
         let way = self.server_way(proxy, server);
         let (outcome, keep) = match verdict {
@@ -907,7 +909,7 @@
         self.after(way, SimEvent::Reply(flight, outcome, keep));
     }
 
-    /// A proxy's process ends with all that it holds; the front notices after a while.
+    /// Ends a proxy process with all its requests; the front load balancer detects it after `notice`.
     fn end_process(&mut self, proxy: ProxyId, notice: Option<Millis>) {
         let Some(p) = self.proxies[proxy].take() else {
             return;
@@ -918,7 +920,7 @@
             expected: true,
         });
         self.front_stops_at[proxy] = notice.map(|n| self.now + n);
-        // In order, so that one seed gives one run.
+        // Sorted, because hash map order would make runs with the same seed differ.
         let mut held: Vec<ClientAttemptId> = p
             .live
             .iter()
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: what the engine does around the decision module, on virtual time.
+//! A simulated proxy: emulates the proxy engine around the decision module in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -12,44 +12,44 @@
 use crate::ledger::{ClientAttemptId, ServerId};
 use crate::world::{ListEntry, ListState, World};
 
-/// A request that lacks its answer or has attempts out.
+/// A request without a final response, or with attempts in flight.
 pub struct Live {
-    /// Whether it still lacks its final answer.
+    /// Whether the final response is still to be sent.
     pub unanswered: bool,
-    /// When its client gives up.
+    /// Time at which its client gives up.
     pub deadline: Millis,
-    /// Attempts so far, as the module numbers them.
+    /// Number of attempts so far, which is also the module's next attempt number.
     pub attempts: u32,
-    /// Those of them that are out.
+    /// Number of attempts in flight.
     pub out: u32,
 }
 
-/// A proxy's process; each start makes a new one.
+/// A proxy process; each start creates a new one.
 pub struct Proxy {
-    /// What decides.
+    /// Decision logic.
     pub decider: Box<dyn Decider>,
-    /// Counts its starts, so that nothing of an earlier one reaches a later one.
+    /// Incarnation of the process; events of an earlier incarnation are ignored.
     pub generation: u32,
-    /// Takes no new connections: it has been told to end.
+    /// Whether it was told to exit and accepts no new requests.
     pub ending: bool,
-    /// What it holds.
+    /// Active requests.
     pub live: FxHashMap<ClientAttemptId, Live>,
-    /// Servers to which something new may go, as told.
+    /// Whether each server accepts new requests, by the last notification.
     open: FxHashMap<ServerId, bool>,
-    /// Idle connections, by server: since when each is idle, the one used last at the end.
+    /// Idle connections by server: the time since when each is idle, the most recently used last.
     pub idle: FxHashMap<ServerId, Vec<Millis>>,
     actions: Vec<Action>,
 }
 
-/// What a proxy keeps over its starts: the list as it was last told.
+/// State that a proxy keeps across restarts: its last known server list.
 #[derive(Default)]
 pub struct Memory {
-    /// By server; in order, so that every run tells it alike.
+    /// State by server, in a fixed order so that runs are reproducible.
     pub list: BTreeMap<ServerId, ListState>,
 }
 
 impl Memory {
-    /// Takes in what the proxy is told.
+    /// Applies list entries.
     pub fn learn(&mut self, entries: &[ListEntry]) {
         for entry in entries {
             match entry.state {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All of it.
+    /// Returns all entries.
     pub fn entries(&self) -> Vec<ListEntry> {
         self.list
             .iter()
@@ -71,7 +71,7 @@
     }
 }
 
-/// A entry as the module is told it.
+/// Converts a list entry into the module's endpoint description.
 fn endpoint(world: &World, entry: &ListEntry) -> Endpoint {
     let fleet_server = &world.servers()[entry.server];
     let machine = fleet_server.server.machine();
@@ -85,19 +85,19 @@
             ListState::Draining => EndpointState::Draining,
             ListState::Removed => EndpointState::Removed,
         },
-        // The size as registered: the kind's, not the single machine's.
+        // The registered weight uses the nominal speed of the kind, not the speed of the individual machine.
         weight: machine.cores * world.scenario().fleet.kinds[fleet_server.kind].speed,
         started_at: fleet_server.server.started_at(),
     }
 }
 
-/// The server that the module means.
+/// Returns the server of an endpoint.
 pub fn server_of(backend: EndpointId) -> ServerId {
     (backend.0 as usize).wrapping_sub(1)
 }
 
 impl Proxy {
-    /// A process that has just started.
+    /// Creates a newly started process.
     pub fn new(decider: Box<dyn Decider>, generation: u32) -> Self {
         Proxy {
             decider,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Feeds the module; returns what it wants done, in order.
+    /// Passes an event to the module and returns its actions in order.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.actions);
         actions.clear();
@@ -118,7 +118,7 @@
         std::mem::take(&mut actions)
     }
 
-    /// News of the list.
+    /// Applies a server list update.
     pub fn list_update(
         &mut self,
         now: Millis,
@@ -142,13 +142,13 @@
         )
     }
 
-    /// Whether something new may go to a server.
+    /// Returns whether a server accepts new requests.
     pub fn is_open(&self, server: ServerId) -> bool {
         self.open.get(&server).copied().unwrap_or(false)
     }
 
-    /// Takes the connection to a server that was used last, if it has not been idle since before `oldest`; tells also
-    /// how many that were too old have been closed.
+    /// Takes the most recently used idle connection to a server if it has been idle since after `oldest`. Otherwise
+    /// closes all idle ones and returns their number.
     pub fn reuse(&mut self, server: ServerId, oldest: Millis) -> (bool, usize) {
         let Some(idle) = self.idle.get_mut(&server) else {
             return (false, 0);
@@ -158,7 +158,7 @@
                 idle.pop();
                 (true, 0)
             }
-            // The one used last is too old, and so are all others.
+            // The most recently used connection is too old, so all others are too.
             _ => (
                 false,
                 self.idle.remove(&server).map_or(0, |idle| idle.len()),
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes the right to answer a request; `false` if it has had its answer.
+    /// Claims the final response of a request; returns `false` if it was sent already.
     pub fn close(&mut self, id: ClientAttemptId) -> bool {
         let Some(live) = self.live.get_mut(&id) else {
             return false;
@@ -176,7 +176,7 @@
         was
     }
 
-    /// Forgets a request that has had its answer and has no attempts out.
+    /// Removes a request that has its final response and no attempts in flight.
     pub fn forget(&mut self, id: ClientAttemptId) {
         if self
             .live
@@ -188,7 +188,7 @@
     }
 }
 
-/// A try as the module knows it.
+/// Returns the module's id of a client attempt.
 pub fn request_of(id: ClientAttemptId) -> RequestId {
     RequestId(id as u64)
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,8 +1,8 @@
-//! The world that proxies meet: servers, the list of them, and what goes wrong, in the order of time.
+//! Model of the proxies' environment: servers, the server list, and faults, in order of time.
 //!
-//! It holds no clock and no sockets. A driver tells it what reaches a server, asks when something next happens by
-//! itself ([`World::next`]), and takes what has happened ([`World::advance`]). The same world stands behind virtual
-//! time and behind real sockets.
+//! It has no clock and no sockets. A driver passes it what reaches a server, asks for the time of its next event
+//! ([`World::next`]) and takes the events that are due ([`World::advance`]). Runs in virtual time and on real sockets
+//! use the same model.
 
 mod plan;
 pub mod server;
@@ -22,139 +22,139 @@
 use plan::Step;
 use server::{Admission, Job, Machine, Server, ServerState};
 
-/// A time as whole µs, rounded up: what is due at a time has come about by then. A time that was made of whole µs
-/// gives them back.
+/// Converts a time to whole µs, rounded up so that an event is never handled before its time. Times made from whole µs
+/// convert back exactly.
 pub fn micros(at: Millis) -> u64 {
     (at * 1000.0 - 1e-4).ceil() as u64
 }
 
-/// What the list says of a server.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It takes work.
+    /// Accepts requests.
     Up,
-    /// It finishes what it holds.
+    /// Completes its active requests.
     Draining,
-    /// It is gone.
+    /// Removed from the list.
     Removed,
 }
 
-/// A entry of the list.
+/// An entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// Which server.
+    /// Server.
     pub server: ServerId,
-    /// Its state.
+    /// State of the server.
     pub state: ListState,
 }
 
-/// What a server does with a request that it has taken.
+/// Behaviour of a server for a request that it accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// It answers.
+    /// Responds successfully.
     Served,
-    /// It answers with an error.
+    /// Responds with an error.
     Error,
-    /// The connection breaks.
+    /// Its connection breaks.
     Reset(Break),
-    /// It never answers, and the connection stays open.
+    /// Never responds and keeps the connection open.
     Silent,
 }
 
-/// What becomes of a new connection.
+/// Result of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connect {
-    /// It is up.
+    /// Established.
     Up,
-    /// It is refused.
+    /// Refused.
     Refused,
-    /// Nothing comes back.
+    /// No response.
     Silent,
 }
 
-/// What has happened by itself.
+/// Events that occur in the world without an action of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorldEvent {
-    /// A server has done an attempt, and this is what comes of it.
+    /// A server has completed an attempt.
     Completed {
         /// The attempt.
         attempt: u64,
-        /// What its server does.
+        /// Behaviour of the server.
         verdict: ServerOutcome,
     },
-    /// A server's process has ended or fallen over with this attempt in it.
+    /// A server process exited or crashed while it held the attempt.
     Lost {
         /// The attempt.
         attempt: u64,
     },
-    /// An attempt's connection breaks while its server holds it.
+    /// An attempt's connection breaks while the server processes it.
     ConnectionBroken {
         /// The attempt.
         attempt: u64,
-        /// Whether the server drops it; else it works on, and [`WorldEvent::Completed`] follows.
+        /// Whether the server drops the attempt; if not, [`WorldEvent::Completed`] follows.
         spared: bool,
     },
-    /// The list has changed.
+    /// The server list has changed.
     ListChanged(ListEntry),
-    /// A cold server was pushed over.
+    /// A cold server was overloaded and crashed.
     ColdOverload {
-        /// Which.
+        /// The server.
         server: ServerId,
-        /// The part of its capacity that it had.
+        /// Fraction of its full capacity that the server had.
         warmth: f64,
     },
-    /// A server refuses new connections from here on, or takes them again.
+    /// A server starts or stops refusing new connections.
     RefusingConnections {
-        /// Which.
+        /// The server.
         server: ServerId,
-        /// Whether it refuses.
+        /// Whether it refuses connections.
         on: bool,
     },
-    /// Zones are partitioned, or no longer: [`World::partitioned`] says which.
+    /// A network partition begins or ends; [`World::partitioned`] tells the state.
     PartitionChanged,
-    /// A proxy is killed outright.
+    /// A proxy is killed.
     KillProxy(ProxyId),
-    /// A proxy is told to end.
+    /// A proxy is told to exit.
     TerminateProxy(ProxyId),
-    /// A proxy is started anew.
+    /// A proxy is started again.
     StartProxy(ProxyId),
 }
 
-/// A server with its place in the world.
+/// A server of the fleet.
 pub struct FleetServer {
-    /// Its model.
+    /// Model of the server process.
     pub server: Server,
-    /// Its zone, a place in the fleet's.
+    /// Index of the zone in the fleet.
     pub zone: usize,
-    /// Its kind, a place in the fleet's.
+    /// Index of the machine kind in the fleet.
     pub kind: usize,
-    /// What the list says of it.
+    /// State in the server list.
     pub listed: ListState,
-    /// Counts its changes, so that what was due before them is no longer.
+    /// Counts changes of the server; events due for an earlier value are obsolete.
     epoch: u64,
 }
 
-/// All servers, the list and the faults.
+/// Servers, server list and faults.
 pub struct World {
     scenario: Arc<Scenario>,
     servers: Vec<FleetServer>,
     due: BinaryHeap<Reverse<(u64, ServerId, u64)>>,
     plan: BinaryHeap<Reverse<(u64, usize, Step)>>,
     steps: usize,
-    /// The servers or proxies that each fault strikes, while it lasts.
+    /// Servers affected by each fault while it lasts.
     targets: Vec<Vec<usize>>,
-    /// Servers that a deploy has not replaced yet, those of its own making left out.
+    /// Number of initial servers; only these are replaced by a deploy.
     initial_servers: usize,
     fleet: ChaCha8Rng,
     faults: ChaCha8Rng,
     list_delays: ChaCha8Rng,
-    /// When each proxy's latest news comes: order is kept.
+    /// Latest delivery time by proxy, which keeps updates in order.
     latest_delivery: Vec<Millis>,
     pending: Vec<WorldEvent>,
 }
 
 impl World {
-    /// The world at its start: every server is warm and listed.
+    /// Creates the initial world: every server is warm and listed.
     pub fn new(scenario: Arc<Scenario>, seed: u64) -> Self {
         let mut world = World {
             servers: Vec::new(),
@@ -180,7 +180,7 @@
         world
     }
 
-    /// The kind of the server of this number: each kind gets its share, spread evenly.
+    /// Returns the machine kind of the n-th server. Kinds are spread evenly according to their shares.
     fn kind_of(&self, n: usize) -> usize {
         let kinds = &self.scenario.fleet.kinds;
         let place = (n as f64 * 0.618_033_988_749_894_9).fract();
@@ -220,8 +220,14 @@
         }
     }
 
-    fn add(&mut self, zone: usize, kind: usize, born: Option<Millis>, now: Millis) -> ServerId {
-        let server = Server::new(self.machine(kind), born, now);
+    fn add(
+        &mut self,
+        zone: usize,
+        kind: usize,
+        started_at: Option<Millis>,
+        now: Millis,
+    ) -> ServerId {
+        let server = Server::new(self.machine(kind), started_at, now);
         self.servers.push(FleetServer {
             server,
             zone,
@@ -237,27 +243,27 @@
         self.steps += 1;
     }
 
-    /// All servers that there have been.
+    /// Returns all servers, including removed ones.
     pub fn servers(&self) -> &[FleetServer] {
         &self.servers
     }
 
-    /// What is played.
+    /// Returns the scenario.
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
-    /// A server's name, the same at every proxy.
+    /// Returns the name of a server, which is the same at every proxy.
     pub fn name(&self, server: ServerId) -> String {
         format!("s-{server:06}")
     }
 
-    /// The zone in which a proxy stands.
+    /// Returns the zone of a proxy.
     pub fn proxy_zone(&self, proxy: ProxyId) -> usize {
         proxy % self.scenario.fleet.zones.len()
     }
 
-    /// Whether nothing passes between two zones now.
+    /// Returns whether two zones are partitioned from each other.
     pub fn partitioned(&self, now: Millis, a: usize, b: usize) -> bool {
         let zones = &self.scenario.fleet.zones;
         let is = |name: &Option<String>, zone: usize| name.as_deref() == Some(zones[zone].as_str());
@@ -278,7 +284,7 @@
             .filter(move |(_, f)| holds(f))
     }
 
-    /// When the word of a change of now reaches a proxy; later words never come before earlier ones.
+    /// Returns the time at which a list change made now reaches a proxy; updates are delivered in order.
     pub fn delivery_time(&mut self, now: Millis, proxy: ProxyId) -> Millis {
         let list = &self.scenario.list;
         let mut at = now + list.delay.0 + list.spread.0 * self.list_delays.random::<f64>();
@@ -294,7 +300,7 @@
         at
     }
 
-    /// When something next happens by itself.
+    /// Returns the time of the next event.
     pub fn next(&self) -> Option<Millis> {
         let due = self.due.peek().map(|Reverse((at, ..))| *at);
         let planned = self.plan.peek().map(|Reverse((at, ..))| *at);
@@ -308,7 +314,7 @@
             .map(|at| at as f64 / 1000.0)
     }
 
-    /// Notes that a server has changed: what it does next is due anew.
+    /// Schedules the next completion of a server after a change of its state.
     fn reschedule(&mut self, id: ServerId) {
         let fleet_server = &mut self.servers[id];
         fleet_server.epoch += 1;
@@ -317,7 +323,7 @@
         }
     }
 
-    /// Takes what has happened up to now, in the order of time.
+    /// Processes everything due up to `now` and returns the events in order of time.
     pub fn advance(&mut self, now: Millis) -> Vec<WorldEvent> {
         let until = micros(now);
         loop {
@@ -361,7 +367,7 @@
         self.reschedule(id);
     }
 
-    /// What becomes of an answer.
+    /// Draws the behaviour of a server for a completed request.
     fn verdict(&mut self, at: Millis) -> ServerOutcome {
         let share = |f: &crate::scenario::Fault| f.share.map_or(0.0, |s| s.0);
         let lost = self
@@ -373,7 +379,7 @@
             .map(|(_, f)| (share(f), f.place.unwrap_or(Break::Before)))
             .filter(|(_, place)| *place != Break::During)
             .collect();
-        // No draw without a fault: the days of two scenarios stay alike up to it.
+        // Draws only while a fault is active, so that runs with and without a fault are identical until it begins.
         if lost > 0.0 && self.faults.random::<f64>() < lost {
             return ServerOutcome::Silent;
         }
@@ -385,7 +391,7 @@
         ServerOutcome::Served
     }
 
-    /// A proxy opens a connection.
+    /// Opens a connection from a proxy to a server.
     pub fn connect(&mut self, now: Millis, proxy: ProxyId, server: ServerId) -> Connect {
         if self.partitioned(now, self.proxy_zone(proxy), self.servers[server].zone) {
             return Connect::Silent;
@@ -403,12 +409,12 @@
         Connect::Up
     }
 
-    /// A connection to a server has ended.
+    /// Closes a connection to a server.
     pub fn disconnect(&mut self, server: ServerId) {
         self.servers[server].server.disconnect();
     }
 
-    /// A request has reached a server whole. An error, where there is one, comes at once.
+    /// Submits a completely received request to a server. Injected errors are returned at once.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -438,8 +444,8 @@
         (admission, None)
     }
 
-    /// Draws whether an attempt's connection is to break in the middle of its work, and plans it for a time within
-    /// the span that the work takes a machine that has nothing else to do.
+    /// Draws whether an attempt's connection breaks during processing, and schedules the break within the time that the
+    /// work takes on an otherwise idle machine.
     fn plan_break(&mut self, now: Millis, server: ServerId, attempt: u64, work: f64) {
         let during = |f: &crate::scenario::Fault| f.place == Some(Break::During);
         let resets = self
@@ -459,7 +465,7 @@
             .extend(held.into_iter().map(|attempt| WorldEvent::Lost { attempt }));
     }
 
-    /// A proxy has given an attempt up: its connection is closed. Tells whether the server was spared it.
+    /// Cancels an attempt whose proxy closed the connection; returns whether the server dropped it.
     pub fn cancel(&mut self, now: Millis, server: ServerId, attempt: u64) -> bool {
         let cancels = self.scenario.fleet.cancels;
         let spared = self.servers[server].server.cancel(now, attempt, cancels);
@@ -473,7 +479,7 @@
             .push(WorldEvent::ListChanged(ListEntry { server, state }));
     }
 
-    /// Servers that run and take work.
+    /// Returns the servers that accept requests.
     fn up(&self) -> Vec<ServerId> {
         (0..self.servers.len())
             .filter(|&s| self.servers[s].server.state() == ServerState::Up)
@@ -524,7 +530,7 @@
                 }
             }
             Step::Start(proxy) => self.pending.push(WorldEvent::StartProxy(proxy)),
-            // What has been done meanwhile can break no more.
+            // An attempt that completed in the meantime can't break any more.
             Step::Break(server, attempt) if self.servers[server].server.holds(attempt) => {
                 let spared = self.cancel(at, server, attempt);
                 self.pending
@@ -535,7 +541,7 @@
         }
     }
 
-    /// A fault that changes servers begins or ends.
+    /// Applies the begin or end of a fault to its target servers.
     fn apply_fault(&mut self, at: Millis, fault: usize, begins: bool) {
         let f = &self.scenario.faults[fault];
         let (kind, factor) = (f.kind, f.factor.unwrap_or(1.0));
@@ -556,7 +562,7 @@
         }
     }
 
-    /// Replaces servers of the start by cold ones: a new machine has a new name.
+    /// Replaces initial servers by cold ones with new names.
     fn replace(&mut self, at: Millis, fault: usize, many: usize) {
         let old: Vec<ServerId> = self
             .up()
@@ -579,7 +585,7 @@
         self.schedule(at + drain, Step::Stop(server));
     }
 
-    /// The list as it now stands.
+    /// Returns the current server list.
     pub fn listed(&self) -> Vec<ListEntry> {
         let entries = self
             .servers
--- a/crates/lab/src/world/plan.rs
+++ b/crates/lab/src/world/plan.rs
@@ -1,34 +1,34 @@
-//! A scenario's faults as single steps in time.
+//! Converts a scenario's faults to scheduled steps.
 
 use balancer::Millis;
 
 use crate::ledger::{ProxyId, ServerId};
 use crate::scenario::{FaultKind, Scenario};
 
-/// What happens at one moment. Faults are places in the scenario's list.
+/// A scheduled step. Faults are given as indices into the scenario's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// A fault begins at the servers that it strikes.
+    /// A fault begins at its target servers.
     Begin(usize),
-    /// It ends.
+    /// A fault ends.
     End(usize),
-    /// So many servers are replaced.
+    /// The given number of servers is replaced, for the given fault.
     Replace(usize, usize),
-    /// A server leaves for good.
+    /// A server is removed.
     Leave(usize),
-    /// A server's process ends.
+    /// A server process exits.
     Stop(ServerId),
-    /// Proxies are killed or told to end.
+    /// Proxies are killed or told to exit.
     Proxies(usize),
     /// A proxy is started.
     Start(ProxyId),
-    /// Zones are partitioned, or no longer.
+    /// A network partition begins or ends.
     Part,
-    /// An attempt's connection breaks while its server holds it.
+    /// An attempt's connection breaks while its server processes it.
     Break(ServerId, u64),
 }
 
-/// The steps that are known from the start.
+/// Returns the steps that are known from the start.
 pub fn steps(s: &Scenario) -> Vec<(Millis, Step)> {
     let mut steps = Vec::new();
     for (i, f) in s.faults.iter().enumerate() {
@@ -57,7 +57,7 @@
                 steps.push((f.at.0, Step::Part));
                 steps.push((f.at.0 + f.span.0, Step::Part));
             }
-            // These strike messages, the list or the load: they hold while their time does.
+            // These affect messages, the list or the load and are active for their time span.
             FaultKind::Resets
             | FaultKind::LostAnswers
             | FaultKind::ListSilent
@@ -67,7 +67,7 @@
             | FaultKind::Impatient
             | FaultKind::SlowReaders
             | FaultKind::Garbage
-            // These are done to processes, not to the world.
+            // These apply to proxy processes, not to the world.
             | FaultKind::Upgrade
             | FaultKind::Drain
             | FaultKind::Retune
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -1,6 +1,7 @@
-//! One loan server: cores that share what is in work evenly, a waiting room, a cold start, keys kept warm.
+//! Model of one emulated server: cores shared evenly by the active requests, a queue, a cold start, and a cache of warm
+//! keys.
 //!
-//! It holds no clock: every call brings the time, which never runs backwards. Work is in ms of a standard core.
+//! It has no clock: every call passes the time, which never decreases. Work is in ms of a standard core.
 
 use std::collections::VecDeque;
 
@@ -9,95 +10,95 @@
 
 use crate::scenario::Cancels;
 
-/// What a server is made of.
+/// Properties of a server machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// The speed of a core; 1 is the standard.
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Maximum number of active requests.
     pub slots: usize,
-    /// Requests that may wait beside them.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Connections that it holds.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// The part of its capacity that it starts with, and how long it takes to have all of it.
+    /// Fraction of the capacity at process start, and the warm-up time to full capacity.
     pub cold: (f64, Millis),
-    /// Requests held for each core above which it slows down, and the part that each further one costs.
+    /// Number of requests per core above which the server slows down, and the slowdown per additional one.
     pub crowding: (f64, f64),
-    /// The part of the work that a warm key saves, how many keys it remembers and for how long.
+    /// Fraction of the work that a warm key saves, maximum number of warm keys, and their lifetime.
     pub keys: (f64, usize, Millis),
-    /// A cold server falls over at this multiple of its present capacity, taken over this span.
+    /// A cold server crashes above this multiple of its current capacity, averaged over this span.
     pub overload: (f64, Millis),
 }
 
 /// A request at a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The attempt, as numbered by the driver.
+    /// Id of the attempt, assigned by the driver.
     pub attempt: u64,
-    /// Its work, without what a warm key saves.
+    /// Work without the savings of a warm key.
     pub work: f64,
-    /// What it is about.
+    /// Request key.
     pub key: u64,
 }
 
-/// Why a server is not as it was.
+/// State of a server process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It runs.
+    /// Running.
     Up,
-    /// It finishes what it holds and turns new requests away.
+    /// Completes its requests and rejects new ones.
     Draining,
-    /// Its process has ended.
+    /// The process has exited.
     Down,
-    /// It was pushed over while cold and stays down.
+    /// The process crashed under overload while cold and stays down.
     Crashed,
 }
 
-/// What became of a request that has just come.
+/// Result of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in work or waits.
+    /// Active or queued.
     Accepted,
-    /// It was turned away unseen.
+    /// Rejected without processing.
     Rejected,
-    /// It was the one that pushed the cold server over: all that it held is lost.
+    /// Overloaded the cold server, which crashed; all its requests are lost.
     Crashed,
 }
 
 struct Working {
     job: Job,
-    /// The pace at which it is done.
+    /// Value of `Server::pace` at which the request completes.
     until: f64,
 }
 
-/// A loan server.
+/// A server.
 pub struct Server {
     machine: Machine,
-    /// When its process started; `None` if long ago.
+    /// Start time of the process; `None` if it was running long before the run.
     started_at: Option<Millis>,
     state: ServerState,
-    /// Work that each request in work has had so far, counted on from the process's start.
+    /// Cumulative work that an active request has received since the process start.
     pace: f64,
-    /// The time up to which that is counted.
+    /// Time up to which `pace` is computed.
     at: Millis,
     working: Vec<Working>,
     waiting: VecDeque<Job>,
-    /// How many times slower it runs than it should.
+    /// Slowdown factor.
     slow: f64,
     hung: bool,
     connections: u32,
     keys: FxHashMap<u64, Millis>,
     key_order: VecDeque<(u64, Millis)>,
-    /// Work sent lately beyond what it may be sent.
+    /// Recent work in excess of the overload budget.
     pressure: f64,
     pressure_at: Millis,
 }
 
 impl Server {
-    /// A server whose process started at `started_at`, or long ago.
+    /// Creates a server whose process started at `started_at`, or long ago if `None`.
     pub fn new(machine: Machine, started_at: Option<Millis>, now: Millis) -> Self {
         Server {
             machine,
@@ -117,27 +118,27 @@
         }
     }
 
-    /// Whether it runs.
+    /// Returns the state.
     pub fn state(&self) -> ServerState {
         self.state
     }
 
-    /// What it is made of.
+    /// Returns the machine.
     pub fn machine(&self) -> &Machine {
         &self.machine
     }
 
-    /// When its process started; `None` if long ago.
+    /// Returns the start time of the process; `None` if long ago.
     pub fn started_at(&self) -> Option<Millis> {
         self.started_at
     }
 
-    /// Requests in work, and those that wait.
+    /// Returns the numbers of active and queued requests.
     pub fn load_counts(&self) -> (usize, usize) {
         (self.working.len(), self.waiting.len())
     }
 
-    /// The part of its capacity that it has at a time: cold ones warm evenly.
+    /// Returns the fraction of full capacity at a time; it rises linearly during warm-up.
     pub fn warmth(&self, at: Millis) -> f64 {
         let (from, span) = self.machine.cold;
         match self.started_at {
@@ -148,13 +149,13 @@
         }
     }
 
-    /// Whether an attempt is in work here or waits.
+    /// Returns whether an attempt is active or queued.
     pub fn holds(&self, attempt: u64) -> bool {
         let mut held = self.working.iter().map(|w| &w.job).chain(&self.waiting);
         held.any(|job| job.attempt == attempt)
     }
 
-    /// The warmth summed over a stretch of time.
+    /// Integrates the warmth over a time span.
     fn warm_span(&self, from: Millis, to: Millis) -> f64 {
         let Some(started_at) = self.started_at else {
             return to - from;
@@ -164,7 +165,7 @@
         mean * (warm_at - from) + (to - warm_at)
     }
 
-    /// Work that each request in work gets in a ms, were the server warm.
+    /// Returns the work per ms that each active request receives on a warm server.
     fn rate(&self) -> f64 {
         let m = &self.machine;
         let (n, held) = (
@@ -183,7 +184,7 @@
         self.at = now;
     }
 
-    /// When the next request is done, if nothing else happens before.
+    /// Returns the completion time of the next request, if nothing changes before.
     pub fn next(&self) -> Option<Millis> {
         let rate = self.rate();
         let first = self
@@ -202,13 +203,13 @@
         Some(if need >= until_warm {
             warm_at + (need - until_warm)
         } else {
-            // The warmth rises evenly: warmth·x + slope·x²/2 = need.
+            // The warmth rises linearly: warmth·x + slope·x²/2 = need.
             let slope = (1.0 - from) / span;
             self.at + 2.0 * need / (warmth + (warmth * warmth + 2.0 * slope * need).sqrt())
         })
     }
 
-    /// Takes the requests that are done by now, in the order in which they were done.
+    /// Removes the requests completed by `now` and returns them in completion order.
     pub fn finished(&mut self, now: Millis) -> Vec<Job> {
         self.advance(now);
         let mut done = Vec::new();
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Moves waiting requests into work.
+    /// Starts queued requests while slots are free.
     fn fill(&mut self, now: Millis) {
         while self.working.len() < self.machine.slots {
             let Some(job) = self.waiting.pop_front() else {
@@ -266,8 +267,8 @@
         }
     }
 
-    /// Counts work that reaches the server, also what it turns away; tells whether it falls over. The budget is
-    /// `multiple` times the present capacity over a span, with two mean requests of slack for chance.
+    /// Counts submitted work, including rejected requests, and returns whether the server crashes under overload. The
+    /// budget is `multiple` times the current capacity over the span, plus two requests' work for random variation.
     fn press(&mut self, now: Millis, work: f64) -> bool {
         let m = &self.machine;
         let allowed = m.overload.0 * self.warmth(now) * m.cores * m.speed;
@@ -276,7 +277,7 @@
         self.warmth(now) < 1.0 && self.pressure > allowed * m.overload.1 + 2.0 * work
     }
 
-    /// A request has come.
+    /// Submits a request.
     pub fn submit(&mut self, now: Millis, job: Job) -> Admission {
         self.advance(now);
         if matches!(self.state, ServerState::Down | ServerState::Crashed) {
@@ -300,7 +301,7 @@
         self.working.len() >= self.machine.slots
     }
 
-    /// An attempt has been given up: its connection is closed. Tells whether it was spared.
+    /// Cancels an attempt whose connection is closed; returns whether the server drops it.
     pub fn cancel(&mut self, now: Millis, attempt: u64, cancels: Cancels) -> bool {
         self.advance(now);
         if cancels == Cancels::Nothing {
@@ -315,26 +316,26 @@
         self.waiting.len() + self.working.len() < before
     }
 
-    /// A connection comes up; `false` if the server holds as many as it can.
+    /// Opens a connection; returns `false` if the server is at its connection limit.
     pub fn connect(&mut self) -> bool {
         let fits = self.connections < self.machine.connections;
         self.connections += u32::from(fits);
         fits
     }
 
-    /// A connection has ended.
+    /// Closes a connection.
     pub fn disconnect(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Finishes what it holds from here on.
+    /// Rejects new requests and completes the current ones.
     pub fn drain(&mut self) {
         if self.state == ServerState::Up {
             self.state = ServerState::Draining;
         }
     }
 
-    /// Its process ends; returns the attempts that it held.
+    /// Ends the process and returns the attempts that it held.
     pub fn stop(&mut self, now: Millis) -> Vec<u64> {
         self.advance(now);
         if self.state != ServerState::Crashed {
@@ -343,7 +344,7 @@
         self.lose_all()
     }
 
-    /// The attempts that it holds are lost.
+    /// Removes and returns all attempts.
     pub fn lose_all(&mut self) -> Vec<u64> {
         self.connections = 0;
         let working = self.working.drain(..).map(|w| w.job.attempt);
@@ -352,13 +353,13 @@
             .collect()
     }
 
-    /// Runs this many times slower than it should.
+    /// Sets the slowdown factor.
     pub fn set_slow(&mut self, now: Millis, slow: f64) {
         self.advance(now);
         self.slow = slow;
     }
 
-    /// Works on nothing while it is hung.
+    /// Hangs or resumes the server; a hung server makes no progress.
     pub fn set_hung(&mut self, now: Millis, hung: bool) {
         self.advance(now);
         self.hung = hung;
@@ -434,7 +435,7 @@
         assert!((0.2 * at + 0.0004 * at * at - 60.0).abs() < 1e-9, "{at}");
         assert_eq!(ids(s.finished(at)), [1]);
         let mut s = Server::new(machine(), Some(0.0), 0.0);
-        s.submit(0.0, job(1, 700.0)); // 600 by the time it is warm, the rest at full speed
+        s.submit(0.0, job(1, 700.0)); // 600 of the work is done when it is warm, the rest at full speed
         assert!((s.next().expect("it works") - 1100.0).abs() < 1e-9);
     }
 
--- a/crates/lab/tests/oracle.rs
+++ b/crates/lab/tests/oracle.rs
@@ -222,7 +222,7 @@
         server: 0,
         at,
         up,
-        born: None,
+        started_at: None,
     };
     let sent = |at: f64| {
         checkout(
@@ -276,7 +276,7 @@
         server: 0,
         at: 400.0,
         up: true,
-        born: Some(300.0),
+        started_at: Some(300.0),
     }];
     let t = ClientAttempt {
         answers: vec![(600.0, ResponseKind::Failed)],
