--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -135,7 +135,10 @@
             let happened = self.world.borrow_mut().advance(self.now());
             for h in happened {
                 match h {
-                    WorldEvent::Completed { attempt, verdict } => {
+                    WorldEvent::Completed {
+                        attempt,
+                        outcome: verdict,
+                    } => {
                         if let Some(waits) = self.waiting.borrow_mut().remove(&attempt) {
                             let _ = waits.send(verdict); // it may have left
                         }
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -1,4 +1,5 @@
-//! Clients on real sockets: each ask is sent when it was meant to be, whatever became of those before it.
+//! Clients on real sockets (open loop): each client request is sent at its scheduled time, whatever the state of
+//! earlier ones.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,37 +20,37 @@
 use crate::random::{Purpose, stream};
 use crate::scenario::{Effect, FaultKind};
 
-/// A slow reader waits so long before it reads.
-const SLOW: Duration = Duration::from_millis(300);
-/// Bytes of a request above which it is sent slowly.
-const LARGE: usize = 64 << 10;
+/// Delay before a slow reader reads the response, and before the second half of a large request is sent.
+const SLOW_DELAY: Duration = Duration::from_millis(300);
+/// Request size in bytes above which a request is sent in two halves.
+const LARGE_REQUEST_BYTES: usize = 64 << 10;
 
-/// All clients, and the front that spreads them over the proxies.
+/// All clients, and the load balancer that distributes them over the proxies.
 pub struct Clients {
     run: Rc<RunState>,
     proxies: Vec<Rc<Proxy>>,
-    /// Idle connections by proxy, the one used last at the end.
+    /// Idle connections by proxy, the most recently used last.
     idle: RefCell<Vec<Vec<Connection>>>,
     rng: RefCell<ChaCha8Rng>,
-    /// How late first tries were sent, in ms.
-    pub late: RefCell<Vec<f64>>,
+    /// Delays of first attempts against their schedule, in ms.
+    pub send_delays: RefCell<Vec<f64>>,
     open: Cell<usize>,
 }
 
-/// What came of an exchange.
+/// Result of an exchange on a connection.
 enum Exchange {
-    /// An answer, whole.
+    /// A complete response.
     Answer(Message),
-    /// An answer that broke inside.
-    Torn,
-    /// The connection ended before the answer began.
+    /// An incomplete response.
+    Incomplete,
+    /// The connection was closed before the response began.
     Ended,
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
 }
 
 impl Clients {
-    /// Clients of these proxies.
+    /// Creates clients of the given proxies.
     pub fn new(run: Rc<RunState>, proxies: Vec<Rc<Proxy>>, seed: u64) -> Rc<Self> {
         let idle = proxies.iter().map(|_| Vec::new()).collect();
         Rc::new(Clients {
@@ -57,19 +58,19 @@
             idle: RefCell::new(idle),
             proxies,
             rng: RefCell::new(stream(seed, Purpose::Clients)),
-            late: RefCell::default(),
+            send_delays: RefCell::default(),
             open: Cell::new(0),
         })
     }
 
-    /// Sends every ask at its time; ends when all have ended.
+    /// Sends every client request at its scheduled time; returns when all have ended.
     pub async fn play(self: Rc<Self>) {
-        for ask in 0..self.run.requests.len() {
-            sleep_until(self.run.instant(self.run.requests[ask].at)).await;
+        for request in 0..self.run.requests.len() {
+            sleep_until(self.run.instant(self.run.requests[request].at)).await;
             self.open.set(self.open.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
-                clients.ask(ask).await;
+                clients.send_request(request).await;
                 clients.open.set(clients.open.get() - 1);
             });
         }
@@ -95,19 +96,19 @@
         )
     }
 
-    async fn ask(&self, ask: usize) {
+    async fn send_request(&self, request: usize) {
         let run = &self.run;
-        let a = &run.requests[ask];
+        let a = &run.requests[request];
         let mut intended = a.at;
         for number in 1.. {
             let now = run.now();
             if number == 1 {
-                self.late.borrow_mut().push(now - intended);
+                self.send_delays.borrow_mut().push(now - intended);
             }
-            let end = self.try_once(ask, number, intended, now).await;
+            let end = self.send_attempt(request, number, intended, now).await;
             let now = run.now();
             {
-                let served = &mut run.served.borrow_mut()[ask];
+                let served = &mut run.served.borrow_mut()[request];
                 served.1 = number;
                 if end == ClientAttemptOutcome::Served {
                     served.0 = Some(now);
@@ -121,15 +122,15 @@
         }
     }
 
-    async fn try_once(
+    async fn send_attempt(
         &self,
-        ask: usize,
+        request: usize,
         number: u32,
         intended: Millis,
         now: Millis,
     ) -> ClientAttemptOutcome {
         let run = &self.run;
-        let a = &run.requests[ask];
+        let a = &run.requests[request];
         let proxy = self.pick(a.zone);
         let patience = load::patience(&run.scenario, a, now);
         if patience < 1.0 {
@@ -140,7 +141,7 @@
             let mut ledger = run.ledger.borrow_mut();
             let id = ledger.client_attempts.len();
             ledger.client_attempts.push(ClientAttempt {
-                request: ask,
+                request,
                 number,
                 class: a.class,
                 once: class.effect == Effect::Unsafe,
@@ -165,7 +166,7 @@
             format!("X-Tenant-Id: {}\r\n", run.scenario.tenants[t].name)
         });
         let retried = if number > 1 { "X-Retried: 1\r\n" } else { "" };
-        let size = self.large();
+        let size = self.large_body_size();
         let body = if method == "POST" && size.is_some() {
             body_for(&name, size)
         } else {
@@ -189,12 +190,12 @@
         whole.extend_from_slice(&body);
         match timeout_at(due, self.exchange(id, proxy, &whole)).await {
             Err(_) => {
-                run.ledger.borrow_mut().client_attempts[id].left = Some(run.now()); // dropping it closed the connection
+                run.ledger.borrow_mut().client_attempts[id].left = Some(run.now()); // cancelling the exchange closed the connection
                 ClientAttemptOutcome::GaveUp
             }
             Ok(Exchange::Unreachable) => ClientAttemptOutcome::Unreachable,
             Ok(Exchange::Ended) => ClientAttemptOutcome::Failed,
-            Ok(Exchange::Torn) => {
+            Ok(Exchange::Incomplete) => {
                 run.ledger.borrow_mut().client_attempts[id]
                     .answers
                     .push((run.now(), ResponseKind::Broken));
@@ -202,12 +203,12 @@
             }
             Ok(Exchange::Answer(message)) => {
                 let wanted = body_for(&name, size.filter(|_| method == "GET"));
-                self.answered(id, &wanted, &message)
+                self.record_response(id, &wanted, &message)
             }
         }
     }
 
-    fn answered(
+    fn record_response(
         &self,
         id: ClientAttemptId,
         wanted: &[u8],
@@ -240,12 +241,12 @@
         end
     }
 
-    /// One request on a connection that is kept or new. One that ends before it has been read is sent once more on a
-    /// new connection: between requests a proxy may close.
+    /// Sends a request on an idle or a new connection. If an idle connection closes before a response, the request is
+    /// resent once on a new connection, because a proxy may close idle connections.
     async fn exchange(&self, id: ClientAttemptId, proxy: ProxyId, request: &[u8]) -> Exchange {
-        let kept = self.idle.borrow_mut()[proxy].pop();
-        if let Some(connection) = kept {
-            match self.over(id, proxy, connection, request).await {
+        let idle = self.idle.borrow_mut()[proxy].pop();
+        if let Some(connection) = idle {
+            match self.exchange_on(id, proxy, connection, request).await {
                 Exchange::Ended => self.run.ledger.borrow_mut().client_attempts[id].taken = None,
                 end => return end,
             }
@@ -253,18 +254,19 @@
         let Ok(stream) = TcpStream::connect(self.proxies[proxy].address).await else {
             return Exchange::Unreachable;
         };
-        self.over(id, proxy, Connection::new(stream), request).await
+        self.exchange_on(id, proxy, Connection::new(stream), request)
+            .await
     }
 
-    async fn over(
+    async fn exchange_on(
         &self,
         id: ClientAttemptId,
         proxy: ProxyId,
         mut connection: Connection,
         request: &[u8],
     ) -> Exchange {
-        // A large body comes in two halves, and the second one late.
-        let (first, late) = request.split_at(if request.len() > LARGE {
+        // A large request is sent in two halves with a delay between them.
+        let (first, late) = request.split_at(if request.len() > LARGE_REQUEST_BYTES {
             request.len() / 2
         } else {
             request.len()
@@ -273,14 +275,14 @@
             return Exchange::Ended;
         }
         if !late.is_empty() {
-            sleep(SLOW).await;
+            sleep(SLOW_DELAY).await;
         }
         if connection.write(late).await.is_err() {
             return Exchange::Ended;
         }
         self.run.ledger.borrow_mut().client_attempts[id].taken = Some(self.run.now());
         if self.reads_slowly() {
-            sleep(SLOW).await;
+            sleep(SLOW_DELAY).await;
         }
         match connection.read(false).await {
             Ok(message) => {
@@ -290,12 +292,12 @@
                 Exchange::Answer(message)
             }
             Err(ReadError::Ended) => Exchange::Ended,
-            Err(ReadError::Broken(_)) => Exchange::Torn,
+            Err(ReadError::Broken(_)) => Exchange::Incomplete,
         }
     }
 
-    /// The size of a large request's body or answer, if this one is large.
-    fn large(&self) -> Option<usize> {
+    /// Returns the body size of a large request or response, if a fault makes this request large.
+    fn large_body_size(&self) -> Option<usize> {
         let now = self.run.now();
         let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::LargeBodies && f.holds(now);
         let fault = self.run.scenario.faults.iter().find(holds)?;
@@ -318,9 +320,9 @@
         share > 0.0 && self.rng.borrow_mut().random::<f64>() < share
     }
 
-    /// Peers that send garbage, for as long as the faults say.
-    pub async fn garbage(self: Rc<Self>) {
-        const SORTS: [&[u8]; 4] = [
+    /// Sends malformed requests for the duration of the garbage faults.
+    pub async fn send_garbage(self: Rc<Self>) {
+        const MALFORMED: [&[u8]; 4] = [
             b"\x16\x03\x01\x02\x00\x01",
             b"GET",
             b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nx",
@@ -329,14 +331,14 @@
         let faults = self.run.scenario.faults.clone();
         for fault in faults.iter().filter(|f| f.kind == FaultKind::Garbage) {
             let gap = 1000.0 / fault.rate.map_or(1.0, |r| r.0);
-            let many = (fault.span.0 / gap) as usize;
-            for n in 0..many {
+            let count = (fault.span.0 / gap) as usize;
+            for n in 0..count {
                 sleep_until(self.run.instant(fault.at.0 + n as f64 * gap)).await;
                 let address = self.proxies[n % self.proxies.len()].address;
                 spawn_local(async move {
                     if let Ok(stream) = TcpStream::connect(address).await {
                         let mut connection = Connection::new(stream);
-                        let _ = connection.write(SORTS[n % SORTS.len()]).await; // what becomes of it is the proxy's affair
+                        let _ = connection.write(MALFORMED[n % MALFORMED.len()]).await; // the proxy may reject or ignore it
                         connection.closed().await;
                     }
                 });
--- a/crates/lab/src/real/full_backlog.rs
+++ b/crates/lab/src/real/full_backlog.rs
@@ -1,5 +1,5 @@
-//! A listener that takes no connections without refusing them, as behind a partition: the system drops what would
-//! connect to it once as many connections wait as it is to hold.
+//! Emulates a partition at a listener: connections are neither accepted nor refused, because the kernel drops
+//! connection requests while the listener's backlog is full.
 
 use std::io;
 use std::time::Duration;
@@ -8,37 +8,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Connections that wait at a listener that takes them.
+/// Backlog of a listener that accepts connections.
 pub const BACKLOG: i32 = 1024;
-/// A connection over loopback that is not up within this span is not coming up.
-const SOON: Duration = Duration::from_millis(50);
-/// Connections that a listener may hold beyond what it was told, at most.
-const MOST: usize = 8;
+/// Time after which a connection over loopback is known not to be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Maximum number of connections that a listener may queue beyond its backlog.
+const MAX_QUEUED: usize = 8;
 
-/// What keeps a listener from taking connections, until it is dropped.
+/// Keeps a listener's backlog full until dropped.
 pub struct FullBacklog<'a> {
     listener: &'a TcpListener,
-    /// They wait at the listener and are never looked at.
-    fill: Vec<TcpStream>,
+    /// Queued connections, which are never accepted.
+    queued: Vec<TcpStream>,
 }
 
 impl<'a> FullBacklog<'a> {
-    /// Fills a listener's queue.
+    /// Fills a listener's backlog.
     ///
     /// # Errors
-    /// What the sockets say.
+    /// Returns errors of the sockets.
     pub async fn new(listener: &'a TcpListener) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        // From here on a failure, too, gives the listener its queue back: it drops the full_backlog.
+        // From here on, dropping the value restores the backlog, also after an error.
         let mut full_backlog = FullBacklog {
             listener,
-            fill: Vec::new(),
+            queued: Vec::new(),
         };
         SockRef::from(listener).listen(0)?;
-        while full_backlog.fill.len() < MOST
-            && let Ok(stream) = timeout(SOON, TcpStream::connect(address)).await
+        while full_backlog.queued.len() < MAX_QUEUED
+            && let Ok(stream) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await
         {
-            full_backlog.fill.push(stream?);
+            full_backlog.queued.push(stream?);
         }
         Ok(full_backlog)
     }
@@ -46,7 +46,7 @@
 
 impl Drop for FullBacklog<'_> {
     fn drop(&mut self) {
-        let _ = SockRef::from(self.listener).listen(BACKLOG); // it listens already, so that it can't fail
+        let _ = SockRef::from(self.listener).listen(BACKLOG); // can't fail, as the socket is listening already
     }
 }
 
@@ -55,19 +55,19 @@
     use super::*;
 
     #[tokio::test(flavor = "current_thread")]
-    async fn a_plugged_listener_says_nothing_and_an_unplugged_one_takes_connections() {
+    async fn a_full_backlog_drops_connections_until_it_is_released() {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let full_backlog = FullBacklog::new(&listener).await.unwrap();
         let silent = timeout(Duration::from_millis(300), TcpStream::connect(address)).await;
-        assert!(silent.is_err(), "neither taken nor refused: {silent:?}");
+        assert!(silent.is_err(), "neither accepted nor refused: {silent:?}");
         drop(full_backlog);
-        let taken = async {
+        let accepted = async {
             let _stream = TcpStream::connect(address).await.unwrap();
             listener.accept().await.unwrap();
         };
-        timeout(Duration::from_secs(20), taken)
+        timeout(Duration::from_secs(20), accepted)
             .await
-            .expect("it takes connections again");
+            .expect("the listener accepts connections again");
     }
 }
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -1,41 +1,41 @@
-//! As much of HTTP/1.1 as the lab's clients, servers and list need: a message with its head and a body of known
-//! length. It reads what the proxy writes and no more; a message that it can't read ends its connection.
+//! Minimal HTTP/1.1 for the lab's clients, servers and list: messages with a head and a body of known length. It
+//! supports only what the proxy sends; an unreadable message ends the connection.
 
 use std::io;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes of a head and of a body, more than any of ours has.
+/// Size limits of a message, above the size of any message used here.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 const MAX_BODY_BYTES: usize = 33 << 20;
 const MAX_HEADERS: usize = 64;
 
-/// A message that has been read whole.
+/// A complete message.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// Method and target, or the status.
+    /// Method and target of a request, or status of a response.
     pub start: StartLine,
-    /// Names in lower case.
+    /// Headers with lower-case names.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// What a message begins with.
+/// Start line of a message.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub enum StartLine {
-    /// Nothing has been read.
+    /// Nothing read yet.
     #[default]
     None,
-    /// A request's method and target.
+    /// Method and target of a request.
     Request(String, String),
-    /// An answer's status.
+    /// Status of a response.
     Response(u16),
 }
 
 impl Message {
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -43,32 +43,32 @@
             .map(|(_, v)| v.as_str())
     }
 
-    /// Whether the connection ends with it.
+    /// Returns whether the connection is closed after this message.
     pub fn closes_connection(&self) -> bool {
         self.header("connection")
             .is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// A connection with what has been read ahead.
+/// A connection with a read buffer.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// Why no message came.
+/// Reason why no message was read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The connection ended before its first byte.
+    /// The connection was closed before the first byte of a message.
     Ended,
-    /// It ended or broke inside, or could not be read.
+    /// The connection broke within a message, or the message could not be read.
     Broken(io::Error),
 }
 
 impl Connection {
-    /// A connection that is up.
+    /// Wraps an established connection.
     pub fn new(stream: TcpStream) -> Self {
-        let _ = stream.set_nodelay(true); // slower without, no worse
+        let _ = stream.set_nodelay(true); // without it the connection is only slower
         Connection {
             stream,
             buffer: Vec::new(),
@@ -76,12 +76,12 @@
     }
 
     async fn read_more(&mut self) -> Result<(), ReadError> {
-        let began = !self.buffer.is_empty();
+        let started = !self.buffer.is_empty();
         match self.stream.read_buf(&mut self.buffer).await {
-            Ok(0) if began => Err(ReadError::Broken(io::ErrorKind::UnexpectedEof.into())),
+            Ok(0) if started => Err(ReadError::Broken(io::ErrorKind::UnexpectedEof.into())),
             Ok(0) => Err(ReadError::Ended),
             Ok(_) => Ok(()),
-            Err(_) if !began => Err(ReadError::Ended),
+            Err(_) if !started => Err(ReadError::Ended),
             Err(e) => Err(ReadError::Broken(e)),
         }
     }
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Reads one message; `request` tells which kind is expected.
+    /// Reads one message; `request` tells whether a request or a response is expected.
     pub async fn read(&mut self, request: bool) -> Result<Message, ReadError> {
-        let wrong =
+        let invalid =
             |e: &str| ReadError::Broken(io::Error::new(io::ErrorKind::InvalidData, e.to_owned()));
         loop {
             if let Some((mut message, head)) =
-                parse(&self.buffer, request).map_err(|e| wrong(&e))?
+                parse(&self.buffer, request).map_err(|e| invalid(&e))?
             {
                 let length = message
                     .header("content-length")
                     .map_or(Ok(0), str::parse::<usize>);
-                let length = length.map_err(|_| wrong("the length is no number"))?;
+                let length = length.map_err(|_| invalid("Content-Length is not a number"))?;
                 if length > MAX_BODY_BYTES {
-                    return Err(wrong("the body is too long"));
+                    return Err(invalid("body exceeds the size limit"));
                 }
                 while self.buffer.len() < head + length {
                     self.read_more().await?;
@@ -118,21 +118,21 @@
                 return Ok(message);
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(wrong("the head is too long"));
+                return Err(invalid("head exceeds the size limit"));
             }
             self.read_more().await?;
         }
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// What the socket says.
+    /// Returns errors of the socket.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Returns once the other side has closed or broken the connection; what it sends meanwhile is kept.
+    /// Returns once the peer has closed or reset the connection; data received meanwhile is buffered.
     pub async fn closed(&mut self) {
         while self.buffer.len() < MAX_HEAD_BYTES {
             match self.stream.read_buf(&mut self.buffer).await {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Breaks the connection: the other side sees a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
@@ -163,13 +163,13 @@
     let httparse::Status::Complete(head) = status else {
         return Ok(None);
     };
-    let own = |h: &httparse::Header| {
+    let convert = |h: &httparse::Header| {
         (
             h.name.to_ascii_lowercase(),
             String::from_utf8_lossy(h.value).trim().to_owned(),
         )
     };
-    let headers = headers.iter().map(own).collect();
+    let headers = headers.iter().map(convert).collect();
     Ok(Some((
         Message {
             start,
@@ -185,14 +185,16 @@
     use super::*;
 
     #[test]
-    fn a_head_is_read_once_it_is_whole() {
+    fn a_head_is_parsed_once_it_is_complete() {
         let text =
             b"POST /checkout?sid=1 HTTP/1.1\r\nX-Request-ID: r-1\r\nContent-Length: 2\r\n\r\nhi";
         for cut in 0..text.len() - 2 {
-            let parsed = parse(&text[..cut], true).expect("a part of it is no error");
+            let parsed = parse(&text[..cut], true).expect("an incomplete head is no error");
             assert!(parsed.is_none(), "cut at {cut}");
         }
-        let (message, head) = parse(text, true).expect("good").expect("whole");
+        let (message, head) = parse(text, true)
+            .expect("valid message")
+            .expect("complete message");
         assert_eq!(
             message.start,
             StartLine::Request("POST".into(), "/checkout?sid=1".into())
@@ -203,8 +205,8 @@
         );
         assert!(parse(b"\x16\x03\x01", true).is_err());
         let (answer, _) = parse(b"HTTP/1.1 503 x\r\nConnection: close\r\n\r\n", false)
-            .expect("good")
-            .expect("whole");
+            .expect("valid message")
+            .expect("complete message");
         assert!(answer.closes_connection() && answer.start == StartLine::Response(503));
     }
 }
--- a/crates/lab/src/real/list_agent.rs
+++ b/crates/lab/src/real/list_agent.rs
@@ -1,4 +1,4 @@
-//! The list of servers as each proxy's agent tells it: whole, or a watch that stays open.
+//! Server list endpoint of each proxy: serves the full list or a watch.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,24 +19,24 @@
 use crate::scenario::FaultKind;
 use crate::world::{ListEntry, ListState};
 
-/// A watch with nothing to tell sends an empty entry this often.
-const ALIVE: Duration = Duration::from_secs(2);
+/// Interval of empty lines on a watch without updates.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One proxy's agent.
+/// Server list agent of one proxy.
 pub struct Agent {
     run: Rc<RunState>,
     servers: Rc<Servers>,
     proxy: ProxyId,
-    /// What it has been sent, a entry a server that is listed.
+    /// State of each listed server, as delivered to this agent.
     list: RefCell<BTreeMap<ServerId, ListState>>,
-    /// Every change with its version.
+    /// All changes with their sequence numbers.
     log: RefCell<Vec<(u64, ListEntry)>>,
     seq: Cell<u64>,
-    news: watch::Sender<u64>,
+    updates: watch::Sender<u64>,
 }
 
 impl Agent {
-    /// An agent that knows the list as it stands.
+    /// Creates an agent with the current list.
     pub fn new(run: Rc<RunState>, servers: Rc<Servers>, proxy: ProxyId) -> Rc<Self> {
         let list = run
             .world
@@ -45,7 +45,7 @@
             .into_iter()
             .map(|l| (l.server, l.state))
             .collect();
-        let (news, _) = watch::channel(1);
+        let (updates, _) = watch::channel(1);
         let (log, seq) = (RefCell::default(), Cell::new(1));
         Rc::new(Agent {
             run,
@@ -54,12 +54,12 @@
             list: RefCell::new(list),
             log,
             seq,
-            news,
+            updates,
         })
     }
 
-    /// A change is on its way; it arrives when the world says.
-    pub fn send(self: &Rc<Self>, entry: ListEntry) {
+    /// Announces a change; it arrives at the delivery time that the world returns.
+    pub fn announce(self: &Rc<Self>, entry: ListEntry) {
         let at = self
             .run
             .world
@@ -74,7 +74,7 @@
             };
             agent.seq.set(agent.seq.get() + 1);
             agent.log.borrow_mut().push((agent.seq.get(), entry));
-            agent.news.send_replace(agent.seq.get());
+            agent.updates.send_replace(agent.seq.get());
         });
     }
 
@@ -109,18 +109,18 @@
             .collect()
     }
 
-    /// The list as it is written; what is written counts as told.
+    /// Builds the list document with the given entries.
     fn document(&self, whole: bool, entries: &[ListEntry]) -> Value {
         let hosts: Vec<Value> = entries.iter().map(|l| self.host(l)).collect();
         json!({ "seq": self.seq.get(), "whole": whole, "hosts": hosts })
     }
 
-    /// The list as the proxy last held it, for its configuration.
-    pub fn known(&self) -> Value {
+    /// Returns the list as last delivered to the proxy, for its configuration.
+    pub fn cached_list(&self) -> Value {
         self.document(true, &self.entries())
     }
 
-    fn tell(&self, entries: &[ListEntry]) {
+    fn record_notifications(&self, entries: &[ListEntry]) {
         let at = self.run.now();
         let world = self.run.world.borrow();
         let mut ledger = self.run.ledger.borrow_mut();
@@ -139,10 +139,10 @@
         }
     }
 
-    /// Listens, and answers for as long as it is polled.
+    /// Listens and serves requests on the local task set.
     ///
     /// # Errors
-    /// What the socket says.
+    /// Returns errors of the socket.
     pub async fn listen(self: &Rc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
@@ -172,20 +172,20 @@
             };
             if value("watch") == Some("1") {
                 let after = value("after").and_then(|a| a.parse().ok());
-                let _ = self.watch(&mut connection, after).await; // it lasts until its connection ends
+                let _ = self.watch(&mut connection, after).await; // the watch lasts until its connection closes
                 return;
             }
             let entries = self.entries();
             let body = self.document(true, &entries).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            self.tell(&entries);
+            self.record_notifications(&entries);
             if connection.write((head + &body).as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
-    fn silent(&self) -> bool {
+    fn is_silent(&self) -> bool {
         let now = self.run.now();
         let faults = &self.run.scenario.faults;
         faults
@@ -194,39 +194,39 @@
     }
 
     async fn watch(&self, connection: &mut Connection, after: Option<u64>) -> std::io::Result<()> {
-        let mut news = self.news.subscribe();
+        let mut updates = self.updates.subscribe();
         connection
             .write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
-        let mut seen = match after.filter(|a| *a <= self.seq.get()) {
+        let mut delivered = match after.filter(|a| *a <= self.seq.get()) {
             Some(after) => after,
             None => {
                 let entries = self.entries();
                 let document = self.document(true, &entries);
-                self.tell(&entries);
-                chunk(connection, &document.to_string()).await?;
+                self.record_notifications(&entries);
+                write_chunk(connection, &document.to_string()).await?;
                 self.seq.get()
             }
         };
         loop {
-            let seq = *news.borrow_and_update();
-            if seq > seen {
+            let seq = *updates.borrow_and_update();
+            if seq > delivered {
                 let entries: Vec<ListEntry> = self
                     .log
                     .borrow()
                     .iter()
-                    .filter(|(s, _)| *s > seen)
+                    .filter(|(s, _)| *s > delivered)
                     .map(|(_, l)| l.clone())
                     .collect();
                 let document = self.document(false, &entries);
-                self.tell(&entries);
-                chunk(connection, &document.to_string()).await?;
-                seen = self.seq.get();
+                self.record_notifications(&entries);
+                write_chunk(connection, &document.to_string()).await?;
+                delivered = self.seq.get();
             }
             tokio::select! {
-                changed = timeout(ALIVE, news.changed()) => {
-                    if changed.is_err() && !self.silent() {
-                        chunk(connection, "").await?;
+                changed = timeout(KEEPALIVE_INTERVAL, updates.changed()) => {
+                    if changed.is_err() && !self.is_silent() {
+                        write_chunk(connection, "").await?;
                     }
                 }
                 () = connection.closed() => return Ok(()),
@@ -235,7 +235,7 @@
     }
 }
 
-async fn chunk(connection: &mut Connection, text: &str) -> std::io::Result<()> {
+async fn write_chunk(connection: &mut Connection, text: &str) -> std::io::Result<()> {
     connection
         .write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
         .await
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -1,7 +1,7 @@
-//! A run on real sockets: proxy processes, and the world on 127.0.0.1 around them.
+//! Runs a scenario on real sockets: proxy processes, and the emulated servers, list and clients on 127.0.0.1.
 //!
-//! The load is open: arrivals are drawn ahead, and latencies count from when a request was meant to be sent. A run in
-//! which the lab itself came late is void and says so.
+//! The load is open-loop: arrivals are drawn before the run, and latencies are measured from the intended send time. A
+//! run in which the load generator itself was late is reported as void.
 
 mod clients;
 mod full_backlog;
@@ -35,27 +35,27 @@
 use run_state::{RunEvent, RunState};
 use servers::Servers;
 
-/// The protocol's time limits are this much longer on sockets.
-const SOCKET_SLACK: f64 = 50.0;
-/// With first tries sent later than this, at the 99th percentile, the lab was the bottleneck.
-const LATE: f64 = 25.0;
-/// From when all proxies are up to the first request.
-const LEAD: Duration = Duration::from_millis(200);
+/// Tolerance added to the time limits of the rules on real sockets, in ms.
+const SOCKET_SLACK_MS: f64 = 50.0;
+/// Maximum delay of first attempts at the 99th percentile, in ms; above it, the load generator was the bottleneck.
+const MAX_SEND_DELAY_MS: f64 = 25.0;
+/// Time from when all proxies are up to the start of the run.
+const START_DELAY: Duration = Duration::from_millis(200);
 
-/// What is measured beside the service, on real sockets.
+/// Measurements of a run on real sockets, in addition to its score.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Measured {
-    /// CPU time of all proxies for each request that they were sent, in µs.
+    /// CPU time of all proxies per client attempt, in µs.
     pub cpu_us: f64,
-    /// How late first tries were sent, in ms: median and 99th percentile.
+    /// Delay of first attempts against their schedule, in ms: median and 99th percentile.
     pub late_ms: (f64, f64),
 }
 
-/// Plays a scenario on real sockets. `command` starts a proxy, which finds its configuration by `NODE_CONFIG`; files go
-/// into `dir`. `tick` is called with the share that has been played.
+/// Runs a scenario on real sockets. `command` starts a proxy, which finds its configuration by `NODE_CONFIG`; files are
+/// written to `dir`. `tick` is called with the completed fraction of the run.
 ///
 /// # Errors
-/// A proxy or a socket could not be had; what has been started is ended.
+/// Fails if a proxy can't be started or a socket is not available; everything started is stopped.
 pub fn play(
     scenario: &Arc<Scenario>,
     name: &str,
@@ -84,28 +84,28 @@
     dir: &Path,
     mut tick: impl FnMut(f64) + 'static,
 ) -> io::Result<(Run, Measured)> {
-    // From here on an interrupt is kept until it is asked for, also while proxies start.
+    // From here on an interrupt is queued until it is received, also while proxies start.
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut rules = (*scenario).clone();
-    rules.rules.answer_slack.0 += SOCKET_SLACK;
-    rules.rules.drain_grace.0 += SOCKET_SLACK;
+    rules.rules.answer_slack.0 += SOCKET_SLACK_MS;
+    rules.rules.drain_grace.0 += SOCKET_SLACK_MS;
     let scenario = Arc::new(rules);
     let requests = load::draw_requests(&scenario, seed);
-    // Time begins once all proxies are up; until then it stands at zero.
+    // The run's time starts once all proxies are up; until then it is zero.
     let begin = Instant::now() + Duration::from_secs(3600);
-    let run = RunState::new(scenario.clone(), seed, requests, begin);
-    let servers = Servers::new(run.clone());
-    let listed = run.world.borrow().listed();
+    let state = RunState::new(scenario.clone(), seed, requests, begin);
+    let servers = Servers::new(state.clone());
+    let listed = state.world.borrow().listed();
     for entry in &listed {
         servers.open(entry.server)?;
     }
     let mut proxies = Vec::new();
     let mut agents = Vec::new();
     for number in 0..scenario.proxies.count {
-        let agent = Agent::new(run.clone(), servers.clone(), number);
+        let agent = Agent::new(state.clone(), servers.clone(), number);
         let discovery = agent.listen().await?;
         let proxy = Proxy::new(
-            run.clone(),
+            state.clone(),
             number,
             command.to_vec(),
             discovery,
@@ -119,58 +119,66 @@
     for proxy in &proxies {
         proxy.start().await?;
     }
-    run.begin(Instant::now() + LEAD);
+    state.begin(Instant::now() + START_DELAY);
     let failed: Rc<Cell<Option<io::Error>>> = Rc::default();
-    let turning = spawn_local(
-        run.clone()
-            .turn(run_events(&agents, &proxies, &servers, &failed)),
+    let world_task = spawn_local(
+        state
+            .clone()
+            .drive_world(run_events(&agents, &proxies, &servers, &failed)),
     );
     for proxy in &proxies {
         spawn_local(proxy.clone().watch());
     }
-    let clients = Clients::new(run.clone(), proxies.clone(), seed);
-    spawn_local(clients.clone().garbage());
-    spawn_local(log_faults(run.clone()));
-    operator_actions::act(&run, &proxies, &failed);
+    let clients = Clients::new(state.clone(), proxies.clone(), seed);
+    spawn_local(clients.clone().send_garbage());
+    spawn_local(log_faults(state.clone()));
+    operator_actions::schedule(&state, &proxies, &failed);
     let length = scenario.length.0;
-    let told = run.clone();
+    let progress = state.clone();
     spawn_local(async move {
         loop {
-            tick((told.now() / length).min(1.0));
+            tick((progress.now() / length).min(1.0));
             sleep(Duration::from_millis(200)).await;
         }
     });
-    let cpu = |proxies: &[Rc<Proxy>]| proxies.iter().map(|p| p.cpu()).sum::<f64>();
+    let cpu = |proxies: &[Rc<Proxy>]| proxies.iter().map(|p| p.cpu_seconds()).sum::<f64>();
     let before = cpu(&proxies);
     let partial = tokio::select! {
         () = clients.clone().play() => false,
         _ = interrupt.recv() => true,
     };
     let used = cpu(&proxies) - before;
-    run.ledger.borrow_mut().ended_at = run.now();
-    // The run is not looked at any more: what ends from here on ends because the run does.
-    let ledger = run.ledger.borrow().clone();
-    turning.abort();
+    state.ledger.borrow_mut().ended_at = state.now();
+    // The ledger is copied now; process exits from here on are part of the shutdown.
+    let ledger = state.ledger.borrow().clone();
+    world_task.abort();
     for proxy in &proxies {
         proxy.stop().await;
     }
     if let Some(e) = failed.take() {
         return Err(e);
     }
-    let served: Vec<Option<f64>> = run.served.borrow().iter().map(|(at, _)| *at).collect();
+    let served: Vec<Option<f64>> = state.served.borrow().iter().map(|(at, _)| *at).collect();
     let sent = ledger.client_attempts.len().max(1) as f64;
-    let mut late = clients.late.borrow().clone();
+    let mut late = clients.send_delays.borrow().clone();
     late.sort_by(f64::total_cmp);
     let at = |q: f64| {
         late.get(((late.len() as f64 * q) as usize).min(late.len().saturating_sub(1)))
             .copied()
     };
     let late_ms = (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
-    let mut run = Run::new(scenario, name, seed, ledger, run.requests.clone(), &served);
+    let mut run = Run::new(
+        scenario,
+        name,
+        seed,
+        ledger,
+        state.requests.clone(),
+        &served,
+    );
     run.partial = partial;
-    run.void = (late_ms.1 > LATE).then(|| {
+    run.void = (late_ms.1 > MAX_SEND_DELAY_MS).then(|| {
         format!(
-            "the load generator was late by {:.1} ms at the 99th percentile, {LATE} ms are allowed",
+            "the load generator was late by {:.1} ms at the 99th percentile, {MAX_SEND_DELAY_MS} ms are allowed",
             late_ms.1
         )
     });
@@ -195,7 +203,7 @@
     ))
 }
 
-/// Logs each fault's begin and end at its time.
+/// Logs the begin and end of each fault.
 async fn log_faults(run: Rc<RunState>) {
     let faults = &run.scenario.faults;
     let begins = faults.iter().map(|f| (f.at.0, f.kind, "fault begins"));
@@ -210,7 +218,7 @@
     }
 }
 
-/// What the parts do when the world says so.
+/// Returns the handler of events that concern servers, agents and proxies.
 fn run_events(
     agents: &[Rc<Agent>],
     proxies: &[Rc<Proxy>],
@@ -234,7 +242,7 @@
                         Ok(())
                     }
                 };
-                agents.iter().for_each(|a| a.send(entry.clone()));
+                agents.iter().for_each(|a| a.announce(entry.clone()));
                 outcome
             }
             RunEvent::RefusingConnections(server, true) => {
--- a/crates/lab/src/real/operator_actions.rs
+++ b/crates/lab/src/real/operator_actions.rs
@@ -1,4 +1,4 @@
-//! What operators do to proxies in a run: upgrades, drains, and settings that change and change back.
+//! Operator actions on proxies during a run: upgrades, drains, and temporary settings changes.
 
 use std::cell::Cell;
 use std::io;
@@ -11,13 +11,13 @@
 use super::run_state::RunState;
 use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// Whether a scenario has anything of this kind.
+/// Returns whether a scenario has a fault of one of these kinds.
 pub fn has(scenario: &Scenario, kinds: &[FaultKind]) -> bool {
     scenario.faults.iter().any(|f| kinds.contains(&f.kind))
 }
 
-/// Does what the scenario says, each thing at its time. The first error ends the run.
-pub fn act(run: &Rc<RunState>, proxies: &[Rc<Proxy>], failed: &Rc<Cell<Option<io::Error>>>) {
+/// Schedules the operator actions of the scenario. An error is stored in `failed`, which makes the run fail.
+pub fn schedule(run: &Rc<RunState>, proxies: &[Rc<Proxy>], failed: &Rc<Cell<Option<io::Error>>>) {
     for (number, fault) in run.scenario.faults.iter().enumerate() {
         if !matches!(
             fault.kind,
@@ -26,13 +26,13 @@
             continue;
         }
         let share = fault.share.map_or(0.0, |s| s.0);
-        let many = ((share * proxies.len() as f64).round() as usize).clamp(1, proxies.len());
-        // Those that follow each other strike different proxies.
-        for place in 0..many {
+        let count = ((share * proxies.len() as f64).round() as usize).clamp(1, proxies.len());
+        // Consecutive faults affect different proxies.
+        for place in 0..count {
             let proxy = proxies[(number + place) % proxies.len()].clone();
             let (run, fault, failed) = (run.clone(), fault.clone(), failed.clone());
             spawn_local(async move {
-                if let Err(e) = one(&run, &fault, &proxy).await {
+                if let Err(e) = perform(&run, &fault, &proxy).await {
                     failed.set(Some(e));
                 }
             });
@@ -40,7 +40,7 @@
     }
 }
 
-async fn one(run: &RunState, fault: &Fault, proxy: &Proxy) -> io::Result<()> {
+async fn perform(run: &RunState, fault: &Fault, proxy: &Proxy) -> io::Result<()> {
     sleep_until(run.instant(fault.at.0)).await;
     let end = run.instant(fault.at.0 + fault.span.0);
     match fault.kind {
@@ -51,9 +51,9 @@
             proxy.drain(false).await
         }
         _ => {
-            proxy.retune(true)?;
+            proxy.reconfigure(true)?;
             sleep_until(end).await;
-            proxy.retune(false)
+            proxy.reconfigure(false)
         }
     }
 }
--- a/crates/lab/src/real/proxies.rs
+++ b/crates/lab/src/real/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxy processes: started by a command, watched, killed and told to end.
+//! Proxy processes: starting, monitoring, killing and stopping them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,47 +26,48 @@
 use crate::random::{Purpose, stream};
 use crate::scenario::{Effect, FaultKind, Scenario};
 
-/// A proxy that is not up within this span never will be.
-const UP: Duration = Duration::from_secs(10);
-/// Connections that may wait for a process.
+/// Maximum time for a proxy to come up.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Backlog of an inherited listener.
 const BACKLOG: i32 = 1024;
-/// Between two looks at a process.
+/// Interval between checks of a process.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The front requests so often whether a proxy takes clients, and sends new connections for as long again.
-const FRONT: f64 = 200.0;
-/// The old process of an upgrade is killed this long after it was told to end, beyond the longest deadline.
-const END: f64 = 700.0;
+/// Interval at which the front load balancer checks whether a proxy accepts clients, in ms; new connections may arrive
+/// for this long after a drain begins.
+const FRONT_CHECK_INTERVAL_MS: f64 = 200.0;
+/// Time after the longest deadline at which the old process of an upgrade is killed, in ms.
+const UPGRADE_EXIT_GRACE_MS: f64 = 700.0;
 
-/// One proxy, whatever process it is.
+/// One proxy, across restarts and upgrades of its process.
 pub struct Proxy {
     run: Rc<RunState>,
     number: ProxyId,
     command: Vec<String>,
-    /// Where clients reach it, the same after a restart.
+    /// Client address; it does not change with a restart.
     pub address: SocketAddr,
-    /// Kept for it from before its first start until after its last.
+    /// Reserves the port from before the first start until after the last.
     _port: ReservedPort,
-    /// The clients' listener, which its processes inherit, where the scenario has upgrades.
-    held: Option<StdListener>,
-    /// The operators' operations_ports of its processes, the present one last, where the scenario has operators.
+    /// Client listener inherited by the processes, if the scenario has upgrades.
+    inherited_listener: Option<StdListener>,
+    /// Ports of the operations listeners of its processes, the current one last, if the scenario has operator actions.
     operations_ports: RefCell<Vec<ReservedPort>>,
     discovery: SocketAddr,
     agent: Rc<Agent>,
-    file: PathBuf,
-    log: PathBuf,
+    config_file: PathBuf,
+    log_file: PathBuf,
     seed: u64,
     starts: Cell<u64>,
-    child: RefCell<Option<Child>>,
-    /// It has been killed or told to end.
+    process: RefCell<Option<Child>>,
+    /// Whether the process was killed or told to exit.
     expected: Cell<bool>,
-    /// Until when the front still sends to it though it is gone.
+    /// Time until which the front load balancer still sends to the proxy although it is down.
     pub front_stops_at: Cell<Option<f64>>,
     /// CPU time of all its processes so far, in seconds.
     cpu: Cell<f64>,
-    cpu_before: Cell<f64>,
+    cpu_of_earlier_processes: Cell<f64>,
 }
 
-/// The settings object as the platform's protocol writes it.
+/// Returns the settings object in the format of the platform's protocol.
 pub fn settings_json(s: &Scenario, proxy: ProxyId) -> Value {
     let of = crate::settings::of(s, proxy);
     let class = |c: &crate::scenario::Class| {
@@ -116,10 +117,10 @@
 }
 
 impl Proxy {
-    /// A proxy that is still to be started; its files go into `dir`.
+    /// Creates a proxy that is not started yet; its files are written to `dir`.
     ///
     /// # Errors
-    /// No port is free.
+    /// Fails if no port is available.
     pub fn new(
         run: Rc<RunState>,
         number: ProxyId,
@@ -131,7 +132,7 @@
     ) -> io::Result<Rc<Self>> {
         let port = ReservedPort::reserve()?;
         let upgrades = operator_actions::has(&run.scenario, &[FaultKind::Upgrade]);
-        let held = if upgrades {
+        let inherited_listener = if upgrades {
             Some(listen(port.address())?)
         } else {
             None
@@ -139,10 +140,10 @@
         Ok(Rc::new(Proxy {
             address: port.address(),
             _port: port,
-            held,
+            inherited_listener,
             operations_ports: RefCell::default(),
-            file: dir.join(format!("proxy-{number}.json")),
-            log: dir.join(format!("proxy-{number}.log")),
+            config_file: dir.join(format!("proxy-{number}.json")),
+            log_file: dir.join(format!("proxy-{number}.log")),
             run,
             number,
             command,
@@ -150,30 +151,30 @@
             agent,
             seed,
             starts: Cell::new(0),
-            child: RefCell::new(None),
+            process: RefCell::new(None),
             expected: Cell::new(false),
             front_stops_at: Cell::new(None),
             cpu: Cell::new(0.0),
-            cpu_before: Cell::new(0.0),
+            cpu_of_earlier_processes: Cell::new(0.0),
         }))
     }
 
     /// Starts a process and waits until it is up.
     ///
     /// # Errors
-    /// It can't be started, ends at once, or does not come up.
+    /// Fails if the process can't be started, exits during start, or does not come up in time.
     pub async fn start(&self) -> io::Result<()> {
         let child = self.spawn()?;
-        *self.child.borrow_mut() = Some(child);
+        *self.process.borrow_mut() = Some(child);
         self.expected.set(false);
-        self.cpu_before.set(self.cpu.get());
-        let end = Instant::now() + UP;
+        self.cpu_of_earlier_processes.set(self.cpu.get());
+        let end = Instant::now() + START_TIMEOUT;
         while !self.is_up().await {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 let why = format!(
                     "proxy {} ended at its start ({status}): see {}",
                     self.number,
-                    self.log.display()
+                    self.log_file.display()
                 );
                 return Err(io::Error::other(why));
             }
@@ -190,31 +191,31 @@
         Ok(())
     }
 
-    /// Starts a second process beside the one that serves; once it takes clients, the old one is told to end.
+    /// Starts a second process beside the running one; once it is ready, the old one is told to exit.
     ///
     /// # Errors
-    /// The new one can't be started or does not come up.
+    /// Fails if the new process can't be started or does not come up.
     pub async fn upgrade(&self) -> io::Result<()> {
         let mut next = self.spawn()?;
-        let end = Instant::now() + UP;
-        while !self.call("GET /_ready").await {
+        let end = Instant::now() + START_TIMEOUT;
+        while !self.call_operations("GET /_ready").await {
             let ended = next.try_wait()?.is_some();
             if ended || Instant::now() >= end {
                 return Err(io::Error::other(format!(
-                    "proxy {}: its upgrade did not come up",
+                    "proxy {}: the upgraded process did not come up",
                     self.number
                 )));
             }
             sleep(Duration::from_millis(5)).await;
         }
-        let old = self.child.borrow_mut().replace(next);
-        self.cpu_before.set(self.cpu.get());
+        let old = self.process.borrow_mut().replace(next);
+        self.cpu_of_earlier_processes.set(self.cpu.get());
         let Some(mut old) = old else { return Ok(()) };
         if let Some(pid) = old
             .id()
             .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?))
         {
-            let _ = kill_process(pid, Signal::TERM); // it may just have ended
+            let _ = kill_process(pid, Signal::TERM); // the process may have exited already
         }
         tracing::info!(
             at_ms = self.run.now(),
@@ -228,38 +229,40 @@
             .iter()
             .map(|c| c.deadline.0)
             .fold(0.0, f64::max);
-        let patience = Duration::from_secs_f64((longest + END) / 1000.0);
+        let patience = Duration::from_secs_f64((longest + UPGRADE_EXIT_GRACE_MS) / 1000.0);
         if timeout(patience, old.wait()).await.is_err() {
             let _ = old.kill().await;
         }
         Ok(())
     }
 
-    /// Sends its clients away, or takes them back.
+    /// Starts or ends the drain of its clients.
     ///
     /// # Errors
-    /// The operations_address says no, or nothing.
+    /// Fails if the operations listener rejects the request or does not respond.
     pub async fn drain(&self, on: bool) -> io::Result<()> {
         let call = if on {
             "PUT /_lameduck/on"
         } else {
             "PUT /_lameduck/off"
         };
-        if !self.call(call).await {
+        if !self.call_operations(call).await {
             return Err(io::Error::other(format!(
-                "proxy {}: {call} got no yes",
+                "proxy {}: {call} was not accepted",
                 self.number
             )));
         }
-        self.front_stops_at.set(on.then(|| self.run.now() + FRONT));
+        self.front_stops_at
+            .set(on.then(|| self.run.now() + FRONT_CHECK_INTERVAL_MS));
         Ok(())
     }
 
-    /// Gives it other settings, or its own back: one class more, and fewer attempts.
+    /// Writes changed settings (one more class and fewer attempts) or the original ones, and has the process reload
+    /// them.
     ///
     /// # Errors
-    /// The file can't be written.
-    pub fn retune(&self, other: bool) -> io::Result<()> {
+    /// Fails if the file can't be written or the process can't be signalled.
+    pub fn reconfigure(&self, other: bool) -> io::Result<()> {
         let mut config = self.config();
         if other {
             let settings = &mut config["settings"];
@@ -270,8 +273,8 @@
                 classes.push(more);
             }
         }
-        std::fs::write(&self.file, config.to_string())?;
-        let child = self.child.borrow();
+        std::fs::write(&self.config_file, config.to_string())?;
+        let child = self.process.borrow();
         let pid = child
             .as_ref()
             .and_then(Child::id)
@@ -279,8 +282,8 @@
         pid.map_or(Ok(()), |pid| Ok(kill_process(pid, Signal::HUP)?))
     }
 
-    /// Whether a call at the present operations_address gets a yes.
-    async fn call(&self, call: &str) -> bool {
+    /// Returns whether a request to the current operations listener succeeds.
+    async fn call_operations(&self, call: &str) -> bool {
         let Some(operations_address) = self
             .operations_ports
             .borrow()
@@ -309,7 +312,7 @@
             .unwrap_or(false)
     }
 
-    /// What a process is told at its start.
+    /// Returns the configuration of a new process.
     fn config(&self) -> Value {
         let mut seeds = stream(self.seed, Purpose::Modules);
         seeds.set_word_pos(self.number as u128 * 4096 + u128::from(self.starts.get()) * 2);
@@ -323,7 +326,7 @@
                 "memory_mb": self.run.scenario.proxies.memory_mb,
                 "sockets": self.run.scenario.proxies.sockets,
             },
-            "known": self.agent.known(),
+            "known": self.agent.cached_list(),
             "settings": settings_json(&self.run.scenario, self.number),
         });
         if let Some(operations_address) = self.operations_ports.borrow().last() {
@@ -343,22 +346,22 @@
                 .push(ReservedPort::reserve()?);
         }
         let config = self.config();
-        std::fs::write(&self.file, config.to_string())?;
+        std::fs::write(&self.config_file, config.to_string())?;
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(&self.log)?;
+            .open(&self.log_file)?;
         let (program, arguments) = self
             .command
             .split_first()
-            .ok_or_else(|| io::Error::other("there is no proxy to start"))?;
+            .ok_or_else(|| io::Error::other("the command to start a proxy is empty"))?;
         let mut command = Command::new(program);
-        if let Some(held) = &self.held {
-            command.env("NODE_SOCKET_FD", held.as_raw_fd().to_string());
+        if let Some(listener) = &self.inherited_listener {
+            command.env("NODE_SOCKET_FD", listener.as_raw_fd().to_string());
         }
         command
             .args(arguments)
-            .env("NODE_CONFIG", &self.file)
+            .env("NODE_CONFIG", &self.config_file)
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
@@ -387,30 +390,30 @@
             .unwrap_or(false)
     }
 
-    /// How its process ended, if it has.
-    fn ended(&self) -> Option<String> {
-        let mut child = self.child.borrow_mut();
+    /// Returns the exit status of the process if it has exited.
+    fn exit_status(&self) -> Option<String> {
+        let mut child = self.process.borrow_mut();
         let status = child.as_mut()?.try_wait().ok().flatten()?;
         *child = None;
         Some(status.to_string())
     }
 
     fn signal(&self, signal: Signal) {
-        let child = self.child.borrow();
+        let child = self.process.borrow();
         let pid = child
             .as_ref()
             .and_then(Child::id)
             .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
             self.expected.set(true);
-            let _ = kill_process(pid, signal); // it may just have ended
+            let _ = kill_process(pid, signal); // the process may have exited already
         }
     }
 
-    /// Kills it outright; the front notices after a while.
+    /// Kills the process; the front load balancer detects it after a delay.
     pub async fn kill(&self) {
         self.signal(Signal::KILL);
-        let child = self.child.borrow_mut().take();
+        let child = self.process.borrow_mut().take();
         if let Some(mut child) = child {
             let _ = child.wait().await;
         }
@@ -429,7 +432,7 @@
         tracing::info!(at_ms = now, proxy = self.number, "proxy was killed");
     }
 
-    /// Tells it to end; the front sends nothing new from now on.
+    /// Tells the process to exit; the front load balancer stops sending to it at once.
     pub fn terminate(&self) {
         let now = self.run.now();
         self.front_stops_at.set(Some(now));
@@ -437,7 +440,7 @@
         self.signal(Signal::TERM);
     }
 
-    /// Looks at its process now and then: what it takes, and whether it has ended.
+    /// Checks the process periodically: its resource usage, and whether it has exited.
     pub async fn watch(self: Rc<Self>) {
         loop {
             sleep(CHECK_INTERVAL).await;
@@ -446,14 +449,14 @@
     }
 
     fn check_process(&self) {
-        let pid = self.child.borrow().as_ref().and_then(Child::id);
+        let pid = self.process.borrow().as_ref().and_then(Child::id);
         if let Some(pid) = pid {
             let at = self.run.now();
             let memory_mb = resident_mb(pid).unwrap_or(0.0);
             let descriptors =
                 std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
             if let Some(seconds) = cpu_seconds(pid) {
-                self.cpu.set(self.cpu_before.get() + seconds);
+                self.cpu.set(self.cpu_of_earlier_processes.get() + seconds);
             }
             let mut ledger = self.run.ledger.borrow_mut();
             let proxy = self.number;
@@ -471,9 +474,9 @@
                 }),
             }
         }
-        if let Some(status) = self.ended() {
+        if let Some(status) = self.exit_status() {
             if !self.expected.get() {
-                let (at_ms, log) = (self.run.now(), self.log.display());
+                let (at_ms, log) = (self.run.now(), self.log_file.display());
                 tracing::warn!(at_ms, proxy = self.number, status, %log, "proxy ended by itself");
             }
             let (proxy, at, expected) = (self.number, self.run.now(), self.expected.get());
@@ -494,16 +497,16 @@
         }
     }
 
-    /// CPU time of all its processes so far, in seconds.
-    pub fn cpu(&self) -> f64 {
+    /// Returns the CPU time of all its processes so far, in seconds.
+    pub fn cpu_seconds(&self) -> f64 {
         self.check_process();
         self.cpu.get()
     }
 
-    /// Ends it and waits for that, for a while.
+    /// Stops the process and waits for its exit; kills it after a timeout.
     pub async fn stop(&self) {
         self.signal(Signal::TERM);
-        let child = self.child.borrow_mut().take();
+        let child = self.process.borrow_mut().take();
         if let Some(mut child) = child
             && timeout(Duration::from_secs(5), child.wait()).await.is_err()
         {
@@ -512,7 +515,7 @@
     }
 }
 
-/// A listener that processes started from here inherit.
+/// Creates a listener that child processes inherit.
 fn listen(address: SocketAddr) -> io::Result<StdListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -522,7 +525,7 @@
     Ok(socket.into())
 }
 
-/// Resident memory of a process in MiB, from the system's own table.
+/// Returns the resident memory of a process in MiB, from `/proc`.
 pub fn resident_mb(pid: u32) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
@@ -533,7 +536,7 @@
         .map(|kb| kb / 1024.0)
 }
 
-/// User and system time of a process; the kernel counts them in hundredths of a second.
+/// Returns user and system time of a process in seconds; the kernel reports them in hundredths of a second.
 pub fn cpu_seconds(pid: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let rest = stat.rsplit_once(") ")?.1;
--- a/crates/lab/src/real/reserved_port.rs
+++ b/crates/lab/src/real/reserved_port.rs
@@ -1,38 +1,38 @@
-//! A port on loopback that stays ours: a process that is started later listens there, and again after a restart.
+//! Reserves a loopback port for a process that is started later, also across restarts of it.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
 use socket2::{Domain, Socket, Type};
 
-/// A port that is bound and not listened on. The system hands it to nobody who requests for any port, be it for a listener
-/// or for an outgoing connection, while one who requests for it by number and allows reuse (SO_REUSEADDR, as servers do)
-/// gets it (`inet_csk_bind_conflict` in Linux: two sockets that allow reuse conflict only where one listens).
+/// A port that is bound but not listened on. The kernel does not assign it to a listener or outgoing connection without
+/// an explicit port, but a process that binds it explicitly with SO_REUSEADDR, as servers do, gets it
+/// (`inet_csk_bind_conflict` in Linux: two sockets with SO_REUSEADDR conflict only if one of them listens).
 pub struct ReservedPort {
     address: SocketAddr,
-    _held: Socket,
+    _socket: Socket,
 }
 
 impl ReservedPort {
-    /// Takes any free port.
+    /// Reserves any free port.
     ///
     /// # Errors
-    /// None is free.
+    /// Fails if no port is free.
     pub fn reserve() -> io::Result<Self> {
-        let held = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-        held.set_reuse_address(true)?;
-        held.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
-        let address = held
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+        socket.set_reuse_address(true)?;
+        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
+        let address = socket
             .local_addr()?
             .as_socket()
             .ok_or_else(|| io::Error::other("no address"))?;
         Ok(ReservedPort {
             address,
-            _held: held,
+            _socket: socket,
         })
     }
 
-    /// Where it is.
+    /// Returns the address of the port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -45,7 +45,7 @@
     use super::*;
 
     #[test]
-    fn a_held_port_is_a_servers_again_and_again_and_nobody_elses() {
+    fn a_reserved_port_goes_only_to_a_listener_that_binds_it_explicitly() {
         let port = ReservedPort::reserve().unwrap();
         for _ in 0..3 {
             let other = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -55,7 +55,7 @@
             assert_eq!(
                 refused.kind(),
                 io::ErrorKind::ConnectionRefused,
-                "nobody listens yet"
+                "no process listens yet"
             );
             let server = TcpListener::bind(port.address()).unwrap();
             let _client = TcpStream::connect(port.address()).unwrap();
--- a/crates/lab/src/real/run_state.rs
+++ b/crates/lab/src/real/run_state.rs
@@ -1,6 +1,6 @@
-//! What the parts of a run on real sockets share: the world, the ledger and one monotonic clock for both.
+//! Shared state of a run on real sockets: the world, the ledger and one monotonic clock for both.
 //!
-//! Everything runs on one thread, so that no lock orders what happened; a borrow is never held over a wait.
+//! Everything runs on one thread, so no locks are needed; no borrow is held across an await.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
@@ -17,64 +17,64 @@
 use crate::scenario::Scenario;
 use crate::world::{ServerOutcome, World, WorldEvent};
 
-/// What an attempt's connection is to do.
+/// What happens to an attempt's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOutcome {
-    /// As the server says.
+    /// The server behaves as given.
     ServerOutcome(ServerOutcome),
-    /// Its process is gone: the connection breaks.
+    /// The server process is gone, so the connection is reset.
     Lost,
 }
 
-/// What concerns single parts and not the run.
+/// Events of the world that other parts of the run handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunEvent {
-    /// The list has changed, and a server's listeners with it.
+    /// The server list has changed; a server's listeners may have to be opened or closed.
     ListChanged(crate::world::ListEntry),
-    /// A server refuses connections from here on, or takes them again.
+    /// A server starts or stops refusing connections.
     RefusingConnections(ServerId, bool),
-    /// Zones are partitioned, or no longer.
+    /// A network partition begins or ends.
     PartitionChanged,
     /// A proxy is killed.
     KillProxy(ProxyId),
-    /// A proxy is told to end.
+    /// A proxy is told to exit.
     TerminateProxy(ProxyId),
-    /// A proxy is started anew.
+    /// A proxy is started again.
     StartProxy(ProxyId),
 }
 
-/// An attempt that a server holds.
-struct Held {
+/// An attempt that a server processes.
+struct ActiveAttempt {
     id: ClientAttemptId,
-    note: usize,
-    /// Taken once it has been told: the server may work on after that.
+    ledger_index: usize,
+    /// Taken once the connection has its outcome; the server may continue processing after that.
     outcome: Option<oneshot::Sender<ConnectionOutcome>>,
 }
 
-/// All that the parts share.
+/// State shared by all parts of a run.
 pub struct RunState {
-    /// What is played.
+    /// Scenario.
     pub scenario: Arc<Scenario>,
-    /// The fleet.
+    /// Model of the fleet.
     pub world: RefCell<World>,
-    /// What happened.
+    /// Record of the run.
     pub ledger: RefCell<Ledger>,
-    /// What is asked for.
+    /// All client requests.
     pub requests: Vec<ClientRequest>,
-    /// When each ask was served, and how many tries it took.
+    /// For each client request, the time at which it was served, if it was, and the number of client attempts.
     pub served: RefCell<Vec<(Option<Millis>, u32)>>,
-    /// Which try an id belongs to.
+    /// Client attempts by request id.
     pub ids: RefCell<FxHashMap<String, ClientAttemptId>>,
     start: Cell<Instant>,
-    /// Unix time of the start in ms, taken once: the same process must always be told with the same birth.
+    /// Unix time of the start in ms, computed once, because a server's reported start time must not change.
     unix_start: OnceCell<Millis>,
-    held: RefCell<FxHashMap<u64, Held>>,
+    active: RefCell<FxHashMap<u64, ActiveAttempt>>,
     next: Cell<u64>,
     changed: Notify,
 }
 
 impl RunState {
-    /// A run whose time begins at `start`.
+    /// Creates a run whose time starts at `start`.
     pub fn new(
         scenario: Arc<Scenario>,
         seed: u64,
@@ -89,20 +89,20 @@
             ids: RefCell::default(),
             start: Cell::new(start),
             unix_start: OnceCell::new(),
-            held: RefCell::default(),
+            active: RefCell::default(),
             next: Cell::new(0),
             changed: Notify::new(),
             scenario,
         })
     }
 
-    /// Time begins at this instant.
+    /// Sets the start of the run's time.
     pub fn begin(&self, start: Instant) {
         self.start.set(start);
         self.changed.notify_one();
     }
 
-    /// Time since the start, in ms; before it, zero.
+    /// Returns the time since the start in ms, or zero before it.
     pub fn now(&self) -> Millis {
         Instant::now()
             .saturating_duration_since(self.start.get())
@@ -110,7 +110,7 @@
             * 1000.0
     }
 
-    /// Unix time in ms of a time of a run that has begun.
+    /// Converts a time of the run to Unix time in ms; the run must have started.
     pub fn unix(&self, at: Millis) -> Millis {
         let start = self.unix_start.get_or_init(|| {
             let unix = SystemTime::now()
@@ -121,76 +121,80 @@
         start + at
     }
 
-    /// The instant of a time.
+    /// Converts a time of the run to an instant.
     pub fn instant(&self, at: Millis) -> Instant {
         self.start.get() + Duration::from_secs_f64(at.clamp(0.0, 1e12) / 1000.0)
     }
 
-    /// A request has reached a server whole; its outcome comes by the receiver.
-    pub fn hold(
+    /// Registers a completely received request; the receiver gets the outcome for its connection.
+    pub fn register_attempt(
         &self,
         id: ClientAttemptId,
-        note: usize,
+        ledger_index: usize,
     ) -> (u64, oneshot::Receiver<ConnectionOutcome>) {
-        let (outcome, told) = oneshot::channel();
+        let (outcome, receiver) = oneshot::channel();
         let attempt = self.next.replace(self.next.get() + 1);
-        self.held.borrow_mut().insert(
+        self.active.borrow_mut().insert(
             attempt,
-            Held {
+            ActiveAttempt {
                 id,
-                note,
+                ledger_index,
                 outcome: Some(outcome),
             },
         );
-        (attempt, told)
+        (attempt, receiver)
     }
 
-    /// An attempt's outcome is told; `ran` if its server has done it.
-    pub fn tell(&self, attempt: u64, outcome: ConnectionOutcome, ran: bool) {
-        let Some(held) = self.held.borrow_mut().remove(&attempt) else {
+    /// Settles an attempt's outcome; `ran` tells whether the server completed it.
+    pub fn settle(&self, attempt: u64, outcome: ConnectionOutcome, ran: bool) {
+        let Some(active) = self.active.borrow_mut().remove(&attempt) else {
             return;
         };
         if ran {
-            self.ledger.borrow_mut().ran(held.id, held.note, self.now());
+            self.ledger
+                .borrow_mut()
+                .ran(active.id, active.ledger_index, self.now());
         }
-        if let Some(told) = held.outcome {
-            let _ = told.send(outcome); // a connection that has ended meanwhile needs none
+        if let Some(told) = active.outcome {
+            let _ = told.send(outcome); // the connection may have closed already
         }
     }
 
-    /// An attempt's connection breaks; `spared` if its server does not go on with it.
-    fn break_off(&self, attempt: u64, spared: bool) {
-        let mut held = self.held.borrow_mut();
-        let outcome = held.get_mut(&attempt).and_then(|h| h.outcome.take());
+    /// Breaks an attempt's connection; `spared` tells whether the server drops the attempt.
+    fn break_connection(&self, attempt: u64, spared: bool) {
+        let mut active = self.active.borrow_mut();
+        let outcome = active.get_mut(&attempt).and_then(|h| h.outcome.take());
         if spared {
-            held.remove(&attempt);
+            active.remove(&attempt);
         }
         if let Some(outcome) = outcome {
             let _ = outcome.send(ConnectionOutcome::Lost);
         }
     }
 
-    /// An attempt's connection was closed by its proxy; what the server need not do any more it does not do.
+    /// Cancels an attempt whose connection was closed by its proxy, as far as the server supports it.
     pub fn cancel(&self, server: ServerId, attempt: u64) {
         let spared = self.world.borrow_mut().cancel(self.now(), server, attempt);
         if spared {
-            self.held.borrow_mut().remove(&attempt);
+            self.active.borrow_mut().remove(&attempt);
         }
         self.changed.notify_one();
     }
 
-    /// Notes how an attempt ended.
-    pub fn end(&self, id: ClientAttemptId, note: usize, end: AttemptEnd) {
-        self.ledger.borrow_mut().end(id, note, self.now(), end);
+    /// Records the outcome of an attempt.
+    pub fn end(&self, id: ClientAttemptId, ledger_index: usize, end: AttemptEnd) {
+        self.ledger
+            .borrow_mut()
+            .end(id, ledger_index, self.now(), end);
     }
 
-    /// Something has been done to the world: what happens next may come sooner.
-    pub fn touched(&self) {
+    /// Signals that the world has changed, so its next event may be due earlier.
+    pub fn world_changed(&self) {
         self.changed.notify_one();
     }
 
-    /// Lets the world happen, for as long as it is polled; `event` gets what concerns other parts.
-    pub async fn turn(self: Rc<Self>, mut event: impl FnMut(RunEvent)) {
+    /// Runs the world's events; `event` handles those of other parts of the run.
+    pub async fn drive_world(self: Rc<Self>, mut event: impl FnMut(RunEvent)) {
         loop {
             let next = self.world.borrow().next().map(|at| self.instant(at));
             match next {
@@ -203,14 +207,14 @@
             let happened = self.world.borrow_mut().advance(self.now());
             for h in happened {
                 match h {
-                    WorldEvent::Completed { attempt, verdict } => {
-                        self.tell(attempt, ConnectionOutcome::ServerOutcome(verdict), true)
+                    WorldEvent::Completed { attempt, outcome } => {
+                        self.settle(attempt, ConnectionOutcome::ServerOutcome(outcome), true)
                     }
                     WorldEvent::Lost { attempt } => {
-                        self.tell(attempt, ConnectionOutcome::Lost, false)
+                        self.settle(attempt, ConnectionOutcome::Lost, false)
                     }
                     WorldEvent::ConnectionBroken { attempt, spared } => {
-                        self.break_off(attempt, spared)
+                        self.break_connection(attempt, spared)
                     }
                     WorldEvent::ColdOverload { server, warmth } => {
                         let at = self.now();
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -1,5 +1,5 @@
-//! FleetServer servers on real sockets. Each proxy reaches each server at an address of its own, so that the run knows who
-//! sent what, and a partition can part them.
+//! Emulated servers on real sockets. Each server has a separate address for each proxy, which identifies the sending
+//! proxy and allows partitions between single proxies and servers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use crate::world::server::{Admission, Job};
 use crate::world::{Connect, ListState, ServerOutcome};
 
-/// The body of a server's answer: it names the request that it was made for, again and again up to a large one's size.
+/// Returns the body of a server's response: it names the request and is repeated up to the size of a large response.
 pub fn body_for(id: &str, size: Option<usize>) -> Vec<u8> {
     let name = format!("made for {id}").into_bytes();
     match size {
@@ -27,45 +27,45 @@
     }
 }
 
-/// The size that a target requests for, of a large body.
-fn large(target: &str) -> Option<usize> {
+/// Returns the size of a large body requested by a target.
+fn large_body_size(target: &str) -> Option<usize> {
     target
         .split(['?', '&'])
         .find_map(|part| part.strip_prefix("large=")?.parse().ok())
 }
 
-/// Wait after a failed accept, lest it spin.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
+/// Pause after a failed accept, so that the loop doesn't spin.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
-fn written(written: std::io::Result<()>) -> Next {
-    if written.is_ok() {
-        Next::More
+fn after_write(result: std::io::Result<()>) -> AfterExchange {
+    if result.is_ok() {
+        AfterExchange::KeepOpen
     } else {
-        Next::Close
+        AfterExchange::Close
     }
 }
 
-/// All listeners.
+/// Listeners of all servers.
 pub struct Servers {
     run: Rc<RunState>,
     addresses: RefCell<FxHashMap<(ProxyId, ServerId), SocketAddr>>,
-    /// The task behind each address while it accepts.
+    /// Accept task of each address.
     tasks: RefCell<FxHashMap<(ProxyId, ServerId), AbortHandle>>,
-    /// ServerNotification when a server's process ends: idle connections end with it.
-    ends: RefCell<FxHashMap<ServerId, watch::Sender<bool>>>,
-    /// Changes when zones are partitioned, or no longer.
-    parts: watch::Sender<()>,
+    /// Signals the exit of a server process, which closes its idle connections.
+    process_exits: RefCell<FxHashMap<ServerId, watch::Sender<bool>>>,
+    /// Signals changes of partitions.
+    partition_changes: watch::Sender<()>,
 }
 
-/// What follows an exchange.
+/// What follows an exchange on its connection.
 #[derive(PartialEq, Eq)]
-enum Next {
-    /// The next one on the same connection.
-    More,
-    /// The connection's end.
+enum AfterExchange {
+    /// The connection is kept open.
+    KeepOpen,
+    /// The connection is closed.
     Close,
-    /// A reset.
-    Break,
+    /// The connection is reset.
+    Reset,
 }
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -76,21 +76,21 @@
 }
 
 impl Servers {
-    /// No servers yet.
+    /// Creates an instance without servers.
     pub fn new(run: Rc<RunState>) -> Rc<Self> {
         Rc::new(Servers {
             run,
             addresses: RefCell::default(),
             tasks: RefCell::default(),
-            ends: RefCell::default(),
-            parts: watch::channel(()).0,
+            process_exits: RefCell::default(),
+            partition_changes: watch::channel(()).0,
         })
     }
 
     /// Opens a server's listeners, one for each proxy.
     ///
     /// # Errors
-    /// What the sockets say.
+    /// Returns errors of the sockets.
     pub fn open(self: &Rc<Self>, server: ServerId) -> std::io::Result<()> {
         for proxy in 0..self.run.scenario.proxies.count {
             let known = self.addresses.borrow().get(&(proxy, server)).copied();
@@ -106,10 +106,10 @@
         Ok(())
     }
 
-    /// Opens a server's listeners again, unless its process has ended meanwhile.
+    /// Opens a server's listeners again, unless the server has been removed meanwhile.
     ///
     /// # Errors
-    /// What the sockets say.
+    /// Returns errors of the sockets.
     pub fn open_again(self: &Rc<Self>, server: ServerId) -> std::io::Result<()> {
         let listed = self.run.world.borrow().servers()[server].listed;
         if listed == ListState::Removed {
@@ -119,15 +119,15 @@
         }
     }
 
-    /// A server's process has ended: no connection is taken any more, and idle ones end.
+    /// Ends a server: closes its listeners and idle connections.
     pub fn end(&self, server: ServerId) {
         self.close(server);
-        if let Some(end) = self.ends.borrow_mut().remove(&server) {
-            let _ = end.send(true); // nobody may be connected
+        if let Some(end) = self.process_exits.borrow_mut().remove(&server) {
+            let _ = end.send(true); // there may be no connections
         }
     }
 
-    /// Closes a server's listeners; connections that are up stay.
+    /// Closes a server's listeners; established connections stay open.
     pub fn close(&self, server: ServerId) {
         self.tasks.borrow_mut().retain(|(_, s), task| {
             if *s == server {
@@ -137,9 +137,9 @@
         });
     }
 
-    /// Zones are partitioned, or no longer: each listener looks whether that concerns it.
+    /// Makes each listener check whether it is partitioned.
     pub fn notify_partition_change(&self) {
-        self.parts.send_replace(());
+        self.partition_changes.send_replace(());
     }
 
     fn partitioned(&self, proxy: ProxyId, server: ServerId) -> bool {
@@ -151,25 +151,26 @@
         )
     }
 
-    /// Where a proxy reaches a server.
+    /// Returns the address of a server for a proxy.
     pub fn address(&self, proxy: ProxyId, server: ServerId) -> Option<SocketAddr> {
         self.addresses.borrow().get(&(proxy, server)).copied()
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener, proxy: ProxyId, server: ServerId) {
-        let mut parts = self.parts.subscribe();
+        let mut partition_changes = self.partition_changes.subscribe();
         loop {
             if self.partitioned(proxy, server) {
                 let full_backlog = FullBacklog::new(&listener).await;
-                while self.partitioned(proxy, server) && parts.changed().await.is_ok() {}
-                drop(full_backlog); // without one its connections come up and stay silent
+                while self.partitioned(proxy, server) && partition_changes.changed().await.is_ok() {
+                }
+                drop(full_backlog); // if filling failed, connections are established but get no response
             }
             let accepted = tokio::select! {
-                _ = parts.changed() => continue,
+                _ = partition_changes.changed() => continue,
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
-                tokio::time::sleep(PAUSE).await; // out of descriptors: the run is about to say so
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await; // out of file descriptors: the run is about to fail
                 continue;
             };
             let connection = Connection::new(stream);
@@ -182,7 +183,7 @@
                 Connect::Refused => connection.reset(),
                 Connect::Up | Connect::Silent => {
                     let end = self
-                        .ends
+                        .process_exits
                         .borrow_mut()
                         .entry(server)
                         .or_insert_with(|| watch::channel(false).0)
@@ -209,44 +210,45 @@
     ) {
         let mut fresh = true;
         let next = loop {
-            // Between requests the end of the process ends it; within one the world says what becomes of it.
+            // Between requests, the exit of the process closes the connection; during a request, the world decides its
+            // outcome.
             tokio::select! {
                 biased;
-                started = connection.wait_for_data() => if started.is_err() { break Next::Close },
-                _ = end.changed() => break Next::Break,
+                started = connection.wait_for_data() => if started.is_err() { break AfterExchange::Close },
+                _ = end.changed() => break AfterExchange::Reset,
             }
             match self.exchange(&mut connection, proxy, server, fresh).await {
-                Next::More => fresh = false,
+                AfterExchange::KeepOpen => fresh = false,
                 next => break next,
             }
         };
         if counted {
             self.run.world.borrow_mut().disconnect(server);
         }
-        if next == Next::Break {
+        if next == AfterExchange::Reset {
             connection.reset();
         }
     }
 
-    /// Serves one request that has begun to come.
+    /// Serves one request whose first byte has arrived.
     async fn exchange(
         &self,
         connection: &mut Connection,
         proxy: ProxyId,
         server: ServerId,
         fresh: bool,
-    ) -> Next {
+    ) -> AfterExchange {
         let run = &self.run;
-        let sent = run.now(); // for drains a send counts from its first byte
+        let sent = run.now(); // for the drain rule, the send time is that of the first byte
         let Ok(message) = connection.read(true).await else {
-            return Next::Close;
+            return AfterExchange::Close;
         };
         let StartLine::Request(method, target) = &message.start else {
-            return Next::Close;
+            return AfterExchange::Close;
         };
-        let size = large(target);
+        let size = large_body_size(target);
         let Some(name) = message.header("x-request-id").map(str::to_owned) else {
-            return written(
+            return after_write(
                 connection
                     .write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
                     .await,
@@ -259,7 +261,7 @@
                 .borrow_mut()
                 .unknown_requests
                 .push((server, sent, what));
-            return written(
+            return after_write(
                 connection
                     .write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                     .await,
@@ -272,14 +274,14 @@
                 .unknown_requests
                 .push((server, sent, what));
         }
-        let note = run.ledger.borrow_mut().send(id, server, sent);
+        let ledger_index = run.ledger.borrow_mut().send(id, server, sent);
         if self.partitioned(proxy, server) {
-            connection.closed().await; // nothing passes: it waits until the proxy gives it up
-            run.end(id, note, AttemptEnd::MayHaveRun);
-            return Next::Close;
+            connection.closed().await; // partitioned: nothing is processed until the proxy gives up
+            run.end(id, ledger_index, AttemptEnd::MayHaveRun);
+            return AfterExchange::Close;
         }
-        let ask = &run.requests[run.ledger.borrow().client_attempts[id].request];
-        let (attempt, outcome) = run.hold(id, note);
+        let request = &run.requests[run.ledger.borrow().client_attempts[id].request];
+        let (attempt, outcome) = run.register_attempt(id, ledger_index);
         let handshake = if fresh {
             run.scenario.fleet.handshake.0
         } else {
@@ -287,27 +289,33 @@
         };
         let job = Job {
             attempt,
-            work: ask.work + handshake,
-            key: ask.key,
+            work: request.work + handshake,
+            key: request.key,
         };
         let (admission, error) = run.world.borrow_mut().submit(run.now(), server, job);
-        run.touched();
+        run.world_changed();
         match (admission, error) {
-            (_, Some(verdict)) => {
-                run.tell(attempt, ConnectionOutcome::ServerOutcome(verdict), true)
+            (_, Some(outcome)) => {
+                run.settle(attempt, ConnectionOutcome::ServerOutcome(outcome), true)
             }
             (Admission::Accepted, None) => {}
             (Admission::Rejected, None) => {
-                run.end(id, note, AttemptEnd::NeverRan);
+                run.end(id, ledger_index, AttemptEnd::NeverRan);
                 let full = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-                return written(connection.write(full).await);
+                return after_write(connection.write(full).await);
             }
-            (Admission::Crashed, None) => run.tell(attempt, ConnectionOutcome::Lost, false),
+            (Admission::Crashed, None) => run.settle(attempt, ConnectionOutcome::Lost, false),
         }
-        // What a client sends is large, or what it gets.
+        // Either the request (POST) or the response (GET) is large.
         let body = body_for(&name, size.filter(|_| method == "GET"));
-        self.answer(connection, server, &body, (id, note, attempt), outcome)
-            .await
+        self.answer(
+            connection,
+            server,
+            &body,
+            (id, ledger_index, attempt),
+            outcome,
+        )
+        .await
     }
 
     async fn answer(
@@ -315,18 +323,18 @@
         connection: &mut Connection,
         server: ServerId,
         body: &[u8],
-        (id, note, attempt): (usize, usize, u64),
+        (id, ledger_index, attempt): (usize, usize, u64),
         outcome: oneshot::Receiver<ConnectionOutcome>,
-    ) -> Next {
+    ) -> AfterExchange {
         let run = &self.run;
         let outcome = tokio::select! {
             biased;
             outcome = outcome => outcome.unwrap_or(ConnectionOutcome::Lost),
-            // The proxy gives the attempt up.
+            // The proxy cancels the attempt.
             () = connection.closed() => {
                 run.cancel(server, attempt);
-                run.end(id, note, AttemptEnd::MayHaveRun);
-                return Next::Close;
+                run.end(id, ledger_index, AttemptEnd::MayHaveRun);
+                return AfterExchange::Close;
             }
         };
         let mut whole =
@@ -335,12 +343,12 @@
         let half = whole.len() - body.len() / 2;
         match outcome {
             ConnectionOutcome::ServerOutcome(ServerOutcome::Served) => {
-                run.end(id, note, AttemptEnd::Answered);
-                written(connection.write(&whole).await)
+                run.end(id, ledger_index, AttemptEnd::Answered);
+                after_write(connection.write(&whole).await)
             }
             ConnectionOutcome::ServerOutcome(ServerOutcome::Error) => {
-                run.end(id, note, AttemptEnd::MayHaveRun);
-                written(
+                run.end(id, ledger_index, AttemptEnd::MayHaveRun);
+                after_write(
                     connection
                         .write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
                         .await,
@@ -348,26 +356,26 @@
             }
             ConnectionOutcome::ServerOutcome(ServerOutcome::Silent) => {
                 connection.closed().await;
-                run.end(id, note, AttemptEnd::MayHaveRun);
-                Next::Close
+                run.end(id, ledger_index, AttemptEnd::MayHaveRun);
+                AfterExchange::Close
             }
             ConnectionOutcome::ServerOutcome(ServerOutcome::Reset(Break::After)) => {
-                run.end(id, note, AttemptEnd::Answered);
+                run.end(id, ledger_index, AttemptEnd::Answered);
                 let _ = connection.write(&whole).await;
-                Next::Close
+                AfterExchange::Close
             }
             ConnectionOutcome::ServerOutcome(ServerOutcome::Reset(place)) => {
-                run.end(id, note, AttemptEnd::MayHaveRun);
+                run.end(id, ledger_index, AttemptEnd::MayHaveRun);
                 if place == Break::Inside {
                     let _ = connection.write(&whole[..half]).await;
-                    // What is on its way must arrive before the break does.
+                    // The data sent must arrive before the reset does.
                     tokio::time::sleep(std::time::Duration::from_millis(1)).await;
                 }
-                Next::Break
+                AfterExchange::Reset
             }
             ConnectionOutcome::Lost => {
-                run.end(id, note, AttemptEnd::MayHaveRun);
-                Next::Break
+                run.end(id, ledger_index, AttemptEnd::MayHaveRun);
+                AfterExchange::Reset
             }
         }
     }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -29,7 +29,7 @@
 use crate::world::server::{Admission, Job};
 use crate::world::{Connect, ListEntry, ListState, ServerOutcome, World, WorldEvent, micros};
 use decider::{Decider, DefectiveBalancer, InjectedDefect};
-use proxy::{Live, Memory, Proxy, request_of, server_of};
+use proxy::{ActiveRequest, CachedList, Proxy, request_of, server_of};
 
 /// A connection that is not established within this span has failed.
 const CONNECT_TIMEOUT: Millis = 250.0;
@@ -94,33 +94,33 @@
 /// Events of the simulation.
 enum SimEvent {
     /// A client sends an attempt of a request.
-    Send(usize, u32),
+    SendClientAttempt(usize, u32),
     /// A client attempt arrives at its proxy.
-    Arrive(ClientAttemptId),
+    ArriveAtProxy(ClientAttemptId),
     /// A response arrives at its client.
-    Answer(ClientAttemptId, ClientAttemptOutcome),
+    DeliverResponse(ClientAttemptId, ClientAttemptOutcome),
     /// A client's timeout expires.
-    GiveUp(ClientAttemptId),
+    ClientTimeout(ClientAttemptId),
     /// A proxy detects that a client has disconnected.
-    Leave(ClientAttemptId),
+    ClientDisconnect(ClientAttemptId),
     /// A timer of a decision module.
-    Module(ProxyId, u32, u64),
+    ModuleTimer(ProxyId, u32, u64),
     /// A proxy's final timeout for a request.
-    LastResort(ProxyId, u32, ClientAttemptId),
+    FinalTimeout(ProxyId, u32, ClientAttemptId),
     /// A connection request arrives at a server.
-    Dial(u64),
+    ArriveConnect(u64),
     /// The result of a connection request arrives at the proxy.
-    Dialled(u64, Connect),
+    ConnectResult(u64, Connect),
     /// A request arrives at a server.
-    Reach(u64),
+    ArriveAtServer(u64),
     /// The outcome of an attempt arrives at the proxy.
-    Reply(u64, Outcome, bool),
+    DeliverOutcome(u64, Outcome, bool),
     /// A proxy detects that an attempt's connection broke; its server may still be processing the attempt.
-    Broken(u64),
+    ConnectionBroken(u64),
     /// An attempt times out.
-    Expire(u64),
+    AttemptTimeout(u64),
     /// A server detects that an attempt's connection is closed.
-    Closed(ServerId, u64),
+    ConnectionClosed(ServerId, u64),
     /// A server list update arrives at a proxy.
     ListUpdate(ProxyId, ListEntry),
     /// An event of the world is due, at the given time in µs.
@@ -132,18 +132,18 @@
     id: ClientAttemptId,
     attempt: u32,
     /// Index of the attempt in the ledger, once its first byte is written.
-    note: Option<usize>,
+    ledger_index: Option<usize>,
     proxy: ProxyId,
     generation: u32,
     server: ServerId,
     sent: Millis,
     fresh: bool,
-    over: bool,
+    finished: bool,
 }
 
 /// Simulation in virtual time.
 pub struct Sim {
-    s: Arc<Scenario>,
+    scenario: Arc<Scenario>,
     seed: u64,
     defect: Option<InjectedDefect>,
     world: World,
@@ -152,7 +152,7 @@
     order: u64,
     world_due: u64,
     proxies: Vec<Option<Proxy>>,
-    memories: Vec<Memory>,
+    cached_lists: Vec<CachedList>,
     /// Time until which the front load balancer still sends to a proxy that is down.
     front_stops_at: Vec<Option<Millis>>,
     generations: Vec<u32>,
@@ -163,9 +163,9 @@
     ledger: Ledger,
     flights: FxHashMap<u64, InFlightAttempt>,
     next_flight: u64,
-    at_server: FxHashMap<ServerId, u32>,
+    server_connections: FxHashMap<ServerId, u32>,
     network: ChaCha8Rng,
-    front: ChaCha8Rng,
+    front_rng: ChaCha8Rng,
     counts: Counts,
     module: Duration,
 }
@@ -184,7 +184,7 @@
             order: 0,
             world_due: u64::MAX,
             proxies: (0..n).map(|_| None).collect(),
-            memories: (0..n).map(|_| Memory::default()).collect(),
+            cached_lists: (0..n).map(|_| CachedList::default()).collect(),
             front_stops_at: vec![None; n],
             generations: vec![0; n],
             served: vec![(None, 0); requests.len()],
@@ -193,12 +193,12 @@
             ledger: Ledger::default(),
             flights: FxHashMap::default(),
             next_flight: 0,
-            at_server: FxHashMap::default(),
+            server_connections: FxHashMap::default(),
             network: stream(seed, Purpose::Network),
-            front: stream(seed, Purpose::Clients),
+            front_rng: stream(seed, Purpose::Clients),
             counts: Counts::default(),
             module: Duration::ZERO,
-            s: scenario,
+            scenario,
         }
     }
 
@@ -207,28 +207,31 @@
         let began = Instant::now();
         let listed = self.world.listed();
         for proxy in 0..self.proxies.len() {
-            self.memories[proxy].learn(&listed);
+            self.cached_lists[proxy].apply(&listed);
             self.start(proxy);
         }
-        for ask in 0..self.requests.len() {
-            self.schedule(self.requests[ask].at, SimEvent::Send(ask, 1));
+        for request in 0..self.requests.len() {
+            self.schedule(
+                self.requests[request].at,
+                SimEvent::SendClientAttempt(request, 1),
+            );
         }
         let longest = self
-            .s
+            .scenario
             .classes
             .iter()
             .map(|c| c.deadline.0)
             .fold(0.0, f64::max);
-        let end = self.s.length.0 + longest + self.s.rules.answer_slack.0 + 100.0;
-        self.watch_world();
+        let end = self.scenario.length.0 + longest + self.scenario.rules.answer_slack.0 + 100.0;
+        self.schedule_world();
         while let Some(Reverse(entry)) = self.queue.pop() {
             let at = entry.at as f64 / 1000.0;
             if at > end {
                 break;
             }
             self.now = at;
-            self.happen(entry.what);
-            self.watch_world();
+            self.handle_event(entry.what);
+            self.schedule_world();
         }
         self.now = end;
         self.ledger.ended_at = end;
@@ -256,7 +259,7 @@
     }
 
     /// Schedules the next event of the world.
-    fn watch_world(&mut self) {
+    fn schedule_world(&mut self) {
         let next = self
             .world
             .next()
@@ -273,64 +276,71 @@
     }
 
     fn jitter(&mut self, span: Millis) -> Millis {
-        span * (1.0 + self.s.network.jitter.0 * (2.0 * self.network.random::<f64>() - 1.0))
+        span * (1.0 + self.scenario.network.jitter.0 * (2.0 * self.network.random::<f64>() - 1.0))
     }
 
     /// Draws the one-way delay between a client and its proxy.
-    fn client_way(&mut self) -> Millis {
-        self.jitter(self.s.network.client.0)
+    fn client_delay(&mut self) -> Millis {
+        self.jitter(self.scenario.network.client.0)
     }
 
     /// Draws the one-way delay between a proxy and a server.
-    fn server_way(&mut self, proxy: ProxyId, server: ServerId) -> Millis {
+    fn server_delay(&mut self, proxy: ProxyId, server: ServerId) -> Millis {
         let same = self.world.proxy_zone(proxy) == self.world.servers()[server].zone;
         self.jitter(if same {
-            self.s.network.same.0
+            self.scenario.network.same.0
         } else {
-            self.s.network.cross.0
+            self.scenario.network.cross.0
         })
     }
 
-    fn happen(&mut self, what: SimEvent) {
+    fn handle_event(&mut self, what: SimEvent) {
         match what {
-            SimEvent::Send(ask, number) => self.send_client_attempt(ask, number),
-            SimEvent::Arrive(id) => self.arrive(id),
-            SimEvent::Answer(id, end) => self.end_client_attempt(id, end),
-            SimEvent::GiveUp(id) => {
+            SimEvent::SendClientAttempt(request, number) => {
+                self.send_client_attempt(request, number)
+            }
+            SimEvent::ArriveAtProxy(id) => self.accept_request(id),
+            SimEvent::DeliverResponse(id, end) => self.end_client_attempt(id, end),
+            SimEvent::ClientTimeout(id) => {
                 if self.client_waiting[id] {
                     self.ledger.client_attempts[id].left = Some(self.now);
-                    let way = self.client_way();
-                    self.after(way, SimEvent::Leave(id));
+                    let delay = self.client_delay();
+                    self.after(delay, SimEvent::ClientDisconnect(id));
                     self.end_client_attempt(id, ClientAttemptOutcome::GaveUp);
                 }
             }
-            SimEvent::Leave(id) => {
+            SimEvent::ClientDisconnect(id) => {
                 let proxy = self.ledger.client_attempts[id].proxy;
-                if self.proxies[proxy].as_mut().is_some_and(|p| p.close(id)) {
-                    self.feed(proxy, Event::ClientDisconnected(request_of(id)));
+                if self.proxies[proxy]
+                    .as_mut()
+                    .is_some_and(|p| p.claim_response(id))
+                {
+                    self.dispatch(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
-            SimEvent::Module(proxy, generation, token) => {
+            SimEvent::ModuleTimer(proxy, generation, token) => {
                 if self.generations[proxy] == generation && self.proxies[proxy].is_some() {
-                    self.feed(proxy, Event::Timer(token));
+                    self.dispatch(proxy, Event::Timer(token));
                 }
             }
-            SimEvent::LastResort(proxy, generation, id) => {
+            SimEvent::FinalTimeout(proxy, generation, id) => {
                 let lost = self.defect == Some(InjectedDefect::LosesRequests);
                 if self.generations[proxy] == generation
                     && !lost
-                    && self.answer(proxy, id, ResponseKind::Failed)
+                    && self.respond(proxy, id, ResponseKind::Failed)
                 {
-                    self.feed(proxy, Event::ClientDisconnected(request_of(id)));
+                    self.dispatch(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
-            SimEvent::Dial(flight) => self.dial(flight),
-            SimEvent::Dialled(flight, connect) => self.dialled(flight, connect),
-            SimEvent::Reach(flight) => self.reach(flight),
-            SimEvent::Reply(flight, outcome, keep) => self.reply(flight, outcome, keep),
-            SimEvent::Broken(flight) => self.broken(flight),
-            SimEvent::Expire(flight) => self.expire(flight),
-            SimEvent::Closed(server, attempt) => {
+            SimEvent::ArriveConnect(flight) => self.arrive_connect(flight),
+            SimEvent::ConnectResult(flight, connect) => self.connect_result(flight, connect),
+            SimEvent::ArriveAtServer(flight) => self.arrive_at_server(flight),
+            SimEvent::DeliverOutcome(flight, outcome, keep) => {
+                self.deliver_outcome(flight, outcome, keep)
+            }
+            SimEvent::ConnectionBroken(flight) => self.connection_broken(flight),
+            SimEvent::AttemptTimeout(flight) => self.time_out_attempt(flight),
+            SimEvent::ConnectionClosed(server, attempt) => {
                 self.world.cancel(self.now, server, attempt);
                 self.disconnect(server);
             }
@@ -352,24 +362,24 @@
         let (now, stops_at) = (self.now, &self.front_stops_at);
         let alive = |p: usize| stops_at[p].is_none_or(|from| now < from);
         load::pick_proxy(
-            &mut self.front,
+            &mut self.front_rng,
             stops_at.len(),
-            self.s.fleet.zones.len(),
+            self.scenario.fleet.zones.len(),
             zone,
             alive,
         )
     }
 
-    fn send_client_attempt(&mut self, ask: usize, number: u32) {
-        let (class, zone) = (self.requests[ask].class, self.requests[ask].zone);
+    fn send_client_attempt(&mut self, request: usize, number: u32) {
+        let (class, zone) = (self.requests[request].class, self.requests[request].zone);
         let proxy = self.pick_proxy(zone);
-        let patience = load::patience(&self.s, &self.requests[ask], self.now);
+        let patience = load::patience(&self.scenario, &self.requests[request], self.now);
         let id = self.ledger.client_attempts.len();
         self.ledger.client_attempts.push(ClientAttempt {
-            request: ask,
+            request,
             number,
             class,
-            once: self.s.classes[class].effect == Effect::Unsafe,
+            once: self.scenario.classes[class].effect == Effect::Unsafe,
             proxy,
             intended: self.now,
             sent: self.now,
@@ -380,25 +390,31 @@
             attempts: Vec::<Attempt>::new(),
         });
         self.client_waiting.push(true);
-        self.served[ask].1 = number;
-        let way = self.client_way();
-        self.after(way, SimEvent::Arrive(id));
-        self.after(patience, SimEvent::GiveUp(id));
+        self.served[request].1 = number;
+        let delay = self.client_delay();
+        self.after(delay, SimEvent::ArriveAtProxy(id));
+        self.after(patience, SimEvent::ClientTimeout(id));
     }
 
     fn end_client_attempt(&mut self, id: ClientAttemptId, end: ClientAttemptOutcome) {
         if !std::mem::take(&mut self.client_waiting[id]) {
             return;
         }
-        let (ask, number) = (
+        let (request, number) = (
             self.ledger.client_attempts[id].request,
             self.ledger.client_attempts[id].number,
         );
         if end == ClientAttemptOutcome::Served {
-            self.served[ask].0 = self.served[ask].0.or(Some(self.now));
+            self.served[request].0 = self.served[request].0.or(Some(self.now));
         }
-        if let Some(wait) = load::retry_delay(&self.s, &self.requests[ask], number, self.now, end) {
-            self.after(wait, SimEvent::Send(ask, number + 1));
+        if let Some(wait) = load::retry_delay(
+            &self.scenario,
+            &self.requests[request],
+            number,
+            self.now,
+            end,
+        ) {
+            self.after(wait, SimEvent::SendClientAttempt(request, number + 1));
         }
     }
 
@@ -409,7 +425,7 @@
         let generation = self.generations[proxy];
         let mut seeds = stream(self.seed, Purpose::Modules);
         seeds.set_word_pos(u128::from(proxy as u64) * 4096 + u128::from(generation) * 2);
-        let (settings, seed) = (settings::of(&self.s, proxy), seeds.random::<u64>());
+        let (settings, seed) = (settings::of(&self.scenario, proxy), seeds.random::<u64>());
         let decider: Box<dyn Decider> = match self.defect {
             Some(defect) => Box::new(DefectiveBalancer::new(settings, seed, defect)),
             None => Box::new(Balancer::new(settings, seed)),
@@ -417,11 +433,11 @@
         self.proxies[proxy] = Some(Proxy::new(decider, generation));
         self.front_stops_at[proxy] = None;
         // A starting proxy gets the cached list first and the current list once its watch is established.
-        let entries = self.memories[proxy].entries();
+        let entries = self.cached_lists[proxy].entries();
         self.announce(proxy, UpdateScope::Cached, &entries);
         let listed = self.world.listed();
-        self.memories[proxy] = Memory::default();
-        self.memories[proxy].learn(&listed);
+        self.cached_lists[proxy] = CachedList::default();
+        self.cached_lists[proxy].apply(&listed);
         self.announce(proxy, UpdateScope::Full, &listed);
     }
 
@@ -452,11 +468,11 @@
     }
 
     fn list_update(&mut self, proxy: ProxyId, entry: ListEntry) {
-        self.memories[proxy].learn(std::slice::from_ref(&entry));
+        self.cached_lists[proxy].apply(std::slice::from_ref(&entry));
         self.announce(proxy, UpdateScope::Delta, &[entry]);
     }
 
-    fn feed(&mut self, proxy: ProxyId, event: Event) {
+    fn dispatch(&mut self, proxy: ProxyId, event: Event) {
         let Some(p) = self.proxies[proxy].as_mut() else {
             return;
         };
@@ -482,18 +498,21 @@
                     request,
                     retry_after,
                 } => {
-                    self.answer(
+                    self.respond(
                         proxy,
                         request.0 as ClientAttemptId,
                         ResponseKind::Refused { retry_after },
                     );
                 }
                 Action::Fail(request) => {
-                    self.answer(proxy, request.0 as ClientAttemptId, ResponseKind::Failed);
+                    self.respond(proxy, request.0 as ClientAttemptId, ResponseKind::Failed);
                 }
                 Action::Timer { token, at } => {
                     let generation = self.generations[proxy];
-                    self.schedule(at.max(self.now), SimEvent::Module(proxy, generation, token));
+                    self.schedule(
+                        at.max(self.now),
+                        SimEvent::ModuleTimer(proxy, generation, token),
+                    );
                 }
                 // List updates are pushed, and gossip between proxies is not simulated.
                 Action::Broadcast(_) | Action::Subscribe | Action::FetchEndpoints => {}
@@ -501,35 +520,38 @@
         }
     }
 
-    fn arrive(&mut self, id: ClientAttemptId) {
+    fn accept_request(&mut self, id: ClientAttemptId) {
         let t = &self.ledger.client_attempts[id];
-        let (proxy, due, sent, ask) = (t.proxy, t.due, t.sent, t.request);
-        let way = self.client_way();
+        let (proxy, due, sent, request) = (t.proxy, t.due, t.sent, t.request);
+        let delay = self.client_delay();
         let Some(p) = self.proxies[proxy].as_mut().filter(|p| !p.ending) else {
-            return self.after(way, SimEvent::Answer(id, ClientAttemptOutcome::Unreachable));
+            return self.after(
+                delay,
+                SimEvent::DeliverResponse(id, ClientAttemptOutcome::Unreachable),
+            );
         };
         let patience = due - sent;
         let deadline = self.now + patience;
-        p.live.insert(
+        p.active.insert(
             id,
-            Live {
+            ActiveRequest {
                 unanswered: true,
                 deadline,
                 attempts: 0,
-                out: 0,
+                in_flight: 0,
             },
         );
         self.ledger.client_attempts[id].taken = Some(self.now);
         let generation = self.generations[proxy];
         self.schedule(
             deadline - LAST_RESORT_MARGIN,
-            SimEvent::LastResort(proxy, generation, id),
+            SimEvent::FinalTimeout(proxy, generation, id),
         );
-        let a = &self.requests[ask];
+        let a = &self.requests[request];
         let (class, tenant) = (ClassId(a.class), a.tenant.map(TenantId));
         let (id, key) = (request_of(id), Some(Key(a.key)));
         let budget = (patience - LAST_RESORT_MARGIN).max(0.0);
-        self.feed(
+        self.dispatch(
             proxy,
             Event::Request {
                 id,
@@ -544,13 +566,15 @@
     }
 
     /// Sends a request's final response, unless it has one already.
-    fn answer(&mut self, proxy: ProxyId, id: ClientAttemptId, code: ResponseKind) -> bool {
-        let first = self.proxies[proxy].as_mut().is_some_and(|p| p.close(id));
+    fn respond(&mut self, proxy: ProxyId, id: ClientAttemptId, code: ResponseKind) -> bool {
+        let first = self.proxies[proxy]
+            .as_mut()
+            .is_some_and(|p| p.claim_response(id));
         if first {
             self.ledger.client_attempts[id]
                 .answers
                 .push((self.now, code));
-            let way = self.client_way();
+            let delay = self.client_delay();
             let end = match code {
                 ResponseKind::Served { .. } => ClientAttemptOutcome::Served,
                 ResponseKind::Refused { retry_after } => {
@@ -558,7 +582,7 @@
                 }
                 ResponseKind::Failed | ResponseKind::Broken => ClientAttemptOutcome::Failed,
             };
-            self.after(way, SimEvent::Answer(id, end));
+            self.after(delay, SimEvent::DeliverResponse(id, end));
         }
         first
     }
@@ -577,45 +601,52 @@
             return;
         };
         // A defective module may name an unknown request or server.
-        let (Some(live), true) = (p.live.get_mut(&id), server < self.world.servers().len()) else {
+        let (Some(active), true) = (p.active.get_mut(&id), server < self.world.servers().len())
+        else {
             return;
         };
-        let attempt = live.attempts;
-        live.attempts += 1;
-        live.out += 1;
-        let (unanswered, deadline) = (live.unanswered, live.deadline);
+        let attempt = active.attempts;
+        active.attempts += 1;
+        active.in_flight += 1;
+        let (unanswered, deadline) = (active.unanswered, active.deadline);
         let flight = self.next_flight;
         self.next_flight += 1;
         let until = timeout.map_or(deadline, |t| deadline.min(now + t));
         let open = p.is_open(server) || self.defect == Some(InjectedDefect::IgnoresDrains);
-        let (reuse, old) = p.reuse(server, now - IDLE_REUSE_FRACTION * self.s.fleet.idle.0);
+        let (reuse, old) = p.reuse(
+            server,
+            now - IDLE_REUSE_FRACTION * self.scenario.fleet.idle.0,
+        );
         let generation = p.generation;
         (0..old).for_each(|_| self.disconnect(server));
         let record = InFlightAttempt {
             id,
             attempt,
-            note: None,
+            ledger_index: None,
             proxy,
             generation,
             server,
             sent: now,
             fresh: !reuse,
-            over: false,
+            finished: false,
         };
         self.flights.insert(flight, record);
         if !unanswered || !open {
-            return self.after(0.0, SimEvent::Reply(flight, Outcome::NotSent, false));
+            return self.after(
+                0.0,
+                SimEvent::DeliverOutcome(flight, Outcome::NotSent, false),
+            );
         }
-        self.schedule(until, SimEvent::Expire(flight));
+        self.schedule(until, SimEvent::AttemptTimeout(flight));
         if reuse {
             self.write(flight);
         } else {
-            let way = self.server_way(proxy, server);
-            self.after(way, SimEvent::Dial(flight));
+            let delay = self.server_delay(proxy, server);
+            self.after(delay, SimEvent::ArriveConnect(flight));
         }
     }
 
-    fn dial(&mut self, flight: u64) {
+    fn arrive_connect(&mut self, flight: u64) {
         let Some(f) = self.flights.get(&flight) else {
             return;
         };
@@ -623,32 +654,33 @@
         let connect = self.world.connect(self.now, proxy, server);
         if connect == Connect::Up {
             self.counts.connections += 1;
-            let open = self.at_server.entry(server).or_default();
+            let open = self.server_connections.entry(server).or_default();
             *open += 1;
             self.counts.connections_at_once = self.counts.connections_at_once.max(*open);
         }
-        let way = self.server_way(proxy, server);
+        let delay = self.server_delay(proxy, server);
         match connect {
-            Connect::Silent => {
-                self.schedule(sent + CONNECT_TIMEOUT, SimEvent::Dialled(flight, connect))
-            }
-            _ => self.after(way, SimEvent::Dialled(flight, connect)),
+            Connect::Silent => self.schedule(
+                sent + CONNECT_TIMEOUT,
+                SimEvent::ConnectResult(flight, connect),
+            ),
+            _ => self.after(delay, SimEvent::ConnectResult(flight, connect)),
         }
     }
 
     fn disconnect(&mut self, server: ServerId) {
         self.world.disconnect(server);
-        if let Some(open) = self.at_server.get_mut(&server) {
+        if let Some(open) = self.server_connections.get_mut(&server) {
             *open = open.saturating_sub(1);
         }
     }
 
-    fn dialled(&mut self, flight: u64, connect: Connect) {
+    fn connect_result(&mut self, flight: u64, connect: Connect) {
         let Some(f) = self.flights.get(&flight) else {
             return;
         };
         let server = f.server;
-        if f.over {
+        if f.finished {
             if connect == Connect::Up {
                 self.disconnect(server);
             }
@@ -656,7 +688,7 @@
             return;
         }
         if connect != Connect::Up {
-            return self.reply(flight, Outcome::ConnectFailed, false);
+            return self.deliver_outcome(flight, Outcome::ConnectFailed, false);
         }
         self.write(flight);
     }
@@ -676,16 +708,16 @@
             self.flights.remove(&flight); // its process exited while the connection was being established
             return self.disconnect(server);
         };
-        if !(open || p.is_open(server)) || !p.live.get(&id).is_some_and(|l| l.unanswered) {
-            self.reply(flight, Outcome::NotSent, false);
+        if !(open || p.is_open(server)) || !p.active.get(&id).is_some_and(|l| l.unanswered) {
+            self.deliver_outcome(flight, Outcome::NotSent, false);
             return self.disconnect(server);
         }
-        f.note = Some(self.ledger.send(id, server, self.now));
-        let way = self.server_way(proxy, server);
-        self.after(way, SimEvent::Reach(flight));
+        f.ledger_index = Some(self.ledger.send(id, server, self.now));
+        let delay = self.server_delay(proxy, server);
+        self.after(delay, SimEvent::ArriveAtServer(flight));
     }
 
-    fn reach(&mut self, flight: u64) {
+    fn arrive_at_server(&mut self, flight: u64) {
         let Some(f) = self.flights.get(&flight) else {
             return;
         };
@@ -697,92 +729,99 @@
         ) {
             return;
         }
-        let ask = &self.requests[self.ledger.client_attempts[id].request];
+        let request = &self.requests[self.ledger.client_attempts[id].request];
         let handshake = if f.fresh {
-            self.s.fleet.handshake.0
+            self.scenario.fleet.handshake.0
         } else {
             0.0
         };
         let job = Job {
             attempt: flight,
-            work: ask.work + handshake,
-            key: ask.key,
+            work: request.work + handshake,
+            key: request.key,
         };
         let up = matches!(
             self.world.servers()[server].server.state(),
             crate::world::server::ServerState::Up | crate::world::server::ServerState::Draining
         );
-        let way = self.server_way(proxy, server);
-        let (admission, verdict) = self.world.submit(self.now, server, job);
-        match (admission, verdict) {
+        let delay = self.server_delay(proxy, server);
+        let (admission, server_outcome) = self.world.submit(self.now, server, job);
+        match (admission, server_outcome) {
             (_, Some(_)) => {
-                self.ran(flight);
-                self.after(way, SimEvent::Reply(flight, Outcome::Error, true));
+                self.record_completion(flight);
+                self.after(
+                    delay,
+                    SimEvent::DeliverOutcome(flight, Outcome::Error, true),
+                );
             }
             (Admission::Accepted, None) => {}
-            (Admission::Rejected, None) if up => {
-                self.after(way, SimEvent::Reply(flight, Outcome::Overloaded, true))
-            }
+            (Admission::Rejected, None) if up => self.after(
+                delay,
+                SimEvent::DeliverOutcome(flight, Outcome::Overloaded, true),
+            ),
             // The server's process has exited, so the connection is reset.
             (Admission::Rejected | Admission::Crashed, None) => {
-                self.after(way, SimEvent::Reply(flight, Outcome::Reset, false));
+                self.after(
+                    delay,
+                    SimEvent::DeliverOutcome(flight, Outcome::Reset, false),
+                );
             }
         }
     }
 
-    fn ran(&mut self, flight: u64) {
+    fn record_completion(&mut self, flight: u64) {
         if let Some(f) = self.flights.get(&flight)
-            && let Some(note) = f.note
+            && let Some(ledger_index) = f.ledger_index
         {
-            self.ledger.ran(f.id, note, self.now);
+            self.ledger.ran(f.id, ledger_index, self.now);
         }
     }
 
     /// Handles the arrival of an attempt's outcome at its proxy; `keep` tells whether the connection may be reused.
-    fn reply(&mut self, flight: u64, outcome: Outcome, keep: bool) {
+    fn deliver_outcome(&mut self, flight: u64, outcome: Outcome, keep: bool) {
         let Some(f) = self.flights.remove(&flight) else {
             return;
         };
         let same = self.generations[f.proxy] == f.generation;
-        let (Some(p), false) = (self.proxies[f.proxy].as_mut().filter(|_| same), f.over) else {
+        let (Some(p), false) = (self.proxies[f.proxy].as_mut().filter(|_| same), f.finished) else {
             return; // cancelled before; its connection is closed already
         };
         if keep && p.is_open(f.server) {
             p.idle.entry(f.server).or_default().push(self.now);
-        } else if f.note.is_some() {
+        } else if f.ledger_index.is_some() {
             self.disconnect(f.server);
         }
         self.report_attempt_end(&f, outcome);
     }
 
     fn report_attempt_end(&mut self, f: &InFlightAttempt, outcome: Outcome) {
-        if let Some(note) = f.note {
+        if let Some(ledger_index) = f.ledger_index {
             let end = match outcome {
                 Outcome::Served => AttemptEnd::Answered,
                 o if o.may_have_run() => AttemptEnd::MayHaveRun,
                 _ => AttemptEnd::NeverRan,
             };
-            self.ledger.end(f.id, note, self.now, end);
+            self.ledger.end(f.id, ledger_index, self.now, end);
         }
-        let Some(live) = self.proxies[f.proxy]
+        let Some(active) = self.proxies[f.proxy]
             .as_mut()
-            .and_then(|p| p.live.get_mut(&f.id))
+            .and_then(|p| p.active.get_mut(&f.id))
         else {
             return;
         };
-        live.out -= 1;
-        let was_open = live.unanswered;
+        active.in_flight -= 1;
+        let was_open = active.unanswered;
         if outcome == Outcome::Served && was_open {
             let genuine = f
-                .note
+                .ledger_index
                 .is_some_and(|n| self.ledger.client_attempts[f.id].attempts[n].ran.is_some());
-            self.answer(f.proxy, f.id, ResponseKind::Served { genuine });
+            self.respond(f.proxy, f.id, ResponseKind::Served { genuine });
         } else if let Some(p) = self.proxies[f.proxy].as_mut() {
-            p.forget(f.id);
+            p.remove_if_done(f.id);
         }
         let closed = !was_open || outcome == Outcome::Served;
         let (request, attempt, latency) = (request_of(f.id), f.attempt, self.now - f.sent);
-        self.feed(
+        self.dispatch(
             f.proxy,
             Event::AttemptEnded {
                 request,
@@ -795,19 +834,22 @@
     }
 
     /// Cancels an attempt that timed out: its connection is closed, which the server detects after the network delay.
-    fn expire(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else {
+    fn time_out_attempt(&mut self, flight: u64) {
+        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.finished) else {
             return;
         };
         if self.generations[f.proxy] != f.generation {
             return;
         }
-        f.over = true;
-        let (proxy, server, written) = (f.proxy, f.server, f.note.is_some());
-        let end = InFlightAttempt { over: true, ..*f };
-        let way = self.server_way(proxy, server);
+        f.finished = true;
+        let (proxy, server, written) = (f.proxy, f.server, f.ledger_index.is_some());
+        let end = InFlightAttempt {
+            finished: true,
+            ..*f
+        };
+        let delay = self.server_delay(proxy, server);
         if written {
-            self.after(way, SimEvent::Closed(server, flight));
+            self.after(delay, SimEvent::ConnectionClosed(server, flight));
         }
         self.report_attempt_end(
             &end,
@@ -820,15 +862,21 @@
     }
 
     /// Handles a broken connection of an attempt. The server may still be processing it.
-    fn broken(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.over) else {
+    fn connection_broken(&mut self, flight: u64) {
+        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.finished) else {
             return;
         };
         if self.generations[f.proxy] != f.generation {
             return;
         }
-        f.over = true;
-        let (server, end) = (f.server, InFlightAttempt { over: true, ..*f });
+        f.finished = true;
+        let (server, end) = (
+            f.server,
+            InFlightAttempt {
+                finished: true,
+                ..*f
+            },
+        );
         self.disconnect(server);
         self.report_attempt_end(&end, Outcome::Reset);
     }
@@ -837,20 +885,23 @@
 
     fn handle_world_event(&mut self, happened: WorldEvent) {
         match happened {
-            WorldEvent::Completed { attempt, verdict } => self.done(attempt, verdict),
+            WorldEvent::Completed { attempt, outcome } => self.attempt_completed(attempt, outcome),
             WorldEvent::Lost { attempt } => {
                 let Some(f) = self.flights.get(&attempt) else {
                     return;
                 };
-                let way = self.server_way(f.proxy, f.server);
-                self.after(way, SimEvent::Reply(attempt, Outcome::Reset, false));
+                let delay = self.server_delay(f.proxy, f.server);
+                self.after(
+                    delay,
+                    SimEvent::DeliverOutcome(attempt, Outcome::Reset, false),
+                );
             }
             WorldEvent::ConnectionBroken { attempt, .. } => {
                 let Some(f) = self.flights.get(&attempt) else {
                     return;
                 };
-                let way = self.server_way(f.proxy, f.server);
-                self.after(way, SimEvent::Broken(attempt));
+                let delay = self.server_delay(f.proxy, f.server);
+                self.after(delay, SimEvent::ConnectionBroken(attempt));
             }
             WorldEvent::ListChanged(entry) => {
                 for proxy in 0..self.proxies.len() {
@@ -867,7 +918,9 @@
             }
             // Nothing to do: every new connection is checked by the world.
             WorldEvent::RefusingConnections { .. } | WorldEvent::PartitionChanged => {}
-            WorldEvent::KillProxy(proxy) => self.end_process(proxy, Some(self.s.proxies.notice.0)),
+            WorldEvent::KillProxy(proxy) => {
+                self.end_process(proxy, Some(self.scenario.proxies.notice.0))
+            }
             WorldEvent::TerminateProxy(proxy) => {
                 self.front_stops_at[proxy] = Some(self.now);
                 if let Some(p) = self.proxies[proxy].as_mut() {
@@ -883,8 +936,8 @@
         }
     }
 
-    fn done(&mut self, flight: u64, verdict: ServerOutcome) {
-        self.ran(flight);
+    fn attempt_completed(&mut self, flight: u64, server_outcome: ServerOutcome) {
+        self.record_completion(flight);
         let Some(f) = self.flights.get(&flight) else {
             return;
         };
@@ -896,8 +949,8 @@
         ) {
             return; // the response is lost
         }
-        let way = self.server_way(proxy, server);
-        let (outcome, keep) = match verdict {
+        let delay = self.server_delay(proxy, server);
+        let (outcome, keep) = match server_outcome {
             ServerOutcome::Silent => return,
             ServerOutcome::Served => (Outcome::Served, true),
             ServerOutcome::Error => (Outcome::Error, true),
@@ -906,7 +959,7 @@
             }
             ServerOutcome::Reset(Break::After) => (Outcome::Served, false),
         };
-        self.after(way, SimEvent::Reply(flight, outcome, keep));
+        self.after(delay, SimEvent::DeliverOutcome(flight, outcome, keep));
     }
 
     /// Ends a proxy process with all its requests; the front load balancer detects it after `notice`.
@@ -921,34 +974,40 @@
         });
         self.front_stops_at[proxy] = notice.map(|n| self.now + n);
         // Sorted, because hash map order would make runs with the same seed differ.
-        let mut held: Vec<ClientAttemptId> = p
-            .live
+        let mut unanswered: Vec<ClientAttemptId> = p
+            .active
             .iter()
             .filter(|(_, l)| l.unanswered)
             .map(|(id, _)| *id)
             .collect();
-        held.sort_unstable();
-        for id in held {
-            let way = self.client_way();
-            self.after(way, SimEvent::Answer(id, ClientAttemptOutcome::Failed));
+        unanswered.sort_unstable();
+        for id in unanswered {
+            let delay = self.client_delay();
+            self.after(
+                delay,
+                SimEvent::DeliverResponse(id, ClientAttemptOutcome::Failed),
+            );
         }
-        let mut out: Vec<(u64, ServerId)> = self
+        let mut in_flight: Vec<(u64, ServerId)> = self
             .flights
             .iter()
             .filter(|(_, f)| {
-                f.proxy == proxy && f.generation == p.generation && !f.over && f.note.is_some()
+                f.proxy == proxy
+                    && f.generation == p.generation
+                    && !f.finished
+                    && f.ledger_index.is_some()
             })
             .map(|(flight, f)| (*flight, f.server))
             .collect();
-        out.sort_unstable();
-        for (flight, server) in out {
-            let way = self.server_way(proxy, server);
-            self.after(way, SimEvent::Closed(server, flight));
+        in_flight.sort_unstable();
+        for (flight, server) in in_flight {
+            let delay = self.server_delay(proxy, server);
+            self.after(delay, SimEvent::ConnectionClosed(server, flight));
         }
         let mut idle: Vec<(ServerId, usize)> = p.idle.iter().map(|(s, i)| (*s, i.len())).collect();
         idle.sort_unstable();
-        for (server, many) in idle {
-            (0..many).for_each(|_| self.disconnect(server));
+        for (server, count) in idle {
+            (0..count).for_each(|_| self.disconnect(server));
         }
     }
 }
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -13,7 +13,7 @@
 use crate::world::{ListEntry, ListState, World};
 
 /// A request without a final response, or with attempts in flight.
-pub struct Live {
+pub struct ActiveRequest {
     /// Whether the final response is still to be sent.
     pub unanswered: bool,
     /// Time at which its client gives up.
@@ -21,7 +21,7 @@
     /// Number of attempts so far, which is also the module's next attempt number.
     pub attempts: u32,
     /// Number of attempts in flight.
-    pub out: u32,
+    pub in_flight: u32,
 }
 
 /// A proxy process; each start creates a new one.
@@ -33,7 +33,7 @@
     /// Whether it was told to exit and accepts no new requests.
     pub ending: bool,
     /// Active requests.
-    pub live: FxHashMap<ClientAttemptId, Live>,
+    pub active: FxHashMap<ClientAttemptId, ActiveRequest>,
     /// Whether each server accepts new requests, by the last notification.
     open: FxHashMap<ServerId, bool>,
     /// Idle connections by server: the time since when each is idle, the most recently used last.
@@ -43,14 +43,14 @@
 
 /// State that a proxy keeps across restarts: its last known server list.
 #[derive(Default)]
-pub struct Memory {
+pub struct CachedList {
     /// State by server, in a fixed order so that runs are reproducible.
     pub list: BTreeMap<ServerId, ListState>,
 }
 
-impl Memory {
+impl CachedList {
     /// Applies list entries.
-    pub fn learn(&mut self, entries: &[ListEntry]) {
+    pub fn apply(&mut self, entries: &[ListEntry]) {
         for entry in entries {
             match entry.state {
                 ListState::Removed => self.list.remove(&entry.server),
@@ -103,7 +103,7 @@
             decider,
             generation,
             ending: false,
-            live: FxHashMap::default(),
+            active: FxHashMap::default(),
             open: FxHashMap::default(),
             idle: FxHashMap::default(),
             actions: Vec::new(),
@@ -167,23 +167,23 @@
     }
 
     /// Claims the final response of a request; returns `false` if it was sent already.
-    pub fn close(&mut self, id: ClientAttemptId) -> bool {
-        let Some(live) = self.live.get_mut(&id) else {
+    pub fn claim_response(&mut self, id: ClientAttemptId) -> bool {
+        let Some(active) = self.active.get_mut(&id) else {
             return false;
         };
-        let was = std::mem::take(&mut live.unanswered);
-        self.forget(id);
+        let was = std::mem::take(&mut active.unanswered);
+        self.remove_if_done(id);
         was
     }
 
     /// Removes a request that has its final response and no attempts in flight.
-    pub fn forget(&mut self, id: ClientAttemptId) {
+    pub fn remove_if_done(&mut self, id: ClientAttemptId) {
         if self
-            .live
+            .active
             .get(&id)
-            .is_some_and(|l| !l.unanswered && l.out == 0)
+            .is_some_and(|l| !l.unanswered && l.in_flight == 0)
         {
-            self.live.remove(&id);
+            self.active.remove(&id);
         }
     }
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -80,7 +80,7 @@
         /// The attempt.
         attempt: u64,
         /// Behaviour of the server.
-        verdict: ServerOutcome,
+        outcome: ServerOutcome,
     },
     /// A server process exited or crashed while it held the attempt.
     Lost {
@@ -349,26 +349,26 @@
                         continue;
                     };
                     if self.servers[id].epoch == epoch {
-                        self.finish(at as f64 / 1000.0, id);
+                        self.complete_due(at as f64 / 1000.0, id);
                     }
                 }
             }
         }
     }
 
-    fn finish(&mut self, at: Millis, id: ServerId) {
+    fn complete_due(&mut self, at: Millis, id: ServerId) {
         for job in self.servers[id].server.finished(at) {
-            let verdict = self.verdict(at);
+            let outcome = self.completion_outcome(at);
             self.pending.push(WorldEvent::Completed {
                 attempt: job.attempt,
-                verdict,
+                outcome,
             });
         }
         self.reschedule(id);
     }
 
     /// Draws the behaviour of a server for a completed request.
-    fn verdict(&mut self, at: Millis) -> ServerOutcome {
+    fn completion_outcome(&mut self, at: Millis) -> ServerOutcome {
         let share = |f: &crate::scenario::Fault| f.share.map_or(0.0, |s| s.0);
         let lost = self
             .active(at, FaultKind::LostAnswers)
@@ -433,7 +433,7 @@
         let (attempt, work) = (job.attempt, job.work);
         let admission = self.servers[server].server.submit(now, job);
         if admission == Admission::Accepted {
-            self.plan_break(now, server, attempt, work);
+            self.schedule_break(now, server, attempt, work);
         }
         if admission == Admission::Crashed {
             self.pending
@@ -446,7 +446,7 @@
 
     /// Draws whether an attempt's connection breaks during processing, and schedules the break within the time that the
     /// work takes on an otherwise idle machine.
-    fn plan_break(&mut self, now: Millis, server: ServerId, attempt: u64, work: f64) {
+    fn schedule_break(&mut self, now: Millis, server: ServerId, attempt: u64, work: f64) {
         let during = |f: &crate::scenario::Fault| f.place == Some(Break::During);
         let resets = self
             .active(now, FaultKind::Resets)
@@ -455,7 +455,7 @@
         if share > 0.0 && self.faults.random::<f64>() < share {
             let alone = work / self.servers[server].server.machine().speed;
             let at = now + alone * self.faults.random::<f64>();
-            self.schedule(at, Step::Break(server, attempt));
+            self.schedule(at, Step::BreakConnection(server, attempt));
         }
     }
 
@@ -473,14 +473,14 @@
         spared
     }
 
-    fn list(&mut self, server: ServerId, state: ListState) {
+    fn set_list_state(&mut self, server: ServerId, state: ListState) {
         self.servers[server].listed = state;
         self.pending
             .push(WorldEvent::ListChanged(ListEntry { server, state }));
     }
 
     /// Returns the servers that accept requests.
-    fn up(&self) -> Vec<ServerId> {
+    fn servers_up(&self) -> Vec<ServerId> {
         (0..self.servers.len())
             .filter(|&s| self.servers[s].server.state() == ServerState::Up)
             .collect()
@@ -489,55 +489,57 @@
     fn apply_step(&mut self, at: Millis, step: Step) {
         let scenario = self.scenario.clone();
         match step {
-            Step::Begin(fault) => {
+            Step::BeginFault(fault) => {
                 let f = &scenario.faults[fault];
-                let up = self.up();
+                let up = self.servers_up();
                 let share = f.share.map_or(1.0, |s| s.0);
-                let many = ((share * up.len() as f64).round() as usize).max(1);
-                let places = sample_indices(&mut self.faults, up.len(), many);
+                let count = ((share * up.len() as f64).round() as usize).max(1);
+                let places = sample_indices(&mut self.faults, up.len(), count);
                 self.targets[fault] = places.into_iter().map(|i| up[i]).collect();
                 self.apply_fault(at, fault, true);
             }
-            Step::End(fault) => {
+            Step::EndFault(fault) => {
                 self.apply_fault(at, fault, false);
                 self.targets[fault].clear();
             }
-            Step::Replace(fault, many) => self.replace(at, fault, many),
-            Step::Leave(fault) => {
-                let up = self.up();
+            Step::ReplaceServers(fault, count) => self.replace_servers(at, fault, count),
+            Step::RemoveServer(fault) => {
+                let up = self.servers_up();
                 if up.len() > 1 {
                     let server = up[sample_indices(&mut self.faults, up.len(), 1)[0]];
-                    self.leave(at, fault, server);
+                    self.drain_server(at, fault, server);
                 }
             }
-            Step::Stop(server) => {
+            Step::StopServer(server) => {
                 let held = self.servers[server].server.stop(at);
                 self.pending
                     .extend(held.into_iter().map(|attempt| WorldEvent::Lost { attempt }));
-                self.list(server, ListState::Removed);
+                self.set_list_state(server, ListState::Removed);
                 self.reschedule(server);
             }
-            Step::Proxies(fault) => {
+            Step::StopProxies(fault) => {
                 let f = &scenario.faults[fault];
                 let share = f.share.map_or(0.0, |s| s.0);
-                let many = ((share * scenario.proxies.count as f64).round() as usize).max(1);
-                for proxy in sample_indices(&mut self.faults, scenario.proxies.count, many) {
+                let count = ((share * scenario.proxies.count as f64).round() as usize).max(1);
+                for proxy in sample_indices(&mut self.faults, scenario.proxies.count, count) {
                     self.pending.push(match f.kind {
                         FaultKind::ProxyKill => WorldEvent::KillProxy(proxy),
                         _ => WorldEvent::TerminateProxy(proxy),
                     });
-                    self.schedule(at + f.span.0, Step::Start(proxy));
+                    self.schedule(at + f.span.0, Step::StartProxy(proxy));
                 }
             }
-            Step::Start(proxy) => self.pending.push(WorldEvent::StartProxy(proxy)),
+            Step::StartProxy(proxy) => self.pending.push(WorldEvent::StartProxy(proxy)),
             // An attempt that completed in the meantime can't break any more.
-            Step::Break(server, attempt) if self.servers[server].server.holds(attempt) => {
+            Step::BreakConnection(server, attempt)
+                if self.servers[server].server.holds(attempt) =>
+            {
                 let spared = self.cancel(at, server, attempt);
                 self.pending
                     .push(WorldEvent::ConnectionBroken { attempt, spared });
             }
-            Step::Break(..) => {}
-            Step::Part => self.pending.push(WorldEvent::PartitionChanged),
+            Step::BreakConnection(..) => {}
+            Step::PartitionChange => self.pending.push(WorldEvent::PartitionChanged),
         }
     }
 
@@ -563,26 +565,26 @@
     }
 
     /// Replaces initial servers by cold ones with new names.
-    fn replace(&mut self, at: Millis, fault: usize, many: usize) {
+    fn replace_servers(&mut self, at: Millis, fault: usize, count: usize) {
         let old: Vec<ServerId> = self
-            .up()
+            .servers_up()
             .into_iter()
             .filter(|&s| s < self.initial_servers)
             .collect();
-        for place in sample_indices(&mut self.faults, old.len(), many) {
+        for place in sample_indices(&mut self.faults, old.len(), count) {
             let server = old[place];
             let (zone, kind) = (self.servers[server].zone, self.servers[server].kind);
             let successor = self.add(zone, kind, Some(at), at);
-            self.list(successor, ListState::Up);
-            self.leave(at, fault, server);
+            self.set_list_state(successor, ListState::Up);
+            self.drain_server(at, fault, server);
         }
     }
 
-    fn leave(&mut self, at: Millis, fault: usize, server: ServerId) {
+    fn drain_server(&mut self, at: Millis, fault: usize, server: ServerId) {
         self.servers[server].server.drain();
-        self.list(server, ListState::Draining);
+        self.set_list_state(server, ListState::Draining);
         let drain = self.scenario.faults[fault].drain.map_or(0.0, |d| d.0);
-        self.schedule(at + drain, Step::Stop(server));
+        self.schedule(at + drain, Step::StopServer(server));
     }
 
     /// Returns the current server list.
--- a/crates/lab/src/world/plan.rs
+++ b/crates/lab/src/world/plan.rs
@@ -9,23 +9,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     /// A fault begins at its target servers.
-    Begin(usize),
+    BeginFault(usize),
     /// A fault ends.
-    End(usize),
+    EndFault(usize),
     /// The given number of servers is replaced, for the given fault.
-    Replace(usize, usize),
+    ReplaceServers(usize, usize),
     /// A server is removed.
-    Leave(usize),
+    RemoveServer(usize),
     /// A server process exits.
-    Stop(ServerId),
+    StopServer(ServerId),
     /// Proxies are killed or told to exit.
-    Proxies(usize),
+    StopProxies(usize),
     /// A proxy is started.
-    Start(ProxyId),
+    StartProxy(ProxyId),
     /// A network partition begins or ends.
-    Part,
+    PartitionChange,
     /// An attempt's connection breaks while its server processes it.
-    Break(ServerId, u64),
+    BreakConnection(ServerId, u64),
 }
 
 /// Returns the steps that are known from the start.
@@ -33,29 +33,29 @@
     let mut steps = Vec::new();
     for (i, f) in s.faults.iter().enumerate() {
         let servers = s.fleet.servers as f64;
-        let struck = ((f.share.map_or(0.0, |s| s.0) * servers).round() as usize).max(1);
+        let targets = ((f.share.map_or(0.0, |s| s.0) * servers).round() as usize).max(1);
         match f.kind {
             FaultKind::RollingDeploy => {
-                let batch = ((f.batch.map_or(0.0, |b| b.0) * servers).round() as usize).clamp(1, struck);
-                let batches = struck.div_ceil(batch);
+                let batch = ((f.batch.map_or(0.0, |b| b.0) * servers).round() as usize).clamp(1, targets);
+                let batches = targets.div_ceil(batch);
                 for b in 0..batches {
                     let at = f.at.0 + f.span.0 * b as f64 / batches as f64;
-                    steps.push((at, Step::Replace(i, batch.min(struck - b * batch))));
+                    steps.push((at, Step::ReplaceServers(i, batch.min(targets - b * batch))));
                 }
             }
             FaultKind::Shrink => {
-                for n in 0..struck {
-                    steps.push((f.at.0 + f.span.0 * n as f64 / struck as f64, Step::Leave(i)));
+                for n in 0..targets {
+                    steps.push((f.at.0 + f.span.0 * n as f64 / targets as f64, Step::RemoveServer(i)));
                 }
             }
-            FaultKind::ProxyKill | FaultKind::ProxyRestart => steps.push((f.at.0, Step::Proxies(i))),
+            FaultKind::ProxyKill | FaultKind::ProxyRestart => steps.push((f.at.0, Step::StopProxies(i))),
             FaultKind::Slow | FaultKind::Hang | FaultKind::RefuseConnects | FaultKind::Errors => {
-                steps.push((f.at.0, Step::Begin(i)));
-                steps.push((f.at.0 + f.span.0, Step::End(i)));
+                steps.push((f.at.0, Step::BeginFault(i)));
+                steps.push((f.at.0 + f.span.0, Step::EndFault(i)));
             }
             FaultKind::Partition => {
-                steps.push((f.at.0, Step::Part));
-                steps.push((f.at.0 + f.span.0, Step::Part));
+                steps.push((f.at.0, Step::PartitionChange));
+                steps.push((f.at.0 + f.span.0, Step::PartitionChange));
             }
             // These affect messages, the list or the load and are active for their time span.
             FaultKind::Resets
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -68,7 +68,7 @@
     Crashed,
 }
 
-struct Working {
+struct ActiveJob {
     job: Job,
     /// Value of `Server::pace` at which the request completes.
     until: f64,
@@ -83,18 +83,18 @@
     /// Cumulative work that an active request has received since the process start.
     pace: f64,
     /// Time up to which `pace` is computed.
-    at: Millis,
-    working: Vec<Working>,
-    waiting: VecDeque<Job>,
+    pace_at: Millis,
+    active: Vec<ActiveJob>,
+    queued: VecDeque<Job>,
     /// Slowdown factor.
-    slow: f64,
+    slowdown: f64,
     hung: bool,
     connections: u32,
     keys: FxHashMap<u64, Millis>,
     key_order: VecDeque<(u64, Millis)>,
     /// Recent work in excess of the overload budget.
-    pressure: f64,
-    pressure_at: Millis,
+    excess_work: f64,
+    excess_work_at: Millis,
 }
 
 impl Server {
@@ -105,16 +105,16 @@
             started_at,
             state: ServerState::Up,
             pace: 0.0,
-            at: now,
-            working: Vec::new(),
-            waiting: VecDeque::new(),
-            slow: 1.0,
+            pace_at: now,
+            active: Vec::new(),
+            queued: VecDeque::new(),
+            slowdown: 1.0,
             hung: false,
             connections: 0,
             keys: FxHashMap::default(),
             key_order: VecDeque::new(),
-            pressure: 0.0,
-            pressure_at: now,
+            excess_work: 0.0,
+            excess_work_at: now,
         }
     }
 
@@ -135,7 +135,7 @@
 
     /// Returns the numbers of active and queued requests.
     pub fn load_counts(&self) -> (usize, usize) {
-        (self.working.len(), self.waiting.len())
+        (self.active.len(), self.queued.len())
     }
 
     /// Returns the fraction of full capacity at a time; it rises linearly during warm-up.
@@ -151,12 +151,12 @@
 
     /// Returns whether an attempt is active or queued.
     pub fn holds(&self, attempt: u64) -> bool {
-        let mut held = self.working.iter().map(|w| &w.job).chain(&self.waiting);
+        let mut held = self.active.iter().map(|w| &w.job).chain(&self.queued);
         held.any(|job| job.attempt == attempt)
     }
 
     /// Integrates the warmth over a time span.
-    fn warm_span(&self, from: Millis, to: Millis) -> f64 {
+    fn integrate_warmth(&self, from: Millis, to: Millis) -> f64 {
         let Some(started_at) = self.started_at else {
             return to - from;
         };
@@ -169,43 +169,43 @@
     fn rate(&self) -> f64 {
         let m = &self.machine;
         let (n, held) = (
-            self.working.len() as f64,
-            (self.working.len() + self.waiting.len()) as f64,
+            self.active.len() as f64,
+            (self.active.len() + self.queued.len()) as f64,
         );
         if n == 0.0 || self.hung || matches!(self.state, ServerState::Down | ServerState::Crashed) {
             return 0.0;
         }
         let beyond = (held / m.cores - m.crowding.0).max(0.0);
-        (m.cores / n).min(1.0) * m.speed / self.slow / (1.0 + m.crowding.1 * beyond)
+        (m.cores / n).min(1.0) * m.speed / self.slowdown / (1.0 + m.crowding.1 * beyond)
     }
 
     fn advance(&mut self, now: Millis) {
-        self.pace += self.rate() * self.warm_span(self.at, now);
-        self.at = now;
+        self.pace += self.rate() * self.integrate_warmth(self.pace_at, now);
+        self.pace_at = now;
     }
 
     /// Returns the completion time of the next request, if nothing changes before.
     pub fn next(&self) -> Option<Millis> {
         let rate = self.rate();
         let first = self
-            .working
+            .active
             .iter()
             .map(|w| w.until)
             .min_by(f64::total_cmp)
             .filter(|_| rate > 0.0)?;
         let need = (first - self.pace).max(0.0) / rate;
-        let warmth = self.warmth(self.at);
+        let warmth = self.warmth(self.pace_at);
         let (from, span) = self.machine.cold;
-        let warm_at = self
-            .started_at
-            .map_or(self.at, |started_at| (started_at + span).max(self.at));
-        let until_warm = self.warm_span(self.at, warm_at);
+        let warm_at = self.started_at.map_or(self.pace_at, |started_at| {
+            (started_at + span).max(self.pace_at)
+        });
+        let until_warm = self.integrate_warmth(self.pace_at, warm_at);
         Some(if need >= until_warm {
             warm_at + (need - until_warm)
         } else {
             // The warmth rises linearly: warmth·x + slope·x²/2 = need.
             let slope = (1.0 - from) / span;
-            self.at + 2.0 * need / (warmth + (warmth * warmth + 2.0 * slope * need).sqrt())
+            self.pace_at + 2.0 * need / (warmth + (warmth * warmth + 2.0 * slope * need).sqrt())
         })
     }
 
@@ -214,42 +214,42 @@
         self.advance(now);
         let mut done = Vec::new();
         loop {
-            let due = |w: &Working| w.until <= self.pace + 1e-6;
-            let first = self.working.iter().enumerate().filter(|(_, w)| due(w));
+            let due = |w: &ActiveJob| w.until <= self.pace + 1e-6;
+            let first = self.active.iter().enumerate().filter(|(_, w)| due(w));
             let first = first
                 .min_by(|a, b| a.1.until.total_cmp(&b.1.until))
                 .map(|(i, _)| i);
             let Some(i) = first else { return done };
-            let job = self.working.remove(i).job;
-            self.remember(now, job.key);
+            let job = self.active.remove(i).job;
+            self.store_key(now, job.key);
             done.push(job);
-            self.fill(now);
+            self.start_queued(now);
         }
     }
 
     /// Starts queued requests while slots are free.
-    fn fill(&mut self, now: Millis) {
-        while self.working.len() < self.machine.slots {
-            let Some(job) = self.waiting.pop_front() else {
+    fn start_queued(&mut self, now: Millis) {
+        while self.active.len() < self.machine.slots {
+            let Some(job) = self.queued.pop_front() else {
                 return;
             };
-            let saved = if self.knows(now, job.key) {
+            let saved = if self.key_is_warm(now, job.key) {
                 self.machine.keys.0
             } else {
                 0.0
             };
             let until = self.pace + job.work * (1.0 - saved);
-            self.working.push(Working { job, until });
+            self.active.push(ActiveJob { job, until });
         }
     }
 
-    fn knows(&self, now: Millis, key: u64) -> bool {
+    fn key_is_warm(&self, now: Millis, key: u64) -> bool {
         self.keys
             .get(&key)
             .is_some_and(|at| now - at <= self.machine.keys.2)
     }
 
-    fn remember(&mut self, now: Millis, key: u64) {
+    fn store_key(&mut self, now: Millis, key: u64) {
         if self.machine.keys.0 == 0.0 {
             return;
         }
@@ -269,12 +269,13 @@
 
     /// Counts submitted work, including rejected requests, and returns whether the server crashes under overload. The
     /// budget is `multiple` times the current capacity over the span, plus two requests' work for random variation.
-    fn press(&mut self, now: Millis, work: f64) -> bool {
+    fn exceeds_overload_budget(&mut self, now: Millis, work: f64) -> bool {
         let m = &self.machine;
         let allowed = m.overload.0 * self.warmth(now) * m.cores * m.speed;
-        self.pressure = (self.pressure - allowed * (now - self.pressure_at)).max(0.0) + work;
-        self.pressure_at = now;
-        self.warmth(now) < 1.0 && self.pressure > allowed * m.overload.1 + 2.0 * work
+        self.excess_work =
+            (self.excess_work - allowed * (now - self.excess_work_at)).max(0.0) + work;
+        self.excess_work_at = now;
+        self.warmth(now) < 1.0 && self.excess_work > allowed * m.overload.1 + 2.0 * work
     }
 
     /// Submits a request.
@@ -283,22 +284,22 @@
         if matches!(self.state, ServerState::Down | ServerState::Crashed) {
             return Admission::Rejected;
         }
-        if self.press(now, job.work) {
+        if self.exceeds_overload_budget(now, job.work) {
             self.state = ServerState::Crashed;
             return Admission::Crashed;
         }
         if self.state == ServerState::Draining
-            || self.waiting.len() >= self.machine.queue.max(1) && self.is_full()
+            || self.queued.len() >= self.machine.queue.max(1) && self.is_full()
         {
             return Admission::Rejected;
         }
-        self.waiting.push_back(job);
-        self.fill(now);
+        self.queued.push_back(job);
+        self.start_queued(now);
         Admission::Accepted
     }
 
     fn is_full(&self) -> bool {
-        self.working.len() >= self.machine.slots
+        self.active.len() >= self.machine.slots
     }
 
     /// Cancels an attempt whose connection is closed; returns whether the server drops it.
@@ -307,13 +308,13 @@
         if cancels == Cancels::Nothing {
             return false;
         }
-        let before = self.waiting.len() + self.working.len();
-        self.waiting.retain(|job| job.attempt != attempt);
+        let before = self.queued.len() + self.active.len();
+        self.queued.retain(|job| job.attempt != attempt);
         if cancels == Cancels::All {
-            self.working.retain(|w| w.job.attempt != attempt);
-            self.fill(now);
+            self.active.retain(|w| w.job.attempt != attempt);
+            self.start_queued(now);
         }
-        self.waiting.len() + self.working.len() < before
+        self.queued.len() + self.active.len() < before
     }
 
     /// Opens a connection; returns `false` if the server is at its connection limit.
@@ -347,16 +348,16 @@
     /// Removes and returns all attempts.
     pub fn lose_all(&mut self) -> Vec<u64> {
         self.connections = 0;
-        let working = self.working.drain(..).map(|w| w.job.attempt);
+        let working = self.active.drain(..).map(|w| w.job.attempt);
         working
-            .chain(self.waiting.drain(..).map(|j| j.attempt))
+            .chain(self.queued.drain(..).map(|j| j.attempt))
             .collect()
     }
 
     /// Sets the slowdown factor.
-    pub fn set_slow(&mut self, now: Millis, slow: f64) {
+    pub fn set_slow(&mut self, now: Millis, slowdown: f64) {
         self.advance(now);
-        self.slow = slow;
+        self.slowdown = slowdown;
     }
 
     /// Hangs or resumes the server; a hung server makes no progress.
@@ -397,7 +398,7 @@
     }
 
     #[test]
-    fn work_takes_its_time_and_what_does_not_fit_waits_or_is_turned_away() {
+    fn requests_beyond_the_slots_are_queued_and_beyond_the_queue_rejected() {
         let mut s = Server::new(machine(), None, 0.0);
         for n in 0..4 {
             assert_eq!(s.submit(0.0, job(n, 10.0)), Admission::Accepted);
@@ -411,7 +412,7 @@
     }
 
     #[test]
-    fn more_in_work_than_cores_share_them() {
+    fn active_requests_share_the_cores() {
         let mut s = Server::new(
             Machine {
                 slots: 4,
@@ -427,7 +428,7 @@
     }
 
     #[test]
-    fn a_cold_server_warms_evenly() {
+    fn a_cold_server_warms_up_linearly() {
         let mut s = Server::new(machine(), Some(0.0), 0.0);
         s.submit(0.0, job(1, 60.0));
         // 0.2·x + 0.0004·x² = 60 at x ≈ 211.1
@@ -440,7 +441,7 @@
     }
 
     #[test]
-    fn a_cold_server_falls_over_by_its_budget_and_a_warm_one_does_not() {
+    fn a_cold_server_crashes_above_its_overload_budget_and_a_warm_one_does_not() {
         for (started_at, fate) in [(Some(0.0), Admission::Crashed), (None, Admission::Rejected)] {
             let mut s = Server::new(machine(), started_at, 0.0);
             let admissions: Vec<Admission> =
@@ -461,7 +462,7 @@
     }
 
     #[test]
-    fn a_warm_key_saves_work_for_a_while() {
+    fn a_warm_key_saves_work_until_it_expires() {
         let mut s = Server::new(machine(), None, 0.0);
         s.submit(0.0, job(1, 10.0));
         assert_eq!(s.finished(10.0).len(), 1);
@@ -473,7 +474,7 @@
     }
 
     #[test]
-    fn what_a_cancel_spares_is_as_set() {
+    fn cancellation_removes_the_configured_requests() {
         for (cancels, left) in [
             (Cancels::Nothing, (2, 1)),
             (Cancels::Waiting, (2, 0)),
@@ -490,7 +491,7 @@
     }
 
     #[test]
-    fn a_hung_server_says_nothing_until_it_is_well() {
+    fn a_hung_server_makes_no_progress_until_it_resumes() {
         let mut s = Server::new(machine(), None, 0.0);
         s.submit(0.0, job(1, 10.0));
         s.set_hung(5.0, true);
@@ -502,7 +503,7 @@
     }
 
     #[test]
-    fn a_stopped_server_names_what_it_held() {
+    fn a_stopped_server_returns_its_attempts() {
         let mut s = Server::new(machine(), None, 0.0);
         s.submit(0.0, job(1, 10.0));
         s.drain();
@@ -512,7 +513,7 @@
     }
 
     #[test]
-    fn connections_are_counted() {
+    fn connections_are_limited() {
         let mut s = Server::new(machine(), None, 0.0);
         assert!((0..3).all(|_| s.connect()) && !s.connect());
         s.disconnect();
--- a/crates/lab/tests/oracle.rs
+++ b/crates/lab/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle notices each broken rule: a proxy built to break it, and ledgers written by hand.
+//! The oracle has to report each kind of rule violation: in runs with an injected defect, and in hand-written ledgers.
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_proxy_built_to_break_a_rule_is_caught_at_that_rule() {
+fn oracle_detects_each_injected_defect_by_its_rule() {
     for (defect, scenario, rule) in [
         (InjectedDefect::LosesRequests, "quiet", Rule::OneAnswer),
         (InjectedDefect::RepeatsAll, "reset-storm", Rule::NeverTwice),
@@ -33,7 +33,7 @@
         assert_eq!(
             broken_rules(scenario, None),
             BTreeSet::new(),
-            "{scenario} with the module as it is"
+            "{scenario} without a defect"
         );
         let broken = broken_rules(scenario, Some(defect));
         assert!(
@@ -43,11 +43,11 @@
     }
 }
 
-/// An attempt: when it was sent, when and how its proxy knew it ended, when it ran.
+/// An attempt at a server: send time, time and outcome known to the proxy, completion time.
 type Sent = (f64, Option<(f64, AttemptEnd)>, Option<f64>);
 
-/// A checkout that was taken at 1 ms, answered at 20 ms, and has these attempts.
-fn checkout(attempts: &[Sent], code: ResponseKind) -> ClientAttempt {
+/// Returns a request that must not run twice, accepted at 1 ms and answered at 20 ms, with these attempts.
+fn unsafe_request(attempts: &[Sent], code: ResponseKind) -> ClientAttempt {
     ClientAttempt {
         request: 0,
         number: 1,
@@ -74,9 +74,9 @@
 }
 
 const SERVED: ResponseKind = ResponseKind::Served { genuine: true };
-const REFUSED: ResponseKind = ResponseKind::Refused { retry_after: None };
+const REJECTED: ResponseKind = ResponseKind::Refused { retry_after: None };
 
-fn judged(ledger: Ledger) -> Vec<(Rule, String)> {
+fn violations(ledger: Ledger) -> Vec<(Rule, String)> {
     let ledger = Ledger {
         ended_at: 10_000.0,
         ..ledger
@@ -88,50 +88,50 @@
         .collect()
 }
 
-fn of(t: ClientAttempt) -> Vec<(Rule, String)> {
-    judged(Ledger {
+fn violations_of(t: ClientAttempt) -> Vec<(Rule, String)> {
+    violations(Ledger {
         client_attempts: vec![t],
         ..Ledger::default()
     })
 }
 
 #[test]
-fn answers_are_judged_by_count_time_and_origin() {
+fn oracle_checks_count_time_and_origin_of_responses() {
     let done = [(2.0, Some((19.0, AttemptEnd::Answered)), Some(18.0))];
-    assert_eq!(of(checkout(&done, SERVED)), []);
-    let mut twice = checkout(&done, SERVED);
+    assert_eq!(violations_of(unsafe_request(&done, SERVED)), []);
+    let mut twice = unsafe_request(&done, SERVED);
     twice.answers.push((30.0, ResponseKind::Failed));
     let late = ClientAttempt {
         answers: vec![(1009.0, ResponseKind::Failed)],
-        ..checkout(&done, SERVED)
+        ..unsafe_request(&done, SERVED)
     };
     let none = ClientAttempt {
         answers: vec![],
-        ..checkout(&done, SERVED)
+        ..unsafe_request(&done, SERVED)
     };
-    let made_up = checkout(&done, ResponseKind::Served { genuine: false });
+    let invented = unsafe_request(&done, ResponseKind::Served { genuine: false });
     for (t, word) in [
         (twice, "second answer"),
         (late, "9.0 ms after"),
         (none.clone(), "no answer"),
-        (made_up, "no server made"),
+        (invented, "no server made"),
     ] {
-        let broken = of(t);
+        let broken = violations_of(t);
         assert!(
             matches!(&broken[..], [(Rule::OneAnswer, text)] if text.contains(word)),
             "{word}: {broken:?}"
         );
     }
-    // Owed nothing: a client that left early, one whose proxy was killed, one that was never taken.
+    // No response is due if the client disconnected early, its proxy was killed, or no proxy accepted the request.
     assert_eq!(
-        of(ClientAttempt {
+        violations_of(ClientAttempt {
             left: Some(500.0),
             ..none.clone()
         }),
         []
     );
     assert_eq!(
-        of(ClientAttempt {
+        violations_of(ClientAttempt {
             taken: None,
             ..none.clone()
         }),
@@ -143,7 +143,7 @@
         expected: true,
     }];
     assert_eq!(
-        judged(Ledger {
+        violations(Ledger {
             client_attempts: vec![none],
             process_exits,
             ..Ledger::default()
@@ -153,11 +153,11 @@
 }
 
 #[test]
-fn a_checkout_goes_again_only_where_it_surely_never_ran() {
+fn unsafe_request_is_resent_only_if_it_certainly_did_not_run() {
     use AttemptEnd::{Answered, MayHaveRun, NeverRan};
     let second = (10.0, Some((19.0, Answered)), Some(18.0));
     assert_eq!(
-        of(checkout(
+        violations_of(unsafe_request(
             &[(2.0, Some((5.0, NeverRan)), None), second],
             SERVED
         )),
@@ -171,43 +171,50 @@
         ((2.0, None, None), "while one is out"),
         ((2.0, Some((12.0, NeverRan)), None), "while one is out"),
     ] {
-        let broken = of(checkout(&[first, second], SERVED));
+        let broken = violations_of(unsafe_request(&[first, second], SERVED));
         assert!(
             matches!(&broken[..], [(Rule::NeverTwice, text)] if text.contains(word)),
             "{word}: {broken:?}"
         );
     }
-    let twice = of(checkout(
+    let twice = violations_of(unsafe_request(
         &[(2.0, Some((5.0, MayHaveRun)), Some(4.0)), second],
         SERVED,
     ));
-    assert_eq!(twice.len(), 2, "sent again, and run again: {twice:?}");
-    // A lookup may.
+    assert_eq!(
+        twice.len(),
+        2,
+        "both the resend and the second execution: {twice:?}"
+    );
+    // A request that is safe to repeat may be resent.
     let lookup = ClientAttempt {
         once: false,
-        ..checkout(&[(2.0, Some((5.0, MayHaveRun)), Some(4.0)), second], SERVED)
+        ..unsafe_request(&[(2.0, Some((5.0, MayHaveRun)), Some(4.0)), second], SERVED)
     };
-    assert_eq!(of(lookup), []);
+    assert_eq!(violations_of(lookup), []);
 }
 
 #[test]
-fn a_checkout_that_may_have_run_is_not_refused() {
+fn unsafe_request_that_may_have_run_is_not_rejected() {
     let out = [(2.0, Some((5.0, AttemptEnd::MayHaveRun)), None)];
     assert!(matches!(
-        &of(checkout(&out, REFUSED))[..],
+        &violations_of(unsafe_request(&out, REJECTED))[..],
         [(Rule::NeverTwice, _)]
     ));
-    assert_eq!(of(checkout(&out, ResponseKind::Failed)), []);
     assert_eq!(
-        of(checkout(
+        violations_of(unsafe_request(&out, ResponseKind::Failed)),
+        []
+    );
+    assert_eq!(
+        violations_of(unsafe_request(
             &[(2.0, Some((5.0, AttemptEnd::NeverRan)), None)],
-            REFUSED
+            REJECTED
         )),
         []
     );
-    // An answer that broke on its way to the client after it ran is no double, and not lost.
+    // A response that breaks on its way to the client after execution is neither a duplicate nor missing.
     assert_eq!(
-        of(checkout(
+        violations_of(unsafe_request(
             &[(2.0, Some((5.0, AttemptEnd::Answered)), Some(4.0))],
             ResponseKind::Broken
         )),
@@ -216,8 +223,8 @@
 }
 
 #[test]
-fn sends_after_a_drain_count_from_when_it_was_told_to_that_proxy() {
-    let told = |proxy, at, up| ServerNotification {
+fn drain_grace_starts_with_the_notification_of_the_sending_proxy() {
+    let notification = |proxy, at, up| ServerNotification {
         proxy,
         server: 0,
         at,
@@ -225,7 +232,7 @@
         started_at: None,
     };
     let sent = |at: f64| {
-        checkout(
+        unsafe_request(
             &[(at, Some((at + 1.0, AttemptEnd::Answered)), Some(at))],
             SERVED,
         )
@@ -236,32 +243,39 @@
             answers: vec![(at + 2.0, SERVED)],
             ..sent(at)
         };
-        judged(Ledger {
+        violations(Ledger {
             client_attempts: vec![t],
             notifications,
             ..Ledger::default()
         })
     };
-    assert_eq!(ledger(vec![told(0, 100.0, false)], 1100.0), []);
+    assert_eq!(ledger(vec![notification(0, 100.0, false)], 1100.0), []);
     assert!(matches!(
-        &ledger(vec![told(0, 100.0, false)], 1101.0)[..],
+        &ledger(vec![notification(0, 100.0, false)], 1101.0)[..],
         [(Rule::Drain, _)]
     ));
-    // Told again changes nothing; taken back does; another proxy's news is not this one's.
-    let again = vec![told(0, 100.0, false), told(0, 1000.0, false)];
+    // A repeated notification does not extend the grace period, a server that is up again accepts requests, and a
+    // notification of another proxy does not count.
+    let again = vec![
+        notification(0, 100.0, false),
+        notification(0, 1000.0, false),
+    ];
     assert!(matches!(&ledger(again, 1101.0)[..], [(Rule::Drain, _)]));
     assert_eq!(
-        ledger(vec![told(0, 100.0, false), told(0, 1000.0, true)], 5000.0),
+        ledger(
+            vec![notification(0, 100.0, false), notification(0, 1000.0, true)],
+            5000.0
+        ),
         []
     );
-    assert_eq!(ledger(vec![told(1, 100.0, false)], 5000.0), []);
+    assert_eq!(ledger(vec![notification(1, 100.0, false)], 5000.0), []);
 }
 
 #[test]
-fn a_fall_counts_where_most_of_the_work_came_from_those_who_knew() {
+fn cold_crash_counts_if_most_attempts_came_from_notified_proxies() {
     let t = ClientAttempt {
         proxy: 0,
-        ..checkout(
+        ..unsafe_request(
             &[(500.0, Some((501.0, AttemptEnd::MayHaveRun)), None)],
             ResponseKind::Failed,
         )
@@ -282,15 +296,17 @@
         answers: vec![(600.0, ResponseKind::Failed)],
         ..t
     };
-    let knew = Ledger {
+    let notified = Ledger {
         client_attempts: vec![t.clone()],
         cold_overloads: cold_overloads.clone(),
         notifications,
         ..Ledger::default()
     };
-    assert!(matches!(&judged(knew)[..], [(Rule::ColdStart, text)] if text.contains("20 %")));
+    assert!(
+        matches!(&violations(notified)[..], [(Rule::ColdStart, text)] if text.contains("20 %"))
+    );
     assert_eq!(
-        judged(Ledger {
+        violations(Ledger {
             client_attempts: vec![t],
             cold_overloads,
             ..Ledger::default()
@@ -300,7 +316,7 @@
 }
 
 #[test]
-fn processes_stay_within_bounds_and_end_only_when_told() {
+fn oracle_reports_excess_resources_crashes_and_unknown_requests() {
     let usage = vec![Usage {
         proxy: 0,
         at: 1.0,
@@ -313,7 +329,7 @@
         expected: false,
     }];
     let unknown_requests = vec![(3, 3.0, "id x-1 was never sent".to_owned())];
-    let broken = judged(Ledger {
+    let broken = violations(Ledger {
         usage,
         process_exits,
         unknown_requests,
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -1,16 +1,16 @@
-//! Scenario files: what is wrong is named with file, line and key, and all that ship are good.
+//! Scenario files: problems are reported with file, line and key, and the shipped scenarios are valid.
 use lab::scenario::Scenario;
 use lab::shipped;
 
 fn problems(change: impl Fn(&str) -> String) -> String {
     let text = change(shipped::text("evening").unwrap());
     Scenario::parse("f.toml", &text)
-        .expect_err("it is wrong")
+        .expect_err("the scenario is invalid")
         .to_string()
 }
 
 #[test]
-fn all_that_ship_are_good() {
+fn shipped_scenarios_are_valid() {
     for (name, text) in shipped::ALL {
         let scenario = Scenario::parse(name, text);
         assert!(scenario.is_ok(), "{}", scenario.unwrap_err());
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_with_file_line_and_key() {
+fn problems_are_reported_with_file_line_and_key() {
     for (from, to, word) in [
         (
             "length = \"20 s\"",
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn all_values_out_of_range_are_named_at_once() {
+fn all_values_out_of_range_are_reported_at_once() {
     let text = problems(|t| {
         t.replace("servers = 12", "servers = 0")
             .replace("zipf = 0.9", "zipf = 9.0")
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -1,4 +1,4 @@
-//! Runs in virtual time: rules kept on all that ships, the same bytes for one seed, and the world's laws.
+//! Simulation in virtual time: shipped scenarios violate no rule, runs are reproducible, and faults act as configured.
 use std::sync::Arc;
 
 use lab::ledger::Ledger;
@@ -8,26 +8,26 @@
 use lab::shipped;
 use lab::sim::{Sim, SimResult};
 
-fn play(text: &str, seed: u64) -> (Arc<Scenario>, SimResult) {
+fn simulate(text: &str, seed: u64) -> (Arc<Scenario>, SimResult) {
     let s = Arc::new(Scenario::parse("test", text).unwrap_or_else(|e| panic!("{e}")));
     let played = Sim::new(s.clone(), seed, None).run();
     (s, played)
 }
 
-fn scored(s: &Scenario, p: &SimResult) -> Score {
+fn score_of(s: &Scenario, p: &SimResult) -> Score {
     let served: Vec<_> = p.served.iter().map(|(at, _)| *at).collect();
     score(s, &p.requests, &served, &p.ledger)
 }
 
-fn shown(ledger: &Ledger) -> String {
+fn debug_text(ledger: &Ledger) -> String {
     format!("{ledger:?}")
 }
 
 #[test]
-fn all_that_ships_keeps_the_rules() {
+fn shipped_scenarios_violate_no_rule() {
     for (name, text) in shipped::ALL {
         for seed in [1, 2] {
-            let (s, played) = play(text, seed);
+            let (s, played) = simulate(text, seed);
             let broken = check_rules(&played.ledger, &s.rules, &s.proxies);
             assert!(broken.is_empty(), "{name} under {seed}: {}", broken[0]);
             assert!(!played.requests.is_empty());
@@ -36,23 +36,23 @@
 }
 
 #[test]
-fn one_seed_gives_the_same_run_on_any_thread_and_another_seed_another() {
+fn same_seed_gives_the_same_run_on_any_thread_and_another_seed_differs() {
     let text = shipped::text("reset-storm").unwrap();
-    let first = shown(&play(text, 5).1.ledger);
+    let first = debug_text(&simulate(text, 5).1.ledger);
     let others: Vec<String> = std::thread::scope(|scope| {
         let runs: Vec<_> = (0..3)
-            .map(|_| scope.spawn(|| shown(&play(text, 5).1.ledger)))
+            .map(|_| scope.spawn(|| debug_text(&simulate(text, 5).1.ledger)))
             .collect();
         runs.into_iter()
-            .map(|run| run.join().expect("it ends"))
+            .map(|run| run.join().expect("the run ends"))
             .collect()
     });
     assert!(others.iter().all(|other| *other == first));
-    assert_ne!(shown(&play(text, 6).1.ledger), first);
+    assert_ne!(debug_text(&simulate(text, 6).1.ledger), first);
 }
 
 #[test]
-fn a_fault_changes_nothing_before_it_begins() {
+fn a_fault_has_no_effect_before_it_begins() {
     let quiet = shipped::text("hung-server")
         .unwrap()
         .split("\n[[fault]]")
@@ -60,8 +60,8 @@
         .unwrap()
         .to_owned();
     let ((_, with), (_, without)) = (
-        play(shipped::text("hung-server").unwrap(), 3),
-        play(&quiet, 3),
+        simulate(shipped::text("hung-server").unwrap(), 3),
+        simulate(&quiet, 3),
     );
     let before = |p: &SimResult| {
         let early = p.ledger.client_attempts.iter().filter(|t| t.sent < 3000.0);
@@ -70,17 +70,17 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(before(&with), before(&without));
-    assert_ne!(shown(&with.ledger), shown(&without.ledger));
+    assert_ne!(debug_text(&with.ledger), debug_text(&without.ledger));
 }
 
 #[test]
-fn a_quiet_fleet_serves_nearly_all_and_an_overloaded_one_what_it_can() {
+fn a_lightly_loaded_fleet_serves_nearly_all_requests_and_an_overloaded_one_a_part() {
     let quiet = shipped::text("quiet").unwrap();
-    let (s, p) = play(quiet, 1);
-    let calm = scored(&s, &p);
+    let (s, p) = simulate(quiet, 1);
+    let calm = score_of(&s, &p);
     assert!(calm.whole.share > 0.99 && calm.refused < 0.01, "{calm:?}");
-    let (s, p) = play(&quiet.replace("45 %", "200 %"), 1);
-    let over = scored(&s, &p);
+    let (s, p) = simulate(&quiet.replace("45 %", "200 %"), 1);
+    let over = score_of(&s, &p);
     assert!(
         over.whole.share > 0.3 && over.whole.share < 0.8 && over.refused > 0.2,
         "{over:?}"
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_fleet_of_many_servers_keeps_the_rules_through_a_deploy() {
+fn a_deploy_of_many_servers_violates_no_rule() {
     let text = shipped::text("deploy-81").unwrap();
     let text = text
         .replace("servers = 12", "servers = 200")
@@ -97,17 +97,17 @@
     let text = text
         .replace("length = \"30 s\"", "length = \"8 s\"")
         .replace("for = \"18 s\"", "for = \"4 s\"");
-    let (s, p) = play(&text.replace("at = \"4 s\"", "at = \"2 s\""), 1);
+    let (s, p) = simulate(&text.replace("at = \"4 s\"", "at = \"2 s\""), 1);
     let broken = check_rules(&p.ledger, &s.rules, &s.proxies);
     assert!(broken.is_empty(), "{} of {}", broken[0], broken.len());
     assert!(
         p.ledger.notifications.iter().filter(|t| !t.up).count() > 100 * 20,
-        "drains were told"
+        "proxies were notified of drains"
     );
 }
 
-/// Attempts that were over for their proxies before their servers had done them.
-fn worked_on(played: &SimResult) -> usize {
+/// Counts attempts that servers completed after the proxies knew their outcome.
+fn completed_too_late(played: &SimResult) -> usize {
     let attempts = played
         .ledger
         .client_attempts
@@ -123,25 +123,27 @@
 }
 
 #[test]
-fn what_breaks_in_mid_work_is_worked_off_unless_a_break_spares_it() {
+fn servers_complete_attempts_whose_connection_broke_unless_they_support_cancellation() {
     let text = shipped::text("reset-in-work").unwrap();
     let answers = shipped::text("reset-overload").unwrap();
     let spared = text.replace("cancels = \"nothing\"", "cancels = \"all\"");
-    // In all three some are given up when their clients' time is over; beyond those only breaks leave work behind.
-    let [during, before, spared] = [text, answers, &spared].map(|text| worked_on(&play(text, 1).1));
+    // In all three runs some attempts are cancelled at their client's timeout; beyond these, servers complete attempts
+    // late only because their connections broke.
+    let [during, before, spared] =
+        [text, answers, &spared].map(|text| completed_too_late(&simulate(text, 1).1));
     assert!(
         during > 3 * before.max(spared),
-        "{during} in mid-work, {before} at answers, {spared} spared"
+        "{during} if broken during processing, {before} at the response, {spared} with cancellation"
     );
     assert!(during > 50, "{during}");
 }
 
 #[test]
-fn a_large_fleet_keeps_the_rules_and_serves_most_through_a_release_and_a_restart() {
-    for (name, least) in [("fleet-release", 0.85), ("fleet-restart", 0.9)] {
-        let (s, p) = play(shipped::text(name).unwrap(), 1);
-        let share = scored(&s, &p).whole.share;
-        assert!(share > least, "{name}: {share}");
+fn a_large_fleet_serves_most_requests_through_a_release_and_a_restart() {
+    for (name, min_share) in [("fleet-release", 0.85), ("fleet-restart", 0.9)] {
+        let (s, p) = simulate(shipped::text(name).unwrap(), 1);
+        let share = score_of(&s, &p).whole.share;
+        assert!(share > min_share, "{name}: {share}");
         assert!(
             check_rules(&p.ledger, &s.rules, &s.proxies).is_empty(),
             "{name}"
