--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -1,6 +1,7 @@
-//! One loan server: cores that share what is in work evenly, a waiting room, a cold start, keys kept warm.
+//! Model of one emulated server: cores shared evenly by the active requests, a queue, a cold start, and a cache of warm
+//! keys.
 //!
-//! It holds no clock: every call brings the time, which never runs backwards. Work is in ms of a standard core.
+//! It has no clock: every call passes the time, which never decreases. Work is in ms of a standard core.
 
 use std::collections::VecDeque;
 
@@ -9,135 +10,135 @@
 
 use crate::scenario::Cancels;
 
-/// What a server is made of.
+/// Properties of a server machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// The speed of a core; 1 is the standard.
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Maximum number of active requests.
     pub slots: usize,
-    /// Requests that may wait beside them.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Connections that it holds.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// The part of its capacity that it starts with, and how long it takes to have all of it.
+    /// Fraction of the capacity at process start, and the warm-up time to full capacity.
     pub cold: (f64, Millis),
-    /// Requests held for each core above which it slows down, and the part that each further one costs.
+    /// Number of requests per core above which the server slows down, and the slowdown per additional one.
     pub crowding: (f64, f64),
-    /// The part of the work that a warm key saves, how many keys it remembers and for how long.
+    /// Fraction of the work that a warm key saves, maximum number of warm keys, and their lifetime.
     pub keys: (f64, usize, Millis),
-    /// A cold server falls over at this multiple of its present capacity, taken over this span.
+    /// A cold server crashes above this multiple of its current capacity, averaged over this span.
     pub overload: (f64, Millis),
 }
 
 /// A request at a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The attempt, as numbered by the driver.
+    /// Id of the attempt, assigned by the driver.
     pub attempt: u64,
-    /// Its work, without what a warm key saves.
+    /// Work without the savings of a warm key.
     pub work: f64,
-    /// What it is about.
+    /// Request key.
     pub key: u64,
 }
 
-/// Why a server is not as it was.
+/// State of a server process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It runs.
+    /// Running.
     Up,
-    /// It finishes what it holds and turns new requests away.
+    /// Completes its requests and rejects new ones.
     Draining,
-    /// Its process has ended.
+    /// The process has exited.
     Down,
-    /// It was pushed over while cold and stays down.
+    /// The process crashed under overload while cold and stays down.
     Crashed,
 }
 
-/// What became of a request that has just come.
+/// Result of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in work or waits.
+    /// Active or queued.
     Accepted,
-    /// It was turned away unseen.
+    /// Rejected without processing.
     Rejected,
-    /// It was the one that pushed the cold server over: all that it held is lost.
+    /// Overloaded the cold server, which crashed; all its requests are lost.
     Crashed,
 }
 
-struct Working {
+struct ActiveJob {
     job: Job,
-    /// The pace at which it is done.
+    /// Value of `Server::pace` at which the request completes.
     until: f64,
 }
 
-/// A loan server.
+/// A server.
 pub struct Server {
     machine: Machine,
-    /// When its process started; `None` if long ago.
+    /// Start time of the process; `None` if it was running long before the run.
     started_at: Option<Millis>,
     state: ServerState,
-    /// Work that each request in work has had so far, counted on from the process's start.
+    /// Cumulative work that an active request has received since the process start.
     pace: f64,
-    /// The time up to which that is counted.
-    at: Millis,
-    working: Vec<Working>,
-    waiting: VecDeque<Job>,
-    /// How many times slower it runs than it should.
-    slow: f64,
+    /// Time up to which `pace` is computed.
+    pace_at: Millis,
+    active: Vec<ActiveJob>,
+    queued: VecDeque<Job>,
+    /// Slowdown factor.
+    slowdown: f64,
     hung: bool,
     connections: u32,
     keys: FxHashMap<u64, Millis>,
     key_order: VecDeque<(u64, Millis)>,
-    /// Work sent lately beyond what it may be sent.
-    pressure: f64,
-    pressure_at: Millis,
+    /// Recent work in excess of the overload budget.
+    excess_work: f64,
+    excess_work_at: Millis,
 }
 
 impl Server {
-    /// A server whose process started at `started_at`, or long ago.
+    /// Creates a server whose process started at `started_at`, or long ago if `None`.
     pub fn new(machine: Machine, started_at: Option<Millis>, now: Millis) -> Self {
         Server {
             machine,
             started_at,
             state: ServerState::Up,
             pace: 0.0,
-            at: now,
-            working: Vec::new(),
-            waiting: VecDeque::new(),
-            slow: 1.0,
+            pace_at: now,
+            active: Vec::new(),
+            queued: VecDeque::new(),
+            slowdown: 1.0,
             hung: false,
             connections: 0,
             keys: FxHashMap::default(),
             key_order: VecDeque::new(),
-            pressure: 0.0,
-            pressure_at: now,
+            excess_work: 0.0,
+            excess_work_at: now,
         }
     }
 
-    /// Whether it runs.
+    /// Returns the state.
     pub fn state(&self) -> ServerState {
         self.state
     }
 
-    /// What it is made of.
+    /// Returns the machine.
     pub fn machine(&self) -> &Machine {
         &self.machine
     }
 
-    /// When its process started; `None` if long ago.
+    /// Returns the start time of the process; `None` if long ago.
     pub fn started_at(&self) -> Option<Millis> {
         self.started_at
     }
 
-    /// Requests in work, and those that wait.
+    /// Returns the numbers of active and queued requests.
     pub fn load_counts(&self) -> (usize, usize) {
-        (self.working.len(), self.waiting.len())
+        (self.active.len(), self.queued.len())
     }
 
-    /// The part of its capacity that it has at a time: cold ones warm evenly.
+    /// Returns the fraction of full capacity at a time; it rises linearly during warm-up.
     pub fn warmth(&self, at: Millis) -> f64 {
         let (from, span) = self.machine.cold;
         match self.started_at {
@@ -148,14 +149,14 @@
         }
     }
 
-    /// Whether an attempt is in work here or waits.
+    /// Returns whether an attempt is active or queued.
     pub fn holds(&self, attempt: u64) -> bool {
-        let mut held = self.working.iter().map(|w| &w.job).chain(&self.waiting);
+        let mut held = self.active.iter().map(|w| &w.job).chain(&self.queued);
         held.any(|job| job.attempt == attempt)
     }
 
-    /// The warmth summed over a stretch of time.
-    fn warm_span(&self, from: Millis, to: Millis) -> f64 {
+    /// Integrates the warmth over a time span.
+    fn integrate_warmth(&self, from: Millis, to: Millis) -> f64 {
         let Some(started_at) = self.started_at else {
             return to - from;
         };
@@ -164,91 +165,91 @@
         mean * (warm_at - from) + (to - warm_at)
     }
 
-    /// Work that each request in work gets in a ms, were the server warm.
+    /// Returns the work per ms that each active request receives on a warm server.
     fn rate(&self) -> f64 {
         let m = &self.machine;
         let (n, held) = (
-            self.working.len() as f64,
-            (self.working.len() + self.waiting.len()) as f64,
+            self.active.len() as f64,
+            (self.active.len() + self.queued.len()) as f64,
         );
         if n == 0.0 || self.hung || matches!(self.state, ServerState::Down | ServerState::Crashed) {
             return 0.0;
         }
         let beyond = (held / m.cores - m.crowding.0).max(0.0);
-        (m.cores / n).min(1.0) * m.speed / self.slow / (1.0 + m.crowding.1 * beyond)
+        (m.cores / n).min(1.0) * m.speed / self.slowdown / (1.0 + m.crowding.1 * beyond)
     }
 
     fn advance(&mut self, now: Millis) {
-        self.pace += self.rate() * self.warm_span(self.at, now);
-        self.at = now;
+        self.pace += self.rate() * self.integrate_warmth(self.pace_at, now);
+        self.pace_at = now;
     }
 
-    /// When the next request is done, if nothing else happens before.
+    /// Returns the completion time of the next request, if nothing changes before.
     pub fn next(&self) -> Option<Millis> {
         let rate = self.rate();
         let first = self
-            .working
+            .active
             .iter()
             .map(|w| w.until)
             .min_by(f64::total_cmp)
             .filter(|_| rate > 0.0)?;
         let need = (first - self.pace).max(0.0) / rate;
-        let warmth = self.warmth(self.at);
+        let warmth = self.warmth(self.pace_at);
         let (from, span) = self.machine.cold;
-        let warm_at = self
-            .started_at
-            .map_or(self.at, |started_at| (started_at + span).max(self.at));
-        let until_warm = self.warm_span(self.at, warm_at);
+        let warm_at = self.started_at.map_or(self.pace_at, |started_at| {
+            (started_at + span).max(self.pace_at)
+        });
+        let until_warm = self.integrate_warmth(self.pace_at, warm_at);
         Some(if need >= until_warm {
             warm_at + (need - until_warm)
         } else {
-            // The warmth rises evenly: warmth·x + slope·x²/2 = need.
+            // The warmth rises linearly: warmth·x + slope·x²/2 = need.
             let slope = (1.0 - from) / span;
-            self.at + 2.0 * need / (warmth + (warmth * warmth + 2.0 * slope * need).sqrt())
+            self.pace_at + 2.0 * need / (warmth + (warmth * warmth + 2.0 * slope * need).sqrt())
         })
     }
 
-    /// Takes the requests that are done by now, in the order in which they were done.
+    /// Removes the requests completed by `now` and returns them in completion order.
     pub fn finished(&mut self, now: Millis) -> Vec<Job> {
         self.advance(now);
         let mut done = Vec::new();
         loop {
-            let due = |w: &Working| w.until <= self.pace + 1e-6;
-            let first = self.working.iter().enumerate().filter(|(_, w)| due(w));
+            let due = |w: &ActiveJob| w.until <= self.pace + 1e-6;
+            let first = self.active.iter().enumerate().filter(|(_, w)| due(w));
             let first = first
                 .min_by(|a, b| a.1.until.total_cmp(&b.1.until))
                 .map(|(i, _)| i);
             let Some(i) = first else { return done };
-            let job = self.working.remove(i).job;
-            self.remember(now, job.key);
+            let job = self.active.remove(i).job;
+            self.store_key(now, job.key);
             done.push(job);
-            self.fill(now);
+            self.start_queued(now);
         }
     }
 
-    /// Moves waiting requests into work.
-    fn fill(&mut self, now: Millis) {
-        while self.working.len() < self.machine.slots {
-            let Some(job) = self.waiting.pop_front() else {
+    /// Starts queued requests while slots are free.
+    fn start_queued(&mut self, now: Millis) {
+        while self.active.len() < self.machine.slots {
+            let Some(job) = self.queued.pop_front() else {
                 return;
             };
-            let saved = if self.knows(now, job.key) {
+            let saved = if self.key_is_warm(now, job.key) {
                 self.machine.keys.0
             } else {
                 0.0
             };
             let until = self.pace + job.work * (1.0 - saved);
-            self.working.push(Working { job, until });
+            self.active.push(ActiveJob { job, until });
         }
     }
 
-    fn knows(&self, now: Millis, key: u64) -> bool {
+    fn key_is_warm(&self, now: Millis, key: u64) -> bool {
         self.keys
             .get(&key)
             .is_some_and(|at| now - at <= self.machine.keys.2)
     }
 
-    fn remember(&mut self, now: Millis, key: u64) {
+    fn store_key(&mut self, now: Millis, key: u64) {
         if self.machine.keys.0 == 0.0 {
             return;
         }
@@ -266,75 +267,76 @@
         }
     }
 
-    /// Counts work that reaches the server, also what it turns away; tells whether it falls over. The budget is
-    /// `multiple` times the present capacity over a span, with two mean requests of slack for chance.
-    fn press(&mut self, now: Millis, work: f64) -> bool {
+    /// Counts submitted work, including rejected requests, and returns whether the server crashes under overload. The
+    /// budget is `multiple` times the current capacity over the span, plus two requests' work for random variation.
+    fn exceeds_overload_budget(&mut self, now: Millis, work: f64) -> bool {
         let m = &self.machine;
         let allowed = m.overload.0 * self.warmth(now) * m.cores * m.speed;
-        self.pressure = (self.pressure - allowed * (now - self.pressure_at)).max(0.0) + work;
-        self.pressure_at = now;
-        self.warmth(now) < 1.0 && self.pressure > allowed * m.overload.1 + 2.0 * work
+        self.excess_work =
+            (self.excess_work - allowed * (now - self.excess_work_at)).max(0.0) + work;
+        self.excess_work_at = now;
+        self.warmth(now) < 1.0 && self.excess_work > allowed * m.overload.1 + 2.0 * work
     }
 
-    /// A request has come.
+    /// Submits a request.
     pub fn submit(&mut self, now: Millis, job: Job) -> Admission {
         self.advance(now);
         if matches!(self.state, ServerState::Down | ServerState::Crashed) {
             return Admission::Rejected;
         }
-        if self.press(now, job.work) {
+        if self.exceeds_overload_budget(now, job.work) {
             self.state = ServerState::Crashed;
             return Admission::Crashed;
         }
         if self.state == ServerState::Draining
-            || self.waiting.len() >= self.machine.queue.max(1) && self.is_full()
+            || self.queued.len() >= self.machine.queue.max(1) && self.is_full()
         {
             return Admission::Rejected;
         }
-        self.waiting.push_back(job);
-        self.fill(now);
+        self.queued.push_back(job);
+        self.start_queued(now);
         Admission::Accepted
     }
 
     fn is_full(&self) -> bool {
-        self.working.len() >= self.machine.slots
+        self.active.len() >= self.machine.slots
     }
 
-    /// An attempt has been given up: its connection is closed. Tells whether it was spared.
+    /// Cancels an attempt whose connection is closed; returns whether the server drops it.
     pub fn cancel(&mut self, now: Millis, attempt: u64, cancels: Cancels) -> bool {
         self.advance(now);
         if cancels == Cancels::Nothing {
             return false;
         }
-        let before = self.waiting.len() + self.working.len();
-        self.waiting.retain(|job| job.attempt != attempt);
+        let before = self.queued.len() + self.active.len();
+        self.queued.retain(|job| job.attempt != attempt);
         if cancels == Cancels::All {
-            self.working.retain(|w| w.job.attempt != attempt);
-            self.fill(now);
+            self.active.retain(|w| w.job.attempt != attempt);
+            self.start_queued(now);
         }
-        self.waiting.len() + self.working.len() < before
+        self.queued.len() + self.active.len() < before
     }
 
-    /// A connection comes up; `false` if the server holds as many as it can.
+    /// Opens a connection; returns `false` if the server is at its connection limit.
     pub fn connect(&mut self) -> bool {
         let fits = self.connections < self.machine.connections;
         self.connections += u32::from(fits);
         fits
     }
 
-    /// A connection has ended.
+    /// Closes a connection.
     pub fn disconnect(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Finishes what it holds from here on.
+    /// Rejects new requests and completes the current ones.
     pub fn drain(&mut self) {
         if self.state == ServerState::Up {
             self.state = ServerState::Draining;
         }
     }
 
-    /// Its process ends; returns the attempts that it held.
+    /// Ends the process and returns the attempts that it held.
     pub fn stop(&mut self, now: Millis) -> Vec<u64> {
         self.advance(now);
         if self.state != ServerState::Crashed {
@@ -343,22 +345,22 @@
         self.lose_all()
     }
 
-    /// The attempts that it holds are lost.
+    /// Removes and returns all attempts.
     pub fn lose_all(&mut self) -> Vec<u64> {
         self.connections = 0;
-        let working = self.working.drain(..).map(|w| w.job.attempt);
+        let working = self.active.drain(..).map(|w| w.job.attempt);
         working
-            .chain(self.waiting.drain(..).map(|j| j.attempt))
+            .chain(self.queued.drain(..).map(|j| j.attempt))
             .collect()
     }
 
-    /// Runs this many times slower than it should.
-    pub fn set_slow(&mut self, now: Millis, slow: f64) {
+    /// Sets the slowdown factor.
+    pub fn set_slow(&mut self, now: Millis, slowdown: f64) {
         self.advance(now);
-        self.slow = slow;
+        self.slowdown = slowdown;
     }
 
-    /// Works on nothing while it is hung.
+    /// Hangs or resumes the server; a hung server makes no progress.
     pub fn set_hung(&mut self, now: Millis, hung: bool) {
         self.advance(now);
         self.hung = hung;
@@ -396,7 +398,7 @@
     }
 
     #[test]
-    fn work_takes_its_time_and_what_does_not_fit_waits_or_is_turned_away() {
+    fn requests_beyond_the_slots_are_queued_and_beyond_the_queue_rejected() {
         let mut s = Server::new(machine(), None, 0.0);
         for n in 0..4 {
             assert_eq!(s.submit(0.0, job(n, 10.0)), Admission::Accepted);
@@ -410,7 +412,7 @@
     }
 
     #[test]
-    fn more_in_work_than_cores_share_them() {
+    fn active_requests_share_the_cores() {
         let mut s = Server::new(
             Machine {
                 slots: 4,
@@ -426,7 +428,7 @@
     }
 
     #[test]
-    fn a_cold_server_warms_evenly() {
+    fn a_cold_server_warms_up_linearly() {
         let mut s = Server::new(machine(), Some(0.0), 0.0);
         s.submit(0.0, job(1, 60.0));
         // 0.2·x + 0.0004·x² = 60 at x ≈ 211.1
@@ -434,12 +436,12 @@
         assert!((0.2 * at + 0.0004 * at * at - 60.0).abs() < 1e-9, "{at}");
         assert_eq!(ids(s.finished(at)), [1]);
         let mut s = Server::new(machine(), Some(0.0), 0.0);
-        s.submit(0.0, job(1, 700.0)); // 600 by the time it is warm, the rest at full speed
+        s.submit(0.0, job(1, 700.0)); // 600 of the work is done when it is warm, the rest at full speed
         assert!((s.next().expect("it works") - 1100.0).abs() < 1e-9);
     }
 
     #[test]
-    fn a_cold_server_falls_over_by_its_budget_and_a_warm_one_does_not() {
+    fn a_cold_server_crashes_above_its_overload_budget_and_a_warm_one_does_not() {
         for (started_at, fate) in [(Some(0.0), Admission::Crashed), (None, Admission::Rejected)] {
             let mut s = Server::new(machine(), started_at, 0.0);
             let admissions: Vec<Admission> =
@@ -460,7 +462,7 @@
     }
 
     #[test]
-    fn a_warm_key_saves_work_for_a_while() {
+    fn a_warm_key_saves_work_until_it_expires() {
         let mut s = Server::new(machine(), None, 0.0);
         s.submit(0.0, job(1, 10.0));
         assert_eq!(s.finished(10.0).len(), 1);
@@ -472,7 +474,7 @@
     }
 
     #[test]
-    fn what_a_cancel_spares_is_as_set() {
+    fn cancellation_removes_the_configured_requests() {
         for (cancels, left) in [
             (Cancels::Nothing, (2, 1)),
             (Cancels::Waiting, (2, 0)),
@@ -489,7 +491,7 @@
     }
 
     #[test]
-    fn a_hung_server_says_nothing_until_it_is_well() {
+    fn a_hung_server_makes_no_progress_until_it_resumes() {
         let mut s = Server::new(machine(), None, 0.0);
         s.submit(0.0, job(1, 10.0));
         s.set_hung(5.0, true);
@@ -501,7 +503,7 @@
     }
 
     #[test]
-    fn a_stopped_server_names_what_it_held() {
+    fn a_stopped_server_returns_its_attempts() {
         let mut s = Server::new(machine(), None, 0.0);
         s.submit(0.0, job(1, 10.0));
         s.drain();
@@ -511,7 +513,7 @@
     }
 
     #[test]
-    fn connections_are_counted() {
+    fn connections_are_limited() {
         let mut s = Server::new(machine(), None, 0.0);
         assert!((0..3).all(|_| s.connect()) && !s.connect());
         s.disconnect();
