--- a/crates/admin-api/src/access.rs
+++ b/crates/admin-api/src/access.rs
@@ -1,4 +1,5 @@
-//! Who may do what: bearer tokens, stored as hashes, with rights for the service or for one tenant.
+//! Authentication and authorization: bearer tokens, stored as hashes, with rights for the whole service or for one
+//! tenant.
 
 use std::collections::BTreeMap;
 
@@ -11,34 +12,34 @@
 
 use crate::problem::Problem;
 
-/// What a token may do.
+/// The rights of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Everything, for all tenants.
+    /// May read and change everything, for all tenants.
     Operator,
-    /// Everything that concerns one tenant alone: its servers, classes, rules and tokens.
+    /// May read and change what belongs to one tenant alone: its servers, classes, rules and tokens.
     TenantAdmin,
-    /// Looking, at one tenant or at all.
+    /// May read, for one tenant or for all.
     ReadOnly,
 }
 
-/// What an operation asks of a token.
+/// The permission that an operation requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Nothing: it tells what anybody may know.
+    /// No token is required.
     Public,
-    /// The right to look.
+    /// Read access.
     Read,
-    /// The right to change what it concerns.
+    /// Write access to the resource.
     Write,
-    /// An operator's right.
+    /// The operator role.
     Operator,
-    /// The right to look at all tenants.
+    /// Read access to all tenants.
     AllTenants,
 }
 
-/// A hash of a secret, and until when it is good.
+/// The hash of a secret, and the end of its validity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Secret {
     hash: String,
@@ -49,55 +50,55 @@
 /// A token as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Token {
-    /// What people call it.
+    /// Display name.
     pub name: String,
-    /// What it may do.
+    /// The rights of the token.
     pub role: Role,
-    /// The one tenant that it is for.
+    /// The only tenant that the token is valid for; `None` for all tenants.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// When it was made, in Unix time.
+    /// Creation time in milliseconds since the Unix epoch.
     pub created_ms: u64,
-    /// When it ends.
+    /// Expiry time in milliseconds since the Unix epoch; `None` if the token does not expire.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expires_ms: Option<u64>,
-    /// Its secrets: the present one first, then one that a rotation lets live on for a while.
+    /// The current secret, followed by the previous one while it is valid after a rotation.
     pub secrets: Vec<Secret>,
 }
 
-/// Who calls.
+/// An authenticated caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Principal {
-    /// The token's id.
+    /// The id of the token.
     pub id: String,
-    /// Its name.
+    /// The name of the token.
     pub name: String,
-    /// Its role.
+    /// The role of the token.
     pub role: Role,
-    /// The one tenant that it is for.
+    /// The only tenant that the token is valid for; `None` for all tenants.
     pub tenant: Option<String>,
 }
 
 impl Principal {
-    /// Whether it may know that a tenant is there.
+    /// Returns whether the caller may know that a tenant exists.
     pub fn can_see(&self, tenant: &str) -> bool {
         self.tenant.as_deref().is_none_or(|own| own == tenant)
     }
 
-    /// Whether it sees all tenants.
+    /// Returns whether the caller may see all tenants.
     pub fn sees_all_tenants(&self) -> bool {
         self.tenant.is_none()
     }
 
-    /// Whether it is an operator's.
+    /// Returns whether the caller is an operator.
     pub fn is_operator(&self) -> bool {
         self.role == Role::Operator
     }
 
-    /// Whether an operation is open to it.
+    /// Checks that the caller has a permission.
     ///
     /// # Errors
-    /// It is not.
+    /// The caller lacks the permission.
     pub fn authorize(&self, permission: Permission) -> Result<(), Problem> {
         let is_allowed = match permission {
             Permission::Public | Permission::Read => true,
@@ -118,40 +119,40 @@
     }
 }
 
-/// What tokens begin with, so that scanners for leaked secrets can know them.
+/// Prefix of every token, by which scanners for leaked secrets recognize it.
 const TOKEN_PREFIX: &str = "cct_";
-/// Bytes of an id, and of a secret.
+/// Random bytes of an id and of a secret.
 const ID_BYTES: usize = 8;
 const SECRET_BYTES: usize = 32;
 
-/// Draws what nobody can guess.
+/// Returns `N` cryptographically random bytes as text.
 ///
 /// # Errors
-/// The system has no random numbers.
+/// The operating system provides no random numbers.
 fn random_string<const N: usize>() -> Result<String, Problem> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).map_err(|e| Problem::internal(format!("random numbers: {e}")))?;
     Ok(BASE64_URL_SAFE_NO_PAD.encode(bytes))
 }
 
-/// A secret has 256 bits of chance, so that one round of a hash is enough to keep it.
+/// Hashes a secret. A secret has 256 random bits, so one round of SHA-256 is enough.
 fn hash_secret(secret: &str) -> String {
     BASE64_URL_SAFE_NO_PAD.encode(Sha256::digest(secret.as_bytes()))
 }
 
-/// A new id.
+/// Returns a new token id.
 ///
 /// # Errors
-/// The system has no random numbers.
+/// The operating system provides no random numbers.
 pub fn new_id() -> Result<String, Problem> {
-    // Ids stand in paths and in tokens, whose parts underscores divide.
+    // Ids occur in paths, and underscores separate the parts of a token.
     Ok(random_string::<ID_BYTES>()?.replace(['_', '-'], "0"))
 }
 
-/// A new secret for a token: what its owner gets, and what is stored.
+/// Returns a new secret for a token: the token text for its owner, and the hash to store.
 ///
 /// # Errors
-/// The system has no random numbers.
+/// The operating system provides no random numbers.
 pub fn new_secret(id: &str) -> Result<(String, Secret), Problem> {
     let secret = random_string::<SECRET_BYTES>()?;
     let stored = Secret {
@@ -162,8 +163,7 @@
 }
 
 impl Token {
-    /// Gives it another secret; the present one is good until the given time. One that an earlier rotation let live on
-    /// ends at once.
+    /// Replaces the secret. The current secret stays valid until `until_ms`; a previous one becomes invalid at once.
     pub fn rotate(&mut self, secret: Secret, until_ms: u64) {
         let old = self.secrets.drain(..).next();
         self.secrets.push(secret);
@@ -173,14 +173,14 @@
         }));
     }
 
-    /// Until when a former secret is good, if there is one.
+    /// Returns the end of validity of the previous secret, if there is one.
     pub fn overlap_end_ms(&self) -> Option<u64> {
         self.secrets.get(1).and_then(|s| s.until_ms)
     }
 
     fn is_valid(&self, secret: &str, now_ms: u64) -> bool {
         let hash = hash_secret(secret);
-        // Every secret is looked at, whichever matches.
+        // Compares with every secret, so that the time taken does not depend on which one matches.
         let matches = self.secrets.iter().fold(0, |matches, s| {
             let is_current = u8::from(s.until_ms.is_none_or(|until| now_ms < until));
             matches | (s.hash.as_bytes().ct_eq(hash.as_bytes()).unwrap_u8() & is_current)
@@ -189,10 +189,10 @@
     }
 }
 
-/// Who presents this value of the header Authorization.
+/// Authenticates the value of an Authorization header.
 ///
 /// # Errors
-/// It is no good token; which part of it is wrong is not told.
+/// The token is not valid. The error does not say which part of it is wrong.
 pub fn authenticate(
     tokens: &BTreeMap<String, Token>,
     authorization: Option<&str>,
--- a/crates/admin-api/src/admin_state.rs
+++ b/crates/admin-api/src/admin_state.rs
@@ -1,7 +1,9 @@
-//! The desk: it holds the present documents, decides each call, and stores what changes before anything else hears of it.
+//! The state of the administration API: holds the current documents, decides each call, and stores each change before
+//! it takes effect.
 //!
-//! The documents are held once, packed, as a [`Catalog`]. A change costs what it touches: it makes another catalog that shares all else,
-//! and checks what the change may break. Only a start, another token_text state, and calls that concern all tenants walk over all.
+//! The documents are held once, packed in a [`Catalog`]. A change costs time in proportion to the documents that it
+//! touches: it builds another catalog, which shares everything else with the current one, and checks only what the
+//! change can break. Only opening, restoring a whole state, and calls about all tenants visit every document.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -25,45 +27,48 @@
 use crate::events::VersionEvent;
 use crate::problem::{Problem, truncated};
 
-/// The file in the state's directory that holds the first operator's token.
+/// Name of the file in the state directory that holds the token of the first operator.
 pub const OPERATOR_TOKEN_FILE: &str = "operator.token";
 
-/// Holds the present documents and the store.
+/// The current documents and the store.
 pub struct AdminState {
-    /// None where the state is read-only.
+    /// `None` if the state is read-only.
     store: Option<Store>,
-    /// Why nothing can be changed, if so.
+    /// The reason why the state is read-only, if it is.
     read_only: Option<String>,
     directory: PathBuf,
-    /// The present version.
+    /// The current version of the service.
     version: u64,
-    /// The last line of the audit log.
+    /// Number of the last entry of the audit log.
     last_entry: u64,
-    /// Whether the snapshot lags behind.
+    /// Whether the state has changed since the last snapshot.
     snapshot_stale: bool,
     tokens: BTreeMap<String, Token>,
-    /// The present documents, each with its revision, in what the file says of process and listeners.
+    /// The current documents with their revisions, together with the file's settings of the process and the
+    /// listeners.
     catalog: Catalog,
     parts: Parts,
     tenant_form: Form,
-    /// Whether what is to be stored is agreed on with others first.
+    /// Whether the members of a cluster have to agree on a change before it is stored.
     in_cluster: bool,
 }
 
-/// What is to be stored, with what goes with it. It can be written down, so that others can store the same.
+/// A transaction with the tenant changes that it makes, serializable so that every member of a cluster can store the
+/// same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AgreedChange {
-    /// What is stored.
+    /// The transaction to store.
     #[serde(rename = "write")]
     pub transaction: Transaction,
-    /// What changes for which tenants.
+    /// The changes by tenant.
     pub tenants: Vec<TenantChange>,
 }
 
-/// What the form of [`Agreed`] is numbered by. A program that does not know the number can't take the change.
+/// Returns the version of the serialized format of [`AgreedChange`]. A program that does not know the version rejects
+/// the change.
 fn change_format() -> u64 {
-    // What a program says that is newer than this one.
+    // Tests set the version that a newer program would write.
     fail::fail_point!("agreed-form", |said| said
         .and_then(|n| n.parse().ok())
         .unwrap_or(2));
@@ -71,15 +76,15 @@
 }
 
 impl AgreedChange {
-    /// As it goes into the log.
+    /// Encodes the change for the log.
     pub fn encode(&self) -> String {
         json!({ "format": change_format(), "change": self }).to_string()
     }
 
-    /// As it comes from the log.
+    /// Decodes a change from the log.
     ///
     /// # Errors
-    /// It is of a program that this one does not know.
+    /// The change has a format that this program does not know.
     pub fn decode(text: &str) -> Result<Self, String> {
         let program = env!("CARGO_PKG_VERSION");
         let unknown = |what: String| {
@@ -100,40 +105,41 @@
     }
 }
 
-/// What comes of something that was stored.
+/// Result of storing a change.
 pub struct StoredChange {
-    /// What the plane has to carry out, if documents changed.
+    /// The change that the plane has to apply, if documents changed.
     pub prepared: Option<Prepared>,
-    /// What is events of it.
+    /// The event to publish.
     pub event: Option<VersionEvent>,
 }
 
-/// A change as a handler wants it.
+/// A change requested by an operation.
 pub struct ChangeDraft {
-    /// What is done.
+    /// Name of the action in the audit log.
     pub action: &'static str,
-    /// The tenant that it is done to.
+    /// The tenant that the action concerns.
     pub subject: Option<String>,
-    /// More about it.
+    /// Details for the audit log.
     pub detail: Option<String>,
-    /// Documents of tenants by name; none takes the tenant away. With each, where it stands in the caller's body.
+    /// New documents by tenant name, or `None` to remove the tenant, each with the mapping of its pointers to the
+    /// body of the call.
     pub edits: Vec<(String, Option<Value>, PointerMapping)>,
-    /// Where something new will be, and so the status of the answer.
+    /// Location of a new resource. The status of the reply is 201 if it is set.
     pub location: Option<String>,
 }
 
-/// How pointers into a tenant's document become pointers into the body that it came by, so that faults are named as the
-/// caller wrote them.
+/// Maps JSON pointers into a tenant's document to pointers into the body of the call, so that faults are reported
+/// where the caller wrote them.
 #[derive(Clone, Debug, Default)]
 pub struct PointerMapping {
-    /// The body became this part of the document.
+    /// Pointer to the part of the document that the body replaces.
     pub body_in_document: String,
-    /// The document is this part of the body.
+    /// Pointer to the part of the body that is the document.
     pub document_in_body: String,
 }
 
 impl PointerMapping {
-    /// The body is a part of the document.
+    /// The body is the part of the document at `path`.
     pub fn body_at(path: String) -> Self {
         PointerMapping {
             body_in_document: path,
@@ -141,7 +147,7 @@
         }
     }
 
-    /// Faults of a document as faults of the body.
+    /// Maps faults of the document to faults of the body.
     fn to_body(&self, faults: Vec<Fault>) -> Vec<Fault> {
         let pointer = |p: &str| {
             format!(
@@ -160,20 +166,20 @@
     }
 }
 
-/// The scope of a tenant's document.
+/// Returns the storage scope of a tenant's document.
 pub fn scope(tenant: &str) -> String {
     format!("tenant/{tenant}")
 }
 
-/// A tenant's document as it is stored and events.
+/// Serializes a tenant's document as it is stored and returned.
 pub fn tenant_to_json(tenant: &Tenant) -> Result<Value, Problem> {
     serde_json::to_value(tenant).map_err(|e| Problem::internal(e.to_string()))
 }
 
-/// Faults that a message tells of at most.
+/// Maximum number of faults in one message.
 const MAX_LISTED_FAULTS: usize = 20;
 
-/// Faults in one text, those beyond the first counted.
+/// Joins faults into one text; those above the limit are only counted.
 fn join_faults(faults: &[String], between: &str) -> String {
     let mut text = faults
         .iter()
@@ -190,12 +196,13 @@
     text
 }
 
-/// The tenant of a scope.
+/// Returns the tenant that a storage scope belongs to.
 pub fn tenant_from_scope(scope: &str) -> Option<String> {
     scope.strip_prefix("tenant/").map(str::to_owned)
 }
 
-/// An entity tag: the revision, and a sum of the document, so that a name that is used again has other tags.
+/// Returns the entity tag of a document: its revision and a part of its hash, so that a tenant that is removed and
+/// added again gets different tags.
 pub fn etag(rev: u64, document: &Value) -> String {
     let sum = Sha256::digest(document.to_string().as_bytes());
     format!(
@@ -204,16 +211,16 @@
     )
 }
 
-/// Documents that are read one by one, packed as they come.
+/// Documents that are read one by one and packed as they are read.
 struct LoadedDocuments {
     catalog: Catalog,
     parts: Parts,
-    /// What is wrong with them.
+    /// Faults of the documents.
     faults: Vec<String>,
 }
 
 impl LoadedDocuments {
-    /// What a reader tells, and what it returns.
+    /// Runs a reader over all documents; returns its result and the packed documents.
     fn read<T>(
         parts: Parts,
         read: impl FnOnce(DocumentVisitor<'_>) -> Result<T, StoreError>,
@@ -252,7 +259,7 @@
     }
 }
 
-/// What a new snapshot holds. The desk goes on meanwhile.
+/// The contents of a snapshot. The state may change while the snapshot is written.
 pub struct Snapshot {
     directory: PathBuf,
     state: StoreState,
@@ -260,10 +267,11 @@
 }
 
 impl Snapshot {
-    /// Writes it; returns how many bytes it has.
+    /// Writes the snapshot; returns its size in bytes.
     ///
     /// # Errors
-    /// What the system says; of a tenant that is damaged in memory, its name. The one that was there is there still.
+    /// The error of the file system or the store, and the name of the tenant if its document is damaged in memory.
+    /// The previous snapshot is kept.
     pub fn write(&self) -> Result<u64, (StoreError, Option<String>)> {
         let mut damaged = None;
         let documents = self.catalog.iter().map(|read| {
@@ -285,7 +293,7 @@
     }
 }
 
-/// The tokens of a state.
+/// Parses the stored tokens.
 fn tokens(stored: BTreeMap<String, Value>) -> Result<BTreeMap<String, Token>, String> {
     let token = |(id, t): (String, Value)| {
         let token = serde_json::from_value(t).map_err(|e| format!("token {id}: {e}"))?;
@@ -295,18 +303,18 @@
 }
 
 fn mismatch(key: &str, what: &str) -> String {
-    format!("the file and the state do not fit: {key}: {what}")
+    format!("the file and the state do not match: {key}: {what}")
 }
 
 impl AdminState {
-    /// Opens the state of a service whose process and listeners stand in a file. Tenants of the file go into a state that is
-    /// still empty; afterwards the state alone says who is served. With `read_only`, a store that can't be used is left
-    /// alone, and the last known good state is served without changes.
+    /// Opens the state of a service whose process and listeners are configured in a file. Tenants of the file are
+    /// imported into an empty state; afterwards only the state determines the tenants. With `read_only`, a store that
+    /// can't be used is left alone, and the last known good state is served without changes.
     ///
     /// # Errors
-    /// What is wrong with the state, or what in it does not fit the file; what to do about it.
+    /// The fault of the state, or the mismatch between the state and the file, and how to fix it.
     pub fn open(file: &Service, read_only: bool, now_ms: u64) -> Result<Self, String> {
-        let state_file = file.state.as_ref().ok_or("state: it is missing")?;
+        let state_file = file.state.as_ref().ok_or("state: the section is missing")?;
         let directory = PathBuf::from(&state_file.directory);
         let keep = Retention {
             versions: state_file.keep_versions,
@@ -334,10 +342,10 @@
         AdminState::assemble(file, store, (state, loaded), read_only, directory, now_ms)
     }
 
-    /// A desk over a store that is open.
+    /// Creates the state from an open store.
     ///
     /// # Errors
-    /// As [`Desk::open`].
+    /// As for [`AdminState::open`].
     pub fn with_store(
         file: &Service,
         store: Option<Store>,
@@ -374,7 +382,7 @@
             parts: Parts::default(),
             tenant_form: Form::of::<Tenant>()?,
         };
-        // Where others have a say, they may have versions already.
+        // In a cluster, the other members may already have versions.
         if admin.last_entry == 0 && admin.read_only.is_none() && !admin.in_cluster {
             admin.write_first_version(file, now_ms)?;
         } else {
@@ -383,7 +391,7 @@
         Ok(admin)
     }
 
-    /// Takes what was read for the present documents.
+    /// Makes the documents that were read the current ones.
     fn use_documents(&mut self, file: &Service, loaded: LoadedDocuments) -> Result<(), String> {
         if !loaded.faults.is_empty() {
             return Err(join_faults(&loaded.faults, "\n"));
@@ -393,7 +401,8 @@
         Ok(())
     }
 
-    /// The present documents in what a file says of process and listeners. Before anything is stored, nothing is served.
+    /// Returns the current documents with a file's settings of the process and the listeners. Nothing is served
+    /// before the first version is stored.
     fn catalog_for(&self, file: &Service) -> Result<Catalog, String> {
         if self.in_cluster && self.last_entry == 0 {
             return Ok(Catalog::new(&Service {
@@ -413,10 +422,11 @@
         }
     }
 
-    /// The first version of a cluster that is founded here, unless there are some; what there is then, as text.
+    /// Writes the first version of a cluster that this instance bootstraps, unless there is one; returns the version,
+    /// the last entry and the exported state.
     ///
     /// # Errors
-    /// It can't be stored, or does not fit.
+    /// The version can't be stored, or the file does not match the state.
     pub fn bootstrap(&mut self, file: &Service, now_ms: u64) -> Result<(u64, u64, String), String> {
         if self.last_entry == 0 {
             self.write_first_version(file, now_ms)?;
@@ -426,10 +436,10 @@
         Ok((self.version, self.last_entry, self.export()?))
     }
 
-    /// All that is stored, as text.
+    /// Exports everything that is stored, as text.
     ///
     /// # Errors
-    /// It can't be read.
+    /// The store can't be read.
     pub fn export(&self) -> Result<String, String> {
         let store = self.store.as_ref().ok_or("the state is read-only")?;
         let mut text = Vec::new();
@@ -437,10 +447,11 @@
         String::from_utf8(text).map_err(|e| e.to_string())
     }
 
-    /// What others have stored takes the place of what is stored here.
+    /// Replaces everything that is stored with another member's export.
     ///
     /// # Errors
-    /// It can't be read or stored, or does not fit the file; then what was here is served no more.
+    /// The export can't be read or stored, or does not match the file; in that case the previous state is no longer
+    /// served.
     pub fn restore(&mut self, file: &Service, text: &str) -> Result<(), String> {
         let store = self.store.as_mut().ok_or("the state is read-only")?;
         let state = config_store::restore(store, text.as_bytes()).map_err(|e| e.to_string())?;
@@ -459,11 +470,11 @@
         self.use_documents(file, loaded)
     }
 
-    /// Takes what a survivor's log has beyond what is stored here, and goes on at a later version: a cluster begins anew. What there
-    /// is then, as text.
+    /// Starts a new cluster from a surviving member: stores the entries of its log that are not stored yet, and
+    /// continues at a later version. Returns the version, the last entry and the exported state.
     ///
     /// # Errors
-    /// Something can't be read or stored, or does not fit.
+    /// Something can't be read or stored, or does not match the file.
     pub fn recover(
         &mut self,
         file: &Service,
@@ -496,12 +507,12 @@
         Ok((self.version, self.last_entry, self.export()?))
     }
 
-    /// How much is stored.
+    /// Returns the number of the last audit entry.
     pub fn last_entry(&self) -> u64 {
         self.last_entry
     }
 
-    /// The documents of a change that was agreed on, as they are read.
+    /// Parses the documents of an agreed change.
     fn read_edits(
         &self,
         transaction: &Transaction,
@@ -527,7 +538,7 @@
         Ok(edits)
     }
 
-    /// The documents as they would be after a change, and the revisions that it gives.
+    /// Returns the catalog after a change, and the new revisions of its documents.
     fn catalog_after(
         &mut self,
         edits: &[(String, Option<Tenant>)],
@@ -548,10 +559,10 @@
         Ok((next, revs))
     }
 
-    /// Whether this instance can take a change; the servers that it ends, by tenant.
+    /// Checks that this instance can apply a change; returns the servers that the change removes, by tenant.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it can't.
     pub fn validate_change(
         &mut self,
         agreed: &AgreedChange,
@@ -583,10 +594,10 @@
         Ok(plan::ended(&self.catalog, &next))
     }
 
-    /// Stores what is agreed on. What is stored already is not stored twice.
+    /// Stores an agreed change. A change that is stored already is not stored again.
     ///
     /// # Errors
-    /// It can't be stored, or does not fit.
+    /// The change can't be stored, or does not match the state.
     pub fn store_agreed(&mut self, agreed: &AgreedChange) -> Result<StoredChange, Problem> {
         let transaction = &agreed.transaction;
         if transaction.base_entry < self.last_entry {
@@ -606,7 +617,7 @@
         self.store_change(agreed, prepared)
     }
 
-    /// Stores something, and goes over to what it comes to.
+    /// Stores a change and makes its result the current state.
     fn store_change(
         &mut self,
         agreed: &AgreedChange,
@@ -646,7 +657,7 @@
         })
     }
 
-    /// The first version: the file's tenants, and an operator's token, whose secret goes into a file.
+    /// Writes the first version: the file's tenants, and an operator's token, whose text is written to a file.
     fn write_first_version(&mut self, file: &Service, now_ms: u64) -> Result<(), String> {
         let program = || Author {
             id: "start".into(),
@@ -654,7 +665,8 @@
         };
         let (id, token_text, token) =
             new_operator_token("first operator", now_ms).map_err(|p| p.detail)?;
-        // The token's file first: a crash before the store knows it leaves a file that the next start writes anew.
+        // The token file is written first. After a crash before the store has the token, the next start overwrites
+        // the file.
         write_secret(&self.directory.join(OPERATOR_TOKEN_FILE), &token_text)
             .map_err(|e| format!("{OPERATOR_TOKEN_FILE}: {e}"))?;
         let edit = |t: &Tenant| {
@@ -686,10 +698,11 @@
         self.load_documents(file)
     }
 
-    /// What leads to another file's listeners; [`Desk::reloaded`] once that is in effect.
+    /// Returns the change to another file's listeners. [`AdminState::finish_reload`] has to follow once the change is
+    /// in effect.
     ///
     /// # Errors
-    /// The file does not fit the state.
+    /// The file does not match the state.
     pub fn prepare_reload(&self, file: &Service) -> Result<Prepared, String> {
         let start = self.catalog.frame();
         let next = Service {
@@ -701,37 +714,37 @@
         Ok(Prepared::between(&self.catalog, self.catalog_for(&next)?))
     }
 
-    /// Another file's listeners are in effect.
+    /// Records that another file's listeners are in effect.
     pub fn finish_reload(&mut self, catalog: Catalog) {
         self.catalog = catalog;
     }
 
-    /// The present documents, in what the file says of process and listeners.
+    /// Returns the current documents, with the file's settings of the process and the listeners.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// How many tenants were packed so far, from which tests tell what a change costs.
+    /// Returns the number of tenants packed so far. Tests measure the cost of a change by it.
     pub fn packed_count(&self) -> u64 {
         self.parts.packed()
     }
 
-    /// The present version.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Why nothing can be changed, if so.
+    /// Returns the reason why the state is read-only, if it is.
     pub fn read_only(&self) -> Option<&str> {
         self.read_only.as_deref()
     }
 
-    /// Nothing can be changed from here on.
+    /// Rejects all further changes.
     pub fn set_read_only(&mut self, why: &str) {
         self.read_only = Some(why.to_owned());
     }
 
-    /// What a new snapshot holds, if the last one lags behind.
+    /// Returns the contents of a new snapshot if the state has changed since the last one.
     pub fn take_snapshot(&mut self) -> Option<Snapshot> {
         let is_stale = std::mem::take(&mut self.snapshot_stale) && self.store.is_some();
         let token =
@@ -747,15 +760,15 @@
         })
     }
 
-    /// The snapshot could not be written: it lags behind still.
+    /// Records that the snapshot could not be written, so that it is tried again.
     pub fn mark_snapshot_stale(&mut self) {
         self.snapshot_stale = true;
     }
 
-    /// Who presents this value of the header Authorization.
+    /// Authenticates the value of an Authorization header.
     ///
     /// # Errors
-    /// Nobody that is known.
+    /// The token is not valid.
     pub fn authenticate(
         &self,
         authorization: Option<&str>,
@@ -764,13 +777,14 @@
         access::authenticate(&self.tokens, authorization, now_ms)
     }
 
-    /// Whether a token that was good when somebody called is there still, and has not ended.
+    /// Returns whether a token that was valid earlier still exists and has not expired.
     pub fn is_token_valid(&self, principal: &Principal, now_ms: u64) -> bool {
         let token = self.tokens.get(&principal.id);
         token.is_some_and(|t| t.expires_ms.is_none_or(|end| now_ms < end))
     }
 
-    /// Versions after one that somebody has heard of, as they were events, of the newest `most` that are kept.
+    /// Returns the events of the versions after `id`, as the caller may see them, among the newest `max_events` that
+    /// are kept.
     ///
     /// # Errors
     /// The store can't be read.
@@ -796,7 +810,7 @@
         Ok(events)
     }
 
-    /// The store.
+    /// Returns the store.
     ///
     /// # Errors
     /// There is none: the state is read-only.
@@ -805,24 +819,24 @@
         self.store.as_ref().ok_or_else(|| Problem::read_only(why))
     }
 
-    /// A tenant's revision and document as they are now; none if it is not there. What is damaged in memory is read anew from the
-    /// store.
+    /// Returns a tenant's current revision and document, or `None` if there is no such tenant. A document that is
+    /// damaged in memory is read again from the store.
     ///
     /// # Errors
-    /// It is damaged, and can't be read anew.
+    /// The document is damaged and can't be read again.
     pub fn tenant(&mut self, name: &str) -> Result<Option<(u64, Tenant)>, Problem> {
         if let Some(Err(damaged)) = self.catalog.get(name) {
-            tracing::error!(error = %damaged, "it is read anew from what is stored");
+            tracing::error!(error = %damaged, "a tenant's document is damaged in memory; reading it again from the store");
             self.reload_tenant(name)?;
         }
         let found = self.catalog.get(name).transpose();
         found.map_err(|damaged| Problem::internal(damaged.to_string()))
     }
 
-    /// Reads a tenant anew from what is stored, as what is held of it in memory is damaged.
+    /// Reads a tenant's document again from the store, because it is damaged in memory.
     ///
     /// # Errors
-    /// It can't be read.
+    /// The document can't be read.
     pub fn reload_tenant(&mut self, name: &str) -> Result<(), Problem> {
         let scope = scope(name);
         let stored = match &self.store {
@@ -848,10 +862,10 @@
         Ok(())
     }
 
-    /// The present document of a tenant that a caller may see, with its revision.
+    /// Returns the current document of a tenant that the caller may see, with its revision.
     ///
     /// # Errors
-    /// There is none, or none that the caller may see; which of both is not events.
+    /// There is no such tenant, or the caller may not see it; the error does not say which.
     pub fn document(
         &mut self,
         principal: &Principal,
@@ -866,30 +880,30 @@
         Ok((rev, tenant_to_json(&tenant)?))
     }
 
-    /// Whether there is a tenant of this name.
+    /// Returns whether there is a tenant of this name.
     pub fn has_tenant(&self, tenant: &str) -> bool {
         self.catalog.name(tenant).is_some()
     }
 
-    /// The tenants' names, in order.
+    /// Returns the tenants' names in order.
     pub fn tenant_names(&self) -> impl Iterator<Item = &Name> {
         self.catalog.names()
     }
 
-    /// The tokens by id.
+    /// Returns the tokens by id.
     pub fn tokens(&self) -> &BTreeMap<String, Token> {
         &self.tokens
     }
 
-    /// The tag of the token_text service.
+    /// Returns the entity tag of the whole service.
     pub fn service_etag(&self) -> String {
         format!("\"v{}\"", self.version)
     }
 
-    /// Whether a call's precondition holds for what has this tag now.
+    /// Checks the precondition of a call against the current entity tag.
     ///
     /// # Errors
-    /// It does not, or there is none where one is asked for.
+    /// The precondition fails, or is missing where it is required.
     pub fn check_precondition(
         call: &Call,
         now: Option<&str>,
@@ -916,10 +930,10 @@
         }
     }
 
-    /// The answer to a transaction that was made already, by its idempotency key.
+    /// Returns the reply to an earlier write with the same idempotency key.
     ///
     /// # Errors
-    /// The key was used for another call.
+    /// The key was used for a different call.
     pub fn earlier_reply(&self, call: &Call) -> Result<Option<Reply>, Problem> {
         let Some(key) = idempotency_key(call)? else {
             return Ok(None);
@@ -941,10 +955,10 @@
         }))
     }
 
-    /// Checks a change of documents, and stores it unless it is only tried.
+    /// Checks a change of documents, and stores it unless it is a dry run.
     ///
     /// # Errors
-    /// What is wrong with it; nothing has changed then.
+    /// The faults of the change; nothing has changed in that case.
     pub fn change(&mut self, call: &Call, draft: ChangeDraft) -> Result<Outcome, Problem> {
         let dry_run = call.dry_run()?;
         if let (false, Some(why)) = (dry_run, &self.read_only) {
@@ -966,7 +980,7 @@
                 }
                 None => None,
             };
-            // As it is read it has all defaults, so that the same document is the same text.
+            // Parsing fills in all defaults, so that equal documents have the same text.
             let document = read.as_ref().map(tenant_to_json).transpose()?;
             if now == document {
                 continue;
@@ -1057,10 +1071,10 @@
         }
     }
 
-    /// Stores a change of tokens, and answers with the body.
+    /// Stores a change of tokens, and returns the reply.
     ///
     /// # Errors
-    /// It can't be stored; nothing has changed then.
+    /// The change can't be stored; nothing has changed in that case.
     pub fn change_tokens(
         &mut self,
         call: &Call,
@@ -1076,7 +1090,7 @@
         let stored = token
             .as_ref()
             .map(|t| serde_json::to_value(t).unwrap_or_default());
-        // A secret is events once and kept nowhere: who repeats the call is not events it again.
+        // A secret is returned once and never stored: a repeated call does not return it again.
         let secret = reply
             .body
             .as_object_mut()
@@ -1112,7 +1126,7 @@
         }
     }
 
-    /// The tokens of tenants that go. They must not open a later tenant of the same name.
+    /// Returns the tokens of tenants that are removed. They must not be valid for a later tenant of the same name.
     fn tokens_of_removed_tenants(&self, edits: &[(String, Option<Value>)]) -> Vec<String> {
         let gone: BTreeSet<&String> = edits
             .iter()
@@ -1141,7 +1155,7 @@
         Ok(())
     }
 
-    /// Whether the service as a token_text is right after a change of these tenants.
+    /// Checks the service as a whole after a change of these tenants.
     fn check_service(
         &self,
         draft: &ChangeDraft,
@@ -1151,7 +1165,8 @@
         if faults.is_empty() {
             return Ok(());
         }
-        // Faults of a tenant that changes are faults of the body; others are of what does not fit it any more.
+        // Faults of a changed tenant are faults of the body. Other faults belong to what no longer matches the
+        // change.
         let frames: BTreeMap<&str, &PointerMapping> = draft
             .edits
             .iter()
@@ -1172,7 +1187,7 @@
         }
     }
 
-    /// The tag and the body of an answer to a change.
+    /// Returns the entity tag and the body of the reply to a change.
     fn change_result(
         &mut self,
         call: &Call,
@@ -1204,15 +1219,15 @@
     }
 }
 
-/// There is no such tenant, or none that the caller may see.
+/// The tenant does not exist, or the caller may not see it.
 pub fn tenant_not_found(name: &str) -> Problem {
     Problem::not_found(format!("there is no tenant \"{name}\""))
 }
 
-/// A new operator's token: id, the token_text token, and what is stored.
+/// Returns a new operator token: its id, the token text, and the value to store.
 ///
 /// # Errors
-/// The system has no random numbers.
+/// The operating system provides no random numbers.
 pub fn new_operator_token(name: &str, now_ms: u64) -> Result<(String, String, Value), Problem> {
     let id = access::new_id()?;
     let (token_text, secret) = access::new_secret(&id)?;
@@ -1231,7 +1246,7 @@
     ))
 }
 
-/// Writes a secret into a file that its owner alone can read.
+/// Writes a secret into a file that only its owner can read.
 fn write_secret(path: &Path, secret: &str) -> std::io::Result<()> {
     use std::io::Write as _;
     use std::os::unix::fs::OpenOptionsExt as _;
@@ -1245,7 +1260,7 @@
     file.sync_all()
 }
 
-/// What only operators may set: what a tenant may have of what all share, and the hosts that lead to it.
+/// Rejects changes that only operators may make: a tenant's share of common resources, and its hosts.
 fn check_operator_only(
     principal: &Principal,
     edits: &[(String, Option<Value>)],
@@ -1283,7 +1298,7 @@
     Ok(())
 }
 
-/// What changes for each tenant of a change.
+/// Returns the changes of each tenant.
 fn tenant_changes(
     edits: &[(String, Option<Value>)],
     revs: &[u64],
@@ -1306,11 +1321,11 @@
     edits.iter().zip(revs).map(one).collect()
 }
 
-/// Letters of an idempotency key at most.
+/// Maximum length of an idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
 fn idempotency_key(call: &Call) -> Result<Option<String>, Problem> {
-    // A call that is passed on to another instance may come again by itself.
+    // A call that is forwarded to another instance may arrive again without the caller repeating it.
     let Some(key) = &call.idempotency_key else {
         return Ok(call.id.as_ref().map(|id| format!("call {id}")));
     };
@@ -1334,7 +1349,7 @@
     sum
 }
 
-/// The reply to a transaction as it is kept for repetitions.
+/// Returns the reply to a write as it is stored for repetitions.
 fn reply_to_keep(call: &Call, reply: &Reply) -> Result<Option<(String, Value)>, Problem> {
     let Some(key) = idempotency_key(call)? else {
         return Ok(None);
--- a/crates/admin-api/src/backup.rs
+++ b/crates/admin-api/src/backup.rs
@@ -1,24 +1,24 @@
-//! All that a cluster has agreed on, to be kept elsewhere, with what tells whether it is whole.
+//! A backup of the agreed state of a cluster, with a checksum.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// The form that this program writes.
+/// Version of the backup format that this program writes.
 const FORMAT_VERSION: u64 = 1;
 
 /// A backup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Backup {
-    /// The form's number.
+    /// Version of the format.
     pub canvascart_backup: u64,
-    /// The cluster's own id.
+    /// The id of the cluster.
     pub cluster: String,
     /// The version in effect.
     pub version: u64,
-    /// When it was made, in Unix time.
+    /// Creation time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The sum of the state.
+    /// SHA-256 checksum of the state, in hexadecimal.
     pub sha256: String,
     /// The state, as `canvascart store export` writes it.
     pub state: String,
@@ -32,7 +32,7 @@
 }
 
 impl Backup {
-    /// A backup of a state.
+    /// Creates a backup of a state.
     pub fn new(cluster: &str, version: u64, at_ms: u64, state: String) -> Self {
         let (cluster, sha256) = (cluster.to_owned(), checksum(&state));
         Backup {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// A backup from its text, if it is whole.
+    /// Parses a backup and verifies that it is complete.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// The fault, and its place.
     pub fn parse(text: &str) -> Result<Self, String> {
         let backup: Backup =
             serde_json::from_str(text).map_err(|e| format!("it is no whole backup: {e}"))?;
--- a/crates/admin-api/src/bodies.rs
+++ b/crates/admin-api/src/bodies.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers and of calls that are no part of a tenant's document.
+//! Bodies of replies and of calls that are not part of a tenant's document.
 
 use config_store::AuditEntry;
 use multi_tenant::document::Tenant;
@@ -14,85 +14,85 @@
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Listed")]
 pub struct TenantSummary {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// The revision of its document.
+    /// Revision of its document.
     pub rev: u64,
-    /// How many classes and servers it has.
+    /// Number of its classes.
     pub classes: usize,
-    /// As above.
+    /// Number of its servers.
     pub servers: usize,
 }
 
-/// What came of a change, or would come of it.
+/// The result of a change, or of a dry run.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Written")]
 pub struct ChangeResult {
-    /// Whether anything changed. The same change twice changes nothing the second time.
+    /// Whether anything changed. Repeating a change has no further effect.
     pub changed: bool,
-    /// Whether it was only tried.
+    /// Whether it was a dry run.
     pub dry_run: bool,
-    /// The service's version afterwards; only told to those who see all tenants.
+    /// Version of the service after the change; present only for callers that may see all tenants.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// The tenants that change.
+    /// The changed tenants.
     pub tenants: Vec<TenantChange>,
-    /// What differs, at most 1,000 places, below each tenant's name.
+    /// The differences, 1,000 at most; each path begins with the tenant's name.
     pub differences: Vec<Difference>,
 }
 
-/// What a change comes to for one tenant.
+/// The effect of a change on one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Changed")]
 pub struct TenantChange {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its document's revision afterwards.
+    /// Revision of its document after the change.
     pub rev: u64,
-    /// It is new.
+    /// Whether the tenant is new.
     pub added: bool,
-    /// It is gone.
+    /// Whether the tenant was removed.
     pub removed: bool,
-    /// Its decision module is made anew; requests under way end under the old one.
+    /// Whether its decision module is replaced; requests in flight finish under the old one.
     pub pool: bool,
-    /// Its list of servers changes.
+    /// Whether its list of servers changes.
     pub servers: bool,
-    /// Its limits change.
+    /// Whether its limits change.
     pub limits: bool,
 }
 
-/// A version or a revision, and who made it.
+/// A version of the service or a revision of a tenant, with its author.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub struct Version {
-    /// Its number.
+    /// The version or revision number.
     pub number: u64,
-    /// When it was made, in Unix time.
+    /// Creation time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who made it: the token's id and name.
+    /// The token that made the change.
     pub by: Actor,
-    /// What was done.
+    /// The action.
     pub action: String,
-    /// More about it.
+    /// Details of the action.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// The tenants that changed, by name; only in versions of the service.
+    /// Names of the changed tenants; only in versions of the service.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     #[schemars(default)]
     pub tenants: Vec<String>,
-    /// Whether the tenant is gone with it; only in revisions of a tenant.
+    /// Whether this revision removed the tenant; only in revisions of a tenant.
     pub gone: bool,
 }
 
-/// Who did something.
+/// The token that made a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "By")]
 pub struct Actor {
-    /// The token's id.
+    /// Id of the token.
     pub id: String,
-    /// Its name.
+    /// Name of the token.
     pub name: String,
 }
 
@@ -105,32 +105,33 @@
     }
 }
 
-/// A line of the audit log.
+/// An entry of the audit log.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Line")]
 pub struct AuditLine {
-    /// Its number in the log.
+    /// Number of the entry.
     pub number: u64,
-    /// When, in Unix time.
+    /// Time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who.
+    /// The token that made the change.
     pub by: Actor,
-    /// What was done.
+    /// The action.
     pub action: String,
-    /// The tenant that it was done to.
+    /// The tenant that the action concerns.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// More about it.
+    /// Details of the action.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// The service's version that came of it; only told to those who see all tenants.
+    /// The resulting version of the service; present only for callers that may see all tenants.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
 }
 
 impl AuditLine {
-    /// An entry as it is told to somebody: of a change of several tenants, one tenant hears of itself.
+    /// Returns an audit entry as a caller may see it: for a change of several tenants, a caller limited to one tenant
+    /// sees only that one.
     pub fn visible_to(number: u64, entry: AuditEntry, principal: &Principal) -> Self {
         let sees_all_tenants = principal.sees_all_tenants();
         AuditLine {
@@ -145,73 +146,74 @@
     }
 }
 
-/// Two versions and what differs between them.
+/// The differences between two versions.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[schemars(rename = "Compared")]
 pub struct Comparison {
-    /// The older one.
+    /// The older version.
     pub from: u64,
-    /// The newer one.
+    /// The newer version.
     pub to: u64,
-    /// What differs, at most 1,000 places.
+    /// The differences, 1,000 at most.
     pub differences: Vec<Difference>,
 }
 
-/// Where to go back to.
+/// The target of a rollback.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Back")]
 pub struct RollbackTarget {
-    /// The version, or the tenant's revision.
+    /// The version of the service, or the revision of the tenant.
     pub to: u64,
 }
 
-/// Tenants that are to be as they stand here.
+/// Documents that replace those of several tenants.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Apply {
-    /// Their documents.
+    /// Documents of the tenants.
     #[serde(rename = "tenant")]
     #[schemars(length(max = 10_000))]
     pub tenants: Vec<Tenant>,
-    /// Whether all other tenants go.
+    /// Whether to remove all other tenants.
     #[serde(default)]
     pub prune: bool,
 }
 
-/// A token that is to be made.
+/// A token to create.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct NewToken {
-    /// What people call it.
+    /// Display name.
     #[schemars(length(min = 1, max = 128))]
     pub name: String,
-    /// What it may do.
+    /// Rights of the token.
     pub role: Role,
-    /// The one tenant that it is for; a tenant admin's must name one, an operator's none.
+    /// The only tenant that the token is valid for; required for a tenant admin's token, not allowed for an
+    /// operator's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// It ends after so long; without it, never.
+    /// Seconds until the token expires; if missing, it does not expire.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 3_153_600_000u64))]
     pub expires_in_s: Option<u64>,
 }
 
-/// How a token's secret is changed.
+/// Settings of a rotation of a token's secret.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 #[schemars(rename = "Rotate")]
 pub struct TokenRotation {
-    /// The former secret stays good for so long.
+    /// Seconds that the previous secret stays valid.
     #[schemars(range(max = 2_592_000u64))]
     pub overlap_s: u64,
 }
 
-/// Which instance is to lead.
+/// The instance that is to become leader.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct StepDown {
-    /// Its name; any other with a vote without it.
+    /// Name of the instance; if missing, any other voter.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub to: Option<String>,
 }
@@ -220,38 +222,38 @@
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub struct TokenView {
-    /// Its id.
+    /// Id of the token.
     pub id: String,
-    /// What people call it.
+    /// Display name.
     pub name: String,
-    /// What it may do.
+    /// Rights of the token.
     pub role: Role,
-    /// The one tenant that it is for.
+    /// The only tenant that the token is valid for.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// When it was made, in Unix time.
+    /// Creation time in milliseconds since the Unix epoch.
     pub created_ms: u64,
-    /// When it ends.
+    /// Expiry time in milliseconds since the Unix epoch.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub expires_ms: Option<u64>,
-    /// Until when its former secret is good.
+    /// Time until which the previous secret is valid, in milliseconds since the Unix epoch.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub overlap_until_ms: Option<u64>,
-    /// The whole token, told this once.
+    /// The token text; returned only when the secret is created.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub token: Option<String>,
 }
 
-/// How the service fares.
+/// The status of the service.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub struct ServiceStatus {
-    /// Its version; only told to those who see all tenants.
+    /// Version of the service; present only for callers that may see all tenants.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// Why nothing can be changed, if so.
+    /// The reason why nothing can be changed, if the state is read-only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub read_only: Option<String>,
-    /// How the tenants fare that the token sees; at most 1,000.
+    /// Status of the tenants that the caller may see, 1,000 at most.
     pub tenants: Vec<TenantStatus>,
 }
--- a/crates/admin-api/src/call.rs
+++ b/crates/admin-api/src/call.rs
@@ -1,4 +1,4 @@
-//! A call as the desk takes it, and what comes of it.
+//! A parsed API call, and its outcome.
 
 use std::collections::BTreeMap;
 
@@ -13,76 +13,76 @@
 use crate::events::VersionEvent;
 use crate::problem::Problem;
 
-/// A call that was read whole.
+/// An API call whose request was read completely.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id, where it was passed on by another instance, or may be.
+    /// Id of the call if another instance forwarded it, or may forward it again.
     pub id: Option<String>,
-    /// Who calls.
+    /// The authenticated caller.
     pub principal: Principal,
-    /// What the path names, by its parameters.
+    /// Parameters of the path by name.
     pub path: BTreeMap<String, String>,
-    /// The query.
+    /// Parameters of the query by name.
     pub query: BTreeMap<String, String>,
-    /// The headers If-Match, If-None-Match and Idempotency-Key, where they are there.
+    /// The If-Match header.
     pub if_match: Option<String>,
-    /// As above.
+    /// The If-None-Match header.
     pub if_none_match: Option<String>,
-    /// As above.
+    /// The Idempotency-Key header.
     pub idempotency_key: Option<String>,
-    /// Method and target, by which a repetition is told from another call.
+    /// Method and target, part of the fingerprint that distinguishes a repetition from a different call.
     pub target: String,
-    /// The body; null where there is none.
+    /// The body; null if there is none.
     pub body: Value,
-    /// Unix time.
+    /// Time of the call in milliseconds since the Unix epoch.
     pub now_ms: u64,
 }
 
-/// What a caller gets.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The entity tag, if it has one.
+    /// The entity tag, if there is one.
     pub etag: Option<String>,
-    /// Where the thing is, if it is new.
+    /// The location of a new resource.
     pub location: Option<String>,
     /// The body.
     pub body: Value,
 }
 
-/// What the plane has to be asked.
+/// A query that the plane has to answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusQuery {
-    /// How one tenant fares.
+    /// The status of one tenant.
     Pool(String),
-    /// How the service fares: so many tenants at this version; whether nothing can be changed.
+    /// The status of the service and its tenants.
     Service {
-        /// The version, where the caller may know it.
+        /// The version, if the caller may see it.
         version: Option<u64>,
-        /// Why nothing can be changed, if so.
+        /// The reason why nothing can be changed, if the state is read-only.
         read_only: Option<String>,
-        /// The one tenant that the caller may see; all without it.
+        /// The only tenant that the caller may see; `None` for all.
         #[serde(rename = "own")]
         tenant: Option<String>,
     },
 }
 
-/// What comes of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// An answer.
+    /// The call is complete.
     Reply(Reply),
-    /// What is stored must be carried out; then this is the answer, and the event is told.
+    /// The change is stored. The plane has to apply it; then the reply is sent and the event is published.
     Change(Box<(Prepared, Reply, VersionEvent)>),
-    /// This is to be agreed on with others; then it is stored, and this is the answer.
+    /// The members of the cluster have to agree on the change; then it is stored and the reply is sent.
     Propose(Box<(AgreedChange, Reply)>),
-    /// The plane knows.
+    /// The plane has to answer the query.
     Status(StatusQuery),
 }
 
 impl Reply {
-    /// An answer without an entity tag.
+    /// Returns a reply with status 200 and without an entity tag.
     pub fn ok(body: impl Serialize) -> Self {
         let body = serde_json::to_value(body).unwrap_or_default();
         Reply {
@@ -100,40 +100,40 @@
     }
 }
 
-/// A part of a list.
+/// A page of a list.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 pub struct Page<T> {
-    /// The members.
+    /// The items.
     pub items: Vec<T>,
-    /// What `after` must say for those that follow; none at the end.
+    /// Value of `after` for the next page; missing on the last page.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
 
-/// So many members a page has at most, and without a word.
+/// Maximum and default number of items in a page.
 pub const MAX_PAGE_ITEMS: usize = 1000;
 const DEFAULT_PAGE_ITEMS: usize = 100;
 
 impl Call {
-    /// A parameter of the path; the routes see that it is there.
+    /// Returns a parameter of the path; the router ensures that it exists.
     pub fn path_parameter(&self, key: &str) -> &str {
         self.path.get(key).map_or("", String::as_str)
     }
 
-    /// A number that the path names.
+    /// Returns a parameter of the path as a number.
     ///
     /// # Errors
-    /// It is none, so that nothing is there.
+    /// The parameter is not a number, so the resource does not exist.
     pub fn path_number(&self, key: &str) -> Result<u64, Problem> {
         self.path_parameter(key)
             .parse()
             .map_err(|_| Problem::not_found(format!("{key} is a number")))
     }
 
-    /// A number in the query.
+    /// Returns a parameter of the query as a number.
     ///
     /// # Errors
-    /// It is none.
+    /// The parameter is not a number.
     pub fn query_number(&self, key: &str) -> Result<Option<u64>, Problem> {
         let parse = |text: &String| {
             text.parse()
@@ -142,10 +142,10 @@
         self.query.get(key).map(parse).transpose()
     }
 
-    /// How many members a page is to have.
+    /// Returns the requested number of items in a page.
     ///
     /// # Errors
-    /// The query says something else than a number from 1 to 1,000.
+    /// The parameter is not a number from 1 to 1,000.
     pub fn page_limit(&self) -> Result<usize, Problem> {
         match self.query_number("limit")? {
             None => Ok(DEFAULT_PAGE_ITEMS),
@@ -156,10 +156,10 @@
         }
     }
 
-    /// Whether nothing is to change in earnest.
+    /// Returns whether the call is a dry run.
     ///
     /// # Errors
-    /// The query says something else than true or false.
+    /// The parameter is neither true nor false.
     pub fn dry_run(&self) -> Result<bool, Problem> {
         match self.query.get("dry-run").map(String::as_str) {
             None | Some("false") => Ok(false),
@@ -168,10 +168,10 @@
         }
     }
 
-    /// The page of named members that follows `after`, by name.
+    /// Returns the page of items that follows `after`, ordered by name.
     ///
     /// # Errors
-    /// As [`Call::limit`].
+    /// As for [`Call::page_limit`].
     pub fn page<T>(
         &self,
         members: impl Iterator<Item = (String, T)>,
@@ -189,10 +189,10 @@
         })
     }
 
-    /// The body.
+    /// Parses the body.
     ///
     /// # Errors
-    /// It has another form.
+    /// The body does not match the type.
     pub fn parse_body<T: DeserializeOwned + JsonSchema>(&self) -> Result<T, Problem> {
         let form = config_parser::Form::of::<T>().map_err(Problem::internal)?;
         form.read(&self.body).map_err(Problem::from_faults)
--- a/crates/admin-api/src/cluster_api.rs
+++ b/crates/admin-api/src/cluster_api.rs
@@ -1,5 +1,5 @@
-//! The desk among the instances of a cluster: a call is decided by the one that leads, whoever took it, and what it changes is stored
-//! everywhere or nowhere.
+//! The administration API of a cluster member: the leader decides each call, whichever member received it, and a
+//! change is stored by all members or by none.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -29,58 +29,58 @@
 use crate::problem::{Problem, truncated};
 use crate::startup_progress::StartupProgress;
 
-/// How long a read may take where nobody leads.
+/// Time limit of a read while there is no leader.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a change is made anew that something else overtook.
+/// Maximum number of proposals for one change, where other changes get ahead of it.
 const MAX_PROPOSAL_ATTEMPTS: u32 = 4;
-/// How long the one that leads is waited for to sender how the cluster looks.
+/// Time limit for the leader's view of the cluster status, and for an operator's confirmation of the disk.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// From one try to remove a member to the next.
+/// Delay between two attempts to remove a member.
 const REMOVAL_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the API has where it is one of many instances.
+/// Connects the API to the cluster member of this process.
 pub struct ClusterHandle {
     commands: mpsc::UnboundedSender<MemberCommand>,
-    /// Reads that wait to be known to be current.
+    /// Reads that wait for the confirmation that they are current.
     pending_reads: Mutex<BTreeMap<u64, oneshot::Sender<bool>>>,
     next_read: AtomicU64,
-    /// One change at a time is decided by the one that leads.
+    /// Held by the leader while it decides a write, so that it decides one at a time.
     write_lock: tokio::sync::Mutex<()>,
-    /// What the file says of the process and its listeners, as it was last taken.
+    /// The file's settings of the process and the listeners, as last loaded.
     file: Mutex<Service>,
-    /// How long a call may take.
+    /// Time limit of a write.
     call_timeout: Duration,
-    /// How far this instance's start is.
+    /// Progress of this instance's startup.
     pub(crate) startup: StartupProgress,
 }
 
-/// A call as one instance passes it on to another.
+/// A call as one instance forwards it to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ForwardedCall {
-    /// The operation's id.
+    /// Id of the operation.
     pub operation: String,
-    /// The headers that the call came with.
+    /// The Authorization header.
     pub authorization: Option<String>,
-    /// As above.
+    /// The If-Match header.
     pub if_match: Option<String>,
-    /// As above.
+    /// The If-None-Match header.
     pub if_none_match: Option<String>,
-    /// As above.
+    /// The Idempotency-Key header.
     pub idempotency_key: Option<String>,
-    /// What the path names.
+    /// Parameters of the path by name.
     pub path: BTreeMap<String, String>,
-    /// The query.
+    /// Parameters of the query by name.
     pub query: BTreeMap<String, String>,
     /// Method and target.
     pub target: String,
     /// The body.
     pub body: Value,
-    /// Unix time.
+    /// Time of the call in milliseconds since the Unix epoch.
     pub now_ms: u64,
 }
 
-/// What came of a call that was passed on.
+/// The result of a forwarded call.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum CallResult {
@@ -106,7 +106,7 @@
 }
 
 impl ClusterHandle {
-    /// A part that speaks to this member.
+    /// Creates a handle that sends commands to the member.
     pub fn new(
         commands: mpsc::UnboundedSender<MemberCommand>,
         file: Service,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The file was read anew, and its listeners are in effect.
+    /// Records the listeners of a reloaded file that are in effect.
     pub fn set_listeners(&self, file: Service) {
         self.file
             .lock()
@@ -133,10 +133,10 @@
     }
 
     fn send(&self, command: MemberCommand) {
-        let _ = self.commands.send(command); // a member that has ended answers nothing
+        let _ = self.commands.send(command); // a member that has stopped does not answer
     }
 
-    /// Asks the member something, and waits for the answer.
+    /// Sends the member a command and waits for the answer; `None` if the member has stopped.
     async fn request<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> MemberCommand,
@@ -146,7 +146,8 @@
         receiver.await.ok()
     }
 
-    /// Whether what is read from here on is current: this instance leads, and has all that was agreed on before.
+    /// Returns whether reads from here on are current: this instance leads, and has applied everything agreed on
+    /// before.
     async fn confirm_read(&self) -> bool {
         let number = self.next_read.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
@@ -158,7 +159,7 @@
         receiver.await.unwrap_or(false)
     }
 
-    /// Passes a call on to the one that leads, and waits for what comes of it.
+    /// Forwards a call to the leader and waits for the result.
     pub async fn forward(
         &self,
         forwarded: &ForwardedCall,
@@ -219,14 +220,14 @@
         }
     }
 
-    /// How the cluster looks from here.
+    /// Returns this instance's view of the cluster.
     pub async fn status(&self) -> Option<Status> {
         self.request(MemberCommand::ReportStatus).await
     }
 }
 
 impl Api {
-    /// Does what the member tells, in its order, for as long as there is one.
+    /// Handles the member's events in order until the member stops.
     pub async fn handle_member_events(
         self: Arc<Self>,
         mut events: mpsc::UnboundedReceiver<MemberEvent>,
@@ -248,7 +249,7 @@
                         cluster.send(MemberCommand::ChangeFenced {
                             change: proposal.id.clone(),
                         });
-                        fail::fail_point!("closed-late"); // and goes on deciding
+                        fail::fail_point!("closed-late"); // and continues to decide requests
                     }
                     if self.send_and_wait(PlaneCommand::CloseGate).await {
                         cluster.send(MemberCommand::ChangeFenced {
@@ -258,7 +259,7 @@
                 }
                 MemberEvent::ActivateVersion { version, proposal } => {
                     if let Err(e) = self.activate_version(version, &proposal).await {
-                        // It decides nothing from here on: its gate stays closed.
+                        // This instance decides no requests from here on: its gate stays closed.
                         tracing::error!(version, error = e, "a version can't be served here");
                         continue;
                     }
@@ -268,7 +269,7 @@
                     let taken = AgreedChange::decode(&proposal.payload)
                         .map(|a| self.admin_state().store_agreed(&a).map(drop));
                     if let Err(e) | Ok(Err(Problem { detail: e, .. })) = taken {
-                        tracing::error!(error = e, "what is agreed on can't be stored here");
+                        tracing::error!(error = e, "an agreed change can't be stored here");
                     }
                     self.notify_state_changed();
                 }
@@ -303,7 +304,7 @@
                     let exported = self.admin_state().export();
                     match exported {
                         Ok(state) => cluster.send(MemberCommand::StateExported(state)),
-                        Err(e) => tracing::error!(error = e, "the state can't be written down"),
+                        Err(e) => tracing::error!(error = e, "the state can't be exported"),
                     }
                 }
                 MemberEvent::ReadCompleted { read, is_current } => {
@@ -312,7 +313,7 @@
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .remove(&read);
-                    let _ = waiting.map(|sender| sender.send(is_current)); // who asked may have left
+                    let _ = waiting.map(|sender| sender.send(is_current)); // the caller may have disconnected
                 }
                 MemberEvent::CallReceived { id, payload } => {
                     let api = self.clone();
@@ -331,7 +332,10 @@
                     });
                 }
                 MemberEvent::Stopped { reason: why } => {
-                    tracing::error!(why, "is no member any more, and decides nothing");
+                    tracing::error!(
+                        why,
+                        "this instance is no longer a member of the cluster and decides no requests"
+                    );
                     self.admin_state().set_read_only(&why);
                 }
             }
@@ -340,7 +344,7 @@
             .set_read_only("the cluster's member has ended");
     }
 
-    /// Gives the plane an order and waits until it is done; whether it was.
+    /// Sends the plane a command and waits until it is done; returns whether it was.
     async fn send_and_wait(
         &self,
         command: impl FnOnce(oneshot::Sender<()>) -> PlaneCommand,
@@ -350,8 +354,8 @@
         receiver.await.is_ok()
     }
 
-    /// Says whether this instance can take a change. Servers that it ends get nothing new from here on, whoever it has to wait for;
-    /// if it is given up, they do again.
+    /// Reports whether this instance can apply a change. The servers that the change removes get no new requests from
+    /// here on, whichever members it waits for; if the change is aborted, they do again.
     fn validate_change(&self, cluster: &ClusterHandle, proposal: Proposal) {
         let validated = AgreedChange::decode(&proposal.payload)
             .and_then(|a| self.admin_state().validate_change(&a));
@@ -361,7 +365,7 @@
                 Ok(())
             }
             Err(why) => {
-                tracing::warn!(change = proposal.id, why = %truncated(&why), "can't take a change");
+                tracing::warn!(change = proposal.id, why = %truncated(&why), "this instance can't apply a change");
                 Err(why)
             }
         };
@@ -398,7 +402,7 @@
         Ok(())
     }
 
-    /// Takes over the cluster's state, where there is more of it than here.
+    /// Restores the cluster's state if it is newer than the state of this instance.
     async fn restore_state(
         &self,
         cluster: &ClusterHandle,
@@ -416,7 +420,8 @@
             admin.catalog().clone()
         };
         self.notify_state_changed();
-        // What a change held off that was under way before; one that is now does so again.
+        // Ends the withholding of servers by an earlier change; a change still in progress withholds its servers
+        // again.
         self.send(PlaneCommand::WithholdServers(BTreeMap::new()));
         let (done, receiver) = oneshot::channel();
         self.send(PlaneCommand::ServeCatalog(catalog, done));
@@ -425,7 +430,7 @@
             .map_err(|_| "the service is ending".to_owned())?
     }
 
-    /// Decides a call as the one that leads; none if it turns out not to lead.
+    /// Decides a call as the leader; `None` if this instance turns out not to lead.
     async fn answer_call(&self, id: &str, text: &str) -> Option<CallResult> {
         let cluster = self.cluster()?;
         let forwarded: ForwardedCall = match serde_json::from_str(text) {
@@ -514,7 +519,7 @@
         operation.run(&mut admin, &call)
     }
 
-    /// What concerns the cluster itself.
+    /// Runs an operation on the cluster itself.
     async fn run_cluster_operation(
         &self,
         cluster: &ClusterHandle,
@@ -584,7 +589,7 @@
                         Problem::not_found(format!("there is no member \"{name}\"")).into(),
                     );
                 }
-                // It may decide for as long as its lease runs, and stays a member until then.
+                // The member may decide requests until its lease expires, and remains a member until then.
                 let end = tokio::time::Instant::now() + cluster.call_timeout;
                 while tokio::time::Instant::now() < end {
                     match cluster
@@ -608,14 +613,14 @@
         }
     }
 
-    /// How the cluster looks from here, and from the one that leads.
+    /// Returns the cluster status as seen by this instance and by the leader.
     pub(crate) async fn cluster_status(&self, forwarded: &ForwardedCall) -> Result<Reply, Problem> {
         let cluster = self.cluster().ok_or_else(no_cluster)?;
         let here = cluster
             .status()
             .await
             .ok_or_else(|| Problem::no_leader("this instance is ending"))?;
-        // Where nobody leads, what is known here is receiver all the same.
+        // Without a leader, this instance's view is returned all the same.
         let principal = self
             .admin_state()
             .authenticate(forwarded.authorization.as_deref(), forwarded.now_ms)?;
@@ -629,7 +634,7 @@
 }
 
 impl Api {
-    /// An operator's word for this instance's disk; it needs nobody who leads.
+    /// Records an operator's confirmation that this instance has its newest disk; it needs no leader.
     pub(crate) async fn confirm_disk(&self, forwarded: &ForwardedCall) -> Result<Reply, Problem> {
         let cluster = self.cluster().ok_or_else(no_cluster)?;
         self.admin_state()
@@ -643,13 +648,13 @@
     }
 }
 
-/// A fault that tests plant, to see the judge notice: that nothing is decided any more is receiver before it is so.
+/// Fault injected by tests to verify that the checker detects it: the fence is confirmed before the gate is closed.
 fn confirms_fence_early() -> bool {
     fail::fail_point!("closed-too-early", |_| true);
     false
 }
 
-/// This service is not one of many instances.
+/// This service is not a member of a cluster.
 pub fn no_cluster() -> Problem {
     Problem::not_found("this service is not one of a cluster's instances")
 }
--- a/crates/admin-api/src/difference.rs
+++ b/crates/admin-api/src/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, part by part. Members of lists are told apart by their names, not by their places.
+//! Differences between two documents. Items of lists are matched by name, not by position.
 
 use std::collections::BTreeSet;
 
@@ -10,20 +10,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub struct Difference {
-    /// Where, such as `/server/n1/state`: keys, and the names of members.
+    /// Path of the difference, such as `/server/n1/state`: keys, and the names of list items.
     pub path: String,
-    /// What was there.
+    /// The old value; missing if there was none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Value>,
-    /// What is there now.
+    /// The new value; missing if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<Value>,
 }
 
-/// As many are told of at most.
+/// Maximum number of differences reported.
 pub const MAX_DIFFERENCES: usize = 1000;
 
-/// All that differs; below `path`.
+/// Returns the differences between two values, with paths below `path`.
 pub fn compare(path: &str, from: Option<&Value>, to: Option<&Value>) -> Vec<Difference> {
     let mut all = Vec::new();
     collect_differences(path.to_owned(), from, to, &mut all);
--- a/crates/admin-api/src/document_part.rs
+++ b/crates/admin-api/src/document_part.rs
@@ -1,15 +1,15 @@
-//! Parts of a tenant's document, as paths name them: the whole, one table, or one member of a list by its name.
+//! Parts of a tenant's document, as paths address them: the whole, one key, or one item of a list by its name.
 
 use serde_json::{Map, Value};
 
 /// A part of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentPart<'a> {
-    /// All of it.
+    /// The whole document.
     Whole,
-    /// One of its keys.
+    /// The value of a key.
     Key(&'static str),
-    /// The member of a list that has this name.
+    /// The item of a list that has this name.
     ListItem(&'static str, &'a str),
 }
 
@@ -18,7 +18,7 @@
 }
 
 impl DocumentPart<'_> {
-    /// The part, if it is there.
+    /// Returns the part, if it exists.
     pub fn get<'v>(&self, document: &'v Value) -> Option<&'v Value> {
         match self {
             DocumentPart::Whole => Some(document),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The document with this part put there, and the pointer to where that is.
+    /// Returns the document with this part set, and the pointer to the part.
     pub fn set(&self, mut document: Value, part: Value) -> (Value, String) {
         match self {
             DocumentPart::Whole => (part, String::new()),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The document without this part; none if it was not there.
+    /// Returns the document without this part; `None` if the part did not exist.
     pub fn remove(&self, mut document: Value) -> Option<Value> {
         match self {
             DocumentPart::Whole => None,
@@ -72,10 +72,10 @@
         }
     }
 
-    /// The part's name goes into what is put there, where it lacks one.
+    /// Sets the part's name in `part` if it has none.
     ///
     /// # Errors
-    /// It has another.
+    /// `part` has a different name.
     pub fn set_name(&self, part: &mut Value) -> Result<(), String> {
         let DocumentPart::ListItem(_, name) = self else {
             return Ok(());
@@ -84,10 +84,10 @@
     }
 }
 
-/// Sees that an object has this name; it gets it where it has none.
+/// Sets the name of an object if it has none.
 ///
 /// # Errors
-/// It has another.
+/// The object has a different name.
 pub fn ensure_name(part: &mut Value, name: &str) -> Result<(), String> {
     let Some(map): Option<&mut Map<String, Value>> = part.as_object_mut() else {
         return Ok(());
--- a/crates/admin-api/src/events.rs
+++ b/crates/admin-api/src/events.rs
@@ -1,4 +1,4 @@
-//! What streams of events tell: versions that have taken effect, and how tenants fare.
+//! Events of the event streams: versions that have taken effect.
 
 use config_store::AuditEntry;
 use serde_json::{Value, json};
@@ -9,20 +9,20 @@
 /// A version that has taken effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionEvent {
-    /// The service's version.
+    /// Version of the service.
     pub version: u64,
-    /// When it was made.
+    /// Creation time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who made it.
+    /// The token that made the change.
     pub by: Actor,
-    /// What was done.
+    /// The action.
     pub action: String,
-    /// What changed.
+    /// The changed tenants.
     pub tenants: Vec<TenantChange>,
 }
 
 impl VersionEvent {
-    /// What a log entry tells of it, to those who join later.
+    /// Builds the event from an audit entry, for clients that reconnect.
     pub fn from_audit_entry(
         entry: &AuditEntry,
         name: impl Fn(&str) -> Option<String>,
@@ -47,8 +47,8 @@
         })
     }
 
-    /// The event's id and data for somebody; none if it concerns nothing that they see. Who sees one tenant gets its
-    /// revision for an id, and learns nothing of the service's versions.
+    /// Returns the event's id and data as a caller may see them, or `None` if the caller sees none of the changed
+    /// tenants. A caller limited to one tenant gets the tenant's revision as the id, and no version of the service.
     pub fn visible_to(&self, principal: &Principal) -> Option<(u64, Value)> {
         let seen: Vec<&TenantChange> = self
             .tenants
--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -1,14 +1,14 @@
-//! Figures of this instance as Prometheus text: its part in the cluster, what its gate did, and how its tenants fare.
+//! Metrics of this instance as Prometheus text: its role in the cluster, its gate, and its tenants.
 
 use std::fmt::Write as _;
 
 use cluster_runtime::status::{MessageTotals, Status};
 use multi_tenant::plane::{Residency, TenantStatus};
 
-/// What an instance is told to have been turned away for, as [`TenantStatus::refused`] has it.
+/// Causes of rejection, in the order of [`TenantStatus::refused`].
 const REJECTION_CAUSES: [&str; 5] = ["sockets", "in-flight", "bytes", "time", "servers"];
 
-/// A label's value, escaped.
+/// Escapes the value of a label.
 fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
@@ -19,7 +19,8 @@
 struct MetricsText(String);
 
 impl MetricsText {
-    /// A figure's kind and meaning, then its samples: labels, as they stand between braces, and values.
+    /// Writes the type and the help text of a metric, then its samples: labels, as written between braces, and
+    /// values.
     fn metric(
         &mut self,
         name: &str,
@@ -30,7 +31,7 @@
         let _ = writeln!(
             self.0,
             "# HELP canvascart_{name} {help}\n# TYPE canvascart_{name} {kind}"
-        ); // a string takes all
+        ); // writing to a string never fails
         for (labels, value) in samples {
             let label_set = if labels.is_empty() {
                 String::new()
@@ -50,7 +51,7 @@
     f64::from(u8::from(value))
 }
 
-/// Tenants at rest and awake.
+/// Writes the metrics of active and inactive tenants.
 fn residency(text: &mut MetricsText, residency: &Residency) {
     text.single(
         "tenants",
@@ -108,8 +109,8 @@
     );
 }
 
-/// All figures. The cluster's are there where this is one of its instances; `gate` is how many requests waited at the gate, and
-/// how many it refused.
+/// Returns all metrics. `cluster` is present on a member of a cluster: its status, and the numbers of requests that
+/// waited at the gate and that the gate rejected.
 pub fn render(
     cluster: Option<(&Status, [u64; 2])>,
     resident: &Residency,
--- a/crates/admin-api/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -1,5 +1,5 @@
-//! The API over HTTP, on a thread of its own: nothing that is asked or stored here takes time of the event loop that serves
-//! the tenants.
+//! The API over HTTP, on a thread of its own, so that its calls and writes to the store take no time from the event
+//! loop that serves the tenants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -36,70 +36,71 @@
 use crate::operations::{ClusterOperation, Handler, OPERATIONS, Operation, openapi};
 use crate::problem::Problem;
 
-/// Connections at once.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 256;
-/// Streams of events at once.
+/// Maximum number of open event streams.
 const MAX_EVENT_STREAMS: usize = 64;
-/// Events that a slow reader may lag behind.
+/// Events that a slow reader may fall behind.
 const EVENT_BUFFER: usize = 256;
-/// Bytes of a body: ten thousand servers, or a thousand tenants.
+/// Maximum size of a body: enough for ten thousand servers, or a thousand tenants.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// How long a head or a body may take.
+/// Time limit for receiving a request head or a body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// From one look at how tenants fare to the next, for streams of events.
+/// Interval between two checks of the tenants' status for event streams.
 const STATUS_INTERVAL: Duration = Duration::from_secs(2);
-/// Events that somebody who comes back gets of what they missed.
+/// Maximum number of missed events that a reconnecting client receives.
 const MAX_REPLAYED_EVENTS: usize = 100;
-/// Tenants that one event or answer tells of.
+/// Maximum number of tenants in one event or reply.
 const MAX_TENANTS_PER_REPLY: usize = 1000;
-/// From one snapshot of the last known good state to the next, at least.
+/// Minimum interval between two snapshots of the last known good state.
 const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// Bytes of snapshots that are written in a second, on the whole: a large state is written whole more rarely, so that the changes of
-/// one do not cost what there is.
+/// Average rate of writing snapshots. A large state is written less often, so that the cost of one change does not
+/// grow with the size of the state.
 const SNAPSHOT_BYTES_PER_SECOND: u64 = 256 << 10;
 
-/// How long no snapshot is written after one of so many bytes.
+/// Returns the interval after a snapshot of this size until the next one.
 pub fn snapshot_interval(bytes: u64) -> Duration {
     MIN_SNAPSHOT_INTERVAL.max(Duration::from_millis(
         bytes.saturating_mul(1000) / SNAPSHOT_BYTES_PER_SECOND,
     ))
 }
 
-/// Tenants that one status tells of; one tenant's own is receiver in any case.
+/// Maximum number of tenants in one status report; a status report for one tenant is not limited.
 const MAX_TENANT_STATUSES: usize = 1024;
 
-/// What the plane is to do.
+/// A command to the plane.
 pub enum PlaneCommand {
-    /// Carry a change out, and sender when it is in effect.
+    /// Applies a change, and reports when it is in effect.
     ApplyChange(Box<Prepared>, oneshot::Sender<Result<(), String>>),
-    /// Nothing new is to be decided; sender when that is so.
+    /// Closes the gate, so that no new request is decided, and reports when it is closed.
     CloseGate(oneshot::Sender<()>),
-    /// These servers, by tenant, get nothing new, as a change under way ends them; all others as the version says.
+    /// Withholds new requests from these servers, by tenant, because a change in progress removes them; all other
+    /// servers follow the current version.
     WithholdServers(BTreeMap<String, BTreeSet<String>>),
-    /// What is served now is this version of the cluster's.
+    /// Opens the gate: what is served now is this version of the cluster's state.
     OpenGate(u64, oneshot::Sender<()>),
-    /// Tell the version that is open, how many tenants there are, and those whose list is not known to be current.
+    /// Reports the open version, the number of tenants, and the tenants whose list is not known to be current.
     ReportStartup(oneshot::Sender<(Option<u64>, usize, Vec<String>)>),
-    /// So many instances share the servers, and this one has this number among them.
+    /// Sets the index of this instance among the instances that share the servers, and their number.
     SetShare(u32, u32),
-    /// The start is over: requests are taken.
+    /// Accepts requests: the startup is complete.
     AcceptRequests,
-    /// Serve this, whatever was served.
+    /// Serves this catalog in place of the current one.
     ServeCatalog(Catalog, oneshot::Sender<Result<(), String>>),
-    /// Tell how many requests waited at the gate, and how many it refused.
+    /// Reports the numbers of requests that waited at the gate and that the gate rejected.
     ReportGate(oneshot::Sender<[u64; 2]>),
-    /// Tell how many tenants are resident, and what has come of it.
+    /// Reports the number of resident tenants and the counters of activation and eviction.
     ReportResidency(oneshot::Sender<Residency>),
-    /// Tell how a tenant fares, or all.
+    /// Reports the status of one tenant, or of all.
     ReportStatus(Option<String>, oneshot::Sender<Vec<TenantStatus>>),
 }
 
 impl PlaneCommand {
-    /// Does it.
+    /// Executes the command.
     pub fn execute(self, plane: &Plane) {
         match self {
             PlaneCommand::ApplyChange(prepared, done) => {
-                let _ = done.send(plane.carry_out(*prepared)); // who asked may have left
+                let _ = done.send(plane.carry_out(*prepared)); // the caller may have disconnected
             }
             PlaneCommand::CloseGate(done) => {
                 plane.close();
@@ -133,15 +134,15 @@
     }
 }
 
-/// The API.
+/// The administration API.
 pub struct Api {
     admin_state: Mutex<AdminState>,
     commands: mpsc::UnboundedSender<PlaneCommand>,
     events: broadcast::Sender<Arc<VersionEvent>>,
     streams: Arc<Semaphore>,
-    /// Something may have been stored.
+    /// Notified when something may have been stored.
     state_changed: Notify,
-    /// Where it is one of many instances.
+    /// The cluster member, if there is one.
     cluster: Option<ClusterHandle>,
 }
 
@@ -153,12 +154,12 @@
 }
 
 impl Api {
-    /// An API over a desk; the orders go to the plane.
+    /// Creates the API over a state; the receiver gets the commands for the plane.
     pub fn new(admin: AdminState) -> (Arc<Self>, mpsc::UnboundedReceiver<PlaneCommand>) {
         Api::with_cluster(admin, None)
     }
 
-    /// The same, as one of many instances.
+    /// Creates the API of a cluster member.
     pub fn with_cluster(
         admin: AdminState,
         cluster: Option<ClusterHandle>,
@@ -175,18 +176,18 @@
         (Arc::new(api), receiver)
     }
 
-    /// The desk. While it is held no order is given.
+    /// Locks the state. No change is sent to the plane while it is locked.
     pub fn admin_state(&self) -> MutexGuard<'_, AdminState> {
-        // A call that failed in the middle has stored all or nothing.
+        // A call that panicked has stored its whole transaction or nothing.
         self.admin_state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves a listener for as long as the process.
+    /// Serves a listener for the life of the process.
     ///
     /// # Errors
-    /// The listener can't be had.
+    /// The listener can't be used.
     pub async fn serve(self: Arc<Self>, listener: std::net::TcpListener) -> io::Result<()> {
         let listener = TcpListener::from_std(listener)?;
         let router = router(self.clone());
@@ -199,7 +200,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    tracing::warn!(error = %e, "the administration API can't take a connection");
+                    tracing::warn!(error = %e, "the administration API can't accept a connection");
                     tokio::time::sleep(Duration::from_millis(100)).await;
                     continue;
                 }
@@ -212,19 +213,19 @@
                     .header_read_timeout(READ_TIMEOUT);
                 let _ = builder
                     .serve_connection(TokioIo::new(stream), service)
-                    .await; // a peer that breaks off
+                    .await; // the client may disconnect
                 drop(permit);
             });
         }
     }
 
-    /// Writes the last known good state aside from time to time, while it changes.
+    /// Writes snapshots of the last known good state at intervals, while it changes.
     async fn write_snapshots(self: Arc<Self>) {
         loop {
             let this = self.clone();
             let written = tokio::task::spawn_blocking(move || this.write_snapshot()).await;
             let bytes = written.unwrap_or_else(|e| {
-                tracing::warn!(error = %e, "the last known good state can't be written");
+                tracing::warn!(error = %e, "the snapshot of the last known good state can't be written");
                 0
             });
             tokio::time::sleep(snapshot_interval(bytes)).await;
@@ -232,15 +233,16 @@
         }
     }
 
-    /// Writes the last known good state aside, if the one that was written lags behind; returns how many bytes that took.
+    /// Writes a snapshot of the last known good state if it has changed since the last one; returns the size in
+    /// bytes.
     pub fn write_snapshot(&self) -> u64 {
         let snapshot = self.admin_state().take_snapshot();
         let Some(snapshot) = snapshot else { return 0 };
         snapshot.write().unwrap_or_else(|(e, damaged)| {
-            tracing::warn!(error = %e, "the last known good state can't be written");
+            tracing::warn!(error = %e, "the snapshot of the last known good state can't be written");
             let mut admin = self.admin_state();
             if let Some(Ok(_)) = damaged.map(|name| admin.tenant(&name)) {
-                // Read anew, so that the next one can be written.
+                // The document was read again from the store, so the next attempt can succeed.
                 admin.mark_snapshot_stale();
                 drop(admin);
                 self.notify_state_changed();
@@ -253,7 +255,7 @@
         self.cluster.as_ref()
     }
 
-    /// The file of an instance of a cluster was read anew: a state that comes from the others is held against it from here on.
+    /// Records the reloaded file of a cluster member: a state that another member sends has to match it from here on.
     pub fn configuration_reloaded(&self, file: Service) {
         if let Some(cluster) = &self.cluster {
             cluster.set_listeners(file);
@@ -261,34 +263,35 @@
     }
 
     pub(crate) fn send(&self, order: PlaneCommand) {
-        let _ = self.commands.send(order); // a plane that has ended is seen by its silence
+        let _ = self.commands.send(order); // a plane that has stopped does not answer
     }
 
-    /// Something was stored, so that the snapshot lags behind.
+    /// Records that something was stored, so that a new snapshot is due.
     pub(crate) fn notify_state_changed(&self) {
         self.state_changed.notify_one();
     }
 
     pub(crate) fn publish(&self, event: VersionEvent) {
-        let _ = self.events.send(Arc::new(event)); // nobody may listen
+        let _ = self.events.send(Arc::new(event)); // there may be no event stream
     }
 
     async fn tenant_statuses(&self, tenant: Option<String>) -> Result<Vec<TenantStatus>, Problem> {
         let (sender, receiver) = oneshot::channel();
         let _ = self
             .commands
-            .send(PlaneCommand::ReportStatus(tenant, sender)); // a plane that has ended is seen below
+            .send(PlaneCommand::ReportStatus(tenant, sender)); // a plane that has stopped is noticed below
         receiver
             .await
             .map_err(|_| Problem::internal("the service is ending"))
     }
 
-    /// Decides a call, and carries out what it changes.
+    /// Decides a call, and applies its change.
     async fn decide(&self, operation: &Operation, call: &Call) -> Result<Reply, Problem> {
         let decided = {
             let mut admin = self.admin_state();
             match operation.run(&mut admin, call)? {
-                // The order is given while the desk is held, so that orders come in the order of versions.
+                // The command is sent while the state is locked, so that the plane gets the commands in the order of
+                // versions.
                 Outcome::Change(change) => {
                     let (prepared, reply, event) = *change;
                     let (done, receiver) = oneshot::channel();
@@ -317,7 +320,7 @@
         }
     }
 
-    /// How tenants fare here.
+    /// Answers a status query from the plane of this instance.
     async fn answer_status_query(&self, ask: StatusQuery) -> Result<Reply, Problem> {
         match ask {
             StatusQuery::Pool(name) => {
@@ -360,7 +363,7 @@
         let principal = self
             .admin_state()
             .authenticate(authorization.as_deref(), now_ms);
-        // Another instance may know a token that is not known here yet; the one that leads decides.
+        // Another member may know a token that is not known here yet; the leader decides.
         let principal = match (&self.cluster, &authorization, operation.handler) {
             (Some(_), Some(_), Handler::State(_) | Handler::Cluster(_)) => principal.ok(),
             _ => {
@@ -483,7 +486,7 @@
         reply.map(|reply| json_response(&reply))
     }
 
-    /// Figures of this instance, whoever leads.
+    /// Returns the metrics of this instance, whether or not it leads.
     async fn figures(&self) -> Result<Response<Body>, Problem> {
         let mut tenants = self.tenant_statuses(None).await?;
         tenants.truncate(MAX_TENANTS_PER_REPLY);
@@ -525,7 +528,7 @@
                 .parse()
                 .map_err(|_| Problem::malformed("Last-Event-ID is no number"))
         });
-        // Listens previous it looks back, so that nothing falls between; what comes twice is left out.
+        // Subscribes before reading the missed events, so that none is lost in between; duplicates are skipped.
         let receiver = self.events.subscribe();
         let missed = match last.transpose()? {
             Some(id) => self
@@ -537,7 +540,7 @@
             mpsc::channel::<Result<hyper::body::Frame<axum::body::Bytes>, Infallible>>(16);
         let api = self.clone();
         tokio::spawn(async move {
-            // A reader that has left, or an end of the service, ends it.
+            // Ends when the client disconnects or the service stops.
             let _ = write_events(&api, &principal, receiver, missed, &frames).await;
             drop(permit);
         });
@@ -553,7 +556,7 @@
 
 type EventFrame = Result<hyper::body::Frame<axum::body::Bytes>, Infallible>;
 
-/// What a stream of events sends, as a body takes it.
+/// The frames of an event stream as a body.
 struct FrameStream(mpsc::Receiver<EventFrame>);
 
 impl futures_core::Stream for FrameStream {
@@ -567,7 +570,7 @@
     }
 }
 
-/// Why a stream of events ends: its reader has left, or may not read on.
+/// The end of an event stream: the client has disconnected, or its token is no longer valid.
 struct StreamEnded;
 
 async fn send_event(
@@ -621,7 +624,7 @@
                 let changed = now.iter().filter(|(name, t)| previous.get(*name) != Some(t));
                 let changed: Vec<&TenantStatus> = changed.map(|(_, t)| t).take(MAX_TENANTS_PER_REPLY).collect();
                 if changed.is_empty() {
-                    // A comment, by which a reader that has left is noticed.
+                    // A comment line, by which a client that has disconnected is noticed.
                     frames.send(Ok(hyper::body::Frame::data(":\n\n".into()))).await.map_err(|_| StreamEnded)?;
                 } else {
                     send_event(frames, None, "status", &serde_json::json!({ "tenants": changed })).await?;
@@ -632,7 +635,7 @@
     }
 }
 
-/// A token that is revoked or has ended opens nothing, also not what it opened previous.
+/// Ends a stream that is open when its token is revoked or expires.
 fn check_token(api: &Api, principal: &Principal) -> Result<(), StreamEnded> {
     if api.admin_state().is_token_valid(principal, now_ms()) {
         Ok(())
@@ -641,7 +644,7 @@
     }
 }
 
-/// A header that may stand once.
+/// Returns the value of a header that may occur only once.
 fn single_header(headers: &HeaderMap, name: &HeaderName) -> Result<Option<String>, Problem> {
     let mut values = headers.get_all(name).iter();
     let value = values
@@ -656,7 +659,7 @@
     }
 }
 
-/// Parameters of a query; each may stand once.
+/// Parses the parameters of a query; each may occur only once.
 fn parse_query(query: &str) -> Result<BTreeMap<String, String>, Problem> {
     let mut all = BTreeMap::new();
     for (key, value) in form_urlencoded::parse(query.as_bytes()) {
@@ -676,7 +679,7 @@
     let mut response = Response::builder()
         .status(reply.status)
         .header(CONTENT_TYPE, "application/json")
-        // Answers hold tokens now and then.
+        // Replies may contain tokens.
         .header(CACHE_CONTROL, "no-store");
     if let Some(etag) = &reply.etag {
         response = response.header(ETAG, etag);
@@ -708,7 +711,7 @@
         .unwrap_or_else(|_| internal_error())
 }
 
-/// The routes, as the table of operations has them.
+/// Builds the routes from the table of operations.
 fn router(api: Arc<Api>) -> Router {
     let mut paths: BTreeMap<&str, (MethodRouter<Arc<Api>>, Vec<&str>)> = BTreeMap::new();
     for operation in OPERATIONS {
--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -1,13 +1,15 @@
-//! The administration API of the hosted service: tenants, servers, classes and limits as documents in versions, with tokens,
-//! an audit log and events.
+//! The administration API of the hosted service: tenants, servers, classes and limits as versioned documents, with
+//! tokens, an audit log and events.
 //!
-//! - [`Desk`]: decides each call. It holds the present documents and the store, and has no sockets and no clock.
-//! - [`operations`]: the table of all operations, from which the routes and the OpenAPI document are made.
-//! - [`Api`]: serves the desk over HTTP, and passes what has been stored on to the plane as [`Order`]s.
+//! - [`AdminState`]: decides each call. It holds the current documents and the store, and uses neither sockets nor a
+//! clock.
+//! - [`operations`]: the table of all operations, from which the routes and the OpenAPI document are built.
+//! - [`Api`]: serves the state over HTTP, and sends stored changes to the plane as [`PlaneCommand`]s.
 //!
-//! - [`Together`]: the same among the instances of a cluster.
+//! - [`ClusterHandle`]: connects the API to the member of a cluster.
 //!
-//! A change is checked, stored, carried out and then acknowledged, in this order. It decides nothing about requests.
+//! A change is checked, stored, applied and then acknowledged, in this order. The crate decides nothing about proxied
+//! requests.
 
 mod access;
 mod admin_state;
--- a/crates/admin-api/src/operations.rs
+++ b/crates/admin-api/src/operations.rs
@@ -1,4 +1,4 @@
-//! The table of all operations. The routes and the OpenAPI document are made from it, so that they can't differ.
+//! The table of all operations. The routes and the OpenAPI document are built from it, so they always agree.
 
 use std::borrow::Cow;
 use std::marker::PhantomData;
@@ -19,69 +19,69 @@
 use crate::problem::Problem;
 use crate::{tenants, tokens, versions};
 
-/// What a body looks like, in the terms of a schema.
+/// Generates the schema of a body.
 type SchemaOf = fn(&mut SchemaGenerator) -> Value;
 
-/// What an operation does.
+/// The handler of an operation.
 #[derive(Clone, Copy)]
 pub enum Handler {
-    /// The desk decides it.
+    /// Decided by the state of the administration API.
     State(fn(&mut AdminState, &Call) -> Result<Outcome, Problem>),
-    /// A stream of events.
+    /// An event stream.
     Events,
     /// The OpenAPI document.
     OpenApi,
-    /// Figures of this instance.
+    /// Metrics of this instance.
     Metrics,
-    /// It concerns the cluster that this instance is one of.
+    /// An operation on the cluster that this instance belongs to.
     Cluster(ClusterOperation),
 }
 
-/// What concerns a cluster.
+/// An operation on a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClusterOperation {
-    /// How it looks.
+    /// Returns the status.
     Status,
-    /// A member is removed.
+    /// Removes a member.
     RemoveMember,
-    /// Another instance is to lead.
+    /// Transfers leadership to another instance.
     StepDown,
-    /// The instance that is asked has its newest disk, an operator says.
+    /// Records an operator's confirmation that the called instance has its newest disk.
     ConfirmDisk,
-    /// All that is agreed on, to be kept elsewhere.
+    /// Returns a backup of the agreed state.
     Backup,
-    /// How far the start of the instance that is asked is.
+    /// Returns the progress of the called instance's startup.
     Recovery,
 }
 
 /// One operation of the API.
 #[derive(Clone, Copy)]
 pub struct Operation {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path; names in braces are its parameters.
+    /// The path, with parameters in braces.
     pub path: &'static str,
-    /// Its name in the OpenAPI document.
+    /// Id in the OpenAPI document.
     pub id: &'static str,
-    /// What it does, in a line.
+    /// Summary in one line.
     pub summary: &'static str,
-    /// What it asks of a token.
+    /// The permission that it requires.
     pub permission: Permission,
-    /// The parameters of the query that it looks at.
+    /// The query parameters that it accepts.
     pub query: &'static [&'static str],
-    /// Its body, if it takes one, and whether it must be there.
+    /// The body, if it takes one, and whether the body is required.
     pub body: Option<(SchemaOf, bool)>,
-    /// The status and the body of its answer.
+    /// The status and the body of a successful reply.
     pub response: (u16, SchemaOf),
-    /// What it does.
+    /// The handler.
     pub handler: Handler,
 }
 
 impl Operation {
-    /// What the desk makes of a call; one that was made before gets the answer that it got then.
+    /// Decides a call. A repeated write gets the reply of the first one.
     ///
     /// # Errors
-    /// Why it is turned down.
+    /// The reason for the rejection.
     pub fn run(&self, admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
         let Handler::State(decide) = self.handler else {
             return Err(Problem::internal("it is no operation of the desk"));
@@ -97,35 +97,39 @@
         }
     }
 
-    /// Whether it may change something.
+    /// Returns whether the operation may change something.
     pub fn is_write(&self) -> bool {
         self.method != "GET"
     }
 }
 
-/// What parameters of the query mean.
+/// Query parameters: name, type and description.
 const QUERY_PARAMETERS: &[(&str, &str, &str)] = &[
     (
         "limit",
         "integer",
-        "Members of a page, from 1 to 1,000; 100 without it.",
+        "Number of items in a page, from 1 to 1,000; 100 by default.",
     ),
-    ("after", "string", "What `next` of the page before said."),
-    ("dry-run", "boolean", "Only tells what would change."),
+    (
+        "after",
+        "string",
+        "The value of `next` in the previous page.",
+    ),
+    ("dry-run", "boolean", "Only reports what would change."),
     ("from", "integer", "The older version."),
     (
         "to",
         "integer",
-        "The newer version; the present one without it.",
+        "The newer version; the current one by default.",
     ),
-    ("tenant", "string", "Only what concerns this tenant."),
+    ("tenant", "string", "Only entries about this tenant."),
 ];
 
 fn schema_of<T: JsonSchema>(generator: &mut SchemaGenerator) -> Value {
     generator.subschema_for::<T>().to_value()
 }
 
-/// What a path names already need not have its name in the body.
+/// A body whose name may be omitted, because the path contains it.
 struct WithoutName<T>(PhantomData<T>);
 
 impl<T: JsonSchema> JsonSchema for WithoutName<T> {
@@ -176,102 +180,102 @@
 
 operations! {
     GET "/v1/status" "getStatus" Read NO_QUERY [] 200 ServiceStatus, state(tenants::status),
-        "How the service and its tenants fare";
+        "Returns the status of the service and its tenants";
     GET "/v1/tenants" "listTenants" Read PAGE_QUERY [] 200 Page<TenantSummary>, state(tenants::list),
-        "The tenants";
+        "Lists the tenants";
     POST "/v1/tenants" "addTenant" Operator DRY_RUN_QUERY [Tenant] 201 ChangeResult, state(tenants::add),
         "Adds a tenant";
     GET "/v1/tenants/{tenant}" "getTenant" Read NO_QUERY [] 200 Tenant, state(|d, c| tenants::get(d, c, "")),
-        "A tenant's document";
+        "Returns a tenant's document";
     PUT "/v1/tenants/{tenant}" "putTenant" Write DRY_RUN_QUERY [WithoutName<Tenant>] 200 ChangeResult, state(|d, c| tenants::put(d, c, "")),
-        "Replaces a tenant's document; an operator also adds one so. Needs If-Match where the tenant is there";
+        "Replaces a tenant's document; an operator may also add a tenant this way. Requires If-Match if the tenant exists";
     DELETE "/v1/tenants/{tenant}" "removeTenant" Operator DRY_RUN_QUERY [] 200 ChangeResult, state(|d, c| tenants::remove(d, c, "")),
-        "Takes a tenant away, and revokes its tokens. Needs If-Match";
+        "Removes a tenant and revokes its tokens. Requires If-Match";
     GET "/v1/tenants/{tenant}/limits" "getLimits" Read NO_QUERY [] 200 Limits, state(|d, c| tenants::get(d, c, "limits")),
-        "What a tenant may have";
+        "Returns a tenant's limits";
     PUT "/v1/tenants/{tenant}/limits" "putLimits" Operator DRY_RUN_QUERY [Limits] 200 ChangeResult,
-        state(|d, c| tenants::put(d, c, "limits")), "Sets what a tenant may have; what it holds beyond that it keeps";
+        state(|d, c| tenants::put(d, c, "limits")), "Sets a tenant's limits; what the tenant already uses above a new limit is not taken away";
     GET "/v1/tenants/{tenant}/rules" "getRules" Read NO_QUERY [] 200 Rules, state(|d, c| tenants::get(d, c, "rules")),
-        "A tenant's rules";
+        "Returns a tenant's rules";
     PUT "/v1/tenants/{tenant}/rules" "putRules" Write DRY_RUN_QUERY [Rules] 200 ChangeResult,
-        state(|d, c| tenants::put(d, c, "rules")), "Sets a tenant's rules; its module is made anew";
+        state(|d, c| tenants::put(d, c, "rules")), "Sets a tenant's rules; its decision module is replaced";
     GET "/v1/tenants/{tenant}/hosts" "getHosts" Read NO_QUERY [] 200 Vec<String>, state(|d, c| tenants::get(d, c, "hosts")),
-        "The hosts that lead to a tenant";
+        "Returns the hosts that route to a tenant";
     PUT "/v1/tenants/{tenant}/hosts" "putHosts" Operator DRY_RUN_QUERY [Vec<String>] 200 ChangeResult,
-        state(|d, c| tenants::put(d, c, "hosts")), "Sets the hosts that lead to a tenant";
+        state(|d, c| tenants::put(d, c, "hosts")), "Sets the hosts that route to a tenant";
     GET "/v1/tenants/{tenant}/classes" "listClasses" Read PAGE_QUERY [] 200 Page<Class>,
-        state(|d, c| tenants::list_items(d, c, "class")), "A tenant's classes";
+        state(|d, c| tenants::list_items(d, c, "class")), "Lists a tenant's classes";
     GET "/v1/tenants/{tenant}/classes/{class}" "getClass" Read NO_QUERY [] 200 Class,
-        state(|d, c| tenants::get(d, c, "class")), "A class";
+        state(|d, c| tenants::get(d, c, "class")), "Returns a class";
     PUT "/v1/tenants/{tenant}/classes/{class}" "putClass" Write DRY_RUN_QUERY [WithoutName<Class>] 200 ChangeResult,
-        state(|d, c| tenants::put(d, c, "class")), "Adds or replaces a class; the module is made anew";
+        state(|d, c| tenants::put(d, c, "class")), "Adds or replaces a class; the decision module is replaced";
     DELETE "/v1/tenants/{tenant}/classes/{class}" "removeClass" Write DRY_RUN_QUERY [] 200 ChangeResult,
-        state(|d, c| tenants::remove(d, c, "class")), "Takes a class away; requests under way end under the old one";
+        state(|d, c| tenants::remove(d, c, "class")), "Removes a class; requests in flight finish under the old one";
     GET "/v1/tenants/{tenant}/servers" "listServers" Read PAGE_QUERY [] 200 Page<Server>,
-        state(|d, c| tenants::list_items(d, c, "server")), "A tenant's servers";
+        state(|d, c| tenants::list_items(d, c, "server")), "Lists a tenant's servers";
     GET "/v1/tenants/{tenant}/servers/{server}" "getServer" Read NO_QUERY [] 200 Server,
-        state(|d, c| tenants::get(d, c, "server")), "A server";
+        state(|d, c| tenants::get(d, c, "server")), "Returns a server";
     PUT "/v1/tenants/{tenant}/servers/{server}" "putServer" Write DRY_RUN_QUERY [WithoutName<Server>] 200 ChangeResult,
         state(|d, c| tenants::put(d, c, "server")), "Adds or replaces a server";
     DELETE "/v1/tenants/{tenant}/servers/{server}" "removeServer" Write DRY_RUN_QUERY [] 200 ChangeResult,
-        state(|d, c| tenants::remove(d, c, "server")), "Takes a server away; it gets nothing new";
+        state(|d, c| tenants::remove(d, c, "server")), "Removes a server; it gets no new requests";
     POST "/v1/tenants/{tenant}/servers/{server}/drain" "drainServer" Write DRY_RUN_QUERY [] 200 ChangeResult,
-        state(|d, c| tenants::set_server_state(d, c, "draining")), "The server ends what it has and gets nothing new";
+        state(|d, c| tenants::set_server_state(d, c, "draining")), "Drains a server: it finishes its requests and gets no new ones";
     POST "/v1/tenants/{tenant}/servers/{server}/resume" "resumeServer" Write DRY_RUN_QUERY [] 200 ChangeResult,
-        state(|d, c| tenants::set_server_state(d, c, "up")), "The server takes new work again";
+        state(|d, c| tenants::set_server_state(d, c, "up")), "Ends the drain of a server: it gets new requests again";
     GET "/v1/tenants/{tenant}/pool" "getPool" Read NO_QUERY [] 200 TenantStatus, state(tenants::pool),
-        "How a tenant's pool fares";
+        "Returns the status of a tenant's pool";
     GET "/v1/tenants/{tenant}/versions" "listTenantVersions" Read PAGE_QUERY [] 200 Page<Version>, state(versions::list_of_tenant),
-        "A tenant's revisions, the newest first";
+        "Lists a tenant's revisions, newest first";
     GET "/v1/tenants/{tenant}/versions/{rev}" "getTenantVersion" Read NO_QUERY [] 200 Tenant,
-        state(versions::get_of_tenant), "A tenant's document as it was";
+        state(versions::get_of_tenant), "Returns a revision of a tenant's document";
     GET "/v1/tenants/{tenant}/diff" "diffTenant" Read RANGE_QUERY [] 200 Comparison, state(versions::diff_tenant),
-        "What differs between two revisions of a tenant";
+        "Compares two revisions of a tenant";
     POST "/v1/tenants/{tenant}/rollback" "rollbackTenant" Write DRY_RUN_QUERY [RollbackTarget] 200 ChangeResult,
-        state(versions::rollback_tenant), "Makes a tenant what it was, as a new revision. Needs If-Match";
+        state(versions::rollback_tenant), "Restores an earlier revision of a tenant as a new revision. Requires If-Match";
     GET "/v1/versions" "listVersions" AllTenants PAGE_QUERY [] 200 Page<Version>, state(versions::list),
-        "The service's versions, the newest first";
+        "Lists the service's versions, newest first";
     GET "/v1/versions/{version}" "getVersion" AllTenants NO_QUERY [] 200 Apply, state(versions::get),
-        "All tenants as they were";
+        "Returns all tenants of a version";
     GET "/v1/diff" "diff" AllTenants RANGE_QUERY [] 200 Comparison, state(versions::diff),
-        "What differs between two versions";
+        "Compares two versions";
     POST "/v1/rollback" "rollback" Operator DRY_RUN_QUERY [RollbackTarget] 200 ChangeResult, state(versions::rollback),
-        "Makes all tenants what they were, as a new version. Needs If-Match";
+        "Restores all tenants of an earlier version as a new version. Requires If-Match";
     POST "/v1/apply" "apply" Write DRY_RUN_QUERY [Apply] 200 ChangeResult, state(tenants::apply),
-        "Makes several tenants what is said here, as one version";
+        "Replaces several tenants in one version";
     GET "/v1/audit" "listAudit" Read AUDIT_QUERY [] 200 Page<AuditLine>, state(versions::audit),
-        "Who changed what, the newest first";
+        "Lists the audit log, newest first";
     GET "/v1/tokens" "listTokens" Read PAGE_QUERY [] 200 Page<TokenView>, state(tokens::list),
-        "The tokens, without their secrets";
+        "Lists the tokens, without their secrets";
     POST "/v1/tokens" "addToken" Write NO_QUERY [NewToken] 201 TokenView, state(tokens::add),
-        "Makes a token; the answer holds it whole, this once";
+        "Creates a token; the reply contains the token text, this once";
     GET "/v1/tokens/{token}" "getToken" Read NO_QUERY [] 200 TokenView, state(tokens::get),
-        "A token, without its secret";
+        "Returns a token, without its secret";
     DELETE "/v1/tokens/{token}" "revokeToken" Write NO_QUERY [] 200 TokenView, state(tokens::revoke),
-        "Ends a token at once";
+        "Revokes a token at once";
     POST "/v1/tokens/{token}/rotate" "rotateToken" Write NO_QUERY [TokenRotation, false] 200 TokenView, state(tokens::rotate),
-        "Gives a token another secret; the former one stays good for a while";
+        "Replaces the secret of a token; the previous one stays valid for a while";
     GET "/v1/events" "events" Read NO_QUERY [] 200 String, Handler::Events,
-        "Server-sent events: versions as they take effect, and how tenants fare";
+        "Server-sent events: versions as they take effect, and the status of tenants";
     GET "/v1/figures" "figures" AllTenants NO_QUERY [] 200 String, Handler::Metrics,
-        "Figures of this instance, as Prometheus text: the cluster's, and how tenants fare";
+        "Metrics of this instance as Prometheus text, for the cluster and the tenants";
     GET "/v1/cluster" "clusterStatus" AllTenants NO_QUERY [] 200 Map<String, Value>, Handler::Cluster(ClusterOperation::Status),
-        "How the cluster looks: from here, and from the instance that leads";
+        "Returns the cluster status as seen by this instance and by the leader";
     DELETE "/v1/cluster/members/{member}" "removeMember" Operator NO_QUERY [] 200 Map<String, Value>, Handler::Cluster(ClusterOperation::RemoveMember),
-        "Removes a member that is gone for good, once it surely decides nothing any more";
+        "Removes a member that is permanently lost, once it can no longer decide requests";
     POST "/v1/cluster/step-down" "stepDown" Operator NO_QUERY [StepDown, false] 200 Map<String, Value>, Handler::Cluster(ClusterOperation::StepDown),
-        "Lets another instance lead";
+        "Transfers leadership to another instance";
     GET "/v1/cluster/recovery" "recovery" AllTenants NO_QUERY [] 200 Map<String, Value>, Handler::Cluster(ClusterOperation::Recovery),
-        "How far the start of the instance that is asked is: its phases, and what it waits for";
+        "Returns the progress of the called instance's startup: its phases, and what it waits for";
     GET "/v1/cluster/backup" "backup" Operator NO_QUERY [] 200 Map<String, Value>, Handler::Cluster(ClusterOperation::Backup),
-        "All that is agreed on, to be kept elsewhere: `canvascart cluster restore` begins anew from it";
+        "Returns a backup of the agreed state, from which `canvascart cluster restore` starts a new cluster";
     POST "/v1/cluster/vouch" "vouch" Operator NO_QUERY [] 200 Map<String, Value>, Handler::Cluster(ClusterOperation::ConfirmDisk),
-        "Says that the instance that is asked has its newest disk, where those who could say so are gone for good";
+        "Confirms that the called instance has its newest disk, if the members that could confirm it are permanently lost";
     GET "/v1/openapi.json" "openapi" Public NO_QUERY [] 200 Map<String, Value>, Handler::OpenApi,
         "This document";
 }
 
-/// The OpenAPI document.
+/// Returns the OpenAPI document.
 pub fn openapi() -> Value {
     let settings =
         SchemaSettings::draft2020_12().with(|s| s.definitions_path = "/components/schemas".into());
@@ -299,7 +303,7 @@
     })
 }
 
-/// The parameters that a path holds.
+/// Returns the parameters of a path.
 fn path_parameters(path: &str) -> impl Iterator<Item = &str> {
     path.split('/')
         .filter_map(|part| part.strip_prefix('{')?.strip_suffix('}'))
@@ -320,11 +324,11 @@
         for (name, what) in [
             (
                 "If-Match",
-                "The tag of the revision that the call is meant for, or *.",
+                "The entity tag of the revision that the call is meant for, or *.",
             ),
             (
                 "Idempotency-Key",
-                "A repetition with the same key changes nothing and gets the first answer.",
+                "A repetition with the same key changes nothing and gets the first reply.",
             ),
         ] {
             parameters.push(
@@ -345,7 +349,7 @@
         "responses": {
             status.to_string(): { "description": "done", "content": { media: { "schema": answer(generator) } } },
             "default": {
-                "description": "why it was turned down",
+                "description": "the reason for the rejection",
                 "content": { "application/problem+json": { "schema": { "$ref": "#/components/schemas/Problem" } } },
             },
         },
--- a/crates/admin-api/src/problem.rs
+++ b/crates/admin-api/src/problem.rs
@@ -7,12 +7,12 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// Bytes of a text in an answer or in the log: what somebody sent is not told back whole.
+/// Maximum length of a text in a reply or in the log, so that a long request is not repeated in full.
 const MAX_TEXT_BYTES: usize = 1024;
-/// Bytes of all fields that an answer names.
+/// Maximum size of all fields listed in a reply.
 const MAX_FIELDS_BYTES: usize = 64 << 10;
 
-/// A text as an answer or the log has it: one that is too long is cut, and says how long it was.
+/// Truncates a long text for a reply or the log, and appends its original length.
 pub fn truncated(text: &str) -> Cow<'_, str> {
     if text.len() <= MAX_TEXT_BYTES {
         return text.into();
@@ -25,22 +25,22 @@
     format!("{head}... (cut: it has {} bytes)", text.len()).into()
 }
 
-/// Why a call was turned down.
+/// The reason why a call was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The last part of its type, by which programs tell problems apart.
+    /// The last part of the type URI, by which programs distinguish problems.
     pub kind: &'static str,
-    /// What kind of problem it is.
+    /// The title of this kind of problem.
     pub title: &'static str,
-    /// What is wrong this time.
+    /// The explanation of this occurrence.
     pub detail: String,
-    /// Which fields are wrong.
+    /// The invalid fields.
     pub faults: Vec<Fault>,
 }
 
-/// A field that is wrong.
+/// An invalid field.
 #[derive(Serialize)]
 struct Field<'a> {
     pointer: &'a str,
@@ -54,53 +54,53 @@
                 Problem { status: $status, kind: $kind, title: $title, detail: detail.into(), faults: Vec::new() }
             })*
 
-            /// All kinds: status, the last part of the type, and title.
+            /// All kinds: status, last part of the type URI, and title.
             pub const KINDS: &[(u16, &str, &str)] = &[$(($status, $kind, $title)),*];
         }
     };
 }
 
 kinds! {
-    /// The call can't be read.
+    /// The request can't be read.
     malformed = 400, "malformed", "The request can't be read";
-    /// It has no good token.
+    /// The token is missing or not valid.
     unauthorized = 401, "unauthorized", "No valid token";
-    /// Its token has no right to it.
+    /// The token lacks the permission.
     forbidden = 403, "forbidden", "The token does not allow this";
-    /// There is no such thing, or none that the token may see.
+    /// The resource does not exist, or the caller may not see it.
     not_found = 404, "not-found", "There is no such thing";
-    /// It is there, but not for this method.
+    /// The resource exists, but does not support this method.
     wrong_method = 405, "wrong-method", "Not a method of this resource";
-    /// It does not fit the rest of the service.
+    /// The change conflicts with the rest of the service.
     conflict = 409, "conflict", "It does not fit the rest of the service";
-    /// The instances of the cluster did not all take it.
+    /// The cluster aborted the change, because not all members can apply it.
     change_aborted = 409, "given-up", "Not all instances can take it";
-    /// It is no longer kept.
+    /// The version or revision is no longer kept.
     gone = 410, "gone", "It is no longer kept";
-    /// Someone else has changed it meanwhile.
+    /// Another call has changed the resource.
     lost_update = 412, "lost-update", "It has been changed meanwhile";
     /// The body is too large.
     too_large = 413, "too-large", "The body is too large";
     /// The body is not JSON.
     not_json = 415, "not-json", "The body must be application/json";
-    /// The document is wrong.
+    /// The document is invalid.
     invalid = 422, "invalid", "The document is wrong";
-    /// It must say which revision it is meant for.
+    /// The call has to name the revision that it is meant for.
     precondition_required = 428, "precondition-required", "If-Match is missing";
-    /// Too much at once.
+    /// Too many calls, streams or tokens.
     busy = 429, "busy", "Too much at once";
-    /// A fault of the program.
+    /// An internal error.
     internal = 500, "internal", "The service has failed";
-    /// No instance of the cluster leads.
+    /// No member of the cluster leads.
     no_leader = 503, "no-leader", "No instance of the cluster leads";
-    /// Nothing can be changed now.
+    /// The state is read-only.
     read_only = 503, "read-only", "The state is read-only";
     /// The disk is full.
     disk_full = 507, "full", "The disk is full";
 }
 
 impl Problem {
-    /// A document with these faults.
+    /// Creates the problem of a document with these faults.
     pub fn from_faults(faults: Vec<Fault>) -> Self {
         let detail = match faults.as_slice() {
             [one] => format!("{}: {}", one.pointer, one.what),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The document, as application/problem+json.
+    /// Returns the application/problem+json document.
     pub fn body(&self, instance: &str) -> Value {
         let field = |f: &'_ Fault| {
             json!(Field {
--- a/crates/admin-api/src/startup_progress.rs
+++ b/crates/admin-api/src/startup_progress.rs
@@ -1,4 +1,5 @@
-//! The start of an instance of a cluster: what is known is looked at until requests may be taken, and operators are receiver how far it is.
+//! Startup of a cluster member: checks the conditions until requests may be accepted, and reports the progress to
+//! operators.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -13,17 +14,17 @@
 use crate::http::{Api, PlaneCommand};
 use crate::problem::Problem;
 
-/// From one read to the next, until requests are taken.
+/// Interval between two checks during startup.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A start, as the API's thread and its callers share it.
+/// Progress of a startup, shared by the API's thread and its callers.
 pub struct StartupProgress {
     started: Instant,
     sequence: Mutex<StartupSequence>,
 }
 
 impl StartupProgress {
-    /// A process that started then, and has read its store.
+    /// Creates the progress of a process that started at `started` and has opened its store.
     pub fn new(started: Instant, settings: StartupSettings) -> Self {
         let mut sequence = StartupSequence::new(0, settings);
         sequence.store_opened(elapsed_us(started));
@@ -47,7 +48,7 @@
 }
 
 impl Api {
-    /// Lets requests in once they may be taken.
+    /// Waits until requests may be accepted, and then accepts them.
     pub async fn run_startup(self: Arc<Self>) {
         let Some(cluster) = self.cluster() else {
             return;
@@ -86,7 +87,7 @@
                     let lists = report.unknown_lists.join(", ");
                     tracing::warn!(
                         lists,
-                        "takes requests though some tenants' lists are not known: theirs are refused"
+                        "accepting requests although the lists of some tenants are unknown; their requests are rejected"
                     );
                     break;
                 }
@@ -95,7 +96,7 @@
         self.send(PlaneCommand::AcceptRequests);
     }
 
-    /// How far this instance's start is.
+    /// Returns the progress of this instance's startup.
     pub(crate) async fn recovery(&self, passed: &ForwardedCall) -> Result<Reply, Problem> {
         let cluster = self.cluster().ok_or_else(no_cluster)?;
         self.admin_state()
--- a/crates/admin-api/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -14,7 +14,7 @@
 use crate::document_part::{DocumentPart, ensure_name};
 use crate::problem::Problem;
 
-/// A part of a document that a path names.
+/// Returns the part of the document that the path addresses.
 fn addressed_part<'c>(call: &'c Call, part: &'static str) -> DocumentPart<'c> {
     match part {
         "" => DocumentPart::Whole,
@@ -23,7 +23,7 @@
     }
 }
 
-/// All tenants that the caller sees.
+/// Lists the tenants that the caller may see.
 pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
     let after = call.query.get("after").map_or("", String::as_str);
@@ -60,7 +60,7 @@
     .into())
 }
 
-/// A document, or a part of it.
+/// Returns a document, or a part of it.
 pub fn get(admin: &mut AdminState, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
     let (rev, document) = admin.document(&call.principal, call.path_parameter("tenant"))?;
     let found = addressed_part(call, part)
@@ -83,7 +83,7 @@
     }
 }
 
-/// A list in a document, by name.
+/// Lists the items of a list in a document by name.
 pub fn list_items(
     admin: &mut AdminState,
     call: &Call,
@@ -101,7 +101,7 @@
     .into())
 }
 
-/// A new tenant.
+/// Adds a tenant.
 pub fn add(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let name = call.body["name"].as_str().unwrap_or_default().to_owned();
     if admin.has_tenant(&name) {
@@ -121,7 +121,7 @@
     )
 }
 
-/// Puts a document or a part of it where the path says.
+/// Replaces the document, or the part of it that the path addresses.
 pub fn put(admin: &mut AdminState, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
     let (name, document_part) = (
         call.path_parameter("tenant").to_owned(),
@@ -148,13 +148,13 @@
     if part.is_empty() {
         ensure_name(&mut body, &name).map_err(differs)?;
         if base.is_none() {
-            // A tenant that is not there: who may not add any learns no more than that.
+            // The tenant does not exist. A caller that may not add tenants learns nothing more.
             call.principal
                 .authorize(Permission::Operator)
                 .map_err(|_| tenant_not_found(&name))?;
         }
     }
-    // What replaces the whole must say what it replaces; a part stands for itself.
+    // A call that replaces the whole document has to name the revision that it replaces; for a part this is optional.
     let now = if document_part == DocumentPart::Whole || there || call.if_match.is_some() {
         tag.as_deref()
     } else {
@@ -198,7 +198,7 @@
     )
 }
 
-/// Takes a tenant away, or a member of a list.
+/// Removes a tenant, or an item of a list.
 pub fn remove(admin: &mut AdminState, call: &Call, part: &'static str) -> Result<Outcome, Problem> {
     let (name, document_part) = (
         call.path_parameter("tenant").to_owned(),
@@ -238,7 +238,7 @@
     )
 }
 
-/// Tells a server to end what it has, or to take new work again.
+/// Sets a server's state to draining or up.
 pub fn set_server_state(
     admin: &mut AdminState,
     call: &Call,
@@ -275,10 +275,10 @@
     )
 }
 
-/// Several tenants at once, as one version.
+/// Replaces several tenants in one version.
 pub fn apply(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let apply: Apply = call.parse_body()?;
-    // Who sees one tenant alone has its tag, and knows no other.
+    // A caller limited to one tenant has that tenant's entity tag, and sees no other tenant.
     let tag = match &call.principal.tenant {
         None => Some(admin.service_etag()),
         Some(own) => admin
@@ -330,14 +330,14 @@
     )
 }
 
-/// How a tenant's pool fares.
+/// Returns the status of a tenant's pool.
 pub fn pool(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let name = call.path_parameter("tenant");
     admin.document(&call.principal, name)?;
     Ok(Outcome::Status(StatusQuery::Pool(name.to_owned())))
 }
 
-/// How the service fares.
+/// Returns the status of the service.
 pub fn status(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let version = call.principal.sees_all_tenants().then(|| admin.version());
     let read_only = admin.read_only().map(str::to_owned);
--- a/crates/admin-api/src/tokens.rs
+++ b/crates/admin-api/src/tokens.rs
@@ -6,7 +6,7 @@
 use crate::call::{Call, Outcome, Reply};
 use crate::problem::Problem;
 
-/// Tokens that are kept at most.
+/// Maximum number of stored tokens.
 const MAX_TOKENS: usize = 20_000;
 
 fn view(id: &str, token: &Token, token_text: Option<String>) -> TokenView {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whether a caller may know of a token: its tenant's, or all.
+/// Returns whether the caller may see a token: one limited to a tenant sees that tenant's tokens only.
 fn can_see_token(principal: &Principal, token: &Token) -> bool {
     principal.sees_all_tenants() || principal.tenant == token.tenant
 }
@@ -34,7 +34,7 @@
         .ok_or_else(|| Problem::not_found("there is no such token"))
 }
 
-/// All tokens that the caller may know of.
+/// Lists the tokens that the caller may see.
 pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let visible = admin
         .tokens()
@@ -47,13 +47,13 @@
     Ok(Reply::ok(page).into())
 }
 
-/// One token.
+/// Returns a token.
 pub fn get(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (id, token) = find(admin, call)?;
     Ok(Reply::ok(view(id, token, None)).into())
 }
 
-/// Whether a caller may make a token like this.
+/// Checks whether the caller may create this token.
 fn check_new_token(principal: &Principal, new: &NewToken) -> Result<(), Problem> {
     match (new.role, &new.tenant) {
         (Role::Operator, Some(_)) => Err(field_problem(
@@ -83,14 +83,14 @@
     }])
 }
 
-/// A new token, told token_text this once.
+/// Creates a token; the reply contains the token text, this once.
 pub fn add(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let new: NewToken = call.parse_body()?;
     check_new_token(&call.principal, &new)?;
     if let Some(tenant) = &new.tenant {
         admin.document(&call.principal, tenant)?;
     }
-    // Those that have expired make room for others.
+    // Expired tokens do not count.
     let expired: Vec<String> = admin
         .tokens()
         .iter()
@@ -122,7 +122,7 @@
     admin.change_tokens(call, "token.add", new.tenant, &id, Some(token), reply)
 }
 
-/// A token that a caller may change: an operator any, a tenant admin those of its tenant.
+/// Returns a token that the caller may change: any for an operator, those of the tenant for a tenant admin.
 fn find_writable(admin: &AdminState, call: &Call) -> Result<(String, Token), Problem> {
     let (id, token) = find(admin, call)?;
     if !call.principal.is_operator() && token.tenant != call.principal.tenant {
@@ -133,7 +133,7 @@
     Ok((id.clone(), token.clone()))
 }
 
-/// Gives a token another secret; the former one stays good for a while.
+/// Replaces the secret of a token; the previous one stays valid for a while.
 pub fn rotate(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let TokenRotation { overlap_s } = if call.body.is_null() {
         TokenRotation::default()
@@ -151,7 +151,7 @@
     admin.change_tokens(call, "token.rotate", subject, &id, Some(token), reply)
 }
 
-/// Ends a token at once.
+/// Revokes a token at once.
 pub fn revoke(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (id, token) = find_writable(admin, call)?;
     let operators = admin
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -1,4 +1,4 @@
-//! Operations on versions: lists, single ones, differences, going back, and the audit log.
+//! Operations on versions: lists, single versions, differences, rollback, and the audit log.
 
 use std::collections::BTreeSet;
 
@@ -14,12 +14,12 @@
 use crate::difference;
 use crate::problem::Problem;
 
-/// Below which number a page of the newest first begins.
+/// Returns the number below which a page begins; lists are ordered from newest to oldest.
 fn page_start(call: &Call) -> Result<u64, Problem> {
     Ok(call.query_number("after")?.unwrap_or(u64::MAX))
 }
 
-/// A page of numbered members, of which one more was read than fits.
+/// Builds a page from items of which one more was read than fits.
 fn page<T>(mut items: Vec<T>, limit: usize, number: impl Fn(&T) -> u64) -> Page<T> {
     let more = items.len() > limit;
     items.truncate(limit);
@@ -42,7 +42,7 @@
     }
 }
 
-/// The service's versions, the newest first.
+/// Lists the service's versions, newest first.
 pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
     let one = |(number, entry): (u64, AuditEntry)| {
@@ -62,7 +62,7 @@
     Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
 }
 
-/// A tenant's revisions, the newest first.
+/// Lists a tenant's revisions, newest first.
 pub fn list_of_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (limit, name) = (call.page_limit()?, visible_tenant(call)?);
     let store = admin.store()?;
@@ -72,7 +72,7 @@
     }
     let mut items = Vec::new();
     for (rev, row) in rows {
-        // A log that was cut short leaves revisions whose makers are not known any more.
+        // Truncation of the audit log leaves revisions whose authors are no longer known.
         let unknown = || AuditEntry {
             at_ms: 0,
             author: config_store::Author {
@@ -97,7 +97,7 @@
     Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
 }
 
-/// The tenant that a path names, if the caller may know of it.
+/// Returns the tenant in the path if the caller may see it.
 fn visible_tenant(call: &Call) -> Result<&str, Problem> {
     let name = call.path_parameter("tenant");
     if call.principal.can_see(name) {
@@ -118,7 +118,7 @@
     })
 }
 
-/// A tenant's document as it was.
+/// Returns a revision of a tenant's document.
 pub fn get_of_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (name, rev) = (visible_tenant(call)?, call.path_number("rev")?);
     let row = revision(admin, name, rev)?;
@@ -132,7 +132,7 @@
     .into())
 }
 
-/// All tenants' documents as they were, as one document that `apply` takes.
+/// Returns all tenants' documents of a version, as one document that `apply` accepts.
 pub fn get(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let tenants = documents_at(admin, call.path_number("version")?)?;
     let tenants: Vec<Value> = tenants.into_iter().map(|(_, d)| d).collect();
@@ -154,7 +154,7 @@
         .collect())
 }
 
-/// The two numbers that a query compares: `from`, and `to` or the present one.
+/// Returns the range of a comparison: `from`, and `to` or the current number.
 fn compared_range(call: &Call, now: u64) -> Result<(u64, u64), Problem> {
     let from = call
         .query_number("from")?
@@ -162,7 +162,7 @@
     Ok((from, call.query_number("to")?.unwrap_or(now)))
 }
 
-/// What differs between two versions of the service.
+/// Compares two versions of the service.
 pub fn diff(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (from, to) = compared_range(call, admin.version())?;
     let object = |all: Vec<(String, Value)>| Value::Object(all.into_iter().collect());
@@ -178,7 +178,7 @@
     .into())
 }
 
-/// What differs between two revisions of a tenant.
+/// Compares two revisions of a tenant.
 pub fn diff_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let name = visible_tenant(call)?;
     let now = admin.store()?.next_revision(&scope(name))? - 1;
@@ -195,7 +195,7 @@
     .into())
 }
 
-/// Makes a tenant what it was. That is a new revision; nothing that came between is lost.
+/// Restores an earlier revision of a tenant as a new revision; the revisions in between are kept.
 pub fn rollback_tenant(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let name = visible_tenant(call)?.to_owned();
     let RollbackTarget { to } = call.parse_body()?;
@@ -224,7 +224,7 @@
     )
 }
 
-/// Makes all tenants what they were.
+/// Restores all tenants of an earlier version.
 pub fn rollback(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let RollbackTarget { to } = call.parse_body()?;
     AdminState::check_precondition(call, Some(&admin.service_etag()), true)?;
@@ -253,7 +253,7 @@
     )
 }
 
-/// The audit log, the newest first.
+/// Lists the audit log, newest first.
 pub fn audit(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
     let asked = call.query.get("tenant").map(String::as_str);
