--- a/crates/admin-api/src/admin_state.rs
+++ b/crates/admin-api/src/admin_state.rs
@@ -34,14 +34,14 @@
 pub struct AdminState {
     /// `None` if the state is read-only.
     store: Option<Store>,
-    /// The reason why the state is read-only, if it is.
+    /// The reason reason the state is read-only, if it is.
     read_only: Option<String>,
     directory: PathBuf,
     /// The current version of the service.
     version: u64,
     /// Number of the last entry of the audit log.
     last_entry: u64,
-    /// Whether the state has changed since the last snapshot.
+    /// True if the state has changed since the last snapshot.
     snapshot_stale: bool,
     tokens: BTreeMap<String, Token>,
     /// The current documents with their revisions, together with the file's settings of the process and the
@@ -49,7 +49,7 @@
     catalog: Catalog,
     parts: Parts,
     tenant_form: Form,
-    /// Whether the members of a cluster have to agree on a change before it is stored.
+    /// True if the members of a cluster have to agree on a change before it is stored.
     in_cluster: bool,
 }
 
@@ -69,7 +69,7 @@
 /// the change.
 fn change_format() -> u64 {
     // Tests set the version that a newer program would write.
-    fail::fail_point!("agreed-form", |said| said
+    fail::fail_point!("agreed-form", |value| value
         .and_then(|n| n.parse().ok())
         .unwrap_or(2));
     1
@@ -314,10 +314,10 @@
     /// # Errors
     /// The fault of the state, or the mismatch between the state and the file, and how to fix it.
     pub fn open(file: &Service, read_only: bool, now_ms: u64) -> Result<Self, String> {
-        let state_file = file.state.as_ref().ok_or("state: the section is missing")?;
-        let directory = PathBuf::from(&state_file.directory);
+        let state_settings = file.state.as_ref().ok_or("state: the section is missing")?;
+        let directory = PathBuf::from(&state_settings.directory);
         let keep = Retention {
-            versions: state_file.keep_versions,
+            versions: state_settings.keep_versions,
             ..Retention::default()
         };
         let opened = Store::open(&directory, keep).and_then(|(store, state)| {
@@ -325,7 +325,7 @@
                 LoadedDocuments::read(Parts::default(), |each| store.visit_documents(each))?;
             Ok((loaded, store, state))
         });
-        let (loaded, store, state, why) = match opened {
+        let (loaded, store, state, reason) = match opened {
             Ok((loaded, store, state)) => (loaded, Some(store), state, None),
             Err(e) if read_only => {
                 tracing::warn!(error = %e, "the store can't be used; the last known good state is served");
@@ -338,7 +338,7 @@
             Err(e) => return Err(format!("{}: {e}", directory.display())),
         };
         let read_only = read_only
-            .then(|| why.unwrap_or_else(|| "it was started with --read-only-state".into()));
+            .then(|| reason.unwrap_or_else(|| "it was started with --read-only-state".into()));
         AdminState::assemble(file, store, (state, loaded), read_only, directory, now_ms)
     }
 
@@ -562,13 +562,13 @@
     /// Checks that this instance can apply a change; returns the servers that the change removes, by tenant.
     ///
     /// # Errors
-    /// The reason why it can't.
+    /// The reason reason it can't.
     pub fn validate_change(
         &mut self,
         agreed: &AgreedChange,
     ) -> Result<BTreeMap<String, BTreeSet<String>>, String> {
-        if let Some(why) = &self.read_only {
-            return Err(format!("nothing can be stored here: {why}"));
+        if let Some(reason) = &self.read_only {
+            return Err(format!("nothing can be stored here: {reason}"));
         }
         if agreed.transaction.base_entry != self.last_entry {
             return Err(format!(
@@ -734,14 +734,14 @@
         self.version
     }
 
-    /// Returns the reason why the state is read-only, if it is.
+    /// Returns the reason reason the state is read-only, if it is.
     pub fn read_only(&self) -> Option<&str> {
         self.read_only.as_deref()
     }
 
     /// Rejects all further changes.
-    pub fn set_read_only(&mut self, why: &str) {
-        self.read_only = Some(why.to_owned());
+    pub fn set_read_only(&mut self, reason: &str) {
+        self.read_only = Some(reason.to_owned());
     }
 
     /// Returns the contents of a new snapshot if the state has changed since the last one.
@@ -815,8 +815,10 @@
     /// # Errors
     /// There is none: the state is read-only.
     pub fn store(&self) -> Result<&Store, Problem> {
-        let why = self.read_only.as_deref().unwrap_or_default();
-        self.store.as_ref().ok_or_else(|| Problem::read_only(why))
+        let reason = self.read_only.as_deref().unwrap_or_default();
+        self.store
+            .as_ref()
+            .ok_or_else(|| Problem::read_only(reason))
     }
 
     /// Returns a tenant's current revision and document, or `None` if there is no such tenant. A document that is
@@ -851,8 +853,9 @@
                 found
             }
         };
-        let lost =
-            |why: &str| Problem::internal(format!("tenant \"{name}\" can't be read anew: {why}"));
+        let lost = |reason: &str| {
+            Problem::internal(format!("tenant \"{name}\" can't be read anew: {reason}"))
+        };
         let (rev, document) = stored.ok_or_else(|| lost("it is not stored"))?;
         let tenant = self
             .tenant_form
@@ -961,21 +964,21 @@
     /// The faults of the change; nothing has changed in that case.
     pub fn change(&mut self, call: &Call, draft: ChangeDraft) -> Result<Outcome, Problem> {
         let dry_run = call.dry_run()?;
-        if let (false, Some(why)) = (dry_run, &self.read_only) {
-            return Err(Problem::read_only(why.clone()));
+        if let (false, Some(reason)) = (dry_run, &self.read_only) {
+            return Err(Problem::read_only(reason.clone()));
         }
         let mut edits: Vec<(String, Option<Value>)> = Vec::new();
         let mut tenants: Vec<(String, Option<Tenant>)> = Vec::new();
         let mut before: Vec<Option<Value>> = Vec::new();
         let mut differences = Vec::new();
-        for (name, document, frame) in &draft.edits {
+        for (name, document, mapping) in &draft.edits {
             let now = self
                 .tenant(name)?
                 .map(|(_, tenant)| tenant_to_json(&tenant))
                 .transpose()?;
             let read = match document {
                 Some(d) => {
-                    let faults = |f| Problem::from_faults(frame.to_body(f));
+                    let faults = |f| Problem::from_faults(mapping.to_body(f));
                     Some(self.tenant_form.read::<Tenant>(d).map_err(faults)?)
                 }
                 None => None,
@@ -1084,8 +1087,8 @@
         token: Option<Token>,
         mut reply: Reply,
     ) -> Result<Outcome, Problem> {
-        if let Some(why) = &self.read_only {
-            return Err(Problem::read_only(why.clone()));
+        if let Some(reason) = &self.read_only {
+            return Err(Problem::read_only(reason.clone()));
         }
         let stored = token
             .as_ref()
@@ -1167,7 +1170,7 @@
         }
         // Faults of a changed tenant are faults of the body. Other faults belong to what no longer matches the
         // change.
-        let frames: BTreeMap<&str, &PointerMapping> = draft
+        let mappings: BTreeMap<&str, &PointerMapping> = draft
             .edits
             .iter()
             .map(|(n, _, f)| (n.as_str(), f))
@@ -1175,8 +1178,8 @@
         let mut own = Vec::new();
         let mut others = Vec::new();
         for (edit, fault) in faults {
-            match edit.and_then(|i| frames.get(edits.get(i)?.0.as_str())) {
-                Some(frame) => own.extend(frame.to_body(vec![fault])),
+            match edit.and_then(|i| mappings.get(edits.get(i)?.0.as_str())) {
+                Some(mapping) => own.extend(mapping.to_body(vec![fault])),
                 None => others.push(format!("{}: {}", fault.key(), fault.what)),
             }
         }
--- a/crates/admin-api/src/backup.rs
+++ b/crates/admin-api/src/backup.rs
@@ -70,7 +70,7 @@
     use super::*;
 
     #[test]
-    fn a_backup_is_read_whole_or_not_at_all() {
+    fn incomplete_or_damaged_backups_are_rejected() {
         let backup = Backup::new("c", 7, 1, "{\"a\":1}\n".into());
         let text = serde_json::to_string(&backup).expect("it can be written");
         assert_eq!(Backup::parse(&text), Ok(backup));
--- a/crates/admin-api/src/bodies.rs
+++ b/crates/admin-api/src/bodies.rs
@@ -29,9 +29,9 @@
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Written")]
 pub struct ChangeResult {
-    /// Whether anything changed. Repeating a change has no further effect.
+    /// True if anything changed. Repeating a change has no further effect.
     pub changed: bool,
-    /// Whether it was a dry run.
+    /// True for a dry run.
     pub dry_run: bool,
     /// Version of the service after the change; present only for callers that may see all tenants.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -51,15 +51,15 @@
     pub name: String,
     /// Revision of its document after the change.
     pub rev: u64,
-    /// Whether the tenant is new.
+    /// True if the tenant is new.
     pub added: bool,
-    /// Whether the tenant was removed.
+    /// True if the tenant was removed.
     pub removed: bool,
-    /// Whether its decision module is replaced; requests in flight finish under the old one.
+    /// True if its decision module is replaced; requests in flight finish under the old one.
     pub pool: bool,
-    /// Whether its list of servers changes.
+    /// True if its list of servers changes.
     pub servers: bool,
-    /// Whether its limits change.
+    /// True if its limits change.
     pub limits: bool,
 }
 
@@ -82,7 +82,7 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     #[schemars(default)]
     pub tenants: Vec<String>,
-    /// Whether this revision removed the tenant; only in revisions of a tenant.
+    /// True if this revision removed the tenant; only in revisions of a tenant.
     pub gone: bool,
 }
 
@@ -175,7 +175,7 @@
     #[serde(rename = "tenant")]
     #[schemars(length(max = 10_000))]
     pub tenants: Vec<Tenant>,
-    /// Whether to remove all other tenants.
+    /// If true, removes all other tenants.
     #[serde(default)]
     pub prune: bool,
 }
--- a/crates/admin-api/src/cluster_api.rs
+++ b/crates/admin-api/src/cluster_api.rs
@@ -31,7 +31,7 @@
 
 /// Time limit of a read while there is no leader.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum number of proposals for one change, where other changes get ahead of it.
+/// Maximum read_id of proposals for one change, where other changes get ahead of it.
 const MAX_PROPOSAL_ATTEMPTS: u32 = 4;
 /// Time limit for the leader's view of the cluster status, and for an operator's confirmation of the disk.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
@@ -149,13 +149,13 @@
     /// Returns whether reads from here on are current: this instance leads, and has applied everything agreed on
     /// before.
     async fn confirm_read(&self) -> bool {
-        let number = self.next_read.fetch_add(1, Ordering::Relaxed);
+        let read_id = self.next_read.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         self.pending_reads
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(number, sender);
-        self.send(MemberCommand::ConfirmRead(number));
+            .insert(read_id, sender);
+        self.send(MemberCommand::ConfirmRead(read_id));
         receiver.await.unwrap_or(false)
     }
 
@@ -195,7 +195,7 @@
         };
         match serde_json::from_str(&text).map_err(|e| Problem::internal(e.to_string()))? {
             CallResult::Reply(reply) => Ok(Ok(reply)),
-            CallResult::Status(ask) => Ok(Err(ask)),
+            CallResult::Status(query) => Ok(Err(query)),
             CallResult::Problem {
                 kind,
                 detail,
@@ -266,9 +266,9 @@
                     cluster.send(MemberCommand::VersionServed(version));
                 }
                 MemberEvent::StorePayload(proposal) => {
-                    let taken = AgreedChange::decode(&proposal.payload)
+                    let stored = AgreedChange::decode(&proposal.payload)
                         .map(|a| self.admin_state().store_agreed(&a).map(drop));
-                    if let Err(e) | Ok(Err(Problem { detail: e, .. })) = taken {
+                    if let Err(e) | Ok(Err(Problem { detail: e, .. })) = stored {
                         tracing::error!(error = e, "an agreed change can't be stored here");
                     }
                     self.notify_state_changed();
@@ -321,9 +321,9 @@
                         let answer = api.answer_call(&id, &payload).await;
                         if let Some(cluster) = api.cluster() {
                             cluster.send(match answer {
-                                Some(given) => MemberCommand::CallAnswered {
+                                Some(result) => MemberCommand::CallAnswered {
                                     id,
-                                    answer: serde_json::to_string(&given)
+                                    answer: serde_json::to_string(&result)
                                         .map_err(|e| e.to_string().into()),
                                 },
                                 None => MemberCommand::CallUnanswered { id },
@@ -360,8 +360,8 @@
         let validated = AgreedChange::decode(&proposal.payload)
             .and_then(|a| self.admin_state().validate_change(&a));
         let validated = match validated {
-            Ok(ended) => {
-                self.send(PlaneCommand::WithholdServers(ended));
+            Ok(removed_servers) => {
+                self.send(PlaneCommand::WithholdServers(removed_servers));
                 Ok(())
             }
             Err(why) => {
@@ -461,7 +461,7 @@
             let (agreed, reply) = match self.decide_forwarded(operation, id, &forwarded) {
                 Ok(Outcome::Propose(agreed)) => *agreed,
                 Ok(Outcome::Reply(reply)) => return Some(CallResult::Reply(reply)),
-                Ok(Outcome::Status(ask)) => return Some(CallResult::Status(ask)),
+                Ok(Outcome::Status(query)) => return Some(CallResult::Status(query)),
                 Ok(Outcome::Change(_)) => {
                     return Some(Problem::internal("it was not agreed on").into());
                 }
--- a/crates/admin-api/src/difference.rs
+++ b/crates/admin-api/src/difference.rs
@@ -78,7 +78,7 @@
     use super::*;
 
     #[test]
-    fn members_are_compared_by_name() {
+    fn list_items_are_compared_by_name() {
         let a = json!({ "limits": { "weight": 1 }, "hosts": ["x"], "server": [{ "name": "n", "size": 1 }, { "name": "m" }] });
         let b = json!({ "limits": { "weight": 2 }, "hosts": ["y"], "server": [{ "name": "o" }, { "name": "n", "size": 2 }] });
         let all: Vec<(String, bool, bool)> = compare("", Some(&a), Some(&b))
--- a/crates/admin-api/src/document_part.rs
+++ b/crates/admin-api/src/document_part.rs
@@ -107,7 +107,7 @@
     use super::*;
 
     #[test]
-    fn members_are_found_put_and_taken_by_name() {
+    fn list_items_are_found_set_and_removed_by_name() {
         let document = json!({ "name": "t", "server": [{ "name": "a", "size": 1 }] });
         let (a, b) = (
             DocumentPart::ListItem("server", "a"),
--- a/crates/admin-api/src/events.rs
+++ b/crates/admin-api/src/events.rs
@@ -50,14 +50,13 @@
     /// Returns the event's id and data as a caller may see them, or `None` if the caller sees none of the changed
     /// tenants. A caller limited to one tenant gets the tenant's revision as the id, and no version of the service.
     pub fn visible_to(&self, principal: &Principal) -> Option<(u64, Value)> {
-        let seen: Vec<&TenantChange> = self
+        let visible: Vec<&TenantChange> = self
             .tenants
             .iter()
             .filter(|t| principal.can_see(&t.name))
             .collect();
-        let first = seen.first()?;
-        let mut data =
-            json!({ "at-ms": self.at_ms, "by": self.by, "action": self.action, "tenants": seen });
+        let first = visible.first()?;
+        let mut data = json!({ "at-ms": self.at_ms, "by": self.by, "action": self.action, "tenants": visible });
         if principal.sees_all_tenants() {
             data["version"] = self.version.into();
             return Some((self.version, data));
--- a/crates/admin-api/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -112,7 +112,7 @@
                 let _ = done.send(());
             }
             PlaneCommand::ReportStartup(reply) => _ = reply.send(plane.known()),
-            PlaneCommand::SetShare(me, instances) => plane.among(me, instances),
+            PlaneCommand::SetShare(index, instances) => plane.among(index, instances),
             PlaneCommand::AcceptRequests => plane.take_requests(),
             PlaneCommand::ServeCatalog(catalog, done) => {
                 let served = if plane.catalog() == catalog {
@@ -262,8 +262,8 @@
         }
     }
 
-    pub(crate) fn send(&self, order: PlaneCommand) {
-        let _ = self.commands.send(order); // a plane that has stopped does not answer
+    pub(crate) fn send(&self, command: PlaneCommand) {
+        let _ = self.commands.send(command); // a plane that has stopped does not answer
     }
 
     /// Records that something was stored, so that a new snapshot is due.
@@ -301,7 +301,7 @@
                     Ok((reply, event, receiver))
                 }
                 Outcome::Reply(reply) => Err(Ok(reply)),
-                Outcome::Status(ask) => Err(Err(ask)),
+                Outcome::Status(query) => Err(Err(query)),
                 Outcome::Propose(_) => return Err(Problem::internal("it was not passed on")),
             }
         };
@@ -316,13 +316,13 @@
                 Ok(reply)
             }
             Err(Ok(reply)) => Ok(reply),
-            Err(Err(ask)) => self.answer_status_query(ask).await,
+            Err(Err(query)) => self.answer_status_query(query).await,
         }
     }
 
     /// Answers a status query from the plane of this instance.
-    async fn answer_status_query(&self, ask: StatusQuery) -> Result<Reply, Problem> {
-        match ask {
+    async fn answer_status_query(&self, query: StatusQuery) -> Result<Reply, Problem> {
+        match query {
             StatusQuery::Pool(name) => {
                 let status = self
                     .tenant_statuses(Some(name.clone()))
@@ -450,7 +450,7 @@
             (Some(cluster), _) => {
                 let reply = match cluster.forward(&forwarded, operation.is_write()).await? {
                     Ok(reply) => reply,
-                    Err(ask) => self.answer_status_query(ask).await?,
+                    Err(query) => self.answer_status_query(query).await?,
                 };
                 return Ok(json_response(&reply));
             }
--- a/crates/admin-api/src/startup_progress.rs
+++ b/crates/admin-api/src/startup_progress.rs
@@ -53,11 +53,11 @@
         let Some(cluster) = self.cluster() else {
             return;
         };
-        let mut last = Phase::Store;
+        let mut last_phase = Phase::Store;
         loop {
             let (sender, receiver) = oneshot::channel();
             self.send(PlaneCommand::ReportStartup(sender));
-            let Ok((open, _tenants, unknown)) = receiver.await else {
+            let Ok((open_version, _tenants, unknown)) = receiver.await else {
                 return;
             };
             let Some(status) = cluster.status().await else {
@@ -65,14 +65,15 @@
             };
             let conditions = Conditions {
                 membership: Membership::new(status.id != 0, status.leader.is_some()),
-                is_policy_current: open.is_some() && status.deciding_version == open,
+                is_policy_current: open_version.is_some()
+                    && status.deciding_version == open_version,
                 unknown_lists: unknown,
             };
             let (readiness, report) = cluster
                 .startup
                 .update(|sequence, now| (sequence.update(now, conditions), sequence.report(now)));
-            if report.phase != last {
-                last = report.phase;
+            if report.phase != last_phase {
+                last_phase = report.phase;
                 let waits_for = report.waits_for.as_str();
                 tracing::info!(
                     phase = report.phase.name(),
@@ -97,10 +98,10 @@
     }
 
     /// Returns the progress of this instance's startup.
-    pub(crate) async fn recovery(&self, passed: &ForwardedCall) -> Result<Reply, Problem> {
+    pub(crate) async fn recovery(&self, forwarded: &ForwardedCall) -> Result<Reply, Problem> {
         let cluster = self.cluster().ok_or_else(no_cluster)?;
         self.admin_state()
-            .authenticate(passed.authorization.as_deref(), passed.now_ms)?
+            .authenticate(forwarded.authorization.as_deref(), forwarded.now_ms)?
             .authorize(crate::access::Permission::AllTenants)?;
         let report = cluster.startup.update(|sequence, now| sequence.report(now));
         let status = cluster.status().await;
--- a/crates/admin-api/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -27,11 +27,11 @@
 pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
     let after = call.query.get("after").map_or("", String::as_str);
-    let seen = admin
+    let visible = admin
         .catalog()
         .names_after(after)
         .filter(|name| call.principal.can_see(name));
-    let mut names: Vec<Name> = seen.take(limit + 1).cloned().collect();
+    let mut names: Vec<Name> = visible.take(limit + 1).cloned().collect();
     let more = names.len() > limit;
     names.truncate(limit);
     let next = names.last().filter(|_| more).map(|name| name.to_string());
@@ -129,14 +129,14 @@
     );
     let now = admin.document(&call.principal, &name);
     let mut body = call.body.clone();
-    let differs = |what| {
+    let name_problem = |what| {
         Problem::from_faults(vec![config_parser::Fault {
             pointer: "/name".into(),
             what,
         }])
     };
-    document_part.set_name(&mut body).map_err(differs)?;
-    let (base, tag, there) = match &now {
+    document_part.set_name(&mut body).map_err(name_problem)?;
+    let (base, tag, exists) = match &now {
         Ok((rev, document)) => (
             Some(document.clone()),
             Some(etag(*rev, document)),
@@ -146,7 +146,7 @@
         Err(problem) => return Err(problem.clone()),
     };
     if part.is_empty() {
-        ensure_name(&mut body, &name).map_err(differs)?;
+        ensure_name(&mut body, &name).map_err(name_problem)?;
         if base.is_none() {
             // The tenant does not exist. A caller that may not add tenants learns nothing more.
             call.principal
@@ -155,15 +155,15 @@
         }
     }
     // A call that replaces the whole document has to name the revision that it replaces; for a part this is optional.
-    let now = if document_part == DocumentPart::Whole || there || call.if_match.is_some() {
+    let now = if document_part == DocumentPart::Whole || exists || call.if_match.is_some() {
         tag.as_deref()
     } else {
         None
     };
     AdminState::check_precondition(call, now, part.is_empty())?;
-    let (document, at) = document_part.set(base.unwrap_or(Value::Null), body);
+    let (document, pointer) = document_part.set(base.unwrap_or(Value::Null), body);
     let (action, detail) = match part {
-        "" if there => ("tenant.put", None),
+        "" if exists => ("tenant.put", None),
         "" => ("tenant.add", None),
         "limits" => ("limits.put", None),
         "rules" => ("rules.put", None),
@@ -177,7 +177,7 @@
             Some(format!("server {}", call.path_parameter(part))),
         ),
     };
-    let new = !there && matches!(part, "" | "class" | "server");
+    let new = !exists && matches!(part, "" | "class" | "server");
     let location = new.then(|| {
         call.target
             .split([' ', '?'])
@@ -185,7 +185,11 @@
             .unwrap_or_default()
             .to_owned()
     });
-    let edits = vec![(name.clone(), Some(document), PointerMapping::body_at(at))];
+    let edits = vec![(
+        name.clone(),
+        Some(document),
+        PointerMapping::body_at(pointer),
+    )];
     admin.change(
         call,
         ChangeDraft {
@@ -255,14 +259,14 @@
         .ok_or_else(|| part_not_found(call, "server"))?
         .clone();
     server["state"] = json!(state);
-    let (next, at) = document_part.set(document, server);
+    let (next, pointer) = document_part.set(document, server);
     let action = if state == "up" {
         "server.resume"
     } else {
         "server.drain"
     };
     let detail = Some(format!("server {}", call.path_parameter("server")));
-    let edits = vec![(name.clone(), Some(next), PointerMapping::body_at(at))];
+    let edits = vec![(name.clone(), Some(next), PointerMapping::body_at(pointer))];
     admin.change(
         call,
         ChangeDraft {
@@ -288,12 +292,12 @@
     };
     AdminState::check_precondition(call, tag.as_deref(), false)?;
     let mut edits = Vec::new();
-    let mut named = BTreeSet::new();
+    let mut names = BTreeSet::new();
     for (i, tenant) in apply.tenants.iter().enumerate() {
         if !call.principal.can_see(&tenant.name) {
             return Err(tenant_not_found(&tenant.name));
         }
-        if !named.insert(tenant.name.as_str()) {
+        if !names.insert(tenant.name.as_str()) {
             let what = format!("\"{}\" stands twice", tenant.name);
             return Err(Problem::from_faults(vec![config_parser::Fault {
                 pointer: format!("/tenant/{i}/name"),
@@ -301,18 +305,18 @@
             }]));
         }
         let document = tenant_to_json(tenant)?;
-        let frame = PointerMapping {
+        let mapping = PointerMapping {
             document_in_body: format!("/tenant/{i}"),
             ..PointerMapping::default()
         };
-        edits.push((tenant.name.clone(), Some(document), frame));
+        edits.push((tenant.name.clone(), Some(document), mapping));
     }
     if apply.prune {
         call.principal.authorize(Permission::Operator)?;
-        let gone = admin
+        let removed = admin
             .tenant_names()
-            .filter(|name| !named.contains(&***name));
-        edits.extend(gone.map(|name| (name.to_string(), None, PointerMapping::default())));
+            .filter(|name| !names.contains(&***name));
+        edits.extend(removed.map(|name| (name.to_string(), None, PointerMapping::default())));
     }
     let subject = match edits.as_slice() {
         [(one, ..)] => Some(one.clone()),
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -228,16 +228,17 @@
 pub fn rollback(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let RollbackTarget { to } = call.parse_body()?;
     AdminState::check_precondition(call, Some(&admin.service_etag()), true)?;
-    let was = documents_at(admin, to)?;
-    let there: BTreeSet<&str> = was.iter().map(|(name, _)| name.as_str()).collect();
+    let documents = documents_at(admin, to)?;
+    let names: BTreeSet<&str> = documents.iter().map(|(name, _)| name.as_str()).collect();
     let gone = admin
         .tenant_names()
-        .filter(|name| !there.contains(&***name));
+        .filter(|name| !names.contains(&***name));
     let mut edits: Vec<_> = gone
         .map(|name| (name.to_string(), None, PointerMapping::default()))
         .collect();
     edits.extend(
-        was.into_iter()
+        documents
+            .into_iter()
             .map(|(name, d)| (name, Some(d), PointerMapping::default())),
     );
     let detail = Some(format!("to version {to}"));
@@ -256,11 +257,11 @@
 /// Lists the audit log, newest first.
 pub fn audit(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
-    let asked = call.query.get("tenant").map(String::as_str);
-    let subject = match (&call.principal.tenant, asked) {
+    let requested = call.query.get("tenant").map(String::as_str);
+    let subject = match (&call.principal.tenant, requested) {
         (Some(own), Some(other)) if own != other => return Err(tenant_not_found(other)),
         (Some(own), _) => Some(own.as_str()),
-        (None, asked) => asked,
+        (None, requested) => requested,
     };
     let lines = admin
         .store()?
--- a/crates/admin-api/tests/admin_state.rs
+++ b/crates/admin-api/tests/admin_state.rs
@@ -1,4 +1,4 @@
-//! What the desk decides, without sockets: lost updates, repetitions, rights, faults, and going back.
+//! Decisions of the administration state, without sockets: lost updates, repetitions, rights, faults and rollback.
 mod service;
 
 use admin_api::operations::{Handler, OPERATIONS};
@@ -7,21 +7,24 @@
 use service::{NOW, TestClient, tenant};
 
 #[test]
-fn of_two_administrators_one_learns_that_the_other_was_first() {
-    let mut it = TestClient::new(&["north", "south"]);
-    let tag = it.ok("GET", "/v1/tenants/north", Value::Null).etag.unwrap();
+fn a_change_of_an_outdated_revision_is_rejected_as_lost_update() {
+    let mut client = TestClient::new(&["north", "south"]);
+    let tag = client
+        .ok("GET", "/v1/tenants/north", Value::Null)
+        .etag
+        .unwrap();
     let mut next = tenant("north");
     next["rules"] = json!({ "max-attempts": 2 });
-    // Without a word on what it replaces nothing is replaced.
+    // Replacing a document requires the revision that it replaces.
     assert_eq!(
-        it.fails("PUT", "/v1/tenants/north", next.clone()).kind,
+        client.fails("PUT", "/v1/tenants/north", next.clone()).kind,
         "precondition-required"
     );
-    let first = it
+    let first = client
         .with_if_match(&tag)
         .ok("PUT", "/v1/tenants/north", next.clone());
     assert_ne!(first.etag.as_deref(), Some(tag.as_str()));
-    let lost = it
+    let lost = client
         .with_if_match(&tag)
         .fails("PUT", "/v1/tenants/north", tenant("north"));
     assert_eq!((lost.status, lost.kind), (412, "lost-update"));
@@ -32,14 +35,14 @@
         ("PUT", "/v1/tenants/north/limits", json!({ "weight": 3.0 })),
     ] {
         assert_eq!(
-            it.with_if_match(&tag).fails(method, target, body).kind,
+            client.with_if_match(&tag).fails(method, target, body).kind,
             "lost-update",
             "{method} {target}"
         );
     }
-    // Another tenant's change is no lost update of this one.
-    it.ok("PUT", "/v1/tenants/south/limits", json!({ "weight": 2.0 }));
-    it.with_if_match(&first.etag.unwrap()).ok(
+    // A change of another tenant is no lost update of this one.
+    client.ok("PUT", "/v1/tenants/south/limits", json!({ "weight": 2.0 }));
+    client.with_if_match(&first.etag.unwrap()).ok(
         "PUT",
         "/v1/tenants/north/limits",
         json!({ "weight": 3.0 }),
@@ -47,10 +50,10 @@
 }
 
 #[test]
-fn the_same_change_twice_is_one_version_and_a_key_makes_it_safe_to_repeat() {
-    let mut it = TestClient::new(&["north"]);
+fn a_repeated_change_makes_no_version_and_a_key_returns_the_first_reply() {
+    let mut client = TestClient::new(&["north"]);
     let server = json!({ "address": "127.0.0.1:9009" });
-    let first = it
+    let first = client
         .with_key("k")
         .ok("PUT", "/v1/tenants/north/servers/b", server.clone());
     assert_eq!(
@@ -61,25 +64,31 @@
         first.location.as_deref(),
         Some("/v1/tenants/north/servers/b")
     );
-    let again = it.ok("PUT", "/v1/tenants/north/servers/b", server.clone());
+    let again = client.ok("PUT", "/v1/tenants/north/servers/b", server.clone());
     assert_eq!(
-        (again.status, again.body["changed"].clone(), it.version()),
+        (
+            again.status,
+            again.body["changed"].clone(),
+            client.version()
+        ),
         (200, json!(false), 2)
     );
-    // The repetition gets the first answer, even where that would not be true any more.
-    it.ok("DELETE", "/v1/tenants/north/servers/b", Value::Null);
+    // The repetition gets the first reply, even though the resource has changed since.
+    client.ok("DELETE", "/v1/tenants/north/servers/b", Value::Null);
     assert_eq!(
-        it.with_key("k")
+        client
+            .with_key("k")
             .ok("PUT", "/v1/tenants/north/servers/b", server.clone()),
         first
     );
-    assert_eq!(it.version(), 3);
-    let other = it
+    assert_eq!(client.version(), 3);
+    let other = client
         .with_key("k")
         .fails("PUT", "/v1/tenants/north/servers/c", server);
     assert_eq!(other.kind, "invalid");
     assert_eq!(
-        it.with_key("")
+        client
+            .with_key("")
             .fails("DELETE", "/v1/tenants/north/servers/a", Value::Null)
             .kind,
         "malformed"
@@ -87,84 +96,93 @@
 }
 
 #[test]
-fn a_secret_is_told_once_and_kept_nowhere() {
-    let mut it = TestClient::new(&["north"]);
+fn a_secret_is_returned_once_and_never_stored() {
+    let mut client = TestClient::new(&["north"]);
     let body = json!({ "name": "n", "role": "tenant-admin", "tenant": "north" });
-    let made = it.with_key("t").ok("POST", "/v1/tokens", body.clone());
+    let made = client.with_key("t").ok("POST", "/v1/tokens", body.clone());
     let whole = made.body["token"].as_str().unwrap().to_owned();
     let id = made.body["id"].as_str().unwrap().to_owned();
-    // All behind the id: a secret may have a "_" in it, and what is behind that may stand anywhere by chance.
+    // Takes everything after the id: a secret may contain a "_", and what follows that may occur elsewhere by chance.
     let (_, secret) = whole.split_once(&format!("{id}_")).unwrap();
     assert!(secret.len() >= 40, "{secret}");
-    let again = it.with_key("t").ok("POST", "/v1/tokens", body);
+    let again = client.with_key("t").ok("POST", "/v1/tokens", body);
     assert_eq!(
         (again.body["id"].as_str(), &again.body["token"]),
         (Some(id.as_str()), &Value::Null)
     );
-    assert!(!it.export().contains(secret), "the store holds a secret");
     assert!(
-        it.admin
+        !client.export().contains(secret),
+        "the store holds a secret"
+    );
+    assert!(
+        client
+            .admin
             .authenticate(Some(&format!("Bearer {whole}")), NOW)
             .is_ok()
     );
-    let rotated = it.ok(
+    let rotated = client.ok(
         "POST",
         &format!("/v1/tokens/{id}/rotate"),
         json!({ "overlap-s": 60 }),
     );
     let second = rotated.body["token"].as_str().unwrap().to_owned();
-    let good = |it: &TestClient, t: &str, at| {
-        it.admin
+    let good = |client: &TestClient, t: &str, at| {
+        client
+            .admin
             .authenticate(Some(&format!("Bearer {t}")), at)
             .is_ok()
     };
-    assert!(good(&it, &whole, NOW + 59_999) && good(&it, &second, NOW));
-    assert!(!good(&it, &whole, NOW + 60_000) && good(&it, &second, NOW + 60_000));
-    it.ok("DELETE", &format!("/v1/tokens/{id}"), Value::Null);
-    assert!(!good(&it, &second, NOW));
-    let operator = it.principal.id.clone();
+    assert!(good(&client, &whole, NOW + 59_999) && good(&client, &second, NOW));
+    assert!(!good(&client, &whole, NOW + 60_000) && good(&client, &second, NOW + 60_000));
+    client.ok("DELETE", &format!("/v1/tokens/{id}"), Value::Null);
+    assert!(!good(&client, &second, NOW));
+    let operator = client.principal.id.clone();
     assert_eq!(
-        it.fails("DELETE", &format!("/v1/tokens/{operator}"), Value::Null)
+        client
+            .fails("DELETE", &format!("/v1/tokens/{operator}"), Value::Null)
             .kind,
         "conflict"
     );
 }
 
 #[test]
-fn a_tenants_token_opens_nothing_once_its_tenant_was_removed() {
-    let mut it = TestClient::new(&["north"]);
+fn removing_a_tenant_revokes_its_tokens() {
+    let mut client = TestClient::new(&["north"]);
     let body = json!({ "name": "n", "role": "read-only", "tenant": "north" });
-    let whole = it.ok("POST", "/v1/tokens", body).body["token"]
+    let whole = client.ok("POST", "/v1/tokens", body).body["token"]
         .as_str()
         .unwrap()
         .to_owned();
-    it.with_if_match("*")
+    client
+        .with_if_match("*")
         .ok("DELETE", "/v1/tenants/north", Value::Null);
-    it.ok("PUT", "/v1/tenants/north", tenant("north"));
+    client.ok("PUT", "/v1/tenants/north", tenant("north"));
     assert!(
-        it.admin
+        client
+            .admin
             .authenticate(Some(&format!("Bearer {whole}")), NOW)
             .is_err()
     );
 }
 
-/// Every operation on another tenant, asked with a tenant's token: the answer is the one for a tenant that is not there.
+/// Guards against leaks between tenants: a tenant's token gets the same reply for another tenant as for one that does
+/// not exist, from every operation.
 #[test]
-fn a_tenants_token_learns_nothing_of_others_from_any_operation() {
+fn no_operation_reveals_other_tenants_to_a_tenants_token() {
     for role in ["tenant-admin", "read-only"] {
-        let mut it = TestClient::new(&["north", "qqq1"]);
-        let other = it.ok(
+        let mut client = TestClient::new(&["north", "qqq1"]);
+        let other = client.ok(
             "POST",
             "/v1/tokens",
             json!({ "name": "o", "role": "read-only", "tenant": "qqq1" }),
         );
-        it.use_token(role, Some("north"));
+        client.use_token(role, Some("north"));
         let mut asked = 0;
         for operation in OPERATIONS {
             if !matches!(operation.handler, Handler::State(_)) {
                 continue;
             }
-            let answer = |it: &mut TestClient, name: &str, token: &str| {
+            let answer = |client: &mut TestClient, name: &str, token: &str| {
                 let named = |body: Value| json!({ "tenant": [body], "prune": false });
                 let body = match operation.id {
                     "apply" => named(tenant(name)),
@@ -191,16 +209,18 @@
                 } else {
                     query.into()
                 };
-                let got =
-                    it.with_if_match("*")
-                        .call(operation.method, &format!("{target}{query}"), body);
+                let got = client.with_if_match("*").call(
+                    operation.method,
+                    &format!("{target}{query}"),
+                    body,
+                );
                 format!("{got:?}")
                     .replace(name, "NAME")
                     .replace(token, "TOKEN")
             };
-            let there = answer(&mut it, "qqq1", other.body["id"].as_str().unwrap());
-            let nowhere = answer(&mut it, "qqq2", "zzzzzzzzzzz");
-            assert_eq!(there, nowhere, "{}", operation.id);
+            let there = answer(&mut client, "qqq1", other.body["id"].as_str().unwrap());
+            let missing = answer(&mut client, "qqq2", "zzzzzzzzzzz");
+            assert_eq!(there, missing, "{}", operation.id);
             assert!(
                 !there.contains("127.0.0.1:9001"),
                 "{}: {there}",
@@ -209,10 +229,10 @@
             asked += 1;
         }
         assert!(asked > 30);
-        let seen = it.ok("GET", "/v1/tenants", Value::Null);
+        let seen = client.ok("GET", "/v1/tenants", Value::Null);
         assert_eq!(seen.body["items"].as_array().unwrap().len(), 1);
         assert_eq!(seen.etag, None, "the service's version tells of others");
-        let lines = it.ok("GET", "/v1/audit", Value::Null);
+        let lines = client.ok("GET", "/v1/audit", Value::Null);
         assert!(
             lines.body["items"]
                 .as_array()
@@ -224,21 +244,21 @@
 }
 
 #[test]
-fn a_tenants_administrator_changes_its_servers_but_not_what_it_may_have() {
-    let mut it = TestClient::new(&["north"]);
-    it.use_token("tenant-admin", Some("north"));
-    it.ok(
+fn a_tenant_admin_changes_servers_but_not_limits_hosts_or_other_tenants() {
+    let mut client = TestClient::new(&["north"]);
+    client.use_token("tenant-admin", Some("north"));
+    client.ok(
         "PUT",
         "/v1/tenants/north/servers/b",
         json!({ "address": "127.0.0.1:9009" }),
     );
-    it.ok("POST", "/v1/tenants/north/servers/a/drain", Value::Null);
+    client.ok("POST", "/v1/tenants/north/servers/a/drain", Value::Null);
     let change = |key: &str, value: Value| {
         let mut next = tenant("north");
         next[key] = value;
         next
     };
-    let capped = json!([{ "name": "a", "address": "127.0.0.1:9001", "connections": 5 }]);
+    let with_connections = json!([{ "name": "a", "address": "127.0.0.1:9001", "connections": 5 }]);
     for (method, target, body) in [
         ("PUT", "/v1/tenants/north/limits", json!({ "weight": 9.0 })),
         (
@@ -251,7 +271,11 @@
             "/v1/tenants/north",
             change("hosts", json!(["elsewhere.example"])),
         ),
-        ("PUT", "/v1/tenants/north", change("server", capped)),
+        (
+            "PUT",
+            "/v1/tenants/north",
+            change("server", with_connections),
+        ),
         (
             "POST",
             "/v1/apply",
@@ -272,17 +296,17 @@
         ("GET", "/v1/versions", Value::Null),
         ("POST", "/v1/rollback", json!({ "to": 1 })),
     ] {
-        let problem = it.with_if_match("*").fails(method, target, body);
+        let problem = client.with_if_match("*").fails(method, target, body);
         assert_eq!(problem.kind, "forbidden", "{method} {target}: {problem:?}");
     }
-    it.use_token("read-only", Some("north"));
-    let problem = it.fails("POST", "/v1/tenants/north/servers/a/resume", Value::Null);
+    client.use_token("read-only", Some("north"));
+    let problem = client.fails("POST", "/v1/tenants/north/servers/a/resume", Value::Null);
     assert_eq!(problem.kind, "forbidden");
 }
 
 #[test]
-fn faults_are_named_where_the_caller_wrote_them() {
-    let mut it = TestClient::new(&["north", "south"]);
+fn faults_point_into_the_body_of_the_call() {
+    let mut client = TestClient::new(&["north", "south"]);
     let mut bad = tenant("north");
     bad["class"][0]["aim"] = json!("9 s");
     let pointers = |p: Problem| p.faults.into_iter().map(|f| f.pointer).collect::<Vec<_>>();
@@ -343,7 +367,7 @@
             "/role",
         ),
     ] {
-        let problem = it.with_if_match("*").fails(method, target, body);
+        let problem = client.with_if_match("*").fails(method, target, body);
         assert_eq!(problem.status, 422, "{target}: {problem:?}");
         let all = pointers(problem);
         assert!(
@@ -351,10 +375,11 @@
             "{target}: {expected} in {all:?}"
         );
     }
-    assert_eq!(it.version(), 1, "nothing has changed");
-    // What a listener leads to can't go.
+    assert_eq!(client.version(), 1, "nothing has changed");
+    // A tenant that a listener refers to can't be removed.
     assert_eq!(
-        it.with_if_match("*")
+        client
+            .with_if_match("*")
             .fails("DELETE", "/v1/tenants/south", Value::Null)
             .kind,
         "conflict"
@@ -362,61 +387,71 @@
 }
 
 #[test]
-fn a_dry_run_tells_what_would_change_and_changes_nothing() {
-    let mut it = TestClient::new(&["north"]);
-    let tried = it.ok(
+fn a_dry_run_reports_the_change_without_making_it() {
+    let mut client = TestClient::new(&["north"]);
+    let dry_run = client.ok(
         "PUT",
         "/v1/tenants/north/rules?dry-run=true",
         json!({ "max-attempts": 1 }),
     );
     assert_eq!(
-        tried.body["differences"][0]["path"],
+        dry_run.body["differences"][0]["path"],
         "/north/rules/max-attempts"
     );
-    let change = &tried.body["tenants"][0];
+    let change = &dry_run.body["tenants"][0];
     assert_eq!(
         (&change["pool"], &change["servers"], &change["rev"]),
         (&json!(true), &json!(false), &json!(2))
     );
     assert_eq!(
         (
-            it.version(),
-            it.ok("GET", "/v1/tenants/north/rules", Value::Null).body["max-attempts"].clone()
+            client.version(),
+            client
+                .ok("GET", "/v1/tenants/north/rules", Value::Null)
+                .body["max-attempts"]
+                .clone()
         ),
         (1, json!(3))
     );
 }
 
 #[test]
-fn going_back_is_a_new_version_and_what_is_not_kept_is_gone() {
-    let mut it = TestClient::new(&["north", "west"]);
+fn a_rollback_is_a_new_version_and_expired_versions_are_gone() {
+    let mut client = TestClient::new(&["north", "west"]);
     for n in 0..service::KEEP {
-        it.ok(
+        client.ok(
             "PUT",
             "/v1/tenants/north/limits",
             json!({ "weight": 2.0 + n as f64 }),
         );
     }
-    it.with_if_match("*")
+    client
+        .with_if_match("*")
         .ok("DELETE", "/v1/tenants/west", Value::Null);
-    let newest = it.version();
-    assert_eq!(it.fails("GET", "/v1/versions/1", Value::Null).kind, "gone");
+    let newest = client.version();
+    assert_eq!(
+        client.fails("GET", "/v1/versions/1", Value::Null).kind,
+        "gone"
+    );
     assert_eq!(
-        it.fails("GET", "/v1/tenants/north/versions/1", Value::Null)
+        client
+            .fails("GET", "/v1/tenants/north/versions/1", Value::Null)
             .kind,
         "gone"
     );
     assert_eq!(
-        it.fails("GET", "/v1/tenants/north/versions/99", Value::Null)
+        client
+            .fails("GET", "/v1/tenants/north/versions/99", Value::Null)
             .kind,
         "not-found"
     );
     assert_eq!(
-        it.fails("GET", &format!("/v1/versions/{}", newest + 1), Value::Null)
+        client
+            .fails("GET", &format!("/v1/versions/{}", newest + 1), Value::Null)
             .kind,
         "not-found"
     );
-    let compared = it.ok("GET", &format!("/v1/diff?from={}", newest - 2), Value::Null);
+    let compared = client.ok("GET", &format!("/v1/diff?from={}", newest - 2), Value::Null);
     let paths: Vec<&str> = compared.body["differences"]
         .as_array()
         .unwrap()
@@ -424,42 +459,44 @@
         .map(|d| d["path"].as_str().unwrap())
         .collect();
     assert_eq!(paths, ["/north/limits/weight", "/west"]);
-    let tag = it.ok("GET", "/v1/tenants", Value::Null).etag.unwrap();
-    let back = it
+    let tag = client.ok("GET", "/v1/tenants", Value::Null).etag.unwrap();
+    let back = client
         .with_if_match(&tag)
         .ok("POST", "/v1/rollback", json!({ "to": newest - 2 }));
     assert_eq!(
         (
-            it.version(),
+            client.version(),
             back.body["differences"].as_array().unwrap().len()
         ),
         (newest + 1, 2)
     );
-    let same = it.ok(
+    let same = client.ok(
         "GET",
         &format!("/v1/diff?from={}&to={}", newest - 2, newest + 1),
         Value::Null,
     );
     assert_eq!(same.body["differences"], json!([]));
     assert_eq!(
-        it.with_if_match(&tag)
+        client
+            .with_if_match(&tag)
             .fails("POST", "/v1/rollback", json!({ "to": newest }))
             .kind,
         "lost-update"
     );
-    // One tenant alone, to a revision of its own.
-    let versions = it.ok("GET", "/v1/tenants/north/versions?limit=2", Value::Null);
+    // Rolls back one tenant to one of its own revisions.
+    let versions = client.ok("GET", "/v1/tenants/north/versions?limit=2", Value::Null);
     assert_eq!(versions.body["items"].as_array().unwrap().len(), 2);
     let next = versions.body["next"].as_str().unwrap().to_owned();
-    let older = it.ok(
+    let older = client.ok(
         "GET",
         &format!("/v1/tenants/north/versions?after={next}"),
         Value::Null,
     );
     let to = older.body["items"][0]["number"].as_u64().unwrap();
-    it.with_if_match("*")
+    client
+        .with_if_match("*")
         .ok("POST", "/v1/tenants/north/rollback", json!({ "to": to }));
-    let diff = it.ok(
+    let diff = client.ok(
         "GET",
         &format!("/v1/tenants/north/diff?from={to}"),
         Value::Null,
@@ -468,22 +505,22 @@
 }
 
 #[test]
-fn what_is_read_only_is_told_and_read() {
-    let mut it = TestClient::new(&["north"]);
-    it.admin.set_read_only("it is closed");
-    let problem = it.fails("POST", "/v1/tenants/north/servers/a/drain", Value::Null);
+fn a_read_only_state_rejects_changes_and_allows_reads() {
+    let mut client = TestClient::new(&["north"]);
+    client.admin.set_read_only("it is closed");
+    let problem = client.fails("POST", "/v1/tenants/north/servers/a/drain", Value::Null);
     assert_eq!(
         (problem.status, problem.detail.as_str()),
         (503, "it is closed")
     );
     let token = json!({ "name": "x", "role": "read-only", "tenant": "north" });
-    assert_eq!(it.fails("POST", "/v1/tokens", token).status, 503);
-    it.ok(
+    assert_eq!(client.fails("POST", "/v1/tokens", token).status, 503);
+    client.ok(
         "POST",
         "/v1/tenants/north/servers/a/drain?dry-run=true",
         Value::Null,
     );
-    it.ok("GET", "/v1/tenants/north", Value::Null);
+    client.ok("GET", "/v1/tenants/north", Value::Null);
 }
 
 proptest::proptest! {
@@ -491,15 +528,15 @@
         cases: 250, failure_persistence: None, ..Default::default()
     })]
 
-    /// Whatever is put in place of whatever part of a body: it is taken and the service is right, or nothing has changed
-    /// and the places that are named are in the body.
+    /// Mutates parts of a body: either the change is stored and the service is valid, or nothing has changed and the
+    /// reported pointers are in the body.
     #[test]
-    fn no_body_breaks_the_desk(
+    fn a_mutated_body_is_stored_validly_or_rejected_with_valid_pointers(
         seed in proptest::prelude::any::<u64>(),
         which in 0..6usize,
         edits in proptest::collection::vec((0..40usize, 0..9usize), 1..4),
     ) {
-        let mut it = TestClient::new(&["north", "south"]);
+        let mut client = TestClient::new(&["north", "south"]);
         let (method, target, mut body) = [
             ("PUT", "/v1/tenants/north", tenant("north")),
             ("POST", "/v1/tenants", tenant("east")),
@@ -511,17 +548,17 @@
         for (place, what) in edits {
             service::mutate(&mut body, place, what, seed);
         }
-        let before = it.version();
-        match it.with_if_match("*").call(method, target, body.clone()) {
+        let before = client.version();
+        match client.with_if_match("*").call(method, target, body.clone()) {
             Ok(reply) => {
                 proptest::prop_assert!(reply.status < 300);
-                proptest::prop_assert!(multi_tenant::check::faults(&it.admin.catalog().service().unwrap()).is_empty());
+                proptest::prop_assert!(multi_tenant::check::faults(&client.admin.catalog().service().unwrap()).is_empty());
             }
             Err(problem) => {
                 proptest::prop_assert!((400..500).contains(&problem.status), "{:?}", problem);
-                proptest::prop_assert_eq!(it.version(), before);
+                proptest::prop_assert_eq!(client.version(), before);
                 for fault in problem.faults {
-                    // A place that is missing is named below the one that lacks it.
+                    // A missing key is reported below the object that lacks it.
                     let above = fault.pointer.rsplit_once('/').map_or("", |(above, _)| above);
                     let there = body.pointer(&fault.pointer).or_else(|| body.pointer(above));
                     proptest::prop_assert!(there.is_some(), "{} in {}", fault.pointer, body);
@@ -532,23 +569,23 @@
 }
 
 #[test]
-fn a_call_is_told_from_another_by_all_that_it_says() {
-    let mut it = TestClient::new(&["north"]);
-    let drain: &dyn Fn(&mut TestClient, &str) -> Result<Reply, Problem> = &|it, target| {
+fn an_idempotency_key_is_bound_to_the_call_and_the_token() {
+    let mut client = TestClient::new(&["north"]);
+    let drain: &dyn Fn(&mut TestClient, &str) -> Result<Reply, Problem> = &|client, target| {
         let call = Call {
             idempotency_key: Some("d".into()),
-            ..it.build_call("POST", target, Value::Null)
+            ..client.build_call("POST", target, Value::Null)
         };
-        it.decide("POST", &call)
+        client.decide("POST", &call)
     };
-    assert!(drain(&mut it, "/v1/tenants/north/servers/a/drain").is_ok());
+    assert!(drain(&mut client, "/v1/tenants/north/servers/a/drain").is_ok());
     assert_eq!(
-        drain(&mut it, "/v1/tenants/north/servers/a/resume")
+        drain(&mut client, "/v1/tenants/north/servers/a/resume")
             .unwrap_err()
             .kind,
         "invalid"
     );
-    // Another token's keys are its own.
-    it.use_token("operator", None);
-    assert!(drain(&mut it, "/v1/tenants/north/servers/a/resume").is_ok());
+    // Idempotency keys of another token are separate.
+    client.use_token("operator", None);
+    assert!(drain(&mut client, "/v1/tenants/north/servers/a/resume").is_ok());
 }
--- a/crates/admin-api/tests/http.rs
+++ b/crates/admin-api/tests/http.rs
@@ -1,4 +1,4 @@
-//! The API on a socket: the routes against the document that describes them, and callers that do not behave.
+//! The API over a socket: the routes against the OpenAPI document, and misbehaving clients.
 mod service;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -19,7 +19,7 @@
     _directory: service::TempDirectory,
 }
 
-/// What a call got.
+/// A response to a call.
 #[derive(Debug)]
 struct Response {
     status: u16,
@@ -37,7 +37,7 @@
 }
 
 impl Served {
-    /// An API whose commands are obeyed by a plane that says yes to all.
+    /// Starts an API whose commands are acknowledged by a fake plane.
     fn new(names: &[&str]) -> Self {
         let mut caller = TestClient::keeping(names, 1000);
         let made = caller.ok(
@@ -167,14 +167,14 @@
     }
 }
 
-/// A schema of the document, able to follow its references.
+/// Returns a validator for a schema of the document that resolves its references.
 fn schema(document: &Value, schema: &Value) -> jsonschema::Validator {
     let whole = json!({ "components": document["components"], "allOf": [schema] });
     jsonschema::validator_for(&whole).unwrap()
 }
 
 #[test]
-fn the_document_in_the_repository_is_the_one_that_is_served() {
+fn the_recorded_document_equals_the_served_one() {
     let kept: Value =
         serde_json::from_str(include_str!("../../../docs/admin-api.openapi.json")).unwrap();
     assert_eq!(
@@ -187,9 +187,9 @@
     assert_eq!((got.status, got.body), (200, kept));
 }
 
-/// Each operation of the document is called in earnest; what comes back is what the document says.
+/// Calls each operation of the document, and validates the response against the document.
 #[test]
-fn each_operation_answers_as_the_document_says() {
+fn each_operation_responds_according_to_the_document() {
     let served = Served::new(&["north", "south"]);
     let document = openapi();
     let made = served.call(
@@ -201,7 +201,7 @@
     let id = made.body["id"].as_str().unwrap().to_owned();
     let class = &tenant("north")["class"][0];
     let mut called = 0;
-    // What takes things away comes last.
+    // Operations that remove things come last.
     let mut all: Vec<_> = OPERATIONS
         .iter()
         .filter(|o| o.id != "events" && o.id != "openapi")
@@ -236,7 +236,7 @@
             "rotateToken" => json!({ "overlap-s": 1 }),
             _ => Value::Null,
         };
-        // A class must be there for others to be taken away.
+        // A tenant needs a class, so a second one is added before one is removed.
         if operation.id == "removeClass" {
             let mut two = class.clone();
             two["name"] = json!("second");
@@ -249,7 +249,7 @@
             &body,
         );
         called += 1;
-        // What concerns a cluster is played with one (canvascart's tests); here there is none.
+        // Cluster operations are tested with a real cluster in canvascart's tests; here there is none.
         if operation.path.starts_with("/v1/cluster") {
             assert_eq!(
                 (got.status, got.body["type"].as_str()),
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn what_the_document_does_not_have_is_turned_down_with_a_problem() {
+fn requests_outside_the_document_are_rejected_with_a_problem_document() {
     let served = Served::new(&["north"]);
     let document = openapi();
     let problem = schema(&document, &document["components"]["schemas"]["Problem"]);
@@ -371,7 +371,7 @@
         413,
         "too-large",
     );
-    // A stranger's body is not waited for.
+    // The body of an unauthenticated request is not waited for.
     let stranger = "POST /v1/apply HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n";
     check(&served.raw(stranger, ""), 401, "unauthorized");
     let nested = "[".repeat(100_000);
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn a_stream_tells_each_version_and_one_that_comes_back_hears_what_it_missed() {
+fn an_event_stream_sends_each_version_and_replays_missed_ones() {
     let served = Served::new(&["north", "south"]);
     let made = served.call(
         "POST",
@@ -416,7 +416,7 @@
         }
     };
     let (mut all, mut north) = (open(&served.token, ""), open(&north_token, ""));
-    let weigh = |tenant: &str, weight: f64| {
+    let set_weight = |tenant: &str, weight: f64| {
         let path = format!("/v1/tenants/{tenant}/limits");
         assert_eq!(
             served
@@ -425,8 +425,8 @@
             200
         );
     };
-    weigh("south", 2.0);
-    weigh("north", 3.0);
+    set_weight("south", 2.0);
+    set_weight("north", 3.0);
     let (id, data) = next(&mut all);
     assert_eq!(
         (id.as_str(), &data["tenants"][0]["name"], &data["version"]),
@@ -443,12 +443,12 @@
         ("2", &json!(2), &Value::Null)
     );
     drop((all, north));
-    weigh("south", 4.0);
-    weigh("north", 5.0);
+    set_weight("south", 4.0);
+    set_weight("north", 5.0);
     let mut again = open(&served.token, "Last-Event-ID: 3\r\n");
     assert_eq!([next(&mut again).0, next(&mut again).0], ["4", "5"]);
     assert_eq!(next(&mut open(&north_token, "Last-Event-ID: 2\r\n")).0, "3");
-    // There is room for so many streams, and it comes back.
+    // The number of event streams is limited, and closed streams make room again.
     let mut streams: Vec<_> = (0..64).map(|_| served.connect()).collect();
     let mut statuses = Vec::new();
     for stream in &mut streams {
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn a_stream_ends_with_its_token() {
+fn revoking_a_token_ends_its_event_stream() {
     let served = Served::new(&["north"]);
     let made = served.call(
         "POST",
@@ -500,7 +500,7 @@
         "",
         &json!({ "weight": 2.0 }),
     );
-    // Signs of life come every 2 s for as long as it goes on.
+    // Comment lines are sent every 2 s while the stream is open.
     let (mut rest, end) = (String::new(), Instant::now() + Duration::from_secs(20));
     while reader.read_line(&mut rest).unwrap() > 0 {
         assert!(Instant::now() < end, "the stream goes on: {rest}");
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn half_sent_heads_do_not_keep_others_out() {
+fn incomplete_request_heads_do_not_block_other_clients() {
     let served = Served::new(&["north"]);
     let mut held: Vec<TcpStream> = (0..200).map(|_| served.connect()).collect();
     for stream in &mut held {
@@ -521,7 +521,7 @@
         served.call("GET", "/v1/status", "", &Value::Null).status,
         200
     );
-    // Each is ended in the end.
+    // A connection with an incomplete head is closed after the read timeout.
     let mut rest = Vec::new();
     let mut first = held.swap_remove(0);
     let _ = first.read_to_end(&mut rest); // closed, or reset
--- a/crates/admin-api/tests/service/mod.rs
+++ b/crates/admin-api/tests/service/mod.rs
@@ -1,5 +1,5 @@
-//! A desk with a store in memory, and somebody who calls it.
-#![allow(dead_code)] // each test file uses its own part
+//! A state with a store in memory, and a client that calls it.
+#![allow(dead_code)] // each test file uses a part of this module
 use std::collections::BTreeMap;
 
 use admin_api::operations::{Handler, OPERATIONS};
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 pub const NOW: u64 = 1_800_000_000_000;
-/// Versions that are kept.
+/// Number of versions that the store keeps.
 pub const KEEP: u64 = 6;
 
 pub fn tenant(name: &str) -> Value {
@@ -42,19 +42,19 @@
     pub principal: Principal,
     tag: Option<String>,
     key: Option<String>,
-    /// Where its token is; it goes with the test.
+    /// The directory of the token file, removed with the client.
     pub directory: TempDirectory,
 }
 
 pub struct TempDirectory(std::path::PathBuf);
 
 impl TestClient {
-    /// A service with these tenants, and its first operator.
+    /// Creates a service with these tenants, and calls as its first operator.
     pub fn new(names: &[&str]) -> Self {
         TestClient::keeping(names, KEEP)
     }
 
-    /// One that keeps so many versions.
+    /// As [`TestClient::new`], with a store that keeps this number of versions.
     pub fn keeping(names: &[&str], versions: u64) -> Self {
         static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Makes a token and calls with it from here on.
+    /// Creates a token, and calls with it from here on.
     pub fn use_token(&mut self, role: &str, tenant: Option<&str>) {
         let operator = Principal {
             id: "test".into(),
@@ -109,13 +109,13 @@
         self.principal = self.admin.authenticate(Some(&token), NOW).unwrap();
     }
 
-    /// The next call has this tag in If-Match.
+    /// Sets the If-Match header of the next call.
     pub fn with_if_match(&mut self, tag: &str) -> &mut Self {
         self.tag = Some(tag.to_owned());
         self
     }
 
-    /// The next call has this idempotency key.
+    /// Sets the Idempotency-Key header of the next call.
     pub fn with_key(&mut self, key: &str) -> &mut Self {
         self.key = Some(key.to_owned());
         self
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Decides as the API does, and takes what is to be carried out for done.
+    /// Decides a call as the API does, without a plane that applies the change.
     pub fn decide(&mut self, method: &str, call: &Call) -> Result<Reply, Problem> {
         let path = call.target.split([' ', '?']).nth(1).unwrap();
         let operation = operation(method, path);
@@ -185,7 +185,7 @@
         self.admin.version()
     }
 
-    /// All that the store holds.
+    /// Exports everything that the store holds.
     pub fn export(&self) -> String {
         let mut text = Vec::new();
         config_store::export(self.admin.store().unwrap(), &mut text).unwrap();
@@ -217,7 +217,7 @@
         .unwrap_or_else(|| panic!("{method} {path}"))
 }
 
-/// Puts something else in the place of a part of a value, counted in its order.
+/// Replaces the part of a value at an index in traversal order.
 pub fn mutate(value: &mut Value, index: usize, replacement: usize, seed: u64) {
     fn walk<'v>(value: &'v mut Value, left: &mut usize) -> Option<&'v mut Value> {
         if *left == 0 {
--- a/crates/admin-api/tests/stored_documents.rs
+++ b/crates/admin-api/tests/stored_documents.rs
@@ -1,5 +1,5 @@
-//! What the desk holds: many documents once, packed; a change touches its own; what an older program wrote is read as it was; damage in
-//! memory is mended.
+//! Documents in memory and in the store: each is packed once, a change packs only its own, the format of an older
+//! program is read unchanged, and damage in memory is repaired.
 mod service;
 
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use serde_json::{Value, json};
 use service::{KEEP, NOW, TempDirectory, TestClient, file, tenant};
 
-/// A state that the program of 2b8906c made and exported, and the snapshot that it wrote of it.
+/// A state exported by the program of commit 2b8906c, and the snapshot that it wrote of this state.
 const OLDER_EXPORT: &str = include_str!("older/export.jsonl");
 const OLDER_SNAPSHOT: &[u8] = include_bytes!("older/last-good.snapshot");
 
-/// A desk over what was exported.
+/// Imports an export into a new store, and opens the state.
 fn state_from_export(file: &Service, text: &str, directory: &TempDirectory) -> AdminState {
     let keep = Retention {
         versions: KEEP,
@@ -42,7 +42,7 @@
     format!("t{i:05}")
 }
 
-/// So many tenants, in an export as a store would write it.
+/// Returns an export with this number of tenants, as a store would write it.
 fn export_with_tenants(count: usize) -> String {
     let text = TestClient::new(&["model"]).export();
     let row = text
@@ -74,27 +74,27 @@
     )
 }
 
-/// Somebody who calls a desk that holds so many tenants.
+/// Returns a client of a state with this number of tenants.
 fn client_with_tenants(count: usize) -> TestClient {
-    let mut it = TestClient::new(&["model"]);
-    it.admin = state_from_export(&file(&[]), &export_with_tenants(count), &it.directory);
-    it
+    let mut client = TestClient::new(&["model"]);
+    client.admin = state_from_export(&file(&[]), &export_with_tenants(count), &client.directory);
+    client
 }
 
 #[test]
-fn five_thousand_documents_are_streamed_in_and_listed_by_pages() {
-    let mut it = client_with_tenants(5000);
+fn five_thousand_documents_are_loaded_one_by_one_and_listed_in_pages() {
+    let mut client = client_with_tenants(5000);
     assert_eq!(
         (
-            it.admin.catalog().len(),
-            it.admin.packed_count(),
-            it.version()
+            client.admin.catalog().len(),
+            client.admin.packed_count(),
+            client.version()
         ),
         (5000, 5000, 1)
     );
     let (mut after, mut seen) = (String::new(), Vec::new());
     loop {
-        let page = it
+        let page = client
             .ok(
                 "GET",
                 &format!("/v1/tenants?limit=700&after={after}"),
@@ -113,35 +113,37 @@
         }
     }
     assert_eq!(seen, (0..5000).map(name).collect::<Vec<_>>());
-    assert_eq!(it.admin.packed_count(), 5000, "reading packs nothing");
+    assert_eq!(client.admin.packed_count(), 5000, "reading packs nothing");
 }
 
 #[test]
-fn a_change_of_one_of_twenty_thousand_touches_one() {
-    let mut it = client_with_tenants(20_000);
-    let before = it.admin.catalog().clone();
-    let packed = it.admin.packed_count();
-    // Whoever looked at another than the one that changes would find it damaged, and read it anew.
-    let mut spoilt = before.clone();
+fn changing_one_of_twenty_thousand_tenants_packs_only_that_tenant() {
+    let mut client = client_with_tenants(20_000);
+    let before = client.admin.catalog().clone();
+    let packed = client.admin.packed_count();
+    // All other tenants are damaged in memory, so a change that read one of them would read it again from the store
+    // and pack it.
+    let mut damaged_catalog = before.clone();
     (0..20_000)
         .filter(|i| *i != 777)
-        .for_each(|i| spoilt.spoil(&name(i)));
-    it.admin.finish_reload(spoilt.clone());
-    it.ok("PUT", "/v1/tenants/t00777/limits", json!({ "weight": 4.0 }));
-    it.with_if_match("*")
+        .for_each(|i| damaged_catalog.spoil(&name(i)));
+    client.admin.finish_reload(damaged_catalog.clone());
+    client.ok("PUT", "/v1/tenants/t00777/limits", json!({ "weight": 4.0 }));
+    client
+        .with_if_match("*")
         .ok("DELETE", "/v1/tenants/t00777", Value::Null);
-    it.ok("POST", "/v1/tenants", tenant("t00777"));
-    let hosts = it.fails("PUT", "/v1/tenants/t00777/hosts", json!(["t00042.example"]));
+    client.ok("POST", "/v1/tenants", tenant("t00777"));
+    let hosts = client.fails("PUT", "/v1/tenants/t00777/hosts", json!(["t00042.example"]));
     assert_eq!(
         (hosts.status, hosts.faults[0].pointer.as_str()),
         (422, "/0")
     );
     assert_eq!(
-        it.admin.packed_count() - packed,
+        client.admin.packed_count() - packed,
         2,
         "one for each document that was stored"
     );
-    let changed = Catalog::differences(&spoilt, it.admin.catalog());
+    let changed = Catalog::differences(&damaged_catalog, client.admin.catalog());
     let changed: Vec<String> = changed
         .map(|d| match d {
             Difference::Added(n) | Difference::Changed(n) | Difference::Removed(n) => n.to_string(),
@@ -151,38 +153,38 @@
 }
 
 #[test]
-fn what_an_older_program_exported_has_the_tags_that_it_had() {
-    let mut it = TestClient::new(&["model"]);
-    it.admin = state_from_export(&file(&[]), OLDER_EXPORT, &it.directory);
-    // As the program of 2b8906c answered.
+fn an_export_of_an_older_program_keeps_its_entity_tags() {
+    let mut client = TestClient::new(&["model"]);
+    client.admin = state_from_export(&file(&[]), OLDER_EXPORT, &client.directory);
+    // Entity tags as returned by the program of commit 2b8906c.
     for (tenant, tag) in [
         ("north", "\"2-08c95901\""),
         ("south", "\"1-e4a4be80\""),
         ("rich", RICH_ETAG),
     ] {
-        let got = it.ok("GET", &format!("/v1/tenants/{tenant}"), Value::Null);
+        let got = client.ok("GET", &format!("/v1/tenants/{tenant}"), Value::Null);
         assert_eq!(got.etag.as_deref(), Some(tag), "{tenant}");
     }
-    let first = it.ok("GET", "/v1/tenants/north/versions/1", Value::Null);
+    let first = client.ok("GET", "/v1/tenants/north/versions/1", Value::Null);
     assert_eq!(first.etag.as_deref(), Some("\"1-d09c3eb0\""));
     assert_eq!(
-        it.export(),
+        client.export(),
         OLDER_EXPORT,
         "what is stored is what was stored"
     );
 }
 
 #[test]
-fn tags_of_documents_with_many_kinds_of_figures_are_as_before() {
-    let mut it = TestClient::new(&["north"]);
-    let made = it.ok("PUT", "/v1/tenants/rich", rich_tenant());
-    let read = it.ok("GET", "/v1/tenants/rich", Value::Null);
+fn entity_tags_of_documents_with_many_kinds_of_values_are_stable() {
+    let mut client = TestClient::new(&["north"]);
+    let made = client.ok("PUT", "/v1/tenants/rich", rich_tenant());
+    let read = client.ok("GET", "/v1/tenants/rich", Value::Null);
     assert_eq!(
         (made.etag.as_deref(), read.etag.as_deref()),
         (Some(RICH_ETAG), Some(RICH_ETAG))
     );
-    // What is packed is what is stored.
-    let stored = it.ok("GET", "/v1/tenants/rich/versions/1", Value::Null);
+    // The packed document equals the stored one.
+    let stored = client.ok("GET", "/v1/tenants/rich/versions/1", Value::Null);
     assert_eq!(
         (stored.etag.as_deref(), stored.body),
         (Some(RICH_ETAG), read.body)
@@ -190,9 +192,9 @@
 }
 
 #[test]
-fn an_older_snapshot_serves_a_start_beside_a_damaged_store_and_is_written_the_same() {
-    let it = TestClient::new(&["model"]);
-    let path = it.directory.path();
+fn an_older_snapshot_replaces_a_damaged_store_and_is_written_unchanged() {
+    let client = TestClient::new(&["model"]);
+    let path = client.directory.path();
     std::fs::write(path.join(config_store::FILE_NAME), "no store").unwrap();
     std::fs::write(path.join(config_store::snapshot::FILE_NAME), OLDER_SNAPSHOT).unwrap();
     let mut service = file(&[]);
@@ -205,17 +207,17 @@
         (3, 3, 3)
     );
     assert!(admin.read_only().is_some() && admin.take_snapshot().is_none());
-    // Damage is mended from there, too.
+    // A read-only state repairs damage from the snapshot.
     let good = admin.catalog().clone();
-    let mut spoilt = good.clone();
-    spoilt.spoil("rich");
-    admin.finish_reload(spoilt);
+    let mut damaged_catalog = good.clone();
+    damaged_catalog.spoil("rich");
+    admin.finish_reload(damaged_catalog);
     assert_eq!(
         admin.tenant("rich").unwrap(),
         good.get("rich").transpose().unwrap()
     );
-    // The same state is the same snapshot, byte for byte.
-    let mut admin = state_from_export(&file(&[]), OLDER_EXPORT, &it.directory);
+    // The same state gives the same snapshot, byte for byte.
+    let mut admin = state_from_export(&file(&[]), OLDER_EXPORT, &client.directory);
     let bytes = admin
         .take_snapshot()
         .unwrap()
@@ -231,51 +233,52 @@
 }
 
 #[test]
-fn damage_in_memory_is_mended_from_the_store() {
-    let mut it = TestClient::new(&["north", "south"]);
-    it.ok("PUT", "/v1/tenants/north/limits", json!({ "weight": 3.0 }));
-    let good = it.admin.catalog().clone();
-    let tag = it.ok("GET", "/v1/tenants/north", Value::Null).etag;
-    let spoil = |it: &mut TestClient| {
-        let mut spoilt = it.admin.catalog().clone();
-        spoilt.spoil("north");
-        assert!(spoilt.get("north").unwrap().is_err());
-        it.admin.finish_reload(spoilt);
+fn a_document_damaged_in_memory_is_read_again_from_the_store() {
+    let mut client = TestClient::new(&["north", "south"]);
+    client.ok("PUT", "/v1/tenants/north/limits", json!({ "weight": 3.0 }));
+    let good = client.admin.catalog().clone();
+    let tag = client.ok("GET", "/v1/tenants/north", Value::Null).etag;
+    let damage = |client: &mut TestClient| {
+        let mut damaged_catalog = client.admin.catalog().clone();
+        damaged_catalog.spoil("north");
+        assert!(damaged_catalog.get("north").unwrap().is_err());
+        client.admin.finish_reload(damaged_catalog);
     };
-    // Read, listed, changed and taken away.
-    spoil(&mut it);
-    assert_eq!(it.ok("GET", "/v1/tenants/north", Value::Null).etag, tag);
-    assert_eq!(it.admin.catalog().get("north"), good.get("north"));
-    spoil(&mut it);
-    let listed = it.ok("GET", "/v1/tenants", Value::Null).body;
+    // The damaged document is read, listed, changed and removed.
+    damage(&mut client);
+    assert_eq!(client.ok("GET", "/v1/tenants/north", Value::Null).etag, tag);
+    assert_eq!(client.admin.catalog().get("north"), good.get("north"));
+    damage(&mut client);
+    let listed = client.ok("GET", "/v1/tenants", Value::Null).body;
     assert_eq!(
         listed["items"][0],
         json!({ "name": "north", "rev": 2, "classes": 1, "servers": 1 })
     );
-    spoil(&mut it);
-    // A snapshot holds nothing that is damaged.
-    let (_, damaged) = it.admin.take_snapshot().unwrap().write().unwrap_err();
+    damage(&mut client);
+    // A snapshot is not written from a damaged document.
+    let (_, damaged) = client.admin.take_snapshot().unwrap().write().unwrap_err();
     assert_eq!(damaged.as_deref(), Some("north"));
-    it.ok(
+    client.ok(
         "PUT",
         "/v1/tenants/north/servers/a",
         json!({ "address": "127.0.0.1:9009", "zone": "z1" }),
     );
-    let now = it.admin.catalog().get("north").unwrap().unwrap();
+    let now = client.admin.catalog().get("north").unwrap().unwrap();
     assert_eq!(
         (now.0, now.1.limits.weight),
         (3, 3.0),
         "what was not changed is as it was stored"
     );
-    spoil(&mut it);
-    it.with_if_match("*")
+    damage(&mut client);
+    client
+        .with_if_match("*")
         .ok("DELETE", "/v1/tenants/north", Value::Null);
-    assert!(it.admin.catalog().host("north.example").is_none());
-    it.ok("PUT", "/v1/tenants/south/hosts", json!(["north.example"]));
+    assert!(client.admin.catalog().host("north.example").is_none());
+    client.ok("PUT", "/v1/tenants/south/hosts", json!(["north.example"]));
 }
 
 #[test]
-fn a_problem_never_repeats_a_long_body() {
+fn a_problem_document_truncates_long_texts() {
     let long = "x".repeat(50_000);
     let many = (0..5000)
         .map(|i| Fault {
@@ -314,18 +317,18 @@
 }
 
 #[test]
-fn a_large_snapshot_is_written_more_rarely() {
+fn the_interval_between_snapshots_grows_with_their_size() {
     assert_eq!(snapshot_interval(0), Duration::from_secs(1));
     assert_eq!(snapshot_interval(256 << 10), Duration::from_secs(1));
     assert_eq!(snapshot_interval(50 << 20), Duration::from_secs(200));
 }
 
 #[test]
-fn thirty_three_thousand_come_by_a_thousand_at_a_time() {
-    let mut it = TestClient::new(&[]);
+fn thirty_three_thousand_tenants_are_added_in_batches_of_a_thousand() {
+    let mut client = TestClient::new(&[]);
     let all: Vec<Value> = (0..33_000).map(|i| tenant(&name(i))).collect();
     for batch in all.chunks(1000) {
-        let reply = it.ok(
+        let reply = client.ok(
             "POST",
             "/v1/apply",
             json!({ "tenant": batch, "prune": false }),
@@ -334,24 +337,24 @@
     }
     assert_eq!(
         (
-            it.admin.catalog().len(),
-            it.admin.packed_count(),
-            it.version()
+            client.admin.catalog().len(),
+            client.admin.packed_count(),
+            client.version()
         ),
         (33_000, 33_000, 33)
     );
-    let again = it.ok(
+    let again = client.ok(
         "POST",
         "/v1/apply",
         json!({ "tenant": all[..1000], "prune": false }),
     );
     assert_eq!(
-        (again.body["changed"].clone(), it.admin.packed_count()),
+        (again.body["changed"].clone(), client.admin.packed_count()),
         (json!(false), 33_000)
     );
 }
 
-/// A tenant with figures of many kinds.
+/// Entity tag of a tenant with values of many kinds.
 const RICH_ETAG: &str = "\"1-ce124967\"";
 
 fn rich_tenant() -> Value {
--- a/crates/admin-api/tests/unit/access.rs
+++ b/crates/admin-api/tests/unit/access.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn secrets_end_when_they_should_and_only_whole_ones_are_good() {
+fn secrets_expire_in_time_and_only_complete_tokens_are_valid() {
     let id = new_id().unwrap();
     let (first, stored) = new_secret(&id).unwrap();
     let mut token = Token {
@@ -48,7 +48,7 @@
     ] {
         assert!(!accepts(&token, text, 0), "{text}");
     }
-    // All behind the id: a secret may have a "_" in it, and what is behind that may stand anywhere by chance.
+    // Takes everything after the id: a secret may contain a "_", and what follows that may occur elsewhere by chance.
     let (_, secret) = third.split_once(&format!("{id}_")).unwrap();
     assert!(secret.len() >= 40 && !serde_json::to_string(&token).unwrap().contains(secret));
     let basic = format!("Basic {third}");
--- a/crates/admin-api/tests/unit/figures.rs
+++ b/crates/admin-api/tests/unit/figures.rs
@@ -1,9 +1,9 @@
-//! What the figures' text says.
+//! The text of the metrics.
 
 use super::*;
 
 #[test]
-fn every_line_is_a_sample_with_escaped_labels_or_tells_of_one() {
+fn metrics_have_samples_with_escaped_labels() {
     let status = Status {
         name: "a".into(),
         leader: Some("a".into()),
