--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -1,11 +1,9 @@
 //! The administration API of the hosted service: tenants, servers, classes and limits as versioned documents, with
 //! tokens, an audit log and events.
 //!
-//! - [`AdminState`]: decides each call. It holds the current documents and the store, and uses neither sockets nor a
-//! clock.
+//! - [`AdminState`]: decides each call. It holds the current documents and the store, and uses neither sockets nor a clock.
 //! - [`operations`]: the table of all operations, from which the routes and the OpenAPI document are built.
 //! - [`Api`]: serves the state over HTTP, and sends stored changes to the plane as [`PlaneCommand`]s.
-//!
 //! - [`ClusterHandle`]: connects the API to the member of a cluster.
 //!
 //! A change is checked, stored, applied and then acknowledged, in this order. The crate decides nothing about proxied
