--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -99,7 +99,7 @@
     );
     run.virtual_time = true;
     run.counts = played.counts;
-    run.module_us = played.module.as_secs_f64() * 1e6 / requests;
+    run.module_us = played.module_time.as_secs_f64() * 1e6 / requests;
     run
 }
 
--- a/crates/lab/src/faulty_proxy.rs
+++ b/crates/lab/src/faulty_proxy.rs
@@ -73,7 +73,7 @@
 /// Defects that concern some requests affect one request in this many.
 const AFFECTED_EVERY: u64 = 10;
 /// Responses are sent this long before the client's timeout.
-const ANSWER_MARGIN: Duration = Duration::from_millis(20);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 const FAILED: &str = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n";
 /// Number of requests after which [`ProxyDefect::Crashes`] exits.
 const REQUESTS_BEFORE_CRASH: u64 = 20;
@@ -152,7 +152,7 @@
         spawn_local(proxy.clone().follow_list(config.discovery));
         loop {
             let (stream, _) = listener.accept().await?;
-            spawn_local(proxy.clone().connection(Connection::new(stream)));
+            spawn_local(proxy.clone().serve_connection(Connection::new(stream)));
         }
     })
 }
@@ -169,12 +169,12 @@
     async fn follow_list(self: Rc<Self>, discovery: SocketAddr) {
         loop {
             sleep(POLL_INTERVAL).await;
-            let Some(answer) =
+            let Some(response) =
                 send_request(discovery, "GET /hosts HTTP/1.1\r\nHost: list\r\n\r\n").await
             else {
                 continue;
             };
-            let Ok(document) = serde_json::from_slice::<Document>(&answer.body) else {
+            let Ok(document) = serde_json::from_slice::<Document>(&response.body) else {
                 continue;
             };
             if self.defect == ProxyDefect::IgnoresDrains {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn pick(&self) -> Option<SocketAddr> {
+    fn pick_server(&self) -> Option<SocketAddr> {
         let hosts = self.hosts.borrow();
         let up: Vec<&Host> = hosts.iter().filter(|h| h.health == "up").collect();
         if self.defect == ProxyDefect::FloodsNewest {
@@ -197,11 +197,11 @@
                 .max_by(|a, b| a.born_ms.total_cmp(&b.born_ms))
                 .map(|h| h.dial);
         }
-        let place = self.rng.borrow_mut().random_range(0..up.len().max(1));
-        up.get(place).map(|h| h.dial)
+        let index = self.rng.borrow_mut().random_range(0..up.len().max(1));
+        up.get(index).map(|h| h.dial)
     }
 
-    async fn connection(self: Rc<Self>, mut connection: Connection) {
+    async fn serve_connection(self: Rc<Self>, mut connection: Connection) {
         while let Ok(message) = connection.read(true).await {
             let StartLine::Request(method, target) = &message.start else {
                 return;
@@ -216,29 +216,29 @@
             if self.defect == ProxyDefect::Crashes && number >= REQUESTS_BEFORE_CRASH {
                 std::process::exit(1);
             }
-            let own = message.header("x-request-id").unwrap_or("").to_owned();
+            let original_id = message.header("x-request-id").unwrap_or("").to_owned();
             let id = if affected && self.defect == ProxyDefect::ChangesIds {
                 format!("rogue-{number}")
             } else {
-                own
+                original_id
             };
             let seconds = message
                 .header("x-timeout")
                 .and_then(|t| t.parse().ok())
                 .unwrap_or(1.0f64);
-            let patience =
-                Duration::from_secs_f64(seconds.clamp(0.0, 600.0)).saturating_sub(ANSWER_MARGIN);
-            let served = timeout(patience, self.serve(method, target, &id, affected)).await;
-            let answer = served.unwrap_or_else(|_| FAILED.into());
+            let client_timeout =
+                Duration::from_secs_f64(seconds.clamp(0.0, 600.0)).saturating_sub(RESPONSE_MARGIN);
+            let served = timeout(client_timeout, self.forward(method, target, &id, affected)).await;
+            let response = served.unwrap_or_else(|_| FAILED.into());
             if affected && self.defect == ProxyDefect::LosesRequests {
                 return self.abandoned.borrow_mut().push(connection);
             }
-            if connection.write(answer.as_bytes()).await.is_err() {
+            if connection.write(response.as_bytes()).await.is_err() {
                 return;
             }
             if affected
                 && self.defect == ProxyDefect::AnswersTwice
-                && connection.write(answer.as_bytes()).await.is_err()
+                && connection.write(response.as_bytes()).await.is_err()
             {
                 return;
             }
@@ -246,7 +246,7 @@
     }
 
     /// Returns the complete response to a request.
-    async fn serve(&self, method: &str, target: &str, id: &str, affected: bool) -> String {
+    async fn forward(&self, method: &str, target: &str, id: &str, affected: bool) -> String {
         const REJECTED: &str =
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
         let length = if method == "POST" {
@@ -257,18 +257,18 @@
         let request = format!(
             "{method} {target} HTTP/1.1\r\nHost: server\r\nX-Request-ID: {id}\r\n{length}\r\n"
         );
-        let mut answer = None;
+        let mut response = None;
         for _ in 0..if self.defect == ProxyDefect::Repeats {
             2
         } else {
             1
         } {
-            let Some(server) = self.pick() else {
+            let Some(server) = self.pick_server() else {
                 return REJECTED.into();
             };
-            answer = send_request(server, &request).await;
+            response = send_request(server, &request).await;
         }
-        match answer {
+        match response {
             Some(_) if affected && self.defect == ProxyDefect::RefusesAll => REJECTED.into(),
             Some(a) if a.start == StartLine::Response(200) => {
                 let invented = affected && self.defect == ProxyDefect::InventsAnswers;
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -53,7 +53,7 @@
     /// Time at which the proxy knew the outcome, and the outcome; `None` while the attempt is in flight.
     pub ended: Option<(Millis, AttemptEnd)>,
     /// Time at which the server completed it.
-    pub ran: Option<Millis>,
+    pub completed_at: Option<Millis>,
 }
 
 /// One attempt of a client, sent to one proxy.
@@ -66,7 +66,7 @@
     /// Index of the class in the scenario.
     pub class: usize,
     /// Whether the request must not run twice.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Proxy to which it was sent.
     pub proxy: ProxyId,
     /// Intended send time.
@@ -74,13 +74,13 @@
     /// Actual send time.
     pub sent: Millis,
     /// Time at which the client gives up.
-    pub due: Millis,
+    pub timeout_at: Millis,
     /// Time at which a proxy accepted it.
-    pub taken: Option<Millis>,
+    pub accepted_at: Option<Millis>,
     /// Responses, each with the time at which its last byte left the proxy.
-    pub answers: Vec<(Millis, ResponseKind)>,
+    pub responses: Vec<(Millis, ResponseKind)>,
     /// Time at which the client disconnected.
-    pub left: Option<Millis>,
+    pub disconnected_at: Option<Millis>,
     /// The proxy's attempts, in send order.
     pub attempts: Vec<Attempt>,
 }
@@ -156,32 +156,32 @@
 
 impl Ledger {
     /// Records a sent attempt; returns its index within the client attempt.
-    pub fn send(&mut self, id: ClientAttemptId, server: ServerId, at: Millis) -> usize {
+    pub fn record_send(&mut self, id: ClientAttemptId, server: ServerId, at: Millis) -> usize {
         let attempts = &mut self.client_attempts[id].attempts;
         attempts.push(Attempt {
             server,
             sent: at,
             ended: None,
-            ran: None,
+            completed_at: None,
         });
         attempts.len() - 1
     }
 
     /// Records the outcome of an attempt; only the first outcome counts.
-    pub fn end(&mut self, id: ClientAttemptId, attempt: usize, at: Millis, end: AttemptEnd) {
+    pub fn record_end(&mut self, id: ClientAttemptId, attempt: usize, at: Millis, end: AttemptEnd) {
         let a = &mut self.client_attempts[id].attempts[attempt];
         a.ended = a.ended.or(Some((at, end)));
     }
 
     /// Records that a server completed an attempt.
-    pub fn ran(&mut self, id: ClientAttemptId, attempt: usize, at: Millis) {
+    pub fn record_completion(&mut self, id: ClientAttemptId, attempt: usize, at: Millis) {
         self.client_attempts[id].attempts[attempt]
-            .ran
+            .completed_at
             .get_or_insert(at);
     }
 
     /// Returns the first exit of a proxy at or after a time.
-    pub fn end_of(&self, proxy: ProxyId, after: Millis) -> Option<Millis> {
+    pub fn first_exit(&self, proxy: ProxyId, after: Millis) -> Option<Millis> {
         self.process_exits
             .iter()
             .filter(|e| e.proxy == proxy && e.at >= after)
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -23,7 +23,7 @@
     pub key: u64,
     /// Work in ms on a standard core.
     pub work: Millis,
-    /// Whether the client honours_retry_after `Retry-After`.
+    /// Whether the client honours `Retry-After`.
     pub honours_retry_after: bool,
 }
 
@@ -39,10 +39,10 @@
 
 /// Draws an index with probability proportional to its weight.
 fn weighted_index(rng: &mut impl Rng, weights: &[f64]) -> usize {
-    let mut left = rng.random::<f64>() * weights.iter().sum::<f64>();
+    let mut remaining = rng.random::<f64>() * weights.iter().sum::<f64>();
     for (i, w) in weights.iter().enumerate() {
-        left -= w;
-        if left < 0.0 {
+        remaining -= w;
+        if remaining < 0.0 {
             return i;
         }
     }
@@ -127,10 +127,10 @@
     request: &ClientRequest,
     attempts: u32,
     now: Millis,
-    end: ClientAttemptOutcome,
+    outcome: ClientAttemptOutcome,
 ) -> Option<Millis> {
     let class = &s.classes[request.class];
-    let safe_to_retry = match end {
+    let safe_to_retry = match outcome {
         ClientAttemptOutcome::Served => return None,
         ClientAttemptOutcome::Rejected(_) | ClientAttemptOutcome::Unreachable => true,
         ClientAttemptOutcome::Failed | ClientAttemptOutcome::GaveUp => class.effect == Effect::Safe,
@@ -139,7 +139,7 @@
         .faults
         .iter()
         .any(|f| f.kind == FaultKind::Impatient && f.holds(now));
-    let wait = match end {
+    let wait = match outcome {
         _ if impatient => 0.0,
         ClientAttemptOutcome::Rejected(Some(after)) if request.honours_retry_after => {
             after.max(s.clients.backoff.0)
@@ -151,7 +151,7 @@
 }
 
 /// Returns the client's timeout for an attempt, limited to the remaining deadline.
-pub fn patience(s: &Scenario, request: &ClientRequest, now: Millis) -> Millis {
+pub fn attempt_timeout(s: &Scenario, request: &ClientRequest, now: Millis) -> Millis {
     let class = &s.classes[request.class];
     (s.clients.patience.0 * class.deadline.0).min(request.at + class.deadline.0 - now)
 }
@@ -163,14 +163,22 @@
     proxies: usize,
     zones: usize,
     zone: usize,
-    alive: impl Fn(usize) -> bool,
+    is_available: impl Fn(usize) -> bool,
 ) -> usize {
-    let any: Vec<usize> = (0..proxies).filter(|p| alive(*p)).collect();
-    let near: Vec<usize> = any.iter().copied().filter(|p| p % zones == zone).collect();
-    let among = if near.is_empty() { any } else { near };
-    if among.is_empty() {
+    let available: Vec<usize> = (0..proxies).filter(|p| is_available(*p)).collect();
+    let same_zone: Vec<usize> = available
+        .iter()
+        .copied()
+        .filter(|p| p % zones == zone)
+        .collect();
+    let candidates = if same_zone.is_empty() {
+        available
+    } else {
+        same_zone
+    };
+    if candidates.is_empty() {
         rng.random_range(0..proxies)
     } else {
-        among[rng.random_range(0..among.len())]
+        candidates[rng.random_range(0..candidates.len())]
     }
 }
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -28,7 +28,7 @@
 struct LinkState {
     mode: AtomicU8,
     delay_us: AtomicU64,
-    ended: AtomicBool,
+    closed: AtomicBool,
 }
 
 impl LinkState {
@@ -52,7 +52,7 @@
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.state.ended.store(true, Ordering::Relaxed);
+        self.state.closed.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.address); // unblocks the accept loop
     }
 }
@@ -72,7 +72,7 @@
         let (target, state) = (link.target.clone(), link.state.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                if state.ended.load(Ordering::Relaxed) {
+                if state.closed.load(Ordering::Relaxed) {
                     return;
                 }
                 let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
@@ -109,7 +109,7 @@
         return Ok(());
     }
     let upstream = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
-    let (back, forth) = (
+    let (to_client, to_upstream) = (
         (upstream.try_clone()?, from.try_clone()?),
         (from.try_clone()?, upstream.try_clone()?),
     );
@@ -117,29 +117,31 @@
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(CHECK_INTERVAL))?;
     }
-    let other = state.clone();
-    let other = thread::spawn(move || copy_direction(back.0, &back.1, &other));
-    let ended = copy_direction(forth.0, &forth.1, state);
+    let reverse_state = state.clone();
+    let reverse = thread::spawn(move || copy_direction(to_client.0, &to_client.1, &reverse_state));
+    let result = copy_direction(to_upstream.0, &to_upstream.1, state);
     let _ = upstream.shutdown(Shutdown::Both); // also ends the opposite direction
     let _ = from.shutdown(Shutdown::Both);
-    let _ = other.join();
-    ended
+    let _ = reverse.join();
+    result
 }
 
 fn copy_direction(mut from: TcpStream, mut to: &TcpStream, state: &LinkState) -> io::Result<()> {
     let mut buffered: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut bytes = 0;
     let mut buffer = vec![0; 64 << 10];
-    let mut over = false;
+    let mut read_closed = false;
     loop {
         let mode = state.mode();
-        if mode == Mode::Cut || state.ended.load(Ordering::Relaxed) || (over && buffered.is_empty())
+        if mode == Mode::Cut
+            || state.closed.load(Ordering::Relaxed)
+            || (read_closed && buffered.is_empty())
         {
             return to.shutdown(Shutdown::Both);
         }
-        if bytes < MAX_BUFFERED_BYTES && !over {
+        if bytes < MAX_BUFFERED_BYTES && !read_closed {
             match from.read(&mut buffer) {
-                Ok(0) => over = true,
+                Ok(0) => read_closed = true,
                 Ok(n) => {
                     let delay = Duration::from_micros(state.delay_us.load(Ordering::Relaxed));
                     buffered.push_back((Instant::now() + delay, buffer[..n].to_vec()));
@@ -150,7 +152,7 @@
                         e.kind(),
                         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                     ) => {}
-                Err(_) => over = true,
+                Err(_) => read_closed = true,
             }
         } else {
             thread::sleep(CHECK_INTERVAL);
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -125,18 +125,20 @@
             evidence,
         });
     };
-    let Some(taken) = t.taken else { return };
-    if let [_, (at, second), ..] = t.answers[..] {
+    let Some(accepted_at) = t.accepted_at else {
+        return;
+    };
+    if let [_, (at, second), ..] = t.responses[..] {
         report(
             at,
-            format!("a second answer, {second:?}, after {:?}", t.answers[0].1),
+            format!("a second answer, {second:?}, after {:?}", t.responses[0].1),
         );
     }
-    let late = t.due + rules.answer_slack.0;
-    match t.answers.first() {
+    let late = t.timeout_at + rules.answer_slack.0;
+    match t.responses.first() {
         Some((at, code)) if *at > late => report(
             *at,
-            format!("{code:?} came {:.1} ms after its time", at - t.due),
+            format!("{code:?} came {:.1} ms after its time", at - t.timeout_at),
         ),
         Some((at, ResponseKind::Served { genuine: false })) => {
             report(*at, "served with what no server made for it".into());
@@ -144,10 +146,12 @@
         Some(_) => {}
         // No response is due to a client that disconnected early or whose proxy was killed.
         None => {
-            let left = t.left.is_some_and(|left| left < t.due);
-            let dead = ledger.end_of(t.proxy, taken).is_some_and(|end| end <= late);
-            let open = ledger.ended_at < late;
-            if !left && !dead && !open {
+            let disconnected = t.disconnected_at.is_some_and(|at| at < t.timeout_at);
+            let exited = ledger
+                .first_exit(t.proxy, accepted_at)
+                .is_some_and(|end| end <= late);
+            let still_running = ledger.ended_at < late;
+            if !disconnected && !exited && !still_running {
                 report(
                     late,
                     format!("no answer from proxy {} by {:.3} s", t.proxy, late / 1000.0),
@@ -184,7 +188,10 @@
                 Some(a.server),
                 format!("a second attempt while one is out at server {}", out.server),
             );
-        } else if let Some(first) = before.iter().find(|b| t.once && may_have_run(b, a.sent)) {
+        } else if let Some(first) = before
+            .iter()
+            .find(|b| t.at_most_once && may_have_run(b, a.sent))
+        {
             let evidence = format!(
                 "sent again though it may have run at server {}",
                 first.server
@@ -192,13 +199,13 @@
             report(a.sent, Some(a.server), evidence);
         }
     }
-    if !t.once {
+    if !t.at_most_once {
         return;
     }
     let mut ran = t
         .attempts
         .iter()
-        .filter_map(|a| a.ran.map(|at| (at, a.server)));
+        .filter_map(|a| a.completed_at.map(|at| (at, a.server)));
     if let (Some((_, first)), Some((at, second))) = (ran.next(), ran.next()) {
         report(
             at,
@@ -206,7 +213,7 @@
             format!("it ran at server {first} already"),
         );
     }
-    if let Some((at, ResponseKind::Refused { .. })) = t.answers.first()
+    if let Some((at, ResponseKind::Refused { .. })) = t.responses.first()
         && let Some(a) = t.attempts.iter().find(|a| may_have_run(a, *at))
     {
         report(
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -81,7 +81,7 @@
 
     fn pick(&self, zone: usize) -> ProxyId {
         let (now, zones) = (self.run.now(), self.run.scenario.fleet.zones.len());
-        let alive = |p: usize| {
+        let is_available = |p: usize| {
             self.proxies[p]
                 .front_stops_at
                 .get()
@@ -92,7 +92,7 @@
             self.proxies.len(),
             zones,
             zone,
-            alive,
+            is_available,
         )
     }
 
@@ -132,8 +132,8 @@
         let run = &self.run;
         let a = &run.requests[request];
         let proxy = self.pick(a.zone);
-        let patience = load::patience(&run.scenario, a, now);
-        if patience < 1.0 {
+        let client_timeout = load::attempt_timeout(&run.scenario, a, now);
+        if client_timeout < 1.0 {
             return ClientAttemptOutcome::GaveUp;
         }
         let class = &run.scenario.classes[a.class];
@@ -144,14 +144,14 @@
                 request,
                 number,
                 class: a.class,
-                once: class.effect == Effect::Unsafe,
+                at_most_once: class.effect == Effect::Unsafe,
                 proxy,
                 intended,
                 sent: now,
-                due: now + patience,
-                taken: None,
-                answers: Vec::new(),
-                left: None,
+                timeout_at: now + client_timeout,
+                accepted_at: None,
+                responses: Vec::new(),
+                disconnected_at: None,
                 attempts: Vec::new(),
             });
             (id, format!("r-{id:08x}"))
@@ -183,27 +183,27 @@
              {length}\r\n",
             class.name,
             a.key,
-            patience / 1000.0
+            client_timeout / 1000.0
         );
-        let due = run.instant(now + patience);
+        let due = run.instant(now + client_timeout);
         let mut whole = request.into_bytes();
         whole.extend_from_slice(&body);
         match timeout_at(due, self.exchange(id, proxy, &whole)).await {
             Err(_) => {
-                run.ledger.borrow_mut().client_attempts[id].left = Some(run.now()); // cancelling the exchange closed the connection
+                run.ledger.borrow_mut().client_attempts[id].disconnected_at = Some(run.now()); // cancelling the exchange closed the connection
                 ClientAttemptOutcome::GaveUp
             }
             Ok(Exchange::Unreachable) => ClientAttemptOutcome::Unreachable,
             Ok(Exchange::Ended) => ClientAttemptOutcome::Failed,
             Ok(Exchange::Incomplete) => {
                 run.ledger.borrow_mut().client_attempts[id]
-                    .answers
+                    .responses
                     .push((run.now(), ResponseKind::Broken));
                 ClientAttemptOutcome::Failed
             }
             Ok(Exchange::Answer(message)) => {
-                let wanted = body_for(&name, size.filter(|_| method == "GET"));
-                self.record_response(id, &wanted, &message)
+                let expected_body = body_for(&name, size.filter(|_| method == "GET"));
+                self.record_response(id, &expected_body, &message)
             }
         }
     }
@@ -211,13 +211,13 @@
     fn record_response(
         &self,
         id: ClientAttemptId,
-        wanted: &[u8],
+        expected_body: &[u8],
         message: &Message,
     ) -> ClientAttemptOutcome {
         let now = self.run.now();
         let (code, end) = match message.start {
             StartLine::Response(200) => {
-                let genuine = message.body == wanted;
+                let genuine = message.body == expected_body;
                 (
                     ResponseKind::Served { genuine },
                     ClientAttemptOutcome::Served,
@@ -236,7 +236,7 @@
             _ => (ResponseKind::Failed, ClientAttemptOutcome::Failed),
         };
         self.run.ledger.borrow_mut().client_attempts[id]
-            .answers
+            .responses
             .push((now, code));
         end
     }
@@ -247,7 +247,9 @@
         let idle = self.idle.borrow_mut()[proxy].pop();
         if let Some(connection) = idle {
             match self.exchange_on(id, proxy, connection, request).await {
-                Exchange::Ended => self.run.ledger.borrow_mut().client_attempts[id].taken = None,
+                Exchange::Ended => {
+                    self.run.ledger.borrow_mut().client_attempts[id].accepted_at = None
+                }
                 end => return end,
             }
         }
@@ -280,7 +282,7 @@
         if connection.write(late).await.is_err() {
             return Exchange::Ended;
         }
-        self.run.ledger.borrow_mut().client_attempts[id].taken = Some(self.run.now());
+        self.run.ledger.borrow_mut().client_attempts[id].accepted_at = Some(self.run.now());
         if self.reads_slowly() {
             sleep(SLOW_DELAY).await;
         }
--- a/crates/lab/src/real/proxies.rs
+++ b/crates/lab/src/real/proxies.rs
@@ -229,8 +229,8 @@
             .iter()
             .map(|c| c.deadline.0)
             .fold(0.0, f64::max);
-        let patience = Duration::from_secs_f64((longest + UPGRADE_EXIT_GRACE_MS) / 1000.0);
-        if timeout(patience, old.wait()).await.is_err() {
+        let exit_timeout = Duration::from_secs_f64((longest + UPGRADE_EXIT_GRACE_MS) / 1000.0);
+        if timeout(exit_timeout, old.wait()).await.is_err() {
             let _ = old.kill().await;
         }
         Ok(())
@@ -292,7 +292,7 @@
         else {
             return false;
         };
-        let asked = async {
+        let response_ok = async {
             let mut connection =
                 Connection::new(TcpStream::connect(operations_address).await.ok()?);
             connection
@@ -305,7 +305,7 @@
                 .ok()
                 .map(|m| matches!(m.start, StartLine::Response(200..=299)))
         };
-        timeout(Duration::from_secs(1), asked)
+        timeout(Duration::from_secs(1), response_ok)
             .await
             .ok()
             .flatten()
@@ -371,7 +371,7 @@
     }
 
     async fn is_up(&self) -> bool {
-        let asked = async {
+        let response_ok = async {
             let mut connection = Connection::new(TcpStream::connect(self.address).await.ok()?);
             connection
                 .write(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
@@ -383,7 +383,7 @@
                 .ok()
                 .map(|m| m.start == StartLine::Response(200))
         };
-        timeout(Duration::from_secs(1), asked)
+        timeout(Duration::from_secs(1), response_ok)
             .await
             .ok()
             .flatten()
--- a/crates/lab/src/real/run_state.rs
+++ b/crates/lab/src/real/run_state.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOutcome {
     /// The server behaves as given.
-    ServerOutcome(ServerOutcome),
+    Server(ServerOutcome),
     /// The server process is gone, so the connection is reset.
     Lost,
 }
@@ -153,18 +153,18 @@
         if ran {
             self.ledger
                 .borrow_mut()
-                .ran(active.id, active.ledger_index, self.now());
+                .record_completion(active.id, active.ledger_index, self.now());
         }
-        if let Some(told) = active.outcome {
-            let _ = told.send(outcome); // the connection may have closed already
+        if let Some(sender) = active.outcome {
+            let _ = sender.send(outcome); // the connection may have closed already
         }
     }
 
-    /// Breaks an attempt's connection; `spared` tells whether the server drops the attempt.
-    fn break_connection(&self, attempt: u64, spared: bool) {
+    /// Breaks an attempt's connection; `dropped` tells whether the server drops the attempt.
+    fn break_connection(&self, attempt: u64, dropped: bool) {
         let mut active = self.active.borrow_mut();
         let outcome = active.get_mut(&attempt).and_then(|h| h.outcome.take());
-        if spared {
+        if dropped {
             active.remove(&attempt);
         }
         if let Some(outcome) = outcome {
@@ -174,8 +174,8 @@
 
     /// Cancels an attempt whose connection was closed by its proxy, as far as the server supports it.
     pub fn cancel(&self, server: ServerId, attempt: u64) {
-        let spared = self.world.borrow_mut().cancel(self.now(), server, attempt);
-        if spared {
+        let dropped = self.world.borrow_mut().cancel(self.now(), server, attempt);
+        if dropped {
             self.active.borrow_mut().remove(&attempt);
         }
         self.changed.notify_one();
@@ -185,7 +185,7 @@
     pub fn end(&self, id: ClientAttemptId, ledger_index: usize, end: AttemptEnd) {
         self.ledger
             .borrow_mut()
-            .end(id, ledger_index, self.now(), end);
+            .record_end(id, ledger_index, self.now(), end);
     }
 
     /// Signals that the world has changed, so its next event may be due earlier.
@@ -208,13 +208,13 @@
             for h in happened {
                 match h {
                     WorldEvent::Completed { attempt, outcome } => {
-                        self.settle(attempt, ConnectionOutcome::ServerOutcome(outcome), true)
+                        self.settle(attempt, ConnectionOutcome::Server(outcome), true)
                     }
                     WorldEvent::Lost { attempt } => {
                         self.settle(attempt, ConnectionOutcome::Lost, false)
                     }
-                    WorldEvent::ConnectionBroken { attempt, spared } => {
-                        self.break_connection(attempt, spared)
+                    WorldEvent::ConnectionBroken { attempt, dropped } => {
+                        self.break_connection(attempt, dropped)
                     }
                     WorldEvent::ColdOverload { server, warmth } => {
                         let at = self.now();
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -274,7 +274,7 @@
                 .unknown_requests
                 .push((server, sent, what));
         }
-        let ledger_index = run.ledger.borrow_mut().send(id, server, sent);
+        let ledger_index = run.ledger.borrow_mut().record_send(id, server, sent);
         if self.partitioned(proxy, server) {
             connection.closed().await; // partitioned: nothing is processed until the proxy gives up
             run.end(id, ledger_index, AttemptEnd::MayHaveRun);
@@ -295,9 +295,7 @@
         let (admission, error) = run.world.borrow_mut().submit(run.now(), server, job);
         run.world_changed();
         match (admission, error) {
-            (_, Some(outcome)) => {
-                run.settle(attempt, ConnectionOutcome::ServerOutcome(outcome), true)
-            }
+            (_, Some(outcome)) => run.settle(attempt, ConnectionOutcome::Server(outcome), true),
             (Admission::Accepted, None) => {}
             (Admission::Rejected, None) => {
                 run.end(id, ledger_index, AttemptEnd::NeverRan);
@@ -342,11 +340,11 @@
         whole.extend_from_slice(body);
         let half = whole.len() - body.len() / 2;
         match outcome {
-            ConnectionOutcome::ServerOutcome(ServerOutcome::Served) => {
+            ConnectionOutcome::Server(ServerOutcome::Served) => {
                 run.end(id, ledger_index, AttemptEnd::Answered);
                 after_write(connection.write(&whole).await)
             }
-            ConnectionOutcome::ServerOutcome(ServerOutcome::Error) => {
+            ConnectionOutcome::Server(ServerOutcome::Error) => {
                 run.end(id, ledger_index, AttemptEnd::MayHaveRun);
                 after_write(
                     connection
@@ -354,17 +352,17 @@
                         .await,
                 )
             }
-            ConnectionOutcome::ServerOutcome(ServerOutcome::Silent) => {
+            ConnectionOutcome::Server(ServerOutcome::Silent) => {
                 connection.closed().await;
                 run.end(id, ledger_index, AttemptEnd::MayHaveRun);
                 AfterExchange::Close
             }
-            ConnectionOutcome::ServerOutcome(ServerOutcome::Reset(Break::After)) => {
+            ConnectionOutcome::Server(ServerOutcome::Reset(Break::After)) => {
                 run.end(id, ledger_index, AttemptEnd::Answered);
                 let _ = connection.write(&whole).await;
                 AfterExchange::Close
             }
-            ConnectionOutcome::ServerOutcome(ServerOutcome::Reset(place)) => {
+            ConnectionOutcome::Server(ServerOutcome::Reset(place)) => {
                 run.end(id, ledger_index, AttemptEnd::MayHaveRun);
                 if place == Break::Inside {
                     let _ = connection.write(&whole[..half]).await;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -112,7 +112,7 @@
         "void": run.void,
         "service": run.score,
         "connections": run.counts.connections,
-        "most_connections_to_a_server": run.counts.connections_at_once,
+        "most_connections_to_a_server": run.counts.max_server_connections,
         "events": run.counts.events,
         "broken": run.broken.iter().map(broken_json).collect::<Vec<_>>(),
     })
@@ -144,7 +144,7 @@
             "sent_ms": a.sent,
             "ended_ms": a.ended.map(|(at, _)| at),
             "end": a.ended.map(|(_, end)| format!("{end:?}")),
-            "ran_ms": a.ran,
+            "ran_ms": a.completed_at,
         })
     };
     json!({
@@ -155,10 +155,10 @@
         "proxy": t.proxy,
         "intended_ms": t.intended,
         "sent_ms": t.sent,
-        "due_ms": t.due,
-        "taken_ms": t.taken,
-        "left_ms": t.left,
-        "answers": t.answers.iter().map(answer).collect::<Vec<_>>(),
+        "due_ms": t.timeout_at,
+        "taken_ms": t.accepted_at,
+        "left_ms": t.disconnected_at,
+        "answers": t.responses.iter().map(answer).collect::<Vec<_>>(),
         "attempts": t.attempts.iter().map(attempt).collect::<Vec<_>>(),
     })
 }
--- a/crates/lab/src/score.rs
+++ b/crates/lab/src/score.rs
@@ -185,7 +185,7 @@
             attempts += 1;
             windows[window(a.sent)].0.attempts += 1;
         }
-        match t.answers.first() {
+        match t.responses.first() {
             Some((at, ResponseKind::Refused { .. })) => {
                 refused += 1;
                 windows[window(*at)].0.refused += 1;
--- a/crates/lab/src/sim/decider.rs
+++ b/crates/lab/src/sim/decider.rs
@@ -63,14 +63,17 @@
 
     /// Resends a request to the endpoint where it has just failed, at most twice.
     fn resend(&mut self, request: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some((backend, again)) = self.sent.get_mut(&request).filter(|(_, again)| *again < 2)
+        let Some((endpoint_id, resends)) = self
+            .sent
+            .get_mut(&request)
+            .filter(|(_, resends)| *resends < 2)
         else {
             return false;
         };
-        *again += 1;
+        *resends += 1;
         out.push(Action::Forward {
             request,
-            endpoint: *backend,
+            endpoint: *endpoint_id,
             timeout: None,
             start_by: None,
         });
@@ -127,10 +130,10 @@
                 return;
             }
             (InjectedDefect::FloodsNewest, Event::Request { id, .. }) => {
-                if let Some((_, backend)) = self.newest {
+                if let Some((_, endpoint_id)) = self.newest {
                     return out.push(Action::Forward {
                         request: *id,
-                        endpoint: backend,
+                        endpoint: endpoint_id,
                         timeout: None,
                         start_by: None,
                     });
@@ -142,11 +145,11 @@
         for action in out.iter() {
             if let Action::Forward {
                 request,
-                endpoint: backend,
+                endpoint: endpoint_id,
                 ..
             } = action
             {
-                self.sent.entry(*request).or_insert((*backend, 0)).0 = *backend;
+                self.sent.entry(*request).or_insert((*endpoint_id, 0)).0 = *endpoint_id;
             }
         }
     }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -34,7 +34,7 @@
 /// A connection that is not established within this span has failed.
 const CONNECT_TIMEOUT: Millis = 250.0;
 /// The proxy sends a final response at least this long before its client gives up.
-const LAST_RESORT_MARGIN: Millis = 4.0;
+const FINAL_TIMEOUT_MARGIN: Millis = 4.0;
 /// An idle connection is reused within this fraction of the server's idle timeout.
 const IDLE_REUSE_FRACTION: f64 = 0.7;
 
@@ -49,9 +49,9 @@
     /// Counts of the run.
     pub counts: Counts,
     /// Wall-clock time spent in the decision modules. It is measured and does not depend on the seed alone.
-    pub module: Duration,
+    pub module_time: Duration,
     /// Wall-clock time of the whole run, measured as well.
-    pub took: Duration,
+    pub wall_time: Duration,
 }
 
 /// Counts of a run.
@@ -62,13 +62,13 @@
     /// Connections opened to servers.
     pub connections: u64,
     /// Maximum number of connections open to one server at once, including idle ones.
-    pub connections_at_once: u32,
+    pub max_server_connections: u32,
 }
 
 struct Entry {
     at: u64,
     order: u64,
-    what: SimEvent,
+    event: SimEvent,
 }
 
 impl PartialEq for Entry {
@@ -137,7 +137,7 @@
     generation: u32,
     server: ServerId,
     sent: Millis,
-    fresh: bool,
+    new_connection: bool,
     finished: bool,
 }
 
@@ -161,13 +161,13 @@
     /// Whether the client of each client attempt still waits.
     client_waiting: Vec<bool>,
     ledger: Ledger,
-    flights: FxHashMap<u64, InFlightAttempt>,
-    next_flight: u64,
+    attempts_in_flight: FxHashMap<u64, InFlightAttempt>,
+    next_attempt_id: u64,
     server_connections: FxHashMap<ServerId, u32>,
-    network: ChaCha8Rng,
+    network_rng: ChaCha8Rng,
     front_rng: ChaCha8Rng,
     counts: Counts,
-    module: Duration,
+    module_time: Duration,
 }
 
 impl Sim {
@@ -191,13 +191,13 @@
             requests,
             client_waiting: Vec::new(),
             ledger: Ledger::default(),
-            flights: FxHashMap::default(),
-            next_flight: 0,
+            attempts_in_flight: FxHashMap::default(),
+            next_attempt_id: 0,
             server_connections: FxHashMap::default(),
-            network: stream(seed, Purpose::Network),
+            network_rng: stream(seed, Purpose::Network),
             front_rng: stream(seed, Purpose::Clients),
             counts: Counts::default(),
-            module: Duration::ZERO,
+            module_time: Duration::ZERO,
             scenario,
         }
     }
@@ -230,7 +230,7 @@
                 break;
             }
             self.now = at;
-            self.handle_event(entry.what);
+            self.handle_event(entry.event);
             self.schedule_world();
         }
         self.now = end;
@@ -240,22 +240,22 @@
             requests: self.requests,
             served: self.served,
             counts: self.counts,
-            module: self.module,
-            took: began.elapsed(),
+            module_time: self.module_time,
+            wall_time: began.elapsed(),
         }
     }
 
-    fn schedule(&mut self, at: Millis, what: SimEvent) {
+    fn schedule(&mut self, at: Millis, event: SimEvent) {
         self.order += 1;
         self.queue.push(Reverse(Entry {
             at: micros(at),
             order: self.order,
-            what,
+            event,
         }));
     }
 
-    fn after(&mut self, span: Millis, what: SimEvent) {
-        self.schedule(self.now + span, what);
+    fn after(&mut self, span: Millis, event: SimEvent) {
+        self.schedule(self.now + span, event);
     }
 
     /// Schedules the next event of the world.
@@ -270,13 +270,14 @@
             self.queue.push(Reverse(Entry {
                 at: next,
                 order: self.order,
-                what: SimEvent::World(next),
+                event: SimEvent::World(next),
             }));
         }
     }
 
     fn jitter(&mut self, span: Millis) -> Millis {
-        span * (1.0 + self.scenario.network.jitter.0 * (2.0 * self.network.random::<f64>() - 1.0))
+        span * (1.0
+            + self.scenario.network.jitter.0 * (2.0 * self.network_rng.random::<f64>() - 1.0))
     }
 
     /// Draws the one-way delay between a client and its proxy.
@@ -294,8 +295,8 @@
         })
     }
 
-    fn handle_event(&mut self, what: SimEvent) {
-        match what {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
             SimEvent::SendClientAttempt(request, number) => {
                 self.send_client_attempt(request, number)
             }
@@ -303,7 +304,7 @@
             SimEvent::DeliverResponse(id, end) => self.end_client_attempt(id, end),
             SimEvent::ClientTimeout(id) => {
                 if self.client_waiting[id] {
-                    self.ledger.client_attempts[id].left = Some(self.now);
+                    self.ledger.client_attempts[id].disconnected_at = Some(self.now);
                     let delay = self.client_delay();
                     self.after(delay, SimEvent::ClientDisconnect(id));
                     self.end_client_attempt(id, ClientAttemptOutcome::GaveUp);
@@ -332,14 +333,16 @@
                     self.dispatch(proxy, Event::ClientDisconnected(request_of(id)));
                 }
             }
-            SimEvent::ArriveConnect(flight) => self.arrive_connect(flight),
-            SimEvent::ConnectResult(flight, connect) => self.connect_result(flight, connect),
-            SimEvent::ArriveAtServer(flight) => self.arrive_at_server(flight),
-            SimEvent::DeliverOutcome(flight, outcome, keep) => {
-                self.deliver_outcome(flight, outcome, keep)
+            SimEvent::ArriveConnect(attempt_id) => self.arrive_connect(attempt_id),
+            SimEvent::ConnectResult(attempt_id, connect) => {
+                self.connect_result(attempt_id, connect)
             }
-            SimEvent::ConnectionBroken(flight) => self.connection_broken(flight),
-            SimEvent::AttemptTimeout(flight) => self.time_out_attempt(flight),
+            SimEvent::ArriveAtServer(attempt_id) => self.arrive_at_server(attempt_id),
+            SimEvent::DeliverOutcome(attempt_id, outcome, keep) => {
+                self.deliver_outcome(attempt_id, outcome, keep)
+            }
+            SimEvent::ConnectionBroken(attempt_id) => self.connection_broken(attempt_id),
+            SimEvent::AttemptTimeout(attempt_id) => self.time_out_attempt(attempt_id),
             SimEvent::ConnectionClosed(server, attempt) => {
                 self.world.cancel(self.now, server, attempt);
                 self.disconnect(server);
@@ -349,8 +352,8 @@
             SimEvent::World(due) if self.world_due != due => {}
             SimEvent::World(_) => {
                 self.world_due = u64::MAX;
-                for happened in self.world.advance(self.now) {
-                    self.handle_world_event(happened);
+                for event in self.world.advance(self.now) {
+                    self.handle_world_event(event);
                 }
             }
         }
@@ -373,27 +376,28 @@
     fn send_client_attempt(&mut self, request: usize, number: u32) {
         let (class, zone) = (self.requests[request].class, self.requests[request].zone);
         let proxy = self.pick_proxy(zone);
-        let patience = load::patience(&self.scenario, &self.requests[request], self.now);
+        let client_timeout =
+            load::attempt_timeout(&self.scenario, &self.requests[request], self.now);
         let id = self.ledger.client_attempts.len();
         self.ledger.client_attempts.push(ClientAttempt {
             request,
             number,
             class,
-            once: self.scenario.classes[class].effect == Effect::Unsafe,
+            at_most_once: self.scenario.classes[class].effect == Effect::Unsafe,
             proxy,
             intended: self.now,
             sent: self.now,
-            due: self.now + patience,
-            taken: None,
-            answers: Vec::new(),
-            left: None,
+            timeout_at: self.now + client_timeout,
+            accepted_at: None,
+            responses: Vec::new(),
+            disconnected_at: None,
             attempts: Vec::<Attempt>::new(),
         });
         self.client_waiting.push(true);
         self.served[request].1 = number;
         let delay = self.client_delay();
         self.after(delay, SimEvent::ArriveAtProxy(id));
-        self.after(patience, SimEvent::ClientTimeout(id));
+        self.after(client_timeout, SimEvent::ClientTimeout(id));
     }
 
     fn end_client_attempt(&mut self, id: ClientAttemptId, end: ClientAttemptOutcome) {
@@ -462,7 +466,7 @@
         }
         let began = Instant::now();
         let actions = p.list_update(self.now, &self.world, scope, entries);
-        self.module += began.elapsed();
+        self.module_time += began.elapsed();
         self.counts.events += 1;
         self.perform(proxy, actions);
     }
@@ -478,7 +482,7 @@
         };
         let began = Instant::now();
         let actions = p.handle(self.now, event);
-        self.module += began.elapsed();
+        self.module_time += began.elapsed();
         self.counts.events += 1;
         self.perform(proxy, actions);
     }
@@ -488,11 +492,11 @@
             match action {
                 Action::Forward {
                     request,
-                    endpoint: backend,
+                    endpoint: endpoint_id,
                     timeout,
                     ..
                 } => {
-                    self.send(proxy, request, server_of(backend), timeout);
+                    self.send(proxy, request, server_of(endpoint_id), timeout);
                 }
                 Action::Reject {
                     request,
@@ -522,7 +526,7 @@
 
     fn accept_request(&mut self, id: ClientAttemptId) {
         let t = &self.ledger.client_attempts[id];
-        let (proxy, due, sent, request) = (t.proxy, t.due, t.sent, t.request);
+        let (proxy, due, sent, request) = (t.proxy, t.timeout_at, t.sent, t.request);
         let delay = self.client_delay();
         let Some(p) = self.proxies[proxy].as_mut().filter(|p| !p.ending) else {
             return self.after(
@@ -530,8 +534,8 @@
                 SimEvent::DeliverResponse(id, ClientAttemptOutcome::Unreachable),
             );
         };
-        let patience = due - sent;
-        let deadline = self.now + patience;
+        let client_timeout = due - sent;
+        let deadline = self.now + client_timeout;
         p.active.insert(
             id,
             ActiveRequest {
@@ -541,16 +545,16 @@
                 in_flight: 0,
             },
         );
-        self.ledger.client_attempts[id].taken = Some(self.now);
+        self.ledger.client_attempts[id].accepted_at = Some(self.now);
         let generation = self.generations[proxy];
         self.schedule(
-            deadline - LAST_RESORT_MARGIN,
+            deadline - FINAL_TIMEOUT_MARGIN,
             SimEvent::FinalTimeout(proxy, generation, id),
         );
         let a = &self.requests[request];
         let (class, tenant) = (ClassId(a.class), a.tenant.map(TenantId));
         let (id, key) = (request_of(id), Some(Key(a.key)));
-        let budget = (patience - LAST_RESORT_MARGIN).max(0.0);
+        let budget = (client_timeout - FINAL_TIMEOUT_MARGIN).max(0.0);
         self.dispatch(
             proxy,
             Event::Request {
@@ -566,16 +570,16 @@
     }
 
     /// Sends a request's final response, unless it has one already.
-    fn respond(&mut self, proxy: ProxyId, id: ClientAttemptId, code: ResponseKind) -> bool {
+    fn respond(&mut self, proxy: ProxyId, id: ClientAttemptId, kind: ResponseKind) -> bool {
         let first = self.proxies[proxy]
             .as_mut()
             .is_some_and(|p| p.claim_response(id));
         if first {
             self.ledger.client_attempts[id]
-                .answers
-                .push((self.now, code));
+                .responses
+                .push((self.now, kind));
             let delay = self.client_delay();
-            let end = match code {
+            let end = match kind {
                 ResponseKind::Served { .. } => ClientAttemptOutcome::Served,
                 ResponseKind::Refused { retry_after } => {
                     ClientAttemptOutcome::Rejected(retry_after)
@@ -609,8 +613,8 @@
         active.attempts += 1;
         active.in_flight += 1;
         let (unanswered, deadline) = (active.unanswered, active.deadline);
-        let flight = self.next_flight;
-        self.next_flight += 1;
+        let attempt_id = self.next_attempt_id;
+        self.next_attempt_id += 1;
         let until = timeout.map_or(deadline, |t| deadline.min(now + t));
         let open = p.is_open(server) || self.defect == Some(InjectedDefect::IgnoresDrains);
         let (reuse, old) = p.reuse(
@@ -627,27 +631,27 @@
             generation,
             server,
             sent: now,
-            fresh: !reuse,
+            new_connection: !reuse,
             finished: false,
         };
-        self.flights.insert(flight, record);
+        self.attempts_in_flight.insert(attempt_id, record);
         if !unanswered || !open {
             return self.after(
                 0.0,
-                SimEvent::DeliverOutcome(flight, Outcome::NotSent, false),
+                SimEvent::DeliverOutcome(attempt_id, Outcome::NotSent, false),
             );
         }
-        self.schedule(until, SimEvent::AttemptTimeout(flight));
+        self.schedule(until, SimEvent::AttemptTimeout(attempt_id));
         if reuse {
-            self.write(flight);
+            self.write(attempt_id);
         } else {
             let delay = self.server_delay(proxy, server);
-            self.after(delay, SimEvent::ArriveConnect(flight));
+            self.after(delay, SimEvent::ArriveConnect(attempt_id));
         }
     }
 
-    fn arrive_connect(&mut self, flight: u64) {
-        let Some(f) = self.flights.get(&flight) else {
+    fn arrive_connect(&mut self, attempt_id: u64) {
+        let Some(f) = self.attempts_in_flight.get(&attempt_id) else {
             return;
         };
         let (proxy, server, sent) = (f.proxy, f.server, f.sent);
@@ -656,15 +660,15 @@
             self.counts.connections += 1;
             let open = self.server_connections.entry(server).or_default();
             *open += 1;
-            self.counts.connections_at_once = self.counts.connections_at_once.max(*open);
+            self.counts.max_server_connections = self.counts.max_server_connections.max(*open);
         }
         let delay = self.server_delay(proxy, server);
         match connect {
             Connect::Silent => self.schedule(
                 sent + CONNECT_TIMEOUT,
-                SimEvent::ConnectResult(flight, connect),
+                SimEvent::ConnectResult(attempt_id, connect),
             ),
-            _ => self.after(delay, SimEvent::ConnectResult(flight, connect)),
+            _ => self.after(delay, SimEvent::ConnectResult(attempt_id, connect)),
         }
     }
 
@@ -675,8 +679,8 @@
         }
     }
 
-    fn connect_result(&mut self, flight: u64, connect: Connect) {
-        let Some(f) = self.flights.get(&flight) else {
+    fn connect_result(&mut self, attempt_id: u64, connect: Connect) {
+        let Some(f) = self.attempts_in_flight.get(&attempt_id) else {
             return;
         };
         let server = f.server;
@@ -684,18 +688,18 @@
             if connect == Connect::Up {
                 self.disconnect(server);
             }
-            self.flights.remove(&flight);
+            self.attempts_in_flight.remove(&attempt_id);
             return;
         }
         if connect != Connect::Up {
-            return self.deliver_outcome(flight, Outcome::ConnectFailed, false);
+            return self.deliver_outcome(attempt_id, Outcome::ConnectFailed, false);
         }
-        self.write(flight);
+        self.write(attempt_id);
     }
 
     /// Writes a request, unless its server accepts no more requests or the final response has been sent.
-    fn write(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight) else {
+    fn write(&mut self, attempt_id: u64) {
+        let Some(f) = self.attempts_in_flight.get_mut(&attempt_id) else {
             return;
         };
         let (id, proxy, server) = (f.id, f.proxy, f.server);
@@ -705,20 +709,20 @@
             .as_ref()
             .filter(|p| p.generation == generation)
         else {
-            self.flights.remove(&flight); // its process exited while the connection was being established
+            self.attempts_in_flight.remove(&attempt_id); // its process exited while the connection was being established
             return self.disconnect(server);
         };
         if !(open || p.is_open(server)) || !p.active.get(&id).is_some_and(|l| l.unanswered) {
-            self.deliver_outcome(flight, Outcome::NotSent, false);
+            self.deliver_outcome(attempt_id, Outcome::NotSent, false);
             return self.disconnect(server);
         }
-        f.ledger_index = Some(self.ledger.send(id, server, self.now));
+        f.ledger_index = Some(self.ledger.record_send(id, server, self.now));
         let delay = self.server_delay(proxy, server);
-        self.after(delay, SimEvent::ArriveAtServer(flight));
+        self.after(delay, SimEvent::ArriveAtServer(attempt_id));
     }
 
-    fn arrive_at_server(&mut self, flight: u64) {
-        let Some(f) = self.flights.get(&flight) else {
+    fn arrive_at_server(&mut self, attempt_id: u64) {
+        let Some(f) = self.attempts_in_flight.get(&attempt_id) else {
             return;
         };
         let (proxy, server, id) = (f.proxy, f.server, f.id);
@@ -730,13 +734,13 @@
             return;
         }
         let request = &self.requests[self.ledger.client_attempts[id].request];
-        let handshake = if f.fresh {
+        let handshake = if f.new_connection {
             self.scenario.fleet.handshake.0
         } else {
             0.0
         };
         let job = Job {
-            attempt: flight,
+            attempt: attempt_id,
             work: request.work + handshake,
             key: request.key,
         };
@@ -748,38 +752,38 @@
         let (admission, server_outcome) = self.world.submit(self.now, server, job);
         match (admission, server_outcome) {
             (_, Some(_)) => {
-                self.record_completion(flight);
+                self.record_completion(attempt_id);
                 self.after(
                     delay,
-                    SimEvent::DeliverOutcome(flight, Outcome::Error, true),
+                    SimEvent::DeliverOutcome(attempt_id, Outcome::Error, true),
                 );
             }
             (Admission::Accepted, None) => {}
             (Admission::Rejected, None) if up => self.after(
                 delay,
-                SimEvent::DeliverOutcome(flight, Outcome::Overloaded, true),
+                SimEvent::DeliverOutcome(attempt_id, Outcome::Overloaded, true),
             ),
             // The server's process has exited, so the connection is reset.
             (Admission::Rejected | Admission::Crashed, None) => {
                 self.after(
                     delay,
-                    SimEvent::DeliverOutcome(flight, Outcome::Reset, false),
+                    SimEvent::DeliverOutcome(attempt_id, Outcome::Reset, false),
                 );
             }
         }
     }
 
-    fn record_completion(&mut self, flight: u64) {
-        if let Some(f) = self.flights.get(&flight)
+    fn record_completion(&mut self, attempt_id: u64) {
+        if let Some(f) = self.attempts_in_flight.get(&attempt_id)
             && let Some(ledger_index) = f.ledger_index
         {
-            self.ledger.ran(f.id, ledger_index, self.now);
+            self.ledger.record_completion(f.id, ledger_index, self.now);
         }
     }
 
     /// Handles the arrival of an attempt's outcome at its proxy; `keep` tells whether the connection may be reused.
-    fn deliver_outcome(&mut self, flight: u64, outcome: Outcome, keep: bool) {
-        let Some(f) = self.flights.remove(&flight) else {
+    fn deliver_outcome(&mut self, attempt_id: u64, outcome: Outcome, keep: bool) {
+        let Some(f) = self.attempts_in_flight.remove(&attempt_id) else {
             return;
         };
         let same = self.generations[f.proxy] == f.generation;
@@ -801,7 +805,7 @@
                 o if o.may_have_run() => AttemptEnd::MayHaveRun,
                 _ => AttemptEnd::NeverRan,
             };
-            self.ledger.end(f.id, ledger_index, self.now, end);
+            self.ledger.record_end(f.id, ledger_index, self.now, end);
         }
         let Some(active) = self.proxies[f.proxy]
             .as_mut()
@@ -810,16 +814,18 @@
             return;
         };
         active.in_flight -= 1;
-        let was_open = active.unanswered;
-        if outcome == Outcome::Served && was_open {
-            let genuine = f
-                .ledger_index
-                .is_some_and(|n| self.ledger.client_attempts[f.id].attempts[n].ran.is_some());
+        let was_unanswered = active.unanswered;
+        if outcome == Outcome::Served && was_unanswered {
+            let genuine = f.ledger_index.is_some_and(|n| {
+                self.ledger.client_attempts[f.id].attempts[n]
+                    .completed_at
+                    .is_some()
+            });
             self.respond(f.proxy, f.id, ResponseKind::Served { genuine });
         } else if let Some(p) = self.proxies[f.proxy].as_mut() {
             p.remove_if_done(f.id);
         }
-        let closed = !was_open || outcome == Outcome::Served;
+        let closed = !was_unanswered || outcome == Outcome::Served;
         let (request, attempt, latency) = (request_of(f.id), f.attempt, self.now - f.sent);
         self.dispatch(
             f.proxy,
@@ -834,8 +840,12 @@
     }
 
     /// Cancels an attempt that timed out: its connection is closed, which the server detects after the network delay.
-    fn time_out_attempt(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.finished) else {
+    fn time_out_attempt(&mut self, attempt_id: u64) {
+        let Some(f) = self
+            .attempts_in_flight
+            .get_mut(&attempt_id)
+            .filter(|f| !f.finished)
+        else {
             return;
         };
         if self.generations[f.proxy] != f.generation {
@@ -849,7 +859,7 @@
         };
         let delay = self.server_delay(proxy, server);
         if written {
-            self.after(delay, SimEvent::ConnectionClosed(server, flight));
+            self.after(delay, SimEvent::ConnectionClosed(server, attempt_id));
         }
         self.report_attempt_end(
             &end,
@@ -862,8 +872,12 @@
     }
 
     /// Handles a broken connection of an attempt. The server may still be processing it.
-    fn connection_broken(&mut self, flight: u64) {
-        let Some(f) = self.flights.get_mut(&flight).filter(|f| !f.finished) else {
+    fn connection_broken(&mut self, attempt_id: u64) {
+        let Some(f) = self
+            .attempts_in_flight
+            .get_mut(&attempt_id)
+            .filter(|f| !f.finished)
+        else {
             return;
         };
         if self.generations[f.proxy] != f.generation {
@@ -883,11 +897,11 @@
 
     // ---- world ----
 
-    fn handle_world_event(&mut self, happened: WorldEvent) {
-        match happened {
+    fn handle_world_event(&mut self, event: WorldEvent) {
+        match event {
             WorldEvent::Completed { attempt, outcome } => self.attempt_completed(attempt, outcome),
             WorldEvent::Lost { attempt } => {
-                let Some(f) = self.flights.get(&attempt) else {
+                let Some(f) = self.attempts_in_flight.get(&attempt) else {
                     return;
                 };
                 let delay = self.server_delay(f.proxy, f.server);
@@ -897,7 +911,7 @@
                 );
             }
             WorldEvent::ConnectionBroken { attempt, .. } => {
-                let Some(f) = self.flights.get(&attempt) else {
+                let Some(f) = self.attempts_in_flight.get(&attempt) else {
                     return;
                 };
                 let delay = self.server_delay(f.proxy, f.server);
@@ -936,9 +950,9 @@
         }
     }
 
-    fn attempt_completed(&mut self, flight: u64, server_outcome: ServerOutcome) {
-        self.record_completion(flight);
-        let Some(f) = self.flights.get(&flight) else {
+    fn attempt_completed(&mut self, attempt_id: u64, server_outcome: ServerOutcome) {
+        self.record_completion(attempt_id);
+        let Some(f) = self.attempts_in_flight.get(&attempt_id) else {
             return;
         };
         let (proxy, server) = (f.proxy, f.server);
@@ -959,7 +973,7 @@
             }
             ServerOutcome::Reset(Break::After) => (Outcome::Served, false),
         };
-        self.after(delay, SimEvent::DeliverOutcome(flight, outcome, keep));
+        self.after(delay, SimEvent::DeliverOutcome(attempt_id, outcome, keep));
     }
 
     /// Ends a proxy process with all its requests; the front load balancer detects it after `notice`.
@@ -989,7 +1003,7 @@
             );
         }
         let mut in_flight: Vec<(u64, ServerId)> = self
-            .flights
+            .attempts_in_flight
             .iter()
             .filter(|(_, f)| {
                 f.proxy == proxy
@@ -997,12 +1011,12 @@
                     && !f.finished
                     && f.ledger_index.is_some()
             })
-            .map(|(flight, f)| (*flight, f.server))
+            .map(|(attempt_id, f)| (*attempt_id, f.server))
             .collect();
         in_flight.sort_unstable();
-        for (flight, server) in in_flight {
+        for (attempt_id, server) in in_flight {
             let delay = self.server_delay(proxy, server);
-            self.after(delay, SimEvent::ConnectionClosed(server, flight));
+            self.after(delay, SimEvent::ConnectionClosed(server, attempt_id));
         }
         let mut idle: Vec<(ServerId, usize)> = p.idle.iter().map(|(s, i)| (*s, i.len())).collect();
         idle.sort_unstable();
--- a/crates/lab/src/sim/proxy.rs
+++ b/crates/lab/src/sim/proxy.rs
@@ -92,8 +92,8 @@
 }
 
 /// Returns the server of an endpoint.
-pub fn server_of(backend: EndpointId) -> ServerId {
-    (backend.0 as usize).wrapping_sub(1)
+pub fn server_of(endpoint: EndpointId) -> ServerId {
+    (endpoint.0 as usize).wrapping_sub(1)
 }
 
 impl Proxy {
@@ -171,9 +171,9 @@
         let Some(active) = self.active.get_mut(&id) else {
             return false;
         };
-        let was = std::mem::take(&mut active.unanswered);
+        let was_unanswered = std::mem::take(&mut active.unanswered);
         self.remove_if_done(id);
-        was
+        was_unanswered
     }
 
     /// Removes a request that has its final response and no attempts in flight.
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -92,7 +92,7 @@
         /// The attempt.
         attempt: u64,
         /// Whether the server drops the attempt; if not, [`WorldEvent::Completed`] follows.
-        spared: bool,
+        dropped: bool,
     },
     /// The server list has changed.
     ListChanged(ListEntry),
@@ -145,9 +145,9 @@
     targets: Vec<Vec<usize>>,
     /// Number of initial servers; only these are replaced by a deploy.
     initial_servers: usize,
-    fleet: ChaCha8Rng,
-    faults: ChaCha8Rng,
-    list_delays: ChaCha8Rng,
+    fleet_rng: ChaCha8Rng,
+    fault_rng: ChaCha8Rng,
+    list_rng: ChaCha8Rng,
     /// Latest delivery time by proxy, which keeps updates in order.
     latest_delivery: Vec<Millis>,
     pending: Vec<WorldEvent>,
@@ -163,9 +163,9 @@
             steps: 0,
             targets: vec![Vec::new(); scenario.faults.len()],
             initial_servers: scenario.fleet.servers,
-            fleet: stream(seed, Purpose::Fleet),
-            faults: stream(seed, Purpose::Faults),
-            list_delays: stream(seed, Purpose::List),
+            fleet_rng: stream(seed, Purpose::Fleet),
+            fault_rng: stream(seed, Purpose::Faults),
+            list_rng: stream(seed, Purpose::List),
             latest_delivery: vec![0.0; scenario.proxies.count],
             pending: Vec::new(),
             scenario,
@@ -199,7 +199,7 @@
         let k = &f.kinds[kind];
         let cores = f64::from(k.cores);
         let spread = Normal::new(1.0, k.speed_spread.0).expect("the range has been checked");
-        let speed = k.speed * spread.sample(&mut self.fleet).clamp(0.3, 3.0);
+        let speed = k.speed * spread.sample(&mut self.fleet_rng).clamp(0.3, 3.0);
         Machine {
             cores,
             speed,
@@ -266,9 +266,11 @@
     /// Returns whether two zones are partitioned from each other.
     pub fn partitioned(&self, now: Millis, a: usize, b: usize) -> bool {
         let zones = &self.scenario.fleet.zones;
-        let is = |name: &Option<String>, zone: usize| name.as_deref() == Some(zones[zone].as_str());
-        self.active(now, FaultKind::Partition)
-            .any(|(_, f)| is(&f.from, a) && is(&f.to, b) || is(&f.from, b) && is(&f.to, a))
+        let is_zone =
+            |name: &Option<String>, zone: usize| name.as_deref() == Some(zones[zone].as_str());
+        self.active(now, FaultKind::Partition).any(|(_, f)| {
+            is_zone(&f.from, a) && is_zone(&f.to, b) || is_zone(&f.from, b) && is_zone(&f.to, a)
+        })
     }
 
     fn active(
@@ -287,7 +289,7 @@
     /// Returns the time at which a list change made now reaches a proxy; updates are delivered in order.
     pub fn delivery_time(&mut self, now: Millis, proxy: ProxyId) -> Millis {
         let list = &self.scenario.list;
-        let mut at = now + list.delay.0 + list.spread.0 * self.list_delays.random::<f64>();
+        let mut at = now + list.delay.0 + list.spread.0 * self.list_rng.random::<f64>();
         at = at.max(self.latest_delivery[proxy]);
         for kind in [FaultKind::ListSilent, FaultKind::ListStale] {
             for f in self.scenario.faults.iter().filter(|f| f.kind == kind) {
@@ -380,11 +382,11 @@
             .filter(|(_, place)| *place != Break::During)
             .collect();
         // Draws only while a fault is active, so that runs with and without a fault are identical until it begins.
-        if lost > 0.0 && self.faults.random::<f64>() < lost {
+        if lost > 0.0 && self.fault_rng.random::<f64>() < lost {
             return ServerOutcome::Silent;
         }
         for (share, place) in resets {
-            if self.faults.random::<f64>() < share {
+            if self.fault_rng.random::<f64>() < share {
                 return ServerOutcome::Reset(place);
             }
         }
@@ -426,7 +428,7 @@
             .filter(|(i, _)| self.targets[*i].contains(&server))
             .map(|(_, f)| f.factor.unwrap_or(0.0))
             .sum();
-        if errors > 0.0 && self.faults.random::<f64>() < errors {
+        if errors > 0.0 && self.fault_rng.random::<f64>() < errors {
             return (Admission::Accepted, Some(ServerOutcome::Error));
         }
         let warmth = self.servers[server].server.warmth(now);
@@ -452,25 +454,28 @@
             .active(now, FaultKind::Resets)
             .filter(|(_, f)| during(f));
         let share: f64 = resets.map(|(_, f)| f.share.map_or(0.0, |s| s.0)).sum();
-        if share > 0.0 && self.faults.random::<f64>() < share {
-            let alone = work / self.servers[server].server.machine().speed;
-            let at = now + alone * self.faults.random::<f64>();
+        if share > 0.0 && self.fault_rng.random::<f64>() < share {
+            let idle_duration = work / self.servers[server].server.machine().speed;
+            let at = now + idle_duration * self.fault_rng.random::<f64>();
             self.schedule(at, Step::BreakConnection(server, attempt));
         }
     }
 
     fn lose_attempts(&mut self, server: ServerId) {
-        let held = self.servers[server].server.lose_all();
-        self.pending
-            .extend(held.into_iter().map(|attempt| WorldEvent::Lost { attempt }));
+        let attempts = self.servers[server].server.lose_all();
+        self.pending.extend(
+            attempts
+                .into_iter()
+                .map(|attempt| WorldEvent::Lost { attempt }),
+        );
     }
 
     /// Cancels an attempt whose proxy closed the connection; returns whether the server dropped it.
     pub fn cancel(&mut self, now: Millis, server: ServerId, attempt: u64) -> bool {
         let cancels = self.scenario.fleet.cancels;
-        let spared = self.servers[server].server.cancel(now, attempt, cancels);
+        let dropped = self.servers[server].server.cancel(now, attempt, cancels);
         self.reschedule(server);
-        spared
+        dropped
     }
 
     fn set_list_state(&mut self, server: ServerId, state: ListState) {
@@ -494,8 +499,8 @@
                 let up = self.servers_up();
                 let share = f.share.map_or(1.0, |s| s.0);
                 let count = ((share * up.len() as f64).round() as usize).max(1);
-                let places = sample_indices(&mut self.faults, up.len(), count);
-                self.targets[fault] = places.into_iter().map(|i| up[i]).collect();
+                let indices = sample_indices(&mut self.fault_rng, up.len(), count);
+                self.targets[fault] = indices.into_iter().map(|i| up[i]).collect();
                 self.apply_fault(at, fault, true);
             }
             Step::EndFault(fault) => {
@@ -506,14 +511,17 @@
             Step::RemoveServer(fault) => {
                 let up = self.servers_up();
                 if up.len() > 1 {
-                    let server = up[sample_indices(&mut self.faults, up.len(), 1)[0]];
+                    let server = up[sample_indices(&mut self.fault_rng, up.len(), 1)[0]];
                     self.drain_server(at, fault, server);
                 }
             }
             Step::StopServer(server) => {
-                let held = self.servers[server].server.stop(at);
-                self.pending
-                    .extend(held.into_iter().map(|attempt| WorldEvent::Lost { attempt }));
+                let attempts = self.servers[server].server.stop(at);
+                self.pending.extend(
+                    attempts
+                        .into_iter()
+                        .map(|attempt| WorldEvent::Lost { attempt }),
+                );
                 self.set_list_state(server, ListState::Removed);
                 self.reschedule(server);
             }
@@ -521,7 +529,7 @@
                 let f = &scenario.faults[fault];
                 let share = f.share.map_or(0.0, |s| s.0);
                 let count = ((share * scenario.proxies.count as f64).round() as usize).max(1);
-                for proxy in sample_indices(&mut self.faults, scenario.proxies.count, count) {
+                for proxy in sample_indices(&mut self.fault_rng, scenario.proxies.count, count) {
                     self.pending.push(match f.kind {
                         FaultKind::ProxyKill => WorldEvent::KillProxy(proxy),
                         _ => WorldEvent::TerminateProxy(proxy),
@@ -534,9 +542,9 @@
             Step::BreakConnection(server, attempt)
                 if self.servers[server].server.holds(attempt) =>
             {
-                let spared = self.cancel(at, server, attempt);
+                let dropped = self.cancel(at, server, attempt);
                 self.pending
-                    .push(WorldEvent::ConnectionBroken { attempt, spared });
+                    .push(WorldEvent::ConnectionBroken { attempt, dropped });
             }
             Step::BreakConnection(..) => {}
             Step::PartitionChange => self.pending.push(WorldEvent::PartitionChanged),
@@ -571,7 +579,7 @@
             .into_iter()
             .filter(|&s| s < self.initial_servers)
             .collect();
-        for place in sample_indices(&mut self.faults, old.len(), count) {
+        for place in sample_indices(&mut self.fault_rng, old.len(), count) {
             let server = old[place];
             let (zone, kind) = (self.servers[server].zone, self.servers[server].kind);
             let successor = self.add(zone, kind, Some(at), at);
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/server.rs
@@ -15,7 +15,7 @@
 pub struct Machine {
     /// Number of cores.
     pub cores: f64,
-    /// Speed of a core relative to a standard core.
+    /// Speed of a core; 1 is a standard core.
     pub speed: f64,
     /// Maximum number of active requests.
     pub slots: usize,
--- a/crates/lab/tests/oracle.rs
+++ b/crates/lab/tests/oracle.rs
@@ -52,22 +52,22 @@
         request: 0,
         number: 1,
         class: 0,
-        once: true,
+        at_most_once: true,
         proxy: 0,
         intended: 0.0,
         sent: 0.0,
-        due: 1000.0,
-        taken: Some(1.0),
-        answers: vec![(20.0, code)],
-        left: None,
+        timeout_at: 1000.0,
+        accepted_at: Some(1.0),
+        responses: vec![(20.0, code)],
+        disconnected_at: None,
         attempts: attempts
             .iter()
             .enumerate()
-            .map(|(server, &(sent, ended, ran))| Attempt {
+            .map(|(server, &(sent, ended, completed_at))| Attempt {
                 server,
                 sent,
                 ended,
-                ran,
+                completed_at,
             })
             .collect(),
     }
@@ -100,13 +100,13 @@
     let done = [(2.0, Some((19.0, AttemptEnd::Answered)), Some(18.0))];
     assert_eq!(violations_of(unsafe_request(&done, SERVED)), []);
     let mut twice = unsafe_request(&done, SERVED);
-    twice.answers.push((30.0, ResponseKind::Failed));
+    twice.responses.push((30.0, ResponseKind::Failed));
     let late = ClientAttempt {
-        answers: vec![(1009.0, ResponseKind::Failed)],
+        responses: vec![(1009.0, ResponseKind::Failed)],
         ..unsafe_request(&done, SERVED)
     };
     let none = ClientAttempt {
-        answers: vec![],
+        responses: vec![],
         ..unsafe_request(&done, SERVED)
     };
     let invented = unsafe_request(&done, ResponseKind::Served { genuine: false });
@@ -125,14 +125,14 @@
     // No response is due if the client disconnected early, its proxy was killed, or no proxy accepted the request.
     assert_eq!(
         violations_of(ClientAttempt {
-            left: Some(500.0),
+            disconnected_at: Some(500.0),
             ..none.clone()
         }),
         []
     );
     assert_eq!(
         violations_of(ClientAttempt {
-            taken: None,
+            accepted_at: None,
             ..none.clone()
         }),
         []
@@ -188,7 +188,7 @@
     );
     // A request that is safe to repeat may be resent.
     let lookup = ClientAttempt {
-        once: false,
+        at_most_once: false,
         ..unsafe_request(&[(2.0, Some((5.0, MayHaveRun)), Some(4.0)), second], SERVED)
     };
     assert_eq!(violations_of(lookup), []);
@@ -239,8 +239,8 @@
     };
     let ledger = |notifications: Vec<ServerNotification>, at: f64| {
         let t = ClientAttempt {
-            due: 9000.0,
-            answers: vec![(at + 2.0, SERVED)],
+            timeout_at: 9000.0,
+            responses: vec![(at + 2.0, SERVED)],
             ..sent(at)
         };
         violations(Ledger {
@@ -293,7 +293,7 @@
         started_at: Some(300.0),
     }];
     let t = ClientAttempt {
-        answers: vec![(600.0, ResponseKind::Failed)],
+        responses: vec![(600.0, ResponseKind::Failed)],
         ..t
     };
     let notified = Ledger {
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -116,7 +116,7 @@
     attempts
         .filter(|a| {
             a.ended
-                .zip(a.ran)
+                .zip(a.completed_at)
                 .is_some_and(|((ended, _), ran)| ended < ran)
         })
         .count()
