--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -41,7 +41,7 @@
     }
 }
 
-type Outcome = Result<u8, CommandError>;
+type CommandResult = Result<u8, CommandError>;
 
 /// Column of a table: title, and function that formats the cell of an item.
 type Column<'c> = (&'static str, &'c dyn Fn(&Value) -> String);
@@ -59,7 +59,7 @@
 /// # Errors
 /// Wrong usage.
 pub fn run(arguments: Arguments) -> Result<u8, String> {
-    let client = ApiClient::new(&arguments.url, token(arguments.token_file.as_deref())?)?;
+    let client = ApiClient::new(&arguments.url, read_token(arguments.token_file.as_deref())?)?;
     let admin = Admin {
         client,
         json: arguments.json,
@@ -78,7 +78,7 @@
 }
 
 /// Reads the token from a file, or from the environment.
-pub(crate) fn token(file: Option<&std::path::Path>) -> Result<String, String> {
+pub(crate) fn read_token(file: Option<&std::path::Path>) -> Result<String, String> {
     let token = match file {
         Some(file) => {
             std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?
@@ -114,7 +114,7 @@
 }
 
 impl Admin {
-    async fn command(&self, command: Command) -> Outcome {
+    async fn command(&self, command: Command) -> CommandResult {
         match command {
             Command::Status => self.status().await,
             Command::Tenant(command) => self.tenant(command).await,
@@ -157,12 +157,12 @@
         Ok(self.call("GET", target, &[], None).await?.body)
     }
 
-    /// Reads a list page by page, up to `most` items.
-    async fn list(&self, target: &str, most: usize) -> Result<Vec<Value>, CommandError> {
+    /// Reads a list page by page, up to `max_items` items.
+    async fn list(&self, target: &str, max_items: usize) -> Result<Vec<Value>, CommandError> {
         let mut items = Vec::new();
         let mut after = String::new();
-        while items.len() < most {
-            let limit = (most - items.len()).min(1000);
+        while items.len() < max_items {
+            let limit = (max_items - items.len()).min(1000);
             let separator = if target.contains('?') { '&' } else { '?' };
             let page = self
                 .get(&format!("{target}{separator}limit={limit}{after}"))
@@ -177,7 +177,7 @@
     }
 
     /// Prints items as JSON, or as a table.
-    fn print_list(&self, items: &[Value], columns: &[Column]) -> Outcome {
+    fn print_list(&self, items: &[Value], columns: &[Column]) -> CommandResult {
         if self.json {
             return print(&pretty(&json!(items)));
         }
@@ -196,7 +196,7 @@
         target: &str,
         body: Option<&Value>,
         current: Option<&str>,
-    ) -> Outcome {
+    ) -> CommandResult {
         let mut tag = self.if_match.clone();
         if let (None, Some(current)) = (&tag, current) {
             tag = match self.call("GET", current, &[], None).await {
@@ -231,7 +231,7 @@
         self.call(method, &target, &headers, body).await
     }
 
-    fn print_change(&self, written: &Value) -> Outcome {
+    fn print_change(&self, written: &Value) -> CommandResult {
         let changed = written["changed"] == true;
         if self.json {
             print(&pretty(written))?;
@@ -260,7 +260,7 @@
         Ok(if self.dry_run && changed { DIFFERS } else { 0 })
     }
 
-    async fn status(&self) -> Outcome {
+    async fn status(&self) -> CommandResult {
         let status = self.get("/v1/status").await?;
         if self.json {
             return print(&pretty(&status));
@@ -290,13 +290,13 @@
         )
     }
 
-    async fn tenant(&self, command: Tenant) -> Outcome {
+    async fn tenant(&self, command: Tenant) -> CommandResult {
         let path = |name: &str| format!("/v1/tenants/{}", encode_path_segment(name));
         match command {
             Tenant::List => {
-                let all = self.list("/v1/tenants", usize::MAX).await?;
+                let items = self.list("/v1/tenants", usize::MAX).await?;
                 self.print_list(
-                    &all,
+                    &items,
                     &[
                         ("TENANT", &|t| cell(&t["name"])),
                         ("REV", &|t| cell(&t["rev"])),
@@ -323,15 +323,15 @@
         }
     }
 
-    async fn server(&self, command: Server) -> Outcome {
+    async fn server(&self, command: Server) -> CommandResult {
         let list = |tenant: &str| format!("/v1/tenants/{}/servers", encode_path_segment(tenant));
         let path =
             |tenant: &str, name: &str| format!("{}/{}", list(tenant), encode_path_segment(name));
         match command {
             Server::List { tenant } => {
-                let all = self.list(&list(&tenant), usize::MAX).await?;
+                let items = self.list(&list(&tenant), usize::MAX).await?;
                 self.print_list(
-                    &all,
+                    &items,
                     &[
                         ("SERVER", &|s| cell(&s["name"])),
                         ("ADDRESS", &|s| cell(&s["address"])),
@@ -393,15 +393,15 @@
         }
     }
 
-    async fn class(&self, command: Class) -> Outcome {
+    async fn class(&self, command: Class) -> CommandResult {
         let list = |tenant: &str| format!("/v1/tenants/{}/classes", encode_path_segment(tenant));
         let path =
             |tenant: &str, name: &str| format!("{}/{}", list(tenant), encode_path_segment(name));
         match command {
             Class::List { tenant } => {
-                let all = self.list(&list(&tenant), usize::MAX).await?;
+                let items = self.list(&list(&tenant), usize::MAX).await?;
                 self.print_list(
-                    &all,
+                    &items,
                     &[
                         ("CLASS", &|c| cell(&c["name"])),
                         ("EFFECT", &|c| cell(&c["effect"])),
@@ -438,7 +438,7 @@
         }
     }
 
-    async fn limits(&self, tenant: &str, set: Vec<(String, Option<String>)>) -> Outcome {
+    async fn limits(&self, tenant: &str, set: Vec<(String, Option<String>)>) -> CommandResult {
         let path = format!("/v1/tenants/{}/limits", encode_path_segment(tenant));
         let current = self.call("GET", &path, &[], None).await?;
         if set.is_empty() {
@@ -464,7 +464,7 @@
         self.print_change(&response.body)
     }
 
-    async fn apply(&self, file: &Path, prune: bool) -> Outcome {
+    async fn apply(&self, file: &Path, prune: bool) -> CommandResult {
         let (mut document, positions) = read_tenants(file)?;
         let tenants = document.get_mut("tenant").map_or(json!([]), Value::take);
         let body = json!({ "tenant": tenants, "prune": prune });
@@ -515,13 +515,13 @@
         self.print_change(&response.body)
     }
 
-    async fn versions(&self, tenant: Option<String>, most: usize) -> Outcome {
+    async fn versions(&self, tenant: Option<String>, max_items: usize) -> CommandResult {
         let target = tenant.map_or("/v1/versions".into(), |t| {
             format!("/v1/tenants/{}/versions", encode_path_segment(&t))
         });
-        let all = self.list(&target, most).await?;
+        let items = self.list(&target, max_items).await?;
         self.print_list(
-            &all,
+            &items,
             &[
                 ("VERSION", &|v| cell(&v["number"])),
                 ("WHEN", &|v| time(&v["at-ms"])),
@@ -533,7 +533,7 @@
         )
     }
 
-    async fn diff(&self, tenant: Option<String>, from: u64, to: Option<u64>) -> Outcome {
+    async fn diff(&self, tenant: Option<String>, from: u64, to: Option<u64>) -> CommandResult {
         let base = tenant.map_or("/v1/diff".into(), |t| {
             format!("/v1/tenants/{}/diff", encode_path_segment(&t))
         });
@@ -550,7 +550,7 @@
         Ok(if differs { DIFFERS } else { 0 })
     }
 
-    async fn rollback(&self, tenant: Option<String>, to: u64) -> Outcome {
+    async fn rollback(&self, tenant: Option<String>, to: u64) -> CommandResult {
         let body = json!({ "to": to });
         match tenant {
             Some(tenant) => {
@@ -575,13 +575,13 @@
         }
     }
 
-    async fn audit(&self, tenant: Option<String>, most: usize) -> Outcome {
+    async fn audit(&self, tenant: Option<String>, max_items: usize) -> CommandResult {
         let target = tenant.map_or("/v1/audit".into(), |t| {
             format!("/v1/audit?tenant={}", encode_path_segment(&t))
         });
-        let all = self.list(&target, most).await?;
+        let items = self.list(&target, max_items).await?;
         self.print_list(
-            &all,
+            &items,
             &[
                 ("LINE", &|l| cell(&l["number"])),
                 ("WHEN", &|l| time(&l["at-ms"])),
@@ -594,13 +594,13 @@
         )
     }
 
-    async fn token(&self, command: Token) -> Outcome {
+    async fn token(&self, command: Token) -> CommandResult {
         let path = |id: &str| format!("/v1/tokens/{}", encode_path_segment(id));
         let created = match command {
             Token::List => {
-                let all = self.list("/v1/tokens", usize::MAX).await?;
+                let items = self.list("/v1/tokens", usize::MAX).await?;
                 return self.print_list(
-                    &all,
+                    &items,
                     &[
                         ("ID", &|t| cell(&t["id"])),
                         ("NAME", &|t| cell(&t["name"])),
@@ -662,8 +662,8 @@
     }
 
     /// Prints the stream of events; reconnects when it breaks.
-    async fn watch(&self, most: Option<usize>) -> Outcome {
-        let (mut last_event_id, mut lines_left) = (None::<String>, most.unwrap_or(usize::MAX));
+    async fn watch(&self, max_lines: Option<usize>) -> CommandResult {
+        let (mut last_event_id, mut lines_left) = (None::<String>, max_lines.unwrap_or(usize::MAX));
         let mut connected = false;
         while lines_left > 0 {
             let headers: Vec<(&str, &str)> = last_event_id
@@ -733,8 +733,8 @@
             return Ok(true);
         }
         let join_tenants = |format: &dyn Fn(&Value) -> String| {
-            let all = data["tenants"].as_array().into_iter().flatten();
-            all.map(format).collect::<Vec<_>>().join(" ")
+            let tenants = data["tenants"].as_array().into_iter().flatten();
+            tenants.map(format).collect::<Vec<_>>().join(" ")
         };
         let line = match kind {
             "version" => format!(
@@ -766,7 +766,7 @@
 }
 
 /// Prints a line.
-fn print(text: &str) -> Outcome {
+fn print(text: &str) -> CommandResult {
     // The reader may have closed the pipe, as `head` does.
     let written = writeln!(std::io::stdout(), "{text}");
     written
--- a/crates/canvascart/src/cluster/command.rs
+++ b/crates/canvascart/src/cluster/command.rs
@@ -102,7 +102,7 @@
             |()| 0,
         ));
     }
-    let token = crate::admin::token(arguments.token_file.as_deref())?;
+    let token = crate::admin::read_token(arguments.token_file.as_deref())?;
     let client = ApiClient::new(&arguments.url, token)?;
     let execution = async {
         match &arguments.command {
@@ -215,9 +215,9 @@
 }
 
 fn print_status(body: &Value) {
-    let here = &body["here"];
+    let instance = &body["here"];
     let known = if body["leader"].is_null() {
-        here
+        instance
     } else {
         &body["leader"]
     };
@@ -227,22 +227,22 @@
         None => println!("leader    none known: no changes are possible"),
     }
     println!("version   {}", cell(&known["version"]));
-    match &here["decides"] {
+    match &instance["decides"] {
         Value::Null => println!(
             "{:<9} fenced: {}",
-            cell(&here["name"]),
-            cell(&here["fenced"])
+            cell(&instance["name"]),
+            cell(&instance["fenced"])
         ),
         version => println!(
             "{:<9} decides under version {}",
-            cell(&here["name"]),
+            cell(&instance["name"]),
             cell(version)
         ),
     }
-    if here["unproven"] == true {
+    if instance["unproven"] == true {
         println!("          does not vote: not yet verified that the state on its disk is current");
     }
-    if here["put-back"] == true {
+    if instance["put-back"] == true {
         println!(
             "          its disk was restored from a copy: it has joined again as a new member"
         );
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -29,7 +29,7 @@
 
 impl Drop for Demo {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.directory); // it is in the directory for temporary files
+        let _ = std::fs::remove_dir_all(&self.directory); // best effort: it is in the system's temporary directory
     }
 }
 
--- a/crates/canvascart/src/fleet.rs
+++ b/crates/canvascart/src/fleet.rs
@@ -258,7 +258,7 @@
     }
 }
 
-async fn watch(settings: Settings, keys: KeySpace, pool: String, most: Option<usize>) {
+async fn watch(settings: Settings, keys: KeySpace, pool: String, max_lines: Option<usize>) {
     let (update_sender, mut updates) = mpsc::unbounded_channel();
     let seed = fastrand::u64(..);
     tokio::spawn(etcd::watch_endpoints(
@@ -270,7 +270,7 @@
         seed,
         update_sender,
     ));
-    let mut lines_left = most.unwrap_or(usize::MAX);
+    let mut lines_left = max_lines.unwrap_or(usize::MAX);
     while let (true, Some(update)) = (lines_left > 0, updates.recv().await) {
         match update {
             DiscoveryUpdate::List(ListChange::Complete(all)) => {
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -171,7 +171,7 @@
                 .last()
                 .is_some_and(|t| t.outcome.is_none());
             let attempt = progress.attempts.len().saturating_sub(1);
-            // An attempt that was not captured is taken as served.
+            // An attempt that was not captured counts as served.
             let outcome = attempts
                 .get(attempt)
                 .map_or(Some(Outcome::Served), |t| t.outcome);
--- a/crates/canvascart/src/state.rs
+++ b/crates/canvascart/src/state.rs
@@ -55,7 +55,7 @@
         Command::Check { state } => check(state),
         Command::Export { state, output } => export(state, output.as_deref()),
         Command::Import { state, file } => import(state, file),
-        Command::Token { state } => token(state),
+        Command::Token { state } => create_token(state),
     };
     Ok(result.map_or_else(
         |e| {
@@ -110,7 +110,7 @@
     }
 }
 
-fn token(directory: &Path) -> Result<(), StoreError> {
+fn create_token(directory: &Path) -> Result<(), StoreError> {
     let (mut store, state) = Store::open_existing(directory, Retention::default())?;
     let now_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
