--- a/crates/admin-api/tests/admin_state.rs
+++ b/crates/admin-api/tests/admin_state.rs
@@ -100,10 +100,10 @@
     let mut client = TestClient::new(&["north"]);
     let body = json!({ "name": "n", "role": "tenant-admin", "tenant": "north" });
     let made = client.with_key("t").ok("POST", "/v1/tokens", body.clone());
-    let whole = made.body["token"].as_str().unwrap().to_owned();
+    let token_text = made.body["token"].as_str().unwrap().to_owned();
     let id = made.body["id"].as_str().unwrap().to_owned();
     // Takes everything after the id: a secret may contain a "_", and what follows that may occur elsewhere by chance.
-    let (_, secret) = whole.split_once(&format!("{id}_")).unwrap();
+    let (_, secret) = token_text.split_once(&format!("{id}_")).unwrap();
     assert!(secret.len() >= 40, "{secret}");
     let again = client.with_key("t").ok("POST", "/v1/tokens", body);
     assert_eq!(
@@ -117,7 +117,7 @@
     assert!(
         client
             .admin
-            .authenticate(Some(&format!("Bearer {whole}")), NOW)
+            .authenticate(Some(&format!("Bearer {token_text}")), NOW)
             .is_ok()
     );
     let rotated = client.ok(
@@ -132,8 +132,8 @@
             .authenticate(Some(&format!("Bearer {t}")), at)
             .is_ok()
     };
-    assert!(good(&client, &whole, NOW + 59_999) && good(&client, &second, NOW));
-    assert!(!good(&client, &whole, NOW + 60_000) && good(&client, &second, NOW + 60_000));
+    assert!(good(&client, &token_text, NOW + 59_999) && good(&client, &second, NOW));
+    assert!(!good(&client, &token_text, NOW + 60_000) && good(&client, &second, NOW + 60_000));
     client.ok("DELETE", &format!("/v1/tokens/{id}"), Value::Null);
     assert!(!good(&client, &second, NOW));
     let operator = client.principal.id.clone();
@@ -149,7 +149,7 @@
 fn removing_a_tenant_revokes_its_tokens() {
     let mut client = TestClient::new(&["north"]);
     let body = json!({ "name": "n", "role": "read-only", "tenant": "north" });
-    let whole = client.ok("POST", "/v1/tokens", body).body["token"]
+    let token_text = client.ok("POST", "/v1/tokens", body).body["token"]
         .as_str()
         .unwrap()
         .to_owned();
@@ -160,7 +160,7 @@
     assert!(
         client
             .admin
-            .authenticate(Some(&format!("Bearer {whole}")), NOW)
+            .authenticate(Some(&format!("Bearer {token_text}")), NOW)
             .is_err()
     );
 }
@@ -231,7 +231,10 @@
         assert!(asked > 30);
         let seen = client.ok("GET", "/v1/tenants", Value::Null);
         assert_eq!(seen.body["items"].as_array().unwrap().len(), 1);
-        assert_eq!(seen.etag, None, "the service's version tells of others");
+        assert_eq!(
+            seen.etag, None,
+            "the service's version would reveal other tenants"
+        );
         let lines = client.ok("GET", "/v1/audit", Value::Null);
         assert!(
             lines.body["items"]
--- a/crates/admin-api/tests/http.rs
+++ b/crates/admin-api/tests/http.rs
@@ -503,7 +503,7 @@
     // Comment lines are sent every 2 s while the stream is open.
     let (mut rest, end) = (String::new(), Instant::now() + Duration::from_secs(20));
     while reader.read_line(&mut rest).unwrap() > 0 {
-        assert!(Instant::now() < end, "the stream goes on: {rest}");
+        assert!(Instant::now() < end, "the stream is still open: {rest}");
     }
     assert!(!rest.contains("event: version"), "{rest}");
 }
--- a/crates/admin-api/tests/service/mod.rs
+++ b/crates/admin-api/tests/service/mod.rs
@@ -59,7 +59,7 @@
         static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let directory =
-            std::env::temp_dir().join(format!("canvascart-desk-{}-{n}", std::process::id()));
+            std::env::temp_dir().join(format!("canvascart-admin-api-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&directory).unwrap();
         let memory = || Ok(Database::builder().create_with_backend(InMemoryBackend::new())?);
         let keep = Retention {
@@ -154,7 +154,7 @@
             return Ok(reply);
         }
         let Handler::State(decide) = operation.handler else {
-            panic!("{path} is not the desk's")
+            panic!("{path} is not decided by the state")
         };
         Ok(match decide(&mut self.admin, call)? {
             Outcome::Reply(reply) => reply,
--- a/crates/admin-api/tests/stored_documents.rs
+++ b/crates/admin-api/tests/stored_documents.rs
@@ -141,7 +141,7 @@
     assert_eq!(
         client.admin.packed_count() - packed,
         2,
-        "one for each document that was stored"
+        "one tenant packed for each stored document"
     );
     let changed = Catalog::differences(&damaged_catalog, client.admin.catalog());
     let changed: Vec<String> = changed
@@ -167,11 +167,7 @@
     }
     let first = client.ok("GET", "/v1/tenants/north/versions/1", Value::Null);
     assert_eq!(first.etag.as_deref(), Some("\"1-d09c3eb0\""));
-    assert_eq!(
-        client.export(),
-        OLDER_EXPORT,
-        "what is stored is what was stored"
-    );
+    assert_eq!(client.export(), OLDER_EXPORT, "the export is unchanged");
 }
 
 #[test]
@@ -267,7 +263,7 @@
     assert_eq!(
         (now.0, now.1.limits.weight),
         (3, 3.0),
-        "what was not changed is as it was stored"
+        "the other parts are as they were stored"
     );
     damage(&mut client);
     client
