--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -1,67 +1,75 @@
-//! Several processes of the program that act as one, with faults between them.
-mod together;
+//! Clusters of several processes: configuration changes, leases and membership under process and network faults.
+mod cluster_fixture;
 
 use std::net::TcpListener;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
+use cluster_fixture::{
+    Directory, SHORT_LEASES, command, fleet, limit, set_limit, settled_voters, voters,
+};
 use lab::net::Mode;
 use lab::service::Line;
 use lab::service::changes::{Known, Ledger, Planted, Play, judge, now, play, server};
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
-use together::{Directory, SOON, command, fleet, limit, set, settled_voters, voters};
 
 #[test]
-fn a_change_at_any_instance_is_seen_at_each() {
+fn change_at_any_instance_is_visible_at_all() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    let fleet = fleet(&directory, 5, SHORT_LEASES);
     for (i, n) in (0..5).zip(2001..) {
-        let (status, body) = set(&fleet, i, n, "");
+        let (status, body) = set_limit(&fleet, i, n, "");
         assert_eq!(status, 200, "{body}");
         assert!(
             (0..5).all(|other| limit(&fleet, other) == n),
-            "after change at {i}"
+            "after the change at instance {i}"
         );
     }
-    let (first, again) = (
-        set(&fleet, 1, 3000, "Idempotency-Key: k\r\n"),
-        set(&fleet, 2, 3000, "Idempotency-Key: k\r\n"),
+    let (first, repeated) = (
+        set_limit(&fleet, 1, 3000, "Idempotency-Key: k\r\n"),
+        set_limit(&fleet, 2, 3000, "Idempotency-Key: k\r\n"),
     );
     assert_eq!(
-        first, again,
-        "the same call at another instance is the same call"
+        first, repeated,
+        "an idempotency key was not recognized at another instance"
     );
     let status = fleet.status(3).unwrap();
     assert_eq!(status["leader"]["members"].as_array().unwrap().len(), 5);
-    // One of another zone gets its vote before the one that it replaces loses it.
+    // A member of another zone gets its vote before the member that it replaces loses it.
     fleet
-        .wait("three that vote", |f| voters(f).len() == 3)
+        .wait("three voters", |f| voters(f).len() == 3)
         .unwrap();
-    // The leader knows a member's version from its last report: a change is in effect before the next one.
+    // The leader knows a member's version from the member's last report, and a change takes effect before the next
+    // report.
     let same_version = |f: &Fleet| {
         let status = f.status(3).unwrap();
         let members = status["leader"]["members"].as_array().unwrap().clone();
         let version = &status["leader"]["version"];
         members.len() == 5 && members.iter().all(|m| m["version"] == *version)
     };
-    let known = fleet.wait("all report one version", same_version);
-    assert!(known.is_ok(), "{}", fleet.status(3).unwrap());
+    let same_version_reported = fleet.wait("all members to report the same version", same_version);
+    assert!(
+        same_version_reported.is_ok(),
+        "{}",
+        fleet.status(3).unwrap()
+    );
 }
 
+/// Guards against decisions under an old version by an instance that was paused during a change.
 #[test]
-fn one_that_stands_still_is_passed_after_its_lease_and_decides_nothing_when_it_wakes() {
+fn paused_instance_delays_a_change_for_its_lease_and_does_not_decide_when_resumed() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    let fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
-    let still = (0..5).find(|i| *i != leader).unwrap();
-    fleet.pause(still, true);
+    let paused = (0..5).find(|i| *i != leader).unwrap();
+    fleet.pause(paused, true);
     let began = Instant::now();
-    let (status, body) = set(&fleet, leader, 2001, "");
+    let (status, body) = set_limit(&fleet, leader, 2001, "");
     assert_eq!(status, 200, "{body}");
     assert!(
         began.elapsed() > Duration::from_millis(500),
-        "its lease ran: {:?}",
+        "the change did not wait for the lease of the paused instance: {:?}",
         began.elapsed()
     );
     assert!(
@@ -69,57 +77,63 @@
         "{:?}",
         began.elapsed()
     );
-    fleet.link(leader, still, Mode::Hold);
-    fleet.pause(still, false);
-    assert!(!fleet.is_up(still), "its lease has run out");
-    fleet.link(leader, still, Mode::Pass);
+    fleet.link(leader, paused, Mode::Hold);
+    fleet.pause(paused, false);
+    assert!(
+        !fleet.is_up(paused),
+        "the resumed instance decides although its lease has expired"
+    );
+    fleet.link(leader, paused, Mode::Pass);
     fleet.ready().unwrap();
-    assert_eq!(limit(&fleet, still), 2001);
+    assert_eq!(limit(&fleet, paused), 2001);
 }
 
 #[test]
-fn a_drain_ends_new_work_within_a_second_though_the_change_has_to_wait() {
+fn drain_ends_new_requests_within_a_second_while_the_change_waits_for_a_lease() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    let fleet = fleet(&directory, 5, SHORT_LEASES);
     let old = Ledger::default();
     let (first, second) = (server(&old).unwrap(), server(&Ledger::default()).unwrap());
     for (name, at) in [("old", first), ("new", second)] {
         let body =
             json!({ "name": name, "address": at.to_string(), "size": 8, "warm": true }).to_string();
         let target = format!("/v1/tenants/a/servers/{name}");
-        let (status, said) = fleet
+        let (status, response_body) = fleet
             .line(0)
             .unwrap()
             .call("PUT", &target, "If-Match: *\r\n", &body)
             .unwrap();
-        let (status, said) = match status {
+        let (status, response_body) = match status {
             412 => fleet
                 .line(0)
                 .unwrap()
                 .call("PUT", &target, "", &body)
                 .unwrap(),
-            _ => (status, said),
+            _ => (status, response_body),
         };
         assert!(
             (200..300).contains(&status),
             "{status}: {}",
-            String::from_utf8_lossy(&said)
+            String::from_utf8_lossy(&response_body)
         );
     }
     let leader = fleet.leader().unwrap();
-    let still = (0..5).find(|i| *i != leader).unwrap();
-    let asks = |fleet: &Fleet| {
-        for i in (0..5).filter(|i| *i != still) {
+    let paused = (0..5).find(|i| *i != leader).unwrap();
+    let send_lookups = |fleet: &Fleet| {
+        for i in (0..5).filter(|i| *i != paused) {
             let mut line = Line::new(fleet.public(i).unwrap(), "X-Tenant-Id: a\r\n");
             (0..20).for_each(|_| assert_eq!(line.call("GET", "/lookup/1", "", "").unwrap().0, 200));
         }
     };
-    asks(&fleet);
-    assert!(!old.sorted().is_empty(), "it takes work");
-    fleet.pause(still, true);
+    send_lookups(&fleet);
+    assert!(
+        !old.sorted().is_empty(),
+        "the server got no requests before the drain"
+    );
+    fleet.pause(paused, true);
     let mut line = fleet.line(leader).unwrap();
-    let (asked, told) = (now(), std::time::Instant::now());
-    let drains = std::thread::spawn(move || {
+    let (asked_at, called_at) = (now(), std::time::Instant::now());
+    let drain_call = std::thread::spawn(move || {
         let called = line
             .call(
                 "POST",
@@ -128,35 +142,36 @@
                 "",
             )
             .unwrap();
-        (called, told.elapsed())
+        (called, called_at.elapsed())
     });
     std::thread::sleep(Duration::from_millis(250));
-    asks(&fleet);
+    send_lookups(&fleet);
     let late: Vec<_> = old
         .sorted()
         .into_iter()
-        .filter(|d| d.at > asked + 250_000)
+        .filter(|d| d.at > asked_at + 250_000)
         .collect();
     assert!(late.is_empty(), "{late:?}");
-    let ((status, said), took) = drains.join().unwrap();
-    assert_eq!(status, 200, "{}", String::from_utf8_lossy(&said));
+    let ((status, response_body), elapsed) = drain_call.join().unwrap();
+    assert_eq!(status, 200, "{}", String::from_utf8_lossy(&response_body));
     assert!(
-        took > Duration::from_millis(500),
-        "the change waited for a lease: {took:?}"
+        elapsed > Duration::from_millis(500),
+        "the change did not wait for a lease: {elapsed:?}"
     );
-    fleet.pause(still, false);
+    fleet.pause(paused, false);
 }
 
+/// Guards against a call that is lost, or applied again by its idempotency key, when the leader dies during the change.
 #[test]
-fn the_one_that_leads_dies_with_a_change_under_way_and_the_call_is_done_once() {
+fn change_in_progress_is_applied_once_when_the_leader_dies() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     let others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
-    // One is not heard, so that the change waits for its lease; then the one that leads goes.
+    // Messages of one instance are held, so that the change waits for its lease; then the leader is killed.
     (0..5).for_each(|to| fleet.link(others[0], to, Mode::Hold));
     let mut line = fleet.line(others[1]).unwrap();
-    let asked = std::thread::spawn(move || {
+    let pending_call = std::thread::spawn(move || {
         let body = json!({ "in-flight": 2001 }).to_string();
         line.call(
             "PUT",
@@ -169,13 +184,13 @@
     std::thread::sleep(Duration::from_millis(300));
     fleet.kill(leader);
     (0..5).for_each(|to| fleet.link(others[0], to, Mode::Pass));
-    let (status, body) = asked.join().unwrap();
+    let (status, body) = pending_call.join().unwrap();
     assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
     assert!(others.iter().all(|i| limit(&fleet, *i) == 2001));
-    let (status, again) = set(&fleet, others[2], 2001, "Idempotency-Key: once\r\n");
+    let (status, repeated) = set_limit(&fleet, others[2], 2001, "Idempotency-Key: once\r\n");
     assert_eq!(
         (status, serde_json::from_slice::<Value>(&body).unwrap()),
-        (200, again)
+        (200, repeated)
     );
     fleet.start(leader).unwrap();
     fleet.ready().unwrap();
@@ -188,17 +203,17 @@
 }
 
 #[test]
-fn a_call_waits_for_a_change_that_a_former_leader_began() {
+fn call_waits_for_a_change_that_a_former_leader_began() {
     let directory = Directory::new();
     let mut fleet = fleet(
         &directory,
         5,
-        &SOON.replace("2 s", "4 s").replace("8 s", "16 s"),
+        &SHORT_LEASES.replace("2 s", "4 s").replace("8 s", "16 s"),
     );
     let votes = settled_voters(&fleet);
     let leader = fleet.leader().unwrap();
     let mut others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
-    others.sort_by_key(|i| votes.contains(i)); // one without a vote is held back, so that another can lead
+    others.sort_by_key(|i| votes.contains(i)); // an instance without a vote is isolated first, so that another can lead
     fleet.isolate(others[0], Mode::Hold);
     let mut line = fleet.line(others[1]).unwrap();
     let first = std::thread::spawn(move || {
@@ -215,16 +230,18 @@
         f.status(others[2])
             .is_ok_and(|s| !s["leader"]["change"].is_null())
     };
-    fleet.wait("the change", under_way).unwrap();
+    fleet
+        .wait("the change to be in progress", under_way)
+        .unwrap();
     fleet.kill(leader);
-    let led = |f: &Fleet| f.status(others[2]).unwrap()["leader"]["name"].is_string();
+    let has_leader = |f: &Fleet| f.status(others[2]).unwrap()["leader"]["name"].is_string();
     fleet
-        .wait("another leads", |f| led(f) && under_way(f))
+        .wait("another leader", |f| has_leader(f) && under_way(f))
         .unwrap_or_else(|e| panic!("{e}: {votes:?}, then {}", fleet.status(others[2]).unwrap()));
     assert_eq!(
-        set(&fleet, others[2], 2002, "").0,
+        set_limit(&fleet, others[2], 2002, "").0,
         200,
-        "it was not turned down for the other"
+        "the change was rejected because of the earlier one"
     );
     assert_eq!(first.join().unwrap(), 200);
     assert!(others[1..].iter().all(|i| limit(&fleet, *i) == 2002));
@@ -233,18 +250,19 @@
     fleet.ready().unwrap();
 }
 
+/// Guards against a reelected leader that accepts no changes because its earlier proposal was lost.
 #[test]
-fn one_that_led_and_lost_what_it_proposed_takes_changes_when_it_leads_again() {
+fn former_leader_whose_proposal_was_lost_accepts_changes_when_reelected() {
     let directory = Directory::new();
-    // Its lease outlasts the choice of another leader: one that is not heard for a lease loses its vote.
-    let terms = SOON.replace("2 s", "6 s").replace("8 s", "16 s");
-    let fleet = fleet(&directory, 5, &terms);
+    // The lease is longer than an election, as a member that is not heard for the length of a lease loses its vote.
+    let settings = SHORT_LEASES.replace("2 s", "6 s").replace("8 s", "16 s");
+    let fleet = fleet(&directory, 5, &settings);
     settled_voters(&fleet);
     let first = fleet.leader().unwrap();
     let other = (0..5).find(|i| *i != first).unwrap();
     fleet.isolate(first, Mode::Cut);
     let mut line = fleet.line(first).unwrap();
-    let asked = std::thread::spawn(move || {
+    let pending_call = std::thread::spawn(move || {
         line.call(
             "PUT",
             "/v1/tenants/a/limits",
@@ -254,7 +272,7 @@
         .unwrap()
     });
     fleet
-        .wait("another leads", |f| {
+        .wait("another leader", |f| {
             let leads = f
                 .status(other)
                 .ok()
@@ -263,45 +281,48 @@
         })
         .unwrap();
     fleet.isolate(first, Mode::Pass);
-    let (status, said) = asked.join().unwrap();
+    let (status, response_body) = pending_call.join().unwrap();
     assert_eq!(
         status,
         200,
-        "the call was passed on: {}",
-        String::from_utf8_lossy(&said)
+        "the call was not forwarded: {}",
+        String::from_utf8_lossy(&response_body)
     );
     let body = json!({ "to": fleet.name(first) }).to_string();
     fleet
-        .wait("it leads again", |f| {
+        .wait("the former leader to lead again", |f| {
             let _ = f
                 .line(other)
                 .unwrap()
-                .call("POST", "/v1/cluster/step-down", "", &body); // until it has caught up
+                .call("POST", "/v1/cluster/step-down", "", &body); // repeated until the member has caught up
             f.leader() == Some(first)
         })
         .unwrap_or_else(|e| panic!("{e}: {}", fleet.status(other).unwrap()));
-    assert_eq!(set(&fleet, first, 2002, "").0, 200);
+    assert_eq!(set_limit(&fleet, first, 2002, "").0, 200);
     assert_eq!(limit(&fleet, other), 2002);
 }
 
 #[test]
-fn halves_that_both_get_changes_agree_once_they_are_joined() {
+fn partitions_that_both_get_changes_agree_after_healing() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    let fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     let votes = voters(&fleet);
-    // The one that leads stands alone with those that have no vote.
-    let (few, most): (Vec<usize>, Vec<usize>) =
+    // The leader is partitioned from the other voters, together with the members without a vote.
+    let (minority, majority): (Vec<usize>, Vec<usize>) =
         (0..5).partition(|i| *i == leader || !votes.contains(i));
     let links = |mode| {
-        for (a, b) in few.iter().flat_map(|a| most.iter().map(move |b| (*a, *b))) {
+        for (a, b) in minority
+            .iter()
+            .flat_map(|a| majority.iter().map(move |b| (*a, *b)))
+        {
             fleet.link(a, b, mode);
             fleet.link(b, a, mode);
         }
     };
     links(Mode::Cut);
     let mut line = fleet.line(leader).unwrap();
-    let asked = std::thread::spawn(move || {
+    let pending_call = std::thread::spawn(move || {
         line.call(
             "PUT",
             "/v1/tenants/a/limits",
@@ -311,28 +332,30 @@
         .unwrap()
     });
     assert_eq!(
-        set(&fleet, most[0], 2002, "").0,
+        set_limit(&fleet, majority[0], 2002, "").0,
         200,
-        "most of those who vote go on"
+        "the majority of voters stopped accepting changes"
     );
     fleet
-        .wait("leases' ends", |f| few.iter().all(|i| !f.is_up(*i)))
+        .wait("the leases of the minority to expire", |f| {
+            minority.iter().all(|i| !f.is_up(*i))
+        })
         .unwrap();
     links(Mode::Pass);
     fleet.ready().unwrap();
-    let (status, said) = asked.join().unwrap();
+    let (status, response_body) = pending_call.join().unwrap();
     assert_eq!(
         status,
         200,
-        "it was asked for again at the other: {}",
-        String::from_utf8_lossy(&said)
+        "the change was not retried at the new leader: {}",
+        String::from_utf8_lossy(&response_body)
     );
     assert!(
         (0..5).all(|i| limit(&fleet, i) == 2001),
-        "and so came after"
+        "the retried change was not applied last"
     );
     let versions = fleet
-        .line(few[0])
+        .line(minority[0])
         .unwrap()
         .json("GET", "/v1/versions", "", &Value::Null)
         .unwrap();
@@ -340,24 +363,24 @@
 }
 
 #[test]
-fn one_that_lags_behind_a_log_that_was_shortened_goes_on_from_a_snapshot() {
+fn member_behind_a_compacted_log_is_restored_from_a_snapshot() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, &format!("{SOON}\nlog-entries = 16"));
+    let fleet = fleet(&directory, 5, &format!("{SHORT_LEASES}\nlog-entries = 16"));
     let leader = fleet.leader().unwrap();
-    let lags = (0..5).find(|i| *i != leader).unwrap();
-    fleet.isolate(lags, Mode::Cut);
-    // Its own listeners change meanwhile.
+    let lagging = (0..5).find(|i| *i != leader).unwrap();
+    fleet.isolate(lagging, Mode::Cut);
+    // The listeners of the isolated instance change in the meantime.
     let (text, before) = (
-        std::fs::read_to_string(fleet.config(lags)).unwrap(),
-        fleet.public(lags),
+        std::fs::read_to_string(fleet.config(lagging)).unwrap(),
+        fleet.public(lagging),
     );
     let more = "[[listener]]\nname = \"more\"\naddress = \"127.0.0.1:0\"\ntenant-by = \"header\"\n";
     std::fs::write(
-        fleet.config(lags),
+        fleet.config(lagging),
         text.replacen("[[listener]]", &format!("{more}[[listener]]"), 1),
     )
     .unwrap();
-    let id = fleet.id(lags).unwrap().to_string();
+    let id = fleet.id(lagging).unwrap().to_string();
     assert!(
         Command::new("kill")
             .args(["-s", "HUP", &id])
@@ -366,18 +389,18 @@
             .success()
     );
     fleet
-        .wait("the other listener", |f| f.public(lags) != before)
+        .wait("the new listener", |f| f.public(lagging) != before)
         .unwrap();
     for n in 2001..2041 {
-        assert_eq!(set(&fleet, leader, n, "").0, 200);
+        assert_eq!(set_limit(&fleet, leader, n, "").0, 200);
     }
-    fleet.isolate(lags, Mode::Pass);
-    fleet.ready().unwrap(); // at that listener
-    assert_eq!(limit(&fleet, lags), 2040);
-    let log = fleet.log(lags);
+    fleet.isolate(lagging, Mode::Pass);
+    fleet.ready().unwrap(); // checked at the new listener
+    assert_eq!(limit(&fleet, lagging), 2040);
+    let log = fleet.log(lagging);
     assert!(log.contains("restored from snapshot"), "{log}");
     let figures = fleet
-        .line(lags)
+        .line(lagging)
         .unwrap()
         .call("GET", "/v1/figures", "", "")
         .unwrap();
@@ -390,18 +413,18 @@
 
 #[test]
 #[cfg(feature = "failpoints")]
-fn a_voter_with_a_slow_disk_holds_no_change_up_for_long() {
+fn voter_with_a_slow_disk_delays_changes_by_a_lease_at_most() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    let fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     let slow = voters(&fleet).into_iter().find(|i| *i != leader).unwrap();
     fleet.fail(slow, "cluster-log=sleep(2000)").unwrap();
     for n in 2001..2004 {
         let began = Instant::now();
-        assert_eq!(set(&fleet, leader, n, "").0, 200);
+        assert_eq!(set_limit(&fleet, leader, n, "").0, 200);
         assert!(
             began.elapsed() < Duration::from_secs(4),
-            "a lease is waited for at most: {:?}",
+            "the change waited for longer than a lease: {:?}",
             began.elapsed()
         );
     }
@@ -412,12 +435,12 @@
 
 #[test]
 #[cfg(feature = "failpoints")]
-fn a_change_of_a_newer_program_is_given_up_with_who_can_not_read_it() {
+fn change_in_a_newer_format_is_given_up_and_names_the_member_that_cannot_read_it() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, SOON);
+    let fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     fleet.fail(leader, "agreed-form=return(2)").unwrap();
-    let (status, body) = set(&fleet, leader, 2001, "");
+    let (status, body) = set_limit(&fleet, leader, 2001, "");
     assert_eq!(
         (status, body["type"].as_str()),
         (409, Some("/problems/given-up")),
@@ -431,77 +454,85 @@
         detail.contains("its form is 2, and it knows 1") && !detail.contains(fleet.name(leader)),
         "{detail}"
     );
-    // The same call of one that writes what all can read.
+    // The same call at an instance that writes a format that all members can read.
     fleet.fail(leader, "").unwrap();
-    assert_eq!(set(&fleet, older, 2001, "").0, 200);
+    assert_eq!(set_limit(&fleet, older, 2001, "").0, 200);
     assert!((0..5).all(|i| limit(&fleet, i) == 2001));
 }
 
-/// Decisions of one instance under a planted fault while the others go over to another version, as the judge sees them.
+/// Counts the violations that the judge finds when one instance runs with a fault while the others change their version.
 #[cfg(feature = "failpoints")]
-fn judged(fault: &str, cut: bool) -> usize {
+fn count_violations(fault: &str, cut: bool) -> usize {
     let directory = Directory::new();
     let ledger = Ledger::default();
     let (command, at) = (command(), server(&ledger).unwrap());
-    let terms = Play {
+    let settings = Play {
         command: &command,
         instances: 5,
         changes: 0,
-        cluster: SOON,
+        cluster: SHORT_LEASES,
         seed: 1,
         dir: &directory.0,
         planted: Planted::Nothing,
     };
-    let fleet = lab::service::changes::begin(&terms, at).unwrap();
+    let fleet = lab::service::changes::begin(&settings, at).unwrap();
     let leader = fleet.leader().unwrap();
-    let wrong = (0..5).find(|i| *i != leader).unwrap();
+    let faulty = (0..5).find(|i| *i != leader).unwrap();
     if !fault.is_empty() {
-        fleet.fail(wrong, fault).unwrap();
+        fleet.fail(faulty, fault).unwrap();
     }
-    let ends = std::sync::atomic::AtomicBool::new(false);
+    let stop = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|threads| {
-        for i in [leader, wrong] {
-            let (to, ends) = (fleet.public(i).unwrap(), &ends);
+        for i in [leader, faulty] {
+            let (to, stop) = (fleet.public(i).unwrap(), &stop);
             threads.spawn(move || {
                 let mut line = Line::new(to, "X-Tenant-Id: a\r\n");
-                while !ends.load(std::sync::atomic::Ordering::Relaxed) {
-                    let _ = line.call("GET", "/lookup/1", "", ""); // the server notes what it was decided under
+                while !stop.load(std::sync::atomic::Ordering::Relaxed) {
+                    let _ = line.call("GET", "/lookup/1", "", ""); // the server records the version of the decision
                     std::thread::sleep(Duration::from_millis(1));
                 }
             });
         }
         if cut {
-            fleet.isolate(wrong, Mode::Cut);
+            fleet.isolate(faulty, Mode::Cut);
         }
-        assert_eq!(set(&fleet, leader, 2001, "").0, 200);
+        assert_eq!(set_limit(&fleet, leader, 2001, "").0, 200);
         std::thread::sleep(Duration::from_millis(600));
-        ends.store(true, std::sync::atomic::Ordering::Relaxed);
+        stop.store(true, std::sync::atomic::Ordering::Relaxed);
     });
     judge(&ledger.sorted()).len()
 }
 
 #[test]
 #[cfg(feature = "failpoints")]
-fn the_judge_sees_an_instance_that_ignores_its_lease_or_tells_too_early_that_it_has_closed() {
-    // It gives its right back with the first report after its lease, and that is a part of looking at it.
-    assert!(judged("lease-ignored=return\nright-kept=return", true) > 0);
+fn judge_detects_an_instance_that_ignores_its_lease_or_reports_closing_too_early() {
+    // `right-kept` is set as well, because an instance gives its right to decide back with the first report after its
+    // lease, which is part of respecting the lease.
+    assert!(count_violations("lease-ignored=return\nright-kept=return", true) > 0);
     assert!(
-        judged(
+        count_violations(
             "closed-too-early=return\nclosed-late=sleep(400)\nright-kept=return",
             false
         ) > 0
     );
-    assert_eq!((judged("", true), judged("", false)), (0, 0));
+    assert_eq!(
+        (count_violations("", true), count_violations("", false)),
+        (0, 0)
+    );
 }
 
 #[test]
-fn where_the_cut_off_serve_a_change_is_given_up_and_told_by_whom() {
+fn change_is_given_up_and_names_the_isolated_instance_if_isolated_instances_serve() {
     let directory = Directory::new();
-    let fleet = fleet(&directory, 5, &format!("{SOON}\nwhen-cut-off = \"serve\""));
+    let fleet = fleet(
+        &directory,
+        5,
+        &format!("{SHORT_LEASES}\nwhen-cut-off = \"serve\""),
+    );
     let leader = fleet.leader().unwrap();
     let cut = (0..5).find(|i| *i != leader).unwrap();
     fleet.isolate(cut, Mode::Cut);
-    let (status, body) = set(&fleet, leader, 2001, "");
+    let (status, body) = set_limit(&fleet, leader, 2001, "");
     assert_eq!(
         (status, body["type"].as_str()),
         (409, Some("/problems/given-up")),
@@ -511,40 +542,40 @@
         body["detail"].as_str().unwrap().contains(fleet.name(cut)),
         "{body}"
     );
-    assert!(fleet.is_up(cut), "it serves on");
+    assert!(fleet.is_up(cut), "the isolated instance stopped serving");
     fleet.isolate(cut, Mode::Pass);
-    let (status, body) = set(&fleet, cut, 2001, "");
+    let (status, body) = set_limit(&fleet, cut, 2001, "");
     assert_eq!(status, 200, "{body}");
 }
 
 #[test]
-fn an_empty_disk_comes_back_as_a_new_member_and_a_removed_one_is_refused() {
+fn instance_with_an_empty_disk_rejoins_as_a_new_member_and_a_removed_one_is_rejected() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
-    let lost = (0..5).find(|i| *i != leader && *i != 0).unwrap();
-    assert_eq!(set(&fleet, leader, 2001, "").0, 200);
+    let replaced_instance = (0..5).find(|i| *i != leader && *i != 0).unwrap();
+    assert_eq!(set_limit(&fleet, leader, 2001, "").0, 200);
     let id = |fleet: &Fleet| {
         let status = fleet.status(leader).unwrap();
         let members = status["leader"]["members"].as_array().unwrap().clone();
         members
             .iter()
-            .find(|m| m["name"] == fleet.name(lost))
+            .find(|m| m["name"] == fleet.name(replaced_instance))
             .and_then(|m| m["id"].as_u64())
     };
     let before = id(&fleet).unwrap();
-    fleet.kill(lost);
-    std::fs::remove_dir_all(fleet.state(lost)).unwrap();
-    fleet.start(lost).unwrap();
+    fleet.kill(replaced_instance);
+    std::fs::remove_dir_all(fleet.state(replaced_instance)).unwrap();
+    fleet.start(replaced_instance).unwrap();
     fleet.ready().unwrap();
-    assert_eq!(limit(&fleet, lost), 2001);
+    assert_eq!(limit(&fleet, replaced_instance), 2001);
     assert!(
         id(&fleet).unwrap() > before,
-        "it never votes with a forgotten vote"
+        "the member kept its old id although its vote was lost"
     );
 
-    let target = format!("/v1/cluster/members/{}", fleet.name(lost));
-    fleet.isolate(lost, Mode::Cut);
+    let target = format!("/v1/cluster/members/{}", fleet.name(replaced_instance));
+    fleet.isolate(replaced_instance, Mode::Cut);
     let (status, _) = fleet
         .line(leader)
         .unwrap()
@@ -552,67 +583,72 @@
         .unwrap();
     assert_eq!(status, 200);
     assert_eq!(id(&fleet), None);
-    fleet.isolate(lost, Mode::Pass);
-    assert_eq!(set(&fleet, leader, 2002, "").0, 200);
-    assert!(!fleet.is_up(lost), "it is no member any more");
+    fleet.isolate(replaced_instance, Mode::Pass);
+    assert_eq!(set_limit(&fleet, leader, 2002, "").0, 200);
+    assert!(
+        !fleet.is_up(replaced_instance),
+        "the removed member still serves"
+    );
 }
 
 #[test]
-fn without_most_of_those_who_vote_nothing_changes_and_nobody_decides_beyond_a_lease() {
+fn without_a_majority_of_voters_no_instance_decides_beyond_its_lease() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
     let voters = voters(&fleet);
-    let left = (0..5).find(|i| !voters.contains(i)).unwrap();
+    let non_voter = (0..5).find(|i| !voters.contains(i)).unwrap();
     voters[..2].iter().for_each(|i| fleet.kill(*i));
-    assert!(fleet.is_up(left), "its lease runs");
-    fleet.wait("its lease's end", |f| !f.is_up(left)).unwrap();
+    assert!(fleet.is_up(non_voter), "the lease has already expired");
+    fleet
+        .wait("the lease to expire", |f| !f.is_up(non_voter))
+        .unwrap();
     voters[..2].iter().for_each(|i| fleet.start(*i).unwrap());
     fleet.ready().unwrap();
-    assert_eq!(set(&fleet, left, 2001, "").0, 200);
+    assert_eq!(set_limit(&fleet, non_voter, 2001, "").0, 200);
 }
 
 #[test]
-fn under_faults_by_chance_no_change_is_half_taken_and_the_judge_sees_one_that_is() {
+fn changes_are_atomic_under_random_faults_and_the_judge_detects_late_decisions() {
     let (directory, command) = (Directory::new(), command());
-    let mut terms = Play {
+    let mut settings = Play {
         command: &command,
         instances: 5,
         changes: 8,
-        cluster: SOON,
+        cluster: SHORT_LEASES,
         seed: 5,
         dir: &directory.0,
         planted: Planted::Nothing,
     };
-    let played = play(&terms, |_| ()).unwrap();
-    assert_eq!(played.broken, Vec::<String>::new());
-    let done = played
+    let result = play(&settings, |_| ()).unwrap();
+    assert_eq!(result.broken, Vec::<String>::new());
+    let done = result
         .changes
         .values()
         .filter(|k| matches!(k, Some(Known::Done(_))))
         .count();
     assert!(
-        done >= 4 && played.decisions > 1000,
+        done >= 4 && result.decisions > 1000,
         "{done} of {:?}, {} decisions",
-        played.changes,
-        played.decisions
+        result.changes,
+        result.decisions
     );
-    terms.changes = 3;
-    terms.planted = Planted::LateDecisions;
-    let played = play(&terms, |_| ()).unwrap();
+    settings.changes = 3;
+    settings.planted = Planted::LateDecisions;
+    let result = play(&settings, |_| ()).unwrap();
     assert!(
-        played.broken.iter().any(|b| b.contains("after")),
-        "{played:?}"
+        result.broken.iter().any(|b| b.contains("after")),
+        "{result:?}"
     );
     assert!(judge(&[]).is_empty());
 }
 
 #[test]
-fn a_peer_that_sends_rubbish_is_closed_and_counted_and_bad_files_name_the_key() {
+fn invalid_peer_data_is_counted_and_invalid_settings_name_the_key() {
     use std::io::{Read as _, Write as _};
     let directory = Directory::new();
-    let fleet = fleet(&directory, 1, SOON);
+    let fleet = fleet(&directory, 1, SHORT_LEASES);
     let own = fleet.status(0).unwrap();
-    let links = own["leader"]["members"][0]["address"]
+    let peer_address = own["leader"]["members"][0]["address"]
         .as_str()
         .unwrap()
         .to_owned();
@@ -621,23 +657,23 @@
         b"GET / HTTP/1.1\r\n\r\n".repeat(9),
         vec![0; 64],
     ] {
-        let mut peer = std::net::TcpStream::connect(&links).unwrap();
+        let mut peer = std::net::TcpStream::connect(&peer_address).unwrap();
         peer.write_all(&bytes).unwrap();
         peer.set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
         let mut answer = Vec::new();
-        let _ = peer.read_to_end(&mut answer); // a reset is an end as well
+        let _ = peer.read_to_end(&mut answer); // a reset also ends the connection
         assert!(answer.is_empty());
     }
     fleet
-        .wait("the counts", |f| {
+        .wait("the counters", |f| {
             f.status(0).unwrap()["here"]["messages"][3] == 3
         })
         .unwrap();
 
     let text = std::fs::read_to_string(fleet.config(0)).unwrap();
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    for (bad, says) in [
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    for (invalid_config, expected) in [
         (
             text.replace("lease = \"2 s\"", "lease = \"9 s\""),
             "cluster.deadline",
@@ -654,43 +690,46 @@
         ),
     ] {
         let file = directory.0.join("bad.toml");
-        std::fs::write(&file, bad).unwrap();
-        let ran = Command::new(&command()[0])
+        std::fs::write(&file, invalid_config).unwrap();
+        let run = Command::new(&command()[0])
             .args(["serve", "--check", "--config"])
             .arg(&file)
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&ran.stderr).into_owned();
-        assert_eq!(ran.status.code(), Some(2), "{said}");
+        let stderr = String::from_utf8_lossy(&run.stderr).into_owned();
+        assert_eq!(run.status.code(), Some(2), "{stderr}");
         assert!(
-            said.contains(says) && said.contains("bad.toml:"),
-            "{says}: {said}"
+            stderr.contains(expected) && stderr.contains("bad.toml:"),
+            "{expected}: {stderr}"
         );
     }
     let short = directory.0.join("short.key");
     std::fs::write(&short, "short").unwrap();
     let key = text.lines().find(|l| l.starts_with("key-file")).unwrap();
-    let links = text.replace(
+    let short_key_config = text.replace(
         key,
         &format!("key-file = {:?}", short.display().to_string()),
     );
-    let port = text.replacen(
+    let occupied_port_config = text.replacen(
         "address = \"127.0.0.1:0\"\nzone",
-        &format!("address = \"{}\"\nzone", taken.local_addr().unwrap()),
+        &format!("address = \"{}\"\nzone", occupied.local_addr().unwrap()),
         1,
     );
     let state = format!("{:?}", directory.0.join("other").display().to_string());
-    for (bad, says) in [(links, "16 bytes"), (port, "in use")] {
+    for (invalid_config, expected) in [
+        (short_key_config, "16 bytes"),
+        (occupied_port_config, "in use"),
+    ] {
         let file = directory.0.join("bad.toml");
         let own = format!("{:?}", fleet.state(0).display().to_string());
-        std::fs::write(&file, bad.replace(&own, &state)).unwrap();
-        let ran = Command::new(&command()[0])
+        std::fs::write(&file, invalid_config.replace(&own, &state)).unwrap();
+        let run = Command::new(&command()[0])
             .args(["serve", "--config"])
             .arg(&file)
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&ran.stderr).into_owned();
-        assert_eq!(ran.status.code(), Some(3), "{said}");
-        assert!(said.contains(says), "{says}: {said}");
+        let stderr = String::from_utf8_lossy(&run.stderr).into_owned();
+        assert_eq!(run.status.code(), Some(3), "{stderr}");
+        assert!(stderr.contains(expected), "{expected}: {stderr}");
     }
 }
--- a/crates/canvascart/tests/together/mod.rs
+++ b/crates/canvascart/tests/cluster_fixture/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of processes that act as one, and what is asked of it.
-#![allow(dead_code)] // each test file uses its own part
+//! Test fixture: a cluster of `canvascart serve` processes, and calls to its administration API.
+#![allow(dead_code)] // each test binary uses a subset
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -9,13 +9,14 @@
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
 
-pub const SOON: &str = "lease = \"2 s\"\nchange-lease = \"1500 ms\"\ndeadline = \"8 s\"";
+/// Cluster settings with short leases and deadlines.
+pub const SHORT_LEASES: &str = "lease = \"2 s\"\nchange-lease = \"1500 ms\"\ndeadline = \"8 s\"";
 
 pub fn command() -> Vec<String> {
     vec![env!("CARGO_BIN_EXE_canvascart").to_owned()]
 }
 
-/// A directory that goes with the test.
+/// Temporary directory, removed on drop.
 pub struct Directory(pub PathBuf);
 
 impl Directory {
@@ -34,8 +35,9 @@
     }
 }
 
+/// Starts a cluster with one tenant and this many instances.
 pub fn fleet(directory: &Directory, instances: usize, cluster: &str) -> Fleet {
-    let at = server(&Ledger::default()).unwrap();
+    let server_address = server(&Ledger::default()).unwrap();
     let command = command();
     let play = Play {
         command: &command,
@@ -46,17 +48,17 @@
         dir: &directory.0,
         planted: Planted::Nothing,
     };
-    begin(&play, at).unwrap()
+    begin(&play, server_address).unwrap()
 }
 
-/// Sets the tenant's limit at an instance; the status and the body.
-pub fn set(fleet: &Fleet, i: usize, n: u64, more: &str) -> (u16, Value) {
-    let body = json!({ "in-flight": n }).to_string();
-    let more = format!("If-Match: *\r\n{more}");
+/// Sets the tenant's in-flight limit at an instance. Returns the response status and body.
+pub fn set_limit(fleet: &Fleet, i: usize, limit: u64, extra_headers: &str) -> (u16, Value) {
+    let body = json!({ "in-flight": limit }).to_string();
+    let extra_headers = format!("If-Match: *\r\n{extra_headers}");
     let (status, body) = fleet
         .line(i)
         .unwrap()
-        .call("PUT", "/v1/tenants/a/limits", &more, &body)
+        .call("PUT", "/v1/tenants/a/limits", &extra_headers, &body)
         .unwrap();
     (status, serde_json::from_slice(&body).unwrap())
 }
@@ -70,7 +72,7 @@
     limits["in-flight"].as_u64().unwrap()
 }
 
-/// Those who have a vote.
+/// Returns the instances that vote.
 pub fn voters(fleet: &Fleet) -> Vec<usize> {
     let status = fleet.status(0).unwrap();
     let members = status["leader"]["members"].as_array().unwrap().clone();
@@ -84,10 +86,10 @@
         .collect()
 }
 
-/// Waits until three members in three zones have a vote, and returns them. Before that votes still move: a member of
-/// another zone gets its vote before the one that it replaces loses it.
+/// Waits until three members in three zones vote, and returns them. Until then votes still move: a member of another
+/// zone gets its vote before the member that it replaces loses it.
 pub fn settled_voters(fleet: &Fleet) -> Vec<usize> {
-    let one_in_each_zone = |fleet: &Fleet| {
+    let has_one_voter_per_zone = |fleet: &Fleet| {
         let status = fleet.status(0).unwrap();
         let members = status["leader"]["members"].as_array();
         let voting = members.into_iter().flatten().filter(|m| m["votes"] == true);
@@ -95,7 +97,7 @@
         zones.len() == 3 && BTreeSet::from_iter(&zones).len() == 3
     };
     fleet
-        .wait("a voter in each zone", one_in_each_zone)
+        .wait("one voter in each zone", has_one_voter_per_zone)
         .unwrap();
     voters(fleet)
 }
--- a/crates/canvascart/tests/hollow.rs
+++ b/crates/canvascart/tests/hollow.rs
@@ -1,21 +1,22 @@
-//! Hollow members say what real ones do.
+//! Emulated ("hollow") cluster members exchange the same traffic as member processes, so that capacity figures measured
+//! with them hold for a real cluster.
 
-mod together;
+mod cluster_fixture;
 
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
+use cluster_fixture::{Directory, command};
 use lab::capacity::Point;
 use lab::capacity::members::{Play, in_virtual_time, of_processes, play, rules};
-use together::{Directory, command};
 
-/// What an entry of the log holds beside a change.
-const AROUND: usize = 110;
+/// Bytes of a log entry besides the change itself.
+const ENTRY_OVERHEAD_BYTES: usize = 110;
 
 #[test]
-fn hollow_members_idle_and_change_as_real_ones_do() {
+fn emulated_members_send_the_same_traffic_as_real_ones() {
     let directory = Directory::new();
-    let mut how = Play {
+    let mut settings = Play {
         command: Some(command()),
         rules: rules(),
         state_bytes: 1000,
@@ -27,13 +28,13 @@
         side_by_side: false,
         dir: directory.0.clone(),
     };
-    let (real, entry) = of_processes(&how, 12, 1).unwrap();
-    how.change_bytes = entry.saturating_sub(AROUND);
+    let (real, entry) = of_processes(&settings, 12, 1).unwrap();
+    settings.change_bytes = entry.saturating_sub(ENTRY_OVERHEAD_BYTES);
     let mut hollow = Point::default();
-    play(&how, 12, &mut hollow, &AtomicBool::new(false)).unwrap();
-    let played = in_virtual_time(12, &how.rules, how.changes, 1).unwrap();
+    play(&settings, 12, &mut hollow, &AtomicBool::new(false)).unwrap();
+    let simulated = in_virtual_time(12, &settings.rules, settings.changes, 1).unwrap();
     for (figure, r) in &real.figures {
-        let v = played
+        let v = simulated
             .figures
             .get(figure)
             .map_or("-".into(), |v| format!("{v:.1}"));
@@ -42,10 +43,10 @@
             hollow.figures[figure]
         );
     }
-    let near = |figure: &str, part: f64| {
+    let assert_close = |figure: &str, tolerance: f64| {
         let (r, h) = (real.figures[figure], hollow.figures[figure]);
         assert!(
-            (h - r).abs() <= part * r,
+            (h - r).abs() <= tolerance * r,
             "{figure}: real {r:.1}, hollow {h:.1}"
         );
     };
@@ -59,33 +60,36 @@
         "bytes a change's confirmation",
         "bytes a change's confirmation answer",
     ] {
-        near(figure, 0.1);
+        assert_close(figure, 0.1);
     }
-    // What a change carries is the same to all; what goes by how messages fall together, and so by how the machine's
-    // cores are given out, is how many appends that takes, how many reports are answered while no change closes, and
-    // how many reports a confirmation is for. Of real members alone one play differs from another by a quarter.
+    // The data of a change is the same in all setups. The number of appends for it, of reports answered while no change
+    // closes, and of reports per confirmation depends on how messages are batched and thus on CPU scheduling. Runs of
+    // real members alone differ from each other by a quarter.
     for figure in ["change append", "change grant"] {
-        near(figure, 1.0 / 3.0);
+        assert_close(figure, 1.0 / 3.0);
     }
-    near("bytes a change's append", 0.2);
+    assert_close("bytes a change's append", 0.2);
     for point in [&real, &hollow] {
-        let of = |figure: &str| point.figures[figure];
-        let others = 11.0;
-        for (asked, answered) in [
+        let figure_value = |figure: &str| point.figures[figure];
+        let followers = 11.0;
+        for (request, reply) in [
             ("change append", "change append answer"),
             ("change confirmation", "change confirmation answer"),
         ] {
             assert!(
-                (of(asked) - of(answered)).abs() <= 0.02 * of(asked),
-                "{asked}: {point:?}"
+                (figure_value(request) - figure_value(reply)).abs() <= 0.02 * figure_value(request),
+                "{request}: {point:?}"
             );
         }
-        // The leader reports to itself without a message.
+        // The leader reports to itself without sending a message.
         let (reports, confirmations) = (
-            of("change report") * 12.0 / others,
-            of("change confirmation") / others,
+            figure_value("change report") * 12.0 / followers,
+            figure_value("change confirmation") / followers,
         );
         assert!((1.0..=reports * 1.1).contains(&confirmations), "{point:?}");
-        assert!(of("change grant") <= of("change report"), "{point:?}");
+        assert!(
+            figure_value("change grant") <= figure_value("change report"),
+            "{point:?}"
+        );
     }
 }
--- a/crates/canvascart/tests/lost_state.rs
+++ b/crates/canvascart/tests/lost_state.rs
@@ -1,11 +1,11 @@
-//! Stored state that is lost or old, among several processes: what comes back, under which number, and what is told of it.
-mod together;
+//! Clusters whose stored state is lost, outdated or damaged: the state recovered, the member ids, and the reports.
+mod cluster_fixture;
 
 use std::path::Path;
 use std::process::{Command, Output};
 
+use cluster_fixture::{Directory, SHORT_LEASES, command, fleet, limit, set_limit, voters};
 use lab::service::fleet::Fleet;
-use together::{Directory, SOON, command, fleet, limit, set, voters};
 
 fn copy(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).unwrap();
@@ -15,8 +15,8 @@
     }
 }
 
-fn number(fleet: &Fleet, asked: usize, of: usize) -> u64 {
-    let status = fleet.status(asked).unwrap();
+fn member_id(fleet: &Fleet, at: usize, of: usize) -> u64 {
+    let status = fleet.status(at).unwrap();
     let members = status["leader"]["members"].as_array().unwrap().clone();
     members
         .iter()
@@ -33,45 +33,52 @@
         .unwrap()
 }
 
-fn words(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&[output.stdout.clone(), output.stderr.clone()].concat()).into_owned()
 }
 
-fn begin_anew(fleet: &Fleet, i: usize, more: &[&str]) -> Output {
+fn restore(fleet: &Fleet, i: usize, extra_arguments: &[&str]) -> Output {
     let config = fleet.config(i).display().to_string();
-    canvascart(&[&["cluster", "restore", "--config", &config], more].concat())
+    canvascart(
+        &[
+            &["cluster", "restore", "--config", &config],
+            extra_arguments,
+        ]
+        .concat(),
+    )
 }
 
+/// Guards against a second vote: a voter with an older copy of its disk has forgotten votes that it gave.
 #[test]
-fn a_voters_disk_that_was_put_back_is_seen_and_comes_back_under_another_number() {
+fn voter_with_an_outdated_disk_is_detected_and_rejoins_under_a_new_id() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     let old = voters(&fleet).into_iter().find(|i| *i != leader).unwrap();
-    let before = number(&fleet, leader, old);
-    assert_eq!(set(&fleet, leader, 2001, "").0, 200);
+    let before = member_id(&fleet, leader, old);
+    assert_eq!(set_limit(&fleet, leader, 2001, "").0, 200);
     fleet.kill(old);
-    let yesterday = directory.0.join("yesterday");
-    copy(fleet.state(old), &yesterday);
+    let old_copy = directory.0.join("old-copy");
+    copy(fleet.state(old), &old_copy);
     fleet.start(old).unwrap();
     fleet.ready().unwrap();
     assert_eq!(
-        number(&fleet, leader, old),
+        member_id(&fleet, leader, old),
         before,
-        "its own disk is its own"
+        "the member id changed although the disk is current"
     );
-    assert_eq!(set(&fleet, leader, 2002, "").0, 200);
+    assert_eq!(set_limit(&fleet, leader, 2002, "").0, 200);
     fleet.kill(old);
     std::fs::remove_dir_all(fleet.state(old)).unwrap();
-    copy(&yesterday, fleet.state(old));
-    std::fs::remove_file(fleet.state(old).join("alive")).unwrap(); // one of yesterday says nothing of today
+    copy(&old_copy, fleet.state(old));
+    std::fs::remove_file(fleet.state(old).join("alive")).unwrap(); // the `alive` file of the old copy is not valid now
     fleet.start(old).unwrap();
-    assert!(!fleet.is_up(old), "it serves no old policy");
+    assert!(!fleet.is_up(old), "the member serves the old configuration");
     fleet.ready().unwrap();
     assert_eq!(limit(&fleet, old), 2002);
     assert!(
-        number(&fleet, leader, old) > before,
-        "it never votes under its old number"
+        member_id(&fleet, leader, old) > before,
+        "the member kept its old id"
     );
     assert_eq!(fleet.status(old).unwrap()["here"]["put-back"], true);
     assert!(
@@ -81,66 +88,71 @@
         "{}",
         fleet.log(old)
     );
-    assert_eq!(set(&fleet, old, 2003, "").0, 200);
+    assert_eq!(set_limit(&fleet, old, 2003, "").0, 200);
 }
 
 #[test]
-fn most_voters_gone_for_good_a_cluster_begins_anew_from_a_survivor_and_refuses_those_of_before() {
+fn cluster_is_restored_from_a_survivor_and_rejects_members_of_the_former_cluster() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     let votes = voters(&fleet);
-    let rest: Vec<usize> = (0..5).filter(|i| !votes.contains(i)).collect();
-    let (survivor, late) = (rest[0], rest[1]);
+    let non_voters: Vec<usize> = (0..5).filter(|i| !votes.contains(i)).collect();
+    let (survivor, late) = (non_voters[0], non_voters[1]);
     for n in 2001..2004 {
-        assert_eq!(set(&fleet, leader, n, "").0, 200);
+        assert_eq!(set_limit(&fleet, leader, n, "").0, 200);
     }
     fleet
-        .wait("the survivor's version", |f| {
+        .wait("the survivor to reach the version", |f| {
             f.status(survivor).unwrap()["here"]["decides"] == 4
         })
         .unwrap();
-    let busy = begin_anew(&fleet, survivor, &["--yes"]);
-    assert_eq!(busy.status.code(), Some(5), "it runs: {}", words(&busy));
+    let running = restore(&fleet, survivor, &["--yes"]);
+    assert_eq!(
+        running.status.code(),
+        Some(5),
+        "a running instance was restored: {}",
+        output_text(&running)
+    );
     (0..5).for_each(|i| fleet.kill(i));
     votes
         .iter()
         .for_each(|i| std::fs::remove_dir_all(fleet.state(*i)).unwrap());
-    let told = begin_anew(&fleet, survivor, &[]);
+    let preview = restore(&fleet, survivor, &[]);
     assert!(
-        words(&told).contains("4 before, 1000000 afterwards") && words(&told).contains("--yes"),
-        "{told:?}"
-    );
-    assert_eq!(
-        begin_anew(&fleet, survivor, &["--yes"]).status.code(),
-        Some(0)
+        output_text(&preview).contains("4 before, 1000000 afterwards")
+            && output_text(&preview).contains("--yes"),
+        "{preview:?}"
     );
+    assert_eq!(restore(&fleet, survivor, &["--yes"]).status.code(), Some(0));
     fleet.start(survivor).unwrap();
     fleet.ready().unwrap();
     assert_eq!(
         limit(&fleet, survivor),
         2003,
-        "nothing that it knew is lost"
+        "state of the survivor was lost"
     );
     votes.iter().for_each(|i| fleet.start(*i).unwrap());
     fleet.ready().unwrap();
-    assert_eq!(set(&fleet, votes[0], 2004, "").0, 200);
+    assert_eq!(set_limit(&fleet, votes[0], 2004, "").0, 200);
     assert!(votes.iter().all(|i| limit(&fleet, *i) == 2004));
     let status = fleet.status(survivor).unwrap();
     assert_eq!(
         status["here"]["version"], 1_000_001,
-        "no version of before is used again: {status}"
+        "a version from before the restore is used again: {status}"
     );
-    // One with its old directory belongs to a cluster that is no more.
+    // An instance with its old directory belongs to the former cluster.
     fleet.start(late).unwrap();
-    let told = |f: &Fleet| {
+    let fence_reason = |f: &Fleet| {
         f.status(late).unwrap()["here"]["fenced"]
             .as_str()
             .unwrap_or_default()
             .to_owned()
     };
     fleet
-        .wait("its word", |f| told(f).contains("as after a restore"))
+        .wait("the reported reason", |f| {
+            fence_reason(f).contains("as after a restore")
+        })
         .unwrap();
     assert!(!fleet.is_up(late));
     fleet.kill(late);
@@ -151,15 +163,15 @@
 }
 
 #[test]
-fn all_disks_gone_a_backup_that_is_whole_brings_back_what_it_holds() {
+fn cluster_is_restored_from_an_intact_backup_when_all_disks_are_lost() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
-    assert_eq!(set(&fleet, 1, 2001, "").0, 200);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
+    assert_eq!(set_limit(&fleet, 1, 2001, "").0, 200);
     let (file, token) = (directory.0.join("backup.json"), directory.0.join("token"));
     std::fs::write(&token, fleet.token().unwrap()).unwrap();
     let (file, token) = (file.display().to_string(), token.display().to_string());
     let url = format!("http://{}", fleet.admin(2).unwrap());
-    let kept = canvascart(&[
+    let backup = canvascart(&[
         "cluster",
         "backup",
         "--url",
@@ -169,18 +181,18 @@
         "-o",
         &file,
     ]);
-    assert_eq!(kept.status.code(), Some(0), "{}", words(&kept));
-    assert_eq!(set(&fleet, 1, 2002, "").0, 200);
+    assert_eq!(backup.status.code(), Some(0), "{}", output_text(&backup));
+    assert_eq!(set_limit(&fleet, 1, 2002, "").0, 200);
     (0..5).for_each(|i| fleet.kill(i));
-    let used = begin_anew(&fleet, 0, &["--backup", &file, "--yes"]);
+    let in_use = restore(&fleet, 0, &["--backup", &file, "--yes"]);
     assert!(
-        used.status.code() == Some(5) && words(&used).contains("empty directory"),
+        in_use.status.code() == Some(5) && output_text(&in_use).contains("empty directory"),
         "{}",
-        words(&used)
+        output_text(&in_use)
     );
     (0..5).for_each(|i| std::fs::remove_dir_all(fleet.state(i)).unwrap());
     let text = std::fs::read_to_string(&file).unwrap();
-    for (bad, says) in [
+    for (bad, expected) in [
         (text[..text.len() / 2].to_owned(), "no whole backup"),
         (
             text.replacen("in-flight", "in-fligth", 1),
@@ -191,49 +203,70 @@
             "form is 9",
         ),
     ] {
-        let spoilt = directory.0.join("spoilt.json").display().to_string();
-        std::fs::write(&spoilt, bad).unwrap();
-        let output = begin_anew(&fleet, 0, &["--backup", &spoilt, "--yes"]);
+        let damaged_backup = directory.0.join("damaged.json").display().to_string();
+        std::fs::write(&damaged_backup, bad).unwrap();
+        let output = restore(&fleet, 0, &["--backup", &damaged_backup, "--yes"]);
         assert!(
-            output.status.code() == Some(5) && words(&output).contains(says),
-            "{says}: {}",
-            words(&output)
+            output.status.code() == Some(5) && output_text(&output).contains(expected),
+            "{expected}: {}",
+            output_text(&output)
+        );
+        assert!(
+            output_text(&output).contains("damaged.json"),
+            "{}",
+            output_text(&output)
         );
-        assert!(words(&output).contains("spoilt.json"), "{}", words(&output));
     }
-    let done = begin_anew(&fleet, 0, &["--backup", &file, "--yes"]);
-    assert_eq!(done.status.code(), Some(0), "{}", words(&done));
+    let restored = restore(&fleet, 0, &["--backup", &file, "--yes"]);
+    assert_eq!(
+        restored.status.code(),
+        Some(0),
+        "{}",
+        output_text(&restored)
+    );
     (0..5).for_each(|i| fleet.start(i).unwrap());
     fleet.ready().unwrap();
     assert!(
         (0..5).all(|i| limit(&fleet, i) == 2001),
-        "what came after the backup is lost, as it said"
+        "the state is not that of the backup"
     );
-    assert_eq!(set(&fleet, 3, 2005, "").0, 200);
+    assert_eq!(set_limit(&fleet, 3, 2005, "").0, 200);
     assert_eq!(fleet.status(0).unwrap()["here"]["version"], 1_000_001);
 }
 
 #[test]
-fn a_damaged_log_is_told_of_and_left_alone() {
+fn damaged_log_is_reported_and_not_modified() {
     let directory = Directory::new();
-    let mut fleet = fleet(&directory, 5, SOON);
+    let mut fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
-    let hurt = (0..5).find(|i| *i != leader).unwrap();
-    fleet.kill(hurt);
-    let log = fleet.state(hurt).join("cluster.redb");
+    let damaged = (0..5).find(|i| *i != leader).unwrap();
+    fleet.kill(damaged);
+    let log = fleet.state(damaged).join("cluster.redb");
     let mut bytes = std::fs::read(&log).unwrap();
     for at in (0..bytes.len()).step_by(97) {
         bytes[at] ^= 0x5a;
     }
     std::fs::write(&log, &bytes).unwrap();
-    let config = fleet.config(hurt).display().to_string();
-    let ran = canvascart(&["serve", "--config", &config]);
-    assert_eq!(ran.status.code(), Some(3), "{}", words(&ran));
-    assert!(words(&ran).contains("cluster"), "{}", words(&ran));
-    assert_eq!(std::fs::read(&log).unwrap(), bytes, "it is left as it was");
-    assert_eq!(set(&fleet, leader, 2001, "").0, 200, "the others go on");
-    std::fs::remove_dir_all(fleet.state(hurt)).unwrap();
-    fleet.start(hurt).unwrap();
+    let config = fleet.config(damaged).display().to_string();
+    let run = canvascart(&["serve", "--config", &config]);
+    assert_eq!(run.status.code(), Some(3), "{}", output_text(&run));
+    assert!(
+        output_text(&run).contains("cluster"),
+        "{}",
+        output_text(&run)
+    );
+    assert_eq!(
+        std::fs::read(&log).unwrap(),
+        bytes,
+        "the damaged log was modified"
+    );
+    assert_eq!(
+        set_limit(&fleet, leader, 2001, "").0,
+        200,
+        "the other instances stopped accepting changes"
+    );
+    std::fs::remove_dir_all(fleet.state(damaged)).unwrap();
+    fleet.start(damaged).unwrap();
     fleet.ready().unwrap();
-    assert_eq!(limit(&fleet, hurt), 2001);
+    assert_eq!(limit(&fleet, damaged), 2001);
 }
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -1,8 +1,9 @@
-//! How instances start, among several processes: what each phase waits for, and what is told of it.
-mod together;
+//! Startup of cluster instances: what each phase waits for, and what the recovery status reports.
+mod cluster_fixture;
 
 use std::time::{Duration, Instant};
 
+use cluster_fixture::{Directory, SHORT_LEASES, command};
 use endpoint_discovery::{EndpointRecord, KeySpace};
 use etcd::api::PutRequest;
 use etcd_fake::{FakeEtcd, NetworkState};
@@ -11,9 +12,9 @@
 use lab::service::changes::{Ledger, server};
 use lab::service::fleet::{Fleet, Terms};
 use serde_json::Value;
-use together::{Directory, SOON, command};
 
-/// Five instances with a tenant whose servers stand in the policy, and one whose list is followed in etcd.
+/// Starts five instances with tenant `a`, whose server is in the configuration, and tenant `b`, whose endpoint list is
+/// in etcd.
 fn start(directory: &Directory, etcd: &FakeEtcd, cluster: &str) -> Fleet {
     let at = server(&Ledger::default()).unwrap();
     let class = "[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 ms\"\ndeadline = \"2 s\"\n";
@@ -23,12 +24,12 @@
          [[tenant]]\nname = \"b\"\nfleet = {{ etcd = [{}] }}\n{class}",
         members.join(", ")
     );
-    let terms = Terms {
-        cluster: format!("{SOON}\n{cluster}"),
+    let settings = Terms {
+        cluster: format!("{SHORT_LEASES}\n{cluster}"),
         tenants,
         zones: 3,
     };
-    let mut fleet = Fleet::new(&command(), 5, &terms, &directory.0).unwrap();
+    let mut fleet = Fleet::new(&command(), 5, &settings, &directory.0).unwrap();
     (0..5).for_each(|i| fleet.start(i).unwrap());
     let key = KeySpace::new("/canvascart/v1", "b")
         .endpoint_key("s")
@@ -44,21 +45,23 @@
         )
     })
     .unwrap();
-    fleet.wait("the founding", |f| f.token().is_ok()).unwrap();
+    fleet
+        .wait("the cluster to be founded", |f| f.token().is_ok())
+        .unwrap();
     fleet
 }
 
-fn standin() -> (tokio::runtime::Runtime, FakeEtcd) {
+fn start_fake_etcd() -> (tokio::runtime::Runtime, FakeEtcd) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .unwrap();
-    let standin = runtime.block_on(FakeEtcd::start(1)).unwrap();
-    (runtime, standin)
+    let etcd = runtime.block_on(FakeEtcd::start(1)).unwrap();
+    (runtime, etcd)
 }
 
-fn told(fleet: &Fleet, i: usize) -> Value {
+fn startup_status(fleet: &Fleet, i: usize) -> Value {
     fleet
         .line(i)
         .unwrap()
@@ -67,15 +70,15 @@
         .clone()
 }
 
-/// Whether an instance is in a phase, as it says; one that does not know the token yet says nothing.
-fn is_at(fleet: &Fleet, i: usize, phase: &str) -> bool {
-    let told = fleet
+/// Returns true if an instance reports this phase. An instance that does not know the token yet reports nothing.
+fn is_in_phase(fleet: &Fleet, i: usize, phase: &str) -> bool {
+    let status = fleet
         .line(i)
         .and_then(|mut l| l.json("GET", "/v1/cluster/recovery", "", &Value::Null));
-    told.is_ok_and(|t| t["start"]["phase"] == phase)
+    status.is_ok_and(|t| t["start"]["phase"] == phase)
 }
 
-fn asks(fleet: &Fleet, i: usize, tenant: &str) -> u16 {
+fn lookup_status(fleet: &Fleet, i: usize, tenant: &str) -> u16 {
     let mut line = Line::new(
         fleet.public(i).unwrap(),
         &format!("X-Tenant-Id: {tenant}\r\n"),
@@ -84,22 +87,24 @@
 }
 
 #[test]
-fn a_list_that_can_not_be_had_keeps_other_tenants_waiting_for_so_long_at_most() {
+fn unavailable_list_delays_other_tenants_for_the_configured_wait_at_most() {
     let directory = Directory::new();
-    let (_runtime, etcd) = standin();
+    let (_runtime, etcd) = start_fake_etcd();
     etcd.set_network_all(NetworkState::Stalled);
     let mut fleet = start(&directory, &etcd, "list-wait = \"6 s\"");
-    // Long enough that it is seen waiting though the machine pauses while five processes start.
-    fleet.wait("the lists", |f| is_at(f, 0, "list")).unwrap();
-    let waits = told(&fleet, 0);
-    assert_eq!(waits["waits-for"], "the lists of b", "{waits}");
-    assert_eq!(waits["at-most-ms"], 6000);
+    // The wait of 6 s is long enough to be observed even if starting five processes is slow.
+    fleet
+        .wait("the list phase", |f| is_in_phase(f, 0, "list"))
+        .unwrap();
+    let status = startup_status(&fleet, 0);
+    assert_eq!(status["waits-for"], "the lists of b", "{status}");
+    assert_eq!(status["at-most-ms"], 6000);
     assert!(
-        !fleet.is_up(0) && asks(&fleet, 0, "a") == 503,
-        "it takes nothing yet"
+        !fleet.is_up(0) && lookup_status(&fleet, 0, "a") == 503,
+        "the instance serves before its lists are known"
     );
     fleet.ready().unwrap();
-    let done = told(&fleet, 0);
+    let done = startup_status(&fleet, 0);
     assert_eq!(
         (done["phase"].as_str(), done["unsure"][0].as_str()),
         (Some("serving"), Some("b")),
@@ -113,29 +118,39 @@
         .unwrap()
         .clone();
     assert!(list["ms"].as_u64().unwrap() >= 6000, "{done}");
-    assert_eq!((asks(&fleet, 0, "a"), asks(&fleet, 0, "b")), (200, 503));
-    // With the list there again a start waits for nothing, and both are served.
+    assert_eq!(
+        (lookup_status(&fleet, 0, "a"), lookup_status(&fleet, 0, "b")),
+        (200, 503)
+    );
+    // Once etcd responds again, a restarted instance does not wait and serves both tenants.
     etcd.set_network_all(NetworkState::Up);
-    fleet.wait("its list", |f| asks(f, 0, "b") == 200).unwrap();
+    fleet
+        .wait("the list of b", |f| lookup_status(f, 0, "b") == 200)
+        .unwrap();
     let leader = fleet.leader().unwrap();
-    let again = (0..5).find(|i| *i != leader).unwrap();
-    fleet.kill(again);
-    fleet.start(again).unwrap();
+    let restarted = (0..5).find(|i| *i != leader).unwrap();
+    fleet.kill(restarted);
+    fleet.start(restarted).unwrap();
     fleet.ready().unwrap();
     assert_eq!(
-        (asks(&fleet, again, "a"), asks(&fleet, again, "b")),
+        (
+            lookup_status(&fleet, restarted, "a"),
+            lookup_status(&fleet, restarted, "b")
+        ),
         (200, 200)
     );
     assert_eq!(
-        told(&fleet, again)["unsure"].as_array().map(Vec::len),
+        startup_status(&fleet, restarted)["unsure"]
+            .as_array()
+            .map(Vec::len),
         Some(0)
     );
 }
 
 #[test]
-fn where_the_file_says_so_nothing_is_taken_before_the_last_list_is_known() {
+fn with_when_list_unknown_refuse_no_instance_serves_before_all_lists_are_known() {
     let directory = Directory::new();
-    let (_runtime, etcd) = standin();
+    let (_runtime, etcd) = start_fake_etcd();
     etcd.set_network_all(NetworkState::Stalled);
     let fleet = start(
         &directory,
@@ -143,7 +158,9 @@
         "list-wait = \"500 ms\"\nwhen-list-unknown = \"refuse\"",
     );
     fleet
-        .wait("the lists", |f| (0..5).all(|i| is_at(f, i, "list")))
+        .wait("the list phase", |f| {
+            (0..5).all(|i| is_in_phase(f, i, "list"))
+        })
         .unwrap();
     let end = Instant::now() + Duration::from_millis(1500);
     while Instant::now() < end {
@@ -152,31 +169,34 @@
     }
     etcd.set_network_all(NetworkState::Up);
     fleet.ready().unwrap();
-    assert_eq!((asks(&fleet, 3, "a"), asks(&fleet, 3, "b")), (200, 200));
+    assert_eq!(
+        (lookup_status(&fleet, 3, "a"), lookup_status(&fleet, 3, "b")),
+        (200, 200)
+    );
 }
 
 #[test]
-fn one_that_hears_nobody_says_what_it_waits_for_and_takes_nothing() {
+fn isolated_instance_reports_what_it_waits_for_and_does_not_serve() {
     let directory = Directory::new();
-    let (_runtime, etcd) = standin();
+    let (_runtime, etcd) = start_fake_etcd();
     let mut fleet = start(&directory, &etcd, "");
     fleet.ready().unwrap();
     let leader = fleet.leader().unwrap();
-    let alone = (0..5).find(|i| *i != leader).unwrap();
-    fleet.kill(alone);
-    fleet.isolate(alone, Mode::Cut);
-    fleet.start(alone).unwrap();
+    let isolated = (0..5).find(|i| *i != leader).unwrap();
+    fleet.kill(isolated);
+    fleet.isolate(isolated, Mode::Cut);
+    fleet.start(isolated).unwrap();
     fleet
-        .wait("its word", |f| {
-            told(f, alone)["waits-for"] == "an instance that leads"
+        .wait("the reported reason", |f| {
+            startup_status(f, isolated)["waits-for"] == "an instance that leads"
         })
         .unwrap();
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(told(&fleet, alone)["phase"], "members");
-    assert!(!fleet.is_up(alone) && asks(&fleet, alone, "a") == 503);
-    fleet.isolate(alone, Mode::Pass);
+    assert_eq!(startup_status(&fleet, isolated)["phase"], "members");
+    assert!(!fleet.is_up(isolated) && lookup_status(&fleet, isolated, "a") == 503);
+    fleet.isolate(isolated, Mode::Pass);
     fleet.ready().unwrap();
-    let took = told(&fleet, alone)["took"].clone();
+    let took = startup_status(&fleet, isolated)["took"].clone();
     let members = took
         .as_array()
         .unwrap()
