--- a/crates/canvascart/tests/admin.rs
+++ b/crates/canvascart/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The hosted service with durable state, administered from the command line while it serves.
+//! The hosted service with durable state: `canvascart admin` and `canvascart store`, under traffic.
 mod hosted;
 
 use std::net::SocketAddr;
@@ -8,21 +8,21 @@
 use std::time::{Duration, Instant};
 
 use hosted::sockets::{Backend, BackendAction, Latch, ok, wait_for};
-use hosted::{Client, Running, listener, says, tenant};
+use hosted::{Client, ServiceProcess, listener, tenant, text_backend};
 
-/// A directory that goes with the test.
+/// Temporary directory, removed on drop.
 struct Directory(PathBuf);
 
 impl Directory {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("canvascart-admin-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&path); // of an earlier run
+        let _ = std::fs::remove_dir_all(&path); // may exist from an earlier run
         std::fs::create_dir_all(&path).unwrap();
         Directory(path)
     }
 
-    /// What goes into a configuration.
+    /// Formats the `[state]` and `[admin]` tables of a configuration with this state directory.
     fn tables(&self) -> String {
         format!(
             "[state]\ndirectory = \"{}\"\n[admin]\naddress = \"127.0.0.1:0\"\n",
@@ -44,17 +44,17 @@
         .unwrap()
 }
 
-/// Administers a service with the token of a file.
+/// Runs `canvascart admin` against a service, with the token in a file.
 struct Admin {
     url: String,
     token: PathBuf,
 }
 
 impl Admin {
-    fn of(service: &Running, directory: &Path) -> Self {
-        let word = "the administration API listens";
-        wait_for(word, || !service.logged(word).is_empty());
-        let address: SocketAddr = service.logged(word)[0]["address"]
+    fn of(service: &ServiceProcess, directory: &Path) -> Self {
+        let message = "the administration API listens";
+        wait_for(message, || !service.logged(message).is_empty());
+        let address: SocketAddr = service.logged(message)[0]["address"]
             .as_str()
             .unwrap()
             .parse()
@@ -74,12 +74,12 @@
             self.token.to_str().unwrap(),
         ];
         all.extend(arguments);
-        let ran = canvascart(&all);
+        let run = canvascart(&all);
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
         (
-            ran.status.code().unwrap(),
-            text(ran.stdout),
-            text(ran.stderr),
+            run.status.code().unwrap(),
+            text(run.stdout),
+            text(run.stderr),
         )
     }
 
@@ -91,26 +91,28 @@
 }
 
 #[test]
-fn changes_take_effect_while_requests_run_and_outlast_the_process() {
+fn changes_take_effect_under_traffic_and_survive_a_restart() {
     let directory = Directory::new("effect");
-    let gate = Latch::default();
-    let (held, fresh, other) = (
-        Backend::new(BackendAction::Hold(gate.clone(), ok("held"))),
-        says("fresh"),
-        says("other's"),
+    let latch = Latch::default();
+    let (old_backend, new_backend, other_backend) = (
+        Backend::new(BackendAction::Hold(latch.clone(), ok("held"))),
+        text_backend("fresh"),
+        text_backend("other's"),
     );
     let public = listener("public", "127.0.0.1:0", "host", "");
     let tenants = [
-        tenant("north", "", &[("old", held.address)]),
-        tenant("south", "", &[("s", other.address)]),
+        tenant("north", "", &[("old", old_backend.address)]),
+        tenant("south", "", &[("s", other_backend.address)]),
     ];
     let config = [directory.tables(), public.clone(), tenants.concat()].concat();
-    let mut service = Running::start("effect", &config);
+    let mut service = ServiceProcess::start("effect", &config);
     let admin = Admin::of(&service, &directory.0);
     let at = service.addresses()["public"];
     let mut waiting = Client::new(at);
     waiting.send("GET", "/lookup/1", "north.example", "");
-    wait_for("the request at the old server", || held.seen().len() == 1);
+    wait_for("the request at the old server", || {
+        old_backend.seen().len() == 1
+    });
 
     let put = [
         "server",
@@ -118,27 +120,27 @@
         "north",
         "new",
         "--address",
-        &fresh.address.to_string(),
+        &new_backend.address.to_string(),
         "--size",
         "8",
         "--warm",
     ];
-    let said = admin.ok(&put);
+    let output = admin.ok(&put);
     assert!(
-        said.contains("+ /north/server/new") && said.contains("north at revision 2: servers"),
-        "{said}"
+        output.contains("+ /north/server/new") && output.contains("north at revision 2: servers"),
+        "{output}"
     );
     admin.ok(&["server", "drain", "north", "old"]);
-    // What is acknowledged is in effect: nothing new goes to the old server.
+    // An acknowledged change is in effect: the old server gets no new requests.
     for _ in 0..20 {
         assert_eq!(Client::new(at).get("north.example", "").text(), "fresh");
     }
-    assert_eq!(held.seen().len(), 1);
-    gate.open();
+    assert_eq!(old_backend.seen().len(), 1);
+    latch.open();
     assert_eq!(
-        waiting.answer().text(),
+        waiting.response().text(),
         "held",
-        "a request under way ends under the version it began with"
+        "the request in flight did not complete under the version it began with"
     );
     let south = admin.ok(&["tenant", "list"]);
     assert!(
@@ -148,8 +150,8 @@
         "{south}"
     );
 
-    // Its own file says otherwise of tenants by now: with durable state that is not looked at.
-    service.change(
+    // The configuration file no longer has the tenants. With durable state, its tenants are ignored.
+    service.reload_config(
         &[directory.tables(), public.clone()].concat(),
         "the configuration is the same",
     );
@@ -159,7 +161,7 @@
         listener("second", "127.0.0.2:0", "header", ""),
     ]
     .concat();
-    service.change(&changed, "the new configuration is in effect");
+    service.reload_config(&changed, "the new configuration is in effect");
     wait_for("the second listener", || {
         service.addresses().contains_key("second")
     });
@@ -171,9 +173,9 @@
         "other's"
     );
 
-    // A tenant that goes: who asks for it learns nothing, and what it had under way is answered.
-    let gate = Latch::default();
-    let slow = Backend::new(BackendAction::Hold(gate.clone(), ok("last")));
+    // A tenant is removed: new requests get 404, and its request in flight completes.
+    let latch = Latch::default();
+    let slow = Backend::new(BackendAction::Hold(latch.clone(), ok("last")));
     admin.ok(&[
         "server",
         "put",
@@ -189,13 +191,13 @@
     wait_for("the request at the slow server", || slow.seen().len() == 1);
     admin.ok(&["tenant", "remove", "south"]);
     assert_eq!(Client::new(at).get("south.example", "").status(), 404);
-    gate.open();
-    assert_eq!(waiting.answer().text(), "last");
+    latch.open();
+    assert_eq!(waiting.response().text(), "last");
 
     service.signal("TERM");
     assert!(service.wait().success());
-    // Left of the file alone, north would have its old server, and south would be there.
-    let service = Running::start("effect", &config);
+    // With the configuration file alone, north would have its old server and south would exist.
+    let service = ServiceProcess::start("effect", &config);
     let at = service.addresses()["public"];
     assert_eq!(Client::new(at).get("north.example", "").text(), "fresh");
     assert_eq!(Client::new(at).get("south.example", "").status(), 404);
@@ -210,26 +212,26 @@
 }
 
 #[test]
-fn the_command_tells_by_its_exit_code_what_came_of_it() {
+fn exit_code_tells_the_result_of_an_admin_command() {
     let directory = Directory::new("codes");
     let config = [
         directory.tables(),
         listener("public", "127.0.0.1:0", "host", ""),
         tenant("north", "", &[("n", "127.0.0.1:9".parse().unwrap())]),
     ];
-    let service = Running::start("codes", &config.concat());
+    let service = ServiceProcess::start("codes", &config.concat());
     let mut admin = Admin::of(&service, &directory.0);
     let code = |admin: &Admin, arguments: &[&str]| admin.run(arguments).0;
     assert_eq!(
         code(&admin, &["server", "drain", "north", "n", "--dry-run"]),
         1,
-        "it would change"
+        "the dry run reported no change"
     );
     assert_eq!(code(&admin, &["server", "drain", "north", "n"]), 0);
     assert_eq!(
         code(&admin, &["server", "drain", "north", "n", "--dry-run"]),
         0,
-        "nothing would change"
+        "the dry run reported a change"
     );
     assert_eq!(code(&admin, &["diff", "--tenant", "north", "1"]), 1);
     assert_eq!(code(&admin, &["diff", "--tenant", "north", "2"]), 0);
@@ -249,7 +251,7 @@
     );
     assert_eq!(code(&admin, &["tenant", "show", "west"]), 7);
     assert_eq!(code(&admin, &["frobnicate"]), 2);
-    let said = admin.ok(&[
+    let output = admin.ok(&[
         "limits",
         "north",
         "weight=2.5",
@@ -260,16 +262,19 @@
         "~ /north/limits/weight  1.0 -> 2.5",
         "+ /north/limits/in-flight  64",
     ] {
-        assert!(said.contains(part), "{said}");
+        assert!(output.contains(part), "{output}");
     }
-    // Errors in a file have its lines.
+    // Errors in a file are reported with their line.
     let file = directory.0.join("tenants.toml");
     let bad = tenant("north", "", &[]).replacen("deadline = \"20 s\"", "deadline = \"1 s\"", 1);
     std::fs::write(&file, format!("\n{bad}")).unwrap();
-    let (code_, _, err) = admin.run(&["apply", "-f", file.to_str().unwrap()]);
+    let (apply_code, _, err) = admin.run(&["apply", "-f", file.to_str().unwrap()]);
     let line = bad.lines().position(|l| l.starts_with("aim")).unwrap() + 2;
     let expected = format!("{}:{line}: tenant.0.class.0.aim:", file.display());
-    assert!(code_ == 4 && err.contains(&expected), "{expected} in {err}");
+    assert!(
+        apply_code == 4 && err.contains(&expected),
+        "{expected} in {err}"
+    );
     std::fs::write(
         &file,
         [tenant("north", "", &[]), tenant("west", "", &[])].concat(),
@@ -277,8 +282,8 @@
     .unwrap();
     let path = file.to_str().unwrap();
     assert_eq!(code(&admin, &["apply", "-f", path, "--dry-run"]), 1);
-    let said = admin.ok(&["apply", "-f", path]);
-    assert!(said.contains("west at revision 1: added"), "{said}");
+    let output = admin.ok(&["apply", "-f", path]);
+    assert!(output.contains("west at revision 1: added"), "{output}");
     assert_eq!(code(&admin, &["apply", "-f", path, "--dry-run"]), 0);
     let watched = admin.ok(&["--json", "watch", "--most", "1"]);
     assert!(watched.contains("\"event\":\"status\""), "{watched}");
@@ -305,9 +310,9 @@
 }
 
 #[test]
-fn a_damaged_store_stops_the_start_unless_the_last_known_good_state_is_asked_for() {
+fn damaged_store_prevents_the_start_unless_the_last_known_good_state_is_requested() {
     let directory = Directory::new("damaged");
-    let server = says("north's");
+    let server = text_backend("north's");
     let config = [
         directory.tables(),
         listener("public", "127.0.0.1:0", "host", ""),
@@ -315,39 +320,39 @@
     ]
     .concat();
     let state = directory.0.to_str().unwrap().to_owned();
-    let check = || {
-        let ran = canvascart(&["store", "check", "--state", &state]);
+    let store_check = || {
+        let run = canvascart(&["store", "check", "--state", &state]);
         (
-            ran.status.code().unwrap(),
-            String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap(),
+            run.status.code().unwrap(),
+            String::from_utf8([run.stdout, run.stderr].concat()).unwrap(),
         )
     };
-    assert_eq!(check().0, 3, "there is none yet");
-    let mut service = Running::start("damaged", &config);
+    assert_eq!(store_check().0, 3, "a missing store passed the check");
+    let mut service = ServiceProcess::start("damaged", &config);
     let admin = Admin::of(&service, &directory.0);
     admin.ok(&["limits", "north", "weight=2"]);
-    let (code, said) = check();
+    let (code, output) = store_check();
     assert!(
-        code == 3 && said.contains("open in another process"),
-        "{said}"
+        code == 3 && output.contains("open in another process"),
+        "{output}"
     );
     service.signal("TERM");
     assert!(service.wait().success());
     assert_eq!(
-        check(),
+        store_check(),
         (
             0,
             format!("{state}: good: version 2, 1 documents, 1 tokens\n")
         )
     );
-    let kept = directory.0.join("kept.jsonl");
+    let export = directory.0.join("kept.jsonl");
     let exported = canvascart(&[
         "store",
         "export",
         "--state",
         &state,
         "--output",
-        kept.to_str().unwrap(),
+        export.to_str().unwrap(),
     ]);
     assert_eq!(exported.status.code(), Some(0));
 
@@ -356,20 +361,20 @@
     let half = bytes.len() / 2;
     bytes[..half].fill(0xa5);
     std::fs::write(&file, &bytes).unwrap();
-    assert_eq!(check().0, 3);
-    let mut stopped = Running::begin("damaged", &config, &[]);
+    assert_eq!(store_check().0, 3);
+    let mut stopped = ServiceProcess::spawn_with_args("damaged", &config, &[]);
     assert_eq!(stopped.wait().code(), Some(3));
     wait_for("the reason", || {
         !stopped.logged("it could not be started").is_empty()
     });
-    let why = stopped.logged("it could not be started")[0]["error"].to_string();
+    let reason = stopped.logged("it could not be started")[0]["error"].to_string();
     assert!(
-        why.contains("--read-only-state") && why.contains("store import"),
-        "{why}"
+        reason.contains("--read-only-state") && reason.contains("store import"),
+        "{reason}"
     );
     drop(stopped);
 
-    let service = Running::begin("damaged", &config, &["--read-only-state"]);
+    let service = ServiceProcess::spawn_with_args("damaged", &config, &["--read-only-state"]);
     wait_for("the listener", || service.addresses().len() == 1);
     assert_eq!(
         Client::new(service.addresses()["public"])
@@ -384,51 +389,57 @@
     drop(service);
 
     std::fs::remove_file(&file).unwrap();
-    let imported = canvascart(&["store", "import", "--state", &state, kept.to_str().unwrap()]);
+    let imported = canvascart(&[
+        "store",
+        "import",
+        "--state",
+        &state,
+        export.to_str().unwrap(),
+    ]);
     assert_eq!(
         imported.status.code(),
         Some(0),
         "{}",
         String::from_utf8_lossy(&imported.stderr)
     );
-    assert_eq!(check().0, 0);
-    // A new token where all are lost.
+    assert_eq!(store_check().0, 0);
+    // A new token can be created if all tokens are lost.
     let token = canvascart(&["store", "token", "--state", &state]);
     std::fs::write(directory.0.join("operator.token"), token.stdout).unwrap();
-    let service = Running::start("damaged", &config);
+    let service = ServiceProcess::start("damaged", &config);
     Admin::of(&service, &directory.0).ok(&["limits", "north", "weight=3"]);
 }
 
 #[test]
-fn a_change_under_load_loses_no_request_and_takes_effect_within_a_second() {
+fn change_under_load_loses_no_request_and_takes_effect_within_a_second() {
     let directory = Directory::new("load");
-    let (a, b) = (says("a"), says("b"));
+    let (a, b) = (text_backend("a"), text_backend("b"));
     let config = [
         directory.tables(),
         listener("public", "127.0.0.1:0", "host", ""),
         tenant("north", "", &[("a", a.address)]),
     ];
-    let service = Running::start("load", &config.concat());
+    let service = ServiceProcess::start("load", &config.concat());
     let admin = Admin::of(&service, &directory.0);
     let at = service.addresses()["public"];
     let until = Instant::now() + Duration::from_secs(2);
-    let given_up = Instant::now() + Duration::from_secs(60); // a change has failed: the test ends
+    let time_limit = Instant::now() + Duration::from_secs(60); // bounds the test if a change fails
     let changes_over = AtomicBool::new(false);
-    let goes_on = || {
+    let keep_sending = || {
         let now = Instant::now();
-        now < until || !changes_over.load(Ordering::Relaxed) && now < given_up
+        now < until || !changes_over.load(Ordering::Relaxed) && now < time_limit
     };
-    let ask = || {
-        let (mut client, mut asked) = (Client::new(at), Vec::new());
-        while goes_on() {
-            let answer = client.get("north.example", "");
-            asked.push((Instant::now(), answer.status(), answer.text()));
+    let send_requests = || {
+        let (mut client, mut responses) = (Client::new(at), Vec::new());
+        while keep_sending() {
+            let response = client.get("north.example", "");
+            responses.push((Instant::now(), response.status(), response.text()));
         }
-        asked
+        responses
     };
     std::thread::scope(|scope| {
-        let asking: Vec<_> = (0..4).map(|_| scope.spawn(ask)).collect();
-        let mut told = Vec::new();
+        let senders: Vec<_> = (0..4).map(|_| scope.spawn(send_requests)).collect();
+        let mut changes = Vec::new();
         for n in 0..6 {
             let (up, drained) = if n % 2 == 0 { (&b, "a") } else { (&a, "b") };
             let name = if n % 2 == 0 { "b" } else { "a" };
@@ -444,61 +455,61 @@
                 "--warm",
             ]);
             admin.ok(&["server", "drain", "north", drained]);
-            told.push((Instant::now(), name));
+            changes.push((Instant::now(), name));
             std::thread::sleep(Duration::from_millis(100));
         }
-        // However long the changes took, requests go on for a while after the last one.
+        // Requests continue for 400 ms after the last change, however long the changes took.
         std::thread::sleep(Duration::from_millis(400));
         changes_over.store(true, Ordering::Relaxed);
-        let (last, name) = *told.last().unwrap();
-        for asked in asking {
-            let asked = asked.join().unwrap();
-            // A refusal is an answer; a server this quick is refused for a ms now and then, changes or none
-            // (docs/ROADMAP.md).
-            let lost: Vec<_> = asked
+        let (last, name) = *changes.last().unwrap();
+        for sender in senders {
+            let responses = sender.join().unwrap();
+            // A rejection (503) is a response. Requests to servers with such short response times are occasionally
+            // rejected for about 1 ms, with or without changes (docs/ROADMAP.md).
+            let lost: Vec<_> = responses
                 .iter()
                 .filter(|(_, status, _)| !matches!(status, 200 | 503))
                 .collect();
             assert!(lost.is_empty(), "{lost:?}");
-            let asked: Vec<_> = asked
+            let responses: Vec<_> = responses
                 .into_iter()
                 .filter(|(_, status, _)| *status == 200)
                 .collect();
-            let late = asked
+            let late = responses
                 .iter()
                 .filter(|(at, ..)| *at > last + Duration::from_millis(200));
             assert!(
                 late.clone().all(|(.., text)| text == name),
-                "another version's answer"
+                "a response of another version"
             );
-            assert!(late.count() > 0, "no answer 200 ms after the last change");
+            assert!(late.count() > 0, "no response 200 ms after the last change");
         }
     });
 }
 
 #[test]
-fn a_tenant_that_comes_with_servers_that_have_just_started_is_served() {
+fn added_tenant_with_cold_servers_is_served() {
     let directory = Directory::new("cold");
     let config = [
         directory.tables(),
         listener("public", "127.0.0.1:0", "host", ""),
         tenant("north", "", &[]),
     ];
-    let service = Running::start("cold", &config.concat());
+    let service = ServiceProcess::start("cold", &config.concat());
     let admin = Admin::of(&service, &directory.0);
-    let (a, b) = (says("a"), says("b"));
+    let (a, b) = (text_backend("a"), text_backend("b"));
     let file = directory.0.join("west.toml");
     let cold =
         tenant("west", "", &[("a", a.address), ("b", b.address)]).replace("warm = true\n", "");
     std::fs::write(&file, cold).unwrap();
     admin.ok(&["apply", "-f", file.to_str().unwrap()]);
     let at = service.addresses()["public"];
-    wait_for("an answer", || {
+    wait_for("a response", || {
         Client::new(at).get("west.example", "").status() == 200
     });
 }
 
-/// Tenants come and go: what they leave behind does not add up.
+/// Guards against a memory leak when tenants are repeatedly added and removed.
 #[test]
 fn removed_pools_free_their_memory() {
     let directory = Directory::new("memory");
@@ -507,7 +518,7 @@
         listener("public", "127.0.0.1:0", "host", ""),
         tenant("stays", "", &[]),
     ];
-    let service = Running::start("memory", &config.concat());
+    let service = ServiceProcess::start("memory", &config.concat());
     let admin = Admin::of(&service, &directory.0);
     let server: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let many: String = (0..300)
@@ -535,32 +546,32 @@
         admin.ok(&["apply", "-f", one.to_str().unwrap(), "--prune"]);
         after.push(resident());
     }
-    // A round holds 10 MB and more in pools and documents; kept versions take some tens of KB of it.
+    // Each round needs 10 MB or more for pools and documents; stored versions add some tens of KB.
     assert!(
         after[7] < after[2] + after[2] / 4,
-        "kB after each round: {after:?}"
+        "resident kB after each round: {after:?}"
     );
 }
 
 #[test]
-fn kills_during_changes_leave_whole_versions() {
-    let ran = canvascart(&["lab", "kills", "--kills", "12", "--seed", "5"]);
-    let said = String::from_utf8(ran.stdout).unwrap();
+fn kills_during_changes_leave_complete_versions() {
+    let run = canvascart(&["lab", "kills", "--kills", "12", "--seed", "5"]);
+    let output = String::from_utf8(run.stdout).unwrap();
     assert_eq!(
-        ran.status.code(),
+        run.status.code(),
         Some(0),
-        "{said}{}",
-        String::from_utf8_lossy(&ran.stderr)
+        "{output}{}",
+        String::from_utf8_lossy(&run.stderr)
     );
     assert!(
-        said.contains("12 kills") && said.contains("mixed or lost versions: 0"),
-        "{said}"
+        output.contains("12 kills") && output.contains("mixed or lost versions: 0"),
+        "{output}"
     );
 }
 
 #[test]
-fn many_tenants_are_measured_and_each_change_is_seen() {
-    let ran = canvascart(&[
+fn tenants_measurement_reports_the_cost_of_an_idle_tenant() {
+    let run = canvascart(&[
         "lab",
         "tenants",
         "--count",
@@ -570,18 +581,18 @@
         "--idle",
         "0",
     ]);
-    let said = String::from_utf8(ran.stdout).unwrap();
+    let output = String::from_utf8(run.stdout).unwrap();
     assert_eq!(
-        ran.status.code(),
+        run.status.code(),
         Some(0),
-        "{said}{}",
-        String::from_utf8_lossy(&ran.stderr)
+        "{output}{}",
+        String::from_utf8_lossy(&run.stderr)
     );
-    assert!(said.contains("each further idle tenant"), "{said}");
+    assert!(output.contains("each further idle tenant"), "{output}");
 }
 
 #[test]
-fn the_demonstration_serves_two_tenants_and_is_administered() {
+fn demonstration_serves_two_tenants_and_accepts_admin_commands() {
     use std::io::{BufRead, BufReader};
     let mut child = Command::new(env!("CARGO_BIN_EXE_canvascart"))
         .args(["serve", "--demo"])
@@ -611,12 +622,12 @@
             .unwrap();
         let mut client = Client::new(address.parse().unwrap());
         client.send("GET", &format!("/{path}"), "x", "");
-        let answer = client.answer();
-        assert_eq!(answer.status(), 200);
+        let response = client.response();
+        assert_eq!(response.status(), 200);
         assert!(
-            answer.text().contains("\"class\":\"lookup\""),
+            response.text().contains("\"class\":\"lookup\""),
             "{}",
-            answer.text()
+            response.text()
         );
     }
     let command = words(&next("canvascart admin"));
@@ -639,5 +650,5 @@
             .success()
     );
     assert!(child.wait().unwrap().success());
-    assert!(!directory.exists(), "what it wrote goes with it");
+    assert!(!directory.exists(), "the demonstration left its directory");
 }
--- a/crates/canvascart/tests/fleet.rs
+++ b/crates/canvascart/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The hosted service with a list that it follows in etcd, against the stand-in.
+//! The hosted service with an endpoint list that it follows in etcd, against a fake etcd.
 mod hosted;
 
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 use etcd::api::PutRequest;
 use etcd_fake::{FakeEtcd, NetworkState};
 use hosted::sockets::{Backend, BackendAction, Latch, ok, wait_for};
-use hosted::{Client, Running, listener, says, tenant};
+use hosted::{Client, ServiceProcess, listener, tenant, text_backend};
 
-/// A stand-in on a runtime of its own.
+/// Fake etcd cluster on its own runtime.
 struct Etcd {
     runtime: tokio::runtime::Runtime,
-    standin: FakeEtcd,
+    fake: FakeEtcd,
 }
 
 impl Etcd {
@@ -24,12 +24,12 @@
             .enable_all()
             .build()
             .unwrap();
-        let standin = runtime.block_on(FakeEtcd::start(3)).unwrap();
-        Etcd { runtime, standin }
+        let fake = runtime.block_on(FakeEtcd::start(3)).unwrap();
+        Etcd { runtime, fake }
     }
 
     fn put(&self, pool: &str, name: &str, server: &Backend, state: EndpointState) {
-        let entry = EndpointRecord {
+        let record = EndpointRecord {
             capacity: 8.0,
             state,
             started_at_ms: Some(1),
@@ -39,12 +39,12 @@
             .endpoint_key(name)
             .into_bytes();
         let _on = self.runtime.enter();
-        self.standin.with_store(|s| {
+        self.fake.with_store(|s| {
             s.put(
                 0,
                 &PutRequest {
                     key,
-                    value: entry.to_json().into_bytes(),
+                    value: record.to_json().into_bytes(),
                     ..PutRequest::default()
                 },
             )
@@ -60,12 +60,12 @@
             key,
             ..Default::default()
         };
-        self.standin.with_store(|s| s.delete(0, &request));
+        self.fake.with_store(|s| s.delete(0, &request));
     }
 
     fn table(&self) -> String {
         let all: Vec<String> = self
-            .standin
+            .fake
             .endpoints()
             .iter()
             .map(|e| format!("{e:?}"))
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn removals_end_new_work_at_once_and_silence_ends_none() {
+fn removed_servers_get_no_new_requests_and_a_stalled_etcd_removes_none() {
     let etcd = Etcd::new();
-    let (a, b) = (says("a"), says("b"));
+    let (a, b) = (text_backend("a"), text_backend("b"));
     etcd.put("north", "a", &a, EndpointState::Up);
     let public = listener("public", "127.0.0.1:0", "host", "");
     let config = [public, tenant("north", &etcd.table(), &[])].concat();
-    let service = Running::start("etcd", &config);
+    let service = ServiceProcess::start("etcd", &config);
     let at = service.addresses()["public"];
     wait_for("the first list", || {
         Client::new(at).get("north.example", "").status() == 200
@@ -94,42 +94,45 @@
         };
         etcd.put("north", name, server, EndpointState::Up);
         if n % 3 == 0 {
-            // Cut off while it goes, and compacted, so that the removal itself is never told.
-            (0..3).for_each(|m| etcd.standin.break_connections(m));
+            // The connections break during the removal and the log is compacted, so no watch reports the removal.
+            (0..3).for_each(|m| etcd.fake.break_connections(m));
             etcd.delete("north", old);
-            etcd.standin
-                .with_store(|s| s.compact(s.revision()).unwrap());
+            etcd.fake.with_store(|s| s.compact(s.revision()).unwrap());
         } else {
             etcd.delete("north", old);
         }
-        let told = Instant::now();
+        let removed_at = Instant::now();
         let other = if n % 2 == 0 { &a } else { &b };
-        let last = loop {
-            let answer = Client::new(at).get("north.example", "");
-            let late = told.elapsed() > Duration::from_secs(1);
+        let seen_before = loop {
+            let response = Client::new(at).get("north.example", "");
+            let late = removed_at.elapsed() > Duration::from_secs(1);
             if late {
                 break other.seen().len();
             }
-            assert!(matches!(answer.status(), 200 | 503), "{}", answer.status());
+            assert!(
+                matches!(response.status(), 200 | 503),
+                "{}",
+                response.status()
+            );
         };
-        let seen = (0..20)
+        let served = (0..20)
             .filter(|_| Client::new(at).get("north.example", "").status() == 200)
             .count();
         assert!(
-            seen > 0 && other.seen().len() == last,
-            "new work went to a server that was gone for 1 s"
+            served > 0 && other.seen().len() == seen_before,
+            "a server got a request more than 1 s after its removal"
         );
     }
-    // Etcd goes quiet, and a server dies: its healthy neighbour goes on.
+    // Etcd stops responding: the endpoints stay in use.
     etcd.put("north", "b", &b, EndpointState::Up);
-    let status = |service: &Running| {
+    let status = |service: &ServiceProcess| {
         service
             .logged("the list's state")
             .last()
             .map(|l| l["phase"].to_string())
     };
-    etcd.standin.set_network_all(NetworkState::Stalled);
-    wait_for("it is stale", || {
+    etcd.fake.set_network_all(NetworkState::Stalled);
+    wait_for("the list to become stale", || {
         status(&service).is_some_and(|s| s.contains("stale"))
     });
     assert!(
@@ -139,31 +142,31 @@
             == 1
     );
     assert_eq!(Client::new(at).get("north.example", "").status(), 200);
-    etcd.standin.set_network_all(NetworkState::Up);
-    wait_for("it watches again", || {
+    etcd.fake.set_network_all(NetworkState::Up);
+    wait_for("the watch to resume", || {
         status(&service).is_some_and(|s| s.contains("watching"))
     });
 }
 
 #[test]
-fn a_request_at_a_server_that_drains_or_goes_gets_its_answer() {
+fn request_at_a_draining_or_removed_server_is_completed() {
     let etcd = Etcd::new();
-    let gate = Latch::default();
-    let (held, fresh) = (
-        Backend::new(BackendAction::Hold(gate.clone(), ok("held"))),
-        says("fresh"),
+    let latch = Latch::default();
+    let (old_backend, new_backend) = (
+        Backend::new(BackendAction::Hold(latch.clone(), ok("held"))),
+        text_backend("fresh"),
     );
-    etcd.put("north", "held", &held, EndpointState::Up);
-    // A checkout is waited for until its deadline only where a late answer is worth something; else until its aim, which a lookup
-    // that is held at the server before the drain is told takes as well.
+    etcd.put("north", "held", &old_backend, EndpointState::Up);
+    // A checkout waits until its deadline only if a late response has a priority weight. Otherwise it waits until its
+    // latency objective, which a lookup held at the server before the drain is reported would also use up.
     let late = tenant("north", &etcd.table(), &[])
         .replace("\"unsafe\"", "\"unsafe\"\nlate-worth = \"50 %\"");
     let config = [listener("public", "127.0.0.1:0", "host", ""), late].concat();
-    let service = Running::start("etcd-drain", &config);
+    let service = ServiceProcess::start("etcd-drain", &config);
     let at = service.addresses()["public"];
     let mut waiting = Client::new(at);
     wait_for("a request at the server", || {
-        if held.seen().is_empty() {
+        if old_backend.seen().is_empty() {
             waiting = Client::new(at);
             waiting.send(
                 "POST",
@@ -173,24 +176,25 @@
             );
             std::thread::sleep(Duration::from_millis(100));
         }
-        !held.seen().is_empty()
+        !old_backend.seen().is_empty()
     });
-    etcd.put("north", "fresh", &fresh, EndpointState::Up);
-    etcd.put("north", "held", &held, EndpointState::Draining);
-    wait_for("work goes elsewhere", || {
+    etcd.put("north", "fresh", &new_backend, EndpointState::Up);
+    etcd.put("north", "held", &old_backend, EndpointState::Draining);
+    wait_for("requests to go to the other server", || {
         Client::new(at).get("north.example", "").text() == "fresh"
     });
-    // One may have gone there before the drain was told; none does afterwards.
-    let before = held.seen().len();
+    // A request may have gone there before the drain was reported; none does afterwards.
+    let before = old_backend.seen().len();
     for _ in 0..20 {
         assert_eq!(Client::new(at).get("north.example", "").text(), "fresh");
     }
     etcd.delete("north", "held");
-    assert_eq!(held.seen().len(), before);
-    gate.open();
-    assert_eq!(waiting.answer().text(), "held");
+    assert_eq!(old_backend.seen().len(), before);
+    latch.open();
+    assert_eq!(waiting.response().text(), "held");
 }
 
+/// Registered server process, killed on drop.
 struct Server(Child);
 
 impl Drop for Server {
@@ -201,18 +205,18 @@
 }
 
 #[test]
-fn servers_are_registered_drained_and_taken_away_from_the_command_line() {
+fn servers_are_registered_drained_and_deregistered_by_command() {
     let etcd = Etcd::new();
-    let endpoint = etcd.standin.endpoints()[0].clone();
+    let endpoint = etcd.fake.endpoints()[0].clone();
     let fleet = |arguments: &[&str]| {
-        let ran = Command::new(env!("CARGO_BIN_EXE_canvascart"))
+        let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
             .args(["fleet", "--etcd", &endpoint, "--pool", "north"])
             .args(arguments)
             .output()
             .unwrap();
         (
-            ran.status.code().unwrap(),
-            String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap(),
+            run.status.code().unwrap(),
+            String::from_utf8([run.stdout, run.stderr].concat()).unwrap(),
         )
     };
     assert_eq!(fleet(&["list"]), (0, String::new()));
@@ -242,7 +246,7 @@
     assert_eq!(
         fleet(&["register", "n1", "--address", "127.0.0.1:9002"]).0,
         4,
-        "the name is taken"
+        "a name in use was accepted"
     );
     assert_eq!(fleet(&["drain", "n1"]).0, 0);
     assert!(
@@ -252,7 +256,7 @@
     );
     assert_eq!(fleet(&["resume", "n1"]).0, 0);
     assert_eq!(fleet(&["drain", "n2"]).0, 4);
-    // Renewed again and again, it outlasts its lease; killed, it does not.
+    // The registration is renewed and outlasts its lease; when the server exits, it is removed.
     std::thread::sleep(Duration::from_millis(2500));
     assert!(fleet(&["list"]).1.contains("n1"));
     let watched = fleet(&["watch", "--most", "3"]).1;
@@ -276,16 +280,16 @@
     assert_eq!(
         fleet(&["list"]),
         (0, String::new()),
-        "it has left on purpose"
+        "the server did not deregister"
     );
     assert_eq!(fleet(&["release"]).0, 0);
-    etcd.standin.set_network_all(NetworkState::Down);
+    etcd.fake.set_network_all(NetworkState::Down);
     assert_eq!(fleet(&["list"]).0, 3);
 }
 
 #[test]
-fn following_is_measured_and_keeps_the_rule_on_removals() {
-    let ran = Command::new(env!("CARGO_BIN_EXE_canvascart"))
+fn followers_measurement_reports_the_last_request_after_a_removal() {
+    let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
         .args([
             "lab",
             "followers",
@@ -297,12 +301,12 @@
         ])
         .output()
         .unwrap();
-    let said = String::from_utf8(ran.stdout).unwrap();
+    let stdout = String::from_utf8(run.stdout).unwrap();
     assert_eq!(
-        ran.status.code(),
+        run.status.code(),
         Some(0),
-        "{said}{}",
-        String::from_utf8_lossy(&ran.stderr)
+        "{stdout}{}",
+        String::from_utf8_lossy(&run.stderr)
     );
-    assert!(said.contains("last request"), "{said}");
+    assert!(stdout.contains("last request"), "{stdout}");
 }
--- a/crates/canvascart/tests/hosted/mod.rs
+++ b/crates/canvascart/tests/hosted/mod.rs
@@ -1,5 +1,5 @@
-//! A hosted service as a process on loopback, and clients of it.
-#![allow(dead_code)] // each test file uses its own part
+//! Test fixture: the hosted service as a process on loopback, and HTTP clients for it.
+#![allow(dead_code)] // each test binary uses a subset
 #[path = "../../../proxy-core/tests/sockets/mod.rs"]
 pub mod sockets;
 
@@ -27,40 +27,41 @@
 deadline = "20 s"
 "#;
 
-/// A tenant with these servers; `more` goes into its table.
-pub fn tenant(name: &str, more: &str, servers: &[(&str, SocketAddr)]) -> String {
+/// Formats a tenant's configuration with these servers; `extra` is added to its table.
+pub fn tenant(name: &str, extra: &str, servers: &[(&str, SocketAddr)]) -> String {
     let server = |(n, a): &(&str, SocketAddr)| {
         format!("[[tenant.server]]\nname = \"{n}\"\naddress = \"{a}\"\nsize = 8\nwarm = true\n")
     };
     let servers: String = servers.iter().map(server).collect();
     format!(
-        "[[tenant]]\nname = \"{name}\"\nhosts = [\"{name}.example\"]\n{more}\n{CLASSES}\n{servers}\n"
+        "[[tenant]]\nname = \"{name}\"\nhosts = [\"{name}.example\"]\n{extra}\n{CLASSES}\n{servers}\n"
     )
 }
 
-pub fn listener(name: &str, address: &str, by: &str, more: &str) -> String {
+pub fn listener(name: &str, address: &str, by: &str, extra: &str) -> String {
     format!(
-        "[[listener]]\nname = \"{name}\"\naddress = \"{address}\"\ntenant-by = \"{by}\"\n{more}\n"
+        "[[listener]]\nname = \"{name}\"\naddress = \"{address}\"\ntenant-by = \"{by}\"\n{extra}\n"
     )
 }
 
-pub struct Running {
+/// Service process, killed on drop. Its JSON log is collected, and printed if the test panics.
+pub struct ServiceProcess {
     pub child: Child,
     pub file: PathBuf,
     log: Arc<Mutex<Vec<serde_json::Value>>>,
 }
 
-impl Running {
-    /// Starts a service and waits until all its listeners are up.
+impl ServiceProcess {
+    /// Starts the service and waits until all listeners are open.
     pub fn start(name: &str, config: &str) -> Self {
-        let running = Running::begin(name, config, &[]);
+        let service = ServiceProcess::spawn_with_args(name, config, &[]);
         let listeners = config.matches("[[listener]]").count();
-        wait_for("the listeners", || running.addresses().len() == listeners);
-        running
+        wait_for("the listeners", || service.addresses().len() == listeners);
+        service
     }
 
-    /// Starts a service, with more arguments, and waits for nothing.
-    pub fn begin(name: &str, config: &str, more: &[&str]) -> Self {
+    /// Starts the service with additional arguments, without waiting for readiness.
+    pub fn spawn_with_args(name: &str, config: &str, extra: &[&str]) -> Self {
         let file = std::env::temp_dir().join(format!(
             "canvascart-serve-{}-{name}.toml",
             std::process::id()
@@ -76,23 +77,23 @@
                 "--config",
                 file.to_str().unwrap(),
             ])
-            .args(more)
+            .args(extra)
             .stderr(Stdio::piped())
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
         let log: Arc<Mutex<Vec<serde_json::Value>>> = Arc::default();
-        let (lines, to) = (
+        let (lines, sink) = (
             BufReader::new(child.stderr.take().unwrap()).lines(),
             log.clone(),
         );
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 let value = serde_json::from_str(&line).unwrap_or(serde_json::Value::String(line));
-                to.lock().unwrap().push(value);
+                sink.lock().unwrap().push(value);
             }
         });
-        Running { child, file, log }
+        ServiceProcess { child, file, log }
     }
 
     pub fn logged(&self, message: &str) -> Vec<serde_json::Value> {
@@ -106,21 +107,24 @@
     }
 
     pub fn addresses(&self) -> BTreeMap<String, SocketAddr> {
-        let one = |l: serde_json::Value| {
+        let listener_address = |l: serde_json::Value| {
             Some((
                 l["listener"].as_str()?.to_owned(),
                 l["address"].as_str()?.parse().ok()?,
             ))
         };
-        self.logged("listens").into_iter().filter_map(one).collect()
+        self.logged("listens")
+            .into_iter()
+            .filter_map(listener_address)
+            .collect()
     }
 
-    /// Gives it another configuration and waits for a word on it.
-    pub fn change(&self, config: &str, word: &str) {
-        let before = self.logged(word).len();
+    /// Replaces the configuration, sends SIGHUP and waits for a log message.
+    pub fn reload_config(&self, config: &str, message: &str) {
+        let before = self.logged(message).len();
         std::fs::write(&self.file, config).unwrap();
         self.signal("HUP");
-        wait_for(word, || self.logged(word).len() > before);
+        wait_for(message, || self.logged(message).len() > before);
     }
 
     pub fn signal(&self, name: &str) {
@@ -136,7 +140,7 @@
 
     pub fn wait(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the service's end", || {
+        wait_for("the service to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -144,18 +148,18 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ServiceProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.file);
         if thread::panicking() {
-            eprintln!("the service's log: {:#?}", self.log.lock().unwrap());
+            eprintln!("service log: {:#?}", self.log.lock().unwrap());
         }
     }
 }
 
-/// One connection to a service.
+/// HTTP connection to the service.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
@@ -165,21 +169,22 @@
         Client(BufReader::new(stream))
     }
 
-    pub fn send(&mut self, method: &str, path: &str, host: &str, more: &str) {
-        let text = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n{more}\r\n");
+    pub fn send(&mut self, method: &str, path: &str, host: &str, extra: &str) {
+        let text = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n{extra}\r\n");
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn answer(&mut self) -> Message {
-        read_message(&mut self.0).expect("an answer")
+    pub fn response(&mut self) -> Message {
+        read_message(&mut self.0).expect("a response")
     }
 
-    pub fn get(&mut self, host: &str, more: &str) -> Message {
-        self.send("GET", "/lookup/1", host, more);
-        self.answer()
+    pub fn get(&mut self, host: &str, extra: &str) -> Message {
+        self.send("GET", "/lookup/1", host, extra);
+        self.response()
     }
 }
 
-pub fn says(text: &'static str) -> Backend {
+/// Starts a backend that responds with this text.
+pub fn text_backend(text: &'static str) -> Backend {
     Backend::new(BackendAction::Write(ok(text)))
 }
--- a/crates/canvascart/tests/serve.rs
+++ b/crates/canvascart/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The hosted service as a process: many tenants, changes while traffic flows, shares under pressure.
+//! The hosted service as a process: tenant routing, configuration changes under traffic, and fair shares under load.
 mod hosted;
 
 use std::io::{BufRead, Write};
@@ -6,11 +6,11 @@
 use std::process::Command;
 
 use hosted::sockets::{Backend, BackendAction, Latch, Message, ok, wait_for};
-use hosted::{Client, Running, listener, says, tenant};
+use hosted::{Client, ServiceProcess, listener, tenant, text_backend};
 
 #[test]
-fn each_request_reaches_its_tenants_servers_and_no_other_and_strangers_learn_nothing() {
-    let (north, south) = (says("north's"), says("south's"));
+fn requests_reach_only_their_tenants_servers_and_unknown_tenants_get_404() {
+    let (north, south) = (text_backend("north's"), text_backend("south's"));
     let config = [
         listener("by-host", "127.0.0.1:0", "host", ""),
         listener("by-header", "127.0.0.2:0", "header", ""),
@@ -18,7 +18,7 @@
         tenant("north", "", &[("n", north.address)]),
         tenant("south", "", &[("s", south.address)]),
     ];
-    let mut service = Running::start("routes", &config.concat());
+    let mut service = ServiceProcess::start("routes", &config.concat());
     let at = service.addresses();
     for (listener, host, more, text) in [
         ("by-host", "north.example", "", "north's"),
@@ -41,14 +41,14 @@
             "south's",
         ),
     ] {
-        let answer = Client::new(at[listener]).get(host, more);
+        let response = Client::new(at[listener]).get(host, more);
         assert_eq!(
-            (answer.status(), answer.text().as_str()),
+            (response.status(), response.text().as_str()),
             (200, text),
             "{listener} {host} {more}"
         );
     }
-    // One connection may serve several tenants; a tenant that is not there looks like one that is not named.
+    // A connection may serve several tenants. An unknown tenant and a missing tenant header get the same response.
     let mut client = Client::new(at["by-header"]);
     for (more, status) in [
         ("X-Tenant-Id: south\r\n", 200),
@@ -63,101 +63,103 @@
 }
 
 #[test]
-fn a_change_of_one_tenant_takes_effect_while_requests_run_and_touches_no_other() {
-    let gate = Latch::default();
-    let (held, fresh, other) = (
-        Backend::new(BackendAction::Hold(gate.clone(), ok("held"))),
-        says("fresh"),
-        says("other's"),
+fn change_of_one_tenant_takes_effect_under_traffic_without_affecting_others() {
+    let latch = Latch::default();
+    let (old_backend, new_backend, other_backend) = (
+        Backend::new(BackendAction::Hold(latch.clone(), ok("held"))),
+        text_backend("fresh"),
+        text_backend("other's"),
     );
     let public = listener("public", "127.0.0.1:0", "host", "");
-    let south = tenant("south", "", &[("s", other.address)]);
+    let south = tenant("south", "", &[("s", other_backend.address)]);
     let before = [
         public.clone(),
-        tenant("north", "", &[("old", held.address)]),
+        tenant("north", "", &[("old", old_backend.address)]),
         south.clone(),
     ]
     .concat();
-    let service = Running::start("change", &before);
+    let service = ServiceProcess::start("change", &before);
     let at = service.addresses()["public"];
     let mut waiting = Client::new(at);
     waiting.send("GET", "/lookup/1", "north.example", "");
-    wait_for("the request at the old server", || held.seen().len() == 1);
+    wait_for("the request at the old server", || {
+        old_backend.seen().len() == 1
+    });
 
-    // The server goes and another comes; the class is renamed.
-    let renamed = tenant("north", "", &[("new", fresh.address)]).replacen(
+    // The server is replaced and the class renamed.
+    let renamed = tenant("north", "", &[("new", new_backend.address)]).replacen(
         "name = \"lookup\"",
         "name = \"search\"",
         1,
     );
-    service.change(
+    service.reload_config(
         &[public.clone(), renamed, south.clone()].concat(),
         "the new configuration is in effect",
     );
     for _ in 0..20 {
         let mut client = Client::new(at);
         client.send("GET", "/search/1", "north.example", "");
-        assert_eq!(client.answer().text(), "fresh");
+        assert_eq!(client.response().text(), "fresh");
         assert_eq!(
             Client::new(at).get("north.example", "").status(),
             404,
-            "no such class any more"
+            "the old class is still served"
         );
         assert_eq!(Client::new(at).get("south.example", "").text(), "other's");
     }
-    gate.open();
+    latch.open();
     assert_eq!(
-        waiting.answer().text(),
+        waiting.response().text(),
         "held",
-        "it ends under the version that it began with"
+        "the request did not complete under the version it began with"
     );
     assert_eq!(
-        held.seen().len(),
+        old_backend.seen().len(),
         1,
-        "a server that is gone gets nothing new"
+        "a removed server got a new request"
     );
 
-    // A tenant goes while a request of its is under way.
-    let gate = Latch::default();
-    let slow = Backend::new(BackendAction::Hold(gate.clone(), ok("slow")));
+    // A tenant is removed while one of its requests is in flight.
+    let latch = Latch::default();
+    let slow = Backend::new(BackendAction::Hold(latch.clone(), ok("slow")));
     let with_slow = tenant("north", "", &[("slow", slow.address)]);
-    service.change(
+    service.reload_config(
         &[public.clone(), with_slow, south.clone()].concat(),
         "the new configuration is in effect",
     );
     let mut waiting = Client::new(at);
     waiting.send("GET", "/lookup/1", "north.example", "");
     wait_for("the request at the slow server", || slow.seen().len() == 1);
-    service.change(&[public, south].concat(), "tenant removed");
+    service.reload_config(&[public, south].concat(), "tenant removed");
     assert_eq!(Client::new(at).get("north.example", "").status(), 404);
-    gate.open();
+    latch.open();
     assert_eq!(
-        waiting.answer().text(),
+        waiting.response().text(),
         "slow",
-        "it gets its one final answer"
+        "the request in flight was not completed"
     );
     assert_eq!(Client::new(at).get("south.example", "").status(), 200);
 }
 
 #[test]
-fn a_change_that_fails_changes_nothing() {
-    let (north, south) = (says("north's"), says("south's"));
+fn failed_change_is_not_applied_in_part() {
+    let (north, south) = (text_backend("north's"), text_backend("south's"));
     let public = listener("public", "127.0.0.1:0", "host", "");
     let good = tenant("north", "", &[("n", north.address)]);
-    let service = Running::start("fails", &[public.clone(), good.clone()].concat());
+    let service = ServiceProcess::start("fails", &[public.clone(), good.clone()].concat());
     let at = service.addresses()["public"];
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
     let second = listener(
         "second",
-        &taken.local_addr().unwrap().to_string(),
+        &occupied.local_addr().unwrap().to_string(),
         "host",
         "",
     );
     let added = tenant("south", "", &[("s", south.address)]);
-    // A port that is taken: the tenant beside it does not come either.
-    let with_taken = [public.clone(), second, good.clone(), added.clone()].concat();
-    service.change(
-        &with_taken,
+    // A listener port is in use, so the tenant of the same change is not added either.
+    let with_occupied_port = [public.clone(), second, good.clone(), added.clone()].concat();
+    service.reload_config(
+        &with_occupied_port,
         "the new configuration can't be had, and nothing has changed",
     );
     assert_eq!(Client::new(at).get("south.example", "").status(), 404);
@@ -167,22 +169,22 @@
         added.replace("effect = \"safe\"", "effect = \"sound\""),
     ]
     .concat();
-    service.change(
+    service.reload_config(
         &bad,
         "the new configuration is of no use, and nothing has changed",
     );
-    let word = service
+    let log_line = service
         .logged("the new configuration is of no use, and nothing has changed")
         .pop()
         .unwrap();
-    let error = word["error"].as_str().unwrap();
+    let error = log_line["error"].as_str().unwrap();
     assert!(
         error.contains("tenant.1.class.0.effect") && error.contains("safe"),
         "{error}"
     );
     assert_eq!(Client::new(at).get("south.example", "").status(), 404);
     assert_eq!(Client::new(at).get("north.example", "").status(), 200);
-    service.change(
+    service.reload_config(
         &[public, good, added].concat(),
         "the new configuration is in effect",
     );
@@ -190,53 +192,53 @@
 }
 
 #[test]
-fn a_tenant_whose_servers_hang_is_refused_beyond_its_share_and_others_are_served() {
-    let gate = Latch::default();
-    let (hangs, other) = (
-        Backend::new(BackendAction::Hold(gate.clone(), ok("late"))),
-        says("other's"),
+fn tenant_with_hanging_servers_is_rejected_beyond_its_share_and_others_are_served() {
+    let latch = Latch::default();
+    let (hanging, other_backend) = (
+        Backend::new(BackendAction::Hold(latch.clone(), ok("late"))),
+        text_backend("other's"),
     );
     let config = [
         "[process]\nin-flight = 12\nnewcomers = \"25 %\"\n".to_owned(),
         listener("public", "127.0.0.1:0", "host", ""),
-        tenant("north", "", &[("n", hangs.address)]),
-        tenant("south", "", &[("s", other.address)]),
+        tenant("north", "", &[("n", hanging.address)]),
+        tenant("south", "", &[("s", other_backend.address)]),
     ];
-    let mut service = Running::start("hangs", &config.concat());
+    let mut service = ServiceProcess::start("hangs", &config.concat());
     let at = service.addresses()["public"];
     let mut clients: Vec<Client> = (0..12).map(|_| Client::new(at)).collect();
     clients
         .iter_mut()
         .for_each(|c| c.send("GET", "/lookup/1", "north.example", ""));
-    // A quarter of the twelve is left to the tenant that is idle: three are refused at once.
-    let answers: Vec<(usize, Message)> = {
-        let mut refused = Vec::new();
-        wait_for("three refusals", || {
+    // A quarter of the 12 places is reserved for the idle tenant, so 3 of the 12 requests are rejected at once.
+    let rejections: Vec<(usize, Message)> = {
+        let mut rejected = Vec::new();
+        wait_for("three rejections", || {
             for (n, client) in clients.iter_mut().enumerate() {
                 client.0.get_mut().set_nonblocking(true).unwrap();
                 let has = client.0.fill_buf().is_ok_and(|b| !b.is_empty());
                 client.0.get_mut().set_nonblocking(false).unwrap();
                 if has {
-                    refused.push((n, client.answer()));
+                    rejected.push((n, client.response()));
                 }
             }
-            refused.len() >= 3
+            rejected.len() >= 3
         });
-        refused
+        rejected
     };
-    assert_eq!(answers.len(), 3);
-    for (_, answer) in &answers {
-        assert_eq!(answer.status(), 503);
-        let after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    assert_eq!(rejections.len(), 3);
+    for (_, response) in &rejections {
+        assert_eq!(response.status(), 503);
+        let after: f64 = response.header("retry-after").unwrap().parse().unwrap();
         assert!(after > 0.0 && after <= 2.0, "{after}");
     }
     for _ in 0..20 {
         assert_eq!(Client::new(at).get("south.example", "").status(), 200);
     }
-    gate.open();
+    latch.open();
     for (n, client) in clients.iter_mut().enumerate() {
-        if answers.iter().all(|(refused, _)| *refused != n) {
-            assert_eq!(client.answer().text(), "late");
+        if rejections.iter().all(|(rejected, _)| *rejected != n) {
+            assert_eq!(client.response().text(), "late");
         }
     }
     service.signal("TERM");
@@ -245,13 +247,14 @@
     let north = ended.iter().find(|l| l["tenant"] == "north").unwrap();
     assert_eq!(
         north["refused"], "[0, 3, 0, 0, 0]",
-        "for requests in flight, and for nothing else"
+        "requests were rejected for another reason than requests in flight"
     );
 }
 
+/// Guards against one tenant that occupies all sockets with connections that never send a complete request.
 #[test]
-fn sockets_of_one_tenant_that_say_nothing_leave_room_for_the_others() {
-    let (north, south) = (says("north's"), says("south's"));
+fn silent_connections_of_one_tenant_leave_sockets_for_others() {
+    let (north, south) = (text_backend("north's"), text_backend("south's"));
     let config = [
         "[process]\nsockets = 32\nnewcomers = \"25 %\"\n".to_owned(),
         listener("norths", "127.0.0.1:0", "listener", "tenant = \"north\""),
@@ -259,14 +262,14 @@
         tenant("north", "", &[("n", north.address)]),
         tenant("south", "", &[("s", south.address)]),
     ];
-    let service = Running::start("sockets", &config.concat());
+    let service = ServiceProcess::start("sockets", &config.concat());
     let at = service.addresses();
-    // Far more than there are; each sends half a head.
-    let mut held = Vec::new();
+    // More connections than sockets; each sends an incomplete request head.
+    let mut connections = Vec::new();
     for _ in 0..64 {
         let mut stream = TcpStream::connect(at["norths"]).unwrap();
-        let _ = stream.write_all(b"GET /lookup/1 HTTP/1.1\r\nHost:"); // it may be closed already
-        held.push(stream);
+        let _ = stream.write_all(b"GET /lookup/1 HTTP/1.1\r\nHost:"); // the service may have closed the connection
+        connections.push(stream);
     }
     for _ in 0..8 {
         assert_eq!(Client::new(at["souths"]).get("x", "").status(), 200);
@@ -274,7 +277,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_told_of_whole_and_the_schema_is_printed() {
+fn all_configuration_errors_are_reported_and_the_schema_is_printed() {
     let canvascart = |arguments: &[&str]| {
         Command::new(env!("CARGO_BIN_EXE_canvascart"))
             .args(arguments)
@@ -291,15 +294,15 @@
     .unwrap();
     let run = canvascart(&["serve", "--check", "--config", path]);
     assert_eq!(run.status.code(), Some(2));
-    let said = String::from_utf8(run.stderr).unwrap();
+    let stderr = String::from_utf8(run.stderr).unwrap();
     for part in [
         ":2: process.sockets:",
         ":5: listener.0.name:",
         "listener.0.address: it is missing",
     ] {
         assert!(
-            said.contains(&format!("{path}{part}")) || said.contains(part),
-            "{part}: {said}"
+            stderr.contains(&format!("{path}{part}")) || stderr.contains(part),
+            "{part}: {stderr}"
         );
     }
     let example = canvascart(&[
@@ -334,19 +337,20 @@
     let run = canvascart(&["config", "schema"]);
     let schema: serde_json::Value = serde_json::from_slice(&run.stdout).unwrap();
     assert_eq!(schema["properties"]["listener"]["maxItems"], 64);
-    let kept = include_str!("../../../docs/serve.schema.json");
-    let kept: serde_json::Value = serde_json::from_str(kept).unwrap();
+    let documented = include_str!("../../../docs/serve.schema.json");
+    let documented: serde_json::Value = serde_json::from_str(documented).unwrap();
     assert_eq!(
-        kept, schema,
-        "docs/serve.schema.json is what `canvascart config schema` prints"
+        documented, schema,
+        "docs/serve.schema.json differs from the output of `canvascart config schema`"
     );
 }
 
+/// Guards against stopping the read of an admitted request body when the share for rejecting requests is used up.
 #[test]
-fn a_request_that_was_let_in_is_read_to_its_end_while_its_tenant_is_turned_away() {
-    let north = says("north's");
+fn admitted_request_is_read_completely_while_its_tenant_is_rejected() {
+    let north = text_backend("north's");
     let config = [
-        // One request fills the tenant's share, and next to nothing is left for turning others away.
+        // One request fills the tenant's share, and the share for rejecting requests is close to zero.
         "[process]\nturning-share = \"0.1 %\"\n".to_owned(),
         listener("public", "127.0.0.1:0", "listener", "tenant = \"north\""),
         tenant(
@@ -355,7 +359,7 @@
             &[("n", north.address)],
         ),
     ];
-    let service = Running::start("body", &config.concat());
+    let service = ServiceProcess::start("body", &config.concat());
     let at = service.addresses()["public"];
     let body = "x".repeat(60 << 10);
     let head = format!("X-Timeout: 5\r\nContent-Length: {}\r\n", body.len());
@@ -366,9 +370,10 @@
         .get_mut()
         .write_all(&body.as_bytes()[..1024])
         .unwrap();
-    // It holds the one place once another is refused. Those that follow use up what turning away may take.
+    // The large request holds the only place once another request is rejected. The requests that follow use up the
+    // share for rejecting requests.
     let mut others: Vec<Client> = (0..400).map(|_| Client::new(at)).collect();
-    wait_for("a refusal", || {
+    wait_for("a rejection", || {
         others.pop().unwrap().get("north", "").status() == 503
     });
     others
@@ -379,6 +384,9 @@
         .get_mut()
         .write_all(&body.as_bytes()[1024..])
         .unwrap();
-    let answer = large.answer();
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "north's"));
+    let response = large.response();
+    assert_eq!(
+        (response.status(), response.text().as_str()),
+        (200, "north's")
+    );
 }
