--- a/crates/canvascart/tests/capture.rs
+++ b/crates/canvascart/tests/capture.rs
@@ -1,4 +1,4 @@
-//! The capture of a running proxy, and `canvascart capture replay`.
+//! Request capture of a running proxy, and `canvascart capture replay`.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// A proxy with these settings and one backend, up.
+/// Starts a proxy with these settings and one backend, and waits until it is ready.
 fn proxy(backend: &Backend, setup: &Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[backend]));
@@ -30,12 +30,12 @@
         .collect()
 }
 
-/// Ends the proxy and returns what it has written.
-fn end(mut proxy: Proxy, wanted: usize) -> String {
+/// Terminates the proxy and returns its log, which must have at least this many request records.
+fn terminate(mut proxy: Proxy, min_records: usize) -> String {
     proxy.terminate();
     assert!(proxy.wait().success());
     wait_for("the capture", || {
-        records(&proxy.log.lock().unwrap()).len() >= wanted
+        records(&proxy.log.lock().unwrap()).len() >= min_records
     });
     let log = proxy.log.lock().unwrap();
     log.clone()
@@ -57,8 +57,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// What a busy little day with one server leaves behind.
-fn one_server_day() -> String {
+/// Captures successful, rejected, failed and reset requests to one server, and a change of the server list.
+fn capture_with_one_server() -> String {
     let backend = Backend::with(|request| match request.id() {
         "r-full" => BackendAction::Write(empty("503 Busy\r\nX-Not-Processed: 1")),
         "r-error" => BackendAction::Write(empty("500 Oops")),
@@ -71,14 +71,14 @@
         assert_eq!(
             client
                 .ask(&page(&format!("r-a{n}")))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
         assert_eq!(
             client
                 .ask(&submit(&format!("r-b{n}"), "2", "x"))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
@@ -87,7 +87,7 @@
         assert_eq!(
             client
                 .ask(&submit(id, "0.4", "x"))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             code,
             "{id}"
@@ -95,12 +95,12 @@
         assert_eq!(
             client
                 .ask(&page(&format!("{id}-next")))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
     }
-    // The server moves on: a new one takes its place.
+    // The server is replaced by one with another name.
     discovery.publish(&list(2, true, &[host("s-new", backend.address, "up", 0)]));
     let mut n = 0;
     wait_for("the new list", || {
@@ -110,13 +110,16 @@
             .is_some_and(|m| m.status() == 200)
             && n > 20
     });
-    end(proxy, 106)
+    terminate(proxy, 106)
 }
 
 #[test]
-fn with_one_server_a_replay_finds_no_difference_and_one_altered_by_hand_shows() {
-    let log = one_server_day();
-    let first = log.lines().find(|l| l.starts_with("h ")).expect("a head");
+fn replay_with_one_server_has_no_difference_and_detects_altered_records() {
+    let log = capture_with_one_server();
+    let first = log
+        .lines()
+        .find(|l| l.starts_with("h "))
+        .expect("a head line");
     assert!(first.contains(" seed=8c1f30d27a5be964 node=n0 "), "{first}");
     assert!(
         log.contains("r r-b7 submit acme sid=7f dl=2000ms seq=1 -> s-0 200\n"),
@@ -135,14 +138,19 @@
         "{log}"
     );
     let count = records(&log).len();
-    let same = replay(&log);
-    let said = text(&same.stdout);
-    assert_eq!(same.status.code(), Some(0), "{said}{}", text(&same.stderr));
+    let unaltered = replay(&log);
+    let stdout = text(&unaltered.stdout);
+    assert_eq!(
+        unaltered.status.code(),
+        Some(0),
+        "{stdout}{}",
+        text(&unaltered.stderr)
+    );
     assert!(
-        said.starts_with(&format!("0 of {count} decisions differ; 0 never")),
-        "{said}"
+        stdout.starts_with(&format!("0 of {count} decisions differ; 0 never")),
+        "{stdout}"
     );
-    // By hand: another server, another code.
+    // Altered records: another server, another status code.
     let altered = log
         .replace(
             "r r-b7 submit acme sid=7f dl=2000ms seq=1 -> s-0 200",
@@ -150,39 +158,40 @@
         )
         .replace("seq=1 -> s-0:error 502", "seq=1 -> s-0:error 503");
     let run = replay(&altered);
-    let said = text(&run.stdout);
-    assert_eq!(run.status.code(), Some(1), "{said}");
+    let stdout = text(&run.stdout);
+    assert_eq!(run.status.code(), Some(1), "{stdout}");
     assert!(
-        said.contains("  then: s-9 200\n  now:  s-0 200\n"),
-        "{said}"
+        stdout.contains("  then: s-9 200\n  now:  s-0 200\n"),
+        "{stdout}"
     );
     assert!(
-        said.contains("  then: s-0:error 503\n  now:  s-0:error 502\n"),
-        "{said}"
+        stdout.contains("  then: s-0:error 503\n  now:  s-0:error 502\n"),
+        "{stdout}"
     );
     assert!(
-        said.contains(&format!("2 of {count} decisions differ")),
-        "{said}"
+        stdout.contains(&format!("2 of {count} decisions differ")),
+        "{stdout}"
     );
-    // As a log's keeper hands it on, with the time before each line.
+    // A log collector prepends a timestamp to each line.
     let stamped: String = log.lines().map(|l| format!("[23.18] {l}\n")).collect();
     let run = replay(&stamped);
     assert_eq!(
         (run.status.code(), text(&run.stdout)),
-        (Some(0), text(&same.stdout))
+        (Some(0), text(&unaltered.stdout))
     );
-    // Cut in its last line.
-    let cut = replay(log.trim_end().trim_end_matches(char::is_numeric));
-    let said = text(&cut.stdout);
+    // The last line is truncated.
+    let truncated = replay(log.trim_end().trim_end_matches(char::is_numeric));
+    let stdout = text(&truncated.stdout);
     assert!(
-        cut.status.code() == Some(0) && said.contains(&format!("0 of {} decisions", count - 1)),
-        "{said}"
+        truncated.status.code() == Some(0)
+            && stdout.contains(&format!("0 of {} decisions", count - 1)),
+        "{stdout}"
     );
-    assert!(said.ends_with(" 1 truncated\n"), "{said}");
+    assert!(stdout.ends_with(" 1 truncated\n"), "{stdout}");
 }
 
 #[test]
-fn with_one_server_clients_that_come_at_once_make_no_difference_either() {
+fn replay_of_concurrent_clients_with_one_server_has_no_difference() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, &setup(ON));
     std::thread::scope(|scope| {
@@ -197,17 +206,17 @@
                     } else {
                         page(&id)
                     };
-                    assert_eq!(client.ask(&request).expect("an answer").status(), 200);
+                    assert_eq!(client.ask(&request).expect("a response").status(), 200);
                 }
             });
         }
     });
-    let log = end(proxy, 240);
+    let log = terminate(proxy, 240);
     let run = replay(&log);
-    let said = text(&run.stdout);
+    let stdout = text(&run.stdout);
     assert!(
-        run.status.code() == Some(0) && said.starts_with("0 of 240 decisions differ"),
-        "{said}"
+        run.status.code() == Some(0) && stdout.starts_with("0 of 240 decisions differ"),
+        "{stdout}"
     );
 }
 
@@ -218,7 +227,7 @@
     "l seq=7 at=90000.000 whole hosts=1\nb s-a site=- class=- block=- share=- born=0 up\n";
 
 #[test]
-fn what_is_left_of_a_wrapped_ring_is_replayed_alone_and_foreign_lines_are_skipped() {
+fn remainder_of_a_wrapped_ring_buffer_is_replayed_and_foreign_lines_are_skipped() {
     let capture = format!(
         "canvascart-proxy: a line\nr early page - sid=- dl=900ms seq=6 -> s-a 200\n{HEAD}{SETTINGS}{LIST}\
          r one page - sid=7f dl=900ms seq=7 -> s-a 200\ncanvascart.requests:1|c|#class:page\n\
@@ -232,17 +241,17 @@
         HEAD.replace("segment=3", "segment=4")
     );
     let run = replay(&capture);
-    let said = text(&run.stdout);
-    assert_eq!(run.status.code(), Some(0), "{said}{}", text(&run.stderr));
+    let stdout = text(&run.stdout);
+    assert_eq!(run.status.code(), Some(0), "{stdout}{}", text(&run.stderr));
     assert_eq!(
-        said,
+        stdout,
         "0 of 5 decisions differ; 1 never reached the module; skipped: 3 foreign lines, 1 truncated\n"
     );
 }
 
 #[test]
-fn what_is_no_capture_is_an_error() {
-    for (capture, word) in [
+fn invalid_captures_are_errors() {
+    for (capture, expected) in [
         ("canvascart-proxy: a line\n", "no head"),
         (LIST, "no head"),
         ("", "no head"),
@@ -256,8 +265,8 @@
         let run = replay(capture);
         let log = text(&run.stderr);
         assert!(
-            run.status.code() == Some(3) && log.contains(word),
-            "{word}: {log}"
+            run.status.code() == Some(3) && log.contains(expected),
+            "{expected}: {log}"
         );
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart"));
@@ -269,7 +278,7 @@
 }
 
 #[test]
-fn off_means_off() {
+fn disabled_capture_writes_nothing() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     for properties in [
         None,
@@ -285,7 +294,7 @@
         assert_eq!(
             Client::new(&proxy)
                 .ask(&page("r-1"))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
@@ -300,12 +309,13 @@
     }
 }
 
+/// Guards against forged records: clients choose the request ids, which are written to the capture.
 #[test]
-fn each_request_has_its_line_however_it_ended_and_none_can_forge_one() {
-    let gate = Latch::default();
-    let held = gate.clone();
+fn each_request_has_one_escaped_record_however_it_ended() {
+    let latch = Latch::default();
+    let held_latch = latch.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-left" | "r-held" => BackendAction::Hold(held.clone(), ok("")),
+        "r-left" | "r-held" => BackendAction::Hold(held_latch.clone(), ok("")),
         _ => BackendAction::Write(ok("")),
     });
     let (_discovery, proxy) = proxy(&backend, &setup(ON));
@@ -313,7 +323,7 @@
     assert_eq!(
         client
             .ask(&submit("r-x 200 -> s-9,%", "5", "x"))
-            .expect("an answer")
+            .expect("a response")
             .status(),
         200
     );
@@ -324,66 +334,67 @@
             .status(),
         503
     );
-    let mut left = Client::new(&proxy);
-    left.send(&submit("r-left", "5", "x"));
+    let mut leaving_client = Client::new(&proxy);
+    leaving_client.send(&submit("r-left", "5", "x"));
     wait_for("the request", || backend.seen().len() == 2);
-    left.shutdown_write();
-    assert!(left.is_closed());
-    // One that ends after the signal follows the ring.
-    let mut late = Client::new(&proxy);
-    late.send(&submit("r-held", "5", "x"));
+    leaving_client.shutdown_write();
+    assert!(leaving_client.is_closed());
+    // A request that ends after the signal is written after the ring buffer.
+    let mut held_client = Client::new(&proxy);
+    held_client.send(&submit("r-held", "5", "x"));
     wait_for("the request", || backend.seen().len() == 3);
     proxy.terminate();
-    wait_for("the ring", || {
+    wait_for("the ring buffer", || {
         records(&proxy.log.lock().unwrap()).len() == 3
     });
-    gate.open();
-    assert_eq!(late.answer().expect("an answer").status(), 200);
-    let log = end(proxy, 4);
-    let sure = " acme sid=7f dl=";
-    let wanted = [
-        format!("r r-x%20200%20-%3E%20s-9%2C%25 submit{sure}5000ms seq=1 -> s-0 200"),
-        format!("r r-short page{sure}10ms seq=1 -> - 503"),
-        format!("r r-left submit{sure}5000ms seq=1 -> s-0:out 499"),
-        format!("r r-held submit{sure}5000ms seq=1 -> s-0 200"),
+    latch.open();
+    assert_eq!(held_client.answer().expect("a response").status(), 200);
+    let log = terminate(proxy, 4);
+    let common = " acme sid=7f dl=";
+    let expected = [
+        format!("r r-x%20200%20-%3E%20s-9%2C%25 submit{common}5000ms seq=1 -> s-0 200"),
+        format!("r r-short page{common}10ms seq=1 -> - 503"),
+        format!("r r-left submit{common}5000ms seq=1 -> s-0:out 499"),
+        format!("r r-held submit{common}5000ms seq=1 -> s-0 200"),
     ];
-    assert_eq!(records(&log), wanted);
+    assert_eq!(records(&log), expected);
 }
 
 #[test]
-fn a_refusal_before_the_module_has_its_line_too() {
+fn request_rejected_before_the_balancer_has_a_record() {
     let backend = Backend::new(BackendAction::Write(ok("")));
-    let few = Setup {
+    let setup_with_few_sockets = Setup {
         sockets: 64,
         ..setup(ON)
     };
-    let (_discovery, proxy) = proxy(&backend, &few);
-    // Half-sent heads hold all places that are served; the few beyond them are refused.
-    let mut stuck: Vec<Client> = (0..20).map(|_| Client::new(&proxy)).collect();
-    stuck
+    let (_discovery, proxy) = proxy(&backend, &setup_with_few_sockets);
+    // Incomplete request heads occupy all connections that are served; further connections are rejected.
+    let mut incomplete_clients: Vec<Client> = (0..20).map(|_| Client::new(&proxy)).collect();
+    incomplete_clients
         .iter_mut()
         .for_each(|c| c.send("GET /page HTTP/1.1\r\nHost"));
     let mut n = 0;
-    wait_for("a refusal", || {
+    wait_for("a rejection", || {
         n += 1;
         let mut client = Client::new(&proxy);
-        let refused = client
+        let rejected = client
             .ask(&page(&format!("r-{n}")))
             .is_some_and(|m| m.text() == "too many connections");
-        stuck.push(client);
-        refused || n > 30
+        incomplete_clients.push(client);
+        rejected || n > 30
     });
-    drop(stuck);
-    let log = end(proxy, 1);
+    drop(incomplete_clients);
+    let log = terminate(proxy, 1);
     assert!(log.contains(" -> (front) 503\n"), "{log}");
 }
 
+/// Guards against a proxy that stalls because nobody drains the pipe of its standard error.
 #[test]
-fn a_standard_error_that_nobody_reads_holds_nobody_up() {
-    let gate = Latch::default();
-    let held = gate.clone();
+fn unread_standard_error_does_not_block_requests() {
+    let latch = Latch::default();
+    let held_latch = latch.clone();
     let backend = Backend::with(move |request| match request.id() {
-        "r-held" => BackendAction::Hold(held.clone(), ok("held")),
+        "r-held" => BackendAction::Hold(held_latch.clone(), ok("held")),
         _ => BackendAction::Write(ok("")),
     });
     let (_discovery, mut proxy) = proxy(
@@ -395,17 +406,17 @@
     );
     let mut client = Client::new(&proxy);
     for n in 0..2000 {
-        // Far more than a pipe holds.
+        // Far more output than a pipe holds.
         assert_eq!(
             client
                 .ask(&page(&format!("r-{n}")))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
     }
-    let mut busy = Client::new(&proxy);
-    busy.send(&submit("r-held", "5", "x"));
+    let mut held_client = Client::new(&proxy);
+    held_client.send(&submit("r-held", "5", "x"));
     wait_for("the request", || {
         backend.seen().iter().any(|m| m.id() == "r-held")
     });
@@ -413,26 +424,26 @@
     assert_eq!(
         Client::new(&proxy)
             .ask(&page("r-new"))
-            .expect("an answer")
+            .expect("a response")
             .status(),
         200
     );
-    gate.open();
-    assert_eq!(busy.answer().expect("an answer").text(), "held");
+    latch.open();
+    assert_eq!(held_client.answer().expect("a response").text(), "held");
     assert!(proxy.wait().success());
     let log = proxy.read_remaining_stderr();
     assert!(
         log.lines().any(|l| l.starts_with("r r-0 page")),
-        "its beginning is in the pipe"
+        "the beginning of the capture is missing from the pipe"
     );
     assert!(
         !records(&log).iter().any(|r| r.starts_with("r r-1999 ")),
-        "the rest had no room"
+        "more than the pipe holds was written"
     );
 }
 
 #[test]
-fn segments_go_to_files_and_an_unwritable_directory_harms_nothing() {
+fn segments_are_written_to_files_and_an_unwritable_directory_does_not_affect_requests() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let dir = std::env::temp_dir().join(format!("canvascart-proxy-capture-{}", std::process::id()));
     std::fs::create_dir(&dir).unwrap();
@@ -440,39 +451,39 @@
     for _start in 0..2 {
         let (_discovery, proxy) = proxy(&backend, &setup(&on));
         let mut client = Client::new(&proxy);
-        // More than a segment holds.
+        // More records than a segment holds.
         let sid = "7".repeat(120);
         for n in 0..1000 {
             let request = page(&format!("r-{n}-{}", "x".repeat(100)))
                 .replace("sid=7f", &format!("sid={sid}"));
-            assert_eq!(client.ask(&request).expect("an answer").status(), 200);
+            assert_eq!(client.ask(&request).expect("a response").status(), 200);
         }
-        end(proxy, 1000);
+        terminate(proxy, 1000);
     }
     let mut files: Vec<_> = std::fs::read_dir(&dir)
         .unwrap()
         .map(|e| e.unwrap().path())
         .collect();
     files.sort();
-    assert_eq!(files.len(), 4, "two segments of each start: {files:?}");
-    let mut whole = 0;
+    assert_eq!(files.len(), 4, "expected two segments per start: {files:?}");
+    let mut replayed_records = 0;
     for file in &files {
         let capture = std::fs::read_to_string(file).unwrap();
-        whole += records(&capture).len();
+        replayed_records += records(&capture).len();
         let run = replay(&capture);
         assert_eq!(run.status.code(), Some(0), "{}", text(&run.stdout));
     }
-    assert_eq!(whole, 2000);
+    assert_eq!(replayed_records, 2000);
     std::fs::remove_dir_all(&dir).unwrap();
     let (_discovery, proxy) = proxy(&backend, &setup(&on));
     assert_eq!(
         Client::new(&proxy)
             .ask(&page("r-1"))
-            .expect("an answer")
+            .expect("a response")
             .status(),
         200
     );
-    let log = end(proxy, 1);
+    let log = terminate(proxy, 1);
     assert!(
         log.contains("canvascart-proxy: capture: ") && log.contains("No such file"),
         "{log}"
--- a/crates/canvascart/tests/client.rs
+++ b/crates/canvascart/tests/client.rs
@@ -1,4 +1,4 @@
-//! `canvascart client` against stubs on loopback, and against the proxy.
+//! `canvascart client` against stub servers on loopback.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -9,18 +9,20 @@
 
 use sockets::*;
 
-/// A stub that gives these answers in turn, the last one for ever.
-fn stub(answers: &[&str]) -> Backend {
-    let answers: Vec<BackendAction> = answers
+/// Starts a stub that sends these responses in turn and repeats the last one.
+fn stub(responses: &[&str]) -> Backend {
+    let responses: Vec<BackendAction> = responses
         .iter()
         .map(|a| BackendAction::Write((*a).to_owned()))
         .collect();
-    with(answers)
+    stub_with_actions(responses)
 }
 
-fn with(deeds: Vec<BackendAction>) -> Backend {
+fn stub_with_actions(actions: Vec<BackendAction>) -> Backend {
     let next = AtomicUsize::new(0);
-    Backend::with(move |_| deeds[next.fetch_add(1, Ordering::SeqCst).min(deeds.len() - 1)].clone())
+    Backend::with(move |_| {
+        actions[next.fetch_add(1, Ordering::SeqCst).min(actions.len() - 1)].clone()
+    })
 }
 
 fn client(properties: &str, arguments: &[&str]) -> Output {
@@ -44,11 +46,11 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-const AGAIN: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
+const BUSY_RETRY_AFTER: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn a_checkout_refused_once_is_served_by_the_second_try() {
-    let stub = stub(&[AGAIN, &ok("borrowed")]);
+fn checkout_rejected_once_succeeds_on_the_second_attempt() {
+    let stub = stub(&[BUSY_RETRY_AFTER, &ok("borrowed")]);
     let began = Instant::now();
     let run = client(&target(stub.address), &["checkout", "--body", "a book"]);
     let took = began.elapsed();
@@ -60,11 +62,11 @@
     );
     assert!(
         took >= Duration::from_millis(500),
-        "the wait is honoured: {took:?}"
+        "Retry-After was not honoured: {took:?}"
     );
     let seen = stub.seen();
     let [first, second] = &seen[..] else {
-        panic!("{} tries", seen.len())
+        panic!("{} attempts", seen.len())
     };
     for message in [first, second] {
         assert_eq!(message.first, "POST /checkout?sid=7f3a HTTP/1.1");
@@ -82,13 +84,17 @@
         (first.header("x-retried"), second.header("x-retried")),
         (None, Some("1"))
     );
-    let left = |m: &Message| m.header("x-timeout").unwrap().parse::<f64>().unwrap();
-    assert!(left(first) <= 2.0 && left(first) > 1.0, "{}", left(first));
+    let remaining = |m: &Message| m.header("x-timeout").unwrap().parse::<f64>().unwrap();
     assert!(
-        left(second) <= left(first) - 0.5,
+        remaining(first) <= 2.0 && remaining(first) > 1.0,
+        "{}",
+        remaining(first)
+    );
+    assert!(
+        remaining(second) <= remaining(first) - 0.5,
         "{} after {}",
-        left(second),
-        left(first)
+        remaining(second),
+        remaining(first)
     );
     let decimals = first
         .header("x-timeout")
@@ -102,7 +108,7 @@
         .map(|(n, _)| n.to_lowercase())
         .collect();
     names.sort();
-    let wanted = [
+    let expected = [
         "content-length",
         "host",
         "x-request-id",
@@ -110,13 +116,14 @@
         "x-tenant-id",
         "x-timeout",
     ];
-    assert_eq!(names, wanted, "a checkout has no further header");
+    assert_eq!(names, expected, "unexpected headers in a checkout");
 }
 
+/// Guards against a checkout that runs twice: after an error or a broken connection the server may have processed it.
 #[test]
-fn a_checkout_that_may_have_run_is_never_sent_again() {
+fn checkout_that_may_have_run_is_never_retried() {
     let cut = ok("0123456789").replace("0123456789", "01234");
-    for deed in [
+    for action in [
         BackendAction::Write(empty("500 Oops")),
         BackendAction::Write(empty("502 Bad")),
         BackendAction::Write(empty("504 Late")),
@@ -124,7 +131,7 @@
         BackendAction::WriteAndClose(cut),
         BackendAction::Write(ok(&"x".repeat((64 << 10) + 1))),
     ] {
-        let stub = with(vec![deed, BackendAction::Write(ok("twice"))]);
+        let stub = stub_with_actions(vec![action, BackendAction::Write(ok("twice"))]);
         let run = client(&target(stub.address), &["checkout"]);
         assert_eq!(
             (run.status.code(), stub.seen().len()),
@@ -133,19 +140,19 @@
             text(&run.stderr)
         );
     }
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let closed_address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let run = client(&target(nobody), &["checkout"]);
+    let run = client(&target(closed_address), &["checkout"]);
     let log = text(&run.stderr);
     assert_eq!(run.status.code(), Some(1), "{log}");
     assert!(log.contains("try 1: ") && !log.contains("try 2: "), "{log}");
 }
 
 #[test]
-fn a_lookup_goes_again_after_a_broken_connection_and_an_error() {
-    let stub = with(vec![
+fn lookup_is_retried_after_a_broken_connection_and_an_error() {
+    let stub = stub_with_actions(vec![
         BackendAction::WriteAndClose(String::new()),
         BackendAction::Write(empty("502 Bad")),
         BackendAction::Write(ok(&"x".repeat(64 << 10))),
@@ -165,19 +172,19 @@
 }
 
 #[test]
-fn tries_and_the_deadline_bound_a_call() {
-    let refused = stub(&[&empty("429 Slow")]);
+fn attempts_and_the_deadline_bound_a_call() {
+    let busy = stub(&[&empty("429 Slow")]);
     let run = client(
-        &(target(refused.address) + "client.max_tries = 2"),
+        &(target(busy.address) + "client.max_tries = 2"),
         &["checkout"],
     );
     assert_eq!(
-        (run.status.code(), refused.seen().len()),
+        (run.status.code(), busy.seen().len()),
         (Some(3), 2),
         "{}",
         text(&run.stderr)
     );
-    // A wait past the deadline is not waited for.
+    // A Retry-After beyond the deadline ends the call at once.
     let later = stub(&["HTTP/1.1 503 Busy\r\nRetry-After: 20\r\nContent-Length: 0\r\n\r\n"]);
     let began = Instant::now();
     let run = client(
@@ -192,27 +199,27 @@
     );
     assert!(
         began.elapsed() < Duration::from_secs(14),
-        "it gave up at once"
+        "the client did not give up at once"
     );
-    // Silence ends with the deadline, and so does a connection that never comes up.
-    let gate = Latch::default();
-    let silent = with(vec![BackendAction::Hold(gate.clone(), ok("late"))]);
-    let (full, _fill) = full_listener();
-    for address in [silent.address, full.local_addr().unwrap()] {
+    // A server that does not respond and a connection that is never accepted both end at the deadline.
+    let latch = Latch::default();
+    let silent = stub_with_actions(vec![BackendAction::Hold(latch.clone(), ok("late"))]);
+    let (full_backlog, _fill) = full_listener();
+    for address in [silent.address, full_backlog.local_addr().unwrap()] {
         let run = client(
             &(target(address) + "client.deadline.lookup = 200 ms"),
             &["lookup"],
         );
         assert_eq!(run.status.code(), Some(4), "{}", text(&run.stderr));
     }
-    gate.open();
+    latch.open();
 }
 
 #[test]
-fn wrong_usage_sends_nothing_and_says_why() {
+fn usage_errors_are_reported_and_send_nothing() {
     let stub = stub(&[&ok("")]);
     let good = target(stub.address);
-    for (properties, arguments, word) in [
+    for (properties, arguments, expected) in [
         ("", &["lookup"][..], "--target"),
         (
             "client.max_trys = 3",
@@ -226,8 +233,8 @@
         let run = client(properties, arguments);
         let log = text(&run.stderr);
         assert!(
-            run.status.code() == Some(2) && log.contains(word),
-            "{word}: {log}"
+            run.status.code() == Some(2) && log.contains(expected),
+            "{expected}: {log}"
         );
     }
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
@@ -252,7 +259,7 @@
 }
 
 #[test]
-fn help_names_the_exit_codes() {
+fn help_lists_the_exit_codes() {
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
         .args(["client", "--help"])
         .output()
--- a/crates/canvascart/tests/drills.rs
+++ b/crates/canvascart/tests/drills.rs
@@ -1,4 +1,4 @@
-//! Drills on a running proxy, through `canvascart drill` and its side port.
+//! Fault injection drills on a running proxy, through `canvascart drill` and the proxy's side port.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// A proxy with these settings and one backend, up.
+/// Starts a proxy with these settings and one backend, and waits until it is ready.
 fn proxy(backend: &Backend, properties: &str) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[backend]));
@@ -26,7 +26,7 @@
     (discovery, proxy)
 }
 
-/// Where the log says that the side port is.
+/// Reads the address of the side port from the proxy's log.
 fn side_port(proxy: &Proxy) -> SocketAddr {
     let mut address = None;
     wait_for("the side port", || {
@@ -36,7 +36,7 @@
             .find_map(|l| l.strip_prefix("canvascart-proxy: drills on ")?.parse().ok());
         address.is_some()
     });
-    address.expect("just seen")
+    address.expect("set by the wait")
 }
 
 fn drill(arguments: &[&str]) -> Output {
@@ -49,32 +49,32 @@
         .unwrap()
 }
 
-/// Starts or stops a drill at a proxy; returns the exit code and what was said.
-fn at(proxy: &Proxy, secret: &str, arguments: &[&str]) -> (Option<i32>, String) {
+/// Starts or stops a drill at a proxy. Returns the exit code and the output.
+fn run_at(proxy: &Proxy, secret: &str, arguments: &[&str]) -> (Option<i32>, String) {
     let port = side_port(proxy).to_string();
-    let (verb, rest) = arguments.split_first().expect("a verb");
-    let run = drill(&[&[*verb, "--secret", secret, "--at", &port], rest].concat());
-    let said = [run.stdout, run.stderr].concat();
+    let (subcommand, rest) = arguments.split_first().expect("a subcommand");
+    let run = drill(&[&[*subcommand, "--secret", secret, "--at", &port], rest].concat());
+    let output = [run.stdout, run.stderr].concat();
     (
         run.status.code(),
-        String::from_utf8_lossy(&said).into_owned(),
+        String::from_utf8_lossy(&output).into_owned(),
     )
 }
 
-fn count(log: &str, word: &str) -> usize {
-    log.lines().filter(|l| l.contains(word)).count()
+fn count(log: &str, expected: &str) -> usize {
+    log.lines().filter(|l| l.contains(expected)).count()
 }
 
 #[test]
-fn a_share_of_one_class_is_aborted_and_the_module_sees_every_request() {
+fn share_of_one_class_is_aborted_and_the_balancer_sees_every_request() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--abort", "--share", "10%", "--for", "120s",
     ];
-    let said = at(&proxy, "opensesame", &start);
+    let output = run_at(&proxy, "opensesame", &start);
     assert_eq!(
-        said,
+        output,
         (Some(0), "drill=page-abort on 10% for 120 s\n".into())
     );
     let mut client = Client::new(&proxy);
@@ -83,51 +83,58 @@
         codes.push(
             client
                 .ask(&page(&format!("r-{n}")))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
         );
         if n % 10 == 0 {
             let other = client.ask(&submit(&format!("r-other-{n}"), "5", "x"));
             assert_eq!(
-                other.expect("an answer").status(),
+                other.expect("a response").status(),
                 200,
-                "the other class is left alone"
+                "the drill affected another class"
             );
         }
     }
     assert_eq!(codes.iter().filter(|c| **c == 500).count(), 100);
     assert_eq!(codes.iter().filter(|c| **c == 200).count(), 900);
-    assert_eq!(backend.seen().len(), 1100, "each request was sent once");
-    wait_for("a line for each", || {
+    assert_eq!(
+        backend.seen().len(),
+        1100,
+        "a request was not sent exactly once"
+    );
+    wait_for("a log line per request", || {
         count(&proxy.log.lock().unwrap(), "drill=page-abort id=r-") == 100
     });
-    let affected = codes.iter().position(|c| *c == 500).expect("a hundred");
+    let affected = codes
+        .iter()
+        .position(|c| *c == 500)
+        .expect("100 aborted requests");
     assert!(proxy.log.lock().unwrap().contains(&format!(
         "canvascart-proxy: drill=page-abort id=r-{affected}\n"
     )));
 }
 
 #[test]
-fn a_share_is_delayed_until_the_drill_is_stopped() {
+fn share_of_requests_is_delayed_until_the_drill_is_stopped() {
     let backend = Backend::new(BackendAction::Write(ok("whole")));
     let (_discovery, proxy) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--delay", "20ms", "--share", "20%", "--for", "120s",
     ];
-    let said = at(&proxy, "opensesame", &start);
+    let output = run_at(&proxy, "opensesame", &start);
     assert_eq!(
-        said,
+        output,
         (Some(0), "drill=page-delay-20ms on 20% for 120 s\n".into())
     );
     let mut client = Client::new(&proxy);
-    let mut took = Vec::new();
+    let mut elapsed_times = Vec::new();
     for n in 0..1000 {
         let began = Instant::now();
-        let answer = client.ask(&page(&format!("r-{n}"))).expect("an answer");
+        let answer = client.ask(&page(&format!("r-{n}"))).expect("a response");
         assert_eq!((answer.status(), answer.text().as_str()), (200, "whole"));
-        took.push(began.elapsed());
+        elapsed_times.push(began.elapsed());
     }
-    wait_for("a line for each", || {
+    wait_for("a log line per request", || {
         count(&proxy.log.lock().unwrap(), "drill=page-delay-20ms id=r-") == 200
     });
     let log = proxy.log.lock().unwrap().clone();
@@ -137,40 +144,40 @@
     {
         let n: usize = line.parse().expect("a number");
         assert!(
-            took[n] >= Duration::from_millis(20),
+            elapsed_times[n] >= Duration::from_millis(20),
             "request {n}: {:?}",
-            took[n]
+            elapsed_times[n]
         );
     }
-    let said = at(&proxy, "opensesame", &["stop", "--class", "page"]);
-    assert_eq!(said, (Some(0), "drill=page-delay-20ms stopped\n".into()));
+    let output = run_at(&proxy, "opensesame", &["stop", "--class", "page"]);
+    assert_eq!(output, (Some(0), "drill=page-delay-20ms stopped\n".into()));
     for n in 0..50 {
         assert_eq!(
             client
                 .ask(&page(&format!("r-after-{n}")))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
     }
     assert_eq!(
-        at(&proxy, "opensesame", &["stop"]),
+        run_at(&proxy, "opensesame", &["stop"]),
         (Some(0), "no drill runs\n".into())
     );
     assert_eq!(count(&proxy.log.lock().unwrap(), "id=r-after"), 0);
 }
 
 #[test]
-fn a_span_over_the_limit_is_cut_to_it_and_the_drill_ends_by_itself() {
+fn duration_is_capped_and_the_drill_ends_by_itself() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, &format!("{ON}drills.max_seconds = 1\n"));
     let start = [
         "start", "--class", "page", "--abort", "--share", "100%", "--for", "1h",
     ];
     let began = Instant::now();
-    let said = at(&proxy, "opensesame", &start);
+    let output = run_at(&proxy, "opensesame", &start);
     assert_eq!(
-        said,
+        output,
         (
             Some(0),
             "drill=page-abort on 100% for 1 s, cut to the limit\n".into()
@@ -178,16 +185,16 @@
     );
     let mut client = Client::new(&proxy);
     let mut n = 0;
-    wait_for("its end", || {
+    wait_for("the end of the drill", || {
         n += 1;
         client
             .ask(&page(&format!("r-{n}")))
-            .expect("an answer")
+            .expect("a response")
             .status()
             == 200
     });
     assert!(began.elapsed() >= Duration::from_secs(1));
-    wait_for("a word", || {
+    wait_for("the log line", || {
         proxy
             .log
             .lock()
@@ -197,38 +204,41 @@
 }
 
 #[test]
-fn a_wrong_secret_and_bad_values_are_refused_and_logged_without_the_secret() {
+fn wrong_secret_and_invalid_values_are_rejected_and_logged_without_the_secret() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--abort", "--share", "100%", "--for", "1h",
     ];
-    let (code, said) = at(&proxy, "opensesamy", &start);
+    let (code, output) = run_at(&proxy, "opensesamy", &start);
     assert!(
-        code == Some(1) && said.contains("the secret is wrong"),
-        "{said}"
+        code == Some(1) && output.contains("the secret is wrong"),
+        "{output}"
     );
-    wait_for("a line", || {
+    wait_for("the log line", || {
         proxy
             .log
             .lock()
             .unwrap()
             .contains("drills: a wrong secret from 127.0.0.1:")
     });
-    for (n, value, word) in [
+    for (n, value, expected) in [
         (2, "renewal", "no class 'renewal'"),
         (5, "200%", "'share'"),
         (7, "ever", "'for'"),
     ] {
         let mut bad = start;
         bad[n] = value;
-        let (code, said) = at(&proxy, "opensesame", &bad);
-        assert!(code == Some(1) && said.contains(word), "{word}: {said}");
+        let (code, output) = run_at(&proxy, "opensesame", &bad);
+        assert!(
+            code == Some(1) && output.contains(expected),
+            "{expected}: {output}"
+        );
     }
     assert_eq!(
         Client::new(&proxy)
             .ask(&page("r-1"))
-            .expect("an answer")
+            .expect("a response")
             .status(),
         200
     );
@@ -238,13 +248,13 @@
 }
 
 #[test]
-fn a_restart_ends_every_drill_and_lets_held_answers_go() {
+fn restart_ends_every_drill_and_releases_delayed_responses() {
     let backend = Backend::new(BackendAction::Write(ok("held")));
     let (discovery, mut first) = proxy(&backend, ON);
     let start = [
         "start", "--class", "page", "--delay", "60s", "--share", "100%", "--for", "120s",
     ];
-    assert_eq!(at(&first, "opensesame", &start).0, Some(0));
+    assert_eq!(run_at(&first, "opensesame", &start).0, Some(0));
     let mut client = Client::new(&first);
     let began = Instant::now();
     client.send(&page("r-1"));
@@ -256,25 +266,25 @@
             .contains("drill=page-delay-60000ms id=r-1")
     });
     first.terminate();
-    assert_eq!(client.answer().expect("an answer").text(), "held");
+    assert_eq!(client.answer().expect("a response").text(), "held");
     assert!(first.wait().success());
     let second = Proxy::up(&discovery, &setup(ON));
     assert_eq!(
         Client::new(&second)
             .ask(&page("r-2"))
-            .expect("an answer")
+            .expect("a response")
             .text(),
         "held"
     );
     assert!(began.elapsed() < Duration::from_secs(60));
     assert_eq!(
-        at(&second, "opensesame", &["stop"]),
+        run_at(&second, "opensesame", &["stop"]),
         (Some(0), "no drill runs\n".into())
     );
 }
 
 #[test]
-fn the_side_port_opens_only_with_both_secret_and_port() {
+fn side_port_opens_only_with_both_secret_and_port() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     for properties in [
         "",
@@ -293,46 +303,46 @@
 }
 
 #[test]
-fn the_side_port_bounds_what_it_takes() {
+fn side_port_limits_body_size_and_connections() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, proxy) = proxy(&backend, ON);
     let port = side_port(&proxy);
-    let open = || {
+    let connect = || {
         let stream = TcpStream::connect(port).unwrap();
         stream.set_read_timeout(Some(LIMIT)).unwrap();
         stream
     };
-    let said = |mut stream: TcpStream| {
+    let read_to_end = |mut stream: TcpStream| {
         let mut bytes = Vec::new();
-        let _ = stream.read_to_end(&mut bytes); // an end or a reset
+        let _ = stream.read_to_end(&mut bytes); // the connection may end with a reset
         String::from_utf8_lossy(&bytes).into_owned()
     };
-    let mut large = open();
+    let mut large = connect();
     let head = "POST /drill HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer opensesame\r\nContent-Length: 4097\r\n\r\n";
     large.write_all(head.as_bytes()).unwrap();
-    let _ = large.write_all(&[b' '; 4097]); // it may close meanwhile
-    let answer = said(large);
+    let _ = large.write_all(&[b' '; 4097]); // the proxy may have closed the connection
+    let answer = read_to_end(large);
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
-    // Silent ones hold all places for a while only.
-    let silent: Vec<TcpStream> = (0..8).map(|_| open()).collect();
+    // Silent connections occupy all places only until they time out.
+    let silent: Vec<TcpStream> = (0..8).map(|_| connect()).collect();
     for stream in silent {
-        let answer = said(stream);
+        let answer = read_to_end(stream);
         assert!(!answer.contains(" 200 "), "{answer}");
     }
     assert_eq!(
-        at(&proxy, "opensesame", &["stop"]),
+        run_at(&proxy, "opensesame", &["stop"]),
         (Some(0), "no drill runs\n".into())
     );
 }
 
 #[test]
-fn the_command_finds_the_port_and_says_what_is_wrong() {
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+fn command_finds_the_side_port_and_reports_errors() {
+    let closed_address = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let file = config_file(&format!("drills.port = {}\n", nobody.port()));
-    let found = [
+    let file = config_file(&format!("drills.port = {}\n", closed_address.port()));
+    let stop_arguments = [
         "stop",
         "--secret",
         "s",
@@ -342,17 +352,18 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart"));
     let run = command
         .arg("drill")
-        .args(found)
+        .args(stop_arguments)
         .env("NODE_LISTEN", "127.0.0.1:9000")
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&run.stderr).into_owned();
+    let output = String::from_utf8_lossy(&run.stderr).into_owned();
     assert!(
-        run.status.code() == Some(3) && said.contains(&format!("127.0.0.1:{}: ", nobody.port())),
-        "{said}"
+        run.status.code() == Some(3)
+            && output.contains(&format!("127.0.0.1:{}: ", closed_address.port())),
+        "{output}"
     );
-    for (arguments, word) in [
-        (&found[..], "NODE_LISTEN"),
+    for (arguments, expected) in [
+        (&stop_arguments[..], "NODE_LISTEN"),
         (&["stop", "--secret", "s"], "--at"),
         (
             &["stop", "--secret", "two words", "--at", "127.0.0.1:1"],
@@ -366,10 +377,10 @@
         ),
     ] {
         let run = drill(arguments);
-        let said = String::from_utf8_lossy(&run.stderr).into_owned();
+        let output = String::from_utf8_lossy(&run.stderr).into_owned();
         assert!(
-            run.status.code() == Some(2) && said.contains(word),
-            "{word}: {said}"
+            run.status.code() == Some(2) && output.contains(expected),
+            "{expected}: {output}"
         );
     }
     let _ = std::fs::remove_file(&file);
--- a/crates/canvascart/tests/figures.rs
+++ b/crates/canvascart/tests/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a running proxy, wherever they go.
+//! Metrics export of a running proxy: to standard error, a file and UDP.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -10,7 +10,7 @@
 
 const ON: &str = "figures.enabled = true\nfigures.flush_ms = 20\n";
 
-/// A proxy with these settings and one backend, up.
+/// Starts a proxy with these settings and one backend, and waits until it is ready.
 fn proxy(backend: &Backend, properties: &str, leave_stderr_unread: bool) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[backend]));
@@ -26,7 +26,7 @@
     (discovery, proxy)
 }
 
-fn served(client: &mut Client, requests: usize) {
+fn send_requests(client: &mut Client, requests: usize) {
     for n in 0..requests {
         assert_eq!(
             client
@@ -38,22 +38,22 @@
     }
 }
 
-/// The sum of a counter over lines.
+/// Sums a counter with these tags over exported lines.
 fn sum(lines: &str, counter: &str, tags: &str) -> u64 {
-    let of = |line: &str| -> Option<u64> {
+    let counter_value = |line: &str| -> Option<u64> {
         let (value, rest) = line
             .strip_prefix(counter)?
             .strip_prefix(':')?
             .split_once('|')?;
         (rest == format!("c|#{tags}")).then(|| value.parse().expect("a count"))
     };
-    lines.lines().filter_map(of).sum()
+    lines.lines().filter_map(counter_value).sum()
 }
 
-fn end(proxy: &mut Proxy) -> String {
+fn terminate(proxy: &mut Proxy) -> String {
     proxy.terminate();
     assert!(proxy.wait().success());
-    wait_for("the last figures", || {
+    wait_for("the last metrics", || {
         proxy
             .log
             .lock()
@@ -73,7 +73,7 @@
 const SERVED: &str = "class:page,tenant:acme,code:200";
 
 #[test]
-fn they_go_to_standard_error_and_none_is_lost_at_the_end() {
+fn metrics_go_to_standard_error_and_are_flushed_at_shutdown() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy(
         &backend,
@@ -81,7 +81,7 @@
         false,
     );
     let mut client = Client::new(&proxy);
-    served(&mut client, 30);
+    send_requests(&mut client, 30);
     assert_eq!(
         client
             .ask(&page("r-x").replace("acme", "r-y:1|c"))
@@ -96,7 +96,7 @@
             .status(),
         404
     );
-    let log = end(&mut proxy);
+    let log = terminate(&mut proxy);
     assert_eq!(sum(&log, "canvascart.requests", SERVED), 30);
     assert_eq!(
         sum(
@@ -125,12 +125,12 @@
     );
     assert!(
         !log.contains("r-y") && !log.contains("r,ef"),
-        "only what the settings name: {log}"
+        "labels contain names that are not configured: {log}"
     );
 }
 
 #[test]
-fn off_means_off() {
+fn disabled_metrics_write_nothing() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let file = path("off");
     let named = format!(
@@ -139,7 +139,7 @@
     );
     for properties in [String::new(), named] {
         let (_discovery, mut proxy) = proxy(&backend, &properties, false);
-        served(&mut Client::new(&proxy), 3);
+        send_requests(&mut Client::new(&proxy), 3);
         proxy.terminate();
         assert!(proxy.wait().success());
         assert!(!proxy.log.lock().unwrap().contains("canvascart."));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn they_arrive_by_udp_in_datagrams_within_the_bound() {
+fn metrics_are_sent_in_udp_datagrams_within_the_size_limit() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let collector = UdpSocket::bind("127.0.0.1:0").unwrap();
     collector.set_read_timeout(Some(LIMIT)).unwrap();
@@ -157,18 +157,21 @@
     let (_discovery, mut proxy) = proxy(&backend, &on, false);
     let mut client = Client::new(&proxy);
     let (mut lines, mut buffer) = (String::new(), [0; 4096]);
-    let mut most = 0;
+    let mut max_datagram_bytes = 0;
     for round in 1..=3 {
-        served(&mut client, 20);
+        send_requests(&mut client, 20);
         while sum(&lines, "canvascart.requests", SERVED) < 20 * round {
-            let size = collector.recv(&mut buffer).expect("figures");
+            let size = collector.recv(&mut buffer).expect("metrics datagram");
             assert!(size <= 512, "{size}");
-            most = most.max(size);
+            max_datagram_bytes = max_datagram_bytes.max(size);
             lines += std::str::from_utf8(&buffer[..size]).expect("text");
             lines.push('\n');
         }
     }
-    assert!(most > 256, "lines share datagrams: {most}");
+    assert!(
+        max_datagram_bytes > 256,
+        "lines were not batched into datagrams: {max_datagram_bytes}"
+    );
     assert_eq!(sum(&lines, "canvascart.requests", SERVED), 60);
     assert_eq!(
         lines
@@ -179,24 +182,28 @@
     );
     assert!(
         lines.lines().all(|l| l.starts_with("canvascart.")),
-        "whole lines"
+        "a line is truncated"
     );
     proxy.terminate();
     assert!(proxy.wait().success());
     assert!(
         !proxy.log.lock().unwrap().contains("canvascart."),
-        "not to standard error too"
+        "metrics were also written to standard error"
     );
 }
 
 #[test]
-fn a_collector_that_is_gone_changes_no_answer() {
+fn unreachable_udp_collector_does_not_affect_responses() {
     let backend = Backend::new(BackendAction::Write(ok("whole")));
-    let closed = UdpSocket::bind("127.0.0.1:0")
+    let closed_address = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let (_discovery, mut proxy) = proxy(&backend, &format!("{ON}figures.udp = {closed}\n"), false);
+    let (_discovery, mut proxy) = proxy(
+        &backend,
+        &format!("{ON}figures.udp = {closed_address}\n"),
+        false,
+    );
     let mut client = Client::new(&proxy);
     for n in 0..200 {
         let answer = client.ask(&page(&format!("r-{n}"))).expect("an answer");
@@ -206,12 +213,12 @@
     assert!(proxy.wait().success());
     assert!(
         !proxy.log.lock().unwrap().contains("figures"),
-        "an error of UDP is no news"
+        "UDP send errors are not logged"
     );
 }
 
 #[test]
-fn they_go_to_a_file_and_one_that_cannot_be_written_is_logged_once() {
+fn metrics_go_to_a_file_and_a_write_error_is_logged_once() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let file = path("file");
     let (_discovery, mut first) = proxy(
@@ -222,7 +229,7 @@
         ),
         false,
     );
-    served(&mut Client::new(&first), 20);
+    send_requests(&mut Client::new(&first), 20);
     first.terminate();
     assert!(first.wait().success());
     let lines = std::fs::read_to_string(&file).unwrap();
@@ -234,18 +241,18 @@
     );
     assert!(points("canvascart.requests,class=page,tenant=acme,code=200 value=") > 0);
     std::fs::remove_file(&file).unwrap();
-    let nowhere = "figures.file = /no/such/directory/file\n";
-    let (_discovery, mut second) = proxy(&backend, &format!("{ON}{nowhere}"), false);
+    let unwritable = "figures.file = /no/such/directory/file\n";
+    let (_discovery, mut second) = proxy(&backend, &format!("{ON}{unwritable}"), false);
     let mut client = Client::new(&second);
-    served(&mut client, 100);
-    wait_for("a word", || {
+    send_requests(&mut client, 100);
+    wait_for("the error log line", || {
         second
             .log
             .lock()
             .unwrap()
             .contains("figures: /no/such/directory/file: ")
     });
-    served(&mut client, 100);
+    send_requests(&mut client, 100);
     second.terminate();
     assert!(second.wait().success());
     assert_eq!(
@@ -259,17 +266,18 @@
     );
 }
 
+/// Guards against a proxy that stalls because nobody drains the pipe of its standard error.
 #[test]
-fn a_standard_error_that_nobody_reads_holds_nobody_up_and_the_lost_are_counted() {
+fn unread_standard_error_does_not_block_and_dropped_metrics_are_counted() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let (_discovery, mut proxy) = proxy(&backend, ON, true);
     let mut client = Client::new(&proxy);
-    // More than a pipe and the buffer hold.
-    served(&mut client, 6000);
+    // More output than the pipe and the buffer hold.
+    send_requests(&mut client, 6000);
     let mut lines = proxy
         .unread_stderr
         .take()
-        .expect("nobody else reads")
+        .expect("standard error has no other reader")
         .map_while(Result::ok);
     let mut before = Vec::new();
     let dropped = lines.find_map(|line| {
@@ -290,49 +298,49 @@
         before
             .iter()
             .all(|l| l.starts_with("canvascart.") || l.starts_with("canvascart-proxy: ")),
-        "whole lines"
+        "a line is truncated"
     );
-    drop(lines); // and now nobody ever will
-    served(&mut client, 200);
+    drop(lines); // closes the read end of the pipe
+    send_requests(&mut client, 200);
     proxy.terminate();
     assert!(proxy.wait().success());
 }
 
 #[test]
-fn what_a_drill_affects_carries_its_tag() {
+fn requests_affected_by_a_drill_carry_its_tag() {
     let backend = Backend::new(BackendAction::Write(ok("")));
     let on =
         "figures.enabled = true\nfigures.flush_ms = 600000\ndrills.secret = s\ndrills.port = 0\n";
     let (_discovery, mut proxy) = proxy(&backend, on, false);
-    let mut at: Option<SocketAddr> = None;
+    let mut side_port: Option<SocketAddr> = None;
     wait_for("the side port", || {
         let log = proxy.log.lock().unwrap();
-        at = log
+        side_port = log
             .lines()
             .find_map(|l| l.strip_prefix("canvascart-proxy: drills on ")?.parse().ok());
-        at.is_some()
+        side_port.is_some()
     });
-    let at = at.expect("just seen").to_string();
+    let side_port = side_port.expect("set by the wait").to_string();
     let drill = [
-        "drill", "start", "--secret", "s", "--at", &at, "--class", "page",
+        "drill", "start", "--secret", "s", "--at", &side_port, "--class", "page",
     ];
-    let deed = ["--delay", "1ms", "--share", "10%", "--for", "120s"];
+    let delay_arguments = ["--delay", "1ms", "--share", "10%", "--for", "120s"];
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
         .args(drill)
-        .args(deed)
+        .args(delay_arguments)
         .output()
         .unwrap();
     assert!(run.status.success());
-    served(&mut Client::new(&proxy), 1000);
-    // One whose client does not wait for its delayed answer is affected too.
+    send_requests(&mut Client::new(&proxy), 1000);
+    // A request whose client disconnects during the delay is tagged too.
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
         .args(drill)
         .args(["--delay", "60s", "--share", "100%", "--for", "120s"])
         .output()
         .unwrap();
     assert!(run.status.success());
-    let mut left = Client::new(&proxy);
-    left.send(&page("r-left"));
+    let mut leaving_client = Client::new(&proxy);
+    leaving_client.send(&page("r-left"));
     wait_for("the drill", || {
         proxy
             .log
@@ -340,11 +348,11 @@
             .unwrap()
             .contains("drill=page-delay-60000ms id=r-left")
     });
-    left.shutdown_write();
-    assert!(left.is_closed());
-    let log = end(&mut proxy);
-    let gone = "class:page,tenant:acme,code:499,drill:page-delay-60000ms";
-    assert_eq!(sum(&log, "canvascart.requests", gone), 1);
+    leaving_client.shutdown_write();
+    assert!(leaving_client.is_closed());
+    let log = terminate(&mut proxy);
+    let disconnected = "class:page,tenant:acme,code:499,drill:page-delay-60000ms";
+    assert_eq!(sum(&log, "canvascart.requests", disconnected), 1);
     assert_eq!(
         sum(
             &log,
