--- a/crates/canvascart/tests/capacity.rs
+++ b/crates/canvascart/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! `canvascart lab capacity`: what it refuses before anything starts, what it leaves when it is interrupted or a process dies, and
-//! that what a tenant, a change and a server cost has not grown by a fifth over what docs/CAPACITY.md says.
+//! `canvascart lab capacity`: invalid arguments, interruption, dying processes, and a guard that the cost of a tenant, a
+//! change and a server is at most a fifth above the figures of docs/CAPACITY.md.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read};
@@ -20,7 +20,7 @@
     command
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
@@ -29,37 +29,40 @@
 }
 
 fn json(file: &Path) -> Value {
-    let text = std::fs::read_to_string(file).expect("the figures are there");
-    serde_json::from_str(&text).expect("they are JSON")
+    let text = std::fs::read_to_string(file).expect("the figures file is readable");
+    serde_json::from_str(&text).expect("the figures are JSON")
 }
 
-/// The service that a sweep runs, once there is one.
+/// Waits for the service process of a sweep and returns its process id.
 fn service_of(sweep: &mut Child) -> u32 {
     let children = format!("/proc/{0}/task/{0}/children", sweep.id());
     loop {
         let all = std::fs::read_to_string(&children).expect("the sweep runs");
         if let Some(child) = all.split_whitespace().next() {
-            return child.parse().expect("a process");
+            return child.parse().expect("a process id");
         }
         assert!(
-            sweep.try_wait().expect("it can be asked").is_none(),
-            "it has ended"
+            sweep
+                .try_wait()
+                .expect("the sweep's status is available")
+                .is_none(),
+            "the sweep has ended"
         );
         std::thread::yield_now();
     }
 }
 
-fn signal(how: &str, id: u32) {
+fn signal(signal_option: &str, id: u32) {
     let sent = Command::new("kill")
-        .args([how, &id.to_string()])
+        .args([signal_option, &id.to_string()])
         .status()
-        .expect("there is a kill");
+        .expect("kill runs");
     assert!(sent.success());
 }
 
 #[test]
-fn what_makes_no_sense_or_goes_beyond_the_machine_is_refused_before_anything_starts() {
-    for (arguments, words) in [
+fn invalid_arguments_and_sizes_beyond_the_machine_are_rejected_before_anything_starts() {
+    for (arguments, expected) in [
         (
             &["tenants", "--sizes", "0,1,2,3"][..],
             &["--sizes", "0"][..],
@@ -104,11 +107,11 @@
             &["--beside", "no command"],
         ),
     ] {
-        let run = capacity(arguments).output().expect("it runs");
-        let text = said(&run);
+        let run = capacity(arguments).output().expect("the command runs");
+        let text = output_text(&run);
         assert_eq!(run.status.code(), Some(2), "{arguments:?}: {text}");
         assert!(
-            words.iter().all(|w| text.contains(w)),
+            expected.iter().all(|w| text.contains(w)),
             "{arguments:?}: {text}"
         );
         assert!(
@@ -119,29 +122,33 @@
 }
 
 #[test]
-fn a_sweep_that_is_interrupted_ends_its_processes_and_says_that_it_is_partial() {
-    for how in ["-INT", "-TERM"] {
-        let figures = file(how);
+fn interrupted_sweep_ends_its_processes_and_reports_partial_figures() {
+    for signal_option in ["-INT", "-TERM"] {
+        let figures = file(signal_option);
         let mut sweep = capacity(&["tenants", "--small", "--sizes", "3,4,5,6", "--json"])
             .arg(&figures)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
-            .expect("it starts");
+            .expect("the sweep starts");
         let service = service_of(&mut sweep);
-        signal(how, sweep.id());
-        let mut told = String::new();
+        signal(signal_option, sweep.id());
+        let mut output = String::new();
         sweep
             .stdout
             .take()
-            .expect("it has an output")
-            .read_to_string(&mut told)
-            .expect("it is text");
-        assert_eq!(sweep.wait().expect("it ends").code(), Some(3), "{told}");
-        assert!(told.contains("partial"), "{told}");
+            .expect("standard output is piped")
+            .read_to_string(&mut output)
+            .expect("the output is text");
+        assert_eq!(
+            sweep.wait().expect("the sweep ends").code(),
+            Some(3),
+            "{output}"
+        );
+        assert!(output.contains("partial"), "{output}");
         assert!(
             !Path::new(&format!("/proc/{service}")).exists(),
-            "its service has ended"
+            "the service process is still running"
         );
         let json = json(&figures);
         assert_eq!(json["partial"], true, "{json}");
@@ -149,7 +156,7 @@
         assert_eq!(
             json["sweeps"][0]["points"],
             serde_json::json!([]),
-            "what was half measured is not there"
+            "an incomplete measurement is reported"
         );
         assert!(
             json["machine"]["memory-mib"]
@@ -162,8 +169,8 @@
 }
 
 #[test]
-fn a_process_that_dies_makes_its_row_void_and_no_zero() {
-    // One that dies while it is measured, and then the sweep's end.
+fn dead_process_makes_its_row_void_instead_of_zero() {
+    // A service that dies during its measurement; then the sweep is terminated.
     let figures = file("dies");
     let mut sweep = capacity(&[
         "tenants",
@@ -178,29 +185,29 @@
     .stdout(Stdio::null())
     .stderr(Stdio::piped())
     .spawn()
-    .expect("it starts");
+    .expect("the sweep starts");
     signal("-KILL", service_of(&mut sweep));
-    let mut log = BufReader::new(sweep.stderr.take().expect("it has a log")).lines();
+    let mut log = BufReader::new(sweep.stderr.take().expect("standard error is piped")).lines();
     assert!(
         log.by_ref()
             .map_while(Result::ok)
             .any(|l| l.contains("a row is void")),
-        "it says so"
+        "the void row was not logged"
     );
     signal("-TERM", sweep.id());
     log.for_each(drop);
-    assert_eq!(sweep.wait().expect("it ends").code(), Some(3));
-    let told = json(&figures);
-    let row = &told["sweeps"][0]["points"][0];
+    assert_eq!(sweep.wait().expect("the sweep ends").code(), Some(3));
+    let output = json(&figures);
+    let row = &output["sweeps"][0]["points"][0];
     assert!(
         row["void"].as_str().is_some_and(|why| !why.is_empty()),
-        "{told}"
+        "{output}"
     );
     assert!(
         row["figures"].get("memory, MiB").is_none() && row["sizes"]["tenants"] == 3.0,
-        "{told}"
+        "{output}"
     );
-    // Ones that never come up: all rows are void, of either build, and there is no line.
+    // Services that never start: all rows of both builds are void, and no line is fitted.
     let run = capacity(&[
         "servers",
         "--sizes",
@@ -213,12 +220,12 @@
     ])
     .arg(&figures)
     .output()
-    .expect("it runs");
-    let text = said(&run);
+    .expect("the command runs");
+    let text = output_text(&run);
     assert_eq!(run.status.code(), Some(3), "{text}");
     let sweep = &json(&figures)["sweeps"][0];
     for points in [&sweep["points"], &sweep["beside"]["points"]] {
-        let points = points.as_array().expect("there are rows");
+        let points = points.as_array().expect("the points are an array");
         assert!(
             points.len() == 4 && points.iter().all(|p| p["void"].is_string()),
             "{sweep}"
@@ -227,7 +234,7 @@
     assert!(
         sweep["lines"]
             .as_array()
-            .expect("they are named")
+            .expect("the lines are an array")
             .iter()
             .all(|l| l["fit"].is_null()),
         "{sweep}"
@@ -249,25 +256,25 @@
     }
 }
 
-/// A cost that has grown by more than this over what docs/CAPACITY.md says is a fault.
-const FIFTH: f64 = 1.2;
+/// Maximum ratio of a measured cost to the documented cost.
+const MAX_COST_RATIO: f64 = 1.2;
 
-/// The slope of a figure between two sizes.
+/// Returns the slope of a figure between two sizes.
 fn slope(
     figure: &str,
     small: (f64, &BTreeMap<String, f64>),
     large: (f64, &BTreeMap<String, f64>),
 ) -> f64 {
-    let of = |(size, figures): (f64, &BTreeMap<String, f64>)| (size, figures[figure]);
-    Fit::of(&[of(small), of(large)])
+    let point = |(size, figures): (f64, &BTreeMap<String, f64>)| (size, figures[figure]);
+    Fit::of(&[point(small), point(large)])
         .expect("two sizes make a line")
         .slope
 }
 
 #[test]
-fn what_a_tenant_stores_and_a_change_writes_is_within_a_fifth_of_what_the_page_says() {
+fn state_per_tenant_and_bytes_per_change_are_at_most_a_fifth_above_the_documented_cost() {
     let setting = setting("stores");
-    // KiB a tenant, by docs/CAPACITY.md: of the state's files, and written for a lone change.
+    // KiB per tenant as documented in docs/CAPACITY.md: size of the state files, and bytes written for a single change.
     for (shape, state, written) in [(Shape::Own, 1.02, 0.707), (Shape::Shared, 3.20, 1.69)] {
         let [small, large] = [200, 800].map(|tenants| {
             let mut figures = BTreeMap::new();
@@ -279,18 +286,18 @@
                 &setting,
                 &mut figures,
             )
-            .expect("it is measured");
+            .expect("the measurement succeeds");
             figures
         });
-        for (figure, page) in [
+        for (figure, documented) in [
             ("all of the state, KiB", state),
             ("a lone change and what follows, written, KiB", written),
         ] {
             let slope = slope(figure, (200.0, &small), (800.0, &large));
-            assert!(large[figure] > 0.0, "{figure} was measured");
+            assert!(large[figure] > 0.0, "{figure} was not measured");
             assert!(
-                slope <= FIFTH * page,
-                "{shape:?}: {figure}: {slope:.3} a tenant, {page} by the page"
+                slope <= MAX_COST_RATIO * documented,
+                "{shape:?}: {figure}: {slope:.3} per tenant, documented as {documented}"
             );
         }
     }
@@ -298,9 +305,9 @@
 }
 
 #[test]
-fn servers_are_connected_once_each_but_for_a_fifth_and_none_of_their_requests_is_lost() {
+fn connections_per_server_are_at_most_a_fifth_above_the_documented_cost_and_no_request_is_lost() {
     let setting = setting("servers");
-    let care = servers::Care {
+    let timing = servers::Care {
         rest: Duration::ZERO,
         span: Duration::from_millis(300),
     };
@@ -309,18 +316,18 @@
         servers::measure(
             &setting.service,
             &servers::Size::of(Of::Services, servers),
-            &care,
+            &timing,
             &setting,
             &mut figures,
         )
-        .expect("it is measured");
+        .expect("the measurement succeeds");
         figures
     });
-    // docs/CAPACITY.md: 0.98 connections a server.
+    // docs/CAPACITY.md: 0.98 connections per server.
     let slope = slope("connections", (72.0, &small), (360.0, &large));
     assert!(
-        slope > 0.5 && slope <= FIFTH * 0.98,
-        "{slope:.3} connections a server"
+        slope > 0.5 && slope <= MAX_COST_RATIO * 0.98,
+        "{slope:.3} connections per server"
     );
     for figure in ["connected, requests not served", "144 a second, not served"] {
         assert!(
--- a/crates/canvascart/tests/compatibility.rs
+++ b/crates/canvascart/tests/compatibility.rs
@@ -1,8 +1,8 @@
-//! The outside stays: state, documents, figures, command lines and simulated runs of the version before are read and
-//! written the same. The fixtures in `compatibility/` were made by that version.
+//! Compatibility tests: stored state, API documents, metric names, the command line and simulated runs stay the same as
+//! in the previous version, which produced the fixtures in `compatibility/`.
 //!
-//! A `.sparse` file is a database file without its empty blocks: its length, then each block of 512 bytes that is not
-//! all zeros, behind its offset (little-endian, 8 bytes each).
+//! A `.sparse` file is a database file without its zero blocks: the file length, then each 512-byte block that is not
+//! all zeros, preceded by its offset. Length and offsets are 8 bytes, little-endian.
 #[path = "../../proxy-core/tests/sockets/mod.rs"]
 mod sockets;
 
@@ -18,7 +18,7 @@
 const BLOCK: usize = 512;
 const SCENARIOS: [&str; 4] = ["evening", "reset-storm", "shrink", "hung-server"];
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=10;
-const KEY: &str = "0123456789abcdef";
+const CLUSTER_KEY: &str = "0123456789abcdef";
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -37,14 +37,14 @@
         .unwrap()
 }
 
-fn stdout(arguments: &[&str]) -> String {
+fn run_successfully(arguments: &[&str]) -> String {
     let run = canvascart(arguments);
     let errors = String::from_utf8_lossy(&run.stderr).into_owned();
     assert_eq!(run.status.code(), Some(0), "{arguments:?}: {errors}");
     String::from_utf8(run.stdout).unwrap()
 }
 
-/// A directory that goes with the test.
+/// Temporary directory, removed on drop.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -55,13 +55,13 @@
         Directory(path)
     }
 
-    /// A state directory as the version before left it.
+    /// Creates a state directory from fixtures of the previous version.
     fn state(name: &str, files: &[(&str, &str)]) -> Self {
         let directory = Directory::new(name);
         for (stored, file) in files {
             let bytes = std::fs::read(fixture(stored)).unwrap();
             let bytes = if stored.ends_with(".sparse") {
-                expanded(&bytes)
+                expand_sparse(&bytes)
             } else {
                 bytes
             };
@@ -81,25 +81,25 @@
     }
 }
 
-fn number(bytes: &[u8]) -> usize {
+fn read_u64(bytes: &[u8]) -> usize {
     u64::from_le_bytes(bytes[..8].try_into().unwrap()) as usize
 }
 
-fn expanded(sparse: &[u8]) -> Vec<u8> {
-    let mut file = vec![0; number(sparse)];
+fn expand_sparse(sparse: &[u8]) -> Vec<u8> {
+    let mut file = vec![0; read_u64(sparse)];
     for block in sparse[8..].chunks_exact(8 + BLOCK) {
-        let at = number(block);
+        let at = read_u64(block);
         let length = BLOCK.min(file.len() - at);
         file[at..at + length].copy_from_slice(&block[8..8 + length]);
     }
     file
 }
 
-const STORE: [(&str, &str); 2] = [
+const STORE_FILES: [(&str, &str); 2] = [
     ("store-state.sparse", "state.redb"),
     ("store-last-good.snapshot", "last-good.snapshot"),
 ];
-const MEMBER: [(&str, &str); 4] = [
+const MEMBER_FILES: [(&str, &str); 4] = [
     ("member-state.sparse", "state.redb"),
     ("member-log.sparse", "cluster.redb"),
     ("member-last-good.snapshot", "last-good.snapshot"),
@@ -113,16 +113,16 @@
         .unwrap()
 }
 
-/// FNV-1a over 64 bits.
-fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
-        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+/// Computes a 64-bit FNV-1a hash.
+fn fnv1a(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, b| {
+        (hash ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
 #[test]
-fn simulated_runs_write_the_recorded_bytes() {
-    let mut played = String::new();
+fn simulated_runs_match_recorded_output() {
+    let mut runs = String::new();
     for scenario in SCENARIOS {
         for seed in SEEDS {
             let run = canvascart(&[
@@ -134,19 +134,19 @@
                 "--json",
             ]);
             let code = run.status.code().unwrap();
-            played += &format!("{scenario} {seed} {code} {:016x}\n", hash(&run.stdout));
+            runs += &format!("{scenario} {seed} {code} {:016x}\n", fnv1a(&run.stdout));
         }
     }
     assert_eq!(
-        played,
+        runs,
         read("lab-sim.txt"),
-        "simulated runs differ; these were played:\n{played}"
+        "simulated runs differ from the recorded ones; current runs:\n{runs}"
     );
 }
 
-/// Whatever a help page says, its commands and options without their descriptions.
-fn surface(path: &[&str], found: &mut Vec<String>) {
-    let help = stdout(&[path, &["--help"]].concat());
+/// Collects the commands, usage lines and options from the help pages, recursively and without descriptions.
+fn collect_commands(path: &[&str], found: &mut Vec<String>) {
+    let help = run_successfully(&[path, &["--help"]].concat());
     let mut options = BTreeSet::new();
     let mut commands = Vec::new();
     let mut section = "";
@@ -154,12 +154,12 @@
         if !line.starts_with(' ') && line.ends_with(':') {
             section = line;
         }
-        let word = line.trim();
+        let trimmed = line.trim();
         if section == "Commands:" && line.starts_with("  ") && !line.starts_with("   ") {
-            commands.extend(word.split_whitespace().next().map(str::to_owned));
-        } else if section != "Commands:" && word.starts_with('-') && !word.starts_with("- ") {
-            let named = word.split("  ").next().unwrap_or(word);
-            options.insert(named.to_owned());
+            commands.extend(trimmed.split_whitespace().next().map(str::to_owned));
+        } else if section != "Commands:" && trimmed.starts_with('-') && !trimmed.starts_with("- ") {
+            let option = trimmed.split("  ").next().unwrap_or(trimmed);
+            options.insert(option.to_owned());
         }
     }
     let usage = help
@@ -172,32 +172,33 @@
         Vec::from_iter(options).join(", ")
     ));
     for command in commands.iter().filter(|c| *c != "help") {
-        surface(&[path, &[command.as_str()]].concat(), found);
+        collect_commands(&[path, &[command.as_str()]].concat(), found);
     }
 }
 
 #[test]
-fn commands_and_options_are_the_recorded_ones() {
+fn commands_and_options_match_recorded_ones() {
     let mut found = Vec::new();
-    surface(&[], &mut found);
+    collect_commands(&[], &mut found);
     let found = found.join("\n") + "\n";
     assert_eq!(
         found,
         read("command-line.txt"),
-        "the command line differs; it is now:\n{found}"
+        "the command line differs from the recorded one; current commands:\n{found}"
     );
 }
 
-/// A document without what it tells people.
+/// Removes descriptions and summaries from a JSON document.
 fn without_descriptions(value: &Value) -> Value {
     match value {
         Value::Object(map) => {
-            let told = |key: &str| matches!(key, "description" | "summary");
-            // A property may be called `description` itself: then it holds an object.
-            let kept = map
+            let is_description = |key: &str| matches!(key, "description" | "summary");
+            // A property named `description` holds an object and is kept.
+            let remaining = map
                 .iter()
-                .filter(|(key, value)| !(told(key) && value.is_string()));
-            kept.map(|(key, value)| (key.clone(), without_descriptions(value)))
+                .filter(|(key, value)| !(is_description(key) && value.is_string()));
+            remaining
+                .map(|(key, value)| (key.clone(), without_descriptions(value)))
                 .collect()
         }
         Value::Array(all) => all.iter().map(without_descriptions).collect(),
@@ -206,23 +207,23 @@
 }
 
 #[test]
-fn the_api_document_and_the_schema_differ_at_most_in_descriptions() {
+fn api_document_and_schema_differ_only_in_descriptions() {
     for (name, command) in [("openapi.json", "openapi"), ("serve.schema.json", "schema")] {
         let before: Value = serde_json::from_str(&read(name)).unwrap();
-        let now: Value = serde_json::from_str(&stdout(&["config", command])).unwrap();
+        let now: Value = serde_json::from_str(&run_successfully(&["config", command])).unwrap();
         assert_eq!(
             without_descriptions(&now),
             without_descriptions(&before),
             "{name}"
         );
         let properties = read(name).matches('"').count();
-        assert!(properties > 500, "{name} holds next to nothing");
+        assert!(properties > 500, "{name} contains too few properties");
     }
 }
 
-fn exported(directory: &Directory) -> String {
+fn export_store(directory: &Directory) -> String {
     let file = directory.0.join("export.jsonl");
-    stdout(&[
+    run_successfully(&[
         "store",
         "export",
         "--state",
@@ -234,31 +235,31 @@
 }
 
 #[test]
-fn a_store_of_the_version_before_is_checked_and_exported_as_by_it() {
-    let directory = Directory::state("store", &STORE);
-    let told = stdout(&["store", "check", "--state", directory.path()]);
+fn previous_version_store_is_checked_and_exported_unchanged() {
+    let directory = Directory::state("store", &STORE_FILES);
+    let output = run_successfully(&["store", "check", "--state", directory.path()]);
     assert_eq!(
-        told,
+        output,
         format!(
             "{}: good: version 3, 1 documents, 2 tokens\n",
             directory.path()
         )
     );
-    assert_eq!(exported(&directory), read("store.export.jsonl"));
+    assert_eq!(export_store(&directory), read("store.export.jsonl"));
     let copy = Directory::new("copy");
-    stdout(&[
+    run_successfully(&[
         "store",
         "import",
         "--state",
         copy.path(),
         fixture("store.export.jsonl").to_str().unwrap(),
     ]);
-    assert_eq!(exported(&copy), read("store.export.jsonl"));
+    assert_eq!(export_store(&copy), read("store.export.jsonl"));
 }
 
 #[test]
-fn a_damaged_store_of_the_version_before_is_refused_with_what_to_do() {
-    let directory = Directory::state("damaged", &STORE);
+fn damaged_previous_version_store_is_rejected_with_recovery_command() {
+    let directory = Directory::state("damaged", &STORE_FILES);
     let file = directory.0.join("state.redb");
     let mut bytes = std::fs::read(&file).unwrap();
     let find = |bytes: &[u8], text: &[u8]| bytes.windows(text.len()).position(|w| w == text);
@@ -267,17 +268,17 @@
     }
     std::fs::write(&file, bytes).unwrap();
     let run = canvascart(&["store", "check", "--state", directory.path()]);
-    let told = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
-    assert_eq!(run.status.code(), Some(3), "{told}");
+    let output = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
+    assert_eq!(run.status.code(), Some(3), "{output}");
     assert!(
-        told.contains("the store is damaged") && told.contains("canvascart store import"),
-        "{told}"
+        output.contains("the store is damaged") && output.contains("canvascart store import"),
+        "{output}"
     );
     let missing = canvascart(&["store", "check", "--state", "/no/such/directory"]);
     assert_eq!(missing.status.code(), Some(3));
 }
 
-/// A member of a cluster that runs until the test ends.
+/// Cluster member process, killed on drop.
 struct Member {
     child: Child,
     admin: SocketAddr,
@@ -288,17 +289,17 @@
     fn configuration(directory: &Directory, name: &str) -> (String, SocketAddr, Directory) {
         let key = Directory::new(&format!("{name}-key"));
         let file = key.0.join("cluster.key");
-        std::fs::write(&file, KEY).unwrap();
+        std::fs::write(&file, CLUSTER_KEY).unwrap();
         Command::new("chmod")
             .arg("600")
             .arg(&file)
             .status()
             .unwrap();
-        let (admin, public, links) = (free_address(), free_address(), free_address());
+        let (admin, public, peer) = (free_address(), free_address(), free_address());
         let text = format!(
             "[state]\ndirectory = {:?}\n[admin]\naddress = \"{admin}\"\n\
              [[listener]]\nname = \"public\"\naddress = \"{public}\"\ntenant-by = \"host\"\n\
-             [cluster]\nname = \"loans\"\ninstance = \"a\"\naddress = \"{links}\"\nzone = \"east\"\n\
+             [cluster]\nname = \"loans\"\ninstance = \"a\"\naddress = \"{peer}\"\nzone = \"east\"\n\
              key-file = {file:?}\nlease = \"2 s\"\nchange-lease = \"1500 ms\"\ndeadline = \"8 s\"\n",
             directory.path()
         );
@@ -319,7 +320,7 @@
             admin,
             _key: key,
         };
-        wait_for("the version in effect", || {
+        wait_for("the configuration version to take effect", || {
             member.get("/v1/tenants/north/limits").0 == 200
         });
         member
@@ -334,20 +335,20 @@
             "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\n\r\n",
             token.trim()
         );
-        let mut answer = String::new();
-        let asked = stream.write_all(head.as_bytes());
-        if asked
-            .and_then(|()| stream.read_to_string(&mut answer))
+        let mut response = String::new();
+        let written = stream.write_all(head.as_bytes());
+        if written
+            .and_then(|()| stream.read_to_string(&mut response))
             .is_err()
         {
             return (0, String::new());
         }
-        let status = answer
+        let status = response
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
             .unwrap_or(0);
-        let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+        let body = response.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         (status, body.to_owned())
     }
 }
@@ -359,8 +360,8 @@
     }
 }
 
-/// The names of figures with their labels' names, without values.
-fn names(figures: &str) -> String {
+/// Returns the metric names with their label names, without values.
+fn metric_names(figures: &str) -> String {
     let name = |line: &str| {
         let (name, _) = line.rsplit_once(' ')?;
         let (name, labels) = name.split_once('{').unwrap_or((name, ""));
@@ -376,8 +377,8 @@
 }
 
 #[test]
-fn a_member_of_the_version_before_goes_on_with_its_state_and_log() {
-    let directory = Directory::state("member", &MEMBER);
+fn member_resumes_from_previous_version_state_and_log() {
+    let directory = Directory::state("member", &MEMBER_FILES);
     let member = Member::start(&directory, "member");
     let limits: Value = serde_json::from_str(&member.get("/v1/tenants/north/limits").1).unwrap();
     assert_eq!(limits["in-flight"], 600, "{limits}");
@@ -396,20 +397,20 @@
         status.contains("5201b60ab4fcffcb7df9c238d1f3e875"),
         "{status}"
     );
-    let figures = names(&member.get("/v1/figures").1);
+    let figures = metric_names(&member.get("/v1/figures").1);
     assert_eq!(
         figures,
         read("figures.txt"),
-        "names of figures differ; they are now:\n{figures}"
+        "metric names differ from the recorded ones; current names:\n{figures}"
     );
 }
 
 #[test]
-fn a_backup_of_the_version_before_is_restored() {
+fn previous_version_backup_is_restored() {
     let directory = Directory::new("restored");
     let (config, _, _key) = Member::configuration(&directory, "restored");
     let backup = fixture("member.backup");
-    stdout(&[
+    run_successfully(&[
         "cluster",
         "restore",
         "--config",
@@ -429,7 +430,7 @@
 }
 
 #[test]
-fn a_capture_of_the_version_before_is_replayed() {
+fn previous_version_capture_is_replayed() {
     let run = canvascart(&[
         "capture",
         "replay",
--- a/crates/canvascart/tests/lab.rs
+++ b/crates/canvascart/tests/lab.rs
@@ -1,4 +1,4 @@
-//! `canvascart lab` through the command line: exit codes, errors, reports, the same bytes for one seed.
+//! `canvascart lab` command line: exit codes, errors, reports and deterministic output for a seed.
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -10,17 +10,17 @@
         .unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-fn folder(name: &str) -> PathBuf {
+fn temp_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("canvascart-lab-{}-{name}", std::process::id()))
 }
 
 #[test]
-fn the_shipped_scenarios_are_listed_and_good() {
-    let list = said(&lab(&["list"]));
+fn shipped_scenarios_are_listed_and_valid() {
+    let list = output_text(&lab(&["list"]));
     assert!(
         list.lines().count() >= 12 && list.contains("evening"),
         "{list}"
@@ -32,27 +32,27 @@
 }
 
 #[test]
-fn a_run_says_by_its_exit_code_whether_the_rules_were_kept() {
-    let kept = lab(&["sim", "shrink"]);
+fn exit_code_tells_whether_a_run_kept_the_rules() {
+    let passed = lab(&["sim", "shrink"]);
     assert!(
-        kept.status.code() == Some(0) && said(&kept).contains("all rules kept"),
+        passed.status.code() == Some(0) && output_text(&passed).contains("all rules kept"),
         "{}",
-        said(&kept)
+        output_text(&passed)
     );
     let broken = lab(&["sim", "shrink", "--sabotage", "ignores-drains"]);
     assert!(
-        broken.status.code() == Some(1) && said(&broken).contains("Drain at"),
+        broken.status.code() == Some(1) && output_text(&broken).contains("Drain at"),
         "{}",
-        said(&broken)
+        output_text(&broken)
     );
 }
 
 #[test]
-fn what_is_wrong_with_a_scenario_or_the_command_line_is_named() {
-    let file = folder("bad.toml");
+fn invalid_scenarios_and_arguments_are_reported() {
+    let file = temp_path("bad.toml");
     std::fs::write(&file, "title = \"x\"\nlength = \"20\"\n").unwrap();
     let name = file.to_str().unwrap();
-    for (arguments, word) in [
+    for (arguments, expected) in [
         (
             &["check", name][..],
             format!("{name}:2: length: the unit is missing"),
@@ -76,17 +76,17 @@
     ] {
         let run = lab(arguments);
         assert!(
-            run.status.code() == Some(2) && said(&run).contains(&word),
-            "{word}: {}",
-            said(&run)
+            run.status.code() == Some(2) && output_text(&run).contains(&expected),
+            "{expected}: {}",
+            output_text(&run)
         );
     }
     std::fs::remove_file(file).unwrap();
 }
 
 #[test]
-fn a_report_holds_the_evidence_and_opens_alone() {
-    let dir = folder("report");
+fn report_is_self_contained_and_has_the_evidence() {
+    let dir = temp_path("report");
     let run = lab(&[
         "sim",
         "shrink",
@@ -101,31 +101,31 @@
     assert_eq!(page.matches("<svg").count(), 4);
     assert!(
         !page.contains("src=") && !page.contains("href="),
-        "nothing is fetched"
+        "the page references external resources"
     );
     let json: serde_json::Value = serde_json::from_str(&read("run.json")).unwrap();
     assert_eq!(
         json["broken"].as_array().unwrap().len(),
         read("broken.jsonl").lines().count()
     );
-    let tries = read("tries.jsonl");
-    let asked = json["service"]["whole"]["asked"].as_u64().unwrap();
-    assert!(tries.lines().count() as u64 >= asked);
+    let records = read("tries.jsonl");
+    let requests = json["service"]["whole"]["asked"].as_u64().unwrap();
+    assert!(records.lines().count() as u64 >= requests);
     assert!(dir.join("latency-checkout.hdr").exists());
-    // It can be told again, and what is no run is named.
+    // A stored run can be reported again; a missing run directory is named in the error.
     let again = lab(&["report", dir.to_str().unwrap()]);
     assert!(
-        again.status.code() == Some(1) && said(&again).contains("Drain at"),
+        again.status.code() == Some(1) && output_text(&again).contains("Drain at"),
         "{}",
-        said(&again)
+        output_text(&again)
     );
     let none = lab(&["report", "/no/such/folder"]);
     assert!(
-        none.status.code() == Some(3) && said(&none).contains("/no/such/folder: "),
+        none.status.code() == Some(3) && output_text(&none).contains("/no/such/folder: "),
         "{}",
-        said(&none)
+        output_text(&none)
     );
-    // A report that can't be written is an exit code of its own.
+    // An unwritable report has exit code 3.
     let nowhere = dir.join("run.json").join("x");
     assert_eq!(
         lab(&["sim", "shrink", "--out", nowhere.to_str().unwrap()])
@@ -137,18 +137,18 @@
 }
 
 #[test]
-fn one_seed_gives_the_same_bytes_however_many_runs_go_at_once() {
-    let alone = lab(&["sim", "evening", "--seed", "3", "--json"]);
-    let among = lab(&["sim", "evening", "--seed", "1", "--repeat", "4", "--json"]);
-    let (alone, among) = (said(&alone), said(&among));
+fn a_seed_gives_the_same_output_whatever_the_number_of_parallel_runs() {
+    let single = lab(&["sim", "evening", "--seed", "3", "--json"]);
+    let repeated = lab(&["sim", "evening", "--seed", "1", "--repeat", "4", "--json"]);
+    let (single, repeated) = (output_text(&single), output_text(&repeated));
     assert_eq!(
-        among.lines().filter(|l| !l.is_empty()).nth(2),
-        alone.lines().next()
+        repeated.lines().filter(|l| !l.is_empty()).nth(2),
+        single.lines().next()
     );
 }
 
 #[test]
-fn settings_are_compared_seed_by_seed() {
+fn settings_are_compared_per_seed() {
     let run = lab(&[
         "compare",
         "-",
@@ -158,14 +158,14 @@
         "3",
         "--json",
     ]);
-    let differences: serde_json::Value = serde_json::from_str(&said(&run)).unwrap();
+    let differences: serde_json::Value = serde_json::from_str(&output_text(&run)).unwrap();
     let share = &differences[0];
     assert_eq!(share["figure"], "served share");
     assert!(
         share["difference"]["high"].as_f64().unwrap() < 0.0,
-        "overload serves less: {share}"
+        "overload did not reduce the served share: {share}"
     );
-    let same: serde_json::Value = serde_json::from_str(&said(&lab(&[
+    let same: serde_json::Value = serde_json::from_str(&output_text(&lab(&[
         "compare", "-", "-", "quiet", "--repeat", "3", "--json",
     ])))
     .unwrap();
@@ -173,14 +173,14 @@
 }
 
 #[test]
-fn a_rule_that_a_compared_proxy_breaks_is_told_with_its_evidence() {
-    let rogue = format!(
+fn rule_broken_by_a_compared_proxy_is_reported_with_evidence() {
+    let faulty_proxy = format!(
         "proxy:{} lab rogue crashes",
         env!("CARGO_BIN_EXE_canvascart")
     );
     let mut arguments = vec![
         "compare",
-        rogue.as_str(),
+        faulty_proxy.as_str(),
         "-",
         "quiet",
         "--repeat",
@@ -197,16 +197,16 @@
         "error",
     ]);
     let run = lab(&arguments);
-    assert_eq!(run.status.code(), Some(1), "{}", said(&run));
+    assert_eq!(run.status.code(), Some(1), "{}", output_text(&run));
     assert!(
-        said(&run).contains("rule broken: NoCrash at"),
+        output_text(&run).contains("rule broken: NoCrash at"),
         "{}",
-        said(&run)
+        output_text(&run)
     );
 }
 
-/// A short scenario with a deploy and a killed proxy, whose proxies are this program's own.
-const SHORT: [&str; 8] = [
+/// Settings of a short scenario with a rolling deploy, a killed proxy and garbage input.
+const SHORT_RUN: [&str; 8] = [
     "--set",
     "length=3s",
     "--set",
@@ -220,36 +220,36 @@
 ];
 
 #[test]
-fn a_run_on_real_sockets_keeps_the_rules_and_serves_nearly_all() {
-    let dir = folder("run");
+fn run_on_real_sockets_keeps_the_rules_and_serves_nearly_all_requests() {
+    let dir = temp_path("run");
     let out = dir.to_str().unwrap();
-    let run = lab(&[&["run", "quiet", "--out", out, "--json"], &SHORT[..]].concat());
+    let run = lab(&[&["run", "quiet", "--out", out, "--json"], &SHORT_RUN[..]].concat());
     let text = String::from_utf8_lossy(&run.stdout).into_owned();
     let json: serde_json::Value =
-        serde_json::from_str(&text).unwrap_or_else(|e| panic!("{e}: {}", said(&run)));
+        serde_json::from_str(&text).unwrap_or_else(|e| panic!("{e}: {}", output_text(&run)));
     assert_eq!(json["broken"], serde_json::json!([]), "{}", json["broken"]);
     let served = &json["service"]["whole"];
-    let (asked, served) = (
+    let (requests, served) = (
         served["asked"].as_f64().unwrap(),
         served["served"].as_f64().unwrap(),
     );
-    // What the killed proxy held is lost to its clients; little of it may not be asked for again.
+    // Requests in flight at the killed proxy fail, and a small part of them may not be retried.
     assert!(
-        asked > 100.0 && served >= 0.97 * asked,
-        "{served} of {asked}"
+        requests > 100.0 && served >= 0.97 * requests,
+        "{served} of {requests}"
     );
     let lines = std::fs::read_to_string(dir.join("tries.jsonl")).unwrap();
-    assert!(lines.lines().count() as f64 >= asked);
+    assert!(lines.lines().count() as f64 >= requests);
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn a_proxy_that_cannot_be_started_is_an_exit_code_of_its_own() {
-    for (proxy, word) in [
+fn unstartable_proxy_has_its_own_exit_code() {
+    for (proxy, expected) in [
         ("/no/such/proxy", "/no/such/proxy: "),
         ("false", "ended at its start"),
     ] {
-        let dir = folder(&format!("no-proxy-{}", proxy.len()));
+        let dir = temp_path(&format!("no-proxy-{}", proxy.len()));
         let run = lab(&[
             "run",
             "quiet",
@@ -259,17 +259,17 @@
             dir.to_str().unwrap(),
         ]);
         assert!(
-            run.status.code() == Some(3) && said(&run).contains(word),
-            "{word}: {}",
-            said(&run)
+            run.status.code() == Some(3) && output_text(&run).contains(expected),
+            "{expected}: {}",
+            output_text(&run)
         );
         std::fs::remove_dir_all(dir).unwrap();
     }
 }
 
 #[test]
-fn a_run_that_is_interrupted_reports_what_there_is_and_ends_its_processes() {
-    let dir = folder("interrupted");
+fn interrupted_run_writes_a_partial_report_and_ends_its_processes() {
+    let dir = temp_path("interrupted");
     let mut command = Command::new(env!("CARGO_BIN_EXE_canvascart"));
     command.args([
         "lab",
@@ -285,11 +285,14 @@
         .stdout(std::process::Stdio::piped())
         .spawn()
         .unwrap();
-    // An interrupt is kept from before the first proxy starts.
+    // The interrupt handler is installed before the first proxy starts.
     let log = dir.join("proxy-2.log");
     let end = std::time::Instant::now() + std::time::Duration::from_secs(20);
     while !std::fs::read_to_string(&log).is_ok_and(|l| l.contains("listens on")) {
-        assert!(std::time::Instant::now() < end, "the proxies start");
+        assert!(
+            std::time::Instant::now() < end,
+            "the proxies did not start in time"
+        );
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
     let interrupt = Command::new("kill")
@@ -308,13 +311,13 @@
     let address = address["listen"].as_str().unwrap().to_owned();
     assert!(
         std::net::TcpStream::connect(address).is_err(),
-        "the proxy has ended"
+        "the proxy is still running"
     );
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// What a rogue proxy is blamed for in a calm run with a deploy; without a rule it must be blamed for nothing.
-const ROGUES: [(&str, Option<&str>); 12] = [
+/// Faulty proxies and the rule that each must break in a run with a rolling deploy. Without a rule, none may be broken.
+const FAULTY_PROXIES: [(&str, Option<&str>); 12] = [
     ("nothing", None),
     ("loses-requests", Some("OneAnswer")),
     ("answers-twice", Some("OneAnswer")),
@@ -330,8 +333,8 @@
 ];
 
 #[test]
-fn each_rule_is_seen_broken_on_real_sockets_by_a_proxy_built_to_break_it() {
-    const CALM: [&str; 12] = [
+fn each_rule_detects_a_faulty_proxy_on_real_sockets() {
+    const SETTINGS: [&str; 12] = [
         "--json",
         "--set",
         "length=4s",
@@ -346,17 +349,17 @@
          \"5 s\"}]",
         "--out",
     ];
-    let play = |(name, rule): &(&str, Option<&str>)| {
-        let dir = folder(name);
+    let check = |(name, rule): &(&str, Option<&str>)| {
+        let dir = temp_path(name);
         let proxy = format!("{} lab rogue {name}", env!("CARGO_BIN_EXE_canvascart"));
         let run = lab(&[
             &["run", "quiet", "--proxy", &proxy],
-            &CALM[..],
+            &SETTINGS[..],
             &[dir.to_str().unwrap()],
         ]
         .concat());
         let json: serde_json::Value = serde_json::from_slice(&run.stdout)
-            .unwrap_or_else(|e| panic!("{name}: {e}: {}", said(&run)));
+            .unwrap_or_else(|e| panic!("{name}: {e}: {}", output_text(&run)));
         let broken = json["broken"].as_array().unwrap();
         match rule {
             Some(rule) => {
@@ -370,18 +373,19 @@
         }
         std::fs::remove_dir_all(dir).unwrap();
     };
-    // A few at a time: each run has four processes.
-    for some in ROGUES.chunks(4) {
+    // At most four runs at a time, as each run starts four processes.
+    for batch in FAULTY_PROXIES.chunks(4) {
         std::thread::scope(|scope| {
-            some.iter()
-                .for_each(|rogue| drop(scope.spawn(|| play(rogue))))
+            batch
+                .iter()
+                .for_each(|faulty| drop(scope.spawn(|| check(faulty))))
         });
     }
 }
 
 #[test]
-fn restarts_slow_readers_breaks_and_a_partition_break_no_rule_on_real_sockets() {
-    let dir = folder("faults");
+fn restarts_slow_readers_resets_and_a_partition_break_no_rule_on_real_sockets() {
+    let dir = temp_path("faults");
     let faults = "fault=[{kind = \"proxy-restart\", at = \"600 ms\", for = \"500 ms\", share = \"30 %\"}, {kind = \
                   \"slow-readers\", at = \"0 s\", for = \"3 s\", share = \"10 %\"}, {kind = \"resets\", at = \"200 ms\", \
                   for = \"800 ms\", share = \"15 %\", where = \"inside\"}, {kind = \"resets\", at = \"1 s\", for = \"800 \
@@ -405,40 +409,45 @@
         dir.to_str().unwrap(),
     ]);
     let run = lab(&arguments);
-    let json: serde_json::Value =
-        serde_json::from_slice(&run.stdout).unwrap_or_else(|e| panic!("{e}: {}", said(&run)));
+    let json: serde_json::Value = serde_json::from_slice(&run.stdout)
+        .unwrap_or_else(|e| panic!("{e}: {}", output_text(&run)));
     assert_eq!(json["broken"], serde_json::json!([]), "{}", json["broken"]);
-    let whole = &json["service"]["whole"];
-    let (asked, served) = (
-        whole["asked"].as_f64().unwrap(),
-        whole["served"].as_f64().unwrap(),
+    let totals = &json["service"]["whole"];
+    let (requests, served) = (
+        totals["asked"].as_f64().unwrap(),
+        totals["served"].as_f64().unwrap(),
     );
-    assert!(served >= 0.8 * asked, "{served} of {asked}");
-    // Each fault has struck: attempts broke while their servers worked on, others before the answer was whole.
-    let tries = std::fs::read_to_string(dir.join("tries.jsonl")).unwrap();
-    let tries: Vec<serde_json::Value> = tries
+    assert!(served >= 0.8 * requests, "{served} of {requests}");
+    // Each kind of reset took effect: some attempts broke while the server was still working, others during the
+    // response.
+    let records = std::fs::read_to_string(dir.join("tries.jsonl")).unwrap();
+    let records: Vec<serde_json::Value> = records
         .lines()
         .map(|l| serde_json::from_str(l).unwrap())
         .collect();
-    let attempts = || tries.iter().flat_map(|t| t["attempts"].as_array().unwrap());
-    let unsure = |a: &&serde_json::Value| a["end"] == "MayHaveRun";
+    let attempts = || {
+        records
+            .iter()
+            .flat_map(|t| t["attempts"].as_array().unwrap())
+    };
+    let may_have_run = |a: &&serde_json::Value| a["end"] == "MayHaveRun";
     let time = |a: &serde_json::Value, key: &str| a[key].as_f64();
-    let worked_on = |a: &serde_json::Value| {
+    let server_still_working = |a: &serde_json::Value| {
         time(a, "ran_ms").is_some_and(|ran| Some(ran) > time(a, "ended_ms"))
     };
     let before = |a: &&serde_json::Value| time(a, "sent_ms") < Some(1000.0);
     assert!(
-        attempts().filter(unsure).any(worked_on),
-        "some broke in mid-work"
+        attempts().filter(may_have_run).any(server_still_working),
+        "no attempt broke while the server was working"
     );
     assert!(
         attempts()
-            .filter(unsure)
+            .filter(may_have_run)
             .filter(before)
-            .any(|a| !worked_on(a)),
-        "some broke inside the answer"
+            .any(|a| !server_still_working(a)),
+        "no attempt broke during the response"
     );
-    // The log tells of what was done, a JSON object a line.
+    // The log has one JSON object per line and records each fault.
     let log = String::from_utf8_lossy(&run.stderr).into_owned();
     let lines: Vec<serde_json::Value> = log
         .lines()
@@ -458,8 +467,8 @@
 }
 
 #[test]
-fn a_load_that_the_lab_cannot_send_in_time_makes_a_run_void_and_no_figure() {
-    let dir = folder("void");
+fn run_whose_load_generator_falls_behind_is_void() {
+    let dir = temp_path("void");
     let mut arguments = vec![
         "run",
         "quiet",
@@ -471,8 +480,8 @@
     ];
     arguments.extend(["--set", "clients.retries=0", "--out", dir.to_str().unwrap()]);
     let run = lab(&arguments);
-    let json: serde_json::Value =
-        serde_json::from_slice(&run.stdout).unwrap_or_else(|e| panic!("{e}: {}", said(&run)));
+    let json: serde_json::Value = serde_json::from_slice(&run.stdout)
+        .unwrap_or_else(|e| panic!("{e}: {}", output_text(&run)));
     assert!(
         json["void"]
             .as_str()
@@ -485,8 +494,8 @@
 }
 
 #[test]
-fn a_sweep_prints_a_line_a_value_and_leaves_a_folder_a_run() {
-    let dir = folder("sweep");
+fn sweep_prints_a_line_per_value_and_writes_a_folder_per_run() {
+    let dir = temp_path("sweep");
     let mut arguments = vec![
         "sweep",
         "quiet",
@@ -499,7 +508,7 @@
     ];
     arguments.extend(["--set", "length=4s", "--out", dir.to_str().unwrap()]);
     let run = lab(&arguments);
-    assert_eq!(run.status.code(), Some(0), "{}", said(&run));
+    assert_eq!(run.status.code(), Some(0), "{}", output_text(&run));
     let text = String::from_utf8_lossy(&run.stdout).into_owned();
     let lines: Vec<serde_json::Value> = text
         .lines()
@@ -517,7 +526,7 @@
             "{folder}"
         );
     }
-    let again = said(&lab(&["report", dir.to_str().unwrap()]));
+    let again = output_text(&lab(&["report", dir.to_str().unwrap()]));
     assert_eq!(
         again.lines().filter(|l| l.starts_with("quiet ")).count(),
         4,
@@ -527,17 +536,17 @@
 }
 
 #[test]
-fn a_log_filter_that_makes_no_sense_is_a_usage_error() {
+fn invalid_log_filter_is_a_usage_error() {
     let run = lab(&["list", "--log", "lab=loud"]);
     assert!(
-        run.status.code() == Some(2) && said(&run).contains("--log lab=loud"),
+        run.status.code() == Some(2) && output_text(&run).contains("--log lab=loud"),
         "{}",
-        said(&run)
+        output_text(&run)
     );
 }
 
 #[test]
-fn a_tenant_whose_neighbour_floods_is_served() {
+fn tenant_is_served_while_another_tenant_floods() {
     let run = lab(&[
         "floods",
         "--kind",
@@ -547,7 +556,7 @@
         "--repeat",
         "1",
     ]);
-    assert!(run.status.success(), "{}", said(&run));
+    assert!(run.status.success(), "{}", output_text(&run));
     let text = String::from_utf8(run.stdout).unwrap();
     let row = text.lines().find(|l| l.starts_with("hangs")).unwrap();
     let figures: Vec<f64> = row
@@ -557,15 +566,15 @@
     let [before, during] = [figures[0], figures[1]];
     assert!(
         before > 90.0 && during > 90.0,
-        "served before and during the flood: {row}"
+        "share served before and during the flood: {row}"
     );
-    assert!(figures[6] > 50.0, "it did flood: {row}");
+    assert!(figures[6] > 50.0, "the flood was not applied: {row}");
 }
 
 #[test]
-fn upgrades_drains_new_settings_and_large_bodies_break_no_rule_on_real_sockets() {
-    let dir = folder("operators");
-    // One after the other over all proxies, while requests go on.
+fn upgrades_drains_settings_changes_and_large_bodies_break_no_rule_on_real_sockets() {
+    let dir = temp_path("operators");
+    // Each operation is applied to the proxies one after the other under traffic.
     let faults = "fault=[{kind = \"upgrade\", at = \"400 ms\", share = \"100 %\"}, {kind = \"drain\", at = \"1200 ms\", \
                   for = \"800 ms\", share = \"30 %\"}, {kind = \"retune\", at = \"2200 ms\", for = \"400 ms\", share = \
                   \"100 %\"}, {kind = \"upgrade\", at = \"2800 ms\", share = \"30 %\"}, {kind = \"large-bodies\", at = \"0 s\", \
@@ -588,17 +597,17 @@
         dir.to_str().unwrap(),
     ]);
     let run = lab(&arguments);
-    let json: serde_json::Value =
-        serde_json::from_slice(&run.stdout).unwrap_or_else(|e| panic!("{e}: {}", said(&run)));
+    let json: serde_json::Value = serde_json::from_slice(&run.stdout)
+        .unwrap_or_else(|e| panic!("{e}: {}", output_text(&run)));
     assert_eq!(json["broken"], serde_json::json!([]), "{}", json["broken"]);
-    let whole = &json["service"]["whole"];
-    let (asked, served) = (
-        whole["asked"].as_f64().unwrap(),
-        whole["served"].as_f64().unwrap(),
+    let totals = &json["service"]["whole"];
+    let (requests, served) = (
+        totals["asked"].as_f64().unwrap(),
+        totals["served"].as_f64().unwrap(),
     );
     assert!(
-        asked > 100.0 && served >= 0.97 * asked,
-        "{served} of {asked}"
+        requests > 100.0 && served >= 0.97 * requests,
+        "{served} of {requests}"
     );
     let log = String::from_utf8_lossy(&run.stderr).into_owned();
     let upgraded = log
@@ -606,15 +615,15 @@
         .filter(|l| l.contains("proxy has been upgraded"))
         .count();
     assert_eq!(upgraded, 4, "{log}");
-    // The proxies tell what was done to them.
+    // The proxy logs record each operation.
     let logs = (0..3).map(|n| std::fs::read_to_string(dir.join(format!("proxy-{n}.log"))).unwrap());
-    let told: String = logs.collect();
-    let count = |what: &str| told.matches(what).count();
+    let proxy_logs: String = logs.collect();
+    let count = |what: &str| proxy_logs.matches(what).count();
     assert_eq!(
         (count("lame duck on"), count("lame duck off")),
         (1, 1),
-        "{told}"
+        "{proxy_logs}"
     );
-    assert!(count("new settings are in service") >= 3, "{told}");
+    assert!(count("new settings are in service") >= 3, "{proxy_logs}");
     std::fs::remove_dir_all(dir).unwrap();
 }
--- a/crates/canvascart/tests/price.rs
+++ b/crates/canvascart/tests/price.rs
@@ -1,8 +1,8 @@
-//! `canvascart lab price` through the command line, in a test binary of its own: a measurement has the cores to itself.
+//! `canvascart lab price`, in a separate test binary so that no other test competes with the measurement for CPU cores.
 use std::process::Command;
 
 #[test]
-fn a_price_is_measured_beside_a_direct_connection_and_a_bare_pass_through() {
+fn proxy_overhead_is_measured_against_direct_and_pass_through_connections() {
     let run = Command::new(env!("CARGO_BIN_EXE_canvascart"))
         .args([
             "lab",
@@ -18,18 +18,18 @@
         ])
         .output()
         .unwrap();
-    let text = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
-    assert_eq!(run.status.code(), Some(0), "{text}");
+    let output = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
+    assert_eq!(run.status.code(), Some(0), "{output}");
     for target in ["direct", "pass-through", "proxy"] {
-        let row = text
+        let row = output
             .lines()
             .find(|l| l.contains(target))
-            .unwrap_or_else(|| panic!("{target}: {text}"));
+            .unwrap_or_else(|| panic!("{target}: {output}"));
         let columns: Vec<&str> = row.split_whitespace().collect();
         assert!(columns[2].parse::<f64>().unwrap() > 100.0, "{row}");
-        assert_eq!(columns.last(), Some(&"0"), "no bad answer: {row}");
+        assert_eq!(columns.last(), Some(&"0"), "bad responses: {row}");
     }
-    let row = text.lines().find(|l| l.contains(" proxy ")).unwrap();
+    let row = output.lines().find(|l| l.contains(" proxy ")).unwrap();
     let memory: f64 = row
         .split_whitespace()
         .rev()
@@ -37,5 +37,8 @@
         .unwrap()
         .parse()
         .unwrap();
-    assert!(memory > 1.0, "the proxy's own process was measured: {row}");
+    assert!(
+        memory > 1.0,
+        "memory of the proxy process was not measured: {row}"
+    );
 }
--- a/crates/canvascart/tests/source_rules.rs
+++ b/crates/canvascart/tests/source_rules.rs
@@ -1,9 +1,9 @@
 //! Rules on the source of the packages that `FINISHED` lists: short files, typed errors, tests in test files, lints
-//! denied, and no two files that import each other. Function length and names are clippy's part.
+//! denied, and no cyclic imports between files. Clippy checks function length and names.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Packages under these rules; docs/ROADMAP.md lists the others.
+/// Packages that these rules apply to; docs/ROADMAP.md lists the others.
 const FINISHED: [&str; 10] = [
     "balancer",
     "cluster",
@@ -27,7 +27,7 @@
     "clippy::struct_excessive_bools",
 ];
 
-/// Module path from the package's root, such as `node::lease`, and the file's text.
+/// Source text of each file by its module path from the package root, such as `node::lease`.
 type Sources = BTreeMap<String, String>;
 
 fn source_files(directory: &Path) -> Vec<PathBuf> {
@@ -61,7 +61,7 @@
     module == "lib" || module == "main"
 }
 
-fn code(text: &str) -> String {
+fn strip_comments(text: &str) -> String {
     let before_comment = |line: &str| line.split("//").next().unwrap_or("").to_owned();
     text.lines()
         .map(before_comment)
@@ -69,42 +69,42 @@
         .join("\n")
 }
 
-/// The paths that follow a prefix such as `crate::`, with groups in braces expanded.
+/// Returns the paths that follow a prefix such as `crate::`, with groups in braces expanded.
 fn paths_after(prefix: &str, text: &str) -> Vec<String> {
     let mut found = Vec::new();
     for (at, _) in text.match_indices(prefix) {
         let before = text[..at].chars().next_back();
         if !before.is_some_and(|c| c.is_alphanumeric() || c == '_' || c == ':') {
-            found.extend(expanded(&text[at + prefix.len()..]).0);
+            found.extend(parse_paths(&text[at + prefix.len()..]).0);
         }
     }
     found
 }
 
-/// One path, or a group of them, from the beginning of a text; and how many bytes it takes.
-fn expanded(text: &str) -> (Vec<String>, usize) {
+/// Parses a path or a braced group of paths at the start of a text. Returns the paths and the number of bytes read.
+fn parse_paths(text: &str) -> (Vec<String>, usize) {
     let is_path = |c: char| c.is_alphanumeric() || c == '_' || c == ':';
     let length = text.find(|c| !is_path(c)).unwrap_or(text.len());
-    let head = &text[..length];
+    let prefix = &text[..length];
     if !text[length..].starts_with('{') {
-        return (vec![head.to_owned()], length);
+        return (vec![prefix.to_owned()], length);
     }
     let mut paths = Vec::new();
     let mut at = length + 1;
     while at < text.len() && !text[at..].starts_with('}') {
-        let (inner, taken) = expanded(&text[at..]);
+        let (inner, bytes_read) = parse_paths(&text[at..]);
         paths.extend(
             inner
                 .iter()
                 .filter(|path| !path.is_empty())
-                .map(|path| format!("{head}{path}")),
+                .map(|path| format!("{prefix}{path}")),
         );
-        at += taken.max(1);
+        at += bytes_read.max(1);
     }
     (paths, at + 1)
 }
 
-/// The longest module that a path begins with.
+/// Returns the longest module path that is a prefix of this path.
 fn module_of(path: &str, modules: &BTreeSet<&str>) -> Option<String> {
     let parts: Vec<&str> = path.split("::").collect();
     let prefix = |length: usize| parts[..length].join("::");
@@ -114,7 +114,7 @@
         .find(|module| modules.contains(module.as_str()))
 }
 
-/// The modules that each module imports, the root left out: it declares and re-exports.
+/// Returns the modules that each module imports. The root is left out, as it declares and re-exports all others.
 fn imports(sources: &Sources) -> BTreeMap<String, BTreeSet<String>> {
     let modules: BTreeSet<&str> = sources
         .keys()
@@ -123,7 +123,7 @@
         .collect();
     let mut all = BTreeMap::new();
     for (module, text) in sources.iter().filter(|(module, _)| !is_root(module)) {
-        let text = code(text);
+        let text = strip_comments(text);
         let parent = module
             .rsplit_once("::")
             .map_or(String::new(), |(parent, _)| format!("{parent}::"));
@@ -143,54 +143,58 @@
     all
 }
 
-/// Pairs of modules that reach each other through their imports.
-fn circles(sources: &Sources) -> Vec<String> {
+/// Returns a message for each module that imports itself through other modules.
+fn import_cycles(sources: &Sources) -> Vec<String> {
     let imports = imports(sources);
-    let reached = |from: &String| {
+    let reachable = |from: &String| {
         let mut seen = BTreeSet::new();
-        let mut open = vec![from.clone()];
-        while let Some(module) = open.pop() {
+        let mut pending = vec![from.clone()];
+        while let Some(module) = pending.pop() {
             for next in &imports[&module] {
                 if seen.insert(next.clone()) {
-                    open.push(next.clone());
+                    pending.push(next.clone());
                 }
             }
         }
         seen
     };
-    let in_circle = |module: &&String| reached(module).contains(*module);
+    let in_cycle = |module: &&String| reachable(module).contains(*module);
     imports
         .keys()
-        .filter(in_circle)
+        .filter(in_cycle)
         .map(|module| format!("{module} imports itself through others"))
         .collect()
 }
 
-fn faults(sources: &Sources) -> Vec<String> {
-    let mut faults = circles(sources);
+fn violations(sources: &Sources) -> Vec<String> {
+    let mut violations = import_cycles(sources);
     for (module, text) in sources {
         let lines = text.lines().count();
         if lines > MAX_LINES {
-            faults.push(format!("{module} has {lines} lines"));
+            violations.push(format!("{module} has {lines} lines"));
         }
-        let code = code(text);
+        let code = strip_comments(text);
         if code.contains("#[cfg(test)]") || code.contains("#[cfg(all(test") {
-            faults.push(format!("{module} has a test module"));
+            violations.push(format!("{module} has a test module"));
         }
-        let packed: String = code.split_whitespace().collect();
-        if packed.split("Result<").skip(1).any(string_error) {
-            faults.push(format!("{module} has an error that is a text"));
+        let without_whitespace: String = code.split_whitespace().collect();
+        if without_whitespace
+            .split("Result<")
+            .skip(1)
+            .any(is_string_error)
+        {
+            violations.push(format!("{module} has a String error"));
         }
         if is_root(module) {
             let missing = DENIED.iter().filter(|lint| !code.contains(**lint));
-            faults.extend(missing.map(|lint| format!("{module} does not deny {lint}")));
+            violations.extend(missing.map(|lint| format!("{module} does not deny {lint}")));
         }
     }
-    faults
+    violations
 }
 
-/// Whether what follows `Result<` ends in `, String>` at its own depth.
-fn string_error(rest: &str) -> bool {
+/// Returns true if the type arguments after `Result<` end in `, String` at their own nesting depth.
+fn is_string_error(rest: &str) -> bool {
     let mut depth = 0;
     for (at, c) in rest.char_indices() {
         match c {
@@ -206,51 +210,53 @@
 }
 
 #[test]
-fn finished_packages_keep_the_rules() {
+fn finished_packages_follow_the_rules() {
     for package in FINISHED {
-        let faults = faults(&sources(package));
-        assert!(faults.is_empty(), "{package}: {faults:#?}");
+        let violations = violations(&sources(package));
+        assert!(violations.is_empty(), "{package}: {violations:#?}");
     }
 }
 
 #[test]
-fn each_broken_rule_is_seen() {
+fn each_rule_violation_is_detected() {
     let attribute = format!("#![deny({})]", DENIED.join(", "));
-    let sound =
+    let package_with =
         |text: &str| Sources::from([("lib".into(), attribute.clone()), ("a".into(), text.into())]);
     assert_eq!(
-        faults(&sound(
+        violations(&package_with(
             "use std::fmt;\npub fn f() -> Result<Vec<String>, Error> {}"
         )),
         Vec::<String>::new()
     );
-    let found = |sources: Sources, word: &str| {
-        let faults = faults(&sources);
+    let assert_violation = |sources: Sources, expected: &str| {
+        let violations = violations(&sources);
         assert!(
-            faults.iter().any(|fault| fault.contains(word)),
-            "{word}: {faults:?}"
+            violations
+                .iter()
+                .any(|violation| violation.contains(expected)),
+            "{expected}: {violations:?}"
         );
     };
-    found(sound(&"\n".repeat(MAX_LINES + 1)), "501 lines");
-    found(sound("#[cfg(test)]\nmod tests {}"), "a test module");
-    found(
-        sound("fn f() -> Result<Vec<(u8, u8)>, String> {}"),
-        "error that is a text",
+    assert_violation(package_with(&"\n".repeat(MAX_LINES + 1)), "501 lines");
+    assert_violation(package_with("#[cfg(test)]\nmod tests {}"), "a test module");
+    assert_violation(
+        package_with("fn f() -> Result<Vec<(u8, u8)>, String> {}"),
+        "a String error",
     );
-    found(
-        sound("fn f() -> Result<\n    (),\n    String,\n> {}"),
-        "error that is a text",
+    assert_violation(
+        package_with("fn f() -> Result<\n    (),\n    String,\n> {}"),
+        "a String error",
     );
-    found(
+    assert_violation(
         Sources::from([("lib".into(), String::new())]),
         "does not deny clippy::too_many_lines",
     );
-    let mut circle = sound("use crate::{b::X, c};");
-    circle.insert("b".into(), "use super::a::Y;".into());
-    found(circle, "a imports itself");
-    let mut three = sound("use crate::b::{self, c::{D, E}};");
-    three.insert("b::c".into(), "use crate::d;".into());
-    three.insert("b".into(), "mod c;".into());
-    three.insert("d".into(), "pub fn f() { crate::a::g() }".into());
-    found(three, "d imports itself");
+    let mut cycle = package_with("use crate::{b::X, c};");
+    cycle.insert("b".into(), "use super::a::Y;".into());
+    assert_violation(cycle, "a imports itself");
+    let mut long_cycle = package_with("use crate::b::{self, c::{D, E}};");
+    long_cycle.insert("b::c".into(), "use crate::d;".into());
+    long_cycle.insert("b".into(), "mod c;".into());
+    long_cycle.insert("d".into(), "pub fn f() { crate::a::g() }".into());
+    assert_violation(long_cycle, "d imports itself");
 }
