--- a/check.sh
+++ b/check.sh
@@ -1,14 +1,13 @@
 #!/usr/bin/env bash
-# Everything that has to hold before a change lands: format, lints, tests, docs, the module alone.
+# Runs all checks that a change must pass: formatting, lints, tests, documentation, and lints of the balancer alone.
 set -euo pipefail
 cd "$(dirname "$0")"
 cargo fmt --all -- --check
 cargo clippy --locked --workspace --all-targets --profile ci -- -D warnings
-# What the platform builds, with no more of others' features than it asks for itself.
+# The platform's build: the default members, without features that only other packages enable.
 cargo clippy --locked --profile ci -- -D warnings
 cargo clippy --locked -p balancer --profile ci -- -D warnings
 .ci/known-red-test.sh
-# With failpoints, by which tests make a process slow or stand still at a named place. Tests that KNOWN-RED.txt
-# lists may fail.
+# Failpoints let tests delay or block a process at a named place. Tests listed in KNOWN-RED.txt may fail.
 .ci/known-red.sh KNOWN-RED.txt cargo test --locked --workspace --profile ci --features canvascart/failpoints
 RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --profile ci
