--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -666,7 +666,7 @@
                 .join(format!("{plain}-{seed}")),
         };
         let tick = progress(&scenario.title, how.json);
-        let played = real::play(&scenario, &which.scenario, seed, &command, &dir, tick);
+        let played = real::run_scenario(&scenario, &which.scenario, seed, &command, &dir, tick);
         let written =
             played.and_then(|(run, measured)| report::write(&dir, &run).map(|()| (run, measured)));
         let (run, measured) = match written {
@@ -792,7 +792,7 @@
         match self {
             Side::Settings(scenario) => Ok(experiment::simulate(scenario, name, seed, None)),
             Side::Proxy(scenario, command) => {
-                real::play(scenario, name, seed, command, dir, |_| ())
+                real::run_scenario(scenario, name, seed, command, dir, |_| ())
                     .map(|(run, _)| run)
                     .map_err(|e| format!("{}: {e}", command.join(" ")))
             }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -61,11 +61,11 @@
 pub fn check_rules(ledger: &Ledger, rules: &Rules, bounds: &Proxies) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, t) in ledger.client_attempts.iter().enumerate() {
-        one_answer(ledger, rules, id, t, &mut violations);
-        never_twice(id, t, &mut violations);
+        check_responses(ledger, rules, id, t, &mut violations);
+        check_executions(id, t, &mut violations);
     }
-    drains(ledger, rules, &mut violations);
-    cold_starts(ledger, &mut violations);
+    check_drains(ledger, rules, &mut violations);
+    check_cold_starts(ledger, &mut violations);
     for u in &ledger.usage {
         let over = [
             ("MiB of memory", u.memory_mb, bounds.memory_mb as f64),
@@ -109,7 +109,7 @@
     violations
 }
 
-fn one_answer(
+fn check_responses(
     ledger: &Ledger,
     rules: &Rules,
     id: usize,
@@ -167,7 +167,7 @@
         .is_none_or(|(when, end)| when > at || end != AttemptEnd::NeverRan)
 }
 
-fn never_twice(id: usize, t: &ClientAttempt, violations: &mut Vec<Violation>) {
+fn check_executions(id: usize, t: &ClientAttempt, violations: &mut Vec<Violation>) {
     let mut report = |at, server: Option<usize>, evidence: String| {
         violations.push(Violation {
             rule: Rule::NeverTwice,
@@ -224,7 +224,7 @@
     }
 }
 
-fn drains(ledger: &Ledger, rules: &Rules, violations: &mut Vec<Violation>) {
+fn check_drains(ledger: &Ledger, rules: &Rules, violations: &mut Vec<Violation>) {
     // Notifications by proxy and server: time and whether the server accepts new requests.
     let mut notifications: FxHashMap<(usize, usize), Vec<(Millis, bool)>> = FxHashMap::default();
     for t in &ledger.notifications {
@@ -268,7 +268,7 @@
 /// A crash counts if at least this part of the attempts came from proxies notified of the server's start.
 const MIN_NOTIFIED_FRACTION: f64 = 2.0 / 3.0;
 
-fn cold_starts(ledger: &Ledger, violations: &mut Vec<Violation>) {
+fn check_cold_starts(ledger: &Ledger, violations: &mut Vec<Violation>) {
     for crash in &ledger.cold_overloads {
         let (mut all, mut notified) = (0.0f64, 0.0f64);
         for t in &ledger.client_attempts {
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -34,17 +34,17 @@
     rng: RefCell<ChaCha8Rng>,
     /// Delays of first attempts against their schedule, in ms.
     pub send_delays: RefCell<Vec<f64>>,
-    open: Cell<usize>,
+    active_requests: Cell<usize>,
 }
 
 /// Result of an exchange on a connection.
 enum Exchange {
     /// A complete response.
-    Answer(Message),
+    Response(Message),
     /// An incomplete response.
     Incomplete,
     /// The connection was closed before the response began.
-    Ended,
+    Closed,
     /// No connection was established.
     Unreachable,
 }
@@ -59,27 +59,29 @@
             proxies,
             rng: RefCell::new(stream(seed, Purpose::Clients)),
             send_delays: RefCell::default(),
-            open: Cell::new(0),
+            active_requests: Cell::new(0),
         })
     }
 
     /// Sends every client request at its scheduled time; returns when all have ended.
-    pub async fn play(self: Rc<Self>) {
+    pub async fn send_all(self: Rc<Self>) {
         for request in 0..self.run.requests.len() {
             sleep_until(self.run.instant(self.run.requests[request].at)).await;
-            self.open.set(self.open.get() + 1);
+            self.active_requests.set(self.active_requests.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
-                clients.send_request(request).await;
-                clients.open.set(clients.open.get() - 1);
+                clients.send_with_retries(request).await;
+                clients
+                    .active_requests
+                    .set(clients.active_requests.get() - 1);
             });
         }
-        while self.open.get() > 0 {
+        while self.active_requests.get() > 0 {
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    fn pick(&self, zone: usize) -> ProxyId {
+    fn pick_proxy(&self, zone: usize) -> ProxyId {
         let (now, zones) = (self.run.now(), self.run.scenario.fleet.zones.len());
         let is_available = |p: usize| {
             self.proxies[p]
@@ -96,7 +98,7 @@
         )
     }
 
-    async fn send_request(&self, request: usize) {
+    async fn send_with_retries(&self, request: usize) {
         let run = &self.run;
         let a = &run.requests[request];
         let mut intended = a.at;
@@ -131,7 +133,7 @@
     ) -> ClientAttemptOutcome {
         let run = &self.run;
         let a = &run.requests[request];
-        let proxy = self.pick(a.zone);
+        let proxy = self.pick_proxy(a.zone);
         let client_timeout = load::attempt_timeout(&run.scenario, a, now);
         if client_timeout < 1.0 {
             return ClientAttemptOutcome::GaveUp;
@@ -194,14 +196,14 @@
                 ClientAttemptOutcome::GaveUp
             }
             Ok(Exchange::Unreachable) => ClientAttemptOutcome::Unreachable,
-            Ok(Exchange::Ended) => ClientAttemptOutcome::Failed,
+            Ok(Exchange::Closed) => ClientAttemptOutcome::Failed,
             Ok(Exchange::Incomplete) => {
                 run.ledger.borrow_mut().client_attempts[id]
                     .responses
                     .push((run.now(), ResponseKind::Broken));
                 ClientAttemptOutcome::Failed
             }
-            Ok(Exchange::Answer(message)) => {
+            Ok(Exchange::Response(message)) => {
                 let expected_body = body_for(&name, size.filter(|_| method == "GET"));
                 self.record_response(id, &expected_body, &message)
             }
@@ -215,7 +217,7 @@
         message: &Message,
     ) -> ClientAttemptOutcome {
         let now = self.run.now();
-        let (code, end) = match message.start {
+        let (kind, end) = match message.start {
             StartLine::Response(200) => {
                 let genuine = message.body == expected_body;
                 (
@@ -237,7 +239,7 @@
         };
         self.run.ledger.borrow_mut().client_attempts[id]
             .responses
-            .push((now, code));
+            .push((now, kind));
         end
     }
 
@@ -247,7 +249,7 @@
         let idle = self.idle.borrow_mut()[proxy].pop();
         if let Some(connection) = idle {
             match self.exchange_on(id, proxy, connection, request).await {
-                Exchange::Ended => {
+                Exchange::Closed => {
                     self.run.ledger.borrow_mut().client_attempts[id].accepted_at = None
                 }
                 end => return end,
@@ -268,19 +270,19 @@
         request: &[u8],
     ) -> Exchange {
         // A large request is sent in two halves with a delay between them.
-        let (first, late) = request.split_at(if request.len() > LARGE_REQUEST_BYTES {
+        let (first_half, second_half) = request.split_at(if request.len() > LARGE_REQUEST_BYTES {
             request.len() / 2
         } else {
             request.len()
         });
-        if connection.write(first).await.is_err() {
-            return Exchange::Ended;
+        if connection.write(first_half).await.is_err() {
+            return Exchange::Closed;
         }
-        if !late.is_empty() {
+        if !second_half.is_empty() {
             sleep(SLOW_DELAY).await;
         }
-        if connection.write(late).await.is_err() {
-            return Exchange::Ended;
+        if connection.write(second_half).await.is_err() {
+            return Exchange::Closed;
         }
         self.run.ledger.borrow_mut().client_attempts[id].accepted_at = Some(self.run.now());
         if self.reads_slowly() {
@@ -291,9 +293,9 @@
                 if !message.closes_connection() {
                     self.idle.borrow_mut()[proxy].push(connection);
                 }
-                Exchange::Answer(message)
+                Exchange::Response(message)
             }
-            Err(ReadError::Ended) => Exchange::Ended,
+            Err(ReadError::Closed) => Exchange::Closed,
             Err(ReadError::Broken(_)) => Exchange::Incomplete,
         }
     }
@@ -303,8 +305,8 @@
         let now = self.run.now();
         let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::LargeBodies && f.holds(now);
         let fault = self.run.scenario.faults.iter().find(holds)?;
-        let struck = self.rng.borrow_mut().random::<f64>() < fault.share.map_or(0.0, |s| s.0);
-        fault.size.filter(|_| struck).map(|size| size.0 as usize)
+        let affected = self.rng.borrow_mut().random::<f64>() < fault.share.map_or(0.0, |s| s.0);
+        fault.size.filter(|_| affected).map(|size| size.0 as usize)
     }
 
     fn reads_slowly(&self) -> bool {
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub enum ReadError {
     /// The connection was closed before the first byte of a message.
-    Ended,
+    Closed,
     /// The connection broke within a message, or the message could not be read.
     Broken(io::Error),
 }
@@ -79,9 +79,9 @@
         let started = !self.buffer.is_empty();
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) if started => Err(ReadError::Broken(io::ErrorKind::UnexpectedEof.into())),
-            Ok(0) => Err(ReadError::Ended),
+            Ok(0) => Err(ReadError::Closed),
             Ok(_) => Ok(()),
-            Err(_) if !started => Err(ReadError::Ended),
+            Err(_) if !started => Err(ReadError::Closed),
             Err(e) => Err(ReadError::Broken(e)),
         }
     }
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// Fails if a proxy can't be started or a socket is not available; everything started is stopped.
-pub fn play(
+pub fn run_scenario(
     scenario: &Arc<Scenario>,
     name: &str,
     seed: u64,
@@ -144,7 +144,7 @@
     let cpu = |proxies: &[Rc<Proxy>]| proxies.iter().map(|p| p.cpu_seconds()).sum::<f64>();
     let before = cpu(&proxies);
     let partial = tokio::select! {
-        () = clients.clone().play() => false,
+        () = clients.clone().send_all() => false,
         _ = interrupt.recv() => true,
     };
     let used = cpu(&proxies) - before;
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -188,7 +188,7 @@
                         .entry(server)
                         .or_insert_with(|| watch::channel(false).0)
                         .subscribe();
-                    spawn_local(self.clone().connection(
+                    spawn_local(self.clone().serve_connection(
                         connection,
                         proxy,
                         server,
@@ -200,15 +200,15 @@
         }
     }
 
-    async fn connection(
+    async fn serve_connection(
         self: Rc<Self>,
         mut connection: Connection,
         proxy: ProxyId,
         server: ServerId,
-        counted: bool,
+        established: bool,
         mut end: watch::Receiver<bool>,
     ) {
-        let mut fresh = true;
+        let mut new_connection = true;
         let next = loop {
             // Between requests, the exit of the process closes the connection; during a request, the world decides its
             // outcome.
@@ -217,12 +217,15 @@
                 started = connection.wait_for_data() => if started.is_err() { break AfterExchange::Close },
                 _ = end.changed() => break AfterExchange::Reset,
             }
-            match self.exchange(&mut connection, proxy, server, fresh).await {
-                AfterExchange::KeepOpen => fresh = false,
+            match self
+                .exchange(&mut connection, proxy, server, new_connection)
+                .await
+            {
+                AfterExchange::KeepOpen => new_connection = false,
                 next => break next,
             }
         };
-        if counted {
+        if established {
             self.run.world.borrow_mut().disconnect(server);
         }
         if next == AfterExchange::Reset {
@@ -236,7 +239,7 @@
         connection: &mut Connection,
         proxy: ProxyId,
         server: ServerId,
-        fresh: bool,
+        new_connection: bool,
     ) -> AfterExchange {
         let run = &self.run;
         let sent = run.now(); // for the drain rule, the send time is that of the first byte
@@ -256,11 +259,11 @@
         };
         let id = run.ids.borrow().get(&name).copied();
         let Some(id) = id else {
-            let what = format!("id {name:?} was never sent by a client");
+            let description = format!("id {name:?} was never sent by a client");
             run.ledger
                 .borrow_mut()
                 .unknown_requests
-                .push((server, sent, what));
+                .push((server, sent, description));
             return after_write(
                 connection
                     .write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -268,11 +271,11 @@
             );
         };
         if method == "POST" && size.is_some() && message.body != body_for(&name, size) {
-            let what = format!("the body of {name:?} is not what its client sent");
+            let description = format!("the body of {name:?} is not what its client sent");
             run.ledger
                 .borrow_mut()
                 .unknown_requests
-                .push((server, sent, what));
+                .push((server, sent, description));
         }
         let ledger_index = run.ledger.borrow_mut().record_send(id, server, sent);
         if self.partitioned(proxy, server) {
@@ -282,7 +285,7 @@
         }
         let request = &run.requests[run.ledger.borrow().client_attempts[id].request];
         let (attempt, outcome) = run.register_attempt(id, ledger_index);
-        let handshake = if fresh {
+        let handshake = if new_connection {
             run.scenario.fleet.handshake.0
         } else {
             0.0
@@ -299,14 +302,14 @@
             (Admission::Accepted, None) => {}
             (Admission::Rejected, None) => {
                 run.end(id, ledger_index, AttemptEnd::NeverRan);
-                let full = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-                return after_write(connection.write(full).await);
+                let busy = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+                return after_write(connection.write(busy).await);
             }
             (Admission::Crashed, None) => run.settle(attempt, ConnectionOutcome::Lost, false),
         }
         // Either the request (POST) or the response (GET) is large.
         let body = body_for(&name, size.filter(|_| method == "GET"));
-        self.answer(
+        self.respond(
             connection,
             server,
             &body,
@@ -316,7 +319,7 @@
         .await
     }
 
-    async fn answer(
+    async fn respond(
         &self,
         connection: &mut Connection,
         server: ServerId,
