--- a/crates/admin-api/tests/stored_documents.rs
+++ b/crates/admin-api/tests/stored_documents.rs
@@ -269,7 +269,13 @@
     client
         .with_if_match("*")
         .ok("DELETE", "/v1/tenants/north", Value::Null);
-    assert!(client.admin.catalog().tenant_of_host("north.example").is_none());
+    assert!(
+        client
+            .admin
+            .catalog()
+            .tenant_of_host("north.example")
+            .is_none()
+    );
     client.ok("PUT", "/v1/tenants/south/hosts", json!(["north.example"]));
 }
 
