--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use ::lab::service::fleet::{Fleet, Terms};
+use ::lab::service::fleet::{Fleet, FleetSettings};
 use ::lab::{demo, experiment, shipped};
 use multi_tenant::data_plane::DataPlane;
 use multi_tenant::document::Service;
@@ -139,7 +139,7 @@
     let demo = Demo::new().map_err(error_text)?;
     let tenants = toml::to_string(&json!({ "tenant": demo.service()?.tenants }))
         .map_err(|e| e.to_string())?;
-    let terms = Terms {
+    let terms = FleetSettings {
         cluster: CLUSTER_SETTINGS.into(),
         tenants,
         zones: 3,
@@ -162,7 +162,7 @@
         println!(
             "  {}  process {:<8} {}/lookup/1   administration {}",
             fleet.name(i),
-            fleet.id(i).unwrap_or(0),
+            fleet.process_id(i).unwrap_or(0),
             url(fleet.public(i)),
             url(fleet.admin(i))
         );
--- a/crates/canvascart/src/lab/hosted.rs
+++ b/crates/canvascart/src/lab/hosted.rs
@@ -24,24 +24,25 @@
 pub fn kills(kills: u64, seed: u64) -> Result<u8, String> {
     let dir = place_for("kills");
     let tick = progress("kills", false);
-    let played = service::kills::play(&own()?, kills, seed, &dir, tick);
-    let mut told = match played {
-        Ok(told) => told,
+    let result = service::crash_recovery::run(&own()?, kills, seed, &dir, tick);
+    let mut report = match result {
+        Ok(report) => report,
         Err(e) => {
-            tracing::error!(error = %e, "it could not be played");
+            tracing::error!(error = %e, "it could not be result");
             return Ok(NOT_RUN);
         }
     };
-    told.restarts_ms.sort_by(f64::total_cmp);
+    report.restarts_ms.sort_by(f64::total_cmp);
     let at = |q: f64| {
-        told.restarts_ms
-            .get((q * (told.restarts_ms.len() as f64 - 1.0)) as usize)
+        report
+            .restarts_ms
+            .get((q * (report.restarts_ms.len() as f64 - 1.0)) as usize)
             .copied()
     };
-    let [came, there] = told.under_way;
+    let [came, there] = report.in_progress;
     println!(
         "{} kills, {} changes acknowledged",
-        told.kills, told.acknowledged
+        report.kills, report.acknowledged
     );
     println!(
         "{came} kills came while a change was under way; {there} of these changes were there afterwards"
@@ -51,9 +52,12 @@
         at(0.5).unwrap_or(0.0),
         at(0.99).unwrap_or(0.0)
     );
-    println!("mixed or lost versions: {}", told.broken.len());
-    told.broken.iter().for_each(|what| println!("  {what}"));
-    if told.broken.is_empty() {
+    println!("mixed or lost versions: {}", report.violations.len());
+    report
+        .violations
+        .iter()
+        .for_each(|what| println!("  {what}"));
+    if report.violations.is_empty() {
         let _ = std::fs::remove_dir_all(&dir); // else it shows what was broken
         return Ok(0);
     }
--- a/crates/canvascart/src/lab/together.rs
+++ b/crates/canvascart/src/lab/together.rs
@@ -4,22 +4,24 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-use ::lab::service::changes::{Known, Planted, Play, Played, play};
-use ::lab::service::pace::{Fare, Row, among, in_virtual_time, single};
-use ::lab::service::recover::Play as Recover;
+use ::lab::service::change_latency::{
+    FleetCondition, Row, measure_in_virtual_time, measure_processes, measure_single,
+};
+use ::lab::service::changes::{ChangeOutcome, InjectedFault, RunOptions, RunReport, run};
+use ::lab::service::recover::RecoveryOptions;
 use cluster::rules::{PartitionPolicy, Rules};
 
 use super::hosted::{own, place_for};
 use super::{BROKEN, NOT_RUN};
 
 /// Short leases, so that a run shows many of them.
-const SHORT: &str = "lease = \"2 s\"\nchange-lease = \"1500 ms\"\ndeadline = \"8 s\"";
+const SHORT_LEASES: &str = "lease = \"2 s\"\nchange-lease = \"1500 ms\"\ndeadline = \"8 s\"";
 /// Rounds in which each way is asked.
 const ROUNDS: usize = 10;
 /// What is used without a word.
-const USUAL: &str = "lease = \"15 s\"";
+const DEFAULT_LEASE: &str = "lease = \"15 s\"";
 
-fn usual() -> Rules {
+fn default_rules() -> Rules {
     let second = 1_000_000;
     Rules {
         lease: 15 * second,
@@ -36,19 +38,19 @@
     instances: usize,
     changes: u64,
     seeds: (u64, u64),
-    at_once: usize,
-    when_cut_off: &str,
+    parallel_runs: usize,
+    partition_policy: &str,
 ) -> Result<u8, String> {
-    if !matches!(when_cut_off, "refuse" | "serve") {
+    if !matches!(partition_policy, "refuse" | "serve") {
         return Err(format!(
-            "--when-cut-off {when_cut_off}: it is refuse or serve"
+            "--when-cut-off {partition_policy}: it is refuse or serve"
         ));
     }
     let (command, dir) = (own()?, place_for("changes"));
-    let cluster = format!("{SHORT}\nwhen-cut-off = \"{when_cut_off}\"");
+    let cluster = format!("{SHORT_LEASES}\nwhen-cut-off = \"{partition_policy}\"");
     let (from, seeds) = seeds;
     let next = AtomicU64::new(from);
-    let all: Mutex<Vec<Played>> = Mutex::default();
+    let all: Mutex<Vec<RunReport>> = Mutex::default();
     let failed = AtomicU8::new(0);
     let one = || loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -56,35 +58,39 @@
             return;
         }
         let dir = dir.join(format!("seed-{seed}"));
-        let terms = Play {
+        let options = RunOptions {
             command: &command,
             instances,
             changes,
             cluster: &cluster,
             seed,
             dir: &dir,
-            planted: Planted::Nothing,
+            injected_fault: InjectedFault::None,
         };
-        let played = match play(&terms, |_| ()) {
-            Ok(played) => played,
+        let report = match run(&options, |_| ()) {
+            Ok(report) => report,
             Err(e) => {
-                tracing::error!(seed, error = %e, "it could not be played; the state is kept in {}", dir.display());
+                tracing::error!(seed, error = %e, "it could not be report; the state is kept in {}", dir.display());
                 return failed.store(NOT_RUN, Ordering::Relaxed);
             }
         };
-        let count =
-            |of: fn(&Known) -> bool| played.changes.values().flatten().filter(|k| of(k)).count();
+        let count = |of: fn(&ChangeOutcome) -> bool| {
+            report.changes.values().flatten().filter(|k| of(k)).count()
+        };
         println!(
             "seed {seed}: {} done, {} given up, {} not known; {} faults, {} decisions, {} broken",
-            count(|k| matches!(k, Known::Done(_))),
-            count(|k| *k == Known::GivenUp),
-            count(|k| *k == Known::Unknown),
-            played.faults,
-            played.decisions,
-            played.broken.len(),
+            count(|k| matches!(k, ChangeOutcome::Acknowledged(_))),
+            count(|k| *k == ChangeOutcome::Abandoned),
+            count(|k| *k == ChangeOutcome::Unknown),
+            report.faults,
+            report.decisions,
+            report.violations.len(),
         );
-        played.broken.iter().for_each(|what| println!("  {what}"));
-        if played.broken.is_empty() {
+        report
+            .violations
+            .iter()
+            .for_each(|what| println!("  {what}"));
+        if report.violations.is_empty() {
             let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
         } else {
             println!("the state is kept in {}", dir.display());
@@ -92,9 +98,9 @@
         }
         all.lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(played);
+            .push(report);
     };
-    thread::scope(|threads| (0..at_once.clamp(1, 16)).for_each(|_| _ = threads.spawn(one)));
+    thread::scope(|threads| (0..parallel_runs.clamp(1, 16)).for_each(|_| _ = threads.spawn(one)));
     if failed.load(Ordering::Relaxed) != 0 {
         return Ok(failed.load(Ordering::Relaxed));
     }
@@ -103,7 +109,7 @@
     let mut ms: Vec<f64> = known
         .clone()
         .filter_map(|k| match k {
-            Known::Done(took) => Some(took.as_secs_f64() * 1000.0),
+            ChangeOutcome::Acknowledged(took) => Some(took.as_secs_f64() * 1000.0),
             _ => None,
         })
         .collect();
@@ -113,14 +119,14 @@
             .copied()
             .unwrap_or(f64::NAN)
     };
-    let seen = all.iter().flat_map(|p| &p.seen);
-    let sums = seen.fold([0, 0, 0], |[s, r, u], c| {
-        [s + c.served, r + c.refused, u + c.unanswered]
+    let client_counts = all.iter().flat_map(|p| &p.client_counts);
+    let sums = client_counts.fold([0, 0, 0], |[s, r, u], c| {
+        [s + c.served, r + c.rejected, u + c.unanswered]
     });
-    let count = |of: fn(&Known) -> bool| known.clone().filter(|k| of(k)).count();
+    let count = |of: fn(&ChangeOutcome) -> bool| known.clone().filter(|k| of(k)).count();
     let (given_up, unknown) = (
-        count(|k| *k == Known::GivenUp),
-        count(|k| *k == Known::Unknown),
+        count(|k| *k == ChangeOutcome::Abandoned),
+        count(|k| *k == ChangeOutcome::Unknown),
     );
     let (faults, decisions) = (
         all.iter().map(|p| p.faults).sum::<u64>(),
@@ -143,59 +149,59 @@
     Ok(0)
 }
 
-fn tell(row: &Row) {
+fn print_row(row: &Row) {
     let idle = row
         .idle
         .map_or("-".into(), |[l, b]| format!("{l:.1} / {b:.0}"));
     println!(
         "| {} | {} | {:.1} | {:.1} | {:.1} | {} | {} | {idle} |",
-        row.what,
-        row.fare,
+        row.label,
+        row.condition,
         row.first_ms,
-        row.at(0.5),
-        row.at(0.99),
+        row.latency_ms(0.5),
+        row.latency_ms(0.99),
         row.requests[0],
         row.requests[1],
     );
-    row.broken.iter().for_each(|b| println!("BROKEN: {b}"));
+    row.violations.iter().for_each(|b| println!("BROKEN: {b}"));
 }
 
 /// How long changes take.
-pub fn pace(sizes: &[usize], in_virtual: Option<usize>, changes: u64) -> Result<u8, String> {
+pub fn pace(sizes: &[usize], virtual_instances: Option<usize>, changes: u64) -> Result<u8, String> {
     let (command, dir) = (own()?, place_for("pace"));
     println!(
         "| what | state | first ms | p50 ms | p99 ms | served | refused | idle messages / bytes a second |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut broken = false;
-    let mut rows = vec![single(&command, changes, &dir).map_err(|e| e.to_string())];
-    rows.iter().flatten().for_each(tell);
+    let mut violated = false;
+    let mut rows = vec![measure_single(&command, changes, &dir).map_err(|e| e.to_string())];
+    rows.iter().flatten().for_each(print_row);
     for instances in sizes {
-        for fare in Fare::ALL {
-            let terms = Play {
+        for condition in FleetCondition::ALL {
+            let options = RunOptions {
                 command: &command,
                 instances: *instances,
                 changes,
-                cluster: USUAL,
+                cluster: DEFAULT_LEASE,
                 seed: 1,
                 dir: &dir,
-                planted: Planted::Nothing,
+                injected_fault: InjectedFault::None,
             };
-            let row = among(&terms, fare).map_err(|e| e.to_string());
-            row.iter().for_each(tell);
+            let row = measure_processes(&options, condition).map_err(|e| e.to_string());
+            row.iter().for_each(print_row);
             rows.push(row);
         }
     }
-    if let Some(instances) = in_virtual {
-        for fare in Fare::ALL {
-            let row = in_virtual_time(instances, fare, changes, &usual(), 1);
-            row.iter().for_each(tell);
+    if let Some(instances) = virtual_instances {
+        for condition in FleetCondition::ALL {
+            let row = measure_in_virtual_time(instances, condition, changes, &default_rules(), 1);
+            row.iter().for_each(print_row);
             rows.push(row);
         }
     }
     for row in rows {
         match row {
-            Ok(row) => broken |= !row.broken.is_empty(),
+            Ok(row) => violated |= !row.violations.is_empty(),
             Err(e) => {
                 tracing::error!(error = e, "it could not be measured");
                 return Ok(NOT_RUN);
@@ -203,7 +209,7 @@
         }
     }
     let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
-    Ok(if broken { BROKEN } else { 0 })
+    Ok(if violated { BROKEN } else { 0 })
 }
 
 /// What a request costs.
@@ -213,16 +219,16 @@
         "| what | requests | p50 us | p99 us | CPU us a request (standard deviation of rounds) |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    match ::lab::service::cost::cost(&command, ROUNDS, &dir) {
+    match ::lab::service::cost::measure(&command, ROUNDS, &dir) {
         Ok(costs) => {
             for c in costs {
-                let (cpu, spread) = c.cpu();
+                let (cpu, spread) = c.mean_cpu_us();
                 println!(
                     "| {} | {} | {:.0} | {:.0} | {cpu:.1} ({spread:.1}) |",
-                    c.what,
-                    c.us.len(),
-                    c.at(0.5),
-                    c.at(0.99)
+                    c.label,
+                    c.latencies_us.len(),
+                    c.latency_us(0.5),
+                    c.latency_us(0.99)
                 );
             }
         }
@@ -248,7 +254,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for seed in 1..=seeds {
         let dir = dir.join(format!("seed-{seed}"));
-        let r = match ::lab::service::recover::recover(&Recover {
+        let r = match ::lab::service::recover::recover(&RecoveryOptions {
             command: &command,
             instances,
             killed,
@@ -257,7 +263,7 @@
         }) {
             Ok(r) => r,
             Err(e) => {
-                tracing::error!(seed, error = %e, "it could not be played; the state is kept in {}", dir.display());
+                tracing::error!(seed, error = %e, "it could not be report; the state is kept in {}", dir.display());
                 return Ok(NOT_RUN);
             }
         };
@@ -271,14 +277,14 @@
             r.survivors,
             r.connections.0,
             r.connections.1,
-            r.in_hand.0,
-            r.in_hand.1,
-            r.refused,
-            r.lost,
+            r.in_flight.0,
+            r.in_flight.1,
+            r.rejected,
+            r.unanswered,
             phases.join(", ")
         );
-        if !r.broken.is_empty() {
-            r.broken.iter().for_each(|b| println!("BROKEN: {b}"));
+        if !r.violations.is_empty() {
+            r.violations.iter().for_each(|b| println!("BROKEN: {b}"));
             return Ok(BROKEN);
         }
     }
--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -6,8 +6,11 @@
 use std::time::{Duration, Instant};
 
 use lab::net::Mode;
-use lab::service::Line;
-use lab::service::changes::{Known, Ledger, Planted, Play, judge, now, play, server};
+use lab::service::HttpConnection;
+use lab::service::changes::{
+    ChangeOutcome, DecisionLog, InjectedFault, RunOptions, boot_clock_us, find_version_regressions,
+    run, start_server,
+};
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
 use together::{Directory, SOON, command, fleet, limit, set, settled_voters, voters};
@@ -81,20 +84,23 @@
 fn a_drain_ends_new_work_within_a_second_though_the_change_has_to_wait() {
     let directory = Directory::new();
     let fleet = fleet(&directory, 5, SOON);
-    let old = Ledger::default();
-    let (first, second) = (server(&old).unwrap(), server(&Ledger::default()).unwrap());
+    let old = DecisionLog::default();
+    let (first, second) = (
+        start_server(&old).unwrap(),
+        start_server(&DecisionLog::default()).unwrap(),
+    );
     for (name, at) in [("old", first), ("new", second)] {
         let body =
             json!({ "name": name, "address": at.to_string(), "size": 8, "warm": true }).to_string();
         let target = format!("/v1/tenants/a/servers/{name}");
         let (status, said) = fleet
-            .line(0)
+            .admin_connection(0)
             .unwrap()
             .call("PUT", &target, "If-Match: *\r\n", &body)
             .unwrap();
         let (status, said) = match status {
             412 => fleet
-                .line(0)
+                .admin_connection(0)
                 .unwrap()
                 .call("PUT", &target, "", &body)
                 .unwrap(),
@@ -110,15 +116,15 @@
     let still = (0..5).find(|i| *i != leader).unwrap();
     let asks = |fleet: &Fleet| {
         for i in (0..5).filter(|i| *i != still) {
-            let mut line = Line::new(fleet.public(i).unwrap(), "X-Tenant-Id: a\r\n");
+            let mut line = HttpConnection::new(fleet.public(i).unwrap(), "X-Tenant-Id: a\r\n");
             (0..20).for_each(|_| assert_eq!(line.call("GET", "/lookup/1", "", "").unwrap().0, 200));
         }
     };
     asks(&fleet);
     assert!(!old.sorted().is_empty(), "it takes work");
     fleet.pause(still, true);
-    let mut line = fleet.line(leader).unwrap();
-    let (asked, told) = (now(), std::time::Instant::now());
+    let mut line = fleet.admin_connection(leader).unwrap();
+    let (asked, told) = (boot_clock_us(), std::time::Instant::now());
     let drains = std::thread::spawn(move || {
         let called = line
             .call(
@@ -155,7 +161,7 @@
     let others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
     // One is not heard, so that the change waits for its lease; then the one that leads goes.
     (0..5).for_each(|to| fleet.link(others[0], to, Mode::Hold));
-    let mut line = fleet.line(others[1]).unwrap();
+    let mut line = fleet.admin_connection(others[1]).unwrap();
     let asked = std::thread::spawn(move || {
         let body = json!({ "in-flight": 2001 }).to_string();
         line.call(
@@ -180,7 +186,7 @@
     fleet.start(leader).unwrap();
     fleet.ready().unwrap();
     let versions = fleet
-        .line(leader)
+        .admin_connection(leader)
         .unwrap()
         .json("GET", "/v1/versions", "", &Value::Null)
         .unwrap();
@@ -200,7 +206,7 @@
     let mut others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
     others.sort_by_key(|i| votes.contains(i)); // one without a vote is held back, so that another can lead
     fleet.isolate(others[0], Mode::Hold);
-    let mut line = fleet.line(others[1]).unwrap();
+    let mut line = fleet.admin_connection(others[1]).unwrap();
     let first = std::thread::spawn(move || {
         line.call(
             "PUT",
@@ -243,7 +249,7 @@
     let first = fleet.leader().unwrap();
     let other = (0..5).find(|i| *i != first).unwrap();
     fleet.isolate(first, Mode::Cut);
-    let mut line = fleet.line(first).unwrap();
+    let mut line = fleet.admin_connection(first).unwrap();
     let asked = std::thread::spawn(move || {
         line.call(
             "PUT",
@@ -273,10 +279,10 @@
     let body = json!({ "to": fleet.name(first) }).to_string();
     fleet
         .wait("it leads again", |f| {
-            let _ = f
-                .line(other)
-                .unwrap()
-                .call("POST", "/v1/cluster/step-down", "", &body); // until it has caught up
+            let _ =
+                f.admin_connection(other)
+                    .unwrap()
+                    .call("POST", "/v1/cluster/step-down", "", &body); // until it has caught up
             f.leader() == Some(first)
         })
         .unwrap_or_else(|e| panic!("{e}: {}", fleet.status(other).unwrap()));
@@ -300,7 +306,7 @@
         }
     };
     links(Mode::Cut);
-    let mut line = fleet.line(leader).unwrap();
+    let mut line = fleet.admin_connection(leader).unwrap();
     let asked = std::thread::spawn(move || {
         line.call(
             "PUT",
@@ -332,7 +338,7 @@
         "and so came after"
     );
     let versions = fleet
-        .line(few[0])
+        .admin_connection(few[0])
         .unwrap()
         .json("GET", "/v1/versions", "", &Value::Null)
         .unwrap();
@@ -357,7 +363,7 @@
         text.replacen("[[listener]]", &format!("{more}[[listener]]"), 1),
     )
     .unwrap();
-    let id = fleet.id(lags).unwrap().to_string();
+    let id = fleet.process_id(lags).unwrap().to_string();
     assert!(
         Command::new("kill")
             .args(["-s", "HUP", &id])
@@ -377,7 +383,7 @@
     let log = fleet.log(lags);
     assert!(log.contains("restored from snapshot"), "{log}");
     let figures = fleet
-        .line(lags)
+        .admin_connection(lags)
         .unwrap()
         .call("GET", "/v1/figures", "", "")
         .unwrap();
@@ -395,7 +401,9 @@
     let fleet = fleet(&directory, 5, SOON);
     let leader = fleet.leader().unwrap();
     let slow = voters(&fleet).into_iter().find(|i| *i != leader).unwrap();
-    fleet.fail(slow, "cluster-log=sleep(2000)").unwrap();
+    fleet
+        .set_failpoints(slow, "cluster-log=sleep(2000)")
+        .unwrap();
     for n in 2001..2004 {
         let began = Instant::now();
         assert_eq!(set(&fleet, leader, n, "").0, 200);
@@ -405,7 +413,7 @@
             began.elapsed()
         );
     }
-    fleet.fail(slow, "").unwrap();
+    fleet.set_failpoints(slow, "").unwrap();
     fleet.ready().unwrap();
     assert_eq!(limit(&fleet, slow), 2003);
 }
@@ -416,7 +424,9 @@
     let directory = Directory::new();
     let fleet = fleet(&directory, 5, SOON);
     let leader = fleet.leader().unwrap();
-    fleet.fail(leader, "agreed-form=return(2)").unwrap();
+    fleet
+        .set_failpoints(leader, "agreed-form=return(2)")
+        .unwrap();
     let (status, body) = set(&fleet, leader, 2001, "");
     assert_eq!(
         (status, body["type"].as_str()),
@@ -432,7 +442,7 @@
         "{detail}"
     );
     // The same call of one that writes what all can read.
-    fleet.fail(leader, "").unwrap();
+    fleet.set_failpoints(leader, "").unwrap();
     assert_eq!(set(&fleet, older, 2001, "").0, 200);
     assert!((0..5).all(|i| limit(&fleet, i) == 2001));
 }
@@ -441,29 +451,29 @@
 #[cfg(feature = "failpoints")]
 fn judged(fault: &str, cut: bool) -> usize {
     let directory = Directory::new();
-    let ledger = Ledger::default();
-    let (command, at) = (command(), server(&ledger).unwrap());
-    let terms = Play {
+    let ledger = DecisionLog::default();
+    let (command, at) = (command(), start_server(&ledger).unwrap());
+    let terms = RunOptions {
         command: &command,
         instances: 5,
         changes: 0,
         cluster: SOON,
         seed: 1,
         dir: &directory.0,
-        planted: Planted::Nothing,
+        injected_fault: InjectedFault::None,
     };
-    let fleet = lab::service::changes::begin(&terms, at).unwrap();
+    let fleet = lab::service::changes::start_fleet(&terms, at).unwrap();
     let leader = fleet.leader().unwrap();
     let wrong = (0..5).find(|i| *i != leader).unwrap();
     if !fault.is_empty() {
-        fleet.fail(wrong, fault).unwrap();
+        fleet.set_failpoints(wrong, fault).unwrap();
     }
     let ends = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|threads| {
         for i in [leader, wrong] {
             let (to, ends) = (fleet.public(i).unwrap(), &ends);
             threads.spawn(move || {
-                let mut line = Line::new(to, "X-Tenant-Id: a\r\n");
+                let mut line = HttpConnection::new(to, "X-Tenant-Id: a\r\n");
                 while !ends.load(std::sync::atomic::Ordering::Relaxed) {
                     let _ = line.call("GET", "/lookup/1", "", ""); // the server notes what it was decided under
                     std::thread::sleep(Duration::from_millis(1));
@@ -477,7 +487,7 @@
         std::thread::sleep(Duration::from_millis(600));
         ends.store(true, std::sync::atomic::Ordering::Relaxed);
     });
-    judge(&ledger.sorted()).len()
+    find_version_regressions(&ledger.sorted()).len()
 }
 
 #[test]
@@ -546,7 +556,7 @@
     let target = format!("/v1/cluster/members/{}", fleet.name(lost));
     fleet.isolate(lost, Mode::Cut);
     let (status, _) = fleet
-        .line(leader)
+        .admin_connection(leader)
         .unwrap()
         .call("DELETE", &target, "", "")
         .unwrap();
@@ -574,21 +584,21 @@
 #[test]
 fn under_faults_by_chance_no_change_is_half_taken_and_the_judge_sees_one_that_is() {
     let (directory, command) = (Directory::new(), command());
-    let mut terms = Play {
+    let mut terms = RunOptions {
         command: &command,
         instances: 5,
         changes: 8,
         cluster: SOON,
         seed: 5,
         dir: &directory.0,
-        planted: Planted::Nothing,
+        injected_fault: InjectedFault::None,
     };
-    let played = play(&terms, |_| ()).unwrap();
-    assert_eq!(played.broken, Vec::<String>::new());
+    let played = run(&terms, |_| ()).unwrap();
+    assert_eq!(played.violations, Vec::<String>::new());
     let done = played
         .changes
         .values()
-        .filter(|k| matches!(k, Some(Known::Done(_))))
+        .filter(|k| matches!(k, Some(ChangeOutcome::Acknowledged(_))))
         .count();
     assert!(
         done >= 4 && played.decisions > 1000,
@@ -597,13 +607,13 @@
         played.decisions
     );
     terms.changes = 3;
-    terms.planted = Planted::LateDecisions;
-    let played = play(&terms, |_| ()).unwrap();
+    terms.injected_fault = InjectedFault::LateDecisions;
+    let played = run(&terms, |_| ()).unwrap();
     assert!(
-        played.broken.iter().any(|b| b.contains("after")),
+        played.violations.iter().any(|b| b.contains("after")),
         "{played:?}"
     );
-    assert!(judge(&[]).is_empty());
+    assert!(find_version_regressions(&[]).is_empty());
 }
 
 #[test]
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -7,15 +7,15 @@
 use etcd::api::PutRequest;
 use etcd_fake::{FakeEtcd, NetworkState};
 use lab::net::Mode;
-use lab::service::Line;
-use lab::service::changes::{Ledger, server};
-use lab::service::fleet::{Fleet, Terms};
+use lab::service::HttpConnection;
+use lab::service::changes::{DecisionLog, start_server};
+use lab::service::fleet::{Fleet, FleetSettings};
 use serde_json::Value;
 use together::{Directory, SOON, command};
 
 /// Five instances with a tenant whose servers stand in the policy, and one whose list is followed in etcd.
 fn start(directory: &Directory, etcd: &FakeEtcd, cluster: &str) -> Fleet {
-    let at = server(&Ledger::default()).unwrap();
+    let at = start_server(&DecisionLog::default()).unwrap();
     let class = "[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 ms\"\ndeadline = \"2 s\"\n";
     let members: Vec<String> = etcd.endpoints().iter().map(|e| format!("{e:?}")).collect();
     let tenants = format!(
@@ -23,7 +23,7 @@
          [[tenant]]\nname = \"b\"\nfleet = {{ etcd = [{}] }}\n{class}",
         members.join(", ")
     );
-    let terms = Terms {
+    let terms = FleetSettings {
         cluster: format!("{SOON}\n{cluster}"),
         tenants,
         zones: 3,
@@ -60,7 +60,7 @@
 
 fn told(fleet: &Fleet, i: usize) -> Value {
     fleet
-        .line(i)
+        .admin_connection(i)
         .unwrap()
         .json("GET", "/v1/cluster/recovery", "", &Value::Null)
         .unwrap()["start"]
@@ -70,13 +70,13 @@
 /// Whether an instance is in a phase, as it says; one that does not know the token yet says nothing.
 fn is_at(fleet: &Fleet, i: usize, phase: &str) -> bool {
     let told = fleet
-        .line(i)
+        .admin_connection(i)
         .and_then(|mut l| l.json("GET", "/v1/cluster/recovery", "", &Value::Null));
     told.is_ok_and(|t| t["start"]["phase"] == phase)
 }
 
 fn asks(fleet: &Fleet, i: usize, tenant: &str) -> u16 {
-    let mut line = Line::new(
+    let mut line = HttpConnection::new(
         fleet.public(i).unwrap(),
         &format!("X-Tenant-Id: {tenant}\r\n"),
     );
--- a/crates/canvascart/tests/together/mod.rs
+++ b/crates/canvascart/tests/together/mod.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use lab::service::changes::{Ledger, Planted, Play, begin, server};
+use lab::service::changes::{DecisionLog, InjectedFault, RunOptions, start_fleet, start_server};
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
 
@@ -35,18 +35,18 @@
 }
 
 pub fn fleet(directory: &Directory, instances: usize, cluster: &str) -> Fleet {
-    let at = server(&Ledger::default()).unwrap();
+    let at = start_server(&DecisionLog::default()).unwrap();
     let command = command();
-    let play = Play {
+    let options = RunOptions {
         command: &command,
         instances,
         changes: 0,
         cluster,
         seed: 1,
         dir: &directory.0,
-        planted: Planted::Nothing,
+        injected_fault: InjectedFault::None,
     };
-    begin(&play, at).unwrap()
+    start_fleet(&options, at).unwrap()
 }
 
 /// Sets the tenant's limit at an instance; the status and the body.
@@ -54,7 +54,7 @@
     let body = json!({ "in-flight": n }).to_string();
     let more = format!("If-Match: *\r\n{more}");
     let (status, body) = fleet
-        .line(i)
+        .admin_connection(i)
         .unwrap()
         .call("PUT", "/v1/tenants/a/limits", &more, &body)
         .unwrap();
@@ -63,7 +63,7 @@
 
 pub fn limit(fleet: &Fleet, i: usize) -> u64 {
     let limits = fleet
-        .line(i)
+        .admin_connection(i)
         .unwrap()
         .json("GET", "/v1/tenants/a/limits", "", &Value::Null)
         .unwrap();
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -17,7 +17,7 @@
 
 use super::hollow::{Group, Kinds, Look, One, Order, Reply, Spec};
 use super::{Point, Sweep, target};
-use crate::service::changes::{self, Ledger};
+use crate::service::changes::{self, DecisionLog};
 use crate::service::fleet::Fleet;
 
 /// Members with a vote.
@@ -1063,23 +1063,25 @@
     let dir = play
         .dir
         .join(format!("real-{}-{:x}", std::process::id(), drawn()));
-    let served = changes::server(&Ledger::default())?;
-    let fleet = changes::begin(
-        &changes::Play {
+    let served = changes::start_server(&DecisionLog::default())?;
+    let fleet = changes::start_fleet(
+        &changes::RunOptions {
             command: &command,
             instances: members,
             changes: 0,
             cluster: "",
             seed,
             dir: &dir,
-            planted: changes::Planted::Nothing,
+            injected_fault: changes::InjectedFault::None,
         },
         served,
     )?;
     let sent = |fleet: &Fleet| -> io::Result<Kinds> {
         let mut all = Kinds::default();
         for i in 0..members {
-            let (_, text) = fleet.line(i)?.call("GET", "/v1/figures", "", "")?;
+            let (_, text) = fleet
+                .admin_connection(i)?
+                .call("GET", "/v1/figures", "", "")?;
             add(&mut all, &kinds_in(&String::from_utf8_lossy(&text))?);
         }
         Ok(all)
@@ -1087,7 +1089,7 @@
     let leader = fleet
         .leader()
         .ok_or_else(|| io::Error::other("nobody leads"))?;
-    let mut line = fleet.line(leader)?;
+    let mut line = fleet.admin_connection(leader)?;
     let period = Duration::from_micros(play.rules.lease / 5);
     thread::sleep(2 * period);
     let (before, began) = (sent(&fleet)?, Instant::now());
--- a/crates/lab/src/capacity/servers.rs
+++ b/crates/lab/src/capacity/servers.rs
@@ -19,7 +19,7 @@
 use super::tenants::ended;
 use super::{Setting, Sweep, in_turn, target};
 use crate::service::tenants::{histogram, ms, quantiles};
-use crate::service::{Line, Place, Service};
+use crate::service::{HttpConnection, Service, ServiceFiles};
 
 /// Listeners of one process at most.
 const LISTENERS: usize = 2000;
@@ -210,9 +210,9 @@
 ) -> io::Result<()> {
     let stop = &setting.stop;
     let (_servers, addresses) = start(&setting.own, size.servers, Duration::ZERO, stop)?;
-    let place = Place::new(&setting.dir, "[process]\nserver-sockets = 30000\n")?;
+    let place = ServiceFiles::new(&setting.dir, "[process]\nserver-sockets = 30000\n")?;
     let mut service = begin(command, &place, stop)?;
-    let mut admin = service.1.line(&place)?;
+    let mut admin = service.1.admin_connection(&place)?;
     let each = size.servers.div_ceil(size.tenants());
     let all: Vec<Value> = addresses
         .chunks(each)
@@ -232,10 +232,14 @@
     ended(&mut service.1, done)
 }
 
-fn begin(command: &[String], place: &Place, stop: &Stop) -> io::Result<(Option<Watched>, Service)> {
+fn begin(
+    command: &[String],
+    place: &ServiceFiles,
+    stop: &Stop,
+) -> io::Result<(Option<Watched>, Service)> {
     stop.check()?;
     let mut watched = None;
-    let service = Service::start_seen(command, &place.config, 1, true, |id| {
+    let service = Service::start_with_process_id(command, &place.config, 1, true, |id| {
         watched = stop.watch(id)
     })?;
     Ok((watched, service))
@@ -268,7 +272,8 @@
     ) -> io::Result<(Histogram<u64>, u64)> {
         let (began, first) = (Instant::now(), self.next.load(Ordering::Relaxed));
         let one = || -> io::Result<(Histogram<u64>, u64)> {
-            let (mut seen, mut lost, mut line) = (histogram()?, 0, Line::new(self.at, ""));
+            let (mut seen, mut lost, mut line) =
+                (histogram()?, 0, HttpConnection::new(self.at, ""));
             loop {
                 let n = self.next.fetch_add(1, Ordering::Relaxed);
                 if !go_on(n - first) {
--- a/crates/lab/src/capacity/tenants.rs
+++ b/crates/lab/src/capacity/tenants.rs
@@ -17,7 +17,7 @@
 use super::{Setting, Sweep, in_turn, target};
 use crate::floods::fleet::Fleet;
 use crate::service::tenants::{Measured, document, histogram, lookups, ms, quantiles, under_load};
-use crate::service::{Line, Place, Service};
+use crate::service::{HttpConnection, Service, ServiceFiles};
 
 /// Tenants of one call that makes them.
 const BATCH: usize = 1000;
@@ -273,10 +273,10 @@
 }
 
 impl Running {
-    fn start(command: &[String], place: &Place, stop: &Stop) -> io::Result<Self> {
+    fn start(command: &[String], place: &ServiceFiles, stop: &Stop) -> io::Result<Self> {
         stop.check()?;
         let mut watched = None;
-        let service = Service::start_seen(command, &place.config, 1, true, |id| {
+        let service = Service::start_with_process_id(command, &place.config, 1, true, |id| {
             watched = stop.watch(id)
         })?;
         Ok(Running { watched, service })
@@ -291,7 +291,7 @@
 const BUSY: &str = "X-Tenant-Id: t00000\r\n";
 
 /// How long a lookup took in ms, if it was served.
-fn asked(line: &mut Line, headers: &str) -> io::Result<Option<f64>> {
+fn asked(line: &mut HttpConnection, headers: &str) -> io::Result<Option<f64>> {
     let began = Instant::now();
     match line.call("GET", "/lookup/1", headers, "")? {
         (200, _) => Ok(Some(ms(began))),
@@ -301,7 +301,7 @@
 }
 
 /// How long a process writes nothing that has written all that its last change leads to; none where that is too long to wait for.
-fn still(place: &Place) -> Option<Duration> {
+fn still(place: &ServiceFiles) -> Option<Duration> {
     let aside = std::fs::metadata(place.state.join("last-good.snapshot")).map_or(0, |m| m.len());
     Some(STILL + Duration::from_secs_f64(aside as f64 / ASIDE_RATE))
         .filter(|still| *still <= LATEST)
@@ -332,7 +332,7 @@
     figures: &mut BTreeMap<String, f64>,
 ) -> io::Result<()> {
     let behind = Behind::start(size, setting)?;
-    let place = Place::new(&setting.dir, "[process]\nserver-sockets = 8192\n")?;
+    let place = ServiceFiles::new(&setting.dir, "[process]\nserver-sockets = 8192\n")?;
     let mut running = Running::start(command, &place, &setting.stop)?;
     let done = measured(
         command,
@@ -352,7 +352,7 @@
     // A call fails a little before the system has the process's end.
     let end = Instant::now() + Duration::from_millis(200);
     loop {
-        if let Some(status) = service.ended() {
+        if let Some(status) = service.exit_status() {
             return Err(io::Error::other(format!("the service ended: {status}")));
         }
         if done.is_ok() || Instant::now() >= end {
@@ -372,7 +372,7 @@
     care: &Care,
     setting: &Setting,
     behind: &Behind,
-    place: &Place,
+    place: &ServiceFiles,
     running: &mut Running,
     figures: &mut BTreeMap<String, f64>,
 ) -> io::Result<()> {
@@ -381,7 +381,7 @@
         figures.insert(name.to_owned(), value);
     };
 
-    let mut admin = running.service.line(place)?;
+    let mut admin = running.service.admin_connection(place)?;
     let began = Instant::now();
     for batch in (0..size.tenants).collect::<Vec<_>>().chunks(BATCH) {
         stop.check()?;
@@ -401,7 +401,7 @@
     let id = running.service.id();
     put("start to ready, ms", ms(began));
     let ready = Instant::now();
-    let mut line = Line::new(running.public()?, BUSY);
+    let mut line = HttpConnection::new(running.public()?, BUSY);
     let mut refused = 0.0;
     while asked(&mut line, "")?.is_none() {
         refused += 1.0;
@@ -435,7 +435,7 @@
     );
     put("memory at rest, MiB", process::memory(id)?.resident);
 
-    let mut admin = running.service.line(place)?;
+    let mut admin = running.service.admin_connection(place)?;
     let (cost, [answer, pause, without]) =
         changes(&mut admin, running, place, size.tenants, care.changes, stop)?;
     cost.iter().for_each(|(name, value)| put(name, *value));
@@ -446,7 +446,7 @@
     put("loop's pause without p50, ms", without[0]);
     put("loop's pause without, longest, ms", without[1]);
 
-    let mut admin = running.service.line(place)?; // one that is idle for long is closed
+    let mut admin = running.service.admin_connection(place)?; // one that is idle for long is closed
     let mut load = Measured::default();
     under_load(
         &mut admin,
@@ -513,9 +513,9 @@
 type Cost = (Vec<(&'static str, f64)>, [[f64; 2]; 3]);
 
 fn changes(
-    admin: &mut Line,
+    admin: &mut HttpConnection,
     running: &Running,
-    place: &Place,
+    place: &ServiceFiles,
     tenants: usize,
     many: u64,
     stop: &Stop,
@@ -523,7 +523,7 @@
     let changed = if tenants > 1 { "t00001" } else { "t00000" };
     let id = running.service.id();
     let body = json!({ "effect": "safe", "aim": "300 ms", "deadline": "1 s" });
-    let change = |admin: &mut Line, n: u64| -> io::Result<f64> {
+    let change = |admin: &mut HttpConnection, n: u64| -> io::Result<f64> {
         stop.check()?;
         // One more, and away with it: each is a change, and the state stays as it is.
         let target = format!("/v1/tenants/{changed}/classes/x{}", n / 2);
@@ -555,7 +555,7 @@
     let still = still(place);
     for (n, still) in (0..LONES).filter_map(|n| Some((n, still?))) {
         let (written, spent) = (quiet(id, still, stop)?, process::spent(id)?);
-        let mut admin = running.service.line(place)?; // one that is idle for long is closed
+        let mut admin = running.service.admin_connection(place)?; // one that is idle for long is closed
         change(&mut admin, many + n)?;
         let now = quiet(id, still, stop)?;
         lone.0 += process::spent(id)?.since(&spent).all() / LONES as f64;
@@ -579,7 +579,7 @@
         ("a change, state grows, KiB", kib(grown)),
     ]);
     // Beside a client that asks the loop all the while.
-    *admin = running.service.line(place)?; // one that is idle for long is closed
+    *admin = running.service.admin_connection(place)?; // one that is idle for long is closed
     let (told, at) = (AtomicBool::new(false), running.public()?);
     let (windows, pings) = thread::scope(|threads| {
         let pinging = threads.spawn(|| pings(at, &told));
@@ -634,7 +634,7 @@
 
 /// Asks whether the service is up, a thousand times a second where it answers in time: when each was sent, and how long it took.
 fn pings(at: SocketAddr, told: &AtomicBool) -> io::Result<Vec<(Instant, Duration)>> {
-    let mut line = Line::new(at, "");
+    let mut line = HttpConnection::new(at, "");
     let mut all = Vec::new();
     while !told.load(Ordering::Relaxed) {
         let sent = Instant::now();
@@ -657,13 +657,13 @@
     stop: &Stop,
 ) -> io::Result<([[f64; 2]; 2], u64)> {
     let many = woken.min(tenants.saturating_sub(2));
-    let mut busy = Line::new(at, BUSY);
+    let mut busy = HttpConnection::new(at, BUSY);
     let (mut first, mut beside, mut lost) = (histogram()?, histogram()?, 0);
     for n in 0..many {
         stop.check()?;
         let headers = format!("X-Tenant-Id: t{:05}\r\n", 2 + n * (tenants - 2) / many);
         // The connection is there already: it is the tenant that is asked for the first time.
-        let mut line = Line::new(at, "");
+        let mut line = HttpConnection::new(at, "");
         line.call("GET", "/up", "", "")?;
         for (line, headers, seen) in [
             (&mut line, &headers[..], &mut first),
--- a/crates/lab/src/floods/mod.rs
+++ b/crates/lab/src/floods/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::random::{Purpose, stream};
 use crate::real::http::{Connection, StartLine};
-use crate::service::{Line, Service};
+use crate::service::{HttpConnection, Service};
 use fleet::{Fleet, LARGE};
 
 /// A way to flood, and what it strains.
@@ -218,7 +218,7 @@
 
 /// Changes the quiet tenant's limits and one of its servers, again and again; returns how often.
 fn change(at: SocketAddr, token: &str, until: Instant) -> io::Result<u64> {
-    let mut line = Line::admin(at, token);
+    let mut line = HttpConnection::admin(at, token);
     let mut n = 0;
     while Instant::now() < until {
         let limits = serde_json::json!({ "in-flight": 100 + n % 10 });
--- a/crates/lab/src/followers.rs
+++ b/crates/lab/src/followers.rs
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 
 use crate::real::{cpu_seconds, resident_mb};
-use crate::service::{Line, Place, Service};
+use crate::service::{HttpConnection, Service, ServiceFiles};
 
 /// Changes that are timed with each size.
 const CHANGES: usize = 300;
@@ -268,7 +268,7 @@
          ms\"\ndeadline = \"1 s\"\n",
         endpoints.join(", ")
     );
-    let place = Place::new(dir, &tables)?;
+    let place = ServiceFiles::new(dir, &tables)?;
     let service = Service::start(command, &place.config, 1, true)?;
     let at = service
         .listeners
@@ -279,7 +279,7 @@
     let mut late = thread::scope(|threads| -> io::Result<Vec<f64>> {
         for _ in 0..8 {
             threads.spawn(|| {
-                let mut line = Line::new(at, "X-Tenant-Id: t\r\n");
+                let mut line = HttpConnection::new(at, "X-Tenant-Id: t\r\n");
                 while !stop.load(Ordering::Relaxed) {
                     let _ = line.call("GET", "/lookup/1", "", ""); // what is refused meanwhile is the module's word
                     thread::sleep(Duration::from_millis(1));
--- a/crates/lab/src/service/changes.rs
+++ b/crates/lab/src/service/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of policy among many processes, some of them broken: who decided what under which version, and what became of each
-//! change.
+//! Policy changes in a cluster of processes under faults: records which instance decided requests under which version, and the
+//! outcome of each change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead as _, BufReader, Read as _, Write as _};
@@ -14,42 +14,42 @@
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::{Value, json};
 
-use super::fleet::{Fleet, Terms};
+use super::fleet::{Fleet, FleetSettings};
 use crate::net::Mode;
 use crate::random::{Purpose, stream};
 
-/// From one request of a client to its next.
-const PACE: Duration = Duration::from_millis(4);
-/// How long a client waits.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Instances with a vote, without a word in the terms.
-const VOTERS: usize = 3;
-/// How long a change may take, from its call to its answer.
-const LONG: Duration = Duration::from_secs(60);
+/// Interval between two requests of a client.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(4);
+/// Connect and read timeout of a client.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Voting instances, unless the settings name another number.
+const DEFAULT_VOTERS: usize = 3;
+/// Time limit for all instances to show the same versions.
+const HISTORY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One decision: its moment on the machine's clock in us, the version, and who was seen to make it.
+/// A routing decision: its time on the machine's boot clock in us, the version, and the instance that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Decision {
-    /// The moment.
+    /// Time on the boot clock in us.
     pub at: u64,
-    /// The version.
+    /// The policy version that the decision used.
     pub version: u64,
-    /// The instance, where it is known.
+    /// The instance, if known.
     pub by: Option<usize>,
 }
 
-/// The machine's clock that decisions are told by, in us.
-pub fn now() -> u64 {
+/// Returns the machine's boot clock in us, which also stamps the decisions.
+pub fn boot_clock_us() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000
 }
 
-/// What was seen of all decisions, by clients and by servers.
+/// Records the decisions that clients and servers observed.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger(Arc<Mutex<Vec<Decision>>>);
+pub struct DecisionLog(Arc<Mutex<Vec<Decision>>>);
 
-impl Ledger {
-    pub(super) fn put(&self, stamp: &str, by: Option<usize>) {
+impl DecisionLog {
+    pub(super) fn record(&self, stamp: &str, by: Option<usize>) {
         let mut parts = stamp.split_whitespace().map(str::parse);
         if let (Some(Ok(version)), Some(Ok(at))) = (parts.next(), parts.next()) {
             self.0
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What was seen, by its moment.
+    /// Returns the observed decisions in order of time.
     pub fn sorted(&self) -> Vec<Decision> {
         let mut all = self
             .0
@@ -71,24 +71,24 @@
     }
 }
 
-/// Decisions under a version that were made after one under a later version, each with that one.
-pub fn judge(decisions: &[Decision]) -> Vec<(Decision, Decision)> {
+/// Finds decisions made under an older version after a decision under a newer one, each paired with the newer one.
+pub fn find_version_regressions(decisions: &[Decision]) -> Vec<(Decision, Decision)> {
     let mut newest: Option<Decision> = None;
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for decision in decisions {
         match newest {
             Some(n) if decision.version < n.version && decision.at > n.at => {
-                broken.push((*decision, n))
+                violations.push((*decision, n))
             }
             Some(n) if decision.version <= n.version => {}
             _ => newest = Some(*decision),
         }
     }
-    broken
+    violations
 }
 
-/// Reads the head of a message and its body; the value of the stamp's header, and the status.
-pub(super) fn read(from: &mut BufReader<TcpStream>) -> io::Result<(u16, Option<String>)> {
+/// Reads a message and discards its body; returns the status and the value of the decision stamp header.
+pub(super) fn read_message(from: &mut BufReader<TcpStream>) -> io::Result<(u16, Option<String>)> {
     let (mut length, mut stamp, mut status, mut first) = (0, None, 0, true);
     loop {
         let mut line = String::new();
@@ -116,11 +116,11 @@
     Ok((status, stamp))
 }
 
-/// A server that answers all at once, and notes what each request was decided under.
+/// Starts a server that responds without delay and records the version under which each request was decided.
 ///
 /// # Errors
-/// A port can't be had.
-pub fn server(ledger: &Ledger) -> io::Result<SocketAddr> {
+/// No port can be bound.
+pub fn start_server(ledger: &DecisionLog) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let ledger = ledger.clone();
@@ -128,14 +128,14 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let ledger = ledger.clone();
             thread::spawn(move || {
-                let _ = stream.set_nodelay(true); // slower without, no worse
+                let _ = stream.set_nodelay(true); // failure only adds latency
                 let mut stream = BufReader::new(stream);
-                while let Ok((_, stamp)) = read(&mut stream) {
-                    stamp.into_iter().for_each(|s| ledger.put(&s, None));
-                    let said = stream
+                while let Ok((_, stamp)) = read_message(&mut stream) {
+                    stamp.into_iter().for_each(|s| ledger.record(&s, None));
+                    let written = stream
                         .get_mut()
                         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-                    if said.is_err() {
+                    if written.is_err() {
                         return;
                     }
                 }
@@ -145,24 +145,29 @@
     Ok(address)
 }
 
-/// What clients of an instance saw.
+/// Responses that the client of an instance received.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    /// Requests that were served, refused, and not answered.
+pub struct ClientCounts {
+    /// Requests that were served.
     pub served: u64,
-    /// As above.
-    pub refused: u64,
-    /// As above.
+    /// Requests that were rejected.
+    pub rejected: u64,
+    /// Requests without a response.
     pub unanswered: u64,
 }
 
-/// A client of one instance, until it is told to end.
-pub(super) fn client(fleet: &Mutex<Fleet>, i: usize, ledger: &Ledger, end: &AtomicBool) -> Seen {
-    let mut seen = Seen::default();
+/// Sends requests to one instance until `end` is set.
+pub(super) fn run_client(
+    fleet: &Mutex<Fleet>,
+    i: usize,
+    ledger: &DecisionLog,
+    end: &AtomicBool,
+) -> ClientCounts {
+    let mut client_counts = ClientCounts::default();
     let mut connection: Option<BufReader<TcpStream>> = None;
     let mut at = None;
     while !end.load(Ordering::Relaxed) {
-        thread::sleep(PACE);
+        thread::sleep(REQUEST_INTERVAL);
         if connection.is_none() {
             at = fleet
                 .lock()
@@ -173,8 +178,8 @@
         let ask =
             |connection: &mut Option<BufReader<TcpStream>>| -> io::Result<(u16, Option<String>)> {
                 if connection.is_none() {
-                    let stream = TcpStream::connect_timeout(&to, PATIENCE)?;
-                    stream.set_read_timeout(Some(PATIENCE))?;
+                    let stream = TcpStream::connect_timeout(&to, CLIENT_TIMEOUT)?;
+                    stream.set_read_timeout(Some(CLIENT_TIMEOUT))?;
                     stream.set_nodelay(true)?;
                     *connection = Some(BufReader::new(stream));
                 }
@@ -184,29 +189,29 @@
                 stream
                     .get_mut()
                     .write_all(b"GET /lookup/1 HTTP/1.1\r\nHost: lab\r\nX-Tenant-Id: a\r\n\r\n")?;
-                read(stream)
+                read_message(stream)
             };
         match ask(&mut connection) {
             Ok((status, stamp)) => {
                 if let Some(stamp) = stamp {
-                    ledger.put(&stamp, Some(i));
+                    ledger.record(&stamp, Some(i));
                 }
                 if status == 200 {
-                    seen.served += 1
+                    client_counts.served += 1
                 } else {
-                    seen.refused += 1
+                    client_counts.rejected += 1
                 }
             }
             Err(_) => {
                 connection = None;
-                seen.unanswered += 1;
+                client_counts.unanswered += 1;
             }
         }
     }
-    seen
+    client_counts
 }
 
-/// The tables of the one tenant that is changed.
+/// Returns the document of the tenant that is changed.
 fn tenant(server: SocketAddr, n: u64) -> Value {
     json!({
         "name": "a",
@@ -216,61 +221,61 @@
     })
 }
 
-/// What became of a change, as whoever asked for it knows.
+/// Outcome of a change, as known to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
-    /// It was acknowledged, after so long.
-    Done(Duration),
-    /// It was given up everywhere, or turned down.
-    GivenUp,
-    /// No answer told.
+pub enum ChangeOutcome {
+    /// It was acknowledged after this time.
+    Acknowledged(Duration),
+    /// It was abandoned by the cluster or rejected.
+    Abandoned,
+    /// No response says whether it took effect.
     Unknown,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug, Default)]
-pub struct Played {
-    /// What became of each change, by its number.
-    pub changes: BTreeMap<u64, Option<Known>>,
-    /// What should not have been.
-    pub broken: Vec<String>,
-    /// Decisions that were looked at.
+pub struct RunReport {
+    /// Outcome of each change, by its number.
+    pub changes: BTreeMap<u64, Option<ChangeOutcome>>,
+    /// Violations of the expected behaviour.
+    pub violations: Vec<String>,
+    /// Number of decisions checked.
     pub decisions: usize,
-    /// What clients saw.
-    pub seen: Vec<Seen>,
-    /// What was done to the fleet.
+    /// Responses received by the client of each instance.
+    pub client_counts: Vec<ClientCounts>,
+    /// Number of injected faults.
     pub faults: u64,
 }
 
-/// A fault that is planted, to see the judge notice.
+/// A fault injected into the records, to test that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// None.
-    Nothing,
-    /// Decisions are told as if those of one instance came late: as one would whose lease is not looked at.
+pub enum InjectedFault {
+    /// No fault.
+    None,
+    /// Delays the recorded decisions of one instance by 200 ms, as if the instance ignored the end of its lease.
     LateDecisions,
 }
 
-/// How a run is played.
-pub struct Play<'a> {
-    /// Takes the arguments of `canvascart`.
+/// Options of a run.
+pub struct RunOptions<'a> {
+    /// Command that accepts the arguments of `canvascart`.
     pub command: &'a [String],
-    /// How many instances.
+    /// Number of instances.
     pub instances: usize,
-    /// How many changes are asked for.
+    /// Number of requested changes.
     pub changes: u64,
     /// Lines of `[cluster]`.
     pub cluster: &'a str,
-    /// What chance is drawn from.
+    /// Random seed.
     pub seed: u64,
-    /// Where files go.
+    /// Directory for files.
     pub dir: &'a Path,
-    /// A planted fault.
-    pub planted: Planted,
+    /// Fault injected into the records.
+    pub injected_fault: InjectedFault,
 }
 
-/// The one tenant, as a configuration has it.
-pub(super) fn tables(server: SocketAddr) -> String {
+/// Returns the configuration tables of the tenant.
+pub(super) fn tenant_tables(server: SocketAddr) -> String {
     format!(
         "[[tenant]]\nname = \"a\"\n[tenant.limits]\nin-flight = 1000\n[[tenant.class]]\nname = \"lookup\"\neffect = \
          \"safe\"\naim = \"500 ms\"\ndeadline = \"2 s\"\n[[tenant.server]]\nname = \"s\"\naddress = \"{server}\"\nsize = \
@@ -278,28 +283,28 @@
     )
 }
 
-/// A change, as the API takes it.
-pub(super) fn body(server: SocketAddr, n: u64) -> String {
+/// Returns the request body of a change.
+pub(super) fn change_body(server: SocketAddr, n: u64) -> String {
     json!({ "tenant": [tenant(server, n)] }).to_string()
 }
 
-/// Starts a fleet that takes requests; its one tenant has a server of the lab's.
+/// Starts a fleet and waits until it accepts requests; its only tenant has one server of the lab.
 ///
 /// # Errors
-/// It does not come up.
-pub fn begin(play: &Play, server: SocketAddr) -> io::Result<Fleet> {
-    let tenants = tables(server);
-    let terms = Terms {
-        cluster: play.cluster.into(),
+/// The fleet does not start.
+pub fn start_fleet(options: &RunOptions, server: SocketAddr) -> io::Result<Fleet> {
+    let tenants = tenant_tables(server);
+    let settings = FleetSettings {
+        cluster: options.cluster.into(),
         tenants,
         zones: 3,
     };
-    let mut fleet = Fleet::new(play.command, play.instances, &terms, play.dir)?;
-    for i in 0..play.instances {
+    let mut fleet = Fleet::new(options.command, options.instances, &settings, options.dir)?;
+    for i in 0..options.instances {
         fleet.start(i)?;
     }
     fleet.ready()?;
-    // As many have a vote as will, so that what is broken next finds the cluster whole.
+    // Waits for the final number of voters, so that the first fault meets a complete cluster.
     let votes = |f: &Fleet| -> Option<usize> {
         let status = f.status(0).ok()?;
         Some(
@@ -310,93 +315,96 @@
                 .count(),
         )
     };
-    fleet.wait("those who vote", |f| {
-        votes(f).is_some_and(|n| n == VOTERS.min(play.instances))
+    fleet.wait("the voters", |f| {
+        votes(f).is_some_and(|n| n == DEFAULT_VOTERS.min(options.instances))
     })?;
     Ok(fleet)
 }
 
-/// Asks for a change at an instance.
-fn change(fleet: &Mutex<Fleet>, i: usize, server: SocketAddr, n: u64) -> Known {
-    let line = fleet.lock().unwrap_or_else(PoisonError::into_inner).line(i);
-    let Ok(mut line) = line else {
-        return Known::Unknown;
+/// Requests a change from an instance.
+fn apply_change(fleet: &Mutex<Fleet>, i: usize, server: SocketAddr, n: u64) -> ChangeOutcome {
+    let connection = fleet
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .admin_connection(i);
+    let Ok(mut connection) = connection else {
+        return ChangeOutcome::Unknown;
     };
     let began = Instant::now();
-    let body = body(server, n);
+    let body = change_body(server, n);
     let key = format!("Idempotency-Key: change-{n}\r\n");
-    match line.call("POST", "/v1/apply", &key, &body) {
-        Ok((200..300, _)) => Known::Done(began.elapsed()),
-        Ok((409 | 412 | 422, _)) => Known::GivenUp,
+    match connection.call("POST", "/v1/apply", &key, &body) {
+        Ok((200..300, _)) => ChangeOutcome::Acknowledged(began.elapsed()),
+        Ok((409 | 412 | 422, _)) => ChangeOutcome::Abandoned,
         other => {
             let what =
-                other.map(|(status, said)| format!("{status}: {}", String::from_utf8_lossy(&said)));
+                other.map(|(status, text)| format!("{status}: {}", String::from_utf8_lossy(&text)));
             tracing::info!(
                 n,
                 instance = i,
                 ?what,
                 ms = began.elapsed().as_millis() as u64,
-                "a change has no known end"
+                "the outcome of a change is unknown"
             );
-            Known::Unknown
+            ChangeOutcome::Unknown
         }
     }
 }
 
-/// The number that an instance's API shows.
-fn shown(fleet: &Mutex<Fleet>, i: usize) -> Option<u64> {
-    let mut line = fleet
+/// Returns the number of the latest change that an instance's API shows.
+fn shown_change(fleet: &Mutex<Fleet>, i: usize) -> Option<u64> {
+    let mut connection = fleet
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .line(i)
+        .admin_connection(i)
         .ok()?;
-    let limits = line
+    let limits = connection
         .json("GET", "/v1/tenants/a/limits", "", &Value::Null)
         .ok()?;
     limits["in-flight"].as_u64()?.checked_sub(1000)
 }
 
-/// Plays changes under faults by chance.
+/// Runs changes under random faults.
 ///
 /// # Errors
-/// The fleet can't be started, or does not come back.
-pub fn play(play: &Play, mut tick: impl FnMut(f64)) -> io::Result<Played> {
-    let ledger = Ledger::default();
-    let server = server(&ledger)?;
-    let fleet = Mutex::new(begin(play, server)?);
+/// The fleet does not start, or does not recover.
+pub fn run(options: &RunOptions, mut on_progress: impl FnMut(f64)) -> io::Result<RunReport> {
+    let ledger = DecisionLog::default();
+    let server = start_server(&ledger)?;
+    let fleet = Mutex::new(start_fleet(options, server)?);
     let end = AtomicBool::new(false);
-    let mut played = Played::default();
+    let mut report = RunReport::default();
     let outcome: io::Result<()> = thread::scope(|threads| {
-        let clients: Vec<_> = (0..play.instances)
+        let clients: Vec<_> = (0..options.instances)
             .map(|i| {
                 threads.spawn({
                     let (f, l, e) = (&fleet, &ledger, &end);
-                    move || client(f, i, l, e)
+                    move || run_client(f, i, l, e)
                 })
             })
             .collect();
-        let changed = drive(play, &fleet, server, &mut played, &mut tick);
+        let changed = run_changes(options, &fleet, server, &mut report, &mut on_progress);
         end.store(true, Ordering::Relaxed);
-        played.seen = clients.into_iter().filter_map(|c| c.join().ok()).collect();
+        report.client_counts = clients.into_iter().filter_map(|c| c.join().ok()).collect();
         changed
     });
     outcome?;
     let mut decisions = ledger.sorted();
-    if play.planted == Planted::LateDecisions {
+    if options.injected_fault == InjectedFault::LateDecisions {
         for d in decisions.iter_mut().filter(|d| d.by == Some(0)) {
             d.at += 200_000;
         }
         decisions.sort_unstable();
     }
-    played.decisions = decisions.len();
-    for (late, newer) in judge(&decisions).into_iter().take(8) {
-        played.broken.push(format!("{late:?} after {newer:?}"));
+    report.decisions = decisions.len();
+    for (late, newer) in find_version_regressions(&decisions).into_iter().take(8) {
+        report.violations.push(format!("{late:?} after {newer:?}"));
     }
-    Ok(played)
+    Ok(report)
 }
 
-/// Breaks an instance in one of the ways that there are.
-fn hurt(fleet: &Mutex<Fleet>, i: usize, rng: &mut impl rand::Rng) {
+/// Injects one of seven faults, chosen at random, into an instance.
+fn inject_fault(fleet: &Mutex<Fleet>, i: usize, rng: &mut impl rand::Rng) {
     let mut fleet = fleet.lock().unwrap_or_else(PoisonError::into_inner);
     let count = fleet.count();
     match rng.random_range(0..7) {
@@ -404,46 +412,46 @@
         1 => fleet.pause(i, true),
         2 => fleet.isolate(i, Mode::Cut),
         3 => fleet.isolate(i, Mode::Hold),
-        4 => (0..count).for_each(|to| fleet.link(i, to, Mode::Cut)), // it hears, and is not heard
-        5 => (0..count).for_each(|from| fleet.link(from, i, Mode::Hold)), // it is heard, and does not hear
-        _ => (0..count).for_each(|to| fleet.delay(i, to, Duration::from_secs(3))), // by more than a lease
+        4 => (0..count).for_each(|to| fleet.link(i, to, Mode::Cut)), // it receives, but its messages are lost
+        5 => (0..count).for_each(|from| fleet.link(from, i, Mode::Hold)), // it sends, but receives nothing
+        _ => (0..count).for_each(|to| fleet.delay(i, to, Duration::from_secs(3))), // longer than a lease
     }
 }
 
-/// Faults and changes, one after another, and what all know in the end.
-fn drive(
-    play: &Play,
+/// Runs faults and changes in sequence, then checks the final history.
+fn run_changes(
+    options: &RunOptions,
     fleet: &Mutex<Fleet>,
     server: SocketAddr,
-    played: &mut Played,
-    tick: &mut impl FnMut(f64),
+    report: &mut RunReport,
+    on_progress: &mut impl FnMut(f64),
 ) -> io::Result<()> {
     let lock = || fleet.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut rng = stream(play.seed, Purpose::Faults);
-    let count = play.instances;
+    let mut rng = stream(options.seed, Purpose::Faults);
+    let count = options.instances;
     let mut down = BTreeSet::new();
     let mut next = 1;
-    while next <= play.changes {
-        tick(next as f64 / play.changes as f64);
-        // Mostly a third is broken at most, so that changes can take hold; now and then 70 % at once.
-        let (least, most) = if rng.random_bool(0.1) {
+    while next <= options.changes {
+        on_progress(next as f64 / options.changes as f64);
+        // Usually at most a third of the instances have a fault, so that changes can commit; in 10 % of the steps 70 % have one.
+        let (min_down, max_down) = if rng.random_bool(0.1) {
             (count * 7 / 10, count * 7 / 10)
         } else {
             (down.len() + 1, count / 3)
         };
         if rng.random_bool(0.6) {
-            while down.len() < least.min(most) {
+            while down.len() < min_down.min(max_down) {
                 let i = rng.random_range(0..count);
                 if down.insert(i) {
-                    played.faults += 1;
-                    hurt(fleet, i, &mut rng);
+                    report.faults += 1;
+                    inject_fault(fleet, i, &mut rng);
                 }
             }
         }
-        // Now and then two are asked for at once, at two instances.
-        let both = next < play.changes && rng.random_bool(0.2);
-        let asked: Vec<u64> = (next..=next + u64::from(both)).collect();
-        next += asked.len() as u64;
+        // In 20 % of the steps, two changes are requested concurrently from randomly chosen instances.
+        let concurrent = next < options.changes && rng.random_bool(0.2);
+        let requested: Vec<u64> = (next..=next + u64::from(concurrent)).collect();
+        next += requested.len() as u64;
         let healthy = |from: usize, down: &BTreeSet<usize>| {
             (0..count)
                 .cycle()
@@ -452,90 +460,102 @@
                 .find(|i| !down.contains(i))
                 .unwrap_or(0)
         };
-        let mut known = thread::scope(|threads| -> io::Result<Vec<(u64, Known)>> {
-            let (tell, told) = mpsc::channel();
-            for n in &asked {
-                let (n, at, tell) = (*n, healthy(rng.random_range(0..count), &down), tell.clone());
-                threads.spawn(move || tell.send((n, change(fleet, at, server, n)))); // whoever drives listens to the end
+        let mut outcomes = thread::scope(|threads| -> io::Result<Vec<(u64, ChangeOutcome)>> {
+            let (sender, receiver) = mpsc::channel();
+            for n in &requested {
+                let (n, at, sender) = (
+                    *n,
+                    healthy(rng.random_range(0..count), &down),
+                    sender.clone(),
+                );
+                threads.spawn(move || sender.send((n, apply_change(fleet, at, server, n)))); // the receiver outlives the threads
             }
-            drop(tell);
-            // Sometimes the one that leads goes in the middle.
+            drop(sender);
+            // In 15 % of the steps the leader is killed during the change.
             if rng.random_bool(0.15) && down.len() < count / 3 {
                 thread::sleep(Duration::from_millis(rng.random_range(0..30)));
                 let leader = lock().leader();
                 if let Some(leader) = leader.filter(|l| down.insert(*l)) {
-                    played.faults += 1;
+                    report.faults += 1;
                     lock().kill(leader);
                 }
             }
-            // Whatever is broken is mended sooner or later, also while a change waits for it.
-            let mut known = Vec::new();
-            let patience = Instant::now() + Duration::from_millis(rng.random_range(500..10_000));
-            while known.len() < asked.len() {
-                match told.recv_timeout(patience.saturating_duration_since(Instant::now())) {
-                    Ok(one) => known.push(one),
+            // All faults are repaired after a random time, even while a change is waiting.
+            let mut outcomes = Vec::new();
+            let repair_at = Instant::now() + Duration::from_millis(rng.random_range(500..10_000));
+            while outcomes.len() < requested.len() {
+                match receiver.recv_timeout(repair_at.saturating_duration_since(Instant::now())) {
+                    Ok(one) => outcomes.push(one),
                     Err(_) => {
-                        heal(fleet, &mut down)?;
-                        known.extend(told.iter());
+                        repair_instances(fleet, &mut down)?;
+                        outcomes.extend(receiver.iter());
                         break;
                     }
                 }
             }
-            Ok(known)
+            Ok(outcomes)
         })?;
-        known.sort_by_key(|(n, _)| *n);
-        if known.len() == asked.len() && known.iter().all(|(_, k)| matches!(k, Known::Done(_))) {
-            // Whoever has seen a change at one instance sees it at each other.
-            if let Some(shown) = shown(fleet, healthy(rng.random_range(0..count), &down))
-                && !asked.contains(&shown)
+        outcomes.sort_by_key(|(n, _)| *n);
+        if outcomes.len() == requested.len()
+            && outcomes
+                .iter()
+                .all(|(_, k)| matches!(k, ChangeOutcome::Acknowledged(_)))
+        {
+            // A change that one instance has acknowledged must be visible at every other.
+            if let Some(shown) = shown_change(fleet, healthy(rng.random_range(0..count), &down))
+                && !requested.contains(&shown)
             {
-                played.broken.push(format!(
-                    "change {shown} is shown after {asked:?} were acknowledged"
+                report.violations.push(format!(
+                    "change {shown} is visible after {requested:?} were acknowledged"
                 ));
             }
         }
-        played.changes.extend(asked.iter().map(|n| (*n, None)));
-        played
+        report.changes.extend(requested.iter().map(|n| (*n, None)));
+        report
             .changes
-            .extend(known.into_iter().map(|(n, k)| (n, Some(k))));
+            .extend(outcomes.into_iter().map(|(n, k)| (n, Some(k))));
         if rng.random_bool(0.5) {
-            heal(fleet, &mut down)?;
+            repair_instances(fleet, &mut down)?;
             thread::sleep(Duration::from_millis(rng.random_range(0..400)));
         }
     }
-    heal(fleet, &mut down)?;
+    repair_instances(fleet, &mut down)?;
     lock().ready()?;
     thread::sleep(Duration::from_millis(300));
-    history(fleet, play, played)
+    check_history(fleet, options, report)
 }
 
-fn heal(fleet: &Mutex<Fleet>, down: &mut BTreeSet<usize>) -> io::Result<()> {
+fn repair_instances(fleet: &Mutex<Fleet>, down: &mut BTreeSet<usize>) -> io::Result<()> {
     for i in std::mem::take(down) {
         let mut fleet = fleet.lock().unwrap_or_else(PoisonError::into_inner);
         fleet.isolate(i, Mode::Pass);
         (0..fleet.count()).for_each(|to| fleet.delay(i, to, Duration::ZERO));
         fleet.pause(i, false);
-        if !fleet.runs(i) {
+        if !fleet.is_running(i) {
             fleet.start(i)?;
         }
     }
     Ok(())
 }
 
-/// What the versions hold in the end: each acknowledged change once, none that was given up, and the same at each instance.
-fn history(fleet: &Mutex<Fleet>, play: &Play, played: &mut Played) -> io::Result<()> {
-    let end = Instant::now() + LONG;
-    let mut lines = Vec::new();
-    for i in 0..play.instances {
-        lines.push(
+/// Checks the final versions: each acknowledged change occurs once, no abandoned change occurs, and all instances agree.
+fn check_history(
+    fleet: &Mutex<Fleet>,
+    options: &RunOptions,
+    report: &mut RunReport,
+) -> io::Result<()> {
+    let end = Instant::now() + HISTORY_TIMEOUT;
+    let mut connections = Vec::new();
+    for i in 0..options.instances {
+        connections.push(
             fleet
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .line(i)?,
+                .admin_connection(i)?,
         );
     }
-    let versions = |line: &mut super::Line| -> io::Result<Vec<u64>> {
-        let all = line.json("GET", "/v1/versions?limit=1000", "", &Value::Null)?;
+    let versions = |connection: &mut super::HttpConnection| -> io::Result<Vec<u64>> {
+        let all = connection.json("GET", "/v1/versions?limit=1000", "", &Value::Null)?;
         let numbers = all["items"]
             .as_array()
             .into_iter()
@@ -543,44 +563,44 @@
             .filter_map(|v| v["number"].as_u64());
         Ok(numbers.collect())
     };
-    let mut first = versions(&mut lines[0])?;
-    for (i, line) in lines.iter_mut().enumerate() {
-        while versions(line)? != first && Instant::now() < end {
+    let mut first = versions(&mut connections[0])?;
+    for (i, connection) in connections.iter_mut().enumerate() {
+        while versions(connection)? != first && Instant::now() < end {
             thread::sleep(Duration::from_millis(100));
         }
-        if versions(line)? != first {
-            played
-                .broken
-                .push(format!("instance {i} has other versions than the first"));
+        if versions(connection)? != first {
+            report.violations.push(format!(
+                "instance {i} has different versions from the first instance"
+            ));
         }
     }
     first.sort_unstable();
     if first.windows(2).any(|w| w[0] + 1 != w[1]) {
-        played
-            .broken
-            .push("versions have gaps, or were given twice".into());
+        report
+            .violations
+            .push("versions have gaps or duplicates".into());
     }
-    let mut there: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut occurrences: BTreeMap<u64, u64> = BTreeMap::new();
     for version in &first {
         let document =
-            lines[0].json("GET", &format!("/v1/versions/{version}"), "", &Value::Null)?;
+            connections[0].json("GET", &format!("/v1/versions/{version}"), "", &Value::Null)?;
         if let Some(n) = document["tenant"][0]["limits"]["in-flight"]
             .as_u64()
             .and_then(|n| n.checked_sub(1000))
         {
-            *there.entry(n).or_default() += 1;
+            *occurrences.entry(n).or_default() += 1;
         }
     }
-    for (n, known) in &played.changes {
-        let times = there.get(n).copied().unwrap_or(0);
-        let good = match known {
-            Some(Known::Done(_)) => times == 1,
-            Some(Known::GivenUp) => times == 0,
-            _ => times <= 1,
+    for (n, outcome) in &report.changes {
+        let count = occurrences.get(n).copied().unwrap_or(0);
+        let as_expected = match outcome {
+            Some(ChangeOutcome::Acknowledged(_)) => count == 1,
+            Some(ChangeOutcome::Abandoned) => count == 0,
+            _ => count <= 1,
         };
-        if !good {
-            played.broken.push(format!(
-                "change {n}, which is {known:?}, took hold {times} times"
+        if !as_expected {
+            report.violations.push(format!(
+                "change {n} with outcome {outcome:?} took effect {count} times"
             ));
         }
     }
@@ -592,17 +612,20 @@
     use super::*;
 
     #[test]
-    fn a_decision_under_a_former_version_is_seen_and_one_at_the_same_moment_is_none() {
+    fn detects_a_decision_under_an_older_version_but_not_one_at_the_same_time() {
         let d = |at, version| Decision {
             at,
             version,
             by: None,
         };
-        assert_eq!(judge(&[d(1, 1), d(2, 1), d(3, 2), d(4, 2)]), []);
         assert_eq!(
-            judge(&[d(1, 1), d(2, 2), d(3, 1), d(4, 2)]),
+            find_version_regressions(&[d(1, 1), d(2, 1), d(3, 2), d(4, 2)]),
+            []
+        );
+        assert_eq!(
+            find_version_regressions(&[d(1, 1), d(2, 2), d(3, 1), d(4, 2)]),
             [(d(3, 1), d(2, 2))]
         );
-        assert_eq!(judge(&[d(2, 1), d(2, 2)]), []);
+        assert_eq!(find_version_regressions(&[d(2, 1), d(2, 2)]), []);
     }
 }
--- a/crates/lab/src/service/cost.rs
+++ b/crates/lab/src/service/cost.rs
@@ -1,37 +1,40 @@
-//! What a request costs an instance of a cluster, beside a process without others: latency and processor time, in turn in one run.
+//! Compares the cost of a request, as latency and processor time, in a cluster instance and in a standalone process; the
+//! targets alternate within one run.
 
 use std::io;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::changes::{Ledger, Planted, Play, begin, server, tables};
-use super::{Line, Place, Service, quantile};
+use super::changes::{
+    DecisionLog, InjectedFault, RunOptions, start_fleet, start_server, tenant_tables,
+};
+use super::{HttpConnection, Service, ServiceFiles, quantile};
 
-/// Connections that ask one request after the other.
+/// Connections, each of which sends requests in sequence.
 const CONNECTIONS: usize = 4;
-/// How long one is asked, in one round.
-const SPAN: Duration = Duration::from_secs(2);
+/// Duration of the requests to one target in a round.
+const ROUND_DURATION: Duration = Duration::from_secs(2);
 
-/// What was measured of one way.
+/// Measurements of one target.
 #[derive(Clone, Debug)]
 pub struct Cost {
-    /// Which.
-    pub what: &'static str,
-    /// Latencies in us, of all rounds.
-    pub us: Vec<f64>,
-    /// Processor time a request in us, of each round.
+    /// Name of the target.
+    pub label: &'static str,
+    /// Latencies of all rounds in us.
+    pub latencies_us: Vec<f64>,
+    /// Processor time per request in us, one value per round.
     pub cpu_us: Vec<f64>,
 }
 
 impl Cost {
-    /// A quantile of the latency in us.
-    pub fn at(&self, q: f64) -> f64 {
-        quantile(&self.us, q)
+    /// Returns a quantile of the latency in us.
+    pub fn latency_us(&self, q: f64) -> f64 {
+        quantile(&self.latencies_us, q)
     }
 
-    /// The mean processor time in us, and how far rounds lie from it (standard deviation).
-    pub fn cpu(&self) -> (f64, f64) {
+    /// Returns the mean processor time in us and the standard deviation over the rounds.
+    pub fn mean_cpu_us(&self) -> (f64, f64) {
         let n = self.cpu_us.len() as f64;
         let mean = self.cpu_us.iter().sum::<f64>() / n;
         let variance =
@@ -40,7 +43,7 @@
     }
 }
 
-/// A process's time on processors, in us; the system counts it in hundredths of a second.
+/// Returns the processor time of a process in us; the system counts it in hundredths of a second.
 fn cpu_us(id: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields = stat
@@ -56,80 +59,83 @@
     Ok(ticks * 10_000.0)
 }
 
-fn ask(to: std::net::SocketAddr, end: Instant) -> io::Result<Vec<f64>> {
-    let mut line = Line::new(to, "X-Tenant-Id: a\r\n");
-    let mut us = Vec::new();
+fn send_requests(address: std::net::SocketAddr, end: Instant) -> io::Result<Vec<f64>> {
+    let mut connection = HttpConnection::new(address, "X-Tenant-Id: a\r\n");
+    let mut latencies_us = Vec::new();
     while Instant::now() < end {
         let began = Instant::now();
-        let (status, _) = line.call("GET", "/lookup/1", "", "")?;
+        let (status, _) = connection.call("GET", "/lookup/1", "", "")?;
         if status != 200 {
-            return Err(io::Error::other(format!("a request got {status}")));
+            return Err(io::Error::other(format!("a request got status {status}")));
         }
-        us.push(began.elapsed().as_secs_f64() * 1e6);
+        latencies_us.push(began.elapsed().as_secs_f64() * 1e6);
     }
-    Ok(us)
+    Ok(latencies_us)
 }
 
-fn round(to: std::net::SocketAddr, id: u32, cost: &mut Cost) -> io::Result<()> {
-    let (before, end) = (cpu_us(id)?, Instant::now() + SPAN);
-    let asked: Vec<io::Result<Vec<f64>>> = thread::scope(|threads| {
+fn run_round(address: std::net::SocketAddr, id: u32, cost: &mut Cost) -> io::Result<()> {
+    let (before, end) = (cpu_us(id)?, Instant::now() + ROUND_DURATION);
+    let results: Vec<io::Result<Vec<f64>>> = thread::scope(|threads| {
         let all: Vec<_> = (0..CONNECTIONS)
-            .map(|_| threads.spawn(move || ask(to, end)))
+            .map(|_| threads.spawn(move || send_requests(address, end)))
             .collect();
         all.into_iter().filter_map(|t| t.join().ok()).collect()
     });
-    let us = asked.into_iter().collect::<io::Result<Vec<_>>>()?.concat();
+    let latencies_us = results
+        .into_iter()
+        .collect::<io::Result<Vec<_>>>()?
+        .concat();
     cost.cpu_us
-        .push((cpu_us(id)? - before) / us.len().max(1) as f64);
-    cost.us.extend(us);
+        .push((cpu_us(id)? - before) / latencies_us.len().max(1) as f64);
+    cost.latencies_us.extend(latencies_us);
     Ok(())
 }
 
-/// Measures so many rounds of each way, one after the other.
+/// Measures this number of rounds of each target, alternating between targets.
 ///
 /// # Errors
-/// A process does not come up, or refuses a request.
-pub fn cost(command: &[String], rounds: usize, dir: &Path) -> io::Result<Vec<Cost>> {
-    let at = server(&Ledger::default())?;
-    let place = Place::new(&dir.join("alone"), &tables(at))?;
-    let alone = Service::start(command, &place.config, 1, true)?;
+/// A process does not start, or rejects a request.
+pub fn measure(command: &[String], rounds: usize, dir: &Path) -> io::Result<Vec<Cost>> {
+    let server_address = start_server(&DecisionLog::default())?;
+    let files = ServiceFiles::new(&dir.join("alone"), &tenant_tables(server_address))?;
+    let alone = Service::start(command, &files.config, 1, true)?;
     let fleet = |instances: usize| {
         let dir = dir.join(format!("{instances}"));
-        let play = Play {
+        let options = RunOptions {
             command,
             instances,
             changes: 0,
             cluster: "stamps = false",
             seed: 1,
             dir: &dir,
-            planted: Planted::Nothing,
+            injected_fault: InjectedFault::None,
         };
-        begin(&play, at)
+        start_fleet(&options, server_address)
     };
     let (one, three) = (fleet(1)?, fleet(3)?);
-    let lost = || io::Error::other("an instance does not run");
-    let mut ways = Vec::new();
-    ways.push(("without [cluster]", alone.listener("public")?, alone.id()));
-    for (what, fleet) in [("one instance", &one), ("one of three", &three)] {
-        ways.push((
-            what,
-            fleet.public(0).ok_or_else(lost)?,
-            fleet.id(0).ok_or_else(lost)?,
+    let not_running = || io::Error::other("an instance is not running");
+    let mut targets = Vec::new();
+    targets.push(("without [cluster]", alone.listener("public")?, alone.id()));
+    for (label, fleet) in [("one instance", &one), ("one of three", &three)] {
+        targets.push((
+            label,
+            fleet.public(0).ok_or_else(not_running)?,
+            fleet.process_id(0).ok_or_else(not_running)?,
         ));
     }
-    let mut costs: Vec<Cost> = ways
+    let mut costs: Vec<Cost> = targets
         .iter()
-        .map(|(what, ..)| Cost {
-            what,
-            us: Vec::new(),
+        .map(|(label, ..)| Cost {
+            label,
+            latencies_us: Vec::new(),
             cpu_us: Vec::new(),
         })
         .collect();
     for n in 0..=rounds {
-        for ((_, to, id), cost) in ways.iter().zip(&mut costs) {
-            round(*to, *id, cost)?;
+        for ((_, address, id), cost) in targets.iter().zip(&mut costs) {
+            run_round(*address, *id, cost)?;
             if n == 0 {
-                (cost.us, cost.cpu_us) = Default::default(); // the first round warms up
+                (cost.latencies_us, cost.cpu_us) = Default::default(); // the first round is the warm-up
             }
         }
     }
--- a/crates/lab/src/service/fleet.rs
+++ b/crates/lab/src/service/fleet.rs
@@ -1,4 +1,4 @@
-//! Many instances of the hosted service as processes that act as one, joined through links of the lab's own.
+//! Runs several instances of the hosted service as processes of one cluster, connected through links that can inject faults.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead as _, BufReader};
@@ -12,49 +12,49 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-use super::Line;
+use super::HttpConnection;
 use crate::net::{Link, Mode};
 
-/// How long anything is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// From one look to the next.
-const LOOK: Duration = Duration::from_millis(10);
+/// Time limit of every wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What an instance's process has said of where it is.
+/// Addresses and last lines from the log of an instance's process.
 #[derive(Clone, Debug, Default)]
-struct Said {
+struct LogState {
     admin: Option<SocketAddr>,
     links: Option<SocketAddr>,
     public: Option<SocketAddr>,
-    last: Vec<String>,
+    last_lines: Vec<String>,
 }
 
-/// One instance.
+/// An instance of the service.
 struct Instance {
     name: String,
     config: PathBuf,
     state: PathBuf,
     child: Option<Child>,
-    said: Arc<Mutex<Said>>,
+    log_state: Arc<Mutex<LogState>>,
 }
 
-/// What all instances are told.
+/// Configuration that all instances share.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// Lines of `[cluster]` beside names and addresses.
+pub struct FleetSettings {
+    /// Lines of `[cluster]` other than names and addresses.
     pub cluster: String,
-    /// Tables of tenants.
+    /// Configuration tables of the tenants.
     pub tenants: String,
-    /// How many zones.
+    /// Number of zones.
     pub zones: usize,
 }
 
-/// The instances, and the links from each to each.
+/// Instances with a link for each ordered pair.
 pub struct Fleet {
     command: Vec<String>,
     instances: Vec<Instance>,
     links: BTreeMap<(usize, usize), Link>,
-    /// The first operator's token, which outlasts its founder's directory.
+    /// The first operator's token, kept because the directory of the founding instance can be deleted.
     token: OnceLock<String>,
 }
 
@@ -65,11 +65,16 @@
 }
 
 impl Fleet {
-    /// So many instances, each with a directory of its own below `dir`; none runs yet.
+    /// Prepares `count` instances, each with its own directory below `dir`; starts none.
     ///
     /// # Errors
-    /// What the system says.
-    pub fn new(command: &[String], count: usize, terms: &Terms, dir: &Path) -> io::Result<Self> {
+    /// A file or a socket operation fails.
+    pub fn new(
+        command: &[String],
+        count: usize,
+        settings: &FleetSettings,
+        dir: &Path,
+    ) -> io::Result<Self> {
         match std::fs::remove_dir_all(dir) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => std::fs::create_dir_all(dir)?,
@@ -86,8 +91,8 @@
         }
         let mut instances = Vec::new();
         for i in 0..count {
-            let own = dir.join(name(i));
-            std::fs::create_dir_all(&own)?;
+            let directory = dir.join(name(i));
+            std::fs::create_dir_all(&directory)?;
             let peers = links.iter().filter(|((from, _), _)| *from == i);
             let peers: Vec<String> = peers
                 .map(|((_, to), l)| format!("{} = \"{}\"", name(*to), l.address))
@@ -96,28 +101,28 @@
                 "[state]\ndirectory = {:?}\n[admin]\naddress = \"127.0.0.1:0\"\n[cluster]\nname = \"lab\"\ninstance = \
                  \"{}\"\naddress = \"127.0.0.1:0\"\nzone = \"z{}\"\nkey-file = {:?}\npeers = {{ {} }}\n{}\n\
                  [[listener]]\nname = \"public\"\naddress = \"127.0.0.1:0\"\ntenant-by = \"header\"\n{}",
-                own.join("state").display().to_string(),
+                directory.join("state").display().to_string(),
                 name(i),
-                i % terms.zones.max(1),
+                i % settings.zones.max(1),
                 key.display().to_string(),
                 peers.join(", "),
-                // Stamps, unless the terms say something of them.
-                if terms.cluster.contains("stamps") {
-                    terms.cluster.clone()
+                // Decision stamps are on unless the settings configure them.
+                if settings.cluster.contains("stamps") {
+                    settings.cluster.clone()
                 } else {
-                    format!("{}\nstamps = true", terms.cluster)
+                    format!("{}\nstamps = true", settings.cluster)
                 },
-                terms.tenants,
+                settings.tenants,
             );
-            let config = own.join("serve.toml");
+            let config = directory.join("serve.toml");
             std::fs::write(&config, text)?;
-            let state = own.join("state");
+            let state = directory.join("state");
             instances.push(Instance {
                 name: name(i),
                 config,
                 state,
                 child: None,
-                said: Arc::default(),
+                log_state: Arc::default(),
             });
         }
         Ok(Fleet {
@@ -128,40 +133,40 @@
         })
     }
 
-    /// How many instances there are.
+    /// Returns the number of instances.
     pub fn count(&self) -> usize {
         self.instances.len()
     }
 
-    /// An instance's name.
+    /// Returns the name of an instance.
     pub fn name(&self, i: usize) -> &str {
         &self.instances[i].name
     }
 
-    /// The number of an instance's process.
-    pub fn id(&self, i: usize) -> Option<u32> {
+    /// Returns the process id of an instance.
+    pub fn process_id(&self, i: usize) -> Option<u32> {
         self.instances[i].child.as_ref().map(Child::id)
     }
 
-    /// The directory of an instance's state.
+    /// Returns the state directory of an instance.
     pub fn state(&self, i: usize) -> &Path {
         &self.instances[i].state
     }
 
-    /// An instance's configuration.
+    /// Returns the configuration file of an instance.
     pub fn config(&self, i: usize) -> &Path {
         &self.instances[i].config
     }
 
-    /// Starts an instance's process, and leads its links to it.
+    /// Starts an instance's process and points the links to its address.
     ///
     /// # Errors
-    /// It does not come up; what it said last.
+    /// The process does not start in time.
     pub fn start(&mut self, i: usize) -> io::Result<()> {
         let (program, arguments) = self
             .command
             .split_first()
-            .ok_or_else(|| io::Error::other("no service is named"))?;
+            .ok_or_else(|| io::Error::other("the service command is empty"))?;
         let instance = &mut self.instances[i];
         let mut child = Command::new(program)
             .args(arguments)
@@ -178,63 +183,65 @@
         let stderr = child
             .stderr
             .take()
-            .ok_or_else(|| io::Error::other("it has no log"))?;
+            .ok_or_else(|| io::Error::other("the process has no log output"))?;
         instance.child = Some(child);
-        let said: Arc<Mutex<Said>> = Arc::default();
-        instance.said = said.clone();
+        let log_state: Arc<Mutex<LogState>> = Arc::default();
+        instance.log_state = log_state.clone();
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let value: Value = serde_json::from_str(&line).unwrap_or_default();
                 let address = value["address"].as_str().and_then(|a| a.parse().ok());
-                let mut said = said.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut log_state = log_state.lock().unwrap_or_else(PoisonError::into_inner);
                 match (value["message"].as_str(), address) {
-                    (Some("listens"), Some(_)) => said.public = address,
-                    (Some("the administration API listens"), Some(_)) => said.admin = address,
-                    (Some("listening for members"), Some(_)) => said.links = address,
+                    (Some("listens"), Some(_)) => log_state.public = address,
+                    (Some("the administration API listens"), Some(_)) => log_state.admin = address,
+                    (Some("listening for members"), Some(_)) => log_state.links = address,
                     _ => {}
                 }
-                said.last.push(line);
-                if said.last.len() > 40 {
-                    said.last.remove(0);
+                log_state.last_lines.push(line);
+                if log_state.last_lines.len() > 40 {
+                    log_state.last_lines.remove(0);
                 }
             }
         });
         self.wait("the instance's start", |f| {
-            f.said(i).links.is_some() && f.said(i).admin.is_some()
+            f.log_state(i).links.is_some() && f.log_state(i).admin.is_some()
         })?;
-        let at = self.said(i).links;
+        let address = self.log_state(i).links;
         for ((_, to), link) in &self.links {
-            if let (true, Some(at)) = (*to == i, at) {
-                link.set_target(at);
+            if let (true, Some(address)) = (*to == i, address) {
+                link.set_target(address);
             }
         }
         Ok(())
     }
 
-    fn said(&self, i: usize) -> Said {
+    fn log_state(&self, i: usize) -> LogState {
         self.instances[i]
-            .said
+            .log_state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// What an instance's log says last.
+    /// Returns the last lines of an instance's log.
     pub fn log(&self, i: usize) -> String {
-        self.said(i).last.join("\n")
+        self.log_state(i).last_lines.join("\n")
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds; `condition` names it in the error.
     ///
     /// # Errors
-    /// It does not in time.
-    pub fn wait(&self, what: &str, holds: impl Fn(&Self) -> bool) -> io::Result<()> {
-        let end = Instant::now() + PATIENCE;
+    /// The condition does not hold in time.
+    pub fn wait(&self, condition: &str, holds: impl Fn(&Self) -> bool) -> io::Result<()> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !holds(self) {
             if Instant::now() > end {
-                return Err(io::Error::other(format!("{what}: not in time")));
+                return Err(io::Error::other(format!(
+                    "timed out waiting for {condition}"
+                )));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -245,7 +252,7 @@
             .as_ref()
             .and_then(|c| Pid::from_raw(c.id() as i32));
         if let Some(id) = id {
-            let _ = kill_process(id, signal); // it may have ended
+            let _ = kill_process(id, signal); // the process may have exited
         }
     }
 
@@ -255,71 +262,71 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.instances[i].said = Arc::default();
+        self.instances[i].log_state = Arc::default();
     }
 
-    /// Stops an instance's process (SIGSTOP), or lets it go on.
+    /// Stops an instance's process (SIGSTOP) or continues it (SIGCONT).
     pub fn pause(&self, i: usize, paused: bool) {
         self.signal(i, if paused { Signal::STOP } else { Signal::CONT });
     }
 
-    /// Sets what happens at failpoints of an instance that runs, `NAME=ACTIONS` a line, and waits until it does.
+    /// Sets the failpoints of a running instance, one `NAME=ACTIONS` per line, and waits until they are active.
     ///
     /// # Errors
-    /// The instance's program has none: it is no test build.
-    pub fn fail(&self, i: usize, points: &str) -> io::Result<()> {
+    /// The instance's program has no failpoints, because it is not a test build.
+    pub fn set_failpoints(&self, i: usize, points: &str) -> io::Result<()> {
         let file = self.instances[i].config.with_file_name("failpoints");
-        let aside = file.with_extension("new");
-        std::fs::write(&aside, points)?;
-        std::fs::rename(aside, &file)?;
-        let taken = file.with_extension("taken");
+        let temporary_file = file.with_extension("new");
+        std::fs::write(&temporary_file, points)?;
+        std::fs::rename(temporary_file, &file)?;
+        let applied_file = file.with_extension("taken");
         self.wait("the failpoints", |_| {
-            std::fs::read_to_string(&taken).is_ok_and(|t| t == points)
+            std::fs::read_to_string(&applied_file).is_ok_and(|t| t == points)
         })
     }
 
-    /// Whether an instance's process is there.
-    pub fn runs(&self, i: usize) -> bool {
+    /// Returns true if an instance's process was started and not killed.
+    pub fn is_running(&self, i: usize) -> bool {
         self.instances[i].child.is_some()
     }
 
-    /// What the link from one instance to another does.
+    /// Sets the mode of the link from one instance to another.
     pub fn link(&self, from: usize, to: usize, mode: Mode) {
         if let Some(link) = self.links.get(&(from, to)) {
             link.set_mode(mode);
         }
     }
 
-    /// How long what passes from one to another takes.
+    /// Sets the delay of the link from one instance to another.
     pub fn delay(&self, from: usize, to: usize, delay: Duration) {
         if let Some(link) = self.links.get(&(from, to)) {
             link.set_delay(delay);
         }
     }
 
-    /// What all links from and to an instance do.
+    /// Sets the mode of all links from and to an instance.
     pub fn isolate(&self, i: usize, mode: Mode) {
-        let own = self
+        let affected = self
             .links
             .iter()
             .filter(|((from, to), _)| *from == i || *to == i);
-        own.for_each(|(_, link)| link.set_mode(mode));
+        affected.for_each(|(_, link)| link.set_mode(mode));
     }
 
-    /// Where an instance takes requests, if it does.
+    /// Returns the address at which an instance accepts requests, if it does.
     pub fn public(&self, i: usize) -> Option<SocketAddr> {
-        self.said(i).public
+        self.log_state(i).public
     }
 
-    /// Where an instance's administration API is.
+    /// Returns the address of an instance's administration API.
     pub fn admin(&self, i: usize) -> Option<SocketAddr> {
-        self.said(i).admin
+        self.log_state(i).admin
     }
 
-    /// The first operator's token, which its founder has.
+    /// Returns the first operator's token, which the founding instance stores.
     ///
     /// # Errors
-    /// There is none yet.
+    /// No instance has a token yet.
     pub fn token(&self) -> io::Result<String> {
         if let Some(token) = self.token.get() {
             return Ok(token.clone());
@@ -335,51 +342,54 @@
         Ok(self.token.get_or_init(|| token).clone())
     }
 
-    /// A connection to an instance's administration API.
+    /// Opens a connection to an instance's administration API.
     ///
     /// # Errors
-    /// It has none.
-    pub fn line(&self, i: usize) -> io::Result<Line> {
-        let at = self
+    /// The instance is not running, or there is no token.
+    pub fn admin_connection(&self, i: usize) -> io::Result<HttpConnection> {
+        let address = self
             .admin(i)
-            .ok_or_else(|| io::Error::other("the instance does not run"))?;
-        Ok(Line::admin(at, &self.token()?))
+            .ok_or_else(|| io::Error::other("the instance is not running"))?;
+        Ok(HttpConnection::admin(address, &self.token()?))
     }
 
-    /// Whether an instance says that it takes requests.
+    /// Returns true if an instance reports that it accepts requests.
     pub fn is_up(&self, i: usize) -> bool {
-        let up = |at| {
-            Line::new(at, "")
+        let accepts = |address| {
+            HttpConnection::new(address, "")
                 .call("GET", "/up", "", "")
                 .is_ok_and(|(status, _)| status == 200)
         };
-        self.public(i).is_some_and(up)
+        self.public(i).is_some_and(accepts)
     }
 
-    /// Waits until all that run take requests.
+    /// Waits until all running instances accept requests.
     ///
     /// # Errors
-    /// They do not in time.
+    /// An instance does not accept requests in time.
     pub fn ready(&self) -> io::Result<()> {
-        self.wait("all instances take requests", |f| {
-            (0..f.count()).all(|i| !f.runs(i) || f.is_up(i))
+        self.wait("all instances to accept requests", |f| {
+            (0..f.count()).all(|i| !f.is_running(i) || f.is_up(i))
         })
     }
 
-    /// How the cluster looks from an instance.
+    /// Returns the cluster status that an instance reports.
     ///
     /// # Errors
-    /// It does not say.
+    /// The instance does not respond.
     pub fn status(&self, i: usize) -> io::Result<Value> {
-        self.line(i)?.json("GET", "/v1/cluster", "", &Value::Null)
+        self.admin_connection(i)?
+            .json("GET", "/v1/cluster", "", &Value::Null)
     }
 
-    /// The instance that leads, as another says.
+    /// Returns the leader that the first responding instance reports.
     pub fn leader(&self) -> Option<usize> {
-        let said = (0..self.count()).filter(|i| self.runs(*i)).find_map(|i| {
-            let status = self.status(i).ok()?;
-            status["leader"]["name"].as_str().map(str::to_owned)
-        })?;
-        self.instances.iter().position(|i| i.name == said)
+        let leader = (0..self.count())
+            .filter(|i| self.is_running(*i))
+            .find_map(|i| {
+                let status = self.status(i).ok()?;
+                status["leader"]["name"].as_str().map(str::to_owned)
+            })?;
+        self.instances.iter().position(|i| i.name == leader)
     }
 }
--- a/crates/lab/src/service/mod.rs
+++ b/crates/lab/src/service/mod.rs
@@ -1,10 +1,10 @@
-//! The hosted service with durable state as a process, and its administration API: what is asked of both over real sockets.
+//! Runs the hosted service with durable state as a process and tests it and its administration API over real sockets.
 
+pub mod change_latency;
 pub mod changes;
 pub mod cost;
+pub mod crash_recovery;
 pub mod fleet;
-pub mod kills;
-pub mod pace;
 pub mod recover;
 pub mod tenants;
 
@@ -19,10 +19,10 @@
 
 use serde_json::Value;
 
-/// No call takes longer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Connect and read timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A quantile of what was measured.
+/// Returns a quantile of measured values, or NaN if there are none.
 pub(crate) fn quantile(values: &[f64], q: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -32,12 +32,12 @@
         .unwrap_or(f64::NAN)
 }
 
-/// A service that is killed when it is no longer needed.
+/// A service process that is killed on drop.
 pub struct Service {
     child: Child,
-    /// Where its listeners are.
+    /// Addresses of its listeners by name.
     pub listeners: BTreeMap<String, SocketAddr>,
-    /// Where its administration API is, if it has one.
+    /// Address of its administration API, if it has one.
     pub admin: Option<SocketAddr>,
 }
 
@@ -48,34 +48,34 @@
 }
 
 impl Service {
-    /// Starts a service by a command that takes the arguments of `canvascart`, and waits until so many listeners are up, and its
-    /// administration API if it has one.
+    /// Starts a service with a command that accepts the arguments of `canvascart`; waits until this number of listeners, and the
+    /// administration API if there is one, are ready.
     ///
     /// # Errors
-    /// It does not come up; what it said last.
+    /// The service does not start; the error contains the last line of its log.
     pub fn start(
         command: &[String],
         config: &Path,
         listeners: usize,
-        administered: bool,
+        has_admin_api: bool,
     ) -> io::Result<Self> {
-        Service::start_seen(command, config, listeners, administered, |_| ())
+        Service::start_with_process_id(command, config, listeners, has_admin_api, |_| ())
     }
 
-    /// As [`Service::start`]; its process is told as soon as there is one, while it is still coming up.
+    /// Like [`Service::start`], but passes the process id to `on_spawn` before the service is ready.
     ///
     /// # Errors
-    /// As [`Service::start`].
-    pub fn start_seen(
+    /// See [`Service::start`].
+    pub fn start_with_process_id(
         command: &[String],
         config: &Path,
         listeners: usize,
-        administered: bool,
-        seen: impl FnOnce(u32),
+        has_admin_api: bool,
+        on_spawn: impl FnOnce(u32),
     ) -> io::Result<Self> {
         let (program, arguments) = command
             .split_first()
-            .ok_or_else(|| io::Error::other("no service is named"))?;
+            .ok_or_else(|| io::Error::other("the service command is empty"))?;
         let mut child = Command::new(program)
             .args(arguments)
             .args(["--log-format", "json", "--log", "info", "serve", "--config"])
@@ -84,22 +84,22 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        seen(child.id());
+        on_spawn(child.id());
         let stderr = child
             .stderr
             .take()
-            .ok_or_else(|| io::Error::other("it has no log"))?;
+            .ok_or_else(|| io::Error::other("the process has no log output"))?;
         let mut service = Service {
             child,
             listeners: BTreeMap::new(),
             admin: None,
         };
         let mut lines = BufReader::new(stderr).lines();
-        let mut said = String::new();
-        while service.listeners.len() < listeners || administered && service.admin.is_none() {
+        let mut last_line = String::new();
+        while service.listeners.len() < listeners || has_admin_api && service.admin.is_none() {
             let Some(line) = lines.next().transpose()? else {
                 return Err(io::Error::other(format!(
-                    "the service did not come up: {said}"
+                    "the service did not start: {last_line}"
                 )));
             };
             let value: Value = serde_json::from_str(&line).unwrap_or_default();
@@ -113,72 +113,72 @@
                     service.listeners.insert(name.to_owned(), address);
                 }
                 (Some("the administration API listens"), _, address) => service.admin = address,
-                _ => said = line,
+                _ => last_line = line,
             }
         }
-        thread::spawn(move || lines.for_each(drop)); // a log that nobody reads would stop it
+        thread::spawn(move || lines.for_each(drop)); // a full stderr pipe would block the service
         Ok(service)
     }
 
-    /// Where a listener is.
+    /// Returns the address of a listener.
     ///
     /// # Errors
-    /// There is none of this name.
+    /// There is no listener with this name.
     pub fn listener(&self, name: &str) -> io::Result<SocketAddr> {
-        let found = self.listeners.get(name).copied();
-        found.ok_or_else(|| io::Error::other(format!("the service has no listener {name}")))
+        let address = self.listeners.get(name).copied();
+        address.ok_or_else(|| io::Error::other(format!("the service has no listener {name}")))
     }
 
-    /// A connection to its administration API.
+    /// Opens a connection to its administration API.
     ///
     /// # Errors
-    /// It has none, or no token is there.
-    pub fn line(&self, place: &Place) -> io::Result<Line> {
-        let at = self
+    /// The service has no administration API, or there is no token.
+    pub fn admin_connection(&self, files: &ServiceFiles) -> io::Result<HttpConnection> {
+        let address = self
             .admin
             .ok_or_else(|| io::Error::other("the service has no administration API"))?;
-        Ok(Line::admin(at, &place.token()?))
+        Ok(HttpConnection::admin(address, &files.token()?))
     }
 
-    /// Its process.
+    /// Returns its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How it ended, if it did without being killed here.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns its exit status if it has exited.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Ends it at once, wherever it is (SIGKILL).
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
-        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.kill(); // the process may have exited
         let _ = self.child.wait();
     }
 }
 
-/// A connection over which requests go one after another.
-pub struct Line {
-    to: SocketAddr,
+/// An HTTP connection that sends requests in sequence and reconnects when closed.
+pub struct HttpConnection {
+    address: SocketAddr,
     stream: Option<BufReader<TcpStream>>,
-    /// Headers of every request.
+    /// Headers sent with every request.
     headers: String,
 }
 
-impl Line {
-    /// A connection to an address, made when it is needed.
-    pub fn new(to: SocketAddr, headers: &str) -> Self {
-        Line {
-            to,
+impl HttpConnection {
+    /// Creates a connection that is opened by the first request.
+    pub fn new(address: SocketAddr, headers: &str) -> Self {
+        HttpConnection {
+            address,
             stream: None,
             headers: headers.to_owned(),
         }
     }
 
-    /// A connection to an administration API with a token.
-    pub fn admin(to: SocketAddr, token: &str) -> Self {
-        Line::new(
-            to,
+    /// Creates a connection to an administration API with a token.
+    pub fn admin(address: SocketAddr, token: &str) -> Self {
+        HttpConnection::new(
+            address,
             &format!(
                 "Authorization: Bearer {}\r\nContent-Type: application/json\r\n",
                 token.trim()
@@ -186,33 +186,33 @@
         )
     }
 
-    /// Sends a request and reads its answer: the status and the body.
+    /// Sends a request; returns the status and the body of the response.
     ///
     /// # Errors
-    /// The connection breaks; the request may have had its effect.
+    /// The connection fails; the request may have taken effect.
     pub fn call(
         &mut self,
         method: &str,
         target: &str,
-        more: &str,
+        extra_headers: &str,
         body: &str,
     ) -> io::Result<(u16, Vec<u8>)> {
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => {
-                let stream = TcpStream::connect_timeout(&self.to, PATIENCE)?;
-                stream.set_read_timeout(Some(PATIENCE))?;
+                let stream = TcpStream::connect_timeout(&self.address, CALL_TIMEOUT)?;
+                stream.set_read_timeout(Some(CALL_TIMEOUT))?;
                 stream.set_nodelay(true)?;
                 BufReader::new(stream)
             }
         };
         let mut text = format!(
-            "{method} {target} HTTP/1.1\r\nHost: lab\r\n{}{more}",
+            "{method} {target} HTTP/1.1\r\nHost: lab\r\n{}{extra_headers}",
             self.headers
         );
-        let _ = write!(text, "Content-Length: {}\r\n\r\n{body}", body.len()); // a string takes all
+        let _ = write!(text, "Content-Length: {}\r\n\r\n{body}", body.len()); // writing to a string cannot fail
         stream.get_mut().write_all(text.as_bytes())?;
-        let (mut status, mut length, mut closes) = (0, 0, false);
+        let (mut status, mut length, mut closes_connection) = (0, 0, false);
         loop {
             let mut line = String::new();
             if stream.read_line(&mut line)? == 0 {
@@ -222,7 +222,7 @@
             match line.split_once(": ") {
                 _ if line.is_empty() => break,
                 Some(("content-length", n)) => length = n.parse().map_err(io::Error::other)?,
-                Some(("connection", "close")) => closes = true,
+                Some(("connection", "close")) => closes_connection = true,
                 None => {
                     status = line
                         .split(' ')
@@ -235,21 +235,21 @@
         }
         let mut body = vec![0; length];
         stream.read_exact(&mut body)?;
-        if !closes {
+        if !closes_connection {
             self.stream = Some(stream);
         }
         Ok((status, body))
     }
 
-    /// Calls the API; anything but a 2xx is an error.
+    /// Calls the API and parses the response.
     ///
     /// # Errors
-    /// As [`Line::call`], and what the API says.
+    /// See [`HttpConnection::call`]; also a status other than 2xx, with the response in the error.
     pub fn json(
         &mut self,
         method: &str,
         target: &str,
-        more: &str,
+        extra_headers: &str,
         body: &Value,
     ) -> io::Result<Value> {
         let text = if body.is_null() {
@@ -257,7 +257,7 @@
         } else {
             body.to_string()
         };
-        let (status, body) = self.call(method, target, more, &text)?;
+        let (status, body) = self.call(method, target, extra_headers, &text)?;
         let value: Value = serde_json::from_slice(&body)?;
         if (200..300).contains(&status) {
             Ok(value)
@@ -269,21 +269,21 @@
     }
 }
 
-/// A service's files: its configuration and its state.
-pub struct Place {
-    /// The configuration.
+/// Paths of a service's configuration and state.
+pub struct ServiceFiles {
+    /// The configuration file.
     pub config: PathBuf,
-    /// The state's directory.
+    /// The state directory.
     pub state: PathBuf,
 }
 
-impl Place {
-    /// Makes them anew in a directory; `tables` is the rest of the configuration.
+impl ServiceFiles {
+    /// Recreates a directory with a configuration; `tables` is appended to the configuration.
     ///
     /// # Errors
-    /// What the system says.
+    /// A file operation fails.
     pub fn new(dir: &Path, tables: &str) -> io::Result<Self> {
-        let place = Place {
+        let files = ServiceFiles {
             config: dir.join("serve.toml"),
             state: dir.join("state"),
         };
@@ -294,16 +294,16 @@
         let text = format!(
             "[state]\ndirectory = {:?}\n[admin]\naddress = \"127.0.0.1:0\"\n[[listener]]\nname = \"public\"\naddress = \
              \"127.0.0.1:0\"\ntenant-by = \"header\"\n{tables}",
-            place.state.display().to_string()
+            files.state.display().to_string()
         );
-        std::fs::write(&place.config, text)?;
-        Ok(place)
+        std::fs::write(&files.config, text)?;
+        Ok(files)
     }
 
-    /// The first operator's token.
+    /// Reads the first operator's token.
     ///
     /// # Errors
-    /// There is none yet.
+    /// The service has not created it yet.
     pub fn token(&self) -> io::Result<String> {
         std::fs::read_to_string(self.state.join("operator.token"))
     }
--- a/crates/lab/src/service/tenants.rs
+++ b/crates/lab/src/service/tenants.rs
@@ -1,4 +1,4 @@
-//! Many tenants in one service, most of them idle: what each costs, and how long a change and a restart take.
+//! Measures one service with many tenants, most of them idle: cost per tenant, and latency of a change and a restart.
 
 use std::fmt::Write as _;
 use std::io;
@@ -12,39 +12,39 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-use super::{Line, Place, Service};
+use super::{HttpConnection, Service, ServiceFiles};
 use crate::floods::fleet::Fleet;
 use crate::real::{cpu_seconds, resident_mb};
 
-/// Lookups a second of the one tenant that is not idle.
-const RATE: f64 = 200.0;
+/// Lookups per second of the only active tenant.
+const LOOKUP_RATE: f64 = 200.0;
 /// Servers of each tenant.
-const SERVERS: usize = 4;
+const SERVERS_PER_TENANT: usize = 4;
 
-/// What was measured with so many tenants.
+/// Measurements with one number of tenants.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
-    /// How many there are.
+    /// Number of tenants.
     pub tenants: usize,
-    /// From the call that makes them all to its answer, in ms.
-    pub made_ms: f64,
-    /// Resident memory with all of them idle, in MiB: after they were made, and after a restart.
+    /// Latency of the call that creates all tenants, in ms.
+    pub create_ms: f64,
+    /// Resident memory with all tenants idle, in MiB: after their creation and after a restart.
     pub resident_mb: [f64; 2],
-    /// The part of a core that they take while idle.
+    /// CPU use with all tenants idle, as a fraction of a core.
     pub idle_cpu: f64,
-    /// From the start of a process to the first answer of a tenant's server, in ms.
+    /// Time from process start to the first response of a tenant's server, in ms.
     pub restart_ms: f64,
-    /// From sending a change to the first request that sees it, under load, in ms: median and 99th percentile.
+    /// Time from sending a change to the first request that uses it, under load, in ms: median and 99th percentile.
     pub effect_ms: [f64; 2],
-    /// From sending a change to its answer, in ms: likewise.
+    /// Time from sending a change to its response, in ms: median and 99th percentile.
     pub answer_ms: [f64; 2],
-    /// The lookups' latency in ms, without changes and beside them: 99th percentile each.
+    /// 99th percentile of lookup latency in ms, without and during changes.
     pub lookup_p99_ms: [f64; 2],
-    /// Likewise: the median.
+    /// Median lookup latency in ms, without and during changes.
     pub lookup_p50_ms: [f64; 2],
-    /// Lookups that were not served, of how many.
+    /// Number of lookups not served, and of all lookups.
     pub lost: [u64; 2],
-    /// Admission of one request and its end, in ns, with so many tenants in the account of which a tenth is active.
+    /// Time to admit and end one request in the tenant limiter, in ns, with a tenth of the tenants active.
     pub admission_ns: f64,
 }
 
@@ -57,15 +57,14 @@
             { "name": "lookup", "effect": "safe", "aim": "300 ms", "deadline": "1 s", "late-worth": "50 %" },
             { "name": "checkout", "effect": "unsafe", "aim": "500 ms", "deadline": "2 s", "worth": 5.0 },
         ],
-        "server": servers.iter().cycle().take(SERVERS).enumerate().map(server).collect::<Vec<_>>(),
+        "server": servers.iter().cycle().take(SERVERS_PER_TENANT).enumerate().map(server).collect::<Vec<_>>(),
     })
 }
 
-/// Measures a service with so many tenants; they are idle for `idle` before that is measured, and so many changes are made
-/// under load.
+/// Measures a service with `tenants` tenants: idle cost after an idle time of `idle`, then `changes` changes under load.
 ///
 /// # Errors
-/// The service can't be had, or turns a change down.
+/// The service does not start, or rejects a change.
 pub fn measure(
     command: &[String],
     tenants: usize,
@@ -74,9 +73,9 @@
     dir: &Path,
 ) -> io::Result<Measured> {
     let fleet = Fleet::start()?;
-    let place = Place::new(dir, "")?;
-    let mut service = Service::start(command, &place.config, 1, true)?;
-    let mut admin = service.line(&place)?;
+    let files = ServiceFiles::new(dir, "")?;
+    let mut service = Service::start(command, &files.config, 1, true)?;
+    let mut admin = service.admin_connection(&files)?;
     let mut measured = Measured {
         tenants,
         ..Measured::default()
@@ -84,7 +83,7 @@
     let all: Vec<Value> = (0..tenants).map(|n| document(n, &fleet.quiet)).collect();
     let began = Instant::now();
     admin.json("POST", "/v1/apply", "", &json!({ "tenant": all }))?;
-    measured.made_ms = ms(began);
+    measured.create_ms = ms(began);
 
     thread::sleep(idle);
     let cpu = |service: &Service| cpu_seconds(service.id()).unwrap_or(0.0);
@@ -95,20 +94,22 @@
 
     service.kill();
     let began = Instant::now();
-    service = Service::start(command, &place.config, 1, true)?;
+    service = Service::start(command, &files.config, 1, true)?;
     let at = service
         .listeners
         .get("public")
         .copied()
-        .ok_or_else(|| io::Error::other("it has no listener"))?;
+        .ok_or_else(|| io::Error::other("the service has no public listener"))?;
     let one = "X-Tenant-Id: t00000\r\n";
-    let (status, _) = Line::new(at, one).call("GET", "/lookup/1", "", "")?;
+    let (status, _) = HttpConnection::new(at, one).call("GET", "/lookup/1", "", "")?;
     measured.restart_ms = ms(began);
     if status != 200 {
-        return Err(io::Error::other(format!("the first lookup got {status}")));
+        return Err(io::Error::other(format!(
+            "the first lookup got status {status}"
+        )));
     }
     measured.resident_mb[1] = resident_mb(service.id()).unwrap_or(0.0);
-    let mut admin = service.line(&place)?;
+    let mut admin = service.admin_connection(&files)?;
     under_load(
         &mut admin,
         at,
@@ -116,7 +117,7 @@
         Duration::from_secs(3),
         &mut measured,
     )?;
-    measured.admission_ns = admission(tenants);
+    measured.admission_ns = measure_admission(tenants);
     Ok(measured)
 }
 
@@ -132,44 +133,46 @@
     [0.5, 0.99].map(|q| all.value_at_quantile(q) as f64 / 1000.0)
 }
 
-/// What lookups saw: their latencies in us, and how many were not served.
-pub(crate) type Seen = io::Result<(Histogram<u64>, u64)>;
+/// Latencies of lookups in us, and the number not served.
+pub(crate) type LookupResult = io::Result<(Histogram<u64>, u64)>;
 
-/// Sends lookups at their times from several connections until told to stop.
-pub(crate) fn lookups(at: SocketAddr, stop: &AtomicBool) -> Seen {
-    const LINES: u32 = 8;
-    let one = |n: u32| -> Seen {
-        let (mut seen, mut lost) = (histogram()?, 0);
-        let mut line = Line::new(at, "X-Tenant-Id: t00000\r\n");
-        let gap = Duration::from_secs_f64(f64::from(LINES) / RATE);
-        let mut due = Instant::now() + gap.mul_f64(f64::from(n) / f64::from(LINES));
+/// Sends lookups on schedule from several connections until `stop` is set.
+pub(crate) fn lookups(at: SocketAddr, stop: &AtomicBool) -> LookupResult {
+    const CONNECTIONS: u32 = 8;
+    let one = |n: u32| -> LookupResult {
+        let (mut latencies, mut lost) = (histogram()?, 0);
+        let mut connection = HttpConnection::new(at, "X-Tenant-Id: t00000\r\n");
+        let interval = Duration::from_secs_f64(f64::from(CONNECTIONS) / LOOKUP_RATE);
+        let mut due = Instant::now() + interval.mul_f64(f64::from(n) / f64::from(CONNECTIONS));
         while !stop.load(Ordering::Relaxed) {
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            match line.call("GET", "/lookup/1", "", "") {
-                Ok((200, _)) => seen.saturating_record(due.elapsed().as_micros() as u64),
+            match connection.call("GET", "/lookup/1", "", "") {
+                Ok((200, _)) => latencies.saturating_record(due.elapsed().as_micros() as u64),
                 _ => lost += 1,
             }
-            due += gap;
+            due += interval;
         }
-        Ok((seen, lost))
+        Ok((latencies, lost))
     };
     thread::scope(|threads| {
-        let all: Vec<_> = (0..LINES).map(|n| threads.spawn(move || one(n))).collect();
-        let (mut seen, mut lost) = (histogram()?, 0);
+        let all: Vec<_> = (0..CONNECTIONS)
+            .map(|n| threads.spawn(move || one(n)))
+            .collect();
+        let (mut latencies, mut lost) = (histogram()?, 0);
         for one in all {
-            let (more, less) = one
+            let (other, other_lost) = one
                 .join()
                 .map_err(|_| io::Error::other("a client panicked"))??;
-            seen.add(more).map_err(io::Error::other)?;
-            lost += less;
+            latencies.add(other).map_err(io::Error::other)?;
+            lost += other_lost;
         }
-        Ok((seen, lost))
+        Ok((latencies, lost))
     })
 }
 
-/// Lookups alone for a while, and beside changes.
+/// Measures lookups without changes for the duration `alone`, then during changes.
 pub(crate) fn under_load(
-    admin: &mut Line,
+    admin: &mut HttpConnection,
     at: SocketAddr,
     changes: u64,
     alone: Duration,
@@ -205,28 +208,28 @@
     measured.answer_ms = quantiles(&answers);
     measured.lookup_p50_ms = [quantiles(&alone.0)[0], quantiles(&beside.0)[0]];
     measured.lookup_p99_ms = [quantiles(&alone.0)[1], quantiles(&beside.0)[1]];
-    let asked = |(seen, lost): &(Histogram<u64>, u64)| seen.len() + lost;
-    measured.lost = [alone.1 + beside.1, asked(&alone) + asked(&beside)];
+    let total = |(latencies, lost): &(Histogram<u64>, u64)| latencies.len() + lost;
+    measured.lost = [alone.1 + beside.1, total(&alone) + total(&beside)];
     Ok(())
 }
 
-/// Gives the busy tenant a class, and asks until a request sees it.
-fn change(admin: &mut Line, at: SocketAddr, n: u64) -> io::Result<(Duration, Duration)> {
+/// Adds a class to the active tenant and sends requests until one uses it; returns the times to effect and to response.
+fn change(admin: &mut HttpConnection, at: SocketAddr, n: u64) -> io::Result<(Duration, Duration)> {
     let class = format!("c{n}");
     let body = json!({ "effect": "safe", "aim": "300 ms", "deadline": "1 s" });
     let began = Instant::now();
-    let (seen, answered) = thread::scope(|threads| {
-        let sees = threads.spawn(|| -> io::Result<Duration> {
-            let mut line = Line::new(at, "X-Tenant-Id: t00000\r\n");
-            // A class that is not there is said so at once; one that is takes its server's time.
+    let (latencies, answered) = thread::scope(|threads| {
+        let poller = threads.spawn(|| -> io::Result<Duration> {
+            let mut connection = HttpConnection::new(at, "X-Tenant-Id: t00000\r\n");
+            // An unknown class is rejected immediately; a known one takes the server's response time.
             loop {
-                let asked = Instant::now();
-                let (status, _) = line.call("GET", &format!("/{class}/1"), "", "")?;
+                let total = Instant::now();
+                let (status, _) = connection.call("GET", &format!("/{class}/1"), "", "")?;
                 if status != 404 {
-                    return Ok(asked.duration_since(began));
+                    return Ok(total.duration_since(began));
                 }
                 if began.elapsed() > Duration::from_secs(30) {
-                    return Err(io::Error::other("a change was not seen"));
+                    return Err(io::Error::other("a change took no effect within 30 s"));
                 }
             }
         });
@@ -238,11 +241,11 @@
                 &body,
             )
             .map(|_| began.elapsed());
-        let seen = sees
+        let latencies = poller
             .join()
             .map_err(|_| io::Error::other("a client panicked"));
-        let answered = answered?; // first, as nothing is seen of what failed
-        Ok::<_, io::Error>((seen??, answered))
+        let answered = answered?; // reported first: a failed change never takes effect
+        Ok::<_, io::Error>((latencies??, answered))
     })?;
     admin.json(
         "DELETE",
@@ -250,11 +253,11 @@
         "",
         &Value::Null,
     )?;
-    Ok((seen, answered))
+    Ok((latencies, answered))
 }
 
-/// What the account takes for a request, in ns.
-fn admission(tenants: usize) -> f64 {
+/// Measures the tenant limiter's time per request, in ns.
+fn measure_admission(tenants: usize) -> f64 {
     let capacity = ProcessCapacity {
         client_connections: 4096,
         in_flight_requests: 2048,
@@ -278,12 +281,12 @@
     began.elapsed().as_nanos() as f64 / rounds as f64
 }
 
-/// The figures, a line each, one column a service.
+/// Formats the measurements: one row per figure, one column per service.
 pub fn table(all: &[Measured]) -> String {
-    type Of = fn(&Measured) -> String;
-    let rows: [(&str, Of); 11] = [
+    type Format = fn(&Measured) -> String;
+    let rows: [(&str, Format); 11] = [
         ("tenants", |m| m.tenants.to_string()),
-        ("all made at once, ms", |m| format!("{:.0}", m.made_ms)),
+        ("all made at once, ms", |m| format!("{:.0}", m.create_ms)),
         ("memory, made / restarted, MiB", |m| {
             format!("{:.1} / {:.1}", m.resident_mb[0], m.resident_mb[1])
         }),
@@ -315,11 +318,11 @@
     let mut text = String::new();
     for (name, of) in rows {
         let cells: String = all.iter().map(|m| format!(" {:>18}", of(m))).collect();
-        let _ = writeln!(text, "{name:<32}{cells}"); // a string takes all
+        let _ = writeln!(text, "{name:<32}{cells}"); // writing to a string cannot fail
     }
     if let [first, .., last] = all {
-        let more = (last.tenants - first.tenants).max(1) as f64;
-        let kb = (last.resident_mb[1] - first.resident_mb[1]) * 1024.0 / more;
+        let other = (last.tenants - first.tenants).max(1) as f64;
+        let kb = (last.resident_mb[1] - first.resident_mb[1]) * 1024.0 / other;
         let _ = writeln!(text, "each further idle tenant, restarted: {kb:.1} KiB");
     }
     text
