--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -498,14 +498,14 @@
         Command::Shares { repeat, json } => {
             tell_shares(
                 "event loop's time",
-                &shares::TIME_COLUMNS,
-                &shares::time(repeat),
+                &shares::RATE_COLUMNS,
+                &shares::compare_rate_algorithms(repeat),
                 json,
             );
             tell_shares(
                 "stock",
-                &shares::STOCK_COLUMNS,
-                &shares::stock(repeat),
+                &shares::POOL_COLUMNS,
+                &shares::compare_pool_algorithms(repeat),
                 json,
             );
             Ok(0)
@@ -966,7 +966,7 @@
                 .collect();
             println!(
                 "{}",
-                serde_json::json!({ "shared": what, "way": row.way, "mean_least_most": figures })
+                serde_json::json!({ "shared": what, "way": row.algorithm, "mean_least_most": figures })
             );
             continue;
         }
@@ -976,7 +976,7 @@
             .iter()
             .map(|f| format!(" {:>25}", cell(f)))
             .collect();
-        println!("{:<24}{cells}", row.way);
+        println!("{:<24}{cells}", row.algorithm);
     }
 }
 
--- a/crates/lab/src/capacity/tenants.rs
+++ b/crates/lab/src/capacity/tenants.rs
@@ -15,7 +15,7 @@
 use super::servers::{self, Started};
 use super::stop::Stop;
 use super::{Setting, Sweep, in_turn, target};
-use crate::floods::fleet::Fleet;
+use crate::floods::fleet::ServerFleet;
 use crate::service::tenants::{Measured, document, histogram, lookups, ms, quantiles, under_load};
 use crate::service::{HttpConnection, Service, ServiceFiles};
 
@@ -220,7 +220,7 @@
 
 /// The servers behind the tenants.
 enum Behind {
-    Own(Fleet),
+    Own(ServerFleet),
     /// The addresses of each service.
     Shared(
         Vec<Vec<SocketAddr>>,
@@ -231,7 +231,7 @@
 impl Behind {
     fn start(size: &Size, setting: &Setting) -> io::Result<Self> {
         if size.shape == Shape::Own {
-            return Fleet::start().map(Behind::Own);
+            return ServerFleet::start().map(Behind::Own);
         }
         let work = Duration::from_millis(20);
         let (started, addresses) =
--- a/crates/lab/src/floods/fleet.rs
+++ b/crates/lab/src/floods/fleet.rs
@@ -1,4 +1,4 @@
-//! The servers behind the two tenants: each answers after a fixed work, or never.
+//! Runs the servers of the two tenants: each responds after a fixed delay, or never.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,41 +12,41 @@
 
 use crate::real::http::{Connection, StartLine};
 
-/// What a path holds whose answer is large.
-pub const LARGE: &str = "large";
-/// Bytes of a large answer.
-const MANY: usize = 60 << 10;
-/// How long an answer takes.
-const WORK: Duration = Duration::from_millis(20);
+/// Suffix of a path that requests a large response.
+pub const LARGE_PATH_SUFFIX: &str = "large";
+/// Body size of a large response.
+const LARGE_BODY_BYTES: usize = 60 << 10;
+/// Delay before a response.
+const RESPONSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Servers on a thread of their own, which ends with the process.
-pub struct Fleet {
+/// Servers on a separate thread that runs until the process ends.
+pub struct ServerFleet {
     pub quiet: Vec<SocketAddr>,
     pub flooded: Vec<SocketAddr>,
-    /// Servers that take requests and never answer.
+    /// Servers that accept requests and never respond.
     pub hanging: Vec<SocketAddr>,
 }
 
-impl Fleet {
+impl ServerFleet {
     /// Starts the servers.
     ///
     /// # Errors
-    /// A port or the thread can't be had.
+    /// A port cannot be bound, or the thread cannot be started.
     pub fn start() -> io::Result<Self> {
-        let (tell, told) = channel();
+        let (sender, receiver) = channel();
         thread::Builder::new().name("fleet".into()).spawn(move || {
             let run = async {
-                let mut all = Vec::new();
+                let mut groups = Vec::new();
                 for hangs in [false, false, true] {
-                    let mut two = Vec::new();
+                    let mut addresses = Vec::new();
                     for _ in 0..2 {
                         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-                        two.push(listener.local_addr()?);
+                        addresses.push(listener.local_addr()?);
                         spawn_local(serve(listener, hangs));
                     }
-                    all.push(two);
+                    groups.push(addresses);
                 }
-                let _ = tell.send(all); // whoever started it is gone otherwise
+                let _ = sender.send(groups); // fails only if the caller has returned
                 std::future::pending::<io::Result<()>>().await
             };
             let runtime = tokio::runtime::Builder::new_current_thread()
@@ -54,12 +54,12 @@
                 .build()?;
             LocalSet::new().block_on(&runtime, run)
         })?;
-        let mut all = told
+        let mut groups = receiver
             .recv()
-            .map_err(|_| io::Error::other("the servers did not come up"))?
+            .map_err(|_| io::Error::other("the servers did not start"))?
             .into_iter();
-        let mut next = || all.next().unwrap_or_default();
-        Ok(Fleet {
+        let mut next = || groups.next().unwrap_or_default();
+        Ok(ServerFleet {
             quiet: next(),
             flooded: next(),
             hanging: next(),
@@ -75,19 +75,18 @@
                 if hangs {
                     return connection.closed().await;
                 }
-                sleep(WORK).await;
-                let large =
-                    matches!(&request.start, StartLine::Request(_, path) if path.ends_with(LARGE));
+                sleep(RESPONSE_DELAY).await;
+                let large = matches!(&request.start, StartLine::Request(_, path) if path.ends_with(LARGE_PATH_SUFFIX));
                 let body = if large {
-                    "x".repeat(MANY)
+                    "x".repeat(LARGE_BODY_BYTES)
                 } else {
                     "done".into()
                 };
-                let answer = format!(
+                let response = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
                 );
-                if connection.write(answer.as_bytes()).await.is_err() {
+                if connection.write(response.as_bytes()).await.is_err() {
                     return;
                 }
             }
--- a/crates/lab/src/floods/mod.rs
+++ b/crates/lab/src/floods/mod.rs
@@ -1,6 +1,6 @@
-//! Floods on the hosted service: two tenants with the same share, one quiet, one that floods in one of several ways. Each
-//! way strains another thing that the tenants share. The quiet tenant is measured before and during the flood, in the
-//! same run.
+//! Floods the hosted service: of two tenants with equal shares, one is quiet and one sends a flood of one of several kinds,
+//! each of which loads a different shared resource. The quiet tenant is measured before and during the flood, in the same
+//! run.
 
 pub(crate) mod fleet;
 
@@ -21,29 +21,29 @@
 use crate::random::{Purpose, stream};
 use crate::real::http::{Connection, StartLine};
 use crate::service::{HttpConnection, Service};
-use fleet::{Fleet, LARGE};
+use fleet::{LARGE_PATH_SUFFIX, ServerFleet};
 
-/// A way to flood, and what it strains.
+/// A kind of flood and the resource that it loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Nothing: the quiet tenant alone, twice. What the figures swing by without any cause.
+    /// No flood: measures the quiet tenant twice, which shows the variation of the figures without a cause.
     Nothing,
-    /// Lookups as fast as they are answered: the event loop's time.
+    /// Lookups without a pause: event loop time.
     Requests,
-    /// Large answers that nobody reads: sockets and memory.
+    /// Large responses that are not read: sockets and memory.
     SlowReaders,
-    /// Heads that are never whole: sockets.
+    /// Incomplete request heads: sockets.
     HalfHeads,
     /// Requests with bodies of nearly 64 KiB: memory.
     Bodies,
-    /// A connection for each request: sockets and the event loop's time.
+    /// A new connection per request: sockets and event loop time.
     Churn,
-    /// Servers that never answer: requests in flight.
+    /// Requests to servers that never respond: requests in flight.
     Hangs,
 }
 
 impl Kind {
-    /// All kinds by name.
+    /// All kinds with their names.
     pub const ALL: [(&str, Kind); 7] = [
         ("nothing", Kind::Nothing),
         ("requests", Kind::Requests),
@@ -62,53 +62,53 @@
     }
 }
 
-/// How the quiet tenant fared in one half of a run.
+/// Results of the quiet tenant in one half of a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fared {
-    /// Requests that it sent.
+pub struct QuietTenantResult {
+    /// Number of requests sent.
     pub sent: u64,
-    /// The part of them that was served in time.
+    /// Fraction of the requests served in time.
     pub served: f64,
-    /// Latencies of those in ms: median and 99th percentile, from when they were meant to be sent.
+    /// Latency of the served requests in ms, from their scheduled time: median and 99th percentile.
     pub latency_ms: [f64; 2],
 }
 
-/// What came of one flood.
+/// Results of one flood.
 #[derive(Clone, Copy, Debug)]
 pub struct Flood {
-    /// The way.
+    /// Kind of flood.
     pub kind: Kind,
-    /// The quiet tenant before and during the flood.
-    pub quiet: [Fared; 2],
-    /// What the flood sent a second (requests, or connections where they never become requests), and what was served.
+    /// Results of the quiet tenant before and during the flood.
+    pub quiet: [QuietTenantResult; 2],
+    /// Requests per second sent by the flood, or connections if they never become requests.
     pub sent_per_s: f64,
-    /// What of it was served a second.
+    /// Flood requests served per second.
     pub served_per_s: f64,
-    /// How late the quiet tenant's requests were sent at the 99th percentile in ms: beyond a few, the run is void.
+    /// 99th percentile of the delay in sending the quiet tenant's requests, in ms; a run with more than a few ms is invalid.
     pub late_ms: f64,
-    /// Changes of the quiet tenant that were made meanwhile.
+    /// Number of changes made to the quiet tenant during the run.
     pub changes: u64,
 }
 
 impl Flood {
-    /// The way's name.
+    /// Returns the name of the kind.
     pub fn name(&self) -> &'static str {
         self.kind.name()
     }
 }
 
-/// The quiet tenant's requests a second; each takes its server 20 ms.
-const QUIET_RATE: f64 = 200.0;
-/// Connections that flood at once.
-const FLOODING: usize = 512;
-/// The wait that the quiet tenant is ready for.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// From a flood's first connection on it is not measured for so long.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Request rate of the quiet tenant; its servers take 20 ms per request.
+const QUIET_REQUESTS_PER_S: f64 = 200.0;
+/// Concurrent connections of the flood.
+const FLOOD_CONNECTIONS: usize = 512;
+/// Time after which the quiet tenant gives up a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Start of a flood that is excluded from the measurement.
+const WARM_UP: Duration = Duration::from_millis(500);
 
-/// What both tenants' classes look like, and what the process has. It is small, so that one core of this machine can flood it
-/// ten times over.
-fn config(fleet: &Fleet, kind: Kind, state: Option<&Path>) -> String {
+/// Returns the configuration of the process and both tenants. The process limits are small, so that one core can generate ten
+/// times the load that they allow.
+fn config(fleet: &ServerFleet, kind: Kind, state: Option<&Path>) -> String {
     let class = |name: &str, effect: &str| {
         format!(
             "[[tenant.class]]\nname = \"{name}\"\neffect = \"{effect}\"\naim = \"500 ms\"\ndeadline = \"1 s\"\nlate-worth = \
@@ -132,7 +132,7 @@
             directory.display().to_string()
         )
     });
-    let flooding = if kind == Kind::Hangs {
+    let servers = if kind == Kind::Hangs {
         &fleet.hanging
     } else {
         &fleet.flooded
@@ -144,59 +144,66 @@
         "[[listener]]\nname = \"quiet\"\naddress = \"127.0.0.1:0\"\ntenant-by = \"listener\"\ntenant = \"quiet\"\n",
         "[[listener]]\nname = \"flood\"\naddress = \"127.0.0.1:0\"\ntenant-by = \"listener\"\ntenant = \"flood\"\n",
         &tenant("quiet", &fleet.quiet),
-        &tenant("flood", flooding),
+        &tenant("flood", servers),
     ]
     .concat()
 }
 
-/// Floods a service once; `span` is the length of each half. Files go into `dir`. With `apart` the flood goes to a second
-/// process like the first: what the quiet tenant loses then, the machine takes, and not the sharing of a process. With `changing`
-/// the quiet tenant's limits are changed by the administration API all the while.
+/// Floods a service once; `half_duration` is the length of each half, and `dir` holds the files. With `separate_process`, the
+/// flood goes to a second process with the same configuration, which shows the part of the quiet tenant's loss that the machine
+/// causes and not the shared process. With `with_changes`, the administration API keeps changing the quiet tenant's limits.
 ///
 /// # Errors
-/// The service, a server or a socket could not be had.
+/// The service, a server or a socket cannot be started or opened.
 pub fn flood(
     kind: Kind,
     command: &[String],
-    span: Duration,
+    half_duration: Duration,
     seed: u64,
-    [apart, changing]: [bool; 2],
+    [separate_process, with_changes]: [bool; 2],
     dir: &Path,
 ) -> io::Result<Flood> {
     std::fs::create_dir_all(dir)?;
-    let fleet = Fleet::start()?;
+    let fleet = ServerFleet::start()?;
     let file = dir.join(format!("flood-{}.toml", kind.name()));
     let state = dir.join("state");
-    if changing && state.exists() {
+    if with_changes && state.exists() {
         std::fs::remove_dir_all(&state)?;
     }
     std::fs::write(
         &file,
-        config(&fleet, kind, changing.then_some(state.as_path())),
+        config(&fleet, kind, with_changes.then_some(state.as_path())),
     )?;
-    let service = Service::start(command, &file, 2, changing)?;
-    let other = if apart {
+    let service = Service::start(command, &file, 2, with_changes)?;
+    let flooded_service = if separate_process {
         Some(Service::start(command, &file, 2, false)?)
     } else {
         None
     };
-    let until = Instant::now() + 2 * span + SETTLE;
-    let changes = service.admin.map(|at| {
+    let until = Instant::now() + 2 * half_duration + WARM_UP;
+    let changes = service.admin.map(|address| {
         let token = std::fs::read_to_string(state.join("operator.token"))?;
-        Ok::<_, io::Error>(thread::spawn(move || change(at, &token, until)))
+        Ok::<_, io::Error>(thread::spawn(move || change_limits(address, &token, until)))
     });
     let changes = changes.transpose()?;
     let begin = Instant::now() + Duration::from_millis(200);
-    let floods = [begin + span, begin + 2 * span + SETTLE];
-    let at = other.as_ref().unwrap_or(&service).listener("flood")?;
-    let flooding = thread::spawn(move || on_thread(flood_with(kind, at, floods)));
-    let quiet = on_thread(quietly(
+    let floods = [begin + half_duration, begin + 2 * half_duration + WARM_UP];
+    let address = flooded_service
+        .as_ref()
+        .unwrap_or(&service)
+        .listener("flood")?;
+    let flood_thread = thread::spawn(move || on_thread(run_flood(kind, address, floods)));
+    let quiet = on_thread(run_quiet_tenant(
         service.listener("quiet")?,
         seed,
         begin,
-        [span, floods[0] - begin + SETTLE, floods[1] - begin],
+        [
+            half_duration,
+            floods[0] - begin + WARM_UP,
+            floods[1] - begin,
+        ],
     ))?;
-    let (sent, served) = flooding
+    let (sent, served) = flood_thread
         .join()
         .map_err(|_| io::Error::other("the flood panicked"))??;
     let seconds = (floods[1] - floods[0]).as_secs_f64();
@@ -216,17 +223,17 @@
     })
 }
 
-/// Changes the quiet tenant's limits and one of its servers, again and again; returns how often.
-fn change(at: SocketAddr, token: &str, until: Instant) -> io::Result<u64> {
-    let mut line = HttpConnection::admin(at, token);
+/// Changes the quiet tenant's limits and one of its servers repeatedly until `until`; returns the number of changes.
+fn change_limits(address: SocketAddr, token: &str, until: Instant) -> io::Result<u64> {
+    let mut connection = HttpConnection::admin(address, token);
     let mut n = 0;
     while Instant::now() < until {
         let limits = serde_json::json!({ "in-flight": 100 + n % 10 });
-        line.json("PUT", "/v1/tenants/quiet/limits", "", &limits)?;
-        let act = if n % 2 == 0 { "drain" } else { "resume" };
-        line.json(
+        connection.json("PUT", "/v1/tenants/quiet/limits", "", &limits)?;
+        let action = if n % 2 == 0 { "drain" } else { "resume" };
+        connection.json(
             "POST",
-            &format!("/v1/tenants/quiet/servers/quiet-0/{act}"),
+            &format!("/v1/tenants/quiet/servers/quiet-0/{action}"),
             "",
             &serde_json::Value::Null,
         )?;
@@ -245,81 +252,87 @@
     outcome
 }
 
-struct Quiet {
-    halves: [Fared; 2],
+struct QuietTenantResults {
+    halves: [QuietTenantResult; 2],
     late_ms: f64,
 }
 
-/// One request of the quiet tenant: when it was meant to be sent, how late it was, and how long it took if it was served.
-type Asked = (Duration, Duration, Option<Duration>);
+/// A request of the quiet tenant: its scheduled time, the delay in sending it, and its latency if it was served.
+type QuietRequest = (Duration, Duration, Option<Duration>);
 
-/// Sends the quiet tenant's requests at their times, whatever became of those before. The first half ends at `marks[0]`, the
-/// second is from `marks[1]` to `marks[2]`.
-async fn quietly(
-    to: SocketAddr,
+/// Sends the quiet tenant's requests on schedule, independently of earlier ones (open loop). The first half ends at
+/// `boundaries[0]`; the second lasts from `boundaries[1]` to `boundaries[2]`.
+async fn run_quiet_tenant(
+    target: SocketAddr,
     seed: u64,
     begin: Instant,
-    marks: [Duration; 3],
-) -> io::Result<Quiet> {
+    boundaries: [Duration; 3],
+) -> io::Result<QuietTenantResults> {
     let mut rng = stream(seed, Purpose::Load);
-    let gap = Exp::new(QUIET_RATE).map_err(io::Error::other)?;
+    let gap = Exp::new(QUIET_REQUESTS_PER_S).map_err(io::Error::other)?;
     let idle: Rc<RefCell<Vec<Connection>>> = Rc::default();
-    let all: Rc<RefCell<Vec<Asked>>> = Rc::default();
-    let mut at = Duration::ZERO;
+    let all: Rc<RefCell<Vec<QuietRequest>>> = Rc::default();
+    let mut scheduled = Duration::ZERO;
     let mut tasks = Vec::new();
-    while at < marks[2] {
-        at += Duration::from_secs_f64(gap.sample(&mut rng));
-        sleep_until((begin + at).into()).await;
+    while scheduled < boundaries[2] {
+        scheduled += Duration::from_secs_f64(gap.sample(&mut rng));
+        sleep_until((begin + scheduled).into()).await;
         let (idle, all) = (idle.clone(), all.clone());
         tasks.push(spawn_local(async move {
-            let late = (begin + at).elapsed();
-            let served = timeout(PATIENCE, ask(to, &idle))
+            let delay = (begin + scheduled).elapsed();
+            let served = timeout(REQUEST_TIMEOUT, send_lookup(target, &idle))
                 .await
                 .is_ok_and(|good| good);
-            let took = served.then(|| (begin + at).elapsed());
-            all.borrow_mut().push((at, late, took));
+            let latency = served.then(|| (begin + scheduled).elapsed());
+            all.borrow_mut().push((scheduled, delay, latency));
         }));
     }
     for task in tasks {
         task.await.map_err(io::Error::other)?;
     }
     let all = all.borrow();
-    let half = |from: Duration, to: Duration| -> io::Result<Fared> {
+    let half = |from: Duration, until: Duration| -> io::Result<QuietTenantResult> {
         let mut latencies =
             Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         let mut sent = 0;
-        for (_, _, took) in all.iter().filter(|(at, ..)| (from..to).contains(at)) {
+        for (_, _, latency) in all
+            .iter()
+            .filter(|(scheduled, ..)| (from..until).contains(scheduled))
+        {
             sent += 1;
-            if let Some(took) = took {
-                latencies.saturating_record(took.as_micros().max(1) as u64);
+            if let Some(latency) = latency {
+                latencies.saturating_record(latency.as_micros().max(1) as u64);
             }
         }
-        let at = |q| latencies.value_at_quantile(q) as f64 / 1000.0;
-        Ok(Fared {
+        let quantile_ms = |q| latencies.value_at_quantile(q) as f64 / 1000.0;
+        Ok(QuietTenantResult {
             sent,
             served: latencies.len() as f64 / sent.max(1) as f64,
-            latency_ms: [at(0.5), at(0.99)],
+            latency_ms: [quantile_ms(0.5), quantile_ms(0.99)],
         })
     };
-    let mut late: Vec<Duration> = all.iter().map(|(_, late, _)| *late).collect();
-    late.sort();
-    let late_ms = late
-        .get(late.len().saturating_sub(1) * 99 / 100)
+    let mut delays: Vec<Duration> = all.iter().map(|(_, delay, _)| *delay).collect();
+    delays.sort();
+    let late_ms = delays
+        .get(delays.len().saturating_sub(1) * 99 / 100)
         .map_or(0.0, |l| l.as_secs_f64() * 1000.0);
-    Ok(Quiet {
-        halves: [half(Duration::ZERO, marks[0])?, half(marks[1], marks[2])?],
+    Ok(QuietTenantResults {
+        halves: [
+            half(Duration::ZERO, boundaries[0])?,
+            half(boundaries[1], boundaries[2])?,
+        ],
         late_ms,
     })
 }
 
-/// One lookup on a connection that is idle, or a new one. A connection that was closed meanwhile is replaced once.
-async fn ask(to: SocketAddr, idle: &RefCell<Vec<Connection>>) -> bool {
+/// Sends one lookup on an idle or new connection; returns true if it was served. A closed idle connection is replaced once.
+async fn send_lookup(target: SocketAddr, idle: &RefCell<Vec<Connection>>) -> bool {
     for _ in 0..2 {
         let reused = idle.borrow_mut().pop();
         let was_reused = reused.is_some();
         let connection = match reused {
             Some(connection) => Some(connection),
-            None => TcpStream::connect(to).await.ok().map(Connection::new),
+            None => TcpStream::connect(target).await.ok().map(Connection::new),
         };
         let Some(mut connection) = connection else {
             return false;
@@ -328,34 +341,34 @@
             .write(b"GET /lookup/1 HTTP/1.1\r\nHost: quiet\r\n\r\n")
             .await;
         match (written, connection.read(false).await) {
-            (Ok(()), Ok(answer)) => {
-                if !answer.closes_connection() {
+            (Ok(()), Ok(response)) => {
+                if !response.closes_connection() {
                     idle.borrow_mut().push(connection);
                 }
-                return answer.start == StartLine::Response(200);
+                return response.start == StartLine::Response(200);
             }
-            _ if was_reused => {} // closed while it was idle
+            _ if was_reused => {} // the idle connection was closed
             _ => return false,
         }
     }
     false
 }
 
-/// Floods from the first instant to the second; how much was sent, and served.
-async fn flood_with(
+/// Sends the flood from the first instant to the second; returns the numbers sent and served.
+async fn run_flood(
     kind: Kind,
-    to: SocketAddr,
+    target: SocketAddr,
     [from, until]: [Instant; 2],
 ) -> io::Result<(u64, u64)> {
     sleep_until(from.into()).await;
     let counts: Rc<(Cell<u64>, Cell<u64>)> = Rc::default();
     if kind != Kind::Nothing {
-        for _ in 0..FLOODING {
+        for _ in 0..FLOOD_CONNECTIONS {
             let counts = counts.clone();
             spawn_local(async move {
                 loop {
-                    pour(kind, to, &counts).await;
-                    sleep(Duration::from_millis(2)).await; // it was refused a connection: not a busy loop on our side
+                    flood_connection(kind, target, &counts).await;
+                    sleep(Duration::from_millis(2)).await; // avoids a busy loop after a refused connection
                 }
             });
         }
@@ -364,17 +377,17 @@
     Ok((counts.0.get(), counts.1.get()))
 }
 
-/// One connection's part of a flood, until it ends.
-async fn pour(kind: Kind, to: SocketAddr, (sent, served): &(Cell<u64>, Cell<u64>)) {
-    let Ok(stream) = TcpStream::connect(to).await else {
+/// Sends the flood on one connection until it ends.
+async fn flood_connection(kind: Kind, target: SocketAddr, (sent, served): &(Cell<u64>, Cell<u64>)) {
+    let Ok(stream) = TcpStream::connect(target).await else {
         return;
     };
     let mut connection = Connection::new(stream);
-    let one_more = |count: &Cell<u64>| count.set(count.get() + 1);
+    let increment = |count: &Cell<u64>| count.set(count.get() + 1);
     match kind {
         Kind::Nothing => std::future::pending().await,
         Kind::HalfHeads => {
-            one_more(sent);
+            increment(sent);
             if connection
                 .write(b"GET /lookup/1 HTTP/1.1\r\nHost:")
                 .await
@@ -384,10 +397,11 @@
             }
         }
         Kind::SlowReaders => {
-            // As many as fit into the buffers on the way, and not a byte of the answers is read.
-            let request = format!("GET /lookup/{LARGE} HTTP/1.1\r\nHost: flood\r\n\r\n");
+            // Sends as many requests as the buffers take and reads no byte of the responses.
+            let request =
+                format!("GET /lookup/{LARGE_PATH_SUFFIX} HTTP/1.1\r\nHost: flood\r\n\r\n");
             for _ in 0..64 {
-                one_more(sent);
+                increment(sent);
                 if connection.write(request.as_bytes()).await.is_err() {
                     return;
                 }
@@ -406,17 +420,17 @@
                 _ => "GET /lookup/1 HTTP/1.1\r\nHost: flood\r\n\r\n".to_owned(),
             };
             loop {
-                one_more(sent);
+                increment(sent);
                 if connection.write(request.as_bytes()).await.is_err() {
                     return;
                 }
-                let Ok(answer) = connection.read(false).await else {
+                let Ok(response) = connection.read(false).await else {
                     return;
                 };
-                if answer.start == StartLine::Response(200) {
-                    one_more(served);
+                if response.start == StartLine::Response(200) {
+                    increment(served);
                 }
-                if answer.closes_connection() || kind == Kind::Churn {
+                if response.closes_connection() || kind == Kind::Churn {
                     return;
                 }
             }
--- a/crates/lab/src/service/tenants.rs
+++ b/crates/lab/src/service/tenants.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use super::{HttpConnection, Service, ServiceFiles};
-use crate::floods::fleet::Fleet;
+use crate::floods::fleet::ServerFleet;
 use crate::real::{cpu_seconds, resident_mb};
 
 /// Lookups per second of the only active tenant.
@@ -72,7 +72,7 @@
     changes: u64,
     dir: &Path,
 ) -> io::Result<Measured> {
-    let fleet = Fleet::start()?;
+    let fleet = ServerFleet::start()?;
     let files = ServiceFiles::new(dir, "")?;
     let mut service = Service::start(command, &files.config, 1, true)?;
     let mut admin = service.admin_connection(&files)?;
--- a/crates/lab/src/shares/rivals.rs
+++ b/crates/lab/src/shares/algorithms.rs
@@ -1,13 +1,13 @@
-//! The ways that are played against each other. What the product uses stands in `fair-share`; the others are here alone.
+//! Algorithms that are compared. Those used by the proxy are in `fair-share`; the others exist only here.
 
 use fair_share::{ProcessorSharing, TenantId};
 
-use super::{Gate, Holding, terms};
+use super::{PoolAlgorithm, RateAlgorithm, rate_quota};
 
-/// Lets all in.
-pub struct Open;
+/// Admits every request.
+pub struct AdmitAll;
 
-impl Gate for Open {
+impl RateAlgorithm for AdmitAll {
     fn admit(&mut self, _: f64, _: usize) -> bool {
         true
     }
@@ -15,61 +15,61 @@
     fn charge(&mut self, _: f64, _: usize, _: f64) {}
 }
 
-/// A bucket a tenant, filled by its part of the rate; what overflows fills a common one that anybody borrows from.
-pub struct Buckets {
+/// Token bucket per tenant, filled with its share of the rate; overflow fills a shared bucket that any tenant can use.
+pub struct TokenBuckets {
     rates: Vec<f64>,
     tokens: Vec<f64>,
-    common: f64,
+    shared: f64,
     burst: f64,
-    at: f64,
+    updated_at: f64,
 }
 
-impl Buckets {
+impl TokenBuckets {
     pub fn new(weights: &[f64], rate: f64, burst: f64) -> Self {
         let sum: f64 = weights.iter().sum();
         let rates: Vec<f64> = weights.iter().map(|w| rate * w / sum).collect();
-        Buckets {
+        TokenBuckets {
             tokens: vec![burst; rates.len()],
             rates,
-            common: burst,
+            shared: burst,
             burst,
-            at: 0.0,
+            updated_at: 0.0,
         }
     }
 
     fn fill(&mut self, now: f64) {
-        let passed = (now - self.at).max(0.0);
-        self.at = now;
+        let elapsed = (now - self.updated_at).max(0.0);
+        self.updated_at = now;
         for (tokens, rate) in self.tokens.iter_mut().zip(&self.rates) {
-            *tokens += rate * passed;
-            self.common += (*tokens - self.burst).max(0.0);
+            *tokens += rate * elapsed;
+            self.shared += (*tokens - self.burst).max(0.0);
             *tokens = tokens.min(self.burst);
         }
-        self.common = self.common.min(self.burst);
+        self.shared = self.shared.min(self.burst);
     }
 }
 
-impl Gate for Buckets {
+impl RateAlgorithm for TokenBuckets {
     fn admit(&mut self, now: f64, tenant: usize) -> bool {
         self.fill(now);
-        self.tokens[tenant] > 0.0 || self.common > 0.0
+        self.tokens[tenant] > 0.0 || self.shared > 0.0
     }
 
     fn charge(&mut self, now: f64, tenant: usize, work: f64) {
         self.fill(now);
-        if self.tokens[tenant] > 0.0 || self.common <= 0.0 {
+        if self.tokens[tenant] > 0.0 || self.shared <= 0.0 {
             self.tokens[tenant] = (self.tokens[tenant] - work).max(-3.0 * self.burst);
         } else {
-            self.common -= work;
+            self.shared -= work;
         }
     }
 }
 
-/// Deficit rounds without a queue: in each round the tenants that asked in the one before get their quanta; what a round
-/// left over is anybody's in the next.
-pub struct Rounds {
+/// Deficit round robin without a queue: in each round, tenants that were active in the previous one get their quanta; unused
+/// time of a round is available to all in the next.
+pub struct DeficitRoundRobin {
     weights: Vec<f64>,
-    asked: Vec<bool>,
+    active: Vec<bool>,
     deficits: Vec<f64>,
     spare: f64,
     used: f64,
@@ -78,17 +78,17 @@
     burst: f64,
 }
 
-/// The length of a round in ms.
-const ROUND: f64 = 10.0;
+/// Length of a round.
+const ROUND_MS: f64 = 10.0;
 
-impl Rounds {
+impl DeficitRoundRobin {
     pub fn new(weights: &[f64], rate: f64, burst: f64) -> Self {
-        let many = weights.len();
-        let (asked, deficits) = (vec![false; many], vec![0.0; many]);
-        let quantum = rate * ROUND;
-        Rounds {
+        let count = weights.len();
+        let (active, deficits) = (vec![false; count], vec![0.0; count]);
+        let quantum = rate * ROUND_MS;
+        DeficitRoundRobin {
             weights: weights.to_vec(),
-            asked,
+            active,
             deficits,
             spare: quantum,
             used: 0.0,
@@ -98,21 +98,21 @@
         }
     }
 
-    fn turn(&mut self, now: f64) {
-        if now < self.round + ROUND {
+    fn advance(&mut self, now: f64) {
+        if now < self.round + ROUND_MS {
             return;
         }
-        let rounds = ((now - self.round) / ROUND).floor();
-        self.round += rounds * ROUND;
+        let rounds = ((now - self.round) / ROUND_MS).floor();
+        self.round += rounds * ROUND_MS;
         let sum: f64 = self
             .weights
             .iter()
-            .zip(&self.asked)
+            .zip(&self.active)
             .filter(|(_, a)| **a)
             .map(|(w, _)| w)
             .sum();
         for (i, deficit) in self.deficits.iter_mut().enumerate() {
-            if std::mem::take(&mut self.asked[i]) {
+            if std::mem::take(&mut self.active[i]) {
                 let quantum = self.quantum * self.weights[i] / sum;
                 *deficit = (*deficit + rounds * quantum).min(quantum);
             } else {
@@ -124,15 +124,15 @@
     }
 }
 
-impl Gate for Rounds {
+impl RateAlgorithm for DeficitRoundRobin {
     fn admit(&mut self, now: f64, tenant: usize) -> bool {
-        self.turn(now);
-        self.asked[tenant] = true;
+        self.advance(now);
+        self.active[tenant] = true;
         self.deficits[tenant] > 0.0 || self.spare > 0.0
     }
 
     fn charge(&mut self, now: f64, tenant: usize, work: f64) {
-        self.turn(now);
+        self.advance(now);
         self.used += work;
         if self.deficits[tenant] > 0.0 || self.spare <= 0.0 {
             self.deficits[tenant] = (self.deficits[tenant] - work).max(-3.0 * self.burst);
@@ -142,21 +142,21 @@
     }
 }
 
-/// Backlogs by virtual time, as the product does it.
-pub struct Virtual(ProcessorSharing);
+/// Backlogs in virtual time, as in the proxy.
+pub struct VirtualTime(ProcessorSharing);
 
-impl Virtual {
+impl VirtualTime {
     pub fn new(weights: &[f64], rate: f64, burst: f64) -> Self {
         let mut server = ProcessorSharing::new(rate);
         weights
             .iter()
             .enumerate()
-            .for_each(|(i, w)| server.set_quota(0.0, TenantId(i), terms(*w, burst)));
-        Virtual(server)
+            .for_each(|(i, w)| server.set_quota(0.0, TenantId(i), rate_quota(*w, burst)));
+        VirtualTime(server)
     }
 }
 
-impl Gate for Virtual {
+impl RateAlgorithm for VirtualTime {
     fn admit(&mut self, now: f64, tenant: usize) -> bool {
         self.0.admit(now, TenantId(tenant)).is_ok()
     }
@@ -166,87 +166,87 @@
     }
 }
 
-/// Whoever comes gets what there is.
-pub struct Unbounded {
+/// Grants units in order of arrival while any are free.
+pub struct FirstComeFirstServed {
     free: u64,
 }
 
-impl Unbounded {
-    pub fn new(all: u64) -> Self {
-        Unbounded { free: all }
+impl FirstComeFirstServed {
+    pub fn new(capacity: u64) -> Self {
+        FirstComeFirstServed { free: capacity }
     }
 }
 
-impl Holding for Unbounded {
-    fn take(&mut self, _: f64, _: usize) -> bool {
-        let got = self.free > 0;
-        self.free -= u64::from(got);
-        got
+impl PoolAlgorithm for FirstComeFirstServed {
+    fn acquire(&mut self, _: f64, _: usize) -> bool {
+        let acquired = self.free > 0;
+        self.free -= u64::from(acquired);
+        acquired
     }
 
-    fn give(&mut self, _: usize) {
+    fn release(&mut self, _: usize) {
         self.free += 1;
     }
 }
 
-/// To each its part, used or not.
-pub struct Split {
+/// Reserves a fixed part for each tenant, whether used or not.
+pub struct FixedPartition {
     free: Vec<u64>,
 }
 
-impl Split {
-    pub fn new(weights: &[f64], all: u64) -> Self {
+impl FixedPartition {
+    pub fn new(weights: &[f64], capacity: u64) -> Self {
         let sum: f64 = weights.iter().sum();
-        Split {
+        FixedPartition {
             free: weights
                 .iter()
-                .map(|w| (all as f64 * w / sum) as u64)
+                .map(|w| (capacity as f64 * w / sum) as u64)
                 .collect(),
         }
     }
 }
 
-impl Holding for Split {
-    fn take(&mut self, _: f64, tenant: usize) -> bool {
-        let got = self.free[tenant] > 0;
-        self.free[tenant] -= u64::from(got);
-        got
+impl PoolAlgorithm for FixedPartition {
+    fn acquire(&mut self, _: f64, tenant: usize) -> bool {
+        let acquired = self.free[tenant] > 0;
+        self.free[tenant] -= u64::from(acquired);
+        acquired
     }
 
-    fn give(&mut self, tenant: usize) {
+    fn release(&mut self, tenant: usize) {
         self.free[tenant] += 1;
     }
 }
 
-/// A tenant may hold as much as is free, times its weight beside the mean (a dynamic threshold with a constant of 1).
-pub struct Moving {
+/// Limits a tenant to the free amount times its weight relative to the mean weight (dynamic threshold with a constant of 1).
+pub struct DynamicThreshold {
     factors: Vec<f64>,
     held: Vec<u64>,
     free: u64,
 }
 
-impl Moving {
-    pub fn new(weights: &[f64], all: u64) -> Self {
+impl DynamicThreshold {
+    pub fn new(weights: &[f64], capacity: u64) -> Self {
         let mean = weights.iter().sum::<f64>() / weights.len() as f64;
         let factors: Vec<f64> = weights.iter().map(|w| w / mean).collect();
-        Moving {
+        DynamicThreshold {
             held: vec![0; factors.len()],
             factors,
-            free: all,
+            free: capacity,
         }
     }
 }
 
-impl Holding for Moving {
-    fn take(&mut self, _: f64, tenant: usize) -> bool {
-        let got =
+impl PoolAlgorithm for DynamicThreshold {
+    fn acquire(&mut self, _: f64, tenant: usize) -> bool {
+        let acquired =
             self.free > 0 && (self.held[tenant] as f64) < self.factors[tenant] * self.free as f64;
-        self.held[tenant] += u64::from(got);
-        self.free -= u64::from(got);
-        got
+        self.held[tenant] += u64::from(acquired);
+        self.free -= u64::from(acquired);
+        acquired
     }
 
-    fn give(&mut self, tenant: usize) {
+    fn release(&mut self, tenant: usize) {
         self.held[tenant] -= 1;
         self.free += 1;
     }
