--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -33,7 +33,7 @@
     let steps = s
         .faults
         .iter()
-        .filter(|f| f.kind == FaultKind::LoadStep && f.holds(at));
+        .filter(|f| f.kind == FaultKind::LoadStep && f.is_active(at));
     wave * steps.filter_map(|f| f.factor).product::<f64>()
 }
 
@@ -86,7 +86,7 @@
         }
         let mut key = zipf.sample(&mut rng) as u64;
         // During a launch, part of the requests are for a key that has not been requested before.
-        for (n, launch) in launches.iter().enumerate().filter(|(_, l)| l.holds(at)) {
+        for (n, launch) in launches.iter().enumerate().filter(|(_, l)| l.is_active(at)) {
             if rng.random::<f64>() < launch.share.map_or(0.0, |s| s.0) {
                 key = s.load.keys + 1 + n as u64;
             }
@@ -138,7 +138,7 @@
     let impatient = s
         .faults
         .iter()
-        .any(|f| f.kind == FaultKind::Impatient && f.holds(now));
+        .any(|f| f.kind == FaultKind::Impatient && f.is_active(now));
     let wait = match outcome {
         _ if impatient => 0.0,
         ClientAttemptOutcome::Rejected(Some(after)) if request.honours_retry_after => {
--- a/crates/lab/src/real/clients.rs
+++ b/crates/lab/src/real/clients.rs
@@ -301,7 +301,8 @@
     /// Returns the body size of a large request or response, if a fault makes this request large.
     fn large_body_size(&self) -> Option<usize> {
         let now = self.run.now();
-        let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::LargeBodies && f.holds(now);
+        let holds =
+            |f: &&crate::scenario::Fault| f.kind == FaultKind::LargeBodies && f.is_active(now);
         let fault = self.run.scenario.faults.iter().find(holds)?;
         let struck = self.rng.borrow_mut().random::<f64>() < fault.share.map_or(0.0, |s| s.0);
         fault.size.filter(|_| struck).map(|size| size.0 as usize)
@@ -309,7 +310,8 @@
 
     fn reads_slowly(&self) -> bool {
         let now = self.run.now();
-        let holds = |f: &&crate::scenario::Fault| f.kind == FaultKind::SlowReaders && f.holds(now);
+        let holds =
+            |f: &&crate::scenario::Fault| f.kind == FaultKind::SlowReaders && f.is_active(now);
         let share: f64 = self
             .run
             .scenario
--- a/crates/lab/src/real/list_agent.rs
+++ b/crates/lab/src/real/list_agent.rs
@@ -190,7 +190,7 @@
         let faults = &self.run.scenario.faults;
         faults
             .iter()
-            .any(|f| f.kind == FaultKind::ListSilent && f.holds(now))
+            .any(|f| f.kind == FaultKind::ListSilent && f.is_active(now))
     }
 
     async fn watch(&self, connection: &mut Connection, after: Option<u64>) -> std::io::Result<()> {
--- a/crates/lab/src/real/proxies.rs
+++ b/crates/lab/src/real/proxies.rs
@@ -69,7 +69,7 @@
 
 /// Returns the settings object in the format of the platform's protocol.
 pub fn settings_json(s: &Scenario, proxy: ProxyId) -> Value {
-    let of = crate::settings::of(s, proxy);
+    let of = crate::settings::for_proxy(s, proxy);
     let class = |c: &crate::scenario::Class| {
         json!({
             "name": c.name,
--- a/crates/lab/src/real/servers.rs
+++ b/crates/lab/src/real/servers.rs
@@ -14,7 +14,7 @@
 use super::http::{Connection, StartLine};
 use super::run_state::{ConnectionOutcome, RunState};
 use crate::ledger::{AttemptEnd, ProxyId, ServerId};
-use crate::scenario::Break;
+use crate::scenario::BreakPoint;
 use crate::world::server::{Admission, Job};
 use crate::world::{Connect, ListState, ServerOutcome};
 
@@ -357,14 +357,14 @@
                 run.end(id, ledger_index, AttemptEnd::MayHaveRun);
                 AfterExchange::Close
             }
-            ConnectionOutcome::Server(ServerOutcome::Reset(Break::After)) => {
+            ConnectionOutcome::Server(ServerOutcome::Reset(BreakPoint::After)) => {
                 run.end(id, ledger_index, AttemptEnd::Answered);
                 let _ = connection.write(&whole).await;
                 AfterExchange::Close
             }
             ConnectionOutcome::Server(ServerOutcome::Reset(place)) => {
                 run.end(id, ledger_index, AttemptEnd::MayHaveRun);
-                if place == Break::Inside {
+                if place == BreakPoint::Inside {
                     let _ = connection.write(&whole[..half]).await;
                     // The data sent must arrive before the reset does.
                     tokio::time::sleep(std::time::Duration::from_millis(1)).await;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,7 +1,7 @@
-//! A scenario: a fleet, its proxies, the load on them and what goes wrong, as one TOML file.
+//! Scenarios: a fleet, its proxies, the load and the faults, as one TOML file.
 //!
-//! The file is the schema's own type: an unknown key, a missing unit or a value out of its range is an error that
-//! names file, line and key, and all values out of range are named at once.
+//! The file is deserialized into the types of this module. An unknown key, a missing unit or a value out of range is an error
+//! that names file, line and key; all values out of range are reported together.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -13,40 +13,40 @@
 use crate::units::{Bytes, Fraction, Milliseconds, Rate};
 use crate::{Problem, ScenarioError};
 
-/// What an experiment plays.
+/// Scenario of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
-    /// One line on what it shows.
+    /// Purpose in one line.
     pub title: String,
-    /// How long new requests keep coming.
+    /// Duration for which clients send new requests.
     pub length: Milliseconds,
-    /// The servers.
+    /// Servers.
     pub fleet: Fleet,
-    /// The proxies.
+    /// Proxies.
     #[serde(default)]
     pub proxies: Proxies,
-    /// How the list of servers reaches them.
+    /// Distribution of the server list to the proxies.
     #[serde(default)]
     pub list: ListSource,
-    /// The network between all of them.
+    /// Network latency between clients, proxies and servers.
     #[serde(default)]
     pub network: Network,
-    /// How much is asked for.
+    /// Request rate and keys.
     pub load: Load,
-    /// How clients behave.
+    /// Behaviour of clients.
     #[serde(default)]
     pub clients: Clients,
-    /// What is asked for.
+    /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Who asks.
+    /// Tenants that send requests.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Tenant>,
-    /// What goes wrong, and when.
+    /// Faults to inject.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
-    /// The figures of the rules.
+    /// Limits of the rules that the oracle checks.
     #[serde(default)]
     pub rules: Rules,
 }
@@ -55,85 +55,85 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fleet {
-    /// How many there are at the start.
+    /// Number of servers at the start.
     pub servers: usize,
-    /// Where they stand, dealt in turn; the proxies likewise.
-    #[serde(default = "one_zone")]
+    /// Zones, assigned to servers in turn, and to proxies in the same way.
+    #[serde(default = "default_zones")]
     pub zones: Vec<String>,
-    /// Their kinds of machine.
+    /// Machine types.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// The part of its capacity that a process starts with.
+    /// Fraction of its capacity with which a server process starts.
     #[serde(default = "percent::<20>")]
     pub cold_from: Fraction,
-    /// How long a process takes to be warm; its capacity rises evenly.
+    /// Warm-up time of a server process; its capacity rises linearly.
     #[serde(default = "seconds::<10>")]
     pub cold: Milliseconds,
-    /// Requests held for each core above which a server slows down.
-    #[serde(default = "crowded_from")]
+    /// Requests per core above which a server slows down.
+    #[serde(default = "default_crowded_from")]
     pub crowded_from: f64,
-    /// The part of its capacity that each request beyond that costs, for each core.
+    /// Fraction of its capacity lost for each further request per core.
     #[serde(default = "percent::<5>")]
     pub crowding: Fraction,
-    /// Work of a new connection on a standard core.
+    /// Work for a new connection on a standard core.
     #[serde(default = "ms::<1>")]
     pub handshake: Milliseconds,
-    /// Connections that a server holds for each core.
-    #[serde(default = "connections")]
+    /// Maximum of connections to a server per core.
+    #[serde(default = "default_connections_per_core")]
     pub connections_per_core: u32,
-    /// How long an idle connection stays open.
+    /// Time after which an idle connection is closed.
     #[serde(default = "seconds::<10>")]
     pub idle: Milliseconds,
-    /// The part of the work that a key saves on a server that has served it of late.
+    /// Fraction of the work saved on a server that has recently served the same key.
     #[serde(default)]
     pub key_gain: Fraction,
-    /// Keys that a server remembers for each core.
-    #[serde(default = "key_memory")]
+    /// Recent keys that a server remembers per core.
+    #[serde(default = "default_keys_per_core")]
     pub keys_per_core: usize,
-    /// How long it remembers them.
+    /// Time for which a server remembers a key.
     #[serde(default = "seconds::<8>")]
     pub key_span: Milliseconds,
-    /// What a client that goes away spares a server.
+    /// Work that a server saves when a client disconnects.
     #[serde(default)]
     pub cancels: Cancels,
 }
 
-/// What an attempt given up spares its server.
+/// Work that a server saves when an attempt is abandoned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cancels {
-    /// Nothing: all is worked off.
+    /// None: the server completes every request.
     Nothing,
-    /// What waits is dropped, what is in work is worked off.
+    /// Queued requests are dropped, running requests are completed.
     #[default]
     Waiting,
-    /// All of it.
+    /// Queued and running requests are dropped.
     All,
 }
 
-/// A kind of machine.
+/// A machine type.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Kind {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the servers.
+    /// Fraction of the servers.
     #[serde(default = "percent::<100>")]
     pub share: Fraction,
-    /// Cores of a server.
+    /// Cores per server.
     #[serde(default = "two")]
     pub cores: u32,
-    /// The speed of a core; 1 is the standard.
+    /// Speed of a core relative to the standard core, which has speed 1.
     #[serde(default = "one")]
     pub speed: f64,
-    /// How far speeds lie apart, as a standard deviation relative to the mean.
+    /// Standard deviation of speeds relative to the mean.
     #[serde(default = "percent::<10>")]
     pub speed_spread: Fraction,
-    /// Requests in work for each core.
+    /// Concurrent requests per core.
     #[serde(default = "one")]
     pub slots_per_core: f64,
-    /// Requests that wait for each core; more are turned away unseen.
-    #[serde(default = "queue")]
+    /// Queued requests per core; further requests are rejected without being processed.
+    #[serde(default = "default_queue_per_core")]
     pub queue_per_core: f64,
 }
 
@@ -141,15 +141,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Proxies {
-    /// How many there are.
+    /// Number of proxies.
     pub count: usize,
-    /// How long the front before them goes on sending to one that has died.
+    /// Time for which the load balancer in front still sends requests to a proxy that has died.
     pub notice: Milliseconds,
-    /// Memory that a proxy may take, in MiB; real processes only.
+    /// Memory limit of a proxy in MiB; real processes only.
     pub memory_mb: u64,
-    /// Descriptors that a proxy may hold; real processes only.
+    /// File descriptor limit of a proxy; real processes only.
     pub sockets: usize,
-    /// The most that a refused client is asked to wait; zero where refusals name no time.
+    /// Maximum retry delay that a rejection asks for; zero if rejections name no delay.
     pub retry_after: Milliseconds,
 }
 
@@ -166,13 +166,13 @@
     }
 }
 
-/// How the list of servers reaches the proxies.
+/// Distribution of the server list to the proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct ListSource {
-    /// From a change to its word at a proxy, at least.
+    /// Minimum delay from a change to its notification at a proxy.
     pub delay: Milliseconds,
-    /// And up to this much more, drawn for each proxy and change; order is kept.
+    /// Maximum additional delay, drawn at random for each proxy and change; the order of changes is kept.
     pub spread: Milliseconds,
 }
 
@@ -185,7 +185,7 @@
     }
 }
 
-/// The network, one way.
+/// Network latency in one direction.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Network {
@@ -195,7 +195,7 @@
     pub cross: Milliseconds,
     /// From a client to its proxy.
     pub client: Milliseconds,
-    /// How far single messages deviate, at most.
+    /// Maximum deviation of a single message, as a fraction.
     pub jitter: Fraction,
 }
 
@@ -210,39 +210,39 @@
     }
 }
 
-/// How much is asked for.
+/// Request rate and keys.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Load {
-    /// As a part of what the warm fleet can do at the start.
+    /// Request rate as a fraction of the capacity of the initial, warm fleet.
     pub level: Option<Fraction>,
-    /// Or as first tries a second.
+    /// Request rate as first attempts per second; alternative to `level`.
     pub rate: Option<Rate>,
-    /// How far a wave swings it about that mean.
+    /// Amplitude of the periodic variation about the mean, as a fraction.
     #[serde(default)]
     pub swing: Fraction,
-    /// How long one wave is.
+    /// Period of the variation.
     #[serde(default = "seconds::<10>")]
     pub period: Milliseconds,
-    /// Distinct keys.
-    #[serde(default = "keys")]
+    /// Number of distinct keys.
+    #[serde(default = "default_keys")]
     pub keys: u64,
-    /// The exponent of their popularity (Zipf).
+    /// Zipf exponent of their popularity.
     #[serde(default = "one")]
     pub zipf: f64,
 }
 
-/// How clients behave.
+/// Behaviour of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Clients {
-    /// Further tries after the first.
+    /// Maximum of retries after the first attempt.
     pub retries: u32,
-    /// The part of the class's deadline after which a try is given up.
+    /// Timeout of an attempt as a fraction of the class's deadline.
     pub patience: Fraction,
-    /// The wait before a further try.
+    /// Delay before a retry.
     pub backoff: Milliseconds,
-    /// The part of the clients that waits as long as a refusal says, where that is longer.
+    /// Fraction of clients that honour a longer retry delay from a rejection.
     pub honour: Fraction,
 }
 
@@ -261,65 +261,65 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// Name, which is the first segment of the path.
     pub name: String,
-    /// Its part of the requests.
+    /// Fraction of the requests.
     pub share: Fraction,
     /// Mean work on a standard core.
     pub work: Milliseconds,
-    /// How far the work of single requests lies apart, as a standard deviation relative to the mean (lognormal).
+    /// Standard deviation of the work relative to the mean (lognormal).
     #[serde(default = "one")]
     pub spread: f64,
-    /// An answer within this span earns the full worth.
+    /// Latency objective: a response within it earns the full priority weight.
     pub aim: Milliseconds,
-    /// How long a client waits with all its tries.
+    /// Time limit for a request including all attempts.
     pub deadline: Milliseconds,
-    /// What an answer in time is worth.
+    /// Priority weight of a response in time.
     #[serde(default = "one")]
     pub worth: f64,
-    /// The part of the worth that a later answer still earns.
+    /// Fraction of the priority weight that a later response earns.
     #[serde(default)]
     pub late_worth: Fraction,
-    /// Whether it may run more than once.
+    /// Effect of running a request more than once.
     pub effect: Effect,
 }
 
-/// Whether a request may run more than once.
+/// Effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Repeating it does no harm.
+    /// The request can be repeated.
     Safe,
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// Who asks.
+/// A tenant that sends requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of what the fleet can do.
+    /// Fraction of the fleet's capacity.
     pub share: Fraction,
-    /// What it asks for, relative to its share.
+    /// Request rate relative to its share.
     #[serde(default = "one")]
     pub usage: f64,
 }
 
-/// The figures of the rules.
+/// Limits of the rules that the oracle checks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Rules {
-    /// A final answer counts up to this long after its deadline.
+    /// Time after its deadline up to which a final response is accepted.
     pub answer_slack: Milliseconds,
-    /// Sends to a server whose drain or end has been told end within this span.
+    /// Time after the announcement of a drain or removal by which requests to that server must stop.
     pub drain_grace: Milliseconds,
-    /// A cold server falls over when it is sent more than this multiple of its present capacity...
+    /// A cold server fails when its load exceeds this multiple of its current capacity for the time `fall`.
     pub fall_multiple: f64,
-    /// ...for this span.
+    /// Duration of overload after which a cold server fails.
     pub fall: Milliseconds,
-    /// Attempts that a request may have.
+    /// Maximum of attempts per request.
     pub max_attempts: u32,
 }
 
@@ -335,113 +335,113 @@
     }
 }
 
-/// Something that goes wrong. Which keys go with which kind is [`FaultKind::keys`].
+/// A fault. The keys of each kind are listed by [`FaultKind::required_keys`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fault {
-    /// What it is.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// Start time.
     pub at: Milliseconds,
-    /// How long it lasts.
+    /// Duration.
     #[serde(rename = "for", default)]
     pub span: Milliseconds,
-    /// Of what it strikes, which part it strikes.
+    /// Affected fraction.
     pub share: Option<Fraction>,
-    /// How strong it is.
+    /// Strength.
     pub factor: Option<f64>,
-    /// Servers replaced at a time, as a part of the fleet.
+    /// Servers replaced at a time, as a fraction of the fleet.
     pub batch: Option<Fraction>,
-    /// From a server's drain to its end.
+    /// Time from a server's drain to its removal.
     pub drain: Option<Milliseconds>,
-    /// Where in an answer a connection breaks.
+    /// Point in a response at which the connection breaks.
     #[serde(rename = "where")]
-    pub place: Option<Break>,
-    /// One side of a partition, by the zone's name.
+    pub break_point: Option<BreakPoint>,
+    /// Zone on one side of a partition.
     pub from: Option<String>,
-    /// The other side.
+    /// Zone on the other side.
     pub to: Option<String>,
-    /// Peers a second.
+    /// Peers per second.
     pub rate: Option<Rate>,
-    /// Bytes of a body.
+    /// Body size in bytes.
     pub size: Option<Bytes>,
 }
 
 impl Fault {
-    /// Whether it lasts at a time.
-    pub fn holds(&self, at: balancer::Millis) -> bool {
+    /// Returns true if the fault is active at a time.
+    pub fn is_active(&self, at: balancer::Millis) -> bool {
         self.at.0 <= at && at < self.at.0 + self.span.0
     }
 }
 
-/// Where in an answer a connection breaks.
+/// Point in a response at which a connection breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Break {
-    /// While its server still works on the request, or lets it wait: what the break spares the server is as for any
-    /// client that goes away.
+pub enum BreakPoint {
+    /// While the server processes or queues the request; the server saves the same work as for any disconnected client
+    /// ([`Cancels`]).
     During,
-    /// Before the answer's first byte; the request has run.
+    /// Before the first byte of the response; the request has run.
     Before,
-    /// Between the answer's first byte and its last.
+    /// Between the first and the last byte of the response.
     Inside,
-    /// After the whole answer, when the connection is idle.
+    /// After the response, while the connection is idle.
     After,
 }
 
-/// What can go wrong.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Servers are replaced by cold ones, some at a time.
+    /// Servers are replaced by cold ones in batches.
     RollingDeploy,
-    /// Servers drain and leave for good.
+    /// Servers drain and are removed.
     Shrink,
-    /// Proxies are killed outright and come back after the span with nothing but an old list.
+    /// Proxies are killed (SIGKILL) and restart after the duration with only an old list.
     ProxyKill,
-    /// Proxies are told to end, and started anew.
+    /// Proxies are asked to stop, and are started again.
     ProxyRestart,
-    /// A part of the answers breaks.
+    /// A fraction of the responses is broken off by a reset.
     Resets,
-    /// A part of the answers never comes, on connections that stay open.
+    /// A fraction of the responses never arrives; the connections stay open.
     LostAnswers,
-    /// Servers go on, many times slower.
+    /// Servers process requests slower by a factor.
     Slow,
-    /// Servers take requests and say nothing.
+    /// Servers accept requests and never respond.
     Hang,
     /// Servers refuse new connections.
     RefuseConnects,
-    /// Servers answer a part of the requests with an error, at once.
+    /// Servers respond to a fraction of the requests with an immediate error.
     Errors,
-    /// The list says nothing, not even that it lives.
+    /// The list source sends nothing, not even heartbeats.
     ListSilent,
-    /// The list lives, and tells no change.
+    /// The list source sends heartbeats but no changes.
     ListStale,
-    /// Nothing passes from one zone to another.
+    /// No messages pass between two zones.
     Partition,
     /// The load changes by a factor.
     LoadStep,
-    /// One key takes a part of the load.
+    /// One key receives a fraction of the load.
     Launch,
-    /// Clients try again at once, and do not listen to refusals.
+    /// Clients retry immediately and ignore the retry delay of rejections.
     Impatient,
-    /// A part of the clients reads its answers slowly; real sockets only.
+    /// A fraction of the clients reads responses slowly; real sockets only.
     SlowReaders,
     /// Peers send garbage; real sockets only.
     Garbage,
-    /// A second process is started beside each proxy struck and takes its place; real sockets only.
+    /// A second process is started for each affected proxy and replaces it; real sockets only.
     Upgrade,
-    /// Operators send the clients of proxies away, and take them back after the span; real sockets only.
+    /// Operators drain proxies of their clients and undo this after the duration; real sockets only.
     Drain,
-    /// Proxies are given other settings, and theirs back after the span; real sockets only.
+    /// Proxies get other settings, and the original ones after the duration; real sockets only.
     Retune,
-    /// A part of the requests is large: bodies that come in two halves with a pause between, or answers; real sockets only.
+    /// A fraction of the requests has large bodies, sent in two halves with a pause, or large responses; real sockets only.
     LargeBodies,
 }
 
 impl FaultKind {
-    /// The keys that a fault of this kind must have, beside `kind` and `at`.
-    pub fn keys(self) -> &'static [&'static str] {
+    /// Returns the keys that a fault of this kind requires in addition to `kind` and `at`.
+    pub fn required_keys(self) -> &'static [&'static str] {
         use FaultKind::*;
         match self {
             RollingDeploy => &["for", "share", "batch", "drain"],
@@ -462,7 +462,7 @@
     }
 }
 
-fn one_zone() -> Vec<String> {
+fn default_zones() -> Vec<String> {
     vec!["here".into()]
 }
 
@@ -486,73 +486,74 @@
     2
 }
 
-fn crowded_from() -> f64 {
+fn default_crowded_from() -> f64 {
     6.0
 }
 
-fn connections() -> u32 {
+fn default_connections_per_core() -> u32 {
     400
 }
 
-fn key_memory() -> usize {
+fn default_keys_per_core() -> usize {
     25
 }
 
-fn queue() -> f64 {
+fn default_queue_per_core() -> f64 {
     20.0
 }
 
-fn keys() -> u64 {
+fn default_keys() -> u64 {
     1000
 }
 
-/// The most of a thing, so that no scenario asks for more than a machine holds.
-const MOST_SERVERS: usize = 20_000;
-const MOST_PROXIES: usize = 1_000;
-/// Bytes of a large body; the lab's ends keep each whole.
-const LARGEST: f64 = 33_554_432.0;
-const DAY: f64 = 86_400_000.0;
+/// Maximum of servers; it keeps the memory of a scenario within that of one machine.
+const MAX_SERVERS: usize = 20_000;
+/// Maximum of proxies; it keeps the memory of a scenario within that of one machine.
+const MAX_PROXIES: usize = 1_000;
+/// Maximum size of a large body; the lab's clients and servers keep each body in memory.
+const MAX_LARGE_BODY_BYTES: f64 = 33_554_432.0;
+const DAY_MS: f64 = 86_400_000.0;
 
-/// Gathers what is wrong with a scenario.
-struct Check<'a> {
-    places: &'a KeyPositions,
+/// Collects the problems of a scenario.
+struct Validator<'a> {
+    positions: &'a KeyPositions,
     problems: Vec<Problem>,
 }
 
-impl Check<'_> {
-    fn that(&mut self, fine: bool, key: &str, what: impl FnOnce() -> String) {
-        if !fine {
+impl Validator<'_> {
+    fn require(&mut self, valid: bool, key: &str, message: impl FnOnce() -> String) {
+        if !valid {
             self.problems.push(Problem {
-                line: self.places.line_of(key),
+                line: self.positions.line_of(key),
                 key: key.to_owned(),
-                message: what(),
+                message: message(),
             });
         }
     }
 
-    fn within(&mut self, key: &str, value: f64, range: RangeInclusive<f64>) {
-        let (low, high) = (*range.start(), *range.end());
-        self.that(range.contains(&value), key, || {
-            format!("{value} is not within {low} and {high}")
+    fn check_range(&mut self, key: &str, value: f64, range: RangeInclusive<f64>) {
+        let (min, max) = (*range.start(), *range.end());
+        self.require(range.contains(&value), key, || {
+            format!("{value} is not within {min} and {max}")
         });
     }
 
-    /// A share that is more than nothing and no more than all.
-    fn part(&mut self, key: &str, value: Fraction) {
-        self.that(value.0 > 0.0 && value.0 <= 1.0, key, || {
+    /// Requires a fraction above 0 and at most 100 %.
+    fn check_fraction(&mut self, key: &str, value: Fraction) {
+        self.require(value.0 > 0.0 && value.0 <= 1.0, key, || {
             format!("{value} is not within 0 and 100 %")
         });
     }
 
-    fn span(&mut self, key: &str, value: Milliseconds, range: RangeInclusive<f64>) {
-        let (low, high) = (Milliseconds(*range.start()), Milliseconds(*range.end()));
-        self.that(range.contains(&value.0), key, || {
-            format!("{value} is not within {low} and {high}")
+    fn check_span(&mut self, key: &str, value: Milliseconds, range: RangeInclusive<f64>) {
+        let (min, max) = (Milliseconds(*range.start()), Milliseconds(*range.end()));
+        self.require(range.contains(&value.0), key, || {
+            format!("{value} is not within {min} and {max}")
         });
     }
 
-    /// Names that are there, differ, and can stand in a path.
-    fn names<'n>(&mut self, key: &str, names: impl Iterator<Item = &'n str>) {
+    /// Requires names that are not empty, are distinct, and can be used in a path.
+    fn check_names<'n>(&mut self, key: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = BTreeSet::new();
         for (i, name) in names.enumerate() {
             let key = if key.contains('#') {
@@ -560,151 +561,153 @@
             } else {
                 key.to_owned()
             };
-            let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-            self.that(!name.is_empty() && name.chars().all(plain), &key, || {
-                format!("{name:?} is not made of letters, digits, '-', '_' and '.'")
-            });
-            self.that(seen.insert(name), &key, || format!("{name:?} stands twice"));
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+            self.require(
+                !name.is_empty() && name.chars().all(is_allowed),
+                &key,
+                || format!("{name:?} is not made of letters, digits, '-', '_' and '.'"),
+            );
+            self.require(seen.insert(name), &key, || format!("{name:?} stands twice"));
         }
     }
 
-    fn shares(&mut self, key: &str, shares: impl Iterator<Item = f64>) {
+    fn check_shares(&mut self, key: &str, shares: impl Iterator<Item = f64>) {
         let sum: f64 = shares.sum();
-        self.that((sum - 1.0).abs() < 1e-6, key, || {
+        self.require((sum - 1.0).abs() < 1e-6, key, || {
             format!("the shares add up to {}, not to 100 %", Fraction(sum))
         });
     }
 }
 
 impl Scenario {
-    /// Reads and checks a scenario; `file` is the name that errors use.
+    /// Parses and validates a scenario; `file` is the file name in errors.
     ///
     /// # Errors
-    /// All that is wrong with it, each with its line and key.
+    /// Returns all problems, each with its line and key.
     pub fn parse(file: &str, text: &str) -> Result<Self, ScenarioError> {
-        let places = KeyPositions::new(file, text)?;
-        let scenario: Scenario = toml::from_str(text).map_err(|e| places.syntax_error(&e))?;
-        let mut check = Check {
-            places: &places,
+        let positions = KeyPositions::new(file, text)?;
+        let scenario: Scenario = toml::from_str(text).map_err(|e| positions.syntax_error(&e))?;
+        let mut validator = Validator {
+            positions: &positions,
             problems: Vec::new(),
         };
-        scenario.check(&mut check);
-        let problems = check.problems;
+        scenario.check(&mut validator);
+        let problems = validator.problems;
         if problems.is_empty() {
             Ok(scenario)
         } else {
-            Err(places.document_error(problems))
+            Err(positions.document_error(problems))
         }
     }
 
-    fn check(&self, check: &mut Check) {
-        check.span("length", self.length, 100.0..=DAY);
-        self.check_fleet(check);
+    fn check(&self, validator: &mut Validator) {
+        validator.check_span("length", self.length, 100.0..=DAY_MS);
+        self.check_fleet(validator);
         let p = &self.proxies;
-        check.within("proxies.count", p.count as f64, 1.0..=MOST_PROXIES as f64);
-        check.within("proxies.sockets", p.sockets as f64, 64.0..=1_048_576.0);
-        check.within("proxies.memory-mb", p.memory_mb as f64, 4.0..=1_048_576.0);
-        check.span("proxies.notice", p.notice, 0.0..=DAY);
-        check.span("proxies.retry-after", p.retry_after, 0.0..=600_000.0);
-        check.span("list.delay", self.list.delay, 0.0..=600_000.0);
-        check.span("list.spread", self.list.spread, 0.0..=600_000.0);
+        validator.check_range("proxies.count", p.count as f64, 1.0..=MAX_PROXIES as f64);
+        validator.check_range("proxies.sockets", p.sockets as f64, 64.0..=1_048_576.0);
+        validator.check_range("proxies.memory-mb", p.memory_mb as f64, 4.0..=1_048_576.0);
+        validator.check_span("proxies.notice", p.notice, 0.0..=DAY_MS);
+        validator.check_span("proxies.retry-after", p.retry_after, 0.0..=600_000.0);
+        validator.check_span("list.delay", self.list.delay, 0.0..=600_000.0);
+        validator.check_span("list.spread", self.list.spread, 0.0..=600_000.0);
         for (key, span) in [
             ("network.same", self.network.same),
             ("network.cross", self.network.cross),
             ("network.client", self.network.client),
         ] {
-            check.span(key, span, 0.001..=10_000.0);
+            validator.check_span(key, span, 0.001..=10_000.0);
         }
-        check.within("network.jitter", self.network.jitter.0, 0.0..=0.9);
-        self.check_load(check);
-        self.check_classes(check);
+        validator.check_range("network.jitter", self.network.jitter.0, 0.0..=0.9);
+        self.check_load(validator);
+        self.check_classes(validator);
         let r = &self.rules;
-        check.within("rules.fall-multiple", r.fall_multiple, 1.0..=1000.0);
-        check.span("rules.fall", r.fall, 1.0..=600_000.0);
-        check.within("rules.max-attempts", f64::from(r.max_attempts), 1.0..=100.0);
+        validator.check_range("rules.fall-multiple", r.fall_multiple, 1.0..=1000.0);
+        validator.check_span("rules.fall", r.fall, 1.0..=600_000.0);
+        validator.check_range("rules.max-attempts", f64::from(r.max_attempts), 1.0..=100.0);
         for (i, fault) in self.faults.iter().enumerate() {
-            self.check_fault(check, i, fault);
+            self.check_fault(validator, i, fault);
         }
     }
 
-    fn check_fleet(&self, check: &mut Check) {
+    fn check_fleet(&self, validator: &mut Validator) {
         let f = &self.fleet;
-        check.within("fleet.servers", f.servers as f64, 1.0..=MOST_SERVERS as f64);
-        check.that(!f.zones.is_empty(), "fleet.zones", || {
+        validator.check_range("fleet.servers", f.servers as f64, 1.0..=MAX_SERVERS as f64);
+        validator.require(!f.zones.is_empty(), "fleet.zones", || {
             "there is none".into()
         });
-        check.names("fleet.zones", f.zones.iter().map(String::as_str));
-        check.names("fleet.kind.#.name", f.kinds.iter().map(|k| k.name.as_str()));
-        check.shares("fleet.kind", f.kinds.iter().map(|k| k.share.0));
+        validator.check_names("fleet.zones", f.zones.iter().map(String::as_str));
+        validator.check_names("fleet.kind.#.name", f.kinds.iter().map(|k| k.name.as_str()));
+        validator.check_shares("fleet.kind", f.kinds.iter().map(|k| k.share.0));
         for (i, k) in f.kinds.iter().enumerate() {
             let key = |name: &str| format!("fleet.kind.{i}.{name}");
-            check.within(&key("cores"), f64::from(k.cores), 1.0..=1024.0);
-            check.within(&key("speed"), k.speed, 0.01..=100.0);
-            check.within(&key("speed-spread"), k.speed_spread.0, 0.0..=1.0);
-            check.within(&key("slots-per-core"), k.slots_per_core, 0.5..=1000.0);
-            check.within(&key("queue-per-core"), k.queue_per_core, 0.0..=100_000.0);
+            validator.check_range(&key("cores"), f64::from(k.cores), 1.0..=1024.0);
+            validator.check_range(&key("speed"), k.speed, 0.01..=100.0);
+            validator.check_range(&key("speed-spread"), k.speed_spread.0, 0.0..=1.0);
+            validator.check_range(&key("slots-per-core"), k.slots_per_core, 0.5..=1000.0);
+            validator.check_range(&key("queue-per-core"), k.queue_per_core, 0.0..=100_000.0);
         }
-        check.part("fleet.cold-from", f.cold_from);
-        check.span("fleet.cold", f.cold, 0.0..=DAY);
-        check.within("fleet.crowded-from", f.crowded_from, 0.0..=1e6);
-        check.within("fleet.crowding", f.crowding.0, 0.0..=1.0);
-        check.span("fleet.handshake", f.handshake, 0.0..=1000.0);
-        check.within(
+        validator.check_fraction("fleet.cold-from", f.cold_from);
+        validator.check_span("fleet.cold", f.cold, 0.0..=DAY_MS);
+        validator.check_range("fleet.crowded-from", f.crowded_from, 0.0..=1e6);
+        validator.check_range("fleet.crowding", f.crowding.0, 0.0..=1.0);
+        validator.check_span("fleet.handshake", f.handshake, 0.0..=1000.0);
+        validator.check_range(
             "fleet.connections-per-core",
             f64::from(f.connections_per_core),
             1.0..=1e6,
         );
-        check.span("fleet.idle", f.idle, 100.0..=DAY);
-        check.within("fleet.key-gain", f.key_gain.0, 0.0..=0.95);
+        validator.check_span("fleet.idle", f.idle, 100.0..=DAY_MS);
+        validator.check_range("fleet.key-gain", f.key_gain.0, 0.0..=0.95);
     }
 
-    fn check_load(&self, check: &mut Check) {
+    fn check_load(&self, validator: &mut Validator) {
         let l = &self.load;
         let one = l.level.is_some() != l.rate.is_some();
-        check.that(one, "load", || "it has either a level or a rate".into());
+        validator.require(one, "load", || "it has either a level or a rate".into());
         if let Some(level) = l.level {
-            check.within("load.level", level.0, 0.001..=20.0);
+            validator.check_range("load.level", level.0, 0.001..=20.0);
         }
         if let Some(rate) = l.rate {
-            check.within("load.rate", rate.0, 0.01..=1e6);
+            validator.check_range("load.rate", rate.0, 0.01..=1e6);
         }
-        check.within("load.swing", l.swing.0, 0.0..=1.0);
-        check.span("load.period", l.period, 100.0..=DAY);
-        check.within("load.keys", l.keys as f64, 1.0..=1e8);
-        check.within("load.zipf", l.zipf, 0.0..=5.0);
+        validator.check_range("load.swing", l.swing.0, 0.0..=1.0);
+        validator.check_span("load.period", l.period, 100.0..=DAY_MS);
+        validator.check_range("load.keys", l.keys as f64, 1.0..=1e8);
+        validator.check_range("load.zipf", l.zipf, 0.0..=5.0);
         let c = &self.clients;
-        check.within("clients.retries", f64::from(c.retries), 0.0..=100.0);
-        check.part("clients.patience", c.patience);
-        check.span("clients.backoff", c.backoff, 0.0..=60_000.0);
-        check.within("clients.honour", c.honour.0, 0.0..=1.0);
+        validator.check_range("clients.retries", f64::from(c.retries), 0.0..=100.0);
+        validator.check_fraction("clients.patience", c.patience);
+        validator.check_span("clients.backoff", c.backoff, 0.0..=60_000.0);
+        validator.check_range("clients.honour", c.honour.0, 0.0..=1.0);
     }
 
-    fn check_classes(&self, check: &mut Check) {
-        check.that(!self.classes.is_empty(), "class", || "there is none".into());
-        check.names("class.#.name", self.classes.iter().map(|c| c.name.as_str()));
-        check.shares("class", self.classes.iter().map(|c| c.share.0));
+    fn check_classes(&self, validator: &mut Validator) {
+        validator.require(!self.classes.is_empty(), "class", || "there is none".into());
+        validator.check_names("class.#.name", self.classes.iter().map(|c| c.name.as_str()));
+        validator.check_shares("class", self.classes.iter().map(|c| c.share.0));
         for (i, c) in self.classes.iter().enumerate() {
             let key = |name: &str| format!("class.{i}.{name}");
-            check.span(&key("work"), c.work, 0.01..=600_000.0);
-            check.within(&key("spread"), c.spread, 0.0..=10.0);
-            check.span(&key("deadline"), c.deadline, 20.0..=600_000.0);
-            check.span(&key("aim"), c.aim, 10.0..=c.deadline.0);
-            check.within(&key("worth"), c.worth, 0.0..=1e6);
-            check.within(&key("late-worth"), c.late_worth.0, 0.0..=1.0);
+            validator.check_span(&key("work"), c.work, 0.01..=600_000.0);
+            validator.check_range(&key("spread"), c.spread, 0.0..=10.0);
+            validator.check_span(&key("deadline"), c.deadline, 20.0..=600_000.0);
+            validator.check_span(&key("aim"), c.aim, 10.0..=c.deadline.0);
+            validator.check_range(&key("worth"), c.worth, 0.0..=1e6);
+            validator.check_range(&key("late-worth"), c.late_worth.0, 0.0..=1.0);
         }
         if !self.tenants.is_empty() {
-            check.names(
+            validator.check_names(
                 "tenant.#.name",
                 self.tenants.iter().map(|t| t.name.as_str()),
             );
-            check.shares("tenant", self.tenants.iter().map(|t| t.share.0));
+            validator.check_shares("tenant", self.tenants.iter().map(|t| t.share.0));
             for (i, t) in self.tenants.iter().enumerate() {
-                check.within(&format!("tenant.{i}.usage"), t.usage, 0.0..=1000.0);
+                validator.check_range(&format!("tenant.{i}.usage"), t.usage, 0.0..=1000.0);
             }
         }
     }
 
-    fn check_fault(&self, check: &mut Check, i: usize, fault: &Fault) {
+    fn check_fault(&self, validator: &mut Validator, i: usize, fault: &Fault) {
         let key = |name: &str| format!("fault.{i}.{name}");
         let kind = fault.kind;
         let has = [
@@ -712,26 +715,26 @@
             ("factor", fault.factor.is_some()),
             ("batch", fault.batch.is_some()),
             ("drain", fault.drain.is_some()),
-            ("where", fault.place.is_some()),
+            ("where", fault.break_point.is_some()),
             ("from", fault.from.is_some()),
             ("to", fault.to.is_some()),
             ("rate", fault.rate.is_some()),
             ("size", fault.size.is_some()),
             ("for", fault.span.0 > 0.0),
         ];
-        for (name, given) in has {
-            let wanted = kind.keys().contains(&name);
-            check.that(!given || wanted, &key(name), || {
+        for (name, present) in has {
+            let required = kind.required_keys().contains(&name);
+            validator.require(!present || required, &key(name), || {
                 format!("it does not go with {kind:?}")
             });
-            check.that(given || !wanted, &key("kind"), || {
+            validator.require(present || !required, &key("kind"), || {
                 format!("{kind:?} needs the key '{name}'")
             });
         }
-        check.span(&key("at"), fault.at, 0.0..=self.length.0);
+        validator.check_span(&key("at"), fault.at, 0.0..=self.length.0);
         for (name, share) in [("share", fault.share), ("batch", fault.batch)] {
             if let Some(share) = share {
-                check.part(&key(name), share);
+                validator.check_fraction(&key(name), share);
             }
         }
         if let Some(factor) = fault.factor {
@@ -740,21 +743,21 @@
             } else {
                 0.001..=1000.0
             };
-            check.within(&key("factor"), factor, range);
+            validator.check_range(&key("factor"), factor, range);
         }
         if let Some(rate) = fault.rate {
-            check.within(&key("rate"), rate.0, 0.01..=10_000.0);
+            validator.check_range(&key("rate"), rate.0, 0.01..=10_000.0);
         }
         if let Some(size) = fault.size {
-            check.within(&key("size"), size.0, 1.0..=LARGEST);
+            validator.check_range(&key("size"), size.0, 1.0..=MAX_LARGE_BODY_BYTES);
         }
         for (name, zone) in [("from", &fault.from), ("to", &fault.to)] {
             let known = zone.as_ref().is_none_or(|z| self.fleet.zones.contains(z));
-            check.that(known, &key(name), || "there is no such zone".into());
+            validator.require(known, &key(name), || "there is no such zone".into());
         }
     }
 
-    /// What the warm fleet of the start can do, as work of a standard core for each ms.
+    /// Returns the capacity of the initial, warm fleet in ms of standard core work per ms.
     pub fn capacity(&self) -> f64 {
         let f = &self.fleet;
         let per_server: f64 = f
@@ -765,12 +768,12 @@
         per_server * f.servers as f64
     }
 
-    /// Mean work of a request, in ms of a standard core.
+    /// Returns the mean work of a request in ms of a standard core.
     pub fn mean_work(&self) -> f64 {
         self.classes.iter().map(|c| c.share.0 * c.work.0).sum()
     }
 
-    /// First tries for each ms, without waves and steps.
+    /// Returns the mean rate of first attempts per ms, without variation and load steps.
     pub fn rate(&self) -> f64 {
         match (self.load.rate, self.load.level) {
             (Some(rate), _) => rate.0 / 1000.0,
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -1,4 +1,4 @@
-//! A scenario as a decision module is told it.
+//! Converts a scenario into the settings of a decision module.
 
 use balancer::{
     Class, Costs, Discovery, Idempotency, Limits, Settings, Tenant, WeightMeaning, ZoneId,
@@ -6,8 +6,8 @@
 
 use crate::scenario::{self, Scenario};
 
-/// The settings of one of a scenario's proxies.
-pub fn of(s: &Scenario, proxy: usize) -> Settings {
+/// Returns the settings of one proxy of a scenario.
+pub fn for_proxy(s: &Scenario, proxy: usize) -> Settings {
     let capacity_per_s = 1000.0 * s.capacity() / s.mean_work().max(1e-9);
     Settings {
         proxy_index: proxy as u32,
--- a/crates/lab/src/shipped.rs
+++ b/crates/lab/src/shipped.rs
@@ -1,6 +1,6 @@
-//! The scenarios that come with the lab. None holds figures of a recorded day.
+//! Scenarios included with the lab. None contains figures from recorded traffic.
 
-/// Name and text of each.
+/// Name and text of each scenario.
 pub const ALL: [(&str, &str); 23] = [
     ("quiet", include_str!("../scenarios/quiet.toml")),
     ("evening", include_str!("../scenarios/evening.toml")),
@@ -54,7 +54,7 @@
     ),
 ];
 
-/// The text of a shipped scenario.
+/// Returns the text of an included scenario.
 pub fn text(name: &str) -> Option<&'static str> {
     ALL.iter().find(|(n, _)| *n == name).map(|(_, text)| *text)
 }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -24,7 +24,7 @@
 };
 use crate::load::{self, ClientAttemptOutcome, ClientRequest};
 use crate::random::{Purpose, stream};
-use crate::scenario::{Break, Effect, Scenario};
+use crate::scenario::{BreakPoint, Effect, Scenario};
 use crate::settings;
 use crate::world::server::{Admission, Job};
 use crate::world::{Connect, ListEntry, ListState, ServerOutcome, World, WorldEvent, micros};
@@ -429,7 +429,10 @@
         let generation = self.generations[proxy];
         let mut seeds = stream(self.seed, Purpose::Modules);
         seeds.set_word_pos(u128::from(proxy as u64) * 4096 + u128::from(generation) * 2);
-        let (settings, seed) = (settings::of(&self.scenario, proxy), seeds.random::<u64>());
+        let (settings, seed) = (
+            settings::for_proxy(&self.scenario, proxy),
+            seeds.random::<u64>(),
+        );
         let decider: Box<dyn Decider> = match self.defect {
             Some(defect) => Box::new(DefectiveBalancer::new(settings, seed, defect)),
             None => Box::new(Balancer::new(settings, seed)),
@@ -968,10 +971,10 @@
             ServerOutcome::Silent => return,
             ServerOutcome::Served => (Outcome::Served, true),
             ServerOutcome::Error => (Outcome::Error, true),
-            ServerOutcome::Reset(Break::During | Break::Before | Break::Inside) => {
+            ServerOutcome::Reset(BreakPoint::During | BreakPoint::Before | BreakPoint::Inside) => {
                 (Outcome::Reset, false)
             }
-            ServerOutcome::Reset(Break::After) => (Outcome::Served, false),
+            ServerOutcome::Reset(BreakPoint::After) => (Outcome::Served, false),
         };
         self.after(delay, SimEvent::DeliverOutcome(attempt_id, outcome, keep));
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::ledger::{ProxyId, ServerId};
 use crate::random::{Purpose, sample_indices, stream};
-use crate::scenario::{Break, FaultKind, Scenario};
+use crate::scenario::{BreakPoint, FaultKind, Scenario};
 use plan::Step;
 use server::{Admission, Job, Machine, Server, ServerState};
 
@@ -56,7 +56,7 @@
     /// Responds with an error.
     Error,
     /// Its connection breaks.
-    Reset(Break),
+    Reset(BreakPoint),
     /// Never responds and keeps the connection open.
     Silent,
 }
@@ -278,7 +278,7 @@
         now: Millis,
         kind: FaultKind,
     ) -> impl Iterator<Item = (usize, &crate::scenario::Fault)> + use<'_> {
-        let holds = move |f: &crate::scenario::Fault| f.kind == kind && f.holds(now);
+        let holds = move |f: &crate::scenario::Fault| f.kind == kind && f.is_active(now);
         self.scenario
             .faults
             .iter()
@@ -293,7 +293,7 @@
         at = at.max(self.latest_delivery[proxy]);
         for kind in [FaultKind::ListSilent, FaultKind::ListStale] {
             for f in self.scenario.faults.iter().filter(|f| f.kind == kind) {
-                if f.holds(at) {
+                if f.is_active(at) {
                     at = f.at.0 + f.span.0;
                 }
             }
@@ -376,10 +376,10 @@
             .active(at, FaultKind::LostAnswers)
             .map(|(_, f)| share(f))
             .sum::<f64>();
-        let resets: Vec<(f64, Break)> = self
+        let resets: Vec<(f64, BreakPoint)> = self
             .active(at, FaultKind::Resets)
-            .map(|(_, f)| (share(f), f.place.unwrap_or(Break::Before)))
-            .filter(|(_, place)| *place != Break::During)
+            .map(|(_, f)| (share(f), f.break_point.unwrap_or(BreakPoint::Before)))
+            .filter(|(_, place)| *place != BreakPoint::During)
             .collect();
         // Draws only while a fault is active, so that runs with and without a fault are identical until it begins.
         if lost > 0.0 && self.fault_rng.random::<f64>() < lost {
@@ -449,7 +449,7 @@
     /// Draws whether an attempt's connection breaks during processing, and schedules the break within the time that the
     /// work takes on an otherwise idle machine.
     fn schedule_break(&mut self, now: Millis, server: ServerId, attempt: u64, work: f64) {
-        let during = |f: &crate::scenario::Fault| f.place == Some(Break::During);
+        let during = |f: &crate::scenario::Fault| f.break_point == Some(BreakPoint::During);
         let resets = self
             .active(now, FaultKind::Resets)
             .filter(|(_, f)| during(f));
