--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -1,4 +1,4 @@
-//! `canvascart lab`: plays scenarios and says what came of them.
+//! `canvascart lab`: runs scenarios and reports the results.
 
 mod capacity;
 mod hollow;
@@ -20,46 +20,46 @@
 use ::lab::{floods, real, report, shares, shipped};
 use indicatif::{ProgressBar, ProgressStyle};
 
-/// A rule was broken.
+/// Exit code: a rule was broken.
 const BROKEN: u8 = 1;
-/// It could not be run, or its report could not be written.
+/// Exit code: a run failed, or its report could not be written.
 const NOT_RUN: u8 = 3;
-/// Broken rules that are told of each run of a comparison.
-const SHOWN: usize = 3;
-const CODES: &str =
+/// Maximum of rule violations printed per run of a comparison.
+const MAX_SHOWN_VIOLATIONS: usize = 3;
+const EXIT_CODES_HELP: &str =
     "Exit codes: 0 all rules kept, 1 a rule broken, 2 wrong usage or scenario, 3 could not run.";
 
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Names the scenarios that come with the lab.
+    /// Lists the included scenarios.
     List,
-    /// Checks a scenario, and names all that is wrong with it.
-    #[command(after_help = CODES)]
+    /// Checks a scenario and reports all its problems.
+    #[command(after_help = EXIT_CODES_HELP)]
     Check(Which),
-    /// Plays a scenario on real sockets: proxy processes, and an emulated fleet on 127.0.0.1 around them.
-    #[command(after_help = CODES)]
+    /// Runs a scenario on real sockets: proxy processes with an emulated fleet on 127.0.0.1.
+    #[command(after_help = EXIT_CODES_HELP)]
     Run {
         #[command(flatten)]
         which: Which,
         #[command(flatten)]
         how: How,
-        /// Starts a proxy; it finds its configuration by NODE_CONFIG. Without it, the proxy in this program.
+        /// Command that starts a proxy, which reads the configuration named by NODE_CONFIG; without it, the proxy in this program.
         #[arg(long, value_name = "COMMAND")]
         proxy: Option<String>,
     },
-    /// Plays a scenario in virtual time, on the decision module alone.
-    #[command(after_help = CODES)]
+    /// Runs a scenario in virtual time with only the decision module.
+    #[command(after_help = EXIT_CODES_HELP)]
     Sim {
         #[command(flatten)]
         which: Which,
         #[command(flatten)]
         how: How,
-        /// Breaks the module in this way, to see the oracle notice.
+        /// Injects this defect into the module, to test that the oracle detects it.
         #[arg(long, value_parser = sabotage)]
         sabotage: Option<InjectedDefect>,
     },
-    /// Plays a scenario under two settings or with two proxies, seed by seed, and prints the difference.
-    #[command(after_help = CODES)]
+    /// Runs a scenario with two settings or two proxies, seed by seed, and prints the difference.
+    #[command(after_help = EXIT_CODES_HELP)]
     Compare {
         /// The first side: settings such as load.level=60% (several with commas), "-" for the scenario as it is, or
         /// proxy:COMMAND for a proxy on real sockets ("proxy:-" for the one in this program).
@@ -68,187 +68,187 @@
         b: String,
         #[command(flatten)]
         which: Which,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 10)]
         repeat: u64,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Measures what a request costs through the proxy, beside a direct connection and a bare pass-through.
-    #[command(after_help = CODES)]
+    /// Measures the cost of a request through the proxy, compared with a direct connection and a plain pass-through proxy.
+    #[command(after_help = EXIT_CODES_HELP)]
     Price {
-        /// Servers behind it, one run for each number.
+        /// Numbers of servers, one run for each.
         #[arg(long, value_delimiter = ',', default_value = "10,100,1000")]
         servers: Vec<usize>,
-        /// Connections, each of which sends its next request when it has its answer.
+        /// Connections, each of which sends its next request after the response.
         #[arg(long, default_value_t = 64)]
         connections: usize,
-        /// Seconds of each measurement.
+        /// Duration of each measurement in seconds.
         #[arg(long, default_value_t = 3)]
         seconds: u64,
-        /// Rounds, all targets in turn.
+        /// Rounds, each of which measures all targets.
         #[arg(long, default_value_t = 3)]
         repeat: usize,
-        /// Starts a proxy; without it, the one in this program.
+        /// Command that starts a proxy; without it, the proxy in this program.
         #[arg(long, value_name = "COMMAND")]
         proxy: Option<String>,
     },
-    /// Tells again what runs have left in their folders, a line a run.
-    #[command(after_help = CODES)]
+    /// Prints saved results of runs, one line per run.
+    #[command(after_help = EXIT_CODES_HELP)]
     Report {
-        /// Folders of runs, or folders with such folders in them.
+        /// Directories of runs, or directories that contain them.
         #[arg(required = true)]
         dirs: Vec<PathBuf>,
     },
     /// Floods the hosted service through one of two tenants, and measures the other before and during the flood.
-    #[command(after_help = CODES)]
+    #[command(after_help = EXIT_CODES_HELP)]
     Floods {
-        /// Only this way to flood.
+        /// Only this kind of flood.
         #[arg(long, value_parser = flood_kind)]
         kind: Option<floods::Kind>,
-        /// Seconds of each half of a run.
+        /// Duration of each half of a run in seconds.
         #[arg(long, default_value_t = 4)]
         seconds: u64,
-        /// Runs of each, under different seeds.
+        /// Runs of each kind, with different seeds.
         #[arg(long, default_value_t = 3)]
         repeat: u64,
-        /// Floods a second process like the first instead: what the machine takes, and not the sharing of a process.
+        /// Floods a second process with the same configuration: shows the effect of the machine without the shared process.
         #[arg(long)]
         apart: bool,
-        /// Changes the quiet tenant all the while, by the administration API.
+        /// Keeps changing the quiet tenant through the administration API.
         #[arg(long)]
         changing: bool,
-        /// Runs a service, as `canvascart` does with the arguments that are put behind; without it, this program.
+        /// Command that starts a service and accepts the arguments of `canvascart`; without it, this program.
         #[arg(long, value_name = "COMMAND")]
         service: Option<String>,
     },
-    /// Kills the hosted service during changes, again and again: each time one whole version must be there.
-    #[command(after_help = CODES)]
+    /// Kills the hosted service repeatedly during changes and checks that one complete version survives each time.
+    #[command(after_help = EXIT_CODES_HELP)]
     Kills {
-        /// How many times.
+        /// Number of kills.
         #[arg(long, default_value_t = 500)]
         kills: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Changes the policy of many processes that act as one, while some of them are killed, stopped and cut off.
-    #[command(after_help = CODES)]
+    /// Changes the policy of a cluster of processes while some are killed, stopped and partitioned.
+    #[command(after_help = EXIT_CODES_HELP)]
     Changes {
-        /// How many processes.
+        /// Number of processes.
         #[arg(long, default_value_t = 12)]
         instances: usize,
-        /// Changes under each seed.
+        /// Changes per seed.
         #[arg(long, default_value_t = 25)]
         changes: u64,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 20)]
         seeds: u64,
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// Fleets at once, each with a seed of its own.
+        /// Fleets that run concurrently, each with its own seed.
         #[arg(long, default_value_t = 1)]
         at_once: usize,
-        /// What an instance does that hears from nobody.
+        /// Behaviour of an instance that is cut off from all others.
         #[arg(long, value_name = "refuse|serve", default_value = "refuse")]
         when_cut_off: String,
-        /// Measures what a request costs instead: without [cluster], and at one of 1 and of 3 instances, in turn.
+        /// Measures the cost of a request instead: without [cluster], and at one instance of 1 and of 3, alternately.
         #[arg(long, conflicts_with = "pace")]
         cost: bool,
-        /// Measures how long changes take instead, at so many processes each, beside one without others.
+        /// Measures the latency of changes instead, with each of these numbers of processes and with a standalone process.
         #[arg(long, value_delimiter = ',', value_name = "N,N")]
         pace: Option<Vec<usize>>,
-        /// With --pace: measures so many instances in virtual time as well.
+        /// With --pace: also measures this number of instances in virtual time.
         #[arg(long, value_name = "N", requires = "pace")]
         in_virtual_time: Option<usize>,
     },
-    /// Kills most of many processes that act as one in the same moment, under load, and measures how they come back.
-    #[command(after_help = CODES)]
+    /// Kills most processes of a cluster at once under load and measures the recovery.
+    #[command(after_help = EXIT_CODES_HELP)]
     Recover {
-        /// How many processes.
+        /// Number of processes.
         #[arg(long, default_value_t = 12)]
         instances: usize,
-        /// How many of a hundred are killed.
+        /// Percentage of processes to kill.
         #[arg(long, default_value_t = 70)]
         killed: usize,
-        /// Seeds, from 1 on.
+        /// Number of seeds, starting at 1.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// Measures the hosted service with many tenants, most of them idle, beside one with a single tenant.
-    #[command(after_help = CODES)]
+    /// Measures the hosted service with many tenants, most of them idle, compared with a single tenant.
+    #[command(after_help = EXIT_CODES_HELP)]
     Tenants {
-        /// How many.
+        /// Number of tenants.
         #[arg(long, default_value_t = 1000)]
         count: usize,
         /// Changes under load.
         #[arg(long, default_value_t = 200)]
         changes: u64,
-        /// Seconds that they are idle before that is measured: a pool rests after 10, its connections are closed after 15.
+        /// Idle time in seconds before the measurement: a pool is inactive after 10, its connections are closed after 15.
         #[arg(long, default_value_t = 18)]
         idle: u64,
     },
-    /// Measures the following of a fleet in etcd, against the stand-in.
-    #[command(after_help = CODES)]
+    /// Measures how a fleet in etcd is followed, with an emulated etcd.
+    #[command(after_help = EXIT_CODES_HELP)]
     Followers {
-        /// Sizes of the list.
+        /// Sizes of the server list.
         #[arg(long, value_delimiter = ',', default_value = "100,1000,10000")]
         servers: Vec<usize>,
-        /// Removals under load.
+        /// Number of removals under load.
         #[arg(long, default_value_t = 20)]
         removals: usize,
-        /// Leaves out how 100 followers come back.
+        /// Skips the measurement of 100 followers that reconnect.
         #[arg(long)]
         no_stampede: bool,
     },
-    /// Measures what each part costs as it grows, with the lines through it and what they give at the operators' target.
-    #[command(after_help = CODES)]
+    /// Measures the cost of each part by size, with fitted lines and their values at the operators' target.
+    #[command(after_help = EXIT_CODES_HELP)]
     Capacity(capacity::Arguments),
-    /// Plays ways to share one process between tenants against each other, in virtual time.
+    /// Compares algorithms that share one process between tenants, in virtual time.
     Shares {
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 5)]
         repeat: u64,
-        /// Prints JSON: one line a way.
+        /// Prints JSON: one line per algorithm.
         #[arg(long)]
         json: bool,
     },
-    /// Runs hollow members of a cluster, as it is told on its standard input.
+    /// Runs emulated cluster members, controlled through standard input.
     #[command(hide = true)]
     Hollow,
-    /// Sweeps over numbers of hollow members, or their states.
+    /// Sweeps over numbers of emulated members, or their state sizes.
     #[command(hide = true)]
     Members(hollow::Arguments),
-    /// The processes that a price is measured with.
+    /// Helper processes of the price measurement.
     #[command(subcommand, hide = true)]
     Peer(Peer),
-    /// A proxy that is built to break a rule, to see the oracle notice: a command for `run --proxy`.
+    /// A proxy with a defect, to test that the oracle detects it; a command for `run --proxy`.
     #[command(hide = true)]
     Rogue {
         #[arg(value_parser = wrong)]
         wrong: ProxyDefect,
     },
-    /// Plays a scenario with one setting varied, and prints a line for each value.
-    #[command(after_help = CODES)]
+    /// Runs a scenario with one setting varied, and prints one line per value.
+    #[command(after_help = EXIT_CODES_HELP)]
     Sweep {
         #[command(flatten)]
         which: Which,
-        /// The setting, such as load.level, fleet.servers or proxies.count.
+        /// Setting, such as load.level, fleet.servers or proxies.count.
         key: String,
-        /// Its values.
+        /// Values of the setting.
         #[arg(required = true)]
         values: Vec<String>,
-        /// Seeds for each value.
+        /// Seeds per value.
         #[arg(long, default_value_t = 3)]
         repeat: u64,
-        /// Plays one at a time, so that CPU times are not disturbed.
+        /// Runs one at a time, so that runs do not disturb the CPU times of others.
         #[arg(long)]
         alone: bool,
-        /// Prints JSON: one line a value.
+        /// Prints JSON: one line per value.
         #[arg(long)]
         json: bool,
-        /// Writes a folder for each run, by value and seed.
+        /// Writes a directory for each run, by value and seed.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
@@ -256,48 +256,48 @@
 
 #[derive(clap::Subcommand)]
 pub enum Peer {
-    /// Answers each request; tells its addresses in a line of JSON.
+    /// Responds to each request; prints its addresses as a line of JSON.
     Responder {
         #[arg(long)]
         count: usize,
-        /// The address on whose ports it listens.
+        /// IP address to listen on.
         #[arg(long, default_value = "127.0.0.1")]
         host: IpAddr,
-        /// Milliseconds until it answers a request.
+        /// Delay of a response in milliseconds.
         #[arg(long, default_value_t = 0)]
         work: u64,
     },
-    /// Passes requests on to the addresses in a line of JSON, and decides nothing.
+    /// Forwards requests to the addresses read as a line of JSON, without routing decisions.
     PassThrough,
 }
 
-/// A scenario and what of it is set anew.
+/// A scenario and overrides of its keys.
 #[derive(clap::Args)]
 pub struct Which {
-    /// A shipped scenario's name, or a file.
+    /// Name of an included scenario, or a file.
     scenario: String,
-    /// Sets a key anew, such as load.level=80%.
+    /// Overrides a key, such as load.level=80%.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     sets: Vec<String>,
 }
 
 #[derive(clap::Args)]
 pub struct How {
-    /// What all chance is drawn from.
+    /// Random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs, each under the next seed.
+    /// Number of runs, each with the next seed.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Prints JSON: one line a run.
+    /// Prints JSON: one line per run.
     #[arg(long)]
     json: bool,
-    /// Writes a folder with figures, evidence and a page for each run.
+    /// Writes a directory with figures, evidence and a page for each run.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
 }
 
-/// Finds what a name stands for.
+/// Finds a value by its name.
 fn named<T: Copy>(all: &[(&str, T)], name: &str) -> Result<T, String> {
     let names = || all.iter().map(|(n, _)| *n).collect::<Vec<_>>().join(", ");
     all.iter()
@@ -319,8 +319,8 @@
 }
 
 impl Which {
-    fn read(&self, more: &[String]) -> Result<Arc<Scenario>, String> {
-        let sets: Vec<String> = self.sets.iter().chain(more).cloned().collect();
+    fn read(&self, extra: &[String]) -> Result<Arc<Scenario>, String> {
+        let sets: Vec<String> = self.sets.iter().chain(extra).cloned().collect();
         let text = match shipped::text(&self.scenario) {
             Some(text) => text.to_owned(),
             None => std::fs::read_to_string(&self.scenario).map_err(|e| {
@@ -346,16 +346,16 @@
     }
 }
 
-/// Tells what came of runs; returns the exit code.
-fn tell(runs: &[Run], json: bool, out: Option<&Path>) -> Result<u8, String> {
+/// Prints and writes the results of runs; returns the exit code.
+fn report_runs(runs: &[Run], json: bool, out: Option<&Path>) -> Result<u8, String> {
     let mut to = std::io::stdout().lock();
     for run in runs {
-        let said = if json {
+        let text = if json {
             format!("{}\n", report::json(run))
         } else {
             format!("{}\n", report::table(run))
         };
-        to.write_all(said.as_bytes()).map_err(|e| e.to_string())?;
+        to.write_all(text.as_bytes()).map_err(|e| e.to_string())?;
         if let Some(out) = out {
             let dir = if runs.len() > 1 {
                 out.join(format!("seed-{}", run.seed))
@@ -407,7 +407,7 @@
             let play =
                 |n| experiment::simulate(&scenario, &which.scenario, how.seed + n as u64, sabotage);
             let runs = experiment::on_threads(how.repeat as usize, threads(), play);
-            tell(&runs, how.json, how.out.as_deref())
+            report_runs(&runs, how.json, how.out.as_deref())
         }
         Command::Run { which, how, proxy } => run_real(&which, &how, proxy.as_deref()),
         Command::Compare {
@@ -430,7 +430,7 @@
             repeat,
             proxy.as_deref(),
         ),
-        Command::Report { dirs } => Ok(tell_again(&dirs)),
+        Command::Report { dirs } => Ok(report_saved_runs(&dirs)),
         Command::Peer(peer) => run_peer(peer),
         Command::Hollow => hollow::host(),
         Command::Members(arguments) => hollow::run(&arguments),
@@ -488,21 +488,20 @@
             removals,
             no_stampede,
         } => Ok(
-            hosted::followers(&servers, removals, !no_stampede, &hosted::own()?).unwrap_or_else(
-                |e| {
+            hosted::followers(&servers, removals, !no_stampede, &hosted::own_command()?)
+                .unwrap_or_else(|e| {
                     tracing::error!(error = %e, "it could not be measured");
                     NOT_RUN
-                },
-            ),
+                }),
         ),
         Command::Shares { repeat, json } => {
-            tell_shares(
+            print_shares(
                 "event loop's time",
                 &shares::RATE_COLUMNS,
                 &shares::compare_rate_algorithms(repeat),
                 json,
             );
-            tell_shares(
+            print_shares(
                 "stock",
                 &shares::POOL_COLUMNS,
                 &shares::compare_pool_algorithms(repeat),
@@ -527,7 +526,7 @@
             out,
         } => {
             let runs = sweep(&which, &key, &values, repeat, alone)?;
-            tell_sweep(&key, &values, &runs, json);
+            print_sweep(&key, &values, &runs, json);
             if let Some(out) = out {
                 for (value, run) in runs
                     .iter()
@@ -551,8 +550,8 @@
     }
 }
 
-/// Tells what runs have left behind; returns the exit code.
-fn tell_again(dirs: &[PathBuf]) -> u8 {
+/// Prints the saved results of runs; returns the exit code.
+fn report_saved_runs(dirs: &[PathBuf]) -> u8 {
     let mut runs = Vec::new();
     for dir in dirs {
         match report::read::runs(dir) {
@@ -619,7 +618,7 @@
     }
 }
 
-/// What starts a proxy: a command of the caller's, or this program itself.
+/// Returns the command that starts a proxy: the given one, or this program.
 fn proxy_command(given: Option<&str>) -> Result<Vec<String>, String> {
     if let Some(given) = given {
         return Ok(given.split_whitespace().map(str::to_owned).collect());
@@ -628,20 +627,20 @@
     Ok(vec![own.display().to_string(), "proxy".into()])
 }
 
-/// Shows how far a run is: a bar on a terminal, a line now and then elsewhere.
+/// Shows the progress of a run: a bar on a terminal, otherwise a log line at each 10 %.
 fn progress(what: &str, quiet: bool) -> impl FnMut(f64) + 'static {
     let bar = (!quiet && std::io::stderr().is_terminal()).then(|| {
         let style = ProgressStyle::with_template("{msg} [{bar:40}] {percent} %");
         let bar = ProgressBar::new(1000).with_message(what.to_owned());
         style.map_or(bar.clone(), |style| bar.with_style(style))
     });
-    let (what, mut said) = (what.to_owned(), 0);
+    let (what, mut last_tenths) = (what.to_owned(), 0);
     move |part| {
         let tenths = (part * 10.0) as u32;
         match &bar {
             Some(bar) => bar.set_position((part * 1000.0) as u64),
-            None if !quiet && tenths > said => {
-                said = tenths;
+            None if !quiet && tenths > last_tenths => {
+                last_tenths = tenths;
                 tracing::info!(played = format_args!("{} %", tenths * 10), "{what}");
             }
             None => {}
@@ -652,9 +651,9 @@
 fn run_real(which: &Which, how: &How, proxy: Option<&str>) -> Result<u8, String> {
     let scenario = which.read(&[])?;
     let command = proxy_command(proxy)?;
-    let mut worst = 0;
+    let mut exit_code = 0;
     for seed in how.seed..how.seed + how.repeat.max(1) {
-        let plain = Path::new(&which.scenario)
+        let stem = Path::new(&which.scenario)
             .file_stem()
             .and_then(|s| s.to_str())
             .unwrap_or("run");
@@ -663,10 +662,17 @@
             Some(out) => out.clone(),
             None => std::env::temp_dir()
                 .join("canvascart-lab")
-                .join(format!("{plain}-{seed}")),
+                .join(format!("{stem}-{seed}")),
         };
-        let tick = progress(&scenario.title, how.json);
-        let played = real::play(&scenario, &which.scenario, seed, &command, &dir, tick);
+        let on_progress = progress(&scenario.title, how.json);
+        let played = real::play(
+            &scenario,
+            &which.scenario,
+            seed,
+            &command,
+            &dir,
+            on_progress,
+        );
         let written =
             played.and_then(|(run, measured)| report::write(&dir, &run).map(|()| (run, measured)));
         let (run, measured) = match written {
@@ -687,7 +693,7 @@
             );
             println!("report: {}", dir.join("report.html").display());
         }
-        worst = worst.max(match (&run.void, run.broken.is_empty()) {
+        exit_code = exit_code.max(match (&run.void, run.broken.is_empty()) {
             (_, false) => BROKEN,
             (Some(_), true) => NOT_RUN,
             (None, true) => 0,
@@ -696,15 +702,15 @@
             break;
         }
     }
-    Ok(worst)
+    Ok(exit_code)
 }
 
 fn run_peer(peer: Peer) -> Result<u8, String> {
-    // A line on standard output, and then nothing any more.
-    let say = |addresses: &[SocketAddr]| println!("{}", serde_json::json!(addresses));
+    // The addresses are the only line on standard output.
+    let print_addresses = |addresses: &[SocketAddr]| println!("{}", serde_json::json!(addresses));
     let ended = match peer {
         Peer::Responder { count, host, work } => {
-            price::responder(host, count, Duration::from_millis(work), say)
+            price::responder(host, count, Duration::from_millis(work), print_addresses)
         }
         Peer::PassThrough => {
             let mut line = String::new();
@@ -712,7 +718,7 @@
                 .read_line(&mut line)
                 .map_err(|e| e.to_string())?;
             let addresses = serde_json::from_str(&line).map_err(|e| e.to_string())?;
-            price::pass_through(addresses, |address| say(&[address]))
+            price::pass_through(addresses, |address| print_addresses(&[address]))
         }
     };
     ended.map(|()| 0).map_err(|e| e.to_string())
@@ -754,12 +760,12 @@
             let mean =
                 |of: fn(&Price) -> f64| all.iter().map(|p| of(p)).sum::<f64>() / all.len() as f64;
             let cpu = all.iter().map(|p| p.cpu_us);
-            let (least, most) = cpu.fold((f64::INFINITY, 0.0f64), |(a, b), x| (a.min(x), b.max(x)));
+            let (min, max) = cpu.fold((f64::INFINITY, 0.0f64), |(a, b), x| (a.min(x), b.max(x)));
             println!(
                 "{count:>7} {:<13} {:>9.0} {:>22} {:>9.0} {:>9.0} {:>10.1} {:>5}",
                 all[0].target,
                 mean(|p| p.rate),
-                format!("{:.1} ({least:.1} to {most:.1})", mean(|p| p.cpu_us)),
+                format!("{:.1} ({min:.1} to {max:.1})", mean(|p| p.cpu_us)),
                 mean(|p| p.latency_us.0),
                 mean(|p| p.latency_us.1),
                 mean(|p| p.memory_mb),
@@ -805,7 +811,7 @@
     let dir = std::env::temp_dir()
         .join("canvascart-lab")
         .join(format!("compare-{}", std::process::id()));
-    // Side by side under each seed, so that what disturbs the machine disturbs both; real runs one at a time.
+    // Both sides run in turn for each seed, so that disturbances of the machine affect both; real runs run one at a time.
     let virtual_time = sides.iter().all(|s| matches!(s, Side::Settings(_)));
     let play =
         |n: usize| sides[n % 2].play(&which.scenario, 1 + n as u64 / 2, &dir.join(n.to_string()));
@@ -826,8 +832,8 @@
             tracing::error!(seed = run.seed, "a run is void: {why}");
             return Ok(NOT_RUN);
         }
-        // A broken rule needs its evidence: another play may keep it.
-        for broken in run.broken.iter().take(SHOWN) {
+        // Prints the evidence of a broken rule, since another run may not break it.
+        for broken in run.broken.iter().take(MAX_SHOWN_VIOLATIONS) {
             tracing::error!(
                 side = if n % 2 == 0 { a } else { b },
                 seed = run.seed,
@@ -868,7 +874,7 @@
     Ok(if broken_a + broken_b == 0 { 0 } else { BROKEN })
 }
 
-/// A value as the name of a folder.
+/// Converts a value to a directory name.
 fn file_name(value: &str) -> String {
     value
         .chars()
@@ -882,11 +888,10 @@
         .collect()
 }
 
-/// Plays a scenario under each value of a setting, the same seeds each time.
-/// A run in which the quiet tenant's requests were sent later than this, in ms, is void.
-const FLOOD_LATE: f64 = 5.0;
+/// A run is invalid if the quiet tenant's requests were delayed by more than this at the 99th percentile.
+const MAX_FLOOD_SEND_DELAY_MS: f64 = 5.0;
 
-/// Floods a service in each way and prints how the quiet tenant fared, run by run.
+/// Floods a service with each kind of flood and prints the quiet tenant's results of each run.
 fn flood(
     kinds: &[floods::Kind],
     span: Duration,
@@ -934,7 +939,7 @@
                 f.sent_per_s,
                 f.served_per_s,
                 f.late_ms,
-                if f.late_ms > FLOOD_LATE {
+                if f.late_ms > MAX_FLOOD_SEND_DELAY_MS {
                     "  void: sent late"
                 } else {
                     ""
@@ -948,15 +953,15 @@
             }
         }
     }
-    let _ = std::fs::remove_dir_all(&dir); // nothing but configurations
+    let _ = std::fs::remove_dir_all(&dir); // best effort: it has only configurations
     Ok(0)
 }
 
-/// Prints what the ways to share came to: the mean over the seeds, with the least and the most.
-fn tell_shares(what: &str, columns: &[&str], rows: &[shares::Row], json: bool) {
+/// Prints the figures of sharing algorithms: mean, minimum and maximum over the seeds.
+fn print_shares(what: &str, columns: &[&str], rows: &[shares::Row], json: bool) {
     if !json {
-        let heads: String = columns.iter().map(|c| format!(" {c:>25}")).collect();
-        println!("{what:<24}{heads}");
+        let headers: String = columns.iter().map(|c| format!(" {c:>25}")).collect();
+        println!("{what:<24}{headers}");
     }
     for row in rows {
         if json {
@@ -970,7 +975,7 @@
             );
             continue;
         }
-        let cell = |[mean, least, most]: &[f64; 3]| format!("{mean:.2} ({least:.2}..{most:.2})");
+        let cell = |[mean, min, max]: &[f64; 3]| format!("{mean:.2} ({min:.2}..{max:.2})");
         let cells: String = row
             .figures
             .iter()
@@ -980,6 +985,7 @@
     }
 }
 
+/// Runs a scenario with each value of a setting, with the same seeds.
 fn sweep<'v>(
     which: &Which,
     key: &str,
@@ -991,25 +997,25 @@
         .iter()
         .map(|v| which.read(&[format!("{key}={v}")]))
         .collect::<Result<Vec<_>, String>>()?;
-    let many = repeat.max(1) as usize;
+    let seeds = repeat.max(1) as usize;
     let play = |n: usize| {
         experiment::simulate(
-            &sides[n / many],
+            &sides[n / seeds],
             &which.scenario,
-            1 + (n % many) as u64,
+            1 + (n % seeds) as u64,
             None,
         )
     };
     let mut runs =
-        experiment::on_threads(sides.len() * many, if alone { 1 } else { threads() }, play)
+        experiment::on_threads(sides.len() * seeds, if alone { 1 } else { threads() }, play)
             .into_iter();
     Ok(values
         .iter()
-        .map(|v| (v.as_str(), runs.by_ref().take(many).collect()))
+        .map(|v| (v.as_str(), runs.by_ref().take(seeds).collect()))
         .collect())
 }
 
-/// What a sweep prints of a value: a column's name, its width and decimals in the table, and its mean over the seeds.
+/// A column of a sweep: name, width and decimals in the table, and the figure whose mean over the seeds is printed.
 type Column = (&'static str, usize, usize, fn(&Run) -> f64);
 
 const COLUMNS: [Column; 7] = [
@@ -1024,8 +1030,8 @@
     }),
 ];
 
-fn tell_sweep(key: &str, values: &[String], runs: &[(&str, Vec<Run>)], json: bool) {
-    let wide = values
+fn print_sweep(key: &str, values: &[String], runs: &[(&str, Vec<Run>)], json: bool) {
+    let key_width = values
         .iter()
         .chain([&key.to_owned()])
         .map(String::len)
@@ -1033,11 +1039,11 @@
         .unwrap_or(0)
         .max(18);
     if !json {
-        let heads: String = COLUMNS
+        let headers: String = COLUMNS
             .iter()
             .map(|(name, width, ..)| format!(" {name:>width$}"))
             .collect();
-        println!("{key:<wide$}{heads} {:>8}", "broken");
+        println!("{key:<key_width$}{headers} {:>8}", "broken");
     }
     for (value, runs) in runs {
         let mean = |of: fn(&Run) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
@@ -1053,7 +1059,7 @@
                 .iter()
                 .map(|(_, width, places, of)| format!(" {:>width$.places$}", mean(*of)))
                 .collect();
-            println!("{value:<wide$}{cells} {broken:>8}");
+            println!("{value:<key_width$}{cells} {broken:>8}");
         }
     }
 }
--- a/crates/canvascart/src/lab/capacity.rs
+++ b/crates/canvascart/src/lab/capacity.rs
@@ -1,4 +1,4 @@
-//! `canvascart lab capacity`: sweeps over sizes, with the lines through what was measured and what they give at the target.
+//! `canvascart lab capacity`: sweeps over sizes, with fitted lines and their values at the target size.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -11,38 +11,38 @@
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
 
-use super::hosted::{own, place_for};
+use super::hosted::{own_command, temp_dir_for};
 use super::{NOT_RUN, named};
 
-/// A sweep has so many sizes at least: fewer give a line, and no notion of how far from one it is.
-const SIZES: usize = 4;
+/// Minimum number of sizes in a sweep; with fewer, the deviation from the fitted line cannot be estimated.
+const MIN_SIZES: usize = 4;
 
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// Which sweep; without one, all.
+    /// Sweep to run; all if missing.
     #[command(subcommand)]
     which: Option<Which>,
     #[command(flatten)]
     how: How,
 }
 
-/// The sweeps, each with a plan of its own below.
+/// Sweeps, each with its own plans.
 #[derive(Clone, Copy, PartialEq, Eq, clap::Subcommand)]
 pub enum Which {
     /// Tenants, routes and services of one process.
     Tenants {
-        /// Only tenants of this shape: four servers of its own each, or the target's with shared services.
+        /// Only tenants of this shape: four servers of its own each, or the target shape with shared services.
         #[arg(long, value_name = "own|shared", value_parser = shape)]
         shape: Option<tenants::Shape>,
-        /// What the sizes are of: tenants; or routes or services of so many tenants of the target's shape, by themselves.
+        /// What the sizes count: tenants, or only routes or services with a fixed number of tenants of the target shape.
         #[arg(long, value_name = "tenants|routes|services", value_parser = by, conflicts_with = "shape")]
         by: Option<tenants::By>,
     },
-    /// Servers of one process: known, connected and busy; and the decision module alone.
+    /// Servers of one process: known, connected and busy; and the decision module by itself.
     Servers,
-    /// Members of a cluster, hollow and in virtual time (`lab members` plays each sweep by itself, with more settings).
+    /// Members of a cluster, emulated and in virtual time (`lab members` runs each sweep separately, with more settings).
     Members,
-    /// A learner, a voter, the leader and a zone of hollow members restarted.
+    /// Restarts of a learner, a voter, the leader and a zone of emulated members.
     Restarts,
     /// All sweeps.
     All,
@@ -58,40 +58,40 @@
 
 #[derive(Clone, clap::Args)]
 pub struct How {
-    /// Small sizes and short spans: all sweeps within five minutes.
+    /// Small sizes and short durations: all sweeps within five minutes.
     #[arg(long, global = true)]
     small: bool,
-    /// The sizes of one sweep, four at least.
+    /// Sizes of one sweep, at least four.
     #[arg(long, global = true, value_delimiter = ',', value_name = "N,N,N,N", value_parser = RangedU64ValueParser::<usize>::new().range(1..))]
     sizes: Option<Vec<usize>>,
-    /// Writes what was measured, the lines and what the machine is.
+    /// Writes the measurements, the fitted lines and a description of the machine.
     #[arg(long, global = true, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Runs a service, as `canvascart` does with the arguments that are put behind; without it, this program.
+    /// Command that starts a service and accepts the arguments of `canvascart`; without it, this program.
     #[arg(long, global = true, value_name = "COMMAND")]
     service: Option<String>,
-    /// Measures a second build in turn with the first, size by size.
+    /// Measures a second build alternately with the first at each size.
     #[arg(long, global = true, value_name = "COMMAND")]
     beside: Option<String>,
 }
 
-/// Plays a sweep, which tells the command that plays it again.
-type Play = dyn FnOnce(&Setting, String) -> std::io::Result<Sweep>;
+/// Runs a sweep; the second argument is the command that repeats it, for the report.
+type RunSweep = dyn FnOnce(&Setting, String) -> std::io::Result<Sweep>;
 
-/// What one sweep would do.
+/// A planned sweep and its resource needs.
 struct Plan {
     needs: Needs,
-    play: Box<Play>,
+    play: Box<RunSweep>,
 }
 
 impl How {
-    fn sizes(&self, small: [usize; SIZES], full: [usize; SIZES]) -> Vec<usize> {
+    fn sizes(&self, small: [usize; MIN_SIZES], full: [usize; MIN_SIZES]) -> Vec<usize> {
         self.sizes
             .clone()
             .unwrap_or_else(|| if self.small { small } else { full }.to_vec())
     }
 
-    /// Sweeps over tenants of one shape, or of both.
+    /// Plans sweeps over tenants of one or both shapes.
     fn tenants(&self, only: Option<tenants::Shape>) -> Vec<Plan> {
         let sizes = self.sizes([50, 100, 200, 400], [1000, 2000, 4000, 8000]);
         let shapes = tenants::Shape::ALL.iter().map(|(_, shape)| *shape);
@@ -102,8 +102,8 @@
             .collect()
     }
 
-    /// Sweeps over routes, and over services, with as many tenants at each size.
-    fn apart(&self, by: tenants::By) -> Vec<Plan> {
+    /// Plans a sweep over routes or services with the same number of tenants at each size.
+    fn routes_or_services(&self, by: tenants::By) -> Vec<Plan> {
         let (sizes, tenants) = match by {
             tenants::By::Tenants => return self.tenants(Some(tenants::Shape::Shared)),
             tenants::By::Routes => (
@@ -115,9 +115,9 @@
                 [400, 5300],
             ),
         };
-        // Each route and each service has a tenant at least.
-        let most = sizes.iter().copied().max().unwrap_or(1);
-        let tenants = tenants[usize::from(!self.small)].max(most);
+        // Each route and each service needs at least one tenant.
+        let max_size = sizes.iter().copied().max().unwrap_or(1);
+        let tenants = tenants[usize::from(!self.small)].max(max_size);
         vec![
             self.tenants_by(
                 by,
@@ -163,7 +163,7 @@
                 }),
             }
         };
-        let alone = |dealt| {
+        let module_only = |dealt| {
             let sizes = self.sizes([100, 200, 400, 800], [100, 1000, 4000, 12_000]);
             Plan {
                 needs: Needs::default(),
@@ -175,15 +175,15 @@
         vec![
             real(servers::Of::One),
             real(servers::Of::Services),
-            alone(module::Dealt::One),
-            alone(module::Dealt::Services),
+            module_only(module::Dealt::One),
+            module_only(module::Dealt::Services),
         ]
     }
 
-    /// How hollow members are played, and how many.
-    fn of_members(&self) -> (members::Play, Vec<usize>) {
+    /// Returns the options and sizes of sweeps over emulated members.
+    fn member_options(&self) -> (members::Play, Vec<usize>) {
         let play = members::Play {
-            command: own().ok(),
+            command: own_command().ok(),
             rules: members::rules(),
             state_bytes: 100_000,
             change_bytes: 600,
@@ -192,20 +192,26 @@
             peak: Duration::from_secs(if self.small { 0 } else { 60 }),
             hurt: !self.small,
             side_by_side: self.small,
-            dir: place_for("members"),
+            dir: temp_dir_for("members"),
         };
         (play, self.sizes([4, 6, 8, 10], [24, 100, 300, 900]))
     }
 
     fn members(&self) -> Vec<Plan> {
-        let (play, sizes) = self.of_members();
-        let seen = self.sizes([6, 12, 24, 48], [24, 100, 300, 900]);
+        let (play, sizes) = self.member_options();
+        let virtual_sizes = self.sizes([6, 12, 24, 48], [24, 100, 300, 900]);
         let virtual_play = play.clone();
         vec![
             Plan {
-                needs: Needs::default(), // these are looked at by members::fits
+                needs: Needs::default(), // members::fits checks these
                 play: Box::new(move |setting, _| {
-                    members::virtual_sweep(&virtual_play, &seen, 1, setting.stop.flag(), |_| ())
+                    members::virtual_sweep(
+                        &virtual_play,
+                        &virtual_sizes,
+                        1,
+                        setting.stop.flag(),
+                        |_| (),
+                    )
                 }),
             },
             Plan {
@@ -218,7 +224,7 @@
     }
 
     fn restarts(&self) -> Vec<Plan> {
-        let (play, sizes) = self.of_members();
+        let (play, sizes) = self.member_options();
         vec![Plan {
             needs: Needs::default(),
             play: Box::new(move |setting, _| {
@@ -231,21 +237,22 @@
         match which {
             Which::Members => self.members(),
             Which::Restarts => self.restarts(),
-            Which::Tenants { by: Some(by), .. } => self.apart(by),
+            Which::Tenants { by: Some(by), .. } => self.routes_or_services(by),
             Which::Tenants { shape, by: None } => self.tenants(shape),
             Which::Servers => self.servers(),
             Which::All => {
-                // Among the small ones the target's shape stands for both, so that all end within five minutes.
+                // Small sweeps use only the target shape, so that all end within five minutes.
                 let shape = self.small.then_some(tenants::Shape::Shared);
-                let apart = [tenants::By::Routes, tenants::By::Services].map(|by| self.apart(by));
-                let apart = apart
+                let routes_or_services = [tenants::By::Routes, tenants::By::Services]
+                    .map(|by| self.routes_or_services(by));
+                let routes_or_services = routes_or_services
                     .into_iter()
                     .flatten()
                     .filter(|_| !self.small)
                     .collect();
                 let all = [
                     self.tenants(shape),
-                    apart,
+                    routes_or_services,
                     self.servers(),
                     self.members(),
                     self.restarts(),
@@ -255,8 +262,13 @@
         }
     }
 
-    /// What is wrong with it, before anything starts.
-    fn refused(&self, which: Which, plans: &[Plan], machine: &Machine) -> Option<String> {
+    /// Returns the first problem of the arguments; called before any sweep starts.
+    fn find_argument_error(
+        &self,
+        which: Which,
+        plans: &[Plan],
+        machine: &Machine,
+    ) -> Option<String> {
         if let Some(sizes) = &self.sizes {
             if which == Which::All {
                 return Some(
@@ -267,9 +279,9 @@
             let mut different = sizes.clone();
             different.sort_unstable();
             different.dedup();
-            if different.len() < SIZES || different != *sizes {
+            if different.len() < MIN_SIZES || different != *sizes {
                 return Some(format!(
-                    "--sizes: {SIZES} at least, each more than the one before it"
+                    "--sizes: {MIN_SIZES} at least, each more than the one before it"
                 ));
             }
         }
@@ -288,7 +300,7 @@
             }
         }
         if matches!(which, Which::Members | Which::Restarts | Which::All) {
-            let (play, sizes) = self.of_members();
+            let (play, sizes) = self.member_options();
             if let Err(e) = members::fits(&play, &sizes) {
                 return Some(format!("--sizes: {e}"));
             }
@@ -301,7 +313,7 @@
     }
 }
 
-/// Stops the sweeps at SIGINT and SIGTERM.
+/// Stops the sweeps on SIGINT and SIGTERM.
 fn watch_signals(stop: &Stop) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -325,10 +337,10 @@
     Ok(())
 }
 
-/// Plays the sweeps and tells what came of them.
+/// Runs the sweeps and prints their results.
 pub fn run(arguments: &Arguments) -> Result<u8, String> {
     let (which, how) = (arguments.which.unwrap_or(Which::All), &arguments.how);
-    let words = |text: &str| {
+    let split_words = |text: &str| {
         text.split_whitespace()
             .map(str::to_owned)
             .collect::<Vec<_>>()
@@ -338,20 +350,20 @@
         service: how
             .service
             .as_deref()
-            .map_or_else(own, |text| Ok(words(text)))?,
-        beside: how.beside.as_deref().map(words),
-        dir: place_for("capacity"),
+            .map_or_else(own_command, |text| Ok(split_words(text)))?,
+        beside: how.beside.as_deref().map(split_words),
+        dir: temp_dir_for("capacity"),
         stop: Stop::default(),
     };
     let machine = Machine::here(&setting.dir).map_err(|e| format!("what this machine has: {e}"))?;
     let plans = how.plans(which);
-    if let Some(why) = how.refused(which, &plans, &machine) {
-        return Err(why);
+    if let Some(problem) = how.find_argument_error(which, &plans, &machine) {
+        return Err(problem);
     }
     watch_signals(&setting.stop).map_err(|e| format!("signals: {e}"))?;
     let command: Vec<String> = std::env::args().skip(1).collect();
     let command = format!("canvascart {}", command.join(" "));
-    let mut told: Vec<Sweep> = Vec::new();
+    let mut finished: Vec<Sweep> = Vec::new();
     for plan in plans {
         if setting.stop.is_set() {
             break;
@@ -359,31 +371,31 @@
         match (plan.play)(&setting, command.clone()) {
             Ok(sweep) => {
                 println!("{}", sweep.table());
-                told.push(sweep);
+                finished.push(sweep);
             }
             Err(e) => {
                 tracing::error!(error = %e, "a sweep's files could not be removed");
                 return Ok(NOT_RUN);
             }
         }
-        // After each, so that what is there is kept whatever comes next.
+        // Written after each sweep, so that its results are kept if a later one fails.
         if let Some(file) = &how.json {
             let partial = setting.stop.is_set();
-            let json = json!({ "command": command, "machine": machine, "partial": partial, "sweeps": told });
+            let json = json!({ "command": command, "machine": machine, "partial": partial, "sweeps": finished });
             if let Err(e) = write(file, &json) {
                 tracing::error!(file = %file.display(), error = %e, "the figures could not be written");
                 return Ok(NOT_RUN);
             }
         }
     }
-    let whole = !setting.stop.is_set() && told.iter().all(Sweep::is_whole);
+    let complete = !setting.stop.is_set() && finished.iter().all(Sweep::is_whole);
     if setting.stop.is_set() {
         println!("partial: it was interrupted, and what is above is all that was measured");
     }
-    Ok(if whole { 0 } else { NOT_RUN })
+    Ok(if complete { 0 } else { NOT_RUN })
 }
 
 fn write(file: &Path, json: &serde_json::Value) -> std::io::Result<()> {
-    let mut to = std::fs::File::create(file)?;
-    writeln!(to, "{}", serde_json::to_string_pretty(json)?)
+    let mut output = std::fs::File::create(file)?;
+    writeln!(output, "{}", serde_json::to_string_pretty(json)?)
 }
--- a/crates/canvascart/src/lab/hollow.rs
+++ b/crates/canvascart/src/lab/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow members: the process that runs them, and the sweeps that are played with them.
+//! Emulated ("hollow") cluster members: the process that hosts them, and the sweeps that use them.
 
 use std::io;
 use std::path::PathBuf;
@@ -12,48 +12,48 @@
 
 use super::NOT_RUN;
 
-/// Members of a sweep over states.
-const FEW: usize = 6;
+/// Members in a sweep over state sizes.
+const SNAPSHOT_MEMBERS: usize = 6;
 
-/// What is swept.
+/// Kinds of sweep.
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum What {
-    /// Idle, changing, and some of them dead, stalled or starting, by how many there are.
+enum SweepKind {
+    /// By number of members: idle, during changes, and with some members dead, stalled or starting.
     Members,
-    /// A learner, a voter, the leader and a zone restarted, by how many there are.
+    /// By number of members: restarts of a learner, a voter, the leader and a zone.
     Restarts,
-    /// By the bytes of the state.
+    /// By state size in bytes.
     Snapshots,
-    /// Idle and changing, in virtual time, by how many there are.
+    /// By number of members, in virtual time: idle and during changes.
     Virtual,
 }
 
-/// What is swept, and how.
+/// Arguments of a sweep.
 #[derive(clap::Args)]
 pub struct Arguments {
-    what: What,
-    /// Numbers of members, or bytes of the state.
+    what: SweepKind,
+    /// Numbers of members, or state sizes in bytes.
     #[arg(long, value_delimiter = ',', required = true)]
     sizes: Vec<usize>,
-    /// Bytes of the state.
+    /// State size in bytes.
     #[arg(long, default_value_t = 100_000)]
     state: usize,
-    /// Bytes of a change.
+    /// Size of a change in bytes.
     #[arg(long, default_value_t = 600)]
     change: usize,
-    /// Changes one after another.
+    /// Number of sequential changes.
     #[arg(long, default_value_t = 10)]
     changes: u64,
-    /// Reports of each idle member that are counted.
+    /// Number of reports counted per idle member.
     #[arg(long, default_value_t = 4)]
     periods: u32,
-    /// Seconds at the peak's rate of changes.
+    /// Seconds at the peak rate of changes.
     #[arg(long, default_value_t = 60)]
     peak: u64,
-    /// Kills and stops none.
+    /// Kills and stops no members.
     #[arg(long)]
     whole: bool,
-    /// Where logs go.
+    /// Directory for logs.
     #[arg(long, value_name = "DIR")]
     dir: Option<PathBuf>,
     /// Writes the sweep as JSON, after each point.
@@ -61,14 +61,14 @@
     out: Option<PathBuf>,
 }
 
-/// Runs hollow members until nothing more comes on standard input.
+/// Runs emulated members until standard input ends.
 pub fn host() -> Result<u8, String> {
     hollow::host(io::stdin(), io::stdout())
         .map(|()| 0)
         .map_err(|e| e.to_string())
 }
 
-/// Set once the process is asked to end.
+/// Returns a flag that is set on SIGINT or SIGTERM.
 fn stop() -> Result<Arc<AtomicBool>, String> {
     let stop = Arc::new(AtomicBool::new(false));
     let set = stop.clone();
@@ -91,11 +91,11 @@
     Ok(stop)
 }
 
-/// Sweeps, and prints the table.
+/// Runs a sweep and prints its table.
 pub fn run(arguments: &Arguments) -> Result<u8, String> {
-    let own = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let play = Play {
-        command: Some(vec![own.to_string_lossy().into_owned()]),
+    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
+    let options = Play {
+        command: Some(vec![program.to_string_lossy().into_owned()]),
         rules: members::rules(),
         state_bytes: arguments.state,
         change_bytes: arguments.change,
@@ -121,13 +121,15 @@
         }
     };
     let sizes = &arguments.sizes;
-    let swept = match arguments.what {
-        What::Members => members::sweep(&play, sizes, &stop, write),
-        What::Restarts => restarts::sweep(&play, sizes, &stop, write),
-        What::Snapshots => restarts::snapshots(&play, FEW, sizes, &stop, write),
-        What::Virtual => members::virtual_sweep(&play, sizes, 1, &stop, write),
+    let result = match arguments.what {
+        SweepKind::Members => members::sweep(&options, sizes, &stop, write),
+        SweepKind::Restarts => restarts::sweep(&options, sizes, &stop, write),
+        SweepKind::Snapshots => {
+            restarts::snapshots(&options, SNAPSHOT_MEMBERS, sizes, &stop, write)
+        }
+        SweepKind::Virtual => members::virtual_sweep(&options, sizes, 1, &stop, write),
     };
-    let sweep = match swept {
+    let sweep = match result {
         Ok(sweep) => sweep,
         Err(e) if e.kind() == io::ErrorKind::InvalidInput => return Err(format!("--sizes: {e}")),
         Err(e) => {
--- a/crates/canvascart/src/lab/together.rs
+++ b/crates/canvascart/src/lab/together.rs
@@ -1,4 +1,4 @@
-//! What the lab does with many processes that act as one.
+//! Lab commands for clusters of processes: changes under faults, change latency, request cost and recovery.
 
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -11,14 +11,14 @@
 use ::lab::service::recover::RecoveryOptions;
 use cluster::rules::{PartitionPolicy, Rules};
 
-use super::hosted::{own, place_for};
+use super::hosted::{own_command, temp_dir_for};
 use super::{BROKEN, NOT_RUN};
 
-/// Short leases, so that a run shows many of them.
+/// Short leases, so that many leases expire during a run.
 const SHORT_LEASES: &str = "lease = \"2 s\"\nchange-lease = \"1500 ms\"\ndeadline = \"8 s\"";
-/// Rounds in which each way is asked.
-const ROUNDS: usize = 10;
-/// What is used without a word.
+/// Rounds in which each target is measured.
+const COST_ROUNDS: usize = 10;
+/// The default lease of the service.
 const DEFAULT_LEASE: &str = "lease = \"15 s\"";
 
 fn default_rules() -> Rules {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Changes under faults by chance, each seed in a fleet of its own; tells what came of them.
+/// Runs changes under random faults, each seed in a separate fleet, and prints the results.
 pub fn changes(
     instances: usize,
     changes: u64,
@@ -46,13 +46,13 @@
             "--when-cut-off {partition_policy}: it is refuse or serve"
         ));
     }
-    let (command, dir) = (own()?, place_for("changes"));
+    let (command, dir) = (own_command()?, temp_dir_for("changes"));
     let cluster = format!("{SHORT_LEASES}\nwhen-cut-off = \"{partition_policy}\"");
     let (from, seeds) = seeds;
     let next = AtomicU64::new(from);
-    let all: Mutex<Vec<RunReport>> = Mutex::default();
+    let reports: Mutex<Vec<RunReport>> = Mutex::default();
     let failed = AtomicU8::new(0);
-    let one = || loop {
+    let run_seeds = || loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= from + seeds || failed.load(Ordering::Relaxed) != 0 {
             return;
@@ -70,7 +70,7 @@
         let report = match run(&options, |_| ()) {
             Ok(report) => report,
             Err(e) => {
-                tracing::error!(seed, error = %e, "it could not be report; the state is kept in {}", dir.display());
+                tracing::error!(seed, error = %e, "it could not be run; the state is kept in {}", dir.display());
                 return failed.store(NOT_RUN, Ordering::Relaxed);
             }
         };
@@ -91,22 +91,25 @@
             .iter()
             .for_each(|what| println!("  {what}"));
         if report.violations.is_empty() {
-            let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
+            let _ = std::fs::remove_dir_all(&dir); // best effort: the files are no longer needed
         } else {
             println!("the state is kept in {}", dir.display());
             failed.store(BROKEN, Ordering::Relaxed);
         }
-        all.lock()
+        reports
+            .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(report);
     };
-    thread::scope(|threads| (0..parallel_runs.clamp(1, 16)).for_each(|_| _ = threads.spawn(one)));
+    thread::scope(|threads| {
+        (0..parallel_runs.clamp(1, 16)).for_each(|_| _ = threads.spawn(run_seeds))
+    });
     if failed.load(Ordering::Relaxed) != 0 {
         return Ok(failed.load(Ordering::Relaxed));
     }
-    let all = all.into_inner().unwrap_or_else(PoisonError::into_inner);
-    let known = all.iter().flat_map(|p| p.changes.values()).flatten();
-    let mut ms: Vec<f64> = known
+    let reports = reports.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let outcomes = reports.iter().flat_map(|p| p.changes.values()).flatten();
+    let mut ms: Vec<f64> = outcomes
         .clone()
         .filter_map(|k| match k {
             ChangeOutcome::Acknowledged(took) => Some(took.as_secs_f64() * 1000.0),
@@ -119,18 +122,22 @@
             .copied()
             .unwrap_or(f64::NAN)
     };
-    let client_counts = all.iter().flat_map(|p| &p.client_counts);
-    let sums = client_counts.fold([0, 0, 0], |[s, r, u], c| {
-        [s + c.served, r + c.rejected, u + c.unanswered]
+    let client_counts = reports.iter().flat_map(|p| &p.client_counts);
+    let sums = client_counts.fold([0, 0, 0], |[served, rejected, unanswered], c| {
+        [
+            served + c.served,
+            rejected + c.rejected,
+            unanswered + c.unanswered,
+        ]
     });
-    let count = |of: fn(&ChangeOutcome) -> bool| known.clone().filter(|k| of(k)).count();
+    let count = |of: fn(&ChangeOutcome) -> bool| outcomes.clone().filter(|k| of(k)).count();
     let (given_up, unknown) = (
         count(|k| *k == ChangeOutcome::Abandoned),
         count(|k| *k == ChangeOutcome::Unknown),
     );
     let (faults, decisions) = (
-        all.iter().map(|p| p.faults).sum::<u64>(),
-        all.iter().map(|p| p.decisions).sum::<usize>(),
+        reports.iter().map(|p| p.faults).sum::<u64>(),
+        reports.iter().map(|p| p.decisions).sum::<usize>(),
     );
     println!(
         "{seeds} seeds: {faults} faults, {decisions} decisions, {given_up} changes given up, {unknown} not known"
@@ -145,7 +152,7 @@
         "requests: {} served, {} refused, {} without an answer",
         sums[0], sums[1], sums[2]
     );
-    let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
+    let _ = std::fs::remove_dir_all(&dir); // best effort: the files are no longer needed
     Ok(0)
 }
 
@@ -166,9 +173,9 @@
     row.violations.iter().for_each(|b| println!("BROKEN: {b}"));
 }
 
-/// How long changes take.
+/// Measures the latency of changes and prints a table.
 pub fn pace(sizes: &[usize], virtual_instances: Option<usize>, changes: u64) -> Result<u8, String> {
-    let (command, dir) = (own()?, place_for("pace"));
+    let (command, dir) = (own_command()?, temp_dir_for("pace"));
     println!(
         "| what | state | first ms | p50 ms | p99 ms | served | refused | idle messages / bytes a second |"
     );
@@ -208,23 +215,23 @@
             }
         }
     }
-    let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
+    let _ = std::fs::remove_dir_all(&dir); // best effort: the files are no longer needed
     Ok(if violated { BROKEN } else { 0 })
 }
 
-/// What a request costs.
+/// Measures the cost of a request and prints a table.
 pub fn cost() -> Result<u8, String> {
-    let (command, dir) = (own()?, place_for("cost"));
+    let (command, dir) = (own_command()?, temp_dir_for("cost"));
     println!(
         "| what | requests | p50 us | p99 us | CPU us a request (standard deviation of rounds) |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    match ::lab::service::cost::measure(&command, ROUNDS, &dir) {
+    match ::lab::service::cost::measure(&command, COST_ROUNDS, &dir) {
         Ok(costs) => {
             for c in costs {
-                let (cpu, spread) = c.mean_cpu_us();
+                let (cpu, standard_deviation) = c.mean_cpu_us();
                 println!(
-                    "| {} | {} | {:.0} | {:.0} | {cpu:.1} ({spread:.1}) |",
+                    "| {} | {} | {:.0} | {:.0} | {cpu:.1} ({standard_deviation:.1}) |",
                     c.label,
                     c.latencies_us.len(),
                     c.latency_us(0.5),
@@ -237,16 +244,16 @@
             return Ok(NOT_RUN);
         }
     }
-    let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
+    let _ = std::fs::remove_dir_all(&dir); // best effort: the files are no longer needed
     Ok(0)
 }
 
-/// Kills most instances in the same moment, and tells how they come back.
+/// Kills most instances at once and prints how they recover.
 pub fn recover(instances: usize, killed: usize, seeds: u64) -> Result<u8, String> {
     if instances == 0 || killed > 100 {
         return Err("--instances is at least 1, and --killed at most 100".into());
     }
-    let (command, dir) = (own()?, place_for("recover"));
+    let (command, dir) = (own_command()?, temp_dir_for("recover"));
     println!(
         "| seed | served a second before | full service s | survivors served | connections a second at a server, before and after \
          | in hand at a server, before and after | refused | no answer | phases, median and most ms |"
@@ -254,40 +261,43 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for seed in 1..=seeds {
         let dir = dir.join(format!("seed-{seed}"));
-        let r = match ::lab::service::recover::recover(&RecoveryOptions {
+        let report = match ::lab::service::recover::recover(&RecoveryOptions {
             command: &command,
             instances,
             killed,
             seed,
             dir: &dir,
         }) {
-            Ok(r) => r,
+            Ok(report) => report,
             Err(e) => {
-                tracing::error!(seed, error = %e, "it could not be report; the state is kept in {}", dir.display());
+                tracing::error!(seed, error = %e, "it could not be run; the state is kept in {}", dir.display());
                 return Ok(NOT_RUN);
             }
         };
-        let full = r.full_s.map_or("never".into(), |s| format!("{s:.1}"));
+        let full = report.full_s.map_or("never".into(), |s| format!("{s:.1}"));
         let phase =
-            |(name, (middle, most)): (&String, &(u64, u64))| format!("{name} {middle} / {most}");
-        let phases: Vec<String> = r.phases.iter().map(phase).collect();
+            |(name, (median, max)): (&String, &(u64, u64))| format!("{name} {median} / {max}");
+        let phases: Vec<String> = report.phases.iter().map(phase).collect();
         println!(
             "| {seed} | {:.0} | {full} | {:.2} | {:.0} / {:.0} | {} / {} | {} | {} | {} |",
-            r.before,
-            r.survivors,
-            r.connections.0,
-            r.connections.1,
-            r.in_flight.0,
-            r.in_flight.1,
-            r.rejected,
-            r.unanswered,
+            report.before,
+            report.survivors,
+            report.connections.0,
+            report.connections.1,
+            report.in_flight.0,
+            report.in_flight.1,
+            report.rejected,
+            report.unanswered,
             phases.join(", ")
         );
-        if !r.violations.is_empty() {
-            r.violations.iter().for_each(|b| println!("BROKEN: {b}"));
+        if !report.violations.is_empty() {
+            report
+                .violations
+                .iter()
+                .for_each(|b| println!("BROKEN: {b}"));
             return Ok(BROKEN);
         }
     }
-    let _ = std::fs::remove_dir_all(&dir); // nothing in it is needed
+    let _ = std::fs::remove_dir_all(&dir); // best effort: the files are no longer needed
     Ok(0)
 }
