--- a/crates/canvascart/tests/cluster.rs
+++ b/crates/canvascart/tests/cluster.rs
@@ -9,8 +9,11 @@
     Directory, SHORT_LEASES, command, fleet, limit, set_limit, settled_voters, voters,
 };
 use lab::net::Mode;
-use lab::service::Line;
-use lab::service::changes::{Known, Ledger, Planted, Play, judge, now, play, server};
+use lab::service::HttpConnection;
+use lab::service::changes::{
+    ChangeOutcome, DecisionLog, InjectedFault, RunOptions, boot_clock_us, find_version_regressions,
+    run, start_server,
+};
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
 
@@ -92,20 +95,23 @@
 fn drain_ends_new_requests_within_a_second_while_the_change_waits_for_a_lease() {
     let directory = Directory::new();
     let fleet = fleet(&directory, 5, SHORT_LEASES);
-    let old = Ledger::default();
-    let (first, second) = (server(&old).unwrap(), server(&Ledger::default()).unwrap());
+    let old = DecisionLog::default();
+    let (first, second) = (
+        start_server(&old).unwrap(),
+        start_server(&DecisionLog::default()).unwrap(),
+    );
     for (name, at) in [("old", first), ("new", second)] {
         let body =
             json!({ "name": name, "address": at.to_string(), "size": 8, "warm": true }).to_string();
         let target = format!("/v1/tenants/a/servers/{name}");
         let (status, response_body) = fleet
-            .line(0)
+            .admin_connection(0)
             .unwrap()
             .call("PUT", &target, "If-Match: *\r\n", &body)
             .unwrap();
         let (status, response_body) = match status {
             412 => fleet
-                .line(0)
+                .admin_connection(0)
                 .unwrap()
                 .call("PUT", &target, "", &body)
                 .unwrap(),
@@ -121,7 +127,7 @@
     let paused = (0..5).find(|i| *i != leader).unwrap();
     let send_lookups = |fleet: &Fleet| {
         for i in (0..5).filter(|i| *i != paused) {
-            let mut line = Line::new(fleet.public(i).unwrap(), "X-Tenant-Id: a\r\n");
+            let mut line = HttpConnection::new(fleet.public(i).unwrap(), "X-Tenant-Id: a\r\n");
             (0..20).for_each(|_| assert_eq!(line.call("GET", "/lookup/1", "", "").unwrap().0, 200));
         }
     };
@@ -131,8 +137,8 @@
         "the server got no requests before the drain"
     );
     fleet.pause(paused, true);
-    let mut line = fleet.line(leader).unwrap();
-    let (asked_at, called_at) = (now(), std::time::Instant::now());
+    let mut line = fleet.admin_connection(leader).unwrap();
+    let (asked_at, called_at) = (boot_clock_us(), std::time::Instant::now());
     let drain_call = std::thread::spawn(move || {
         let called = line
             .call(
@@ -170,7 +176,7 @@
     let others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
     // Messages of one instance are held, so that the change waits for its lease; then the leader is killed.
     (0..5).for_each(|to| fleet.link(others[0], to, Mode::Hold));
-    let mut line = fleet.line(others[1]).unwrap();
+    let mut line = fleet.admin_connection(others[1]).unwrap();
     let pending_call = std::thread::spawn(move || {
         let body = json!({ "in-flight": 2001 }).to_string();
         line.call(
@@ -195,7 +201,7 @@
     fleet.start(leader).unwrap();
     fleet.ready().unwrap();
     let versions = fleet
-        .line(leader)
+        .admin_connection(leader)
         .unwrap()
         .json("GET", "/v1/versions", "", &Value::Null)
         .unwrap();
@@ -215,7 +221,7 @@
     let mut others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
     others.sort_by_key(|i| votes.contains(i)); // an instance without a vote is isolated first, so that another can lead
     fleet.isolate(others[0], Mode::Hold);
-    let mut line = fleet.line(others[1]).unwrap();
+    let mut line = fleet.admin_connection(others[1]).unwrap();
     let first = std::thread::spawn(move || {
         line.call(
             "PUT",
@@ -261,7 +267,7 @@
     let first = fleet.leader().unwrap();
     let other = (0..5).find(|i| *i != first).unwrap();
     fleet.isolate(first, Mode::Cut);
-    let mut line = fleet.line(first).unwrap();
+    let mut line = fleet.admin_connection(first).unwrap();
     let pending_call = std::thread::spawn(move || {
         line.call(
             "PUT",
@@ -291,10 +297,10 @@
     let body = json!({ "to": fleet.name(first) }).to_string();
     fleet
         .wait("the former leader to lead again", |f| {
-            let _ = f
-                .line(other)
-                .unwrap()
-                .call("POST", "/v1/cluster/step-down", "", &body); // repeated until the member has caught up
+            let _ =
+                f.admin_connection(other)
+                    .unwrap()
+                    .call("POST", "/v1/cluster/step-down", "", &body); // repeated until the member has caught up
             f.leader() == Some(first)
         })
         .unwrap_or_else(|e| panic!("{e}: {}", fleet.status(other).unwrap()));
@@ -321,7 +327,7 @@
         }
     };
     links(Mode::Cut);
-    let mut line = fleet.line(leader).unwrap();
+    let mut line = fleet.admin_connection(leader).unwrap();
     let pending_call = std::thread::spawn(move || {
         line.call(
             "PUT",
@@ -355,7 +361,7 @@
         "the retried change was not applied last"
     );
     let versions = fleet
-        .line(minority[0])
+        .admin_connection(minority[0])
         .unwrap()
         .json("GET", "/v1/versions", "", &Value::Null)
         .unwrap();
@@ -380,7 +386,7 @@
         text.replacen("[[listener]]", &format!("{more}[[listener]]"), 1),
     )
     .unwrap();
-    let id = fleet.id(lagging).unwrap().to_string();
+    let id = fleet.process_id(lagging).unwrap().to_string();
     assert!(
         Command::new("kill")
             .args(["-s", "HUP", &id])
@@ -400,7 +406,7 @@
     let log = fleet.log(lagging);
     assert!(log.contains("restored from snapshot"), "{log}");
     let figures = fleet
-        .line(lagging)
+        .admin_connection(lagging)
         .unwrap()
         .call("GET", "/v1/figures", "", "")
         .unwrap();
@@ -418,7 +424,9 @@
     let fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
     let slow = voters(&fleet).into_iter().find(|i| *i != leader).unwrap();
-    fleet.fail(slow, "cluster-log=sleep(2000)").unwrap();
+    fleet
+        .set_failpoints(slow, "cluster-log=sleep(2000)")
+        .unwrap();
     for n in 2001..2004 {
         let began = Instant::now();
         assert_eq!(set_limit(&fleet, leader, n, "").0, 200);
@@ -428,7 +436,7 @@
             began.elapsed()
         );
     }
-    fleet.fail(slow, "").unwrap();
+    fleet.set_failpoints(slow, "").unwrap();
     fleet.ready().unwrap();
     assert_eq!(limit(&fleet, slow), 2003);
 }
@@ -439,7 +447,9 @@
     let directory = Directory::new();
     let fleet = fleet(&directory, 5, SHORT_LEASES);
     let leader = fleet.leader().unwrap();
-    fleet.fail(leader, "agreed-form=return(2)").unwrap();
+    fleet
+        .set_failpoints(leader, "agreed-form=return(2)")
+        .unwrap();
     let (status, body) = set_limit(&fleet, leader, 2001, "");
     assert_eq!(
         (status, body["type"].as_str()),
@@ -455,7 +465,7 @@
         "{detail}"
     );
     // The same call at an instance that writes a format that all members can read.
-    fleet.fail(leader, "").unwrap();
+    fleet.set_failpoints(leader, "").unwrap();
     assert_eq!(set_limit(&fleet, older, 2001, "").0, 200);
     assert!((0..5).all(|i| limit(&fleet, i) == 2001));
 }
@@ -464,29 +474,29 @@
 #[cfg(feature = "failpoints")]
 fn count_violations(fault: &str, cut: bool) -> usize {
     let directory = Directory::new();
-    let ledger = Ledger::default();
-    let (command, at) = (command(), server(&ledger).unwrap());
-    let settings = Play {
+    let ledger = DecisionLog::default();
+    let (command, at) = (command(), start_server(&ledger).unwrap());
+    let settings = RunOptions {
         command: &command,
         instances: 5,
         changes: 0,
         cluster: SHORT_LEASES,
         seed: 1,
         dir: &directory.0,
-        planted: Planted::Nothing,
+        injected_fault: InjectedFault::None,
     };
-    let fleet = lab::service::changes::begin(&settings, at).unwrap();
+    let fleet = lab::service::changes::start_fleet(&settings, at).unwrap();
     let leader = fleet.leader().unwrap();
     let faulty = (0..5).find(|i| *i != leader).unwrap();
     if !fault.is_empty() {
-        fleet.fail(faulty, fault).unwrap();
+        fleet.set_failpoints(faulty, fault).unwrap();
     }
     let stop = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|threads| {
         for i in [leader, faulty] {
             let (to, stop) = (fleet.public(i).unwrap(), &stop);
             threads.spawn(move || {
-                let mut line = Line::new(to, "X-Tenant-Id: a\r\n");
+                let mut line = HttpConnection::new(to, "X-Tenant-Id: a\r\n");
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                     let _ = line.call("GET", "/lookup/1", "", ""); // the server records the version of the decision
                     std::thread::sleep(Duration::from_millis(1));
@@ -500,7 +510,7 @@
         std::thread::sleep(Duration::from_millis(600));
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
     });
-    judge(&ledger.sorted()).len()
+    find_version_regressions(&ledger.sorted()).len()
 }
 
 #[test]
@@ -577,7 +587,7 @@
     let target = format!("/v1/cluster/members/{}", fleet.name(replaced_instance));
     fleet.isolate(replaced_instance, Mode::Cut);
     let (status, _) = fleet
-        .line(leader)
+        .admin_connection(leader)
         .unwrap()
         .call("DELETE", &target, "", "")
         .unwrap();
@@ -610,21 +620,21 @@
 #[test]
 fn changes_are_atomic_under_random_faults_and_the_judge_detects_late_decisions() {
     let (directory, command) = (Directory::new(), command());
-    let mut settings = Play {
+    let mut settings = RunOptions {
         command: &command,
         instances: 5,
         changes: 8,
         cluster: SHORT_LEASES,
         seed: 5,
         dir: &directory.0,
-        planted: Planted::Nothing,
+        injected_fault: InjectedFault::None,
     };
-    let result = play(&settings, |_| ()).unwrap();
-    assert_eq!(result.broken, Vec::<String>::new());
+    let result = run(&settings, |_| ()).unwrap();
+    assert_eq!(result.violations, Vec::<String>::new());
     let done = result
         .changes
         .values()
-        .filter(|k| matches!(k, Some(Known::Done(_))))
+        .filter(|k| matches!(k, Some(ChangeOutcome::Acknowledged(_))))
         .count();
     assert!(
         done >= 4 && result.decisions > 1000,
@@ -633,13 +643,13 @@
         result.decisions
     );
     settings.changes = 3;
-    settings.planted = Planted::LateDecisions;
-    let result = play(&settings, |_| ()).unwrap();
+    settings.injected_fault = InjectedFault::LateDecisions;
+    let result = run(&settings, |_| ()).unwrap();
     assert!(
-        result.broken.iter().any(|b| b.contains("after")),
+        result.violations.iter().any(|b| b.contains("after")),
         "{result:?}"
     );
-    assert!(judge(&[]).is_empty());
+    assert!(find_version_regressions(&[]).is_empty());
 }
 
 #[test]
--- a/crates/canvascart/tests/cluster_fixture/mod.rs
+++ b/crates/canvascart/tests/cluster_fixture/mod.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use lab::service::changes::{Ledger, Planted, Play, begin, server};
+use lab::service::changes::{DecisionLog, InjectedFault, RunOptions, start_fleet, start_server};
 use lab::service::fleet::Fleet;
 use serde_json::{Value, json};
 
@@ -37,18 +37,18 @@
 
 /// Starts a cluster with one tenant and this many instances.
 pub fn fleet(directory: &Directory, instances: usize, cluster: &str) -> Fleet {
-    let server_address = server(&Ledger::default()).unwrap();
+    let server_address = start_server(&DecisionLog::default()).unwrap();
     let command = command();
-    let play = Play {
+    let options = RunOptions {
         command: &command,
         instances,
         changes: 0,
         cluster,
         seed: 1,
         dir: &directory.0,
-        planted: Planted::Nothing,
+        injected_fault: InjectedFault::None,
     };
-    begin(&play, server_address).unwrap()
+    start_fleet(&options, server_address).unwrap()
 }
 
 /// Sets the tenant's in-flight limit at an instance. Returns the response status and body.
@@ -56,7 +56,7 @@
     let body = json!({ "in-flight": limit }).to_string();
     let extra_headers = format!("If-Match: *\r\n{extra_headers}");
     let (status, body) = fleet
-        .line(i)
+        .admin_connection(i)
         .unwrap()
         .call("PUT", "/v1/tenants/a/limits", &extra_headers, &body)
         .unwrap();
@@ -65,7 +65,7 @@
 
 pub fn limit(fleet: &Fleet, i: usize) -> u64 {
     let limits = fleet
-        .line(i)
+        .admin_connection(i)
         .unwrap()
         .json("GET", "/v1/tenants/a/limits", "", &Value::Null)
         .unwrap();
--- a/crates/canvascart/tests/recovery.rs
+++ b/crates/canvascart/tests/recovery.rs
@@ -8,15 +8,15 @@
 use etcd::api::PutRequest;
 use etcd_fake::{FakeEtcd, NetworkState};
 use lab::net::Mode;
-use lab::service::Line;
-use lab::service::changes::{Ledger, server};
-use lab::service::fleet::{Fleet, Terms};
+use lab::service::HttpConnection;
+use lab::service::changes::{DecisionLog, start_server};
+use lab::service::fleet::{Fleet, FleetSettings};
 use serde_json::Value;
 
 /// Starts five instances with tenant `a`, whose server is in the configuration, and tenant `b`, whose endpoint list is
 /// in etcd.
 fn start(directory: &Directory, etcd: &FakeEtcd, cluster: &str) -> Fleet {
-    let at = server(&Ledger::default()).unwrap();
+    let at = start_server(&DecisionLog::default()).unwrap();
     let class = "[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 ms\"\ndeadline = \"2 s\"\n";
     let members: Vec<String> = etcd.endpoints().iter().map(|e| format!("{e:?}")).collect();
     let tenants = format!(
@@ -24,7 +24,7 @@
          [[tenant]]\nname = \"b\"\nfleet = {{ etcd = [{}] }}\n{class}",
         members.join(", ")
     );
-    let settings = Terms {
+    let settings = FleetSettings {
         cluster: format!("{SHORT_LEASES}\n{cluster}"),
         tenants,
         zones: 3,
@@ -63,7 +63,7 @@
 
 fn startup_status(fleet: &Fleet, i: usize) -> Value {
     fleet
-        .line(i)
+        .admin_connection(i)
         .unwrap()
         .json("GET", "/v1/cluster/recovery", "", &Value::Null)
         .unwrap()["start"]
@@ -73,13 +73,13 @@
 /// Returns true if an instance reports this phase. An instance that does not know the token yet reports nothing.
 fn is_in_phase(fleet: &Fleet, i: usize, phase: &str) -> bool {
     let status = fleet
-        .line(i)
+        .admin_connection(i)
         .and_then(|mut l| l.json("GET", "/v1/cluster/recovery", "", &Value::Null));
     status.is_ok_and(|t| t["start"]["phase"] == phase)
 }
 
 fn lookup_status(fleet: &Fleet, i: usize, tenant: &str) -> u16 {
-    let mut line = Line::new(
+    let mut line = HttpConnection::new(
         fleet.public(i).unwrap(),
         &format!("X-Tenant-Id: {tenant}\r\n"),
     );
