--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -13,7 +13,7 @@
 
 /// Slots per core: slightly more than one keeps a core busy between responses.
 const REQUESTS_PER_CORE: f64 = 1.1;
-/// Maximum number of slots of an endpoint whose owners are computed, whatever its weight.
+/// Maximum number of slots per endpoint whose owners are computed, regardless of its weight.
 const MAX_SLOTS: u32 = 1024;
 /// Ratio of the latency to the uncongested latency from which a machine type counts as congested.
 const CONGESTED_RATIO: f64 = 1.6;
--- a/crates/balancer/src/final_answer.rs
+++ b/crates/balancer/src/final_answer.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the time by which a request must have its final answer. This is the deadline, or the end of the latency
-    /// objective if that is earlier and a late response is not worth waiting for: if late responses earn nothing, and
+    /// objective if that is earlier and a late response has no benefit: if late responses earn no priority weight, and
     /// for queued requests while more requests are queued than in flight.
     pub fn answer_by(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class];
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -274,7 +274,7 @@
         self.overall.is_ejected(now) && !self.overloaded
     }
 
-    /// Returns the time since the last served response, or since the send that ended an idle period.
+    /// Returns the time since the endpoint last served a response, or since the attempt that ended an idle period.
     pub fn stalled_for(&self, now: Millis) -> Millis {
         now - self.last_progress
     }
@@ -284,7 +284,7 @@
         self.last_progress = now;
     }
 
-    /// Ejects a hanging endpoint for at min_length `min_length`.
+    /// Ejects a hanging endpoint for at least `min_length`.
     pub fn eject_hanging(&mut self, now: Millis, exposure: Exposure, min_length: Millis) {
         let length = exposure.extend(self.overall.backoff).max(min_length);
         self.overall.eject(now, length);
--- a/crates/balancer/src/reconfiguration.rs
+++ b/crates/balancer/src/reconfiguration.rs
@@ -5,8 +5,8 @@
 use crate::types::Millis;
 
 impl State {
-    /// Applies new settings, and keeps estimates and requests in progress. Settings that lack a class or tenant are
-    /// ignored, because indices held by requests in progress would become invalid.
+    /// Applies new settings; estimates and requests in progress are not affected. Ignores settings with fewer classes or
+    /// tenants than before, because requests in progress refer to them by index.
     pub fn update_settings(&mut self, settings: Settings, now: Millis) {
         let current = &self.settings;
         if settings.classes.len() < current.classes.len()
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -65,7 +65,7 @@
     /// Multiple of its current capacity above which load overloads a warming endpoint, if sustained for the overload
     /// window.
     pub overload_multiple: f64,
-    /// Time for which load above the overload multiple has to last to overload a warming endpoint.
+    /// Overload window: minimum duration of load above the overload multiple that overloads a warming endpoint.
     pub overload_window: Millis,
     /// Maximum number of attempts of one request.
     pub max_attempts: u32,
--- a/crates/balancer/src/speed_bands.rs
+++ b/crates/balancer/src/speed_bands.rs
@@ -72,9 +72,9 @@
         position.clamp(0.0, BAND_COUNT as f64 - 1.0) as usize
     }
 
-    /// Returns the band `by` bands below, or the slowest band.
-    pub fn slower(&self, band: usize, by: usize) -> usize {
-        (band + by).min(BAND_COUNT - 1)
+    /// Returns the band that is slower by `steps` bands, at most the slowest band.
+    pub fn slower(&self, band: usize, steps: usize) -> usize {
+        (band + steps).min(BAND_COUNT - 1)
     }
 
     /// Returns true if an endpoint is open.
--- a/crates/balancer/src/tenant_quota.rs
+++ b/crates/balancer/src/tenant_quota.rs
@@ -7,7 +7,7 @@
 use crate::types::Millis;
 
 /// Time over which a tenant may accumulate unused quota.
-const BURST: Millis = 1000.0;
+const ACCUMULATION_TIME: Millis = 1000.0;
 
 /// Token buckets of all tenants.
 pub(crate) struct TenantQuotas {
@@ -41,7 +41,7 @@
     pub fn refill(&mut self, elapsed: Millis, tenants: &[Tenant], proxy_count: u32) {
         for (tokens, tenant) in self.tokens.iter_mut().zip(tenants) {
             let per_ms = tenant.quota_per_second / 1000.0 / f64::from(proxy_count);
-            *tokens = (*tokens + per_ms * elapsed).min(per_ms * BURST + 1.0);
+            *tokens = (*tokens + per_ms * elapsed).min(per_ms * ACCUMULATION_TIME + 1.0);
         }
     }
 }
--- a/crates/balancer/tests/concurrency_window.rs
+++ b/crates/balancer/tests/concurrency_window.rs
@@ -28,8 +28,8 @@
     )
 }
 
-/// Returns one of 32 proxies with twelve endpoints of one core, which respond with the given load reports. The tests let
-/// the endpoints respond in 250 ms from the first request on.
+/// Returns one of 32 proxies with twelve endpoints of one core, which respond with the given load reports. In the tests
+/// that use it, the endpoints respond in 250 ms from the first request on.
 fn with_single_cores(load: fn(usize) -> LoadReport) -> Harness {
     let small = |id| Endpoint {
         weight: 1.0,
--- a/crates/balancer/tests/health_snapshot.rs
+++ b/crates/balancer/tests/health_snapshot.rs
@@ -137,7 +137,7 @@
         0,
         "the restored endpoint has no additional budget"
     );
-    // With twice as count proxies, the instance has half of the remaining budget.
+    // With twice as many proxies, the instance has half of the remaining budget.
     let among_two = next_instance(now, warming.clone(), Some(snapshot.clone()), 2)
         .balancer
         .health_snapshot(now);
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -86,13 +86,13 @@
     }
 
     fn attempt(&mut self, id: u64) {
-        let Some(e) = self.requests.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let (due, n) = (e.0, e.1);
-        e.1 += 1;
-        let x = self.rng.f64();
-        let (latency, outcome) = match x {
+        let (due, attempt) = (request.0, request.1);
+        request.1 += 1;
+        let outcome_draw = self.rng.f64();
+        let (latency, outcome) = match outcome_draw {
             x if x < 0.70 => (10.0 + self.rng.f64() * 100.0, Outcome::Served),
             x if x < 0.76 => (5.0, Outcome::Error),
             x if x < 0.82 => (1.0, Outcome::Overloaded),
@@ -106,12 +106,14 @@
         } else {
             (latency, outcome)
         };
-        self.due
-            .push((self.now + latency, Due::Ended(id, n, latency, outcome)));
+        self.due.push((
+            self.now + latency,
+            Due::Ended(id, attempt, latency, outcome),
+        ));
     }
 
     fn change_list(&mut self) {
-        let n = self.list.len() as u64;
+        let length = self.list.len() as u64;
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
@@ -122,22 +124,22 @@
                 self.list.push(added.clone());
                 entries.push(added);
             }
-            1 | 2 if n > 0 => {
-                let k = self.rng.usize(0..self.list.len());
+            1 | 2 if length > 0 => {
+                let index = self.rng.usize(0..self.list.len());
                 let states = [
                     EndpointState::Draining,
                     EndpointState::Removed,
                     EndpointState::Up,
                 ];
-                self.list[k].state = states[self.rng.usize(0..3)];
-                entries.push(self.list[k].clone());
+                self.list[index].state = states[self.rng.usize(0..3)];
+                entries.push(self.list[index].clone());
             }
-            3 if n > 0 => {
-                let k = self.rng.usize(0..self.list.len());
-                (self.list[k].state, self.list[k].started_at) =
+            3 if length > 0 => {
+                let index = self.rng.usize(0..self.list.len());
+                (self.list[index].state, self.list[index].started_at) =
                     (EndpointState::Up, Some(self.now - 300.0));
-                entries.push(self.list[k].clone());
-                entries.push(self.list[k].clone()); // repeated entries are valid
+                entries.push(self.list[index].clone());
+                entries.push(self.list[index].clone()); // repeated entries are valid
             }
             4 => {
                 return self.handle(Event::EndpointUpdate {
@@ -182,11 +184,11 @@
                     Due::Timer(token) => self.handle(Event::Timer(token)),
                     Due::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
-                        let Some(e) = self.requests.get_mut(&id) else {
+                        let Some(request) = self.requests.get_mut(&id) else {
                             continue;
                         };
-                        e.2 |= outcome == Outcome::Served;
-                        let finished = e.2;
+                        request.2 |= outcome == Outcome::Served;
+                        let finished = request.2;
                         let request = RequestId(id);
                         self.handle(Event::AttemptEnded {
                             request,
@@ -232,8 +234,9 @@
             }
             _ => {
                 let class = self.rng.usize(0..self.settings.classes.len());
-                let c = &self.settings.classes[class];
-                let client_timeout = c.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
+                let class_settings = &self.settings.classes[class];
+                let client_timeout =
+                    class_settings.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
                 let key = self.rng.bool().then(|| Key(self.rng.u64(0..20)));
                 let tenant = (!self.settings.tenants.is_empty()).then_some(TenantId(0));
                 let id = RequestId(self.next_id);
--- a/crates/cluster-runtime/src/member/runtime.rs
+++ b/crates/cluster-runtime/src/member/runtime.rs
@@ -29,9 +29,9 @@
 /// Interval between ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of messages handled in one iteration, whose outputs are then processed together.
-const MAX_MESSAGES_PER_TURN: usize = 256;
+const MAX_MESSAGES_PER_ITERATION: usize = 256;
 /// Maximum number of received messages that wait for the event loop.
-const MAX_RECEIVED_MESSAGES: usize = 4 * MAX_MESSAGES_PER_TURN;
+const MAX_RECEIVED_MESSAGES: usize = 4 * MAX_MESSAGES_PER_ITERATION;
 
 /// Identity and node of a member that has joined.
 pub(super) struct JoinedMember {
@@ -169,7 +169,7 @@
     /// Handles a message and those queued after it, up to the limit of one iteration.
     fn handle_messages(&mut self, first: Message) -> Result<(), MemberError> {
         self.handle_message(first)?;
-        for _ in 0..MAX_MESSAGES_PER_TURN {
+        for _ in 0..MAX_MESSAGES_PER_ITERATION {
             let Ok(message) = self.received.try_recv() else {
                 break;
             };
@@ -209,7 +209,7 @@
     /// Returns the leader, if it is known and in the membership.
     pub(super) fn leader(&self) -> Option<PeerAddress> {
         let leader = self.node()?.leader()?;
-        self.listed_member(leader)
+        self.member_by_id(leader)
     }
 
     /// Returns this member as the sender of messages.
@@ -237,7 +237,7 @@
     /// Sends a message to the member with this raft node id; drops the message if the address is unknown.
     pub(super) fn send_to_id(&mut self, id: u64, body: Body) {
         let peer = self
-            .listed_member(id)
+            .member_by_id(id)
             .or_else(|| self.unlisted_senders.get(&id).cloned());
         if let Some(peer) = peer {
             self.send_to(&peer.name, &peer.address, body);
@@ -249,7 +249,7 @@
         let _ = self.events.send(event);
     }
 
-    fn listed_member(&self, id: u64) -> Option<PeerAddress> {
+    fn member_by_id(&self, id: u64) -> Option<PeerAddress> {
         let machine = self.node()?.state_machine()?;
         let (name, member) = machine.members.iter().find(|(_, member)| member.id == id)?;
         Some(PeerAddress {
--- a/crates/cluster-runtime/src/member/status_report.rs
+++ b/crates/cluster-runtime/src/member/status_report.rs
@@ -48,7 +48,7 @@
             Err(reason) => status.fenced_reason = Some(self.fenced_reason(&reason.to_string())),
         }
         if let Some(machine) = node.state_machine() {
-            add_machine_status(status, node, machine, now);
+            add_membership_status(status, node, machine, now);
         }
     }
 
@@ -73,7 +73,7 @@
         .collect()
 }
 
-fn add_machine_status(status: &mut Status, node: &Node, machine: &StateMachine, now: Micros) {
+fn add_membership_status(status: &mut Status, node: &Node, machine: &StateMachine, now: Micros) {
     let voters = node.voters();
     status.version = machine.version;
     status.members = machine
--- a/crates/config-store/src/queries.rs
+++ b/crates/config-store/src/queries.rs
@@ -164,7 +164,7 @@
     Ok(entries)
 }
 
-/// As [`audit_log`], with the entries that are indexed under a name.
+/// Like [`audit_log`], but returns only entries that are indexed under a name.
 pub fn audit_log_of(
     database: &Database,
     name: &str,
--- a/crates/config-store/src/record.rs
+++ b/crates/config-store/src/record.rs
@@ -36,7 +36,7 @@
     /// Version that the change produced; `None` if no document changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// The versions between the previous one and this one were skipped, as a lost log may have assigned them.
+    /// True if versions were skipped before this one, because a lost log may have assigned them.
     #[serde(
         rename = "skipped",
         default,
--- a/crates/config-store/src/retention.rs
+++ b/crates/config-store/src/retention.rs
@@ -14,7 +14,7 @@
 pub struct Retention {
     /// Maximum number of versions.
     pub versions: u64,
-    /// Maximum number of audit entries; entries of retained versions stay beyond it.
+    /// Maximum number of audit entries; entries of retained versions are kept above this maximum.
     pub audit_entries: u64,
     /// Maximum number of replies to writes with an idempotency key.
     pub replies: u64,
@@ -111,7 +111,7 @@
     let versions = write.open_table(VERSIONS)?;
     let mut audit = write.open_table(AUDIT)?;
     let mut index = write.open_table(AUDIT_INDEX)?;
-    // The entry of a retained version stays, however long the log.
+    // Entries of retained versions are kept, regardless of the length of the log.
     let oldest_referenced = versions.first()?.map_or(number, |(_, entry)| entry.value());
     let first_retained =
         oldest_referenced.min((number + 1).saturating_sub(retention.audit_entries));
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -132,10 +132,10 @@
 
     /// Commits a transaction. It survives a crash once this returns.
     ///
-    /// Where an error leaves open whether the transaction was applied, the database is reopened to find out.
+    /// After an error that leaves it unknown whether the transaction was applied, reopens the database to find out.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] if the transaction was built on another state; otherwise why it was not applied.
+    /// [`StoreError::Conflict`] if the transaction was built on another state; otherwise the reason why it was not applied.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<AuditEntry, StoreError> {
         if self.database.is_none() {
             self.reload()?;
--- a/crates/endpoint-discovery/src/flapping.rs
+++ b/crates/endpoint-discovery/src/flapping.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Drops all delayed returns: a snapshot shows which endpoints are there.
+    /// Drops all delayed returns: the next snapshot contains the endpoints that exist.
     pub fn cancel_all(&mut self) {
         for returns in self.by_name.values_mut() {
             returns.delayed = None;
--- a/crates/endpoint-discovery/src/key_value.rs
+++ b/crates/endpoint-discovery/src/key_value.rs
@@ -9,9 +9,9 @@
     pub value: Vec<u8>,
     /// Revision of the last change.
     pub mod_revision: i64,
-    /// Revision that created the key; another one after a deletion.
+    /// Revision that created the key; changes if the key is deleted and created again.
     pub create_revision: i64,
-    /// Lease that the key expires with; 0 for none.
+    /// Lease at whose expiry the key is deleted; 0 for none.
     pub lease: i64,
 }
 
--- a/crates/endpoint-discovery/src/record.rs
+++ b/crates/endpoint-discovery/src/record.rs
@@ -16,11 +16,11 @@
 /// Readiness of an endpoint for new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// Takes new requests.
+    /// Accepts new requests.
     #[default]
     #[serde(rename = "up")]
     Up,
-    /// Completes its requests in flight and takes no new ones.
+    /// Completes its requests in flight and accepts no new ones.
     #[serde(rename = "draining")]
     Draining,
     /// Has left the pool; its key is deleted next.
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Parses a value. Of a record of a newer version, the fields of this version are read.
+    /// Parses a value. Reads only the fields of this version from a record of a newer version.
     ///
     /// # Errors
     /// The value is too long, malformed, or a field is out of range.
--- a/crates/endpoint-discovery/src/silence.rs
+++ b/crates/endpoint-discovery/src/silence.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Returns true on the first call, unless something was recorded before.
+    /// Returns true on the first call, unless an event or a request was recorded before.
     pub fn take_start(&mut self) -> bool {
         let is_start = self.last_event == 0 && self.last_request == 0;
         if is_start {
--- a/crates/endpoint-discovery/src/snapshot.rs
+++ b/crates/endpoint-discovery/src/snapshot.rs
@@ -13,7 +13,7 @@
 /// Result of a page.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PageOutcome {
-    /// The page from this key on is to be requested.
+    /// The next page begins with this key and has to be requested.
     Next(Vec<u8>),
     /// The snapshot is complete, with these keys and values.
     Complete(Vec<KeyValue>),
--- a/crates/endpoint-discovery/src/staleness.rs
+++ b/crates/endpoint-discovery/src/staleness.rs
@@ -50,7 +50,7 @@
             .map(|since| since + self.limit_ms)
     }
 
-    /// Returns the time since when the list is out of sync, once for each time that it becomes stale.
+    /// Returns the time since when the list is out of sync, once each time the list becomes stale.
     pub fn take_report(&mut self, now: Millis) -> Option<Millis> {
         let since = self.stale_since(now).filter(|_| !self.reported);
         self.reported |= since.is_some();
--- a/crates/fair-share/src/resource_pool.rs
+++ b/crates/fair-share/src/resource_pool.rs
@@ -4,7 +4,7 @@
 //! others to release. Therefore an allocation beyond a tenant's fair share is bounded:
 //!
 //! - *Fair share*: the capacity, less the idle reserve while some tenants are idle, divided by weight among the active
-//!   tenants. Up to it a tenant gets whatever is free and not reserved.
+//!   tenants. A tenant within its fair share gets any amount that is free and not reserved.
 //! - *Reservation*: an amount kept free for an active tenant: its recent peak plus a quarter, at most its fair share,
 //!   less its allocation. It grows only out of what is free and not reserved, so each reservation can be met.
 //! - Beyond its fair share a tenant borrows what neither the idle reserve nor other tenants' reservations need.
@@ -178,14 +178,14 @@
         let joining_weight = if entry.is_active { 0.0 } else { entry.weight };
         let active_count = self.active.len() + usize::from(!entry.is_active);
         let total_weight = self.active_weight + joining_weight;
-        let shared = self.capacity - self.idle_reserve_beside(active_count);
+        let shared = self.capacity - self.effective_idle_reserve(active_count);
         (shared as f64 * entry.weight / total_weight.max(entry.weight)) as u64
     }
 
     /// Allocates an amount to a tenant.
     ///
     /// # Errors
-    /// The reason of a denial; no allocation has changed then.
+    /// The reason for the denial; allocations are unchanged.
     pub fn acquire(
         &mut self,
         now: Millis,
@@ -193,7 +193,7 @@
         amount: u64,
     ) -> Result<(), DenialReason> {
         self.advance_window(now);
-        // A denied tenant becomes active too; otherwise the others would never leave it its share.
+        // A denied tenant becomes active too; otherwise the shares of the other tenants would never shrink in its favor.
         self.activate(tenant);
         self.check(now, tenant, amount)?;
         let entry = &mut self.tenants[tenant.0];
@@ -210,7 +210,7 @@
     /// Checks that a tenant could acquire an amount now. This activates no tenant and changes no share.
     ///
     /// # Errors
-    /// The reason of a denial.
+    /// The reason for the denial.
     pub fn check(
         &mut self,
         now: Millis,
@@ -233,7 +233,7 @@
         // is denied only while others still have borrowed capacity allocated.
         let is_borrowing = new_allocation > self.fair_share(tenant);
         let kept_for_others = if is_borrowing {
-            self.idle_reserve_beside(self.active.len()) + self.shortfall
+            self.effective_idle_reserve(self.active.len()) + self.shortfall
         } else {
             0
         };
@@ -273,7 +273,7 @@
     }
 
     /// Returns the amount kept for idle tenants while `active_count` tenants are active.
-    fn idle_reserve_beside(&self, active_count: usize) -> u64 {
+    fn effective_idle_reserve(&self, active_count: usize) -> u64 {
         if active_count < self.registered_count {
             self.idle_reserve
         } else {
--- a/crates/fair-share/src/shared_endpoint.rs
+++ b/crates/fair-share/src/shared_endpoint.rs
@@ -33,11 +33,11 @@
         let mut connections = ResourcePool::new(max_connections, idle_reserve_ratio);
         for (position, member) in members.iter().enumerate() {
             let pool_id = TenantId(position);
-            let held = former.map_or(0, |endpoint| endpoint.allocated_to(*member));
+            let allocated = former.map_or(0, |endpoint| endpoint.allocated_to(*member));
             match weighted_members.get(position) {
-                Some((_, weight)) => connections.add_with_allocation(pool_id, *weight, held),
+                Some((_, weight)) => connections.add_with_allocation(pool_id, *weight, allocated),
                 None => {
-                    connections.add_with_allocation(pool_id, DEPARTED_WEIGHT, held);
+                    connections.add_with_allocation(pool_id, DEPARTED_WEIGHT, allocated);
                     connections.remove(pool_id);
                 }
             }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Allocates a connection to a tenant. A tenant that is no member is not limited.
+    /// Allocates a connection to a tenant. A tenant that is not a member has no limit.
     pub(crate) fn acquire(&mut self, now: Millis, tenant: TenantId) -> Result<(), DenialReason> {
         match self.pool_id(tenant) {
             Some(pool_id) => self.connections.acquire(now, pool_id, 1),
--- a/crates/fair-share/src/tenant_limiter.rs
+++ b/crates/fair-share/src/tenant_limiter.rs
@@ -37,7 +37,7 @@
     buffered_bytes: ResourcePool,
     processing: ProcessorSharing,
     rejecting: ProcessorSharing,
-    /// Servers that several tenants use, by number.
+    /// Endpoints that several tenants share, by number.
     endpoints: FxHashMap<u64, SharedEndpoint>,
     statistics: Vec<TenantStatistics>,
 }
@@ -136,8 +136,8 @@
 
     /// Sets the tenants, with their weights, that share an endpoint with a limited number of connections.
     ///
-    /// Without members the endpoint is not limited here, as for one that a single tenant uses. A single member, whose
-    /// partners are not active now, is limited to all connections.
+    /// An empty list of members removes the limit, as for an endpoint that a single tenant uses. A single member,
+    /// which shares the endpoint with inactive tenants only, is limited to `max_connections`.
     pub fn set_shared_endpoint(
         &mut self,
         endpoint: u64,
@@ -160,7 +160,7 @@
     /// Allocates a connection to an endpoint; always granted for an endpoint that is not shared.
     ///
     /// # Errors
-    /// The other members' shares leave no connection.
+    /// No connection is free, or the free ones are reserved for the other members.
     pub fn acquire_endpoint_connection(
         &mut self,
         now: Millis,
@@ -271,7 +271,7 @@
     /// reject it.
     ///
     /// # Errors
-    /// The time until one of the two may hold.
+    /// The estimated time until one of these conditions may hold.
     pub fn check_read(&mut self, now: Millis, tenant: TenantId) -> Result<(), Millis> {
         match self.processing.admit(now, tenant) {
             Ok(()) if self.has_capacity_for_request(now, tenant) => Ok(()),
@@ -287,7 +287,7 @@
     /// close it.
     ///
     /// # Errors
-    /// The time until one of the two may hold.
+    /// The estimated time until one of these conditions may hold.
     pub fn check_accept(&mut self, now: Millis, tenant: TenantId) -> Result<(), Millis> {
         match self.processing.admit(now, tenant) {
             Ok(()) if self.client_connections.check(now, tenant, 1).is_ok() => Ok(()),
--- a/crates/sim-adapter/src/protocol/message.rs
+++ b/crates/sim-adapter/src/protocol/message.rs
@@ -120,13 +120,13 @@
     Ok(fields.optional_integer("nodesList")?.unwrap_or(0))
 }
 
-/// Returns the fields of a list item, not yet split.
+/// Returns the fields of a list item as unparsed text.
 pub fn list_item(line: &str) -> Result<&str, LineError> {
     line.strip_prefix(LIST_ITEM_PREFIX)
         .ok_or(LineError::NotAListItem)
 }
 
-/// Reads the scope of an endpoint update; none for one of a later version.
+/// Reads the scope of an endpoint update; `None` for a scope of a later protocol version.
 pub fn update_scope(fields: &Fields) -> Result<Option<UpdateScope>, LineError> {
     Ok(match fields.text("scope")? {
         "delta" => Some(UpdateScope::Delta),
@@ -170,7 +170,7 @@
     }
 }
 
-/// Maps a state. An unknown one counts as draining, so that the endpoint gets no new requests.
+/// Maps a state. An unknown state counts as draining, so that the endpoint gets no new requests.
 fn endpoint_state(state: Option<&str>) -> EndpointState {
     match state {
         Some("up") | None => EndpointState::Up,
@@ -241,7 +241,7 @@
     }
 }
 
-/// Maps an outcome. An unknown one counts as an error after which the request may have run.
+/// Maps an outcome. An unknown outcome counts as an error after which the request may have run.
 fn outcome(reason: &str) -> Outcome {
     match reason {
         "completed" => Outcome::Served,
--- a/crates/sim-adapter/src/simulated_proxy.rs
+++ b/crates/sim-adapter/src/simulated_proxy.rs
@@ -25,9 +25,9 @@
 
 /// Item of the list that follows a message.
 pub struct ListItem {
-    /// Number of its line.
+    /// Line number of the item.
     pub line: usize,
-    /// Its fields, not yet split.
+    /// Fields of the item as unparsed text.
     pub text: String,
 }
 
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Translates an endpoint update; none for one of a later version.
+    /// Translates an endpoint update; `None` if its scope is from a later protocol version.
     pub fn endpoint_update(
         &mut self,
         line: usize,
@@ -101,7 +101,8 @@
         })
     }
 
-    /// Translates the load report in the message of an attempt's end, if there is one. It is handled before the end itself.
+    /// Translates the load report in the message about an attempt's end, if there is one. The caller handles the load
+    /// report before the end of the attempt.
     pub fn load_report(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let Some(text) = message::load_report_text(fields) else {
             return Ok(None);
@@ -116,8 +117,8 @@
         }))
     }
 
-    /// Translates a message without a list; none if it has no meaning for this proxy, such as one about a request that
-    /// it has forgotten.
+    /// Translates a message without a list; `None` if the proxy can ignore the message, for example because its request is
+    /// no longer known.
     pub fn event(
         &mut self,
         kind: MessageKind,
--- a/crates/tenant-activation/src/active_tenants.rs
+++ b/crates/tenant-activation/src/active_tenants.rs
@@ -6,7 +6,7 @@
 use crate::recency_list::RecencyList;
 use crate::wait_queue::WaitQueue;
 
-/// Active tenants examined for an eviction, in addition to those whose capacity is due to others in the queue.
+/// Number of active tenants examined for an eviction, in addition to those whose capacity is due to others in the queue.
 const MAX_EVICTION_CANDIDATES: usize = 64;
 /// Bounds of the time until a retry.
 const MIN_RETRY_AFTER: Millis = 1.0;
@@ -23,7 +23,7 @@
     pub idle_timeout: Millis,
     /// Minimum time for which a tenant stays active, so that tenants do not evict each other in turn.
     pub min_active_time: Millis,
-    /// Time that a position in the queue is kept after the retry time given to its tenant.
+    /// Grace period after the retry time of a queued tenant, during which its position is kept.
     pub retry_grace_period: Millis,
     /// Maximum number of queued tenants; tenants beyond it get a retry time but no position.
     pub max_waiting: usize,
@@ -178,8 +178,8 @@
         Err(self.defer(now, key))
     }
 
-    /// Finds the least recently used tenant that can be evicted, provided that `required` tenants can: the capacity of
-    /// the others is due to tenants earlier in the queue.
+    /// Finds the least recently used tenant that can be evicted. Returns `None` unless `required` tenants can be evicted,
+    /// as the capacity of the others is due to tenants earlier in the queue.
     fn find_evictable(
         &mut self,
         now: Millis,
@@ -248,7 +248,7 @@
         self.pinned.insert(key.clone());
     }
 
-    /// Makes a pinned tenant an active one that may be deactivated.
+    /// Unpins a tenant. It stays active, and may be deactivated.
     pub fn unpin(&mut self, now: Millis, key: &K) {
         if self.pinned.remove(key) {
             self.insert(now, key);
