--- a/crates/balancer/src/attempts.rs
+++ b/crates/balancer/src/attempts.rs
@@ -283,7 +283,7 @@
         outcome: Outcome,
         now: Millis,
     ) {
-        let exposure = self.exposure();
+        let endpoint_traffic = self.endpoint_traffic();
         let sample = HealthSample {
             class,
             outcome,
@@ -291,6 +291,6 @@
             jitter: self.rng.f64(),
         };
         let health = &mut self.endpoints[endpoint].health;
-        self.outliers.record(health, &sample, exposure);
+        self.outliers.record(health, &sample, endpoint_traffic);
     }
 }
--- a/crates/balancer/src/forwarding.rs
+++ b/crates/balancer/src/forwarding.rs
@@ -9,11 +9,12 @@
 use crate::timing::{DEADLINE_MARGIN, TICK};
 use crate::types::{Idempotency, LoadReport, Millis, RequestId};
 
-/// Number of queued requests without a selected endpoint after which forwarding stops for the current event.
+/// Number of queued requests for which no endpoint could be selected after which forwarding stops for the current
+/// event.
 const MAX_FAILED_SELECTIONS: usize = 6;
 /// Time that must be left for a retry if an attempt times out early, as a multiple of the expected latency.
 const RETRY_LATENCY_FACTOR: f64 = 2.0;
-/// Index in a lane that skips the remaining requests of the lane.
+/// Index in a lane that is past its last request, so that the remaining requests of the lane are skipped.
 const SKIP_LANE: usize = usize::MAX;
 
 /// Queued request with the highest priority.
@@ -45,8 +46,12 @@
             failed_selections += 1;
             // Requests of a lane have different eligible endpoints only if they have a home or an earlier attempt.
             let request = &self.requests[&next.id];
-            let differs = request.home.is_some() || !request.attempts.is_empty();
-            *position = if differs { *position + 1 } else { SKIP_LANE };
+            let has_own_candidates = request.home.is_some() || !request.attempts.is_empty();
+            *position = if has_own_candidates {
+                *position + 1
+            } else {
+                SKIP_LANE
+            };
         }
     }
 
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -7,7 +7,7 @@
 use crate::timing::{REVIEW_TICKS, TICK, TICK_TOKEN};
 use crate::types::Millis;
 
-/// Number of reviews over which the slots of all endpoints are recomputed once, as slots change slowly.
+/// Number of reviews in which the slots of each endpoint are recomputed once, as slots change slowly.
 const SLOT_REVIEWS: u64 = 8;
 
 impl State {
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -90,20 +90,20 @@
     pub jitter: f64,
 }
 
-/// Rate of the proxies' requests to one endpoint.
+/// Traffic of this proxy and its peers to one endpoint, which determines how often an ejected endpoint is probed.
 #[derive(Clone, Copy)]
-pub(crate) struct Exposure {
+pub(crate) struct EndpointTraffic {
     /// Mean interval between two requests of this proxy to one endpoint, limited by the maximum backoff.
     pub interval: Millis,
     /// Number of proxies.
     pub proxy_count: u32,
 }
 
-impl Exposure {
+impl EndpointTraffic {
     /// Computes the interval from the number of endpoints that accept requests and the arrival rate at this proxy.
     pub fn new(endpoints: u32, arrivals_per_ms: f64, proxy_count: u32) -> Self {
         let interval = f64::from(endpoints) / arrivals_per_ms.max(MIN_ARRIVAL_RATE);
-        Exposure {
+        EndpointTraffic {
             interval: interval.min(MAX_BACKOFF),
             proxy_count,
         }
@@ -194,12 +194,12 @@
         }
     }
 
-    /// Returns the state for a snapshot, if it differs relevantly from that of a healthy endpoint.
+    /// Returns the state for a snapshot, if it differs significantly from that of a healthy endpoint.
     fn snapshot(&self, now: Millis) -> Option<Ejection> {
-        let relevant = self.is_ejected(now)
+        let differs = self.is_ejected(now)
             || self.on_probation
             || self.failure_mean > MIN_SNAPSHOT_FAILURE_MEAN;
-        relevant.then_some(Ejection {
+        differs.then_some(Ejection {
             failure_mean: self.failure_mean,
             ejected_until: self.ejected_until,
             backoff: self.backoff,
@@ -285,8 +285,15 @@
     }
 
     /// Ejects a hanging endpoint for at least `min_length`.
-    pub fn eject_hanging(&mut self, now: Millis, exposure: Exposure, min_length: Millis) {
-        let length = exposure.extend(self.overall.backoff).max(min_length);
+    pub fn eject_hanging(
+        &mut self,
+        now: Millis,
+        endpoint_traffic: EndpointTraffic,
+        min_length: Millis,
+    ) {
+        let length = endpoint_traffic
+            .extend(self.overall.backoff)
+            .max(min_length);
         self.overall.eject(now, length);
     }
 
@@ -372,7 +379,12 @@
     }
 
     /// Updates an endpoint's health by the result of an attempt.
-    pub fn record(&self, record: &mut HealthRecord, sample: &HealthSample, exposure: Exposure) {
+    pub fn record(
+        &self,
+        record: &mut HealthRecord,
+        sample: &HealthSample,
+        endpoint_traffic: EndpointTraffic,
+    ) {
         if sample.outcome == Outcome::Served {
             record.last_progress = sample.now;
         } else {
@@ -380,7 +392,7 @@
         }
         let jitter = MIN_JITTER + JITTER_RANGE * sample.jitter;
         let ejection =
-            |factor: f64| move |backoff: Millis| exposure.extend(factor * backoff) * jitter;
+            |factor: f64| move |backoff: Millis| endpoint_traffic.extend(factor * backoff) * jitter;
         record.overall.record(sample, self.baseline, ejection(1.0));
         record.by_class[sample.class].record(
             sample,
--- a/crates/balancer/src/stall_detection.rs
+++ b/crates/balancer/src/stall_detection.rs
@@ -66,9 +66,9 @@
         if hangs {
             // The failure counted above may have just ejected the endpoint. In that case this call replaces the
             // ejection by one with the doubled backoff, and doubles the backoff again.
-            let exposure = self.exposure();
+            let endpoint_traffic = self.endpoint_traffic();
             let health = &mut self.endpoints[endpoint].health;
-            health.eject_hanging(now, exposure, min_ejection);
+            health.eject_hanging(now, endpoint_traffic, min_ejection);
         }
         self.release_silent_attempt(id, attempt);
         self.update_availability(endpoint, now);
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -10,7 +10,7 @@
 use crate::gossip::Gossip;
 use crate::in_flight::InFlight;
 use crate::latency_estimator::LatencyEstimator;
-use crate::outlier_detection::{Exposure, OutlierDetector};
+use crate::outlier_detection::{EndpointTraffic, OutlierDetector};
 use crate::queue::{Position, Queue, Requests};
 use crate::request::Request;
 use crate::retry::{LostResponses, RetryBudget};
@@ -159,9 +159,9 @@
                 .is_window_full(self.in_flight.counted_in_window())
     }
 
-    /// Returns the rate of the proxies' requests to one endpoint.
-    pub fn exposure(&self) -> Exposure {
-        Exposure::new(
+    /// Returns the traffic of the proxies to one endpoint.
+    pub fn endpoint_traffic(&self) -> EndpointTraffic {
+        EndpointTraffic::new(
             self.accepting.count,
             self.arrivals.per_ms(),
             self.settings.proxy_count,
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -110,11 +110,11 @@
 #[test]
 fn slots_of_all_proxies_do_not_overlap() {
     // Each slot is owned by one proxy, so that proxies don't all use the same endpoints.
-    let n = 12;
+    let proxy_count = 12;
     let list: Vec<Endpoint> = (0..20).map(endpoint).collect();
     let mut at = vec![0u32; 20];
-    for proxy_index in 0..n {
-        let base = settings(n);
+    for proxy_index in 0..proxy_count {
+        let base = settings(proxy_count);
         let mut harness = Harness::new(
             Settings {
                 proxy_index,
--- a/crates/cluster-runtime/src/member/call_table.rs
+++ b/crates/cluster-runtime/src/member/call_table.rs
@@ -1,4 +1,4 @@
-//! Calls to the leader: unanswered calls of this member, and calls that this member processes as the leader. Without I/O.
+//! Calls to the leader: unanswered calls of this member, and calls that this member processes as the leader. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,7 +52,7 @@
         reply: oneshot::Sender<CallResult>,
     ) -> bool {
         if self.outgoing.len() >= MAX_CALLS {
-            let _ = reply.send(Err("too many calls wait".into())); // the caller may have left
+            let _ = reply.send(Err("too many calls wait".into())); // the caller may have dropped the receiver
             return false;
         }
         let call = OutgoingCall {
@@ -86,7 +86,7 @@
     /// Completes a call of the local application with the response.
     pub(super) fn complete(&mut self, id: &str, answer: CallResult) {
         if let Some(call) = self.outgoing.remove(id) {
-            let _ = call.reply.send(answer); // the caller may have left
+            let _ = call.reply.send(answer); // the caller may have dropped the receiver
         }
     }
 
--- a/crates/cluster-runtime/src/member/command_handler.rs
+++ b/crates/cluster-runtime/src/member/command_handler.rs
@@ -106,7 +106,7 @@
 fn confirm_disk(node: &mut Node, reply: oneshot::Sender<bool>) {
     let was_in_doubt = !node.is_disk_confirmed();
     node.confirm_disk();
-    let _ = reply.send(was_in_doubt); // the caller may have left
+    let _ = reply.send(was_in_doubt); // the caller may have dropped the receiver
 }
 
 fn transfer_leadership(
@@ -119,5 +119,5 @@
         let member = node.state_machine()?.members.get(&name)?;
         Some(member.id)
     });
-    let _ = reply.send(node.transfer_leadership(now, successor_id)); // the caller may have left
+    let _ = reply.send(node.transfer_leadership(now, successor_id)); // the caller may have dropped the receiver
 }
--- a/crates/cluster-runtime/src/member/discovery.rs
+++ b/crates/cluster-runtime/src/member/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of an existing cluster by a member that has not joined, and agreement on the member that creates a new cluster. Without I/O.
+//! Discovery of an existing cluster by a member that has not joined, and agreement on the member that creates a new cluster. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,7 +38,7 @@
 /// Discovery state of one member.
 pub(super) struct Discovery {
     own_name: String,
-    /// Names of the members in the settings, including the own one, sorted.
+    /// Names of the members in this member's settings, including its own, sorted.
     names: Vec<String>,
     replies: BTreeMap<String, DiscoveryReply>,
     next_attempt_at: Micros,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the names of the members in the settings, including the own one.
+    /// Returns the names of the members in this member's settings, including its own.
     pub(super) fn names(&self) -> &[String] {
         &self.names
     }
--- a/crates/cluster-runtime/src/member/output_handler.rs
+++ b/crates/cluster-runtime/src/member/output_handler.rs
@@ -40,7 +40,7 @@
         }
         let proposals = std::mem::take(&mut self.proposals);
         for reply in proposals.into_values().flatten() {
-            let _ = reply.send(Err(NodeError::NotLeader)); // the caller may have left
+            let _ = reply.send(Err(NodeError::NotLeader)); // the caller may have dropped the receiver
         }
     }
 
@@ -105,7 +105,7 @@
             Outcome::Stored | Outcome::Conflict => {}
         }
         for reply in self.proposals.remove(id).unwrap_or_default() {
-            let _ = reply.send(Ok(outcome.clone())); // the caller may have left
+            let _ = reply.send(Ok(outcome.clone())); // the caller may have dropped the receiver
         }
     }
 
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -236,21 +236,24 @@
     let (mut store, _) = Store::with_opener(disk.opener(), Retention::default()).unwrap();
     store.commit(&numbered_transaction(0, 1)).unwrap();
     disk.set_max_length(Some(disk.length()));
-    let mut n = 1;
+    let mut version = 1;
     let full = loop {
-        match store.commit(&numbered_transaction(store.last_entry(), n + 1)) {
-            Ok(_) => n += 1,
+        match store.commit(&numbered_transaction(store.last_entry(), version + 1)) {
+            Ok(_) => version += 1,
             Err(e) => break e,
         }
-        assert!(n < 10_000);
+        assert!(version < 10_000);
     };
     assert!(matches!(full, StoreError::DiskFull), "{full}");
-    assert_eq!(store.version(), n);
+    assert_eq!(store.version(), version);
     disk.set_max_length(None);
     store
-        .commit(&numbered_transaction(store.last_entry(), n + 1))
+        .commit(&numbered_transaction(store.last_entry(), version + 1))
         .unwrap();
-    assert_eq!(store.documents_at(n).unwrap().unwrap()["a"]["n"], n);
+    assert_eq!(
+        store.documents_at(version).unwrap().unwrap()["a"]["n"],
+        version
+    );
 }
 
 /// Temporary directory of a test.
--- a/crates/fair-share/src/shared_endpoint.rs
+++ b/crates/fair-share/src/shared_endpoint.rs
@@ -3,7 +3,7 @@
 use crate::{DenialReason, Millis, ResourcePool, TenantId};
 
 /// Weight of a former member while it is added to the new pool and removed again.
-const DEPARTED_WEIGHT: f64 = 1.0;
+const FORMER_MEMBER_WEIGHT: f64 = 1.0;
 
 /// An endpoint with a connection limit and the tenants that use it.
 ///
@@ -27,9 +27,9 @@
     ) -> Self {
         let mut members: Vec<TenantId> = weighted_members.iter().map(|(id, _)| *id).collect();
         let former_members = former.map_or(&[][..], |endpoint| &endpoint.members);
-        let departed = former_members.iter().filter(|id| !members.contains(id));
-        let departed: Vec<TenantId> = departed.copied().collect();
-        members.extend(departed);
+        let without_membership = former_members.iter().filter(|id| !members.contains(id));
+        let without_membership: Vec<TenantId> = without_membership.copied().collect();
+        members.extend(without_membership);
         let mut connections = ResourcePool::new(max_connections, idle_reserve_ratio);
         for (position, member) in members.iter().enumerate() {
             let pool_id = TenantId(position);
@@ -37,7 +37,7 @@
             match weighted_members.get(position) {
                 Some((_, weight)) => connections.add_with_allocation(pool_id, *weight, allocated),
                 None => {
-                    connections.add_with_allocation(pool_id, DEPARTED_WEIGHT, allocated);
+                    connections.add_with_allocation(pool_id, FORMER_MEMBER_WEIGHT, allocated);
                     connections.remove(pool_id);
                 }
             }
--- a/crates/tenant-activation/src/active_tenants.rs
+++ b/crates/tenant-activation/src/active_tenants.rs
@@ -140,7 +140,7 @@
     /// Activates a tenant for a request. `can_deactivate` returns true for a tenant without work.
     ///
     /// # Errors
-    /// No capacity is left, or it is due to tenants earlier in the queue.
+    /// No capacity is left, or the remaining capacity is due to tenants earlier in the queue.
     pub fn activate(
         &mut self,
         now: Millis,
