--- a/crates/balancer/src/forwarding.rs
+++ b/crates/balancer/src/forwarding.rs
@@ -75,7 +75,7 @@
         priority(request, class_latency, now, &self.settings)
     }
 
-    /// Gives the free slots of an endpoint to queued requests whose home it is, in order of priority.
+    /// Forwards queued requests to their home endpoint while it has free slots, in order of priority.
     pub fn forward_affinity_queue(&mut self, endpoint: usize, now: Millis, out: &mut Vec<Action>) {
         loop {
             let record = &self.endpoints[endpoint];
--- a/crates/config-store/src/retention.rs
+++ b/crates/config-store/src/retention.rs
@@ -84,7 +84,8 @@
 }
 
 impl DocumentTables<'_> {
-    /// Removes the revision before an edit; of a deletion also the deletion itself, and the scope if it was not written again.
+    /// Removes the revision that an edit replaced. For a deletion, also removes the revision of the deletion, and the scope
+    /// if it was not written again.
     fn remove_replaced(&mut self, edit: &DocumentEdit) -> Result<(), StoreError> {
         let scope = edit.scope.as_str();
         self.revisions.remove((scope, edit.revision - 1))?;
--- a/crates/endpoint-discovery/src/backoff.rs
+++ b/crates/endpoint-discovery/src/backoff.rs
@@ -17,7 +17,7 @@
 }
 
 impl Backoff {
-    /// Builds a backoff; the seed spreads its delays among those of other watches.
+    /// Builds a backoff; the seed makes its delays differ from those of other watches.
     pub fn new(limits: BackoffLimits, seed: u64) -> Self {
         Backoff {
             limits,
--- a/crates/endpoint-discovery/src/event.rs
+++ b/crates/endpoint-discovery/src/event.rs
@@ -61,7 +61,7 @@
 pub enum Command {
     /// Close the connection, and open one to a member of the store's cluster.
     Connect {
-        /// Consecutive number; the member is its remainder by the number of members.
+        /// Consecutive number of the target; its remainder by the number of members is the index of the member.
         member: usize,
         /// Time to connect at.
         at: Millis,
--- a/crates/endpoint-discovery/src/watcher.rs
+++ b/crates/endpoint-discovery/src/watcher.rs
@@ -20,12 +20,12 @@
 enum WatchState {
     /// The connection is not established.
     Connecting,
-    /// Pages of a snapshot arrive.
+    /// A snapshot is read page by page.
     Listing(SnapshotPages),
     /// The watch is requested or established.
     Watching {
         established: bool,
-        /// Changes of an answer whose other fragments are still to come.
+        /// Changes of an answer that has not arrived completely.
         fragments: Vec<KeyChange>,
     },
 }
@@ -42,15 +42,15 @@
     /// All changes up to this revision are applied; 0 before the first snapshot.
     revision: i64,
     has_snapshot: bool,
-    /// Changes were missed: the next connection begins with a snapshot.
+    /// True if changes were missed, so that the next connection begins with a snapshot.
     needs_snapshot: bool,
-    /// Consecutive number of the member to connect to.
+    /// Number of the member to connect to, incremented by each reconnect; see [`Command::Connect`].
     member: usize,
     backoff: Backoff,
     silence: Silence,
     staleness: Staleness,
     rollback: RollbackDetection,
-    /// Phase of the last notice.
+    /// Phase in the latest notice.
     reported_phase: Phase,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl EndpointWatcher {
-    /// Builds the watch of a pool. The seed spreads its reconnect delays among those of other watches.
+    /// Builds the watch of a pool. The seed makes its reconnect delays differ from those of other watches.
     pub fn new(keys: KeySpace, limits: WatchLimits, seed: u64) -> Self {
         EndpointWatcher {
             // One more than the maximum of the table, for the release key.
--- a/crates/settings/src/reload_check.rs
+++ b/crates/settings/src/reload_check.rs
@@ -64,7 +64,7 @@
         /// The name.
         name: String,
     },
-    /// Two accounts have the same name.
+    /// Two tenants (`accounts` in the object) have the same name.
     #[error("the name occurs twice")]
     DuplicateAccount,
     /// A value is not a number above 0.
@@ -73,7 +73,7 @@
         /// The value.
         value: Value,
     },
-    /// A class's effect is none of the known ones.
+    /// The effect of a class is unknown.
     #[error("{value} is not a known effect")]
     UnknownEffect {
         /// The value.
