--- a/crates/config-store/src/retention.rs
+++ b/crates/config-store/src/retention.rs
@@ -14,7 +14,7 @@
 pub struct Retention {
     /// Maximum number of versions.
     pub versions: u64,
-    /// Maximum number of audit entries; entries of retained versions stay beyond it.
+    /// Maximum number of audit entries; entries of retained versions are kept above this maximum.
     pub audit_entries: u64,
     /// Maximum number of replies to writes with an idempotency key.
     pub replies: u64,
@@ -84,7 +84,8 @@
 }
 
 impl DocumentTables<'_> {
-    /// Removes the revision before an edit; of a deletion also the deletion itself, and the scope if it was not written again.
+    /// Removes the revision that an edit replaced. For a deletion, also removes the revision of the deletion, and the scope
+    /// if it was not written again.
     fn remove_replaced(&mut self, edit: &DocumentEdit) -> Result<(), StoreError> {
         let scope = edit.scope.as_str();
         self.revisions.remove((scope, edit.revision - 1))?;
@@ -111,7 +112,7 @@
     let versions = write.open_table(VERSIONS)?;
     let mut audit = write.open_table(AUDIT)?;
     let mut index = write.open_table(AUDIT_INDEX)?;
-    // The entry of a retained version stays, however long the log.
+    // Entries of retained versions are kept, regardless of the length of the log.
     let oldest_referenced = versions.first()?.map_or(number, |(_, entry)| entry.value());
     let first_retained =
         oldest_referenced.min((number + 1).saturating_sub(retention.audit_entries));
