--- a/crates/admin-api/src/access.rs
+++ b/crates/admin-api/src/access.rs
@@ -181,9 +181,9 @@
     fn is_valid(&self, secret: &str, now_ms: u64) -> bool {
         let hash = hash_secret(secret);
         // Compares with every secret, so that the time taken does not depend on which one matches.
-        let matches = self.secrets.iter().fold(0, |matches, s| {
-            let is_current = u8::from(s.until_ms.is_none_or(|until| now_ms < until));
-            matches | (s.hash.as_bytes().ct_eq(hash.as_bytes()).unwrap_u8() & is_current)
+        let matches = self.secrets.iter().fold(0, |matches, secret| {
+            let is_current = u8::from(secret.until_ms.is_none_or(|until| now_ms < until));
+            matches | (secret.hash.as_bytes().ct_eq(hash.as_bytes()).unwrap_u8() & is_current)
         });
         matches == 1 && self.expires_ms.is_none_or(|end| now_ms < end)
     }
--- a/crates/admin-api/src/admin_state.rs
+++ b/crates/admin-api/src/admin_state.rs
@@ -34,7 +34,7 @@
 pub struct AdminState {
     /// `None` if the state is read-only.
     store: Option<Store>,
-    /// The reason reason the state is read-only, if it is.
+    /// The reason why the state is read-only, if it is.
     read_only: Option<String>,
     directory: PathBuf,
     /// The current version of the service.
@@ -53,8 +53,8 @@
     in_cluster: bool,
 }
 
-/// A transaction with the tenant changes that it makes, serializable so that every member of a cluster can store the
-/// same.
+/// A transaction with the tenant changes that it makes, serializable so that every member of a cluster stores the same
+/// change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AgreedChange {
@@ -149,18 +149,20 @@
 
     /// Maps faults of the document to faults of the body.
     fn to_body(&self, faults: Vec<ValidationError>) -> Vec<ValidationError> {
-        let pointer = |p: &str| {
+        let to_body = |pointer: &str| {
             format!(
                 "{}{}",
                 self.document_in_body,
-                p.strip_prefix(&self.body_in_document).unwrap_or(p)
+                pointer
+                    .strip_prefix(&self.body_in_document)
+                    .unwrap_or(pointer)
             )
         };
         faults
             .into_iter()
-            .map(|f| ValidationError {
-                pointer: pointer(&f.pointer),
-                message: f.message,
+            .map(|fault| ValidationError {
+                pointer: to_body(&fault.pointer),
+                message: fault.message,
             })
             .collect()
     }
@@ -241,15 +243,15 @@
             Err(faults) => {
                 let all = faults
                     .iter()
-                    .map(|f| format!("{scope}: {}: {}", f.key(), f.message));
+                    .map(|fault| format!("{scope}: {}: {}", fault.key(), fault.message));
                 return self.faults.extend(all);
             }
         };
-        let i = self.catalog.len();
+        let index = self.catalog.len();
         let edit = [(tenant.name.clone(), Some(tenant))];
         for (_, fault) in validation::validate_edits(&self.catalog, &edit) {
             self.faults.push(mismatch(
-                &format!("tenant.{i}.{}", fault.key()),
+                &format!("tenant.{index}.{}", fault.key()),
                 &fault.message,
             ));
         }
@@ -332,7 +334,8 @@
                 let snapshot = LoadedDocuments::read(PartInterner::default(), |each| {
                     snapshot::read(&directory, each)
                 });
-                let (state, loaded) = snapshot.map_err(|s| format!("{e}; and no snapshot: {s}"))?;
+                let (state, loaded) = snapshot
+                    .map_err(|snapshot_error| format!("{e}; and no snapshot: {snapshot_error}"))?;
                 (loaded, None, state, Some(e.to_string()))
             }
             Err(e) => return Err(format!("{}: {e}", directory.display())),
@@ -345,7 +348,7 @@
     /// Creates the state from an open store.
     ///
     /// # Errors
-    /// As for [`AdminState::open`].
+    /// The errors of [`AdminState::open`].
     pub fn with_store(
         file: &Service,
         store: Option<Store>,
@@ -524,16 +527,20 @@
             let Some(name) = tenant_from_scope(scope) else {
                 continue;
             };
-            let faults = |f: Vec<ValidationError>| {
-                let all: Vec<_> = f
+            let describe = |faults: Vec<ValidationError>| {
+                let all: Vec<_> = faults
                     .iter()
-                    .map(|f| format!("{name}: {}: {}", f.key(), f.message))
+                    .map(|fault| format!("{name}: {}: {}", fault.key(), fault.message))
                     .collect();
                 join_faults(&all, "; ")
             };
             let read = document
                 .as_ref()
-                .map(|d| self.tenant_form.deserialize::<Tenant>(d).map_err(faults))
+                .map(|document| {
+                    self.tenant_form
+                        .deserialize::<Tenant>(document)
+                        .map_err(describe)
+                })
                 .transpose()?;
             edits.push((name, read));
         }
@@ -564,7 +571,7 @@
     /// Checks that this instance can apply a change; returns the servers that the change removes, by tenant.
     ///
     /// # Errors
-    /// The reason reason it can't.
+    /// The reason why the change can't be applied.
     pub fn validate_change(
         &mut self,
         agreed: &AgreedChange,
@@ -581,10 +588,12 @@
         let edits = self.read_edits(&agreed.transaction)?;
         let all: Vec<String> = validation::validate_edits(&self.catalog, &edits)
             .into_iter()
-            .map(|(edit, f)| match edit.and_then(|i| edits.get(i)) {
-                Some((name, _)) => format!("{name}: {}: {}", f.key(), f.message),
-                None => format!("{}: {}", f.key(), f.message),
-            })
+            .map(
+                |(edit, fault)| match edit.and_then(|index| edits.get(index)) {
+                    Some((name, _)) => format!("{name}: {}: {}", fault.key(), fault.message),
+                    None => format!("{}: {}", fault.key(), fault.message),
+                },
+            )
             .collect();
         if !all.is_empty() {
             return Err(join_faults(&all, "; "));
@@ -671,10 +680,10 @@
         // the file.
         write_secret(&self.directory.join(OPERATOR_TOKEN_FILE), &token_text)
             .map_err(|e| format!("{OPERATOR_TOKEN_FILE}: {e}"))?;
-        let edit = |t: &Tenant| {
+        let edit = |tenant: &Tenant| {
             Ok((
-                scope(&t.name),
-                Some(serde_json::to_value(t).map_err(|e| e.to_string())?),
+                scope(&tenant.name),
+                Some(serde_json::to_value(tenant).map_err(|e| e.to_string())?),
             ))
         };
         let transaction = Transaction {
@@ -694,7 +703,7 @@
             minimum_version: None,
         };
         self.commit(&transaction).map_err(|e| e.to_string())?;
-        let added = |t: (String, Option<Value>)| Some((t.0, t.1?));
+        let added = |token: (String, Option<Value>)| Some((token.0, token.1?));
         self.tokens = tokens(transaction.tokens.into_iter().filter_map(added).collect())?;
         drop(transaction.edits);
         self.load_documents(file)
@@ -739,7 +748,7 @@
         self.version
     }
 
-    /// Returns the reason reason the state is read-only, if it is.
+    /// Returns the reason why the state is read-only, if it is.
     pub fn read_only(&self) -> Option<&str> {
         self.read_only.as_deref()
     }
@@ -765,7 +774,7 @@
         })
     }
 
-    /// Records that the snapshot could not be written, so that it is tried again.
+    /// Records that the snapshot could not be written, so that the next attempt writes it.
     pub fn mark_snapshot_stale(&mut self) {
         self.snapshot_stale = true;
     }
@@ -850,8 +859,8 @@
             Some(store) => store.document(&scope)?,
             None => {
                 let mut found = None;
-                snapshot::read(&self.directory, &mut |s, rev, document| {
-                    if s == scope {
+                snapshot::read(&self.directory, &mut |stored_scope, rev, document| {
+                    if stored_scope == scope {
                         found = Some((rev, document));
                     }
                 })?;
@@ -982,9 +991,13 @@
                 .map(|(_, tenant)| tenant_to_json(&tenant))
                 .transpose()?;
             let read = match document {
-                Some(d) => {
-                    let faults = |f| Problem::from_faults(mapping.to_body(f));
-                    Some(self.tenant_form.deserialize::<Tenant>(d).map_err(faults)?)
+                Some(document) => {
+                    let invalid = |faults| Problem::from_faults(mapping.to_body(faults));
+                    Some(
+                        self.tenant_form
+                            .deserialize::<Tenant>(document)
+                            .map_err(invalid)?,
+                    )
                 }
                 None => None,
             };
@@ -1136,17 +1149,17 @@
 
     /// Returns the tokens of tenants that are removed. They must not be valid for a later tenant of the same name.
     fn tokens_of_removed_tenants(&self, edits: &[(String, Option<Value>)]) -> Vec<String> {
-        let gone: BTreeSet<&String> = edits
+        let removed: BTreeSet<&String> = edits
             .iter()
-            .filter(|(_, d)| d.is_none())
-            .map(|(n, _)| n)
+            .filter(|(_, document)| document.is_none())
+            .map(|(name, _)| name)
             .collect();
-        let goes = |name: &String| gone.contains(name);
-        let ending = self
+        let is_removed = |name: &String| removed.contains(name);
+        let revoked = self
             .tokens
             .iter()
-            .filter(|(_, t)| t.tenant.as_ref().is_some_and(goes));
-        ending.map(|(id, _)| id.clone()).collect()
+            .filter(|(_, token)| token.tenant.as_ref().is_some_and(is_removed));
+        revoked.map(|(id, _)| id.clone()).collect()
     }
 
     fn commit(&mut self, transaction: &Transaction) -> Result<(), StoreError> {
@@ -1173,12 +1186,12 @@
         if faults.is_empty() {
             return Ok(());
         }
-        // Faults of a changed tenant are faults of the body. Other faults belong to what no longer matches the
-        // change.
+        // Faults of a changed tenant are reported at their place in the body. All others are conflicts with unchanged parts
+        // of the service.
         let mappings: BTreeMap<&str, &PointerMapping> = draft
             .edits
             .iter()
-            .map(|(n, _, f)| (n.as_str(), f))
+            .map(|(name, _, mapping)| (name.as_str(), mapping))
             .collect();
         let mut own = Vec::new();
         let mut others = Vec::new();
@@ -1286,17 +1299,17 @@
                 return Err(Problem::forbidden(format!("only operators change {key}")));
             }
         }
-        let caps = |document: &Value| -> BTreeMap<String, Value> {
+        let connection_limits = |document: &Value| -> BTreeMap<String, Value> {
             let servers = document["server"].as_array().into_iter().flatten();
-            let capped = servers.filter(|s| !s["connections"].is_null());
-            capped
-                .map(|s| (s["address"].to_string(), s["connections"].clone()))
+            let limited = servers.filter(|server| !server["connections"].is_null());
+            limited
+                .map(|server| (server["address"].to_string(), server["connections"].clone()))
                 .collect()
         };
-        let before = caps(now);
-        if caps(next)
+        let before = connection_limits(now);
+        if connection_limits(next)
             .iter()
-            .any(|(address, cap)| before.get(address) != Some(cap))
+            .any(|(address, limit)| before.get(address) != Some(limit))
         {
             return Err(Problem::forbidden(
                 "only operators set connections of servers",
@@ -1312,9 +1325,9 @@
     revs: &[u64],
     prepared: &PreparedChange,
 ) -> Vec<TenantChange> {
-    let of = |names: &'_ [String]| -> BTreeSet<String> { names.iter().cloned().collect() };
-    let (added, removed) = (of(&prepared.plan.added), of(&prepared.plan.removed));
-    let one = |((name, _), rev): (&(String, Option<Value>), &u64)| {
+    let to_set = |names: &'_ [String]| -> BTreeSet<String> { names.iter().cloned().collect() };
+    let (added, removed) = (to_set(&prepared.plan.added), to_set(&prepared.plan.removed));
+    let tenant_change = |((name, _), rev): (&(String, Option<Value>), &u64)| {
         let change = prepared.plan.changed.get(name).copied().unwrap_or_default();
         TenantChange {
             name: name.clone(),
@@ -1326,7 +1339,7 @@
             limits: change.limits,
         }
     };
-    edits.iter().zip(revs).map(one).collect()
+    edits.iter().zip(revs).map(tenant_change).collect()
 }
 
 /// Maximum length of an idempotency key in bytes.
--- a/crates/admin-api/src/backup.rs
+++ b/crates/admin-api/src/backup.rs
@@ -48,7 +48,7 @@
     /// Parses a backup and verifies that it is complete.
     ///
     /// # Errors
-    /// The fault, and its place.
+    /// The text is incomplete, has another format, or does not match its checksum.
     pub fn parse(text: &str) -> Result<Self, String> {
         let backup: Backup =
             serde_json::from_str(text).map_err(|e| format!("it is no whole backup: {e}"))?;
--- a/crates/admin-api/src/bodies.rs
+++ b/crates/admin-api/src/bodies.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Line")]
-pub struct AuditLine {
+pub struct AuditEntryView {
     /// Number of the entry.
     pub number: u64,
     /// Time in milliseconds since the Unix epoch.
@@ -129,12 +129,12 @@
     pub version: Option<u64>,
 }
 
-impl AuditLine {
+impl AuditEntryView {
     /// Returns an audit entry as a caller may see it: for a change of several tenants, a caller limited to one tenant
     /// sees only that one.
     pub fn visible_to(number: u64, entry: AuditEntry, principal: &Principal) -> Self {
         let sees_all_tenants = principal.sees_all_tenants();
-        AuditLine {
+        AuditEntryView {
             number,
             at_ms: entry.at_ms,
             by: Actor::from(&entry.author),
--- a/crates/admin-api/src/cluster_api.rs
+++ b/crates/admin-api/src/cluster_api.rs
@@ -31,7 +31,7 @@
 
 /// Time limit of a read while there is no leader.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum read_id of proposals for one change, where other changes get ahead of it.
+/// Maximum number of proposals for one change, which is proposed again if another change was agreed on first.
 const MAX_PROPOSAL_ATTEMPTS: u32 = 4;
 /// Time limit for the leader's view of the cluster status, and for an operator's confirmation of the disk.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
@@ -44,7 +44,7 @@
     /// Reads that wait for the confirmation that they are current.
     pending_reads: Mutex<BTreeMap<u64, oneshot::Sender<bool>>>,
     next_read: AtomicU64,
-    /// Held by the leader while it decides a write, so that it decides one at a time.
+    /// Locked by the leader while it decides a write, so that it decides one at a time.
     write_lock: tokio::sync::Mutex<()>,
     /// The file's settings of the process and the listeners, as last loaded.
     file: Mutex<Service>,
@@ -95,15 +95,15 @@
 }
 
 impl From<Problem> for CallResult {
-    fn from(p: Problem) -> Self {
-        let faults = p
+    fn from(problem: Problem) -> Self {
+        let faults = problem
             .faults
             .into_iter()
-            .map(|f| (f.pointer, f.message))
+            .map(|fault| (fault.pointer, fault.message))
             .collect();
         CallResult::Problem {
-            kind: p.kind.into(),
-            detail: p.detail,
+            kind: problem.kind.into(),
+            detail: problem.detail,
             faults,
         }
     }
@@ -271,7 +271,7 @@
                 }
                 MemberEvent::StorePayload(proposal) => {
                     let stored = AgreedChange::decode(&proposal.payload)
-                        .map(|a| self.admin_state().store_agreed(&a).map(drop));
+                        .map(|agreed| self.admin_state().store_agreed(&agreed).map(drop));
                     if let Err(e) | Ok(Err(Problem { detail: e, .. })) = stored {
                         tracing::error!(error = e, "an agreed change can't be stored here");
                     }
@@ -359,10 +359,10 @@
     }
 
     /// Reports whether this instance can apply a change. The servers that the change removes get no new requests from
-    /// here on, whichever members it waits for; if the change is aborted, they do again.
+    /// here on, independent of which members the change still waits for; if it is aborted, they get requests again.
     fn validate_change(&self, cluster: &ClusterHandle, proposal: Proposal) {
         let validated = AgreedChange::decode(&proposal.payload)
-            .and_then(|a| self.admin_state().validate_change(&a));
+            .and_then(|agreed| self.admin_state().validate_change(&agreed));
         let validated = match validated {
             Ok(removed_servers) => {
                 self.send(PlaneCommand::WithholdServers(removed_servers));
@@ -664,10 +664,10 @@
 }
 
 fn change_aborted(why: &[AbortReason]) -> Problem {
-    let one = |r: &AbortReason| match r.member.is_empty() {
-        true => r.detail.clone(),
-        false => format!("{}: {}", r.member, r.detail),
+    let describe = |reason: &AbortReason| match reason.member.is_empty() {
+        true => reason.detail.clone(),
+        false => format!("{}: {}", reason.member, reason.detail),
     };
-    let all: Vec<String> = why.iter().map(one).collect();
+    let all: Vec<String> = why.iter().map(describe).collect();
     Problem::change_aborted(format!("it has taken hold nowhere: {}", all.join("; ")))
 }
--- a/crates/admin-api/src/document_part.rs
+++ b/crates/admin-api/src/document_part.rs
@@ -1,4 +1,4 @@
-//! Parts of a tenant's document, as paths address them: the whole, one key, or one item of a list by its name.
+//! Parts of a tenant's document, as paths address them: the whole document, one key, or one item of a list by its name.
 
 use serde_json::{Map, Value};
 
@@ -14,7 +14,7 @@
 }
 
 fn position(list: &[Value], name: &str) -> Option<usize> {
-    list.iter().position(|m| m["name"] == name)
+    list.iter().position(|item| item["name"] == name)
 }
 
 impl DocumentPart<'_> {
--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -5,7 +5,7 @@
 use cluster_runtime::status::{MessageTotals, Status};
 use multi_tenant::data_plane::{ActivationStatus, TenantStatus};
 
-/// Causes of rejection, in the order of [`TenantStatus::refused`].
+/// Causes of rejection, in the order of [`TenantStatus::rejections`].
 const REJECTION_CAUSES: [&str; 5] = ["sockets", "in-flight", "bytes", "time", "servers"];
 
 /// Escapes the value of a label.
@@ -118,19 +118,19 @@
 ) -> String {
     let mut text = MetricsText(String::new());
     residency(&mut text, resident);
-    if let Some((s, [waited, refused])) = cluster {
-        let leads = s.leader.as_ref() == Some(&s.name);
+    if let Some((status, [waited, rejected])) = cluster {
+        let leads = status.leader.as_ref() == Some(&status.name);
         text.single(
             "cluster_version",
             "gauge",
             "The version in effect, as far as this instance knows.",
-            s.version as f64,
+            status.version as f64,
         );
         text.single(
             "cluster_decides",
             "gauge",
             "1 while this instance may decide requests.",
-            bool_value(s.deciding_version.is_some()),
+            bool_value(status.deciding_version.is_some()),
         );
         text.single(
             "cluster_leads",
@@ -142,27 +142,27 @@
             "cluster_leader_known",
             "gauge",
             "1 while this instance knows who leads.",
-            bool_value(s.leader.is_some()),
+            bool_value(status.leader.is_some()),
         );
         text.single(
             "cluster_term",
             "counter",
             "The term of leading.",
-            s.term as f64,
+            status.term as f64,
         );
         text.single(
             "cluster_applied",
             "counter",
             "How far the log is applied here.",
-            s.applied as f64,
+            status.applied as f64,
         );
         text.single(
             "cluster_members",
             "gauge",
             "Members of the cluster.",
-            s.members.len() as f64,
+            status.members.len() as f64,
         );
-        let votes = s.members.iter().filter(|m| m.is_voter).count();
+        let votes = status.members.iter().filter(|m| m.is_voter).count();
         text.single(
             "cluster_voters",
             "gauge",
@@ -173,7 +173,7 @@
             "cluster_change_under_way",
             "gauge",
             "1 while a change is being decided.",
-            bool_value(s.change.is_some()),
+            bool_value(status.change.is_some()),
         );
         let outcomes = ["in-effect", "given-up"].map(|outcome| format!("end=\"{outcome}\""));
         let help = "Changes whose end was heard of here since the start.";
@@ -181,12 +181,14 @@
             "cluster_changes_total",
             "counter",
             help,
-            outcomes
-                .into_iter()
-                .zip([s.changes.activated as f64, s.changes.aborted as f64]),
+            outcomes.into_iter().zip([
+                status.changes.activated as f64,
+                status.changes.aborted as f64,
+            ]),
         );
         let sent = |total: fn(&MessageTotals) -> u64| {
-            s.sent
+            status
+                .sent
                 .iter()
                 .map(move |(kind, n)| (format!("kind=\"{}\"", escape_label(kind)), total(n) as f64))
         };
@@ -206,13 +208,13 @@
             "cluster_messages_dropped_total",
             "counter",
             "Messages that could not go in time.",
-            s.connections.messages_dropped as f64,
+            status.connections.messages_dropped as f64,
         );
         text.single(
             "cluster_links_refused_total",
             "counter",
             "Links that were ended as rubbish came by them.",
-            s.connections.connections_rejected as f64,
+            status.connections.connections_rejected as f64,
         );
         text.single(
             "gate_waited_total",
@@ -224,11 +226,15 @@
             "gate_refused_total",
             "counter",
             "Requests that were refused, as nothing may be decided.",
-            refused as f64,
+            rejected as f64,
         );
     }
-    let label = |t: &TenantStatus| format!("tenant=\"{}\"", escape_label(&t.name));
-    let each = |f: fn(&TenantStatus) -> f64| tenants.iter().map(move |t| (label(t), f(t)));
+    let label = |tenant: &TenantStatus| format!("tenant=\"{}\"", escape_label(&tenant.name));
+    let each = |value: fn(&TenantStatus) -> f64| {
+        tenants
+            .iter()
+            .map(move |tenant| (label(tenant), value(tenant)))
+    };
     text.metric(
         "tenant_in_flight",
         "gauge",
@@ -247,15 +253,15 @@
         "Servers that take new work.",
         each(|t| t.servers[0] as f64),
     );
-    let refused = tenants.iter().flat_map(|t| {
-        let causes = REJECTION_CAUSES.into_iter().zip(t.rejections);
-        causes.map(move |(cause, n)| (format!("{},cause=\"{cause}\"", label(t)), n as f64))
+    let rejected = tenants.iter().flat_map(|tenant| {
+        let causes = REJECTION_CAUSES.into_iter().zip(tenant.rejections);
+        causes.map(move |(cause, n)| (format!("{},cause=\"{cause}\"", label(tenant)), n as f64))
     });
     text.metric(
         "tenant_refused_total",
         "counter",
         "Times a tenant was turned away.",
-        refused,
+        rejected,
     );
     text.0
 }
--- a/crates/admin-api/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -40,7 +40,7 @@
 const MAX_CONNECTIONS: usize = 256;
 /// Maximum number of open event streams.
 const MAX_EVENT_STREAMS: usize = 64;
-/// Events that a slow reader may fall behind.
+/// Maximum number of events by which a slow event stream may lag behind.
 const EVENT_BUFFER: usize = 256;
 /// Maximum size of a body: enough for ten thousand servers, or a thousand tenants.
 const MAX_BODY_BYTES: usize = 16 << 20;
@@ -77,7 +77,7 @@
     /// Withholds new requests from these servers, by tenant, because a change in progress removes them; all other
     /// servers follow the current version.
     WithholdServers(BTreeMap<String, BTreeSet<String>>),
-    /// Opens the gate: what is served now is this version of the cluster's state.
+    /// Opens the gate for this version of the cluster's state, which is now being served.
     OpenGate(u64, oneshot::Sender<()>),
     /// Reports the open version, the number of tenants, and the tenants whose list is not known to be current.
     ReportStartup(oneshot::Sender<(Option<u64>, usize, Vec<String>)>),
@@ -89,7 +89,7 @@
     ServeCatalog(Catalog, oneshot::Sender<Result<(), String>>),
     /// Reports the numbers of requests that waited at the gate and that the gate rejected.
     ReportGate(oneshot::Sender<[u64; 2]>),
-    /// Reports the number of resident tenants and the counters of activation and eviction.
+    /// Reports the number of active tenants and the counters of activations and deactivations.
     ReportResidency(oneshot::Sender<ActivationStatus>),
     /// Reports the status of one tenant, or of all.
     ReportStatus(Option<String>, oneshot::Sender<Vec<TenantStatus>>),
@@ -184,7 +184,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves a listener for the life of the process.
+    /// Serves a listener until the process ends.
     ///
     /// # Errors
     /// The listener can't be used.
@@ -399,10 +399,11 @@
             Ok(Err(_)) => return Err(too_large()),
             Err(_) => return Err(Problem::malformed("the body did not come in time")),
         };
-        let json = header(&CONTENT_TYPE)?.is_some_and(|t| {
-            t.split(';')
+        let json = header(&CONTENT_TYPE)?.is_some_and(|content_type| {
+            content_type
+                .split(';')
                 .next()
-                .is_some_and(|t| t.trim() == "application/json")
+                .is_some_and(|media_type| media_type.trim() == "application/json")
         });
         let body = match (operation.body, body.is_empty()) {
             (Some((_, false)), true) => Value::Null,
@@ -635,7 +636,7 @@
     }
 }
 
-/// Ends a stream that is open when its token is revoked or expires.
+/// Returns an error that ends the event stream if its token was revoked or has expired.
 fn check_token(api: &Api, principal: &Principal) -> Result<(), StreamEnded> {
     if api.admin_state().is_token_valid(principal, now_ms()) {
         Ok(())
--- a/crates/admin-api/src/operations.rs
+++ b/crates/admin-api/src/operations.rs
@@ -12,8 +12,8 @@
 use crate::access::Permission;
 use crate::admin_state::AdminState;
 use crate::bodies::{
-    Apply, AuditLine, ChangeResult, Comparison, NewToken, RollbackTarget, ServiceStatus, StepDown,
-    TenantSummary, TokenRotation, TokenView, Version,
+    Apply, AuditEntryView, ChangeResult, Comparison, NewToken, RollbackTarget, ServiceStatus,
+    StepDown, TenantSummary, TokenRotation, TokenView, Version,
 };
 use crate::call::{Call, Outcome, Page};
 use crate::problem::Problem;
@@ -243,7 +243,7 @@
         "Restores all tenants of an earlier version as a new version. Requires If-Match";
     POST "/v1/apply" "apply" Write DRY_RUN_QUERY [Apply] 200 ChangeResult, state(tenants::apply),
         "Replaces several tenants in one version";
-    GET "/v1/audit" "listAudit" Read AUDIT_QUERY [] 200 Page<AuditLine>, state(versions::audit),
+    GET "/v1/audit" "listAudit" Read AUDIT_QUERY [] 200 Page<AuditEntryView>, state(versions::audit),
         "Lists the audit log, newest first";
     GET "/v1/tokens" "listTokens" Read PAGE_QUERY [] 200 Page<TokenView>, state(tokens::list),
         "Lists the tokens, without their secrets";
--- a/crates/admin-api/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -293,20 +293,20 @@
     AdminState::check_precondition(call, tag.as_deref(), false)?;
     let mut edits = Vec::new();
     let mut names = BTreeSet::new();
-    for (i, tenant) in apply.tenants.iter().enumerate() {
+    for (index, tenant) in apply.tenants.iter().enumerate() {
         if !call.principal.can_see(&tenant.name) {
             return Err(tenant_not_found(&tenant.name));
         }
         if !names.insert(tenant.name.as_str()) {
             let message = format!("\"{}\" stands twice", tenant.name);
             return Err(Problem::from_faults(vec![config_parser::ValidationError {
-                pointer: format!("/tenant/{i}/name"),
+                pointer: format!("/tenant/{index}/name"),
                 message,
             }]));
         }
         let document = tenant_to_json(tenant)?;
         let mapping = PointerMapping {
-            document_in_body: format!("/tenant/{i}"),
+            document_in_body: format!("/tenant/{index}"),
             ..PointerMapping::default()
         };
         edits.push((tenant.name.clone(), Some(document), mapping));
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -9,7 +9,7 @@
 use crate::admin_state::{
     AdminState, ChangeDraft, PointerMapping, etag, scope, tenant_from_scope, tenant_not_found,
 };
-use crate::bodies::{Actor, AuditLine, Comparison, RollbackTarget, Version};
+use crate::bodies::{Actor, AuditEntryView, Comparison, RollbackTarget, Version};
 use crate::call::{Call, Outcome, Page, Reply};
 use crate::difference;
 use crate::problem::Problem;
@@ -150,7 +150,7 @@
             })?;
     Ok(documents
         .into_iter()
-        .filter_map(|(s, d)| Some((tenant_from_scope(&s)?, d)))
+        .filter_map(|(scope, document)| Some((tenant_from_scope(&scope)?, document)))
         .collect())
 }
 
@@ -166,14 +166,14 @@
 pub fn diff(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (from, to) = compared_range(call, admin.version())?;
     let object = |all: Vec<(String, Value)>| Value::Object(all.into_iter().collect());
-    let (a, b) = (
+    let (from_document, to_document) = (
         object(documents_at(admin, from)?),
         object(documents_at(admin, to)?),
     );
     Ok(Reply::ok(Comparison {
         from,
         to,
-        differences: difference::compare("", Some(&a), Some(&b)),
+        differences: difference::compare("", Some(&from_document), Some(&to_document)),
     })
     .into())
 }
@@ -183,14 +183,14 @@
     let name = visible_tenant(call)?;
     let now = admin.store()?.next_revision(&scope(name))? - 1;
     let (from, to) = compared_range(call, now)?;
-    let (a, b) = (
+    let (from_document, to_document) = (
         revision(admin, name, from)?.document,
         revision(admin, name, to)?.document,
     );
     Ok(Reply::ok(Comparison {
         from,
         to,
-        differences: difference::compare("", a.as_ref(), b.as_ref()),
+        differences: difference::compare("", from_document.as_ref(), to_document.as_ref()),
     })
     .into())
 }
@@ -268,7 +268,7 @@
         .audit_log(subject, page_start(call)?, limit + 1)?;
     let items = lines
         .into_iter()
-        .map(|(n, entry)| AuditLine::visible_to(n, entry, &call.principal))
+        .map(|(number, entry)| AuditEntryView::visible_to(number, entry, &call.principal))
         .collect();
-    Ok(Reply::ok(page(items, limit, |l: &AuditLine| l.number)).into())
+    Ok(Reply::ok(page(items, limit, |entry: &AuditEntryView| entry.number)).into())
 }
--- a/crates/multi-tenant/src/accounts.rs
+++ b/crates/multi-tenant/src/accounts.rs
@@ -23,7 +23,7 @@
 /// tenants are read.
 const ROUND_QUOTA_MS: Millis = 0.3;
 /// Maximum number of wakers per queue of a tenant; a further one is woken at once, and its connection
-/// checks again.
+/// checks its account again.
 const MAX_WAITING: usize = 16 * 1024;
 
 /// Registry of all accounts.
@@ -187,7 +187,7 @@
             self.round.set(self.round.get() + 1);
             let slots = self.waiting.borrow().len();
             let woken = (0..slots)
-                .filter(|slot| self.next_turn(TenantId(*slot)))
+                .filter(|slot| self.wake_next(TenantId(*slot)))
                 .count();
             // Other ready tasks run before the next round, and new I/O events are polled.
             if woken > 0 {
@@ -209,12 +209,12 @@
 
     /// Wakes one connection and one listener of a tenant if its account allows it. Returns true if one was
     /// woken.
-    fn next_turn(&self, tenant: TenantId) -> bool {
-        let read = self.wake(tenant, Operation::Read);
-        self.wake(tenant, Operation::Accept) || read
+    fn wake_next(&self, tenant: TenantId) -> bool {
+        let read = self.wake_waiter(tenant, Operation::Read);
+        self.wake_waiter(tenant, Operation::Accept) || read
     }
 
-    fn wake(&self, tenant: TenantId, operation: Operation) -> bool {
+    fn wake_waiter(&self, tenant: TenantId, operation: Operation) -> bool {
         if self.nonempty_queues.get() == 0 {
             return false;
         }
@@ -345,7 +345,7 @@
             }
         }
         self.close();
-        // Whoever uses a resource of the account also references it, so that no resource is in use here.
+        // Each user of a resource also holds a reference to the account, so that no resource is in use here.
         let queues = self
             .registry
             .waiting
@@ -418,7 +418,7 @@
         }
         drop(limiter);
         if left > 0.0 {
-            self.registry.next_turn(self.tenant);
+            self.registry.wake_next(self.tenant);
         }
     }
 
--- a/crates/multi-tenant/src/catalog.rs
+++ b/crates/multi-tenant/src/catalog.rs
@@ -369,8 +369,9 @@
 impl PartialEq for Record {
     fn eq(&self, other: &Self) -> bool {
         let same = |a: &Block, b: &Block| Arc::ptr_eq(a, b) || a == b;
-        let identity = |r: &Record| {
-            decode::<Identity>(&r.identity).map(|identity| (identity.hosts, identity.discovery))
+        let identity = |record: &Record| {
+            decode::<Identity>(&record.identity)
+                .map(|identity| (identity.hosts, identity.discovery))
         };
         same(&self.policy, &other.policy)
             && same(&self.servers, &other.servers)
--- a/crates/multi-tenant/src/data_plane.rs
+++ b/crates/multi-tenant/src/data_plane.rs
@@ -93,7 +93,7 @@
     active_tenants: RefCell<BTreeMap<Name, ActiveTenant>>,
     /// Decides which tenants are active; also contains those that wait for activation.
     activation: RefCell<tenant_activation::ActiveTenants<Name>>,
-    turns: Rc<ActivationTurns>,
+    activation_turns: Rc<ActivationTurns>,
     /// State of inactive tenants besides their documents.
     inactive_states: RefCell<InactiveStates>,
     /// Active tenants that use a server with a connection limit, by address.
@@ -202,7 +202,7 @@
             activation: RefCell::new(tenant_activation::ActiveTenants::new(
                 activation::activation_limits(process),
             )),
-            turns: ActivationTurns::new(),
+            activation_turns: ActivationTurns::new(),
             inactive_states: RefCell::new(InactiveStates::new(inactive_state::MAX_ENTRIES)),
             limited_server_users: RefCell::default(),
             pending_drains: RefCell::default(),
@@ -220,7 +220,7 @@
             proxy_index_and_count: Cell::new((0, 1)),
             weak_self: weak_self.clone(),
         });
-        spawn_local(plane.turns.clone().run());
+        spawn_local(plane.activation_turns.clone().run());
         spawn_local(DataPlane::run_deactivation(
             plane.weak_self.clone(),
             activation::check_interval(process),
@@ -730,8 +730,8 @@
             initial_capacity_fraction: rules.initial_capacity.0,
             warm_up: rules.warm_up.0,
             overload_multiple: 1.0,
-            // How long a server can bear overload during its warm-up is unknown here: only its budget limits it,
-            // and no class is considered too heavy.
+            // The time for which a server tolerates overload during its warm-up is unknown here: only its budget
+            // limits it, and no class is considered too heavy.
             overload_window: f64::MAX,
             max_attempts: rules.max_attempts,
         },
@@ -776,7 +776,7 @@
     }
 
     fn wait_for_turn(&self) -> impl Future<Output = ()> {
-        self.plane.turns.clone().take()
+        self.plane.activation_turns.clone().acquire()
     }
 
     fn unassigned_account(&self) -> Option<Rc<dyn TenantAccount>> {
--- a/crates/multi-tenant/src/data_plane/activation.rs
+++ b/crates/multi-tenant/src/data_plane/activation.rs
@@ -60,10 +60,11 @@
     Duration::from_secs_f64((process.idle_timeout.0 / 4000.0).clamp(0.1, 5.0))
 }
 
-/// Limits activations to a few in each round of the event loop, in the order of the requests.
+/// Limits the activations per round of the event loop to [`MAX_ACTIVATIONS_PER_ROUND`], each of which consumes a
+/// turn; turns are granted in the order of the requests.
 pub(super) struct ActivationTurns {
     permits: Semaphore,
-    taken: Notify,
+    turn_acquired: Notify,
     /// Number of rounds with activations.
     rounds: Cell<u64>,
 }
@@ -72,7 +73,7 @@
     pub(super) fn new() -> Rc<Self> {
         Rc::new(ActivationTurns {
             permits: Semaphore::new(MAX_ACTIVATIONS_PER_ROUND),
-            taken: Notify::new(),
+            turn_acquired: Notify::new(),
             rounds: Cell::new(0),
         })
     }
@@ -80,7 +81,7 @@
     /// Grants new turns in each round; runs until the process ends.
     pub(super) async fn run(self: Rc<Self>) {
         loop {
-            self.taken.notified().await;
+            self.turn_acquired.notified().await;
             // Other ready tasks run before the next round, and new I/O events are polled.
             tokio::task::yield_now().await;
             self.rounds.set(self.rounds.get() + 1);
@@ -95,19 +96,19 @@
     }
 
     /// Waits for a turn and consumes it.
-    pub(super) async fn take(self: Rc<Self>) {
+    pub(super) async fn acquire(self: Rc<Self>) {
         if let Ok(turn) = self.permits.acquire().await {
             turn.forget();
         }
-        self.taken.notify_one();
+        self.turn_acquired.notify_one();
     }
 
-    fn try_take(&self) -> bool {
-        let taken = self.permits.try_acquire().map(|turn| turn.forget()).is_ok();
-        if taken {
-            self.taken.notify_one();
+    fn try_acquire(&self) -> bool {
+        let is_acquired = self.permits.try_acquire().map(|turn| turn.forget()).is_ok();
+        if is_acquired {
+            self.turn_acquired.notify_one();
         }
-        taken
+        is_acquired
     }
 }
 
@@ -182,7 +183,7 @@
         if active_pool.is_none() && self.damaged_tenants.borrow().contains(name) {
             return Err(DAMAGED);
         }
-        if active_pool.is_none() && !has_turn && !self.turns.try_take() {
+        if active_pool.is_none() && !has_turn && !self.activation_turns.try_acquire() {
             return Err(RouteError::NeedsTurn);
         }
         let now = self.process.now();
@@ -663,7 +664,7 @@
             damaged: self.damaged_tenants.borrow().len(),
             retained_entries: inactive_states.entries(),
             dropped_tenants: inactive_states.dropped_tenants(),
-            activation_rounds: self.turns.rounds.get(),
+            activation_rounds: self.activation_turns.rounds.get(),
         }
     }
 }
--- a/crates/multi-tenant/src/validation.rs
+++ b/crates/multi-tenant/src/validation.rs
@@ -25,12 +25,12 @@
     let (service, positions) = schema_form()
         .map_err(error_at_start)?
         .deserialize_toml::<Service>(file, text)?;
-    let problem = |f: ValidationError| {
-        let key = f.key();
+    let problem = |fault: ValidationError| {
+        let key = fault.key();
         Problem {
             line: positions.line_of(&key),
             key,
-            message: f.message,
+            message: fault.message,
         }
     };
     let problems: Vec<Problem> = validate(&service).into_iter().map(problem).collect();
@@ -66,29 +66,30 @@
     );
     let mut hosts = BTreeMap::new();
     let mut shared: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
-    for (i, tenant) in service.tenants.iter().enumerate() {
-        let at = format!("/tenant/{i}");
+    for (index, tenant) in service.tenants.iter().enumerate() {
+        let at = format!("/tenant/{index}");
         validate_tenant(&mut faults, &at, tenant);
-        for (h, host) in tenant.hosts.iter().enumerate() {
+        for (host_index, host) in tenant.hosts.iter().enumerate() {
             if hosts
-                .insert(normalize_host(host), i)
-                .is_some_and(|other| other != i)
+                .insert(normalize_host(host), index)
+                .is_some_and(|other| other != index)
             {
                 faults.add(
-                    &format!("{at}/hosts/{h}"),
+                    &format!("{at}/hosts/{host_index}"),
                     "the host is already used by another tenant",
                 );
             }
         }
-        for (s, server) in tenant.servers.iter().enumerate() {
+        for (server_index, server) in tenant.servers.iter().enumerate() {
             let Some(connections) = server.connections else {
                 continue;
             };
-            let (first_limit, first_user) =
-                *shared.entry(&server.address).or_insert((connections, i));
-            if first_limit != connections && first_user != i {
+            let (first_limit, first_user) = *shared
+                .entry(&server.address)
+                .or_insert((connections, index));
+            if first_limit != connections && first_user != index {
                 faults.add(
-                    &format!("{at}/server/{s}/connections"),
+                    &format!("{at}/server/{server_index}/connections"),
                     "another tenant sets a different limit for this server",
                 );
             }
@@ -124,24 +125,27 @@
     }
     faults.check_unique(
         "/listener",
-        service.listeners.iter().map(|l| l.name.as_str()),
+        service
+            .listeners
+            .iter()
+            .map(|listener| listener.name.as_str()),
         "name",
     );
     // Port 0 selects a free port, so that two listeners with it don't conflict.
     let has_port_zero = |address: &str| address.ends_with(":0");
-    for (i, l) in service
+    for (index, listener) in service
         .listeners
         .iter()
         .enumerate()
-        .filter(|(_, l)| !has_port_zero(&l.address))
+        .filter(|(_, listener)| !has_port_zero(&listener.address))
     {
-        if service.listeners[..i]
+        if service.listeners[..index]
             .iter()
-            .any(|other| other.address == l.address)
+            .any(|other| other.address == listener.address)
         {
             faults.add(
-                &format!("/listener/{i}/address"),
-                format!("\"{}\" is used twice", l.address),
+                &format!("/listener/{index}/address"),
+                format!("\"{}\" is used twice", listener.address),
             );
         }
     }
@@ -168,10 +172,10 @@
     if let Some(cluster) = &service.cluster {
         validate_cluster(&mut faults, cluster, service.state.is_some());
     }
-    for (i, l) in service.listeners.iter().enumerate() {
-        let at = format!("/listener/{i}");
-        faults.check_address(&format!("{at}/address"), &l.address);
-        match (l.tenant_by, &l.tenant) {
+    for (index, listener) in service.listeners.iter().enumerate() {
+        let at = format!("/listener/{index}");
+        faults.check_address(&format!("{at}/address"), &listener.address);
+        match (listener.tenant_by, &listener.tenant) {
             (TenantBy::Listener, None) => faults.add(&format!("{at}/tenant"), "is missing"),
             (TenantBy::Listener, Some(name)) if !tenant_exists(name) => {
                 faults.add(&format!("{at}/tenant"), "unknown tenant");
@@ -199,43 +203,47 @@
     let edit_index: BTreeMap<&str, usize> = edits
         .iter()
         .enumerate()
-        .map(|(i, (name, _))| (name.as_str(), i))
+        .map(|(index, (name, _))| (name.as_str(), index))
         .collect();
     let is_unchanged = |name: &str| !edit_index.contains_key(name);
     let mut hosts: BTreeMap<String, usize> = BTreeMap::new();
     let mut limits: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
-    for (i, (name, tenant)) in edits.iter().enumerate() {
+    for (index, (name, tenant)) in edits.iter().enumerate() {
         let mut faults = Faults::default();
         let Some(tenant) = tenant else {
-            let names_tenant = |l: &crate::document::Listener| l.tenant.as_deref() == Some(name);
-            for (l, _) in current
+            let names_tenant =
+                |listener: &crate::document::Listener| listener.tenant.as_deref() == Some(name);
+            for (listener_index, _) in current
                 .base()
                 .listeners
                 .iter()
                 .enumerate()
-                .filter(|(_, l)| names_tenant(l))
+                .filter(|(_, listener)| names_tenant(listener))
             {
-                faults.add(&format!("/listener/{l}/tenant"), "unknown tenant");
+                faults.add(
+                    &format!("/listener/{listener_index}/tenant"),
+                    "unknown tenant",
+                );
             }
             all_faults.extend(faults.0.into_iter().map(|f| (None, f)));
             continue;
         };
         self::validate_tenant(&mut faults, "", tenant);
-        for (h, host) in tenant.hosts.iter().enumerate() {
+        for (host_index, host) in tenant.hosts.iter().enumerate() {
             let used_by_other = current
                 .tenant_of_host(host)
                 .is_some_and(|tenant| is_unchanged(tenant))
                 || hosts
-                    .insert(normalize_host(host), i)
-                    .is_some_and(|other| other != i);
+                    .insert(normalize_host(host), index)
+                    .is_some_and(|other| other != index);
             if used_by_other {
                 faults.add(
-                    &format!("/hosts/{h}"),
+                    &format!("/hosts/{host_index}"),
                     "the host is already used by another tenant",
                 );
             }
         }
-        for (s, server) in tenant.servers.iter().enumerate() {
+        for (server_index, server) in tenant.servers.iter().enumerate() {
             let Some(connections) = server.connections else {
                 continue;
             };
@@ -243,18 +251,19 @@
                 .users_of_server(&server.address)
                 .find(|(tenant, _)| is_unchanged(tenant))
                 .map(|(_, limit)| limit);
-            let (first_limit, first_user) =
-                *limits.entry(&server.address).or_insert((connections, i));
+            let (first_limit, first_user) = *limits
+                .entry(&server.address)
+                .or_insert((connections, index));
             if existing_limit.is_some_and(|limit| limit != connections)
-                || first_limit != connections && first_user != i
+                || first_limit != connections && first_user != index
             {
                 faults.add(
-                    &format!("/server/{s}/connections"),
+                    &format!("/server/{server_index}/connections"),
                     "another tenant sets a different limit for this server",
                 );
             }
         }
-        all_faults.extend(faults.0.into_iter().map(|f| (Some(i), f)));
+        all_faults.extend(faults.0.into_iter().map(|f| (Some(index), f)));
     }
     all_faults
 }
@@ -305,29 +314,29 @@
         tenant.servers.iter().map(|server| server.name.as_str()),
         "name",
     );
-    for (i, host) in tenant.hosts.iter().enumerate() {
+    for (index, host) in tenant.hosts.iter().enumerate() {
         let is_valid =
             |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | ':' | '[' | ']');
         if host.is_empty() || !host.chars().all(is_valid) {
-            faults.add(&format!("{at}/hosts/{i}"), "is not a valid host");
+            faults.add(&format!("{at}/hosts/{index}"), "is not a valid host");
         }
     }
-    for (i, class) in tenant.classes.iter().enumerate() {
+    for (index, class) in tenant.classes.iter().enumerate() {
         faults.check_range(
-            &format!("{at}/class/{i}/deadline"),
+            &format!("{at}/class/{index}/deadline"),
             class.deadline.0,
             1.0,
             3.6e6,
         );
         faults.check_range(
-            &format!("{at}/class/{i}/late-worth"),
+            &format!("{at}/class/{index}/late-worth"),
             class.late_weight_fraction.0,
             0.0,
             1.0,
         );
         if class.latency_objective.0 > class.deadline.0 || class.latency_objective.0 <= 0.0 {
             faults.add(
-                &format!("{at}/class/{i}/aim"),
+                &format!("{at}/class/{index}/aim"),
                 "must be greater than 0 and at most the deadline",
             );
         }
@@ -378,13 +387,13 @@
                 "is not allowed together with fleet, which discovers the servers",
             );
         }
-        for (i, url) in discovery.etcd.iter().enumerate() {
+        for (index, url) in discovery.etcd.iter().enumerate() {
             let address = url
                 .strip_prefix("http://")
                 .and_then(|a| a.trim_end_matches('/').parse::<SocketAddr>().ok());
             if address.is_none() {
                 faults.add(
-                    &format!("{at}/fleet/etcd/{i}"),
+                    &format!("{at}/fleet/etcd/{index}"),
                     format!("\"{url}\" is not a URL like \"http://127.0.0.1:2379\""),
                 );
             }
@@ -402,8 +411,8 @@
             3.6e6,
         );
     }
-    for (i, server) in tenant.servers.iter().enumerate() {
-        faults.check_address(&format!("{at}/server/{i}/address"), &server.address);
+    for (index, server) in tenant.servers.iter().enumerate() {
+        faults.check_address(&format!("{at}/server/{index}/address"), &server.address);
     }
 }
 
@@ -439,10 +448,10 @@
     /// Checks that the values of a key are unique within a list.
     fn check_unique<'a>(&mut self, list: &str, keys: impl Iterator<Item = &'a str>, key: &str) {
         let mut seen = BTreeSet::new();
-        for (i, value) in keys.enumerate() {
+        for (index, value) in keys.enumerate() {
             if !seen.insert(value) {
                 self.add(
-                    &format!("{list}/{i}/{key}"),
+                    &format!("{list}/{index}/{key}"),
                     format!("\"{value}\" is used twice"),
                 );
             }
