--- a/crates/admin-api/src/admin_state.rs
+++ b/crates/admin-api/src/admin_state.rs
@@ -278,9 +278,9 @@
         let mut damaged = None;
         let documents = self.catalog.iter().map(|read| {
             let (rev, tenant) = read.map_err(|e| {
-                let what = StoreError::Corrupted(e.to_string());
+                let corrupted = StoreError::Corrupted(e.to_string());
                 damaged = Some(e.tenant);
-                what
+                corrupted
             })?;
             let document = serde_json::to_value(&tenant)
                 .map_err(|e| StoreError::Unavailable(e.to_string()))?;
@@ -1073,7 +1073,7 @@
                 .into_iter()
                 .map(|(name, d)| (scope(&name), d))
                 .collect(),
-            reply: reply_to_keep(call, &reply)?,
+            reply: reply_to_store(call, &reply)?,
             minimum_version: None,
         };
         let agreed = AgreedChange {
@@ -1128,7 +1128,7 @@
             detail: Some(format!("token {id}")),
             edits: Vec::new(),
             tokens: vec![(id.to_owned(), stored)],
-            reply: reply_to_keep(call, &reply)?,
+            reply: reply_to_store(call, &reply)?,
             minimum_version: None,
         };
         let agreed = AgreedChange {
@@ -1371,16 +1371,16 @@
 }
 
 /// Returns the reply to a write as it is stored for repetitions.
-fn reply_to_keep(call: &Call, reply: &Reply) -> Result<Option<(String, Value)>, Problem> {
+fn reply_to_store(call: &Call, reply: &Reply) -> Result<Option<(String, Value)>, Problem> {
     let Some(key) = idempotency_key(call)? else {
         return Ok(None);
     };
-    let kept = json!({
+    let stored_reply = json!({
         "fingerprint": fingerprint(call),
         "status": reply.status,
         "etag": reply.etag,
         "location": reply.location,
         "body": reply.body,
     });
-    Ok(Some((key, kept)))
+    Ok(Some((key, stored_reply)))
 }
--- a/crates/admin-api/src/cluster_api.rs
+++ b/crates/admin-api/src/cluster_api.rs
@@ -186,7 +186,7 @@
             }),
         )
         .await;
-        let lost = || {
+        let outcome_unknown = || {
             Problem::no_leader(
                 "no instance leads, or none that can be reached; it may have been done or not",
             )
@@ -195,7 +195,7 @@
             Ok(Some(Ok(text))) => text,
             Ok(Some(Err(why))) => return Err(Problem::busy(why.to_string())),
             Ok(None) => return Err(Problem::no_leader("this instance is ending")),
-            Err(_) => return Err(lost()),
+            Err(_) => return Err(outcome_unknown()),
         };
         match serde_json::from_str(&text).map_err(|e| Problem::internal(e.to_string()))? {
             CallResult::Reply(reply) => Ok(Ok(reply)),
@@ -554,12 +554,12 @@
                     return None;
                 }
                 let status = cluster.status().await?;
-                let kept = {
+                let exported = {
                     let admin = self.admin_state();
                     admin.export().map(|state| (admin.version(), state))
                 };
-                let (version, state) = match kept {
-                    Ok(kept) => kept,
+                let (version, state) = match exported {
+                    Ok(exported) => exported,
                     Err(e) => return Some(Problem::internal(e).into()),
                 };
                 let backup = Backup::new(&status.cluster, version, forwarded.now_ms, state);
--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -51,61 +51,61 @@
     f64::from(u8::from(value))
 }
 
-/// Writes the metrics of active and inactive tenants.
-fn residency(text: &mut MetricsText, residency: &ActivationStatus) {
+/// Writes the numbers of active, waiting and damaged tenants and the counters of activations.
+fn write_activation_metrics(text: &mut MetricsText, activation: &ActivationStatus) {
     text.single(
         "tenants",
         "gauge",
         "Tenants that may be asked for.",
-        residency.tenants as f64,
+        activation.tenants as f64,
     );
     text.single(
         "tenants_resident",
         "gauge",
         "Tenants that are held in full.",
-        residency.active as f64,
+        activation.active as f64,
     );
     text.single(
         "tenants_pinned",
         "gauge",
         "Of these, those whose lists are followed: they stay.",
-        residency.pinned as f64,
+        activation.pinned as f64,
     );
     text.single(
         "tenants_waiting",
         "gauge",
         "Tenants that wait for a place among these.",
-        residency.waiting as f64,
+        activation.waiting as f64,
     );
     text.single(
         "tenants_damaged",
         "gauge",
         "Tenants that can't be woken, as what is held of them is damaged.",
-        residency.damaged as f64,
+        activation.damaged as f64,
     );
     text.single(
         "tenant_wakes_total",
         "counter",
         "Times that a tenant was woken.",
-        residency.activations as f64,
+        activation.activations as f64,
     );
     text.single(
         "tenant_rests_total",
         "counter",
         "Times that a tenant was put to rest.",
-        residency.deactivations as f64,
+        activation.deactivations as f64,
     );
     text.single(
         "tenant_evictions_total",
         "counter",
         "Of these, those for which another wanted the place.",
-        residency.evictions as f64,
+        activation.evictions as f64,
     );
     text.single(
         "residency_refused_total",
         "counter",
         "Requests refused for want of a place.",
-        residency.deferrals as f64,
+        activation.deferrals as f64,
     );
 }
 
@@ -113,11 +113,11 @@
 /// waited at the gate and that the gate rejected.
 pub fn render(
     cluster: Option<(&Status, [u64; 2])>,
-    resident: &ActivationStatus,
+    activation: &ActivationStatus,
     tenants: &[TenantStatus],
 ) -> String {
     let mut text = MetricsText(String::new());
-    residency(&mut text, resident);
+    write_activation_metrics(&mut text, activation);
     if let Some((status, [waited, rejected])) = cluster {
         let leads = status.leader.as_ref() == Some(&status.name);
         text.single(
--- a/crates/admin-api/src/http.rs
+++ b/crates/admin-api/src/http.rs
@@ -90,7 +90,7 @@
     /// Reports the numbers of requests that waited at the gate and that the gate rejected.
     ReportGate(oneshot::Sender<[u64; 2]>),
     /// Reports the number of active tenants and the counters of activations and deactivations.
-    ReportResidency(oneshot::Sender<ActivationStatus>),
+    ReportActivationStatus(oneshot::Sender<ActivationStatus>),
     /// Reports the status of one tenant, or of all.
     ReportStatus(Option<String>, oneshot::Sender<Vec<TenantStatus>>),
 }
@@ -123,7 +123,9 @@
                 let _ = done.send(served);
             }
             PlaneCommand::ReportGate(reply) => _ = reply.send(plane.gate_counts()),
-            PlaneCommand::ReportResidency(reply) => _ = reply.send(plane.activation_status()),
+            PlaneCommand::ReportActivationStatus(reply) => {
+                _ = reply.send(plane.activation_status())
+            }
             PlaneCommand::ReportStatus(None, reply) => {
                 _ = reply.send(plane.status(MAX_TENANT_STATUSES))
             }
@@ -380,7 +382,7 @@
             )));
         }
         if let Handler::Metrics = operation.handler {
-            return self.figures().await;
+            return self.metrics().await;
         }
         if let Handler::Events = operation.handler {
             let principal = principal.ok_or_else(|| Problem::internal("nobody reads"))?;
@@ -488,23 +490,23 @@
     }
 
     /// Returns the metrics of this instance, whether or not it leads.
-    async fn figures(&self) -> Result<Response<Body>, Problem> {
+    async fn metrics(&self) -> Result<Response<Body>, Problem> {
         let mut tenants = self.tenant_statuses(None).await?;
         tenants.truncate(MAX_TENANTS_PER_REPLY);
         let (sender, receiver) = oneshot::channel();
-        self.send(PlaneCommand::ReportResidency(sender));
-        let resident = receiver
+        self.send(PlaneCommand::ReportActivationStatus(sender));
+        let activation = receiver
             .await
             .map_err(|_| Problem::internal("the service is ending"))?;
         let text = match &self.cluster {
-            None => figures::render(None, &resident, &tenants),
+            None => figures::render(None, &activation, &tenants),
             Some(cluster) => {
                 let (sender, receiver) = oneshot::channel();
                 self.send(PlaneCommand::ReportGate(sender));
                 let ending = || Problem::internal("the service is ending");
                 let gate = receiver.await.map_err(|_| ending())?;
                 let status = cluster.status().await.ok_or_else(ending)?;
-                figures::render(Some((&status, gate)), &resident, &tenants)
+                figures::render(Some((&status, gate)), &activation, &tenants)
             }
         };
         let response = Response::builder()
--- a/crates/admin-api/src/tenants.rs
+++ b/crates/admin-api/src/tenants.rs
@@ -127,7 +127,7 @@
         call.path_parameter("tenant").to_owned(),
         addressed_part(call, part),
     );
-    let now = admin.document(&call.principal, &name);
+    let current = admin.document(&call.principal, &name);
     let mut body = call.body.clone();
     let name_problem = |message| {
         Problem::from_faults(vec![config_parser::ValidationError {
@@ -136,7 +136,7 @@
         }])
     };
     document_part.set_name(&mut body).map_err(name_problem)?;
-    let (base, tag, exists) = match &now {
+    let (base, tag, exists) = match &current {
         Ok((rev, document)) => (
             Some(document.clone()),
             Some(etag(*rev, document)),
@@ -155,12 +155,12 @@
         }
     }
     // A call that replaces the whole document has to name the revision that it replaces; for a part this is optional.
-    let now = if document_part == DocumentPart::Whole || exists || call.if_match.is_some() {
+    let current_tag = if document_part == DocumentPart::Whole || exists || call.if_match.is_some() {
         tag.as_deref()
     } else {
         None
     };
-    AdminState::check_precondition(call, now, part.is_empty())?;
+    AdminState::check_precondition(call, current_tag, part.is_empty())?;
     let (document, pointer) = document_part.set(base.unwrap_or(Value::Null), body);
     let (action, detail) = match part {
         "" if exists => ("tenant.put", None),
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -45,7 +45,7 @@
 /// Lists the service's versions, newest first.
 pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
-    let one = |(number, entry): (u64, AuditEntry)| {
+    let to_version = |(number, entry): (u64, AuditEntry)| {
         let tenants = entry
             .edits
             .iter()
@@ -57,9 +57,9 @@
         .store()?
         .versions(page_start(call)?, limit + 1)?
         .into_iter()
-        .map(one)
+        .map(to_version)
         .collect();
-    Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
+    Ok(Reply::ok(page(items, limit, |version: &Version| version.number)).into())
 }
 
 /// Lists a tenant's revisions, newest first.
@@ -94,7 +94,7 @@
             row.document.is_none(),
         ));
     }
-    Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
+    Ok(Reply::ok(page(items, limit, |version: &Version| version.number)).into())
 }
 
 /// Returns the tenant in the path if the caller may see it.
@@ -109,8 +109,8 @@
 
 fn revision(admin: &AdminState, tenant: &str, rev: u64) -> Result<DocumentRevision, Problem> {
     let found = admin.store()?.revision(&scope(tenant), rev)?;
-    let newer = rev >= admin.store()?.next_revision(&scope(tenant))?;
-    found.ok_or_else(|| match newer {
+    let is_future = rev >= admin.store()?.next_revision(&scope(tenant))?;
+    found.ok_or_else(|| match is_future {
         true => Problem::not_found(format!("there is no revision {rev} of \"{tenant}\"")),
         false => Problem::gone(format!(
             "revision {rev} of \"{tenant}\" is not kept any more"
@@ -230,16 +230,16 @@
     AdminState::check_precondition(call, Some(&admin.service_etag()), true)?;
     let documents = documents_at(admin, to)?;
     let names: BTreeSet<&str> = documents.iter().map(|(name, _)| name.as_str()).collect();
-    let gone = admin
+    let removed = admin
         .tenant_names()
         .filter(|name| !names.contains(&***name));
-    let mut edits: Vec<_> = gone
+    let mut edits: Vec<_> = removed
         .map(|name| (name.to_string(), None, PointerMapping::default()))
         .collect();
     edits.extend(
         documents
             .into_iter()
-            .map(|(name, d)| (name, Some(d), PointerMapping::default())),
+            .map(|(name, document)| (name, Some(document), PointerMapping::default())),
     );
     let detail = Some(format!("to version {to}"));
     admin.change(
--- a/crates/admin-api/tests/http.rs
+++ b/crates/admin-api/tests/http.rs
@@ -72,7 +72,7 @@
                     | PlaneCommand::SetShare(..) => {}
                     PlaneCommand::ReportStartup(reply) => _ = reply.send((None, 0, Vec::new())),
                     PlaneCommand::ReportGate(reply) => _ = reply.send([0; 2]),
-                    PlaneCommand::ReportResidency(reply) => {
+                    PlaneCommand::ReportActivationStatus(reply) => {
                         _ = reply.send(multi_tenant::data_plane::ActivationStatus::default())
                     }
                     PlaneCommand::CloseGate(done) | PlaneCommand::OpenGate(_, done) => {
--- a/crates/admin-api/tests/unit/figures.rs
+++ b/crates/admin-api/tests/unit/figures.rs
@@ -31,14 +31,14 @@
         loop_ms: 0.0,
         rejections: [1, 2, 3, 4, 5],
     };
-    let resident = ActivationStatus {
+    let activation = ActivationStatus {
         tenants: 33_000,
         active: 12,
         evictions: 3,
         deferrals: 4,
         ..ActivationStatus::default()
     };
-    let text = render(Some((&status, [8, 9])), &resident, &[tenant]);
+    let text = render(Some((&status, [8, 9])), &activation, &[tenant]);
     for wanted in [
         "canvascart_cluster_version 7",
         "canvascart_cluster_leads 1",
--- a/crates/multi-tenant/src/accounts.rs
+++ b/crates/multi-tenant/src/accounts.rs
@@ -408,8 +408,8 @@
             self.registry.now(),
             thread_time() - self.registry.work_started_at.get(),
         );
-        let left = self.time_left() - cpu_time;
-        self.round_quota.set((self.registry.round.get(), left));
+        let time_left = self.time_left() - cpu_time;
+        self.round_quota.set((self.registry.round.get(), time_left));
         let mut limiter = self.registry.limiter.borrow_mut();
         if rejecting {
             limiter.charge_rejecting(now, self.tenant, cpu_time);
@@ -417,7 +417,7 @@
             limiter.charge_processing(now, self.tenant, cpu_time);
         }
         drop(limiter);
-        if left > 0.0 {
+        if time_left > 0.0 {
             self.registry.wake_next(self.tenant);
         }
     }
--- a/crates/multi-tenant/tests/catalog.rs
+++ b/crates/multi-tenant/tests/catalog.rs
@@ -204,7 +204,7 @@
             .map(|(i, f)| format!("{i:?} {}: {}", f.key(), f.message))
             .collect()
     };
-    let edit = |t: Tenant| (t.name.clone(), Some(t));
+    let edit = |tenant: Tenant| (tenant.name.clone(), Some(tenant));
     assert!(faults(&[edit(tenant(3)), edit(tenant(99))]).is_empty());
     let taking = Tenant {
         hosts: vec!["T00004.example".into()],
