--- a/crates/admin-api/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -5,7 +5,7 @@
 use cluster_runtime::status::{MessageTotals, Status};
 use multi_tenant::data_plane::{ActivationStatus, TenantStatus};
 
-/// Causes of rejection, in the order of [`TenantStatus::refused`].
+/// Causes of rejection, in the order of [`TenantStatus::rejections`].
 const REJECTION_CAUSES: [&str; 5] = ["sockets", "in-flight", "bytes", "time", "servers"];
 
 /// Escapes the value of a label.
@@ -51,61 +51,61 @@
     f64::from(u8::from(value))
 }
 
-/// Writes the metrics of active and inactive tenants.
-fn residency(text: &mut MetricsText, residency: &ActivationStatus) {
+/// Writes the numbers of active, waiting and damaged tenants and the counters of activations.
+fn write_activation_metrics(text: &mut MetricsText, activation: &ActivationStatus) {
     text.single(
         "tenants",
         "gauge",
         "Tenants that may be asked for.",
-        residency.tenants as f64,
+        activation.tenants as f64,
     );
     text.single(
         "tenants_resident",
         "gauge",
         "Tenants that are held in full.",
-        residency.active as f64,
+        activation.active as f64,
     );
     text.single(
         "tenants_pinned",
         "gauge",
         "Of these, those whose lists are followed: they stay.",
-        residency.pinned as f64,
+        activation.pinned as f64,
     );
     text.single(
         "tenants_waiting",
         "gauge",
         "Tenants that wait for a place among these.",
-        residency.waiting as f64,
+        activation.waiting as f64,
     );
     text.single(
         "tenants_damaged",
         "gauge",
         "Tenants that can't be woken, as what is held of them is damaged.",
-        residency.damaged as f64,
+        activation.damaged as f64,
     );
     text.single(
         "tenant_wakes_total",
         "counter",
         "Times that a tenant was woken.",
-        residency.activations as f64,
+        activation.activations as f64,
     );
     text.single(
         "tenant_rests_total",
         "counter",
         "Times that a tenant was put to rest.",
-        residency.deactivations as f64,
+        activation.deactivations as f64,
     );
     text.single(
         "tenant_evictions_total",
         "counter",
         "Of these, those for which another wanted the place.",
-        residency.evictions as f64,
+        activation.evictions as f64,
     );
     text.single(
         "residency_refused_total",
         "counter",
         "Requests refused for want of a place.",
-        residency.deferrals as f64,
+        activation.deferrals as f64,
     );
 }
 
@@ -113,24 +113,24 @@
 /// waited at the gate and that the gate rejected.
 pub fn render(
     cluster: Option<(&Status, [u64; 2])>,
-    resident: &ActivationStatus,
+    activation: &ActivationStatus,
     tenants: &[TenantStatus],
 ) -> String {
     let mut text = MetricsText(String::new());
-    residency(&mut text, resident);
-    if let Some((s, [waited, refused])) = cluster {
-        let leads = s.leader.as_ref() == Some(&s.name);
+    write_activation_metrics(&mut text, activation);
+    if let Some((status, [waited, rejected])) = cluster {
+        let leads = status.leader.as_ref() == Some(&status.name);
         text.single(
             "cluster_version",
             "gauge",
             "The version in effect, as far as this instance knows.",
-            s.version as f64,
+            status.version as f64,
         );
         text.single(
             "cluster_decides",
             "gauge",
             "1 while this instance may decide requests.",
-            bool_value(s.deciding_version.is_some()),
+            bool_value(status.deciding_version.is_some()),
         );
         text.single(
             "cluster_leads",
@@ -142,27 +142,27 @@
             "cluster_leader_known",
             "gauge",
             "1 while this instance knows who leads.",
-            bool_value(s.leader.is_some()),
+            bool_value(status.leader.is_some()),
         );
         text.single(
             "cluster_term",
             "counter",
             "The term of leading.",
-            s.term as f64,
+            status.term as f64,
         );
         text.single(
             "cluster_applied",
             "counter",
             "How far the log is applied here.",
-            s.applied as f64,
+            status.applied as f64,
         );
         text.single(
             "cluster_members",
             "gauge",
             "Members of the cluster.",
-            s.members.len() as f64,
+            status.members.len() as f64,
         );
-        let votes = s.members.iter().filter(|m| m.is_voter).count();
+        let votes = status.members.iter().filter(|m| m.is_voter).count();
         text.single(
             "cluster_voters",
             "gauge",
@@ -173,7 +173,7 @@
             "cluster_change_under_way",
             "gauge",
             "1 while a change is being decided.",
-            bool_value(s.change.is_some()),
+            bool_value(status.change.is_some()),
         );
         let outcomes = ["in-effect", "given-up"].map(|outcome| format!("end=\"{outcome}\""));
         let help = "Changes whose end was heard of here since the start.";
@@ -181,12 +181,14 @@
             "cluster_changes_total",
             "counter",
             help,
-            outcomes
-                .into_iter()
-                .zip([s.changes.activated as f64, s.changes.aborted as f64]),
+            outcomes.into_iter().zip([
+                status.changes.activated as f64,
+                status.changes.aborted as f64,
+            ]),
         );
         let sent = |total: fn(&MessageTotals) -> u64| {
-            s.sent
+            status
+                .sent
                 .iter()
                 .map(move |(kind, n)| (format!("kind=\"{}\"", escape_label(kind)), total(n) as f64))
         };
@@ -206,13 +208,13 @@
             "cluster_messages_dropped_total",
             "counter",
             "Messages that could not go in time.",
-            s.connections.messages_dropped as f64,
+            status.connections.messages_dropped as f64,
         );
         text.single(
             "cluster_links_refused_total",
             "counter",
             "Links that were ended as rubbish came by them.",
-            s.connections.connections_rejected as f64,
+            status.connections.connections_rejected as f64,
         );
         text.single(
             "gate_waited_total",
@@ -224,11 +226,15 @@
             "gate_refused_total",
             "counter",
             "Requests that were refused, as nothing may be decided.",
-            refused as f64,
+            rejected as f64,
         );
     }
-    let label = |t: &TenantStatus| format!("tenant=\"{}\"", escape_label(&t.name));
-    let each = |f: fn(&TenantStatus) -> f64| tenants.iter().map(move |t| (label(t), f(t)));
+    let label = |tenant: &TenantStatus| format!("tenant=\"{}\"", escape_label(&tenant.name));
+    let each = |value: fn(&TenantStatus) -> f64| {
+        tenants
+            .iter()
+            .map(move |tenant| (label(tenant), value(tenant)))
+    };
     text.metric(
         "tenant_in_flight",
         "gauge",
@@ -247,15 +253,15 @@
         "Servers that take new work.",
         each(|t| t.servers[0] as f64),
     );
-    let refused = tenants.iter().flat_map(|t| {
-        let causes = REJECTION_CAUSES.into_iter().zip(t.rejections);
-        causes.map(move |(cause, n)| (format!("{},cause=\"{cause}\"", label(t)), n as f64))
+    let rejected = tenants.iter().flat_map(|tenant| {
+        let causes = REJECTION_CAUSES.into_iter().zip(tenant.rejections);
+        causes.map(move |(cause, n)| (format!("{},cause=\"{cause}\"", label(tenant)), n as f64))
     });
     text.metric(
         "tenant_refused_total",
         "counter",
         "Times a tenant was turned away.",
-        refused,
+        rejected,
     );
     text.0
 }
--- a/crates/admin-api/src/versions.rs
+++ b/crates/admin-api/src/versions.rs
@@ -9,7 +9,7 @@
 use crate::admin_state::{
     AdminState, ChangeDraft, PointerMapping, etag, scope, tenant_from_scope, tenant_not_found,
 };
-use crate::bodies::{Actor, AuditLine, Comparison, RollbackTarget, Version};
+use crate::bodies::{Actor, AuditEntryView, Comparison, RollbackTarget, Version};
 use crate::call::{Call, Outcome, Page, Reply};
 use crate::difference;
 use crate::problem::Problem;
@@ -45,7 +45,7 @@
 /// Lists the service's versions, newest first.
 pub fn list(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let limit = call.page_limit()?;
-    let one = |(number, entry): (u64, AuditEntry)| {
+    let to_version = |(number, entry): (u64, AuditEntry)| {
         let tenants = entry
             .edits
             .iter()
@@ -57,9 +57,9 @@
         .store()?
         .versions(page_start(call)?, limit + 1)?
         .into_iter()
-        .map(one)
+        .map(to_version)
         .collect();
-    Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
+    Ok(Reply::ok(page(items, limit, |version: &Version| version.number)).into())
 }
 
 /// Lists a tenant's revisions, newest first.
@@ -94,7 +94,7 @@
             row.document.is_none(),
         ));
     }
-    Ok(Reply::ok(page(items, limit, |v: &Version| v.number)).into())
+    Ok(Reply::ok(page(items, limit, |version: &Version| version.number)).into())
 }
 
 /// Returns the tenant in the path if the caller may see it.
@@ -109,8 +109,8 @@
 
 fn revision(admin: &AdminState, tenant: &str, rev: u64) -> Result<DocumentRevision, Problem> {
     let found = admin.store()?.revision(&scope(tenant), rev)?;
-    let newer = rev >= admin.store()?.next_revision(&scope(tenant))?;
-    found.ok_or_else(|| match newer {
+    let is_future = rev >= admin.store()?.next_revision(&scope(tenant))?;
+    found.ok_or_else(|| match is_future {
         true => Problem::not_found(format!("there is no revision {rev} of \"{tenant}\"")),
         false => Problem::gone(format!(
             "revision {rev} of \"{tenant}\" is not kept any more"
@@ -150,7 +150,7 @@
             })?;
     Ok(documents
         .into_iter()
-        .filter_map(|(s, d)| Some((tenant_from_scope(&s)?, d)))
+        .filter_map(|(scope, document)| Some((tenant_from_scope(&scope)?, document)))
         .collect())
 }
 
@@ -166,14 +166,14 @@
 pub fn diff(admin: &mut AdminState, call: &Call) -> Result<Outcome, Problem> {
     let (from, to) = compared_range(call, admin.version())?;
     let object = |all: Vec<(String, Value)>| Value::Object(all.into_iter().collect());
-    let (a, b) = (
+    let (from_document, to_document) = (
         object(documents_at(admin, from)?),
         object(documents_at(admin, to)?),
     );
     Ok(Reply::ok(Comparison {
         from,
         to,
-        differences: difference::compare("", Some(&a), Some(&b)),
+        differences: difference::compare("", Some(&from_document), Some(&to_document)),
     })
     .into())
 }
@@ -183,14 +183,14 @@
     let name = visible_tenant(call)?;
     let now = admin.store()?.next_revision(&scope(name))? - 1;
     let (from, to) = compared_range(call, now)?;
-    let (a, b) = (
+    let (from_document, to_document) = (
         revision(admin, name, from)?.document,
         revision(admin, name, to)?.document,
     );
     Ok(Reply::ok(Comparison {
         from,
         to,
-        differences: difference::compare("", a.as_ref(), b.as_ref()),
+        differences: difference::compare("", from_document.as_ref(), to_document.as_ref()),
     })
     .into())
 }
@@ -230,16 +230,16 @@
     AdminState::check_precondition(call, Some(&admin.service_etag()), true)?;
     let documents = documents_at(admin, to)?;
     let names: BTreeSet<&str> = documents.iter().map(|(name, _)| name.as_str()).collect();
-    let gone = admin
+    let removed = admin
         .tenant_names()
         .filter(|name| !names.contains(&***name));
-    let mut edits: Vec<_> = gone
+    let mut edits: Vec<_> = removed
         .map(|name| (name.to_string(), None, PointerMapping::default()))
         .collect();
     edits.extend(
         documents
             .into_iter()
-            .map(|(name, d)| (name, Some(d), PointerMapping::default())),
+            .map(|(name, document)| (name, Some(document), PointerMapping::default())),
     );
     let detail = Some(format!("to version {to}"));
     admin.change(
@@ -268,7 +268,7 @@
         .audit_log(subject, page_start(call)?, limit + 1)?;
     let items = lines
         .into_iter()
-        .map(|(n, entry)| AuditLine::visible_to(n, entry, &call.principal))
+        .map(|(number, entry)| AuditEntryView::visible_to(number, entry, &call.principal))
         .collect();
-    Ok(Reply::ok(page(items, limit, |l: &AuditLine| l.number)).into())
+    Ok(Reply::ok(page(items, limit, |entry: &AuditEntryView| entry.number)).into())
 }
