--- a/crates/proxy-core/src/account.rs
+++ b/crates/proxy-core/src/account.rs
@@ -32,8 +32,8 @@
     /// Marks the start of event loop work for the tenant. The account measures the time itself.
     fn begin_work(&self);
 
-    /// Marks the end of that work; `rejecting` says that it served to reject something rather than for admitted
-    /// requests.
+    /// Marks the end of that work; `rejecting` is true if the work rejected a connection or a request
+    /// instead of serving an admitted one.
     fn end_work(&self, rejecting: bool);
 
     /// Returns whether a client connection may be read now. Otherwise the waker is called when another check may
--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -25,7 +25,7 @@
 const SEGMENT_BYTES: usize = 192 << 10;
 /// Total bytes of the ring.
 const RING_BYTES: usize = SEGMENT_COUNT * SEGMENT_BYTES;
-/// At shutdown the whole ring is queued for standard error at once, behind lines that are still queued.
+/// At shutdown the complete ring is queued for standard error at once, behind lines that are still queued.
 const _: () = assert!(RING_BYTES + SEGMENT_BYTES <= log::CAPTURE_MAX_BYTES);
 /// Maximum bytes of a segment's header. At least half of the segment is left for records; a longer list is truncated.
 const MAX_HEADER_BYTES: usize = SEGMENT_BYTES / 2;
@@ -133,7 +133,7 @@
             outcome: *end,
         });
         let names = self.names.borrow().clone();
-        self.put(&record(
+        self.write_record(&record(
             &names,
             pending,
             message,
@@ -145,17 +145,17 @@
     /// Writes the record of a request that the front end rejected before it reached the decision module.
     pub fn record_rejected(&self, pending: &PendingRecord, message: &OutboundRequest, code: u16) {
         let names = self.names.borrow().clone();
-        self.put(&record(&names, pending, message, None, code));
+        self.write_record(&record(&names, pending, message, None, code));
     }
 
-    fn put(&self, record: &RequestRecord) {
+    fn write_record(&self, record: &RequestRecord) {
         let line = format!("{record}\n").into_bytes();
         let mut ring = self.ring.borrow_mut();
         if !ring.ring_written || ring.files.is_some() {
-            ring.put(self.clock.now(), &line);
+            ring.append(self.clock.now(), &line);
         }
         if ring.ring_written {
-            self.writer.put(CAPTURE_QUEUE, &line);
+            self.writer.enqueue(CAPTURE_QUEUE, &line);
             self.writer.wake();
         }
     }
@@ -173,7 +173,7 @@
             hosts,
         );
         if ring.ring_written {
-            self.writer.put(CAPTURE_QUEUE, lines.as_bytes());
+            self.writer.enqueue(CAPTURE_QUEUE, lines.as_bytes());
             self.writer.wake();
         }
     }
@@ -183,8 +183,8 @@
         let mut ring = self.ring.borrow_mut();
         ring.ring_written = true;
         ring.seal();
-        for segment in ring.take().filter(|s| !s.is_empty()) {
-            self.writer.put_batch(CAPTURE_QUEUE, segment);
+        for segment in ring.take_segments().filter(|s| !s.is_empty()) {
+            self.writer.enqueue_batch(CAPTURE_QUEUE, segment);
         }
         self.writer.wake();
     }
@@ -320,7 +320,7 @@
     }
 
     /// Adds a line, in the next segment if it doesn't fit into the current one.
-    fn put(&mut self, now: Millis, line: &[u8]) {
+    fn append(&mut self, now: Millis, line: &[u8]) {
         if self
             .segments
             .back()
@@ -360,7 +360,7 @@
         {
             self.wrap(update.received_at); // the header of the next segment has the new list
         } else {
-            self.put(update.received_at, lines.as_bytes());
+            self.append(update.received_at, lines.as_bytes());
         }
         lines
     }
@@ -368,12 +368,12 @@
     /// Queues the current segment for its file.
     fn seal(&mut self) {
         if let (Some(files), Some(segment)) = (&self.files, self.segments.back()) {
-            files.put(self.head.segment, segment);
+            files.enqueue(self.head.segment, segment);
         }
     }
 
     /// Returns all segments: copies if files are still to be written, otherwise the segments themselves.
-    fn take(&mut self) -> impl Iterator<Item = Vec<u8>> {
+    fn take_segments(&mut self) -> impl Iterator<Item = Vec<u8>> {
         let keep = self.files.is_some();
         self.segments
             .iter_mut()
@@ -415,7 +415,7 @@
         Ok(Files { segments, ended })
     }
 
-    fn put(&self, number: u64, segment: &[u8]) {
+    fn enqueue(&self, number: u64, segment: &[u8]) {
         if let Err(TrySendError::Full(_)) = self.segments.try_send((number, segment.to_vec())) {
             note!("capture: segment {number} is lost: capture.dir is too slow");
         }
@@ -501,7 +501,7 @@
         let before: Vec<usize> = ring.segments.iter().map(Vec::capacity).collect();
         assert_eq!(before.iter().sum::<usize>(), RING_BYTES);
         for n in 0..30_000 {
-            ring.put(
+            ring.append(
                 0.0,
                 format!("r {n:016} lookup t sid=- dl=1ms seq=- -> - 503\n").as_bytes(),
             );
@@ -532,7 +532,7 @@
         let mut count = 0;
         while ring.head.segment < 6 {
             count += 1;
-            ring.put(
+            ring.append(
                 0.0,
                 format!("r {count} lookup t sid=- dl=1ms seq=2 -> - 503\n").as_bytes(),
             );
@@ -581,7 +581,7 @@
             ring.segments.iter().all(|s| s.len() <= MAX_HEADER_BYTES),
             "the list is truncated"
         );
-        ring.put(0.0, b"r a lookup t sid=- dl=1ms seq=1 -> - 503\n");
+        ring.append(0.0, b"r a lookup t sid=- dl=1ms seq=1 -> - 503\n");
         assert!(matches!(
             lines(ring.segments.back().expect("one")).last(),
             Some(Line::Request(_))
--- a/crates/proxy-core/src/config.rs
+++ b/crates/proxy-core/src/config.rs
@@ -59,8 +59,8 @@
     pub memory: usize,
     pub peers: Option<PeerAddresses>,
     /// Endpoint list as last received, in discovery's format; it may be outdated or null.
-    pub known: Value,
-    pub terms: ReloadableSettings,
+    pub cached_list: Value,
+    pub reloadable: ReloadableSettings,
     pub connections: ConnectionSettings,
     pub initial_keys: InitialKeys,
 }
@@ -74,22 +74,22 @@
 /// Settings that a reload at SIGHUP can change.
 pub struct Change {
     pub discovery: SocketAddr,
-    pub terms: ReloadableSettings,
+    pub reloadable: ReloadableSettings,
     pub connections: ConnectionSettings,
 }
 
-/// Reads the file again for a reload. It is either valid as a whole or rejected as a whole; the message of an error names
-/// the file, the key and the reason.
+/// Reads the file again for a reload. One invalid value rejects the complete file; the message of an error names the
+/// file, the key and the reason.
 pub fn read_change(
     path: &Path,
     initial_keys: &InitialKeys,
     current: &ReloadableSettings,
 ) -> Result<Change, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    change(&text, initial_keys, current).map_err(|e| format!("{}: {e}", path.display()))
+    parse_change(&text, initial_keys, current).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn change(
+fn parse_change(
     text: &str,
     initial_keys: &InitialKeys,
     current: &ReloadableSettings,
@@ -97,26 +97,26 @@
     if text.trim().is_empty() {
         return Err("the file is empty".into());
     }
-    let whole: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    let document: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
     if let Some(key) = initial_keys
         .keys
         .iter()
-        .find(|key| whole.get(key.as_str()).is_none())
+        .find(|key| document.get(key.as_str()).is_none())
     {
         return Err(format!("{key}: the key is missing"));
     }
-    let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
-    let terms = current.reload(&file.settings).map_err(|e| e.to_string())?;
-    if terms.settings.proxy_index >= terms.settings.proxy_count {
+    let file = File::deserialize(&document).map_err(|e| e.to_string())?;
+    let reloadable = current.reload(&file.settings).map_err(|e| e.to_string())?;
+    if reloadable.settings.proxy_index >= reloadable.settings.proxy_count {
         return Err(format!(
             "settings.myNumber: {} of {}",
-            terms.settings.proxy_index, terms.settings.proxy_count
+            reloadable.settings.proxy_index, reloadable.settings.proxy_count
         ));
     }
     Ok(Change {
         discovery: file.discovery,
         connections: ConnectionSettings::from_json(&file.settings),
-        terms,
+        reloadable,
     })
 }
 
@@ -130,9 +130,9 @@
 const OPTIONAL_AT_RELOAD: [&str; 5] = ["known", "ops", "peer_listen", "peers", "peers_all"];
 
 fn parse(text: &str) -> Result<Config, String> {
-    let whole: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let file = File::deserialize(&whole).map_err(|e| e.to_string())?;
-    let keys = whole
+    let document: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    let file = File::deserialize(&document).map_err(|e| e.to_string())?;
+    let keys = document
         .as_object()
         .into_iter()
         .flatten()
@@ -144,8 +144,8 @@
         return Err("'settings' is no object".into());
     }
     let connections = ConnectionSettings::from_json(&file.settings);
-    let terms = ReloadableSettings::from_json(file.settings);
-    let (settings, names) = (&terms.settings, &terms.names);
+    let reloadable = ReloadableSettings::from_json(file.settings);
+    let (settings, names) = (&reloadable.settings, &reloadable.names);
     if settings.classes.is_empty() || names.classes.iter().any(String::is_empty) {
         return Err("'settings' has no named classes".into());
     }
@@ -179,10 +179,10 @@
             .unwrap_or(DEFAULT_MEMORY_MB)
             * 1e6) as usize,
         peers,
-        known: file.known,
+        cached_list: file.known,
         connections,
         initial_keys: InitialKeys { keys },
-        terms,
+        reloadable,
     })
 }
 
@@ -216,7 +216,7 @@
                 idle_timeout: 30_000.0
             }
         );
-        assert_eq!(config.terms.names.classes, ["page"]);
+        assert_eq!(config.reloadable.names.classes, ["page"]);
         assert_eq!(config.peers.expect("gossip is enabled").peers.len(), 1);
     }
 
@@ -234,18 +234,19 @@
     fn a_reloaded_file_is_valid_as_a_whole_or_rejected_as_a_whole() {
         let first = parse(VALID).expect("good");
         let error = |text: &str| {
-            change(text, &first.initial_keys, &first.terms)
+            parse_change(text, &first.initial_keys, &first.reloadable)
                 .err()
                 .unwrap_or_default()
         };
         let changed_file = VALID
             .replace(":8500", ":8600")
             .replace("\"deadline\":900", "\"deadline\":700");
-        let reloaded = change(&changed_file, &first.initial_keys, &first.terms).expect("good");
+        let reloaded =
+            parse_change(&changed_file, &first.initial_keys, &first.reloadable).expect("good");
         assert_eq!(
             (
                 reloaded.discovery.port(),
-                reloaded.terms.settings.classes[0].deadline
+                reloaded.reloadable.settings.classes[0].deadline
             ),
             (8600, 700.0)
         );
--- a/crates/proxy-core/src/connection.rs
+++ b/crates/proxy-core/src/connection.rs
@@ -166,7 +166,7 @@
 pub const MAX_READS_PER_POLL: usize = 4;
 
 /// A client's socket, which is read only while its account permits it. The HTTP library gets one request at a time:
-/// while it holds bytes of a further request it would not notice that the client disconnects.
+/// with bytes of a further request in its buffer it would not notice that the client disconnects.
 pub struct ClientSocket {
     pub stream: Rc<RefCell<TcpStream>>,
     pub client: Rc<ClientConnection>,
@@ -179,8 +179,8 @@
         cx: &mut Context,
         buf: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        // The rest of an admitted request is read whatever the account says, because the request holds the resources
-        // that the account lacks.
+        // The rest of an admitted request is read even if the account permits no reading, because the request
+        // occupies the resources that the account lacks.
         let admitted = self.client.active.get() && !self.client.rejecting.get();
         let must_wait =
             |account: &Rc<dyn TenantAccount>| !admitted && !account.may_read(cx.waker());
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -27,17 +27,17 @@
 /// Time without data after which a watch is opened again. A watch sends an empty line every 2 s; if neither such a line
 /// nor a complete object arrives, its connection hangs or discovery has stopped sending.
 ///
-/// An update has to be known 6 s after discovery had it and was reachable, whichever calls failed. If lists are pushed,
-/// a silent watch is abandoned after 2.5 s. Then follow a first backoff of at most 75 ms and a call, which is answered
-/// at once. A call that hangs adds [`CALL_INTERVAL`], one that fails a backoff: 2.5 + 0.075 + 0.35 + 0.15 + 0.3 + 0.375 =
-/// 3.75 s after one call that hangs and three that fail. A watch that opens and then sends nothing is abandoned after
-/// another 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The last term of the first sum is the longest backoff of
-/// [`crate::backoff`].
+/// An update must be applied within 6 s of being available at a reachable discovery, whichever calls failed. If lists
+/// are pushed, a silent watch is abandoned after 2.5 s. Then follow a first backoff of at most 75 ms and a call, which
+/// is answered at once. A call that hangs adds [`CALL_INTERVAL`], one that fails a backoff: 2.5 + 0.075 + 0.35 + 0.15
+/// + 0.3 + 0.375 = 3.75 s after one call that hangs and three that fail. A watch that opens and then sends nothing is
+/// abandoned after another 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The last term of the first sum is the longest
+/// backoff of [`crate::backoff`].
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval and maximum number of concurrent calls if lists are pushed. The discovery agent on the same machine answers
 /// at once or not at all, so it is called again at this interval while earlier calls hang, and its return is noticed
-/// within the interval. The first call is kept, so that a slow answer is still used.
+/// within the interval. Earlier calls are not cancelled, so that a slow answer is still used.
 const CALL_INTERVAL: Duration = Duration::from_millis(350);
 const MAX_CALLS: usize = 4;
 /// Timeout of a call if lists are requested. The service queues the calls of all proxies, and repeating a call would put
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -40,8 +40,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1); // interval of checks for idle connections
 /// The idle time after which a pool may sleep; by then the balancer's averages and slots no longer change.
 const SLEEP_AFTER: Duration = Duration::from_secs(10);
-/// The number of balancer ticks that a pool catches up on when it wakes; as many as it takes to check all endpoints
-/// once.
+/// The number of missed balancer ticks that a pool runs when it wakes, which is enough to check all endpoints once.
 const CATCH_UP_TICKS: usize = 5;
 
 /// A request without an answer or with attempts in flight.
@@ -74,7 +73,7 @@
     pub inbox: Inbox,
     pub upstreams: Rc<Upstreams>,
     pub peers: Option<Rc<Peers>>,
-    /// The source of fetched lists, if the balancer asks for them.
+    /// The address to fetch complete lists from, if the balancer requests them.
     pub discovery: Option<Rc<DiscoveryAddress>>,
     /// The pool's part of the decision gate, in a process that is a member of a cluster.
     pub gate: Option<Rc<PoolGate>>,
@@ -361,15 +360,16 @@
 
     /// Fails a request that has no answer in time. It may have been executed, so it is not rejected.
     fn fail_at_deadline(&mut self, id: RequestId) {
-        let body_incomplete = |r: &ActiveRequest| {
-            r.outbound
+        let body_incomplete = |active: &ActiveRequest| {
+            active
+                .outbound
                 .body
                 .upload()
-                .is_some_and(|u| u.is_partly_sent() && !u.is_complete())
+                .is_some_and(|upload| upload.is_partly_sent() && !upload.is_complete())
         };
-        if self.requests.get(&id).is_some_and(|r| {
-            body_incomplete(r) && r.attempts_in_flight > 0
-                || r.deadline > Instant::now() + 2 * ANSWER_MARGIN
+        if self.requests.get(&id).is_some_and(|active| {
+            body_incomplete(active) && active.attempts_in_flight > 0
+                || active.deadline > Instant::now() + 2 * ANSWER_MARGIN
         }) {
             return; // its timeout has not started or was started again
         }
@@ -519,7 +519,9 @@
         let in_flight = self
             .requests
             .values()
-            .filter(|r| r.class.is_some() && (r.response_sender.is_some() || r.streaming))
+            .filter(|active| {
+                active.class.is_some() && (active.response_sender.is_some() || active.streaming)
+            })
             .count();
         Gauges {
             in_flight,
@@ -529,8 +531,8 @@
     }
 
     fn remove_if_done(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|r| {
-            r.response_sender.is_none() && !r.streaming && r.attempts_in_flight == 0
+        if self.requests.get(&id).is_some_and(|active| {
+            active.response_sender.is_none() && !active.streaming && active.attempts_in_flight == 0
         }) {
             self.requests.remove(&id);
         }
@@ -597,10 +599,10 @@
             id,
             zone: host
                 .site
-                .map(|z| ZoneId(intern(&mut self.names.zones, &z) as u32)),
-            machine_type: host
-                .class
-                .map(|k| MachineTypeId(intern(&mut self.names.machine_types, &k) as u32)),
+                .map(|zone| ZoneId(intern(&mut self.names.zones, &zone) as u32)),
+            machine_type: host.class.map(|machine_type| {
+                MachineTypeId(intern(&mut self.names.machine_types, &machine_type) as u32)
+            }),
             cell: host.block.map(CellId),
             state,
             weight: host.share.unwrap_or(1.0),
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -20,12 +20,12 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::inbox::STATUS_CLIENT_CLOSED;
-use crate::line_writer::{LineWriter, write_whole};
+use crate::line_writer::{LineWriter, write_fully};
 use crate::log::{self, METRICS_MAX_BYTES, METRICS_QUEUE};
 use crate::message::class_name;
 use crate::note;
 
-/// Queued bytes from which on the threads are woken before the flush.
+/// Number of queued bytes at which the writer threads are woken before the next flush.
 const EARLY_WAKE_BYTES: usize = 32 << 10;
 /// Maximum bytes of one write to a file.
 const FILE_BATCH_BYTES: usize = 8 << 10;
@@ -162,7 +162,7 @@
         }
         let tags = self.tags(series.class_and_tenant, Some(&series));
         let ms = took.as_secs_f64() * 1000.0;
-        self.put(
+        self.enqueue_metric(
             &mut state,
             "canvascart.latency_ms",
             format_args!("{ms:.3}"),
@@ -180,7 +180,7 @@
         let mut state = self.state.borrow_mut();
         for (series, count) in std::mem::take(&mut state.requests) {
             let tags = self.tags(series.class_and_tenant, Some(&series));
-            self.put(
+            self.enqueue_metric(
                 &mut state,
                 "canvascart.requests",
                 format_args!("{count}"),
@@ -195,7 +195,7 @@
             .collect();
         for (class_and_tenant, count) in gauges {
             let tags = self.tags(class_and_tenant, None);
-            self.put(
+            self.enqueue_metric(
                 &mut state,
                 "canvascart.inflight",
                 format_args!("{count}"),
@@ -209,7 +209,7 @@
             .map(|(writer, queue)| writer.take_dropped(*queue))
             .sum();
         if dropped > 0 {
-            self.put(
+            self.enqueue_metric(
                 &mut state,
                 "canvascart.figures_dropped",
                 format_args!("{dropped}"),
@@ -269,7 +269,14 @@
     }
 
     /// Formats a metric and queues its line.
-    fn put(&self, state: &mut State, name: &str, value: fmt::Arguments, kind: Kind, tags: &str) {
+    fn enqueue_metric(
+        &self,
+        state: &mut State,
+        name: &str,
+        value: fmt::Arguments,
+        kind: Kind,
+        tags: &str,
+    ) {
         let line = match self.format {
             Format::Statsd => {
                 let tags = if tags.is_empty() {
@@ -295,7 +302,7 @@
         };
         state.unwoken_bytes += line.len();
         for (writer, queue) in &self.writers {
-            writer.put(*queue, line.as_bytes());
+            writer.enqueue(*queue, line.as_bytes());
         }
     }
 }
@@ -374,13 +381,13 @@
     if value.is_empty() { "_".into() } else { value }
 }
 
-/// Appends lines to a file. The file is opened for each write, so that one that has been moved, for example by log
-/// rotation, is no longer written.
+/// Appends lines to a file. The file is opened for each write, so that after a log rotation the lines go to the new
+/// file instead of the renamed one.
 fn file_writer(file: PathBuf) -> impl FnMut(&[u8]) + Send {
     let mut last_logged: Option<Instant> = None;
     move |lines| {
         let written = OpenOptions::new().append(true).create(true).open(&file);
-        let written = written.and_then(|mut file| write_whole(&mut file, lines));
+        let written = written.and_then(|mut file| write_fully(&mut file, lines));
         let recently_logged = last_logged.is_some_and(|at| at.elapsed() < ERROR_LOG_INTERVAL);
         if let Err(e) = written
             && !recently_logged
--- a/crates/proxy-core/src/frontend.rs
+++ b/crates/proxy-core/src/frontend.rs
@@ -58,12 +58,13 @@
 /// The upper bound on emptying the accept queue, in case connections keep arriving.
 const MAX_ACCEPT_DRAIN: Duration = Duration::from_millis(500);
 /// The interval of checks for idle connections to close while connections are not kept alive.
-const CHECK_INTERVAL: Duration = Duration::from_millis(25);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// The time for sending the last answers, after the longest deadline.
 const FINISH_MARGIN: Duration = Duration::from_millis(200);
 /// The time without I/O after which a connection that is being shut down is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The time for which a new connection is spared for its first request when connections are scarce.
+/// When connections are scarce, the time for which a new connection may wait for its first request before it is
+/// closed.
 const FIRST_REQUEST_WAIT: Duration = Duration::from_secs(2);
 /// The retry delay in ms when there is no memory for another body.
 const MEMORY_RETRY_AFTER_MS: f64 = 500.0;
@@ -83,13 +84,14 @@
 
 /// Selects the pool of a request.
 pub trait Router: 'static {
-    /// Returns the pool for a request's head; `had_turn` says that the request has waited for its turn.
+    /// Returns the pool for a request's head; `had_turn` is true if the request has already waited in
+    /// [`wait_for_turn`](Self::wait_for_turn).
     ///
     /// # Errors
     /// There is no pool now.
     fn pool(&self, uri: &Uri, headers: &HeaderMap, had_turn: bool) -> Result<Rc<Pool>, RouteError>;
 
-    /// Waits for a turn to have a pool started.
+    /// Waits until it is the request's turn to have its pool started.
     fn wait_for_turn(&self) -> impl Future<Output = ()> {
         std::future::ready(())
     }
@@ -181,7 +183,8 @@
 
     /// Accepts and serves connections until `stop`, then finishes the active requests.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
-        let close_task = AbortOnDrop(spawn_local(self.clone().close_unkept()).abort_handle());
+        let close_task =
+            AbortOnDrop(spawn_local(self.clone().close_idle_without_keep_alive()).abort_handle());
         tokio::pin!(stop);
         loop {
             let accepts = self
@@ -219,7 +222,7 @@
                 note!("shutdown: closing connections that are still active");
                 break;
             }
-            let _ = timeout(CHECK_INTERVAL, self.connection_closed.notified()).await;
+            let _ = timeout(IDLE_CHECK_INTERVAL, self.connection_closed.notified()).await;
         }
         drop(close_task);
     }
@@ -244,11 +247,11 @@
     }
 
     /// Closes idle connections while they are not kept alive, for as long as the listener is served.
-    async fn close_unkept(self: Rc<Self>) {
+    async fn close_idle_without_keep_alive(self: Rc<Self>) {
         loop {
             if self
                 .lifecycle
-                .read(|lifecycle, _| lifecycle.keeps_connections())
+                .read(|lifecycle, _| lifecycle.keeps_connections_alive())
             {
                 self.lifecycle.changed().await;
                 continue;
@@ -260,7 +263,7 @@
                     }
                 }
             });
-            sleep(CHECK_INTERVAL).await;
+            sleep(IDLE_CHECK_INTERVAL).await;
         }
     }
 
@@ -319,11 +322,12 @@
     }
 
     /// Asks up to `max_count` connections between requests to close, starting with the longest idle. A connection
-    /// without a request so far is spared for a while, because closing it would lose a request on its way.
-    fn close_idle(&self, max_count: usize, spare: Duration) {
+    /// without a request so far is left open for a while, because closing it would lose a request on its way.
+    fn close_idle(&self, max_count: usize, first_request_wait: Duration) {
         let clients = self.clients.borrow();
         let idle = |c: &&Rc<ClientConnection>| {
-            !c.active.get() && (c.answered_before.get() || c.idle_since.get().elapsed() >= spare)
+            !c.active.get()
+                && (c.answered_before.get() || c.idle_since.get().elapsed() >= first_request_wait)
         };
         let mut idle: Vec<&Rc<ClientConnection>> = clients.values().filter(idle).collect();
         idle.sort_by_key(|c| c.idle_since.get());
@@ -373,7 +377,7 @@
                     || client.has_overflowed()
                     || !frontend
                         .lifecycle
-                        .read(|lifecycle, _| lifecycle.keeps_connections());
+                        .read(|lifecycle, _| lifecycle.keeps_connections_alive());
                 if close_after {
                     response
                         .headers_mut()
@@ -432,7 +436,7 @@
                             if !client.active.get() && last_io + CLOSE_TIMEOUT <= now {
                                 break false;
                             }
-                            close_deadline = Some((last_io + CLOSE_TIMEOUT).max(at + CHECK_INTERVAL));
+                            close_deadline = Some((last_io + CLOSE_TIMEOUT).max(at + IDLE_CHECK_INTERVAL));
                         }
                         if client.active.get() && last_io + STALLED_CLIENT_TIMEOUT + self.router.max_deadline() <= now {
                             break false;
@@ -448,7 +452,7 @@
                     continue;
                 }
                 // Closing now would lose a request that has arrived but has not been read. It is read next, unless
-                // the tenant's account holds it back: then closing is tried again later, and forced after a while.
+                // the tenant's account defers reading: then closing is tried again later, and forced after a while.
                 let now = Instant::now();
                 if client.pipelined_is_empty() && has_no_unread_input(&stream.borrow())
                     || client.next_check() + IDLE_TIMEOUT <= now
@@ -456,7 +460,7 @@
                     connection.as_mut().graceful_shutdown();
                     close_deadline = Some(now + CLOSE_TIMEOUT);
                 } else {
-                    next_close_attempt = now + CHECK_INTERVAL;
+                    next_close_attempt = now + IDLE_CHECK_INTERVAL;
                 }
             }
         };
--- a/crates/proxy-core/src/gate.rs
+++ b/crates/proxy-core/src/gate.rs
@@ -1,5 +1,6 @@
 //! Decision gate of a process that is a member of a cluster: whether a request may be decided now, and under which
-//! version of the configuration. The lease that permits decisions is held elsewhere and is checked for each decision.
+//! version of the configuration. The lease that permits decisions is managed outside this module and is checked for each
+//! decision.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -121,8 +121,8 @@
         self.shared
     }
 
-    /// Returns true if connections are kept open after an answer.
-    pub fn keeps_connections(&self) -> bool {
+    /// Returns true if connections are kept alive after an answer.
+    pub fn keeps_connections_alive(&self) -> bool {
         matches!(self.phase(), Phase::Starting | Phase::Serving)
     }
 
--- a/crates/proxy-core/src/line_writer.rs
+++ b/crates/proxy-core/src/line_writer.rs
@@ -1,4 +1,4 @@
-//! Threads that write lines. Callers that hand lines over never block: each kind of line has a bounded queue, which
+//! Threads that write lines. Callers that queue lines never block: each kind of line has a bounded queue, which
 //! drops its oldest lines when it is full.
 
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 /// Delay before a write to a full non-blocking descriptor is repeated.
 const WOULD_BLOCK_DELAY: Duration = Duration::from_millis(10);
 
-/// Queue of lines to write, in batches of whole lines. A batch is one write.
+/// Queue of lines to write, in batches of complete lines. A batch is one write.
 struct Queue {
     batches: VecDeque<Vec<u8>>,
     bytes: usize,
@@ -47,7 +47,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // The queues hold whole lines even after a panic in another thread.
+        // The queues hold complete lines even after a panic in another thread.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -57,7 +57,7 @@
 pub struct LineWriter(Arc<Shared>);
 
 impl LineWriter {
-    /// Starts a thread that passes whole lines to `write`, those of the first queue first. `max_bytes` bounds each
+    /// Starts a thread that passes complete lines to `write`, those of the first queue first. `max_bytes` bounds each
     /// queue. `batch` bounds a write, except for a single line that is longer.
     pub fn start(
         name: &str,
@@ -92,8 +92,8 @@
         Ok(writer)
     }
 
-    /// Queues whole lines. The thread writes them at its next wake-up.
-    pub fn put(&self, queue: usize, lines: &[u8]) {
+    /// Queues complete lines. The thread writes them at its next wake-up.
+    pub fn enqueue(&self, queue: usize, lines: &[u8]) {
         let mut state = self.0.lock();
         let queue = &mut state.queues[queue];
         queue.bytes += lines.len();
@@ -112,8 +112,8 @@
         queue.drop_excess();
     }
 
-    /// Queues whole lines as a batch of their own.
-    pub fn put_batch(&self, queue: usize, lines: Vec<u8>) {
+    /// Queues complete lines as a batch of their own.
+    pub fn enqueue_batch(&self, queue: usize, lines: Vec<u8>) {
         let mut state = self.0.lock();
         let queue = &mut state.queues[queue];
         queue.bytes += lines.len();
@@ -173,7 +173,7 @@
 }
 
 /// Writes all bytes, also to a non-blocking descriptor: a partial line would merge with the next one.
-pub fn write_whole(out: &mut impl Write, mut bytes: &[u8]) -> io::Result<()> {
+pub fn write_fully(out: &mut impl Write, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match out.write(bytes) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -203,16 +203,16 @@
             let _ = blocked.recv(); // blocks the thread until the sender is dropped
         };
         let writer = LineWriter::start("test", &[100, 8], 4, write).expect("a thread");
-        writer.put(1, b"first\n");
+        writer.enqueue(1, b"first\n");
         writer.wake();
         assert_eq!(
             written.recv_timeout(LONG_TIMEOUT).expect("a write"),
             b"first\n"
         );
         for line in ["a\nb\n", "cc\n", "d\n", "e\n"] {
-            writer.put(1, line.as_bytes());
+            writer.enqueue(1, line.as_bytes());
         }
-        writer.put(0, b"log\n");
+        writer.enqueue(0, b"log\n");
         assert_eq!(
             (
                 writer.take_dropped(1),
@@ -241,9 +241,9 @@
         let write = move |bytes: &[u8]| out.send(bytes.to_vec()).expect("the test listens");
         let writer = LineWriter::start("test", &[100], 8, write).expect("a thread");
         for line in ["12\n", "345\n", "6\n", "789012\n"] {
-            writer.put(0, line.as_bytes());
+            writer.enqueue(0, line.as_bytes());
         }
-        writer.put_batch(0, b"1234567890\n".to_vec());
+        writer.enqueue_batch(0, b"1234567890\n".to_vec());
         assert!(writer.finish(LONG_TIMEOUT));
         let all: Vec<Vec<u8>> = written.try_iter().collect();
         assert_eq!(
@@ -273,7 +273,7 @@
     #[test]
     fn partial_writes_are_repeated_until_the_line_is_complete() {
         let mut out = SlowWriter(Vec::new(), false);
-        write_whole(&mut out, b"a line\n").expect("all bytes are written");
+        write_fully(&mut out, b"a line\n").expect("all bytes are written");
         assert_eq!(out.0, b"a line\n");
     }
 }
--- a/crates/proxy-core/src/log.rs
+++ b/crates/proxy-core/src/log.rs
@@ -6,7 +6,7 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use crate::line_writer::{LineWriter, write_whole};
+use crate::line_writer::{LineWriter, write_fully};
 
 /// Maximum bytes queued while standard error is not read: log lines, the capture, and metrics.
 const LOG_MAX_BYTES: usize = 64 << 10;
@@ -75,12 +75,12 @@
     };
     let dropped = writer.take_dropped(LOG_QUEUE);
     if dropped > 0 {
-        writer.put(
+        writer.enqueue(
             LOG_QUEUE,
             format!("{}: {dropped} lines lost\n", program_name()).as_bytes(),
         );
     }
-    writer.put(
+    writer.enqueue(
         LOG_QUEUE,
         format!("{}: {text}\n", program_name()).as_bytes(),
     );
@@ -94,7 +94,7 @@
         return Ok(writer);
     }
     // Lines are lost once standard error is closed.
-    let write = |lines: &[u8]| write_whole(&mut std::io::stderr(), lines).unwrap_or_default();
+    let write = |lines: &[u8]| write_fully(&mut std::io::stderr(), lines).unwrap_or_default();
     let max_bytes = [LOG_MAX_BYTES, CAPTURE_MAX_BYTES, METRICS_MAX_BYTES];
     let writer = LineWriter::start("stderr", &max_bytes, BATCH_BYTES, write)?;
     Ok(WRITER.get_or_init(|| writer))
--- a/crates/proxy-core/src/ops.rs
+++ b/crates/proxy-core/src/ops.rs
@@ -39,9 +39,9 @@
 /// Delay after a failed accept, which prevents a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Listener's access to the other parts of the proxy.
+/// Operations listener, with the parts of the proxy that it reports on and controls.
 pub struct OperationsListener {
-    pub life: Rc<SharedLifecycle>,
+    pub lifecycle: Rc<SharedLifecycle>,
     pub counts: Rc<Counters>,
     pub inbox: Inbox,
 }
@@ -124,7 +124,7 @@
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
-        let (code, text) = match self.life.read(|life, _| life.phase()) {
+        let (code, text) = match self.lifecycle.read(|lifecycle, _| lifecycle.phase()) {
             Phase::Serving => (StatusCode::OK, "serving\n"),
             Phase::Starting => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -140,7 +140,10 @@
     }
 
     fn lame_duck(&self, on: bool) -> Response<Full<Bytes>> {
-        if !self.life.update(|life, now| life.set_lame_duck(now, on)) {
+        if !self
+            .lifecycle
+            .update(|lifecycle, now| lifecycle.set_lame_duck(now, on))
+        {
             return text_response(
                 StatusCode::CONFLICT,
                 "the process leaves: it takes no clients any more\n",
--- a/crates/proxy-core/src/process.rs
+++ b/crates/proxy-core/src/process.rs
@@ -36,11 +36,11 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// Minimum number of descriptors for clients and endpoints.
 const MIN_DESCRIPTORS: usize = 16;
-/// Number and length of the waits before the remembered list is used, if discovery has not answered by then. It is not
+/// Number and length of the waits before the cached list is used, if discovery has not answered by then. It is not
 /// used earlier, because the list of the discovery agent counts as known from the start of the process. Several short
 /// waits instead of a long one let a process that gets little CPU time read an answer that has arrived before it uses
 /// an older list.
-const REMEMBERED_LIST_WAITS: (u32, Duration) = (10, Duration::from_millis(50));
+const CACHED_LIST_WAITS: (u32, Duration) = (10, Duration::from_millis(50));
 
 /// Maximum wait at shutdown for queued output of the features: its reader may be absent.
 const SHUTDOWN_OUTPUT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -56,8 +56,8 @@
     };
     log::start_writer_thread()?; // each affected request is logged
     let drills_listener = frontend::listen((config.listen.ip(), port).into())?;
-    let classes = config.terms.names.classes.clone();
-    // A seed of their own keeps the random draws of the decision module unchanged.
+    let classes = config.reloadable.names.classes.clone();
+    // The drills have a separate seed, so that the random draws of the decision module stay the same.
     let drills = Drills::new(secret.clone(), settings.max_duration, classes, !config.seed);
     Ok((Some(drills), Some(drills_listener)))
 }
@@ -84,20 +84,22 @@
         };
         self.discovery_address.set(change.discovery);
         self.upstreams.configure(&change.connections);
-        if change.terms.source == current.source {
+        if change.reloadable.source == current.source {
             return;
         }
         // The decision module has the settings before the first request that is read with them.
-        pool.inbox
-            .send(Input::Settings(Box::new(change.terms.settings.clone())));
-        pool.counts.register_classes(&change.terms.names.classes);
-        pool.features.update_names(&change.terms.names);
+        pool.inbox.send(Input::Settings(Box::new(
+            change.reloadable.settings.clone(),
+        )));
+        pool.counts
+            .register_classes(&change.reloadable.names.classes);
+        pool.features.update_names(&change.reloadable.names);
         let classes = change
-            .terms
+            .reloadable
             .names
             .classes
             .iter()
-            .zip(&change.terms.accepted_classes);
+            .zip(&change.reloadable.accepted_classes);
         let accepted: Vec<&str> = classes
             .filter(|(_, accepted)| **accepted)
             .map(|(name, _)| name.as_str())
@@ -106,7 +108,7 @@
             "new settings are in service; classes: {}",
             accepted.join(", ")
         );
-        pool.reloadable.replace(Rc::new(change.terms));
+        pool.reloadable.replace(Rc::new(change.reloadable));
     }
 }
 
@@ -139,14 +141,14 @@
         None => None,
     };
     let clock = Clock::default();
-    let life = Rc::new(SharedLifecycle::new(clock, config.inherited.is_some()));
+    let lifecycle = Rc::new(SharedLifecycle::new(clock, config.inherited.is_some()));
     let counts = Rc::new(Counters::default());
-    counts.register_classes(&config.terms.names.classes);
+    counts.register_classes(&config.reloadable.names.classes);
     let capture = if features.capture.enabled {
         let (node, given, names) = (
             &config.name,
-            config.terms.source.to_string(),
-            config.terms.names.clone(),
+            config.reloadable.source.to_string(),
+            config.reloadable.names.clone(),
         );
         let capture = Capture::new(&features.capture, node, config.seed, &given, names, clock)?;
         Some(Rc::new(capture))
@@ -202,23 +204,24 @@
         account: None,
         may_sleep: false,
         subscribe: watch.clone(),
-        lifecycle: life.clone(),
+        lifecycle: lifecycle.clone(),
         counts: counts.clone(),
     };
-    let pushed = config.terms.settings.discovery == balancer::Discovery::Pushed;
-    let balancer = Balancer::new(config.terms.settings.clone(), config.seed);
-    let driver = spawn_local(Driver::new(balancer, config.terms.names.clone(), parts).run(inputs));
+    let pushed = config.reloadable.settings.discovery == balancer::Discovery::Pushed;
+    let balancer = Balancer::new(config.reloadable.settings.clone(), config.seed);
+    let driver =
+        spawn_local(Driver::new(balancer, config.reloadable.names.clone(), parts).run(inputs));
     // The clock of the decision module starts with its first event.
     inbox.send(Input::EndpointList {
         scope: UpdateScope::Cached,
         seq: None,
         hosts: Vec::new(),
     });
-    if let Some((seq, hosts)) = hosts::parse_cached(&config.known) {
+    if let Some((seq, hosts)) = hosts::parse_cached(&config.cached_list) {
         let inbox = inbox.clone();
         spawn_local(async move {
-            for _ in 0..REMEMBERED_LIST_WAITS.0 {
-                tokio::time::sleep(REMEMBERED_LIST_WAITS.1).await;
+            for _ in 0..CACHED_LIST_WAITS.0 {
+                tokio::time::sleep(CACHED_LIST_WAITS.1).await;
             }
             inbox.send(Input::EndpointList {
                 scope: UpdateScope::Cached,
@@ -241,8 +244,8 @@
     // get most of the budget. Another eighth is accepted beyond `max_clients` only to be rejected.
     let max_clients = budget * 5 / 8;
     let figures = if features.metrics.enabled {
-        let figures =
-            MetricsExporter::new(&features.metrics, &config.terms.names).map_err(at("metrics"))?;
+        let figures = MetricsExporter::new(&features.metrics, &config.reloadable.names)
+            .map_err(at("metrics"))?;
         spawn_local(figures.clone().flush_periodically());
         Some(figures)
     } else {
@@ -252,7 +255,7 @@
         let address = listener.local_addr().map_err(at("operations listener"))?;
         note!("operators' door on {address}");
         let operations = OperationsListener {
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
             counts: counts.clone(),
             inbox: inbox.clone(),
         };
@@ -263,11 +266,11 @@
         drills: drills.clone(),
         figures: figures.clone(),
     };
-    let reloadable = RefCell::new(Rc::new(config.terms));
+    let reloadable = RefCell::new(Rc::new(config.reloadable));
     let pool = Rc::new(Pool {
         inbox,
         reloadable,
-        lifecycle: life.clone(),
+        lifecycle: lifecycle.clone(),
         counts: counts.clone(),
         body_memory,
         features,
@@ -290,7 +293,7 @@
         SinglePool { pool, upstreams },
         max_clients,
         Rc::default(),
-        life.clone(),
+        lifecycle.clone(),
     );
     let address = listener.local_addr().map_err(at("listener"))?;
     note!("{} listens on {address}", config.name);
--- a/crates/proxy-core/src/stream.rs
+++ b/crates/proxy-core/src/stream.rs
@@ -20,7 +20,7 @@
 pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
 /// The largest body of a request or a response.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// The time without progress after which a body is given up.
+/// The time without progress after which a body is aborted.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The lowest mean rate at which a body must arrive since its first byte; clients send twice as fast.
 const MIN_BYTES_PER_SECOND: f64 = 32e3;
@@ -104,7 +104,7 @@
 }
 
 impl BodyBuffer {
-    /// Appends received data; `length` is the announced length of the whole body.
+    /// Appends received data; `length` is the announced length of the complete body.
     pub fn add(&mut self, data: Bytes, length: Option<u64>) {
         if self.single.is_empty() && self.joined.is_empty() {
             self.single = data; // most bodies arrive in one piece
@@ -137,7 +137,7 @@
 pub struct Upload {
     /// The buffered beginning, which each attempt sends first.
     prefix: Bytes,
-    /// The whole length, if the client has announced it.
+    /// The length of the complete body, if the client has announced it.
     length: Option<u64>,
     rest: RefCell<Option<Incoming>>,
     received: Cell<u64>,
@@ -174,7 +174,7 @@
         self.partly_sent.get()
     }
 
-    /// Returns whether the client failed to send the whole body.
+    /// Returns whether the client failed to send the complete body.
     pub fn is_client_lost(&self) -> bool {
         self.client_lost.get()
     }
@@ -201,7 +201,7 @@
         self.last_progress.set(Instant::now());
     }
 
-    /// Returns when the body is given up unless there is progress.
+    /// Returns the time at which the body is aborted unless there is progress.
     pub fn stalls_at(&self) -> Instant {
         self.last_progress.get() + STALL_TIMEOUT
     }
@@ -259,7 +259,7 @@
 /// The body of a request that is forwarded.
 #[derive(Clone)]
 pub enum RequestContent {
-    /// The whole body is buffered.
+    /// The complete body is buffered.
     Buffered(Bytes),
     Streamed(Rc<Upload>),
 }
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -39,7 +39,7 @@
 const SETTLE_TIME: Duration = Duration::from_millis(20);
 /// The longest wait for a connection to become ready for its next request.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// The time without data after which a response that has begun is given up.
+/// The time without data after which a response that has begun is aborted.
 const RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The buffer size of a connection, which also limits the head of a response.
 const CONNECTION_BUFFER_BYTES: usize = 32 << 10;
@@ -343,7 +343,7 @@
             .set(duration(connections.idle_timeout * IDLE_FRACTION));
     }
 
-    /// Registers an endpoint process for the care of its idle connections.
+    /// Registers an endpoint process, so that its expired idle connections are closed.
     pub fn add(&self, endpoint: &Rc<Endpoint>) {
         self.endpoints.borrow_mut().push(endpoint.clone());
     }
@@ -372,12 +372,12 @@
     pub fn close_longest_idle(&self) {
         let endpoints = self.endpoints.borrow();
         let oldest = |e: &Rc<Endpoint>| e.idle.borrow().first().map(|i| i.since);
-        if let Some(e) = endpoints
+        if let Some(endpoint) = endpoints
             .iter()
             .filter(|e| oldest(e).is_some())
             .min_by_key(|e| oldest(e))
         {
-            e.idle.borrow_mut().remove(0);
+            endpoint.idle.borrow_mut().remove(0);
         }
     }
 
@@ -600,7 +600,7 @@
     pub endpoint: Rc<Endpoint>,
     pub cancel: Rc<CancelSignal>,
     pub outbound: Rc<OutboundRequest>,
-    /// The time at which the attempt is given up.
+    /// The time at which the attempt is abandoned.
     pub deadline: Instant,
     /// The time before which the attempt must begin.
     pub start_by: Option<Instant>,
@@ -618,7 +618,7 @@
 
 /// The result of an exchange.
 enum ExchangeResult {
-    /// The flag says whether the connection may be reused.
+    /// The flag is true if the connection may be reused.
     Complete(Outcome, Option<EndpointResponse>, bool),
     Large(LargeResponse),
 }
@@ -631,7 +631,7 @@
     rest: Incoming,
 }
 
-/// Sends a request and reads the whole response, or as much of it as is buffered.
+/// Sends a request and reads the complete response, or as much of it as is buffered.
 async fn exchange(
     sender: &mut SendRequest<RequestBody>,
     request: Request<RequestBody>,
--- a/crates/proxy-core/src/vars.rs
+++ b/crates/proxy-core/src/vars.rs
@@ -25,7 +25,7 @@
 /// Counters of a pool. A class that is removed from the settings keeps its counters.
 #[derive(Default)]
 pub struct Counters {
-    groups: RefCell<Vec<ClassCounters>>,
+    class_counters: RefCell<Vec<ClassCounters>>,
     /// Attempts whose last byte has been written to an endpoint.
     attempts_sent: Cell<u64>,
     configurations_loaded: Cell<u64>,
@@ -46,9 +46,9 @@
 impl Counters {
     /// Registers the classes in the order of their ids; the counters of new ones start at 0.
     pub fn register_classes(&self, classes: &[String]) {
-        let mut groups = self.groups.borrow_mut();
-        for name in &classes[groups.len().min(classes.len())..] {
-            groups.push(ClassCounters {
+        let mut class_counters = self.class_counters.borrow_mut();
+        for name in &classes[class_counters.len().min(classes.len())..] {
+            class_counters.push(ClassCounters {
                 name: name.clone(),
                 ..ClassCounters::default()
             });
@@ -57,15 +57,15 @@
 
     /// Counts an accepted request.
     pub fn request_accepted(&self, class: usize) {
-        if let Some(group) = self.groups.borrow_mut().get_mut(class) {
-            group.accepted += 1;
+        if let Some(counters) = self.class_counters.borrow_mut().get_mut(class) {
+            counters.accepted += 1;
         }
     }
 
     /// Counts the result of an accepted request.
     pub fn request_ended(&self, class: usize, end: RequestEnd) {
-        if let Some(group) = self.groups.borrow_mut().get_mut(class) {
-            group.ended[end as usize] += 1;
+        if let Some(counters) = self.class_counters.borrow_mut().get_mut(class) {
+            counters.ended[end as usize] += 1;
         }
     }
 
@@ -87,25 +87,31 @@
     /// Returns all metrics in the Prometheus text format.
     pub fn prometheus_text(&self, gauges: Gauges) -> String {
         let mut text = String::with_capacity(2048);
-        let groups = self.groups.borrow();
+        let class_counters = self.class_counters.borrow();
         let mut labelled = |name: &str, value: &dyn Fn(&ClassCounters) -> u64| {
             let _ = writeln!(text, "# TYPE {name} counter");
-            for group in groups.iter() {
+            for counters in class_counters.iter() {
                 let _ = writeln!(
                     text,
                     "{name}{{group=\"{}\"}} {}",
-                    escape_label(&group.name),
-                    value(group)
+                    escape_label(&counters.name),
+                    value(counters)
                 );
             }
         };
-        labelled("node_answered", &|g| g.ended[RequestEnd::Answered as usize]);
-        labelled("node_deferred", &|g| g.ended[RequestEnd::Deferred as usize]);
-        labelled("node_errored", &|g| g.ended[RequestEnd::Errored as usize]);
-        labelled("node_abandoned", &|g| {
-            g.ended[RequestEnd::Abandoned as usize]
+        labelled("node_answered", &|counters| {
+            counters.ended[RequestEnd::Answered as usize]
         });
-        labelled("node_taken", &|g| g.accepted);
+        labelled("node_deferred", &|counters| {
+            counters.ended[RequestEnd::Deferred as usize]
+        });
+        labelled("node_errored", &|counters| {
+            counters.ended[RequestEnd::Errored as usize]
+        });
+        labelled("node_abandoned", &|counters| {
+            counters.ended[RequestEnd::Abandoned as usize]
+        });
+        labelled("node_taken", &|counters| counters.accepted);
         for (name, kind, value) in [
             ("node_sends", "counter", self.attempts_sent.get()),
             ("node_current", "gauge", gauges.in_flight as u64),
