--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -769,7 +769,7 @@
                 mean(|p| p.latency_us.0),
                 mean(|p| p.latency_us.1),
                 mean(|p| p.memory_mb),
-                all.iter().map(|p| p.bad).sum::<u64>(),
+                all.iter().map(|p| p.non_200).sum::<u64>(),
             );
         }
     }
--- a/crates/lab/src/price/mod.rs
+++ b/crates/lab/src/price/mod.rs
@@ -1,8 +1,8 @@
-//! The price of the proxy: CPU, latency and memory of a request through it, beside a direct connection and a bare
-//! pass-through, under the same closed load in the same run.
+//! Measures the overhead of the proxy: CPU time, latency and memory per request, compared with a direct connection and
+//! with a plain pass-through proxy under the same closed-loop load in the same run.
 //!
-//! A closed load (each connection sends its next request when it has its answer) says how much a target can do and
-//! not how it fares under load that does not wait; the scenarios are for that.
+//! Closed-loop load (each connection sends its next request after the response to the previous one) shows the maximum
+//! throughput of a target, not its behaviour under load that does not wait; the scenarios measure that.
 
 mod peers;
 
@@ -23,29 +23,29 @@
 use crate::scenario::Scenario;
 use crate::shipped;
 
-/// Size that the proxy is told of each server: large enough that no request waits for a slot.
-const SIZE: u32 = 64;
-/// Before a measurement, so that connections and averages have settled.
+/// Capacity announced for each server, in slots: large enough that no request waits for a slot.
+const SERVER_SLOTS: u32 = 64;
+/// Load before the measurement begins, so that connections are open and averages are stable.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// What was measured at one target.
+/// Measurement of one target.
 #[derive(Clone, Debug)]
 pub struct Price {
     /// `direct`, `pass-through` or `proxy`.
     pub target: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// CPU time of the target's process for a request, in µs; none for a direct connection.
+    /// CPU time of the target's process per request, in µs; 0 for a direct connection.
     pub cpu_us: f64,
     /// Latency in µs: median and 99th percentile.
     pub latency_us: (f64, f64),
     /// Resident memory in MiB after the measurement.
     pub memory_mb: f64,
-    /// Answers other than 200.
-    pub bad: u64,
+    /// Responses with a status other than 200.
+    pub non_200: u64,
 }
 
-/// A process that is killed when it is no longer needed.
+/// A child process that is killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -56,8 +56,8 @@
 }
 
 impl Process {
-    /// Starts a peer and reads the line in which it tells its addresses.
-    fn peer(
+    /// Starts a responder or pass-through and reads the line of JSON with its addresses.
+    fn start_peer(
         program: &Path,
         arguments: &[&str],
         input: &str,
@@ -75,7 +75,7 @@
             .0
             .stdout
             .take()
-            .ok_or_else(|| io::Error::other("it has no output"))?;
+            .ok_or_else(|| io::Error::other("the peer process has no stdout"))?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line)?;
         let addresses =
@@ -83,38 +83,38 @@
         Ok((process, addresses))
     }
 
-    /// Starts a proxy that knows these servers.
-    fn proxy(
+    /// Starts a proxy that is configured with these servers.
+    fn start_proxy(
         command: &[String],
         servers: &[SocketAddr],
         dir: &Path,
     ) -> io::Result<(Self, SocketAddr)> {
-        let text =
-            shipped::text("quiet").ok_or_else(|| io::Error::other("the scenario is missing"))?;
-        let mut s = Scenario::parse("quiet", text).map_err(io::Error::other)?;
-        s.proxies.count = 1;
-        s.tenants.clear();
-        s.fleet.zones.truncate(1);
+        let text = shipped::text("quiet")
+            .ok_or_else(|| io::Error::other("the shipped scenario `quiet` is missing"))?;
+        let mut scenario = Scenario::parse("quiet", text).map_err(io::Error::other)?;
+        scenario.proxies.count = 1;
+        scenario.tenants.clear();
+        scenario.fleet.zones.truncate(1);
         let host = |(n, address): (usize, &SocketAddr)| {
-            json!({"host": format!("s-{n:06}"), "dial": address, "site": s.fleet.zones[0], "class": "current",
-                "health": "up", "share": SIZE, "born_ms": 0})
+            json!({"host": format!("s-{n:06}"), "dial": address, "site": scenario.fleet.zones[0], "class": "current",
+                "health": "up", "share": SERVER_SLOTS, "born_ms": 0})
         };
         let hosts: Vec<_> = servers.iter().enumerate().map(host).collect();
-        // Held until the proxy is up; nobody listens at the second.
-        let (port, nobody) = (ReservedPort::reserve()?, ReservedPort::reserve()?);
+        // Both ports stay reserved until the proxy is up; nothing listens on the discovery port.
+        let (port, discovery_port) = (ReservedPort::reserve()?, ReservedPort::reserve()?);
         let address = port.address();
         let config = json!({
-            "name": "priced", "listen": address, "discovery": nobody.address(), "seed": "1",
+            "name": "priced", "listen": address, "discovery": discovery_port.address(), "seed": "1",
             "limits": { "sockets": 16 * 1024 },
             "known": { "seq": 1, "whole": true, "hosts": hosts },
-            "settings": settings_json(&s, 0),
+            "settings": settings_json(&scenario, 0),
         });
         std::fs::create_dir_all(dir)?;
         let file = dir.join("priced.json");
         std::fs::write(&file, config.to_string())?;
         let (program, arguments) = command
             .split_first()
-            .ok_or_else(|| io::Error::other("no proxy is named"))?;
+            .ok_or_else(|| io::Error::other("the proxy command is empty"))?;
         let log = std::fs::File::create(dir.join("priced.log"))?;
         let child = Command::new(program)
             .args(arguments)
@@ -126,7 +126,9 @@
         let end = Instant::now() + Duration::from_secs(10);
         while !is_up(address) {
             if Instant::now() > end {
-                return Err(io::Error::other("the proxy did not come up"));
+                return Err(io::Error::other(
+                    "the proxy did not respond with 200 on /up within 10 s",
+                ));
             }
             thread::sleep(Duration::from_millis(10));
         }
@@ -138,16 +140,17 @@
     let Ok(mut stream) = TcpStream::connect(address) else {
         return false;
     };
-    let mut said = [0; 12];
+    let mut status_line = [0; 12];
     stream
         .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .is_ok()
-        && stream.read_exact(&mut said).is_ok()
-        && &said == b"HTTP/1.1 200"
+        && stream.read_exact(&mut status_line).is_ok()
+        && &status_line == b"HTTP/1.1 200"
 }
 
-/// Sends requests one after the other until the time is up; latencies in µs from `from` on.
-fn client(
+/// Sends requests one after another until `until`; returns the latencies in µs and the count of responses other than
+/// 200, both from `from` on.
+fn run_client(
     address: SocketAddr,
     number: usize,
     from: Instant,
@@ -158,7 +161,7 @@
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     let mut buffer = Vec::new();
-    let mut bad = 0;
+    let mut non_200 = 0;
     for n in 0u64.. {
         let sent = Instant::now();
         if sent >= until {
@@ -169,17 +172,17 @@
             n % 1000
         );
         stream.write_all(request.as_bytes())?;
-        let ok = answer(&mut stream, &mut buffer)?;
+        let ok = read_response(&mut stream, &mut buffer)?;
         if sent >= from {
             latencies.saturating_record((sent.elapsed().as_micros() as u64).max(1));
-            bad += u64::from(!ok);
+            non_200 += u64::from(!ok);
         }
     }
-    Ok((latencies, bad))
+    Ok((latencies, non_200))
 }
 
-/// Reads one answer; tells whether it is a 200.
-fn answer(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<bool> {
+/// Reads one response; returns true if its status is 200.
+fn read_response(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<bool> {
     buffer.clear();
     let mut chunk = [0; 2048];
     loop {
@@ -205,8 +208,8 @@
     }
 }
 
-/// Loads a target from so many connections for a while.
-fn load(
+/// Sends load to a target from `connections` connections; measures for `span` after the warm-up.
+fn measure_target(
     target: &'static str,
     address: SocketAddr,
     pid: Option<u32>,
@@ -216,41 +219,42 @@
     let from = Instant::now() + WARM_UP;
     let until = from + span;
     let clients: Vec<_> = (0..connections)
-        .map(|n| thread::spawn(move || client(address, n, from, until)))
+        .map(|n| thread::spawn(move || run_client(address, n, from, until)))
         .collect();
     thread::sleep(from.saturating_duration_since(Instant::now()));
     let cpu = || pid.and_then(cpu_seconds).unwrap_or(0.0);
-    let before = cpu();
+    let cpu_before = cpu();
     thread::sleep(until.saturating_duration_since(Instant::now()));
-    let used = cpu() - before;
+    let cpu_used = cpu() - cpu_before;
     let memory_mb = pid.and_then(resident_mb).unwrap_or(0.0);
     let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-    let mut bad = 0;
-    for c in clients {
-        let (latencies, wrong) = c
+    let mut non_200 = 0;
+    for client in clients {
+        let (latencies, count) = client
             .join()
             .map_err(|_| io::Error::other("a client panicked"))??;
         all.add(&latencies).map_err(io::Error::other)?;
-        bad += wrong;
+        non_200 += count;
     }
-    let many = all.len().max(1) as f64;
+    let requests = all.len().max(1) as f64;
     Ok(Price {
         target,
         rate: all.len() as f64 / span.as_secs_f64(),
-        cpu_us: 1e6 * used / many,
+        cpu_us: 1e6 * cpu_used / requests,
         latency_us: (
             all.value_at_quantile(0.5) as f64,
             all.value_at_quantile(0.99) as f64,
         ),
         memory_mb,
-        bad,
+        non_200,
     })
 }
 
-/// Measures all three targets in turn with so many servers behind them. `own` is this program, whose peers are used.
+/// Measures the three targets one after another with `servers` servers behind each. `own` is the path of this program,
+/// which also runs the responder and the pass-through.
 ///
 /// # Errors
-/// A process or a socket could not be had, or a connection broke under the load.
+/// A process could not be started, a socket could not be opened, or a connection broke under the load.
 pub fn measure(
     own: &Path,
     proxy: &[String],
@@ -259,16 +263,16 @@
     span: Duration,
     dir: &Path,
 ) -> io::Result<Vec<Price>> {
-    let (_responder, addresses) = Process::peer(
+    let (_responder, addresses) = Process::start_peer(
         own,
         &["lab", "peer", "responder", "--count", &servers.to_string()],
         "",
     )?;
-    let direct = load("direct", addresses[0], None, connections, span)?;
+    let direct = measure_target("direct", addresses[0], None, connections, span)?;
     let passed = {
         let input = serde_json::to_string(&addresses).map_err(io::Error::other)? + "\n";
-        let (process, at) = Process::peer(own, &["lab", "peer", "pass-through"], &input)?;
-        load(
+        let (process, at) = Process::start_peer(own, &["lab", "peer", "pass-through"], &input)?;
+        measure_target(
             "pass-through",
             at[0],
             Some(process.0.id()),
@@ -276,7 +280,7 @@
             span,
         )?
     };
-    let (process, at) = Process::proxy(proxy, &addresses, dir)?;
-    let priced = load("proxy", at, Some(process.0.id()), connections, span)?;
-    Ok(vec![direct, passed, priced])
+    let (process, at) = Process::start_proxy(proxy, &addresses, dir)?;
+    let proxied = measure_target("proxy", at, Some(process.0.id()), connections, span)?;
+    Ok(vec![direct, passed, proxied])
 }
--- a/crates/lab/src/price/peers.rs
+++ b/crates/lab/src/price/peers.rs
@@ -1,5 +1,5 @@
-//! The processes that a price is measured with: a responder that answers at once on many addresses, and a bare
-//! pass-through on hyper that decides nothing.
+//! Processes used by the overhead measurement: a responder on many addresses, and a plain pass-through proxy on hyper
+//! without any load balancing decisions.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -21,11 +21,11 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// What the responder answers: the size of a catalogue entry's short form.
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n\
+/// The responder's response; its body has the size of a short catalogue entry.
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n\
     0123456789012345678901234567890123456789012345678901234567890123";
-/// Bytes of a request that the responder looks through at once.
-const READ: usize = 4096;
+/// Initial capacity of the responder's read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 4096;
 
 fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -40,15 +40,16 @@
     Ok((listener, address))
 }
 
-/// Answers each request after `work` on so many ports of a host, which are told first; runs until it is killed.
+/// Listens on `count` ports of a host, reports their addresses, and answers each request after `work`. Runs until the
+/// process is killed.
 ///
 /// # Errors
-/// A port can't be had.
+/// A port could not be bound.
 pub fn responder(
     host: IpAddr,
     count: usize,
     work: Duration,
-    told: impl FnOnce(&[SocketAddr]),
+    report_addresses: impl FnOnce(&[SocketAddr]),
 ) -> io::Result<()> {
     block_on(async {
         let mut addresses = Vec::new();
@@ -58,18 +59,18 @@
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let _ = stream.set_nodelay(true);
-                    spawn_local(answer_all(stream, work));
+                    spawn_local(respond_to_all(stream, work));
                 }
             });
         }
-        told(&addresses);
+        report_addresses(&addresses);
         std::future::pending().await
     })
 }
 
-/// Requests have no body here, so each ends with a blank line.
-async fn answer_all(mut stream: TcpStream, work: Duration) {
-    let mut buffer = Vec::with_capacity(READ);
+/// Responds to each request on a connection. The requests have no body, so each one ends with a blank line.
+async fn respond_to_all(mut stream: TcpStream, work: Duration) {
+    let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
     loop {
         match stream.read_buf(&mut buffer).await {
             Ok(0) | Err(_) => return,
@@ -80,25 +81,28 @@
             if !work.is_zero() {
                 sleep(work).await;
             }
-            if stream.write_all(ANSWER).await.is_err() {
+            if stream.write_all(RESPONSE).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// Idle connections of the pass-through, by server.
+/// Idle upstream connections of the pass-through, by server.
 struct Pool {
     addresses: Vec<SocketAddr>,
     idle: RefCell<Vec<Vec<SendRequest<Full<Bytes>>>>>,
     next: Cell<usize>,
 }
 
-/// Passes each request on to the next server in turn, on connections that are kept; runs until it is killed.
+/// Forwards requests to the servers round-robin over persistent connections. Runs until the process is killed.
 ///
 /// # Errors
-/// Its own address can't be had.
-pub fn pass_through(addresses: Vec<SocketAddr>, told: impl FnOnce(SocketAddr)) -> io::Result<()> {
+/// The listening socket could not be bound, or accepting a connection failed.
+pub fn pass_through(
+    addresses: Vec<SocketAddr>,
+    report_address: impl FnOnce(SocketAddr),
+) -> io::Result<()> {
     let idle = RefCell::new(addresses.iter().map(|_| Vec::new()).collect());
     let pool = Rc::new(Pool {
         addresses,
@@ -107,13 +111,13 @@
     });
     block_on(async {
         let (listener, address) = bind(Ipv4Addr::LOCALHOST.into()).await?;
-        told(address);
+        report_address(address);
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
             let pool = pool.clone();
             spawn_local(async move {
-                let service = service_fn(move |request| pass(pool.clone(), request));
+                let service = service_fn(move |request| forward(pool.clone(), request));
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -122,18 +126,18 @@
     })
 }
 
-async fn pass(
+async fn forward(
     pool: Rc<Pool>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    Ok(try_pass(&pool, request).await.unwrap_or_else(|_| {
+    Ok(try_forward(&pool, request).await.unwrap_or_else(|_| {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::BAD_GATEWAY;
         response
     }))
 }
 
-async fn try_pass(
+async fn try_forward(
     pool: &Pool,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error>> {
@@ -142,17 +146,17 @@
     let server = pool
         .next
         .replace((pool.next.get() + 1) % pool.addresses.len());
-    let kept = pool.idle.borrow_mut()[server]
+    let idle = pool.idle.borrow_mut()[server]
         .pop()
         .filter(SendRequest::is_ready);
-    let mut sender = match kept {
+    let mut sender = match idle {
         Some(sender) => sender,
         None => {
             let stream = TcpStream::connect(pool.addresses[server]).await?;
             stream.set_nodelay(true)?;
             let (sender, connection) = handshake(TokioIo::new(stream)).await?;
             spawn_local(async move {
-                let _ = connection.await; // its errors show at the request
+                let _ = connection.await; // errors are returned by send_request
             });
             sender
         }
