--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,13 +1,13 @@
-//! What is left of a run: a table for the terminal, and a folder with the figures, the evidence and a page that opens
-//! alone.
+//! Reports of a run: a table for the terminal, and a directory with the figures, the evidence and a self-contained HTML
+//! page.
 //!
-//! | file | what stands in it |
+//! | file | contents |
 //! | --- | --- |
-//! | `run.json` | scenario, seed, service, broken rules |
-//! | `windows.jsonl` | a line a window of time |
-//! | `tries.jsonl` | a line a try with its attempts |
-//! | `broken.jsonl` | a line a broken rule |
-//! | `latency-CLASS.hdr`, `latency-tenant-TENANT.hdr` | latencies in µs, HdrHistogram's V2 form |
+//! | `run.json` | scenario, seed, service quality, rule violations |
+//! | `windows.jsonl` | one line per time window |
+//! | `tries.jsonl` | one line per client attempt, with the proxy's attempts for it |
+//! | `broken.jsonl` | one line per rule violation |
+//! | `latency-CLASS.hdr`, `latency-tenant-TENANT.hdr` | latencies in µs, in the HdrHistogram V2 encoding |
 //! | `report.html` | tables and plots |
 
 mod page;
@@ -26,7 +26,7 @@
 use crate::oracle::Violation;
 use crate::score::GroupScore;
 
-/// The run as a table of text.
+/// Formats a run as a text table.
 pub fn table(run: &Run) -> String {
     let mut text = String::new();
     let clock = if run.virtual_time {
@@ -54,7 +54,7 @@
         "{:<14} {:>8} {:>8} {:>8} {:>7} {:>9} {:>9} {:>9} {:>9}",
         "", "asked", "served", "in time", "share", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"
     );
-    let parts = [&run.score.whole]
+    let groups = [&run.score.whole]
         .into_iter()
         .chain(&run.score.classes)
         .chain(&run.score.tenants);
@@ -64,44 +64,44 @@
         served,
         in_time,
         share,
-        latency_ms: [a, b, c, d],
+        latency_ms: [p50, p90, p99, p999],
         ..
-    } in parts
+    } in groups
     {
         let _ = writeln!(
             text,
-            "{name:<14} {asked:>8} {served:>8} {in_time:>8} {share:>7.3} {a:>9.1} {b:>9.1} {c:>9.1} {d:>9.1}"
+            "{name:<14} {asked:>8} {served:>8} {in_time:>8} {share:>7.3} {p50:>9.1} {p90:>9.1} {p99:>9.1} {p999:>9.1}"
         );
     }
-    let s = &run.score;
+    let score = &run.score;
     let _ = writeln!(
         text,
         "{:.2} tries and {:.2} attempts an ask, {:.1} % of the tries refused",
-        s.tries,
-        s.attempts,
-        100.0 * s.refused
+        score.tries,
+        score.attempts,
+        100.0 * score.refused
     );
     let _ = write!(text, "{}", verdict(&run.broken));
     text
 }
 
-/// The rules in words: the first broken ones with their evidence.
+/// Describes the rule check in words: the count of violations and the first ones with their evidence.
 pub fn verdict(broken: &[Violation]) -> String {
-    const SHOWN: usize = 5;
+    const MAX_SHOWN: usize = 5;
     if broken.is_empty() {
         return "all rules kept\n".into();
     }
     let mut text = format!("{} broken rules\n", broken.len());
-    broken.iter().take(SHOWN).for_each(|b| {
-        let _ = writeln!(text, "  {b}");
+    broken.iter().take(MAX_SHOWN).for_each(|violation| {
+        let _ = writeln!(text, "  {violation}");
     });
-    if broken.len() > SHOWN {
-        let _ = writeln!(text, "  and {} more", broken.len() - SHOWN);
+    if broken.len() > MAX_SHOWN {
+        let _ = writeln!(text, "  and {} more", broken.len() - MAX_SHOWN);
     }
     text
 }
 
-/// The run as JSON: what one seed fixes, and nothing that is measured.
+/// Serializes a run as JSON. Contains only values that are determined by the seed, no measured ones.
 pub fn json(run: &Run) -> serde_json::Value {
     json!({
         "scenario": run.name,
@@ -114,22 +114,26 @@
         "connections": run.counts.connections,
         "most_connections_to_a_server": run.counts.max_server_connections,
         "events": run.counts.events,
-        "broken": run.broken.iter().map(broken_json).collect::<Vec<_>>(),
+        "broken": run.broken.iter().map(violation_json).collect::<Vec<_>>(),
     })
 }
 
-fn broken_json(b: &Violation) -> serde_json::Value {
+fn violation_json(violation: &Violation) -> serde_json::Value {
     json!({
-        "rule": format!("{:?}", b.rule),
-        "at_ms": b.at,
-        "request": b.request,
-        "server": b.server,
-        "evidence": b.evidence,
+        "rule": format!("{:?}", violation.rule),
+        "at_ms": violation.at,
+        "request": violation.request,
+        "server": violation.server,
+        "evidence": violation.evidence,
     })
 }
 
-fn try_json(id: usize, t: &ClientAttempt, class: &str) -> serde_json::Value {
-    let answer = |(at, code): &(f64, ResponseKind)| {
+fn client_attempt_json(
+    id: usize,
+    client_attempt: &ClientAttempt,
+    class: &str,
+) -> serde_json::Value {
+    let response = |(at, code): &(f64, ResponseKind)| {
         let (name, retry_after) = match code {
             ResponseKind::Served { .. } => ("served", None),
             ResponseKind::Refused { retry_after } => ("refused", *retry_after),
@@ -149,33 +153,36 @@
     };
     json!({
         "request": id,
-        "ask": t.request,
-        "try": t.number,
+        "ask": client_attempt.request,
+        "try": client_attempt.number,
         "class": class,
-        "proxy": t.proxy,
-        "intended_ms": t.intended,
-        "sent_ms": t.sent,
-        "due_ms": t.timeout_at,
-        "taken_ms": t.accepted_at,
-        "left_ms": t.disconnected_at,
-        "answers": t.responses.iter().map(answer).collect::<Vec<_>>(),
-        "attempts": t.attempts.iter().map(attempt).collect::<Vec<_>>(),
+        "proxy": client_attempt.proxy,
+        "intended_ms": client_attempt.intended,
+        "sent_ms": client_attempt.sent,
+        "due_ms": client_attempt.timeout_at,
+        "taken_ms": client_attempt.accepted_at,
+        "left_ms": client_attempt.disconnected_at,
+        "answers": client_attempt.responses.iter().map(response).collect::<Vec<_>>(),
+        "attempts": client_attempt.attempts.iter().map(attempt).collect::<Vec<_>>(),
     })
 }
 
-fn lines(path: &Path, values: impl Iterator<Item = serde_json::Value>) -> io::Result<()> {
-    let mut out = BufWriter::new(File::create(path)?);
+fn write_json_lines(
+    path: &Path,
+    values: impl Iterator<Item = serde_json::Value>,
+) -> io::Result<()> {
+    let mut writer = BufWriter::new(File::create(path)?);
     for value in values {
-        serde_json::to_writer(&mut out, &value)?;
-        out.write_all(b"\n")?;
+        serde_json::to_writer(&mut writer, &value)?;
+        writer.write_all(b"\n")?;
     }
-    out.flush()
+    writer.flush()
 }
 
-/// Writes the folder of a run, which is made if it is not there.
+/// Writes the report of a run to a directory, which is created if it does not exist.
 ///
 /// # Errors
-/// What the file system says.
+/// A file or the directory could not be written, or a plot could not be drawn.
 pub fn write(dir: &Path, run: &Run) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     fs::write(dir.join("run.json"), format!("{:#}\n", json(run)))?;
@@ -184,33 +191,33 @@
         .windows
         .iter()
         .map(|w| serde_json::to_value(w).unwrap_or_default());
-    lines(&dir.join("windows.jsonl"), windows)?;
+    write_json_lines(&dir.join("windows.jsonl"), windows)?;
     let class = |t: &ClientAttempt| run.scenario.classes[t.class].name.as_str();
-    let tries = run
+    let client_attempts = run
         .ledger
         .client_attempts
         .iter()
         .enumerate()
-        .map(|(id, t)| try_json(id, t, class(t)));
-    lines(&dir.join("tries.jsonl"), tries)?;
-    lines(
+        .map(|(id, t)| client_attempt_json(id, t, class(t)));
+    write_json_lines(&dir.join("tries.jsonl"), client_attempts)?;
+    write_json_lines(
         &dir.join("broken.jsonl"),
-        run.broken.iter().map(broken_json),
+        run.broken.iter().map(violation_json),
     )?;
     let classes = run
         .score
         .classes
         .iter()
-        .map(|part| (format!("latency-{}.hdr", part.name), part));
+        .map(|group| (format!("latency-{}.hdr", group.name), group));
     let tenants = run
         .score
         .tenants
         .iter()
-        .map(|part| (format!("latency-tenant-{}.hdr", part.name), part));
-    for (name, part) in classes.chain(tenants) {
+        .map(|group| (format!("latency-tenant-{}.hdr", group.name), group));
+    for (name, group) in classes.chain(tenants) {
         let mut file = BufWriter::new(File::create(dir.join(name))?);
         V2Serializer::new()
-            .serialize(part.histogram(), &mut file)
+            .serialize(group.histogram(), &mut file)
             .map_err(io::Error::other)?;
         file.flush()?;
     }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page of a run: it opens alone, with its plots as SVG inside.
+//! HTML page of a run: a self-contained file with its plots as inline SVG.
 
 use std::fmt::Write as _;
 
@@ -7,15 +7,16 @@
 use crate::experiment::Run;
 use crate::score::GroupScore;
 
-type Failed = Box<dyn std::error::Error + Send + Sync>;
+type PlotError = Box<dyn std::error::Error + Send + Sync>;
 
-const SIZE: (u32, u32) = (960, 260);
-/// Servers whose requests in flight are drawn, one line each.
-const SERVERS: usize = 24;
-/// Points of such a line.
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (960, 260);
+/// Maximum number of servers whose requests in flight are drawn, one line each.
+const MAX_SERVER_LINES: usize = 24;
+/// Points of each line of requests in flight.
 const POINTS: usize = 200;
 
-/// A line of a plot: its name and its points.
+/// Line of a plot: its name and its points.
 type Line = (String, Vec<(f64, f64)>);
 
 fn escape(text: &str) -> String {
@@ -25,8 +26,8 @@
         .replace('"', "&quot;")
 }
 
-/// Draws lines over seconds, with the times of the faults shaded behind.
-fn plot(run: &Run, lines: &[Line], unit: &str) -> Result<String, Failed> {
+/// Draws lines over time in seconds, with the duration of each fault shaded in the background.
+fn plot(run: &Run, lines: &[Line], unit: &str) -> Result<String, PlotError> {
     let seconds = run.scenario.length.0 / 1000.0;
     let top = lines
         .iter()
@@ -37,8 +38,8 @@
         * 1.05;
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let fail = |e: &dyn std::fmt::Display| Failed::from(e.to_string());
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
+        let fail = |e: &dyn std::fmt::Display| PlotError::from(e.to_string());
         root.fill(&WHITE).map_err(|e| fail(&e))?;
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
@@ -83,8 +84,8 @@
     Ok(svg)
 }
 
-/// The rates of what was offered, served, refused and failed.
-fn flow(run: &Run) -> Vec<Line> {
+/// Rates of offered, served, refused and failed requests and of attempts.
+fn request_rates(run: &Run) -> Vec<Line> {
     let windows = &run.score.windows;
     let span = windows.get(1).map_or(run.scenario.length.0, |w| w.from_ms) / 1000.0;
     let line = |name: &str, of: fn(&crate::score::Window) -> u64| -> Line {
@@ -101,7 +102,8 @@
     ]
 }
 
-fn share(run: &Run) -> Vec<Line> {
+/// Served share of the priority weight per window.
+fn served_share(run: &Run) -> Vec<Line> {
     let point = |w: &crate::score::Window| (w.from_ms / 1000.0, w.share);
     vec![(
         "worth served".to_owned(),
@@ -109,14 +111,14 @@
     )]
 }
 
-/// Latency by percentile: the horizontal axis is the share of requests, so it has a plot of its own kind.
-fn latency(run: &Run) -> Result<String, Failed> {
-    let parts: Vec<&GroupScore> = run.score.classes.iter().chain(&run.score.tenants).collect();
-    let top = parts.iter().map(|p| p.latency_ms[3]).fold(1.0, f64::max) * 1.1;
+/// Draws latency by percentile. The horizontal axis is the fraction of requests, so [`plot`] can't draw it.
+fn plot_latency(run: &Run) -> Result<String, PlotError> {
+    let groups: Vec<&GroupScore> = run.score.classes.iter().chain(&run.score.tenants).collect();
+    let top = groups.iter().map(|g| g.latency_ms[3]).fold(1.0, f64::max) * 1.1;
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let fail = |e: &dyn std::fmt::Display| Failed::from(e.to_string());
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
+        let fail = |e: &dyn std::fmt::Display| PlotError::from(e.to_string());
         root.fill(&WHITE).map_err(|e| fail(&e))?;
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
@@ -133,18 +135,18 @@
             .y_desc("ms")
             .draw()
             .map_err(|e| fail(&e))?;
-        for (i, part) in parts.iter().enumerate().filter(|(_, p)| p.served > 0) {
+        for (i, group) in groups.iter().enumerate().filter(|(_, g)| g.served > 0) {
             let colour = Palette99::pick(i).to_rgba();
             let point = |n: usize| {
                 let x = n as f64 / 25.0;
-                let ms = part.histogram().value_at_quantile(1.0 - 10f64.powf(-x)) as f64 / 1000.0;
+                let ms = group.histogram().value_at_quantile(1.0 - 10f64.powf(-x)) as f64 / 1000.0;
                 (x, ms.max(1.0))
             };
             let line = LineSeries::new((0..=100).map(point), colour.stroke_width(2));
             chart
                 .draw_series(line)
                 .map_err(|e| fail(&e))?
-                .label(part.name.as_str())
+                .label(group.name.as_str())
                 .legend(move |(x, y)| {
                     PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2))
                 });
@@ -159,41 +161,45 @@
     Ok(svg)
 }
 
-/// Requests in flight at each server over time, for the servers with the most attempts.
+/// Requests in flight at each server over time, for the servers with the highest number of attempts.
 fn in_flight(run: &Run) -> Vec<Line> {
     let step = run.scenario.length.0 / POINTS as f64;
     let mut servers: std::collections::BTreeMap<usize, (u64, Vec<i64>)> =
         std::collections::BTreeMap::new();
-    let place = |at: f64| ((at / step) as usize).min(POINTS - 1);
+    let point_index = |at: f64| ((at / step) as usize).min(POINTS - 1);
     for a in run.ledger.client_attempts.iter().flat_map(|t| &t.attempts) {
         let (count, changes) = servers
             .entry(a.server)
             .or_insert_with(|| (0, vec![0; POINTS + 1]));
         *count += 1;
-        changes[place(a.sent)] += 1;
-        changes[a.ended.map_or(POINTS, |(at, _)| place(at) + 1)] -= 1;
+        changes[point_index(a.sent)] += 1;
+        changes[a.ended.map_or(POINTS, |(at, _)| point_index(at) + 1)] -= 1;
     }
     let mut busiest: Vec<_> = servers.into_iter().collect();
     busiest.sort_by_key(|(server, (count, _))| (std::cmp::Reverse(*count), *server));
     let line = |(server, (_, changes)): (usize, (u64, Vec<i64>))| {
-        let mut held = 0;
+        let mut in_flight = 0;
         let point = |(i, change): (usize, &i64)| {
-            held += change;
-            (i as f64 * step / 1000.0, held as f64)
+            in_flight += change;
+            (i as f64 * step / 1000.0, in_flight as f64)
         };
         (
             format!("server {server}"),
             changes.iter().take(POINTS).enumerate().map(point).collect(),
         )
     };
-    busiest.into_iter().take(SERVERS).map(line).collect()
+    busiest
+        .into_iter()
+        .take(MAX_SERVER_LINES)
+        .map(line)
+        .collect()
 }
 
-/// The whole page.
+/// Builds the complete page.
 ///
 /// # Errors
-/// What the plots could not draw.
-pub fn html(run: &Run) -> Result<String, Failed> {
+/// A plot could not be drawn.
+pub fn html(run: &Run) -> Result<String, PlotError> {
     let mut page = String::new();
     let title = escape(&run.scenario.title);
     let clock = if run.virtual_time {
@@ -228,21 +234,21 @@
         "<table><tr><th></th><th>asked</th><th>served</th><th>in time</th><th>share</th><th>p50 ms</th><th>p90 \
          ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>",
     );
-    for p in [&run.score.whole]
+    for group in [&run.score.whole]
         .into_iter()
         .chain(&run.score.classes)
         .chain(&run.score.tenants)
     {
-        let [a, b, c, d] = p.latency_ms;
+        let [p50, p90, p99, p999] = group.latency_ms;
         write!(
             page,
-            "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{a:.1}</td><td>{b:.1}</td>\
-             <td>{c:.1}</td><td>{d:.1}</td></tr>",
-            escape(&p.name),
-            p.asked,
-            p.served,
-            p.in_time,
-            p.share
+            "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{p50:.1}</td><td>{p90:.1}</td>\
+             <td>{p99:.1}</td><td>{p999:.1}</td></tr>",
+            escape(&group.name),
+            group.asked,
+            group.served,
+            group.in_time,
+            group.share
         )?;
     }
     page.push_str("</table>\n<h2>Rules</h2>\n");
@@ -267,9 +273,12 @@
         page.push_str("</ul>");
     }
     for (heading, svg) in [
-        ("Requests a second", plot(run, &flow(run), "/s")?),
-        ("Worth served over worth asked", plot(run, &share(run), "")?),
-        ("Latency by percentile", latency(run)?),
+        ("Requests a second", plot(run, &request_rates(run), "/s")?),
+        (
+            "Worth served over worth asked",
+            plot(run, &served_share(run), "")?,
+        ),
+        ("Latency by percentile", plot_latency(run)?),
         (
             "In flight at each server",
             plot(run, &in_flight(run), "requests")?,
--- a/crates/lab/src/report/read.rs
+++ b/crates/lab/src/report/read.rs
@@ -1,4 +1,4 @@
-//! Reads what runs have left behind.
+//! Reads the reports of earlier runs.
 
 use std::fs;
 use std::io;
@@ -6,106 +6,110 @@
 
 use serde::Deserialize;
 
-/// Folders below the one that is named, at most: a sweep leaves value and seed.
-const DEPTH: usize = 3;
+/// Maximum depth of subdirectories that are searched; a sweep writes a directory per value and one per seed in it.
+const MAX_DEPTH: usize = 3;
 
-/// A run, as its folder tells of it.
+/// Run as read from the `run.json` in its directory.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Left {
-    /// Where it lies.
+pub struct RunRecord {
+    /// Directory of the report.
     #[serde(skip)]
     pub dir: PathBuf,
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Whether time was virtual.
+    /// True if the run used virtual time.
     #[serde(rename = "virtual")]
     pub virtual_time: bool,
-    /// Whether it was cut short.
+    /// True if the run was interrupted before its end.
     pub partial: bool,
-    /// Why its figures are worth nothing, if they are not.
+    /// Reason why the figures are invalid, if they are.
     pub void: Option<String>,
-    /// How good the service was.
-    pub service: Service,
-    /// Broken rules.
-    pub broken: Vec<Rule>,
+    /// ServiceQuality quality.
+    pub service: ServiceQuality,
+    /// RuleViolation violations.
+    pub broken: Vec<RuleViolation>,
 }
 
-/// How good the service was.
+/// ServiceQuality quality of a run.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Service {
-    /// All asks.
-    pub whole: Whole,
-    /// The part of the tries that was refused.
+pub struct ServiceQuality {
+    /// Figures over all requests.
+    pub whole: OverallScore,
+    /// Fraction of the client attempts that were rejected.
     pub refused: f64,
 }
 
-/// All asks.
+/// Figures over all requests of a run.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Whole {
-    /// Their number.
+pub struct OverallScore {
+    /// Number of requests.
     pub asked: u64,
-    /// Of them, served.
+    /// Number of served requests.
     pub served: u64,
-    /// Worth earned over worth asked for.
+    /// Priority weight of the served requests over that of all requests.
     pub share: f64,
     /// Latency in ms: median, 90th, 99th and 99.9th percentile.
     pub latency_ms: [f64; 4],
 }
 
-/// A broken rule.
+/// RuleViolation violation.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Rule {
-    /// Which.
+pub struct RuleViolation {
+    /// Name of the rule.
     pub rule: String,
-    /// When, in ms of the run.
+    /// Time of the violation, in ms since the start of the run.
     pub at_ms: f64,
-    /// What shows it.
+    /// Evidence of the violation.
     pub evidence: String,
 }
 
-/// Reads the run in a folder, or all runs in the folders below it, in the order of their names.
+/// Reads the run in a directory, or all runs in its subdirectories, sorted by path.
 ///
 /// # Errors
-/// A folder can't be read, there is no run in it, or its `run.json` is none of the lab's.
-pub fn runs(dir: &Path) -> io::Result<Vec<Left>> {
+/// A directory can't be read, contains no run, or its `run.json` is not valid.
+pub fn runs(dir: &Path) -> io::Result<Vec<RunRecord>> {
     let mut found = Vec::new();
-    look(dir, DEPTH, &mut found)?;
+    find_runs(dir, MAX_DEPTH, &mut found)?;
     if found.is_empty() {
         return Err(io::Error::new(
             io::ErrorKind::NotFound,
-            format!("{}: no run.json in it", dir.display()),
+            format!("{}: no run.json found", dir.display()),
         ));
     }
     Ok(found)
 }
 
-fn named(path: &Path, e: impl std::fmt::Display, kind: io::ErrorKind) -> io::Error {
+fn with_path(path: &Path, e: impl std::fmt::Display, kind: io::ErrorKind) -> io::Error {
     io::Error::new(kind, format!("{}: {e}", path.display()))
 }
 
-fn look(dir: &Path, depth: usize, found: &mut Vec<Left>) -> io::Result<()> {
+fn find_runs(dir: &Path, depth: usize, found: &mut Vec<RunRecord>) -> io::Result<()> {
     let file = dir.join("run.json");
     match fs::read_to_string(&file) {
         Ok(text) => {
-            let left: Left = serde_json::from_str(&text)
-                .map_err(|e| named(&file, e, io::ErrorKind::InvalidData))?;
-            found.push(Left {
+            let run: RunRecord = serde_json::from_str(&text)
+                .map_err(|e| with_path(&file, e, io::ErrorKind::InvalidData))?;
+            found.push(RunRecord {
                 dir: dir.to_owned(),
-                ..left
+                ..run
             });
             return Ok(());
         }
-        Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(named(&file, &e, e.kind())),
+        Err(e) if e.kind() != io::ErrorKind::NotFound => {
+            return Err(with_path(&file, &e, e.kind()));
+        }
         Err(_) if depth == 0 => return Ok(()),
         Err(_) => {}
     }
-    let entries = fs::read_dir(dir).map_err(|e| named(dir, &e, e.kind()))?;
-    let mut below: Vec<PathBuf> = entries
+    let entries = fs::read_dir(dir).map_err(|e| with_path(dir, &e, e.kind()))?;
+    let mut subdirectories: Vec<PathBuf> = entries
         .filter_map(|e| Some(e.ok()?.path()))
         .filter(|path| path.is_dir())
         .collect();
-    below.sort();
-    below.iter().try_for_each(|dir| look(dir, depth - 1, found))
+    subdirectories.sort();
+    subdirectories
+        .iter()
+        .try_for_each(|dir| find_runs(dir, depth - 1, found))
 }
