--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -22,7 +22,7 @@
 
 /// Emulated fleet and state directory of the demonstration; the directory is removed on drop.
 pub struct Demo {
-    members: Vec<demo::Member>,
+    members: Vec<demo::DemoServer>,
     classes: Value,
     directory: PathBuf,
 }
@@ -67,7 +67,7 @@
     /// # Errors
     /// The configuration is invalid, which is a bug.
     pub fn service(&self) -> Result<Service, String> {
-        let server = |m: &demo::Member, connections: Option<u64>| {
+        let server = |m: &demo::DemoServer, connections: Option<u64>| {
             let mut server = json!({
                 "name": m.name, "address": m.address, "size": 4.0 * m.cores, "zone": m.zone, "kind": m.kind,
             });
--- a/crates/canvascart/src/lab.rs
+++ b/crates/canvascart/src/lab.rs
@@ -862,7 +862,7 @@
         );
         for d in &differences {
             let e = d.difference;
-            let clear = if e.holds_zero() { "" } else { "  differs" };
+            let clear = if e.contains_zero() { "" } else { "  differs" };
             let between = format!("{:+.4} to {:+.4}", e.low, e.high);
             println!(
                 "{:<16} {:>10.4} {:>10.4} {:>+10.4}   {between:<24}{clear}",
@@ -1019,7 +1019,7 @@
 type Column = (&'static str, usize, usize, fn(&Run) -> f64);
 
 const COLUMNS: [Column; 7] = [
-    ("asked", 8, 0, |r| r.asks.len() as f64),
+    ("asked", 8, 0, |r| r.requests.len() as f64),
     ("share", 7, 3, |r| r.score.whole.share),
     ("refused", 8, 3, |r| r.score.refused),
     ("p50 ms", 9, 1, |r| r.score.whole.latency_ms[0]),
--- a/crates/canvascart/src/lab/hosted.rs
+++ b/crates/canvascart/src/lab/hosted.rs
@@ -92,12 +92,12 @@
 ) -> std::io::Result<u8> {
     let all = sizes
         .iter()
-        .map(|n| ::lab::followers::size(*n))
+        .map(|n| ::lab::followers::measure_list(*n))
         .collect::<Result<Vec<_>, _>>()?;
     print!("{}", ::lab::followers::table(&all));
     if stampede {
         for jitter in [false, true] {
-            let (max, reconnected) = ::lab::followers::stampede(jitter)?;
+            let (max, reconnected) = ::lab::followers::measure_reconnections(jitter)?;
             let how = if jitter {
                 "with chance"
             } else {
@@ -109,7 +109,7 @@
         }
     }
     let dir = temp_dir_for("followers");
-    let [median, max] = ::lab::followers::last_request(command, removals, &dir)?;
+    let [median, max] = ::lab::followers::measure_removals(command, removals, &dir)?;
     println!(
         "removal's write to the server's last request: p50 {median:.1} ms, most {max:.1} ms of {removals}"
     );
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,5 +1,5 @@
-//! An emulated fleet behind addresses on loopback, for anybody who asks: loan servers of the world's model, which take their
-//! time, wait in line and slow down in a crowd. What `canvascart serve --demo` serves from.
+//! Emulated fleet on loopback addresses, used by `canvascart serve --demo`. The servers follow the model of [`World`]: they
+//! have service times, queue requests and slow down under concurrency.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,38 +26,38 @@
 use crate::world::server::{Admission, Job};
 use crate::world::{ServerOutcome, World, WorldEvent};
 
-/// One server of the fleet.
+/// Server of the emulated fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
-    /// Its name.
+pub struct DemoServer {
+    /// Name of the server.
     pub name: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine type.
     pub kind: String,
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
 }
 
-/// Starts a scenario's fleet on a thread of its own, which ends with the process; its faults are left out.
+/// Starts a scenario's fleet, without the scenario's faults, on a thread that runs until the process ends.
 ///
 /// # Errors
-/// A port or the thread can't be had.
-pub fn start(scenario: &Scenario, seed: u64) -> io::Result<Vec<Member>> {
+/// A port could not be bound or the thread could not be started.
+pub fn start(scenario: &Scenario, seed: u64) -> io::Result<Vec<DemoServer>> {
     let scenario = Scenario {
         faults: Vec::new(),
         ..scenario.clone()
     };
-    let (tell, told) = channel();
+    let (result_sender, result) = channel();
     thread::Builder::new()
         .name("demo-fleet".into())
         .spawn(move || {
             let run = async {
                 let fleet = Fleet::new(Arc::new(scenario), seed)?;
-                let _ = tell.send(fleet.open().await); // whoever started it is gone otherwise
-                fleet.turn().await;
+                let _ = result_sender.send(fleet.open().await); // fails only if the caller no longer waits
+                fleet.run().await;
                 Ok::<_, io::Error>(())
             };
             let runtime = tokio::runtime::Builder::new_current_thread()
@@ -65,51 +65,58 @@
                 .build()?;
             LocalSet::new().block_on(&runtime, run)
         })?;
-    told.recv()
-        .map_err(|_| io::Error::other("the emulated fleet did not come up"))?
+    result
+        .recv()
+        .map_err(|_| io::Error::other("the emulated fleet did not start"))?
 }
 
 struct Fleet {
     world: RefCell<World>,
     start: Instant,
-    /// Who waits for what becomes of an attempt; none where its process is gone.
-    waiting: RefCell<FxHashMap<u64, oneshot::Sender<ServerOutcome>>>,
-    next: Cell<u64>,
-    changed: Notify,
-    works: Vec<LogNormal<f64>>,
+    /// Senders for the outcomes of the attempts in progress. A sender is dropped if the server process crashes.
+    pending: RefCell<FxHashMap<u64, oneshot::Sender<ServerOutcome>>>,
+    next_attempt: Cell<u64>,
+    /// Wakes [`Fleet::run`] after a submission or cancellation, since the next event may have changed.
+    events_changed: Notify,
+    /// Distribution of the work of a request, by class.
+    work_distributions: Vec<LogNormal<f64>>,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl Fleet {
     fn new(scenario: Arc<Scenario>, seed: u64) -> io::Result<Rc<Self>> {
-        let works = scenario
+        let work_distributions = scenario
             .classes
             .iter()
             .map(|c| LogNormal::from_mean_cv(c.work.0, c.spread));
         Ok(Rc::new(Fleet {
-            works: works.collect::<Result<_, _>>().map_err(io::Error::other)?,
+            work_distributions: work_distributions
+                .collect::<Result<_, _>>()
+                .map_err(io::Error::other)?,
             world: RefCell::new(World::new(scenario, seed)),
             start: Instant::now(),
-            waiting: RefCell::default(),
-            next: Cell::default(),
-            changed: Notify::new(),
+            pending: RefCell::default(),
+            next_attempt: Cell::default(),
+            events_changed: Notify::new(),
             rng: RefCell::new(stream(seed, Purpose::Load)),
         }))
     }
 
+    /// Time since the start of the fleet.
     fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    async fn open(self: &Rc<Self>) -> io::Result<Vec<Member>> {
-        let mut members = Vec::new();
+    /// Binds a listener for each server and accepts connections on it.
+    async fn open(self: &Rc<Self>) -> io::Result<Vec<DemoServer>> {
+        let mut servers = Vec::new();
         let count = self.world.borrow().servers().len();
         for server in 0..count {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
             let world = self.world.borrow();
             let (fleet, fleet_server) = (&world.scenario().fleet, &world.servers()[server]);
             let kind = &fleet.kinds[fleet_server.kind];
-            members.push(Member {
+            servers.push(DemoServer {
                 name: world.name(server),
                 address: listener.local_addr()?,
                 zone: fleet.zones[fleet_server.zone].clone(),
@@ -118,33 +125,30 @@
             });
             spawn_local(self.clone().accept(listener, server));
         }
-        Ok(members)
+        Ok(servers)
     }
 
-    /// Lets the world happen, for as long as the process.
-    async fn turn(&self) {
+    /// Advances the world at its events and reports the outcomes of attempts; never returns.
+    async fn run(&self) {
         loop {
             let next = self.world.borrow().next();
             match next.map(|at| self.start + Duration::from_secs_f64(at.max(0.0) / 1000.0)) {
                 Some(at) => tokio::select! {
                     () = sleep_until(at) => {}
-                    () = self.changed.notified() => {}
+                    () = self.events_changed.notified() => {}
                 },
-                None => self.changed.notified().await,
+                None => self.events_changed.notified().await,
             }
-            let happened = self.world.borrow_mut().advance(self.now());
-            for h in happened {
-                match h {
-                    WorldEvent::Completed {
-                        attempt,
-                        outcome: verdict,
-                    } => {
-                        if let Some(waits) = self.waiting.borrow_mut().remove(&attempt) {
-                            let _ = waits.send(verdict); // it may have left
+            let events = self.world.borrow_mut().advance(self.now());
+            for event in events {
+                match event {
+                    WorldEvent::Completed { attempt, outcome } => {
+                        if let Some(sender) = self.pending.borrow_mut().remove(&attempt) {
+                            let _ = sender.send(outcome); // fails if the client has disconnected
                         }
                     }
                     WorldEvent::Lost { attempt } | WorldEvent::ConnectionBroken { attempt, .. } => {
-                        self.waiting.borrow_mut().remove(&attempt);
+                        self.pending.borrow_mut().remove(&attempt);
                     }
                     _ => {}
                 }
@@ -156,21 +160,26 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().connection(Connection::new(stream), server));
+                    spawn_local(
+                        self.clone()
+                            .serve_connection(Connection::new(stream), server),
+                    );
                 }
-                // Out of descriptors: others are closed in time.
+                // Out of file descriptors: retry after other connections have been closed.
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, mut connection: Connection, server: ServerId) {
+    async fn serve_connection(self: Rc<Self>, mut connection: Connection, server: ServerId) {
         while let Ok(request) = connection.read(true).await {
             let StartLine::Request(_, target) = &request.start else {
                 return;
             };
-            let answer = self.answer(&mut connection, server, target).await;
-            let Some((status, body)) = answer else { return };
+            let response = self.respond(&mut connection, server, target).await;
+            let Some((status, body)) = response else {
+                return;
+            };
             let head = format!(
                 "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}\n",
                 body.len() + 1
@@ -181,8 +190,9 @@
         }
     }
 
-    /// What a server says to a request; none where the connection breaks.
-    async fn answer(
+    /// Processes a request at a server and returns the status and body; `None` if the connection is to be closed without a
+    /// response.
+    async fn respond(
         &self,
         connection: &mut Connection,
         server: ServerId,
@@ -191,53 +201,53 @@
         let name = self.world.borrow().name(server);
         let path = target.split('?').next().unwrap_or_default();
         let class = path.split('/').nth(1).unwrap_or_default();
-        let place = self
+        let class_index = self
             .world
             .borrow()
             .scenario()
             .classes
             .iter()
             .position(|c| c.name == class);
-        let Some(place) = place else {
+        let Some(class_index) = class_index else {
             return Some((
                 "404 Not Found",
                 serde_json::json!({ "server": name }).to_string(),
             ));
         };
-        let work = self.works[place].sample(&mut *self.rng.borrow_mut());
-        let attempt = self.next.replace(self.next.get() + 1);
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(attempt, tell);
-        let began = self.now();
+        let work = self.work_distributions[class_index].sample(&mut *self.rng.borrow_mut());
+        let attempt = self.next_attempt.replace(self.next_attempt.get() + 1);
+        let (outcome_sender, outcome) = oneshot::channel();
+        self.pending.borrow_mut().insert(attempt, outcome_sender);
+        let submitted_at = self.now();
         let key = path.bytes().fold(0u64, |key, b| {
             key.wrapping_mul(31).wrapping_add(u64::from(b))
         });
         let (admission, _) =
             self.world
                 .borrow_mut()
-                .submit(began, server, Job { attempt, work, key });
-        self.changed.notify_one();
+                .submit(submitted_at, server, Job { attempt, work, key });
+        self.events_changed.notify_one();
         if admission != Admission::Accepted {
-            self.waiting.borrow_mut().remove(&attempt);
+            self.pending.borrow_mut().remove(&attempt);
             return Some((
                 "503 Busy",
                 serde_json::json!({ "server": name, "busy": true }).to_string(),
             ));
         }
-        let verdict = tokio::select! {
+        let outcome = tokio::select! {
             biased;
-            verdict = told => verdict.ok()?,
+            outcome = outcome => outcome.ok()?,
             () = connection.closed() => {
                 self.world.borrow_mut().cancel(self.now(), server, attempt);
-                self.waiting.borrow_mut().remove(&attempt);
-                self.changed.notify_one();
+                self.pending.borrow_mut().remove(&attempt);
+                self.events_changed.notify_one();
                 return None;
             }
         };
-        let took = (self.now() - began).round();
-        (verdict == ServerOutcome::Served).then(|| {
-            let said = serde_json::json!({ "server": name, "class": class, "path": path, "took-ms": took });
-            ("200 OK", said.to_string())
+        let duration_ms = (self.now() - submitted_at).round();
+        (outcome == ServerOutcome::Served).then(|| {
+            let body = serde_json::json!({ "server": name, "class": class, "path": path, "took-ms": duration_ms });
+            ("200 OK", body.to_string())
         })
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,6 +1,7 @@
-//! Runs, and runs set against each other: repeats over seeds, two settings compared, one setting swept.
+//! Runs of scenarios, and comparisons of runs: repetition over seeds, comparison of two settings, and sweeps over one
+//! setting.
 //!
-//! Every run stands alone, so repeats go to several threads; what comes out does not depend on how many.
+//! Runs are independent, so repetitions execute on several threads; the results do not depend on the number of threads.
 
 use std::panic::resume_unwind;
 use std::sync::Arc;
@@ -19,46 +20,46 @@
 use crate::sim::decider::InjectedDefect;
 use crate::sim::{Counts, Sim};
 
-/// One run and what is to be said of it.
+/// Run of a scenario and its evaluation.
 pub struct Run {
-    /// What was played.
+    /// Scenario of the run.
     pub scenario: Arc<Scenario>,
-    /// The scenario's name, a shipped one's or a file's.
+    /// Name of the shipped scenario or path of the scenario file.
     pub name: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Whether time was virtual.
+    /// True if the run used virtual time.
     pub virtual_time: bool,
-    /// What happened.
+    /// Record of all client attempts and attempts.
     pub ledger: Ledger,
-    /// What was asked for.
-    pub asks: Vec<ClientRequest>,
-    /// How good the service was.
+    /// Requests of the clients.
+    pub requests: Vec<ClientRequest>,
+    /// Service quality.
     pub score: Score,
-    /// Broken rules.
+    /// Rule violations.
     pub broken: Vec<Violation>,
     /// Counts of a run in virtual time.
     pub counts: Counts,
-    /// CPU time that the module took in µs a request; measured, so no part of what a seed fixes.
+    /// CPU time of the decision module in µs per request. Measured, so not determined by the seed.
     pub module_us: f64,
-    /// Whether it was cut short.
+    /// True if the run was interrupted before its end.
     pub partial: bool,
-    /// Why its figures are worth nothing, if they are not.
+    /// Reason why the figures are invalid, if they are.
     pub void: Option<String>,
 }
 
 impl Run {
-    /// Judges and counts what a run left behind.
+    /// Checks the rules and computes the score of a finished run.
     pub fn new(
         scenario: Arc<Scenario>,
         name: &str,
         seed: u64,
         ledger: Ledger,
-        asks: Vec<ClientRequest>,
+        requests: Vec<ClientRequest>,
         served: &[Option<f64>],
     ) -> Self {
         let broken = check_rules(&ledger, &scenario.rules, &scenario.proxies);
-        let score = score(&scenario, &asks, served, &ledger);
+        let score = score(&scenario, &requests, served, &ledger);
         let (counts, module_us, partial, void, virtual_time) =
             (Counts::default(), 0.0, false, None, false);
         let name = name.to_owned();
@@ -68,7 +69,7 @@
             seed,
             virtual_time,
             ledger,
-            asks,
+            requests,
             score,
             broken,
             counts,
@@ -79,31 +80,31 @@
     }
 }
 
-/// Plays a scenario in virtual time.
+/// Runs a scenario in virtual time, optionally with a deliberate defect in the decision module.
 pub fn simulate(
     scenario: &Arc<Scenario>,
     name: &str,
     seed: u64,
-    sabotage: Option<InjectedDefect>,
+    defect: Option<InjectedDefect>,
 ) -> Run {
-    let played = Sim::new(scenario.clone(), seed, sabotage).run();
-    let served: Vec<Option<f64>> = played.served.iter().map(|(at, _)| *at).collect();
-    let requests = played.ledger.client_attempts.len().max(1) as f64;
+    let result = Sim::new(scenario.clone(), seed, defect).run();
+    let served: Vec<Option<f64>> = result.served.iter().map(|(at, _)| *at).collect();
+    let client_attempts = result.ledger.client_attempts.len().max(1) as f64;
     let mut run = Run::new(
         scenario.clone(),
         name,
         seed,
-        played.ledger,
-        played.requests,
+        result.ledger,
+        result.requests,
         &served,
     );
     run.virtual_time = true;
-    run.counts = played.counts;
-    run.module_us = played.module_time.as_secs_f64() * 1e6 / requests;
+    run.counts = result.counts;
+    run.module_us = result.module_time.as_secs_f64() * 1e6 / client_attempts;
     run
 }
 
-/// Does each job on one of `threads` threads; the results come in the order of the jobs.
+/// Runs the jobs on `threads` threads and returns their results in the order of the jobs.
 pub fn on_threads<T: Send>(jobs: usize, threads: usize, job: impl Fn(usize) -> T + Sync) -> Vec<T> {
     let next = AtomicUsize::new(0);
     let mut results: Vec<(usize, T)> = thread::scope(|scope| {
@@ -129,43 +130,43 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// A scenario's text with some keys set anew, each written `key.below=value`.
+/// Parses a scenario's text with some settings overridden, each written as `section.key=value`.
 ///
 /// # Errors
-/// What is no TOML, what is no setting, and all that is wrong with the scenario that comes of it.
+/// The text is not valid TOML, an override is not of that form or names no setting, or the resulting scenario is invalid.
 pub fn with_settings(file: &str, text: &str, sets: &[String]) -> Result<Scenario, ScenarioError> {
     if sets.is_empty() {
         return Scenario::parse(file, text);
     }
-    Scenario::parse(file, text)?; // errors of the file itself name its lines
-    let wrong = |set: &str, what: &str| ScenarioError {
+    Scenario::parse(file, text)?; // reports errors of the file itself with their line numbers
+    let error = |set: &str, message: &str| ScenarioError {
         file: file.to_owned(),
         problems: vec![crate::Problem {
             line: 1,
             key: set.to_owned(),
-            message: what.to_owned(),
+            message: message.to_owned(),
         }],
     };
-    let mut table: toml::Table = toml::from_str(text).map_err(|e| wrong("", e.message()))?;
+    let mut table: toml::Table = toml::from_str(text).map_err(|e| error("", e.message()))?;
     for set in sets {
         let (key, value) = set
             .split_once('=')
-            .ok_or_else(|| wrong(set, "a setting is written key=value"))?;
+            .ok_or_else(|| error(set, "a setting is written key=value"))?;
         let value: toml::Value = match toml::from_str::<toml::Table>(&format!("v = {value}")) {
             Ok(mut parsed) => parsed
                 .remove("v")
-                .ok_or_else(|| wrong(set, "there is no value"))?,
-            Err(_) => toml::Value::String(value.to_owned()), // a quantity with its unit, unquoted
+                .ok_or_else(|| error(set, "there is no value"))?,
+            Err(_) => toml::Value::String(value.to_owned()), // an unquoted quantity with its unit
         };
         let root = toml::Value::Table(std::mem::take(&mut table));
-        let root = put(root, &key.trim().split('.').collect::<Vec<_>>(), value)
-            .ok_or_else(|| wrong(set, "there is no such place"))?;
+        let root = set_value(root, &key.trim().split('.').collect::<Vec<_>>(), value)
+            .ok_or_else(|| error(set, "there is no such place"))?;
         let toml::Value::Table(root) = root else {
-            return Err(wrong(set, "there is no such place"));
+            return Err(error(set, "there is no such place"));
         };
         table = root;
     }
-    // The two ways to give the load exclude each other: the one set last counts.
+    // load.level and load.rate are mutually exclusive: the last override takes precedence.
     if let Some(toml::Value::Table(load)) = table.get_mut("load")
         && let Some(last) = sets.iter().rev().find_map(|s| {
             ["load.level", "load.rate"]
@@ -179,72 +180,74 @@
             "level"
         });
     }
-    let text = toml::to_string(&table).map_err(|e| wrong("", &e.to_string()))?;
+    let text = toml::to_string(&table).map_err(|e| error("", &e.to_string()))?;
     Scenario::parse(&format!("{file} with {}", sets.join(", ")), &text)
 }
 
-fn put(mut at: toml::Value, path: &[&str], value: toml::Value) -> Option<toml::Value> {
+/// Sets the value at a path below a TOML value; `None` if there is no such place.
+fn set_value(mut node: toml::Value, path: &[&str], value: toml::Value) -> Option<toml::Value> {
     let Some((first, rest)) = path.split_first() else {
         return Some(value);
     };
-    match &mut at {
+    match &mut node {
         toml::Value::Table(table) => {
-            let below = table
+            let child = table
                 .remove(*first)
                 .unwrap_or_else(|| toml::Value::Table(toml::Table::new()));
-            let below = if rest.is_empty() {
+            let child = if rest.is_empty() {
                 value
             } else {
-                put(below, rest, value)?
+                set_value(child, rest, value)?
             };
-            table.insert((*first).to_owned(), below);
+            table.insert((*first).to_owned(), child);
         }
         toml::Value::Array(items) => {
             let item = items.get_mut(first.parse::<usize>().ok()?)?;
-            *item = put(item.clone(), rest, value)?;
+            *item = set_value(item.clone(), rest, value)?;
         }
         _ => return None,
     }
-    Some(at)
+    Some(node)
 }
 
-/// A mean with the bounds between which it lies with 95 % confidence.
+/// Mean with its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Estimate {
-    /// The mean.
+    /// Sample mean.
     pub mean: f64,
-    /// Lower bound.
+    /// Lower bound of the interval.
     pub low: f64,
-    /// Upper bound.
+    /// Upper bound of the interval.
     pub high: f64,
 }
 
 impl Estimate {
-    /// The mean of samples, with Student's interval; with one sample there is none, and the bounds are infinite.
+    /// Computes the mean of samples and its interval by Student's t-distribution. With a single sample the bounds are
+    /// infinite.
     pub fn of(samples: &[f64]) -> Self {
         let n = samples.len() as f64;
         let mean = samples.iter().sum::<f64>() / n.max(1.0);
-        let half = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| {
+        let half_width = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| {
             let variance = samples.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0);
             t.inverse_cdf(0.975) * (variance / n).sqrt()
         });
         Estimate {
             mean,
-            low: mean - half,
-            high: mean + half,
+            low: mean - half_width,
+            high: mean + half_width,
         }
     }
 
-    /// Whether nothing lies outside the bounds.
-    pub fn holds_zero(&self) -> bool {
+    /// Returns true if zero lies within the bounds.
+    pub fn contains_zero(&self) -> bool {
         self.low <= 0.0 && 0.0 <= self.high
     }
 }
 
-/// A figure's name, and how it is read off a run.
+/// Name of a figure, and the function that computes it from a run.
 pub type Figure = (&'static str, fn(&Run) -> f64);
 
-/// What two runs are compared by.
+/// Figures by which runs are compared.
 pub const FIGURES: [Figure; 7] = [
     ("served share", |r| r.score.whole.share),
     ("worst class", |r| {
@@ -259,20 +262,20 @@
     ("p99 ms", |r| r.score.whole.latency_ms[2]),
 ];
 
-/// One figure of two settings, and their difference pair by pair.
+/// Figure under two settings A and B, and its paired difference.
 #[derive(Clone, Debug, Serialize)]
 pub struct Difference {
-    /// The figure.
+    /// Name of the figure.
     pub figure: &'static str,
-    /// Its mean under A.
+    /// Mean under A.
     pub a: f64,
-    /// Its mean under B.
+    /// Mean under B.
     pub b: f64,
-    /// B less A, paired by seed.
+    /// B minus A, paired by seed.
     pub difference: Estimate,
 }
 
-/// Compares runs that are paired by seed.
+/// Compares the figures of runs that are paired by seed.
 pub fn compare(a: &[Run], b: &[Run]) -> Vec<Difference> {
     let figure = |(name, of): &Figure| {
         let (a, b): (Vec<f64>, Vec<f64>) = (a.iter().map(of).collect(), b.iter().map(of).collect());
--- a/crates/lab/src/followers.rs
+++ b/crates/lab/src/followers.rs
@@ -1,5 +1,5 @@
-//! Following a fleet in etcd, measured against the stand-in: how long lists and changes take, what they cost, and how followers
-//! come back together.
+//! Measures endpoint discovery through etcd against the fake etcd: the time and cost of lists and changes, and the
+//! simultaneous reconnection of many followers.
 
 use std::fmt::Write as _;
 use std::io;
@@ -22,49 +22,49 @@
 use crate::real::{cpu_seconds, resident_mb};
 use crate::service::{HttpConnection, Service, ServiceFiles};
 
-/// Changes that are timed with each size.
-const CHANGES: usize = 300;
-/// Followers that come back together.
-const MANY: usize = 100;
+/// Endpoints that are added and removed again with each list size.
+const TIMED_CHANGES: usize = 300;
+/// Followers that reconnect at the same time.
+const RECONNECTING_FOLLOWERS: usize = 100;
 
-fn keys() -> KeySpace {
+fn key_space() -> KeySpace {
     KeySpace::new("/canvascart/v1", "t")
 }
 
-fn put(standin: &FakeEtcd, name: &str, address: SocketAddr) {
-    let entry = EndpointRecord {
+fn put_endpoint(fake_etcd: &FakeEtcd, name: &str, address: SocketAddr) {
+    let record = EndpointRecord {
         capacity: 16.0,
         started_at_ms: Some(1),
         ..EndpointRecord::new(address)
     };
     let request = PutRequest {
-        key: keys().endpoint_key(name).into_bytes(),
-        value: entry.to_json().into_bytes(),
+        key: key_space().endpoint_key(name).into_bytes(),
+        value: record.to_json().into_bytes(),
         ..PutRequest::default()
     };
-    standin.with_store(|s| _ = s.put(0, &request)); // without a lease it can't be refused
+    fake_etcd.with_store(|s| _ = s.put(0, &request)); // can't fail without a lease
 }
 
-fn delete(standin: &FakeEtcd, name: &str) {
+fn delete_endpoint(fake_etcd: &FakeEtcd, name: &str) {
     let request = DeleteRangeRequest {
-        key: keys().endpoint_key(name).into_bytes(),
+        key: key_space().endpoint_key(name).into_bytes(),
         ..DeleteRangeRequest::default()
     };
-    standin.with_store(|s| _ = s.delete(0, &request));
+    fake_etcd.with_store(|s| _ = s.delete(0, &request));
 }
 
-/// What a list of one size takes.
+/// Measurement of a list of one size.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Size {
-    /// How many servers.
+pub struct ListMeasurement {
+    /// Number of servers in the list.
     pub servers: usize,
-    /// From the first connection to the whole list, in ms.
+    /// Time from the first connection to the complete list, in ms.
     pub listed_ms: f64,
-    /// CPU time of the process meanwhile, the stand-in's with it, in ms.
+    /// CPU time of this process in that time, including the fake etcd, in ms.
     pub cpu_ms: f64,
-    /// Memory that came with it, in MiB.
+    /// Increase of resident memory, in MiB.
     pub resident_mb: f64,
-    /// From a write in the store to the list's change, in ms: median and 99th percentile.
+    /// Time from a write to the store until the change of the list, in ms: median and 99th percentile.
     pub change_ms: [f64; 2],
 }
 
@@ -75,18 +75,19 @@
         .build()
 }
 
-fn follow(
-    standin: &FakeEtcd,
+/// Starts a follower and returns its updates.
+fn start_follower(
+    fake_etcd: &FakeEtcd,
     limits: WatchLimits,
     seed: u64,
 ) -> mpsc::UnboundedReceiver<DiscoveryUpdate> {
     let (to, updates) = mpsc::unbounded_channel();
-    let settings = Settings::new(standin.endpoints());
+    let settings = Settings::new(fake_etcd.endpoints());
     tokio::spawn(etcd::watch_endpoints(
         PlaintextConnector,
         settings,
         "lab".into(),
-        keys(),
+        key_space(),
         limits,
         seed,
         to,
@@ -94,17 +95,21 @@
     updates
 }
 
-/// Measures a list of so many servers.
+/// Measures a list of `servers` servers.
 ///
 /// # Errors
-/// The stand-in can't be had.
-pub fn size(servers: usize) -> io::Result<Size> {
+/// The fake etcd could not be started, or the follower ended.
+pub fn measure_list(servers: usize) -> io::Result<ListMeasurement> {
     runtime()?.block_on(async {
-        let standin = FakeEtcd::start(3).await?;
+        let fake_etcd = FakeEtcd::start(3).await?;
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
-        (0..servers).for_each(|n| put(&standin, &format!("s{n:05}"), address));
-        let id = std::process::id();
-        let (cpu, mb, began) = (cpu_seconds(id), resident_mb(id), Instant::now());
+        (0..servers).for_each(|n| put_endpoint(&fake_etcd, &format!("s{n:05}"), address));
+        let process_id = std::process::id();
+        let (cpu, mb, began) = (
+            cpu_seconds(process_id),
+            resident_mb(process_id),
+            Instant::now(),
+        );
         let no_wait = WatchLimits {
             backoff: BackoffLimits {
                 initial_ms: 0,
@@ -113,10 +118,10 @@
             },
             ..WatchLimits::default()
         };
-        let mut updates = follow(&standin, no_wait, 1);
-        let mut measured = Size {
+        let mut updates = start_follower(&fake_etcd, no_wait, 1);
+        let mut measured = ListMeasurement {
             servers,
-            ..Size::default()
+            ..ListMeasurement::default()
         };
         while let Some(update) = updates.recv().await {
             match update {
@@ -127,18 +132,18 @@
                 _ => {}
             }
         }
-        measured.cpu_ms = 1000.0 * (cpu_seconds(id).unwrap_or(0.0) - cpu.unwrap_or(0.0));
-        measured.resident_mb = resident_mb(id).unwrap_or(0.0) - mb.unwrap_or(0.0);
-        let mut took =
+        measured.cpu_ms = 1000.0 * (cpu_seconds(process_id).unwrap_or(0.0) - cpu.unwrap_or(0.0));
+        measured.resident_mb = resident_mb(process_id).unwrap_or(0.0) - mb.unwrap_or(0.0);
+        let mut change_times =
             Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        for n in 0..CHANGES {
+        for n in 0..TIMED_CHANGES {
             let name = format!("x{n}");
             for up in [true, false] {
                 let began = Instant::now();
                 if up {
-                    put(&standin, &name, address)
+                    put_endpoint(&fake_etcd, &name, address)
                 } else {
-                    delete(&standin, &name)
+                    delete_endpoint(&fake_etcd, &name)
                 }
                 loop {
                     let update = updates
@@ -149,23 +154,24 @@
                         break;
                     }
                 }
-                took.saturating_record(began.elapsed().as_micros() as u64);
+                change_times.saturating_record(began.elapsed().as_micros() as u64);
             }
         }
-        measured.change_ms = [0.5, 0.99].map(|q| took.value_at_quantile(q) as f64 / 1000.0);
+        measured.change_ms = [0.5, 0.99].map(|q| change_times.value_at_quantile(q) as f64 / 1000.0);
         Ok(measured)
     })
 }
 
-/// Connections that come to a member after it was cut, with 100 followers: the most in any 100 ms, and all in 5 s.
+/// Measures the connections to an etcd member after all connections of 100 followers were broken: the maximum in any
+/// 100 ms, and the total in 5 s.
 ///
 /// # Errors
-/// The stand-in can't be had.
-pub fn stampede(jitter: bool) -> io::Result<(u64, u64)> {
+/// The fake etcd could not be started.
+pub fn measure_reconnections(jitter: bool) -> io::Result<(u64, u64)> {
     runtime()?.block_on(async {
-        let standin = FakeEtcd::start(1).await?;
-        put(&standin, "a", SocketAddr::from(([127, 0, 0, 1], 9)));
-        // A first wait of up to 2 s, as the operators of a large fleet would set it.
+        let fake_etcd = FakeEtcd::start(1).await?;
+        put_endpoint(&fake_etcd, "a", SocketAddr::from(([127, 0, 0, 1], 9)));
+        // An initial backoff of up to 2 s is a typical setting for a large fleet.
         let limits = WatchLimits {
             backoff: BackoffLimits {
                 initial_ms: 2000,
@@ -174,58 +180,61 @@
             },
             ..WatchLimits::default()
         };
-        let mut all: Vec<_> = (0..MANY)
-            .map(|n| follow(&standin, limits, n as u64))
+        let mut followers: Vec<_> = (0..RECONNECTING_FOLLOWERS)
+            .map(|n| start_follower(&fake_etcd, limits, n as u64))
             .collect();
-        for updates in &mut all {
+        for updates in &mut followers {
             while let Some(update) = updates.recv().await {
                 if matches!(update, DiscoveryUpdate::Status(s) if s.phase == Phase::Watching) {
                     break;
                 }
             }
         }
-        let before = standin.connection_count();
-        standin.break_connections(0);
-        let (mut most, mut last) = (0, before);
+        let before = fake_etcd.connection_count();
+        fake_etcd.break_connections(0);
+        let (mut max, mut last) = (0, before);
         for _ in 0..50 {
             sleep(Duration::from_millis(100)).await;
-            let now = standin.connection_count();
-            (most, last) = (most.max(now - last), now);
+            let now = fake_etcd.connection_count();
+            (max, last) = (max.max(now - last), now);
         }
-        Ok((most, last - before))
+        Ok((max, last - before))
     })
 }
 
-/// A server that answers at once, and remembers when it was last asked, in us since a start.
-struct Witness {
+/// Server that records the time of its last request, in µs since `start`.
+struct RecordingServer {
     address: SocketAddr,
-    asked: Arc<AtomicU64>,
+    last_request_us: Arc<AtomicU64>,
 }
 
-impl Witness {
+impl RecordingServer {
     fn new(start: Instant) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (address, asked) = (listener.local_addr()?, Arc::new(AtomicU64::new(0)));
-        let tell = asked.clone();
+        let (address, last_request_us) = (listener.local_addr()?, Arc::new(AtomicU64::new(0)));
+        let recorder = last_request_us.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let tell = tell.clone();
-                thread::spawn(move || answer(stream, start, &tell));
+                let recorder = recorder.clone();
+                thread::spawn(move || serve(stream, start, &recorder));
             }
         });
-        Ok(Witness { address, asked })
+        Ok(RecordingServer {
+            address,
+            last_request_us,
+        })
     }
 }
 
-/// Answers requests without bodies until the connection ends.
-fn answer(mut stream: TcpStream, start: Instant, asked: &AtomicU64) {
+/// Answers requests without bodies, each after 2 ms, until the connection ends.
+fn serve(mut stream: TcpStream, start: Instant, last_request_us: &AtomicU64) {
     use std::io::{Read as _, Write as _};
-    let _ = stream.set_nodelay(true); // slower without, no worse
+    let _ = stream.set_nodelay(true); // on failure responses are only slower
     let (mut bytes, mut head) = (vec![0; 4096], Vec::new());
     while let Ok(n @ 1..) = stream.read(&mut bytes) {
         head.extend_from_slice(&bytes[..n]);
         if head.ends_with(b"\r\n\r\n") {
-            asked.store(start.elapsed().as_micros() as u64, Ordering::Relaxed);
+            last_request_us.store(start.elapsed().as_micros() as u64, Ordering::Relaxed);
             head.clear();
             thread::sleep(Duration::from_millis(2));
             if stream
@@ -238,89 +247,99 @@
     }
 }
 
-/// From a removal's write in the store to the last request that the server gets, under load, in ms: the median and the most of so
-/// many removals. A request that came after 1 s breaks the rule.
+/// Measures the time from the write that removes a server from the store to the last request that the server receives, under
+/// load, in ms: the median and the maximum over `removals` removals. A request later than 1 s after the removal violates the
+/// rule.
 ///
 /// # Errors
-/// The service or the stand-in can't be had.
-pub fn last_request(command: &[String], removals: usize, dir: &Path) -> io::Result<[f64; 2]> {
+/// The service or the fake etcd could not be started, or a server received no request before its removal.
+pub fn measure_removals(command: &[String], removals: usize, dir: &Path) -> io::Result<[f64; 2]> {
     let runtime = runtime()?;
-    let standin = runtime.block_on(FakeEtcd::start(3))?;
+    let fake_etcd = runtime.block_on(FakeEtcd::start(3))?;
     let start = Instant::now();
-    let witnesses = [
-        Witness::new(start)?,
-        Witness::new(start)?,
-        Witness::new(start)?,
+    let servers = [
+        RecordingServer::new(start)?,
+        RecordingServer::new(start)?,
+        RecordingServer::new(start)?,
     ];
-    let on = runtime.enter();
-    witnesses
+    let runtime_context = runtime.enter();
+    servers
         .iter()
         .enumerate()
-        .for_each(|(n, w)| put(&standin, &format!("w{n}"), w.address));
-    drop(on);
-    let endpoints: Vec<String> = standin
+        .for_each(|(n, w)| put_endpoint(&fake_etcd, &format!("w{n}"), w.address));
+    drop(runtime_context);
+    let endpoints: Vec<String> = fake_etcd
         .endpoints()
         .iter()
         .map(|e| format!("{e:?}"))
         .collect();
-    let tables = format!(
+    let config = format!(
         "[[tenant]]\nname = \"t\"\nfleet = {{ etcd = [{}] }}\n[[tenant.class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"300 \
          ms\"\ndeadline = \"1 s\"\n",
         endpoints.join(", ")
     );
-    let place = ServiceFiles::new(dir, &tables)?;
-    let service = Service::start(command, &place.config, 1, true)?;
-    let at = service
+    let files = ServiceFiles::new(dir, &config)?;
+    let service = Service::start(command, &files.config, 1, true)?;
+    let public_address = service
         .listeners
         .get("public")
         .copied()
-        .ok_or_else(|| io::Error::other("it has no listener"))?;
+        .ok_or_else(|| io::Error::other("the service has no listener `public`"))?;
     let stop = AtomicBool::new(false);
-    let mut late = thread::scope(|threads| -> io::Result<Vec<f64>> {
+    let mut last_requests_ms = thread::scope(|threads| -> io::Result<Vec<f64>> {
         for _ in 0..8 {
             threads.spawn(|| {
-                let mut line = HttpConnection::new(at, "X-Tenant-Id: t\r\n");
+                let mut connection = HttpConnection::new(public_address, "X-Tenant-Id: t\r\n");
                 while !stop.load(Ordering::Relaxed) {
-                    let _ = line.call("GET", "/lookup/1", "", ""); // what is refused meanwhile is the module's word
+                    let _ = connection.call("GET", "/lookup/1", "", ""); // a rejected request does not affect the measurement
                     thread::sleep(Duration::from_millis(1));
                 }
             });
         }
         thread::sleep(Duration::from_secs(1));
-        let mut late = Vec::new();
+        let mut last_requests_ms = Vec::new();
         for n in 0..removals {
-            // Under another name each time: one that comes and goes would be held back.
-            let (name, next, witness) = (format!("w{n}"), format!("w{}", n + 3), &witnesses[n % 3]);
-            let gone = start.elapsed().as_micros() as f64;
-            // A server that nobody asked would keep the rule without a merit.
-            if witness.asked.swap(0, Ordering::Relaxed) == 0 {
+            // Uses a new name each time, because the service delays an endpoint that appears and disappears repeatedly.
+            let (name, next, server) = (format!("w{n}"), format!("w{}", n + 3), &servers[n % 3]);
+            let removed_us = start.elapsed().as_micros() as f64;
+            // A server without requests before its removal would satisfy the rule trivially.
+            if server.last_request_us.swap(0, Ordering::Relaxed) == 0 {
                 return Err(io::Error::other(format!(
-                    "{name} was not asked before its removal"
+                    "{name} received no request before its removal"
                 )));
             }
-            delete(&standin, &name);
+            delete_endpoint(&fake_etcd, &name);
             thread::sleep(Duration::from_millis(1200));
-            late.push((witness.asked.load(Ordering::Relaxed) as f64 - gone).max(0.0) / 1000.0);
-            put(&standin, &next, witness.address);
-            let begin = Instant::now();
-            while witness.asked.load(Ordering::Relaxed) as f64 <= gone + 1.2e6
-                && begin.elapsed().as_secs() < 5
+            last_requests_ms.push(
+                (server.last_request_us.load(Ordering::Relaxed) as f64 - removed_us).max(0.0)
+                    / 1000.0,
+            );
+            put_endpoint(&fake_etcd, &next, server.address);
+            let added_at = Instant::now();
+            while server.last_request_us.load(Ordering::Relaxed) as f64 <= removed_us + 1.2e6
+                && added_at.elapsed().as_secs() < 5
             {
                 thread::sleep(Duration::from_millis(10));
             }
         }
         stop.store(true, Ordering::Relaxed);
-        Ok(late)
+        Ok(last_requests_ms)
     })?;
-    late.sort_by(f64::total_cmp);
-    let most = late.last().copied().unwrap_or(0.0);
-    Ok([late.get(late.len() / 2).copied().unwrap_or(0.0), most])
+    last_requests_ms.sort_by(f64::total_cmp);
+    let max = last_requests_ms.last().copied().unwrap_or(0.0);
+    Ok([
+        last_requests_ms
+            .get(last_requests_ms.len() / 2)
+            .copied()
+            .unwrap_or(0.0),
+        max,
+    ])
 }
 
-/// The figures of lists, a line each, one column a size.
-pub fn table(all: &[Size]) -> String {
-    type Of = fn(&Size) -> String;
-    let rows: [(&str, Of); 5] = [
+/// Formats list measurements as a table: one line per figure, one column per list size.
+pub fn table(measurements: &[ListMeasurement]) -> String {
+    type Format = fn(&ListMeasurement) -> String;
+    let rows: [(&str, Format); 5] = [
         ("servers", |s| s.servers.to_string()),
         ("whole list, ms", |s| format!("{:.1}", s.listed_ms)),
         ("CPU with the stand-in's, ms", |s| {
@@ -332,9 +351,12 @@
         }),
     ];
     let mut text = String::new();
-    for (name, of) in rows {
-        let cells: String = all.iter().map(|s| format!(" {:>16}", of(s))).collect();
-        let _ = writeln!(text, "{name:<30}{cells}"); // a string takes all
+    for (name, format_value) in rows {
+        let cells: String = measurements
+            .iter()
+            .map(|s| format!(" {:>16}", format_value(s)))
+            .collect();
+        let _ = writeln!(text, "{name:<30}{cells}"); // writing to a string can't fail
     }
     text
 }
