--- a/crates/canvascart/src/lab/capacity.rs
+++ b/crates/canvascart/src/lab/capacity.rs
@@ -173,10 +173,10 @@
             }
         };
         vec![
-            real(servers::Of::One),
-            real(servers::Of::Services),
-            module_only(module::Dealt::One),
-            module_only(module::Dealt::Services),
+            real(servers::Tenancy::One),
+            real(servers::Tenancy::Services),
+            module_only(module::Distribution::One),
+            module_only(module::Distribution::Services),
         ]
     }
 
@@ -388,7 +388,7 @@
             }
         }
     }
-    let complete = !setting.stop.is_set() && finished.iter().all(Sweep::is_whole);
+    let complete = !setting.stop.is_set() && finished.iter().all(Sweep::is_complete);
     if setting.stop.is_set() {
         println!("partial: it was interrupted, and what is above is all that was measured");
     }
--- a/crates/canvascart/tests/capacity.rs
+++ b/crates/canvascart/tests/capacity.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-use ::lab::capacity::servers::{self, Of};
+use ::lab::capacity::servers::{self, Tenancy};
 use ::lab::capacity::tenants::{self, Care, Shape};
 use ::lab::capacity::{Fit, Setting, Stop};
 use serde_json::Value;
@@ -315,7 +315,7 @@
         let mut figures = BTreeMap::new();
         servers::measure(
             &setting.service,
-            &servers::Size::of(Of::Services, servers),
+            &servers::Size::of(Tenancy::Services, servers),
             &timing,
             &setting,
             &mut figures,
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,37 +1,37 @@
-//! Lines through what was measured: a slope and a base, how far the points lie from them, and how far a target lies outside.
+//! Least-squares lines through measured points: slope and intercept, the residual, and the extrapolation to a target.
 
 use serde::Serialize;
 
-/// A line through points by least squares.
+/// Least-squares line through measured points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Fit {
-    /// What one more costs.
+    /// Cost of each additional unit of size.
     pub slope: f64,
-    /// What there is with none.
+    /// Value at size zero.
     pub base: f64,
-    /// The farthest that a point lies from the line, as a part of the largest value measured.
+    /// Maximum distance of a point from the line, as a fraction of the largest measured value.
     pub residual: f64,
-    /// The smallest and the largest size that was measured.
+    /// Smallest and largest measured size.
     pub range: [f64; 2],
-    /// How many points there are.
+    /// Number of points.
     pub points: usize,
 }
 
-/// What a fit gives at a target.
+/// Value of a fit at a target size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AtTarget {
-    /// The size.
+    /// Target size.
     pub size: f64,
-    /// The value there.
+    /// Value of the line at that size.
     pub value: f64,
-    /// How many times the largest size measured the target is; over 10 it is said beside each use.
+    /// Target size divided by the largest measured size. A value above 10 is stated wherever the figure is used.
     pub times: f64,
 }
 
 impl Fit {
-    /// The line through points of size and value; none with fewer than two sizes, or where one is not finite.
+    /// Fits a line through points of size and value; `None` with fewer than two distinct sizes, or if a number is not finite.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let n = points.len() as f64;
         if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
@@ -52,11 +52,15 @@
             / spread;
         let base = mean_y - slope * mean_x;
         let largest = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
-        let off = points
+        let max_distance = points
             .iter()
             .map(|(x, y)| (base + slope * x - y).abs())
             .fold(0.0, f64::max);
-        let residual = if largest > 0.0 { off / largest } else { 0.0 };
+        let residual = if largest > 0.0 {
+            max_distance / largest
+        } else {
+            0.0
+        };
         let range = [
             points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min),
             points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max),
@@ -70,7 +74,7 @@
         })
     }
 
-    /// What it gives at a size.
+    /// Evaluates the line at a size.
     pub fn at(&self, size: f64) -> AtTarget {
         AtTarget {
             size,
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! What each part costs as it grows: sweeps over sizes, with the line through what was measured and what it gives at the target.
+//! Capacity sweeps: measure the cost of each part at several sizes, fit a line through the measurements, and extrapolate it
+//! to the target size.
 
 pub mod fit;
 pub mod hollow;
@@ -22,27 +23,27 @@
 pub use needs::{Machine, Needs};
 pub use stop::Stop;
 
-/// The operators' target, in two years.
+/// Target sizes of the platform in two years.
 pub mod target {
-    /// Proxies.
+    /// Number of proxies.
     pub const PROXIES: f64 = 900.0;
-    /// Servers behind them.
+    /// Servers behind the proxies.
     pub const SERVERS: f64 = 12_000.0;
-    /// Services that the servers are of.
+    /// Services that the servers belong to.
     pub const SERVICES: f64 = 680.0;
-    /// Requests a second at the peak, over all proxies.
+    /// Requests per second at the peak, over all proxies.
     pub const REQUESTS: f64 = 130_000.0;
-    /// Routes.
+    /// Number of routes.
     pub const ROUTES: f64 = 5_300.0;
-    /// Tenants.
+    /// Number of tenants.
     pub const TENANTS: f64 = 33_000.0;
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub const CHANGES: f64 = 2_900.0;
-    /// Restarts and replacements a day.
+    /// Restarts and replacements per day.
     pub const RESTARTS: f64 = 870.0;
 }
 
-/// What was measured at one size.
+/// Measurement at one size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Point {
@@ -50,32 +51,32 @@
     pub sizes: BTreeMap<String, f64>,
     /// Figures by name with their unit, such as `memory MiB`.
     pub figures: BTreeMap<String, f64>,
-    /// Why it does not count, if so; it has no part in any fit.
+    /// Reason why the point is void, if it is; a void point is excluded from all fits.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub void: Option<String>,
 }
 
-/// A line that is wanted of a sweep: a figure by a size, and the target's size.
+/// Line of a sweep: a figure as a function of a size, and the size at the target.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Line {
-    /// The figure.
+    /// Name of the figure.
     pub figure: String,
-    /// By which size.
+    /// Name of the size.
     pub by: String,
-    /// The size at the target.
+    /// Size at the target.
     pub target: f64,
-    /// The line; none where too few points count.
+    /// Fit; `None` if there are too few valid points.
     pub fit: Option<Fit>,
-    /// What it gives at the target.
+    /// Value of the fit at the target.
     pub at_target: Option<AtTarget>,
 }
 
-/// What a second build came to, size by size in turn with the first.
+/// Measurements of a second build, taken alternately with those of the first, size by size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Beside {
-    /// What starts it.
+    /// Command that starts the second build.
     pub command: String,
     /// What was measured, in order.
     pub points: Vec<Point>,
@@ -83,32 +84,32 @@
     pub lines: Vec<Line>,
 }
 
-/// A sweep and what came of it.
+/// Sweep and its results.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Sweep {
-    /// Its name.
+    /// Name of the sweep.
     pub name: String,
-    /// The command that plays it again.
+    /// Command that repeats the sweep.
     pub command: String,
     /// What was measured, in order.
     pub points: Vec<Point>,
     /// The lines through it.
     pub lines: Vec<Line>,
-    /// The same of a second build.
+    /// Results of a second build.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub beside: Option<Beside>,
-    /// It was interrupted: what is there is not all.
+    /// True if the sweep was interrupted, so that points are missing.
     pub partial: bool,
 }
 
-/// A line through the points that count.
-fn through(points: &[Point], figure: &str, by: &str, target: f64) -> Line {
-    let of = |p: &Point| Some((*p.sizes.get(by)?, *p.figures.get(figure)?));
+/// Fits a line through the valid points.
+fn fit_line(points: &[Point], figure: &str, by: &str, target: f64) -> Line {
+    let coordinates = |p: &Point| Some((*p.sizes.get(by)?, *p.figures.get(figure)?));
     let points: Vec<(f64, f64)> = points
         .iter()
         .filter(|p| p.void.is_none())
-        .filter_map(of)
+        .filter_map(coordinates)
         .collect();
     let fit = Fit::of(&points);
     Line {
@@ -121,26 +122,27 @@
 }
 
 impl Sweep {
-    /// The line of a figure by a size, through the points that count; the second build's is kept beside it.
+    /// Adds the line of a figure as a function of a size and returns its fit; adds the line of the second build as well.
     pub fn line(&mut self, figure: &str, by: &str, target: f64) -> Option<Fit> {
         if let Some(beside) = &mut self.beside {
             beside
                 .lines
-                .push(through(&beside.points, figure, by, target));
+                .push(fit_line(&beside.points, figure, by, target));
         }
-        let line = through(&self.points, figure, by, target);
+        let line = fit_line(&self.points, figure, by, target);
         let fit = line.fit;
         self.lines.push(line);
         fit
     }
 
-    /// Whether something of it does not count or is not there.
-    pub fn is_whole(&self) -> bool {
+    /// Returns true if the sweep was not interrupted and has no void points.
+    pub fn is_complete(&self) -> bool {
         let beside = self.beside.iter().flat_map(|b| &b.points);
         !self.partial && self.points.iter().chain(beside).all(|p| p.void.is_none())
     }
 
-    /// It as a table: a row a size and figure, a column a point, of both builds side by side; then a row a line.
+    /// Formats the sweep as a table with one row per size and figure and one column per point, the builds side by side,
+    /// followed by the void points and the lines.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let partial = if self.partial {
@@ -148,13 +150,13 @@
         } else {
             ""
         };
-        // Into a string, which takes all.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "{}{partial}: {}", self.name, self.command);
         let mut columns: Vec<(&str, &Point)> = Vec::new();
-        let seconds = self.beside.as_ref().map_or(&[][..], |b| &b.points);
-        for n in 0..self.points.len().max(seconds.len()) {
+        let beside_points = self.beside.as_ref().map_or(&[][..], |b| &b.points);
+        for n in 0..self.points.len().max(beside_points.len()) {
             columns.extend(self.points.get(n).map(|p| ("", p)));
-            columns.extend(seconds.get(n).map(|p| ("beside", p)));
+            columns.extend(beside_points.get(n).map(|p| ("beside", p)));
         }
         if let Some(beside) = &self.beside {
             let _ = writeln!(text, "beside: {}", beside.command);
@@ -191,7 +193,7 @@
             };
             let cells: Vec<String> = columns
                 .iter()
-                .map(|(_, p)| of(p).map_or("-".into(), number))
+                .map(|(_, p)| of(p).map_or("-".into(), format_number))
                 .collect();
             let _ = writeln!(text, "| {name} | {} |", cells.join(" | "));
         }
@@ -200,7 +202,7 @@
             let at: Vec<String> = point
                 .sizes
                 .iter()
-                .map(|(n, v)| format!("{n} {}", number(*v)))
+                .map(|(n, v)| format!("{n} {}", format_number(*v)))
                 .collect();
             let _ = writeln!(
                 text,
@@ -217,60 +219,61 @@
             .flat_map(|b| &b.lines)
             .map(|l| ("beside: ", l));
         lines.chain(beside).for_each(|(build, line)| {
-            let _ = writeln!(text, "{build}{}", line.told());
+            let _ = writeln!(text, "{build}{}", line.describe());
         });
         text
     }
 }
 
 impl Line {
-    /// It in words.
-    pub fn told(&self) -> String {
+    /// Describes the line in words.
+    pub fn describe(&self) -> String {
         let (Some(fit), Some(at)) = (self.fit, self.at_target) else {
             return format!("{} by {}: too few points for a line", self.figure, self.by);
         };
-        let far = if at.times > 10.0 {
+        let extrapolation = if at.times > 10.0 {
             ", over ten times of what was measured"
         } else {
             ""
         };
         format!(
-            "{} = {} + {} x {} (of {} to {}, residual {:.1} %); at {}: {}{far}",
+            "{} = {} + {} x {} (of {} to {}, residual {:.1} %); at {}: {}{extrapolation}",
             self.figure,
-            number(fit.base),
-            number(fit.slope),
+            format_number(fit.base),
+            format_number(fit.slope),
             self.by,
-            number(fit.range[0]),
-            number(fit.range[1]),
+            format_number(fit.range[0]),
+            format_number(fit.range[1]),
             100.0 * fit.residual,
-            number(at.size),
-            number(at.value),
+            format_number(at.size),
+            format_number(at.value),
         )
     }
 }
 
-/// How both builds are measured: the sizes, what starts a build, and where files go.
+/// Environment of a sweep: the commands of both builds, the working directory and the stop signal.
 #[derive(Clone, Debug)]
 pub struct Setting {
-    /// The program that has the emulated servers (`lab peer`).
+    /// Path of this program, which also runs the emulated servers (`lab peer`).
     pub own: PathBuf,
-    /// What starts the service.
+    /// Command that starts the service.
     pub service: Vec<String>,
-    /// What starts the second build, if one is measured beside the first.
+    /// Command that starts the second build, if there is one.
     pub beside: Option<Vec<String>>,
-    /// A directory of its own, which is made and emptied.
+    /// Working directory, which the sweep creates and clears.
     pub dir: PathBuf,
-    /// Told when the sweep is to end.
+    /// Stop signal of the sweep.
     pub stop: Stop,
 }
 
-/// Plays one size after the other, each with the first build and then with the second, until all are played or it is stopped.
-pub fn in_turn<S>(
+/// Measures the sizes one after another, each with the first build and then with the second, until all are measured or the
+/// sweep is stopped.
+pub fn measure_in_turn<S>(
     sweep: &mut Sweep,
     setting: &Setting,
     sizes: &[S],
-    named: impl Fn(&S) -> BTreeMap<String, f64>,
-    mut play: impl FnMut(&[String], &S, &mut BTreeMap<String, f64>) -> io::Result<()>,
+    name_sizes: impl Fn(&S) -> BTreeMap<String, f64>,
+    mut measure: impl FnMut(&[String], &S, &mut BTreeMap<String, f64>) -> io::Result<()>,
 ) {
     sweep.beside = setting.beside.as_ref().map(|b| Beside {
         command: b.join(" "),
@@ -284,18 +287,18 @@
         {
             let (n, command) = command;
             let mut point = Point {
-                sizes: named(size),
+                sizes: name_sizes(size),
                 ..Point::default()
             };
             point.figures.insert("load average".into(), needs::load());
-            let played = play(command, size, &mut point.figures);
+            let result = measure(command, size, &mut point.figures);
             if setting.stop.is_set() {
                 sweep.partial = true;
-                return; // what was measured of this size so far is of no use
+                return; // discards the incomplete measurement of this size
             }
-            if let Err(e) = played {
-                let why = short(&e.to_string());
-                tracing::warn!(sizes = ?point.sizes, why, "a row is void");
+            if let Err(e) = result {
+                let why = first_line(&e.to_string());
+                tracing::warn!(sizes = ?point.sizes, why, "measurement failed; the point is void");
                 point.void = Some(why);
             }
             match (n, &mut sweep.beside) {
@@ -306,11 +309,11 @@
     }
 }
 
-/// A reason in a line.
-fn short(why: &str) -> String {
-    const LONGEST: usize = 300;
+/// Shortens a reason to its first line, of limited length.
+fn first_line(why: &str) -> String {
+    const MAX_CHARS: usize = 300;
     let line = why.lines().next().unwrap_or_default();
-    let cut: String = line.chars().take(LONGEST).collect();
+    let cut: String = line.chars().take(MAX_CHARS).collect();
     if cut.len() < line.len() {
         cut + "..."
     } else {
@@ -318,8 +321,8 @@
     }
 }
 
-/// A figure with as many digits as it is worth.
-fn number(value: f64) -> String {
+/// Formats a figure with a number of digits that depends on its magnitude.
+fn format_number(value: f64) -> String {
     match value.abs() {
         v if v >= 1000.0 || v == v.round() => format!("{value:.0}"),
         v if v >= 10.0 => format!("{value:.1}"),
--- a/crates/lab/src/capacity/module.rs
+++ b/crates/lab/src/capacity/module.rs
@@ -1,4 +1,5 @@
-//! The decision module alone, in virtual time: what its looks over all servers take, idle and under a proxy's share of the load.
+//! Measures the decision module alone, in virtual time: the cost of its timers, which scan all servers, when idle and under
+//! one proxy's part of the load.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,39 +11,39 @@
 };
 use rustix::time::{ClockId, clock_gettime};
 
-use super::servers::{OF_SERVICE, RATE};
+use super::servers::{REQUESTS_PER_SECOND, SERVERS_PER_SERVICE};
 use super::stop::Stop;
 use super::{Point, Sweep, needs, target};
 
-/// How long it is idle and busy, in ms of virtual time each; the first part of either is not counted.
-const SPAN: f64 = 10_000.0;
-/// That first part.
-const WARM: f64 = 2000.0;
-/// How long a server works on a request, in ms.
-const WORK: f64 = 20.0;
+/// Duration of the idle and of the busy phase, in ms of virtual time; the warm-up of each is not counted.
+const PHASE_MS: f64 = 10_000.0;
+/// Warm-up at the start of each phase, in ms.
+const WARM_UP_MS: f64 = 2000.0;
+/// Service time of a request, in ms.
+const SERVICE_TIME_MS: f64 = 20.0;
 
-/// How the servers are dealt to modules.
+/// Distribution of the servers over decision modules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dealt {
-    /// One module has all.
+pub enum Distribution {
+    /// One module with all servers.
     One,
-    /// Each has the 18 of a service.
+    /// One module for the 18 servers of each service.
     Services,
 }
 
-/// What came of a size.
+/// Measurement of one size.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Measured {
-    /// Processor time a second of virtual time, in ms: idle, and busy.
+    /// CPU time per second of virtual time, in ms: idle, and busy.
     pub ms: [f64; 2],
-    /// Timers of all modules a second, likewise.
+    /// Timers of all modules per second: idle, and busy.
     pub timers: [f64; 2],
-    /// Servers that these timers' modules know, summed over the timers of a second: the servers looked at, if each timer looks at
+    /// Servers of the timers' modules, summed over the timers of a second: the number of scanned servers if each timer scans
     /// all.
-    pub looked: [f64; 2],
-    /// Requests a second while it was busy.
+    pub scanned_servers: [f64; 2],
+    /// Requests per second in the busy phase.
     pub requests: f64,
-    /// Requests that were not sent at once to a server.
+    /// Requests that were rejected or failed.
     pub unsent: u64,
 }
 
@@ -79,8 +80,8 @@
     }
 }
 
-/// This thread's time on a processor.
-fn spent() -> Duration {
+/// Returns the CPU time of this thread.
+fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(
         u64::try_from(time.tv_sec).unwrap_or(0),
@@ -88,44 +89,53 @@
     )
 }
 
-/// What comes next in virtual time.
+/// Event in virtual time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum NextEvent {
     Timer(u64),
     Request,
-    /// The attempt of a request that a server has worked on.
+    /// Completion of an attempt: request and attempt number.
     Served(u64, u32),
 }
 
-/// Modules with their servers, and what is to come.
-struct Played {
+/// Simulation of the modules, with the queue of coming events.
+struct Simulation {
+    /// Modules, each with its number of servers.
     modules: Vec<(Balancer, usize)>,
-    /// At which time in ns, in which order, for which module.
-    queue: BinaryHeap<Reverse<(u64, u64, usize, Next)>>,
-    order: u64,
+    /// Events with their time in ns, their sequence number and the index of their module.
+    queue: BinaryHeap<Reverse<(u64, u64, usize, NextEvent)>>,
+    sequence: u64,
     requests: u64,
     attempts: BTreeMap<u64, u32>,
     unsent: u64,
     timers: u64,
-    looked: u64,
+    scanned_servers: u64,
 }
 
-impl Played {
-    fn put(&mut self, at: f64, module: usize, next: Next) {
-        self.order += 1;
+impl Simulation {
+    /// Adds an event of a module to the queue.
+    fn schedule(&mut self, at: f64, module: usize, next: NextEvent) {
+        self.sequence += 1;
         self.queue
-            .push(Reverse(((at * 1e6) as u64, self.order, module, next)));
+            .push(Reverse(((at * 1e6) as u64, self.sequence, module, next)));
     }
 
+    /// Performs the actions of a module: sets timers and schedules the completion of forwarded attempts.
     fn carry_out(&mut self, now: f64, module: usize, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
-                Action::Timer { token, at } => self.put(at.max(now), module, Next::Timer(token)),
+                Action::Timer { token, at } => {
+                    self.schedule(at.max(now), module, NextEvent::Timer(token))
+                }
                 Action::Forward { request, .. } => {
                     let attempts = self.attempts.entry(request.0).or_default();
                     let attempt = *attempts;
                     *attempts += 1;
-                    self.put(now + WORK, module, Next::Served(request.0, attempt));
+                    self.schedule(
+                        now + SERVICE_TIME_MS,
+                        module,
+                        NextEvent::Served(request.0, attempt),
+                    );
                 }
                 Action::Reject { .. } | Action::Fail(_) => self.unsent += 1,
                 _ => {}
@@ -133,8 +143,8 @@
         }
     }
 
-    /// Plays until then.
-    fn until(&mut self, end: f64) {
+    /// Processes all events until `end`.
+    fn run_until(&mut self, end: f64) {
         let mut actions = Vec::new();
         while let Some(Reverse((at, ..))) = self.queue.peek().copied() {
             if at as f64 / 1e6 > end {
@@ -146,12 +156,12 @@
             let now = at as f64 / 1e6;
             let (balancer, servers) = &mut self.modules[module];
             let event = match next {
-                Next::Timer(token) => {
+                NextEvent::Timer(token) => {
                     self.timers += 1;
-                    self.looked += *servers as u64;
+                    self.scanned_servers += *servers as u64;
                     Event::Timer(token)
                 }
-                Next::Request => {
+                NextEvent::Request => {
                     self.requests += 1;
                     Event::Request {
                         id: RequestId(self.requests),
@@ -163,12 +173,12 @@
                         body_complete: true,
                     }
                 }
-                Next::Served(id, attempt) => {
+                NextEvent::Served(id, attempt) => {
                     self.attempts.remove(&id);
                     Event::AttemptEnded {
                         request: RequestId(id),
                         attempt,
-                        latency: WORK,
+                        latency: SERVICE_TIME_MS,
                         outcome: Outcome::Served,
                         request_finished: true,
                     }
@@ -180,27 +190,28 @@
     }
 }
 
-/// Plays modules with so many servers together, idle and then with 144 requests a second dealt to them in turn.
-pub fn play(dealt: Dealt, servers: usize, seed: u64) -> Measured {
-    let of = if dealt == Dealt::One {
+/// Simulates modules with `servers` servers in total, first idle and then with 144 requests per second that go to the modules
+/// in turn.
+pub fn simulate(distribution: Distribution, servers: usize, seed: u64) -> Measured {
+    let servers_per_module = if distribution == Distribution::One {
         servers
     } else {
-        OF_SERVICE
+        SERVERS_PER_SERVICE
     };
-    let mut played = Played {
+    let mut simulation = Simulation {
         modules: Vec::new(),
         queue: BinaryHeap::new(),
-        order: 0,
+        sequence: 0,
         requests: 0,
         attempts: BTreeMap::new(),
         unsent: 0,
         timers: 0,
-        looked: 0,
+        scanned_servers: 0,
     };
     let mut actions = Vec::new();
-    for (n, first) in (0..servers).step_by(of.max(1)).enumerate() {
+    for (n, first) in (0..servers).step_by(servers_per_module.max(1)).enumerate() {
         let mut module = Balancer::new(settings(), seed + n as u64);
-        let entries: Vec<Endpoint> = (first..servers.min(first + of))
+        let entries: Vec<Endpoint> = (first..servers.min(first + servers_per_module))
             .map(|id| Endpoint {
                 id: EndpointId(id as u64),
                 zone: None,
@@ -211,7 +222,7 @@
                 started_at: None,
             })
             .collect();
-        let many = entries.len();
+        let count = entries.len();
         module.handle(
             0.0,
             Event::EndpointUpdate {
@@ -220,38 +231,47 @@
             },
             &mut actions,
         );
-        played.modules.push((module, many));
-        played.carry_out(0.0, n, &mut actions);
+        simulation.modules.push((module, count));
+        simulation.carry_out(0.0, n, &mut actions);
     }
     let mut measured = Measured::default();
-    let mut began = 0.0;
+    let mut phase_start = 0.0;
     for busy in [0, 1] {
         if busy == 1 {
-            let modules = played.modules.len();
-            for n in 0..(RATE * SPAN / 1000.0) as usize {
-                played.put(began + n as f64 * 1000.0 / RATE, n % modules, Next::Request);
+            let modules = simulation.modules.len();
+            for n in 0..(REQUESTS_PER_SECOND * PHASE_MS / 1000.0) as usize {
+                simulation.schedule(
+                    phase_start + n as f64 * 1000.0 / REQUESTS_PER_SECOND,
+                    n % modules,
+                    NextEvent::Request,
+                );
             }
         }
-        played.until(began + WARM);
-        let (before, timers, looked, requests) =
-            (spent(), played.timers, played.looked, played.requests);
-        played.until(began + SPAN);
-        let seconds = (SPAN - WARM) / 1000.0;
-        measured.ms[busy] = 1000.0 * (spent() - before).as_secs_f64() / seconds;
-        measured.timers[busy] = (played.timers - timers) as f64 / seconds;
-        measured.looked[busy] = (played.looked - looked) as f64 / seconds;
-        measured.requests = (played.requests - requests) as f64 / seconds;
-        began += SPAN;
+        simulation.run_until(phase_start + WARM_UP_MS);
+        let (before, timers, scanned_servers, requests) = (
+            thread_cpu_time(),
+            simulation.timers,
+            simulation.scanned_servers,
+            simulation.requests,
+        );
+        simulation.run_until(phase_start + PHASE_MS);
+        let seconds = (PHASE_MS - WARM_UP_MS) / 1000.0;
+        measured.ms[busy] = 1000.0 * (thread_cpu_time() - before).as_secs_f64() / seconds;
+        measured.timers[busy] = (simulation.timers - timers) as f64 / seconds;
+        measured.scanned_servers[busy] =
+            (simulation.scanned_servers - scanned_servers) as f64 / seconds;
+        measured.requests = (simulation.requests - requests) as f64 / seconds;
+        phase_start += PHASE_MS;
     }
-    measured.unsent = played.unsent;
+    measured.unsent = simulation.unsent;
     measured
 }
 
-/// Plays the sweep.
-pub fn sweep(dealt: Dealt, sizes: &[usize], command: String, stop: &Stop) -> Sweep {
-    let name = match dealt {
-        Dealt::One => "the decision module alone, one with all servers",
-        Dealt::Services => "the decision module alone, one for each 18 servers",
+/// Runs the sweep over numbers of servers.
+pub fn sweep(distribution: Distribution, sizes: &[usize], command: String, stop: &Stop) -> Sweep {
+    let name = match distribution {
+        Distribution::One => "the decision module alone, one with all servers",
+        Distribution::Services => "the decision module alone, one for each 18 servers",
     };
     let mut sweep = Sweep {
         name: name.into(),
@@ -264,18 +284,18 @@
             break;
         }
         let load = needs::load();
-        let m = play(dealt, servers, 1);
-        let modules = if dealt == Dealt::One {
+        let m = simulate(distribution, servers, 1);
+        let modules = if distribution == Distribution::One {
             1
         } else {
-            servers.div_ceil(OF_SERVICE)
+            servers.div_ceil(SERVERS_PER_SERVICE)
         };
         let sizes = [("servers", servers), ("modules", modules)];
         let figures = [
             ("load average", load),
             ("idle, % of a core", m.ms[0] / 10.0),
             ("idle, timers a second", m.timers[0]),
-            ("idle, servers looked at a second", m.looked[0]),
+            ("idle, servers looked at a second", m.scanned_servers[0]),
             ("144 a second, % of a core", m.ms[1] / 10.0),
             ("144 a second, timers a second", m.timers[1]),
             (
--- a/crates/lab/src/capacity/needs.rs
+++ b/crates/lab/src/capacity/needs.rs
@@ -1,4 +1,4 @@
-//! What a sweep needs of the machine, worked out before anything starts, and what the machine is.
+//! Resources that a sweep needs, estimated before anything is started, and the resources of the machine.
 
 use std::fs;
 use std::io;
@@ -7,32 +7,32 @@
 use rustix::process::{Resource, getrlimit};
 use serde::Serialize;
 
-/// A sweep takes this part of the machine's memory and of the disk's room at most.
-const PART: f64 = 0.5;
-/// A sweep starts so many processes at most.
-const PROCESSES: f64 = 300.0;
+/// Maximum fraction of the machine's memory and of its free disk space that a sweep uses.
+const MAX_FRACTION: f64 = 0.5;
+/// Maximum number of processes of a sweep.
+const MAX_PROCESSES: f64 = 300.0;
 
-/// What the machine is.
+/// Machine that runs the sweep.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Machine {
-    /// Its kind of processor.
+    /// Processor model.
     pub processor: String,
-    /// Its cores, as far as this process may use them.
+    /// Cores available to this process.
     pub cores: usize,
-    /// Its memory in MiB.
+    /// Memory in MiB.
     pub memory_mib: f64,
-    /// Descriptors that a process may have.
+    /// Limit of file descriptors per process.
     pub descriptors: f64,
-    /// Room on the disk for a sweep's files, in MiB.
+    /// Free disk space for the files of a sweep, in MiB.
     pub disk_mib: f64,
-    /// The system's release.
+    /// Kernel release.
     pub system: String,
-    /// Tasks that wanted to run over the last minute: much more than this sweep's own means that times are disturbed.
+    /// Load average of the last minute. A load well above that of the sweep itself means that other processes distort times.
     pub load: f64,
 }
 
-/// The load average of the last minute; not a number where the system does not tell.
+/// Returns the load average of the last minute, or NaN if it is not available.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split(' ')
@@ -42,10 +42,10 @@
 }
 
 impl Machine {
-    /// This one; a sweep's files go below `dir`, or below the first directory above it that is there.
+    /// Reads the resources of this machine. Disk space is that of `dir` or of its closest existing ancestor.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system does not provide the information.
     pub fn here(dir: &Path) -> io::Result<Self> {
         let cpus = fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
         let processor = cpus
@@ -54,16 +54,16 @@
         let memory = fs::read_to_string("/proc/meminfo")?;
         let total = memory.lines().find_map(|l| l.strip_prefix("MemTotal:"));
         let kib: Option<f64> = total.and_then(|l| l.split_whitespace().next()?.parse().ok());
-        let there = dir
+        let existing = dir
             .ancestors()
             .find(|d| d.exists())
             .unwrap_or(Path::new("/"));
-        let disk = rustix::fs::statvfs(there)?;
+        let disk = rustix::fs::statvfs(existing)?;
         Ok(Machine {
             processor: processor.map_or("unknown", |(_, name)| name).to_owned(),
             cores: std::thread::available_parallelism().map_or(1, usize::from),
             memory_mib: kib
-                .ok_or_else(|| io::Error::other("the system does not tell its memory"))?
+                .ok_or_else(|| io::Error::other("/proc/meminfo has no valid MemTotal"))?
                 / 1024.0,
             descriptors: getrlimit(Resource::Nofile)
                 .current
@@ -78,22 +78,22 @@
     }
 }
 
-/// The most that a sweep needs at one time.
+/// Maximum of the resources that a sweep needs at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Needs {
     /// Memory of all its processes in MiB.
     pub memory_mib: f64,
-    /// Processes.
+    /// Number of processes.
     pub processes: f64,
-    /// Descriptors of the process that has most of them.
+    /// File descriptors of the process with the highest number of them.
     pub descriptors: f64,
-    /// Bytes of its files in MiB.
+    /// Size of its files in MiB.
     pub disk_mib: f64,
 }
 
 impl Needs {
-    /// What either needs, whichever is more.
+    /// Returns the maximum of both, resource by resource.
     #[must_use]
     pub fn or(self, other: Needs) -> Needs {
         Needs {
@@ -104,20 +104,20 @@
         }
     }
 
-    /// What of it goes beyond half of the machine's memory, half of the disk's room, a few hundred processes or the descriptors
-    /// that a process may have.
+    /// Describes the first resource that exceeds half of the machine's memory, half of the free disk space, the maximum number
+    /// of processes or the limit of file descriptors per process; `None` if the sweep fits.
     pub fn beyond(&self, machine: &Machine) -> Option<String> {
         let all = [
             (
                 "MiB of memory",
                 self.memory_mib,
-                PART * machine.memory_mib,
+                MAX_FRACTION * machine.memory_mib,
                 "half of this machine's",
             ),
             (
                 "processes",
                 self.processes,
-                PROCESSES,
+                MAX_PROCESSES,
                 "the most that a sweep starts",
             ),
             (
@@ -129,12 +129,12 @@
             (
                 "MiB of files",
                 self.disk_mib,
-                PART * machine.disk_mib,
+                MAX_FRACTION * machine.disk_mib,
                 "half of the disk's room",
             ),
         ];
-        let over = all.iter().find(|(_, needs, has, _)| needs > has)?;
-        let (what, needs, has, which) = over;
+        let exceeded = all.iter().find(|(_, needs, has, _)| needs > has)?;
+        let (what, needs, has, which) = exceeded;
         Some(format!(
             "it needs about {needs:.0} {what}, and {which} is {has:.0}"
         ))
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,38 +1,38 @@
-//! What the system tells of a process and of a directory: memory, processor time by thread, bytes written, files.
+//! Resource use of a process and of a directory: memory, CPU time by thread, bytes written, sockets, file sizes.
 
 use std::fs;
 use std::io;
 use std::path::Path;
 
-/// A process's memory in MiB.
+/// Memory of a process in MiB.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Memory {
-    /// Resident now.
+    /// Resident memory.
     pub resident: f64,
-    /// The most that was.
+    /// Peak of resident memory.
     pub peak: f64,
 }
 
-/// Processor time in ms.
+/// CPU time in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
-    /// Of the first thread, which serves.
+pub struct CpuTime {
+    /// Main thread, which serves requests.
     pub serving: f64,
-    /// Of the administration API's thread.
+    /// Thread of the administration API.
     pub admin: f64,
-    /// Of all others that run still.
+    /// All other threads.
     pub others: f64,
 }
 
-impl Spent {
-    /// Of all.
+impl CpuTime {
+    /// Returns the CPU time of all threads.
     pub fn all(&self) -> f64 {
         self.serving + self.admin + self.others
     }
 
-    /// Since then.
-    pub fn since(&self, before: &Spent) -> Spent {
-        Spent {
+    /// Returns the CPU time spent since an earlier reading.
+    pub fn since(&self, before: &CpuTime) -> CpuTime {
+        CpuTime {
             serving: self.serving - before.serving,
             admin: self.admin - before.admin,
             others: self.others - before.others,
@@ -40,84 +40,89 @@
     }
 }
 
-fn gone(what: &str) -> io::Error {
-    io::Error::other(format!("the system does not tell its {what}"))
+fn unavailable(what: &str) -> io::Error {
+    io::Error::other(format!(
+        "the system does not provide the {what} of the process"
+    ))
 }
 
-/// A process's memory.
+/// Reads the memory of a process.
 ///
 /// # Errors
-/// It does not run.
+/// The process does not run.
 pub fn memory(id: u32) -> io::Result<Memory> {
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
-    let of = |key: &str| {
+    let value = |key: &str| {
         let line = status.lines().find_map(|l| l.strip_prefix(key));
         let kib: Option<f64> = line.and_then(|l| l.split_whitespace().next()?.parse().ok());
-        kib.map(|kib| kib / 1024.0).ok_or_else(|| gone("memory"))
+        kib.map(|kib| kib / 1024.0)
+            .ok_or_else(|| unavailable("memory"))
     };
     Ok(Memory {
-        resident: of("VmRSS:")?,
-        peak: of("VmHWM:")?,
+        resident: value("VmRSS:")?,
+        peak: value("VmHWM:")?,
     })
 }
 
-/// A process's processor time, of its serving and its API's thread to the ns that the scheduler counts. Others may have ended, so that
-/// theirs is what the whole process has spent, in hundredths of a second, less these two.
+/// Reads the CPU time of a process. That of the serving and the API thread is exact to the ns, as counted by the scheduler.
+/// Other threads may have ended, so theirs is the time of the whole process, in units of 10 ms, minus these two.
 ///
 /// # Errors
-/// It does not run.
-pub fn spent(id: u32) -> io::Result<Spent> {
-    let mut spent = Spent::default();
+/// The process does not run.
+pub fn cpu_time(id: u32) -> io::Result<CpuTime> {
+    let mut cpu_time = CpuTime::default();
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
         let path = task?.path();
         let read = |name: &str| fs::read_to_string(path.join(name));
         let (Ok(name), Ok(times)) = (read("comm"), read("schedstat")) else {
             continue;
-        }; // it has ended
+        }; // the thread has ended
         let ns: f64 = times
             .split(' ')
             .next()
             .and_then(|t| t.parse().ok())
-            .ok_or_else(|| gone("processor time"))?;
+            .ok_or_else(|| unavailable("processor time"))?;
         let first = path
             .file_name()
             .is_some_and(|n| n.to_str() == Some(&id.to_string()));
-        let to = match name.trim_end() {
-            _ if first => &mut spent.serving,
-            "admin" => &mut spent.admin,
-            _ => &mut spent.others,
+        let total = match name.trim_end() {
+            _ if first => &mut cpu_time.serving,
+            "admin" => &mut cpu_time.admin,
+            _ => &mut cpu_time.others,
         };
-        *to += ns / 1e6;
+        *total += ns / 1e6;
     }
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let ticks = stat.rsplit_once(") ").and_then(|(_, rest)| {
         let of = |n: usize| rest.split(' ').nth(n).and_then(|t| t.parse::<f64>().ok());
-        Some(of(11)? + of(12)?) // time in the program and in the system
+        Some(of(11)? + of(12)?) // user and system time
     });
-    let whole = ticks.ok_or_else(|| gone("processor time"))? * 10.0;
-    spent.others = spent.others.max(whole - spent.serving - spent.admin);
-    Ok(spent)
+    let total_ms = ticks.ok_or_else(|| unavailable("processor time"))? * 10.0;
+    cpu_time.others = cpu_time
+        .others
+        .max(total_ms - cpu_time.serving - cpu_time.admin);
+    Ok(cpu_time)
 }
 
-/// Bytes that a process gave to calls that write files and pipes (sockets' bytes go another way), and the bytes of pages that
-/// go to disk for it.
+/// Reads the bytes that a process passed to write calls for files and pipes (not those for sockets), and the bytes of pages
+/// that are written to disk for it.
 ///
 /// # Errors
-/// It does not run.
+/// The process does not run.
 pub fn written(id: u32) -> io::Result<[f64; 2]> {
     let text = fs::read_to_string(format!("/proc/{id}/io"))?;
-    let of = |key: &str| {
+    let value = |key: &str| {
         let line = text.lines().find_map(|l| l.strip_prefix(key));
         line.and_then(|l| l.trim().parse().ok())
-            .ok_or_else(|| gone("bytes written"))
+            .ok_or_else(|| unavailable("bytes written"))
     };
-    Ok([of("wchar:")?, of("write_bytes:")?])
+    Ok([value("wchar:")?, value("write_bytes:")?])
 }
 
-/// How many sockets a process has open.
+/// Counts the open sockets of a process.
 ///
 /// # Errors
-/// It does not run.
+/// The process does not run.
 pub fn sockets(id: u32) -> io::Result<usize> {
     let all = fs::read_dir(format!("/proc/{id}/fd"))?;
     let is_socket = |path: &Path| {
@@ -126,22 +131,22 @@
     Ok(all.flatten().filter(|e| is_socket(&e.path())).count())
 }
 
-/// Bytes of a file; 0 where there is none.
-pub fn length(file: &Path) -> u64 {
+/// Returns the size of a file in bytes; 0 if it does not exist.
+pub fn file_size(file: &Path) -> u64 {
     fs::metadata(file).map_or(0, |m| m.len())
 }
 
-/// Bytes of all files in a directory and below it; 0 where there is none.
-pub fn lengths(dir: &Path) -> u64 {
+/// Returns the total size in bytes of all files in a directory tree; 0 if it does not exist.
+pub fn directory_size(dir: &Path) -> u64 {
     let Ok(entries) = fs::read_dir(dir) else {
         return 0;
     };
-    let of = |path: &Path| {
+    let size = |path: &Path| {
         if path.is_dir() {
-            lengths(path)
+            directory_size(path)
         } else {
-            length(path)
+            file_size(path)
         }
     };
-    entries.flatten().map(|e| of(&e.path())).sum()
+    entries.flatten().map(|e| size(&e.path())).sum()
 }
--- a/crates/lab/src/capacity/servers.rs
+++ b/crates/lab/src/capacity/servers.rs
@@ -1,5 +1,5 @@
-//! Servers of one process: known only, connected and idle, and busy. And the emulated servers behind a sweep: few processes with
-//! many listeners each.
+//! Measures the cost of servers in one proxy process: configured only, connected and idle, and busy. Also starts the emulated
+//! servers of a sweep, in few processes with many listeners each.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader};
@@ -14,74 +14,75 @@
 use serde_json::{Value, json};
 
 use super::needs::Needs;
-use super::process::{self, Spent};
+use super::process::{self, CpuTime};
 use super::stop::{Stop, Watched};
-use super::tenants::ended;
-use super::{Setting, Sweep, in_turn, target};
+use super::tenants::check_exit;
+use super::{Setting, Sweep, measure_in_turn, target};
 use crate::service::tenants::{histogram, ms, quantiles};
 use crate::service::{HttpConnection, Service, ServiceFiles};
 
-/// Listeners of one process at most.
-const LISTENERS: usize = 2000;
+/// Maximum number of listeners of one process of emulated servers.
+const MAX_LISTENERS: usize = 2000;
 /// Servers of a service.
-pub const OF_SERVICE: usize = 18;
-/// The most that one tenant's document may name.
-const OF_TENANT: usize = 10_000;
-/// Connections to a server beyond which nothing is gained by asking on.
-const ROUNDS: usize = 12;
-/// Connections of the clients of a closed load.
-const CLIENTS: u64 = 8;
-/// Connections of the clients that ask at the target's rate.
-const PACED: u64 = 4;
-/// Requests a second that a proxy gets at the target.
-pub const RATE: f64 = 144.0;
-/// When the memory of a start is looked at.
-const SETTLED: Duration = Duration::from_secs(5);
+pub const SERVERS_PER_SERVICE: usize = 18;
+/// Maximum number of servers in the document of one tenant.
+const MAX_SERVERS_PER_TENANT: usize = 10_000;
+/// Maximum number of rounds of requests that open connections to the servers.
+const MAX_CONNECT_ROUNDS: usize = 12;
+/// Client connections of the closed-loop load.
+const CLOSED_LOOP_CLIENTS: u64 = 8;
+/// Client connections of the load at the target rate.
+const PACED_CLIENTS: u64 = 4;
+/// Requests per second of one proxy at the target.
+pub const REQUESTS_PER_SECOND: f64 = 144.0;
+/// Time after the start at which memory is read.
+const MEMORY_READ_DELAY: Duration = Duration::from_secs(5);
 
-/// How many processes so many emulated servers are.
+/// Returns the number of processes for a number of emulated servers.
 pub fn processes(servers: usize) -> usize {
-    servers.div_ceil(LISTENERS)
+    servers.div_ceil(MAX_LISTENERS)
 }
 
-/// How many descriptors one of them needs: a listener, and a few connections to it.
+/// Estimates the file descriptors of one of these processes: per server a listener and a few connections.
 pub fn descriptors(servers: usize) -> f64 {
-    100.0 + 4.0 * servers.min(LISTENERS) as f64
+    100.0 + 4.0 * servers.min(MAX_LISTENERS) as f64
 }
 
-/// A process of emulated servers, which ends when it is dropped, or the sweep is stopped.
-pub struct Started {
-    // Before the process, which is waited for when it is dropped.
-    #[expect(dead_code, reason = "ends the process when the sweep is stopped")]
+/// Process of emulated servers that is killed on drop or when the sweep is stopped.
+pub struct ServerProcess {
+    // Dropped before the process, which is reaped when it is dropped: a reaped process must not be registered.
+    #[expect(dead_code, reason = "kills the process when the sweep is stopped")]
     watched: Option<Watched>,
-    #[expect(dead_code, reason = "ends the process")]
-    process: Ending,
+    #[expect(dead_code, reason = "kills the process on drop")]
+    process: KillOnDrop,
 }
 
-struct Ending(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Ending {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        let _ = self.0.kill(); // it may have ended
+        let _ = self.0.kill(); // the process may have ended already
         let _ = self.0.wait();
     }
 }
 
-/// Starts so many servers, each of which answers after `work`, on loopback addresses of their processes; `own` is this program.
+/// Starts `servers` emulated servers, each of which responds after `work`, on loopback addresses. `own` is the path of this
+/// program.
 ///
 /// # Errors
-/// A process or a port can't be had.
+/// A process could not be started or a port could not be bound.
 pub fn start(
     own: &Path,
     servers: usize,
     work: Duration,
     stop: &Stop,
-) -> io::Result<(Vec<Started>, Vec<SocketAddr>)> {
-    let (mut all, mut addresses) = (Vec::new(), Vec::new());
+) -> io::Result<(Vec<ServerProcess>, Vec<SocketAddr>)> {
+    let (mut processes, mut addresses) = (Vec::new(), Vec::new());
     while addresses.len() < servers {
         stop.check()?;
-        let count = LISTENERS.min(servers - addresses.len()).to_string();
-        // Each process has an address of its own, whose ports are no others'.
-        let host = format!("127.0.77.{}", 1 + all.len());
+        let count = MAX_LISTENERS.min(servers - addresses.len()).to_string();
+        // Each process has its own address, so that processes don't compete for ports.
+        let host = format!("127.0.77.{}", 1 + processes.len());
         let work = work.as_millis().to_string();
         let arguments = [
             "lab",
@@ -94,7 +95,7 @@
             "--work",
             &work,
         ];
-        let mut process = Ending(
+        let mut process = KillOnDrop(
             Command::new(own)
                 .args(arguments)
                 .stdin(Stdio::null())
@@ -102,46 +103,49 @@
                 .spawn()?,
         );
         let watched = stop.watch(process.0.id());
-        let told = process
+        let stdout = process
             .0
             .stdout
             .take()
-            .ok_or_else(|| io::Error::other("it has no output"))?;
+            .ok_or_else(|| io::Error::other("the emulated servers have no stdout"))?;
         let mut line = String::new();
-        BufReader::new(told).read_line(&mut line)?;
-        let more: Vec<SocketAddr> = serde_json::from_str(&line)
-            .map_err(|e| io::Error::other(format!("the emulated servers did not come up: {e}")))?;
-        addresses.extend(more);
-        all.push(Started { watched, process });
+        BufReader::new(stdout).read_line(&mut line)?;
+        let reported: Vec<SocketAddr> = serde_json::from_str(&line).map_err(|e| {
+            io::Error::other(format!(
+                "the emulated servers did not report their addresses: {e}"
+            ))
+        })?;
+        addresses.extend(reported);
+        processes.push(ServerProcess { watched, process });
     }
-    Ok((all, addresses))
+    Ok((processes, addresses))
 }
 
-/// Who the servers are of.
+/// Assignment of the servers to tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Of {
-    /// One tenant.
+pub enum Tenancy {
+    /// One tenant with all servers.
     One,
-    /// Tenants of a service's 18 each.
+    /// Tenants with the 18 servers of a service each.
     Services,
 }
 
-/// How many servers, and whose.
+/// Number of servers and their assignment to tenants.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Whose.
-    pub of: Of,
-    /// How many.
+    /// Assignment to tenants.
+    pub tenancy: Tenancy,
+    /// Number of servers.
     pub servers: usize,
 }
 
 impl Size {
-    /// So many, as far as they can be one tenant's.
-    pub fn of(of: Of, servers: usize) -> Self {
+    /// Creates a size; the servers of one tenant are limited to the maximum of a tenant.
+    pub fn of(tenancy: Tenancy, servers: usize) -> Self {
         Size {
-            of,
-            servers: if of == Of::One {
-                servers.min(OF_TENANT)
+            tenancy,
+            servers: if tenancy == Tenancy::One {
+                servers.min(MAX_SERVERS_PER_TENANT)
             } else {
                 servers
             },
@@ -149,24 +153,24 @@
     }
 
     fn tenants(&self) -> usize {
-        if self.of == Of::One {
+        if self.tenancy == Tenancy::One {
             1
         } else {
-            self.servers.div_ceil(OF_SERVICE)
+            self.servers.div_ceil(SERVERS_PER_SERVICE)
         }
     }
 
-    fn named(&self) -> BTreeMap<String, f64> {
+    fn sizes_by_name(&self) -> BTreeMap<String, f64> {
         [("servers", self.servers), ("tenants", self.tenants())]
             .map(|(name, n)| (name.to_owned(), n as f64))
             .into()
     }
 
-    /// What it needs of the machine.
+    /// Estimates the resources that the measurement needs.
     pub fn needs(&self) -> Needs {
         let servers = self.servers as f64;
         Needs {
-            // A service's and the emulated servers', by what was measured and a half more (docs/CAPACITY.md).
+            // For the service and the emulated servers: 1.5 times the measured use (docs/CAPACITY.md).
             memory_mib: 200.0 + 120.0 * servers / 1024.0,
             processes: 1.0 + processes(self.servers) as f64,
             descriptors: descriptors(self.servers).max(500.0 + 1.6 * servers),
@@ -175,22 +179,22 @@
     }
 }
 
-/// How long it is measured.
+/// Durations of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Care {
-    /// How long a process is left alone after its start before idle time is measured.
+    /// Time from the start of a process until its idle CPU time is measured.
     pub rest: Duration,
-    /// Each span that is measured.
+    /// Duration of each measured phase.
     pub span: Duration,
 }
 
 impl Care {
-    /// As the figures of the page are measured.
+    /// Durations for the figures of docs/CAPACITY.md.
     pub const FULL: Care = Care {
         rest: Duration::from_secs(12),
         span: Duration::from_secs(4),
     };
-    /// For a small sweep.
+    /// Durations for a small sweep.
     pub const SMALL: Care = Care {
         rest: Duration::from_secs(3),
         span: Duration::from_secs(1),
@@ -200,7 +204,7 @@
 /// Measures one size with one build.
 ///
 /// # Errors
-/// The service or its servers can't be had, end, or turn a call down.
+/// The service or its servers could not be started, ended, or rejected a call.
 pub fn measure(
     command: &[String],
     size: &Size,
@@ -210,74 +214,77 @@
 ) -> io::Result<()> {
     let stop = &setting.stop;
     let (_servers, addresses) = start(&setting.own, size.servers, Duration::ZERO, stop)?;
-    let place = ServiceFiles::new(&setting.dir, "[process]\nserver-sockets = 30000\n")?;
-    let mut service = begin(command, &place, stop)?;
-    let mut admin = service.1.admin_connection(&place)?;
-    let each = size.servers.div_ceil(size.tenants());
-    let all: Vec<Value> = addresses
-        .chunks(each)
+    let files = ServiceFiles::new(&setting.dir, "[process]\nserver-sockets = 30000\n")?;
+    let mut service = start_service(command, &files, stop)?;
+    let mut admin = service.1.admin_connection(&files)?;
+    let servers_per_tenant = size.servers.div_ceil(size.tenants());
+    let documents: Vec<Value> = addresses
+        .chunks(servers_per_tenant)
         .enumerate()
         .map(|(n, list)| document(n, list))
         .collect();
-    for batch in all.chunks(500) {
+    for batch in documents.chunks(500) {
         stop.check()?;
         admin.json("POST", "/v1/apply", "", &json!({ "tenant": batch }))?;
     }
     service.1.kill();
     drop(service);
     let began = Instant::now();
-    let mut service = begin(command, &place, stop)?;
+    let mut service = start_service(command, &files, stop)?;
     figures.insert("start to ready, ms".into(), ms(began));
-    let done = measured(size, care, stop, &service.1, addresses[0], figures);
-    ended(&mut service.1, done)
+    let result = measure_running(size, care, stop, &service.1, addresses[0], figures);
+    check_exit(&mut service.1, result)
 }
 
-fn begin(
+/// Starts the service and registers its process for the stop of the sweep.
+fn start_service(
     command: &[String],
-    place: &ServiceFiles,
+    files: &ServiceFiles,
     stop: &Stop,
 ) -> io::Result<(Option<Watched>, Service)> {
     stop.check()?;
     let mut watched = None;
-    let service = Service::start_with_process_id(command, &place.config, 1, true, |id| {
+    let service = Service::start_with_process_id(command, &files.config, 1, true, |id| {
         watched = stop.watch(id)
     })?;
     Ok((watched, service))
 }
 
+/// Builds the document of the tenant with index `n`.
 fn document(n: usize, servers: &[SocketAddr]) -> Value {
     let server = |(i, address): (usize, &SocketAddr)| json!({ "name": format!("s{i}"), "address": address, "size": 4.0 });
     json!({
         "name": format!("t{n:05}"),
         "class": [{ "name": "lookup", "effect": "safe", "aim": "1 s", "deadline": "4 s" }],
-        "rules": { "idle-close": "50 min" }, // connections stay, so that idle ones can be measured
+        "rules": { "idle-close": "50 min" }, // keeps connections open, so that idle ones can be measured
         "server": servers.iter().enumerate().map(server).collect::<Vec<_>>(),
     })
 }
 
-/// The load of clients that take the tenants in turn, whichever client is next.
+/// Load of clients that send requests for the tenants in turn, with a counter shared by all clients.
 struct Load {
-    at: SocketAddr,
+    address: SocketAddr,
     tenants: u64,
     next: AtomicU64,
 }
 
 impl Load {
-    /// Asks from so many connections until each is told to end: by the number of the request, or the time.
-    fn ask(
+    /// Sends requests from `clients` connections, paced by `gap` if given, until `go_on` returns false for the number of a
+    /// request. Returns the latencies of the served requests and the count of the others.
+    fn run(
         &self,
         clients: u64,
         gap: Option<Duration>,
         go_on: &(dyn Fn(u64) -> bool + Sync),
     ) -> io::Result<(Histogram<u64>, u64)> {
         let (began, first) = (Instant::now(), self.next.load(Ordering::Relaxed));
-        let one = || -> io::Result<(Histogram<u64>, u64)> {
-            let (mut seen, mut lost, mut line) =
-                (histogram()?, 0, HttpConnection::new(self.at, ""));
+        let run_client = || -> io::Result<(Histogram<u64>, u64)> {
+            let (mut latencies, mut not_served, mut connection) =
+                (histogram()?, 0, HttpConnection::new(self.address, ""));
             loop {
                 let n = self.next.fetch_add(1, Ordering::Relaxed);
                 if !go_on(n - first) {
-                    return Ok((seen, lost));
+                    return Ok((latencies, not_served));
                 }
                 if let Some(gap) = gap {
                     let due = began + gap.mul_f64((n - first) as f64);
@@ -285,28 +292,29 @@
                 }
                 let sent = Instant::now();
                 let headers = format!("X-Tenant-Id: t{:05}\r\n", n % self.tenants);
-                match line.call("GET", &format!("/lookup/{n}"), &headers, "")? {
-                    (200, _) => seen.saturating_record(sent.elapsed().as_micros() as u64),
-                    _ => lost += 1,
+                match connection.call("GET", &format!("/lookup/{n}"), &headers, "")? {
+                    (200, _) => latencies.saturating_record(sent.elapsed().as_micros() as u64),
+                    _ => not_served += 1,
                 }
             }
         };
         thread::scope(|threads| {
-            let all: Vec<_> = (0..clients).map(|_| threads.spawn(one)).collect();
-            let (mut seen, mut lost) = (histogram()?, 0);
-            for one in all {
-                let (more, less) = one
+            let client_threads: Vec<_> = (0..clients).map(|_| threads.spawn(run_client)).collect();
+            let (mut latencies, mut not_served) = (histogram()?, 0);
+            for client in client_threads {
+                let (client_latencies, client_not_served) = client
                     .join()
                     .map_err(|_| io::Error::other("a client panicked"))??;
-                seen.add(more).map_err(io::Error::other)?;
-                lost += less;
+                latencies.add(client_latencies).map_err(io::Error::other)?;
+                not_served += client_not_served;
             }
-            Ok((seen, lost))
+            Ok((latencies, not_served))
         })
     }
 }
 
-fn measured(
+/// Measures a running service.
+fn measure_running(
     size: &Size,
     care: &Care,
     stop: &Stop,
@@ -318,117 +326,132 @@
     let mut put = |name: &str, value: f64| {
         figures.insert(name.to_owned(), value);
     };
-    let part = |spent: Spent, over: Duration| 100.0 * spent.all() / (1000.0 * over.as_secs_f64());
-    let over = |span: Duration| -> io::Result<f64> {
-        let (before, from) = (process::spent(id)?, Instant::now());
+    let core_percent =
+        |cpu_time: CpuTime, over: Duration| 100.0 * cpu_time.all() / (1000.0 * over.as_secs_f64());
+    let measure_cpu = |span: Duration| -> io::Result<f64> {
+        let (before, from) = (process::cpu_time(id)?, Instant::now());
         stop.sleep(span)?;
-        Ok(part(process::spent(id)?.since(&before), from.elapsed()))
+        Ok(core_percent(
+            process::cpu_time(id)?.since(&before),
+            from.elapsed(),
+        ))
     };
-    // Known only: first awake, then at rest if what is measured rests by then.
-    put("known, first seconds, % of a core", over(care.span)?);
-    stop.sleep(SETTLED.saturating_sub(ready.elapsed()))?;
+    // Servers configured, but not connected. Tenants are active at first, and may become inactive before the idle phase.
+    put("known, first seconds, % of a core", measure_cpu(care.span)?);
+    stop.sleep(MEMORY_READ_DELAY.saturating_sub(ready.elapsed()))?;
     put("known, memory, MiB", process::memory(id)?.resident);
     stop.sleep(care.rest.saturating_sub(ready.elapsed()))?;
-    put("known, idle, % of a core", over(care.span)?);
+    put("known, idle, % of a core", measure_cpu(care.span)?);
 
-    // Connected: asked until nearly all are.
-    let own = process::sockets(id)?;
-    let at = service.listener("public")?;
+    // Servers connected: sends requests until nearly all have a connection.
+    let initial_sockets = process::sockets(id)?;
+    let address = service.listener("public")?;
     let load = Load {
-        at,
+        address,
         tenants: size.tenants() as u64,
         next: AtomicU64::new(0),
     };
-    let mut lost = 0;
-    for _ in 0..ROUNDS {
+    let mut not_served = 0;
+    for _ in 0..MAX_CONNECT_ROUNDS {
         stop.check()?;
-        let many = 2 * size.servers as u64;
-        lost += load
-            .ask(4 * CLIENTS, None, &|n| n < many && !stop.is_set())?
+        let count = 2 * size.servers as u64;
+        not_served += load
+            .run(4 * CLOSED_LOOP_CLIENTS, None, &|n| {
+                n < count && !stop.is_set()
+            })?
             .1;
-        if process::sockets(id)? >= own + size.servers * 19 / 20 {
+        if process::sockets(id)? >= initial_sockets + size.servers * 19 / 20 {
             break;
         }
     }
-    stop.sleep(Duration::from_secs(1))?; // the clients' own connections are closed by then
-    let connections = process::sockets(id)?.saturating_sub(own);
+    stop.sleep(Duration::from_secs(1))?; // by then the connections of the clients are closed
+    let connections = process::sockets(id)?.saturating_sub(initial_sockets);
     put("connections", connections as f64);
     put("connected, memory, MiB", process::memory(id)?.resident);
-    put("connected, idle, % of a core", over(care.span)?);
-    put("connected, requests not served", lost as f64);
+    put("connected, idle, % of a core", measure_cpu(care.span)?);
+    put("connected, requests not served", not_served as f64);
 
-    // The same clients at one of the servers without anything between, by which it is known what is added.
-    let gap = Some(Duration::from_secs_f64(1.0 / RATE));
+    // The same clients connected directly to a server, as the baseline for the added latency.
+    let gap = Some(Duration::from_secs_f64(1.0 / REQUESTS_PER_SECOND));
     let until = Instant::now() + care.span;
-    let directly = Load {
-        at: server,
+    let direct_load = Load {
+        address: server,
         tenants: 1,
         next: AtomicU64::new(0),
     };
-    let (seen, _) = directly.ask(PACED, gap, &|_| Instant::now() < until && !stop.is_set())?;
-    let direct = quantiles(&seen);
+    let (latencies, _) = direct_load.run(PACED_CLIENTS, gap, &|_| {
+        Instant::now() < until && !stop.is_set()
+    })?;
+    let direct = quantiles(&latencies);
     put("144 a second directly, p50, ms", direct[0]);
     put("144 a second directly, p99, ms", direct[1]);
 
-    // Busy: at the target's rate, and as fast as a few clients can.
-    for (what, clients, gap) in [("144 a second", PACED, gap), ("closed load", CLIENTS, None)] {
+    // Busy: load at the target rate, then closed-loop load.
+    for (what, clients, gap) in [
+        ("144 a second", PACED_CLIENTS, gap),
+        ("closed load", CLOSED_LOOP_CLIENTS, None),
+    ] {
         stop.check()?;
-        let (before, from) = (process::spent(id)?, Instant::now());
+        let (before, from) = (process::cpu_time(id)?, Instant::now());
         let until = from + care.span;
-        let (seen, lost) = load.ask(clients, gap, &|_| Instant::now() < until && !stop.is_set())?;
-        let (spent, took) = (process::spent(id)?.since(&before), from.elapsed());
-        put(&format!("{what}, % of a core"), part(spent, took));
+        let (latencies, not_served) =
+            load.run(clients, gap, &|_| Instant::now() < until && !stop.is_set())?;
+        let (spent, duration) = (process::cpu_time(id)?.since(&before), from.elapsed());
+        put(
+            &format!("{what}, % of a core"),
+            core_percent(spent, duration),
+        );
         put(
             &format!("{what}, us of processor a request"),
-            1000.0 * spent.all() / seen.len().max(1) as f64,
+            1000.0 * spent.all() / latencies.len().max(1) as f64,
         );
         put(
             &format!("{what}, requests a second"),
-            seen.len() as f64 / took.as_secs_f64(),
+            latencies.len() as f64 / duration.as_secs_f64(),
         );
-        put(&format!("{what}, p50, ms"), quantiles(&seen)[0]);
-        put(&format!("{what}, p99, ms"), quantiles(&seen)[1]);
+        put(&format!("{what}, p50, ms"), quantiles(&latencies)[0]);
+        put(&format!("{what}, p99, ms"), quantiles(&latencies)[1]);
         if gap.is_some() {
             put(
                 &format!("{what}, p99 less the direct one, ms"),
-                quantiles(&seen)[1] - direct[1],
+                quantiles(&latencies)[1] - direct[1],
             );
         }
-        put(&format!("{what}, not served"), lost as f64);
+        put(&format!("{what}, not served"), not_served as f64);
     }
     put("busy, memory, MiB", process::memory(id)?.resident);
     Ok(())
 }
 
-/// Plays the sweep.
+/// Runs the sweep over numbers of servers.
 ///
 /// # Errors
-/// Its files can't be removed.
+/// The working directory could not be removed.
 pub fn sweep(
-    of: Of,
+    tenancy: Tenancy,
     sizes: &[usize],
     care: &Care,
     command: String,
     setting: &Setting,
 ) -> io::Result<Sweep> {
-    let name = match of {
-        Of::One => "servers of one tenant",
-        Of::Services => "servers of tenants with 18 each",
+    let name = match tenancy {
+        Tenancy::One => "servers of one tenant",
+        Tenancy::Services => "servers of tenants with 18 each",
     };
     let mut sweep = Sweep {
         name: name.into(),
         command,
         ..Sweep::default()
     };
-    let sizes: Vec<Size> = sizes.iter().map(|n| Size::of(of, *n)).collect();
-    in_turn(
+    let sizes: Vec<Size> = sizes.iter().map(|n| Size::of(tenancy, *n)).collect();
+    measure_in_turn(
         &mut sweep,
         setting,
         &sizes,
-        Size::named,
+        Size::sizes_by_name,
         |command, size, figures| measure(command, size, care, setting, figures),
     );
-    for figure in LINES {
+    for figure in LINE_FIGURES {
         sweep.line(figure, "servers", target::SERVERS);
     }
     match std::fs::remove_dir_all(&setting.dir) {
@@ -437,8 +460,8 @@
     }
 }
 
-/// What lines are drawn of.
-const LINES: [&str; 10] = [
+/// Figures for which a line is fitted.
+const LINE_FIGURES: [&str; 10] = [
     "known, memory, MiB",
     "known, first seconds, % of a core",
     "known, idle, % of a core",
--- a/crates/lab/src/capacity/stop.rs
+++ b/crates/lab/src/capacity/stop.rs
@@ -1,4 +1,4 @@
-//! An end before the end: what is told to stop ends the processes that it has started.
+//! Interruption of a sweep: ends its waits and kills the child processes that it has started.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,10 +10,10 @@
 
 use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
 
-/// How often a wait looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a wait checks for the stop.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether a sweep is to end, and the processes that then end with it.
+/// Stop signal of a sweep, with the child processes that are killed when it is set.
 #[derive(Clone, Debug, Default)]
 pub struct Stop(Arc<Inner>);
 
@@ -24,7 +24,7 @@
     children: Mutex<BTreeMap<u64, OwnedFd>>,
 }
 
-/// A process that ends when the sweep is stopped, for as long as this is kept.
+/// Registration of a child process that is killed when the sweep is stopped; dropping it ends the registration.
 #[derive(Debug)]
 pub struct Watched {
     stop: Stop,
@@ -45,28 +45,28 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends all processes that are watched, and lets no wait go on.
+    /// Kills all registered processes and ends all waits.
     pub fn stop(&self) {
         self.0.set.store(true, Ordering::SeqCst);
         for child in self.children().values() {
-            let _ = pidfd_send_signal(child, Signal::KILL); // it may have ended
+            let _ = pidfd_send_signal(child, Signal::KILL); // the process may have ended already
         }
     }
 
-    /// The same as a flag, for those who only look at it.
+    /// Returns the signal as a flag for code that only polls it.
     pub fn flag(&self) -> &AtomicBool {
         &self.0.set
     }
 
-    /// Whether it is to end.
+    /// Returns true if the sweep is to stop.
     pub fn is_set(&self) -> bool {
         self.0.set.load(Ordering::SeqCst)
     }
 
-    /// Nothing, or an error of the kind `Interrupted` when it is to end.
+    /// Returns an error of the kind `Interrupted` if the sweep is to stop.
     ///
     /// # Errors
-    /// It is to end.
+    /// The sweep is to stop.
     pub fn check(&self) -> io::Result<()> {
         if self.is_set() {
             Err(io::ErrorKind::Interrupted.into())
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Waits.
+    /// Sleeps for a duration or until the stop.
     ///
     /// # Errors
-    /// It is to end.
+    /// The sweep is to stop.
     pub fn sleep(&self, span: Duration) -> io::Result<()> {
         let end = Instant::now() + span;
         loop {
@@ -87,18 +87,18 @@
             if left.is_zero() {
                 return Ok(());
             }
-            thread::sleep(left.min(LOOK));
+            thread::sleep(left.min(CHECK_INTERVAL));
         }
     }
 
-    /// Watches a child of this process that has not been waited for; it ends at once if this is stopped already.
+    /// Registers a child process that has not been waited for. It is killed at once if the sweep is already stopped.
     pub fn watch(&self, id: u32) -> Option<Watched> {
         let child =
             pidfd_open(Pid::from_raw(i32::try_from(id).ok()?)?, PidfdFlags::empty()).ok()?;
         let number = self.0.next.fetch_add(1, Ordering::SeqCst);
         let mut children = self.children();
         if self.is_set() {
-            let _ = pidfd_send_signal(&child, Signal::KILL); // as above
+            let _ = pidfd_send_signal(&child, Signal::KILL); // the process may have ended already
         }
         children.insert(number, child);
         Some(Watched {
--- a/crates/lab/src/capacity/tenants.rs
+++ b/crates/lab/src/capacity/tenants.rs
@@ -11,10 +11,10 @@
 use serde_json::{Value, json};
 
 use super::needs::Needs;
-use super::process::{self, Spent};
-use super::servers::{self, Started};
+use super::process::{self, CpuTime};
+use super::servers::{self, ServerProcess};
 use super::stop::Stop;
-use super::{Setting, Sweep, in_turn, target};
+use super::{Setting, Sweep, measure_in_turn, target};
 use crate::floods::fleet::ServerFleet;
 use crate::service::tenants::{Measured, document, histogram, lookups, ms, quantiles, under_load};
 use crate::service::{HttpConnection, Service, ServiceFiles};
@@ -224,7 +224,7 @@
     /// The addresses of each service.
     Shared(
         Vec<Vec<SocketAddr>>,
-        #[expect(dead_code, reason = "ends the processes")] Vec<Started>,
+        #[expect(dead_code, reason = "ends the processes")] Vec<ServerProcess>,
     ),
 }
 
@@ -344,11 +344,11 @@
         &mut running,
         figures,
     );
-    ended(&mut running.service, done)
+    check_exit(&mut running.service, done)
 }
 
 /// What an error of a call means if the process has ended: that it did.
-pub(super) fn ended<T>(service: &mut Service, done: io::Result<T>) -> io::Result<T> {
+pub(super) fn check_exit<T>(service: &mut Service, done: io::Result<T>) -> io::Result<T> {
     // A call fails a little before the system has the process's end.
     let end = Instant::now() + Duration::from_millis(200);
     loop {
@@ -411,27 +411,27 @@
     put("refused before the first answer", refused);
     put(
         "processor time to first answer, ms",
-        process::spent(id)?.all(),
+        process::cpu_time(id)?.all(),
     );
     put("memory at ready, MiB", process::memory(id)?.resident);
     // A first answer that comes later leaves nothing of the first seconds to measure.
-    let (at_ready, in_time) = (process::spent(id)?, ready.elapsed() < care.first);
+    let (at_ready, in_time) = (process::cpu_time(id)?, ready.elapsed() < care.first);
     stop.sleep(SETTLED.min(care.first).saturating_sub(ready.elapsed()))?;
     put("memory, MiB", process::memory(id)?.resident);
     stop.sleep(care.first.saturating_sub(ready.elapsed()))?;
-    let part = |spent: Spent, over: Duration| 100.0 * spent.all() / (1000.0 * over.as_secs_f64());
+    let part = |spent: CpuTime, over: Duration| 100.0 * spent.all() / (1000.0 * over.as_secs_f64());
     if in_time {
         put(
             "first seconds, % of a core",
-            part(process::spent(id)?.since(&at_ready), ready.elapsed()),
+            part(process::cpu_time(id)?.since(&at_ready), ready.elapsed()),
         );
     }
     stop.sleep(care.rest.saturating_sub(ready.elapsed()))?;
-    let (before, from) = (process::spent(id)?, Instant::now());
+    let (before, from) = (process::cpu_time(id)?, Instant::now());
     stop.sleep(care.idle)?;
     put(
         "idle, % of a core",
-        part(process::spent(id)?.since(&before), from.elapsed()),
+        part(process::cpu_time(id)?.since(&before), from.elapsed()),
     );
     put("memory at rest, MiB", process::memory(id)?.resident);
 
@@ -475,15 +475,15 @@
     put("peak, MiB", process::memory(id)?.peak);
     put(
         "store, KiB",
-        process::length(&place.state.join("state.redb")) as f64 / 1024.0,
+        process::file_size(&place.state.join("state.redb")) as f64 / 1024.0,
     );
     put(
         "snapshot, KiB",
-        process::length(&place.state.join("last-good.snapshot")) as f64 / 1024.0,
+        process::file_size(&place.state.join("last-good.snapshot")) as f64 / 1024.0,
     );
     put(
         "all of the state, KiB",
-        process::lengths(&place.state) as f64 / 1024.0,
+        process::directory_size(&place.state) as f64 / 1024.0,
     );
 
     // And what lookups see right after a start.
@@ -537,28 +537,28 @@
     let many = many.max(2) / 2 * 2;
     // Alone, so that processor time is the change's own.
     let (spent, written, stored) = (
-        process::spent(id)?,
+        process::cpu_time(id)?,
         process::written(id)?,
-        process::lengths(&place.state),
+        process::directory_size(&place.state),
     );
     let mut answers = histogram()?;
     for n in 0..many {
         answers.saturating_record((change(admin, n)? * 1000.0) as u64);
     }
     let each = many as f64;
-    let spent = process::spent(id)?.since(&spent);
+    let spent = process::cpu_time(id)?.since(&spent);
     let now = process::written(id)?;
     let kib = |bytes: f64| bytes / 1024.0 / each;
-    let grown = process::lengths(&place.state) as f64 - stored as f64;
+    let grown = process::directory_size(&place.state) as f64 - stored as f64;
     // And one by one, as they come on a day, each with all that follows it.
     let mut lone = (0.0, [0.0; 2]);
     let still = still(place);
     for (n, still) in (0..LONES).filter_map(|n| Some((n, still?))) {
-        let (written, spent) = (quiet(id, still, stop)?, process::spent(id)?);
+        let (written, spent) = (quiet(id, still, stop)?, process::cpu_time(id)?);
         let mut admin = running.service.admin_connection(place)?; // one that is idle for long is closed
         change(&mut admin, many + n)?;
         let now = quiet(id, still, stop)?;
-        lone.0 += process::spent(id)?.since(&spent).all() / LONES as f64;
+        lone.0 += process::cpu_time(id)?.since(&spent).all() / LONES as f64;
         (0..2).for_each(|n| lone.1[n] += (now[n] - written[n]) / 1024.0 / LONES as f64);
     }
     let lone = [
@@ -701,7 +701,7 @@
         command,
         ..Sweep::default()
     };
-    in_turn(
+    measure_in_turn(
         &mut sweep,
         setting,
         sizes,
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! Lines through what was measured.
 
-use lab::capacity::module::{self, Dealt};
+use lab::capacity::module::{self, Distribution};
 use lab::capacity::{Beside, Fit, Machine, Needs, Point, Stop, Sweep, servers, tenants};
 
 fn point(tenants: f64, mib: f64) -> Point {
@@ -99,7 +99,7 @@
     ] {
         assert!(table.contains(part), "{part}: {table}");
     }
-    assert!(!sweep.is_whole(), "a row is void");
+    assert!(!sweep.is_complete(), "a row is void");
 }
 
 #[test]
@@ -162,7 +162,7 @@
             "disk",
         ),
         (
-            servers::Size::of(servers::Of::Services, 12_000).needs(),
+            servers::Size::of(servers::Tenancy::Services, 12_000).needs(),
             "descriptors",
         ),
     ] {
@@ -211,24 +211,27 @@
 #[test]
 fn a_module_looks_over_its_servers_no_oftener_than_the_page_says() {
     // docs/CAPACITY.md: 50 looks a second, idle and under load, so that a proxy with all servers looks at 50 times as many.
-    for (dealt, modules) in [(Dealt::One, [1.0, 1.0]), (Dealt::Services, [12.0, 45.0])] {
-        let [small, large] = [200, 800].map(|servers| module::play(dealt, servers, 1));
+    for (distribution, modules) in [
+        (Distribution::One, [1.0, 1.0]),
+        (Distribution::Services, [12.0, 45.0]),
+    ] {
+        let [small, large] = [200, 800].map(|servers| module::simulate(distribution, servers, 1));
         for (m, modules) in [small, large].iter().zip(modules) {
             assert!(
                 m.timers
                     .iter()
                     .all(|timers| *timers <= 1.2 * 50.0 * modules),
-                "{dealt:?}: {m:?}"
+                "{distribution:?}: {m:?}"
             );
             assert!(
-                m.unsent == 0 && (m.requests - servers::RATE).abs() < 1.0,
-                "{dealt:?}: {m:?}"
+                m.unsent == 0 && (m.requests - servers::REQUESTS_PER_SECOND).abs() < 1.0,
+                "{distribution:?}: {m:?}"
             );
         }
-        let slope = (large.looked[0] - small.looked[0]) / 600.0;
+        let slope = (large.scanned_servers[0] - small.scanned_servers[0]) / 600.0;
         assert!(
             slope <= 1.2 * 50.0 && slope > 0.0,
-            "{dealt:?}: {slope} looks a second and server"
+            "{distribution:?}: {slope} looks a second and server"
         );
     }
 }
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -170,7 +170,7 @@
     let sizes: Vec<f64> = sweep.points.iter().map(|p| p.sizes["members"]).collect();
     assert_eq!((sizes, told), (vec![6.0, 4.0, 3.0], 1));
     assert!(
-        sweep.is_whole() && sweep.points.iter().all(|p| p.figures["report /s"] > 0.0),
+        sweep.is_complete() && sweep.points.iter().all(|p| p.figures["report /s"] > 0.0),
         "{sweep:?}"
     );
     std::fs::remove_dir_all(&dir).unwrap();
@@ -190,7 +190,7 @@
         ..hollow(None, &dir)
     };
     let sweep = restarts::sweep(&how, &[10], &AtomicBool::new(false), |_| ()).unwrap();
-    assert!(sweep.is_whole(), "{sweep:?}");
+    assert!(sweep.is_complete(), "{sweep:?}");
     let of = |hit: &str, what: &str| sweep.points[0].figures[&format!("{hit} {what}")];
     for (hit, members) in [
         ("learners (1 %)", 1.0),
