--- a/crates/cluster-runtime/src/member/message_handler.rs
+++ b/crates/cluster-runtime/src/member/message_handler.rs
@@ -69,7 +69,7 @@
         }
         let is_listed = node
             .state_machine()
-            .is_some_and(|machine| machine.name_of(from.id).is_some());
+            .is_some_and(|state_machine| state_machine.name_of(from.id).is_some());
         if !is_listed {
             let address = PeerAddress {
                 name: from.name,
--- a/crates/cluster-runtime/src/member/output_handler.rs
+++ b/crates/cluster-runtime/src/member/output_handler.rs
@@ -111,8 +111,8 @@
 
     /// Notifies the application of the members and closes connections to removed ones.
     fn update_members(&mut self) {
-        let machine = self.node().and_then(Node::state_machine);
-        let names = machine.map(member_names).unwrap_or_default();
+        let state_machine = self.node().and_then(Node::state_machine);
+        let names = state_machine.map(member_names).unwrap_or_default();
         self.notify_members(&names);
         let peers = &self.settings.peers;
         self.transport
@@ -142,6 +142,6 @@
     }
 }
 
-fn member_names(machine: &StateMachine) -> BTreeSet<String> {
-    machine.members.keys().cloned().collect()
+fn member_names(state_machine: &StateMachine) -> BTreeSet<String> {
+    state_machine.members.keys().cloned().collect()
 }
--- a/crates/cluster-runtime/src/member/runtime.rs
+++ b/crates/cluster-runtime/src/member/runtime.rs
@@ -250,8 +250,11 @@
     }
 
     fn member_by_id(&self, id: u64) -> Option<PeerAddress> {
-        let machine = self.node()?.state_machine()?;
-        let (name, member) = machine.members.iter().find(|(_, member)| member.id == id)?;
+        let state_machine = self.node()?.state_machine()?;
+        let (name, member) = state_machine
+            .members
+            .iter()
+            .find(|(_, member)| member.id == id)?;
         Some(PeerAddress {
             name: name.clone(),
             address: member.address.clone(),
--- a/crates/cluster-runtime/src/member/status_report.rs
+++ b/crates/cluster-runtime/src/member/status_report.rs
@@ -47,8 +47,8 @@
             Ok(version) => status.deciding_version = Some(version),
             Err(reason) => status.fenced_reason = Some(self.fenced_reason(&reason.to_string())),
         }
-        if let Some(machine) = node.state_machine() {
-            add_membership_status(status, node, machine, now);
+        if let Some(state_machine) = node.state_machine() {
+            add_membership_status(status, node, state_machine, now);
         }
     }
 
@@ -73,10 +73,15 @@
         .collect()
 }
 
-fn add_membership_status(status: &mut Status, node: &Node, machine: &StateMachine, now: Micros) {
+fn add_membership_status(
+    status: &mut Status,
+    node: &Node,
+    state_machine: &StateMachine,
+    now: Micros,
+) {
     let voters = node.voters();
-    status.version = machine.version;
-    status.members = machine
+    status.version = state_machine.version;
+    status.members = state_machine
         .members
         .iter()
         .map(|(name, member)| MemberStatus {
@@ -84,7 +89,7 @@
             ..member_status(name, member, node, now)
         })
         .collect();
-    status.change = machine
+    status.change = state_machine
         .change
         .as_ref()
         .map(|change| change_status(change, node, now));
