--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -298,7 +298,7 @@
             }
             if let Err(e) = result {
                 let why = first_line(&e.to_string());
-                tracing::warn!(sizes = ?point.sizes, why, "measurement failed; the point is void");
+                tracing::warn!(sizes = ?point.sizes, why, "a row is void");
                 point.void = Some(why);
             }
             match (n, &mut sweep.beside) {
