--- a/crates/proxy-core/src/capture.rs
+++ b/crates/proxy-core/src/capture.rs
@@ -142,7 +142,7 @@
         ));
     }
 
-    /// Writes the record of a request that the front end rejected before it reached the decision module.
+    /// Writes the record of a request that the frontend rejected before it reached the decision module.
     pub fn record_rejected(&self, pending: &PendingRecord, message: &OutboundRequest, code: u16) {
         let names = self.names.borrow().clone();
         self.write_record(&record(&names, pending, message, None, code));
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -29,10 +29,10 @@
 ///
 /// An update must be applied within 6 s of being available at a reachable discovery, whichever calls failed. If lists
 /// are pushed, a silent watch is abandoned after 2.5 s. Then follow a first backoff of at most 75 ms and a call, which
-/// is answered at once. A call that hangs adds [`CALL_INTERVAL`], one that fails a backoff: 2.5 + 0.075 + 0.35 + 0.15
-/// + 0.3 + 0.375 = 3.75 s after one call that hangs and three that fail. A watch that opens and then sends nothing is
-/// abandoned after another 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The last term of the first sum is the longest
-/// backoff of [`crate::backoff`].
+/// is answered at once. A call that hangs adds [`CALL_INTERVAL`], one that fails a backoff:
+/// 2.5 + 0.075 + 0.35 + 0.15 + 0.3 + 0.375 = 3.75 s after one call that hangs and three that fail. A watch that opens
+/// and then sends nothing is abandoned after another 2.5 s: 2.5 + 0.075 + 2.5 + 0.15 = 5.225 s. The last term of the
+/// first sum is the longest backoff of [`crate::backoff`].
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval and maximum number of concurrent calls if lists are pushed. The discovery agent on the same machine answers
--- a/crates/proxy-core/src/figures.rs
+++ b/crates/proxy-core/src/figures.rs
@@ -155,13 +155,13 @@
         })
     }
 
-    fn end(&self, series: Series, took: Duration) {
+    fn end(&self, series: Series, latency: Duration) {
         let mut state = self.state.borrow_mut();
         if let Some(inflight) = state.inflight.get_mut(&series.class_and_tenant) {
             *inflight -= 1;
         }
         let tags = self.tags(series.class_and_tenant, Some(&series));
-        let ms = took.as_secs_f64() * 1000.0;
+        let ms = latency.as_secs_f64() * 1000.0;
         self.enqueue_metric(
             &mut state,
             "canvascart.latency_ms",
--- a/crates/proxy-core/src/upstream.rs
+++ b/crates/proxy-core/src/upstream.rs
@@ -119,7 +119,7 @@
 
 impl Connection {
     /// Returns whether a request may be written: the endpoint has neither closed the connection nor sent unsolicited
-    /// data. The runtime may not have seen its end yet, so the socket itself is checked.
+    /// data. The runtime may not have noticed this yet, so the socket itself is checked.
     fn is_alive(&self) -> bool {
         has_no_unread_input(&self.stream.borrow()) && self.sender.is_ready()
     }
@@ -146,7 +146,7 @@
     /// Matched bytes of the blank line that ends the head.
     blank_line_matched: Cell<usize>,
     /// Bytes of a buffered body still to be written.
-    body_left: Cell<usize>,
+    remaining_body_bytes: Cell<usize>,
     /// A streamed body.
     upload: RefCell<Option<Rc<Upload>>>,
     counted: Cell<bool>,
@@ -204,7 +204,7 @@
         self.started.set(false);
         self.blocked.set(false);
         self.blank_line_matched.set(0);
-        self.body_left.set(body);
+        self.remaining_body_bytes.set(body);
     }
 
     /// Returns whether a write is permitted.
@@ -241,8 +241,8 @@
                 usize::from(byte == b'\r')
             });
         }
-        self.body_left
-            .set(self.body_left.get().saturating_sub(rest.len()));
+        self.remaining_body_bytes
+            .set(self.remaining_body_bytes.get().saturating_sub(rest.len()));
     }
 
     /// Returns whether the request's last byte has been written: from then on it may have been executed. The last
@@ -254,7 +254,7 @@
             .as_ref()
             .is_none_or(|u| u.is_complete());
         self.blank_line_matched.get() == BLANK_LINE.len()
-            && self.body_left.get() == 0
+            && self.remaining_body_bytes.get() == 0
             && upload_complete
     }
 }
@@ -503,12 +503,12 @@
             return report(AttemptEvent::Ended(Outcome::NotSent, None));
         };
         let (tracker, upload) = (connection.tracker.clone(), outbound.body.upload().cloned());
-        let body_left = if upload.is_some() {
+        let remaining_body_bytes = if upload.is_some() {
             0
         } else {
             request.body().size_hint().exact().unwrap_or(0) as usize
         };
-        tracker.start(condition, body_left, upload.clone());
+        tracker.start(condition, remaining_body_bytes, upload.clone());
         let deadline = Cell::new(deadline);
         let result = {
             let mut exchange = pin!(exchange(&mut connection.sender, request));
@@ -549,7 +549,7 @@
                 }));
                 let outcome = stream_response(
                     large.first_chunks,
-                    large.rest,
+                    large.remaining_body,
                     large.length,
                     &self.body_memory,
                     sender,
@@ -628,7 +628,7 @@
     headers: HeaderMap,
     length: Option<u64>,
     first_chunks: Vec<Bytes>,
-    rest: Incoming,
+    remaining_body: Incoming,
 }
 
 /// Sends a request and reads the complete response, or as much of it as is buffered.
@@ -688,7 +688,7 @@
                     headers,
                     length,
                     first_chunks: chunks,
-                    rest: body,
+                    remaining_body: body,
                 }));
             }
             let body = if chunks.len() == 1 {
@@ -719,7 +719,7 @@
 /// Forwards a large response as it arrives, no faster than the client reads.
 async fn stream_response(
     first_chunks: Vec<Bytes>,
-    mut rest: Incoming,
+    mut remaining_body: Incoming,
     length: Option<u64>,
     body_memory: &BodyMemory,
     pieces: mpsc::Sender<ResponsePiece>,
@@ -732,7 +732,7 @@
         let data = match first_chunks.next() {
             Some(data) => data,
             None => tokio::select! {
-                frame = timeout(RESPONSE_IDLE_TIMEOUT, rest.frame()) => match frame {
+                frame = timeout(RESPONSE_IDLE_TIMEOUT, remaining_body.frame()) => match frame {
                     Ok(Some(Ok(frame))) => match frame.into_data() {
                         Ok(data) => data,
                         Err(_) => continue, // trailers are dropped
