--- a/crates/lab/src/service/changes.rs
+++ b/crates/lab/src/service/changes.rs
@@ -2,6 +2,7 @@
 //! outcome of each change.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::io::{self, BufRead as _, BufReader, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -222,7 +223,7 @@
 }
 
 /// Outcome of a change, as known to its caller.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// It was acknowledged after this time.
     Acknowledged(Duration),
@@ -232,6 +233,17 @@
     Unknown,
 }
 
+/// Formats the names that `canvascart lab changes` prints in violations: `Done`, `GivenUp` and `Unknown`.
+impl fmt::Debug for ChangeOutcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Acknowledged(latency) => f.debug_tuple("Done").field(latency).finish(),
+            Self::Abandoned => f.write_str("GivenUp"),
+            Self::Unknown => f.write_str("Unknown"),
+        }
+    }
+}
+
 /// Results of a run.
 #[derive(Debug, Default)]
 pub struct RunReport {
