--- a/crates/canvascart/src/admin/arguments.rs
+++ b/crates/canvascart/src/admin/arguments.rs
@@ -27,10 +27,10 @@
     /// Prints responses as JSON.
     #[arg(long, global = true)]
     pub json: bool,
-    /// Only shows what would change.
+    /// Only shows the changes, without making them.
     #[arg(long, global = true)]
     pub dry_run: bool,
-    /// ETag of the revision that is to be changed; by default the current one when the command starts.
+    /// ETag of the revision to change; by default that of the current revision when the command starts.
     #[arg(long, global = true, value_name = "ETAG")]
     pub if_match: Option<String>,
     /// Idempotency key of this change: repeating it with the same key changes nothing.
--- a/crates/canvascart/src/admin/mod.rs
+++ b/crates/canvascart/src/admin/mod.rs
@@ -237,8 +237,9 @@
             print(&pretty(written))?;
         } else if changed {
             print(&differences(&written["differences"]))?;
-            for t in written["tenants"].as_array().into_iter().flatten() {
-                let label = |key: &str, text: &'static str| if t[key] == true { text } else { "" };
+            for tenant in written["tenants"].as_array().into_iter().flatten() {
+                let label =
+                    |key: &str, text: &'static str| if tenant[key] == true { text } else { "" };
                 let effects = [
                     label("added", " added"),
                     label("removed", " removed"),
@@ -249,8 +250,8 @@
                 let verb = if self.dry_run { "would be at" } else { "at" };
                 print(&format!(
                     "{} {verb} revision {}:{}",
-                    cell(&t["name"]),
-                    t["rev"],
+                    cell(&tenant["name"]),
+                    tenant["rev"],
                     effects.concat()
                 ))?;
             }
@@ -490,10 +491,10 @@
             .filter(|_| response.status >= 400);
         if let (Some(errors), Some(positions)) = (errors, positions) {
             // The service reports JSON pointers into the body; users need the lines of the file.
-            let problem = |e: &Value| {
+            let problem = |item: &Value| {
                 let error = ValidationError {
-                    pointer: cell(&e["pointer"]),
-                    message: cell(&e["detail"]),
+                    pointer: cell(&item["pointer"]),
+                    message: cell(&item["detail"]),
                 };
                 let key = error.key();
                 Problem {
--- a/crates/canvascart/src/capture.rs
+++ b/crates/canvascart/src/capture.rs
@@ -96,7 +96,7 @@
         Ok(contents)
     }
 
-    /// Adds a line to its start; returns `false` if the line belongs to none.
+    /// Adds a line to the proxy start that it belongs to; returns `false` if there is none.
     fn add_line(&mut self, number: usize, line: Line) -> bool {
         if let Line::Header(header) = line {
             let is_same = |s: &CapturedStart| {
@@ -130,10 +130,11 @@
                 });
             }
             Line::Endpoint(endpoint) => {
-                let is_incomplete = |e: &&mut ListEpoch| {
-                    e.update
+                let is_incomplete = |epoch: &&mut ListEpoch| {
+                    epoch
+                        .update
                         .as_ref()
-                        .is_some_and(|u| e.endpoints.len() < u.endpoint_count)
+                        .is_some_and(|update| epoch.endpoints.len() < update.endpoint_count)
                 };
                 let Some(epoch) = start.epochs.last_mut().filter(is_incomplete) else {
                     return false;
@@ -142,10 +143,11 @@
             }
             // A request is written when it ends, possibly after later list updates; it was decided under the list of its version.
             Line::Request(record) => {
-                let has_version = |e: &ListEpoch| {
-                    e.update
+                let has_version = |epoch: &ListEpoch| {
+                    epoch
+                        .update
                         .as_ref()
-                        .is_some_and(|u| u.version == record.list_version)
+                        .is_some_and(|update| update.version == record.list_version)
                 };
                 let index = start
                     .epochs
--- a/crates/canvascart/src/cluster/command.rs
+++ b/crates/canvascart/src/cluster/command.rs
@@ -57,7 +57,7 @@
         #[arg(long)]
         watch: bool,
     },
-    /// Shows the startup of the asked instance: its phases, what it waits for, and the maximum wait.
+    /// Shows the startup of the addressed instance: its phases, the condition it waits for, and the maximum wait.
     Recovery {
         /// Repeats each second until interrupted.
         #[arg(long)]
@@ -77,7 +77,7 @@
     /// Starts a new cluster after the majority of the voters is lost for good: from the state directory of a surviving instance that
     /// is not running, or from a backup.
     Restore(Restore),
-    /// Confirms that the state on the asked instance's disk is current, if the instance can't verify it because the members that
+    /// Confirms that the state on the addressed instance's disk is current, if the instance can't verify it because the members that
     /// could are lost for good.
     Vouch,
     /// Transfers leadership to another instance.
@@ -271,10 +271,10 @@
 fn print_recovery(body: &Value) {
     let start = &body["start"];
     let phase = start["phase"].as_str().unwrap_or_default();
-    let row = |t: &Value| {
+    let row = |ended_phase: &Value| {
         vec![
-            cell(&t["phase"]),
-            format!("{} ms", cell(&t["ms"])),
+            cell(&ended_phase["phase"]),
+            format!("{} ms", cell(&ended_phase["ms"])),
             "-".into(),
         ]
     };
@@ -319,27 +319,27 @@
         &body["leader"]
     };
     let leader = known["leader"].as_str();
-    let row = |m: &Value| {
+    let row = |member: &Value| {
         let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{ms} ms ago"));
-        let decides_for = match m["holds-ms"].as_i64() {
+        let decides_for = match member["holds-ms"].as_i64() {
             None => "fenced".into(),
             Some(-1) => "until it says otherwise".into(),
             Some(ms) => format!("{ms} ms at most"),
         };
-        let role = if m["name"].as_str() == leader {
+        let role = if member["name"].as_str() == leader {
             "leads"
-        } else if m["votes"] == true {
+        } else if member["votes"] == true {
             "votes"
         } else {
             "learns"
         };
         vec![
-            cell(&m["name"]),
-            cell(&m["id"]),
-            cell(&m["zone"]),
+            cell(&member["name"]),
+            cell(&member["id"]),
+            cell(&member["zone"]),
             role.into(),
-            cell(&m["version"]),
-            ms(&m["heard-ms"]),
+            cell(&member["version"]),
+            ms(&member["heard-ms"]),
             decides_for,
         ]
     };
--- a/crates/canvascart/src/cluster/mod.rs
+++ b/crates/canvascart/src/cluster/mod.rs
@@ -57,7 +57,7 @@
 }
 
 fn member_settings(cluster: &Cluster, directory: &str) -> Result<Settings, String> {
-    let key_error = |what: String| format!("cluster.key-file: {}: {what}", cluster.key_file);
+    let key_error = |message: String| format!("cluster.key-file: {}: {message}", cluster.key_file);
     let key = std::fs::read_to_string(&cluster.key_file).map_err(|e| key_error(e.to_string()))?;
     let key = key.trim().as_bytes().to_vec();
     if key.len() < MIN_KEY_BYTES {
--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -55,7 +55,7 @@
 /// a failed restore from a backup the directory has to be emptied first.
 pub fn restore(arguments: &Restore) -> Result<(), String> {
     let file = read(&arguments.config)?;
-    let config_error = |what: &str| format!("{}: {what}", arguments.config.display());
+    let config_error = |message: &str| format!("{}: {message}", arguments.config.display());
     let cluster = file
         .cluster
         .clone()
@@ -116,13 +116,13 @@
         "log             up to entry {}, term {}",
         recovered.last_index, recovered.term
     );
-    println!("known agreed    up to entry {}", recovered.committed_index);
+    println!("committed       up to entry {}", recovered.committed_index);
     println!(
-        "taken besides   {} entries that may have been acknowledged",
+        "uncommitted     {} entries that may have been acknowledged",
         recovered.uncommitted_entries
     );
     println!(
-        "given up        {}",
+        "aborted change  {}",
         recovered
             .aborted_change
             .as_deref()
@@ -135,7 +135,7 @@
         .filter(|m| *m != name)
         .collect();
     println!(
-        "members no more {}",
+        "removed members {}",
         if lost_members.is_empty() {
             "none".into()
         } else {
@@ -143,7 +143,7 @@
         }
     );
     println!(
-        "may be missing  whatever was acknowledged after entry {} without this member",
+        "may be missing  changes acknowledged after entry {} without this member",
         recovered.last_index
     );
     if !yes {
@@ -189,7 +189,7 @@
         "version         {} before, {version} afterwards",
         backup.version
     );
-    println!("may be missing  whatever was acknowledged after the backup was made");
+    println!("may be missing  changes acknowledged after the backup was made");
     if !yes {
         println!("nothing was changed; add --yes to execute it");
         return Ok(());
--- a/crates/canvascart/src/demo.rs
+++ b/crates/canvascart/src/demo.rs
@@ -42,14 +42,14 @@
         let text = shipped::text(SCENARIO).unwrap_or_default();
         let scenario = experiment::with_settings(SCENARIO, text, &[]).map_err(io::Error::other)?;
         let members = demo::start(&scenario, 1)?;
-        let class = |c: &::lab::scenario::Class| {
-            let effect = match c.effect {
+        let class = |class: &::lab::scenario::Class| {
+            let effect = match class.effect {
                 ::lab::scenario::Effect::Safe => "safe",
                 ::lab::scenario::Effect::Unsafe => "unsafe",
             };
             json!({
-                "name": c.name, "effect": effect, "aim": c.aim.to_string(), "deadline": c.deadline.to_string(),
-                "worth": c.worth, "late-worth": c.late_worth.to_string(),
+                "name": class.name, "effect": effect, "aim": class.aim.to_string(), "deadline": class.deadline.to_string(),
+                "worth": class.worth, "late-worth": class.late_worth.to_string(),
             })
         };
         let classes = scenario.classes.iter().map(class).collect();
@@ -67,9 +67,9 @@
     /// # Errors
     /// The configuration is invalid, which is a bug.
     pub fn service(&self) -> Result<Service, String> {
-        let server = |m: &demo::Member, connections: Option<u64>| {
+        let server = |member: &demo::Member, connections: Option<u64>| {
             let mut server = json!({
-                "name": m.name, "address": m.address, "size": 4.0 * m.cores, "zone": m.zone, "kind": m.kind,
+                "name": member.name, "address": member.address, "size": 4.0 * member.cores, "zone": member.zone, "kind": member.kind,
             });
             if let Some(connections) = connections {
                 server["connections"] = connections.into();
@@ -77,8 +77,8 @@
             server
         };
         let (shared, own) = self.members.split_last().ok_or("the fleet is empty")?;
-        let tenant = |(n, (name, weight)): (usize, &(&str, f64))| {
-            let tenant_servers = own.iter().skip(n).step_by(TENANTS.len());
+        let tenant = |(index, (name, weight)): (usize, &(&str, f64))| {
+            let tenant_servers = own.iter().skip(index).step_by(TENANTS.len());
             let servers: Vec<Value> = tenant_servers
                 .map(|m| server(m, None))
                 .chain([server(shared, Some(16))])
@@ -139,7 +139,7 @@
     let demo = Demo::new().map_err(error_text)?;
     let tenants = toml::to_string(&json!({ "tenant": demo.service()?.tenants }))
         .map_err(|e| e.to_string())?;
-    let terms = FleetSettings {
+    let settings = FleetSettings {
         cluster: CLUSTER_SETTINGS.into(),
         tenants,
         zones: 3,
@@ -148,7 +148,7 @@
         .map_err(error_text)?
         .to_string_lossy()
         .into_owned()];
-    let mut fleet = Fleet::new(&command, count, &terms, &demo.directory).map_err(error_text)?;
+    let mut fleet = Fleet::new(&command, count, &settings, &demo.directory).map_err(error_text)?;
     for i in 0..count {
         fleet.start(i).map_err(error_text)?;
     }
--- a/crates/canvascart/src/main.rs
+++ b/crates/canvascart/src/main.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs a future to completion on a runtime of its own. Background work that is left, such as a DNS lookup, is not waited for.
+/// Runs a future to completion on a runtime of its own. Does not wait for background work that is still running, such as a DNS lookup.
 fn block_on<F: Future>(future: F) -> Result<F::Output, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/canvascart/src/replay.rs
+++ b/crates/canvascart/src/replay.rs
@@ -12,7 +12,7 @@
 
 /// Interval between requests, long enough that no request waits for another.
 const REQUEST_INTERVAL: Millis = 50.0;
-/// Latency of an attempt, and its maximum as a share of the time that is left of the request.
+/// Latency of an attempt, and its maximum as a share of the remaining time of the request.
 const ATTEMPT_LATENCY: Millis = 10.0;
 const MAX_LATENCY_SHARE: f64 = 0.25;
 /// Time before the client's deadline at which the proxy answers in any case.
--- a/crates/canvascart/src/serve.rs
+++ b/crates/canvascart/src/serve.rs
@@ -142,10 +142,10 @@
     hup: Signal,
 }
 
-/// Administration API of a service with durable state, and the orders that its calls cause.
+/// Administration API of a service with durable state, and the commands to the data plane that its calls produce.
 struct Administration {
     api: Arc<Api>,
-    orders: UnboundedReceiver<PlaneCommand>,
+    plane_commands: UnboundedReceiver<PlaneCommand>,
     /// Address of the API's listener, if there is one.
     address: Option<SocketAddr>,
     /// Commands to the cluster member, if there is one.
@@ -185,9 +185,9 @@
         demo.print_addresses(&plane, administration.address);
     }
     loop {
-        let order = async {
+        let plane_command = async {
             match &mut administration {
-                Some(administration) => administration.orders.recv().await,
+                Some(administration) => administration.plane_commands.recv().await,
                 None => std::future::pending().await,
             }
         };
@@ -198,39 +198,39 @@
                 Some(file) => reload(&plane, file, administration.as_mut()),
                 None => tracing::info!("the demonstration has no configuration to reload"),
             },
-            Some(order) = order => order.execute(&plane),
+            Some(plane_command) = plane_command => plane_command.execute(&plane),
         }
     }
     tracing::info!("shutting down: accepted requests are answered first");
     if let Some(Administration {
         api,
-        mut orders,
+        mut plane_commands,
         member,
         ..
     }) = administration
     {
         if let Some(member) = member {
-            leave_cluster(&plane, &mut orders, &member).await;
+            leave_cluster(&plane, &mut plane_commands, &member).await;
         }
         api.admin_state().set_read_only("the service is ending");
-        while let Ok(order) = orders.try_recv() {
-            order.execute(&plane);
+        while let Ok(plane_command) = plane_commands.try_recv() {
+            plane_command.execute(&plane);
         }
         api.write_snapshot();
     }
     plane.drain().await;
-    let residency = plane.activation_status();
+    let activation = plane.activation_status();
     let (wakes, rests, refused) = (
-        residency.activations,
-        residency.deactivations,
-        residency.deferrals,
+        activation.activations,
+        activation.deactivations,
+        activation.deferrals,
     );
     tracing::info!(
-        tenants = residency.tenants,
+        tenants = activation.tenants,
         wakes,
         rests,
         refused,
-        "residency at the end"
+        "tenant activations until the end"
     );
     for tenant in plane.status(MAX_LOGGED_TENANTS) {
         let (name, ms, refused) = (&tenant.name, tenant.loop_ms.round(), tenant.rejections);
@@ -246,7 +246,7 @@
 /// lease, so that no change waits for this instance.
 async fn leave_cluster(
     plane: &DataPlane,
-    orders: &mut UnboundedReceiver<PlaneCommand>,
+    plane_commands: &mut UnboundedReceiver<PlaneCommand>,
     member: &UnboundedSender<MemberCommand>,
 ) {
     let drained = plane.drain();
@@ -254,7 +254,7 @@
     loop {
         tokio::select! {
             () = &mut drained => break,
-            Some(order) = orders.recv() => order.execute(plane),
+            Some(plane_command) = plane_commands.recv() => plane_command.execute(plane),
         }
     }
     let _ = member.send(MemberCommand::ReleaseLease); // a member that has ended has released its lease
@@ -273,7 +273,7 @@
         limits.table.mass_expiry_ratio = settings.mass_expiry_ratio.0;
         limits.table.retention_ms = settings.retention.0 as u64;
         let credentials = settings.user_file.as_ref().and_then(|file| match std::fs::read_to_string(file) {
-            Ok(text) => text.trim().split_once(':').map(|(n, p)| (n.to_owned(), p.to_owned())),
+            Ok(text) => text.trim().split_once(':').map(|(name, password)| (name.to_owned(), password.to_owned())),
             Err(e) => {
                 tracing::error!(tenant = tenant.name, file, error = %e, "etcd credentials can't be read");
                 None
@@ -353,7 +353,7 @@
         .clone()
         .zip(start)
         .map(|(commands, start)| ClusterHandle::new(commands, file.clone(), start));
-    let (api, orders) = Api::with_cluster(admin_state, cluster_handle);
+    let (api, plane_commands) = Api::with_cluster(admin_state, cluster_handle);
     let member_events = match (&file.cluster, lease) {
         (Some(_), Some(lease)) => Some(cluster::join(file, &api, command_receiver, lease)?),
         _ => None,
@@ -401,7 +401,7 @@
     }
     Ok(Administration {
         api,
-        orders,
+        plane_commands,
         address: api_address,
         member,
     })
@@ -445,11 +445,15 @@
     }
     let result = match administration {
         None => plane.apply(&next),
-        Some(Administration { api, orders, .. }) => {
-            // Holding the state's lock prevents new commits; orders of earlier commits are executed first.
+        Some(Administration {
+            api,
+            plane_commands,
+            ..
+        }) => {
+            // Holding the state's lock prevents new commits; commands of earlier commits are executed first.
             let mut admin_state = api.admin_state();
-            while let Ok(order) = orders.try_recv() {
-                order.execute(plane);
+            while let Ok(plane_command) = plane_commands.try_recv() {
+                plane_command.execute(plane);
             }
             admin_state.prepare_reload(&next).and_then(|prepared| {
                 let (plan, catalog) = (prepared.plan.clone(), prepared.next.clone());
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -11,7 +11,7 @@
 //! A request's decision names all attempts in order. An attempt that was not served has its outcome appended
 //! (`s-a:full,s-b`); `-` stands for no attempt, and `(front)` for a request that never reached the decision module.
 //!
-//! Values from outside are cut to [`MAX_FIELD_BYTES`] and escaped: every byte except letters, digits and `-._~` becomes
+//! External values are truncated to [`MAX_FIELD_BYTES`] and escaped: every byte except letters, digits and `-._~` becomes
 //! `%` with two hexadecimal digits. So no value can end its line or imitate another field.
 
 use std::borrow::Cow;
@@ -19,7 +19,7 @@
 
 use balancer::{EndpointState, Millis, Outcome, UpdateScope};
 
-/// Maximum length of a value from outside, in bytes. `%~` marks a truncated one.
+/// Maximum length of an external value, in bytes. `%~` marks a truncated one.
 pub const MAX_FIELD_BYTES: usize = 128;
 const TRUNCATION_MARK: &str = "%~";
 
@@ -36,7 +36,7 @@
     pub segment: u64,
 }
 
-/// Update of the endpoint list; its endpoints follow, one a line.
+/// Update of the endpoint list; its endpoints follow, one per line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
     /// Version of the list, as discovery numbers it.
@@ -149,7 +149,7 @@
         .map(|(value, _)| *value)
 }
 
-/// Value from outside, which is displayed escaped; `None` is written as `-`.
+/// External value, which is displayed escaped; `None` is written as `-`.
 #[derive(Clone, Copy, Debug)]
 pub struct Field<'a>(pub Option<&'a str>);
 
@@ -178,7 +178,7 @@
     }
 }
 
-/// Parses a value that [`Field`] wrote; `-` gives an inner `None`, and an invalid text the outer one.
+/// Parses a value written by [`Field`]: `Some(None)` for `-`, and `None` for an invalid text.
 fn parse_field(text: &str) -> Option<Option<String>> {
     match text {
         "" => return None,
@@ -457,7 +457,7 @@
     }
 
     #[test]
-    fn a_value_from_outside_cannot_end_its_line_or_imitate_another_field() {
+    fn an_external_value_cannot_end_its_line_or_imitate_another_field() {
         let hostile = "x\nr y lookup t sid=1 -> s-a 200,:%é";
         let record = RequestRecord {
             id: hostile.into(),
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,5 +1,5 @@
-//! Calls over HTTP/1.1. Each attempt opens a connection of its own, and none is kept: a request cannot be lost on a stale
-//! connection or be sent twice because of it.
+//! Calls over HTTP/1.1. Each attempt opens a connection of its own, and connections are not reused, so that a stale
+//! connection can neither lose a request nor cause it to be sent twice.
 //!
 //! ```no_run
 //! use client::http::{CallRequest, Client};
@@ -249,7 +249,7 @@
             .collect()
             .await
             .map_err(|e| format!("an invalid response: {e}"))?;
-        let wait = head
+        let retry_after = head
             .headers
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok())
@@ -259,14 +259,14 @@
                 status: head.status.as_u16(),
                 body: body.to_bytes(),
             },
-            wait,
+            retry_after,
         ))
     };
     tokio::pin!(exchange, connection);
     tokio::select! {
         biased; // a complete response counts, however its connection ends
         result = &mut exchange => result,
-        // The connection has ended; what it has read is already buffered.
+        // The connection has ended; the data read from it is already buffered.
         _ = &mut connection => exchange.await,
     }
 }
--- a/crates/config-parser/src/message.rs
+++ b/crates/config-parser/src/message.rs
@@ -1,4 +1,4 @@
-//! Parts of error messages, whose length is limited whatever the document contains.
+//! Parts of error messages. Their length is limited for any document.
 
 use serde_json::Value;
 
--- a/crates/config-parser/src/positions.rs
+++ b/crates/config-parser/src/positions.rs
@@ -19,7 +19,7 @@
     pub message: String,
 }
 
-/// Problems of a document; displayed one a line, with file, line and key.
+/// Problems of a document; displayed one per line, with file, line and key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct DocumentError {
     /// Name of the file, as given by the caller.
@@ -111,7 +111,7 @@
         self.line_starts.partition_point(|start| *start <= offset)
     }
 
-    /// Returns the line of a key, or of its nearest ancestor that the text has; 1 if it has none.
+    /// Returns the line of a key, or of its nearest ancestor in the text; 1 if there is none.
     pub fn line_of(&self, key: &str) -> usize {
         let mut key = key;
         loop {
@@ -149,7 +149,7 @@
         self.document_error_with_omitted(problems, 0)
     }
 
-    /// As [`KeyPositions::document_error`], for a list from which further problems were already omitted.
+    /// Does the same as [`KeyPositions::document_error`] for a list from which `omitted` problems have been left out already.
     pub(crate) fn document_error_with_omitted(
         &self,
         mut problems: Vec<Problem>,
--- a/crates/config-parser/src/schema.rs
+++ b/crates/config-parser/src/schema.rs
@@ -55,8 +55,8 @@
         &self.schema
     }
 
-    /// Returns the errors in a value: the first [`MAX_LISTED_ERRORS`] and, if there are more, one that counts the rest.
-    /// Each is shorter than 1 KB, whatever the value is.
+    /// Returns the errors in a value: the first [`MAX_LISTED_ERRORS`] and, if there are more, a last one with the number of the others.
+    /// Each is shorter than 1 KB for any value.
     pub fn validate(&self, value: &Value) -> Vec<ValidationError> {
         let (errors, omitted) = self.first_errors(value);
         let truncated = |error: ValidationError| ValidationError {
@@ -123,7 +123,7 @@
     /// Validates and deserializes a TOML text; returns the positions of its keys too. `file` is its name in errors.
     ///
     /// # Errors
-    /// The text is not TOML, or the errors in it, limited as by [`KeyPositions::document_error`].
+    /// The text is not TOML, or has validation errors, listed up to the limit of [`KeyPositions::document_error`].
     pub fn deserialize_toml<T: DeserializeOwned>(
         &self,
         file: &str,
--- a/crates/etcd-fake/src/service.rs
+++ b/crates/etcd-fake/src/service.rs
@@ -317,8 +317,8 @@
     {
         let store = member.shared.store();
         let (header, applied) = (store.header(member.number), store.applied(member.number));
-        watchers.retain(|id, w| {
-            if w.next_revision < store.compacted_revision() {
+        watchers.retain(|id, watcher| {
+            if watcher.next_revision < store.compacted_revision() {
                 messages.push(WatchResponse {
                     header: Some(header),
                     watch_id: *id,
@@ -329,45 +329,45 @@
                 });
                 return false;
             }
-            let matches = |e: &Event| {
-                let filters = &w.create.filters;
+            let matches = |event: &Event| {
+                let filters = &watcher.create.filters;
                 let has_filter =
-                    |f: watch_create_request::FilterType| filters.contains(&(f as i32));
-                let deleted = e.r#type == event::EventType::Delete as i32;
+                    |kind: watch_create_request::FilterType| filters.contains(&(kind as i32));
+                let deleted = event.r#type == event::EventType::Delete as i32;
                 let filtered = if deleted {
                     has_filter(watch_create_request::FilterType::Nodelete)
                 } else {
                     has_filter(watch_create_request::FilterType::Noput)
                 };
-                let key = e.kv.as_ref().map_or(&[][..], |kv| &kv.key);
-                !filtered && in_range(key, &w.create.key, &w.create.range_end)
+                let key = event.kv.as_ref().map_or(&[][..], |kv| &kv.key);
+                !filtered && in_range(key, &watcher.create.key, &watcher.create.range_end)
             };
             let events = store
-                .events(w.next_revision, applied)
+                .events(watcher.next_revision, applied)
                 .filter(|(_, e)| matches(e))
                 .map(|(_, e)| {
-                    let prev_kv = e.prev_kv.clone().filter(|_| w.create.prev_kv);
+                    let prev_kv = e.prev_kv.clone().filter(|_| watcher.create.prev_kv);
                     Event {
                         prev_kv,
                         ..e.clone()
                     }
                 });
             let events: Vec<Event> = events.collect();
-            w.next_revision = w.next_revision.max(applied + 1);
-            let chunk_size = if w.create.fragment {
+            watcher.next_revision = watcher.next_revision.max(applied + 1);
+            let chunk_size = if watcher.create.fragment {
                 FRAGMENT_EVENTS
             } else {
                 usize::MAX
             };
             let chunk_count = events.len().div_ceil(chunk_size.min(events.len().max(1)));
-            for (i, chunk) in events
+            for (index, chunk) in events
                 .chunks(chunk_size.min(events.len().max(1)))
                 .enumerate()
             {
                 messages.push(WatchResponse {
                     header: Some(header),
                     watch_id: *id,
-                    fragment: i + 1 < chunk_count,
+                    fragment: index + 1 < chunk_count,
                     events: chunk.to_vec(),
                     ..WatchResponse::default()
                 });
--- a/crates/etcd-fake/src/store.rs
+++ b/crates/etcd-fake/src/store.rs
@@ -291,8 +291,8 @@
     }
 
     fn comparison_holds(&self, compare: &Compare) -> bool {
-        let now = self.value_at(&compare.key, self.revision);
-        let number = |f: fn(&KeyValue) -> i64| now.map_or(0, f);
+        let current = self.value_at(&compare.key, self.revision);
+        let number = |field: fn(&KeyValue) -> i64| current.map_or(0, field);
         let order = match (
             &compare.target_union,
             CompareTarget::try_from(compare.target),
@@ -308,8 +308,8 @@
             }
             (Some(TargetUnion::Lease(n)), Ok(CompareTarget::Lease)) => number(|k| k.lease).cmp(n),
             (Some(TargetUnion::Value(v)), Ok(CompareTarget::Value)) => {
-                let Some(now) = now else { return false };
-                now.value.cmp(v)
+                let Some(current) = current else { return false };
+                current.value.cmp(v)
             }
             _ => return false,
         };
--- a/crates/etcd/src/connect.rs
+++ b/crates/etcd/src/connect.rs
@@ -13,7 +13,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval of HTTP/2 pings, and the time after which an unanswered one closes the connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Largest message accepted. etcd fragments watch responses at 1.5 MiB, but sends a single larger event whole.
+/// Largest message accepted. etcd fragments watch responses at 1.5 MiB, but sends a single larger event in one message.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// Addresses of etcd, and the credentials used there.
--- a/crates/etcd/src/registry.rs
+++ b/crates/etcd/src/registry.rs
@@ -329,7 +329,7 @@
         Ok(())
     }
 
-    /// Changes an endpoint's state. The rest of its record stays, including fields that this program does not know.
+    /// Changes an endpoint's state. The other fields of its record are kept, including those that this program does not know.
     ///
     /// # Errors
     /// The endpoint does not exist, or a call of etcd fails.
@@ -354,7 +354,7 @@
         )))
     }
 
-    /// Removes an endpoint. Its state is set to removed first, so that proxies can tell the removal from an expired lease.
+    /// Removes an endpoint. Its state is set to removed first, so that proxies can distinguish the removal from an expired lease.
     ///
     /// # Errors
     /// The endpoint does not exist, or a call of etcd fails.
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -60,7 +60,7 @@
                 Command::Notice(notice) => log(&pool, &notice),
                 command => {
                     if let Some(connection) = &connection {
-                        // A session that has ended reports it as an event.
+                        // A session reports its end as an event.
                         let _ = connection.commands.send(command);
                     }
                 }
@@ -81,7 +81,7 @@
             tokio::select! {
                 () = updates.closed() => return,
                 received = event_queue.recv() => match received {
-                    Some((n, event)) if n == connection_number => break event,
+                    Some((number, event)) if number == connection_number => break event,
                     _ => {} // event of an earlier connection
                 },
                 () = sleep_until_some(timer_deadline) => break Event::Timer,
@@ -152,7 +152,7 @@
                 pool,
                 has = member_revision,
                 known = known_revision,
-                "etcd has gone back to an earlier revision, as after a restored backup; its list is accepted"
+                "the etcd revision went back, as after a restored backup; the list is accepted"
             );
         }
         Notice::Table(notice) => tracing::warn!(pool, what = notice.to_string(), "servers"),
