--- a/crates/canvascart/src/lab/capacity.rs
+++ b/crates/canvascart/src/lab/capacity.rs
@@ -123,7 +123,7 @@
                 by,
                 sizes
                     .iter()
-                    .map(|n| tenants::Size::apart(by, *n, tenants))
+                    .map(|n| tenants::Size::with_count(by, *n, tenants))
                     .collect(),
             ),
         ]
