--- a/crates/canvascart/src/lab/capacity.rs
+++ b/crates/canvascart/src/lab/capacity.rs
@@ -181,8 +181,8 @@
     }
 
     /// Returns the options and sizes of sweeps over emulated members.
-    fn member_options(&self) -> (members::Play, Vec<usize>) {
-        let play = members::Play {
+    fn member_options(&self) -> (members::Options, Vec<usize>) {
+        let play = members::Options {
             command: own_command().ok(),
             rules: members::rules(),
             state_bytes: 100_000,
@@ -190,8 +190,8 @@
             periods: if self.small { 1 } else { 4 },
             changes: if self.small { 3 } else { 10 },
             peak: Duration::from_secs(if self.small { 0 } else { 60 }),
-            hurt: !self.small,
-            side_by_side: self.small,
+            with_failures: !self.small,
+            concurrent_sizes: self.small,
             dir: temp_dir_for("members"),
         };
         (play, self.sizes([4, 6, 8, 10], [24, 100, 300, 900]))
@@ -203,7 +203,7 @@
         let virtual_play = play.clone();
         vec![
             Plan {
-                needs: Needs::default(), // members::fits checks these
+                needs: Needs::default(), // members::check_sizes checks these
                 play: Box::new(move |setting, _| {
                     members::virtual_sweep(
                         &virtual_play,
@@ -301,7 +301,7 @@
         }
         if matches!(which, Which::Members | Which::Restarts | Which::All) {
             let (play, sizes) = self.member_options();
-            if let Err(e) = members::fits(&play, &sizes) {
+            if let Err(e) = members::check_sizes(&play, &sizes) {
                 return Some(format!("--sizes: {e}"));
             }
         }
--- a/crates/canvascart/src/lab/hollow.rs
+++ b/crates/canvascart/src/lab/hollow.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use ::lab::capacity::members::{self, Play};
+use ::lab::capacity::members::{self, Options};
 use ::lab::capacity::{Sweep, hollow, restarts};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -94,7 +94,7 @@
 /// Runs a sweep and prints its table.
 pub fn run(arguments: &Arguments) -> Result<u8, String> {
     let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let options = Play {
+    let options = Options {
         command: Some(vec![program.to_string_lossy().into_owned()]),
         rules: members::rules(),
         state_bytes: arguments.state,
@@ -102,8 +102,8 @@
         periods: arguments.periods,
         changes: arguments.changes,
         peak: Duration::from_secs(arguments.peak),
-        hurt: !arguments.whole,
-        side_by_side: false,
+        with_failures: !arguments.whole,
+        concurrent_sizes: false,
         dir: arguments
             .dir
             .clone()
--- a/crates/canvascart/tests/hollow.rs
+++ b/crates/canvascart/tests/hollow.rs
@@ -8,7 +8,7 @@
 
 use cluster_fixture::{Directory, command};
 use lab::capacity::Point;
-use lab::capacity::members::{Play, in_virtual_time, of_processes, play, rules};
+use lab::capacity::members::{Options, measure, measure_in_virtual_time, measure_processes, rules};
 
 /// Bytes of a log entry besides the change itself.
 const ENTRY_OVERHEAD_BYTES: usize = 110;
@@ -16,7 +16,7 @@
 #[test]
 fn emulated_members_send_the_same_traffic_as_real_ones() {
     let directory = Directory::new();
-    let mut settings = Play {
+    let mut settings = Options {
         command: Some(command()),
         rules: rules(),
         state_bytes: 1000,
@@ -24,15 +24,15 @@
         periods: 6,
         changes: 10,
         peak: Duration::ZERO,
-        hurt: false,
-        side_by_side: false,
+        with_failures: false,
+        concurrent_sizes: false,
         dir: directory.0.clone(),
     };
-    let (real, entry) = of_processes(&settings, 12, 1).unwrap();
+    let (real, entry) = measure_processes(&settings, 12, 1).unwrap();
     settings.change_bytes = entry.saturating_sub(ENTRY_OVERHEAD_BYTES);
     let mut hollow = Point::default();
-    play(&settings, 12, &mut hollow, &AtomicBool::new(false)).unwrap();
-    let simulated = in_virtual_time(12, &settings.rules, settings.changes, 1).unwrap();
+    measure(&settings, 12, &mut hollow, &AtomicBool::new(false)).unwrap();
+    let simulated = measure_in_virtual_time(12, &settings.rules, settings.changes, 1).unwrap();
     for (figure, r) in &real.figures {
         let v = simulated
             .figures
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow members: the real member of a cluster with its links, messages and log on disk, without engine, API and clients, many in
-//! one process. [`host`] is the side that runs them, told what to do a line of JSON at a time; [`Group`] is the other.
+//! Hollow members: real cluster members with connections, messages and a log on disk, but without engine, API and clients,
+//! many in one process. [`host`] runs them, controlled by one JSON request per line; [`Group`] is the controlling side.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -30,136 +30,137 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// How long a change may take.
-const LONG: Duration = Duration::from_secs(120);
-/// Versions of which a member remembers when it served them.
-const REMEMBERED: usize = 256;
+/// Timeout of a change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Number of versions for which a member records the time of activation.
+const MAX_RECORDED_VERSIONS: usize = 256;
 
 /// Messages and bytes by kind, in the order of [`MessageKind::ALL`].
-pub type Kinds = [[u64; 2]; MessageKind::COUNT];
+pub type TrafficByKind = [[u64; 2]; MessageKind::COUNT];
 
-/// One hollow member.
+/// Name and addresses of a hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct One {
+pub struct MemberSpec {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: String,
-    /// Where it stands.
+    /// Zone of the member.
     pub zone: String,
 }
 
 /// Members that share a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Spec {
-    /// Them.
-    pub members: Vec<One>,
-    /// Whom each knows from the start, by name.
+pub struct GroupSpec {
+    /// Members of the group.
+    pub members: Vec<MemberSpec>,
+    /// Addresses of the initial peers, by name.
     pub peers: BTreeMap<String, String>,
-    /// What all go by.
+    /// Rules of the cluster.
     pub rules: Rules,
-    /// Bytes of the application's state.
+    /// Size of the application state in bytes.
     pub state_bytes: usize,
-    /// Entries after which the log is shortened.
+    /// Number of entries after which the log is compacted.
     pub log_entries: u64,
-    /// Each member's log is in a directory of its name in this one.
+    /// Parent directory of the members' log directories, which have the names of the members.
     pub directory: PathBuf,
 }
 
-/// What the side that runs members is asked for.
+/// Request to the host of hollow members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Order {
-    /// To start members.
-    Start(Spec),
-    /// To tell what there was.
+pub enum HostRequest {
+    /// Start members.
+    Start(GroupSpec),
+    /// Read the counters.
     Look,
-    /// How the cluster looks from its first member.
+    /// Read the cluster status from the first member.
     Status,
-    /// To make a change with a payload of so many bytes by its first member; the answer comes when it is in effect.
+    /// Make a change through the first member, with an id and a payload size in bytes; the reply is sent when the change is in
+    /// effect.
     Change(String, usize),
-    /// To let another member lead, if the first member here does.
+    /// Transfer leadership to another member, if the first member leads.
     StepDown,
 }
 
-/// The answer.
+/// Reply of the host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// It is done.
+    /// The request has been completed.
     Done,
-    /// What there was.
-    Look(Box<Look>),
-    /// How the cluster looks.
+    /// Counters of the members.
+    Look(Box<Counters>),
+    /// Status of the cluster.
     Status(Box<Status>),
-    /// It was not done.
+    /// The request failed, with the reason.
     Failed(String),
 }
 
-/// What there was at the members of one process, summed, since they were started.
+/// Counters of the members of one process, summed since their start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Look {
-    /// Processor time of the thread that runs them, in us.
+pub struct Counters {
+    /// CPU time of the thread that runs the members, in µs.
     pub cpu_us: u64,
     /// Resident memory of the process, in bytes.
     pub memory: u64,
-    /// Sent, by kind.
-    pub out: Kinds,
-    /// Received, by kind.
-    pub incoming: Kinds,
-    /// Messages that were dropped.
+    /// Sent messages and bytes by kind.
+    pub out: TrafficByKind,
+    /// Received messages and bytes by kind.
+    pub incoming: TrafficByKind,
+    /// Dropped messages.
     pub dropped: u64,
-    /// The members.
-    pub members: Vec<Seen>,
+    /// State of each member.
+    pub members: Vec<MemberState>,
 }
 
-/// One member as it is now.
+/// Current state of a member.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MemberState {
     /// Its name.
     pub name: String,
-    /// The version that it serves.
+    /// Version that the member serves.
     pub version: Option<Version>,
-    /// Whether it may decide under it now.
+    /// True if the member may decide under this version now.
     pub decides: bool,
-    /// When it began to serve the last versions, in us of the machine's clock.
+    /// Activation times of the last versions, in µs of the machine's clock.
     pub served: Vec<(Version, u64)>,
-    /// Bytes of the last state that it was given.
+    /// Size in bytes of the last restored state.
     pub restored: usize,
-    /// Why it has ended.
+    /// Reason why the member has stopped, if it has.
     pub ended: Option<String>,
 }
 
 struct Member {
     lease: Arc<SharedLease>,
     counters: Arc<TransportCounters>,
-    seen: Arc<Mutex<Seen>>,
-    said: mpsc::UnboundedSender<MemberCommand>,
+    seen: Arc<Mutex<MemberState>>,
+    commands: mpsc::UnboundedSender<MemberCommand>,
 }
 
-/// Runs members as it is told, a line of JSON at a time, and answers each with a line, until nothing more comes.
+/// Runs members as requested by lines of JSON and replies to each line with one line, until the end of the input.
 ///
 /// # Errors
-/// No thread can be had, or nobody reads the answers.
+/// A thread could not be started, or a reply could not be written.
 pub fn host(input: impl Read + Send + 'static, mut output: impl Write) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let (tell, mut told) = mpsc::unbounded_channel();
+    let (line_sender, mut lines) = mpsc::unbounded_channel();
     thread::Builder::new()
         .name("orders".into())
         .spawn(move || {
             for line in BufReader::new(input).lines().map_while(Result::ok) {
-                if tell.send(line).is_err() {
+                if line_sender.send(line).is_err() {
                     return;
                 }
             }
         })?;
     runtime.block_on(async {
         let mut members = Vec::new();
-        while let Some(line) = told.recv().await {
+        while let Some(line) = lines.recv().await {
             let reply = match serde_json::from_str(&line) {
-                Ok(order) => obey(&mut members, order)
+                Ok(request) => handle_request(&mut members, request)
                     .await
                     .unwrap_or_else(Reply::Failed),
                 Err(e) => Reply::Failed(e.to_string()),
@@ -171,49 +172,51 @@
     })
 }
 
-async fn obey(members: &mut Vec<Member>, order: Order) -> Result<Reply, String> {
+async fn handle_request(members: &mut Vec<Member>, request: HostRequest) -> Result<Reply, String> {
     let first = |members: &[Member]| {
         members
             .first()
-            .map(|m| m.said.clone())
+            .map(|m| m.commands.clone())
             .ok_or("no member was started")
     };
-    match order {
-        Order::Start(spec) => {
-            for one in &spec.members {
-                members.push(start(&spec, one).await?);
+    match request {
+        HostRequest::Start(spec) => {
+            for member in &spec.members {
+                members.push(start(&spec, member).await?);
             }
             Ok(Reply::Done)
         }
-        Order::Look => Ok(Reply::Look(Box::new(look(members)))),
-        Order::Status => {
-            let (tell, told) = oneshot::channel();
-            let _ = first(members)?.send(MemberCommand::ReportStatus(tell)); // one that has ended drops the question
-            told.await
+        HostRequest::Look => Ok(Reply::Look(Box::new(read_counters(members)))),
+        HostRequest::Status => {
+            let (reply_sender, response) = oneshot::channel();
+            let _ = first(members)?.send(MemberCommand::ReportStatus(reply_sender)); // a member that has ended drops the reply channel
+            response
+                .await
                 .map(|s| Reply::Status(Box::new(s)))
                 .map_err(|e| e.to_string())
         }
-        Order::Change(id, bytes) => {
-            let (tell, told) = oneshot::channel();
+        HostRequest::Change(id, bytes) => {
+            let (reply_sender, response) = oneshot::channel();
             let _ = first(members)?.send(MemberCommand::Call {
                 id,
                 payload: "x".repeat(bytes),
-                reply: tell,
-            }); // as above
-            match timeout(LONG, told).await {
+                reply: reply_sender,
+            }); // a member that has ended drops the reply channel
+            match timeout(CHANGE_TIMEOUT, response).await {
                 Ok(Ok(Ok(_))) => Ok(Reply::Done),
                 Ok(Ok(Err(why))) => Err(why.to_string()),
                 Ok(Err(e)) => Err(e.to_string()),
-                Err(_) => Err("a change had no end in time".into()),
+                Err(_) => Err("the change timed out".into()),
             }
         }
-        Order::StepDown => {
-            let (tell, told) = oneshot::channel();
+        HostRequest::StepDown => {
+            let (reply_sender, response) = oneshot::channel();
             let _ = first(members)?.send(MemberCommand::TransferLeadership {
                 successor: None,
-                reply: tell,
-            }); // as above
-            told.await
+                reply: reply_sender,
+            }); // a member that has ended drops the reply channel
+            response
+                .await
                 .map_err(|e| e.to_string())?
                 .map(|()| Reply::Done)
                 .map_err(|e| e.to_string())
@@ -221,60 +224,66 @@
     }
 }
 
-async fn start(spec: &Spec, one: &One) -> Result<Member, String> {
+async fn start(spec: &GroupSpec, member: &MemberSpec) -> Result<Member, String> {
     let mut peers = spec.peers.clone();
-    peers.remove(&one.name);
-    let directory = spec.directory.join(&one.name);
+    peers.remove(&member.name);
+    let directory = spec.directory.join(&member.name);
     std::fs::create_dir_all(&directory).map_err(|e| e.to_string())?;
     let settings = Settings {
-        name: one.name.clone(),
+        name: member.name.clone(),
         cluster: "lab".into(),
-        address: one.address.clone(),
-        zone: one.zone.clone(),
+        address: member.address.clone(),
+        zone: member.zone.clone(),
         peers,
         key: b"the lab's own key, on loopback alone".to_vec(),
         directory,
         rules: spec.rules.clone(),
         compaction_threshold: spec.log_entries,
     };
-    let (tells, told) = mpsc::unbounded_channel();
-    let (said, hears) = mpsc::unbounded_channel();
+    let (event_sender, events) = mpsc::unbounded_channel();
+    let (commands, command_receiver) = mpsc::unbounded_channel();
     let lease = Arc::new(SharedLease::default());
     let bytes = spec.state_bytes;
-    let begin = Box::new(move || {
+    let initial_state = Box::new(move || {
         Ok(InitialState {
             version: 1,
             revision: 1,
             state: "x".repeat(bytes),
         })
     });
-    let driven = MemberRuntime::open(settings, tells, hears, lease.clone(), begin)
-        .await
-        .map_err(|e| e.to_string())?;
-    let counters = driven.counters();
-    tokio::spawn(driven.run());
-    let seen = Arc::new(Mutex::new(Seen {
-        name: one.name.clone(),
-        ..Seen::default()
+    let runtime = MemberRuntime::open(
+        settings,
+        event_sender,
+        command_receiver,
+        lease.clone(),
+        initial_state,
+    )
+    .await
+    .map_err(|e| e.to_string())?;
+    let counters = runtime.counters();
+    tokio::spawn(runtime.run());
+    let seen = Arc::new(Mutex::new(MemberState {
+        name: member.name.clone(),
+        ..MemberState::default()
     }));
     let application = Application {
-        said: said.clone(),
+        commands: commands.clone(),
         seen: seen.clone(),
         state_bytes: bytes,
-        entry: 0,
+        revision: 0,
         reads: BTreeMap::new(),
         next_read: 0,
     };
-    tokio::spawn(application.follow(told));
+    tokio::spawn(application.handle_events(events));
     Ok(Member {
         lease,
         counters,
         seen,
-        said,
+        commands,
     })
 }
 
-fn look(members: &[Member]) -> Look {
+fn read_counters(members: &[Member]) -> Counters {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = pages
@@ -282,10 +291,10 @@
         .nth(1)
         .and_then(|p| p.parse().ok())
         .unwrap_or(0);
-    let mut look = Look {
+    let mut counters = Counters {
         cpu_us: time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000,
         memory: pages * rustix::param::page_size() as u64,
-        ..Look::default()
+        ..Counters::default()
     };
     for member in members {
         for kind in 0..MessageKind::COUNT {
@@ -293,10 +302,10 @@
                 <[u64; 2]>::from(member.counters.sent_by_kind[kind].totals()),
                 <[u64; 2]>::from(member.counters.received_by_kind[kind].totals()),
             );
-            (0..2).for_each(|i| look.out[kind][i] += out[i]);
-            (0..2).for_each(|i| look.incoming[kind][i] += incoming[i]);
+            (0..2).for_each(|i| counters.out[kind][i] += out[i]);
+            (0..2).for_each(|i| counters.incoming[kind][i] += incoming[i]);
         }
-        look.dropped += member
+        counters.dropped += member
             .counters
             .messages_dropped
             .load(std::sync::atomic::Ordering::Relaxed);
@@ -308,98 +317,98 @@
         seen.decides = seen
             .version
             .is_some_and(|v| member.lease.may_decide(v).is_some());
-        look.members.push(seen);
+        counters.members.push(seen);
     }
-    look
+    counters
 }
 
-/// The application's side: it can take every change, and does what it is told at once.
+/// Application side of a member: accepts every change and performs every event immediately.
 struct Application {
-    said: mpsc::UnboundedSender<MemberCommand>,
-    seen: Arc<Mutex<Seen>>,
+    commands: mpsc::UnboundedSender<MemberCommand>,
+    seen: Arc<Mutex<MemberState>>,
     state_bytes: usize,
-    /// How much is stored.
-    entry: u64,
-    /// Calls that wait until it is known that this member leads.
+    /// Revision of the stored state.
+    revision: u64,
+    /// Calls that wait for the confirmation that this member leads, by read number: id and payload.
     reads: BTreeMap<u64, (String, String)>,
     next_read: u64,
 }
 
 impl Application {
-    async fn follow(mut self, mut told: mpsc::UnboundedReceiver<MemberEvent>) {
-        while let Some(told) = told.recv().await {
-            self.told(told);
+    async fn handle_events(mut self, mut events: mpsc::UnboundedReceiver<MemberEvent>) {
+        while let Some(event) = events.recv().await {
+            self.handle_event(event);
         }
     }
 
-    fn say(&self, said: MemberCommand) {
-        let _ = self.said.send(said); // a member that has ended says so
+    fn send(&self, command: MemberCommand) {
+        let _ = self.commands.send(command); // a member that has ended reports it with an event
     }
 
-    fn accept(&self, change: String) {
-        self.say(MemberCommand::ChangeValidated(Validation {
+    fn accept_change(&self, change: String) {
+        self.send(MemberCommand::ChangeValidated(Validation {
             change,
             fault: None,
         }));
     }
 
-    fn serves(&self, version: Version) {
+    fn record_version(&self, version: Version) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.version = Some(version);
-        if seen.served.len() >= REMEMBERED {
+        if seen.served.len() >= MAX_RECORDED_VERSIONS {
             seen.served.remove(0);
         }
         seen.served.push((version, cluster_runtime::clock::now()));
     }
 
-    fn told(&mut self, told: MemberEvent) {
-        match told {
-            MemberEvent::ValidateChange(proposal) => self.accept(proposal.id),
-            MemberEvent::FenceVersion(proposal) => self.say(MemberCommand::ChangeFenced {
+    fn handle_event(&mut self, event: MemberEvent) {
+        match event {
+            MemberEvent::ValidateChange(proposal) => self.accept_change(proposal.id),
+            MemberEvent::FenceVersion(proposal) => self.send(MemberCommand::ChangeFenced {
                 change: proposal.id,
             }),
             MemberEvent::ActivateVersion { version, .. } => {
-                self.entry += 1;
-                self.serves(version);
-                self.say(MemberCommand::VersionServed(version));
+                self.revision += 1;
+                self.record_version(version);
+                self.send(MemberCommand::VersionServed(version));
             }
-            MemberEvent::StorePayload(_) => self.entry += 1,
+            MemberEvent::StorePayload(_) => self.revision += 1,
             MemberEvent::RestoreState { machine, state } => {
                 self.seen
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .restored = state.len();
-                self.entry = machine.revision;
-                self.serves(machine.version);
+                self.revision = machine.revision;
+                self.record_version(machine.version);
                 let change = machine.change.map(|c| PendingChange {
                     id: c.proposal.id,
                     phase: c.phase,
                 });
-                self.say(MemberCommand::StateRestored {
+                self.send(MemberCommand::StateRestored {
                     version: machine.version,
                     change: change.clone(),
                 });
                 if let Some(change) = change
                     && change.phase == Phase::Validating
                 {
-                    self.accept(change.id);
+                    self.accept_change(change.id);
                 }
             }
             MemberEvent::ExportState => {
-                self.say(MemberCommand::StateExported("x".repeat(self.state_bytes)))
+                self.send(MemberCommand::StateExported("x".repeat(self.state_bytes)))
             }
-            // As the API does: who leads makes sure that it does before it decides a call.
+            // Like the API, the leader confirms its leadership before it decides a call.
             MemberEvent::CallReceived { id, payload: text } => {
                 self.next_read += 1;
                 self.reads.insert(self.next_read, (id, text));
-                self.say(MemberCommand::ConfirmRead(self.next_read));
+                self.send(MemberCommand::ConfirmRead(self.next_read));
             }
             MemberEvent::ReadCompleted {
                 read: number,
-                is_current: good,
+                is_current: leads,
             } => {
                 if let Some((id, text)) = self.reads.remove(&number) {
-                    self.decide(id, text, good);
+                    self.decide(id, text, leads);
                 }
             }
             MemberEvent::Stopped { reason: why } => {
@@ -414,22 +423,22 @@
 
     fn decide(&self, id: String, payload: String, leads: bool) {
         if !leads {
-            return self.say(MemberCommand::CallUnanswered { id });
+            return self.send(MemberCommand::CallUnanswered { id });
         }
-        let (tell, told) = oneshot::channel();
+        let (reply_sender, response) = oneshot::channel();
         let proposal = Proposal {
             id: format!("{id}.0"),
-            base_revision: self.entry,
+            base_revision: self.revision,
             payload,
         };
-        self.say(MemberCommand::Propose {
+        self.send(MemberCommand::Propose {
             proposal,
             kind: ProposalKind::Change,
-            reply: tell,
+            reply: reply_sender,
         });
-        let said = self.said.clone();
+        let commands = self.commands.clone();
         tokio::spawn(async move {
-            let answer = match told.await {
+            let answer = match response.await {
                 Ok(Ok(Outcome::Activated(version))) => MemberCommand::CallAnswered {
                     id,
                     answer: Ok(version.to_string()),
@@ -440,12 +449,12 @@
                 },
                 _ => MemberCommand::CallUnanswered { id },
             };
-            let _ = said.send(answer); // a member that has ended answers nothing
+            let _ = commands.send(answer); // a member that has ended gives no answer
         });
     }
 }
 
-/// What runs a group's members.
+/// Host of a group: a child process with its stdin and stdout, or a thread with its socket.
 enum Host {
     Process(
         Child,
@@ -455,10 +464,10 @@
     Thread(UnixStream, BufReader<UnixStream>),
 }
 
-/// Members that share a process, or a thread of this one.
+/// Group of members in one child process or on one thread of this process.
 pub struct Group {
-    spec: Spec,
-    /// Takes the arguments of `canvascart`; without it they run on a thread.
+    spec: GroupSpec,
+    /// Program that takes the arguments of `canvascart`; without one the members run on a thread.
     command: Option<Vec<String>>,
     host: Option<Host>,
 }
@@ -470,8 +479,9 @@
 }
 
 impl Group {
-    /// Members that do not run yet. `command` takes the arguments of `canvascart`; without it they are to run on a thread.
-    pub fn new(spec: Spec, command: Option<Vec<String>>) -> Self {
+    /// Creates a group that is not running yet. `command` takes the arguments of `canvascart`; without it the members run on a
+    /// thread.
+    pub fn new(spec: GroupSpec, command: Option<Vec<String>>) -> Self {
         Group {
             spec,
             command,
@@ -479,36 +489,36 @@
         }
     }
 
-    /// How many members there are.
+    /// Returns the number of members.
     pub fn count(&self) -> usize {
         self.spec.members.len()
     }
 
-    /// Whether it runs.
-    pub fn runs(&self) -> bool {
+    /// Returns true if the group is running.
+    pub fn is_running(&self) -> bool {
         self.host.is_some()
     }
 
-    /// What they are.
-    pub fn spec(&self) -> &Spec {
+    /// Returns the specification of the group.
+    pub fn spec(&self) -> &GroupSpec {
         &self.spec
     }
 
-    /// Whom the members know from their start.
-    pub fn know(&mut self, peers: &BTreeMap<String, String>) {
+    /// Sets the initial peers of the members.
+    pub fn set_peers(&mut self, peers: &BTreeMap<String, String>) {
         self.spec.peers.clone_from(peers);
     }
 
-    /// Starts them.
+    /// Starts the members and waits until they run.
     ///
     /// # Errors
-    /// The process, an address or a log can't be had.
+    /// The process could not be started, an address could not be bound, or a log could not be opened.
     pub fn start(&mut self) -> io::Result<()> {
         self.begin()?;
-        self.done()
+        self.wait_done()
     }
 
-    /// Begins to start them; [`Group::done`] waits until they are.
+    /// Begins to start the members; [`Group::wait_done`] waits until they run.
     ///
     /// # Errors
     /// As [`Group::start`].
@@ -518,16 +528,16 @@
             Some(command) => {
                 let (program, arguments) = command
                     .split_first()
-                    .ok_or_else(|| io::Error::other("no program is named"))?;
+                    .ok_or_else(|| io::Error::other("the command is empty"))?;
                 let mut child = Command::new(program)
                     .args(arguments)
                     .args(["--log", "error", "lab", "hollow"])
                     .stdin(Stdio::piped())
                     .stdout(Stdio::piped())
-                    .process_group(0) // an interrupt at the terminal is the parent's to pass on
+                    .process_group(0) // the parent handles an interrupt at the terminal
                     .spawn()?;
                 let (Some(input), Some(output)) = (child.stdin.take(), child.stdout.take()) else {
-                    return Err(io::Error::other("a process without its pipes"));
+                    return Err(io::Error::other("the process has no pipes"));
                 };
                 Host::Process(child, Box::new(input), BufReader::new(Box::new(output)))
             }
@@ -537,31 +547,31 @@
                 thread::Builder::new()
                     .name("hollow".into())
                     .spawn(move || {
-                        let _ = host(input, output); // whoever asked sees that no answer comes
+                        let _ = host(input, output); // the caller notices the missing reply
                     })?;
                 Host::Thread(own.try_clone()?, BufReader::new(own))
             }
         });
-        self.send(&Order::Start(self.spec.clone()))
+        self.send(&HostRequest::Start(self.spec.clone()))
     }
 
-    /// Waits until what was ordered is done.
+    /// Waits until the last request is completed.
     ///
     /// # Errors
-    /// It was not.
-    pub fn done(&mut self) -> io::Result<()> {
+    /// The request failed.
+    pub fn wait_done(&mut self) -> io::Result<()> {
         match self.reply()? {
             Reply::Done => Ok(()),
             other => Err(io::Error::other(format!("{other:?}"))),
         }
     }
 
-    /// Orders something; [`Group::reply`] has the answer.
+    /// Sends a request; [`Group::reply`] reads the reply.
     ///
     /// # Errors
-    /// It does not run, or has ended.
-    pub fn send(&mut self, order: &Order) -> io::Result<()> {
-        let line = format!("{}\n", serde_json::to_string(order)?);
+    /// The group is not running or has ended.
+    pub fn send(&mut self, request: &HostRequest) -> io::Result<()> {
+        let line = format!("{}\n", serde_json::to_string(request)?);
         let sent = match &mut self.host {
             Some(Host::Process(_, input, _)) => input
                 .write_all(line.as_bytes())
@@ -569,13 +579,13 @@
             Some(Host::Thread(input, _)) => input.write_all(line.as_bytes()),
             None => Err(io::Error::other("these hollow members do not run")),
         };
-        sent.map_err(|e| self.died(&e))
+        sent.map_err(|e| self.ended_error(&e))
     }
 
-    /// The answer to an order.
+    /// Reads the reply to a request.
     ///
     /// # Errors
-    /// It has ended, or it could not do it.
+    /// The group has ended, or the request failed.
     pub fn reply(&mut self) -> io::Result<Reply> {
         let mut line = String::new();
         let read = match &mut self.host {
@@ -584,16 +594,16 @@
             None => Err(io::Error::other("these hollow members do not run")),
         };
         match read {
-            Ok(0) => Err(self.died(&io::ErrorKind::UnexpectedEof.into())),
+            Ok(0) => Err(self.ended_error(&io::ErrorKind::UnexpectedEof.into())),
             Ok(_) => match serde_json::from_str(&line)? {
                 Reply::Failed(why) => Err(io::Error::other(why)),
                 reply => Ok(reply),
             },
-            Err(e) => Err(self.died(&e)),
+            Err(e) => Err(self.ended_error(&e)),
         }
     }
 
-    fn died(&mut self, why: &io::Error) -> io::Error {
+    fn ended_error(&mut self, why: &io::Error) -> io::Error {
         let who = self.spec.members.first().map_or("-", |m| &m.name);
         let ended = match &mut self.host {
             Some(Host::Process(child, ..)) => child
@@ -606,34 +616,34 @@
         ))
     }
 
-    /// What there was.
+    /// Reads the counters of the members.
     ///
     /// # Errors
     /// As [`Group::reply`].
-    pub fn look(&mut self) -> io::Result<Look> {
-        self.send(&Order::Look)?;
+    pub fn read_counters(&mut self) -> io::Result<Counters> {
+        self.send(&HostRequest::Look)?;
         match self.reply()? {
-            Reply::Look(look) => Ok(*look),
+            Reply::Look(counters) => Ok(*counters),
             other => Err(io::Error::other(format!("{other:?}"))),
         }
     }
 
-    /// Kills them: a process by SIGKILL, a thread by the end of all that it runs.
+    /// Kills the members: a process by SIGKILL, a thread by closing its input and waiting for its end.
     pub fn kill(&mut self) {
         match self.host.take() {
             Some(Host::Process(mut child, ..)) => {
-                let _ = child.kill(); // it may have ended
+                let _ = child.kill(); // the process may have ended already
                 let _ = child.wait();
             }
             Some(Host::Thread(input, mut output)) => {
-                let _ = input.shutdown(Shutdown::Write); // it may have ended
-                let _ = io::copy(&mut output, &mut io::sink()); // until it has let go
+                let _ = input.shutdown(Shutdown::Write); // the process may have ended already
+                let _ = io::copy(&mut output, &mut io::sink()); // until the thread has ended
             }
             None => {}
         }
     }
 
-    /// The process's number, where there is one.
+    /// Returns the process id, if the group runs in a process.
     pub fn id(&self) -> Option<u32> {
         match &self.host {
             Some(Host::Process(child, ..)) => Some(child.id()),
@@ -641,10 +651,10 @@
         }
     }
 
-    /// Stops the process (SIGSTOP), or lets it go on. A thread can't be stopped.
+    /// Suspends the process (SIGSTOP) or resumes it (SIGCONT). A thread can't be suspended.
     pub fn pause(&self, paused: bool) {
         if let Some(id) = self.id().and_then(|id| Pid::from_raw(id as i32)) {
-            let _ = kill_process(id, if paused { Signal::STOP } else { Signal::CONT }); // it may have ended
+            let _ = kill_process(id, if paused { Signal::STOP } else { Signal::CONT }); // the process may have ended already
         }
     }
 }
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1,5 +1,5 @@
-//! What members cost as there are more of them: messages and bytes by kind, processor time, memory, and a change's time until it is in
-//! force everywhere, with some dead, stalled or starting. Hollow members, in processes of their own.
+//! Measures the cost of cluster members by their number, with hollow members in separate processes: messages and bytes by kind,
+//! CPU time, memory, and the time until a change is in effect everywhere, also while some members are dead, stalled or starting.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,35 +15,35 @@
 use cluster_runtime::status::Status;
 use rustix::process::{Resource, getrlimit};
 
-use super::hollow::{Group, Kinds, Look, One, Order, Reply, Spec};
+use super::hollow::{Counters, Group, GroupSpec, HostRequest, MemberSpec, Reply, TrafficByKind};
 use super::{Point, Sweep, target};
 use crate::service::changes::{self, DecisionLog};
 use crate::service::fleet::Fleet;
 
-/// Members with a vote.
+/// Number of voting members.
 const VOTERS: usize = 3;
-/// Zones that members are spread over.
+/// Number of zones over which members are spread.
 const ZONES: usize = 5;
-/// Members that share a process, at most.
-const SHARE: usize = 100;
-/// Processes at most.
-const PROCESSES: usize = 300;
-/// From one look to the next while something is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long members may take to be a cluster: so long, and so much more for each.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// As above.
-const PATIENCE_EACH: Duration = Duration::from_millis(500);
-/// Memory of a member without its state, for the estimate of what a sweep needs: twice what was measured.
-const MEMBER: u64 = 1 << 20;
-/// Copies of the state that a member holds at once at most, likewise.
-const COPIES: u64 = 4;
-/// Files and sockets of a member at most, beside those of the leader to each.
-const FILES: u64 = 16;
-/// Members at most, as many as have addresses.
-const MOST: usize = 10_000;
+/// Maximum number of members per process.
+const MAX_MEMBERS_PER_PROCESS: usize = 100;
+/// Maximum number of processes.
+const MAX_PROCESSES: usize = 300;
+/// Interval at which a wait checks its condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Base timeout until the members have formed a cluster.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Additional timeout per member.
+const START_TIMEOUT_PER_MEMBER: Duration = Duration::from_millis(500);
+/// Estimated memory of a member without its state, in bytes: twice the measured use.
+const MEMBER_BYTES: u64 = 1 << 20;
+/// Estimated maximum number of copies of the state in the memory of a member: twice the measured number.
+const MAX_STATE_COPIES: u64 = 4;
+/// Maximum number of files and sockets of a member, without the leader's connections to each member.
+const MAX_FILES: u64 = 16;
+/// Maximum number of members, limited by the loopback addresses.
+const MAX_MEMBERS: usize = 10_000;
 
-/// What all members of the platform go by without a word in their configuration.
+/// Returns the default rules of a cluster.
 pub fn rules() -> Rules {
     Rules {
         lease: 15_000_000,
@@ -55,60 +55,60 @@
     }
 }
 
-/// How members are played.
+/// Options of a measurement of members.
 #[derive(Clone, Debug)]
-pub struct Play {
-    /// Takes the arguments of `canvascart`; without it members run on threads of this process.
+pub struct Options {
+    /// Program that takes the arguments of `canvascart`; without one members run on threads of this process.
     pub command: Option<Vec<String>>,
-    /// What all go by.
+    /// Rules of the cluster.
     pub rules: Rules,
-    /// Bytes of the application's state.
+    /// Size of the application state in bytes.
     pub state_bytes: usize,
-    /// Bytes of a change.
+    /// Size of a change in bytes.
     pub change_bytes: usize,
-    /// Reports of each member while they are idle.
+    /// Duration of the idle measurement, in report periods.
     pub periods: u32,
-    /// Changes one after another.
+    /// Number of changes made one after another.
     pub changes: u64,
-    /// How long changes come at the peak's rate; none without.
+    /// Duration of changes at the peak rate; zero to skip them.
     pub peak: Duration,
-    /// Whether some are killed, stopped and started, and a zone comes back with empty disks.
-    pub hurt: bool,
-    /// Whether sizes are played side by side: for small ones, of which counts and bytes are wanted and not times.
-    pub side_by_side: bool,
-    /// Where logs go.
+    /// True to measure while some members are killed, stopped and started, and while a zone restarts with empty disks.
+    pub with_failures: bool,
+    /// True to measure all sizes concurrently: for small sizes, of which counts and bytes are needed, but no times.
+    pub concurrent_sizes: bool,
+    /// Parent directory of the logs.
     pub dir: PathBuf,
 }
 
-/// What the members of a sweep need, worked out before anything starts.
+/// Resources that the members of a sweep need, estimated before anything is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Needs {
-    /// Processes, without the one that plays.
+    /// Number of processes, without the one that measures.
     pub processes: usize,
     /// Bytes of memory.
     pub memory: u64,
     /// Bytes on disk.
     pub disk: u64,
-    /// Descriptors of the process that needs most.
+    /// Maximum number of file descriptors of one process.
     pub descriptors: u64,
 }
 
-/// What the machine allows.
+/// Resources that the machine allows a sweep to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
     /// Bytes of memory: half of the machine's.
     pub memory: u64,
-    /// Bytes on disk: half of what is free.
+    /// Bytes on disk: half of the free space.
     pub disk: u64,
-    /// Descriptors of a process.
+    /// Limit of file descriptors per process.
     pub descriptors: u64,
 }
 
 impl Room {
-    /// What this machine allows, with logs in a directory that is there.
+    /// Reads the resources of this machine, with the logs in an existing directory.
     ///
     /// # Errors
-    /// The system does not say.
+    /// The system does not provide the information.
     pub fn here(dir: &Path) -> io::Result<Self> {
         let info = std::fs::read_to_string("/proc/meminfo")?;
         let total = info
@@ -116,7 +116,7 @@
             .find_map(|l| l.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB"));
         let total: u64 = total
             .and_then(|t| t.trim().parse().ok())
-            .ok_or_else(|| io::Error::other("/proc/meminfo"))?;
+            .ok_or_else(|| io::Error::other("/proc/meminfo has no valid MemTotal"))?;
         let disk = rustix::fs::statvfs(dir)?;
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         Ok(Room {
@@ -128,63 +128,63 @@
 }
 
 impl Needs {
-    /// What so many members with a state of so many bytes need.
+    /// Estimates the resources for a number of members and the size of their state.
     pub fn of(members: usize, state_bytes: usize, threads: bool) -> Self {
         let (count, state) = (members as u64, state_bytes as u64);
         let processes = if threads {
             0
         } else {
-            shares(members, tenth(members)).len()
+            process_sizes(members, learners_per_process(members)).len()
         };
         let own = if threads {
             count
         } else {
-            count.min(SHARE as u64)
-        } * FILES;
+            count.min(MAX_MEMBERS_PER_PROCESS as u64)
+        } * MAX_FILES;
         Needs {
             processes,
-            memory: count * (MEMBER + COPIES * state),
-            disk: count * (2 * MEMBER + 3 * state),
-            // The leader has a link to each member, and each has one to it.
-            descriptors: 64 + own.max(2 * count + FILES) + if threads { 2 * count } else { 0 },
+            memory: count * (MEMBER_BYTES + MAX_STATE_COPIES * state),
+            disk: count * (2 * MEMBER_BYTES + 3 * state),
+            // The leader has a connection to each member, and each member has one to the leader.
+            descriptors: 64 + own.max(2 * count + MAX_FILES) + if threads { 2 * count } else { 0 },
         }
     }
 
-    /// Refuses what goes beyond the machine.
+    /// Checks that the machine has these resources.
     ///
     /// # Errors
-    /// What goes beyond it, in a line that names it and the limit.
+    /// A resource is exceeded; the error names it and its limit.
     pub fn fit(&self, members: usize, room: &Room) -> io::Result<()> {
         let mib = |bytes: u64| bytes >> 20;
-        let beyond = |what: String| {
+        let exceeded = |what: String| {
             Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
                 format!("members: {members} need {what}"),
             ))
         };
-        if self.processes > PROCESSES {
-            return beyond(format!(
-                "{} processes, and {PROCESSES} are the most",
+        if self.processes > MAX_PROCESSES {
+            return exceeded(format!(
+                "{} processes, and {MAX_PROCESSES} are the most",
                 self.processes
             ));
         }
         if self.memory > room.memory {
             let half = mib(room.memory);
-            return beyond(format!(
+            return exceeded(format!(
                 "{} MiB of memory, and half of the machine's is {half}",
                 mib(self.memory)
             ));
         }
         if self.disk > room.disk {
             let half = mib(room.disk);
-            return beyond(format!(
+            return exceeded(format!(
                 "{} MiB on disk, and half of what is free is {half}",
                 mib(self.disk)
             ));
         }
         if self.descriptors > room.descriptors {
             let limit = room.descriptors;
-            return beyond(format!(
+            return exceeded(format!(
                 "{} descriptors in a process, and its limit is {limit}",
                 self.descriptors
             ));
@@ -193,28 +193,28 @@
     }
 }
 
-/// What a group of members is for.
+/// Role of a group of members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The founder, which leads, and the two others with a vote; each alone.
+    /// A voting member in its own process; the first one creates the cluster and leads it.
     Voter,
-    /// Those without a vote.
+    /// Members without a vote.
     Learners,
-    /// One of a hundred, to be killed and stopped.
+    /// One percent of the members, without a vote, to be killed and stopped.
     Few,
-    /// Nine of a hundred, likewise.
+    /// Nine percent of the members, without a vote, to be killed and stopped.
     Many,
 }
 
-/// Learners that share a process where a zone, which is a fifth of all, has to be a number of whole processes.
-pub fn tenth(members: usize) -> usize {
-    (members / 10).clamp(1, SHARE)
+/// Returns the number of learners per process such that a zone, a fifth of all members, consists of whole processes.
+pub fn learners_per_process(members: usize) -> usize {
+    (members / 10).clamp(1, MAX_MEMBERS_PER_PROCESS)
 }
 
-/// How members are divided over processes, so many learners in one at most.
-fn shares(members: usize, share: usize) -> Vec<(Role, usize)> {
+/// Divides members over processes with at most `max_learners` learners each.
+fn process_sizes(members: usize, max_learners: usize) -> Vec<(Role, usize)> {
     let voters = members.min(VOTERS);
-    let mut shares: Vec<(Role, usize)> = (0..voters).map(|_| (Role::Voter, 1)).collect();
+    let mut processes: Vec<(Role, usize)> = (0..voters).map(|_| (Role::Voter, 1)).collect();
     let mut left = members - voters;
     for (role, part) in [
         (Role::Few, members.div_ceil(100)),
@@ -227,18 +227,18 @@
         };
         let count = more.min(left.saturating_sub(1));
         if count > 0 && members >= 2 * VOTERS {
-            shares.push((role, count));
+            processes.push((role, count));
             left -= count;
         }
     }
     while left > 0 {
-        shares.push((Role::Learners, left.min(share)));
-        left -= left.min(share);
+        processes.push((Role::Learners, left.min(max_learners)));
+        left -= left.min(max_learners);
     }
-    shares
+    processes
 }
 
-/// Hollow members that act as one cluster.
+/// Cluster of hollow members.
 pub struct Cluster {
     groups: Vec<(Role, Group)>,
     paused: Vec<bool>,
@@ -254,56 +254,57 @@
             }
             group.kill();
         }
-        let _ = std::fs::remove_dir_all(&self.dir); // nothing but logs of the lab's
+        let _ = std::fs::remove_dir_all(&self.dir); // best effort: it contains only logs of the lab
     }
 }
 
-/// What there was of all members at one moment.
+/// Counters of all members at one time.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct CounterSnapshot {
     at: Instant,
-    /// By group: its role, and what there was of it; none of one that does not run.
-    pub groups: Vec<(Role, Option<Look>)>,
+    /// Role and counters of each group; `None` for a group that is not running or is suspended.
+    pub groups: Vec<(Role, Option<Counters>)>,
 }
 
-impl Sight {
-    /// All members that were seen.
-    pub fn members(&self) -> impl Iterator<Item = &super::hollow::Seen> {
+impl CounterSnapshot {
+    /// Returns the state of all members in the snapshot.
+    pub fn members(&self) -> impl Iterator<Item = &super::hollow::MemberState> {
         self.groups
             .iter()
             .filter_map(|(_, l)| l.as_ref())
             .flat_map(|l| &l.members)
     }
 
-    fn sum(&self, of: fn(&Look) -> &Kinds) -> Kinds {
-        let mut all = Kinds::default();
+    fn sum(&self, of: fn(&Counters) -> &TrafficByKind) -> TrafficByKind {
+        let mut all = TrafficByKind::default();
         for look in self.groups.iter().filter_map(|(_, l)| l.as_ref()) {
-            add(&mut all, of(look));
+            add_traffic(&mut all, of(look));
         }
         all
     }
 }
 
-fn add(to: &mut Kinds, from: &Kinds) {
+fn add_traffic(to: &mut TrafficByKind, from: &TrafficByKind) {
     to.iter_mut()
         .zip(from)
         .for_each(|(t, f)| (0..2).for_each(|i| t[i] += f[i]));
 }
 
-fn less(a: &Kinds, b: &Kinds) -> Kinds {
-    let mut all = Kinds::default();
+fn subtract_traffic(a: &TrafficByKind, b: &TrafficByKind) -> TrafficByKind {
+    let mut all = TrafficByKind::default();
     for (k, kind) in all.iter_mut().enumerate() {
         (0..2).for_each(|i| kind[i] = a[k][i].saturating_sub(b[k][i]));
     }
     all
 }
 
-fn total(kinds: &Kinds) -> [f64; 2] {
+fn total(kinds: &TrafficByKind) -> [f64; 2] {
     [0, 1].map(|i| kinds.iter().map(|k| k[i]).sum::<u64>() as f64)
 }
 
-/// All but heartbeats and confirmations, which come by time and by how busy the members are.
-pub(super) fn own(kinds: &Kinds) -> [f64; 2] {
+/// Returns messages and bytes of all kinds except heartbeats and confirmations, which depend on time and on how busy the
+/// members are.
+pub(super) fn own_traffic(kinds: &TrafficByKind) -> [f64; 2] {
     let mut kinds = *kinds;
     for kind in [
         MessageKind::Heartbeat,
@@ -316,7 +317,7 @@
     total(&kinds)
 }
 
-fn interrupted(stop: &AtomicBool) -> io::Result<()> {
+fn check_stop(stop: &AtomicBool) -> io::Result<()> {
     match stop.load(Ordering::Relaxed) {
         true => Err(io::ErrorKind::Interrupted.into()),
         false => Ok(()),
@@ -324,58 +325,63 @@
 }
 
 impl Cluster {
-    /// Starts so many members, those with a vote first, and waits until all may decide.
+    /// Starts members, the voting ones first, and waits until all may decide.
     ///
     /// # Errors
-    /// It was stopped, a process died, or they were no cluster in time.
-    pub fn start(play: &Play, members: usize, stop: &AtomicBool) -> io::Result<Self> {
-        Self::shared(play, members, SHARE, stop)
+    /// The sweep was stopped, a process ended, or the members did not form a cluster in time.
+    pub fn start(options: &Options, members: usize, stop: &AtomicBool) -> io::Result<Self> {
+        Self::start_with_process_size(options, members, MAX_MEMBERS_PER_PROCESS, stop)
     }
 
-    /// The same with so many learners in a process at most.
+    /// Starts members with at most `max_learners` learners per process; otherwise like [`Cluster::start`].
     ///
     /// # Errors
     /// As [`Cluster::start`].
-    pub fn shared(
-        play: &Play,
+    pub fn start_with_process_size(
+        options: &Options,
         members: usize,
-        share: usize,
+        max_learners: usize,
         stop: &AtomicBool,
     ) -> io::Result<Self> {
-        let dir = play
-            .dir
-            .join(format!("hollow-{}-{:x}", std::process::id(), drawn()));
+        let dir = options.dir.join(format!(
+            "hollow-{}-{:x}",
+            std::process::id(),
+            random_number()
+        ));
         match std::fs::remove_dir_all(&dir) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => std::fs::create_dir_all(&dir)?,
         }
-        // Addresses of their own, as a port that a dead member had may not be another's meanwhile.
-        let (net, port) = (16 + drawn() % 200, 20_000 + drawn() % 10_000);
-        let mut all = (0..members).map(|i| One {
+        // Fixed addresses, so that no other process gets the port of a member that is down.
+        let (net, port) = (
+            16 + random_number() % 200,
+            20_000 + random_number() % 10_000,
+        );
+        let mut all = (0..members).map(|i| MemberSpec {
             name: format!("i{i:04}"),
             address: format!("127.{net}.{}.{}:{port}", i / 250, 1 + i % 250),
             zone: format!("z{}", i % ZONES),
         });
-        let shares = shares(members, share);
+        let processes = process_sizes(members, max_learners);
         let mut groups: Vec<(Role, Group)> = Vec::new();
         let mut peers = BTreeMap::new();
-        for (role, count) in shares {
-            let members: Vec<One> = all.by_ref().take(count).collect();
+        for (role, count) in processes {
+            let members: Vec<MemberSpec> = all.by_ref().take(count).collect();
             if role == Role::Voter {
                 peers.extend(members.iter().map(|m| (m.name.clone(), m.address.clone())));
             }
-            let spec = Spec {
+            let spec = GroupSpec {
                 members,
                 peers: BTreeMap::new(),
-                rules: play.rules.clone(),
-                state_bytes: play.state_bytes,
+                rules: options.rules.clone(),
+                state_bytes: options.state_bytes,
                 log_entries: 1024,
                 directory: dir.clone(),
             };
-            groups.push((role, Group::new(spec, play.command.clone())));
+            groups.push((role, Group::new(spec, options.command.clone())));
         }
         for (_, group) in &mut groups {
-            group.know(&peers);
+            group.set_peers(&peers);
         }
         let paused = vec![false; groups.len()];
         let mut cluster = Cluster {
@@ -388,7 +394,7 @@
         for (_, group) in &mut cluster.groups[..voters] {
             group.start()?;
         }
-        let end = Instant::now() + PATIENCE + PATIENCE_EACH * members as u32;
+        let end = Instant::now() + START_TIMEOUT + START_TIMEOUT_PER_MEMBER * members as u32;
         while cluster
             .status()?
             .members
@@ -397,58 +403,63 @@
             .count()
             < voters
         {
-            cluster.wait(end, stop, "those who vote")?;
+            cluster.wait(end, stop, "voting members")?;
         }
         for (_, group) in &mut cluster.groups[voters..] {
             group.begin()?;
         }
         for (_, group) in &mut cluster.groups[voters..] {
-            group.done()?;
+            group.wait_done()?;
         }
-        cluster.all_decide(end, stop)?;
+        cluster.wait_all_decide(end, stop)?;
         Ok(cluster)
     }
 
+    /// Waits for one check interval, unless the sweep is stopped or the time has passed.
     fn wait(&self, end: Instant, stop: &AtomicBool, what: &str) -> io::Result<()> {
-        interrupted(stop)?;
+        check_stop(stop)?;
         if Instant::now() > end {
-            return Err(io::Error::other(format!("{what}: not in time")));
+            return Err(io::Error::other(format!("timed out waiting for {what}")));
         }
-        thread::sleep(LOOK);
+        thread::sleep(CHECK_INTERVAL);
         Ok(())
     }
 
-    /// Waits until all members that run may decide under one version; how long that took.
+    /// Waits until all running members may decide under the same version; returns the time that took.
     ///
     /// # Errors
-    /// They do not in time, one has ended, or it was stopped.
-    pub fn all_decide(&mut self, end: Instant, stop: &AtomicBool) -> io::Result<Duration> {
+    /// It did not happen in time, a member has ended, or the sweep was stopped.
+    pub fn wait_all_decide(&mut self, end: Instant, stop: &AtomicBool) -> io::Result<Duration> {
         let began = Instant::now();
         loop {
-            let sight = self.look()?;
-            if let Some(ended) = sight.members().find_map(|m| m.ended.clone()) {
+            let counters = self.read_counters()?;
+            if let Some(ended) = counters.members().find_map(|m| m.ended.clone()) {
                 return Err(io::Error::other(format!("a member has ended: {ended}")));
             }
-            let mut versions: Vec<_> = sight.members().map(|m| m.version).collect();
+            let mut versions: Vec<_> = counters.members().map(|m| m.version).collect();
             versions.dedup();
-            if versions.len() == 1 && sight.members().all(|m| m.decides) {
+            if versions.len() == 1 && counters.members().all(|m| m.decides) {
                 return Ok(began.elapsed());
             }
-            let left = sight.members().filter(|m| !m.decides).count();
-            self.wait(end, stop, &format!("{left} members may not decide"))?;
+            let left = counters.members().filter(|m| !m.decides).count();
+            self.wait(
+                end,
+                stop,
+                &format!("{left} members that may not decide yet"),
+            )?;
         }
     }
 
-    /// What there is of all members that run and are not stopped.
+    /// Reads the counters of all running members whose process is not suspended.
     ///
     /// # Errors
-    /// A process has died.
-    pub fn look(&mut self) -> io::Result<Sight> {
+    /// A process has ended.
+    pub fn read_counters(&mut self) -> io::Result<CounterSnapshot> {
         let asked: Vec<bool> = self
             .groups
             .iter()
             .zip(&self.paused)
-            .map(|((_, g), p)| g.runs() && !p)
+            .map(|((_, g), p)| g.is_running() && !p)
             .collect();
         for ((_, group), _) in self
             .groups
@@ -456,7 +467,7 @@
             .zip(&asked)
             .filter(|(_, asked)| **asked)
         {
-            group.send(&Order::Look)?;
+            group.send(&HostRequest::Look)?;
         }
         let at = Instant::now();
         let mut groups = Vec::new();
@@ -466,22 +477,22 @@
                 match asked {
                     false => None,
                     true => match group.reply()? {
-                        Reply::Look(look) => Some(*look),
+                        Reply::Look(counters) => Some(*counters),
                         other => return Err(io::Error::other(format!("{other:?}"))),
                     },
                 },
             ));
         }
-        Ok(Sight { at, groups })
+        Ok(CounterSnapshot { at, groups })
     }
 
-    /// How the cluster looks from a group's first member.
+    /// Reads the cluster status from the first member of a group.
     ///
     /// # Errors
-    /// It has died.
+    /// Its process has ended.
     pub fn status_of(&mut self, group: usize) -> io::Result<Status> {
         let (_, group) = &mut self.groups[group];
-        group.send(&Order::Status)?;
+        group.send(&HostRequest::Status)?;
         match group.reply()? {
             Reply::Status(status) => Ok(*status),
             other => Err(io::Error::other(format!("{other:?}"))),
@@ -492,10 +503,10 @@
         self.status_of(0)
     }
 
-    /// The group whose member leads, as a group that runs says.
+    /// Returns the group of the leader, according to the running group `asked`.
     ///
     /// # Errors
-    /// A process has died.
+    /// A process has ended.
     pub fn leader(&mut self, asked: usize) -> io::Result<Option<usize>> {
         let leader = self.status_of(asked)?.leader;
         let leads = |(_, g): &(Role, Group)| {
@@ -507,72 +518,75 @@
         Ok(self.groups.iter().position(leads))
     }
 
-    /// A change, by the first member of a group: how long until its answer, and until the last member serves it, in ms.
+    /// Makes a change through the first member of a group; returns the times until its response and until the last member serves
+    /// it, in ms.
     ///
     /// # Errors
-    /// It was not made, or a process died.
+    /// The change failed, or a process ended.
     pub fn change(&mut self, by: usize, bytes: usize, stop: &AtomicBool) -> io::Result<[f64; 2]> {
         self.changes += 1;
         let before = self
-            .look()?
+            .read_counters()?
             .members()
             .filter_map(|m| m.version)
             .max()
             .unwrap_or(0);
         let began = clock::now();
         let (id, group) = (format!("c{}", self.changes), &mut self.groups[by].1);
-        group.send(&Order::Change(id, bytes))?;
-        group.done()?;
+        group.send(&HostRequest::Change(id, bytes))?;
+        group.wait_done()?;
         let answered = clock::now();
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + START_TIMEOUT;
         let last = loop {
-            let sight = self.look()?;
-            let at = |m: &super::hollow::Seen| {
+            let counters = self.read_counters()?;
+            let at = |m: &super::hollow::MemberState| {
                 m.served
                     .iter()
                     .find(|(version, _)| *version > before)
                     .map(|(_, at)| *at)
             };
-            let served: Option<Vec<u64>> = sight.members().map(at).collect();
+            let served: Option<Vec<u64>> = counters.members().map(at).collect();
             if let Some(last) = served.and_then(|s| s.into_iter().max()) {
                 break last;
             }
-            self.wait(end, stop, "a change's last member")?;
+            self.wait(end, stop, "the last member to serve a change")?;
         };
         let ms = |at: Micros| at.saturating_sub(began) as f64 / 1000.0;
         Ok([ms(answered), ms(last)])
     }
 
-    /// The groups of a role.
+    /// Returns the groups with one of the roles.
     pub fn of(&self, roles: &[Role]) -> Vec<usize> {
         (0..self.groups.len())
             .filter(|i| roles.contains(&self.groups[*i].0))
             .collect()
     }
 
-    /// How many members a group has.
+    /// Returns the number of members of a group.
     pub fn count(&self, group: usize) -> usize {
         self.groups[group].1.count()
     }
 
-    /// Kills a group.
+    /// Kills the members of a group.
     pub fn kill(&mut self, group: usize) {
         self.groups[group].1.kill();
     }
 
-    /// Starts groups together.
+    /// Starts groups at the same time.
     ///
     /// # Errors
-    /// One does not come up.
+    /// A group could not be started.
     pub fn restart(&mut self, groups: &[usize]) -> io::Result<()> {
         groups.iter().try_for_each(|i| self.groups[*i].1.begin())?;
-        groups.iter().try_for_each(|i| self.groups[*i].1.done())
+        groups
+            .iter()
+            .try_for_each(|i| self.groups[*i].1.wait_done())
     }
 
-    /// Bytes on disk of a group's logs.
+    /// Returns the size on disk of a group's logs, in bytes.
     ///
     /// # Errors
-    /// They can't be read.
+    /// The logs can't be read.
     pub fn disk(&self, group: usize) -> io::Result<u64> {
         let mut bytes = 0;
         let spec = self.groups[group].1.spec();
@@ -584,36 +598,39 @@
         Ok(bytes)
     }
 
-    /// Takes the logs of a group that does not run away.
+    /// Removes the logs of a group that is not running.
     ///
     /// # Errors
-    /// They can't be removed.
-    pub fn empty(&self, group: usize) -> io::Result<()> {
+    /// The logs can't be removed.
+    pub fn remove_logs(&self, group: usize) -> io::Result<()> {
         let spec = self.groups[group].1.spec();
         spec.members
             .iter()
             .try_for_each(|m| std::fs::remove_dir_all(spec.directory.join(&m.name)))
     }
 
-    /// Stops a group's process, or lets it go on.
+    /// Suspends or resumes a group's process.
     pub fn pause(&mut self, group: usize, paused: bool) {
         self.paused[group] = paused;
         self.groups[group].1.pause(paused);
     }
 }
 
-/// Some number, another each time.
-pub(super) fn drawn() -> u64 {
+/// Returns a random number.
+pub(super) fn random_number() -> u64 {
     use std::hash::{BuildHasher as _, Hasher as _};
     std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish()
 }
 
-/// What passed between two sights: out and in by kind, and the span in seconds.
-pub fn between(before: &Sight, after: &Sight) -> (Kinds, Kinds, f64) {
-    let out = less(&after.sum(|l| &l.out), &before.sum(|l| &l.out));
-    let incoming = less(&after.sum(|l| &l.incoming), &before.sum(|l| &l.incoming));
+/// Returns the traffic between two snapshots, sent and received by kind, and the time between them in seconds.
+pub fn traffic_between(
+    before: &CounterSnapshot,
+    after: &CounterSnapshot,
+) -> (TrafficByKind, TrafficByKind, f64) {
+    let out = subtract_traffic(&after.sum(|l| &l.out), &before.sum(|l| &l.out));
+    let incoming = subtract_traffic(&after.sum(|l| &l.incoming), &before.sum(|l| &l.incoming));
     (
         out,
         incoming,
@@ -621,8 +638,12 @@
     )
 }
 
-/// Processor time of groups of a role between two sights, as a part of a core for each member, in per cent.
-fn cpu(before: &Sight, after: &Sight, of: impl Fn(usize, Role) -> bool) -> f64 {
+/// Returns the CPU time of selected groups between two snapshots, in percent of a core per member.
+fn cpu_percent(
+    before: &CounterSnapshot,
+    after: &CounterSnapshot,
+    of: impl Fn(usize, Role) -> bool,
+) -> f64 {
     let span = after.at.duration_since(before.at).as_secs_f64();
     let (mut us, mut members) = (0, 0);
     for (i, ((role, a), (_, b))) in after.groups.iter().zip(&before.groups).enumerate() {
@@ -634,14 +655,14 @@
     us as f64 / 1e4 / span / members.max(1) as f64
 }
 
-/// How long members are left idle to be counted: a whole number of reports.
-fn idle(play: &Play) -> Duration {
-    Duration::from_micros(play.rules.lease / 5) * play.periods
+/// Returns the duration of the idle measurement, a whole number of report periods.
+fn idle_duration(options: &Options) -> Duration {
+    Duration::from_micros(options.rules.lease / 5) * options.periods
 }
 
-/// The figures of idle members between two sights.
-fn idle_figures(point: &mut Point, before: &Sight, after: &Sight) {
-    let (out, incoming, span) = between(before, after);
+/// Adds the figures of idle members between two snapshots.
+fn add_idle_figures(point: &mut Point, before: &CounterSnapshot, after: &CounterSnapshot) {
+    let (out, incoming, span) = traffic_between(before, after);
     let count = after.members().count() as f64;
     let mut put = |name: String, value: f64| _ = point.figures.insert(name, value);
     for (way, kinds) in [("out", &out), ("in", &incoming)] {
@@ -657,21 +678,21 @@
     let leader = |i: usize, _| i == 0;
     if let (Some(a), Some(b)) = (&after.groups[0].1, &before.groups[0].1) {
         let (sent, got) = (
-            total(&less(&a.out, &b.out)),
-            total(&less(&a.incoming, &b.incoming)),
+            total(&subtract_traffic(&a.out, &b.out)),
+            total(&subtract_traffic(&a.incoming, &b.incoming)),
         );
         put("leader messages out /s".into(), sent[0] / span);
         put("leader bytes out /s".into(), sent[1] / span);
         put("leader bytes in /s".into(), got[1] / span);
     }
-    put("leader cpu %".into(), cpu(before, after, leader));
+    put("leader cpu %".into(), cpu_percent(before, after, leader));
     put(
         "voter cpu %".into(),
-        cpu(before, after, |i, role| i > 0 && role == Role::Voter),
+        cpu_percent(before, after, |i, role| i > 0 && role == Role::Voter),
     );
     put(
         "learner cpu %".into(),
-        cpu(before, after, |_, role| role != Role::Voter),
+        cpu_percent(before, after, |_, role| role != Role::Voter),
     );
     let mib = |of: &dyn Fn(usize, Role) -> bool| {
         let looks = after
@@ -679,7 +700,7 @@
             .iter()
             .enumerate()
             .filter(|(i, (role, _))| of(*i, *role));
-        let looks: Vec<&Look> = looks.filter_map(|(_, (_, l))| l.as_ref()).collect();
+        let looks: Vec<&Counters> = looks.filter_map(|(_, (_, l))| l.as_ref()).collect();
         let members: usize = looks.iter().map(|l| l.members.len()).sum();
         looks.iter().map(|l| l.memory).sum::<u64>() as f64
             / members.max(1) as f64
@@ -692,20 +713,26 @@
     );
 }
 
-/// What a change adds to what idle members send: kinds and the span in seconds, of both, and how many changes there were.
-fn change_figures(point: &mut Point, idle: (&Kinds, f64), changed: (&Kinds, f64), changes: f64) {
-    let each = |of: &dyn Fn(&Kinds) -> [f64; 2]| {
+/// Adds the traffic of a change beyond that of idle members. `idle` and `changed` have the traffic and its duration in
+/// seconds.
+fn add_change_figures(
+    point: &mut Point,
+    idle: (&TrafficByKind, f64),
+    changed: (&TrafficByKind, f64),
+    changes: f64,
+) {
+    let each = |of: &dyn Fn(&TrafficByKind) -> [f64; 2]| {
         let (rest, all) = (of(idle.0), of(changed.0));
         [0, 1].map(|i| (all[i] - rest[i] / idle.1 * changed.1) / changes)
     };
-    let kind = |kind: MessageKind| move |kinds: &Kinds| kinds[kind as usize].map(|n| n as f64);
+    let kind =
+        |kind: MessageKind| move |kinds: &TrafficByKind| kinds[kind as usize].map(|n| n as f64);
     let mut put = |name: &str, value: f64| _ = point.figures.insert(name.into(), value);
     let [messages, bytes] = each(&total);
     put("change messages", messages);
     put("change bytes", bytes);
-    // Heartbeats go by time, and confirmations by how the reports that ask for them fall together; what is left is
-    // the change's own.
-    let [messages, bytes] = each(&own);
+    // Heartbeats depend on time, and confirmations on how many reports are confirmed together; the rest belongs to the change.
+    let [messages, bytes] = each(&own_traffic);
     put("change own messages", messages);
     put("change own bytes", bytes);
     for k in MessageKind::ALL {
@@ -723,36 +750,41 @@
     sorted.get(sorted.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Plays one size.
+/// Measures one size. On an error the point keeps the figures measured so far.
 ///
 /// # Errors
-/// A process died, something did not come in time, or it was stopped. What was measured until then stands in the point.
-pub fn play(play: &Play, members: usize, point: &mut Point, stop: &AtomicBool) -> io::Result<()> {
+/// A process ended, a wait timed out, or the sweep was stopped.
+pub fn measure(
+    options: &Options,
+    members: usize,
+    point: &mut Point,
+    stop: &AtomicBool,
+) -> io::Result<()> {
     point.sizes.insert("members".into(), members as f64);
     let began = Instant::now();
-    let mut cluster = Cluster::start(play, members, stop)?;
+    let mut cluster = Cluster::start(options, members, stop)?;
     point
         .figures
         .insert("all joined s".into(), began.elapsed().as_secs_f64());
-    let period = Duration::from_micros(play.rules.lease / 5);
+    let period = Duration::from_micros(options.rules.lease / 5);
     thread::sleep(2 * period);
-    interrupted(stop)?;
-    let before = cluster.look()?;
-    thread::sleep(idle(play));
-    let after = cluster.look()?;
-    idle_figures(point, &before, &after);
-    let (idle_out, _, idle_span) = between(&before, &after);
+    check_stop(stop)?;
+    let before = cluster.read_counters()?;
+    thread::sleep(idle_duration(options));
+    let after = cluster.read_counters()?;
+    add_idle_figures(point, &before, &after);
+    let (idle_out, _, idle_span) = traffic_between(&before, &after);
 
-    let before = cluster.look()?;
+    let before = cluster.read_counters()?;
     let mut times = Vec::new();
-    for _ in 0..play.changes {
-        times.push(cluster.change(0, play.change_bytes, stop)?);
+    for _ in 0..options.changes {
+        times.push(cluster.change(0, options.change_bytes, stop)?);
     }
     thread::sleep(period);
-    let after = cluster.look()?;
+    let after = cluster.read_counters()?;
     if !times.is_empty() {
-        let (out, _, span) = between(&before, &after);
-        change_figures(
+        let (out, _, span) = traffic_between(&before, &after);
+        add_change_figures(
             point,
             (&idle_out, idle_span),
             (&out, span),
@@ -772,46 +804,49 @@
             times.iter().map(|t| t[1]).fold(0.0, f64::max),
         );
     }
-    if !play.peak.is_zero() {
-        peak(play, &mut cluster, point, stop)?;
+    if !options.peak.is_zero() {
+        measure_peak(options, &mut cluster, point, stop)?;
     }
-    if play.hurt {
-        hurt(play, &mut cluster, point, stop)?;
+    if options.with_failures {
+        measure_with_failures(options, &mut cluster, point, stop)?;
     }
     Ok(())
 }
 
-/// Changes at twenty times the day's rate, one each 1.5 s.
-fn peak(
-    play: &Play,
+/// Measures changes at twenty times the average rate of the day, one every 1.5 s.
+fn measure_peak(
+    options: &Options,
     cluster: &mut Cluster,
     point: &mut Point,
     stop: &AtomicBool,
 ) -> io::Result<()> {
     let pace = Duration::from_secs_f64(86_400.0 / target::CHANGES / 20.0);
-    let (before, began) = (cluster.look()?, Instant::now());
+    let (before, began) = (cluster.read_counters()?, Instant::now());
     let (mut times, mut late): (Vec<f64>, f64) = (Vec::new(), 0.0);
     for n in 0.. {
         let due = began + pace * n;
-        if due > began + play.peak {
+        if due > began + options.peak {
             break;
         }
-        interrupted(stop)?;
+        check_stop(stop)?;
         thread::sleep(due.saturating_duration_since(Instant::now()));
         late = late.max(Instant::now().duration_since(due).as_secs_f64());
-        times.push(cluster.change(0, play.change_bytes, stop)?[1]);
+        times.push(cluster.change(0, options.change_bytes, stop)?[1]);
     }
-    let after = cluster.look()?;
-    let (out, _, span) = between(&before, &after);
+    let after = cluster.read_counters()?;
+    let (out, _, span) = traffic_between(&before, &after);
     let count = after.members().count() as f64;
     let mut put = |name: &str, value: f64| _ = point.figures.insert(name.into(), value);
     put("peak changes", times.len() as f64);
     put("peak bytes out /s member", total(&out)[1] / span / count);
     put("peak messages out /s member", total(&out)[0] / span / count);
-    put("peak leader cpu %", cpu(&before, &after, |i, _| i == 0));
+    put(
+        "peak leader cpu %",
+        cpu_percent(&before, &after, |i, _| i == 0),
+    );
     put(
         "peak learner cpu %",
-        cpu(&before, &after, |_, role| role != Role::Voter),
+        cpu_percent(&before, &after, |_, role| role != Role::Voter),
     );
     put("peak everywhere ms", median(&times));
     put(
@@ -822,103 +857,103 @@
     Ok(())
 }
 
-/// A part is killed, started and stopped; changes meanwhile.
-fn hurt(
-    play: &Play,
+/// Measures changes while a part of the members is killed, started and stopped.
+fn measure_with_failures(
+    options: &Options,
     cluster: &mut Cluster,
     point: &mut Point,
     stop: &AtomicBool,
 ) -> io::Result<()> {
-    let patience = || Instant::now() + PATIENCE * 2;
+    let deadline = || Instant::now() + START_TIMEOUT * 2;
     for (part, roles) in [
         ("1 %", &[Role::Few][..]),
         ("10 %", &[Role::Few, Role::Many]),
     ] {
         let groups = cluster.of(roles);
-        let hurt: usize = groups.iter().map(|g| cluster.count(*g)).sum();
+        let affected: usize = groups.iter().map(|g| cluster.count(*g)).sum();
         let mut put =
             |name: &str, value: f64| _ = point.figures.insert(format!("{part} {name}"), value);
-        put("are", hurt as f64);
+        put("are", affected as f64);
         groups.iter().for_each(|g| cluster.kill(*g));
         put(
             "dead: first change ms",
-            cluster.change(0, play.change_bytes, stop)?[1],
+            cluster.change(0, options.change_bytes, stop)?[1],
         );
         put(
             "dead: next change ms",
-            cluster.change(0, play.change_bytes, stop)?[1],
+            cluster.change(0, options.change_bytes, stop)?[1],
         );
         let began = Instant::now();
         cluster.restart(&groups)?;
         put(
             "starting: change ms",
-            cluster.change(0, play.change_bytes, stop)?[1],
+            cluster.change(0, options.change_bytes, stop)?[1],
         );
-        cluster.all_decide(patience(), stop)?;
+        cluster.wait_all_decide(deadline(), stop)?;
         put("starting: all decide s", began.elapsed().as_secs_f64());
-        if play.command.is_some() {
+        if options.command.is_some() {
             groups.iter().for_each(|g| cluster.pause(*g, true));
             put(
                 "stalled: first change ms",
-                cluster.change(0, play.change_bytes, stop)?[1],
+                cluster.change(0, options.change_bytes, stop)?[1],
             );
             put(
                 "stalled: next change ms",
-                cluster.change(0, play.change_bytes, stop)?[1],
+                cluster.change(0, options.change_bytes, stop)?[1],
             );
             groups.iter().for_each(|g| cluster.pause(*g, false));
-            cluster.all_decide(patience(), stop)?;
+            cluster.wait_all_decide(deadline(), stop)?;
         }
     }
     Ok(())
 }
 
-/// Refuses sizes that are none or go beyond the machine.
+/// Checks that sizes are valid and that the machine has the resources for them.
 ///
 /// # Errors
-/// The first of them, in a line.
-pub fn fits(play: &Play, sizes: &[usize]) -> io::Result<()> {
+/// The first size that is zero or exceeds the resources.
+pub fn check_sizes(options: &Options, sizes: &[usize]) -> io::Result<()> {
     let bad = |what: String| Err(io::Error::new(io::ErrorKind::InvalidInput, what));
     if sizes.is_empty() {
         return bad("members: no size is named".into());
     }
-    std::fs::create_dir_all(&play.dir)?;
-    let room = Room::here(&play.dir)?;
+    std::fs::create_dir_all(&options.dir)?;
+    let room = Room::here(&options.dir)?;
     for members in sizes {
         if *members == 0 {
             return bad("members: 0 are no cluster".into());
         }
-        if *members > MOST {
+        if *members > MAX_MEMBERS {
             return bad(format!(
-                "members: {members} are more than the {MOST} that have addresses here"
+                "members: {members} are more than the {MAX_MEMBERS} that have addresses here"
             ));
         }
-        Needs::of(*members, play.state_bytes, play.command.is_none()).fit(*members, &room)?;
+        Needs::of(*members, options.state_bytes, options.command.is_none()).fit(*members, &room)?;
     }
-    if play.side_by_side {
-        // All at once: what they hold adds up, while descriptors are a process's.
+    if options.concurrent_sizes {
+        // Memory and disk use of concurrent sizes add up; descriptors are limited per process.
         let all = sizes.iter().sum();
         Needs {
             descriptors: 0,
-            ..Needs::of(all, play.state_bytes, play.command.is_none())
+            ..Needs::of(all, options.state_bytes, options.command.is_none())
         }
         .fit(all, &room)?;
     }
     Ok(())
 }
 
-/// Plays each size, one after the other or side by side. One that fails makes a void point, one that is interrupted none.
-pub(super) fn each(
+/// Measures each size, one after another or concurrently. A failed size adds a void point, an interrupted one no point.
+pub(super) fn measure_each(
     sweep: &mut Sweep,
     sizes: &[usize],
-    how: &Play,
-    mut tell: impl FnMut(&Sweep),
-    play: impl Fn(usize, &mut Point) -> io::Result<()> + Sync,
+    options: &Options,
+    mut report: impl FnMut(&Sweep),
+    measure_size: impl Fn(usize, &mut Point) -> io::Result<()> + Sync,
 ) {
     let one = |size: usize| {
         let mut point = Point::default();
-        note_load(&mut point);
-        match play(size, &mut point) {
+        add_load_average(&mut point);
+        match measure_size(size, &mut point) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return None,
             Err(e) => point.void = Some(e.to_string()),
             Ok(()) => {}
@@ -926,10 +961,10 @@
         Some(point)
     };
     let panicked = || Point {
-        void: Some("it panicked".into()),
+        void: Some("the measurement panicked".into()),
         ..Point::default()
     };
-    let at_once = if how.side_by_side {
+    let at_once = if options.concurrent_sizes {
         sizes.len().max(1)
     } else {
         1
@@ -946,24 +981,24 @@
         });
         sweep.partial |= points.contains(&None);
         sweep.points.extend(points.into_iter().flatten());
-        tell(sweep);
+        report(sweep);
         if sweep.partial {
             return;
         }
     }
 }
 
-/// Sweeps over numbers of members. `tell` hears of each point; once `stop` is set the sweep ends and is partial.
+/// Sweeps over numbers of members. `report` is called after each point; when `stop` is set the sweep ends and is partial.
 ///
 /// # Errors
-/// A size is zero or beyond the machine; nothing was started.
+/// A size is zero or exceeds the resources of the machine; nothing was started.
 pub fn sweep(
-    how: &Play,
+    options: &Options,
     sizes: &[usize],
     stop: &AtomicBool,
-    tell: impl FnMut(&Sweep),
+    report: impl FnMut(&Sweep),
 ) -> io::Result<Sweep> {
-    fits(how, sizes)?;
+    check_sizes(options, sizes)?;
     let list: Vec<String> = sizes.iter().map(usize::to_string).collect();
     let command = format!("canvascart lab members members --sizes {}", list.join(","));
     let mut sweep = Sweep {
@@ -971,18 +1006,18 @@
         command,
         ..Sweep::default()
     };
-    each(&mut sweep, sizes, how, tell, |members, point| {
-        play(how, members, point, stop)
+    measure_each(&mut sweep, sizes, options, report, |members, point| {
+        measure(options, members, point, stop)
     });
-    for figure in LINES {
+    for figure in LINE_FIGURES {
         sweep.line(figure, "members", target::PROXIES);
     }
-    square(&mut sweep);
+    add_square_line(&mut sweep);
     Ok(sweep)
 }
 
-/// The line of what grows with the square of the members.
-fn square(sweep: &mut Sweep) {
+/// Adds the line of the figure that grows with the square of the number of members.
+fn add_square_line(sweep: &mut Sweep) {
     for point in &mut sweep.points {
         if let Some(n) = point.sizes.get("members").copied() {
             point.sizes.insert("members squared".into(), n * n);
@@ -995,8 +1030,8 @@
     );
 }
 
-/// What lines are wanted of.
-const LINES: [&str; 16] = [
+/// Figures for which a line is fitted.
+const LINE_FIGURES: [&str; 16] = [
     "messages out /s member",
     "bytes out /s member",
     "bytes in /s member",
@@ -1015,17 +1050,17 @@
     "peak everywhere ms",
 ];
 
-/// What else the machine does stands beside each point.
-pub(super) fn note_load(point: &mut Point) {
+/// Adds the load average of the machine to a point.
+pub(super) fn add_load_average(point: &mut Point) {
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     if let Some(load) = load.split(' ').next().and_then(|l| l.parse().ok()) {
         point.figures.insert("load average before".into(), load);
     }
 }
 
-/// What a member's figures say that it sent, by kind.
-fn kinds_in(text: &str) -> io::Result<Kinds> {
-    let mut kinds = Kinds::default();
+/// Parses the sent messages and bytes by kind from a member's figures.
+fn parse_traffic(text: &str) -> io::Result<TrafficByKind> {
+    let mut kinds = TrafficByKind::default();
     for (i, name) in ["messages_total", "message_bytes_total"]
         .into_iter()
         .enumerate()
@@ -1035,12 +1070,16 @@
             .lines()
             .filter_map(|l| l.strip_prefix(&name)?.split_once("\"} "))
         {
-            let spoilt = || io::Error::other(format!("{name}{kind} {value}: no kind and number"));
+            let invalid = || {
+                io::Error::other(format!(
+                    "{name}{kind} {value}: unknown kind or invalid number"
+                ))
+            };
             let kind = MessageKind::ALL
                 .into_iter()
                 .find(|k| k.name() == kind)
-                .ok_or_else(spoilt)?;
-            kinds[kind as usize][i] = value.trim().parse().map_err(|_| spoilt())?;
+                .ok_or_else(invalid)?;
+            kinds[kind as usize][i] = value.trim().parse().map_err(|_| invalid())?;
             any = true;
         }
         if !any {
@@ -1050,19 +1089,23 @@
     Ok(kinds)
 }
 
-/// The same of real processes of `serve`, counted by its figures, which asks nobody else. Returns the bytes of the
-/// log's entry that holds a change as well, so that hollow members can be given as many.
+/// Measures real `serve` processes by their figures, which cause no cluster traffic. Also returns the size in bytes of the log
+/// entry of a change, so that hollow members can use changes of the same size.
 ///
 /// # Errors
-/// They do not come up, or a change can't be made.
-pub fn of_processes(play: &Play, members: usize, seed: u64) -> io::Result<(Point, usize)> {
-    let command = play
+/// The processes could not be started, or a change failed.
+pub fn measure_processes(
+    options: &Options,
+    members: usize,
+    seed: u64,
+) -> io::Result<(Point, usize)> {
+    let command = options
         .command
         .clone()
-        .ok_or_else(|| io::Error::other("no program is named"))?;
-    let dir = play
+        .ok_or_else(|| io::Error::other("the command is empty"))?;
+    let dir = options
         .dir
-        .join(format!("real-{}-{:x}", std::process::id(), drawn()));
+        .join(format!("real-{}-{:x}", std::process::id(), random_number()));
     let served = changes::start_server(&DecisionLog::default())?;
     let fleet = changes::start_fleet(
         &changes::RunOptions {
@@ -1076,26 +1119,26 @@
         },
         served,
     )?;
-    let sent = |fleet: &Fleet| -> io::Result<Kinds> {
-        let mut all = Kinds::default();
+    let sent = |fleet: &Fleet| -> io::Result<TrafficByKind> {
+        let mut all = TrafficByKind::default();
         for i in 0..members {
             let (_, text) = fleet
                 .admin_connection(i)?
                 .call("GET", "/v1/figures", "", "")?;
-            add(&mut all, &kinds_in(&String::from_utf8_lossy(&text))?);
+            add_traffic(&mut all, &parse_traffic(&String::from_utf8_lossy(&text))?);
         }
         Ok(all)
     };
     let leader = fleet
         .leader()
-        .ok_or_else(|| io::Error::other("nobody leads"))?;
-    let mut line = fleet.admin_connection(leader)?;
-    let period = Duration::from_micros(play.rules.lease / 5);
+        .ok_or_else(|| io::Error::other("the cluster has no leader"))?;
+    let mut admin = fleet.admin_connection(leader)?;
+    let period = Duration::from_micros(options.rules.lease / 5);
     thread::sleep(2 * period);
     let (before, began) = (sent(&fleet)?, Instant::now());
-    thread::sleep(idle(play));
+    thread::sleep(idle_duration(options));
     let (after, span) = (sent(&fleet)?, began.elapsed().as_secs_f64());
-    let (idle, idle_span) = (less(&after, &before), span);
+    let (idle, idle_span) = (subtract_traffic(&after, &before), span);
     let mut point = Point::default();
     point.sizes.insert("members".into(), members as f64);
     let mut put = |name: &str, value: f64| _ = point.figures.insert(name.into(), value);
@@ -1103,19 +1146,19 @@
     put("messages out /s member", rest[0]);
     put("bytes out /s member", rest[1]);
     let (before, began) = (sent(&fleet)?, Instant::now());
-    for n in 0..play.changes {
+    for n in 0..options.changes {
         let body = serde_json::json!({ "in-flight": 1001 + n });
-        line.json("PUT", "/v1/tenants/a/limits", "If-Match: *\r\n", &body)?;
+        admin.json("PUT", "/v1/tenants/a/limits", "If-Match: *\r\n", &body)?;
     }
     thread::sleep(period);
     let (after, span) = (sent(&fleet)?, began.elapsed().as_secs_f64());
-    if play.changes > 0 {
-        let changed = less(&after, &before);
-        change_figures(
+    if options.changes > 0 {
+        let changed = subtract_traffic(&after, &before);
+        add_change_figures(
             &mut point,
             (&idle, idle_span),
             (&changed, span),
-            play.changes as f64,
+            options.changes as f64,
         );
     }
     let state = fleet.state(leader).to_owned();
@@ -1130,20 +1173,20 @@
         .map(Vec::len)
         .max()
         .unwrap_or(0);
-    let _ = std::fs::remove_dir_all(&dir); // nothing but the lab's own state
+    let _ = std::fs::remove_dir_all(&dir); // best effort: it contains only state of the lab
     Ok((point, entry))
 }
 
-/// Sweeps over numbers of members in virtual time.
+/// Sweeps over numbers of members, simulated in virtual time.
 ///
 /// # Errors
 /// A size is zero.
 pub fn virtual_sweep(
-    how: &Play,
+    options: &Options,
     sizes: &[usize],
     seed: u64,
     stop: &AtomicBool,
-    mut tell: impl FnMut(&Sweep),
+    mut report: impl FnMut(&Sweep),
 ) -> io::Result<Sweep> {
     if sizes.contains(&0) {
         return Err(io::Error::new(
@@ -1160,14 +1203,14 @@
     };
     for members in sizes {
         let sizes = [("members".to_owned(), *members as f64)].into();
-        let point =
-            in_virtual_time(*members, &how.rules, how.changes, seed).unwrap_or_else(|why| Point {
+        let point = measure_in_virtual_time(*members, &options.rules, options.changes, seed)
+            .unwrap_or_else(|why| Point {
                 sizes,
                 figures: BTreeMap::new(),
                 void: Some(why),
             });
         sweep.points.push(point);
-        tell(&sweep);
+        report(&sweep);
         if stop.load(Ordering::Relaxed) {
             sweep.partial = true;
             break;
@@ -1181,15 +1224,16 @@
     ] {
         sweep.line(figure, "members", target::PROXIES);
     }
-    square(&mut sweep);
+    add_square_line(&mut sweep);
     Ok(sweep)
 }
 
-/// The same in virtual time: messages and bytes a second and member, idle, by kind; and messages a change.
+/// Measures members in virtual time: messages and bytes per second and member when idle, messages by kind, and messages per
+/// change.
 ///
 /// # Errors
-/// They are no cluster in time, or a change does not end.
-pub fn in_virtual_time(
+/// The members did not form a cluster in time, or a change did not end.
+pub fn measure_in_virtual_time(
     members: usize,
     rules: &Rules,
     changes: u64,
@@ -1201,7 +1245,7 @@
     if !sim.run_until(end, |s| {
         (0..s.count()).all(|i| s.permitted_version(i).is_some())
     }) {
-        return Err("not all may decide".into());
+        return Err("not all members may decide".into());
     }
     let period = rules.lease / 5;
     sim.run(4 * period);
@@ -1234,7 +1278,7 @@
                 .get(&id)
                 .is_some_and(|p| p.effective_everywhere_at.is_some())
         }) {
-            return Err(format!("{id} is not in force everywhere"));
+            return Err(format!("change {id} is not in effect everywhere"));
         }
         if let Some((Some(at), asked)) = sim
             .changes()
--- a/crates/lab/src/capacity/restarts.rs
+++ b/crates/lab/src/capacity/restarts.rs
@@ -1,5 +1,5 @@
-//! What restarts cost: of one member, by what it is; of a fifth of all in the same moment; and what a state costs that a new member
-//! is brought up to. Hollow members, in processes of their own.
+//! Measures the cost of restarts with hollow members in separate processes: restarts of one member by its role, of a fifth of
+//! all members at the same time, and the cost of transferring the state to a new member.
 
 use std::io;
 use std::sync::atomic::AtomicBool;
@@ -8,83 +8,90 @@
 
 use cluster::message::MessageKind;
 
-use super::members::{Cluster, Play, Role, between, each, fits, own, tenth};
+use super::members::{
+    Cluster, Options, Role, check_sizes, learners_per_process, measure_each, own_traffic,
+    traffic_between,
+};
 use super::{Point, Sweep, target};
 
-/// How long members may take to decide again.
-const PATIENCE: Duration = Duration::from_secs(180);
+/// Base timeout until all members may decide again.
+const DECIDE_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// And so much more for each.
-const PATIENCE_EACH: Duration = Duration::from_millis(500);
+/// Additional timeout per restarted member.
+const DECIDE_TIMEOUT_PER_MEMBER: Duration = Duration::from_millis(500);
 
-/// What idle members say a second, heartbeats and confirmations left out: restarts are counted against it.
-struct Rest {
+/// Messages and bytes per second of idle members without heartbeats and confirmations; subtracted from those of a restart.
+struct IdleTraffic {
     messages: f64,
     bytes: f64,
 }
 
-fn sum(kinds: &super::hollow::Kinds, i: usize) -> f64 {
+fn sum(kinds: &super::hollow::TrafficByKind, i: usize) -> f64 {
     kinds.iter().map(|k| k[i]).sum::<u64>() as f64
 }
 
-/// Waits until the names of members that are gone for good are free: nothing of them is heard any more for a lease.
-fn forget(how: &Play) {
+/// Waits for a lease, after which the names of removed members can be used again.
+fn wait_for_lease_expiry(options: &Options) {
     thread::sleep(
-        Duration::from_micros(how.rules.with_drift_margin(how.rules.lease))
+        Duration::from_micros(options.rules.with_drift_margin(options.rules.lease))
             + Duration::from_secs(1),
     );
 }
 
-fn rest(play: &Play, cluster: &mut Cluster) -> io::Result<Rest> {
-    let period = Duration::from_micros(play.rules.lease / 5);
+/// Measures the traffic of idle members.
+fn measure_idle_traffic(options: &Options, cluster: &mut Cluster) -> io::Result<IdleTraffic> {
+    let period = Duration::from_micros(options.rules.lease / 5);
     thread::sleep(2 * period);
-    let before = cluster.look()?;
-    thread::sleep(period * play.periods);
-    let (out, _, span) = between(&before, &cluster.look()?);
-    let [messages, bytes] = own(&out).map(|n| n / span);
-    Ok(Rest { messages, bytes })
+    let before = cluster.read_counters()?;
+    thread::sleep(period * options.periods);
+    let (out, _, span) = traffic_between(&before, &cluster.read_counters()?);
+    let [messages, bytes] = own_traffic(&out).map(|n| n / span);
+    Ok(IdleTraffic { messages, bytes })
 }
 
-/// Who is killed and started again.
-struct Hit<'a> {
+/// Groups that are killed and restarted.
+struct RestartTarget<'a> {
     name: &'a str,
     groups: &'a [usize],
-    /// Whether they come back as new machines do, with nothing on their disks.
-    empty: bool,
+    /// True if they restart with empty disks, like new machines.
+    empty_disks: bool,
 }
 
-/// Kills groups and starts them again, at once if they keep their disks; what it costs.
-fn restart(
+/// Kills groups and restarts them, immediately if they keep their disks, and adds the cost to the point.
+fn measure_restart(
     cluster: &mut Cluster,
-    hit: &Hit,
-    how: &Play,
-    rest: &Rest,
+    target: &RestartTarget,
+    options: &Options,
+    idle: &IdleTraffic,
     point: &mut Point,
     stop: &AtomicBool,
 ) -> io::Result<()> {
-    let Hit {
+    let RestartTarget {
         name,
         groups,
-        empty,
-    } = *hit;
-    let period = Duration::from_micros(how.rules.lease / 5);
-    let mut before = cluster.look()?;
+        empty_disks,
+    } = *target;
+    let period = Duration::from_micros(options.rules.lease / 5);
+    let mut before = cluster.read_counters()?;
     let members: usize = groups.iter().map(|g| cluster.count(*g)).sum();
     groups.iter().for_each(|g| cluster.kill(*g));
-    if empty {
-        groups.iter().try_for_each(|g| cluster.empty(*g))?;
-        forget(how);
-        before = cluster.look()?;
+    if empty_disks {
+        groups.iter().try_for_each(|g| cluster.remove_logs(*g))?;
+        wait_for_lease_expiry(options);
+        before = cluster.read_counters()?;
     }
     let began = Instant::now();
     cluster.restart(groups)?;
     let started = began.elapsed();
-    cluster.all_decide(began + PATIENCE + PATIENCE_EACH * members as u32, stop)?;
+    cluster.wait_all_decide(
+        began + DECIDE_TIMEOUT + DECIDE_TIMEOUT_PER_MEMBER * members as u32,
+        stop,
+    )?;
     let took = began.elapsed();
     thread::sleep(period * 2);
-    let after = cluster.look()?;
+    let after = cluster.read_counters()?;
     let voters = cluster.of(&[Role::Voter]);
-    let us = |s: &super::members::Sight| -> u64 {
+    let us = |s: &super::members::CounterSnapshot| -> u64 {
         voters
             .iter()
             .filter(|g| !groups.contains(g))
@@ -92,22 +99,22 @@
             .sum()
     };
     let voters_us = us(&after).saturating_sub(us(&before));
-    // Those that were started count from nothing.
-    let mut then = before;
+    // The counters of restarted processes start at zero.
+    let mut baseline = before;
     groups.iter().for_each(|g| {
-        if let Some(look) = &mut then.groups[*g].1 {
-            (look.out, look.incoming, look.cpu_us) = Default::default();
+        if let Some(counters) = &mut baseline.groups[*g].1 {
+            (counters.out, counters.incoming, counters.cpu_us) = Default::default();
         }
     });
-    let (out, _, span) = between(&then, &after);
+    let (out, _, span) = traffic_between(&baseline, &after);
     let mut put =
         |what: &str, value: f64| _ = point.figures.insert(format!("{name} {what}"), value);
     put("members", members as f64);
     put("processes started s", started.as_secs_f64());
     put("all decide s", took.as_secs_f64());
-    let [messages, bytes] = own(&out);
-    put("messages", messages - rest.messages * span);
-    put("bytes", bytes - rest.bytes * span);
+    let [messages, bytes] = own_traffic(&out);
+    put("messages", messages - idle.messages * span);
+    put("bytes", bytes - idle.bytes * span);
     put("messages with heartbeats and confirmations", sum(&out, 0));
     put("bytes with heartbeats and confirmations", sum(&out, 1));
     put("span s", span);
@@ -120,36 +127,42 @@
     Ok(())
 }
 
-fn play(how: &Play, members: usize, point: &mut Point, stop: &AtomicBool) -> io::Result<()> {
+fn measure_restarts(
+    options: &Options,
+    members: usize,
+    point: &mut Point,
+    stop: &AtomicBool,
+) -> io::Result<()> {
     point.sizes.insert("members".into(), members as f64);
-    let mut cluster = Cluster::shared(how, members, tenth(members), stop)?;
-    let rest = rest(how, &mut cluster)?;
-    let mut hit = |cluster: &mut Cluster, name: &str, groups: &[usize], empty: bool| {
-        restart(
+    let mut cluster =
+        Cluster::start_with_process_size(options, members, learners_per_process(members), stop)?;
+    let idle = measure_idle_traffic(options, &mut cluster)?;
+    let mut measure = |cluster: &mut Cluster, name: &str, groups: &[usize], empty_disks: bool| {
+        measure_restart(
             cluster,
-            &Hit {
+            &RestartTarget {
                 name,
                 groups,
-                empty,
+                empty_disks,
             },
-            how,
-            &rest,
+            options,
+            &idle,
             point,
             stop,
         )
     };
-    let few = cluster.of(&[Role::Few]);
-    hit(&mut cluster, "learners (1 %)", &few, false)?;
+    let few_learners = cluster.of(&[Role::Few]);
+    measure(&mut cluster, "learners (1 %)", &few_learners, false)?;
     let voters = cluster.of(&[Role::Voter]);
-    let leads = cluster.leader(voters[0])?.unwrap_or(voters[0]);
-    let other = voters
+    let leader = cluster.leader(voters[0])?.unwrap_or(voters[0]);
+    let follower = voters
         .iter()
         .copied()
-        .find(|v| *v != leads)
-        .unwrap_or(leads);
-    hit(&mut cluster, "a voter", &[other], false)?;
-    hit(&mut cluster, "the leader", &[leads], false)?;
-    // A fifth, as a zone has: whole processes, so many as come nearest from below.
+        .find(|v| *v != leader)
+        .unwrap_or(leader);
+    measure(&mut cluster, "a voter", &[follower], false)?;
+    measure(&mut cluster, "the leader", &[leader], false)?;
+    // A zone has a fifth of the members: takes whole processes up to that number.
     let mut zone = Vec::new();
     let mut count = 0;
     for group in cluster.of(&[Role::Few, Role::Many, Role::Learners]) {
@@ -158,24 +171,24 @@
             zone.push(group);
         }
     }
-    hit(&mut cluster, "a zone", &zone, false)?;
-    if how.hurt {
-        hit(&mut cluster, "a zone, empty disks", &zone, true)?;
+    measure(&mut cluster, "a zone", &zone, false)?;
+    if options.with_failures {
+        measure(&mut cluster, "a zone, empty disks", &zone, true)?;
     }
     Ok(())
 }
 
-/// Sweeps over numbers of members: a learner, a voter and the leader restarted, and a zone at once.
+/// Sweeps over numbers of members: restarts learners, a voter, the leader, and a whole zone at the same time.
 ///
 /// # Errors
-/// A size is zero or beyond the machine; nothing was started.
+/// A size is zero or exceeds the resources of the machine; nothing was started.
 pub fn sweep(
-    how: &Play,
+    options: &Options,
     sizes: &[usize],
     stop: &AtomicBool,
-    tell: impl FnMut(&Sweep),
+    report: impl FnMut(&Sweep),
 ) -> io::Result<Sweep> {
-    fits(how, sizes)?;
+    check_sizes(options, sizes)?;
     let list: Vec<String> = sizes.iter().map(usize::to_string).collect();
     let command = format!("canvascart lab members restarts --sizes {}", list.join(","));
     let mut sweep = Sweep {
@@ -183,41 +196,41 @@
         command,
         ..Sweep::default()
     };
-    each(&mut sweep, sizes, how, tell, |members, point| {
-        play(how, members, point, stop)
+    measure_each(&mut sweep, sizes, options, report, |members, point| {
+        measure_restarts(options, members, point, stop)
     });
-    let hits = [
+    let names = [
         "learners (1 %)",
         "a voter",
         "the leader",
         "a zone",
         "a zone, empty disks",
     ];
-    for who in hits.iter().take(if how.hurt { 5 } else { 4 }) {
+    for name in names.iter().take(if options.with_failures { 5 } else { 4 }) {
         for what in ["all decide s", "messages", "bytes", "voters cpu ms"] {
-            sweep.line(&format!("{who} {what}"), "members", target::PROXIES);
+            sweep.line(&format!("{name} {what}"), "members", target::PROXIES);
         }
     }
     Ok(sweep)
 }
 
-/// Sweeps over sizes of the state, at a few members: what each holds of it in memory and on disk, and what it costs the leader to
-/// bring a new member up to it.
+/// Sweeps over sizes of the state with a fixed number of members: memory and disk use per member, and the cost for the leader
+/// of transferring the state to a new member.
 ///
 /// # Errors
-/// A size is beyond the machine; nothing was started.
+/// A size exceeds the resources of the machine; nothing was started.
 pub fn snapshots(
-    how: &Play,
+    options: &Options,
     members: usize,
     states: &[usize],
     stop: &AtomicBool,
-    tell: impl FnMut(&Sweep),
+    report: impl FnMut(&Sweep),
 ) -> io::Result<Sweep> {
     for state in states {
-        fits(
-            &Play {
+        check_sizes(
+            &Options {
                 state_bytes: *state,
-                ..how.clone()
+                ..options.clone()
             },
             &[members],
         )?;
@@ -232,11 +245,11 @@
         command,
         ..Sweep::default()
     };
-    each(&mut sweep, states, how, tell, |state, point| {
-        with_state(
-            &Play {
+    measure_each(&mut sweep, states, options, report, |state, point| {
+        measure_with_state(
+            &Options {
                 state_bytes: state,
-                ..how.clone()
+                ..options.clone()
             },
             members,
             point,
@@ -256,49 +269,56 @@
     Ok(sweep)
 }
 
-fn with_state(how: &Play, members: usize, point: &mut Point, stop: &AtomicBool) -> io::Result<()> {
+fn measure_with_state(
+    options: &Options,
+    members: usize,
+    point: &mut Point,
+    stop: &AtomicBool,
+) -> io::Result<()> {
     point
         .sizes
-        .insert("state bytes".into(), how.state_bytes as f64);
+        .insert("state bytes".into(), options.state_bytes as f64);
     point.sizes.insert("members".into(), members as f64);
-    let mut cluster = Cluster::start(how, members, stop)?;
-    let idle = rest(how, &mut cluster)?;
+    let mut cluster = Cluster::start(options, members, stop)?;
+    let idle = measure_idle_traffic(options, &mut cluster)?;
     let mib = f64::from(1 << 20);
-    let sight = cluster.look()?;
-    let new = cluster.of(&[Role::Few])[0];
+    let counters = cluster.read_counters()?;
+    let new_member = cluster.of(&[Role::Few])[0];
     let memory = |g: usize| {
-        sight.groups[g]
+        counters.groups[g]
             .1
             .as_ref()
             .map_or(0.0, |l| l.memory as f64 / mib)
     };
     point.figures.insert("leader MiB".into(), memory(0));
-    point.figures.insert("learner MiB".into(), memory(new));
     point
         .figures
-        .insert("disk MiB".into(), cluster.disk(new)? as f64 / mib);
-    // As a new machine has it: no log. Its name is free once nothing of it is heard any more for a lease.
-    cluster.kill(new);
-    cluster.empty(new)?;
-    forget(how);
-    let before = cluster.look()?;
+        .insert("learner MiB".into(), memory(new_member));
+    point
+        .figures
+        .insert("disk MiB".into(), cluster.disk(new_member)? as f64 / mib);
+    // A new machine has no log. The name of a removed member can be used again after a lease.
+    cluster.kill(new_member);
+    cluster.remove_logs(new_member)?;
+    wait_for_lease_expiry(options);
+    let before = cluster.read_counters()?;
     let began = Instant::now();
-    cluster.restart(&[new])?;
-    cluster.all_decide(began + PATIENCE, stop)?;
+    cluster.restart(&[new_member])?;
+    cluster.wait_all_decide(began + DECIDE_TIMEOUT, stop)?;
     let took = began.elapsed();
-    let after = cluster.look()?;
-    let mut then = before.clone();
-    then.groups[new].1 = None;
-    let (out, _, span) = between(&then, &after);
-    let us = |s: &super::members::Sight| s.groups[0].1.as_ref().map_or(0, |l| l.cpu_us);
-    let restored = after.groups[new]
+    let after = cluster.read_counters()?;
+    let mut baseline = before.clone();
+    baseline.groups[new_member].1 = None;
+    let (out, _, span) = traffic_between(&baseline, &after);
+    let us = |s: &super::members::CounterSnapshot| s.groups[0].1.as_ref().map_or(0, |l| l.cpu_us);
+    let restored = after.groups[new_member]
         .1
         .as_ref()
         .and_then(|l| l.members.first())
         .map_or(0, |m| m.restored);
     let mut put = |what: &str, value: f64| _ = point.figures.insert(what.into(), value);
     put("caught up s", took.as_secs_f64());
-    put("caught up bytes", own(&out)[1] - idle.bytes * span);
+    put("caught up bytes", own_traffic(&out)[1] - idle.bytes * span);
     put("snapshots", out[MessageKind::Snapshot as usize][0] as f64);
     put(
         "snapshot bytes",
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -3,11 +3,13 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use lab::capacity::members::{Needs, Play, Room, fits, in_virtual_time, play, rules, sweep};
+use lab::capacity::members::{
+    Needs, Options, Room, check_sizes, measure, measure_in_virtual_time, rules, sweep,
+};
 use lab::capacity::{Fit, Point, restarts};
 
-fn hollow(command: Option<Vec<String>>, dir: &std::path::Path) -> Play {
-    Play {
+fn hollow(command: Option<Vec<String>>, dir: &std::path::Path) -> Options {
+    Options {
         command,
         rules: rules(),
         state_bytes: 100,
@@ -15,8 +17,8 @@
         periods: 1,
         changes: 1,
         peak: Duration::ZERO,
-        hurt: false,
-        side_by_side: false,
+        with_failures: false,
+        concurrent_sizes: false,
         dir: dir.to_owned(),
     }
 }
@@ -30,7 +32,7 @@
     let dir = directory("refused");
     let stop = AtomicBool::new(false);
     let refused = |sizes: &[usize], state_bytes| {
-        let how = Play {
+        let how = Options {
             state_bytes,
             ..hollow(Some(vec!["/nowhere/at/all".into()]), &dir)
         };
@@ -52,13 +54,13 @@
     // Sizes side by side may fit one by one, and not together.
     let room = Room::here(&dir).unwrap();
     let state_bytes = (room.memory / 48).min(room.disk / 36) as usize;
-    let how = |side_by_side| Play {
+    let how = |concurrent_sizes| Options {
         state_bytes,
-        side_by_side,
+        concurrent_sizes,
         ..hollow(Some(vec!["/nowhere/at/all".into()]), &dir)
     };
-    fits(&how(false), &[6, 7, 8]).unwrap();
-    let said = fits(&how(true), &[6, 7, 8]).unwrap_err().to_string();
+    check_sizes(&how(false), &[6, 7, 8]).unwrap();
+    let said = check_sizes(&how(true), &[6, 7, 8]).unwrap_err().to_string();
     assert!(
         said.contains("21 need") && said.contains("half of"),
         "{said}"
@@ -134,10 +136,10 @@
 
 #[test]
 fn a_sweep_that_is_stopped_is_partial_and_leaves_nothing_behind() {
-    for side_by_side in [false, true] {
+    for concurrent_sizes in [false, true] {
         let dir = directory("stopped");
-        let how = Play {
-            side_by_side,
+        let how = Options {
+            concurrent_sizes,
             ..hollow(None, &dir)
         };
         let sweep = sweep(&how, &[4, 6], &AtomicBool::new(true), |_| ()).unwrap();
@@ -159,10 +161,10 @@
 #[test]
 fn sizes_side_by_side_stand_in_their_order_and_a_void_one_has_no_part() {
     let dir = directory("beside");
-    let how = Play {
+    let how = Options {
         rules: quick(),
         changes: 0,
-        side_by_side: true,
+        concurrent_sizes: true,
         ..hollow(None, &dir)
     };
     let mut told = 0;
@@ -182,11 +184,11 @@
 fn who_comes_back_with_its_disk_needs_no_snapshot_and_a_zone_with_empty_ones_needs_one_each() {
     const STATE: usize = 20_000;
     let dir = directory("restarts");
-    let how = Play {
+    let how = Options {
         rules: quick(),
         periods: 4,
         state_bytes: STATE,
-        hurt: true,
+        with_failures: true,
         ..hollow(None, &dir)
     };
     let sweep = restarts::sweep(&how, &[10], &AtomicBool::new(false), |_| ()).unwrap();
@@ -224,7 +226,7 @@
 fn messages_by_kind_grow_no_faster_than_the_page_says() {
     let points: Vec<Point> = [6, 12, 24]
         .into_iter()
-        .map(|n| in_virtual_time(n, &rules(), 3, 1).unwrap())
+        .map(|n| measure_in_virtual_time(n, &rules(), 3, 1).unwrap())
         .collect();
     let slope = |figure: &str| {
         let points: Vec<(f64, f64)> = points
@@ -253,13 +255,13 @@
 #[test]
 fn hollow_members_on_threads_are_a_cluster_and_count_what_they_say() {
     let dir = directory("threads");
-    let how = Play {
+    let how = Options {
         rules: quick(),
         periods: 8,
         ..hollow(None, &dir)
     };
     let mut point = Point::default();
-    play(&how, 6, &mut point, &AtomicBool::new(false)).unwrap();
+    measure(&how, 6, &mut point, &AtomicBool::new(false)).unwrap();
     let of = |name: &str| point.figures[name];
     // Each reports once in 0.75 to 1 of a fifth of its lease; the leader does not write to itself.
     let reports = of("report /s") / 5.0 * 0.4;
