--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Lines through what was measured.
+//! Tests of the capacity sweeps: fits, tables, resource estimates, the stop signal and the timer rate of the decision module.
 
 use lab::capacity::module::{self, Distribution};
 use lab::capacity::{Beside, Fit, Machine, Needs, Point, Stop, Sweep, servers, tenants};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_line_has_slope_base_residual_and_range() {
+fn fit_computes_slope_base_residual_and_range() {
     let fit = Fit::of(&[(1.0, 12.0), (2.0, 14.0), (4.0, 18.0)]).expect("there is a line");
     assert!(
         (fit.slope - 2.0).abs() < 1e-9 && (fit.base - 10.0).abs() < 1e-9 && fit.residual < 1e-9
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_void_point_is_shown_and_has_no_part_in_a_line() {
+fn void_points_are_shown_and_excluded_from_fits() {
     let mut sweep = Sweep {
         name: "tenants".into(),
         command: "c".into(),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_second_build_stands_beside_the_first_size_by_size_with_a_line_of_its_own() {
+fn table_shows_a_second_build_beside_the_first_with_its_own_lines() {
     let mut sweep = Sweep {
         name: "tenants".into(),
         command: "c".into(),
@@ -86,7 +86,7 @@
         .expect("two points count");
     assert!(
         (fit.slope - 10.0).abs() < 1e-9,
-        "the first build's is given: {fit:?}"
+        "the fit of the first build is returned: {fit:?}"
     );
     let table = sweep.table();
     for part in [
@@ -99,11 +99,11 @@
     ] {
         assert!(table.contains(part), "{part}: {table}");
     }
-    assert!(!sweep.is_complete(), "a row is void");
+    assert!(!sweep.is_complete(), "a point is void");
 }
 
 #[test]
-fn needs_grow_with_the_sizes_and_what_goes_beyond_the_machine_is_named() {
+fn needs_grow_with_size_and_the_exceeded_resource_is_named() {
     let machine = Machine {
         processor: "p".into(),
         cores: 2,
@@ -119,7 +119,7 @@
     assert_eq!(
         (shared.services, shared.routes, shared.servers()),
         (680, 5300, 12_000),
-        "the target's"
+        "the sizes of the target"
     );
     assert_eq!(own(100).or(own(200)), own(200));
     let beyond = |needs: Needs| needs.beyond(&machine);
@@ -174,43 +174,53 @@
 }
 
 #[test]
-fn a_stop_ends_waits_and_the_processes_that_are_watched() {
+fn stop_ends_waits_and_kills_registered_processes() {
     let stop = Stop::default();
-    let run = || {
+    let start_process = || {
         std::process::Command::new("sleep")
             .arg("600")
             .spawn()
             .expect("it starts")
     };
-    let (mut before, mut after, mut free) = (run(), run(), run());
-    let _watched = stop.watch(before.id()).expect("it runs");
-    drop(stop.watch(free.id()).expect("it runs")); // no longer
+    let (mut registered_before, mut registered_after, mut unregistered) =
+        (start_process(), start_process(), start_process());
+    let _watched = stop.watch(registered_before.id()).expect("it runs");
+    drop(stop.watch(unregistered.id()).expect("it runs")); // ends the registration
     assert!(stop.check().is_ok());
     let waiting = stop.clone();
-    let waits = std::thread::spawn(move || waiting.sleep(std::time::Duration::from_secs(600)));
+    let waiting_thread =
+        std::thread::spawn(move || waiting.sleep(std::time::Duration::from_secs(600)));
     stop.stop();
-    let ended = waits.join().expect("it ends").expect_err("it was stopped");
+    let ended = waiting_thread
+        .join()
+        .expect("it ends")
+        .expect_err("it was stopped");
     assert_eq!(ended.kind(), std::io::ErrorKind::Interrupted);
-    assert!(!before.wait().expect("it has ended").success());
-    let _late = stop.watch(after.id()).expect("it runs");
+    assert!(!registered_before.wait().expect("it has ended").success());
+    let _late = stop.watch(registered_after.id()).expect("it runs");
     assert!(
-        !after
+        !registered_after
             .wait()
-            .expect("one that comes after the stop ends as well")
+            .expect("a process registered after the stop is killed as well")
             .success()
     );
     assert!(
-        free.try_wait().expect("it can be asked").is_none(),
-        "it runs on"
+        unregistered
+            .try_wait()
+            .expect("its state can be read")
+            .is_none(),
+        "it is still running"
     );
-    free.kill()
-        .and_then(|()| free.wait())
-        .expect("it is ended here");
+    unregistered
+        .kill()
+        .and_then(|()| unregistered.wait())
+        .expect("it is killed");
 }
 
 #[test]
-fn a_module_looks_over_its_servers_no_oftener_than_the_page_says() {
-    // docs/CAPACITY.md: 50 looks a second, idle and under load, so that a proxy with all servers looks at 50 times as many.
+fn decision_module_timers_stay_within_the_documented_rate() {
+    // docs/CAPACITY.md: 50 scans of the servers per second, idle and under load, so that a proxy with all servers scans 50 times
+    // their number per second. A higher timer rate would increase its idle CPU time.
     for (distribution, modules) in [
         (Distribution::One, [1.0, 1.0]),
         (Distribution::Services, [12.0, 45.0]),
@@ -231,7 +241,7 @@
         let slope = (large.scanned_servers[0] - small.scanned_servers[0]) / 600.0;
         assert!(
             slope <= 1.2 * 50.0 && slope > 0.0,
-            "{distribution:?}: {slope} looks a second and server"
+            "{distribution:?}: {slope} scans per second and server"
         );
     }
 }
--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/lab/tests/capacity_page.rs
@@ -1,27 +1,27 @@
-//! `docs/CAPACITY.md` against `docs/capacity.toml`: every figure of its tables can be worked out again, names the run that gave it and
-//! says where it lies far outside of what was measured; what is missing stands in the ROADMAP, in the same order and with its size.
+//! Checks `docs/CAPACITY.md` against `docs/capacity.toml`: every figure of its tables can be recalculated, names the run that
+//! produced it, and states if it is a far extrapolation. Missing items are in the ROADMAP, in the same order and with their size.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lab::capacity::{AtTarget, Fit, target};
 use serde::Deserialize;
 
-/// How far outside of what was measured a figure may lie without a word.
-const FAR: f64 = 10.0;
-/// The word.
-const SAYS_FAR: &str = "over ten times";
+/// Maximum ratio of a size to the largest measured size without a remark.
+const MAX_EXTRAPOLATION: f64 = 10.0;
+/// Remark on a figure beyond that ratio.
+const EXTRAPOLATION_REMARK: &str = "over ten times";
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Data {
-    /// Sizes of the operators' letter.
+    /// Target sizes from the operators.
     target: BTreeMap<String, f64>,
-    /// What they allow.
+    /// Limits that the operators allow.
     allowed: BTreeMap<String, f64>,
-    /// Numbers that are neither measured nor the operators', each with where it comes from.
+    /// Numbers that are neither measured nor from the operators, each with its source.
     given: BTreeMap<String, Given>,
     slope: Vec<Slope>,
-    /// Single figures, used as they were measured.
+    /// Single measured figures, used without a fit.
     measured: Vec<Measured>,
 }
 
@@ -31,7 +31,7 @@
     value: f64,
     unit: String,
     source: String,
-    /// It is worked out of what lies far outside of what was measured.
+    /// True if it is calculated from a far extrapolation.
     #[serde(default)]
     far: bool,
 }
@@ -56,7 +56,7 @@
     unit: String,
     /// The name of the size, in `target` or `given`.
     by: String,
-    /// Sizes, and what was measured there.
+    /// Sizes with the values measured at them.
     points: Vec<(f64, f64)>,
     command: String,
     source: String,
@@ -73,7 +73,7 @@
 }
 
 impl Slope {
-    /// The line through its points.
+    /// Fits a line through the points.
     fn fit(&self) -> Fit {
         Fit::of(&self.points).unwrap_or_else(|| panic!("{} has no line", self.id))
     }
@@ -94,7 +94,7 @@
     toml::from_str(&read("capacity.toml")).expect("docs/capacity.toml can be read")
 }
 
-/// The cells of all rows whose first cell is an id of that letter, in order.
+/// Returns the cells of all rows whose first cell is an id with that letter, in order.
 fn rows(text: &str, letter: char) -> Vec<Vec<String>> {
     let is_id = |cell: &str| {
         let digits = cell.strip_prefix(letter).unwrap_or_default();
@@ -111,7 +111,7 @@
         .collect()
 }
 
-/// A figure as it is written: its value and the worth of half of its last digit.
+/// Parses a written figure: its value and half a unit of its last digit.
 fn figure(cell: &str) -> Option<(f64, f64)> {
     let number = cell
         .trim_start_matches("about ")
@@ -125,7 +125,7 @@
     ))
 }
 
-/// Whether what is written is the value: within the rounding of its last digit, or of its third.
+/// Returns true if the written figure equals the value within the rounding of its last or of its third digit.
 fn agrees(cell: &str, value: f64) -> bool {
     figure(cell).is_some_and(|(written, half)| {
         let slack = (0.005 * value.abs()).max(if value.abs() < 1.0 && written == 0.0 {
@@ -137,12 +137,12 @@
     })
 }
 
-/// What the names in a formula stand for.
+/// Values of the names in formulas.
 struct Names(BTreeMap<String, f64>);
 
 impl Names {
-    /// Works a formula out: numbers, names, `+ - x /` with spaces around them, and parentheses.
-    fn work_out(&self, formula: &str) -> Result<f64, String> {
+    /// Evaluates a formula of numbers, names, `+ - x /` with spaces around them, and parentheses.
+    fn evaluate(&self, formula: &str) -> Result<f64, String> {
         let spaced = formula.replace('(', " ( ").replace(')', " ) ");
         let mut parts = spaced.split_whitespace().peekable();
         let value = self.sum(&mut parts)?;
@@ -203,12 +203,13 @@
     }
 }
 
-/// The slopes that lie over ten times outside of what was measured, and what the page works out of them.
-fn far(data: &Data, page: &str) -> BTreeSet<String> {
+/// Returns the ids of slopes whose target is over ten times the largest measured size, and of all figures calculated from
+/// them.
+fn far_extrapolations(data: &Data, page: &str) -> BTreeSet<String> {
     let given = data.given.iter().filter(|(_, given)| given.far);
     let mut far: BTreeSet<String> = given.map(|(name, _)| name.clone()).collect();
     for slope in &data.slope {
-        if slope.at(data).times > FAR || far.contains(&slope.by) {
+        if slope.at(data).times > MAX_EXTRAPOLATION || far.contains(&slope.by) {
             far.insert(slope.id.clone());
         }
     }
@@ -224,12 +225,13 @@
     far
 }
 
-/// All names: sizes, allowances, given numbers, slopes at the target, and what the page works out of them, in its order.
-fn names(data: &Data, page: &str) -> Names {
+/// Returns all names: sizes, limits, given numbers, slopes at the target, and the calculated figures of the page, in the order
+/// of the page.
+fn all_names(data: &Data, page: &str) -> Names {
     let mut names = Names(BTreeMap::new());
     let mut add = |name: &str, value: f64| {
         let before = names.0.insert(name.to_owned(), value);
-        assert!(before.is_none(), "{name} stands for two things");
+        assert!(before.is_none(), "{name} is defined twice");
     };
     data.target
         .iter()
@@ -251,7 +253,7 @@
             panic!("{row:?} lacks a cell")
         };
         let value = names
-            .work_out(formula.trim_matches('`'))
+            .evaluate(formula.trim_matches('`'))
             .unwrap_or_else(|e| panic!("{id}: {e}"));
         assert!(
             names.0.insert(id.clone(), value).is_none(),
@@ -262,7 +264,7 @@
 }
 
 #[test]
-fn the_sizes_are_the_ones_that_the_lab_reckons_with() {
+fn target_sizes_match_those_of_the_lab() {
     let data = data();
     let sizes = [
         ("proxies", target::PROXIES),
@@ -280,7 +282,7 @@
 }
 
 #[test]
-fn every_slope_names_its_run_its_range_and_its_fit() {
+fn slopes_and_measurements_are_complete_and_unique() {
     let data = data();
     let mut ids = BTreeSet::new();
     assert!(!data.slope.is_empty());
@@ -327,7 +329,7 @@
 }
 
 #[test]
-fn the_pages_slopes_are_slope_times_size_and_base() {
+fn documented_slopes_match_the_data() {
     let (data, page) = (data(), read("CAPACITY.md"));
     let rows = rows(&page, 'S');
     let shown: BTreeSet<&str> = rows.iter().map(|row| row[0].as_str()).collect();
@@ -389,8 +391,8 @@
             fit.range
         );
         assert_eq!(
-            beyond.contains(SAYS_FAR),
-            target.times > FAR,
+            beyond.contains(EXTRAPOLATION_REMARK),
+            target.times > MAX_EXTRAPOLATION,
             "{id}: {range}"
         );
         if fit.points == 2 {
@@ -413,7 +415,7 @@
 }
 
 #[test]
-fn the_pages_single_figures_are_those_that_were_measured() {
+fn documented_single_figures_match_the_data() {
     let (data, page) = (data(), read("CAPACITY.md"));
     let rows = rows(&page, 'D');
     let shown: Vec<&str> = rows.iter().map(|row| row[0].as_str()).collect();
@@ -441,9 +443,9 @@
 }
 
 #[test]
-fn what_the_page_works_out_comes_out() {
+fn documented_calculations_are_correct() {
     let (data, page) = (data(), read("CAPACITY.md"));
-    let (names, far) = (names(&data, &page), far(&data, &page));
+    let (names, far) = (all_names(&data, &page), far_extrapolations(&data, &page));
     let rows = rows(&page, 'W');
     assert!(!rows.is_empty());
     for row in rows {
@@ -451,18 +453,22 @@
             panic!("{row:?} lacks a cell")
         };
         let is = names
-            .work_out(formula.trim_matches('`'))
+            .evaluate(formula.trim_matches('`'))
             .unwrap_or_else(|e| panic!("{id}: {e}"));
         assert!(agrees(value, is), "{id}: {value} is not {formula} = {is}");
-        assert_eq!(value.contains(SAYS_FAR), far.contains(id), "{id}: {value}");
+        assert_eq!(
+            value.contains(EXTRAPOLATION_REMARK),
+            far.contains(id),
+            "{id}: {value}"
+        );
     }
 }
 
-/// What is said outside of the rows as `2.72 a day (W18)`: the nearest figure within three words before an id in parentheses.
+/// Checks figures in sentences, such as `2.72 a day (W18)`: the nearest figure within three words before an id in parentheses.
 #[test]
-fn a_figure_in_a_sentence_is_the_one_that_it_names() {
+fn figures_in_sentences_match_their_ids() {
     let (data, page) = (data(), read("CAPACITY.md"));
-    let names = names(&data, &page);
+    let names = all_names(&data, &page);
     let is_row = |line: &&str| {
         let first = line
             .trim_start_matches('|')
@@ -501,9 +507,9 @@
 }
 
 #[test]
-fn the_allowance_is_a_multiple_a_line_and_sorted() {
+fn allowance_rows_are_correct_and_sorted_by_multiple() {
     let (data, page) = (data(), read("CAPACITY.md"));
-    let (names, far) = (names(&data, &page), far(&data, &page));
+    let (names, far) = (all_names(&data, &page), far_extrapolations(&data, &page));
     let mut before = f64::INFINITY;
     let rows = rows(&page, 'A');
     assert!(!rows.is_empty());
@@ -512,14 +518,18 @@
             panic!("{row:?} lacks a cell")
         };
         let is = names
-            .work_out(formula.trim_matches('`'))
+            .evaluate(formula.trim_matches('`'))
             .unwrap_or_else(|e| panic!("{id}: {e}"));
         assert!(agrees(value, is), "{id}: {value} is not {formula} = {is}");
         let is_far = formula
             .trim_matches('`')
             .split_whitespace()
             .any(|word| far.contains(word));
-        assert_eq!(value.contains(SAYS_FAR), is_far, "{id}: {value}");
+        assert_eq!(
+            value.contains(EXTRAPOLATION_REMARK),
+            is_far,
+            "{id}: {value}"
+        );
         let limit = figure(allowed)
             .unwrap_or_else(|| panic!("{id}: {allowed}"))
             .0;
@@ -537,7 +547,7 @@
     }
 }
 
-/// What a text names by an id of these letters.
+/// Returns the ids with one of these letters that occur in a text.
 fn ids<'a>(text: &'a str, letters: &'a str) -> impl Iterator<Item = &'a str> {
     text.split(|c: char| !c.is_ascii_alphanumeric())
         .filter(move |word| {
@@ -549,7 +559,7 @@
 }
 
 #[test]
-fn no_id_is_named_that_has_no_row() {
+fn referenced_ids_have_a_row() {
     let page = read("CAPACITY.md");
     let mut known = BTreeSet::new();
     for row in "SDWAMN".chars().flat_map(|letter| rows(&page, letter)) {
@@ -566,7 +576,7 @@
 }
 
 #[test]
-fn what_is_missing_stands_in_the_roadmap_in_the_same_order_with_its_size() {
+fn missing_items_are_in_the_roadmap_in_order_with_their_size() {
     let (page, roadmap) = (read("CAPACITY.md"), read("ROADMAP.md"));
     let begin = roadmap
         .find("the fleet ahead")
@@ -624,12 +634,12 @@
 }
 
 #[test]
-fn a_formula_is_worked_out_by_the_usual_rules() {
+fn formulas_follow_operator_precedence() {
     let names = Names([("lease".to_owned(), 15.0)].into());
-    assert_eq!(names.work_out("2 + 3 x 4 - 6 / 3"), Ok(12.0));
-    assert_eq!(names.work_out("lease x (1 + 0.5) / 1,000"), Ok(0.0225));
+    assert_eq!(names.evaluate("2 + 3 x 4 - 6 / 3"), Ok(12.0));
+    assert_eq!(names.evaluate("lease x (1 + 0.5) / 1,000"), Ok(0.0225));
     for wrong in ["", "2 +", "2 3", "(2", "rent x 2"] {
-        assert!(names.work_out(wrong).is_err(), "{wrong}");
+        assert!(names.evaluate(wrong).is_err(), "{wrong}");
     }
     assert!(agrees("1.4 ms", 1.44) && !agrees("1.4 ms", 1.46) && agrees("16,800 B/s", 16_790.0));
     assert!(!agrees("", 1.0) && !agrees("none", 1.0) && !agrees("0 B", 0.4));
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -1,4 +1,5 @@
-//! What members cost as there are more of them, in virtual time and so the same each time; and what sweeps refuse.
+//! Tests of the member sweeps: checks of the sizes, void and partial results, snapshots after restarts, and the growth of
+//! traffic in virtual time, which is deterministic.
 
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
@@ -28,50 +29,55 @@
 }
 
 #[test]
-fn a_size_of_none_or_beyond_the_machine_is_refused_before_anything_starts() {
+fn invalid_or_oversized_member_counts_are_rejected_before_start() {
     let dir = directory("refused");
     let stop = AtomicBool::new(false);
-    let refused = |sizes: &[usize], state_bytes| {
-        let how = Options {
+    let rejection = |sizes: &[usize], state_bytes| {
+        let options = Options {
             state_bytes,
             ..hollow(Some(vec!["/nowhere/at/all".into()]), &dir)
         };
-        let e = sweep(&how, sizes, &stop, |_| panic!("nothing was to be played")).unwrap_err();
+        let e = sweep(&options, sizes, &stop, |_| {
+            panic!("no measurement must start")
+        })
+        .unwrap_err();
         assert_eq!(e.kind(), std::io::ErrorKind::InvalidInput, "{e}");
         e.to_string()
     };
-    assert!(refused(&[], 0).contains("no size"));
-    assert!(refused(&[0], 0).contains("0 are no cluster"));
+    assert!(rejection(&[], 0).contains("no size"));
+    assert!(rejection(&[0], 0).contains("0 are no cluster"));
     assert!(
-        refused(&[6, 20_000], 0).contains("20000"),
-        "all sizes are looked at first"
+        rejection(&[6, 20_000], 0).contains("20000"),
+        "all sizes are checked first"
     );
-    let said = refused(&[900], 1 << 30);
+    let message = rejection(&[900], 1 << 30);
     assert!(
-        said.contains("900") && said.contains("half of the machine's"),
-        "{said}"
+        message.contains("900") && message.contains("half of the machine's"),
+        "{message}"
     );
-    // Sizes side by side may fit one by one, and not together.
+    // Concurrent sizes may each fit, but exceed the machine together.
     let room = Room::here(&dir).unwrap();
     let state_bytes = (room.memory / 48).min(room.disk / 36) as usize;
-    let how = |concurrent_sizes| Options {
+    let options = |concurrent_sizes| Options {
         state_bytes,
         concurrent_sizes,
         ..hollow(Some(vec!["/nowhere/at/all".into()]), &dir)
     };
-    check_sizes(&how(false), &[6, 7, 8]).unwrap();
-    let said = check_sizes(&how(true), &[6, 7, 8]).unwrap_err().to_string();
+    check_sizes(&options(false), &[6, 7, 8]).unwrap();
+    let message = check_sizes(&options(true), &[6, 7, 8])
+        .unwrap_err()
+        .to_string();
     assert!(
-        said.contains("21 need") && said.contains("half of"),
-        "{said}"
+        message.contains("21 need") && message.contains("half of"),
+        "{message}"
     );
     let entries = std::fs::read_dir(&dir).unwrap().count();
-    assert_eq!(entries, 0, "no log of a member was made");
+    assert_eq!(entries, 0, "no log of a member was created");
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
 #[test]
-fn needs_are_held_against_each_limit() {
+fn needs_are_checked_against_each_limit() {
     let needs = Needs::of(900, 0, false);
     let room = Room {
         memory: needs.memory,
@@ -105,8 +111,11 @@
             "descriptors",
         ),
     ] {
-        let said = needs.fit(900, &less).unwrap_err().to_string();
-        assert!(said.contains(word) && said.contains("900"), "{said}");
+        let message = needs.fit(900, &less).unwrap_err().to_string();
+        assert!(
+            message.contains(word) && message.contains("900"),
+            "{message}"
+        );
     }
     let many = Needs {
         processes: 301,
@@ -121,36 +130,36 @@
 }
 
 #[test]
-fn a_process_that_dies_makes_the_row_void() {
+fn exited_process_makes_the_point_void() {
     let dir = directory("dies");
-    let how = hollow(Some(vec!["true".into()]), &dir);
-    let sweep = sweep(&how, &[6], &AtomicBool::new(false), |_| ()).unwrap();
-    let why = sweep.points[0].void.clone().expect("the row is void");
+    let options = hollow(Some(vec!["true".into()]), &dir);
+    let sweep = sweep(&options, &[6], &AtomicBool::new(false), |_| ()).unwrap();
+    let why = sweep.points[0].void.clone().expect("the point is void");
     assert!(why.contains("has ended"), "{why}");
     assert!(
         sweep.lines.iter().all(|l| l.fit.is_none()),
-        "a void row has no part in a line"
+        "a void point is excluded from fits"
     );
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
 #[test]
-fn a_sweep_that_is_stopped_is_partial_and_leaves_nothing_behind() {
+fn stopped_sweep_is_partial_and_leaves_no_files() {
     for concurrent_sizes in [false, true] {
         let dir = directory("stopped");
-        let how = Options {
+        let options = Options {
             concurrent_sizes,
             ..hollow(None, &dir)
         };
-        let sweep = sweep(&how, &[4, 6], &AtomicBool::new(true), |_| ()).unwrap();
+        let sweep = sweep(&options, &[4, 6], &AtomicBool::new(true), |_| ()).unwrap();
         assert!(sweep.partial && sweep.points.is_empty());
         assert_eq!(std::fs::read_dir(&dir).unwrap().count(), 0);
         std::fs::remove_dir_all(&dir).unwrap();
     }
 }
 
-/// As the unit of time of all that members do; a small one, so that a test does not wait.
-fn quick() -> cluster::rules::Rules {
+/// Rules with a short lease, on which the timing of members is based, so that tests are fast.
+fn short_lease_rules() -> cluster::rules::Rules {
     cluster::rules::Rules {
         lease: 2_000_000,
         change_lease: 1_500_000,
@@ -159,18 +168,21 @@
 }
 
 #[test]
-fn sizes_side_by_side_stand_in_their_order_and_a_void_one_has_no_part() {
+fn concurrent_sizes_are_reported_in_order() {
     let dir = directory("beside");
-    let how = Options {
-        rules: quick(),
+    let options = Options {
+        rules: short_lease_rules(),
         changes: 0,
         concurrent_sizes: true,
         ..hollow(None, &dir)
     };
-    let mut told = 0;
-    let sweep = sweep(&how, &[6, 4, 3], &AtomicBool::new(false), |_| told += 1).unwrap();
+    let mut report_count = 0;
+    let sweep = sweep(&options, &[6, 4, 3], &AtomicBool::new(false), |_| {
+        report_count += 1
+    })
+    .unwrap();
     let sizes: Vec<f64> = sweep.points.iter().map(|p| p.sizes["members"]).collect();
-    assert_eq!((sizes, told), (vec![6.0, 4.0, 3.0], 1));
+    assert_eq!((sizes, report_count), (vec![6.0, 4.0, 3.0], 1));
     assert!(
         sweep.is_complete() && sweep.points.iter().all(|p| p.figures["report /s"] > 0.0),
         "{sweep:?}"
@@ -178,42 +190,42 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// By docs/CAPACITY.md: about one snapshot for each that comes back with nothing (one that is not answered in time goes again), and none
-/// for any that has its disk.
+/// docs/CAPACITY.md: about one snapshot for each member that restarts with an empty disk (a snapshot that is not acknowledged in
+/// time is sent again), and none for a member that keeps its disk.
 #[test]
-fn who_comes_back_with_its_disk_needs_no_snapshot_and_a_zone_with_empty_ones_needs_one_each() {
+fn only_members_restarted_with_empty_disks_receive_snapshots() {
     const STATE: usize = 20_000;
     let dir = directory("restarts");
-    let how = Options {
-        rules: quick(),
+    let options = Options {
+        rules: short_lease_rules(),
         periods: 4,
         state_bytes: STATE,
         with_failures: true,
         ..hollow(None, &dir)
     };
-    let sweep = restarts::sweep(&how, &[10], &AtomicBool::new(false), |_| ()).unwrap();
+    let sweep = restarts::sweep(&options, &[10], &AtomicBool::new(false), |_| ()).unwrap();
     assert!(sweep.is_complete(), "{sweep:?}");
-    let of = |hit: &str, what: &str| sweep.points[0].figures[&format!("{hit} {what}")];
-    for (hit, members) in [
+    let figure = |target: &str, what: &str| sweep.points[0].figures[&format!("{target} {what}")];
+    for (target, members) in [
         ("learners (1 %)", 1.0),
         ("a voter", 1.0),
         ("the leader", 1.0),
         ("a zone", 2.0),
     ] {
         assert_eq!(
-            (of(hit, "members"), of(hit, "snapshots")),
+            (figure(target, "members"), figure(target, "snapshots")),
             (members, 0.0),
-            "{hit}"
+            "{target}"
         );
-        assert!(of(hit, "all decide s") > 0.0, "{hit}");
+        assert!(figure(target, "all decide s") > 0.0, "{target}");
     }
     let empty = "a zone, empty disks";
-    let snapshots = of(empty, "snapshots");
+    let snapshots = figure(empty, "snapshots");
     assert!(
-        of(empty, "members") == 2.0 && (2.0..=4.0).contains(&snapshots),
+        figure(empty, "members") == 2.0 && (2.0..=4.0).contains(&snapshots),
         "{snapshots} snapshots for two"
     );
-    let bytes = of(empty, "snapshot bytes") / snapshots;
+    let bytes = figure(empty, "snapshot bytes") / snapshots;
     assert!(
         bytes > STATE as f64 && bytes < 1.2 * STATE as f64,
         "{bytes} for a state of {STATE}"
@@ -221,9 +233,9 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// In virtual time the same is counted each time. A figure of docs/CAPACITY.md with a fifth more is the bound.
+/// Counts in virtual time are deterministic. The bound is 1.2 times the slope in docs/CAPACITY.md.
 #[test]
-fn messages_by_kind_grow_no_faster_than_the_page_says() {
+fn traffic_grows_within_the_documented_slopes() {
     let points: Vec<Point> = [6, 12, 24]
         .into_iter()
         .map(|n| measure_in_virtual_time(n, &rules(), 3, 1).unwrap())
@@ -235,16 +247,16 @@
             .collect();
         Fit::of(&points).unwrap().slope
     };
-    for (figure, most) in BOUNDS {
+    for (figure, max) in BOUNDS {
         let slope = slope(figure);
         assert!(
-            slope <= 1.2 * most && slope > 0.0,
-            "{figure}: {slope:.3} a member, and {most} on the page"
+            slope <= 1.2 * max && slope > 0.0,
+            "{figure}: {slope:.3} a member, and {max} on the page"
         );
     }
 }
 
-/// Figures and their slopes by members, as docs/CAPACITY.md has them.
+/// Figures and their slopes per member from docs/CAPACITY.md.
 const BOUNDS: [(&str, f64); 4] = [
     ("messages out /s member", 0.835),
     ("bytes out /s member", 121.5),
@@ -253,23 +265,23 @@
 ];
 
 #[test]
-fn hollow_members_on_threads_are_a_cluster_and_count_what_they_say() {
+fn hollow_members_on_threads_form_a_cluster_and_count_messages() {
     let dir = directory("threads");
-    let how = Options {
-        rules: quick(),
+    let options = Options {
+        rules: short_lease_rules(),
         periods: 8,
         ..hollow(None, &dir)
     };
     let mut point = Point::default();
-    measure(&how, 6, &mut point, &AtomicBool::new(false)).unwrap();
+    measure(&options, 6, &mut point, &AtomicBool::new(false)).unwrap();
     let of = |name: &str| point.figures[name];
-    // Each reports once in 0.75 to 1 of a fifth of its lease; the leader does not write to itself.
+    // Each member reports once per 0.75 to 1 times a fifth of its lease; the leader sends no report to itself.
     let reports = of("report /s") / 5.0 * 0.4;
     assert!(
         (0.8..=1.5).contains(&reports),
         "{reports} reports of each in a period"
     );
-    // A confirmation goes to the five others, and answers at least one report; so does each grant.
+    // A confirmation is sent to the five other members and responds to at least one report; so does a grant.
     assert!(of("grant /s") <= 1.05 * of("report /s") + 1.0, "{point:?}");
     assert!(
         of("confirmation /s") <= 1.05 * 5.0 * of("report /s") * 6.0 / 5.0 + 5.0,
