--- a/crates/canvascart/src/cluster/restore.rs
+++ b/crates/canvascart/src/cluster/restore.rs
@@ -116,13 +116,13 @@
         "log             up to entry {}, term {}",
         recovered.last_index, recovered.term
     );
-    println!("committed       up to entry {}", recovered.committed_index);
+    println!("known agreed    up to entry {}", recovered.committed_index);
     println!(
-        "uncommitted     {} entries that may have been acknowledged",
+        "taken besides   {} entries that may have been acknowledged",
         recovered.uncommitted_entries
     );
     println!(
-        "aborted change  {}",
+        "given up        {}",
         recovered
             .aborted_change
             .as_deref()
@@ -135,7 +135,7 @@
         .filter(|m| *m != name)
         .collect();
     println!(
-        "removed members {}",
+        "members no more {}",
         if lost_members.is_empty() {
             "none".into()
         } else {
@@ -143,7 +143,7 @@
         }
     );
     println!(
-        "may be missing  changes acknowledged after entry {} without this member",
+        "may be missing  whatever was acknowledged after entry {} without this member",
         recovered.last_index
     );
     if !yes {
@@ -189,7 +189,7 @@
         "version         {} before, {version} afterwards",
         backup.version
     );
-    println!("may be missing  changes acknowledged after the backup was made");
+    println!("may be missing  whatever was acknowledged after the backup was made");
     if !yes {
         println!("nothing was changed; add --yes to execute it");
         return Ok(());
