--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -38,10 +38,10 @@
 /// Messages and bytes by kind, in the order of [`MessageKind::ALL`].
 pub type TrafficByKind = [[u64; 2]; MessageKind::COUNT];
 
-/// Name and addresses of a hollow member.
+/// Name, address and zone of a hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberSpec {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
     /// Listening address.
     pub address: String,
@@ -49,7 +49,7 @@
     pub zone: String,
 }
 
-/// Members that share a process.
+/// Specification of a group of members that share a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupSpec {
     /// Members of the group.
@@ -117,7 +117,7 @@
 /// Current state of a member.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MemberState {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
     /// Version that the member serves.
     pub version: Option<Version>,
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -85,9 +85,9 @@
 pub struct Needs {
     /// Number of processes, without the one that measures.
     pub processes: usize,
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory: u64,
-    /// Bytes on disk.
+    /// Disk space in bytes.
     pub disk: u64,
     /// Maximum number of file descriptors of one process.
     pub descriptors: u64,
@@ -277,8 +277,8 @@
 
     fn sum(&self, of: fn(&Counters) -> &TrafficByKind) -> TrafficByKind {
         let mut all = TrafficByKind::default();
-        for look in self.groups.iter().filter_map(|(_, l)| l.as_ref()) {
-            add_traffic(&mut all, of(look));
+        for counters in self.groups.iter().filter_map(|(_, l)| l.as_ref()) {
+            add_traffic(&mut all, of(counters));
         }
         all
     }
@@ -695,14 +695,16 @@
         cpu_percent(before, after, |_, role| role != Role::Voter),
     );
     let mib = |of: &dyn Fn(usize, Role) -> bool| {
-        let looks = after
+        let group_counters = after
             .groups
             .iter()
             .enumerate()
             .filter(|(i, (role, _))| of(*i, *role));
-        let looks: Vec<&Counters> = looks.filter_map(|(_, (_, l))| l.as_ref()).collect();
-        let members: usize = looks.iter().map(|l| l.members.len()).sum();
-        looks.iter().map(|l| l.memory).sum::<u64>() as f64
+        let group_counters: Vec<&Counters> = group_counters
+            .filter_map(|(_, (_, l))| l.as_ref())
+            .collect();
+        let members: usize = group_counters.iter().map(|l| l.members.len()).sum();
+        group_counters.iter().map(|l| l.memory).sum::<u64>() as f64
             / members.max(1) as f64
             / f64::from(1 << 20)
     };
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -78,9 +78,9 @@
 pub struct Beside {
     /// Command that starts the second build.
     pub command: String,
-    /// What was measured, in order.
+    /// Measured points, in the order of measurement.
     pub points: Vec<Point>,
-    /// The lines through it.
+    /// Lines fitted through the points.
     pub lines: Vec<Line>,
 }
 
@@ -92,9 +92,9 @@
     pub name: String,
     /// Command that repeats the sweep.
     pub command: String,
-    /// What was measured, in order.
+    /// Measured points, in the order of measurement.
     pub points: Vec<Point>,
-    /// The lines through it.
+    /// Lines fitted through the points.
     pub lines: Vec<Line>,
     /// Results of a second build.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -298,7 +298,7 @@
             }
             if let Err(e) = result {
                 let why = first_line(&e.to_string());
-                tracing::warn!(sizes = ?point.sizes, why, "measurement failed; the point is void");
+                tracing::warn!(sizes = ?point.sizes, why, "a row is void");
                 point.void = Some(why);
             }
             match (n, &mut sweep.beside) {
--- a/crates/lab/src/capacity/servers.rs
+++ b/crates/lab/src/capacity/servers.rs
@@ -23,7 +23,7 @@
 
 /// Maximum number of listeners of one process of emulated servers.
 const MAX_LISTENERS: usize = 2000;
-/// Servers of a service.
+/// Number of servers per service.
 pub const SERVERS_PER_SERVICE: usize = 18;
 /// Maximum number of servers in the document of one tenant.
 const MAX_SERVERS_PER_TENANT: usize = 10_000;
--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/lab/tests/capacity_page.rs
@@ -257,7 +257,7 @@
             .unwrap_or_else(|e| panic!("{id}: {e}"));
         assert!(
             names.0.insert(id.clone(), value).is_none(),
-            "{id} stands twice"
+            "{id} is defined twice"
         );
     }
     names
@@ -288,7 +288,7 @@
     assert!(!data.slope.is_empty());
     for slope in &data.slope {
         let id = &slope.id;
-        assert!(ids.insert(id.clone()), "{id} stands twice");
+        assert!(ids.insert(id.clone()), "{id} is defined twice");
         assert!(
             data.size(&slope.by).is_some(),
             "{id}: no size is called {}",
@@ -338,7 +338,7 @@
     assert_eq!(
         rows.len(),
         data.slope.len(),
-        "a slope stands twice in the page"
+        "a slope occurs twice in the page"
     );
     for row in &rows {
         let [id, _, slope, base, by, at, range, residual, command] = &row[..] else {
@@ -535,7 +535,7 @@
             .0;
         assert!(
             data.allowed.values().any(|a| *a == limit),
-            "{id}: nobody allows {allowed}"
+            "{id}: {allowed} is not an allowed limit"
         );
         assert!(
             agrees(multiple, is / limit),
@@ -563,7 +563,7 @@
     let page = read("CAPACITY.md");
     let mut known = BTreeSet::new();
     for row in "SDWAMN".chars().flat_map(|letter| rows(&page, letter)) {
-        assert!(known.insert(row[0].clone()), "{} stands twice", row[0]);
+        assert!(known.insert(row[0].clone()), "{} is defined twice", row[0]);
     }
     for (name, text) in [("page", &page), ("note", &read("design/capacity.md"))] {
         for id in ids(text, "SDWAMN") {
